--- /dev/null
+++ b/src/core/booking.c
@@ -0,0 +1,123 @@
+#include "core/booking.h"
+
+#include <string.h>
+
+#define FAILURES_MAX 64 /* searches remembered within one plan */
+
+static rr_res team_used(const struct rr_planner *planner, int team) {
+    const rr_core *core = planner->c;
+    rr_res used = rr_team_used(core, team);
+    if ((guint)team >= core->team_booked->len) {
+        return used;
+    }
+    return rr_res_add(used, g_array_index(core->team_booked, rr_res, team), 1);
+}
+
+bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
+    const struct rr_team_config *team = &planner->c->cfg->teams[job->team];
+    rr_res used = rr_res_add(team_used(planner, job->team), job->need, tasks);
+    return (team->cpus_max <= 0 || used.cpu <= team->cpus_max + RR_EPS) &&
+           (team->gpus_max <= 0 || used.gpu <= team->gpus_max + RR_EPS);
+}
+
+/* In a resource of which the team is guaranteed none: 0. */
+static rr_res guarantee_of(const rr_core *core, int team) {
+    if (team < 0 || (size_t)team >= core->cfg->nteams) {
+        return (rr_res){0, 0, 0};
+    }
+    return (rr_res){core->cfg->teams[team].cpus, core->cfg->teams[team].gpus, 0};
+}
+
+bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
+    rr_res guarantee = guarantee_of(planner->c, job->team);
+    rr_res used = rr_res_add(team_used(planner, job->team), job->need, tasks);
+    return used.cpu <= guarantee.cpu + RR_EPS && used.gpu <= guarantee.gpu + RR_EPS;
+}
+
+bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_res returned) {
+    rr_res guarantee = guarantee_of(planner->c, team);
+    rr_res used = rr_res_add(team_used(planner, team), returned, -1);
+    return used.cpu > guarantee.cpu + RR_EPS || used.gpu > guarantee.gpu + RR_EPS;
+}
+
+bool rr_book_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
+                     uint64_t attempt) {
+    rr_core *core = planner->c;
+    struct rr_plan_edit *edit = rr_edit_of(planner, job, task / job->per);
+    if (!edit || !rr_record_fits(core, edit->items->len + 1)) {
+        return false;
+    }
+    rr_item item = {.m = machine, .task = task, .attempt = attempt, .tenure = machine->rep.tenure};
+    g_array_append_val(edit->items, item);
+    rr_plan_use(planner, machine);
+    g_array_append_val(machine->booked, job);
+    machine->sim = rr_res_add(machine->sim, job->need, -1);
+    machine->booked_cast = job->cast;
+    rr_res *booked = &g_array_index(core->team_booked, rr_res, job->team);
+    *booked = rr_res_add(*booked, job->need, 1);
+    rr_plan_guard(planner, job);
+    rr_log_at(core, RR_LOG_DEBUG, "place %s/%u try %" G_GUINT64_FORMAT " on %s", job->s.ref, task,
+              attempt, machine->name);
+    return true;
+}
+
+bool rr_book(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task) {
+    return rr_book_attempt(planner, machine, job, task, rr_next_attempt(planner->c));
+}
+
+void rr_job_zones_update(struct rr_planner *planner, const rr_job *job,
+                         struct rr_job_zones *zones) {
+    rr_core *core = planner->c;
+    guint zone_count = core->wards.names->len, open = 0;
+    rr_job_wards_from(core, job, zones->placements, zones->all, zones->allowed);
+    for (guint zone = 0; zone < zone_count; zone++) {
+        open += zones->allowed[zone];
+    }
+    if (!rr_zone_bound(job) || open <= 1) {
+        return;
+    }
+    int best = rr_zone_most_room(core, job, zones->allowed, planner->now);
+    for (guint zone = 0; zone < zone_count; zone++) {
+        zones->allowed[zone] = (int)zone == best;
+    }
+}
+
+uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
+    uint64_t mask = 0;
+    for (guint zone = 0; zone < core->wards.names->len; zone++) {
+        mask |= allowed[zone] ? (uint64_t)1 << (zone % 64) : 0;
+    }
+    return mask;
+}
+
+static bool same_machine_types(const rr_submission *a, const rr_submission *b) {
+    size_t bytes = (size_t)a->nbuilds * sizeof *a->builds;
+    return a->nbuilds == b->nbuilds && (bytes == 0 || memcmp(a->builds, b->builds, bytes) == 0);
+}
+
+static bool same_demands(const rr_job *a, const rr_job *b) {
+    return a->team == b->team && a->lane == b->lane && a->s.rank == b->s.rank &&
+           a->s.loaners == b->s.loaners && a->s.shape == b->s.shape &&
+           strcmp(a->s.ward, b->s.ward) == 0 && same_machine_types(&a->s, &b->s);
+}
+
+bool rr_search_hopeless(const struct rr_planner *planner, const rr_job *job, uint64_t zone_mask) {
+    for (guint i = 0; i < planner->failures->len; i++) {
+        const struct rr_plan_failure *failure =
+            &g_array_index(planner->failures, struct rr_plan_failure, i);
+        if (same_demands(failure->job, job) && rr_res_fits(failure->job->need, job->need) &&
+            (job->s.shape != RR_GANG || failure->job->s.pieces <= job->s.pieces) &&
+            (zone_mask & ~failure->wards) == 0) {
+            return true;
+        }
+    }
+    return false;
+}
+
+void rr_note_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
+    struct rr_plan_failure failure = {job, zone_mask};
+    job->failed_at = planner->now;
+    if (planner->failures->len < FAILURES_MAX) {
+        g_array_append_val(planner->failures, failure);
+    }
+}
--- /dev/null
+++ b/src/core/booking.h
@@ -0,0 +1,47 @@
+/* Inside the core only: what placing tasks has in common, whatever the kind of the job. Team limits
+ * and guarantees, allowed zones, searches that failed, and the bookings of the plan under
+ * construction. */
+#ifndef RR_CORE_BOOKING_H
+#define RR_CORE_BOOKING_H
+
+#include "core/plan.h"
+
+/* ---- limits and guarantees of teams ---- */
+
+/* So many more tasks of the job keep its team within its limit. Every placement in the ledger
+ * counts, whether proven over or not. */
+bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t tasks);
+/* So many more tasks of the job keep its team within its guarantee. */
+bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t tasks);
+/* The team would use more than its guarantee even after giving `returned` back. */
+bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_res returned);
+
+/* ---- bookings ---- */
+
+/* Books the task on the machine under this attempt. False: the transaction takes no more. */
+bool rr_book_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
+                     uint64_t attempt);
+/* The same under an attempt of its own. */
+bool rr_book(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task);
+
+/* ---- zones ---- */
+
+/* The zones in which the next task of a job may start, kept up to date while a plan books. */
+struct rr_job_zones {
+    bool *allowed;        /* by zone */
+    uint32_t *placements; /* by zone: of the job, with those of this plan */
+    uint32_t all;         /* their sum */
+    bool counted;         /* the job's allowed zones depend on its placements */
+};
+
+void rr_job_zones_update(struct rr_planner *planner, const rr_job *job, struct rr_job_zones *zones);
+/* One bit a zone, for comparing searches. */
+uint64_t rr_zone_mask(const rr_core *core, const bool *allowed);
+
+/* ---- searches that failed ---- */
+
+/* A job that asks for no more than this one has just found no room in these zones. */
+bool rr_search_hopeless(const struct rr_planner *planner, const rr_job *job, uint64_t zone_mask);
+void rr_note_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask);
+
+#endif
--- /dev/null
+++ b/src/core/preempt.c
@@ -0,0 +1,226 @@
+#include "core/preempt.h"
+
+#include <math.h>
+#include <string.h>
+
+#define MACHINES_COMPARED_MAX 160 /* with victims, in one search */
+
+/* Losses beside the work itself, in seconds. */
+#define VICTIM_LOSS_S 1.0
+#define TIGHT_S 60.0        /* a deadline nearer than this is in danger from a restart */
+#define INTACT_JOB_S 10.0   /* the first victim of a job: its last task decides when it ends */
+#define FOREIGN_OWNER_S 3.0 /* a victim of another owner, who may change its record too */
+
+#define NO_DEADLINE_SLACK_S 1e6
+#define STOP_ROUND_TRIP_S 1.0 /* until a machine shows the room that a stop has made */
+
+void rr_preemption_init(struct rr_preemption *preemption) {
+    preemption->victims = g_array_new(FALSE, FALSE, sizeof(rr_place *));
+    preemption->loss = 0;
+}
+
+void rr_preemption_clear(struct rr_preemption *preemption) {
+    g_array_free(preemption->victims, TRUE);
+}
+
+/* Work that stopping this placement at once would lose: its run time since its last checkpoint. */
+static double unsaved_work(const rr_place *place, double now) {
+    double ran = now - place->seen_at;
+    double interval = place->job->s.cairn_s;
+    return interval > 0 ? fmod(ran, interval) : ran;
+}
+
+/* Time to spare until the job's deadline if this task ran on from here; what is late already has
+ * nothing left to lose. */
+static double slack_of(const rr_place *place, double now, double wall) {
+    const rr_job *job = place->job;
+    if (job->s.due_s < 0) {
+        return NO_DEADLINE_SLACK_S;
+    }
+    double left = fmax(0, job->s.guess_s - (now - place->seen_at));
+    double slack = job->at + job->s.due_s - wall - left;
+    return slack < 0 ? NO_DEADLINE_SLACK_S : slack;
+}
+
+struct victim {
+    rr_place *place;
+    double slack;
+};
+
+/* Lowest priority first, then most time to spare. */
+static gint by_priority_and_slack(gconstpointer a, gconstpointer b) {
+    const struct victim *x = a, *y = b;
+    if (x->place->job->s.rank != y->place->job->s.rank) {
+        return x->place->job->s.rank < y->place->job->s.rank ? -1 : 1;
+    }
+    return x->slack > y->slack ? -1 : x->slack < y->slack;
+}
+
+/* The protocol's two grounds: lower priority, or work of any priority that another team runs beyond
+ * its own guarantee where this team is owed the room. `returned` is what victims so far give back.
+ */
+static bool may_stop(const struct rr_planner *planner, const rr_job *job, const rr_place *place,
+                     bool owed, rr_res returned) {
+    const rr_job *victim = place->job;
+    if (victim->s.shape == RR_GANG) {
+        return false; /* all of it would go for the room of one task */
+    }
+    if (victim->s.rank < job->s.rank && victim->s.shape == RR_BATCH &&
+        rr_objective_for(planner->c, "wait", job->s.lane)) {
+        return true;
+    }
+    return owed && victim->team >= 0 && victim->team != job->team &&
+           rr_beyond_guarantee(planner, victim->team, returned);
+}
+
+/* The machine's placements that may be stopped for the job, in the order in which they would be.
+ * Adds to *room what is being stopped already. */
+static GArray *possible_victims(const struct rr_planner *planner, const rr_machine *machine,
+                                const rr_job *job, bool owed, rr_res *room) {
+    const rr_res nothing = {0, 0, 0};
+    GArray *possible = g_array_new(FALSE, FALSE, sizeof(struct victim));
+    for (guint i = 0; i < machine->places->len; i++) {
+        rr_place *place = &g_array_index(machine->places, rr_place, i);
+        /* Free room has what is over, and what this plan stops, already: counted once more, the
+         * same victim made room for two. */
+        if (place->leaving || place->over_at > 0) {
+            continue;
+        }
+        if (place->evict) {
+            *room = rr_res_add(*room, place->job->need, 1);
+        } else if (may_stop(planner, job, place, owed, nothing)) {
+            struct victim victim = {place, slack_of(place, planner->now, planner->wall)};
+            g_array_append_val(possible, victim);
+        }
+    }
+    g_array_sort(possible, by_priority_and_slack);
+    return possible;
+}
+
+static double loss_of(const struct rr_planner *planner, const struct victim *victim, bool at_once) {
+    const rr_job *job = victim->place->job;
+    bool saves = job->s.cairn_s > 0 && !at_once;
+    double loss = VICTIM_LOSS_S;
+    loss += saves ? job->s.stash_s : unsaved_work(victim->place, planner->now);
+    loss += victim->slack < TIGHT_S ? TIGHT_S - victim->slack : 0;
+    loss += job->ndone + job->nplaced < job->s.pieces ? 0 : INTACT_JOB_S;
+    loss += rr_owns_team(planner->c, job->team) ? 0 : FOREIGN_OWNER_S;
+    return loss;
+}
+
+bool rr_may_preempt(const rr_core *core, const rr_job *job) {
+    return job->s.rank > RR_STANDARD && rr_objective_for(core, "wait", job->s.lane);
+}
+
+/* Saving takes the victims' time; where the aim on the start does not leave it, or is missed
+ * already (a replica lost with its machine, say), they stop at once and lose what they did since
+ * their last checkpoint. */
+static bool must_stop_at_once(const struct rr_planner *planner, const rr_job *job,
+                              const rr_machine *machine) {
+    const struct rr_objective *aim = rr_objective_for(planner->c, "wait", job->s.lane);
+    if (!aim) {
+        return false;
+    }
+    double left = aim->within_s - (planner->wall - job->at);
+    for (guint i = 0; i < machine->places->len; i++) {
+        const rr_job *other = g_array_index(machine->places, rr_place, i).job;
+        if (other->s.rank < job->s.rank && other->s.stash_s + STOP_ROUND_TRIP_S > left) {
+            return true;
+        }
+    }
+    return false;
+}
+
+bool rr_preemption_find(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
+                        uint32_t tasks, struct rr_preemption *out) {
+    bool owed = rr_within_guarantee(planner, job, tasks);
+    bool at_once = must_stop_at_once(planner, job, machine);
+    rr_res room = machine->sim, returned = {0, 0, 0};
+    GArray *possible = possible_victims(planner, machine, job, owed, &room);
+    g_array_set_size(out->victims, 0);
+    out->loss = 0;
+    for (guint i = 0; i < possible->len && rr_tasks_in(job->need, room, tasks) < tasks; i++) {
+        const struct victim *victim = &g_array_index(possible, struct victim, i);
+        rr_place *place = victim->place;
+        if (!may_stop(planner, job, place, owed, returned)) {
+            continue; /* those before it brought its team back within its guarantee */
+        }
+        returned = rr_res_add(returned, place->job->need, 1);
+        room = rr_res_add(room, place->job->need, 1);
+        out->loss += loss_of(planner, victim, at_once);
+        g_array_append_val(out->victims, place);
+    }
+    g_array_free(possible, TRUE);
+    return rr_tasks_in(job->need, room, tasks) >= tasks;
+}
+
+static struct rr_plan_edit *edit_of_victim(struct rr_planner *planner, const rr_place *victim) {
+    return rr_edit_of(planner, victim->job, victim->task / victim->job->per);
+}
+
+bool rr_preemption_mark(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
+                        const struct rr_preemption *preemption) {
+    const GArray *victims = preemption->victims;
+    bool at_once = must_stop_at_once(planner, job, machine);
+    for (guint i = 0; i < victims->len; i++) {
+        if (!edit_of_victim(planner, g_array_index(victims, rr_place *, i))) {
+            return false;
+        }
+    }
+    for (guint i = 0; i < victims->len; i++) {
+        rr_place *place = g_array_index(victims, rr_place *, i);
+        rr_item *item = rr_edit_item(edit_of_victim(planner, place), place->attempt, place->task);
+        if (item) {
+            item->evict = at_once ? RR_EVICT_AT_ONCE : RR_EVICT_SAVING;
+        }
+        place->leaving = true;
+        rr_plan_use(planner, machine);
+        machine->sim = rr_res_add(machine->sim, place->job->need, 1);
+        rr_log_at(planner->c, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s", place->job->s.ref,
+                  place->task, machine->name, job->s.ref, at_once ? ", unsaved" : "");
+    }
+    return true;
+}
+
+static bool may_take(const struct rr_planner *planner, const rr_machine *machine, const rr_job *job,
+                     const struct rr_choice *choice, bool warm_only) {
+    return machine->ward >= 0 && choice->wards[machine->ward] && machine->places->len > 0 &&
+           rr_job_allows(planner->c, job, machine->build, machine->ward, machine->loaners) &&
+           rr_machine_usable(planner->c, machine, planner->now) &&
+           (!warm_only || rr_machine_has_cast(machine, job->cast)) &&
+           !(choice->separate && rr_machine_has_task(machine, job));
+}
+
+/* Where a search over machines begins: not always with the same ones. */
+static guint first_compared(const rr_core *core, guint machines) {
+    return machines > 0 ? (guint)(core->counter * 61) % machines : 0;
+}
+
+bool rr_preempt_for_task(struct rr_planner *planner, rr_job *job, uint32_t task,
+                         const struct rr_choice *choice, bool warm_only) {
+    rr_core *core = planner->c;
+    rr_machine *best = NULL;
+    double least = 0;
+    guint count = core->machine_list->len, first = first_compared(core, count), compared = 0;
+    struct rr_preemption found;
+    rr_preemption_init(&found);
+    for (guint i = 0; i < count && compared < MACHINES_COMPARED_MAX; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, (first + i) % count);
+        core->visits++;
+        if (!may_take(planner, machine, job, choice, warm_only) ||
+            !rr_preemption_find(planner, machine, job, 1, &found)) {
+            continue;
+        }
+        compared++;
+        if (!best || found.loss < least) {
+            best = machine;
+            least = found.loss;
+        }
+    }
+    bool booked = best && rr_preemption_find(planner, best, job, 1, &found) &&
+                  rr_edit_of(planner, job, task / job->per) &&
+                  rr_preemption_mark(planner, best, job, &found) &&
+                  rr_book(planner, best, job, task);
+    rr_preemption_clear(&found);
+    return booked;
+}
