--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-#define FAILURES_MAX 64 /* searches remembered within one plan */
+#define FAILURES_MAX 64         /* searches remembered within one plan */
+#define OVERFLOW_RECORDS_MAX 16 /* of one job: what it has running beyond its chunks' records */
 
 static rr_res team_used(const struct rr_planner *planner, int team) {
     const rr_core *core = planner->c;
@@ -40,10 +41,74 @@
     return used.cpu > guarantee.cpu + RR_EPS || used.gpu > guarantee.gpu + RR_EPS;
 }
 
+/* Whether the record takes one placement more, once what is known to be over has left it. */
+static bool has_room(const struct rr_planner *planner, const rr_run *run) {
+    if (!run) {
+        return true;
+    }
+    const struct rr_plan_edit *edit = run->edit;
+    guint over = MIN(rr_plan_overs(planner, run), run->items->len);
+    guint placements = edit ? edit->items->len : run->items->len - over;
+    return rr_record_fits(planner->c, placements + 1);
+}
+
+/* The number of a record with room, of the task's chunk or else an overflow record; -1: none. Those
+ * are written only while every controller reads them. */
+static int64_t chunk_with_room(const struct rr_planner *planner, rr_job *job, uint32_t task) {
+    uint32_t home = task / job->per, first = rr_job_chunks(job);
+    if (has_room(planner, rr_job_run(job, home))) {
+        return home;
+    }
+    uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX, RR_PIECES_MAX / planner->c->chunk + 1);
+    for (uint32_t chunk = first; rr_all_able(planner->c) && chunk < end; chunk++) {
+        const rr_run *run = chunk < job->runs->len ? g_ptr_array_index(job->runs, chunk) : NULL;
+        if (has_room(planner, run)) {
+            return chunk;
+        }
+    }
+    return -1;
+}
+
+bool rr_has_booking_record(const struct rr_planner *planner, rr_job *job, uint32_t task) {
+    return chunk_with_room(planner, job, task) >= 0;
+}
+
+static bool record_has_task(const rr_run *run, uint32_t task) {
+    for (guint i = 0; i < run->items->len; i++) {
+        if (g_array_index(run->items, rr_item, i).task == task) {
+            return true;
+        }
+    }
+    return false;
+}
+
+/* An earlier placement of the task that is over leaves the ledger with the change that books it
+ * anew, whichever record it is in. */
+static bool begin_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
+    if (!rr_job_overflows(job)) {
+        return true;
+    }
+    for (guint chunk = 0; chunk < job->runs->len; chunk++) {
+        const rr_run *run = g_ptr_array_index(job->runs, chunk);
+        if (run && !run->edit && record_has_task(run, task) && !rr_edit_of(planner, job, chunk)) {
+            return false;
+        }
+    }
+    return true;
+}
+
+struct rr_plan_edit *rr_booking_record(struct rr_planner *planner, rr_job *job, uint32_t task) {
+    if (!begin_earlier_records(planner, job, task)) {
+        return NULL;
+    }
+    int64_t chunk = chunk_with_room(planner, job, task);
+    return chunk < 0 ? NULL : rr_edit_of(planner, job, (uint32_t)chunk);
+}
+
 bool rr_book_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
                      uint64_t attempt) {
     rr_core *core = planner->c;
-    struct rr_plan_edit *edit = rr_edit_of(planner, job, task / job->per);
+    struct rr_plan_edit *edit = rr_booking_record(planner, job, task);
     if (!edit || !rr_record_fits(core, edit->items->len + 1)) {
         return false;
     }
@@ -56,6 +121,7 @@
     rr_res *booked = &g_array_index(core->team_booked, rr_res, job->team);
     *booked = rr_res_add(*booked, job->need, 1);
     rr_plan_guard(planner, job);
+    planner->booked = machine;
     rr_log_at(core, RR_LOG_DEBUG, "place %s/%u try %" G_GUINT64_FORMAT " on %s", job->s.ref, task,
               attempt, machine->name);
     return true;
--- a/src/core/booking.h
+++ b/src/core/booking.h
@@ -18,6 +18,11 @@
 
 /* ---- bookings ---- */
 
+/* The record that takes one more placement, of this task, begun in the plan; NULL: none does, or
+ * the transaction takes no more. */
+struct rr_plan_edit *rr_booking_record(struct rr_planner *planner, rr_job *job, uint32_t task);
+/* Some record takes one more placement of this task. Changes nothing. */
+bool rr_has_booking_record(const struct rr_planner *planner, rr_job *job, uint32_t task);
 /* Books the task on the machine under this attempt. False: the transaction takes no more. */
 bool rr_book_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
                      uint64_t attempt);
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -2,17 +2,19 @@
  * and one change, under one attempt; it stops whole, and is booked anew, under a new attempt, once
  * every placement of the old one is proven over. Which of its phases it is in is derived from the
  * ledger and the reports each time: nothing of it is remembered. */
-#include "core/model.h"
+#include "core/plan.h"
 
 #include <string.h>
 
-/* What one record of the ledger holds, now and under the limits to come. */
+/* Its tasks are of one chunk, so that one change records them all as done, and one transaction
+ * books or ends it, now and under the limits to come: its records, and its final one at the end. */
 uint32_t rr_gang_most(const rr_core *c) {
-    uint32_t n = c->chunk;
-    while (n > 1 && (double)rr_run_bytes(n) > rr_value_kb(c->cfg) * 1024) {
-        n--;
+    uint32_t in_record = c->chunk;
+    while (in_record > 1 && !rr_record_fits(c, in_record)) {
+        in_record--;
     }
-    return n;
+    uint32_t records = (uint32_t)MAX(rr_txn_ops(c->cfg) - 1, 1);
+    return MIN(c->chunk, in_record * records);
 }
 
 /* A machine that has not shown its task for this part of gang_wait_s will not in time. */
@@ -40,24 +42,32 @@
 
 struct count {
     guint all, by[DONE + 1];
-    bool told; /* every machine of it can be told now */
+    bool told;    /* every machine of it can be told now */
+    bool at_once; /* it has to make room without delay */
 };
 
-static void count_states(const rr_core *c, const rr_job *j, double now, struct count *n) {
-    memset(n, 0, sizeof *n);
-    n->told = true;
-    const rr_run *run = j->runs && j->runs->len > 0 ? g_ptr_array_index(j->runs, 0) : NULL;
+static void count_run(const rr_core *c, const rr_job *j, const rr_run *run, double now,
+                      struct count *n) {
     for (guint i = 0; run && i < run->items->len; i++) {
         const rr_item *it = &g_array_index(run->items, rr_item, i);
         const rr_place *pl = rr_place_find(it->m, it->attempt, j, it->task);
         if (pl) {
             n->all++;
             n->by[state_of(c, it->m, pl, now)]++;
+            n->at_once = n->at_once || pl->evict == RR_EVICT_AT_ONCE;
             n->told = n->told && rr_machine_fresh(c, it->m, now) && !rr_machine_deaf(it->m);
         }
     }
 }
 
+static void count_states(const rr_core *c, const rr_job *j, double now, struct count *n) {
+    memset(n, 0, sizeof *n);
+    n->told = true;
+    for (guint k = 0; j->runs && k < j->runs->len; k++) {
+        count_run(c, j, g_ptr_array_index(j->runs, k), now, n);
+    }
+}
+
 static enum rr_gang_phase phase_of(const rr_job *j, const struct count *n) {
     if (j->done || j->cancelled || n->by[DONE] > 0) {
         return RR_GANG_ENDING;
@@ -84,8 +94,9 @@
     struct count n;
     count_states(c, j, now, &n);
     enum rr_gang_phase phase = phase_of(j, &n);
-    /* Only a gang that has lost nothing can save, and only if all are told in time. */
+    /* Only a gang that has lost nothing can save, and only if all are told in time. Where the work
+     * that takes its room can't wait for that, it does not. */
     *saving = phase == RR_GANG_STOPPING && n.by[LOST] == 0 && n.by[ABSENT] == 0 &&
-              n.all == j->s.pieces && n.told && j->s.cairn_s > 0;
+              n.all == j->s.pieces && n.told && !n.at_once && j->s.cairn_s > 0;
     return phase == RR_GANG_STOPPING || phase == RR_GANG_ENDING;
 }
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -536,6 +536,14 @@
     return r;
 }
 
+uint32_t rr_job_chunks(const rr_job *j) {
+    return (j->s.pieces + j->per - 1) / j->per;
+}
+
+bool rr_job_overflows(const rr_job *j) {
+    return j->runs && j->runs->len > rr_job_chunks(j);
+}
+
 /* Completions of one chunk, as hexadecimal digits (nothing binary in the store). */
 static void put_bits(rr_job *j, uint32_t chunk, const char *hex) {
     size_t n = strlen(hex);
@@ -551,7 +559,7 @@
 
 static void chunk_hex(const rr_job *j, uint32_t chunk, const GArray *extra, char *hex) {
     uint32_t first = chunk * j->per;
-    uint32_t n = j->s.pieces - first < j->per ? j->s.pieces - first : j->per;
+    uint32_t n = first >= j->s.pieces ? 0 : MIN(j->s.pieces - first, j->per);
     int d[RR_CHUNK_MAX / 4] = {0};
     for (uint32_t i = 0; i < n; i++) {
         if (rr_job_task_done(j, first + i)) {
@@ -616,9 +624,10 @@
     return true;
 }
 
-static void place_add(rr_core *c, rr_job *j, const rr_item *it, double now) {
+static void place_add(rr_core *c, rr_job *j, uint32_t chunk, const rr_item *it, double now) {
     rr_place p = {.job = j,
                   .task = it->task,
+                  .chunk = chunk,
                   .attempt = it->attempt,
                   .tenure = it->tenure,
                   .evict = it->evict,
@@ -669,7 +678,7 @@
     for (guint i = 0; i < fresh->len; i++) {
         const rr_item *it = &g_array_index(fresh, rr_item, i);
         if (!find_item(old, it, &from)) {
-            place_add(c, j, it, now);
+            place_add(c, j, r->chunk, it, now);
             continue;
         }
         rr_place *p = rr_place_find(it->m, it->attempt, j, it->task);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -26,6 +26,7 @@
 typedef struct {
     rr_job *job;
     uint32_t task;
+    uint32_t chunk; /* of the record that holds it */
     uint64_t attempt, tenure;
     int evict; /* enum rr_evict: to be stopped for work of higher rank, or moved away */
     /* volatile */
@@ -46,7 +47,10 @@
 } rr_item;
 
 /* One record of the ledger: the placements of a chunk of a job's tasks, and which are done. One
- * change books or ends many tasks of a job, which a ledger by machine can't. */
+ * change books or ends many tasks of a job, which a ledger by machine can't. Where the state
+ * service's limits to come leave a record less room than its chunk has tasks, overflow records
+ * beyond the job's chunks hold placements of any of its tasks, and no completions: those stay in
+ * the chunk's own record, where every version reads them. */
 typedef struct {
     uint32_t chunk;
     uint64_t mark;  /* 0: not in the store */
@@ -307,6 +311,8 @@
 /* Jobs are known for good, but final ones out of use shrink to a line. */
 void rr_jobs_shrink(rr_core *c, double wall);
 rr_run *rr_job_run(rr_job *j, uint32_t chunk); /* makes it if need be */
+uint32_t rr_job_chunks(const rr_job *j);       /* the first overflow record has this number */
+bool rr_job_overflows(const rr_job *j);        /* it has overflow records */
 void rr_run_key(const char *ref, uint32_t chunk, char *out, size_t size);
 /* The record of a chunk with these placements; done: tasks (uint32_t) completed beside those known.
  */
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -55,13 +55,6 @@
 
 /* ---- jobs ---- */
 
-/* The rest of a chunk whose record is full waits. */
-static bool chunk_full(struct rr_planner *p, rr_job *j, uint32_t task) {
-    const rr_run *r = rr_job_run(j, task / j->per);
-    const struct rr_plan_edit *e = r->edit;
-    return !rr_record_fits(p->c, (e ? e->items->len : r->items->len) + 1);
-}
-
 static void place_job(struct rr_planner *p, rr_job *j, int *left) {
     rr_core *c = p->c;
     if (j->s.shape == RR_GANG) {
@@ -96,7 +89,8 @@
             j->hint = task;
             first = false;
         }
-        if (chunk_full(p, j, task)) {
+        /* The rest of a chunk waits while no record takes more. */
+        if (!rr_has_booking_record(p, j, task)) {
             task = task - task % j->per + j->per - 1;
             continue;
         }
@@ -111,9 +105,7 @@
         }
         (*left)--;
         if (z.counted) {
-            const struct rr_plan_edit *e = rr_job_run(j, task / j->per)->edit;
-            const rr_machine *m = g_array_index(e->items, rr_item, e->items->len - 1).m;
-            z.placements[m->ward]++;
+            z.placements[p->booked->ward]++;
             z.all++;
             rr_job_zones_update(p, j, &z);
         }
@@ -174,6 +166,21 @@
 #define OLDEST_EVERY 7 /* plans */
 #define HEAD_START 8   /* tasks */
 
+/* The gang that has waited longest for room, if that is long; one at a time gathers it. */
+static rr_job *overdue_gang(const struct rr_planner *p, const GPtrArray *wait) {
+    rr_job *oldest = NULL;
+    for (guint i = 0; i < wait->len; i++) {
+        rr_job *j = g_ptr_array_index(wait, i);
+        bool overdue = j->s.shape == RR_GANG && j->nplaced == 0 && p->wall - j->at > FIRST_TASK_S;
+        if (overdue && (!oldest || j->at < oldest->at)) {
+            oldest = j;
+        }
+    }
+    return oldest;
+}
+
+#define RESERVE_FIRST_S 90.0 /* from then on work of higher priority leaves it the room, too */
+
 static rr_job *overdue(const struct rr_planner *p, const GPtrArray *wait) {
     rr_job *best = NULL;
     bool any = p->c->plans % OLDEST_EVERY == 0;
@@ -188,24 +195,55 @@
     return best;
 }
 
-void rr_place_waiting(struct rr_planner *p, GPtrArray *wait) {
-    int left = PLACE_MAX, head = HEAD_START;
-    double retry = fmin(0.25 + 0.02 * wait->len, RETRY_MAX_S);
-    p->c->plans++;
-    rr_job *first = overdue(p, wait);
-    if (first) {
-        place_job(p, first, &head);
-    }
+/* While changes are short the service that brings back most replicas goes first. */
+static void set_missing(const struct rr_planner *p, const GPtrArray *wait) {
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        /* While changes are short the one that brings back most replicas goes first. */
         bool counts = p->c->pressure > 0.9 && j->s.rank == RR_PROD && j->s.shape == RR_SERVICE;
         j->missing = counts ? j->s.pieces - j->ndone - j->nplaced : 0;
     }
+}
+
+/* Jobs that had their turn before the others in this plan; NULL: none. */
+struct early {
+    const rr_job *gang, *job;
+    const rr_job *reserve; /* the gang for which room is to be kept, once its turn has come */
+};
+
+static struct early place_early(struct rr_planner *p, const GPtrArray *wait, double retry,
+                                int *left) {
+    rr_job *gang = overdue_gang(p, wait);
+    struct early early = {.gang = gang};
+    if (!(gang && p->now - gang->failed_at >= retry && rr_place_gang(p, gang, left))) {
+        early.reserve = gang;
+    }
+    if (early.reserve && p->wall - gang->at > RESERVE_FIRST_S) {
+        rr_reserve_for_gang(p, gang);
+        early.reserve = NULL;
+    }
+    int head = HEAD_START;
+    rr_job *first = overdue(p, wait);
+    if (first && first != gang) {
+        place_job(p, first, &head);
+        early.job = head < HEAD_START ? first : NULL;
+    }
+    return early;
+}
+
+void rr_place_waiting(struct rr_planner *p, GPtrArray *wait) {
+    int left = PLACE_MAX;
+    double retry = fmin(0.25 + 0.02 * wait->len, RETRY_MAX_S);
+    p->c->plans++;
+    struct early early = place_early(p, wait, retry, &left);
+    set_missing(p, wait);
     g_ptr_array_sort(wait, by_turn);
     for (guint i = 0; i < wait->len && !p->full && left > 0; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        if (p->now - j->failed_at >= retry && !(j == first && head < HEAD_START)) {
+        if (early.reserve && j->s.rank <= early.reserve->s.rank) {
+            rr_reserve_for_gang(p, early.reserve);
+            early.reserve = NULL;
+        }
+        if (p->now - j->failed_at >= retry && j != early.gang && j != early.job) {
             place_job(p, j, &left);
         }
     }
@@ -230,13 +268,14 @@
         rr_job_wards(c, mv.job, wards, old);
         if (!old || mv.job->cancelled || !rr_machine_usable(c, mv.to, p->now) ||
             !rr_res_fits(mv.job->need, mv.to->sim) || !wards[mv.to->ward] ||
-            !rr_within_limit(p, mv.job, 1) || !rr_book(p, mv.to, mv.job, mv.task)) {
+            !rr_within_limit(p, mv.job, 1) || !rr_edit_of(p, mv.job, old->chunk) ||
+            !rr_book(p, mv.to, mv.job, mv.task)) {
             /* A move that fails ends the plan. */
             g_array_set_size(c->plan_moves, 0);
             return;
         }
-        rr_item *it =
-            rr_edit_item(rr_job_run(mv.job, mv.task / mv.job->per)->edit, old->attempt, mv.task);
+        const struct rr_plan_edit *e = rr_edit_of(p, mv.job, old->chunk);
+        rr_item *it = e ? rr_edit_item(e, old->attempt, mv.task) : NULL;
         if (it) {
             it->evict = RR_EVICT_SAVING;
         }
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -1,19 +1,30 @@
 #include "core/place_gang.h"
 
-#include "core/booking.h"
+#include "core/preempt.h"
 
 #include <string.h>
 
-/* Takes this plan's bookings of the gang's first tasks back. */
-static void unbook(struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
-    const struct rr_plan_edit *edit = rr_job_run((rr_job *)job, 0)->edit;
+/* While changes are this short no victims are made: each costs changes of its own. */
+#define SHORT_OF_CHANGES 0.9
+
+static void unbook_last(struct rr_planner *planner, const rr_job *job, GArray *items) {
+    rr_machine *machine = g_array_index(items, rr_item, items->len - 1).m;
     rr_res *booked = &g_array_index(planner->c->team_booked, rr_res, job->team);
-    for (; tasks > 0; tasks--) {
-        rr_machine *machine = g_array_index(edit->items, rr_item, edit->items->len - 1).m;
-        g_array_set_size(edit->items, edit->items->len - 1);
-        g_array_set_size(machine->booked, machine->booked->len - 1);
-        machine->sim = rr_res_add(machine->sim, job->need, 1);
-        *booked = rr_res_add(*booked, job->need, -1);
+    g_array_set_size(items, items->len - 1);
+    g_array_set_size(machine->booked, machine->booked->len - 1);
+    machine->sim = rr_res_add(machine->sim, job->need, 1);
+    *booked = rr_res_add(*booked, job->need, -1);
+}
+
+/* Takes this plan's bookings of the gang under this attempt back. */
+static void unbook(struct rr_planner *planner, const rr_job *job, uint64_t attempt) {
+    for (guint chunk = 0; chunk < job->runs->len; chunk++) {
+        const rr_run *run = g_ptr_array_index(job->runs, chunk);
+        const struct rr_plan_edit *edit = run ? run->edit : NULL;
+        while (edit && edit->items->len > 0 &&
+               g_array_index(edit->items, rr_item, edit->items->len - 1).attempt == attempt) {
+            unbook_last(planner, job, edit->items);
+        }
     }
 }
 
@@ -45,7 +56,9 @@
     if (task == job->s.pieces) {
         return true;
     }
-    unbook(planner, job, task);
+    if (task > 0) {
+        unbook(planner, job, attempt);
+    }
     return false;
 }
 
@@ -59,8 +72,178 @@
     rr_candidates(planner->c, job, &choice, planner->now, planner->cands);
 }
 
+/* ---- making room ---- */
+
+guint rr_gang_searches(const rr_core *core, const rr_job *job) {
+    return job->s.one_zone ? core->wards.names->len : 1;
+}
+
+void rr_gang_search_zones(const rr_core *core, const rr_job *job, const bool *allowed, guint search,
+                          bool *zones) {
+    for (guint zone = 0; zone < core->wards.names->len; zone++) {
+        zones[zone] = allowed[zone] && (!job->s.one_zone || zone == search);
+    }
+}
+
+/* Room for one task of a gang on a machine, free or to be made. */
+struct seat {
+    rr_machine *machine;
+    uint32_t tasks; /* of the gang there, with this one */
+    double loss;    /* what stopping work for all these loses, and the time of the image's fetch */
+};
+
+static gint by_loss(gconstpointer a, gconstpointer b) {
+    const struct seat *x = a, *y = b;
+    if (x->loss != y->loss) {
+        return x->loss < y->loss ? -1 : 1;
+    }
+    if (x->machine != y->machine) {
+        return x->machine->id - y->machine->id;
+    }
+    return x->tasks < y->tasks ? -1 : 1;
+}
+
+/* Adds the machine's seats; returns whether any of them needs victims. */
+static bool add_seats(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
+                      struct rr_preemption *found, GArray *seats) {
+    double fetch = rr_fetch_time(planner->c, job, machine);
+    uint32_t free_seats = rr_tasks_in(job->need, machine->sim, job->s.pieces);
+    bool victims = false;
+    for (uint32_t tasks = 1; tasks <= job->s.pieces; tasks++) {
+        struct seat seat = {machine, tasks, fetch};
+        if (tasks > free_seats) {
+            if (!rr_preemption_find(planner, machine, job, tasks, found)) {
+                break;
+            }
+            seat.loss += found->loss;
+            victims = true;
+        }
+        g_array_append_val(seats, seat);
+    }
+    return victims;
+}
+
+/* The seats in these zones, least loss first. */
+static GArray *find_seats(struct rr_planner *planner, const rr_job *job, const bool *zones) {
+    rr_core *core = planner->c;
+    GArray *seats = g_array_new(FALSE, FALSE, sizeof(struct seat));
+    guint compared = 0;
+    struct rr_preemption found;
+    rr_preemption_init(&found);
+    for (guint i = 0; i < core->machine_list->len && compared < RR_PREEMPT_COMPARED_MAX; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        core->visits++;
+        if (rr_machine_may_take(planner, machine, job, zones)) {
+            compared += add_seats(planner, machine, job, &found, seats);
+        }
+    }
+    rr_preemption_clear(&found);
+    g_array_sort(seats, by_loss);
+    return seats;
+}
+
+/* Keeps the first seats that take the whole gang, no more of them in a zone than the job allows;
+ * false: there are too few. *loss: of all. A machine's later seats never come before its earlier
+ * ones, as they lose no less. */
+static bool choose_seats(const struct rr_planner *planner, const rr_job *job, GArray *seats,
+                         double *loss) {
+    guint zone_count = planner->c->wards.names->len, kept = 0;
+    uint32_t in_zone[zone_count + 1];
+    uint32_t most = job->s.apart ? (job->s.pieces + 1) / 2 : job->s.pieces;
+    memset(in_zone, 0, sizeof in_zone);
+    *loss = 0;
+    for (guint i = 0; i < seats->len && kept < job->s.pieces; i++) {
+        struct seat seat = g_array_index(seats, struct seat, i);
+        if (in_zone[seat.machine->ward] < most) {
+            in_zone[seat.machine->ward]++;
+            *loss += seat.loss;
+            g_array_index(seats, struct seat, kept++) = seat;
+        }
+    }
+    g_array_set_size(seats, kept);
+    return kept == job->s.pieces;
+}
+
+/* The seats for the whole gang where least is lost; NULL: there is no such room. */
+static GArray *best_seats(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
+    const rr_core *core = planner->c;
+    bool zones[core->wards.names->len + 1];
+    GArray *best = NULL;
+    double least = 0, loss;
+    for (guint search = 0; search < rr_gang_searches(core, job); search++) {
+        rr_gang_search_zones(core, job, allowed, search, zones);
+        GArray *seats = find_seats(planner, job, zones);
+        if (choose_seats(planner, job, seats, &loss) && (!best || loss < least)) {
+            g_clear_pointer(&best, g_array_unref);
+            best = g_steal_pointer(&seats);
+            least = loss;
+        }
+        g_clear_pointer(&seats, g_array_unref);
+    }
+    return best;
+}
+
+static uint32_t seats_on(const GArray *seats, const rr_machine *machine) {
+    uint32_t tasks = 0;
+    for (guint i = 0; i < seats->len; i++) {
+        tasks += g_array_index(seats, struct seat, i).machine == machine;
+    }
+    return tasks;
+}
+
+/* Marks the victims on the machines of these seats. False: the transaction has no room for all of
+ * them; what is marked makes room for the plans that follow. */
+static bool mark_victims(struct rr_planner *planner, const rr_job *job, const GArray *seats) {
+    struct rr_preemption found;
+    bool marked = true;
+    rr_preemption_init(&found);
+    for (guint i = 0; i < seats->len && marked; i++) {
+        rr_machine *machine = g_array_index(seats, struct seat, i).machine;
+        uint32_t tasks = seats_on(seats, machine);
+        if (rr_tasks_in(job->need, machine->sim, tasks) < tasks) {
+            marked = rr_preemption_find(planner, machine, job, tasks, &found) &&
+                     rr_preemption_mark(planner, machine, job, &found);
+        }
+    }
+    rr_preemption_clear(&found);
+    return marked;
+}
+
+/* The class has an aim on its start, or the team is owed the room for all of the gang. */
+static bool may_make_room(const struct rr_planner *planner, const rr_job *job) {
+    const rr_core *core = planner->c;
+    bool urgent = job->s.rank > RR_LOW && rr_objective_for(core, "wait", job->s.lane);
+    return (urgent && core->pressure < SHORT_OF_CHANGES) ||
+           rr_within_guarantee(planner, job, job->s.pieces);
+}
+
+/* Has lower work stopped where least is lost, and books all tasks there; they start when the
+ * machines show room. */
+static bool book_on_made_room(struct rr_planner *planner, rr_job *job, const bool *allowed) {
+    GArray *seats = may_make_room(planner, job) ? best_seats(planner, job, allowed) : NULL;
+    if (!seats) {
+        return false;
+    }
+    uint64_t attempt = rr_next_attempt(planner->c);
+    uint32_t task = 0;
+    if (mark_victims(planner, job, seats)) {
+        while (task < job->s.pieces &&
+               rr_book_attempt(planner, g_array_index(seats, struct seat, task).machine, job, task,
+                               attempt)) {
+            task++;
+        }
+    }
+    if (task > 0 && task < job->s.pieces) {
+        unbook(planner, job, attempt);
+    }
+    g_array_unref(seats);
+    return task == job->s.pieces;
+}
+
+/* ---- one gang ---- */
+
 /* While a gang waits for room it holds none, so that no two of them hold a half each. */
-void rr_place_gang(struct rr_planner *planner, rr_job *job, int *left) {
+bool rr_place_gang(struct rr_planner *planner, rr_job *job, int *left) {
     rr_core *core = planner->c;
     guint zone_count = core->wards.names->len;
     bool allowed[zone_count + 1];
@@ -70,20 +253,27 @@
     memset(placements, 0, sizeof placements);
     if (job->nplaced > 0 || !rr_within_limit(planner, job, job->s.pieces) ||
         rr_job_count_by_ward(core, job, NULL, placements) > 0) {
-        return; /* an earlier attempt has tasks left, or the team has no room */
+        return false; /* an earlier attempt has tasks left, or the team has no room */
     }
+    /* Room may be made in any zone that the job allows; free room is looked for in the best. */
+    bool any_allowed[zone_count + 1];
+    rr_job_wards_from(core, job, placements, 0, any_allowed);
     rr_job_zones_update(planner, job, &zones);
     uint64_t zone_mask = rr_zone_mask(core, allowed);
     if (rr_search_hopeless(planner, job, zone_mask)) {
         job->failed_at = planner->now;
-        return;
+        return false;
     }
     find_candidates(planner, job, allowed);
     /* One that can't fit takes nothing of the transaction. */
     bool fits = fits_whole(planner, job);
-    if (fits && book_on_free_room(planner, job, &zones)) {
+    if ((fits && book_on_free_room(planner, job, &zones)) ||
+        (!planner->full && book_on_made_room(planner, job, any_allowed))) {
         *left -= (int)job->s.pieces;
-    } else if (!fits || !planner->full) {
+        return true;
+    }
+    if (!planner->full) {
         rr_note_failed_search(planner, job, zone_mask);
     }
+    return false;
 }
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -54,8 +54,7 @@
 
 static void take_overs(struct rr_planner *p, struct rr_plan_edit *e);
 
-/* Placements of the record known to be over. */
-static guint overs_of(const struct rr_planner *p, const rr_run *r) {
+guint rr_plan_overs(const struct rr_planner *p, const rr_run *r) {
     guint over = 0;
     for (guint n = r->overs; n > 0; over++) {
         n = g_array_index(p->overs, struct rr_plan_over, n - 1).next;
@@ -70,15 +69,25 @@
     if (!p->c->lowered || rr_record_fits(p->c, r->items->len)) {
         return true;
     }
-    return rr_record_fits(p->c, r->items->len - MIN(overs_of(p, r), r->items->len));
+    return rr_record_fits(p->c, r->items->len - MIN(rr_plan_overs(p, r), r->items->len));
+}
+
+/* Every placement of the job is known to be over. */
+static bool all_over(const struct rr_planner *p, const rr_job *j) {
+    for (guint n = 0; j->runs && n < j->runs->len; n++) {
+        const rr_run *r = g_ptr_array_index(j->runs, n);
+        if (r && rr_plan_overs(p, r) < r->items->len) {
+            return false;
+        }
+    }
+    return true;
 }
 
 /* A gang's placements leave the ledger together: none before all are over, so that no task of it is
  * placed anew beside an old one, and what was seen of the first loss stays to be seen. Once it is
  * done or cancelled each goes by itself. */
-static bool gang_goes(const struct rr_planner *p, const rr_job *j, const rr_run *r) {
-    return j->s.shape != RR_GANG || j->cancelled || j->done || j->over > 0 ||
-           overs_of(p, r) >= r->items->len;
+static bool gang_goes(const struct rr_planner *p, const rr_job *j) {
+    return j->s.shape != RR_GANG || j->cancelled || j->done || j->over > 0 || all_over(p, j);
 }
 
 struct rr_plan_edit *rr_edit_of(struct rr_planner *p, rr_job *j, uint32_t chunk) {
@@ -87,7 +96,7 @@
         return r->edit;
     }
     size_t bytes = rr_run_bytes(r->items->len + 1) + 120;
-    if (!writable(p, r) || !gang_goes(p, j, r)) {
+    if (!writable(p, r) || (rr_plan_overs(p, r) > 0 && !gang_goes(p, j))) {
         return NULL;
     }
     if (!txn_room(p, 1, bytes)) {
@@ -162,41 +171,51 @@
     }
 }
 
-/* One task of a gang is done, and so are all. False: the transaction has no room for the end. */
-static bool gang_done(struct rr_planner *p, struct rr_plan_edit *e, const struct rr_plan_over *o) {
+#define FINAL_BYTES 200 /* of a job's final record, with its key */
+
+/* One task of a gang is done, and so are all: its tasks are of one chunk. */
+static void gang_done(struct rr_plan_edit *home, rr_job *j) {
+    j->finishing = j->s.pieces;
+    for (uint32_t t = 0; t < j->s.pieces; t++) {
+        g_array_append_val(home->done, t);
+    }
+}
+
+/* Records a completion where it belongs, in the record of the task's chunk. False: the transaction
+ * has no room for it. */
+static bool record_done(struct rr_planner *p, struct rr_plan_edit *e,
+                        const struct rr_plan_over *o) {
     rr_job *j = o->job;
-    if (j->finishing > 0) {
+    bool gang = j->s.shape == RR_GANG;
+    uint32_t chunk = o->task / j->per;
+    struct rr_plan_edit *home = e->run->chunk == chunk ? e : rr_edit_of(p, j, chunk);
+    if (!home) {
+        return false;
+    }
+    if ((gang && j->finishing > 0) || done_in(home, o->task)) {
         return true;
     }
-    if (!has_room(p, 1, 200)) {
+    /* The last one ends the job: a change more. */
+    bool last = gang || j->ndone + j->finishing + 1 >= j->s.pieces;
+    if (last && !has_room(p, 1, FINAL_BYTES)) {
         return false;
     }
-    p->ops++;
-    j->finishing = j->s.pieces;
-    for (uint32_t t = 0; t < j->s.pieces; t++) {
-        g_array_append_val(e->done, t);
+    p->ops += last;
+    home->zone = o->m->ward;
+    if (gang) {
+        gang_done(home, j);
+    } else {
+        j->finishing++;
+        g_array_append_val(home->done, o->task);
     }
-    e->zone = o->m->ward;
     return true;
 }
 
 /* Takes a placement out of its record, with its completion if there is one to record. */
 static void take_over(struct rr_planner *p, struct rr_plan_edit *e, const struct rr_plan_over *o) {
     rr_job *j = o->job;
-    if (j->s.shape == RR_GANG) {
-        if (o->done && !j->cancelled && !j->done && !gang_done(p, e, o)) {
-            return;
-        }
-    } else if (o->done && !j->cancelled && !rr_job_task_done(j, o->task) && !done_in(e, o->task)) {
-        /* The last one ends the job: a change more. */
-        bool last = j->ndone + j->finishing + 1 >= j->s.pieces;
-        if (last && !has_room(p, 1, 200)) {
-            return;
-        }
-        p->ops += last;
-        j->finishing++;
-        g_array_append_val(e->done, o->task);
-        e->zone = o->m->ward;
+    if (o->done && !j->cancelled && !rr_job_task_done(j, o->task) && !record_done(p, e, o)) {
+        return;
     }
     rr_item *it = rr_edit_item(e, o->attempt, o->task);
     if (it) {
@@ -218,10 +237,11 @@
     if (pl->over_at <= 0 && !done) {
         rr_log_at(p->c, RR_LOG_DEBUG, "over %s/%u on %s: %s", j->s.ref, pl->task, m->name, why);
     }
-    rr_run *r = rr_job_run(j, pl->task / j->per);
+    rr_run *r = rr_job_run(j, pl->chunk);
     struct rr_plan_over o = {.m = m,
                              .job = j,
                              .task = pl->task,
+                             .chunk = pl->chunk,
                              .attempt = pl->attempt,
                              .done = done,
                              .evicted = pl->evict != RR_KEEP,
@@ -246,7 +266,7 @@
     const rr_job *j = o->job;
     const rr_place *pl = rr_place_find(o->m, o->attempt, j, o->task);
     return j->s.shape == RR_GANG && o->done && pl && p->now - pl->over_at < TOGETHER_S &&
-           overs_of(p, g_ptr_array_index(j->runs, 0)) < j->nplaced;
+           !all_over(p, j);
 }
 
 static bool lost(const struct rr_plan_over *o) {
@@ -261,11 +281,11 @@
 static void record_overs(struct rr_planner *p) {
     for (guint i = 0; i < p->overs->len; i++) {
         const struct rr_plan_over *o = &g_array_index(p->overs, struct rr_plan_over, i);
-        if (lost(o) && gang_goes(p, o->job, rr_job_run(o->job, o->task / o->job->per))) {
+        if (lost(o) && gang_goes(p, o->job)) {
             reopen(p, o->job, o->task);
         }
         if (!waits_for_gang(p, o) && (o->evicted || (!lost(o) && (!o->wait || finishes(o->job))))) {
-            rr_edit_of(p, o->job, o->task / o->job->per);
+            rr_edit_of(p, o->job, o->chunk);
         }
     }
 }
@@ -275,7 +295,7 @@
     for (guint i = 0; i < p->overs->len && !p->full; i++) {
         const struct rr_plan_over *o = &g_array_index(p->overs, struct rr_plan_over, i);
         if (lost(o) && !o->wait) {
-            rr_edit_of(p, o->job, o->task / o->job->per);
+            rr_edit_of(p, o->job, o->chunk);
         }
     }
 }
@@ -468,7 +488,7 @@
     for (guint i = 0; i < p->overs->len; i++) {
         const struct rr_plan_over *o = &g_array_index(p->overs, struct rr_plan_over, i);
         o->job->over = 0;
-        rr_job_run(o->job, o->task / o->job->per)->overs = 0;
+        rr_job_run(o->job, o->chunk)->overs = 0;
     }
     g_array_free(p->reopened, TRUE);
     g_array_free(p->overs, TRUE);
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -20,6 +20,7 @@
     rr_machine *m;
     rr_job *job;
     uint32_t task;
+    uint32_t chunk; /* of its record */
     uint64_t attempt;
     bool done, wait; /* completed; may wait for others of its job */
     bool evicted;    /* made room, for another owner's task perhaps, who waits for the record */
@@ -51,6 +52,7 @@
     int ops, limit;      /* changes so far and at most */
     size_t bytes;        /* their size, roughly */
     bool full;           /* the transaction takes no more */
+    rr_machine *booked;  /* by the last booking */
 };
 
 /* plan.c: the transaction */
@@ -58,6 +60,7 @@
 /* The record's changes in this plan, begun if need be; NULL: the transaction takes no more. */
 struct rr_plan_edit *rr_edit_of(struct rr_planner *p, rr_job *j, uint32_t chunk);
 rr_item *rr_edit_item(const struct rr_plan_edit *e, uint64_t attempt, uint32_t task);
+guint rr_plan_overs(const struct rr_planner *p, const rr_run *r); /* known to be over in it */
 void rr_plan_guard(struct rr_planner *p, rr_job *j);
 void rr_plan_use(struct rr_planner *p, rr_machine *m);
 /* A placement is known to be over. */
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -3,8 +3,6 @@
 #include <math.h>
 #include <string.h>
 
-#define MACHINES_COMPARED_MAX 160 /* with victims, in one search */
-
 /* Losses beside the work itself, in seconds. */
 #define VICTIM_LOSS_S 1.0
 #define TIGHT_S 60.0        /* a deadline nearer than this is in danger from a restart */
@@ -58,14 +56,11 @@
 
 /* The protocol's two grounds: lower priority, or work of any priority that another team runs beyond
  * its own guarantee where this team is owed the room. `returned` is what victims so far give back.
- */
+ * Replicas are stopped on the second ground alone. */
 static bool may_stop(const struct rr_planner *planner, const rr_job *job, const rr_place *place,
                      bool owed, rr_res returned) {
     const rr_job *victim = place->job;
-    if (victim->s.shape == RR_GANG) {
-        return false; /* all of it would go for the room of one task */
-    }
-    if (victim->s.rank < job->s.rank && victim->s.shape == RR_BATCH &&
+    if (victim->s.rank < job->s.rank && victim->s.shape != RR_SERVICE &&
         rr_objective_for(planner->c, "wait", job->s.lane)) {
         return true;
     }
@@ -105,7 +100,30 @@
     loss += victim->slack < TIGHT_S ? TIGHT_S - victim->slack : 0;
     loss += job->ndone + job->nplaced < job->s.pieces ? 0 : INTACT_JOB_S;
     loss += rr_owns_team(planner->c, job->team) ? 0 : FOREIGN_OWNER_S;
-    return loss;
+    /* A gang stops whole, and starts anew only when room for all of it is found again. */
+    return job->s.shape == RR_GANG ? loss * job->s.pieces : loss;
+}
+
+static bool is_chosen(const GArray *victims, const rr_place *place) {
+    for (guint i = 0; i < victims->len; i++) {
+        if (g_array_index(victims, const rr_place *, i) == place) {
+            return true;
+        }
+    }
+    return false;
+}
+
+/* Adds a victim; of a gang, all that the machine has of it. What they give back goes to *room. */
+static void choose(const GArray *possible, const struct victim *victim, GArray *victims,
+                   rr_res *room) {
+    const rr_job *job = victim->place->job;
+    for (guint i = 0; i < possible->len; i++) {
+        rr_place *place = g_array_index(possible, struct victim, i).place;
+        if (place == victim->place || (job->s.shape == RR_GANG && place->job == job)) {
+            g_array_append_val(victims, place);
+            *room = rr_res_add(*room, place->job->need, 1);
+        }
+    }
 }
 
 bool rr_may_preempt(const rr_core *core, const rr_job *job) {
@@ -133,7 +151,8 @@
 
 bool rr_preemption_find(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                         uint32_t tasks, struct rr_preemption *out) {
-    bool owed = rr_within_guarantee(planner, job, tasks);
+    bool gang = job->s.shape == RR_GANG;
+    bool owed = rr_within_guarantee(planner, job, gang ? job->s.pieces : tasks);
     bool at_once = must_stop_at_once(planner, job, machine);
     rr_res room = machine->sim, returned = {0, 0, 0};
     GArray *possible = possible_victims(planner, machine, job, owed, &room);
@@ -142,20 +161,20 @@
     for (guint i = 0; i < possible->len && rr_tasks_in(job->need, room, tasks) < tasks; i++) {
         const struct victim *victim = &g_array_index(possible, struct victim, i);
         rr_place *place = victim->place;
-        if (!may_stop(planner, job, place, owed, returned)) {
-            continue; /* those before it brought its team back within its guarantee */
+        /* Those before it may have brought its team back within its guarantee. */
+        if (is_chosen(out->victims, place) || !may_stop(planner, job, place, owed, returned)) {
+            continue;
         }
         returned = rr_res_add(returned, place->job->need, 1);
-        room = rr_res_add(room, place->job->need, 1);
         out->loss += loss_of(planner, victim, at_once);
-        g_array_append_val(out->victims, place);
+        choose(possible, victim, out->victims, &room);
     }
     g_array_free(possible, TRUE);
     return rr_tasks_in(job->need, room, tasks) >= tasks;
 }
 
 static struct rr_plan_edit *edit_of_victim(struct rr_planner *planner, const rr_place *victim) {
-    return rr_edit_of(planner, victim->job, victim->task / victim->job->per);
+    return rr_edit_of(planner, victim->job, victim->chunk);
 }
 
 bool rr_preemption_mark(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
@@ -182,11 +201,16 @@
     return true;
 }
 
+bool rr_machine_may_take(const struct rr_planner *planner, const rr_machine *machine,
+                         const rr_job *job, const bool *allowed) {
+    return machine->ward >= 0 && allowed[machine->ward] &&
+           rr_job_allows(planner->c, job, machine->build, machine->ward, machine->loaners) &&
+           rr_machine_usable(planner->c, machine, planner->now);
+}
+
 static bool may_take(const struct rr_planner *planner, const rr_machine *machine, const rr_job *job,
                      const struct rr_choice *choice, bool warm_only) {
-    return machine->ward >= 0 && choice->wards[machine->ward] && machine->places->len > 0 &&
-           rr_job_allows(planner->c, job, machine->build, machine->ward, machine->loaners) &&
-           rr_machine_usable(planner->c, machine, planner->now) &&
+    return machine->places->len > 0 && rr_machine_may_take(planner, machine, job, choice->wards) &&
            (!warm_only || rr_machine_has_cast(machine, job->cast)) &&
            !(choice->separate && rr_machine_has_task(machine, job));
 }
@@ -204,7 +228,7 @@
     guint count = core->machine_list->len, first = first_compared(core, count), compared = 0;
     struct rr_preemption found;
     rr_preemption_init(&found);
-    for (guint i = 0; i < count && compared < MACHINES_COMPARED_MAX; i++) {
+    for (guint i = 0; i < count && compared < RR_PREEMPT_COMPARED_MAX; i++) {
         rr_machine *machine = g_ptr_array_index(core->machine_list, (first + i) % count);
         core->visits++;
         if (!may_take(planner, machine, job, choice, warm_only) ||
@@ -218,7 +242,7 @@
         }
     }
     bool booked = best && rr_preemption_find(planner, best, job, 1, &found) &&
-                  rr_edit_of(planner, job, task / job->per) &&
+                  rr_booking_record(planner, job, task) &&
                   rr_preemption_mark(planner, best, job, &found) &&
                   rr_book(planner, best, job, task);
     rr_preemption_clear(&found);
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -49,6 +49,16 @@
 
 /* ---- what a placement needs ---- */
 
+static bool older_in(const rr_run *r, const rr_place *pl) {
+    for (guint i = 0; i < r->items->len; i++) {
+        const rr_item *it = &g_array_index(r->items, rr_item, i);
+        if (it->task == pl->task && it->attempt < pl->attempt) {
+            return true;
+        }
+    }
+    return false;
+}
+
 /* The older placement of a task is the live one; a newer one waits for its end (moves: the
  * destination is booked first). */
 static bool has_older(const rr_place *pl) {
@@ -56,10 +66,12 @@
     if (!j->placed || pl->task >= j->s.pieces || j->placed[pl->task] < 2) {
         return false;
     }
-    const rr_run *r = rr_job_run(j, pl->task / j->per);
-    for (guint i = 0; i < r->items->len; i++) {
-        const rr_item *it = &g_array_index(r->items, rr_item, i);
-        if (it->task == pl->task && it->attempt < pl->attempt) {
+    if (older_in(rr_job_run(j, pl->task / j->per), pl)) {
+        return true;
+    }
+    for (guint n = rr_job_chunks(j); n < j->runs->len; n++) { /* overflow records */
+        const rr_run *r = g_ptr_array_index(j->runs, n);
+        if (r && older_in(r, pl)) {
             return true;
         }
     }
@@ -286,6 +298,15 @@
     }
 }
 
+static void reconcile_run(struct rr_planner *p, const rr_run *run) {
+    for (guint k = 0; run && k < run->items->len; k++) {
+        rr_machine *m = g_array_index(run->items, rr_item, k).m;
+        if (!m->dirty && reconcile(p, m)) {
+            rr_touch(p->c, m);
+        }
+    }
+}
+
 /* What happened to one task of a gang is to be seen on the machines of all, and now: they stop in
  * the same moment. */
 static void reconcile_gangs(struct rr_planner *p, const GPtrArray *gangs) {
@@ -295,12 +316,8 @@
         if (!rr_gang_stops(p->c, j, p->now, &saving)) {
             continue;
         }
-        const rr_run *run = rr_job_run(j, 0);
-        for (guint k = 0; k < run->items->len; k++) {
-            rr_machine *m = g_array_index(run->items, rr_item, k).m;
-            if (!m->dirty && reconcile(p, m)) {
-                rr_touch(p->c, m);
-            }
+        for (guint n = 0; n < j->runs->len; n++) {
+            reconcile_run(p, g_ptr_array_index(j->runs, n));
         }
     }
 }
--- /dev/null
+++ b/src/core/reserve_gang.c
@@ -0,0 +1,133 @@
+#include "core/place_gang.h"
+
+#include "core/preempt.h"
+
+#include <string.h>
+
+/* A machine that may take tasks of the gang, once what ends by itself there has ended. */
+struct prospect {
+    rr_machine *machine;
+    double free_share;
+    uint32_t seats;
+};
+
+static gint by_free_share(gconstpointer a, gconstpointer b) {
+    const struct prospect *x = a, *y = b;
+    if (x->free_share != y->free_share) {
+        return x->free_share > y->free_share ? -1 : 1;
+    }
+    return x->machine->id - y->machine->id;
+}
+
+/* Tasks of the job that the machine takes when only replicas are left there, and gangs where those
+ * are counted as staying. */
+static uint32_t seats_in_time(const rr_core *core, const rr_machine *machine, const rr_job *job,
+                              bool gangs_stay) {
+    rr_res room = rr_machine_cap(core, machine);
+    for (guint i = 0; i < machine->places->len; i++) {
+        const rr_job *other = g_array_index(machine->places, rr_place, i).job;
+        bool stays = other->s.shape == RR_SERVICE || (gangs_stay && other->s.shape == RR_GANG);
+        if (stays && !other->cancelled) {
+            room = rr_res_add(room, other->need, -1);
+        }
+    }
+    return rr_tasks_in(job->need, room, job->s.pieces);
+}
+
+/* All machines of these zones that may ever take tasks of the gang, the emptiest first. */
+static GArray *all_prospects(const struct rr_planner *planner, const rr_job *job, const bool *zones,
+                             bool gangs_stay) {
+    rr_core *core = planner->c;
+    GArray *prospects = g_array_new(FALSE, FALSE, sizeof(struct prospect));
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        core->visits++;
+        if (!rr_machine_may_take(planner, machine, job, zones)) {
+            continue;
+        }
+        struct prospect prospect = {.machine = machine,
+                                    .free_share =
+                                        rr_res_room(machine->sim, rr_machine_cap(core, machine)),
+                                    .seats = seats_in_time(core, machine, job, gangs_stay)};
+        if (prospect.seats > 0) {
+            g_array_append_val(prospects, prospect);
+        }
+    }
+    g_array_sort(prospects, by_free_share);
+    return prospects;
+}
+
+/* How near machines are to taking the whole gang. */
+struct progress {
+    uint32_t free_seats; /* that they have now */
+    double free_share;   /* their free room, in machines */
+};
+
+static bool is_nearer(const struct progress *a, const struct progress *b) {
+    return a->free_seats != b->free_seats ? a->free_seats > b->free_seats
+                                          : a->free_share > b->free_share;
+}
+
+/* Keeps the fewest of them that will take the whole gang; false: they never will. */
+static bool keep_needed(const rr_job *job, GArray *prospects, struct progress *progress) {
+    uint32_t seats = 0;
+    guint needed = 0;
+    *progress = (struct progress){0, 0};
+    for (; needed < prospects->len && seats < job->s.pieces; needed++) {
+        const struct prospect *prospect = &g_array_index(prospects, struct prospect, needed);
+        seats += prospect->seats;
+        progress->free_seats += rr_tasks_in(job->need, prospect->machine->sim, job->s.pieces);
+        progress->free_share += prospect->free_share;
+    }
+    g_array_set_size(prospects, needed);
+    return seats >= job->s.pieces;
+}
+
+/* The machines to keep for the gang, in the zones where most of it fits now; NULL: there are none.
+ * What is kept fills up no more, so that the next plan finds the same ones emptier still. */
+static GArray *best_prospects(const struct rr_planner *planner, const rr_job *job,
+                              const bool *allowed, bool gangs_stay) {
+    const rr_core *core = planner->c;
+    bool zones[core->wards.names->len + 1];
+    struct progress progress, most = {0, 0};
+    GArray *best = NULL;
+    for (guint search = 0; search < rr_gang_searches(core, job); search++) {
+        rr_gang_search_zones(core, job, allowed, search, zones);
+        GArray *prospects = all_prospects(planner, job, zones, gangs_stay);
+        if (keep_needed(job, prospects, &progress) && (!best || is_nearer(&progress, &most))) {
+            g_clear_pointer(&best, g_array_unref);
+            best = g_steal_pointer(&prospects);
+            most = progress;
+        }
+        g_clear_pointer(&prospects, g_array_unref);
+    }
+    return best;
+}
+
+static void reserve_machines(const GArray *prospects) {
+    const rr_res none = {0, 0, 0};
+    for (guint i = 0; i < prospects->len; i++) {
+        g_array_index(prospects, struct prospect, i).machine->sim = none;
+    }
+}
+
+void rr_reserve_for_gang(struct rr_planner *planner, const rr_job *job) {
+    rr_core *core = planner->c;
+    guint zone_count = core->wards.names->len;
+    bool allowed[zone_count + 1];
+    uint32_t none_placed[zone_count + 1];
+    memset(none_placed, 0, sizeof none_placed);
+    rr_job_wards_from(core, job, none_placed, 0, allowed);
+    GArray *prospects = best_prospects(planner, job, allowed, true);
+    if (!prospects) {
+        prospects = best_prospects(planner, job, allowed, false);
+    }
+    if (prospects) {
+        reserve_machines(prospects);
+        g_array_unref(prospects);
+    }
+    if (!rr_within_limit(planner, job, job->s.pieces)) {
+        rr_res *booked = &g_array_index(core->team_booked, rr_res, job->team);
+        *booked = rr_res_add(*booked, job->need, job->s.pieces);
+    }
+}
