--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -69,12 +69,9 @@
     return -1;
 }
 
-bool rr_has_booking_record(const struct rr_planner *planner, rr_job *job, uint32_t task) {
-    return chunk_with_room(planner, job, task) >= 0;
-}
-
-static bool record_has_task(const rr_run *run, uint32_t task) {
-    for (guint i = 0; i < run->items->len; i++) {
+/* A record that this plan has not begun, with a placement of the task. */
+static bool has_earlier(const rr_run *run, uint32_t task) {
+    for (guint i = 0; run && !run->edit && i < run->items->len; i++) {
         if (g_array_index(run->items, rr_item, i).task == task) {
             return true;
         }
@@ -82,15 +79,25 @@
     return false;
 }
 
-/* An earlier placement of the task that is over leaves the ledger with the change that books it
- * anew, whichever record it is in. */
-static bool begin_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
-    if (!rr_job_overflows(job)) {
-        return true;
+enum rr_bookable rr_bookable(const struct rr_planner *planner, rr_job *job, uint32_t task) {
+    if (chunk_with_room(planner, job, task) < 0) {
+        return RR_CHUNK_BLOCKED;
     }
     for (guint chunk = 0; chunk < job->runs->len; chunk++) {
         const rr_run *run = g_ptr_array_index(job->runs, chunk);
-        if (run && !run->edit && record_has_task(run, task) && !rr_edit_of(planner, job, chunk)) {
+        if (has_earlier(run, task) && !rr_plan_writable(planner, run)) {
+            return RR_TASK_BLOCKED;
+        }
+    }
+    return RR_BOOKABLE;
+}
+
+/* An earlier placement of the task that is over leaves the ledger with the change that books it
+ * anew, whichever record it is in. */
+static bool begin_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
+    for (guint chunk = 0; job->runs && chunk < job->runs->len; chunk++) {
+        if (has_earlier(g_ptr_array_index(job->runs, chunk), task) &&
+            !rr_edit_of(planner, job, chunk)) {
             return false;
         }
     }
--- a/src/core/booking.h
+++ b/src/core/booking.h
@@ -18,11 +18,16 @@
 
 /* ---- bookings ---- */
 
-/* The record that takes one more placement, of this task, begun in the plan; NULL: none does, or
- * the transaction takes no more. */
+/* Whether the ledger's records take one more placement of a task, whatever room machines have. */
+enum rr_bookable {
+    RR_BOOKABLE,
+    RR_TASK_BLOCKED, /* an earlier placement stands in a record that can't be written yet */
+    RR_CHUNK_BLOCKED /* no record takes more of this task's chunk */
+};
+enum rr_bookable rr_bookable(const struct rr_planner *planner, rr_job *job, uint32_t task);
+/* The record that takes one more placement of this task, begun in the plan; NULL: none does, or the
+ * transaction takes no more. */
 struct rr_plan_edit *rr_booking_record(struct rr_planner *planner, rr_job *job, uint32_t task);
-/* Some record takes one more placement of this task. Changes nothing. */
-bool rr_has_booking_record(const struct rr_planner *planner, rr_job *job, uint32_t task);
 /* Books the task on the machine under this attempt. False: the transaction takes no more. */
 bool rr_book_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
                      uint64_t attempt);
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -89,9 +89,13 @@
             j->hint = task;
             first = false;
         }
-        /* The rest of a chunk waits while no record takes more. */
-        if (!rr_has_booking_record(p, j, task)) {
+        /* What the ledger can't take yet is no want of room: taken for that, it kept every job that
+         * asked for as much waiting, for minutes, while machines went back. */
+        enum rr_bookable bookable = rr_bookable(p, j, task);
+        if (bookable == RR_CHUNK_BLOCKED) {
             task = task - task % j->per + j->per - 1;
+        }
+        if (bookable != RR_BOOKABLE) {
             continue;
         }
         if (!rr_within_limit(p, j, 1)) {
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -65,7 +65,7 @@
 /* A record of before the state service's limits were lowered may be larger than they allow now: it
  * can't be written again until enough of its placements are over, which one change then takes out.
  * Until the lower limits are seen to hold it may, as long as it does not grow. */
-static bool writable(const struct rr_planner *p, const rr_run *r) {
+bool rr_plan_writable(const struct rr_planner *p, const rr_run *r) {
     if (!p->c->lowered || rr_record_fits(p->c, r->items->len)) {
         return true;
     }
@@ -96,7 +96,7 @@
         return r->edit;
     }
     size_t bytes = rr_run_bytes(r->items->len + 1) + 120;
-    if (!writable(p, r) || (rr_plan_overs(p, r) > 0 && !gang_goes(p, j))) {
+    if (!rr_plan_writable(p, r) || (rr_plan_overs(p, r) > 0 && !gang_goes(p, j))) {
         return NULL;
     }
     if (!txn_room(p, 1, bytes)) {
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -61,6 +61,8 @@
 struct rr_plan_edit *rr_edit_of(struct rr_planner *p, rr_job *j, uint32_t chunk);
 rr_item *rr_edit_item(const struct rr_plan_edit *e, uint64_t attempt, uint32_t task);
 guint rr_plan_overs(const struct rr_planner *p, const rr_run *r); /* known to be over in it */
+/* The state service takes the record as this plan may write it. */
+bool rr_plan_writable(const struct rr_planner *p, const rr_run *r);
 void rr_plan_guard(struct rr_planner *p, rr_job *j);
 void rr_plan_use(struct rr_planner *p, rr_machine *m);
 /* A placement is known to be over. */
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -351,6 +351,34 @@
     put_record(w, ref, 0, 0, tasks, OLD_ATTEMPT);
 }
 
+/* A task is lost whose record can't be written yet: it waits, and nothing else does. Its failure
+ * was taken for a want of room, and arrays that asked for as much waited for minutes. */
+static void a_blocked_task_blocks_nothing_else(void **state) {
+    fx_world *w = *state;
+    fx_node *n = &w->n;
+    fx_fleet(n, 1, 20, "a");
+    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1, .due_s = 10},
+              n->now);
+    put_old_record(w, "req-1", 60);
+    lower(w->store);
+    rr_core_limits_lowered(n->core, false);
+    show_tasks(n, "req-1", 60, 0, 1, 2);
+    fx_report(n, "vm-1", "a", false, 2, 1, rr_core_token(n->core), NULL);
+    n->now += 1;
+    assert_int_not_equal(plan(n), -EINVAL);
+    for (int i = 0; i < 10; i++) {
+        char ref[16];
+        g_snprintf(ref, sizeof ref, "req-2%02d", i);
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .cpu = 1, .due_s = 100}, n->now);
+        fx_sync(w->store, n->core, n->now);
+        n->now += 2; /* what failed is tried again in the same plan */
+        show_tasks(n, "req-1", 60, 0, 1, (uint64_t)i + 3);
+        assert_int_not_equal(plan(n), -EINVAL);
+        assert_int_equal(fx_placed(w->store, ref), 1);
+    }
+    assert_int_equal(fx_placed(w->store, "req-1"), 60);
+}
+
 /* While the older placement of a task stands in an overflow record, not proven over, the newer one
  * in its chunk's record does not start. */
 static void an_older_placement_in_an_overflow_record(void **state) {
@@ -572,6 +600,8 @@
         cmocka_unit_test_setup_teardown(overflow_records_are_worked_on, setup, fx_world_teardown),
         cmocka_unit_test_setup_teardown(an_older_placement_in_an_overflow_record, setup,
                                         fx_world_teardown),
+        cmocka_unit_test_setup_teardown(a_blocked_task_blocks_nothing_else, setup,
+                                        fx_world_teardown),
         cmocka_unit_test_setup_teardown(a_task_moves_back_to_its_chunk, setup, fx_world_teardown),
         cmocka_unit_test_setup_teardown(an_old_record_beyond_the_limit, setup, fx_world_teardown),
         cmocka_unit_test_setup_teardown(an_old_page_is_parted, setup, fx_world_teardown),
