--- a/src/app/app.h
+++ b/src/app/app.h
@@ -65,13 +65,13 @@
 struct rr_user_commit {
     char key[96];
     rr_out value;
-    uint64_t mark; /* guard */
-    bool accepts;  /* a new job, which may share a record with others */
-    double until;  /* given up after */
-    bool finished;
-    pthread_cond_t done; /* it is */
-    enum rr_commit outcome;
+    uint64_t mark;       /* guard */
+    double until;        /* given up after */
+    pthread_cond_t done; /* finished is set */
     uint64_t epoch;
+    enum rr_commit outcome;
+    bool accepts; /* a new job, which may share a record with others */
+    bool finished;
     bool doubted; /* an earlier try went unanswered */
 };
 
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -177,10 +177,9 @@
 }
 
 static void poll_job(struct rr_app *a, const char *ref, struct rr_response *rs) {
-    rr_job_view v;
-    if (!rr_ref_valid(ref)) {
-        refuse(rs, 404, "no such job", 0);
-    } else if (!view_behind_barrier(a, ref, &v)) {
+    rr_job_view v = {0};
+    bool valid = rr_ref_valid(ref);
+    if (valid && !view_behind_barrier(a, ref, &v)) {
         refuse(rs, 503, "state not reachable", 1);
     } else if (!v.known) {
         refuse(rs, 404, "no such job", 0);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -44,7 +44,7 @@
                         .body = body ? body->buf.data : NULL,
                         .len = body ? body->buf.size : 0,
                         .timeout_s = TIMEOUT_S,
-                        .answer_max = 4 * 1024 * 1024};
+                        .answer_max = (size_t)4 * 1024 * 1024};
     int rc = rr_client_call(c->client, &k, reply);
     if (rc != 0) {
         return rc;
--- /dev/null
+++ b/src/core/provisioner.c
@@ -0,0 +1,395 @@
+/* The steward: rents for waiting work and headroom, returns what is idle, dead or sick, keeps the
+ * machine records in step with the cloud. One step at a time; the shell carries it out and reports.
+ */
+#include "core/provisioner.h"
+
+#include <math.h>
+#include <string.h>
+
+#define CATALOG_S 60.0
+#define HIRE_RETRY_S 5.0
+#define REFUSED_S 15.0
+#define DEAF_S 4.0        /* probes of a machine that still reports fail for this long */
+#define RETURN_WAIT_S 0.8 /* a booking made just before a return was announced shows by then */
+
+void rr_step_init(rr_step *s) {
+    memset(s, 0, sizeof *s);
+    rr_txn_init(&s->txn);
+    s->stones = g_ptr_array_new_with_free_func(g_free);
+}
+
+void rr_step_clear(rr_step *s) {
+    rr_txn_clear(&s->txn);
+    g_ptr_array_free(s->stones, TRUE);
+}
+
+/* ---- what the cloud said ---- */
+
+void rr_core_catalog(rr_core *c, double now, const GArray *builds) {
+    c->catalog_at = now;
+    g_array_set_size(c->fresh_builds, 0);
+    for (guint i = 0; i < builds->len; i++) {
+        const rr_build *b = &g_array_index(builds, rr_build, i);
+        rr_build copy = *b;
+        copy.wards = g_ptr_array_new_with_free_func(g_free);
+        for (guint k = 0; k < b->wards->len; k++) {
+            g_ptr_array_add(copy.wards, g_strdup(g_ptr_array_index(b->wards, k)));
+        }
+        g_array_append_val(c->fresh_builds, copy);
+    }
+}
+
+bool rr_recently_gone(const rr_core *c, const char *name, double now) {
+    const double *at = g_hash_table_lookup(c->gone, name);
+    /* Lists lag up to twice their usual lag and a dead machine stays listed for half a minute. */
+    return at && now - *at < 3 * c->cfg->list_lag_s + 40;
+}
+
+static void see_listed(rr_core *c, const rr_stone *s, double asked_at, double now, double wall) {
+    rr_machine *m = g_hash_table_lookup(c->machines, s->id);
+    if (!m || !m->recorded) {
+        if (s->state == RR_STONE_FAILED) {
+            g_hash_table_add(c->stray_failed, g_strdup(s->id));
+            return;
+        }
+        if (rr_recently_gone(c, s->id, now)) {
+            return;
+        }
+        m = rr_machine_get(c, s->id, now);
+        m->to_adopt = true;
+        m->born = wall - s->age_s;
+        /* There before the service's first term, or before it first rented anything: the operators'
+         * own machines. (A list may give them no age when all start together.) */
+        m->own = !m->hired && (m->born < c->term.born - 5 || !c->ever_hired);
+    }
+    if (m->build < 0) {
+        m->build = rr_names_add(&c->builds, s->build);
+        m->ward = rr_names_add(&c->wards, s->ward);
+        m->loaners = s->loaners;
+    }
+    if (!m->addr[0]) {
+        g_strlcpy(m->addr, s->addr, sizeof m->addr);
+    }
+    if (!m->listed) {
+        m->listed = true;
+        m->listed_at = asked_at;
+    }
+    m->list_failed = s->state == RR_STONE_FAILED;
+}
+
+/* Missing from a list taken more than twice the lag after it was first listed (three times, if it
+ * never was): gone. A machine listed once stays listed until it is gone. */
+static bool missing_is_gone(const rr_core *c, const rr_machine *m, double asked_at) {
+    double lag = c->cfg->list_lag_s;
+    return m->listed ? asked_at > m->listed_at + 2 * lag + 1
+                     : asked_at > fmax(m->known_at, c->steward_since) + 3 * lag + 10;
+}
+
+void rr_core_listed(rr_core *c, double asked_at, double now, double wall, const GArray *stones) {
+    GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
+    c->list_at = now;
+    c->list_read = true;
+    g_hash_table_remove_all(c->stray_failed);
+    for (guint i = 0; i < stones->len; i++) {
+        const rr_stone *s = &g_array_index(stones, rr_stone, i);
+        g_hash_table_add(seen, (gpointer)s->id);
+        see_listed(c, s, asked_at, now, wall);
+    }
+    for (guint i = c->machine_list->len; i > 0; i--) {
+        rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
+        if (g_hash_table_contains(seen, m->name)) {
+            continue;
+        }
+        m->to_adopt = m->to_adopt && m->hired;
+        if (m->recorded && missing_is_gone(c, m, asked_at)) {
+            m->list_failed = true;
+        }
+    }
+    g_hash_table_destroy(seen);
+}
+
+char *rr_refusal_key(const char *build, const char *ward, bool loaners) {
+    return g_strdup_printf("%s|%s|%d", build, ward, loaners);
+}
+
+/* The cloud has no more of this type, zone and kind for a while. */
+static void note_refusal(rr_core *c, double now, const rr_step *s) {
+    double *until = g_new(double, 1);
+    *until = now + REFUSED_S;
+    g_hash_table_replace(c->refused, rr_refusal_key(s->build, s->ward, s->loaners), until);
+}
+
+static void note_rented(rr_core *c, double now, const rr_step *s, const char *id) {
+    if (rr_recently_gone(c, id, now)) {
+        return;
+    }
+    rr_machine *m = rr_machine_get(c, id, now);
+    m->hired = true;
+    m->own = false;
+    if (!m->recorded) {
+        m->to_adopt = true;
+        m->born = m->born > 0 ? m->born : c->hired_at;
+        m->build = rr_names_add(&c->builds, s->build);
+        m->ward = rr_names_add(&c->wards, s->ward);
+        m->loaners = s->loaners;
+    }
+}
+
+void rr_core_hired(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids) {
+    rr_hire *h = g_hash_table_lookup(c->hires, s->hire);
+    const char *kind = s->loaners ? "spot" : "ordinary";
+    if (h && status == 503) {
+        h->refused = true;
+        note_refusal(c, now, s);
+        rr_log_at(c, RR_LOG_INFO, "hire %s: no capacity for %s %s in %s", s->hire, s->build, kind,
+                  s->ward);
+    }
+    if (!h || status != 200) {
+        return;
+    }
+    if ((int)ids->len < h->how_many) {
+        note_refusal(c, now, s);
+    }
+    h->answered = true;
+    for (guint i = 0; i < ids->len; i++) {
+        const char *id = g_ptr_array_index(ids, i);
+        g_ptr_array_add(h->ids, g_strdup(id));
+        note_rented(c, now, s, id);
+    }
+    c->hired += ids->len;
+    rr_log_at(c, RR_LOG_DEBUG, "hire %s: %u of %d %s %s in %s", s->hire, ids->len, h->how_many,
+              s->build, kind, s->ward);
+}
+
+void rr_core_released(rr_core *c, double now, const GPtrArray *ids) {
+    for (guint i = 0; i < ids->len; i++) {
+        const char *id = g_ptr_array_index(ids, i);
+        rr_machine *m = g_hash_table_lookup(c->machines, id);
+        g_hash_table_remove(c->stray_failed, id);
+        if (m && m->recorded) {
+            m->list_failed = true; /* gone with everything on it: the record may go */
+            rr_log_at(c, RR_LOG_DEBUG, "machine %s is returned after %.0f s", id,
+                      now - m->known_at);
+        } else if (m && m->places->len == 0) {
+            /* With places it stays as a name until the ledger has none: a steward ended when a
+             * machine was listed as failed, lost its record and was then released as a stray. */
+            rr_machine_forget(c, m);
+        }
+    }
+}
+
+/* ---- steps ---- */
+
+static bool step_hires_done(rr_core *c, double now, rr_step *out) {
+    GHashTableIter it;
+    gpointer v;
+    char key[RR_ID + 32];
+    g_hash_table_iter_init(&it, c->hires);
+    while (g_hash_table_iter_next(&it, NULL, &v)) {
+        rr_hire *h = v;
+        bool over = h->refused;
+        if (h->answered) {
+            over = true;
+            for (guint i = 0; i < h->ids->len; i++) {
+                const char *id = g_ptr_array_index(h->ids, i);
+                const rr_machine *m = g_hash_table_lookup(c->machines, id);
+                over = over && ((m && m->recorded) || rr_recently_gone(c, id, now));
+            }
+        }
+        if (over && (int)out->txn.changes->len < rr_txn_ops(c->cfg)) {
+            rr_hire_key(h->name, key, sizeof key);
+            rr_txn_guard(&out->txn, key, h->mark);
+            rr_txn_delete(&out->txn, key);
+        }
+    }
+    return out->txn.changes->len > 0;
+}
+
+static bool same_build(const rr_build *a, const rr_build *b) {
+    bool same = a && a->vcpus == b->vcpus && a->cards == b->cards && a->mem_gb == b->mem_gb &&
+                a->cache_gb == b->cache_gb && a->pull_rate == b->pull_rate &&
+                a->price == b->price && a->spot_price == b->spot_price &&
+                a->startup_s == b->startup_s && a->wards->len == b->wards->len;
+    for (guint i = 0; same && i < a->wards->len; i++) {
+        same = strcmp(a->wards->pdata[i], b->wards->pdata[i]) == 0;
+    }
+    return same;
+}
+
+/* What was read is written until the mirror shows it: a change of term may void a transaction. */
+static bool record_builds(rr_core *c, rr_step *out) {
+    for (guint i = 0; i < c->fresh_builds->len; i++) {
+        const rr_build *b = &g_array_index(c->fresh_builds, rr_build, i);
+        if ((int)out->txn.changes->len < rr_txn_ops(c->cfg) &&
+            !same_build(rr_build_at(c, rr_names_find(&c->builds, b->sku)), b)) {
+            char key[RR_ID + 32];
+            rr_out o;
+            rr_out_init(&o);
+            rr_build_encode(&o, b);
+            g_snprintf(key, sizeof key, RR_ROOT "build/%s", b->sku);
+            rr_txn_put(&out->txn, key, &o, 0);
+        }
+    }
+    return out->txn.changes->len > 0;
+}
+
+static bool step_catalog(rr_core *c, double now, rr_step *out) {
+    if (record_builds(c, out)) {
+        out->kind = RR_STEP_TXN;
+        return true;
+    }
+    if (c->catalog_at == 0 || now - c->catalog_at > CATALOG_S) {
+        c->catalog_at = now - CATALOG_S + 2; /* not again at once if it fails */
+        out->kind = RR_STEP_CATALOG;
+        return true;
+    }
+    return false;
+}
+
+static bool step_release(rr_core *c, double now, rr_step *out) {
+    GHashTableIter it;
+    gpointer k;
+    for (guint i = 0; i < c->machine_list->len; i++) {
+        rr_machine *m = g_ptr_array_index(c->machine_list, i);
+        /* What an owner booked there meanwhile is not thrown away; a dead machine goes as it is. */
+        bool empty = m->places->len == 0 && now - m->ret_at > RETURN_WAIT_S;
+        if (m->recorded && m->ret && m->give_up && !m->list_failed && (empty || m->dead) &&
+            out->stones->len < 100) {
+            g_ptr_array_add(out->stones, g_strdup(m->name));
+            m->releasing = true;
+        }
+    }
+    g_hash_table_iter_init(&it, c->stray_failed);
+    while (g_hash_table_iter_next(&it, &k, NULL) && out->stones->len < 100) {
+        g_ptr_array_add(out->stones, g_strdup(k));
+    }
+    return out->stones->len > 0;
+}
+
+static bool step_hire(rr_core *c, double now, double wall, rr_step *out) {
+    GHashTableIter it;
+    gpointer v;
+    g_hash_table_iter_init(&it, c->hires);
+    while (g_hash_table_iter_next(&it, NULL, &v)) {
+        rr_hire *h = v;
+        if (h->answered || h->refused || (h->tried_at > 0 && now - h->tried_at < HIRE_RETRY_S)) {
+            continue;
+        }
+        h->tried_at = now;
+        c->hired_at = wall;
+        g_strlcpy(out->hire, h->name, sizeof out->hire);
+        g_strlcpy(out->build, h->build, sizeof out->build);
+        g_strlcpy(out->ward, h->ward, sizeof out->ward);
+        out->loaners = h->loaners;
+        out->how_many = h->how_many;
+        return true;
+    }
+    return false;
+}
+
+/* ---- troubles ---- */
+
+static const char *trouble_of(rr_core *c, const rr_machine *m, double now, double wall) {
+    const rr_build *b = rr_build_at(c, m->build);
+    double boot = b && b->startup_s > 0 ? b->startup_s : 60;
+    bool empty = m->places->len == 0;
+    if (rr_machine_dead(c, m, now)) {
+        return "dead or hung";
+    }
+    /* It goes on reporting, so that it is not silent; but no command reaches it, ours and an
+     * owner's neither directly nor through whoever hears it, and its lease will run out. */
+    if (m->heard && m->deaf_probes >= 3 && now - m->deaf_at > DEAF_S &&
+        !rr_machine_quiet(c, m, now)) {
+        return "reports, but hears nothing";
+    }
+    if (rr_machine_reborn(m, now)) {
+        return "back under its name with its counts begun anew";
+    }
+    if (!m->heard && wall - m->born > 4 * boot + 30 && empty && now - c->steward_since > 2 * boot) {
+        return "never came up";
+    }
+    if (rr_machine_sick(m, now) && empty) {
+        return "sick: tasks of several jobs failed";
+    }
+    return NULL;
+}
+
+/* Decides about one machine; the record's change and the release follow from give_up. */
+static void judge(rr_core *c, rr_machine *m, double now, double wall) {
+    if (!m->recorded) {
+        return;
+    }
+    const char *why = trouble_of(c, m, now, wall);
+    bool empty = m->places->len == 0;
+    if (m->give_up && !why && !empty && rr_machine_fresh(c, m, now) && !m->releasing) {
+        m->give_up = m->dead = false; /* it speaks again, or was idle, and has work */
+        return;
+    }
+    bool idle = m->surplus && empty && !m->own &&
+                now - m->idle_since > c->cfg->tune.idle_return_s && wall - m->born > 60;
+    if (m->give_up || m->ret || !(why || idle)) {
+        return;
+    }
+    m->give_up = true;
+    m->dead = why && !empty;
+    c->given_up++;
+    rr_log_at(c, RR_LOG_DEBUG, "give up %s (%u tasks): %s", m->name, m->places->len,
+              why ? why : "idle");
+}
+void rr_judge_machines(rr_core *c, double now, double wall) {
+    rr_note_cuts(c, now);
+    for (guint i = 0; i < c->machine_list->len; i++) {
+        judge(c, g_ptr_array_index(c->machine_list, i), now, wall);
+    }
+}
+
+static void begin_stewardship(rr_core *c, double now) {
+    c->steward_token = c->term.token;
+    c->steward_since = now;
+    c->list_at = c->sim_at = 0;
+    c->list_read = false;
+    for (guint i = 0; i < c->machine_list->len; i++) {
+        rr_machine *m = g_ptr_array_index(c->machine_list, i);
+        m->list_failed = m->listed = m->surplus = m->dead = m->releasing = false;
+        m->give_up = m->ret; /* what was to go back goes, unless it is judged to have work */
+        m->dead = m->ret && m->places->len > 0 && !rr_machine_fresh(c, m, now);
+        m->probe_fails = 0;
+        m->deaf_probes = 0;
+    }
+    GHashTableIter it;
+    gpointer v;
+    g_hash_table_iter_init(&it, c->hires);
+    while (g_hash_table_iter_next(&it, NULL, &v)) {
+        rr_hire *h = v;
+        h->answered = h->refused = false;
+        h->tried_at = 0;
+        g_ptr_array_set_size(h->ids, 0);
+    }
+    rr_log_at(c, RR_LOG_INFO, "steward of term %" G_GUINT64_FORMAT, c->term.token);
+}
+
+void rr_core_steward_step(rr_core *c, double now, double wall, rr_step *out) {
+    out->kind = RR_STEP_NONE;
+    if (!rr_core_is_steward(c, now) || !rr_core_settled(c) || c->anew) {
+        return;
+    }
+    if (c->steward_token != c->term.token) {
+        begin_stewardship(c, now);
+    }
+    if (rr_step_records(c, now, wall, out) || step_hires_done(c, now, out) ||
+        step_catalog(c, now, out) || rr_step_rent(c, now, wall, out)) {
+        if (out->kind == RR_STEP_NONE) {
+            out->kind = RR_STEP_TXN;
+        }
+    } else if (step_hire(c, now, wall, out)) {
+        out->kind = RR_STEP_HIRE;
+    } else if (step_release(c, now, out)) {
+        out->kind = RR_STEP_RELEASE;
+    } else if (c->list_at == 0 || now - c->list_at > c->cfg->tune.cloud_list_s) {
+        c->list_at = now;
+        out->kind = RR_STEP_LIST;
+    }
+    if (out->kind == RR_STEP_TXN) {
+        rr_txn_guard(&out->txn, RR_ROOT "term", c->term.mark);
+    }
+}
--- /dev/null
+++ b/src/core/provisioner_demand.c
@@ -0,0 +1,426 @@
+/* What the provisioner rents: waiting work and headroom are put on paper onto the machines there
+ * are, then onto machines to rent. */
+#include "core/provisioner.h"
+
+#include <math.h>
+#include <string.h>
+
+#define HIRE_MAX 50        /* the cloud's limit a call */
+#define HIRES_MAX 24       /* intents at a time */
+#define WANTED_MAX 5000    /* tasks of one job for which room is looked for at a time */
+#define START_STOCK_S 20.0 /* jobs that came so soon after the first term were there before */
+
+struct rent {
+    int build, ward;
+    bool loaners;
+    int count;
+    rr_res room; /* of the newest */
+};
+
+static bool is_refused(rr_core *c, const char *build, const char *ward, bool loaners, double now) {
+    char *key = rr_refusal_key(build, ward, loaners);
+    const double *until = g_hash_table_lookup(c->refused, key);
+    g_free(key);
+    return until && now < *until;
+}
+
+/* A machine that new work can count on: usable now, or booting within patience. */
+static bool counts(const rr_core *c, const rr_machine *m, double now) {
+    const rr_build *b = rr_build_at(c, m->build);
+    if (!m->recorded || m->ret || m->give_up || !b) {
+        return false;
+    }
+    if (!m->heard) {
+        return now - m->known_at < c->cfg->tune.boot_patience * b->startup_s + 5;
+    }
+    return rr_machine_usable(c, m, now) ||
+           (rr_machine_fresh(c, m, now) && m->rep.recall_s < 0 && !rr_machine_sick(m, now) &&
+            !rr_machine_mute(c, m, now));
+}
+
+/* One simulation: what waits is put on paper onto the machines there are, then onto machines to
+ * rent. */
+struct sim {
+    rr_core *c;
+    double now, wall;
+    GArray *rents;    /* struct rent */
+    GPtrArray *roomy; /* rr_machine*: with room left, cheapest and fullest first */
+    guint *in_ward;   /* machines by zone, with those to rent */
+};
+
+static bool roomy(const rr_core *c, const rr_machine *m) {
+    return rr_res_room(m->sim, rr_machine_cap(c, m)) > RR_EPS;
+}
+
+static const rr_core *sort_core; /* qsort has no argument; the core is one call at a time */
+
+static gint by_cost(gconstpointer a, gconstpointer b) {
+    const rr_machine *x = *(rr_machine *const *)a, *y = *(rr_machine *const *)b;
+    double cx = rr_machine_price(sort_core, x) * rr_res_room(x->sim, rr_machine_cap(sort_core, x));
+    double cy = rr_machine_price(sort_core, y) * rr_res_room(y->sim, rr_machine_cap(sort_core, y));
+    if (fabs(cx - cy) > 1e-9) {
+        return cx < cy ? -1 : 1;
+    }
+    return x->id - y->id;
+}
+
+/* The machines that have room on paper, as the paper's choice would take them. */
+static void sort_roomy(struct sim *s) {
+    rr_core *c = s->c;
+    g_ptr_array_set_size(s->roomy, 0);
+    for (guint i = 0; i < c->machine_list->len; i++) {
+        rr_machine *m = g_ptr_array_index(c->machine_list, i);
+        c->visits++;
+        if (counts(c, m, s->now) && roomy(c, m)) {
+            g_ptr_array_add(s->roomy, m);
+        }
+    }
+    sort_core = c;
+    g_ptr_array_sort(s->roomy, by_cost);
+}
+
+/* Puts up to n tasks of the job on machines there are, so many on each at most; returns how many
+ * found no room. */
+static uint32_t fill_machines(struct sim *s, const rr_job *j, const bool *wards, uint32_t n,
+                              uint32_t each) {
+    rr_core *c = s->c;
+    guint kept = 0;
+    guint i = 0;
+    for (; i < s->roomy->len && n > 0; i++) {
+        rr_machine *m = g_ptr_array_index(s->roomy, i);
+        c->visits++;
+        if (m->ward >= 0 && wards[m->ward] && rr_job_allows(c, j, m->build, m->ward, m->loaners)) {
+            uint32_t k = rr_tasks_in(j->need, m->sim, MIN(n, each));
+            m->sim = rr_res_add(m->sim, j->need, -(double)k);
+            m->surplus = m->surplus && k == 0;
+            n -= k;
+        }
+        if (roomy(c, m)) {
+            s->roomy->pdata[kept++] = m;
+        }
+    }
+    for (; i < s->roomy->len; i++) {
+        s->roomy->pdata[kept++] = s->roomy->pdata[i];
+    }
+    g_ptr_array_set_size(s->roomy, (gint)kept);
+    return n;
+}
+
+/* A place where a machine could be rented for a task. */
+struct offer {
+    struct rent rent;
+    double price;  /* of the task's share of the machine */
+    guint in_ward; /* machines of the zone, with those to rent */
+};
+
+static bool better_offer(const struct offer *a, const struct offer *b) {
+    if (b->rent.build < 0 || a->price < b->price - 1e-9) {
+        return true;
+    }
+    return a->price < b->price + 1e-9 && a->in_ward < b->in_ward;
+}
+
+/* The machine type's cheapest offer for the task, if it is better than *best. */
+static void consider_build(const struct sim *s, const rr_job *j, const bool *wards, int build,
+                           struct offer *best) {
+    rr_core *c = s->c;
+    const rr_build *b = rr_build_at(c, build);
+    rr_res cap = b ? (rr_res){b->vcpus, b->cards, b->mem_gb} : (rr_res){0, 0, 0};
+    if (!b || !rr_res_fits(j->need, cap)) {
+        return;
+    }
+    double share = 1 - rr_res_room(rr_res_add(cap, j->need, -1), cap);
+    for (guint i = 0; i < 2 * b->wards->len; i++) {
+        int w = rr_names_find(&c->wards, g_ptr_array_index(b->wards, i / 2));
+        bool spot = i % 2 == 1;
+        if (w < 0 || !wards[w] || !rr_job_allows(c, j, build, w, spot) ||
+            is_refused(c, b->sku, rr_names_at(&c->wards, w), spot, s->now)) {
+            continue;
+        }
+        struct offer offer = {
+            {build, w, spot, 0, cap}, (spot ? b->spot_price : b->price) * share, s->in_ward[w]};
+        if (better_offer(&offer, best)) {
+            *best = offer;
+        }
+    }
+}
+
+/* One machine more of this type, zone and kind is to be rented. */
+static struct rent *add_rent(struct sim *s, const struct rent *rent) {
+    for (guint i = 0; i < s->rents->len; i++) {
+        struct rent *r = &g_array_index(s->rents, struct rent, i);
+        if (r->build == rent->build && r->ward == rent->ward && r->loaners == rent->loaners) {
+            r->count++;
+            r->room = rent->room;
+            return r;
+        }
+    }
+    g_array_append_val(s->rents, *rent);
+    struct rent *added = &g_array_index(s->rents, struct rent, s->rents->len - 1);
+    added->count = 1;
+    return added;
+}
+
+/* The cheapest place that would take the task, per task that fits; between equals the zone with
+ * fewest machines. */
+static struct rent *rent_for(struct sim *s, const rr_job *j, const bool *wards) {
+    struct offer best = {.rent = {.build = -1}};
+    for (guint build = 0; build < s->c->build_info->len; build++) {
+        consider_build(s, j, wards, (int)build, &best);
+    }
+    if (best.rent.build < 0) {
+        return NULL;
+    }
+    s->in_ward[best.rent.ward]++;
+    return add_rent(s, &best.rent);
+}
+
+static bool into_rents(struct sim *s, const rr_job *j, const bool *wards) {
+    for (guint i = 0; i < s->rents->len; i++) {
+        struct rent *r = &g_array_index(s->rents, struct rent, i);
+        if (wards[r->ward] && rr_job_allows(s->c, j, r->build, r->ward, r->loaners) &&
+            rr_res_fits(j->need, r->room)) {
+            r->room = rr_res_add(r->room, j->need, -1);
+            return true;
+        }
+    }
+    return false;
+}
+
+/* Finds room for n more tasks: on machines there are, or on machines to rent. A job spread over
+ * zones rents in turn where it may still go. */
+static void demand(struct sim *s, const rr_job *j, bool *wards, uint32_t n, uint32_t each,
+                   bool may_rent) {
+    n = fill_machines(s, j, wards, n, each);
+    for (; may_rent && n > 0; n--) {
+        if (into_rents(s, j, wards)) {
+            continue;
+        }
+        struct rent *r = rent_for(s, j, wards);
+        if (!r) {
+            return;
+        }
+        r->room = rr_res_add(r->room, j->need, -1);
+    }
+}
+
+/* Deadline work waits for room to come free while it can still make it on a new machine. */
+static bool must_rent(const rr_core *c, const rr_job *j, double wall) {
+    if (j->s.due_s < 0) {
+        return true;
+    }
+    double boot = 0, pull = 0;
+    for (guint i = 0; i < c->build_info->len; i++) {
+        const rr_build *b = rr_build_at(c, (int)i);
+        if (b) {
+            boot = fmax(boot, b->startup_s);
+            pull = fmax(pull, b->pull_rate > 0 ? j->s.pull_gb / b->pull_rate : 0);
+        }
+    }
+    double slack = j->at + j->s.due_s - wall - 1.3 * j->s.guess_s - 1.3 * boot - pull;
+    return slack < 40;
+}
+
+/* Placements on machines that are gone or given up as dead. Their owners clear the ledger as
+ * changes allow: waiting for that, the steward rented for 1,200 lost tasks over a minute and a
+ * half. */
+static void count_lost(const rr_core *c) {
+    for (guint i = 0; i < c->open->len; i++) {
+        ((rr_job *)g_ptr_array_index(c->open, i))->lost = 0;
+    }
+    for (guint i = 0; i < c->machine_list->len; i++) {
+        const rr_machine *m = g_ptr_array_index(c->machine_list, i);
+        for (guint k = 0; k < m->places->len && (m->gone || (m->give_up && m->dead)); k++) {
+            const rr_place *p = &g_array_index(m->places, rr_place, k);
+            p->job->lost += !rr_job_task_done(p->job, p->task);
+        }
+    }
+}
+
+/* Room for a gang in one zone is of no use in pieces over several: the zone in which most of it
+ * fits now, or else any one of those allowed. */
+static void one_ward(struct sim *s, const rr_job *j, bool *wards) {
+    rr_core *c = s->c;
+    int best = rr_zone_most_room(c, j, wards, s->now);
+    for (guint w = 0; w < c->wards.names->len; w++) {
+        best = best < 0 && wards[w] ? (int)w : best;
+        wards[w] = (int)w == best;
+    }
+}
+
+/* Tasks of the job for which room is wanted: no more than the team's limit lets run at a time, and
+ * than can be rented soon. */
+static uint32_t wanted_tasks(const rr_core *c, const rr_job *j) {
+    if (!j->mark || j->cancelled || j->done || j->team < 0 || (size_t)j->team >= c->cfg->nteams) {
+        return 0;
+    }
+    const struct rr_team_config *t = &c->cfg->teams[j->team];
+    uint32_t n = MIN(j->s.pieces - j->ndone - j->nplaced + j->lost, j->s.pieces - j->ndone);
+    n = MIN(n, WANTED_MAX);
+    if (t->cpus_max > 0 && j->need.cpu > 0) {
+        n = MIN(n, (uint32_t)(t->cpus_max / j->need.cpu + 1));
+    }
+    if (t->gpus_max > 0 && j->need.gpu > 0) {
+        n = MIN(n, (uint32_t)(t->gpus_max / j->need.gpu + 1));
+    }
+    return n;
+}
+
+static void demand_waiting(struct sim *s) {
+    const rr_core *c = s->c;
+    count_lost(c);
+    for (guint i = 0; i < c->open->len; i++) {
+        const rr_job *j = g_ptr_array_index(c->open, i);
+        uint32_t n = wanted_tasks(c, j);
+        bool wards[c->wards.names->len + 1];
+        if (n == 0) {
+            continue;
+        }
+        rr_job_wards(c, j, wards, NULL);
+        if (j->s.shape == RR_GANG && j->s.one_zone) {
+            one_ward(s, j, wards);
+        }
+        /* A service's replicas keep separate machines. */
+        demand(s, j, wards, n, j->s.shape == RR_SERVICE ? 1 : n, must_rent(c, j, s->wall));
+    }
+}
+
+/* Work that would make room for the class and can save within its aim is as good as free room. */
+static void credit_preemptible(rr_core *c, const rr_job *j, double within_s, double now) {
+    for (guint i = 0; i < c->machine_list->len; i++) {
+        rr_machine *m = g_ptr_array_index(c->machine_list, i);
+        for (guint k = 0; k < m->places->len && counts(c, m, now); k++) {
+            const rr_place *p = &g_array_index(m->places, rr_place, k);
+            const rr_submission *v = &p->job->s;
+            if (v->shape == RR_BATCH && v->rank < j->s.rank && j->s.rank > RR_STANDARD &&
+                v->cairn_s > 0 && v->stash_s + 1 <= within_s &&
+                rr_job_allows(c, j, m->build, m->ward, m->loaners)) {
+                m->sim = rr_res_add(m->sim, p->job->need, 1);
+            }
+        }
+    }
+}
+
+/* Tasks of the class that have arrived lately, and the last of their jobs. What came at the very
+ * start was a stock, not a rate. */
+static double arrived_tasks(const rr_core *c, const char *lane, const rr_job **last) {
+    double tasks = 0;
+    *last = NULL;
+    for (guint k = 0; k < c->arrivals->len; k++) {
+        const rr_job *j = g_array_index(c->arrivals, rr_job *, k);
+        if (strcmp(j->s.lane, lane) == 0) {
+            *last = j;
+            tasks += j->at > c->term.born + START_STOCK_S ? j->s.pieces : 0;
+        }
+    }
+    return tasks;
+}
+
+static double longest_boot(const rr_core *c) {
+    double boot = 0;
+    for (guint i = 0; i < c->build_info->len; i++) {
+        const rr_build *b = rr_build_at(c, (int)i);
+        boot = b ? fmax(boot, b->startup_s) : boot;
+    }
+    return boot;
+}
+
+/* Room kept for a class with an aim on its start: what arrives while a machine boots. */
+static void demand_headroom(struct sim *s) {
+    rr_core *c = s->c;
+    rr_arrivals_trim(c, s->wall);
+    double span = fmin(RR_ARRIVALS_S, fmax(60, s->wall - c->term.born));
+    for (size_t i = 0; i < c->cfg->nobjectives; i++) {
+        const struct rr_objective *o = &c->cfg->objectives[i];
+        const rr_job *last;
+        if (strcmp(o->kind, "wait") != 0) {
+            continue;
+        }
+        double tasks = arrived_tasks(c, o->lane, &last);
+        if (!last) {
+            continue;
+        }
+        double mean = tasks / span * (1.2 * longest_boot(c) + 10);
+        int n = (int)ceil(c->cfg->tune.headroom * (mean + sqrt(mean)));
+        bool wards[c->wards.names->len + 1];
+        for (guint w = 0; w < c->wards.names->len; w++) {
+            wards[w] =
+                !last->s.ward[0] || strcmp(last->s.ward, rr_names_at(&c->wards, (int)w)) == 0;
+        }
+        credit_preemptible(c, last, o->within_s, s->now);
+        sort_roomy(s);
+        demand(s, last, wards, (uint32_t)MAX(n, 0), (uint32_t)MAX(n, 0), true);
+    }
+}
+
+/* Machines asked for and not yet recorded, of this type, zone and kind. */
+static int pending_for(const rr_core *c, const struct rent *r) {
+    GHashTableIter it;
+    gpointer v;
+    int n = 0;
+    g_hash_table_iter_init(&it, c->hires);
+    while (g_hash_table_iter_next(&it, NULL, &v)) {
+        const rr_hire *h = v;
+        if (strcmp(h->build, rr_names_at(&c->builds, r->build)) == 0 &&
+            strcmp(h->ward, rr_names_at(&c->wards, r->ward)) == 0 && h->loaners == r->loaners) {
+            n += h->how_many;
+        }
+    }
+    return n;
+}
+
+static void put_intent(rr_core *c, const struct rent *r, int n, rr_step *out) {
+    char name[RR_ID], key[RR_ID + 32];
+    rr_out o;
+    /* A request's name is never used again: token, counter. */
+    g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, c->term.token,
+               ++c->counter);
+    rr_hire_key(name, key, sizeof key);
+    rr_out_init(&o);
+    rr_put_map(&o, 4);
+    rr_put_key_text(&o, "build", rr_names_at(&c->builds, r->build));
+    rr_put_key_text(&o, "ward", rr_names_at(&c->wards, r->ward));
+    rr_put_key_bool(&o, "loaners", r->loaners);
+    rr_put_key_u64(&o, "n", (uint64_t)n);
+    rr_txn_guard(&out->txn, key, 0);
+    rr_txn_put(&out->txn, key, &o, 0);
+}
+
+/* Intents for what is to be rented, less what is under way. */
+static void put_intents(rr_core *c, const GArray *rents, rr_step *out) {
+    for (guint i = 0; i < rents->len; i++) {
+        const struct rent *r = &g_array_index(rents, struct rent, i);
+        int left = r->count - pending_for(c, r);
+        while (left > 0 && (int)out->txn.changes->len < rr_txn_ops(c->cfg) &&
+               g_hash_table_size(c->hires) + out->txn.changes->len < HIRES_MAX) {
+            int n = MIN(left, HIRE_MAX);
+            put_intent(c, r, n, out);
+            left -= n;
+        }
+    }
+}
+
+bool rr_step_rent(rr_core *c, double now, double wall, rr_step *out) {
+    if (now - c->sim_at < 1 || !c->list_read || !c->catalog_known) {
+        return false;
+    }
+    c->sim_at = now;
+    guint in_ward[c->wards.names->len + 1];
+    memset(in_ward, 0, sizeof in_ward);
+    struct sim s = {
+        c, now, wall, g_array_new(FALSE, FALSE, sizeof(struct rent)), g_ptr_array_new(), in_ward};
+    rr_sim_reset(c);
+    for (guint i = 0; i < c->machine_list->len; i++) {
+        rr_machine *m = g_ptr_array_index(c->machine_list, i);
+        m->surplus = true;
+        in_ward[m->ward >= 0 && m->recorded ? (guint)m->ward : c->wards.names->len]++;
+    }
+    sort_roomy(&s);
+    demand_waiting(&s);
+    demand_headroom(&s);
+    rr_judge_machines(c, now, wall);
+    put_intents(c, s.rents, out);
+    g_array_free(s.rents, TRUE);
+    g_ptr_array_free(s.roomy, TRUE);
+    return out->txn.changes->len > 0;
+}
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -67,7 +67,8 @@
     return m->err_at > 0 && now - m->err_at < 60 && credible_errors(m) > 0;
 }
 
-static bool array_has(const GArray *a, const void *item, guint size) {
+static bool array_has(GArray *a, const void *item) {
+    guint size = g_array_get_element_size(a);
     for (guint i = 0; i < a->len; i++) {
         if (memcmp(a->data + (size_t)i * size, item, size) == 0) {
             return true;
@@ -81,13 +82,13 @@
         g_array_set_size(m->err_jobs, 0);
     }
     m->err_at = now;
-    if (!array_has(m->err_jobs, &j, sizeof j) && m->err_jobs->len < 16) {
+    if (!array_has(m->err_jobs, &j) && m->err_jobs->len < 16) {
         g_array_append_val(m->err_jobs, j);
     }
     if (!j->failed_on) {
         j->failed_on = g_array_new(FALSE, FALSE, sizeof(int));
     }
-    if (!array_has(j->failed_on, &m->id, sizeof m->id) && j->failed_on->len < 16) {
+    if (!array_has(j->failed_on, &m->id) && j->failed_on->len < 16) {
         g_array_append_val(j->failed_on, m->id);
     }
     /* The first two failures may be the machines'; then the job waits longer each time. */
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -94,9 +94,8 @@
         }                                                                                          \
     } while (0)
 
-int rr_submission_decode(const msgpack_object *o, rr_submission *s, const char **field) {
-    memset(s, 0, sizeof *s);
-    NEED(rr_is_map(o), "body");
+/* What the job is and whose. */
+static int decode_identity(const msgpack_object *o, rr_submission *s, const char **field) {
     NEED(get_name(o, "ref", s->ref, sizeof s->ref) && rr_ref_valid(s->ref), "ref");
     NEED(get_name(o, "lane", s->lane, sizeof s->lane), "lane");
     NEED(get_name(o, "crew", s->crew, sizeof s->crew), "crew");
@@ -108,15 +107,27 @@
     s->shape = (enum rr_shape)shape;
     s->rank = (enum rr_rank)rank;
     NEED(get_pieces(o, &s->pieces), "pieces");
-    NEED(get_amount(o, "vcpus", 0, &s->vcpus), "vcpus");
-    NEED(get_amount(o, "cards", 0, &s->cards), "cards");
-    NEED(get_amount(o, "mem_gb", 0, &s->mem_gb), "mem_gb");
-    NEED(get_amount(o, "pull_gb", 0, &s->pull_gb), "pull_gb");
-    NEED(get_amount(o, "guess_s", 0, &s->guess_s), "guess_s");
-    NEED(get_amount(o, "cairn_s", 0, &s->cairn_s), "cairn_s");
-    NEED(get_amount(o, "stash_s", 0, &s->stash_s), "stash_s");
+    return 0;
+}
+
+/* What its tasks take, of machines and of time. */
+static int decode_amounts(const msgpack_object *o, rr_submission *s, const char **field) {
+    const struct {
+        const char *name;
+        double *amount;
+    } amounts[] = {{"vcpus", &s->vcpus},     {"cards", &s->cards},     {"mem_gb", &s->mem_gb},
+                   {"pull_gb", &s->pull_gb}, {"guess_s", &s->guess_s}, {"cairn_s", &s->cairn_s},
+                   {"stash_s", &s->stash_s}};
+    for (size_t i = 0; i < G_N_ELEMENTS(amounts); i++) {
+        NEED(get_amount(o, amounts[i].name, 0, amounts[i].amount), amounts[i].name);
+    }
     s->due_s = -1;
     NEED(!rr_get(o, "due_s") || get_amount(o, "due_s", 0, &s->due_s), "due_s");
+    return 0;
+}
+
+/* Where they may run. */
+static int decode_constraints(const msgpack_object *o, rr_submission *s, const char **field) {
     NEED(!rr_get(o, "ward") || get_name(o, "ward", s->ward, sizeof s->ward), "ward");
     NEED(rr_get_bool(o, "one_zone", &s->one_zone), "one_zone");
     NEED(rr_get_bool(o, "apart", &s->apart), "apart");
@@ -125,6 +136,16 @@
     return 0;
 }
 
+int rr_submission_decode(const msgpack_object *o, rr_submission *s, const char **field) {
+    memset(s, 0, sizeof *s);
+    NEED(rr_is_map(o), "body");
+    int rc = decode_identity(o, s, field);
+    if (rc == 0) {
+        rc = decode_amounts(o, s, field);
+    }
+    return rc == 0 ? decode_constraints(o, s, field) : rc;
+}
+
 size_t rr_submission_field_count(const rr_submission *s) {
     return 17 + (s->due_s >= 0) + (s->ward[0] != 0) + (s->nbuilds > 0);
 }
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RR_BODY_MAX (64 * 1024)
+#define RR_BODY_MAX ((size_t)64 * 1024)
 #define RR_PIECES_MAX 100000
 #define RR_ID 64
 #define RR_TEXT 128
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -496,6 +496,39 @@
     return found;
 }
 
+/* What the machine shows; the texts are the caller's. */
+static int shown_on(const fx_node *n, const struct fx_show *show, int machine, char **texts) {
+    char id[16];
+    int shown = 0;
+    g_snprintf(id, sizeof id, "vm-%d", machine);
+    for (int i = 0; i < show->jobs; i++) {
+        for (uint32_t t = 0; t < show->tasks && shown < show->most; t++) {
+            uint64_t at = fx_booked(n->store, id, show->refs[i], t);
+            if (at) {
+                texts[shown] =
+                    g_strdup_printf("%s %u %" G_GUINT64_FORMAT " %s", show->refs[i], t, at,
+                                    show->state(machine, show->refs[i], t, shown, show->tally));
+                shown++;
+            }
+        }
+    }
+    return shown;
+}
+
+void fx_show_jobs(fx_node *n, const struct fx_show *show) {
+    for (int m = show->first; m <= show->last; m++) {
+        char id[16], *t[FX_SHOWN_MAX + 1] = {NULL};
+        int shown = shown_on(n, show, m, t);
+        g_snprintf(id, sizeof id, "vm-%d", m);
+        fx_report(n, id, m <= show->last_in_a ? "a" : "b", false, show->tenure, show->tally,
+                  rr_core_token(n->core), t[0], t[1], t[2], t[3], t[4], t[5], t[6], t[7], t[8],
+                  t[9], t[10], t[11], t[12], t[13], t[14], t[15], NULL);
+        for (int i = 0; i < shown; i++) {
+            g_free(t[i]);
+        }
+    }
+}
+
 rr_do *fx_do(const rr_plan *p, const char *id) {
     for (guint i = 0; i < p->dos->len; i++) {
         rr_do *d = g_ptr_array_index(p->dos, i);
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -79,6 +79,21 @@
 /* Report builder: tasks as "ref task attempt standing[:cause]", NULL-ended. */
 void fx_report(fx_node *n, const char *id, const char *ward, bool loaners, uint64_t tenure,
                uint64_t tally, uint64_t warrant, ...);
+/* The state in which a machine shows a task, the `shown`-th of its report. */
+typedef const char *(*fx_task_state)(int machine, const char *ref, uint32_t task, int shown,
+                                     uint64_t tally);
+/* What a number of machines report: of these jobs, what the ledger has there. */
+struct fx_show {
+    int first, last, last_in_a; /* vm-<first> to vm-<last>; those after last_in_a are in zone b */
+    const char *const *refs;
+    int jobs;
+    uint32_t tasks; /* looked for, of each job */
+    int most;       /* in a report, FX_SHOWN_MAX at most */
+    uint64_t tenure, tally;
+    fx_task_state state;
+};
+#define FX_SHOWN_MAX 16
+void fx_show_jobs(fx_node *n, const struct fx_show *show);
 /* One step of the steward: records are committed, a list is answered with `stones` (rr_stone); what
  * else it asks for is the caller's. rr_step_clear() after. */
 void fx_steward_step(fx_node *n, const GArray *stones, rr_step *out);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -119,79 +119,100 @@
     }
 }
 
+enum event { NOTHING, ENDED_PEERS, ENDED_DONE, TENURE, GONE, NOTICE, ABSENT, CANCEL, EVENTS };
+
+/* What the machines show of a gang in each phase. */
+static const char *const shown_in[] = {NULL, NULL, "waiting", "running"};
+
+/* Lets one thing happen to the gang, or to its machine m. */
+static void let_happen(fx_world *w, enum event event, int m, enum rr_gang_phase before) {
+    fx_node *n = &w->n;
+    char id[16];
+    g_snprintf(id, sizeof id, "vm-%d", m);
+    switch (event) {
+    case NOTHING:
+    case EVENTS:
+        break;
+    case ENDED_PEERS:
+        show(n, m, "req-1", "ended:peers", 1, -1);
+        break;
+    case ENDED_DONE:
+        show(n, m, "req-1", "ended:done", 1, -1);
+        break;
+    case TENURE:
+        show(n, m, "req-1", NULL, 2, -1);
+        break;
+    case GONE:
+        fx_machine_gone(w->store, id);
+        fx_sync(w->store, n->core, n->now);
+        break;
+    case NOTICE:
+        show(n, m, "req-1", shown_in[before], 1, 20);
+        break;
+    case ABSENT:
+        n->now += n->cfg.gang_wait_s * 0.6;
+        show_all(n, "req-1", shown_in[before]);
+        show(n, m, "req-1", NULL, 1, -1);
+        break;
+    case CANCEL:
+        fx_cancel(n, "req-1");
+        break;
+    }
+}
+
+/* The phase that follows. A notice or a cancellation that no machine shows a task for changes
+ * nothing yet: booked tasks are not started then. */
+static enum rr_gang_phase phase_after(enum event event, enum rr_gang_phase before) {
+    static const enum rr_gang_phase after_booked[EVENTS] = {
+        RR_GANG_BOOKED,   RR_GANG_STOPPING, RR_GANG_ENDING,   RR_GANG_STOPPING,
+        RR_GANG_STOPPING, RR_GANG_BOOKED,   RR_GANG_STOPPING, RR_GANG_ENDING};
+    static const enum rr_gang_phase after_shown[EVENTS] = {
+        RR_GANG_QUEUED,   RR_GANG_STOPPING, RR_GANG_ENDING,   RR_GANG_STOPPING,
+        RR_GANG_STOPPING, RR_GANG_STOPPING, RR_GANG_STOPPING, RR_GANG_ENDING};
+    if (event == NOTHING) {
+        return before;
+    }
+    return before == RR_GANG_BOOKED ? after_booked[event] : after_shown[event];
+}
+
+/* Tasks that are told to stop: all that are shown, but the one that is gone. */
+static unsigned stops_after(enum event event, enum rr_gang_phase before) {
+    if (before == RR_GANG_BOOKED || event == NOTHING) {
+        return 0;
+    }
+    return event == NOTICE || event == CANCEL ? 3 : 2;
+}
+
 /* Every event in every phase. Each row brings a gang into a phase, lets one thing happen to one of
  * its machines, and says which phase it is in then and whether its tasks are stopped, with time to
  * save or without. */
 static void every_event_in_every_phase(void **state) {
-    enum event { NOTHING, ENDED_PEERS, ENDED_DONE, TENURE, GONE, NOTICE, ABSENT, CANCEL, EVENTS };
-    static const char *const shown_in[] = {NULL, NULL, "waiting", "running"};
     (void)state;
-    for (int before = RR_GANG_BOOKED; before <= RR_GANG_RUNNING; before++) {
-        for (int e = NOTHING; e < EVENTS; e++) {
-            fx_world *w;
-            uint64_t at;
-            double leave;
-            setup((void **)&w);
-            fx_node *n = &w->n;
-            start(w, &gang);
-            assert_int_equal(phase(n, "req-1"), RR_GANG_BOOKED);
-            if (before != RR_GANG_BOOKED) {
-                show_all(n, "req-1", shown_in[before]);
-            }
-            assert_int_equal(phase(n, "req-1"), before);
-            int m = machine_of(w, 1, &at);
-            char id[16];
-            g_snprintf(id, sizeof id, "vm-%d", m);
-            n->now += 2;
+    for (int row = 0; row < 3 * EVENTS; row++) {
+        enum rr_gang_phase before = (enum rr_gang_phase)(RR_GANG_BOOKED + row / EVENTS);
+        enum event event = (enum event)(row % EVENTS);
+        fx_world *w;
+        uint64_t at;
+        double leave;
+        setup((void **)&w);
+        fx_node *n = &w->n;
+        start(w, &gang);
+        assert_int_equal(phase(n, "req-1"), RR_GANG_BOOKED);
+        if (before != RR_GANG_BOOKED) {
             show_all(n, "req-1", shown_in[before]);
-            switch ((enum event)e) {
-            case NOTHING:
-            case EVENTS:
-                break;
-            case ENDED_PEERS:
-                show(n, m, "req-1", "ended:peers", 1, -1);
-                break;
-            case ENDED_DONE:
-                show(n, m, "req-1", "ended:done", 1, -1);
-                break;
-            case TENURE:
-                show(n, m, "req-1", NULL, 2, -1);
-                break;
-            case GONE:
-                fx_machine_gone(w->store, id);
-                fx_sync(w->store, n->core, n->now);
-                break;
-            case NOTICE:
-                show(n, m, "req-1", shown_in[before], 1, 20);
-                break;
-            case ABSENT:
-                n->now += n->cfg.gang_wait_s * 0.6;
-                show_all(n, "req-1", shown_in[before]);
-                show(n, m, "req-1", NULL, 1, -1);
-                break;
-            case CANCEL:
-                fx_cancel(n, "req-1");
-                break;
-            }
-            enum rr_gang_phase is = phase(n, "req-1");
-            bool shown = before != RR_GANG_BOOKED;
-            enum rr_gang_phase want =
-                e == CANCEL ? RR_GANG_ENDING
-                : e == NOTHING || (!shown && e != TENURE && e != GONE && e != ENDED_DONE &&
-                                   e != ENDED_PEERS && e != ABSENT)
-                    ? (enum rr_gang_phase)before
-                : e == ENDED_DONE ? RR_GANG_ENDING
-                                  : RR_GANG_STOPPING;
-            assert_int_equal(is, want);
-            unsigned stops = plan(n, RR_STOP, "req-1", &leave);
-            unsigned others = !shown ? 0 : e == NOTHING ? 0 : e == NOTICE || e == CANCEL ? 3 : 2;
-            assert_int_equal(stops, others);
-            if (stops > 0) {
-                bool saves = e == NOTICE;
-                assert_true(saves ? leave >= 3 : leave == 0);
-            }
-            fx_world_teardown((void **)&w);
         }
+        assert_int_equal(phase(n, "req-1"), before);
+        int m = machine_of(w, 1, &at);
+        n->now += 2;
+        show_all(n, "req-1", shown_in[before]);
+        let_happen(w, event, m, before);
+        assert_int_equal(phase(n, "req-1"), phase_after(event, before));
+        unsigned stops = plan(n, RR_STOP, "req-1", &leave);
+        assert_int_equal(stops, stops_after(event, before));
+        if (stops > 0) {
+            assert_true(event == NOTICE ? leave >= 3 : leave == 0);
+        }
+        fx_world_teardown((void **)&w);
     }
 }
 
@@ -415,21 +436,18 @@
     fx_node_clear(&next);
 }
 
-#define SHOWN_MAX 16 /* tasks of one machine in a report */
-
-/* The state in which a machine shows a task, the `shown`-th of its report. */
-typedef const char *(*fx_state)(int machine, uint32_t task, int shown, uint64_t tally);
-
-static const char *runs(int machine, uint32_t task, int shown, uint64_t tally) {
+static const char *runs(int machine, const char *ref, uint32_t task, int shown, uint64_t tally) {
     (void)machine;
+    (void)ref;
     (void)task;
     (void)shown;
     (void)tally;
     return "running";
 }
 
-static const char *is_done(int machine, uint32_t task, int shown, uint64_t tally) {
+static const char *is_done(int machine, const char *ref, uint32_t task, int shown, uint64_t tally) {
     (void)machine;
+    (void)ref;
     (void)task;
     (void)shown;
     (void)tally;
@@ -437,30 +455,19 @@
 }
 
 /* Every machine shows what the ledger has of these jobs there, of each up to so many tasks. */
-static void show_jobs(fx_node *n, const char *const *refs, int many, uint32_t tasks,
-                      fx_state state) {
-    last_tally++;
-    for (int m = 1; m <= MACHINES; m++) {
-        char id[16], *shown[SHOWN_MAX + 1] = {NULL};
-        int k = 0;
-        g_snprintf(id, sizeof id, "vm-%d", m);
-        for (int r = 0; r < many; r++) {
-            for (uint32_t t = 0; t < tasks && k < SHOWN_MAX; t++) {
-                uint64_t at = fx_booked(n->store, id, refs[r], t);
-                if (at) {
-                    shown[k] = g_strdup_printf("%s %u %" G_GUINT64_FORMAT " %s", refs[r], t, at,
-                                               state(m, t, k, last_tally));
-                    k++;
-                }
-            }
-        }
-        fx_report(n, id, m <= 3 ? "a" : "b", false, 1, last_tally, rr_core_token(n->core), shown[0],
-                  shown[1], shown[2], shown[3], shown[4], shown[5], shown[6], shown[7], shown[8],
-                  shown[9], shown[10], shown[11], shown[12], shown[13], shown[14], shown[15], NULL);
-        for (int i = 0; i < k; i++) {
-            g_free(shown[i]);
-        }
-    }
+static void show_jobs(fx_node *n, const char *const *refs, int jobs, uint32_t tasks,
+                      fx_task_state state) {
+    struct fx_show show = {.first = 1,
+                           .last = MACHINES,
+                           .last_in_a = 3,
+                           .refs = refs,
+                           .jobs = jobs,
+                           .tasks = tasks,
+                           .most = FX_SHOWN_MAX,
+                           .tenure = 1,
+                           .tally = ++last_tally,
+                           .state = state};
+    fx_show_jobs(n, &show);
 }
 
 /* A full fleet of low work: a gang whose class has an aim on its start has as much of it stopped as
@@ -580,7 +587,9 @@
 #define SMALL_JOBS 40
 
 /* On each machine one task in twelve reports ends. */
-static const char *one_ends_now_and_then(int machine, uint32_t task, int shown, uint64_t tally) {
+static const char *one_ends_now_and_then(int machine, const char *ref, uint32_t task, int shown,
+                                         uint64_t tally) {
+    (void)ref;
     (void)task;
     return shown == 0 && (tally + (uint64_t)machine) % 12 == 0 ? "ended:done" : "running";
 }
@@ -635,8 +644,10 @@
     assert_true(done_of(n, small, SMALL_JOBS) > (n->now - began) / 12 * MACHINES / 2);
 }
 
-static const char *one_in_eight_ends(int machine, uint32_t task, int shown, uint64_t tally) {
+static const char *one_in_eight_ends(int machine, const char *ref, uint32_t task, int shown,
+                                     uint64_t tally) {
     (void)machine;
+    (void)ref;
     (void)shown;
     return (tally + task) % 8 == 0 ? "ended:done" : "running";
 }
@@ -680,7 +691,7 @@
     uint64_t at, other;
     n->cfg.next_value_kb = 2;
     n->cfg.next_txn_ops = 4;
-    w->store->value_max = 2 * 1024;
+    w->store->value_max = (size_t)2 * 1024;
     w->store->ops_max = 4;
     wide.cpu = wide.mem = 1;
     wide.one_zone = false;
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -301,6 +301,43 @@
     g_array_free(stones, TRUE);
 }
 
+#define HUGE_JOB 1          /* its number; those of the small ones follow */
+#define HUGE_LOOKED_AT 402u /* of its tasks, the first so many */
+
+/* Adds what the machine has of job r, as ended, to what it shows. */
+static int show_ended(const fx_node *n, const char *id, int r, char **show, int shown) {
+    char ref[32];
+    g_snprintf(ref, sizeof ref, "req-%06d", r);
+    uint32_t tasks = r == HUGE_JOB ? HUGE_LOOKED_AT : 1;
+    if (r == HUGE_JOB && fx_placed(n->store, ref) == 0) {
+        return shown;
+    }
+    for (uint32_t t = 0; t < tasks && shown < 4; t++) {
+        uint64_t at = fx_booked(n->store, id, ref, t);
+        if (at) {
+            show[shown++] = g_strdup_printf("%s %u %" G_GUINT64_FORMAT " ended:done", ref, t, at);
+        }
+    }
+    return shown;
+}
+
+/* Everything that runs on the two machines has ended. */
+static void report_all_ended(fx_node *n, int next, uint64_t tally) {
+    for (int m = 1; m <= 2; m++) {
+        char id[8], *show[8] = {NULL};
+        int shown = 0;
+        g_snprintf(id, sizeof id, "vm-%d", m);
+        for (int r = HUGE_JOB; r < next && shown < 4; r++) {
+            shown = show_ended(n, id, r, show, shown);
+        }
+        fx_report(n, id, "a", false, 1, tally, rr_core_token(n->core), show[0], show[1], show[2],
+                  show[3], NULL);
+        for (int i = 0; i < shown; i++) {
+            g_free(show[i]);
+        }
+    }
+}
+
 /* One huge job among a stream of small ones with nearer deadlines, more than there is room for: it
  * begins, and they go on. */
 static void a_huge_job_among_small_ones(void **state) {
@@ -320,33 +357,7 @@
             fx_plan(n, &p);
             rr_plan_clear(&p);
         }
-        /* Everything that runs ends within the turn. */
-        for (int m = 1; m <= 2; m++) {
-            char id[8], *show[8] = {NULL};
-            int k = 0;
-            g_snprintf(id, sizeof id, "vm-%d", m);
-            for (int r = 1; r < next && k < 4; r++) {
-                char ref[32];
-                g_snprintf(ref, sizeof ref, "req-%06d", r);
-                for (uint32_t t = 0; t < (r == 1 ? 3000u : 1u) && k < 4; t++) {
-                    uint64_t at = r == 1 && fx_placed(w->store, ref) == 0
-                                      ? 0
-                                      : fx_booked(w->store, id, ref, t);
-                    if (at) {
-                        show[k++] =
-                            g_strdup_printf("%s %u %" G_GUINT64_FORMAT " ended:done", ref, t, at);
-                    }
-                    if (r == 1 && t > 400) {
-                        break;
-                    }
-                }
-            }
-            fx_report(n, id, "a", false, 1, turn, rr_core_token(n->core), show[0], show[1], show[2],
-                      show[3], NULL);
-            for (int i = 0; i < k; i++) {
-                g_free(show[i]);
-            }
-        }
+        report_all_ended(n, next, turn);
         fx_plan(n, &p);
         rr_plan_clear(&p);
         rr_job_view v;
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -3,6 +3,7 @@
  * meetings and the tests, here and elsewhere, that bring them about. */
 #include "fakes.h"
 
+#include <stdlib.h>
 #include <string.h>
 
 static int setup(void **state) {
@@ -291,7 +292,7 @@
     fx_term(n);
     for (int round = 0; round < 2; round++, peer_heard = false) {
         const char *ref = round == 0 ? "req-1" : "req-2";
-        uint64_t tally = (uint64_t)(100 + 100 * round);
+        uint64_t tally = 100 + 100 * (uint64_t)round;
         hear(n, "vm-1", tally, NULL);
         for (int i = 0; i < 14; i++) {
             n->now += 1;
@@ -576,6 +577,47 @@
     fx_node_clear(&next);
 }
 
+/* Jobs 4, 12, 20 .. are cancelled while they run. */
+static const char *ends(int machine, const char *ref, uint32_t task, int shown, uint64_t tally) {
+    (void)machine;
+    (void)task;
+    (void)shown;
+    (void)tally;
+    return atoi(ref + strlen("req-")) % 8 == 4 ? "ended:halted" : "ended:done";
+}
+
+#define LATE_JOBS 24 /* the jobs of the last six seconds */
+
+/* All machines show what has ended of the jobs that came last, up to job i. */
+static void show_ended(fx_node *n, int i, uint64_t tally) {
+    static char names[LATE_JOBS][32];
+    const char *refs[LATE_JOBS];
+    int jobs = 0;
+    for (int b = i; b > i - LATE_JOBS && b > 0; b--, jobs++) {
+        g_snprintf(names[jobs], sizeof names[jobs], "req-%06d", b);
+        refs[jobs] = names[jobs];
+    }
+    struct fx_show show = {.first = 10,
+                           .last = 29,
+                           .last_in_a = 29,
+                           .refs = refs,
+                           .jobs = jobs,
+                           .tasks = 1,
+                           .most = 4,
+                           .tenure = 1,
+                           .tally = tally,
+                           .state = ends};
+    fx_show_jobs(n, &show);
+}
+
+static unsigned changes_since(const fx_store *s, uint64_t epoch) {
+    unsigned changes = 0;
+    for (guint i = 0; i < s->log->len; i++) {
+        changes += fx_log_mark(s, i) > epoch;
+    }
+    return changes;
+}
+
 /* One-task jobs come four a second for two minutes, a quarter of them cancelled at some moment:
  * what each costs at the store is bounded, nothing of them stays in the ledger, and in memory
  * lines. */
@@ -600,24 +642,8 @@
         if (i % 8 == 4) {
             fx_cancel(n, ref); /* while it runs */
         }
-        if (i % 4 == 0) { /* every second all machines show what has ended since */
-            for (int m = 10; m < 30; m++) {
-                char id[16], *show[5] = {NULL};
-                int k = 0;
-                g_snprintf(id, sizeof id, "vm-%d", m);
-                for (int b = i; b > i - 24 && b > 0 && k < 4; b--) {
-                    g_snprintf(ref, sizeof ref, "req-%06d", b);
-                    uint64_t at = fx_booked(w->store, id, ref, 0);
-                    if (at) {
-                        show[k++] = shown(ref, at, b % 8 == 4 ? "ended:halted" : "ended:done");
-                    }
-                }
-                fx_report(n, id, "a", false, 1, ++tally, rr_core_token(n->core), show[0], show[1],
-                          show[2], show[3], NULL);
-                for (int q = 0; q < k; q++) {
-                    g_free(show[q]);
-                }
-            }
+        if (i % 4 == 0) { /* every second */
+            show_ended(n, i, ++tally);
         }
     }
     for (int i = 0; i < 8; i++) {
@@ -625,12 +651,8 @@
         plan_with(n, RR_DO_ANSWERED);
     }
     assert_int_equal(fx_count(w->store, RR_ROOT "run/"), 0);
-    unsigned changes = 0;
-    for (guint i = 0; i < w->store->log->len; i++) {
-        changes += fx_log_mark(w->store, i) > before;
-    }
     /* Accepted, booked, ended with its ledger record gone; a cancelled one no more than that. */
-    assert_true(changes <= 4 * (unsigned)jobs);
+    assert_true(changes_since(w->store, before) <= 4 * (unsigned)jobs);
     for (int i = 0; i < 6; i++) {
         n->now += 61;
         plan_with(n, RR_DO_ANSWERED);
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -375,6 +375,43 @@
     assert_int_equal(booked, 0);
 }
 
+/* Both owners plan from the same state, and only then is either's transaction carried out. */
+static void plan_side_by_side(fx_node *const nodes[2], fx_store *s) {
+    rr_plan plans[2];
+    for (int i = 0; i < 2; i++) {
+        fx_sync(s, nodes[i]->core, nodes[i]->now);
+        fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_token(nodes[0]->core), NULL);
+        rr_plan_init(&plans[i]);
+        rr_core_plan(nodes[i]->core, nodes[i]->now, nodes[i]->now, &plans[i]);
+    }
+    for (int i = 0; i < 2; i++) {
+        assert_int_equal(fx_commit(s, &plans[i].txn), 0);
+        rr_plan_clear(&plans[i]);
+    }
+    for (int i = 0; i < 2; i++) {
+        fx_sync(s, nodes[i]->core, nodes[i]->now);
+    }
+}
+
+/* Plans once, answers the commands, and notes for which of the two jobs a start was among them. */
+static int count_starts(fx_node *n, const char *const refs[2], int node, int owner[2]) {
+    rr_plan p;
+    int started = 0;
+    rr_plan_init(&p);
+    rr_core_plan(n->core, n->now, n->now, &p);
+    for (int q = 0; q < 2; q++) {
+        if (fx_order(&p, "vm-1", RR_START, refs[q], 0)) {
+            owner[q] = node;
+            started++;
+        }
+    }
+    for (guint d = 0; d < p.dos->len; d++) {
+        rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, d), RR_DO_ANSWERED, true);
+    }
+    rr_plan_clear(&p);
+    return started;
+}
+
 /* Two owners may book the same room, since each writes its own jobs' records. The worker decides:
  * it refuses one start, and that booking goes. Neither waits for the other to leave. */
 static void two_owners_one_room(void **state) {
@@ -391,40 +428,15 @@
     fx_term(n);
     fx_submit(w->store, &j1, n->now);
     fx_submit(w->store, &j2, n->now);
-    fx_node *nodes[2] = {n, &b};
-    rr_plan first[2];
-    for (int i = 0; i < 2; i++) {
-        fx_sync(w->store, nodes[i]->core, nodes[i]->now);
-        fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_token(n->core), NULL);
-        rr_plan_init(&first[i]);
-        rr_core_plan(nodes[i]->core, nodes[i]->now, nodes[i]->now, &first[i]);
-    }
+    fx_node *const nodes[2] = {n, &b};
     uint64_t at[2];
     int owner[2] = {-1, -1}, started = 0;
-    for (int i = 0; i < 2; i++) {
-        assert_int_equal(fx_commit(w->store, &first[i].txn), 0);
-        rr_plan_clear(&first[i]);
-    }
-    for (int i = 0; i < 2; i++) {
-        fx_sync(w->store, nodes[i]->core, nodes[i]->now);
-    }
+    plan_side_by_side(nodes, w->store);
     for (int k = 0; k < 2; k++) {
         at[k] = fx_booked(w->store, "vm-1", refs[k], 0);
         assert_true(at[k] != 0);
         for (int i = 0; i < 2; i++) {
-            rr_plan_init(&p);
-            rr_core_plan(nodes[i]->core, nodes[i]->now, nodes[i]->now, &p);
-            for (int q = 0; q < 2; q++) {
-                if (fx_order(&p, "vm-1", RR_START, refs[q], 0)) {
-                    owner[q] = i;
-                    started++;
-                }
-            }
-            for (guint d = 0; d < p.dos->len; d++) {
-                rr_core_do_result(nodes[i]->core, nodes[i]->now, g_ptr_array_index(p.dos, d),
-                                  RR_DO_ANSWERED, true);
-            }
-            rr_plan_clear(&p);
+            started += count_starts(nodes[i], refs, i, owner);
         }
     }
     assert_int_equal(started, 2);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -298,7 +298,7 @@
             probes++;
             assert_int_equal(d->orders->len, 0);
             assert_true(d->warrant == rr_core_token(n->core));
-            hear(n, d->stone, (uint64_t)(10 + i));
+            hear(n, d->stone, 10 + (uint64_t)i);
             rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
         }
         rr_plan_clear(&p);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -226,28 +226,62 @@
     assert_int_equal(fx_placed(w->store, "req-1"), 0);
 }
 
-#define SHOWN_MAX 16 /* tasks of one machine in a report */
+static int shown_done; /* tasks below it are shown as done */
+
+static const char *done_or_running(int machine, const char *ref, uint32_t task, int shown,
+                                   uint64_t tally) {
+    (void)machine;
+    (void)ref;
+    (void)shown;
+    (void)tally;
+    return (int)task < shown_done ? "ended:done" : "running";
+}
 
 /* All machines show the job's tasks: those below `over` as done, the others running. */
 static void show_tasks(fx_node *n, const char *ref, int tasks, int over, uint64_t tenure,
                        uint64_t tally) {
+    struct fx_show show = {.first = 1,
+                           .last = 20,
+                           .last_in_a = 20,
+                           .refs = &ref,
+                           .jobs = 1,
+                           .tasks = (uint32_t)tasks,
+                           .most = FX_SHOWN_MAX,
+                           .tenure = tenure,
+                           .tally = tally,
+                           .state = done_or_running};
+    shown_done = over;
+    fx_show_jobs(n, &show);
+}
+
+/* No machine has a task any more: all of them lost their leases. */
+static void lose_all_leases(fx_node *n) {
     for (int m = 1; m <= 20; m++) {
-        char id[16], *show[SHOWN_MAX + 1] = {NULL};
-        int k = 0;
+        char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
-        for (int t = 0; t < tasks && k < SHOWN_MAX; t++) {
-            uint64_t at = fx_booked(n->store, id, ref, (uint32_t)t);
-            if (at) {
-                show[k++] = g_strdup_printf("%s %d %" G_GUINT64_FORMAT " %s", ref, t, at,
-                                            t < over ? "ended:done" : "running");
-            }
-        }
-        fx_report(n, id, "a", false, tenure, tally, rr_core_token(n->core), show[0], show[1],
-                  show[2], show[3], show[4], show[5], show[6], show[7], show[8], show[9], show[10],
-                  show[11], show[12], show[13], show[14], show[15], NULL);
-        for (int i = 0; i < k; i++) {
-            g_free(show[i]);
-        }
+        fx_report(n, id, "a", false, 2, 1, rr_core_token(n->core), NULL);
+    }
+}
+
+/* The task has one placement, under an attempt after this one. */
+static void assert_one_place(const fx_store *s, uint32_t task, uint64_t after) {
+    unsigned places = 0;
+    for (int m = 1; m <= 20; m++) {
+        char id[16];
+        g_snprintf(id, sizeof id, "vm-%d", m);
+        uint64_t at = fx_booked(s, id, "req-1", task);
+        places += at > 0;
+        assert_true(at == 0 || at > after);
+    }
+    assert_int_equal(places, 1);
+}
+
+/* So many plans, none of which the state service calls invalid. */
+static void plan_on(fx_node *n, int plans) {
+    for (int i = 0; i < plans; i++) {
+        n->now += 0.5;
+        assert_int_not_equal(plan(n), -EINVAL);
+        assert_true(fx_placed(n->store, "req-1") <= 60);
     }
 }
 
@@ -261,36 +295,16 @@
     lower(w->store);
     fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
-    for (int i = 0; i < 4; i++) {
-        n->now += 0.5;
-        assert_int_not_equal(plan(n), -EINVAL);
-    }
+    plan_on(n, 4);
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
-    /* Every machine loses its lease: all tasks come back under new attempts, none beside its old
-     * placement. */
+    /* All tasks come back under new attempts, none beside its old placement. */
     uint64_t first = fx_booked(w->store, "vm-1", "req-1", 0);
-    for (int m = 1; m <= 20; m++) {
-        char id[16];
-        g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, "a", false, 2, 1, rr_core_token(n->core), NULL);
-    }
-    for (int i = 0; i < 12; i++) {
-        n->now += 0.5;
-        assert_int_not_equal(plan(n), -EINVAL);
-        assert_true(fx_placed(w->store, "req-1") <= 60);
-    }
+    lose_all_leases(n);
+    plan_on(n, 12);
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
     assert_small(w->store, "req-1");
     for (uint32_t t = 0; t < 60; t++) {
-        unsigned places = 0;
-        for (int m = 1; m <= 20; m++) {
-            char id[16];
-            g_snprintf(id, sizeof id, "vm-%d", m);
-            uint64_t at = fx_booked(w->store, id, "req-1", t);
-            places += at > 0;
-            assert_true(at == 0 || at > first);
-        }
-        assert_int_equal(places, 1);
+        assert_one_place(w->store, t, first);
     }
     fx_node_init(&next, w->store, "n1");
     next.cfg.next_value_kb = NEXT_KB;
@@ -300,18 +314,12 @@
     fx_leave(n);
     fx_join(&next, 9);
     show_tasks(&next, "req-1", 60, 50, 2, 2);
-    for (int i = 0; i < 6; i++) {
-        next.now += 1;
-        assert_int_not_equal(plan(&next), -EINVAL);
-    }
+    plan_on(&next, 6);
     rr_core_job_view(next.core, "req-1", next.now, &v);
     assert_int_equal(v.ndone, 50);
     assert_false(v.done);
     show_tasks(&next, "req-1", 60, 60, 2, 3);
-    for (int i = 0; i < 6; i++) {
-        next.now += 1;
-        assert_int_not_equal(plan(&next), -EINVAL);
-    }
+    plan_on(&next, 6);
     rr_core_job_view(next.core, "req-1", next.now, &v);
     assert_true(v.done);
     assert_int_equal(fx_placed(w->store, "req-1"), 0);
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -206,7 +206,7 @@
     (void)state;
     world *w = world_start();
     struct rr_app *a = g_new0(struct rr_app, 1);
-    int *fds = g_new(int, workers);
+    int *fds = g_new0(int, workers);
     world_config(w, &a->cfg, "n0");
     a->cfg.max_sockets = 100000;
     a->cfg.tune.max_connections = (int)workers / 3;
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -218,7 +218,7 @@
 static void fuzz_decoders(void **state) {
     (void)state;
     GRand *rnd = g_rand_new_with_seed(20);
-    uint8_t buf[512];
+    uint8_t buf[512] = {0};
     rr_out job;
     encode_job(&job);
     for (int i = 0; i < 40000; i++) {
