--- a/src/app/app.h
+++ b/src/app/app.h
@@ -19,7 +19,7 @@
      */
     pthread_mutex_t lock;
     pthread_cond_t mirrored; /* the mirror moved on */
-    pthread_cond_t work;     /* planner and steward have something to look at */
+    pthread_cond_t work;     /* planner and provisioner have something to look at */
     rr_core *core;
     uint64_t kicks;  /* counts wakes of `work` */
     bool store_down; /* the last call of a user's request to the store failed */
@@ -83,7 +83,7 @@
 int rr_app_start(struct rr_app *a);
 void rr_app_stop(struct rr_app *a);
 
-/* Wakes planner and steward; caller holds `lock`. */
+/* Wakes planner and provisioner; caller holds `lock`. */
 void rr_app_kick(struct rr_app *a);
 /* Waits until the mirror has reached epoch. Caller holds `lock`. */
 bool rr_app_wait_epoch(struct rr_app *a, uint64_t epoch, double until);
@@ -105,7 +105,7 @@
 void *rr_duty_committer(void *app);
 void *rr_duty_barrier(void *app);
 void *rr_duty_planner(void *app);
-void *rr_duty_steward(void *app);
+void *rr_duty_provisioner(void *app);
 void *rr_duty_door(void *app);
 void *rr_duty_sender(void *app);
 void *rr_duty_slow_sender(void *app);
--- a/src/app/duties.c
+++ b/src/app/duties.c
@@ -1,5 +1,5 @@
 /* The long-lived duties, one thread each: session, term, watch, the users' committer and barrier,
- * planner, steward, senders. All block with a bound and look at `stop` after each wait. */
+ * planner, provisioner, senders. All block with a bound and look at `stop` after each wait. */
 #include "app/app.h"
 #include "app/batch.h"
 #include "app/clock.h"
@@ -936,7 +936,7 @@
         if (rc != RR_COMMITTED && rc != RR_CONFLICT) {
             return -EAGAIN;
         }
-        rr_log(RR_DEBUG_LEVEL, "steward: %u records %s", step->txn.changes->len,
+        rr_log(RR_DEBUG_LEVEL, "provisioner: %u records %s", step->txn.changes->len,
                rc == RR_COMMITTED ? "written" : "in conflict");
         *need = epoch;
         return 0;
@@ -945,7 +945,7 @@
     }
 }
 
-void *rr_duty_steward(void *app) {
+void *rr_duty_provisioner(void *app) {
     struct rr_app *a = app;
     rr_usage_enter(RR_USE_STEWARD);
     rr_store *s = open_store(a);
@@ -956,7 +956,7 @@
         rr_step_init(&step);
         pthread_mutex_lock(&a->lock);
         if (rr_app_wait_epoch(a, need, rr_now() + 1)) {
-            rr_core_steward_step(a->core, rr_now(), rr_wall(), &step);
+            rr_core_provisioner_step(a->core, rr_now(), rr_wall(), &step);
         }
         if (step.kind == RR_STEP_NONE) {
             rr_app_wait(a, &a->mirrored, &a->lock, 0.3);
@@ -964,7 +964,7 @@
         pthread_mutex_unlock(&a->lock);
         int rc = do_step(a, s, cloud, &step, &need);
         if (rc != 0) {
-            rr_log(RR_DEBUG_LEVEL, "steward step %d: %s", (int)step.kind, strerror(-rc));
+            rr_log(RR_DEBUG_LEVEL, "provisioner step %d: %s", (int)step.kind, strerror(-rc));
             /* Jitter keeps two nodes from knocking in step. */
             pause_for(a, 0.3 + g_random_double_range(0, 0.4));
         }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -64,13 +64,13 @@
 bool rr_core_next_term(rr_core *c, double now, double wall, rr_txn *out);
 unsigned rr_core_live(const rr_core *c);
 /* This controller's part of what the store allows a second, by what it has to write: requests, and
- * changes for users, its plans and the steward's records. */
+ * changes for users, its plans and the provisioner's records. */
 struct rr_shares {
-    double requests, users, plans, steward;
+    double requests, users, plans, provisioner;
 };
 void rr_core_shares(const rr_core *c, struct rr_shares *out);
 uint64_t rr_core_token(const rr_core *c);
-bool rr_core_is_steward(const rr_core *c, double now);
+bool rr_core_is_provisioner(const rr_core *c, double now);
 
 /* ---- users ---- */
 enum rr_admit { RR_ADMIT_OK, RR_ADMIT_KNOWN, RR_ADMIT_NEVER, RR_ADMIT_UNKNOWN_YET };
@@ -107,7 +107,7 @@
 /* A peer heard the machine again. False: not known here, or not news. */
 bool rr_core_heard(rr_core *c, double now, const rr_heard *h, int via);
 /* Which peers need a machine's reports whole, as bits of their indices: with every change the
- * owners of its tasks and the steward; now and then all owners. */
+ * owners of its tasks and the provisioner; now and then all owners. */
 uint32_t rr_core_wanted_by(const rr_core *c, const char *stone, uint32_t *now_and_then);
 struct rr_answer {
     int status; /* 200, 421 or 503 */
@@ -148,7 +148,7 @@
 /* Those that this controller has found so: char*. */
 void rr_core_suspects(rr_core *c, double now, GPtrArray *out);
 
-/* ---- renting (steward) ---- */
+/* ---- renting (provisioner) ---- */
 enum rr_step_kind {
     RR_STEP_NONE,
     RR_STEP_CATALOG,
@@ -167,7 +167,7 @@
 } rr_step;
 void rr_step_init(rr_step *s);
 void rr_step_clear(rr_step *s);
-void rr_core_steward_step(rr_core *c, double now, double wall, rr_step *out);
+void rr_core_provisioner_step(rr_core *c, double now, double wall, rr_step *out);
 void rr_core_catalog(rr_core *c, double now, const GArray *builds /* rr_build */);
 void rr_core_listed(rr_core *c, double asked_at, double now, double wall,
                     const GArray *stones /* rr_stone */);
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -1,6 +1,6 @@
 /* Machine types and the fleet as the mirror has them: the catalogue's records, and pages of
- * machines, which the steward writes. A machine belongs to the core; it goes with its record, or
- * stays as a name while the ledger has anything on it. */
+ * machines, which the provisioner writes. A machine belongs to the core; it goes with its record,
+ * or stays as a name while the ledger has anything on it. */
 #include "core/model.h"
 
 #include <string.h>
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -105,7 +105,7 @@
     c->team_used = g_array_new(FALSE, TRUE, sizeof(rr_res));
     c->team_booked = g_array_new(FALSE, TRUE, sizeof(rr_res));
     c->owners = g_array_new(FALSE, TRUE, sizeof(int));
-    c->steward = c->place = -1;
+    c->provisioner = c->place = -1;
     /* The same on every controller: from the settings alone. */
     c->chunk = RR_CHUNK_MIN;
     while (c->chunk < RR_CHUNK_MAX && (double)rr_run_bytes(2 * c->chunk) < cfg->value_kb * 1024) {
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -61,7 +61,7 @@
     guint overs;    /* likewise: 1 + the index of the first placement known to be over, 0: none */
 } rr_run;
 
-/* A record of machines, written by the steward. */
+/* A record of machines, written by the provisioner. */
 typedef struct {
     uint32_t id;
     uint64_t mark;
@@ -141,7 +141,7 @@
     double do_next;
     double reap_at; /* an exited task has waited since then to be reaped, 0: none */
     void *plan_do;  /* scratch of one plan: rr_do */
-    /* steward */
+    /* provisioner */
     bool listed, list_failed, to_adopt, hired, give_up, dead, releasing;
     bool surplus;
     int probe_fails;
@@ -212,7 +212,7 @@
     GArray *team_booked;       /* rr_res by team: scratch of one plan */
     GArray *owners;            /* int by configured team: place in the term of its owner */
     guint parts, part;         /* owners of teams in this term; which of them this controller is */
-    int steward;               /* place in the term, -1 */
+    int provisioner;           /* place in the term, -1 */
     int place;                 /* this controller's, -1 */
     int peer_at[RR_MAX_NODES]; /* by place in the term: index of the peer, -1: this controller */
     unsigned plans;
@@ -242,10 +242,10 @@
     double entitled_until;
     double fresh_at;  /* the mirror has every change made before */
     uint64_t counter; /* for attempts and request names, with the token */
-    /* steward */
-    double steward_since, list_at, sim_at, parted_at;
+    /* provisioner */
+    double provisioner_since, list_at, sim_at, parted_at;
     double hired_at; /* wall, when the last rental was asked for */
-    uint64_t steward_token;
+    uint64_t provisioner_token;
     bool list_read, ever_hired;
     GArray *cut_at;                 /* double by ward: when most of it was last silent */
     GArray *zones;                  /* rr_zone_count by ward, as of the last look */
@@ -342,7 +342,7 @@
 guint rr_attempt_place(uint64_t attempt);    /* and the place there of who booked it */
 guint rr_term_place(const rr_core *c);       /* this controller's place in the term */
 bool rr_owns_team(const rr_core *c, int team);
-void rr_term_assign(rr_core *c); /* finds owners and steward of a new term */
+void rr_term_assign(rr_core *c); /* finds owners and provisioner of a new term */
 
 /* troubles.c */
 bool rr_machine_quiet(const rr_core *c, const rr_machine *m, double now); /* does not report on */
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -420,7 +420,7 @@
     rr_core *c = p->c;
     GHashTableIter it;
     gpointer k, v;
-    if (c->pressure > 0.3 || p->now - c->batches_at < 2 || !rr_core_is_steward(c, p->now)) {
+    if (c->pressure > 0.3 || p->now - c->batches_at < 2 || !rr_core_is_provisioner(c, p->now)) {
         return;
     }
     c->batches_at = p->now;
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -15,21 +15,21 @@
     return x->probed_at < y->probed_at ? -1 : x->probed_at > y->probed_at;
 }
 
-/* Whose silence is ours to look into: the steward's all, an owner's those with its work, and those
- * that it doubts itself: only an answer to it ends that, and one that had lost its work there never
- * sent another command and left the machine out for good. */
-static bool concerns_us(const rr_core *c, const rr_machine *m, bool steward) {
-    steward = steward || rr_machine_deaf(m);
-    for (guint i = 0; !steward && i < m->places->len; i++) {
+/* Whose silence is ours to look into: the provisioner's all, an owner's those with its work, and
+ * those that it doubts itself: only an answer to it ends that, and one that had lost its work there
+ * never sent another command and left the machine out for good. */
+static bool concerns_us(const rr_core *c, const rr_machine *m, bool provisioner) {
+    provisioner = provisioner || rr_machine_deaf(m);
+    for (guint i = 0; !provisioner && i < m->places->len; i++) {
         const rr_job *j = g_array_index(m->places, rr_place, i).job;
         if (j->team >= 0 && rr_owns_team(c, j->team)) {
             return true;
         }
     }
-    return steward;
+    return provisioner;
 }
 
-static bool wants_probe(const rr_core *c, const rr_machine *m, double now, bool steward) {
+static bool wants_probe(const rr_core *c, const rr_machine *m, double now, bool provisioner) {
     if (m->ret || !m->addr[0] || m->do_inflight || now - m->probed_at <= PROBE_EVERY_S) {
         return false;
     }
@@ -37,7 +37,8 @@
     bool doubted = m->unanswered >= 2 || now < m->suspect_until;
     /* A report about an unknown machine may be a late copy: a live exchange has to vouch for it. */
     bool stranger = !m->recorded && m->heard && !m->vouched && !m->gone;
-    return (m->recorded ? late || doubted : stranger && steward) && concerns_us(c, m, steward);
+    return (m->recorded ? late || doubted : stranger && provisioner) &&
+           concerns_us(c, m, provisioner);
 }
 
 /* A report late by more than its usual quarter, commands without answers: ask, with a command that
@@ -50,13 +51,13 @@
     }
     c->probe_at = p->now;
     rr_note_cuts(c, p->now);
-    bool steward = rr_core_is_steward(c, p->now);
+    bool provisioner = rr_core_is_provisioner(c, p->now);
     guint in_cut[c->wards.names->len + 1];
     memset(in_cut, 0, sizeof in_cut);
     GPtrArray *late = g_ptr_array_new();
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        if (wants_probe(c, m, p->now, steward)) {
+        if (wants_probe(c, m, p->now, provisioner)) {
             g_ptr_array_add(late, m);
         }
     }
@@ -77,7 +78,8 @@
     g_ptr_array_free(late, TRUE);
 }
 
-/* Commands to it go unanswered: the others are told, since the steward may not have sent any. */
+/* Commands to it go unanswered: the others are told, since the provisioner may not have sent any.
+ */
 static void suspect(rr_core *c, rr_machine *m, double now) {
     if (rr_core_late(c, now, RR_LATE_S)) {
         return; /* the answer may be waiting to be read */
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -1,5 +1,6 @@
-/* The steward: rents for waiting work and headroom, returns what is idle, dead or sick, keeps the
- * machine records in step with the cloud. One step at a time; the shell carries it out and reports.
+/* The provisioner: rents for waiting work and headroom, returns what is idle, dead or sick, keeps
+ * the machine records in step with the cloud. One step at a time; the shell carries it out and
+ * reports.
  */
 #include "core/provisioner.h"
 
@@ -82,7 +83,7 @@
 static bool missing_is_gone(const rr_core *c, const rr_machine *m, double asked_at) {
     double lag = c->cfg->list_lag_s;
     return m->listed ? asked_at > m->listed_at + 2 * lag + 1
-                     : asked_at > fmax(m->known_at, c->steward_since) + 3 * lag + 10;
+                     : asked_at > fmax(m->known_at, c->provisioner_since) + 3 * lag + 10;
 }
 
 void rr_core_listed(rr_core *c, double asked_at, double now, double wall, const GArray *stones) {
@@ -171,7 +172,7 @@
             rr_log_at(c, RR_LOG_DEBUG, "machine %s is returned after %.0f s", id,
                       now - m->known_at);
         } else if (m && m->places->len == 0) {
-            /* With places it stays as a name until the ledger has none: a steward ended when a
+            /* With places it stays as a name until the ledger has none: a provisioner ended when a
              * machine was listed as failed, lost its record and was then released as a stray. */
             rr_machine_forget(c, m);
         }
@@ -305,7 +306,8 @@
     if (rr_machine_reborn(m, now)) {
         return "back under its name with its counts begun anew";
     }
-    if (!m->heard && wall - m->born > 4 * boot + 30 && empty && now - c->steward_since > 2 * boot) {
+    if (!m->heard && wall - m->born > 4 * boot + 30 && empty &&
+        now - c->provisioner_since > 2 * boot) {
         return "never came up";
     }
     if (rr_machine_sick(m, now) && empty) {
@@ -343,9 +345,9 @@
     }
 }
 
-static void begin_stewardship(rr_core *c, double now) {
-    c->steward_token = c->term.token;
-    c->steward_since = now;
+static void begin_provisioning(rr_core *c, double now) {
+    c->provisioner_token = c->term.token;
+    c->provisioner_since = now;
     c->list_at = c->sim_at = 0;
     c->list_read = false;
     for (guint i = 0; i < c->machine_list->len; i++) {
@@ -365,16 +367,16 @@
         h->tried_at = 0;
         g_ptr_array_set_size(h->ids, 0);
     }
-    rr_log_at(c, RR_LOG_INFO, "steward of term %" G_GUINT64_FORMAT, c->term.token);
+    rr_log_at(c, RR_LOG_INFO, "provisioner of term %" G_GUINT64_FORMAT, c->term.token);
 }
 
-void rr_core_steward_step(rr_core *c, double now, double wall, rr_step *out) {
+void rr_core_provisioner_step(rr_core *c, double now, double wall, rr_step *out) {
     out->kind = RR_STEP_NONE;
-    if (!rr_core_is_steward(c, now) || !rr_core_settled(c) || c->anew) {
+    if (!rr_core_is_provisioner(c, now) || !rr_core_settled(c) || c->anew) {
         return;
     }
-    if (c->steward_token != c->term.token) {
-        begin_stewardship(c, now);
+    if (c->provisioner_token != c->term.token) {
+        begin_provisioning(c, now);
     }
     if (rr_step_records(c, now, wall, out) || step_hires_done(c, now, out) ||
         step_catalog(c, now, out) || rr_step_rent(c, now, wall, out)) {
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -222,7 +222,7 @@
 }
 
 /* Placements on machines that are gone or given up as dead. Their owners clear the ledger as
- * changes allow: waiting for that, the steward rented for 1,200 lost tasks over a minute and a
+ * changes allow: waiting for that, the provisioner rented for 1,200 lost tasks over a minute and a
  * half. */
 static void count_lost(const rr_core *c) {
     for (guint i = 0; i < c->open->len; i++) {
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -211,15 +211,15 @@
     return p->now - m->reap_at < p->c->cfg->report_s;
 }
 
-/* Of a job kept as a line the team is not known any more. The steward stops what still runs, and
- * clears what an earlier term started: the command's token voids any start of it that comes late.
- * An exited attempt of this term is left to the controller that made it, which alone knows whether
- * a copy of its start may still be on its way and has to find the attempt there. */
+/* Of a job kept as a line the team is not known any more. The provisioner stops what still runs,
+ * and clears what an earlier term started: the command's token voids any start of it that comes
+ * late. An exited attempt of this term is left to the controller that made it, which alone knows
+ * whether a copy of its start may still be on its way and has to find the attempt there. */
 static bool clears_line(const rr_core *c, const rr_piece *r, double now) {
     if (r->standing == RR_ENDED && rr_attempt_token(r->attempt) == c->term.token) {
         return rr_attempt_place(r->attempt) == rr_term_place(c);
     }
-    return rr_core_is_steward(c, now);
+    return rr_core_is_provisioner(c, now);
 }
 
 /* Tasks on the machine that the ledger does not know: exited ones are reaped, others stopped. */
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -246,7 +246,7 @@
     const rr_machine *m = g_hash_table_lookup(c->machines, stone);
     uint32_t peers = 0;
     *now_and_then = 0;
-    want(c, c->steward, &peers);
+    want(c, c->provisioner, &peers);
     for (guint i = 0; m && i < m->places->len; i++) {
         want_owner(c, g_array_index(m->places, rr_place, i).job, &peers);
     }
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -103,7 +103,7 @@
  * fail too. All controllers probe, and what one hears it passes on, so a machine that any of them
  * reaches is not silent. A silent zone is a cut. */
 static bool was_up(const rr_machine *m) {
-    /* Work in the ledger shows it, even if this process never heard the machine: a steward that
+    /* Work in the ledger shows it, even if this process never heard the machine: a provisioner that
      * restarts into a cut must not take the few it hears for the whole zone. */
     return m->recorded && (m->heard || m->places->len > 0);
 }
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -1,8 +1,8 @@
 /* This controller's part of what the store allows: a token bucket of requests, and one of changes
  * for each kind of writer, under one lock. Changes are the scarcest: with one bucket for all,
- * users' small commits took every token before the steward's large ones found enough, and nothing
- * was placed. What a kind leaves unused goes to a common pool. A lower priority leaves a reserve of
- * requests to the higher ones, so that renewals never wait behind plans. */
+ * users' small commits took every token before the provisioner's large ones found enough, and
+ * nothing was placed. What a kind leaves unused goes to a common pool. A lower priority leaves a
+ * reserve of requests to the higher ones, so that renewals never wait behind plans. */
 #include "app/clock.h"
 #include "store/store.h"
 
@@ -37,7 +37,7 @@
     b->rate = fmax(SAFE * b->rps * s->requests, 0.5);
     b->writes[USERS].rate = fmax(SAFE * b->write_rps * s->users, 0.2);
     b->writes[PLANS].rate = fmax(SAFE * b->write_rps * s->plans, 0.05);
-    b->writes[STEWARD].rate = fmax(SAFE * b->write_rps * s->steward, 0.05);
+    b->writes[STEWARD].rate = fmax(SAFE * b->write_rps * s->provisioner, 0.05);
 }
 
 rr_budget *rr_budget_create(double rps, double write_rps) {
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -622,9 +622,9 @@
     return n;
 }
 
-void fx_steward_step(fx_node *n, const GArray *stones, rr_step *out) {
+void fx_provisioner_step(fx_node *n, const GArray *stones, rr_step *out) {
     rr_step_init(out);
-    rr_core_steward_step(n->core, n->now, n->now, out);
+    rr_core_provisioner_step(n->core, n->now, n->now, out);
     if (out->kind == RR_STEP_TXN) {
         fx_commit(n->store, &out->txn);
         fx_sync(n->store, n->core, n->now);
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -81,7 +81,7 @@
     fx_plan(n, &p);
     rr_plan_clear(&p);
     for (int i = 0; i < 20 && fx_count(w->store, RR_ROOT "hire/") == 0; i++) {
-        fx_steward_step(n, none, &s);
+        fx_provisioner_step(n, none, &s);
         rr_step_clear(&s);
         n->now += 1;
     }
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -4,7 +4,7 @@
 #include "store/store.h"
 
 /* Users' changes come in bursts that reach one controller, and users wait for them: a second's
- * worth goes at once and is owed. Plans and the steward wait for theirs. */
+ * worth goes at once and is owed. Plans and the provisioner wait for theirs. */
 static void users_may_owe_a_second(void **state) {
     (void)state;
     rr_budget *b = rr_budget_create(1e6, 10);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -279,7 +279,7 @@
     for (int i = 0; i < 120; i++) {
         rr_step s;
         rr_step_init(&s);
-        rr_core_steward_step(n->core, n->now, n->now, &s);
+        rr_core_provisioner_step(n->core, n->now, n->now, &s);
         if (s.kind == RR_STEP_TXN) {
             changes += s.txn.changes->len;
             assert_int_equal(fx_commit(w->store, &s.txn), 0);
@@ -555,7 +555,7 @@
     assert_int_equal(p.dos->len, 0);
     rr_plan_clear(&p);
     rr_step_init(&s);
-    rr_core_steward_step(n->core, n->now, n->now, &s);
+    rr_core_provisioner_step(n->core, n->now, n->now, &s);
     assert_int_equal(s.kind, RR_STEP_NONE);
     rr_step_clear(&s);
     rr_txn_init(&t);
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -373,7 +373,7 @@
 }
 
 /* Commands went unanswered; then the machine lost its lease and with it the work of this owner, who
- * is not the steward. Nobody's answer but one to us clears the doubt, so we go on asking: the
+ * is not the provisioner. Nobody's answer but one to us clears the doubt, so we go on asking: the
  * machine stayed out of use at one controller for good. */
 static void a_doubt_without_work_ends(void **state) {
     fx_world *w = *state;
@@ -383,8 +383,8 @@
     fx_sync(w->store, b.core, b.now);
     fx_join(&b, 9);
     fx_term(n);
-    /* Whichever of the two is not the steward, with a team of its own. */
-    fx_node *owner = rr_core_is_steward(n->core, n->now) ? &b : n;
+    /* Whichever of the two is not the provisioner, with a team of its own. */
+    fx_node *owner = rr_core_is_provisioner(n->core, n->now) ? &b : n;
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-%d", t + 1);
@@ -471,7 +471,8 @@
 
 /* A start is in doubt, and its task was ended by start and stop under one token: the exited attempt
  * blocks a late copy of the start. It must do so also after the job has shrunk to a line, which the
- * steward clears: in the attempt's own term the steward leaves it to the owner, who knows. */
+ * provisioner clears: in the attempt's own term the provisioner leaves it to the owner, who knows.
+ */
 static void a_line_that_blocks_a_late_start(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
@@ -509,7 +510,7 @@
     fx_plan(n, &p);
     assert_null(fx_order(&p, "vm-1", RR_REAP, j.ref, 0));
     rr_plan_clear(&p);
-    /* The next term voids every copy: now the steward clears it. */
+    /* The next term voids every copy: now the provisioner clears it. */
     fx_join(n, 8);
     n->now += 5;
     hear(n, "vm-1", tally++, theirs);
@@ -521,8 +522,8 @@
 }
 
 /* New machines are up within two seconds, writes lag, and the leader that rented them ends: they
- * report before any record names them. Nobody books there until one does; the next steward repeats
- * the intent under its name, records each once, and work goes there at once. */
+ * report before any record names them. Nobody books there until one does; the next provisioner
+ * repeats the intent under its name, records each once, and work goes there at once. */
 static void machines_up_before_their_record(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n, next;
@@ -534,7 +535,7 @@
     fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 40; i++) {
-        fx_steward_step(n, none, &s);
+        fx_provisioner_step(n, none, &s);
         bool hire = s.kind == RR_STEP_HIRE;
         n->now += 0.5;
         if (hire) {
@@ -554,7 +555,7 @@
     bool repeated = false;
     for (int i = 0; i < 60 && !fx_recorded(w->store, "vm-7"); i++) {
         rr_step again;
-        fx_steward_step(&next, none, &again);
+        fx_provisioner_step(&next, none, &again);
         if (again.kind == RR_STEP_HIRE) {
             GPtrArray *ids = g_ptr_array_new();
             g_ptr_array_add(ids, (gpointer) "vm-7");
--- a/tests/test_core_steward.c
+++ b/tests/test_core_provisioner.c
@@ -12,7 +12,7 @@
     bool found = false;
     rr_step_init(out);
     for (int i = 0; i < 60 && !found; i++) {
-        rr_core_steward_step(n->core, n->now, n->now, out);
+        rr_core_provisioner_step(n->core, n->now, n->now, out);
         found = out->kind == kind;
         if (found) {
             break;
@@ -65,7 +65,7 @@
     g_array_append_val(a, s);
 }
 
-/* The intent is written before the cloud is called, and a new steward repeats it under the same
+/* The intent is written before the cloud is called, and a new provisioner repeats it under the same
  * name: the cloud then answers as before and rents nothing. */
 static void a_rental_is_repeated_under_its_name(void **state) {
     fx_world *w = *state;
@@ -197,7 +197,7 @@
         fx_report(n, "vm-1", "a", false, 1, i, 1, NULL);
         fx_report(n, "vm-2", "a", false, 1, i, 1, NULL);
         plan_unreachable(n);
-        fx_steward_step(n, stones, &s);
+        fx_provisioner_step(n, stones, &s);
         if (s.kind == RR_STEP_RELEASE) {
             asked = true;
             assert_true(i > n->cfg.tune.dead_reports * n->cfg.report_s);
@@ -239,14 +239,14 @@
         } else {
             plan_unreachable(n);
         }
-        fx_steward_step(n, stones, &s);
+        fx_provisioner_step(n, stones, &s);
         assert_int_not_equal(s.kind, RR_STEP_RELEASE);
         rr_step_clear(&s);
     }
     g_array_free(stones, TRUE);
 }
 
-/* A steward that restarted while a zone was cut has never heard most of it. It gave up fourteen
+/* A provisioner that restarted while a zone was cut has never heard most of it. It gave up fourteen
  * healthy machines one after the other, since it compared each with the few it had heard. */
 static void a_restart_into_a_cut(void **state) {
     fx_world *w = *state;
@@ -318,9 +318,9 @@
     add_stone(one, "vm-1", RR_STONE_RUNNING, 3);
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_sync(w->store, n->core, n->now);
-    /* The first step makes it steward. */
+    /* The first step makes it provisioner. */
     rr_step_init(&s);
-    rr_core_steward_step(n->core, n->now, n->now, &s);
+    rr_core_provisioner_step(n->core, n->now, n->now, &s);
     rr_step_clear(&s);
     n->now += 3;
     rr_core_listed(n->core, n->now, n->now, n->now, none);
@@ -434,7 +434,7 @@
     unsigned asked = 0;
     standing_fleet(w, many, stones);
     report_each(n, 1, many, 1);
-    fx_steward_step(n, stones, &s);
+    fx_provisioner_step(n, stones, &s);
     rr_step_clear(&s);
     n->now += still;
     for (int t = 0; t < 60; t++) {
@@ -446,7 +446,7 @@
             report_each(n, 1, many, 3 + (uint64_t)t);
         }
         plan_unreachable(n);
-        fx_steward_step(n, stones, &s);
+        fx_provisioner_step(n, stones, &s);
         asked += s.kind == RR_STEP_RELEASE;
         rr_step_clear(&s);
     }
@@ -454,11 +454,12 @@
     return asked;
 }
 
-/* A steward that stood still finds every machine long silent on waking: none is given up because
- * it did not listen. */
+/* A provisioner that stood still finds every machine long silent on waking: none is given up
+ * because it did not listen. */
 static void a_standstill_gives_nobody_up(void **state) {
     fx_world *w = *state;
-    assert_int_equal(released_after_standing(w, 9), 0); /* shorter than a lease: steward still */
+    assert_int_equal(released_after_standing(w, 9),
+                     0); /* shorter than a lease: provisioner still */
     assert_int_equal(released_after_standing(w, 55), 0);
 }
 
@@ -478,7 +479,7 @@
         fx_report(n, "vm-1", "a", false, 1, *tally, 1, NULL);
         fx_report(n, "vm-2", "a", false, 1, *tally, 1, NULL);
         plan_unreachable(n);
-        fx_steward_step(n, stones, &s);
+        fx_provisioner_step(n, stones, &s);
         asked += s.kind == RR_STEP_RELEASE ? s.stones->len : 0;
         rr_step_clear(&s);
     }
@@ -524,7 +525,7 @@
         }
         plan_unreachable(n);
         for (int k = 0; k < 3; k++) {
-            fx_steward_step(n, stones, &s);
+            fx_provisioner_step(n, stones, &s);
             if (s.kind == RR_STEP_RELEASE && asked == 0) {
                 assert_true(t > n->cfg.lease_s);
                 asked = s.stones->len;
@@ -564,7 +565,7 @@
     rr_step_clear(&s);
     rr_core_catalog(n->core, n->now, builds);
     rr_step_init(&s);
-    rr_core_steward_step(n->core, n->now, n->now, &s);
+    rr_core_provisioner_step(n->core, n->now, n->now, &s);
     assert_int_equal(s.kind, RR_STEP_TXN);
     rr_step_clear(&s); /* voided by a change of term, say */
     step_until(w, RR_STEP_NONE, NULL, &s);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -39,7 +39,8 @@
     rr_plan_clear(&p);
 }
 
-/* One step of the steward, carried out as far as the store goes. True: it asks for a release of id.
+/* One step of the provisioner, carried out as far as the store goes. True: it asks for a release of
+ * id.
  */
 static bool step(fx_world *w, const char *id) {
     fx_node *n = &w->n;
@@ -53,7 +54,7 @@
         g_strlcpy(st.ward, i == 1 ? "a" : "b", sizeof st.ward);
         g_array_append_val(stones, st);
     }
-    fx_steward_step(n, stones, &s);
+    fx_provisioner_step(n, stones, &s);
     if (s.kind == RR_STEP_RELEASE) {
         for (guint i = 0; i < s.stones->len; i++) {
             asked = asked || strcmp(s.stones->pdata[i], id) == 0;
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -512,7 +512,7 @@
     assert_true(fx_value_size(w->store, RR_ROOT "fleet/00000001") > (size_t)(NEXT_KB * 1024));
     lower(w->store);
     for (int i = 0; i < 20; i++) {
-        fx_steward_step(n, stones, &s);
+        fx_provisioner_step(n, stones, &s);
         rr_step_clear(&s);
         n->now += 0.6;
         fx_node fresh;
@@ -559,7 +559,7 @@
     rr_stone dead = {.id = "vm-1", .build = "m1", .ward = "a", .state = RR_STONE_FAILED};
     g_array_append_val(stones, dead);
     for (int i = 0; i < 20 && fx_recorded(w->store, "vm-1"); i++) {
-        fx_steward_step(n, stones, &s);
+        fx_provisioner_step(n, stones, &s);
         rr_step_clear(&s);
         n->now += 0.6;
     }
