--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -21,7 +21,7 @@
 }
 
 bool rr_zone_bound(const rr_job *j) {
-    return j->s.one_zone || j->s.ward[0];
+    return j->s.one_zone || j->s.zone[0];
 }
 
 void rr_sim_reset(rr_core *c) {
@@ -37,11 +37,11 @@
     }
 }
 
-bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int ward, bool loaners) {
+bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool loaners) {
     if (loaners && !j->s.loaners) {
         return false;
     }
-    if (j->s.ward[0] && strcmp(j->s.ward, rr_names_at(&c->wards, ward)) != 0) {
+    if (j->s.zone[0] && strcmp(j->s.zone, rr_names_at(&c->zones, zone)) != 0) {
         return false;
     }
     if (j->s.nbuilds == 0) {
@@ -57,8 +57,8 @@
 
 /* Placements of the job by zone, but those known to be over; a task being moved counts where it is
  * and where it goes. */
-uint32_t rr_job_count_by_ward(const rr_core *c, const rr_job *j, const rr_place *except,
-                              uint32_t *by_ward) {
+uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_place *except,
+                              uint32_t *by_zone) {
     uint32_t all = 0;
     (void)c;
     for (guint n = 0; j->runs && n < j->runs->len; n++) {
@@ -66,9 +66,9 @@
         for (guint i = 0; r && i < r->items->len; i++) {
             const rr_item *it = &g_array_index(r->items, rr_item, i);
             const rr_place *p = rr_place_find(it->m, it->attempt, j, it->task);
-            if (it->m->ward >= 0 && !it->m->gone && !(p && p->over_at > 0) &&
+            if (it->m->zone >= 0 && !it->m->gone && !(p && p->over_at > 0) &&
                 !(except && it->attempt == except->attempt)) {
-                by_ward[it->m->ward]++;
+                by_zone[it->m->zone]++;
                 all++;
             }
         }
@@ -76,30 +76,30 @@
     return all;
 }
 
-void rr_job_wards_from(const rr_core *c, const rr_job *j, const uint32_t *by_ward, uint32_t all,
+void rr_job_zones_from(const rr_core *c, const rr_job *j, const uint32_t *by_zone, uint32_t all,
                        bool *allowed) {
     uint32_t half = (j->s.pieces + 1) / 2;
-    for (guint w = 0; w < c->wards.names->len; w++) {
+    for (guint w = 0; w < c->zones.names->len; w++) {
         allowed[w] = true;
-        if (j->s.ward[0] && strcmp(j->s.ward, rr_names_at(&c->wards, (int)w)) != 0) {
+        if (j->s.zone[0] && strcmp(j->s.zone, rr_names_at(&c->zones, (int)w)) != 0) {
             allowed[w] = false;
         }
-        if (j->s.apart && by_ward[w] >= half) {
+        if (j->s.apart && by_zone[w] >= half) {
             allowed[w] = false;
         }
         if (j->s.one_zone &&
-            ((all && !by_ward[w]) || (!all && j->zone >= 0 && j->zone != (int)w))) {
+            ((all && !by_zone[w]) || (!all && j->zone >= 0 && j->zone != (int)w))) {
             allowed[w] = false;
         }
     }
 }
 
-void rr_job_wards(const rr_core *c, const rr_job *j, bool *allowed, const rr_place *except) {
-    guint n = c->wards.names->len;
-    uint32_t by_ward[n + 1];
-    memset(by_ward, 0, sizeof by_ward);
-    uint32_t all = j->s.one_zone || j->s.apart ? rr_job_count_by_ward(c, j, except, by_ward) : 0;
-    rr_job_wards_from(c, j, by_ward, all, allowed);
+void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_place *except) {
+    guint n = c->zones.names->len;
+    uint32_t by_zone[n + 1];
+    memset(by_zone, 0, sizeof by_zone);
+    uint32_t all = j->s.one_zone || j->s.apart ? rr_job_count_by_zone(c, j, except, by_zone) : 0;
+    rr_job_zones_from(c, j, by_zone, all, allowed);
 }
 
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j) {
@@ -169,8 +169,8 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
-        if (m->ward < 0 || !how->wards[m->ward] || !rr_res_fits(j->need, m->sim) ||
-            !rr_job_allows(c, j, m->build, m->ward, m->loaners) || !how->filter(c, m, now)) {
+        if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->need, m->sim) ||
+            !rr_job_allows(c, j, m->build, m->zone, m->loaners) || !how->filter(c, m, now)) {
             continue;
         }
         double fetch = rr_fetch_time(c, j, m);
@@ -245,7 +245,7 @@
         /* Between equals the older machine, whatever the order of the list has become. */
         bool wins =
             !best || better(&r, &best_rank) || (!better(&best_rank, &r) && k->m->id < best->id);
-        if (how->wards[k->m->ward] && wins) {
+        if (how->zones[k->m->zone] && wins) {
             best = k->m;
             best_rank = r;
         }
@@ -279,8 +279,8 @@
     return fit == 0 ? 0 : fit < wanted ? 1 : warm < wanted ? 2 : 3;
 }
 
-int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *wards, double now) {
-    guint n = c->wards.names->len;
+int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *zones, double now) {
+    guint n = c->zones.names->len;
     rr_res room[n + 1], cap[n + 1];
     uint32_t fit[n + 1], warm[n + 1],
         wanted = j->s.pieces - MIN(j->s.pieces, j->ndone + j->nplaced);
@@ -291,13 +291,13 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
-        if (m->ward >= 0 && wards[m->ward] && rr_job_allows(c, j, m->build, m->ward, m->loaners) &&
+        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->loaners) &&
             rr_machine_usable(c, m, now)) {
-            room[m->ward] = rr_res_add(room[m->ward], m->sim, 1);
-            cap[m->ward] = rr_res_add(cap[m->ward], rr_machine_cap(c, m), 1);
-            fit[m->ward] += rr_tasks_in(j->need, m->sim, wanted - MIN(wanted, fit[m->ward]));
+            room[m->zone] = rr_res_add(room[m->zone], m->sim, 1);
+            cap[m->zone] = rr_res_add(cap[m->zone], rr_machine_cap(c, m), 1);
+            fit[m->zone] += rr_tasks_in(j->need, m->sim, wanted - MIN(wanted, fit[m->zone]));
             if (j->s.shape == RR_GANG && rr_machine_has_cast(m, j->cast)) {
-                warm[m->ward] += rr_tasks_in(j->need, m->sim, wanted - MIN(wanted, warm[m->ward]));
+                warm[m->zone] += rr_tasks_in(j->need, m->sim, wanted - MIN(wanted, warm[m->zone]));
             }
         }
     }
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -141,8 +141,8 @@
 void rr_job_zones_update(struct rr_planner *planner, const rr_job *job,
                          struct rr_job_zones *zones) {
     rr_core *core = planner->c;
-    guint zone_count = core->wards.names->len, open = 0;
-    rr_job_wards_from(core, job, zones->placements, zones->all, zones->allowed);
+    guint zone_count = core->zones.names->len, open = 0;
+    rr_job_zones_from(core, job, zones->placements, zones->all, zones->allowed);
     for (guint zone = 0; zone < zone_count; zone++) {
         open += zones->allowed[zone];
     }
@@ -157,7 +157,7 @@
 
 uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
     uint64_t mask = 0;
-    for (guint zone = 0; zone < core->wards.names->len; zone++) {
+    for (guint zone = 0; zone < core->zones.names->len; zone++) {
         mask |= allowed[zone] ? (uint64_t)1 << (zone % 64) : 0;
     }
     return mask;
@@ -171,7 +171,7 @@
 static bool same_demands(const rr_job *a, const rr_job *b) {
     return a->team == b->team && a->lane == b->lane && a->s.rank == b->s.rank &&
            a->s.loaners == b->s.loaners && a->s.shape == b->s.shape &&
-           strcmp(a->s.ward, b->s.ward) == 0 && same_machine_types(&a->s, &b->s);
+           strcmp(a->s.zone, b->s.zone) == 0 && same_machine_types(&a->s, &b->s);
 }
 
 bool rr_search_hopeless(const struct rr_planner *planner, const rr_job *job, uint64_t zone_mask) {
@@ -180,7 +180,7 @@
             &g_array_index(planner->failures, struct rr_plan_failure, i);
         if (same_demands(failure->job, job) && rr_res_fits(failure->job->need, job->need) &&
             (job->s.shape != RR_GANG || failure->job->s.pieces <= job->s.pieces) &&
-            (zone_mask & ~failure->wards) == 0) {
+            (zone_mask & ~failure->zones) == 0) {
             return true;
         }
     }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -160,7 +160,7 @@
 typedef struct {
     enum rr_step_kind kind;
     rr_txn txn;                                    /* TXN */
-    char hire[RR_ID], build[RR_ID], ward[RR_TEXT]; /* HIRE */
+    char hire[RR_ID], build[RR_ID], zone[RR_TEXT]; /* HIRE */
     bool loaners;
     int how_many;
     GPtrArray *stones; /* RELEASE: char* */
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -33,8 +33,8 @@
     rr_build *slot = &g_array_index(c->build_info, rr_build, index);
     rr_build_clear(slot);
     *slot = b;
-    for (guint i = 0; i < b.wards->len; i++) {
-        rr_names_add(&c->wards, g_ptr_array_index(b.wards, i));
+    for (guint i = 0; i < b.zones->len; i++) {
+        rr_names_add(&c->zones, g_ptr_array_index(b.zones, i));
     }
     c->catalog_known = true;
 }
@@ -62,7 +62,7 @@
 
 size_t rr_page_entry_bytes(const rr_core *c, const rr_machine *m) {
     return 44 + strlen(m->name) + strlen(m->addr) + strlen(rr_names_at(&c->builds, m->build)) +
-           strlen(rr_names_at(&c->wards, m->ward));
+           strlen(rr_names_at(&c->zones, m->zone));
 }
 
 void rr_page_encode(const rr_core *c, rr_out *o, const GPtrArray *machines) {
@@ -75,7 +75,7 @@
         rr_put_text(o, m->name);
         rr_put_text(o, m->addr);
         rr_put_text(o, rr_names_at(&c->builds, m->build));
-        rr_put_text(o, rr_names_at(&c->wards, m->ward));
+        rr_put_text(o, rr_names_at(&c->zones, m->zone));
         rr_put_u64(o, (uint64_t)((m->loaners ? FLAG_LOANERS : 0) | (m->own ? FLAG_OWN : 0) |
                                  (m->give_up ? FLAG_RET : 0)));
         rr_put_u64(o, m->born > 0 ? (uint64_t)m->born : 0);
@@ -98,12 +98,12 @@
 }
 
 static void page_entry(rr_core *c, const msgpack_object *o, uint32_t page, double now) {
-    char name[RR_ID], addr[RR_ID], build[RR_ID], ward[RR_TEXT];
+    char name[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     uint64_t flags;
     const msgpack_object *f = o->type == MSGPACK_OBJECT_ARRAY ? o->via.array.ptr : NULL;
     if (!f || o->via.array.size < 6 || !rr_as_text(&f[0], name, sizeof name) || !name[0] ||
         !rr_as_text(&f[1], addr, sizeof addr) || !rr_as_text(&f[2], build, sizeof build) ||
-        !rr_as_text(&f[3], ward, sizeof ward) || !rr_as_u64(&f[4], &flags)) {
+        !rr_as_text(&f[3], zone, sizeof zone) || !rr_as_u64(&f[4], &flags)) {
         return;
     }
     rr_machine *m = rr_machine_get(c, name, now);
@@ -119,7 +119,7 @@
     m->gone = m->to_adopt = false;
     m->page = page;
     m->build = build_index(c, build);
-    m->ward = rr_names_add(&c->wards, ward);
+    m->zone = rr_names_add(&c->zones, zone);
     m->loaners = flags & FLAG_LOANERS;
     m->own = flags & FLAG_OWN;
     c->ever_hired = c->ever_hired || !m->own;
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -86,7 +86,7 @@
     rr_core *c = g_new0(rr_core, 1);
     c->cfg = cfg;
     rr_names_init(&c->teams);
-    rr_names_init(&c->wards);
+    rr_names_init(&c->zones);
     rr_names_init(&c->builds);
     rr_names_init(&c->lanes);
     rr_names_init(&c->casts);
@@ -115,7 +115,7 @@
     c->batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, batch_free);
     c->next_page = 1;
     c->changes = rr_txn_ops(cfg);
-    c->zones = g_array_new(FALSE, TRUE, sizeof(rr_zone_count));
+    c->zone_counts = g_array_new(FALSE, TRUE, sizeof(rr_zone_count));
     c->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->sessions = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     c->hires = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, hire_free);
@@ -135,7 +135,7 @@
     g_array_free(c->plan_moves, TRUE);
     g_array_free(c->arrivals, TRUE);
     g_array_free(c->cut_at, TRUE);
-    g_array_free(c->zones, TRUE);
+    g_array_free(c->zone_counts, TRUE);
     g_array_free(c->team_used, TRUE);
     g_array_free(c->team_booked, TRUE);
     g_array_free(c->owners, TRUE);
@@ -157,7 +157,7 @@
     g_array_free(c->build_info, TRUE);
     g_array_free(c->fresh_builds, TRUE);
     rr_names_clear(&c->teams);
-    rr_names_clear(&c->wards);
+    rr_names_clear(&c->zones);
     rr_names_clear(&c->builds);
     rr_names_clear(&c->lanes);
     rr_names_clear(&c->casts);
@@ -421,7 +421,7 @@
     m = g_new0(rr_machine, 1);
     m->id = c->next_machine_id++;
     g_strlcpy(m->name, name, sizeof m->name);
-    m->build = m->ward = -1;
+    m->build = m->zone = -1;
     m->places = g_array_new(FALSE, TRUE, sizeof(rr_place));
     m->casts = g_array_new(FALSE, FALSE, sizeof(int));
     m->err_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
@@ -588,7 +588,7 @@
     rr_put_map(o, zone >= 0 ? 3 : 2);
     rr_put_key_text(o, "bits", hex);
     if (zone >= 0) {
-        rr_put_key_text(o, "zone", rr_names_at(&c->wards, zone));
+        rr_put_key_text(o, "zone", rr_names_at(&c->zones, zone));
     }
     rr_put_text(o, "tasks");
     rr_put_array(o, items->len);
@@ -723,7 +723,7 @@
         put_bits(j, chunk, hex);
     }
     if (rr_get_text(v, "zone", zone, sizeof zone)) {
-        j->zone = rr_names_add(&c->wards, zone);
+        j->zone = rr_names_add(&c->zones, zone);
     }
     GArray *fresh = g_array_new(FALSE, TRUE, sizeof(rr_item));
     for (uint32_t i = 0; some && i < list->via.array.size; i++) {
@@ -925,7 +925,7 @@
     h->mark = mark;
     h->keep = true;
     rr_get_text(v, "build", h->build, sizeof h->build);
-    rr_get_text(v, "ward", h->ward, sizeof h->ward);
+    rr_get_text(v, "ward", h->zone, sizeof h->zone);
     rr_get_bool(v, "loaners", &h->loaners);
     rr_get_u64(v, "n", &n);
     h->how_many = (int)n;
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -104,7 +104,7 @@
 struct rr_machine {
     int id; /* dense, never reused */
     char name[RR_ID], addr[RR_ID];
-    int build, ward;
+    int build, zone;
     bool loaners;
     /* ledger */
     bool recorded, own, ret;
@@ -167,7 +167,7 @@
 } rr_term;
 
 typedef struct {
-    char name[RR_ID], build[RR_ID], ward[RR_TEXT];
+    char name[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool loaners;
     int how_many;
     uint64_t mark;
@@ -196,7 +196,7 @@
 struct rr_core {
     const struct rr_config *cfg;
     rr_core_log_fn log;
-    rr_names teams, wards, builds, lanes, casts;
+    rr_names teams, zones, builds, lanes, casts;
     GArray *build_info; /* rr_build, by index; sku empty: not in the catalogue */
     bool catalog_known;
     double catalog_at;    /* steady, last read from the cloud by this process */
@@ -227,7 +227,7 @@
     GHashTable *gone;     /* name -> double*: when its record went */
     GHashTable *sessions; /* node name -> rr_session */
     GHashTable *hires;    /* name -> rr_hire */
-    GHashTable *refused;  /* "build|ward|kind" -> double*: not before */
+    GHashTable *refused;  /* "build|zone|kind" -> double*: not before */
     rr_term term;
     uint64_t epoch;
     bool loaded, rereading;
@@ -247,8 +247,8 @@
     double hired_at; /* wall, when the last rental was asked for */
     uint64_t provisioner_token;
     bool list_read, ever_hired;
-    GArray *cut_at;                 /* double by ward: when most of it was last silent */
-    GArray *zones;                  /* rr_zone_count by ward, as of the last look */
+    GArray *cut_at;                 /* double by zone: when most of it was last silent */
+    GArray *zone_counts;            /* rr_zone_count by zone, as of the last look */
     rr_contact peers[RR_MAX_NODES]; /* by index: their links to us */
     double looked_at, woke_at;      /* the last look at zones; the first after a pause of our own */
     double late_at;                 /* our timers last fired late, 0: never */
@@ -356,7 +356,7 @@
 /* To be called before machines are judged: counts who is heard in each zone and keeps when each was
  * last cut off. */
 void rr_note_cuts(rr_core *c, double now);
-bool rr_zone_silent(const rr_core *c, int ward); /* most of it, at the last count */
+bool rr_zone_silent(const rr_core *c, int zone); /* most of it, at the last count */
 void rr_contact_heard(rr_contact *k, double now);
 /* Every other controller of the term has been heard without a pause for so long. */
 bool rr_peers_last(const rr_core *c, double now, double seconds);
@@ -380,19 +380,19 @@
 uint32_t rr_gang_most(const rr_core *c); /* tasks of one gang at most */
 
 /* allocation.c */
-bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int ward, bool loaners);
+bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool loaners);
 /* The zones in which one more task of the job may start, given its placements (and, while moving,
- * not counting `except`): fills allowed[ward]. */
-void rr_job_wards(const rr_core *c, const rr_job *j, bool *allowed, const rr_place *except);
+ * not counting `except`): fills allowed[zone]. */
+void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_place *except);
 /* The same from counts that the caller keeps while it books: placements by zone. */
-uint32_t rr_job_count_by_ward(const rr_core *c, const rr_job *j, const rr_place *except,
-                              uint32_t *by_ward);
-void rr_job_wards_from(const rr_core *c, const rr_job *j, const uint32_t *by_ward, uint32_t all,
+uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_place *except,
+                              uint32_t *by_zone);
+void rr_job_zones_from(const rr_core *c, const rr_job *j, const uint32_t *by_zone, uint32_t all,
                        bool *allowed);
 /* Estimated time to fetch the job's image there; 0: it has it. */
 double rr_fetch_time(const rr_core *c, const rr_job *j, const rr_machine *m);
 struct rr_choice {
-    const bool *wards;      /* allowed zones */
+    const bool *zones;      /* allowed zones */
     bool separate;          /* no machine that has a task of this job */
     const rr_machine *home; /* where it runs now: never refused for its own sake */
     bool need_cast;         /* only machines that have the image */
@@ -409,12 +409,12 @@
 void rr_candidates(rr_core *c, const rr_job *j, const struct rr_choice *how, double now,
                    GArray *out /* rr_cand */);
 /* The paper's choice among them: the fitting machine of least price x free room. room: by m->sim.
- * how->wards and how->separate are looked at anew; candidates without room go. */
+ * how->zones and how->separate are looked at anew; candidates without room go. */
 rr_machine *rr_choose_from(rr_core *c, const rr_job *j, const struct rr_choice *how, GArray *cands);
 rr_machine *rr_choose(rr_core *c, const rr_job *j, const struct rr_choice *how, double now);
 /* How many tasks of this need fit into this room, up to most. */
 uint32_t rr_tasks_in(rr_res need, rr_res room, uint32_t most);
-int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *wards, double now);
+int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *zones, double now);
 void rr_sim_reset(rr_core *c);
 bool rr_zone_bound(const rr_job *j);
 
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -61,26 +61,26 @@
         rr_place_gang(p, j, left);
         return;
     }
-    guint n = c->wards.names->len;
-    bool wards[n + 1];
-    uint32_t by_ward[n + 1];
-    struct rr_job_zones z = {wards, by_ward, 0, j->s.apart || j->s.one_zone};
-    memset(wards, 0, sizeof wards);
-    memset(by_ward, 0, sizeof by_ward);
-    z.all = z.counted ? rr_job_count_by_ward(c, j, NULL, by_ward) : 0;
+    guint n = c->zones.names->len;
+    bool zones[n + 1];
+    uint32_t by_zone[n + 1];
+    struct rr_job_zones z = {zones, by_zone, 0, j->s.apart || j->s.one_zone};
+    memset(zones, 0, sizeof zones);
+    memset(by_zone, 0, sizeof by_zone);
+    z.all = z.counted ? rr_job_count_by_zone(c, j, NULL, by_zone) : 0;
     rr_job_zones_update(p, j, &z);
-    uint64_t mask = rr_zone_mask(c, wards);
+    uint64_t mask = rr_zone_mask(c, zones);
     if (rr_search_hopeless(p, j, mask)) {
         j->failed_at = p->now;
         return;
     }
     struct rr_choice how = {
-        .wards = wards, .separate = j->s.shape == RR_SERVICE, .filter = rr_machine_usable};
+        .zones = zones, .separate = j->s.shape == RR_SERVICE, .filter = rr_machine_usable};
     /* All zones that the job may use, so that one walk serves all its tasks. */
     bool any[n + 1];
     memset(any, z.counted && !rr_zone_bound(j), sizeof any);
     struct rr_choice walk = how;
-    walk.wards = z.counted && !rr_zone_bound(j) ? any : wards;
+    walk.zones = z.counted && !rr_zone_bound(j) ? any : zones;
     rr_candidates(c, j, &walk, p->now, p->cands);
     uint32_t task = j->hint;
     bool first = true;
@@ -103,13 +103,13 @@
         }
         if (!place_task(p, j, task, &how)) {
             if (!p->full) {
-                rr_note_failed_search(p, j, rr_zone_mask(c, wards));
+                rr_note_failed_search(p, j, rr_zone_mask(c, zones));
             }
             return;
         }
         (*left)--;
         if (z.counted) {
-            z.placements[p->booked->ward]++;
+            z.placements[p->booked->zone]++;
             z.all++;
             rr_job_zones_update(p, j, &z);
         }
@@ -268,10 +268,10 @@
         }
         g_array_remove_index(c->plan_moves, 0);
         c->round_left--;
-        bool wards[c->wards.names->len + 1];
-        rr_job_wards(c, mv.job, wards, old);
+        bool zones[c->zones.names->len + 1];
+        rr_job_zones(c, mv.job, zones, old);
         if (!old || mv.job->cancelled || !rr_machine_usable(c, mv.to, p->now) ||
-            !rr_res_fits(mv.job->need, mv.to->sim) || !wards[mv.to->ward] ||
+            !rr_res_fits(mv.job->need, mv.to->sim) || !zones[mv.to->zone] ||
             !rr_within_limit(p, mv.job, 1) || !rr_edit_of(p, mv.job, old->chunk) ||
             !rr_book(p, mv.to, mv.job, mv.task)) {
             /* A move that fails ends the plan. */
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -41,7 +41,7 @@
 /* Books all tasks on free room, or none. */
 static bool book_on_free_room(struct rr_planner *planner, rr_job *job, struct rr_job_zones *zones) {
     rr_core *core = planner->c;
-    struct rr_choice choice = {.wards = zones->allowed, .filter = rr_machine_usable};
+    struct rr_choice choice = {.zones = zones->allowed, .filter = rr_machine_usable};
     uint64_t attempt = rr_next_attempt(core);
     uint32_t task = 0;
     for (; task < job->s.pieces; task++) {
@@ -49,9 +49,9 @@
         if (!machine || !rr_book_attempt(planner, machine, job, task, attempt)) {
             break;
         }
-        zones->placements[machine->ward]++;
+        zones->placements[machine->zone]++;
         zones->all++;
-        rr_job_wards_from(core, job, zones->placements, zones->all, zones->allowed);
+        rr_job_zones_from(core, job, zones->placements, zones->all, zones->allowed);
     }
     if (task == job->s.pieces) {
         return true;
@@ -64,10 +64,10 @@
 
 /* Fills the plan's candidates: one walk serves all tasks, in whatever zones they may come to be. */
 static void find_candidates(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
-    guint zone_count = planner->c->wards.names->len;
+    guint zone_count = planner->c->zones.names->len;
     bool all_zones[zone_count + 1];
     memset(all_zones, true, sizeof all_zones);
-    struct rr_choice choice = {.wards = rr_zone_bound(job) ? allowed : all_zones,
+    struct rr_choice choice = {.zones = rr_zone_bound(job) ? allowed : all_zones,
                                .filter = rr_machine_usable};
     rr_candidates(planner->c, job, &choice, planner->now, planner->cands);
 }
@@ -75,12 +75,12 @@
 /* ---- making room ---- */
 
 guint rr_gang_searches(const rr_core *core, const rr_job *job) {
-    return job->s.one_zone ? core->wards.names->len : 1;
+    return job->s.one_zone ? core->zones.names->len : 1;
 }
 
 void rr_gang_search_zones(const rr_core *core, const rr_job *job, const bool *allowed, guint search,
                           bool *zones) {
-    for (guint zone = 0; zone < core->wards.names->len; zone++) {
+    for (guint zone = 0; zone < core->zones.names->len; zone++) {
         zones[zone] = allowed[zone] && (!job->s.one_zone || zone == search);
     }
 }
@@ -147,15 +147,15 @@
  * ones, as they lose no less. */
 static bool choose_seats(const struct rr_planner *planner, const rr_job *job, GArray *seats,
                          double *loss) {
-    guint zone_count = planner->c->wards.names->len, kept = 0;
+    guint zone_count = planner->c->zones.names->len, kept = 0;
     uint32_t in_zone[zone_count + 1];
     uint32_t most = job->s.apart ? (job->s.pieces + 1) / 2 : job->s.pieces;
     memset(in_zone, 0, sizeof in_zone);
     *loss = 0;
     for (guint i = 0; i < seats->len && kept < job->s.pieces; i++) {
         struct seat seat = g_array_index(seats, struct seat, i);
-        if (in_zone[seat.machine->ward] < most) {
-            in_zone[seat.machine->ward]++;
+        if (in_zone[seat.machine->zone] < most) {
+            in_zone[seat.machine->zone]++;
             *loss += seat.loss;
             g_array_index(seats, struct seat, kept++) = seat;
         }
@@ -167,7 +167,7 @@
 /* The seats for the whole gang where least is lost; NULL: there is no such room. */
 static GArray *best_seats(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
     const rr_core *core = planner->c;
-    bool zones[core->wards.names->len + 1];
+    bool zones[core->zones.names->len + 1];
     GArray *best = NULL;
     double least = 0, loss;
     for (guint search = 0; search < rr_gang_searches(core, job); search++) {
@@ -245,19 +245,19 @@
 /* While a gang waits for room it holds none, so that no two of them hold a half each. */
 bool rr_place_gang(struct rr_planner *planner, rr_job *job, int *left) {
     rr_core *core = planner->c;
-    guint zone_count = core->wards.names->len;
+    guint zone_count = core->zones.names->len;
     bool allowed[zone_count + 1];
     uint32_t placements[zone_count + 1];
     struct rr_job_zones zones = {allowed, placements, 0, true};
     memset(allowed, 0, sizeof allowed);
     memset(placements, 0, sizeof placements);
     if (job->nplaced > 0 || !rr_within_limit(planner, job, job->s.pieces) ||
-        rr_job_count_by_ward(core, job, NULL, placements) > 0) {
+        rr_job_count_by_zone(core, job, NULL, placements) > 0) {
         return false; /* an earlier attempt has tasks left, or the team has no room */
     }
     /* Room may be made in any zone that the job allows; free room is looked for in the best. */
     bool any_allowed[zone_count + 1];
-    rr_job_wards_from(core, job, placements, 0, any_allowed);
+    rr_job_zones_from(core, job, placements, 0, any_allowed);
     rr_job_zones_update(planner, job, &zones);
     uint64_t zone_mask = rr_zone_mask(core, allowed);
     if (rr_search_hopeless(planner, job, zone_mask)) {
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -201,7 +201,7 @@
         return false;
     }
     p->ops += last;
-    home->zone = o->m->ward;
+    home->zone = o->m->zone;
     if (gang) {
         gang_done(home, j);
     } else {
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -30,7 +30,7 @@
 /* A job for which there was no room in this plan: nor is there for another like it. */
 struct rr_plan_failure {
     const rr_job *job;
-    uint64_t wards;
+    uint64_t zones;
 };
 
 struct rr_plan_reopened {
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -203,14 +203,14 @@
 
 bool rr_machine_may_take(const struct rr_planner *planner, const rr_machine *machine,
                          const rr_job *job, const bool *allowed) {
-    return machine->ward >= 0 && allowed[machine->ward] &&
-           rr_job_allows(planner->c, job, machine->build, machine->ward, machine->loaners) &&
+    return machine->zone >= 0 && allowed[machine->zone] &&
+           rr_job_allows(planner->c, job, machine->build, machine->zone, machine->loaners) &&
            rr_machine_usable(planner->c, machine, planner->now);
 }
 
 static bool may_take(const struct rr_planner *planner, const rr_machine *machine, const rr_job *job,
                      const struct rr_choice *choice, bool warm_only) {
-    return machine->places->len > 0 && rr_machine_may_take(planner, machine, job, choice->wards) &&
+    return machine->places->len > 0 && rr_machine_may_take(planner, machine, job, choice->zones) &&
            (!warm_only || rr_machine_has_cast(machine, job->cast)) &&
            !(choice->separate && rr_machine_has_task(machine, job));
 }
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -52,7 +52,7 @@
     c->probe_at = p->now;
     rr_note_cuts(c, p->now);
     bool provisioner = rr_core_is_provisioner(c, p->now);
-    guint in_cut[c->wards.names->len + 1];
+    guint in_cut[c->zones.names->len + 1];
     memset(in_cut, 0, sizeof in_cut);
     GPtrArray *late = g_ptr_array_new();
     for (guint i = 0; i < c->machine_list->len; i++) {
@@ -65,7 +65,7 @@
     for (guint i = 0; i < late->len && c->probing < PROBES_MAX; i++) {
         rr_machine *m = g_ptr_array_index(late, i);
         if (m->plan_do ||
-            (m->ward >= 0 && rr_zone_silent(c, m->ward) && in_cut[m->ward]++ >= PROBES_IN_CUT)) {
+            (m->zone >= 0 && rr_zone_silent(c, m->zone) && in_cut[m->zone]++ >= PROBES_IN_CUT)) {
             continue;
         }
         m->probed_at = p->now;
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -32,9 +32,9 @@
     for (guint i = 0; i < builds->len; i++) {
         const rr_build *b = &g_array_index(builds, rr_build, i);
         rr_build copy = *b;
-        copy.wards = g_ptr_array_new_with_free_func(g_free);
-        for (guint k = 0; k < b->wards->len; k++) {
-            g_ptr_array_add(copy.wards, g_strdup(g_ptr_array_index(b->wards, k)));
+        copy.zones = g_ptr_array_new_with_free_func(g_free);
+        for (guint k = 0; k < b->zones->len; k++) {
+            g_ptr_array_add(copy.zones, g_strdup(g_ptr_array_index(b->zones, k)));
         }
         g_array_append_val(c->fresh_builds, copy);
     }
@@ -65,7 +65,7 @@
     }
     if (m->build < 0) {
         m->build = rr_names_add(&c->builds, s->build);
-        m->ward = rr_names_add(&c->wards, s->ward);
+        m->zone = rr_names_add(&c->zones, s->zone);
         m->loaners = s->loaners;
     }
     if (!m->addr[0]) {
@@ -109,15 +109,15 @@
     g_hash_table_destroy(seen);
 }
 
-char *rr_refusal_key(const char *build, const char *ward, bool loaners) {
-    return g_strdup_printf("%s|%s|%d", build, ward, loaners);
+char *rr_refusal_key(const char *build, const char *zone, bool loaners) {
+    return g_strdup_printf("%s|%s|%d", build, zone, loaners);
 }
 
 /* The cloud has no more of this type, zone and kind for a while. */
 static void note_refusal(rr_core *c, double now, const rr_step *s) {
     double *until = g_new(double, 1);
     *until = now + REFUSED_S;
-    g_hash_table_replace(c->refused, rr_refusal_key(s->build, s->ward, s->loaners), until);
+    g_hash_table_replace(c->refused, rr_refusal_key(s->build, s->zone, s->loaners), until);
 }
 
 static void note_rented(rr_core *c, double now, const rr_step *s, const char *id) {
@@ -131,7 +131,7 @@
         m->to_adopt = true;
         m->born = m->born > 0 ? m->born : c->hired_at;
         m->build = rr_names_add(&c->builds, s->build);
-        m->ward = rr_names_add(&c->wards, s->ward);
+        m->zone = rr_names_add(&c->zones, s->zone);
         m->loaners = s->loaners;
     }
 }
@@ -143,7 +143,7 @@
         h->refused = true;
         note_refusal(c, now, s);
         rr_log_at(c, RR_LOG_INFO, "hire %s: no capacity for %s %s in %s", s->hire, s->build, kind,
-                  s->ward);
+                  s->zone);
     }
     if (!h || status != 200) {
         return;
@@ -159,7 +159,7 @@
     }
     c->hired += ids->len;
     rr_log_at(c, RR_LOG_DEBUG, "hire %s: %u of %d %s %s in %s", s->hire, ids->len, h->how_many,
-              s->build, kind, s->ward);
+              s->build, kind, s->zone);
 }
 
 void rr_core_released(rr_core *c, double now, const GPtrArray *ids) {
@@ -210,9 +210,9 @@
     bool same = a && a->vcpus == b->vcpus && a->cards == b->cards && a->mem_gb == b->mem_gb &&
                 a->cache_gb == b->cache_gb && a->pull_rate == b->pull_rate &&
                 a->price == b->price && a->spot_price == b->spot_price &&
-                a->startup_s == b->startup_s && a->wards->len == b->wards->len;
-    for (guint i = 0; same && i < a->wards->len; i++) {
-        same = strcmp(a->wards->pdata[i], b->wards->pdata[i]) == 0;
+                a->startup_s == b->startup_s && a->zones->len == b->zones->len;
+    for (guint i = 0; same && i < a->zones->len; i++) {
+        same = strcmp(a->zones->pdata[i], b->zones->pdata[i]) == 0;
     }
     return same;
 }
@@ -280,7 +280,7 @@
         c->hired_at = wall;
         g_strlcpy(out->hire, h->name, sizeof out->hire);
         g_strlcpy(out->build, h->build, sizeof out->build);
-        g_strlcpy(out->ward, h->ward, sizeof out->ward);
+        g_strlcpy(out->zone, h->zone, sizeof out->zone);
         out->loaners = h->loaners;
         out->how_many = h->how_many;
         return true;
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -11,14 +11,14 @@
 #define START_STOCK_S 20.0 /* jobs that came so soon after the first term were there before */
 
 struct rent {
-    int build, ward;
+    int build, zone;
     bool loaners;
     int count;
     rr_res room; /* of the newest */
 };
 
-static bool is_refused(rr_core *c, const char *build, const char *ward, bool loaners, double now) {
-    char *key = rr_refusal_key(build, ward, loaners);
+static bool is_refused(rr_core *c, const char *build, const char *zone, bool loaners, double now) {
+    char *key = rr_refusal_key(build, zone, loaners);
     const double *until = g_hash_table_lookup(c->refused, key);
     g_free(key);
     return until && now < *until;
@@ -45,7 +45,7 @@
     double now, wall;
     GArray *rents;    /* struct rent */
     GPtrArray *roomy; /* rr_machine*: with room left, cheapest and fullest first */
-    guint *in_ward;   /* machines by zone, with those to rent */
+    guint *in_zone;   /* machines by zone, with those to rent */
 };
 
 static bool roomy(const rr_core *c, const rr_machine *m) {
@@ -81,7 +81,7 @@
 
 /* Puts up to n tasks of the job on machines there are, so many on each at most; returns how many
  * found no room. */
-static uint32_t fill_machines(struct sim *s, const rr_job *j, const bool *wards, uint32_t n,
+static uint32_t fill_machines(struct sim *s, const rr_job *j, const bool *zones, uint32_t n,
                               uint32_t each) {
     rr_core *c = s->c;
     guint kept = 0;
@@ -89,7 +89,7 @@
     for (; i < s->roomy->len && n > 0; i++) {
         rr_machine *m = g_ptr_array_index(s->roomy, i);
         c->visits++;
-        if (m->ward >= 0 && wards[m->ward] && rr_job_allows(c, j, m->build, m->ward, m->loaners)) {
+        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->loaners)) {
             uint32_t k = rr_tasks_in(j->need, m->sim, MIN(n, each));
             m->sim = rr_res_add(m->sim, j->need, -(double)k);
             m->surplus = m->surplus && k == 0;
@@ -110,18 +110,18 @@
 struct offer {
     struct rent rent;
     double price;  /* of the task's share of the machine */
-    guint in_ward; /* machines of the zone, with those to rent */
+    guint in_zone; /* machines of the zone, with those to rent */
 };
 
 static bool better_offer(const struct offer *a, const struct offer *b) {
     if (b->rent.build < 0 || a->price < b->price - 1e-9) {
         return true;
     }
-    return a->price < b->price + 1e-9 && a->in_ward < b->in_ward;
+    return a->price < b->price + 1e-9 && a->in_zone < b->in_zone;
 }
 
 /* The machine type's cheapest offer for the task, if it is better than *best. */
-static void consider_build(const struct sim *s, const rr_job *j, const bool *wards, int build,
+static void consider_build(const struct sim *s, const rr_job *j, const bool *zones, int build,
                            struct offer *best) {
     rr_core *c = s->c;
     const rr_build *b = rr_build_at(c, build);
@@ -130,15 +130,15 @@
         return;
     }
     double share = 1 - rr_res_room(rr_res_add(cap, j->need, -1), cap);
-    for (guint i = 0; i < 2 * b->wards->len; i++) {
-        int w = rr_names_find(&c->wards, g_ptr_array_index(b->wards, i / 2));
+    for (guint i = 0; i < 2 * b->zones->len; i++) {
+        int w = rr_names_find(&c->zones, g_ptr_array_index(b->zones, i / 2));
         bool spot = i % 2 == 1;
-        if (w < 0 || !wards[w] || !rr_job_allows(c, j, build, w, spot) ||
-            is_refused(c, b->sku, rr_names_at(&c->wards, w), spot, s->now)) {
+        if (w < 0 || !zones[w] || !rr_job_allows(c, j, build, w, spot) ||
+            is_refused(c, b->sku, rr_names_at(&c->zones, w), spot, s->now)) {
             continue;
         }
         struct offer offer = {
-            {build, w, spot, 0, cap}, (spot ? b->spot_price : b->price) * share, s->in_ward[w]};
+            {build, w, spot, 0, cap}, (spot ? b->spot_price : b->price) * share, s->in_zone[w]};
         if (better_offer(&offer, best)) {
             *best = offer;
         }
@@ -149,7 +149,7 @@
 static struct rent *add_rent(struct sim *s, const struct rent *rent) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
-        if (r->build == rent->build && r->ward == rent->ward && r->loaners == rent->loaners) {
+        if (r->build == rent->build && r->zone == rent->zone && r->loaners == rent->loaners) {
             r->count++;
             r->room = rent->room;
             return r;
@@ -163,22 +163,22 @@
 
 /* The cheapest place that would take the task, per task that fits; between equals the zone with
  * fewest machines. */
-static struct rent *rent_for(struct sim *s, const rr_job *j, const bool *wards) {
+static struct rent *rent_for(struct sim *s, const rr_job *j, const bool *zones) {
     struct offer best = {.rent = {.build = -1}};
     for (guint build = 0; build < s->c->build_info->len; build++) {
-        consider_build(s, j, wards, (int)build, &best);
+        consider_build(s, j, zones, (int)build, &best);
     }
     if (best.rent.build < 0) {
         return NULL;
     }
-    s->in_ward[best.rent.ward]++;
+    s->in_zone[best.rent.zone]++;
     return add_rent(s, &best.rent);
 }
 
-static bool into_rents(struct sim *s, const rr_job *j, const bool *wards) {
+static bool into_rents(struct sim *s, const rr_job *j, const bool *zones) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
-        if (wards[r->ward] && rr_job_allows(s->c, j, r->build, r->ward, r->loaners) &&
+        if (zones[r->zone] && rr_job_allows(s->c, j, r->build, r->zone, r->loaners) &&
             rr_res_fits(j->need, r->room)) {
             r->room = rr_res_add(r->room, j->need, -1);
             return true;
@@ -189,14 +189,14 @@
 
 /* Finds room for n more tasks: on machines there are, or on machines to rent. A job spread over
  * zones rents in turn where it may still go. */
-static void demand(struct sim *s, const rr_job *j, bool *wards, uint32_t n, uint32_t each,
+static void demand(struct sim *s, const rr_job *j, bool *zones, uint32_t n, uint32_t each,
                    bool may_rent) {
-    n = fill_machines(s, j, wards, n, each);
+    n = fill_machines(s, j, zones, n, each);
     for (; may_rent && n > 0; n--) {
-        if (into_rents(s, j, wards)) {
+        if (into_rents(s, j, zones)) {
             continue;
         }
-        struct rent *r = rent_for(s, j, wards);
+        struct rent *r = rent_for(s, j, zones);
         if (!r) {
             return;
         }
@@ -239,12 +239,12 @@
 
 /* Room for a gang in one zone is of no use in pieces over several: the zone in which most of it
  * fits now, or else any one of those allowed. */
-static void one_ward(struct sim *s, const rr_job *j, bool *wards) {
+static void one_zone(struct sim *s, const rr_job *j, bool *zones) {
     rr_core *c = s->c;
-    int best = rr_zone_most_room(c, j, wards, s->now);
-    for (guint w = 0; w < c->wards.names->len; w++) {
-        best = best < 0 && wards[w] ? (int)w : best;
-        wards[w] = (int)w == best;
+    int best = rr_zone_most_room(c, j, zones, s->now);
+    for (guint w = 0; w < c->zones.names->len; w++) {
+        best = best < 0 && zones[w] ? (int)w : best;
+        zones[w] = (int)w == best;
     }
 }
 
@@ -272,16 +272,16 @@
     for (guint i = 0; i < c->open->len; i++) {
         const rr_job *j = g_ptr_array_index(c->open, i);
         uint32_t n = wanted_tasks(c, j);
-        bool wards[c->wards.names->len + 1];
+        bool zones[c->zones.names->len + 1];
         if (n == 0) {
             continue;
         }
-        rr_job_wards(c, j, wards, NULL);
+        rr_job_zones(c, j, zones, NULL);
         if (j->s.shape == RR_GANG && j->s.one_zone) {
-            one_ward(s, j, wards);
+            one_zone(s, j, zones);
         }
         /* A service's replicas keep separate machines. */
-        demand(s, j, wards, n, j->s.shape == RR_SERVICE ? 1 : n, must_rent(c, j, s->wall));
+        demand(s, j, zones, n, j->s.shape == RR_SERVICE ? 1 : n, must_rent(c, j, s->wall));
     }
 }
 
@@ -294,7 +294,7 @@
             const rr_submission *v = &p->job->s;
             if (v->shape == RR_BATCH && v->rank < j->s.rank && j->s.rank > RR_STANDARD &&
                 v->cairn_s > 0 && v->stash_s + 1 <= within_s &&
-                rr_job_allows(c, j, m->build, m->ward, m->loaners)) {
+                rr_job_allows(c, j, m->build, m->zone, m->loaners)) {
                 m->sim = rr_res_add(m->sim, p->job->need, 1);
             }
         }
@@ -342,14 +342,14 @@
         }
         double mean = tasks / span * (1.2 * longest_boot(c) + 10);
         int n = (int)ceil(c->cfg->tune.headroom * (mean + sqrt(mean)));
-        bool wards[c->wards.names->len + 1];
-        for (guint w = 0; w < c->wards.names->len; w++) {
-            wards[w] =
-                !last->s.ward[0] || strcmp(last->s.ward, rr_names_at(&c->wards, (int)w)) == 0;
+        bool zones[c->zones.names->len + 1];
+        for (guint w = 0; w < c->zones.names->len; w++) {
+            zones[w] =
+                !last->s.zone[0] || strcmp(last->s.zone, rr_names_at(&c->zones, (int)w)) == 0;
         }
         credit_preemptible(c, last, o->within_s, s->now);
         sort_roomy(s);
-        demand(s, last, wards, (uint32_t)MAX(n, 0), (uint32_t)MAX(n, 0), true);
+        demand(s, last, zones, (uint32_t)MAX(n, 0), (uint32_t)MAX(n, 0), true);
     }
 }
 
@@ -362,7 +362,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const rr_hire *h = v;
         if (strcmp(h->build, rr_names_at(&c->builds, r->build)) == 0 &&
-            strcmp(h->ward, rr_names_at(&c->wards, r->ward)) == 0 && h->loaners == r->loaners) {
+            strcmp(h->zone, rr_names_at(&c->zones, r->zone)) == 0 && h->loaners == r->loaners) {
             n += h->how_many;
         }
     }
@@ -379,7 +379,7 @@
     rr_out_init(&o);
     rr_put_map(&o, 4);
     rr_put_key_text(&o, "build", rr_names_at(&c->builds, r->build));
-    rr_put_key_text(&o, "ward", rr_names_at(&c->wards, r->ward));
+    rr_put_key_text(&o, "ward", rr_names_at(&c->zones, r->zone));
     rr_put_key_bool(&o, "loaners", r->loaners);
     rr_put_key_u64(&o, "n", (uint64_t)n);
     rr_txn_guard(&out->txn, key, 0);
@@ -405,15 +405,15 @@
         return false;
     }
     c->sim_at = now;
-    guint in_ward[c->wards.names->len + 1];
-    memset(in_ward, 0, sizeof in_ward);
+    guint in_zone[c->zones.names->len + 1];
+    memset(in_zone, 0, sizeof in_zone);
     struct sim s = {
-        c, now, wall, g_array_new(FALSE, FALSE, sizeof(struct rent)), g_ptr_array_new(), in_ward};
+        c, now, wall, g_array_new(FALSE, FALSE, sizeof(struct rent)), g_ptr_array_new(), in_zone};
     rr_sim_reset(c);
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         m->surplus = true;
-        in_ward[m->ward >= 0 && m->recorded ? (guint)m->ward : c->wards.names->len]++;
+        in_zone[m->zone >= 0 && m->recorded ? (guint)m->zone : c->zones.names->len]++;
     }
     sort_roomy(&s);
     demand_waiting(&s);
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -109,7 +109,7 @@
 
 static void note_news(rr_core *c, rr_machine *m, const rr_report *r, double now) {
     if (!m->heard) {
-        rr_log_at(c, RR_LOG_DEBUG, "machine %s is up in %s after %.0f s", m->name, r->ward,
+        rr_log_at(c, RR_LOG_DEBUG, "machine %s is up in %s after %.0f s", m->name, r->zone,
                   now - m->known_at);
     }
     if (m->heard && r->tenure > m->rep.tenure) {
@@ -138,7 +138,7 @@
     }
     if (m->build < 0) {
         m->build = rr_names_add(&c->builds, r->build);
-        m->ward = rr_names_add(&c->wards, r->ward);
+        m->zone = rr_names_add(&c->zones, r->zone);
         m->loaners = r->loaners;
     }
     vouch(c, m, r, now);
--- a/src/core/reserve_gang.c
+++ b/src/core/reserve_gang.c
@@ -88,7 +88,7 @@
 static GArray *best_prospects(const struct rr_planner *planner, const rr_job *job,
                               const bool *allowed, bool gangs_stay) {
     const rr_core *core = planner->c;
-    bool zones[core->wards.names->len + 1];
+    bool zones[core->zones.names->len + 1];
     struct progress progress, most = {0, 0};
     GArray *best = NULL;
     for (guint search = 0; search < rr_gang_searches(core, job); search++) {
@@ -113,11 +113,11 @@
 
 void rr_reserve_for_gang(struct rr_planner *planner, const rr_job *job) {
     rr_core *core = planner->c;
-    guint zone_count = core->wards.names->len;
+    guint zone_count = core->zones.names->len;
     bool allowed[zone_count + 1];
     uint32_t none_placed[zone_count + 1];
     memset(none_placed, 0, sizeof none_placed);
-    rr_job_wards_from(core, job, none_placed, 0, allowed);
+    rr_job_zones_from(core, job, none_placed, 0, allowed);
     GArray *prospects = best_prospects(planner, job, allowed, true);
     if (!prospects) {
         prospects = best_prospects(planner, job, allowed, false);
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -141,18 +141,18 @@
 }
 
 /* A job of several replicas keeps its zones; a single one may go wherever its job allows. */
-static void allowed_wards(rr_core *c, const struct item *it, bool *wards, double now) {
+static void allowed_zones(rr_core *c, const struct item *it, bool *zones, double now) {
     rr_job *j = it->job;
-    guint n = c->wards.names->len;
+    guint n = c->zones.names->len;
     bool fixed = j->s.pieces > 1 && (j->s.apart || j->s.one_zone);
     for (guint w = 0; w < n; w++) {
-        wards[w] = fixed ? (int)w == it->home->ward
-                         : !j->s.ward[0] || strcmp(j->s.ward, rr_names_at(&c->wards, (int)w)) == 0;
+        zones[w] = fixed ? (int)w == it->home->zone
+                         : !j->s.zone[0] || strcmp(j->s.zone, rr_names_at(&c->zones, (int)w)) == 0;
     }
     if (!fixed && rr_zone_bound(j)) {
-        int z = rr_zone_most_room(c, j, wards, now);
+        int z = rr_zone_most_room(c, j, zones, now);
         for (guint w = 0; w < n; w++) {
-            wards[w] = (int)w == z;
+            zones[w] = (int)w == z;
         }
     }
 }
@@ -165,10 +165,10 @@
     }
     for (guint i = 0; i < items->len; i++) {
         struct item *it = &g_array_index(items, struct item, i);
-        bool wards[c->wards.names->len + 1];
-        allowed_wards(c, it, wards, now);
+        bool zones[c->zones.names->len + 1];
+        allowed_zones(c, it, zones, now);
         /* An image still to be fetched would keep the replica down for the fetch. */
-        struct rr_choice how = {.wards = wards,
+        struct rr_choice how = {.zones = zones,
                                 .separate = it->job->s.pieces > 1,
                                 .home = it->home,
                                 .need_cast = true,
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -121,12 +121,12 @@
 
 /* One walk for all zones. */
 static void count_zones(rr_core *c, double now) {
-    g_array_set_size(c->zones, 0);
-    g_array_set_size(c->zones, c->wards.names->len);
+    g_array_set_size(c->zone_counts, 0);
+    g_array_set_size(c->zone_counts, c->zones.names->len);
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        if (m->ward >= 0 && was_up(m)) {
-            rr_zone_count *z = &g_array_index(c->zones, rr_zone_count, m->ward);
+        if (m->zone >= 0 && was_up(m)) {
+            rr_zone_count *z = &g_array_index(c->zone_counts, rr_zone_count, m->zone);
             z->up++;
             z->heard += rr_machine_fresh(c, m, now);
             z->recent += heard_recently(c, m, now);
@@ -134,11 +134,11 @@
     }
 }
 
-static bool mostly_silent(const rr_core *c, int ward, const rr_machine *but, double now) {
-    if (ward < 0 || (guint)ward >= c->zones->len) {
+static bool mostly_silent(const rr_core *c, int zone, const rr_machine *but, double now) {
+    if (zone < 0 || (guint)zone >= c->zone_counts->len) {
         return false;
     }
-    rr_zone_count z = g_array_index(c->zones, rr_zone_count, ward);
+    rr_zone_count z = g_array_index(c->zone_counts, rr_zone_count, zone);
     if (but && was_up(but)) {
         z.up--;
         z.heard -= rr_machine_fresh(c, but, now) && z.heard > 0;
@@ -147,17 +147,17 @@
 }
 
 /* May only hold a verdict back: in a small zone it happens by chance, too. */
-static bool cut_begins(const rr_core *c, int ward, const rr_machine *but, double now) {
-    if (ward < 0 || (guint)ward >= c->zones->len) {
+static bool cut_begins(const rr_core *c, int zone, const rr_machine *but, double now) {
+    if (zone < 0 || (guint)zone >= c->zone_counts->len) {
         return false;
     }
-    rr_zone_count z = g_array_index(c->zones, rr_zone_count, ward);
+    rr_zone_count z = g_array_index(c->zone_counts, rr_zone_count, zone);
     bool recent = heard_recently(c, but, now) && z.recent > 0;
     return z.recent - recent < RECENT_SHARE * (z.up - (z.up > 0));
 }
 
-bool rr_zone_silent(const rr_core *c, int ward) {
-    return mostly_silent(c, ward, NULL, 0);
+bool rr_zone_silent(const rr_core *c, int zone) {
+    return mostly_silent(c, zone, NULL, 0);
 }
 
 #define PAUSE_S                                                                                    \
@@ -189,16 +189,16 @@
 /* A controller of the zone has been heard for as long as a machine would be given to report: the
  * zone is not cut off from us. Ourselves count while workers report to us: we may have lost them.
  */
-static bool zone_reached(const rr_core *c, int ward, double now) {
-    const char *zone = rr_names_at(&c->wards, ward);
+static bool zone_reached(const rr_core *c, int zone, double now) {
+    const char *name = rr_names_at(&c->zones, zone);
     double seconds = c->cfg->tune.dead_reports * c->cfg->report_s;
     if (now - c->woke_at < seconds) {
         return false;
     }
-    bool reached = strcmp(c->cfg->zone, zone) == 0 && lasting(&c->direct, now, seconds);
+    bool reached = strcmp(c->cfg->zone, name) == 0 && lasting(&c->direct, now, seconds);
     for (size_t i = 0; i < c->cfg->npeers; i++) {
         reached = reached ||
-                  (strcmp(c->cfg->peers[i].zone, zone) == 0 && lasting(&c->peers[i], now, seconds));
+                  (strcmp(c->cfg->peers[i].zone, name) == 0 && lasting(&c->peers[i], now, seconds));
     }
     return reached;
 }
@@ -217,7 +217,7 @@
     }
     c->looked_at = now;
     count_zones(c, now);
-    g_array_set_size(c->cut_at, c->wards.names->len);
+    g_array_set_size(c->cut_at, c->zones.names->len);
     for (guint w = 0; w < c->cut_at->len; w++) {
         if (mostly_silent(c, (int)w, NULL, now)) {
             g_array_index(c->cut_at, double, w) = now;
@@ -227,7 +227,7 @@
 
 bool rr_machine_dead(const rr_core *c, const rr_machine *m, double now) {
     double limit = c->cfg->tune.dead_reports * c->cfg->report_s;
-    if (!was_up(m) || m->ward < 0 || rr_silent_for(m, now) < limit || m->probe_fails < 2) {
+    if (!was_up(m) || m->zone < 0 || rr_silent_for(m, now) < limit || m->probe_fails < 2) {
         return false;
     }
     /* Who is behind has reports in its sockets that it has not read. */
@@ -238,12 +238,12 @@
      * controllers, too. Where one of them is heard, whoever has been silent for longer than a lease
      * has nothing left to lose: machines that hung for good in the greater part of a zone kept
      * their tasks booked for ever. */
-    if (rr_silent_for(m, now) > 1.2 * c->cfg->lease_s && zone_reached(c, m->ward, now)) {
+    if (rr_silent_for(m, now) > 1.2 * c->cfg->lease_s && zone_reached(c, m->zone, now)) {
         return true;
     }
     /* When a cut heals, the first machines speak again before the others: those get as long as
      * anybody to be heard. Nine healthy ones were once given up in that moment. */
-    double cut = (guint)m->ward < c->cut_at->len ? g_array_index(c->cut_at, double, m->ward) : 0;
-    return !mostly_silent(c, m->ward, m, now) && !cut_begins(c, m->ward, m, now) &&
+    double cut = (guint)m->zone < c->cut_at->len ? g_array_index(c->cut_at, double, m->zone) : 0;
+    return !mostly_silent(c, m->zone, m, now) && !cut_begins(c, m->zone, m, now) &&
            (cut <= 0 || now - cut >= limit);
 }
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -12,9 +12,9 @@
     return NULL;
 }
 
-static bool ward_offered(const rr_build *b, const char *ward) {
-    for (guint i = 0; i < b->wards->len; i++) {
-        if (!ward[0] || strcmp(g_ptr_array_index(b->wards, i), ward) == 0) {
+static bool zone_offered(const rr_build *b, const char *zone) {
+    for (guint i = 0; i < b->zones->len; i++) {
+        if (!zone[0] || strcmp(g_ptr_array_index(b->zones, i), zone) == 0) {
             return true;
         }
     }
@@ -34,7 +34,7 @@
     rr_res need = {s->vcpus, s->cards, s->mem_gb};
     for (guint i = 0; i < c->build_info->len; i++) {
         const rr_build *b = rr_build_at(c, (int)i);
-        if (b && build_allowed(s, b) && ward_offered(b, s->ward) &&
+        if (b && build_allowed(s, b) && zone_offered(b, s->zone) &&
             rr_res_fits(need, (rr_res){b->vcpus, b->cards, b->mem_gb})) {
             return true;
         }
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -128,7 +128,7 @@
 
 /* Where they may run. */
 static int decode_constraints(const msgpack_object *o, rr_submission *s, const char **field) {
-    NEED(!rr_get(o, "ward") || get_name(o, "ward", s->ward, sizeof s->ward), "ward");
+    NEED(!rr_get(o, "ward") || get_name(o, "ward", s->zone, sizeof s->zone), "ward");
     NEED(rr_get_bool(o, "one_zone", &s->one_zone), "one_zone");
     NEED(rr_get_bool(o, "apart", &s->apart), "apart");
     NEED(rr_get_bool(o, "loaners", &s->loaners), "loaners");
@@ -147,7 +147,7 @@
 }
 
 size_t rr_submission_field_count(const rr_submission *s) {
-    return 17 + (s->due_s >= 0) + (s->ward[0] != 0) + (s->nbuilds > 0);
+    return 17 + (s->due_s >= 0) + (s->zone[0] != 0) + (s->nbuilds > 0);
 }
 
 void rr_submission_encode_fields(rr_out *o, const rr_submission *s) {
@@ -168,8 +168,8 @@
     if (s->due_s >= 0) {
         rr_put_key_num(o, "due_s", s->due_s);
     }
-    if (s->ward[0]) {
-        rr_put_key_text(o, "ward", s->ward);
+    if (s->zone[0]) {
+        rr_put_key_text(o, "ward", s->zone);
     }
     if (s->nbuilds) {
         rr_put_text(o, "builds");
@@ -229,7 +229,7 @@
     if (!rr_get_text(o, "stone", r->stone, sizeof r->stone) || !r->stone[0] ||
         !rr_get_text(o, "addr", r->addr, sizeof r->addr) ||
         !rr_get_text(o, "build", r->build, sizeof r->build) ||
-        !rr_get_text(o, "ward", r->ward, sizeof r->ward) ||
+        !rr_get_text(o, "ward", r->zone, sizeof r->zone) ||
         !rr_get_bool(o, "loaners", &r->loaners) || !rr_get_u64(o, "tenure", &r->tenure) ||
         !rr_get_u64(o, "tally", &r->tally) || !rr_get_u64(o, "warrant", &r->warrant) ||
         (list && list->type != MSGPACK_OBJECT_ARRAY) ||
@@ -278,7 +278,7 @@
 
 int rr_build_decode(const msgpack_object *o, rr_build *b) {
     memset(b, 0, sizeof *b);
-    b->wards = g_ptr_array_new_with_free_func(g_free);
+    b->zones = g_ptr_array_new_with_free_func(g_free);
     const msgpack_object *w = rr_get(o, "wards");
     if (!rr_get_text(o, "sku", b->sku, sizeof b->sku) || !rr_get_num(o, "vcpus", &b->vcpus) ||
         !rr_get_num(o, "cards", &b->cards) || !rr_get_num(o, "mem_gb", &b->mem_gb) ||
@@ -291,11 +291,11 @@
     rr_get_num(o, "pull_gb_per_s", &b->pull_rate);
     rr_get_num(o, "startup_s", &b->startup_s);
     for (uint32_t i = 0; i < w->via.array.size; i++) {
-        char ward[RR_TEXT];
-        if (!rr_as_text(&w->via.array.ptr[i], ward, sizeof ward)) {
+        char zone[RR_TEXT];
+        if (!rr_as_text(&w->via.array.ptr[i], zone, sizeof zone)) {
             return -EBADMSG;
         }
-        g_ptr_array_add(b->wards, g_strdup(ward));
+        g_ptr_array_add(b->zones, g_strdup(zone));
     }
     return 0;
 }
@@ -312,16 +312,16 @@
     rr_put_key_num(o, "spot_price", b->spot_price);
     rr_put_key_num(o, "startup_s", b->startup_s);
     rr_put_text(o, "wards");
-    rr_put_array(o, b->wards->len);
-    for (guint i = 0; i < b->wards->len; i++) {
-        rr_put_text(o, g_ptr_array_index(b->wards, i));
+    rr_put_array(o, b->zones->len);
+    for (guint i = 0; i < b->zones->len; i++) {
+        rr_put_text(o, g_ptr_array_index(b->zones, i));
     }
 }
 
 void rr_build_clear(rr_build *b) {
-    if (b->wards) {
-        g_ptr_array_free(b->wards, TRUE);
-        b->wards = NULL;
+    if (b->zones) {
+        g_ptr_array_free(b->zones, TRUE);
+        b->zones = NULL;
     }
 }
 
@@ -331,7 +331,7 @@
     rr_get_text(o, "addr", s->addr, sizeof s->addr);
     if (!rr_get_text(o, "ref", s->id, sizeof s->id) ||
         !rr_get_text(o, "build", s->build, sizeof s->build) ||
-        !rr_get_text(o, "ward", s->ward, sizeof s->ward) ||
+        !rr_get_text(o, "ward", s->zone, sizeof s->zone) ||
         !rr_get_bool(o, "loaners", &s->loaners)) {
         return -EBADMSG;
     }
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -63,7 +63,7 @@
 enum rr_rank { RR_LOW, RR_STANDARD, RR_HIGH, RR_PROD };
 
 typedef struct {
-    char ref[RR_ID], lane[RR_TEXT], crew[RR_TEXT], cast[RR_TEXT], ward[RR_TEXT];
+    char ref[RR_ID], lane[RR_TEXT], crew[RR_TEXT], cast[RR_TEXT], zone[RR_TEXT];
     char (*builds)[RR_ID]; /* owned; jobs are kept for good, and few name any */
     int nbuilds;           /* 0: any */
     enum rr_shape shape;
@@ -106,7 +106,7 @@
 } rr_piece;
 
 typedef struct {
-    char stone[RR_ID], addr[RR_ID], build[RR_ID], ward[RR_TEXT];
+    char stone[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool loaners;
     uint64_t tenure, tally, warrant;
     double recall_s; /* <0: no notice */
@@ -142,7 +142,7 @@
 typedef struct {
     char sku[RR_ID];
     double vcpus, cards, mem_gb, cache_gb, pull_rate, price, spot_price, startup_s;
-    GPtrArray *wards; /* char* */
+    GPtrArray *zones; /* char* */
 } rr_build;
 
 int rr_build_decode(const msgpack_object *o, rr_build *out);
@@ -151,7 +151,7 @@
 
 enum rr_stone_state { RR_STONE_STARTING, RR_STONE_RUNNING, RR_STONE_FAILED };
 typedef struct {
-    char id[RR_ID], addr[RR_ID], build[RR_ID], ward[RR_TEXT];
+    char id[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool loaners;
     enum rr_stone_state state;
     double age_s;
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -294,9 +294,9 @@
     char key[128];
     rr_out o;
     g_strlcpy(b.sku, sku, sizeof b.sku);
-    b.wards = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(b.wards, g_strdup("a"));
-    g_ptr_array_add(b.wards, g_strdup("b"));
+    b.zones = g_ptr_array_new_with_free_func(g_free);
+    g_ptr_array_add(b.zones, g_strdup("a"));
+    g_ptr_array_add(b.zones, g_strdup("b"));
     rr_out_init(&o);
     rr_build_encode(&o, &b);
     g_snprintf(key, sizeof key, RR_ROOT "build/%s", sku);
@@ -311,7 +311,7 @@
     g_strlcpy(out->crew, j->crew ? j->crew : "red", sizeof out->crew);
     g_strlcpy(out->lane, j->lane ? j->lane : "plain", sizeof out->lane);
     g_strlcpy(out->cast, j->cast ? j->cast : "img-1", sizeof out->cast);
-    g_strlcpy(out->ward, j->ward ? j->ward : "", sizeof out->ward);
+    g_strlcpy(out->zone, j->zone ? j->zone : "", sizeof out->zone);
     for (int i = 0; i < 4; i++) {
         if (strcmp(ranks[i], j->rank ? j->rank : "standard") == 0) {
             out->rank = (enum rr_rank)i;
@@ -357,7 +357,7 @@
     fx_sync(n->store, n->core, n->now);
 }
 
-void fx_machine(fx_store *s, const char *id, const char *ward, bool loaners, bool own) {
+void fx_machine(fx_store *s, const char *id, const char *zone, bool loaners, bool own) {
     char key[128], addr[64];
     rr_out o;
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
@@ -369,7 +369,7 @@
     rr_put_text(&o, id);
     rr_put_text(&o, addr);
     rr_put_text(&o, "m1");
-    rr_put_text(&o, ward);
+    rr_put_text(&o, zone);
     rr_put_u64(&o, (loaners ? 1 : 0) | (own ? 2 : 0));
     rr_put_num(&o, 0);
     g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", atoi(id + 3) + 100000);
@@ -430,7 +430,7 @@
     g_strfreev(f);
 }
 
-void fx_report(fx_node *n, const char *id, const char *ward, bool loaners, uint64_t tenure,
+void fx_report(fx_node *n, const char *id, const char *zone, bool loaners, uint64_t tenure,
                uint64_t tally, uint64_t warrant, ...) {
     rr_report r = {.loaners = loaners,
                    .tenure = tenure,
@@ -442,7 +442,7 @@
     g_strlcpy(r.stone, id, sizeof r.stone);
     g_snprintf(r.addr, sizeof r.addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
     g_strlcpy(r.build, "m1", sizeof r.build);
-    g_strlcpy(r.ward, ward, sizeof r.ward);
+    g_strlcpy(r.zone, zone, sizeof r.zone);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     va_start(ap, warrant);
     while ((text = va_arg(ap, const char *))) {
@@ -569,7 +569,7 @@
     return 0;
 }
 
-static void put_fleet(fx_store *s, int first, int n, const char *ward, bool own) {
+static void put_fleet(fx_store *s, int first, int n, const char *zone, bool own) {
     char key[64], id[32], addr[32];
     rr_out o;
     rr_out_init(&o);
@@ -583,7 +583,7 @@
         rr_put_text(&o, id);
         rr_put_text(&o, addr);
         rr_put_text(&o, "m1");
-        rr_put_text(&o, ward);
+        rr_put_text(&o, zone);
         rr_put_u64(&o, own ? 2 : 0);
         rr_put_num(&o, 0);
     }
@@ -591,15 +591,15 @@
     fx_put(s, key, &o);
 }
 
-void fx_fleet(fx_node *n, int first, int many, const char *ward) {
+void fx_fleet(fx_node *n, int first, int many, const char *zone) {
     char id[32];
     for (int i = 0; i < many; i += 40) {
-        put_fleet(n->store, first + i, many - i < 40 ? many - i : 40, ward, true);
+        put_fleet(n->store, first + i, many - i < 40 ? many - i : 40, zone, true);
     }
     fx_sync(n->store, n->core, n->now);
     for (int i = first; i < first + many; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
-        fx_report(n, id, ward, false, 1, 1, rr_core_token(n->core), NULL);
+        fx_report(n, id, zone, false, 1, 1, rr_core_token(n->core), NULL);
     }
 }
 
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -64,7 +64,7 @@
 void fx_build(fx_store *s, const char *sku, double cpu, double gpu, double mem, double price,
               double spot);
 struct fx_job {
-    const char *ref, *crew, *lane, *cast, *ward, *rank;
+    const char *ref, *crew, *lane, *cast, *zone, *rank;
     bool service, gang, one_zone, apart, loaners;
     uint32_t pieces;
     double cpu, gpu, mem, cairn_s, stash_s, due_s;
@@ -72,12 +72,12 @@
 void fx_submission(rr_submission *out, const struct fx_job *j);
 void fx_submit(fx_store *s, const struct fx_job *j, double at);
 void fx_cancel(fx_node *n, const char *ref);
-void fx_machine(fx_store *s, const char *id, const char *ward, bool loaners, bool own);
+void fx_machine(fx_store *s, const char *id, const char *zone, bool loaners, bool own);
 void fx_machine_gone(fx_store *s, const char *id);
 bool fx_recorded(const fx_store *s, const char *id);
 
 /* Report builder: tasks as "ref task attempt standing[:cause]", NULL-ended. */
-void fx_report(fx_node *n, const char *id, const char *ward, bool loaners, uint64_t tenure,
+void fx_report(fx_node *n, const char *id, const char *zone, bool loaners, uint64_t tenure,
                uint64_t tally, uint64_t warrant, ...);
 /* The state in which a machine shows a task, the `shown`-th of its report. */
 typedef const char *(*fx_task_state)(int machine, const char *ref, uint32_t task, int shown,
@@ -98,7 +98,7 @@
  * what else it asks for is the caller's. rr_step_clear() after. */
 void fx_provisioner_step(fx_node *n, const GArray *stones, rr_step *out);
 /* Many machines in few records, all of which have reported empty. */
-void fx_fleet(fx_node *n, int first, int many, const char *ward);
+void fx_fleet(fx_node *n, int first, int many, const char *zone);
 /* Plans, commits and syncs once; the commands are in *p until rr_plan_clear(). 1: committed. */
 int fx_plan(fx_node *n, rr_plan *p);
 /* The attempt booked for ref/task on machine id, 0: none. */
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -55,7 +55,7 @@
     fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 5, .cpu = 2, .due_s = 90},
               n->now);
     fx_submit(w->store, &(struct fx_job){.ref = "req-2", .service = true, .apart = true}, n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-3", .one_zone = true, .ward = "b"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.ref = "req-3", .one_zone = true, .zone = "b"}, n->now);
     fx_submit(w->store, &(struct fx_job){.ref = "req-4", .service = true, .rank = "prod"}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 3; i++) {
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -75,12 +75,12 @@
 }
 
 /* Empty reports of vm-`from` to vm-`to`. */
-static void report_all(fx_node *n, int from, int to, const char *ward, uint64_t tenure,
+static void report_all(fx_node *n, int from, int to, const char *zone, uint64_t tenure,
                        uint64_t tally) {
     char id[32];
     for (int m = from; m <= to; m++) {
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, ward, false, tenure, tally, rr_core_token(n->core), NULL);
+        fx_report(n, id, zone, false, tenure, tally, rr_core_token(n->core), NULL);
     }
 }
 
@@ -230,7 +230,7 @@
     fx_node *n = &w->n;
     rr_plan p;
     fx_fleet(n, 1, FLEET, "a");
-    submit_many(n, 1, 500, &(struct fx_job){.ward = "b"});
+    submit_many(n, 1, 500, &(struct fx_job){.zone = "b"});
     unsigned before = visits(n);
     fx_plan(n, &p);
     rr_plan_clear(&p);
@@ -272,10 +272,10 @@
         g_snprintf(s.id, sizeof s.id, "vm-%06d", i);
         g_snprintf(s.addr, sizeof s.addr, "10.1.2.3:%d", 1000 + i);
         g_strlcpy(s.build, "m1", sizeof s.build);
-        g_strlcpy(s.ward, "a", sizeof s.ward);
+        g_strlcpy(s.zone, "a", sizeof s.zone);
         g_array_append_val(stones, s);
     }
-    submit_many(n, 1, 100, &(struct fx_job){.pieces = 40, .cpu = 8, .ward = "b"});
+    submit_many(n, 1, 100, &(struct fx_job){.pieces = 40, .cpu = 8, .zone = "b"});
     for (int i = 0; i < 120; i++) {
         rr_step s;
         rr_step_init(&s);
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -15,12 +15,12 @@
     return 0;
 }
 
-static const char *ward_of(const char *id) {
+static const char *zone_of(const char *id) {
     return strcmp(id, "vm-2") == 0 ? "b" : "a";
 }
 
 static void hear(fx_node *n, const char *id, uint64_t tally, const char *piece) {
-    fx_report(n, id, ward_of(id), false, 1, tally, rr_core_token(n->core), piece, NULL);
+    fx_report(n, id, zone_of(id), false, 1, tally, rr_core_token(n->core), piece, NULL);
 }
 
 /* One plan; commands are answered or stay in doubt. Changes committed: 1. */
@@ -239,7 +239,7 @@
         plan_with(n, RR_DO_DOUBT);
         assert_null(place_of(w->store, j2.ref, &at2));
     }
-    fx_report(n, m, ward_of(m), false, 1, 40, old, NULL); /* held back since before the change */
+    fx_report(n, m, zone_of(m), false, 1, 40, old, NULL); /* held back since before the change */
     plan_with(n, RR_DO_DOUBT);
     assert_true(fx_booked(w->store, m, j1.ref, 0) == at);
     assert_null(place_of(w->store, j2.ref, &at2));
@@ -268,8 +268,8 @@
     hear(n, m, 20, runs);
     plan_with(n, RR_DO_ANSWERED);
     /* Sent before the task had started, with the token of then; and a copy from after a lease. */
-    fx_report(n, m, ward_of(m), false, 1, 2, rr_core_token(n->core) - 1, NULL);
-    fx_report(n, m, ward_of(m), false, 1, 19, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core) - 1, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 19, rr_core_token(n->core), NULL);
     plan_with(n, RR_DO_ANSWERED);
     assert_true(fx_booked(w->store, m, j.ref, 0) == at);
     rr_job_view v;
@@ -307,14 +307,14 @@
                            .stone = "vm-1",
                            .addr = "127.0.0.1:1001",
                            .build = "m1",
-                           .ward = "a"};
+                           .zone = "a"};
             r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
             bool shared = rr_core_take_answer(n->core, n->now, &r, -1);
             assert_true(shared == (i + 1 < 1.5 * n->cfg.report_s));
             rr_report_clear(&r);
         }
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .crew = "blue", .ward = "a"}, n->now);
-        fx_submit(w->store, &(struct fx_job){.ref = "req-9", .ward = "a"}, n->now);
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .crew = "blue", .zone = "a"}, n->now);
+        fx_submit(w->store, &(struct fx_job){.ref = "req-9", .zone = "a"}, n->now);
         fx_sync(w->store, n->core, n->now);
         fx_sync(w->store, other.core, n->now);
         plan_with(n, RR_DO_ANSWERED);
@@ -336,14 +336,14 @@
         g_snprintf(id, sizeof id, "vm-%d", i);
         g_snprintf(ref, sizeof ref, "req-%d", 100 + i);
         fx_machine(w->store, id, "a", false, true);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .ward = "a", .cpu = 9, .service = true},
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .zone = "a", .cpu = 9, .service = true},
                   n->now);
     }
-    fx_submit(w->store, &(struct fx_job){.ref = "req-101", .ward = "a", .cpu = 9, .service = true},
+    fx_submit(w->store, &(struct fx_job){.ref = "req-101", .zone = "a", .cpu = 9, .service = true},
               n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-102", .ward = "b", .cpu = 16, .service = true},
+    fx_submit(w->store, &(struct fx_job){.ref = "req-102", .zone = "b", .cpu = 16, .service = true},
               n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-120", .ward = "b", .cpu = 8, .service = true},
+    fx_submit(w->store, &(struct fx_job){.ref = "req-120", .zone = "b", .cpu = 8, .service = true},
               n->now);
     fx_machine(w->store, "vm-9", "b", false, true);
     fx_sync(w->store, n->core, n->now);
@@ -388,7 +388,7 @@
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-%d", t + 1);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .crew = t ? "blue" : "red", .ward = "a"},
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .crew = t ? "blue" : "red", .zone = "a"},
                   owner->now);
     }
     fx_sync(w->store, owner->core, owner->now);
@@ -476,7 +476,7 @@
 static void a_line_that_blocks_a_late_start(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-1", .ward = "a"};
+    struct fx_job j = {.ref = "req-1", .zone = "a"};
     uint64_t tally = 10;
     hear(n, "vm-1", 1, NULL);
     fx_submit(w->store, &j, n->now);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -60,7 +60,7 @@
     rr_stone s = {.state = st, .age_s = age};
     g_strlcpy(s.id, id, sizeof s.id);
     g_strlcpy(s.build, "m1", sizeof s.build);
-    g_strlcpy(s.ward, "a", sizeof s.ward);
+    g_strlcpy(s.zone, "a", sizeof s.zone);
     g_strlcpy(s.addr, "127.0.0.1:1", sizeof s.addr);
     g_array_append_val(a, s);
 }
@@ -116,7 +116,7 @@
     assert_true(step_until(w, RR_STEP_HIRE, NULL, &s));
     assert_string_not_equal(s.hire, first);
     /* And the refused zone is left alone for a while. */
-    assert_string_equal(s.ward, "b");
+    assert_string_equal(s.zone, "b");
     rr_step_clear(&s);
     g_ptr_array_free(none, TRUE);
 }
@@ -558,8 +558,8 @@
                   .price = 3,
                   .spot_price = 1,
                   .startup_s = 20};
-    b.wards = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(b.wards, g_strdup("a"));
+    b.zones = g_ptr_array_new_with_free_func(g_free);
+    g_ptr_array_add(b.zones, g_strdup("a"));
     g_array_append_val(builds, b);
     assert_true(step_until(w, RR_STEP_CATALOG, NULL, &s));
     rr_step_clear(&s);
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -33,7 +33,7 @@
     return "vm-2";
 }
 
-static const char *ward_of(const char *id) {
+static const char *zone_of(const char *id) {
     return strcmp(id, "vm-1") == 0 ? "a" : "b";
 }
 
@@ -58,7 +58,7 @@
     rr_plan_clear(&p);
     fx_cancel(n, j.ref);
     n->now += 3;
-    fx_report(n, m, ward_of(m), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.ref, 0) == at);
     const rr_order *start = fx_order(&p, m, RR_START, j.ref, 0);
@@ -71,7 +71,7 @@
     /* Exited now: the booking may go, the attempt must stay as a block. */
     char *ended = shown(j.ref, at, "ended:halted");
     n->now += 1;
-    fx_report(n, m, ward_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, m, j.ref, 0) == 0);
@@ -81,7 +81,7 @@
     /* The next term voids the late copy: now it is reaped. */
     fx_join(n, 8);
     n->now += 1;
-    fx_report(n, m, ward_of(m), false, 1, 4, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 4, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
     assert_non_null(fx_order(&p, m, RR_REAP, j.ref, 0));
     rr_plan_clear(&p);
@@ -99,7 +99,7 @@
     rr_job_view v;
     const char *m = book_one(w, &j, &at);
     char *ended = shown(j.ref, at, "ended:done");
-    fx_report(n, m, ward_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
     assert_true(p.has_txn);
@@ -117,7 +117,7 @@
     assert_null(fx_order(&p, m, RR_REAP, j.ref, 0));
     rr_plan_clear(&p);
     n->now += n->cfg.report_s;
-    fx_report(n, m, ward_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
     assert_non_null(fx_order(&p, m, RR_REAP, j.ref, 0));
     rr_plan_clear(&p);
@@ -134,11 +134,11 @@
     const char *m = book_one(w, &j, &at);
     const char *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
     char *ended = shown(j.ref, at, "ended:done");
-    fx_report(n, m, ward_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
-    fx_report(n, other, ward_of(other), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
+    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_token(n->core), NULL);
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
-    next.ward = ward_of(m);
+    next.zone = zone_of(m);
     fx_submit(w->store, &next, n->now);
     fx_sync(w->store, n->core, n->now);
     assert_int_equal(fx_plan(n, &p), 1);
@@ -161,7 +161,7 @@
     rr_job_view v;
     const char *m = book_one(w, &j, &at);
     char *ended = shown(j.ref, at, "ended:done");
-    fx_report(n, m, ward_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     rr_core_job_view(n->core, j.ref, n->now, &v);
@@ -208,11 +208,11 @@
     assert_true(rr_core_token(n->core) > old);
     fx_cancel(n, j.ref);
     n->now += 2;
-    fx_report(n, m, ward_of(m), false, 1, 2, old, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, old, NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.ref, 0) == at);
     rr_plan_clear(&p);
-    fx_report(n, m, ward_of(m), false, 1, 3, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.ref, 0) == 0);
     rr_plan_clear(&p);
@@ -228,7 +228,7 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
     n->now += 600;
-    fx_report(n, other, ward_of(other), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, m, j.ref, 0) == at);
@@ -251,7 +251,7 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     n->now += 40;
-    fx_report(n, m, ward_of(m), false, 2, 9, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 2, 9, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, m, j.ref, 0) != at);
@@ -266,9 +266,9 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     char *running = shown(j.ref, at, "running");
-    fx_report(n, m, ward_of(m), false, 1, 20, rr_core_token(n->core), running, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 20, rr_core_token(n->core), running, NULL);
     fx_cancel(n, j.ref);
-    fx_report(n, m, ward_of(m), false, 1, 5, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 5, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.ref, 0) == at);
     assert_non_null(fx_order(&p, m, RR_STOP, j.ref, 0));
@@ -288,13 +288,13 @@
     assert_non_null(fx_order(&p, m, RR_START, j.ref, 0));
     fx_cancel(n, j.ref);
     n->now += 2;
-    fx_report(n, m, ward_of(m), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
     fx_plan(n, &q);
     assert_null(fx_do(&q, m));
     assert_true(fx_booked(w->store, m, j.ref, 0) == at);
     rr_plan_clear(&q);
     char *running = shown(j.ref, at, "running");
-    fx_report(n, m, ward_of(m), false, 1, 3, rr_core_token(n->core), running, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), running, NULL);
     rr_core_do_result(n->core, n->now, fx_do(&p, m), RR_DO_ANSWERED, true);
     fx_plan(n, &q);
     const rr_order *stop = fx_order(&q, m, RR_STOP, j.ref, 0);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -13,12 +13,12 @@
     return 0;
 }
 
-static const char *ward_of(const char *id) {
+static const char *zone_of(const char *id) {
     return strcmp(id, "vm-1") == 0 ? "a" : "b";
 }
 
 static void hear(fx_node *n, const char *id, uint64_t tally) {
-    fx_report(n, id, ward_of(id), false, 1, tally, rr_core_token(n->core), NULL);
+    fx_report(n, id, zone_of(id), false, 1, tally, rr_core_token(n->core), NULL);
 }
 
 static const char *place_of(const fx_world *w, const char *ref) {
@@ -51,7 +51,7 @@
         rr_stone st = {.state = RR_STONE_RUNNING, .age_s = 500};
         g_snprintf(st.id, sizeof st.id, "vm-%d", i);
         g_strlcpy(st.build, "m1", sizeof st.build);
-        g_strlcpy(st.ward, i == 1 ? "a" : "b", sizeof st.ward);
+        g_strlcpy(st.zone, i == 1 ? "a" : "b", sizeof st.zone);
         g_array_append_val(stones, st);
     }
     fx_provisioner_step(n, stones, &s);
@@ -145,8 +145,8 @@
     fx_node_init(&again, w->store, "n0");
     fx_reread(w->store, again.core, again.now);
     fx_join(&again, 8);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .ward = "a"}, again.now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .ward = "b"}, again.now);
+    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .zone = "a"}, again.now);
+    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .zone = "b"}, again.now);
     fx_sync(w->store, again.core, again.now);
     fx_report(&again, "vm-1", "a", false, 1, 40, 1, NULL);
     plan_with_deaf(&again, NULL);
@@ -176,7 +176,7 @@
     fx_node_init(&again, w->store, "n0");
     fx_reread(w->store, again.core, again.now);
     fx_join(&again, 8);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .ward = "b"}, again.now);
+    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .zone = "b"}, again.now);
     fx_sync(w->store, again.core, again.now);
     fx_report(&again, "vm-2", "b", false, 1, 40, 1, NULL);
     plan_with_deaf(&again, NULL);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -506,7 +506,7 @@
         rr_stone st1 = {.state = RR_STONE_RUNNING, .age_s = 500};
         g_snprintf(st1.id, sizeof st1.id, "vm-%d", i);
         g_strlcpy(st1.build, "m1", sizeof st1.build);
-        g_strlcpy(st1.ward, "a", sizeof st1.ward);
+        g_strlcpy(st1.zone, "a", sizeof st1.zone);
         g_array_append_val(stones, st1);
     }
     assert_true(fx_value_size(w->store, RR_ROOT "fleet/00000001") > (size_t)(NEXT_KB * 1024));
@@ -553,10 +553,10 @@
         rr_stone st = {.state = RR_STONE_RUNNING, .age_s = 500};
         g_snprintf(st.id, sizeof st.id, "vm-%d", i);
         g_strlcpy(st.build, "m1", sizeof st.build);
-        g_strlcpy(st.ward, "a", sizeof st.ward);
+        g_strlcpy(st.zone, "a", sizeof st.zone);
         g_array_append_val(stones, st);
     }
-    rr_stone dead = {.id = "vm-1", .build = "m1", .ward = "a", .state = RR_STONE_FAILED};
+    rr_stone dead = {.id = "vm-1", .build = "m1", .zone = "a", .state = RR_STONE_FAILED};
     g_array_append_val(stones, dead);
     for (int i = 0; i < 20 && fx_recorded(w->store, "vm-1"); i++) {
         fx_provisioner_step(n, stones, &s);
--- a/tests/world.c
+++ b/tests/world.c
@@ -251,8 +251,8 @@
                   .price = 3,
                   .spot_price = 1,
                   .startup_s = 1};
-    b.wards = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(b.wards, g_strdup("a"));
+    b.zones = g_ptr_array_new_with_free_func(g_free);
+    g_ptr_array_add(b.zones, g_strdup("a"));
     rr_put_map(out, 1);
     rr_put_text(out, "builds");
     rr_put_array(out, 1);
