--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -271,47 +271,67 @@
     return n;
 }
 
+/* What a zone has for the tasks of a job that wait. */
+struct zone_room {
+    rr_res free, capacity;
+    uint32_t fitting; /* tasks, up to those that wait */
+    uint32_t warm;    /* likewise, on machines that have the image; counted for gangs */
+};
+
 /* Free room in small pieces is none: a job once waited for the zone with most of it, where no
  * machine could take a task, while another zone had machines for all of them. So zones in which all
- * that waits of the job fits come before those that take part of it, and those before the rest. A
- * gang starts with its last image: where all of it fits on machines that have it comes first. */
-static int zone_class(uint32_t fit, uint32_t warm, uint32_t wanted) {
-    return fit == 0 ? 0 : fit < wanted ? 1 : warm < wanted ? 2 : 3;
+ * that waits of the job fits come before those that take part of it, and those before the rest. */
+static int fit_class(const struct zone_room *zone, uint32_t wanted) {
+    return zone->fitting == 0 ? 0 : zone->fitting < wanted ? 1 : 2;
+}
+
+/* The share of the zone that is free on its scarcest resource, as the paper scores clusters. */
+static double free_share(const struct zone_room *zone) {
+    return zone->capacity.cpu > 0 ? rr_res_room(zone->free, zone->capacity) : -1;
+}
+
+/* A gang starts with its last image: of the zones that take all of it the one goes first in which
+ * most of it finds its image. What it has to fetch there is found by the next. */
+static bool better_zone(const struct zone_room *a, const struct zone_room *b, uint32_t wanted) {
+    int class_a = fit_class(a, wanted), class_b = fit_class(b, wanted);
+    if (class_a != class_b) {
+        return class_a > class_b;
+    }
+    if (a->warm != b->warm) {
+        return a->warm > b->warm;
+    }
+    return free_share(a) > free_share(b);
+}
+
+static void add_machine(const rr_core *c, const rr_job *j, const rr_machine *m, uint32_t wanted,
+                        struct zone_room *zone) {
+    zone->free = rr_res_add(zone->free, m->sim, 1);
+    zone->capacity = rr_res_add(zone->capacity, rr_machine_cap(c, m), 1);
+    uint32_t fitting = rr_tasks_in(j->need, m->sim, wanted);
+    zone->fitting = MIN(zone->fitting + fitting, wanted);
+    if (j->s.shape == RR_GANG && rr_machine_has_cast(m, j->cast)) {
+        zone->warm = MIN(zone->warm + fitting, wanted);
+    }
 }
 
 int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *zones, double now) {
     guint n = c->zones.names->len;
-    rr_res room[n + 1], cap[n + 1];
-    uint32_t fit[n + 1], warm[n + 1],
-        wanted = j->s.pieces - MIN(j->s.pieces, j->ndone + j->nplaced);
-    memset(room, 0, sizeof room);
-    memset(cap, 0, sizeof cap);
-    memset(fit, 0, sizeof fit);
-    memset(warm, 0, sizeof warm);
+    struct zone_room rooms[n + 1];
+    uint32_t wanted = j->s.pieces - MIN(j->s.pieces, j->ndone + j->nplaced);
+    memset(rooms, 0, sizeof rooms);
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
         if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->loaners) &&
             rr_machine_usable(c, m, now)) {
-            room[m->zone] = rr_res_add(room[m->zone], m->sim, 1);
-            cap[m->zone] = rr_res_add(cap[m->zone], rr_machine_cap(c, m), 1);
-            fit[m->zone] += rr_tasks_in(j->need, m->sim, wanted - MIN(wanted, fit[m->zone]));
-            if (j->s.shape == RR_GANG && rr_machine_has_cast(m, j->cast)) {
-                warm[m->zone] += rr_tasks_in(j->need, m->sim, wanted - MIN(wanted, warm[m->zone]));
-            }
+            add_machine(c, j, m, wanted, &rooms[m->zone]);
         }
     }
-    int best = -1, best_class = 0;
-    double most = -1;
-    for (guint w = 0; w < n; w++) {
-        /* The share of the zone that is free on its scarcest resource, as the paper scores
-         * clusters. */
-        double r = cap[w].cpu > 0 ? rr_res_room(room[w], cap[w]) : -1;
-        int class = zone_class(fit[w], warm[w], wanted);
-        if (r >= 0 && (class > best_class || (class == best_class && r > most))) {
-            most = r;
-            best_class = class;
-            best = (int)w;
+    int best = -1;
+    for (guint zone = 0; zone < n; zone++) {
+        bool usable = free_share(&rooms[zone]) >= 0;
+        if (usable && (best < 0 || better_zone(&rooms[zone], &rooms[best], wanted))) {
+            best = (int)zone;
         }
     }
     return best;
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -470,6 +470,26 @@
     fx_show_jobs(n, &show);
 }
 
+/* Where only part of a gang finds its image it goes there all the same, not to the zone with most
+ * free room: the next of its kind then finds it on more machines. */
+static void a_gang_goes_where_its_image_is(void **state) {
+    fx_world *w = *state;
+    fx_node *n = &w->n;
+    const char *const one[] = {"req-5"};
+    uint64_t at;
+    show_all(n, "req-1", NULL);
+    fx_submit(w->store, &(struct fx_job){.ref = "req-5", .zone = "a", .cpu = 1}, n->now);
+    fx_sync(w->store, n->core, n->now);
+    plan(n, RR_START, "req-5", NULL);
+    show_jobs(n, one, 1, 1, runs);
+    fx_submit(w->store, &gang, n->now);
+    fx_sync(w->store, n->core, n->now);
+    plan(n, RR_START, "req-1", NULL);
+    for (uint32_t t = 0; t < 3; t++) {
+        assert_in_range(machine_of(w, t, &at), 1, 3);
+    }
+}
+
 /* A full fleet of low work: a gang whose class has an aim on its start has as much of it stopped as
  * it needs, in one zone, and all of the gang is booked with that; one that would need more than the
  * zone has stops nothing. */
@@ -784,6 +804,7 @@
                                        T(no_half_of_one),
                                        T(a_start_in_doubt),
                                        T(a_new_owner_reaches_the_same),
+                                       T(a_gang_goes_where_its_image_is),
                                        T(a_gang_makes_room_whole),
                                        T(a_gang_is_preempted_whole),
                                        T(a_guarantee_makes_room_for_a_gang),
