--- a/src/app/duties.c
+++ b/src/app/duties.c
@@ -899,8 +899,8 @@
 static int do_hire(struct rr_app *a, rr_cloud *cloud, const rr_step *step) {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     int status;
-    int rc = rr_cloud_hire(cloud, step->hire, step->build, step->zone, step->loaners,
-                           step->how_many, &status, ids);
+    int rc = rr_cloud_hire(cloud, step->hire, step->build, step->zone, step->spot, step->how_many,
+                           &status, ids);
     pthread_mutex_lock(&a->lock);
     rr_core_hired(a->core, rr_now(), step, status, ids);
     pthread_mutex_unlock(&a->lock);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -117,7 +117,7 @@
     return rc;
 }
 
-int rr_cloud_hire(rr_cloud *c, const char *hire, const char *build, const char *zone, bool loaners,
+int rr_cloud_hire(rr_cloud *c, const char *hire, const char *build, const char *zone, bool spot,
                   int how_many, int *status, GPtrArray *ids) {
     rr_reply reply = {0};
     rr_doc doc;
@@ -127,7 +127,7 @@
     rr_put_key_text(&o, "hire", hire);
     rr_put_key_text(&o, "build", build);
     rr_put_key_text(&o, "ward", zone);
-    rr_put_key_bool(&o, "loaners", loaners);
+    rr_put_key_bool(&o, "loaners", spot);
     rr_put_key_u64(&o, "how_many", (uint64_t)how_many);
     *status = 0;
     int rc = call(c, "POST", "/machines", &o, &reply, &doc);
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -37,8 +37,8 @@
     }
 }
 
-bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool loaners) {
-    if (loaners && !j->s.loaners) {
+bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool spot) {
+    if (spot && !j->s.spot) {
         return false;
     }
     if (j->s.zone[0] && strcmp(j->s.zone, rr_names_at(&c->zones, zone)) != 0) {
@@ -170,7 +170,7 @@
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
         if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->need, m->sim) ||
-            !rr_job_allows(c, j, m->build, m->zone, m->loaners) || !how->filter(c, m, now)) {
+            !rr_job_allows(c, j, m->build, m->zone, m->spot) || !how->filter(c, m, now)) {
             continue;
         }
         double fetch = rr_fetch_time(c, j, m);
@@ -322,7 +322,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
-        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->loaners) &&
+        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->spot) &&
             rr_machine_usable(c, m, now)) {
             add_machine(c, j, m, wanted, &rooms[m->zone]);
         }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -161,7 +161,7 @@
     enum rr_step_kind kind;
     rr_txn txn;                                    /* TXN */
     char hire[RR_ID], build[RR_ID], zone[RR_TEXT]; /* HIRE */
-    bool loaners;
+    bool spot;
     int how_many;
     GPtrArray *stones; /* RELEASE: char* */
 } rr_step;
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -51,12 +51,12 @@
     if (m->own || !b) {
         return 0;
     }
-    return m->loaners ? b->spot_price : b->price;
+    return m->spot ? b->spot_price : b->price;
 }
 
 /* ---- the fleet ---- */
 
-#define FLAG_LOANERS 1
+#define FLAG_SPOT 1
 #define FLAG_OWN 2
 #define FLAG_RET 4
 
@@ -76,7 +76,7 @@
         rr_put_text(o, m->addr);
         rr_put_text(o, rr_names_at(&c->builds, m->build));
         rr_put_text(o, rr_names_at(&c->zones, m->zone));
-        rr_put_u64(o, (uint64_t)((m->loaners ? FLAG_LOANERS : 0) | (m->own ? FLAG_OWN : 0) |
+        rr_put_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->own ? FLAG_OWN : 0) |
                                  (m->give_up ? FLAG_RET : 0)));
         rr_put_u64(o, m->born > 0 ? (uint64_t)m->born : 0);
     }
@@ -120,7 +120,7 @@
     m->page = page;
     m->build = build_index(c, build);
     m->zone = rr_names_add(&c->zones, zone);
-    m->loaners = flags & FLAG_LOANERS;
+    m->spot = flags & FLAG_SPOT;
     m->own = flags & FLAG_OWN;
     c->ever_hired = c->ever_hired || !m->own;
     rr_as_num(&f[5], &m->born);
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -926,7 +926,7 @@
     h->keep = true;
     rr_get_text(v, "build", h->build, sizeof h->build);
     rr_get_text(v, "ward", h->zone, sizeof h->zone);
-    rr_get_bool(v, "loaners", &h->loaners);
+    rr_get_bool(v, "loaners", &h->spot);
     rr_get_u64(v, "n", &n);
     h->how_many = (int)n;
 }
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -105,7 +105,7 @@
     int id; /* dense, never reused */
     char name[RR_ID], addr[RR_ID];
     int build, zone;
-    bool loaners;
+    bool spot;
     /* ledger */
     bool recorded, own, ret;
     bool gone; /* was recorded: proven gone, with all that was on it */
@@ -168,7 +168,7 @@
 
 typedef struct {
     char name[RR_ID], build[RR_ID], zone[RR_TEXT];
-    bool loaners;
+    bool spot;
     int how_many;
     uint64_t mark;
     bool keep;
@@ -380,7 +380,7 @@
 uint32_t rr_gang_most(const rr_core *c); /* tasks of one gang at most */
 
 /* allocation.c */
-bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool loaners);
+bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool spot);
 /* The zones in which one more task of the job may start, given its placements (and, while moving,
  * not counting `except`): fills allowed[zone]. */
 void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_place *except);
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -66,7 +66,7 @@
     if (m->build < 0) {
         m->build = rr_names_add(&c->builds, s->build);
         m->zone = rr_names_add(&c->zones, s->zone);
-        m->loaners = s->loaners;
+        m->spot = s->spot;
     }
     if (!m->addr[0]) {
         g_strlcpy(m->addr, s->addr, sizeof m->addr);
@@ -109,15 +109,15 @@
     g_hash_table_destroy(seen);
 }
 
-char *rr_refusal_key(const char *build, const char *zone, bool loaners) {
-    return g_strdup_printf("%s|%s|%d", build, zone, loaners);
+char *rr_refusal_key(const char *build, const char *zone, bool spot) {
+    return g_strdup_printf("%s|%s|%d", build, zone, spot);
 }
 
 /* The cloud has no more of this type, zone and kind for a while. */
 static void note_refusal(rr_core *c, double now, const rr_step *s) {
     double *until = g_new(double, 1);
     *until = now + REFUSED_S;
-    g_hash_table_replace(c->refused, rr_refusal_key(s->build, s->zone, s->loaners), until);
+    g_hash_table_replace(c->refused, rr_refusal_key(s->build, s->zone, s->spot), until);
 }
 
 static void note_rented(rr_core *c, double now, const rr_step *s, const char *id) {
@@ -132,13 +132,13 @@
         m->born = m->born > 0 ? m->born : c->hired_at;
         m->build = rr_names_add(&c->builds, s->build);
         m->zone = rr_names_add(&c->zones, s->zone);
-        m->loaners = s->loaners;
+        m->spot = s->spot;
     }
 }
 
 void rr_core_hired(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids) {
     rr_hire *h = g_hash_table_lookup(c->hires, s->hire);
-    const char *kind = s->loaners ? "spot" : "ordinary";
+    const char *kind = s->spot ? "spot" : "ordinary";
     if (h && status == 503) {
         h->refused = true;
         note_refusal(c, now, s);
@@ -281,7 +281,7 @@
         g_strlcpy(out->hire, h->name, sizeof out->hire);
         g_strlcpy(out->build, h->build, sizeof out->build);
         g_strlcpy(out->zone, h->zone, sizeof out->zone);
-        out->loaners = h->loaners;
+        out->spot = h->spot;
         out->how_many = h->how_many;
         return true;
     }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -12,13 +12,13 @@
 
 struct rent {
     int build, zone;
-    bool loaners;
+    bool spot;
     int count;
     rr_res room; /* of the newest */
 };
 
-static bool is_refused(rr_core *c, const char *build, const char *zone, bool loaners, double now) {
-    char *key = rr_refusal_key(build, zone, loaners);
+static bool is_refused(rr_core *c, const char *build, const char *zone, bool spot, double now) {
+    char *key = rr_refusal_key(build, zone, spot);
     const double *until = g_hash_table_lookup(c->refused, key);
     g_free(key);
     return until && now < *until;
@@ -89,7 +89,7 @@
     for (; i < s->roomy->len && n > 0; i++) {
         rr_machine *m = g_ptr_array_index(s->roomy, i);
         c->visits++;
-        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->loaners)) {
+        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->spot)) {
             uint32_t k = rr_tasks_in(j->need, m->sim, MIN(n, each));
             m->sim = rr_res_add(m->sim, j->need, -(double)k);
             m->surplus = m->surplus && k == 0;
@@ -149,7 +149,7 @@
 static struct rent *add_rent(struct sim *s, const struct rent *rent) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
-        if (r->build == rent->build && r->zone == rent->zone && r->loaners == rent->loaners) {
+        if (r->build == rent->build && r->zone == rent->zone && r->spot == rent->spot) {
             r->count++;
             r->room = rent->room;
             return r;
@@ -178,7 +178,7 @@
 static bool into_rents(struct sim *s, const rr_job *j, const bool *zones) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
-        if (zones[r->zone] && rr_job_allows(s->c, j, r->build, r->zone, r->loaners) &&
+        if (zones[r->zone] && rr_job_allows(s->c, j, r->build, r->zone, r->spot) &&
             rr_res_fits(j->need, r->room)) {
             r->room = rr_res_add(r->room, j->need, -1);
             return true;
@@ -294,7 +294,7 @@
             const rr_submission *v = &p->job->s;
             if (v->shape == RR_BATCH && v->rank < j->s.rank && j->s.rank > RR_STANDARD &&
                 v->cairn_s > 0 && v->stash_s + 1 <= within_s &&
-                rr_job_allows(c, j, m->build, m->zone, m->loaners)) {
+                rr_job_allows(c, j, m->build, m->zone, m->spot)) {
                 m->sim = rr_res_add(m->sim, p->job->need, 1);
             }
         }
@@ -362,7 +362,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const rr_hire *h = v;
         if (strcmp(h->build, rr_names_at(&c->builds, r->build)) == 0 &&
-            strcmp(h->zone, rr_names_at(&c->zones, r->zone)) == 0 && h->loaners == r->loaners) {
+            strcmp(h->zone, rr_names_at(&c->zones, r->zone)) == 0 && h->spot == r->spot) {
             n += h->how_many;
         }
     }
@@ -380,7 +380,7 @@
     rr_put_map(&o, 4);
     rr_put_key_text(&o, "build", rr_names_at(&c->builds, r->build));
     rr_put_key_text(&o, "ward", rr_names_at(&c->zones, r->zone));
-    rr_put_key_bool(&o, "loaners", r->loaners);
+    rr_put_key_bool(&o, "loaners", r->spot);
     rr_put_key_u64(&o, "n", (uint64_t)n);
     rr_txn_guard(&out->txn, key, 0);
     rr_txn_put(&out->txn, key, &o, 0);
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -139,7 +139,7 @@
     if (m->build < 0) {
         m->build = rr_names_add(&c->builds, r->build);
         m->zone = rr_names_add(&c->zones, r->zone);
-        m->loaners = r->loaners;
+        m->spot = r->spot;
     }
     vouch(c, m, r, now);
     if (rr_machine_quiet(c, m, now)) {
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -131,7 +131,7 @@
     NEED(!rr_get(o, "ward") || get_name(o, "ward", s->zone, sizeof s->zone), "ward");
     NEED(rr_get_bool(o, "one_zone", &s->one_zone), "one_zone");
     NEED(rr_get_bool(o, "apart", &s->apart), "apart");
-    NEED(rr_get_bool(o, "loaners", &s->loaners), "loaners");
+    NEED(rr_get_bool(o, "loaners", &s->spot), "loaners");
     NEED(get_builds(o, s), "builds"); /* last: it allocates */
     return 0;
 }
@@ -180,7 +180,7 @@
     }
     rr_put_key_bool(o, "one_zone", s->one_zone);
     rr_put_key_bool(o, "apart", s->apart);
-    rr_put_key_bool(o, "loaners", s->loaners);
+    rr_put_key_bool(o, "loaners", s->spot);
 }
 
 bool rr_piece_parse(const char *text, char *ref, size_t size, uint32_t *task) {
@@ -229,10 +229,9 @@
     if (!rr_get_text(o, "stone", r->stone, sizeof r->stone) || !r->stone[0] ||
         !rr_get_text(o, "addr", r->addr, sizeof r->addr) ||
         !rr_get_text(o, "build", r->build, sizeof r->build) ||
-        !rr_get_text(o, "ward", r->zone, sizeof r->zone) ||
-        !rr_get_bool(o, "loaners", &r->loaners) || !rr_get_u64(o, "tenure", &r->tenure) ||
-        !rr_get_u64(o, "tally", &r->tally) || !rr_get_u64(o, "warrant", &r->warrant) ||
-        (list && list->type != MSGPACK_OBJECT_ARRAY) ||
+        !rr_get_text(o, "ward", r->zone, sizeof r->zone) || !rr_get_bool(o, "loaners", &r->spot) ||
+        !rr_get_u64(o, "tenure", &r->tenure) || !rr_get_u64(o, "tally", &r->tally) ||
+        !rr_get_u64(o, "warrant", &r->warrant) || (list && list->type != MSGPACK_OBJECT_ARRAY) ||
         (rr_get(o, "recall_s") && !rr_get_num(o, "recall_s", &r->recall_s))) {
         return -EBADMSG;
     }
@@ -331,8 +330,7 @@
     rr_get_text(o, "addr", s->addr, sizeof s->addr);
     if (!rr_get_text(o, "ref", s->id, sizeof s->id) ||
         !rr_get_text(o, "build", s->build, sizeof s->build) ||
-        !rr_get_text(o, "ward", s->zone, sizeof s->zone) ||
-        !rr_get_bool(o, "loaners", &s->loaners)) {
+        !rr_get_text(o, "ward", s->zone, sizeof s->zone) || !rr_get_bool(o, "loaners", &s->spot)) {
         return -EBADMSG;
     }
     rr_get_num(o, "age_s", &s->age_s);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -71,7 +71,7 @@
     uint32_t pieces;
     double vcpus, cards, mem_gb, pull_gb, guess_s, cairn_s, stash_s;
     double due_s; /* <0: none */
-    bool one_zone, apart, loaners;
+    bool one_zone, apart, spot;
 } rr_submission;
 
 /* 0, or -EINVAL with the field at fault in *field. rr_submission_clear() after success. */
@@ -107,7 +107,7 @@
 
 typedef struct {
     char stone[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
-    bool loaners;
+    bool spot;
     uint64_t tenure, tally, warrant;
     double recall_s; /* <0: no notice */
     GArray *pieces;  /* rr_piece */
@@ -152,7 +152,7 @@
 enum rr_stone_state { RR_STONE_STARTING, RR_STONE_RUNNING, RR_STONE_FAILED };
 typedef struct {
     char id[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
-    bool loaners;
+    bool spot;
     enum rr_stone_state state;
     double age_s;
 } rr_stone;
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -324,7 +324,7 @@
     out->mem_gb = j->mem ? j->mem : 8;
     out->one_zone = j->one_zone;
     out->apart = j->apart;
-    out->loaners = j->loaners;
+    out->spot = j->spot;
     out->cairn_s = j->cairn_s;
     out->stash_s = j->stash_s;
     out->due_s = j->due_s > 0 ? j->due_s : -1;
@@ -357,7 +357,7 @@
     fx_sync(n->store, n->core, n->now);
 }
 
-void fx_machine(fx_store *s, const char *id, const char *zone, bool loaners, bool own) {
+void fx_machine(fx_store *s, const char *id, const char *zone, bool spot, bool own) {
     char key[128], addr[64];
     rr_out o;
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
@@ -370,7 +370,7 @@
     rr_put_text(&o, addr);
     rr_put_text(&o, "m1");
     rr_put_text(&o, zone);
-    rr_put_u64(&o, (loaners ? 1 : 0) | (own ? 2 : 0));
+    rr_put_u64(&o, (spot ? 1 : 0) | (own ? 2 : 0));
     rr_put_num(&o, 0);
     g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", atoi(id + 3) + 100000);
     fx_put(s, key, &o);
@@ -430,9 +430,9 @@
     g_strfreev(f);
 }
 
-void fx_report(fx_node *n, const char *id, const char *zone, bool loaners, uint64_t tenure,
+void fx_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t tenure,
                uint64_t tally, uint64_t warrant, ...) {
-    rr_report r = {.loaners = loaners,
+    rr_report r = {.spot = spot,
                    .tenure = tenure,
                    .tally = tally,
                    .warrant = warrant,
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -65,19 +65,19 @@
               double spot);
 struct fx_job {
     const char *ref, *crew, *lane, *cast, *zone, *rank;
-    bool service, gang, one_zone, apart, loaners;
+    bool service, gang, one_zone, apart, spot;
     uint32_t pieces;
     double cpu, gpu, mem, cairn_s, stash_s, due_s;
 };
 void fx_submission(rr_submission *out, const struct fx_job *j);
 void fx_submit(fx_store *s, const struct fx_job *j, double at);
 void fx_cancel(fx_node *n, const char *ref);
-void fx_machine(fx_store *s, const char *id, const char *zone, bool loaners, bool own);
+void fx_machine(fx_store *s, const char *id, const char *zone, bool spot, bool own);
 void fx_machine_gone(fx_store *s, const char *id);
 bool fx_recorded(const fx_store *s, const char *id);
 
 /* Report builder: tasks as "ref task attempt standing[:cause]", NULL-ended. */
-void fx_report(fx_node *n, const char *id, const char *zone, bool loaners, uint64_t tenure,
+void fx_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t tenure,
                uint64_t tally, uint64_t warrant, ...);
 /* The state in which a machine shows a task, the `shown`-th of its report. */
 typedef const char *(*fx_task_state)(int machine, const char *ref, uint32_t task, int shown,
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -44,7 +44,7 @@
     fx_machine(w->store, "vm-2", "a", true, false);
     empty_report(&w->n, "vm-1", "a", false, 1);
     empty_report(&w->n, "vm-2", "a", true, 1);
-    submit(w, &(struct fx_job){.ref = "req-1", .loaners = true});
+    submit(w, &(struct fx_job){.ref = "req-1", .spot = true});
     submit(w, &(struct fx_job){.ref = "req-2"});
     plan_once(&w->n);
     assert_true(fx_booked(w->store, "vm-2", "req-1", 0) != 0);
