--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -131,7 +131,7 @@
     if (rr_machine_has_cast(m, j->cast)) {
         return 0;
     }
-    return b && b->pull_rate > 0 ? j->s.pull_gb / b->pull_rate : 5;
+    return b && b->pull_rate > 0 ? j->s.image_size_gb / b->pull_rate : 5;
 }
 
 /* Sort key, least first. An image that is already there comes before price where the class has an
@@ -182,8 +182,8 @@
         k.trouble = failed_here(m, j) ? 2 : rr_machine_doubtful(m, now) ? 1 : 0;
         k.image = urgent && fetch > 0;
         k.price = rr_zone_bound(j) ? 1 : rr_machine_price(c, m);
-        if (!urgent && j->s.guess_s > 0 && !rr_zone_bound(j)) {
-            k.price *= 1 + fetch / j->s.guess_s;
+        if (!urgent && j->s.runtime_estimate_s > 0 && !rr_zone_bound(j)) {
+            k.price *= 1 + fetch / j->s.runtime_estimate_s;
         }
         /* A replica that is planned anew settles where it is, if it can. */
         k.foreign = !how->home && c->parts > 1 && part_of(m) % c->parts != c->part;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -34,7 +34,7 @@
     if (!r) {
         return now - pl->seen_at > SHOWN_SHARE * c->cfg->gang_wait_s ? LOST : ABSENT;
     }
-    if (m->rep.recall_s >= 0 || pl->evict || r->standing == RR_FLUSHING) {
+    if (m->rep.spot_notice_s >= 0 || pl->evict || r->standing == RR_FLUSHING) {
         return LEAVES;
     }
     return r->standing == RR_RUNNING ? RUNS : SHOWN;
@@ -97,6 +97,6 @@
     /* Only a gang that has lost nothing can save, and only if all are told in time. Where the work
      * that takes its room can't wait for that, it does not. */
     *saving = phase == RR_GANG_STOPPING && n.by[LOST] == 0 && n.by[ABSENT] == 0 &&
-              n.all == j->s.pieces && n.told && !n.at_once && j->s.cairn_s > 0;
+              n.all == j->s.pieces && n.told && !n.at_once && j->s.checkpoint_interval_s > 0;
     return phase == RR_GANG_STOPPING || phase == RR_GANG_ENDING;
 }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -119,7 +119,7 @@
 /* When a task must start to be in time. By deadline alone a task of a long job that lost its place
  * came last, and with it the whole job. */
 static double latest_start(const rr_job *j) {
-    return j->s.due_s >= 0 ? j->at + j->s.due_s - j->s.guess_s : 1e18;
+    return j->s.deadline_s >= 0 ? j->at + j->s.deadline_s - j->s.runtime_estimate_s : 1e18;
 }
 
 static gint by_turn(gconstpointer a, gconstpointer b) {
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -337,7 +337,7 @@
     rr_txn_put(&p->out->txn, key, &o, 0);
     rr_log_at(p->c, RR_LOG_DEBUG,
               "job %s is done, %u tasks, %.0f s after it came, due after %.0f, guess %.0f",
-              j->s.ref, j->s.pieces, p->wall - j->at, j->s.due_s, j->s.guess_s);
+              j->s.ref, j->s.pieces, p->wall - j->at, j->s.deadline_s, j->s.runtime_estimate_s);
 }
 
 static void put_edit(struct rr_planner *p, const struct rr_plan_edit *e) {
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -24,7 +24,7 @@
 /* Work that stopping this placement at once would lose: its run time since its last checkpoint. */
 static double unsaved_work(const rr_place *place, double now) {
     double ran = now - place->seen_at;
-    double interval = place->job->s.cairn_s;
+    double interval = place->job->s.checkpoint_interval_s;
     return interval > 0 ? fmod(ran, interval) : ran;
 }
 
@@ -32,11 +32,11 @@
  * nothing left to lose. */
 static double slack_of(const rr_place *place, double now, double wall) {
     const rr_job *job = place->job;
-    if (job->s.due_s < 0) {
+    if (job->s.deadline_s < 0) {
         return NO_DEADLINE_SLACK_S;
     }
-    double left = fmax(0, job->s.guess_s - (now - place->seen_at));
-    double slack = job->at + job->s.due_s - wall - left;
+    double left = fmax(0, job->s.runtime_estimate_s - (now - place->seen_at));
+    double slack = job->at + job->s.deadline_s - wall - left;
     return slack < 0 ? NO_DEADLINE_SLACK_S : slack;
 }
 
@@ -94,9 +94,9 @@
 
 static double loss_of(const struct rr_planner *planner, const struct victim *victim, bool at_once) {
     const rr_job *job = victim->place->job;
-    bool saves = job->s.cairn_s > 0 && !at_once;
+    bool saves = job->s.checkpoint_interval_s > 0 && !at_once;
     double loss = VICTIM_LOSS_S;
-    loss += saves ? job->s.stash_s : unsaved_work(victim->place, planner->now);
+    loss += saves ? job->s.save_s : unsaved_work(victim->place, planner->now);
     loss += victim->slack < TIGHT_S ? TIGHT_S - victim->slack : 0;
     loss += job->ndone + job->nplaced < job->s.pieces ? 0 : INTACT_JOB_S;
     loss += rr_owns_team(planner->c, job->team) ? 0 : FOREIGN_OWNER_S;
@@ -142,7 +142,7 @@
     double left = aim->within_s - (planner->wall - job->at);
     for (guint i = 0; i < machine->places->len; i++) {
         const rr_job *other = g_array_index(machine->places, rr_place, i).job;
-        if (other->s.rank < job->s.rank && other->s.stash_s + STOP_ROUND_TRIP_S > left) {
+        if (other->s.rank < job->s.rank && other->s.save_s + STOP_ROUND_TRIP_S > left) {
             return true;
         }
     }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -34,7 +34,7 @@
         return now - m->known_at < c->cfg->tune.boot_patience * b->startup_s + 5;
     }
     return rr_machine_usable(c, m, now) ||
-           (rr_machine_fresh(c, m, now) && m->rep.recall_s < 0 && !rr_machine_sick(m, now) &&
+           (rr_machine_fresh(c, m, now) && m->rep.spot_notice_s < 0 && !rr_machine_sick(m, now) &&
             !rr_machine_mute(c, m, now));
 }
 
@@ -206,7 +206,7 @@
 
 /* Deadline work waits for room to come free while it can still make it on a new machine. */
 static bool must_rent(const rr_core *c, const rr_job *j, double wall) {
-    if (j->s.due_s < 0) {
+    if (j->s.deadline_s < 0) {
         return true;
     }
     double boot = 0, pull = 0;
@@ -214,10 +214,11 @@
         const rr_build *b = rr_build_at(c, (int)i);
         if (b) {
             boot = fmax(boot, b->startup_s);
-            pull = fmax(pull, b->pull_rate > 0 ? j->s.pull_gb / b->pull_rate : 0);
+            pull = fmax(pull, b->pull_rate > 0 ? j->s.image_size_gb / b->pull_rate : 0);
         }
     }
-    double slack = j->at + j->s.due_s - wall - 1.3 * j->s.guess_s - 1.3 * boot - pull;
+    double slack =
+        j->at + j->s.deadline_s - wall - 1.3 * j->s.runtime_estimate_s - 1.3 * boot - pull;
     return slack < 40;
 }
 
@@ -293,7 +294,7 @@
             const rr_place *p = &g_array_index(m->places, rr_place, k);
             const rr_submission *v = &p->job->s;
             if (v->shape == RR_BATCH && v->rank < j->s.rank && j->s.rank > RR_STANDARD &&
-                v->cairn_s > 0 && v->stash_s + 1 <= within_s &&
+                v->checkpoint_interval_s > 0 && v->save_s + 1 <= within_s &&
                 rr_job_allows(c, j, m->build, m->zone, m->spot)) {
                 m->sim = rr_res_add(m->sim, p->job->need, 1);
             }
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -29,8 +29,8 @@
 }
 
 static void order(struct rr_planner *p, rr_machine *m, enum rr_verb verb, const char *ref,
-                  uint32_t task, uint64_t attempt, double leave_s) {
-    rr_order o = {.verb = verb, .task = task, .attempt = attempt, .leave_s = leave_s};
+                  uint32_t task, uint64_t attempt, double grace_s) {
+    rr_order o = {.verb = verb, .task = task, .attempt = attempt, .grace_s = grace_s};
     g_strlcpy(o.ref, ref, sizeof o.ref);
     g_array_append_val(rr_do_for(p, m)->orders, o);
 }
@@ -84,26 +84,26 @@
         return true;
     }
     return pl->job->cancelled || rr_job_task_done(pl->job, pl->task) || pl->evict ||
-           m->rep.recall_s >= 0;
+           m->rep.spot_notice_s >= 0;
 }
 
 /* Time to save: what the aim of the work that waits, or the notice, leaves. */
 static double leave_for(const struct rr_planner *p, const rr_machine *m, const rr_place *pl) {
     bool saving = true;
-    if (pl->job->cancelled || pl->job->done || pl->job->s.cairn_s <= 0) {
+    if (pl->job->cancelled || pl->job->done || pl->job->s.checkpoint_interval_s <= 0) {
         return 0;
     }
     /* A gang saves whole: who has saved waits for those that were told last. */
     if (pl->job->s.shape == RR_GANG) {
         rr_gang_stops(p->c, pl->job, p->now, &saving);
-        return saving ? pl->job->s.stash_s + p->c->cfg->gang_peer_s : 0;
+        return saving ? pl->job->s.save_s + p->c->cfg->gang_peer_s : 0;
     }
     if (pl->evict == RR_EVICT_AT_ONCE) {
         return 0;
     }
-    double leave = pl->job->s.stash_s + 2;
-    if (m->rep.recall_s >= 0 && m->rep.recall_s < leave) {
-        leave = fmax(m->rep.recall_s, 0);
+    double leave = pl->job->s.save_s + 2;
+    if (m->rep.spot_notice_s >= 0 && m->rep.spot_notice_s < leave) {
+        leave = fmax(m->rep.spot_notice_s, 0);
     }
     return leave;
 }
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -117,8 +117,8 @@
                   r->tenure);
         c->leases_lost++;
     }
-    if (r->recall_s >= 0 && (!m->heard || m->rep.recall_s < 0)) {
-        rr_log_at(c, RR_LOG_DEBUG, "machine %s goes in %.0f s (notice)", m->name, r->recall_s);
+    if (r->spot_notice_s >= 0 && (!m->heard || m->rep.spot_notice_s < 0)) {
+        rr_log_at(c, RR_LOG_DEBUG, "machine %s goes in %.0f s (notice)", m->name, r->spot_notice_s);
         c->notices++;
     }
 }
@@ -296,7 +296,7 @@
         const rr_job *j = g_hash_table_lookup(c->jobs, p->ref);
         bool unwanted = (j && j->cancelled && !j->done) || rr_job_final(c, p->ref, NULL, NULL);
         if (p->standing != RR_ENDED && unwanted) {
-            rr_order o = {.verb = RR_STOP, .task = p->task, .attempt = p->attempt, .leave_s = 0};
+            rr_order o = {.verb = RR_STOP, .task = p->task, .attempt = p->attempt, .grace_s = 0};
             g_strlcpy(o.ref, p->ref, sizeof o.ref);
             g_array_append_val(out->orders, o);
         }
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -36,7 +36,7 @@
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         if (m->recorded && m->heard) {
             up++;
-            bad += !rr_machine_fresh(c, m, now) || m->rep.recall_s >= 0;
+            bad += !rr_machine_fresh(c, m, now) || m->rep.spot_notice_s >= 0;
         }
     }
     bool quiet = bad * 50 <= up && !rr_core_late(c, now, RR_LATE_S);
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -115,14 +115,18 @@
     const struct {
         const char *name;
         double *amount;
-    } amounts[] = {{"vcpus", &s->vcpus},     {"cards", &s->cards},     {"mem_gb", &s->mem_gb},
-                   {"pull_gb", &s->pull_gb}, {"guess_s", &s->guess_s}, {"cairn_s", &s->cairn_s},
-                   {"stash_s", &s->stash_s}};
+    } amounts[] = {{"vcpus", &s->vcpus},
+                   {"cards", &s->cards},
+                   {"mem_gb", &s->mem_gb},
+                   {"pull_gb", &s->image_size_gb},
+                   {"guess_s", &s->runtime_estimate_s},
+                   {"cairn_s", &s->checkpoint_interval_s},
+                   {"stash_s", &s->save_s}};
     for (size_t i = 0; i < G_N_ELEMENTS(amounts); i++) {
         NEED(get_amount(o, amounts[i].name, 0, amounts[i].amount), amounts[i].name);
     }
-    s->due_s = -1;
-    NEED(!rr_get(o, "due_s") || get_amount(o, "due_s", 0, &s->due_s), "due_s");
+    s->deadline_s = -1;
+    NEED(!rr_get(o, "due_s") || get_amount(o, "due_s", 0, &s->deadline_s), "due_s");
     return 0;
 }
 
@@ -147,7 +151,7 @@
 }
 
 size_t rr_submission_field_count(const rr_submission *s) {
-    return 17 + (s->due_s >= 0) + (s->zone[0] != 0) + (s->nbuilds > 0);
+    return 17 + (s->deadline_s >= 0) + (s->zone[0] != 0) + (s->nbuilds > 0);
 }
 
 void rr_submission_encode_fields(rr_out *o, const rr_submission *s) {
@@ -161,12 +165,12 @@
     rr_put_key_num(o, "vcpus", s->vcpus);
     rr_put_key_num(o, "cards", s->cards);
     rr_put_key_num(o, "mem_gb", s->mem_gb);
-    rr_put_key_num(o, "pull_gb", s->pull_gb);
-    rr_put_key_num(o, "guess_s", s->guess_s);
-    rr_put_key_num(o, "cairn_s", s->cairn_s);
-    rr_put_key_num(o, "stash_s", s->stash_s);
-    if (s->due_s >= 0) {
-        rr_put_key_num(o, "due_s", s->due_s);
+    rr_put_key_num(o, "pull_gb", s->image_size_gb);
+    rr_put_key_num(o, "guess_s", s->runtime_estimate_s);
+    rr_put_key_num(o, "cairn_s", s->checkpoint_interval_s);
+    rr_put_key_num(o, "stash_s", s->save_s);
+    if (s->deadline_s >= 0) {
+        rr_put_key_num(o, "due_s", s->deadline_s);
     }
     if (s->zone[0]) {
         rr_put_key_text(o, "ward", s->zone);
@@ -224,7 +228,7 @@
 int rr_report_decode(const msgpack_object *o, rr_report *r) {
     memset(r, 0, sizeof *r);
     r->pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
-    r->recall_s = -1;
+    r->spot_notice_s = -1;
     const msgpack_object *list = rr_get(o, "pieces");
     if (!rr_get_text(o, "stone", r->stone, sizeof r->stone) || !r->stone[0] ||
         !rr_get_text(o, "addr", r->addr, sizeof r->addr) ||
@@ -232,7 +236,7 @@
         !rr_get_text(o, "ward", r->zone, sizeof r->zone) || !rr_get_bool(o, "loaners", &r->spot) ||
         !rr_get_u64(o, "tenure", &r->tenure) || !rr_get_u64(o, "tally", &r->tally) ||
         !rr_get_u64(o, "warrant", &r->warrant) || (list && list->type != MSGPACK_OBJECT_ARRAY) ||
-        (rr_get(o, "recall_s") && !rr_get_num(o, "recall_s", &r->recall_s))) {
+        (rr_get(o, "recall_s") && !rr_get_num(o, "recall_s", &r->spot_notice_s))) {
         return -EBADMSG;
     }
     for (uint32_t i = 0; list && i < list->via.array.size; i++) {
@@ -270,7 +274,7 @@
         rr_put_key_text(o, "piece", piece);
         rr_put_key_u64(o, "try", c->attempt);
         if (c->verb == RR_STOP) {
-            rr_put_key_num(o, "leave_s", c->leave_s);
+            rr_put_key_num(o, "leave_s", c->grace_s);
         }
     }
 }
@@ -355,7 +359,7 @@
 
 uint64_t rr_report_hash(const rr_report *r) {
     uint64_t h = mix(1469598103934665603ULL, &r->warrant, sizeof r->warrant);
-    uint8_t notice = r->recall_s >= 0;
+    uint8_t notice = r->spot_notice_s >= 0;
     h = mix(h, &notice, 1);
     for (guint i = 0; r->pieces && i < r->pieces->len; i++) {
         const rr_piece *p = &g_array_index(r->pieces, rr_piece, i);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -69,8 +69,8 @@
     enum rr_shape shape;
     enum rr_rank rank;
     uint32_t pieces;
-    double vcpus, cards, mem_gb, pull_gb, guess_s, cairn_s, stash_s;
-    double due_s; /* <0: none */
+    double vcpus, cards, mem_gb, image_size_gb, runtime_estimate_s, checkpoint_interval_s, save_s;
+    double deadline_s; /* <0: none */
     bool one_zone, apart, spot;
 } rr_submission;
 
@@ -109,8 +109,8 @@
     char stone[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool spot;
     uint64_t tenure, tally, warrant;
-    double recall_s; /* <0: no notice */
-    GArray *pieces;  /* rr_piece */
+    double spot_notice_s; /* <0: no notice */
+    GArray *pieces;       /* rr_piece */
 } rr_report;
 
 int rr_report_decode(const msgpack_object *o, rr_report *out);
@@ -132,7 +132,7 @@
     char ref[RR_ID];
     uint32_t task;
     uint64_t attempt;
-    double leave_s;
+    double grace_s;
 } rr_order;
 
 /* Body of /do (tenure > 0) or of an answer to /hello (tenure 0). */
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -238,7 +238,7 @@
     n->store = s;
     n->core = rr_core_create(&n->cfg);
     n->now = 1000;
-    n->recall_s = -1;
+    n->spot_notice_s = -1;
 }
 
 void fx_node_clear(fx_node *n) {
@@ -325,9 +325,9 @@
     out->one_zone = j->one_zone;
     out->apart = j->apart;
     out->spot = j->spot;
-    out->cairn_s = j->cairn_s;
-    out->stash_s = j->stash_s;
-    out->due_s = j->due_s > 0 ? j->due_s : -1;
+    out->checkpoint_interval_s = j->checkpoint_interval_s;
+    out->save_s = j->save_s;
+    out->deadline_s = j->deadline_s > 0 ? j->deadline_s : -1;
 }
 
 void fx_submit(fx_store *s, const struct fx_job *j, double at) {
@@ -436,7 +436,7 @@
                    .tenure = tenure,
                    .tally = tally,
                    .warrant = warrant,
-                   .recall_s = n->recall_s};
+                   .spot_notice_s = n->spot_notice_s};
     va_list ap;
     const char *text;
     g_strlcpy(r.stone, id, sizeof r.stone);
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -42,7 +42,7 @@
     fx_store *store;
     rr_core *core;
     double now;
-    double recall_s; /* the notice that the next reports show, <0: none */
+    double spot_notice_s; /* the notice that the next reports show, <0: none */
 } fx_node;
 
 /* Settings with the given teams' gpus_max (0: none), zones a and b. */
@@ -67,7 +67,7 @@
     const char *ref, *crew, *lane, *cast, *zone, *rank;
     bool service, gang, one_zone, apart, spot;
     uint32_t pieces;
-    double cpu, gpu, mem, cairn_s, stash_s, due_s;
+    double cpu, gpu, mem, checkpoint_interval_s, save_s, deadline_s;
 };
 void fx_submission(rr_submission *out, const struct fx_job *j);
 void fx_submit(fx_store *s, const struct fx_job *j, double at);
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -209,7 +209,8 @@
     fx_machine(w->store, "vm-1", "a", false, false);
     empty_report(n, "vm-1", "a", false, 1);
     submit(w,
-           &(struct fx_job){.ref = "req-1", .rank = "low", .cpu = 16, .cairn_s = 30, .stash_s = 2});
+           &(struct fx_job){
+               .ref = "req-1", .rank = "low", .cpu = 16, .checkpoint_interval_s = 30, .save_s = 2});
     plan_once(n);
     uint64_t low = fx_booked(w->store, "vm-1", "req-1", 0);
     char *r1 = running("req-1", low);
@@ -225,7 +226,7 @@
     fx_plan(n, &p);
     const rr_order *stop = fx_order(&p, "vm-1", RR_STOP, "req-1", 0);
     assert_non_null(stop);
-    assert_true(stop->leave_s >= 2);
+    assert_true(stop->grace_s >= 2);
     assert_null(fx_order(&p, "vm-1", RR_START, "req-3", 0));
     rr_plan_clear(&p);
     g_free(r1);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -24,8 +24,8 @@
                                    .one_zone = true,
                                    .pieces = 3,
                                    .cpu = 10,
-                                   .cairn_s = 20,
-                                   .stash_s = 3,
+                                   .checkpoint_interval_s = 20,
+                                   .save_s = 3,
                                    .rank = "high"};
 
 static uint64_t last_tally = 1; /* of all reports */
@@ -42,10 +42,10 @@
             text[k++] = g_strdup_printf("%s %u %" G_GUINT64_FORMAT " %s", ref, t, at, standing);
         }
     }
-    n->recall_s = recall;
+    n->spot_notice_s = recall;
     fx_report(n, id, m <= 3 ? "a" : "b", false, tenure, ++last_tally, rr_core_token(n->core),
               text[0], text[1], text[2], text[3], NULL);
-    n->recall_s = -1;
+    n->spot_notice_s = -1;
     for (int i = 0; i < k; i++) {
         g_free(text[i]);
     }
@@ -69,7 +69,7 @@
             const rr_order *o = &g_array_index(d->orders, rr_order, k);
             if (o->verb == verb && strcmp(o->ref, ref) == 0) {
                 found++;
-                least = o->leave_s < least ? o->leave_s : least;
+                least = o->grace_s < least ? o->grace_s : least;
             }
         }
         rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
@@ -501,7 +501,8 @@
     show_all(n, "req-1", NULL);
     fx_submit(
         w->store,
-        &(struct fx_job){.ref = "req-5", .rank = "low", .cpu = 8, .pieces = 12, .cairn_s = 30},
+        &(struct fx_job){
+            .ref = "req-5", .rank = "low", .cpu = 8, .pieces = 12, .checkpoint_interval_s = 30},
         n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-5", NULL);
@@ -641,10 +642,10 @@
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
-        fx_submit(
-            w->store,
-            &(struct fx_job){.ref = small[i], .rank = "low", .cpu = 8, .pieces = 12, .due_s = 20},
-            n->now);
+        fx_submit(w->store,
+                  &(struct fx_job){
+                      .ref = small[i], .rank = "low", .cpu = 8, .pieces = 12, .deadline_s = 20},
+                  n->now);
     }
     fx_submit(w->store, &first, n->now);
     fx_submit(w->store, &second, n->now);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -345,12 +345,12 @@
     fx_node *n = &w->n;
     unsigned small = 0;
     fx_fleet(n, 1, 2, "a"); /* eight tasks at a time */
-    submit_many(n, 1, 1, &(struct fx_job){.pieces = 3000, .cpu = 4, .due_s = 5000});
+    submit_many(n, 1, 1, &(struct fx_job){.pieces = 3000, .cpu = 4, .deadline_s = 5000});
     int next = 2;
     for (uint64_t turn = 2; turn < 100; turn++) {
         rr_plan p;
         n->now += 1;
-        submit_many(n, next, 9, &(struct fx_job){.cpu = 4, .due_s = 60});
+        submit_many(n, next, 9, &(struct fx_job){.cpu = 4, .deadline_s = 60});
         next += 9;
         for (int i = 0; i < 3; i++) {
             n->now += 0.4;
@@ -385,7 +385,7 @@
     n->cfg.teams[0].cpus_max = 48;
     n->cfg.teams[1].cpus = 16;
     fx_fleet(n, 1, 4, "a");
-    submit_many(n, 1, 300, &(struct fx_job){.crew = "red", .cpu = 4, .due_s = 10});
+    submit_many(n, 1, 300, &(struct fx_job){.crew = "red", .cpu = 4, .deadline_s = 10});
     settle(n);
     submit_many(n, 500, 4, &(struct fx_job){.crew = "blue", .cpu = 4});
     n->now += 3;
@@ -423,7 +423,9 @@
     char ref[32];
     fx_fleet(n, 1, half, "a");
     fx_fleet(n, half + 1, half, "b");
-    submit_many(n, 1, 10, &(struct fx_job){.pieces = 10, .cpu = 1, .rank = "low", .cairn_s = 30});
+    submit_many(
+        n, 1, 10,
+        &(struct fx_job){.pieces = 10, .cpu = 1, .rank = "low", .checkpoint_interval_s = 30});
     submit_many(
         n, 101, services,
         &(struct fx_job){.pieces = 2, .cpu = 1, .service = true, .apart = true, .rank = "prod"});
@@ -524,7 +526,8 @@
     rr_core_stats st;
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.tasks_placed, 0);
-    rr_report r = {.tenure = 1, .tally = 900, .warrant = rr_core_token(n->core), .recall_s = -1};
+    rr_report r = {
+        .tenure = 1, .tally = 900, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
     rr_piece piece = {.ref = "req-000002", .attempt = 1, .standing = RR_RUNNING};
     struct rr_answer ans;
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -64,7 +64,7 @@
  * how many stops the answer carries. */
 static int answer_at(const fx_node *n, double at, const char *ref, uint64_t attempt,
                      unsigned *stops) {
-    rr_report r = {.tenure = 1, .tally = 3, .warrant = rr_core_token(n->core), .recall_s = -1};
+    rr_report r = {.tenure = 1, .tally = 3, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
     rr_piece p = {.attempt = attempt, .standing = RR_RUNNING};
     struct rr_answer ans;
     g_strlcpy(p.ref, ref, sizeof p.ref);
@@ -303,7 +303,7 @@
             rr_report r = {.tenure = 1,
                            .tally = ++tally,
                            .warrant = rr_core_token(n->core),
-                           .recall_s = -1,
+                           .spot_notice_s = -1,
                            .stone = "vm-1",
                            .addr = "127.0.0.1:1001",
                            .build = "m1",
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -299,7 +299,7 @@
     fx_plan(n, &q);
     const rr_order *stop = fx_order(&q, m, RR_STOP, j.ref, 0);
     assert_non_null(stop);
-    assert_true(stop->leave_s == 0);
+    assert_true(stop->grace_s == 0);
     rr_plan_clear(&p);
     rr_plan_clear(&q);
     g_free(running);
@@ -313,7 +313,7 @@
     uint64_t at;
     book_one(w, &j, &at);
     fx_cancel(n, j.ref);
-    rr_report r = {.tenure = 1, .tally = 3, .warrant = rr_core_token(n->core), .recall_s = -1};
+    rr_report r = {.tenure = 1, .tally = 3, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
     rr_piece piece = {.attempt = at, .standing = RR_RUNNING};
     struct rr_answer ans;
     g_strlcpy(piece.ref, j.ref, sizeof piece.ref);
@@ -332,7 +332,7 @@
 static void no_answer_that_would_be_dropped(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_report r = {.tenure = 1, .tally = 3, .recall_s = -1};
+    rr_report r = {.tenure = 1, .tally = 3, .spot_notice_s = -1};
     struct rr_answer ans;
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     r.warrant = rr_core_token(n->core) + 1;
@@ -562,7 +562,7 @@
     rr_core_job_view(n->core, j.ref, n->now, &v);
     assert_int_equal(v.nrunning, 0);
     /* Once forgotten, an old report is news again: it is taken as that of a machine never heard. */
-    rr_report r = {.tenure = 1, .tally = 1, .recall_s = -1};
+    rr_report r = {.tenure = 1, .tally = 1, .spot_notice_s = -1};
     g_strlcpy(r.stone, "vm-77", sizeof r.stone);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     assert_true(rr_core_report(n->core, n->now, &r, -1) != RR_NEWS_NONE);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -199,7 +199,7 @@
     hear(n, "vm-2", 5);
     fx_machine_gone(w->store, "vm-1");
     fx_sync(w->store, n->core, n->now);
-    rr_report r = {.tenure = 1, .tally = 6, .warrant = rr_core_token(n->core), .recall_s = -1};
+    rr_report r = {.tenure = 1, .tally = 6, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
     g_strlcpy(r.stone, "vm-1", sizeof r.stone);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     assert_int_equal(rr_core_report(n->core, n->now, &r, -1), RR_NEWS_NONE);
@@ -267,7 +267,8 @@
     hear(n, "vm-2", 1);
     /* Cut off from here on: no renewal, no change of the mirror. */
     rr_core_set_session(alone.core, 9, alone.now + 10);
-    rr_report r = {.tenure = 1, .tally = 2, .warrant = rr_core_token(alone.core), .recall_s = -1};
+    rr_report r = {
+        .tenure = 1, .tally = 2, .warrant = rr_core_token(alone.core), .spot_notice_s = -1};
     struct rr_answer ans;
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     double answers = rr_answer_s(&alone.cfg);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -365,7 +365,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     fx_fleet(n, 1, 20, "a");
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1, .due_s = 10},
+    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1, .deadline_s = 10},
               n->now);
     put_old_record(w, "req-1", 60);
     lower(w->store);
@@ -377,7 +377,7 @@
     for (int i = 0; i < 10; i++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-2%02d", i);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .cpu = 1, .due_s = 100}, n->now);
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .cpu = 1, .deadline_s = 100}, n->now);
         fx_sync(w->store, n->core, n->now);
         n->now += 2; /* what failed is tried again in the same plan */
         show_tasks(n, "req-1", 60, 0, 1, (uint64_t)i + 3);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -59,7 +59,7 @@
 
 static void encode_job(rr_out *o) {
     rr_submission s;
-    fx_submission(&s, &(struct fx_job){.ref = "req-000001", .due_s = 90, .zone = "a"});
+    fx_submission(&s, &(struct fx_job){.ref = "req-000001", .deadline_s = 90, .zone = "a"});
     rr_out_init(o);
     rr_put_map(o, rr_submission_field_count(&s));
     rr_submission_encode_fields(o, &s);
@@ -75,7 +75,7 @@
     assert_int_equal(rr_doc_parse(&d, o.buf.data, o.buf.size), 0);
     assert_int_equal(rr_submission_decode(d.root, &s, &field), 0);
     assert_string_equal(s.ref, "req-000001");
-    assert_true(s.due_s == 90);
+    assert_true(s.deadline_s == 90);
     assert_string_equal(s.zone, "a");
     rr_doc_clear(&d);
     rr_out_clear(&o);
