--- a/src/app/duties.c
+++ b/src/app/duties.c
@@ -762,7 +762,8 @@
     if (rr_doc_parse(&doc, body, len) == 0) {
         ok = rr_report_decode(doc.root, &r) == 0;
         if (ok) {
-            h = (rr_heard){.tenure = r.tenure, .tally = r.tally, .hash = rr_report_hash(&r)};
+            h = (rr_heard){
+                .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
             g_strlcpy(h.stone, r.stone, sizeof h.stone);
             pthread_mutex_lock(&a->lock);
             share = rr_core_take_answer(a->core, rr_now(), &r, via) && share;
@@ -793,10 +794,10 @@
     long status = 0;
     int rc = -ENOTCONN, via = d->via;
     rr_out_init(&o);
-    rr_orders_encode(&o, d->warrant, d->tenure, d->orders);
+    rr_orders_encode(&o, d->fencing_token, d->worker_epoch, d->orders);
     if (via < 0) {
-        /* Never heard, its tenure is not known: only its status can be asked. */
-        bool ask = probe && d->tenure == 0;
+        /* Never heard, its worker_epoch is not known: only its status can be asked. */
+        bool ask = probe && d->worker_epoch == 0;
         rc = rr_worker_call(client, d->addr, ask ? NULL : o.buf.data, ask ? 0 : o.buf.size, limit,
                             &reply);
         /* Only what surely was not sent may go another way. */
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -253,7 +253,8 @@
     rr_report r;
     if (rr_doc_parse(&doc, body, len) == 0) {
         if (rr_report_decode(doc.root, &r) == 0) {
-            rr_heard h = {.tenure = r.tenure, .tally = r.tally, .hash = rr_report_hash(&r)};
+            rr_heard h = {
+                .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
             g_strlcpy(h.stone, r.stone, sizeof h.stone);
             pthread_mutex_lock(&a->lock);
             enum rr_news news = rr_core_report(a->core, rr_now(), &r, via);
@@ -286,7 +287,8 @@
         refuse(rs, 400, "unreadable report", 0);
         return;
     }
-    rr_heard h = {.tenure = r.tenure, .tally = r.tally, .hash = rr_report_hash(&r)};
+    rr_heard h = {
+        .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
     g_strlcpy(h.stone, r.stone, sizeof h.stone);
     pthread_mutex_lock(&a->lock);
     double now = rr_now();
@@ -302,7 +304,7 @@
     }
     rs->status = ans.status;
     if (ans.status == 200) {
-        rr_orders_encode(&rs->body, ans.warrant, 0, ans.orders);
+        rr_orders_encode(&rs->body, ans.fencing_token, 0, ans.orders);
         g_array_free(ans.orders, TRUE);
     } else {
         rr_put_map(&rs->body, ans.peer ? 1 : 0);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -111,7 +111,7 @@
 uint32_t rr_core_wanted_by(const rr_core *c, const char *stone, uint32_t *now_and_then);
 struct rr_answer {
     int status; /* 200, 421 or 503 */
-    uint64_t warrant;
+    uint64_t fencing_token;
     const char *peer; /* with 421, may be NULL */
     GArray *orders;   /* rr_order, with 200 */
 };
@@ -120,7 +120,7 @@
 /* ---- planning (team owner) ---- */
 typedef struct {
     char stone[RR_ID], addr[RR_ID];
-    uint64_t warrant, tenure;
+    uint64_t fencing_token, worker_epoch;
     GArray *orders; /* rr_order; empty: only ask for the machine's status */
     int via;        /* peer to go through, -1: direct */
     int fallback;   /* peer to try if nothing could be sent directly, -1: none */
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -28,7 +28,8 @@
     if (r && r->standing == RR_ENDED) {
         return r->cause == RR_DONE ? DONE : LOST;
     }
-    if (m->gone || !m->recorded || (m->heard && m->rep.tenure > pl->tenure) || pl->over_at > 0) {
+    if (m->gone || !m->recorded || (m->heard && m->rep.worker_epoch > pl->worker_epoch) ||
+        pl->over_at > 0) {
         return LOST;
     }
     if (!r) {
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -577,7 +577,8 @@
 }
 
 size_t rr_run_bytes(guint items) {
-    /* As JSON, which is what the store counts: task, machine's name, attempt, tenure, mark. */
+    /* As JSON, which is what the store counts: task, machine's name, attempt, worker_epoch, mark.
+     */
     return 220 + (size_t)items * 44;
 }
 
@@ -598,12 +599,12 @@
         rr_put_u64(o, it->task);
         rr_put_text(o, it->m->name);
         rr_put_u64(o, it->attempt);
-        rr_put_u64(o, it->tenure);
+        rr_put_u64(o, it->worker_epoch);
         rr_put_u64(o, (uint64_t)it->evict);
     }
 }
 
-/* One placement: [task, machine, attempt, tenure, evict]. */
+/* One placement: [task, machine, attempt, worker_epoch, evict]. */
 static bool item_decode(rr_core *c, const msgpack_object *o, rr_item *it, double now) {
     char name[RR_ID];
     uint64_t task, evict = RR_KEEP;
@@ -614,7 +615,7 @@
     const msgpack_object *f = o->via.array.ptr;
     if (!rr_as_u64(&f[0], &task) || task >= RR_PIECES_MAX ||
         !rr_as_text(&f[1], name, sizeof name) || !name[0] || !rr_as_u64(&f[2], &it->attempt) ||
-        !rr_as_u64(&f[3], &it->tenure)) {
+        !rr_as_u64(&f[3], &it->worker_epoch)) {
         return false;
     }
     rr_as_u64(&f[4], &evict);
@@ -629,7 +630,7 @@
                   .task = it->task,
                   .chunk = chunk,
                   .attempt = it->attempt,
-                  .tenure = it->tenure,
+                  .worker_epoch = it->worker_epoch,
                   .evict = it->evict,
                   .seen_at = now};
     g_array_append_val(it->m->places, p);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -27,7 +27,7 @@
     rr_job *job;
     uint32_t task;
     uint32_t chunk; /* of the record that holds it */
-    uint64_t attempt, tenure;
+    uint64_t attempt, worker_epoch;
     int evict; /* enum rr_evict: to be stopped for work of higher rank, or moved away */
     /* volatile */
     double seen_at;    /* when the mirror first showed it */
@@ -42,7 +42,7 @@
 typedef struct {
     rr_machine *m;
     uint32_t task;
-    uint64_t attempt, tenure;
+    uint64_t attempt, worker_epoch;
     int evict;
 } rr_item;
 
@@ -137,7 +137,7 @@
     GArray *err_jobs; /* rr_job*: jobs that failed here */
     double err_at, full_until;
     GHashTable *lost; /* attempts with an unanswered start under lost_token/lost_tenure */
-    uint64_t lost_token, lost_tenure;
+    uint64_t lost_token, lost_worker_epoch;
     double do_next;
     double reap_at; /* an exited task has waited since then to be reaped, 0: none */
     void *plan_do;  /* scratch of one plan: rr_do */
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -151,10 +151,10 @@
     if (outcome != RR_DO_DOUBT) {
         return;
     }
-    if (m->lost_token != d->warrant || m->lost_tenure != d->tenure) {
+    if (m->lost_token != d->fencing_token || m->lost_worker_epoch != d->worker_epoch) {
         g_hash_table_remove_all(m->lost);
-        m->lost_token = d->warrant;
-        m->lost_tenure = d->tenure;
+        m->lost_token = d->fencing_token;
+        m->lost_worker_epoch = d->worker_epoch;
     }
     for (guint i = 0; i < d->orders->len; i++) {
         const rr_order *o = &g_array_index(d->orders, rr_order, i);
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -17,8 +17,8 @@
     rr_do *d = g_new0(rr_do, 1);
     g_strlcpy(d->stone, m->name, sizeof d->stone);
     g_strlcpy(d->addr, m->addr, sizeof d->addr);
-    d->warrant = p->c->term.token;
-    d->tenure = m->rep.tenure;
+    d->fencing_token = p->c->term.token;
+    d->worker_epoch = m->rep.worker_epoch;
     d->orders = g_array_new(FALSE, TRUE, sizeof(rr_order));
     d->fallback = m->via;
     d->via = m->via >= 0 && p->now < m->direct_bad_until ? m->via : -1;
@@ -35,9 +35,10 @@
     g_array_append_val(rr_do_for(p, m)->orders, o);
 }
 
-/* An attempt's start may be under way still: it went unanswered under this token and tenure. */
+/* An attempt's start may be under way still: it went unanswered under this token and worker_epoch.
+ */
 static bool start_lost(const rr_core *c, const rr_machine *m, uint64_t attempt) {
-    return m->lost_token == c->term.token && m->lost_tenure == m->rep.tenure &&
+    return m->lost_token == c->term.token && m->lost_worker_epoch == m->rep.worker_epoch &&
            g_hash_table_contains(m->lost, &attempt);
 }
 
@@ -166,9 +167,9 @@
 static bool reconcile_place(struct rr_planner *p, rr_machine *m, rr_place *pl) {
     const rr_core *c = p->c;
     const rr_piece *r = rr_piece_find(m, pl);
-    if (m->rep.tenure > pl->tenure) {
-        /* The worker killed and forgot everything of the earlier tenure, and commands for it are
-         * refused. */
+    if (m->rep.worker_epoch > pl->worker_epoch) {
+        /* The worker killed and forgot everything of the earlier worker_epoch, and commands for it
+         * are refused. */
         rr_plan_over(p, m, pl, r && r->standing == RR_ENDED && r->cause == RR_DONE, "later tenure");
         return true;
     }
@@ -190,7 +191,7 @@
     }
     /* Absent in a report that knows the present token, with no start of this term under way: it
      * never will be there. */
-    if (!r && m->rep.warrant == c->term.token && !start_lost(c, m, pl->attempt)) {
+    if (!r && m->rep.fencing_token == c->term.token && !start_lost(c, m, pl->attempt)) {
         rr_plan_over(p, m, pl, false, "absent");
     } else {
         stop_place(p, m, pl, r);
@@ -250,7 +251,7 @@
 static void see_over(const struct rr_planner *p, const rr_machine *m, rr_place *pl) {
     const rr_piece *r = rr_piece_find(m, pl);
     if (pl->over_at <= 0 &&
-        ((r && r->standing == RR_ENDED) || (m->heard && m->rep.tenure > pl->tenure))) {
+        ((r && r->standing == RR_ENDED) || (m->heard && m->rep.worker_epoch > pl->worker_epoch))) {
         pl->over_at = p->now;
     }
 }
@@ -262,7 +263,7 @@
     c->visits++;
     /* A booking is made on a recorded machine only; one whose record has gone is proven gone. */
     bool gone = !m->recorded;
-    if (!gone && (!m->heard || m->rep.warrant > c->term.token)) {
+    if (!gone && (!m->heard || m->rep.fencing_token > c->term.token)) {
         return false; /* a report or the next term brings it back */
     }
     for (guint i = 0; i < m->places->len; i++) {
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -10,10 +10,10 @@
     if (!m->heard) {
         return true;
     }
-    if (r->tenure != m->rep.tenure) {
-        return r->tenure > m->rep.tenure;
+    if (r->worker_epoch != m->rep.worker_epoch) {
+        return r->worker_epoch > m->rep.worker_epoch;
     }
-    return r->tally > m->rep.tally;
+    return r->sequence > m->rep.sequence;
 }
 
 /* A machine fetches an image before it runs a task, and keeps those used last. */
@@ -91,7 +91,7 @@
 
 /* Whether a report says anything that the one before did not. */
 static bool same_content(const rr_machine *m, const rr_report *r, uint64_t hash) {
-    return m->heard && m->rep.tenure == r->tenure && m->rep_hash == hash &&
+    return m->heard && m->rep.worker_epoch == r->worker_epoch && m->rep_hash == hash &&
            strcmp(m->rep.addr, r->addr) == 0;
 }
 
@@ -103,7 +103,8 @@
  * second one that is newer. A machine that was recorded while this process watched has never been
  * up before: nothing of it can be from an earlier time. */
 static void vouch(const rr_core *c, rr_machine *m, const rr_report *r, double now) {
-    m->vouched = m->vouched || m->young || (c->term.token > 0 && r->warrant == c->term.token) ||
+    m->vouched = m->vouched || m->young ||
+                 (c->term.token > 0 && r->fencing_token == c->term.token) ||
                  (m->heard && now - m->heard_at > SECOND_S);
 }
 
@@ -112,9 +113,9 @@
         rr_log_at(c, RR_LOG_DEBUG, "machine %s is up in %s after %.0f s", m->name, r->zone,
                   now - m->known_at);
     }
-    if (m->heard && r->tenure > m->rep.tenure) {
+    if (m->heard && r->worker_epoch > m->rep.worker_epoch) {
         rr_log_at(c, RR_LOG_DEBUG, "machine %s lost its lease: tenure %" G_GUINT64_FORMAT, m->name,
-                  r->tenure);
+                  r->worker_epoch);
         c->leases_lost++;
     }
     if (r->spot_notice_s >= 0 && (!m->heard || m->rep.spot_notice_s < 0)) {
@@ -184,8 +185,9 @@
         return;
     }
     m->vouched = true;
-    bool older = m->heard && (h->tenure < m->rep.tenure ||
-                              (h->tenure == m->rep.tenure && h->tally < m->rep.tally));
+    bool older =
+        m->heard && (h->worker_epoch < m->rep.worker_epoch ||
+                     (h->worker_epoch == m->rep.worker_epoch && h->sequence < m->rep.sequence));
     if (!older) {
         m->stale_answers = 0;
     } else if (m->stale_answers++ == 0) {
@@ -197,7 +199,7 @@
 
 /* It shows the machine as a report does, but says nothing of whether its own reports arrive. */
 bool rr_core_take_answer(rr_core *c, double now, rr_report *r, int via) {
-    rr_heard h = {.tenure = r->tenure, .tally = r->tally};
+    rr_heard h = {.worker_epoch = r->worker_epoch, .sequence = r->sequence};
     g_strlcpy(h.stone, r->stone, sizeof h.stone);
     const rr_machine *known = g_hash_table_lookup(c->machines, r->stone);
     double reported = known && known->heard ? known->reported_at : now;
@@ -216,7 +218,8 @@
 
 bool rr_core_heard(rr_core *c, double now, const rr_heard *h, int via) {
     rr_machine *m = g_hash_table_lookup(c->machines, h->stone);
-    if (!m || !m->heard || m->rep.tenure != h->tenure || h->tally <= m->rep.tally) {
+    if (!m || !m->heard || m->rep.worker_epoch != h->worker_epoch ||
+        h->sequence <= m->rep.sequence) {
         return false;
     }
     m->vouched = m->vouched || now - m->heard_at > SECOND_S;
@@ -224,7 +227,7 @@
     m->probe_fails = 0;
     m->via = via;
     if (m->rep_hash == h->hash) {
-        m->rep.tally = h->tally; /* it says what is known here */
+        m->rep.sequence = h->sequence; /* it says what is known here */
     }
     return true;
 }
@@ -263,7 +266,7 @@
 
 static const char *other_node(const rr_core *c, const rr_report *r) {
     guint n = c->term.nodes->len;
-    guint first = n ? (guint)(r->tally % n) : 0;
+    guint first = n ? (guint)(r->sequence % n) : 0;
     for (guint i = 0; i < n; i++) {
         const rr_session *s = &g_array_index(c->term.nodes, rr_session, (first + i) % n);
         if (strcmp(s->name, c->cfg->node_name) != 0) {
@@ -283,13 +286,14 @@
  * that they end even where their owner can't reach the machine. */
 void rr_core_answer(rr_core *c, double now, const rr_report *r, struct rr_answer *out) {
     memset(out, 0, sizeof *out);
-    if (!rr_in_term(c) || now >= c->fresh_at + rr_answer_s(c->cfg) || r->warrant > c->term.token) {
+    if (!rr_in_term(c) || now >= c->fresh_at + rr_answer_s(c->cfg) ||
+        r->fencing_token > c->term.token) {
         out->peer = other_node(c, r);
         out->status = out->peer ? 421 : 503;
         return;
     }
     out->status = 200;
-    out->warrant = c->term.token;
+    out->fencing_token = c->term.token;
     out->orders = g_array_new(FALSE, TRUE, sizeof(rr_order));
     for (guint i = 0; i < r->pieces->len; i++) {
         const rr_piece *p = &g_array_index(r->pieces, rr_piece, i);
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -18,7 +18,7 @@
     RR_FRAME_ANSWER = 4,  /* its outcome: sent, status, body; to a resignation: 0 if yes */
     RR_FRAME_RESIGN = 5,  /* 0: can you reach the state service? 1: end this lease; the lease */
     RR_FRAME_HEARD = 6,   /* hops so far; the nodes that the sender hears; machines heard: name,
-                             tenure, tally, hash of the report */
+                             worker_epoch, sequence, hash of the report */
     RR_FRAME_SUSPECT = 7, /* names of machines that answer no command */
     RR_FRAME_SENT_AT = 8  /* time of day, in ms, of the frames that follow */
 };
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -48,7 +48,7 @@
 /* What each peer was last sent of a machine. */
 struct sent {
     struct {
-        uint64_t tenure, hash;
+        uint64_t worker_epoch, hash;
         unsigned life;
         double at; /* 0: never */
     } to[RR_MAX_NODES];
@@ -226,8 +226,8 @@
     while (n < LIST_MAX && g_hash_table_iter_next(&it, NULL, &v)) {
         const rr_heard *h = v;
         rr_frame_text(out, h->stone);
-        rr_frame_u64(out, h->tenure);
-        rr_frame_u64(out, h->tally);
+        rr_frame_u64(out, h->worker_epoch);
+        rr_frame_u64(out, h->sequence);
         rr_frame_u64(out, h->hash);
         g_hash_table_iter_remove(&it);
         n++;
@@ -420,8 +420,8 @@
     struct sent *s = sent_of(p, h->stone, now);
     for (size_t i = 0; i < p->cfg->npeers; i++) {
         struct link *l = &p->links[i];
-        bool has = s->to[i].at > 0 && s->to[i].life == l->life && s->to[i].tenure == h->tenure &&
-                   s->to[i].hash == h->hash;
+        bool has = s->to[i].at > 0 && s->to[i].life == l->life &&
+                   s->to[i].worker_epoch == h->worker_epoch && s->to[i].hash == h->hash;
         double since = s->to[i].at > 0 ? now - s->to[i].at : 1e9;
         bool want = (wanted >> i & 1) ? !has || since > REFRESH_S
                                       : (rare >> i & 1) && !has && since > RARELY_S;
@@ -431,7 +431,7 @@
         }
         whole = whole ? whole : payload_of(0, body, len);
         queue_whole(l, whole);
-        s->to[i].tenure = h->tenure;
+        s->to[i].worker_epoch = h->worker_epoch;
         s->to[i].hash = h->hash;
         s->to[i].life = l->life;
         s->to[i].at = now;
@@ -553,8 +553,8 @@
     rr_heard *list = g_new0(rr_heard, n + 1);
     for (uint16_t i = 0; i < n && !u->bad; i++) {
         rr_unpack_text(u, list[i].stone, sizeof list[i].stone);
-        list[i].tenure = rr_unpack_u64(u);
-        list[i].tally = rr_unpack_u64(u);
+        list[i].worker_epoch = rr_unpack_u64(u);
+        list[i].sequence = rr_unpack_u64(u);
         list[i].hash = rr_unpack_u64(u);
     }
     if (!u->bad) {
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -234,8 +234,9 @@
         !rr_get_text(o, "addr", r->addr, sizeof r->addr) ||
         !rr_get_text(o, "build", r->build, sizeof r->build) ||
         !rr_get_text(o, "ward", r->zone, sizeof r->zone) || !rr_get_bool(o, "loaners", &r->spot) ||
-        !rr_get_u64(o, "tenure", &r->tenure) || !rr_get_u64(o, "tally", &r->tally) ||
-        !rr_get_u64(o, "warrant", &r->warrant) || (list && list->type != MSGPACK_OBJECT_ARRAY) ||
+        !rr_get_u64(o, "tenure", &r->worker_epoch) || !rr_get_u64(o, "tally", &r->sequence) ||
+        !rr_get_u64(o, "warrant", &r->fencing_token) ||
+        (list && list->type != MSGPACK_OBJECT_ARRAY) ||
         (rr_get(o, "recall_s") && !rr_get_num(o, "recall_s", &r->spot_notice_s))) {
         return -EBADMSG;
     }
@@ -257,11 +258,12 @@
     }
 }
 
-void rr_orders_encode(rr_out *o, uint64_t warrant, uint64_t tenure, const GArray *orders) {
-    rr_put_map(o, tenure ? 3 : 2);
-    rr_put_key_u64(o, "warrant", warrant);
-    if (tenure) {
-        rr_put_key_u64(o, "tenure", tenure);
+void rr_orders_encode(rr_out *o, uint64_t fencing_token, uint64_t worker_epoch,
+                      const GArray *orders) {
+    rr_put_map(o, worker_epoch ? 3 : 2);
+    rr_put_key_u64(o, "warrant", fencing_token);
+    if (worker_epoch) {
+        rr_put_key_u64(o, "tenure", worker_epoch);
     }
     rr_put_text(o, "orders");
     rr_put_array(o, orders ? orders->len : 0);
@@ -358,7 +360,7 @@
 }
 
 uint64_t rr_report_hash(const rr_report *r) {
-    uint64_t h = mix(1469598103934665603ULL, &r->warrant, sizeof r->warrant);
+    uint64_t h = mix(1469598103934665603ULL, &r->fencing_token, sizeof r->fencing_token);
     uint8_t notice = r->spot_notice_s >= 0;
     h = mix(h, &notice, 1);
     for (guint i = 0; r->pieces && i < r->pieces->len; i++) {
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -108,21 +108,22 @@
 typedef struct {
     char stone[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool spot;
-    uint64_t tenure, tally, warrant;
+    uint64_t worker_epoch, sequence, fencing_token;
     double spot_notice_s; /* <0: no notice */
     GArray *pieces;       /* rr_piece */
 } rr_report;
 
 int rr_report_decode(const msgpack_object *o, rr_report *out);
 void rr_report_clear(rr_report *r);
-/* Of what it says beside who and when: two reports of one tenure with the same hash say the same.
+/* Of what it says beside who and when: two reports of one worker_epoch with the same hash say the
+ * same.
  */
 uint64_t rr_report_hash(const rr_report *r);
 
-/* A sign of life, for those who need no more: the report with this tally had this hash. */
+/* A sign of life, for those who need no more: the report with this sequence had this hash. */
 typedef struct {
     char stone[RR_ID];
-    uint64_t tenure, tally, hash;
+    uint64_t worker_epoch, sequence, hash;
 } rr_heard;
 bool rr_piece_parse(const char *text, char *ref, size_t size, uint32_t *task);
 
@@ -135,8 +136,9 @@
     double grace_s;
 } rr_order;
 
-/* Body of /do (tenure > 0) or of an answer to /hello (tenure 0). */
-void rr_orders_encode(rr_out *o, uint64_t warrant, uint64_t tenure, const GArray *orders);
+/* Body of /do (worker_epoch > 0) or of an answer to /hello (worker_epoch 0). */
+void rr_orders_encode(rr_out *o, uint64_t fencing_token, uint64_t worker_epoch,
+                      const GArray *orders);
 
 /* ---- cloud ---- */
 typedef struct {
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -430,12 +430,12 @@
     g_strfreev(f);
 }
 
-void fx_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t tenure,
-               uint64_t tally, uint64_t warrant, ...) {
+void fx_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t worker_epoch,
+               uint64_t sequence, uint64_t fencing_token, ...) {
     rr_report r = {.spot = spot,
-                   .tenure = tenure,
-                   .tally = tally,
-                   .warrant = warrant,
+                   .worker_epoch = worker_epoch,
+                   .sequence = sequence,
+                   .fencing_token = fencing_token,
                    .spot_notice_s = n->spot_notice_s};
     va_list ap;
     const char *text;
@@ -444,7 +444,7 @@
     g_strlcpy(r.build, "m1", sizeof r.build);
     g_strlcpy(r.zone, zone, sizeof r.zone);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
-    va_start(ap, warrant);
+    va_start(ap, fencing_token);
     while ((text = va_arg(ap, const char *))) {
         add_piece(&r, text);
     }
@@ -507,7 +507,7 @@
             if (at) {
                 texts[shown] =
                     g_strdup_printf("%s %u %" G_GUINT64_FORMAT " %s", show->refs[i], t, at,
-                                    show->state(machine, show->refs[i], t, shown, show->tally));
+                                    show->state(machine, show->refs[i], t, shown, show->sequence));
                 shown++;
             }
         }
@@ -520,9 +520,9 @@
         char id[16], *t[FX_SHOWN_MAX + 1] = {NULL};
         int shown = shown_on(n, show, m, t);
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, m <= show->last_in_a ? "a" : "b", false, show->tenure, show->tally,
-                  rr_core_token(n->core), t[0], t[1], t[2], t[3], t[4], t[5], t[6], t[7], t[8],
-                  t[9], t[10], t[11], t[12], t[13], t[14], t[15], NULL);
+        fx_report(n, id, m <= show->last_in_a ? "a" : "b", false, show->worker_epoch,
+                  show->sequence, rr_core_token(n->core), t[0], t[1], t[2], t[3], t[4], t[5], t[6],
+                  t[7], t[8], t[9], t[10], t[11], t[12], t[13], t[14], t[15], NULL);
         for (int i = 0; i < shown; i++) {
             g_free(t[i]);
         }
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -77,11 +77,11 @@
 bool fx_recorded(const fx_store *s, const char *id);
 
 /* Report builder: tasks as "ref task attempt standing[:cause]", NULL-ended. */
-void fx_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t tenure,
-               uint64_t tally, uint64_t warrant, ...);
+void fx_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t worker_epoch,
+               uint64_t sequence, uint64_t fencing_token, ...);
 /* The state in which a machine shows a task, the `shown`-th of its report. */
 typedef const char *(*fx_task_state)(int machine, const char *ref, uint32_t task, int shown,
-                                     uint64_t tally);
+                                     uint64_t sequence);
 /* What a number of machines report: of these jobs, what the ledger has there. */
 struct fx_show {
     int first, last, last_in_a; /* vm-<first> to vm-<last>; those after last_in_a are in zone b */
@@ -89,7 +89,7 @@
     int jobs;
     uint32_t tasks; /* looked for, of each job */
     int most;       /* in a report, FX_SHOWN_MAX at most */
-    uint64_t tenure, tally;
+    uint64_t worker_epoch, sequence;
     fx_task_state state;
 };
 #define FX_SHOWN_MAX 16
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -4,8 +4,9 @@
 
 #include <string.h>
 
-static void empty_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t tally) {
-    fx_report(n, id, zone, spot, 1, tally, rr_core_token(n->core), NULL);
+static void empty_report(fx_node *n, const char *id, const char *zone, bool spot,
+                         uint64_t sequence) {
+    fx_report(n, id, zone, spot, 1, sequence, rr_core_token(n->core), NULL);
 }
 
 static void plan_once(fx_node *n) {
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -28,10 +28,10 @@
                                    .save_s = 3,
                                    .rank = "high"};
 
-static uint64_t last_tally = 1; /* of all reports */
+static uint64_t last_sequence = 1; /* of all reports */
 
 /* What a machine shows of the gang: its tasks there in this standing; NULL: none. */
-static void show(fx_node *n, int m, const char *ref, const char *standing, uint64_t tenure,
+static void show(fx_node *n, int m, const char *ref, const char *standing, uint64_t worker_epoch,
                  double recall) {
     char id[16], *text[5] = {NULL};
     int k = 0;
@@ -43,8 +43,8 @@
         }
     }
     n->spot_notice_s = recall;
-    fx_report(n, id, m <= 3 ? "a" : "b", false, tenure, ++last_tally, rr_core_token(n->core),
-              text[0], text[1], text[2], text[3], NULL);
+    fx_report(n, id, m <= 3 ? "a" : "b", false, worker_epoch, ++last_sequence,
+              rr_core_token(n->core), text[0], text[1], text[2], text[3], NULL);
     n->spot_notice_s = -1;
     for (int i = 0; i < k; i++) {
         g_free(text[i]);
@@ -436,21 +436,22 @@
     fx_node_clear(&next);
 }
 
-static const char *runs(int machine, const char *ref, uint32_t task, int shown, uint64_t tally) {
+static const char *runs(int machine, const char *ref, uint32_t task, int shown, uint64_t sequence) {
     (void)machine;
     (void)ref;
     (void)task;
     (void)shown;
-    (void)tally;
+    (void)sequence;
     return "running";
 }
 
-static const char *is_done(int machine, const char *ref, uint32_t task, int shown, uint64_t tally) {
+static const char *is_done(int machine, const char *ref, uint32_t task, int shown,
+                           uint64_t sequence) {
     (void)machine;
     (void)ref;
     (void)task;
     (void)shown;
-    (void)tally;
+    (void)sequence;
     return "ended:done";
 }
 
@@ -464,8 +465,8 @@
                            .jobs = jobs,
                            .tasks = tasks,
                            .most = FX_SHOWN_MAX,
-                           .tenure = 1,
-                           .tally = ++last_tally,
+                           .worker_epoch = 1,
+                           .sequence = ++last_sequence,
                            .state = state};
     fx_show_jobs(n, &show);
 }
@@ -609,10 +610,10 @@
 
 /* On each machine one task in twelve reports ends. */
 static const char *one_ends_now_and_then(int machine, const char *ref, uint32_t task, int shown,
-                                         uint64_t tally) {
+                                         uint64_t sequence) {
     (void)ref;
     (void)task;
-    return shown == 0 && (tally + (uint64_t)machine) % 12 == 0 ? "ended:done" : "running";
+    return shown == 0 && (sequence + (uint64_t)machine) % 12 == 0 ? "ended:done" : "running";
 }
 
 static uint32_t done_of(const fx_node *n, const char *const *refs, int many) {
@@ -666,11 +667,11 @@
 }
 
 static const char *one_in_eight_ends(int machine, const char *ref, uint32_t task, int shown,
-                                     uint64_t tally) {
+                                     uint64_t sequence) {
     (void)machine;
     (void)ref;
     (void)shown;
-    return (tally + task) % 8 == 0 ? "ended:done" : "running";
+    return (sequence + task) % 8 == 0 ? "ended:done" : "running";
 }
 
 /* The limit of its team is what a gang waits for: what its team's small tasks give back is kept for
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -53,7 +53,7 @@
 
 /* What a machine would report of one job's tasks: all of them in one standing. */
 static void report_job(fx_node *n, const char *ref, uint32_t pieces, const char *standing,
-                       uint64_t tally) {
+                       uint64_t sequence) {
     for (int m = 1; m <= FLEET; m++) {
         char id[32], *show[8] = {NULL};
         int k = 0;
@@ -65,7 +65,7 @@
             }
         }
         if (k > 0) {
-            fx_report(n, id, "a", false, 1, tally, rr_core_token(n->core), show[0], show[1],
+            fx_report(n, id, "a", false, 1, sequence, rr_core_token(n->core), show[0], show[1],
                       show[2], show[3], NULL);
         }
         for (int i = 0; i < k; i++) {
@@ -75,12 +75,12 @@
 }
 
 /* Empty reports of vm-`from` to vm-`to`. */
-static void report_all(fx_node *n, int from, int to, const char *zone, uint64_t tenure,
-                       uint64_t tally) {
+static void report_all(fx_node *n, int from, int to, const char *zone, uint64_t worker_epoch,
+                       uint64_t sequence) {
     char id[32];
     for (int m = from; m <= to; m++) {
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, zone, false, tenure, tally, rr_core_token(n->core), NULL);
+        fx_report(n, id, zone, false, worker_epoch, sequence, rr_core_token(n->core), NULL);
     }
 }
 
@@ -116,8 +116,8 @@
     rr_plan p;
     settled_fleet(n);
     unsigned before = visits(n);
-    for (uint64_t tally = 2; tally < 6; tally++) {
-        report_all(n, 1, FLEET, "a", 1, tally);
+    for (uint64_t sequence = 2; sequence < 6; sequence++) {
+        report_all(n, 1, FLEET, "a", 1, sequence);
         fx_plan(n, &p);
         assert_false(p.has_txn);
         assert_int_equal(p.dos->len, 0);
@@ -322,7 +322,7 @@
 }
 
 /* Everything that runs on the two machines has ended. */
-static void report_all_ended(fx_node *n, int next, uint64_t tally) {
+static void report_all_ended(fx_node *n, int next, uint64_t sequence) {
     for (int m = 1; m <= 2; m++) {
         char id[8], *show[8] = {NULL};
         int shown = 0;
@@ -330,7 +330,7 @@
         for (int r = HUGE_JOB; r < next && shown < 4; r++) {
             shown = show_ended(n, id, r, show, shown);
         }
-        fx_report(n, id, "a", false, 1, tally, rr_core_token(n->core), show[0], show[1], show[2],
+        fx_report(n, id, "a", false, 1, sequence, rr_core_token(n->core), show[0], show[1], show[2],
                   show[3], NULL);
         for (int i = 0; i < shown; i++) {
             g_free(show[i]);
@@ -526,8 +526,10 @@
     rr_core_stats st;
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.tasks_placed, 0);
-    rr_report r = {
-        .tenure = 1, .tally = 900, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
+    rr_report r = {.worker_epoch = 1,
+                   .sequence = 900,
+                   .fencing_token = rr_core_token(n->core),
+                   .spot_notice_s = -1};
     rr_piece piece = {.ref = "req-000002", .attempt = 1, .standing = RR_RUNNING};
     struct rr_answer ans;
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -19,8 +19,8 @@
     return strcmp(id, "vm-2") == 0 ? "b" : "a";
 }
 
-static void hear(fx_node *n, const char *id, uint64_t tally, const char *piece) {
-    fx_report(n, id, zone_of(id), false, 1, tally, rr_core_token(n->core), piece, NULL);
+static void hear(fx_node *n, const char *id, uint64_t sequence, const char *piece) {
+    fx_report(n, id, zone_of(id), false, 1, sequence, rr_core_token(n->core), piece, NULL);
 }
 
 /* One plan; commands are answered or stay in doubt. Changes committed: 1. */
@@ -64,7 +64,10 @@
  * how many stops the answer carries. */
 static int answer_at(const fx_node *n, double at, const char *ref, uint64_t attempt,
                      unsigned *stops) {
-    rr_report r = {.tenure = 1, .tally = 3, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
+    rr_report r = {.worker_epoch = 1,
+                   .sequence = 3,
+                   .fencing_token = rr_core_token(n->core),
+                   .spot_notice_s = -1};
     rr_piece p = {.attempt = attempt, .standing = RR_RUNNING};
     struct rr_answer ans;
     g_strlcpy(p.ref, ref, sizeof p.ref);
@@ -292,17 +295,17 @@
     fx_term(n);
     for (int round = 0; round < 2; round++, peer_heard = false) {
         const char *ref = round == 0 ? "req-1" : "req-2";
-        uint64_t tally = 100 + 100 * (uint64_t)round;
-        hear(n, "vm-1", tally, NULL);
+        uint64_t sequence = 100 + 100 * (uint64_t)round;
+        hear(n, "vm-1", sequence, NULL);
         for (int i = 0; i < 14; i++) {
             n->now += 1;
             if (peer_heard) {
                 rr_core_peer_heard(n->core, n->now, 0);
             }
             plan_with(n, RR_DO_ANSWERED);
-            rr_report r = {.tenure = 1,
-                           .tally = ++tally,
-                           .warrant = rr_core_token(n->core),
+            rr_report r = {.worker_epoch = 1,
+                           .sequence = ++sequence,
+                           .fencing_token = rr_core_token(n->core),
                            .spot_notice_s = -1,
                            .stone = "vm-1",
                            .addr = "127.0.0.1:1001",
@@ -435,24 +438,24 @@
 static void a_fault_that_is_over(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    uint64_t tally = 1, at;
+    uint64_t sequence = 1, at;
     fx_machine_gone(w->store, "vm-2");
     for (int i = 1; i <= 2; i++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-%d", i);
         fx_submit(w->store, &(struct fx_job){.ref = ref}, n->now);
         fx_sync(w->store, n->core, n->now);
-        hear(n, "vm-1", tally++, NULL);
+        hear(n, "vm-1", sequence++, NULL);
         plan_with(n, RR_DO_ANSWERED);
         at = fx_booked(w->store, "vm-1", ref, 0);
         assert_true(at != 0);
         char *failed = shown(ref, at, "ended:error");
-        hear(n, "vm-1", tally++, failed);
+        hear(n, "vm-1", sequence++, failed);
         g_free(failed);
         fx_cancel(n, ref);
         for (int k = 0; k < 8; k++) {
             n->now += 0.5;
-            hear(n, "vm-1", tally++, NULL);
+            hear(n, "vm-1", sequence++, NULL);
             plan_with(n, RR_DO_ANSWERED);
         }
     }
@@ -462,7 +465,7 @@
     double began = 0;
     while (n->now < failed_at + 90 && began == 0) {
         n->now += 1;
-        hear(n, "vm-1", tally++, NULL);
+        hear(n, "vm-1", sequence++, NULL);
         plan_with(n, RR_DO_ANSWERED);
         began = fx_booked(w->store, "vm-1", "req-3", 0) ? n->now : 0;
     }
@@ -477,7 +480,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     struct fx_job j = {.ref = "req-1", .zone = "a"};
-    uint64_t tally = 10;
+    uint64_t sequence = 10;
     hear(n, "vm-1", 1, NULL);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -496,7 +499,7 @@
     rr_plan p;
     do {
         n->now += 30;
-        hear(n, "vm-1", tally++, ended);
+        hear(n, "vm-1", sequence++, ended);
         fx_plan(n, &p);
         assert_null(fx_order(&p, "vm-1", RR_REAP, j.ref, 0));
         for (guint i = 0; i < p.dos->len; i++) {
@@ -504,16 +507,16 @@
         }
         rr_plan_clear(&p);
         rr_core_get_stats(n->core, &st);
-    } while (st.jobs_whole > 0 && tally < 40);
+    } while (st.jobs_whole > 0 && sequence < 40);
     assert_int_equal(st.jobs_whole, 0);
-    hear(n, "vm-1", tally++, theirs);
+    hear(n, "vm-1", sequence++, theirs);
     fx_plan(n, &p);
     assert_null(fx_order(&p, "vm-1", RR_REAP, j.ref, 0));
     rr_plan_clear(&p);
     /* The next term voids every copy: now the provisioner clears it. */
     fx_join(n, 8);
     n->now += 5;
-    hear(n, "vm-1", tally++, theirs);
+    hear(n, "vm-1", sequence++, theirs);
     fx_plan(n, &p);
     assert_non_null(fx_order(&p, "vm-1", RR_REAP, j.ref, 0));
     rr_plan_clear(&p);
@@ -579,18 +582,18 @@
 }
 
 /* Jobs 4, 12, 20 .. are cancelled while they run. */
-static const char *ends(int machine, const char *ref, uint32_t task, int shown, uint64_t tally) {
+static const char *ends(int machine, const char *ref, uint32_t task, int shown, uint64_t sequence) {
     (void)machine;
     (void)task;
     (void)shown;
-    (void)tally;
+    (void)sequence;
     return atoi(ref + strlen("req-")) % 8 == 4 ? "ended:halted" : "ended:done";
 }
 
 #define LATE_JOBS 24 /* the jobs of the last six seconds */
 
 /* All machines show what has ended of the jobs that came last, up to job i. */
-static void show_ended(fx_node *n, int i, uint64_t tally) {
+static void show_ended(fx_node *n, int i, uint64_t sequence) {
     static char names[LATE_JOBS][32];
     const char *refs[LATE_JOBS];
     int jobs = 0;
@@ -605,8 +608,8 @@
                            .jobs = jobs,
                            .tasks = 1,
                            .most = 4,
-                           .tenure = 1,
-                           .tally = tally,
+                           .worker_epoch = 1,
+                           .sequence = sequence,
                            .state = ends};
     fx_show_jobs(n, &show);
 }
@@ -626,7 +629,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     const int jobs = 480;
-    uint64_t tally = 1, before;
+    uint64_t sequence = 1, before;
     char ref[32];
     rr_core_stats st;
     fx_fleet(n, 10, 20, "a");
@@ -644,7 +647,7 @@
             fx_cancel(n, ref); /* while it runs */
         }
         if (i % 4 == 0) { /* every second */
-            show_ended(n, i, ++tally);
+            show_ended(n, i, ++sequence);
         }
     }
     for (int i = 0; i < 8; i++) {
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -416,11 +416,11 @@
     fx_sync(w->store, w->n.core, w->n.now);
 }
 
-static void report_each(fx_node *n, int from, int to, uint64_t tally) {
+static void report_each(fx_node *n, int from, int to, uint64_t sequence) {
     char id[16];
     for (int i = from; i <= to; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
-        fx_report(n, id, "a", false, 1, tally, rr_core_token(n->core), NULL);
+        fx_report(n, id, "a", false, 1, sequence, rr_core_token(n->core), NULL);
     }
 }
 
@@ -465,7 +465,7 @@
 
 /* A controller with more work than processor time hears only two of three machines and its probes
  * go unanswered. Releases asked for in so many seconds, while its timers fire late. */
-static unsigned released_while(fx_world *w, int seconds, uint64_t *tally, const GArray *stones,
+static unsigned released_while(fx_world *w, int seconds, uint64_t *sequence, const GArray *stones,
                                bool late) {
     fx_node *n = &w->n;
     unsigned asked = 0;
@@ -475,9 +475,9 @@
         if (late) {
             rr_core_set_late(n->core, n->now);
         }
-        ++*tally;
-        fx_report(n, "vm-1", "a", false, 1, *tally, 1, NULL);
-        fx_report(n, "vm-2", "a", false, 1, *tally, 1, NULL);
+        ++*sequence;
+        fx_report(n, "vm-1", "a", false, 1, *sequence, 1, NULL);
+        fx_report(n, "vm-2", "a", false, 1, *sequence, 1, NULL);
         plan_unreachable(n);
         fx_provisioner_step(n, stones, &s);
         asked += s.kind == RR_STEP_RELEASE ? s.stones->len : 0;
@@ -491,16 +491,16 @@
 static void behind_its_share_gives_nobody_up(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    uint64_t tally = 1;
+    uint64_t sequence = 1;
     GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
     three_machines(w, stones);
-    assert_int_equal(released_while(w, (int)(1.5 * n->cfg.lease_s), &tally, stones, true), 0);
+    assert_int_equal(released_while(w, (int)(1.5 * n->cfg.lease_s), &sequence, stones, true), 0);
     assert_true(rr_core_late(n->core, n->now, 1));
     /* Its report is read at last, and it stays: */
-    fx_report(n, "vm-3", "a", false, 1, ++tally, 1, NULL);
-    assert_int_equal(released_while(w, (int)n->cfg.report_s, &tally, stones, false), 0);
+    fx_report(n, "vm-3", "a", false, 1, ++sequence, 1, NULL);
+    assert_int_equal(released_while(w, (int)n->cfg.report_s, &sequence, stones, false), 0);
     /* until it is silent for long enough to a controller that keeps up. */
-    assert_int_equal(released_while(w, (int)(5 * n->cfg.report_s), &tally, stones, false), 1);
+    assert_int_equal(released_while(w, (int)(5 * n->cfg.report_s), &sequence, stones, false), 1);
     g_array_free(stones, TRUE);
 }
 
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -242,8 +242,8 @@
     assert_true(fx_booked(w->store, other, j.ref, 0) > at);
 }
 
-/* A worker whose lease ran out forgot its tasks: the booking of the earlier tenure goes. */
-static void later_tenure_ends_the_booking(void **state) {
+/* A worker whose lease ran out forgot its tasks: the booking of the earlier worker_epoch goes. */
+static void later_worker_epoch_ends_the_booking(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
     struct fx_job j = {.ref = "req-000007", .service = true};
@@ -313,7 +313,10 @@
     uint64_t at;
     book_one(w, &j, &at);
     fx_cancel(n, j.ref);
-    rr_report r = {.tenure = 1, .tally = 3, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
+    rr_report r = {.worker_epoch = 1,
+                   .sequence = 3,
+                   .fencing_token = rr_core_token(n->core),
+                   .spot_notice_s = -1};
     rr_piece piece = {.attempt = at, .standing = RR_RUNNING};
     struct rr_answer ans;
     g_strlcpy(piece.ref, j.ref, sizeof piece.ref);
@@ -332,14 +335,14 @@
 static void no_answer_that_would_be_dropped(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_report r = {.tenure = 1, .tally = 3, .spot_notice_s = -1};
+    rr_report r = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
     struct rr_answer ans;
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
-    r.warrant = rr_core_token(n->core) + 1;
+    r.fencing_token = rr_core_token(n->core) + 1;
     rr_core_answer(n->core, n->now, &r, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
     assert_null(ans.orders);
-    r.warrant = 0;
+    r.fencing_token = 0;
     rr_core_set_session(n->core, 0, 0);
     rr_core_answer(n->core, n->now, &r, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
@@ -562,7 +565,7 @@
     rr_core_job_view(n->core, j.ref, n->now, &v);
     assert_int_equal(v.nrunning, 0);
     /* Once forgotten, an old report is news again: it is taken as that of a machine never heard. */
-    rr_report r = {.tenure = 1, .tally = 1, .spot_notice_s = -1};
+    rr_report r = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
     g_strlcpy(r.stone, "vm-77", sizeof r.stone);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     assert_true(rr_core_report(n->core, n->now, &r, -1) != RR_NEWS_NONE);
@@ -593,7 +596,7 @@
                                        T(old_owner_changes_nothing),
                                        T(term_change_with_commands_in_flight),
                                        T(silence_proves_nothing),
-                                       T(later_tenure_ends_the_booking),
+                                       T(later_worker_epoch_ends_the_booking),
                                        T(late_report_is_dropped),
                                        T(cancel_with_start_in_flight),
                                        T(every_answer_stops_cancelled_tasks),
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -17,8 +17,8 @@
     return strcmp(id, "vm-1") == 0 ? "a" : "b";
 }
 
-static void hear(fx_node *n, const char *id, uint64_t tally) {
-    fx_report(n, id, zone_of(id), false, 1, tally, rr_core_token(n->core), NULL);
+static void hear(fx_node *n, const char *id, uint64_t sequence) {
+    fx_report(n, id, zone_of(id), false, 1, sequence, rr_core_token(n->core), NULL);
 }
 
 static const char *place_of(const fx_world *w, const char *ref) {
@@ -182,7 +182,7 @@
     plan_with_deaf(&again, NULL);
     assert_null(place_of(w, "req-2"));
     again.now += 3;
-    rr_heard line = {.stone = "vm-2", .tenure = 1, .tally = 41, .hash = 5};
+    rr_heard line = {.stone = "vm-2", .worker_epoch = 1, .sequence = 41, .hash = 5};
     assert_true(rr_core_heard(again.core, again.now, &line, 0));
     plan_with_deaf(&again, NULL);
     assert_string_equal(place_of(w, "req-2"), "vm-2");
@@ -199,7 +199,10 @@
     hear(n, "vm-2", 5);
     fx_machine_gone(w->store, "vm-1");
     fx_sync(w->store, n->core, n->now);
-    rr_report r = {.tenure = 1, .tally = 6, .warrant = rr_core_token(n->core), .spot_notice_s = -1};
+    rr_report r = {.worker_epoch = 1,
+                   .sequence = 6,
+                   .fencing_token = rr_core_token(n->core),
+                   .spot_notice_s = -1};
     g_strlcpy(r.stone, "vm-1", sizeof r.stone);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     assert_int_equal(rr_core_report(n->core, n->now, &r, -1), RR_NEWS_NONE);
@@ -211,7 +214,7 @@
         step(w, "");
     }
     assert_false(fx_recorded(w->store, "vm-7"));
-    rr_core_vouch(n->core, n->now, &(rr_heard){.stone = "vm-7", .tenure = 1, .tally = 4});
+    rr_core_vouch(n->core, n->now, &(rr_heard){.stone = "vm-7", .worker_epoch = 1, .sequence = 4});
     for (int i = 0; i < 4; i++) {
         step(w, "");
     }
@@ -238,7 +241,8 @@
         fx_plan(n, &p);
         for (guint k = 0; k < p.dos->len; k++) {
             rr_do *d = g_ptr_array_index(p.dos, k);
-            rr_heard h = {.tenure = 1, .tally = strcmp(d->stone, "vm-1") == 0 ? i : 500 + i};
+            rr_heard h = {.worker_epoch = 1,
+                          .sequence = strcmp(d->stone, "vm-1") == 0 ? i : 500 + i};
             g_strlcpy(h.stone, d->stone, sizeof h.stone);
             rr_core_vouch(n->core, n->now, &h);
             rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
@@ -267,8 +271,10 @@
     hear(n, "vm-2", 1);
     /* Cut off from here on: no renewal, no change of the mirror. */
     rr_core_set_session(alone.core, 9, alone.now + 10);
-    rr_report r = {
-        .tenure = 1, .tally = 2, .warrant = rr_core_token(alone.core), .spot_notice_s = -1};
+    rr_report r = {.worker_epoch = 1,
+                   .sequence = 2,
+                   .fencing_token = rr_core_token(alone.core),
+                   .spot_notice_s = -1};
     struct rr_answer ans;
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     double answers = rr_answer_s(&alone.cfg);
@@ -299,7 +305,7 @@
             rr_do *d = g_ptr_array_index(p.dos, k);
             probes++;
             assert_int_equal(d->orders->len, 0);
-            assert_true(d->warrant == rr_core_token(n->core));
+            assert_true(d->fencing_token == rr_core_token(n->core));
             hear(n, d->stone, 10 + (uint64_t)i);
             rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
         }
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -229,17 +229,17 @@
 static int shown_done; /* tasks below it are shown as done */
 
 static const char *done_or_running(int machine, const char *ref, uint32_t task, int shown,
-                                   uint64_t tally) {
+                                   uint64_t sequence) {
     (void)machine;
     (void)ref;
     (void)shown;
-    (void)tally;
+    (void)sequence;
     return (int)task < shown_done ? "ended:done" : "running";
 }
 
 /* All machines show the job's tasks: those below `over` as done, the others running. */
-static void show_tasks(fx_node *n, const char *ref, int tasks, int over, uint64_t tenure,
-                       uint64_t tally) {
+static void show_tasks(fx_node *n, const char *ref, int tasks, int over, uint64_t worker_epoch,
+                       uint64_t sequence) {
     struct fx_show show = {.first = 1,
                            .last = 20,
                            .last_in_a = 20,
@@ -247,8 +247,8 @@
                            .jobs = 1,
                            .tasks = (uint32_t)tasks,
                            .most = FX_SHOWN_MAX,
-                           .tenure = tenure,
-                           .tally = tally,
+                           .worker_epoch = worker_epoch,
+                           .sequence = sequence,
                            .state = done_or_running};
     shown_done = over;
     fx_show_jobs(n, &show);
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -172,7 +172,7 @@
 }
 
 /* A report of worker n: that many tasks, the first of them in this standing. */
-static int hello(int fd, unsigned n, uint64_t tally, unsigned tasks, const char *standing) {
+static int hello(int fd, unsigned n, uint64_t sequence, unsigned tasks, const char *standing) {
     char name[32], piece[32];
     rr_out o;
     g_snprintf(name, sizeof name, "vm-%06u", 500000 + n);
@@ -184,7 +184,7 @@
     rr_put_key_text(&o, "ward", "a");
     rr_put_key_bool(&o, "loaners", false);
     rr_put_key_u64(&o, "tenure", 1);
-    rr_put_key_u64(&o, "tally", tally);
+    rr_put_key_u64(&o, "tally", sequence);
     rr_put_key_u64(&o, "warrant", 0);
     rr_put_text(&o, "pieces");
     rr_put_array(&o, tasks);
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -141,7 +141,7 @@
 }
 
 static void wait_report(struct fixture *f, int fd) {
-    rr_heard h = {.stone = "vm-7", .tenure = 1, .tally = 5, .hash = 9};
+    rr_heard h = {.stone = "vm-7", .worker_epoch = 1, .sequence = 5, .hash = 9};
     rr_peers_report(f->peers, 1, 0, &h, "report", 6);
     while (next_frame(fd) != RR_FRAME_REPORT) {
     }
--- a/tests/world.c
+++ b/tests/world.c
@@ -45,7 +45,7 @@
     pthread_t worker;
     bool up;
     GArray *tasks;
-    uint64_t warrant, tally;
+    uint64_t fencing_token, sequence;
     struct rr_endpoint reports_to;
 };
 
@@ -335,8 +335,8 @@
     rr_put_key_text(out, "ward", "a");
     rr_put_key_bool(out, "loaners", false);
     rr_put_key_u64(out, "tenure", 1);
-    rr_put_key_u64(out, "tally", ++w->tally);
-    rr_put_key_u64(out, "warrant", w->warrant);
+    rr_put_key_u64(out, "tally", ++w->sequence);
+    rr_put_key_u64(out, "warrant", w->fencing_token);
     rr_put_text(out, "pieces");
     rr_put_array(out, w->tasks->len);
     for (guint i = 0; i < w->tasks->len; i++) {
@@ -355,12 +355,12 @@
 }
 
 static bool take_orders(world *w, const msgpack_object *o) {
-    uint64_t warrant = 0;
+    uint64_t fencing_token = 0;
     const msgpack_object *orders = rr_get(o, "orders");
-    if (!rr_get_u64(o, "warrant", &warrant) || warrant < w->warrant) {
+    if (!rr_get_u64(o, "warrant", &fencing_token) || fencing_token < w->fencing_token) {
         return false;
     }
-    w->warrant = warrant;
+    w->fencing_token = fencing_token;
     for (uint32_t i = 0; orders && i < orders->via.array.size; i++) {
         do_order(w, &orders->via.array.ptr[i]);
     }
