--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -129,7 +129,7 @@
         snprintf(path, sizeof path, "deployment.objectives[%zu].kind", i);
         need_text(l, path, o->kind, sizeof o->kind);
         snprintf(path, sizeof path, "deployment.objectives[%zu].class", i);
-        rr_toml_text(l->t, path, o->lane, sizeof o->lane);
+        rr_toml_text(l->t, path, o->job_class, sizeof o->job_class);
         snprintf(path, sizeof path, "deployment.objectives[%zu].within_s", i);
         opt_num(l, path, 0, 1e9, 0, &o->within_s);
         snprintf(path, sizeof path, "deployment.objectives[%zu].share", i);
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -164,7 +164,7 @@
 
 void rr_candidates(rr_core *c, const rr_job *j, const struct rr_choice *how, double now,
                    GArray *out) {
-    bool urgent = rr_objective_for(c, "wait", j->s.lane) != NULL;
+    bool urgent = rr_objective_for(c, "wait", j->s.job_class) != NULL;
     g_array_set_size(out, 0);
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -170,7 +170,7 @@
 }
 
 static bool same_demands(const rr_job *a, const rr_job *b) {
-    return a->team == b->team && a->lane == b->lane && a->s.rank == b->s.rank &&
+    return a->team == b->team && a->job_class == b->job_class && a->s.rank == b->s.rank &&
            a->s.spot == b->s.spot && a->s.shape == b->s.shape &&
            strcmp(a->s.zone, b->s.zone) == 0 && same_machine_types(&a->s, &b->s);
 }
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -30,7 +30,7 @@
 
 struct rr_objective {
     char kind[32];
-    char lane[RR_NAME];
+    char job_class[RR_NAME];
     double within_s;
     double share;
 };
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -88,7 +88,7 @@
     rr_names_init(&c->teams);
     rr_names_init(&c->zones);
     rr_names_init(&c->builds);
-    rr_names_init(&c->lanes);
+    rr_names_init(&c->job_classes);
     rr_names_init(&c->casts);
     for (size_t i = 0; i < cfg->nteams; i++) {
         rr_names_add(&c->teams, cfg->teams[i].name);
@@ -159,7 +159,7 @@
     rr_names_clear(&c->teams);
     rr_names_clear(&c->zones);
     rr_names_clear(&c->builds);
-    rr_names_clear(&c->lanes);
+    rr_names_clear(&c->job_classes);
     rr_names_clear(&c->casts);
     g_free(c);
 }
@@ -186,10 +186,11 @@
 
 /* ---- objectives ---- */
 
-const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind, const char *lane) {
+const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind,
+                                            const char *job_class) {
     for (size_t i = 0; i < c->cfg->nobjectives; i++) {
         const struct rr_objective *o = &c->cfg->objectives[i];
-        if (strcmp(o->kind, kind) == 0 && strcmp(o->lane, lane) == 0) {
+        if (strcmp(o->kind, kind) == 0 && strcmp(o->job_class, job_class) == 0) {
             return o;
         }
     }
@@ -261,7 +262,7 @@
         j = g_new0(rr_job, 1);
         g_strlcpy(j->s.ref, ref, sizeof j->s.ref);
         j->s.pieces = 0;
-        j->team = j->lane = j->cast = j->zone = -1;
+        j->team = j->job_class = j->cast = j->zone = -1;
         j->first_seen = now;
         j->per = c->chunk;
         g_hash_table_insert(c->jobs, j->s.ref, j);
@@ -270,8 +271,8 @@
 }
 
 static void job_index(rr_core *c, rr_job *j) {
-    j->team = rr_names_add(&c->teams, j->s.crew);
-    j->lane = rr_names_add(&c->lanes, j->s.lane);
+    j->team = rr_names_add(&c->teams, j->s.team);
+    j->job_class = rr_names_add(&c->job_classes, j->s.job_class);
     j->cast = rr_names_add(&c->casts, j->s.cast);
     j->need = (rr_res){j->s.vcpus, j->s.cards, j->s.mem_gb};
 }
@@ -304,7 +305,7 @@
     if (j->s.pieces == 0) {
         j->s.pieces = (uint32_t)pieces;
     }
-    rr_get_text(v, "crew", j->s.crew, sizeof j->s.crew);
+    rr_get_text(v, "crew", j->s.team, sizeof j->s.team);
     j->done = true;
     j->ndone = j->s.pieces;
 }
@@ -367,7 +368,7 @@
     j->mark = j->own_mark = mark;
     if (rr_get(v, "final")) {
         put_final(j, v);
-        j->team = rr_names_add(&c->teams, j->s.crew);
+        j->team = rr_names_add(&c->teams, j->s.team);
     } else {
         put_body(c, j, v, is_new);
     }
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -78,7 +78,7 @@
 
 struct rr_job {
     rr_submission s;
-    int team, lane, cast;
+    int team, job_class, cast;
     rr_res need;
     uint64_t mark;     /* of the record that tells of it */
     uint64_t own_mark; /* of its own record, 0 while it is known from a batch only */
@@ -196,7 +196,7 @@
 struct rr_core {
     const struct rr_config *cfg;
     rr_core_log_fn log;
-    rr_names teams, zones, builds, lanes, casts;
+    rr_names teams, zones, builds, job_classes, casts;
     GArray *build_info; /* rr_build, by index; sku empty: not in the catalogue */
     bool catalog_known;
     double catalog_at;    /* steady, last read from the cloud by this process */
@@ -328,7 +328,8 @@
 bool rr_machine_has_cast(const rr_machine *m, int cast);
 /* Counts what the plan under construction has booked, too. */
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j);
-const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind, const char *lane);
+const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind,
+                                            const char *job_class);
 void rr_hire_key(const char *name, char *out, size_t size);
 
 /* term.c */
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -21,7 +21,7 @@
 static bool place_urgent(struct rr_planner *p, rr_job *j, uint32_t task,
                          const struct rr_choice *how) {
     rr_core *c = p->c;
-    double within = rr_objective_for(c, "wait", j->s.lane)->within_s;
+    double within = rr_objective_for(c, "wait", j->s.job_class)->within_s;
     rr_machine *m = rr_choose_from(c, j, how, p->cands);
     if (m && rr_fetch_time(c, j, m) + 1 <= within) {
         return rr_book(p, m, j, task);
@@ -38,7 +38,7 @@
 }
 
 static bool place_task(struct rr_planner *p, rr_job *j, uint32_t task, struct rr_choice *how) {
-    if (rr_objective_for(p->c, "wait", j->s.lane) && place_urgent(p, j, task, how)) {
+    if (rr_objective_for(p->c, "wait", j->s.job_class) && place_urgent(p, j, task, how)) {
         return true;
     }
     rr_machine *m = rr_choose_from(p->c, j, how, p->cands);
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -212,7 +212,7 @@
 /* The class has an aim on its start, or the team is owed the room for all of the gang. */
 static bool may_make_room(const struct rr_planner *planner, const rr_job *job) {
     const rr_core *core = planner->c;
-    bool urgent = job->s.rank > RR_LOW && rr_objective_for(core, "wait", job->s.lane);
+    bool urgent = job->s.rank > RR_LOW && rr_objective_for(core, "wait", job->s.job_class);
     return (urgent && core->pressure < SHORT_OF_CHANGES) ||
            rr_within_guarantee(planner, job, job->s.pieces);
 }
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -330,7 +330,7 @@
     rr_put_map(&o, 4);
     rr_put_key_text(&o, "ref", j->s.ref);
     rr_put_key_text(&o, "final", "done");
-    rr_put_key_text(&o, "crew", j->s.crew);
+    rr_put_key_text(&o, "crew", j->s.team);
     rr_put_key_u64(&o, "pieces", j->s.pieces);
     rr_core_job_key(j->s.ref, key, sizeof key);
     rr_txn_guard(&p->out->txn, key, j->own_mark);
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -61,7 +61,7 @@
                      bool owed, rr_res returned) {
     const rr_job *victim = place->job;
     if (victim->s.rank < job->s.rank && victim->s.shape != RR_SERVICE &&
-        rr_objective_for(planner->c, "wait", job->s.lane)) {
+        rr_objective_for(planner->c, "wait", job->s.job_class)) {
         return true;
     }
     return owed && victim->team >= 0 && victim->team != job->team &&
@@ -127,7 +127,7 @@
 }
 
 bool rr_may_preempt(const rr_core *core, const rr_job *job) {
-    return job->s.rank > RR_STANDARD && rr_objective_for(core, "wait", job->s.lane);
+    return job->s.rank > RR_STANDARD && rr_objective_for(core, "wait", job->s.job_class);
 }
 
 /* Saving takes the victims' time; where the aim on the start does not leave it, or is missed
@@ -135,7 +135,7 @@
  * their last checkpoint. */
 static bool must_stop_at_once(const struct rr_planner *planner, const rr_job *job,
                               const rr_machine *machine) {
-    const struct rr_objective *aim = rr_objective_for(planner->c, "wait", job->s.lane);
+    const struct rr_objective *aim = rr_objective_for(planner->c, "wait", job->s.job_class);
     if (!aim) {
         return false;
     }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -304,12 +304,12 @@
 
 /* Tasks of the class that have arrived lately, and the last of their jobs. What came at the very
  * start was a stock, not a rate. */
-static double arrived_tasks(const rr_core *c, const char *lane, const rr_job **last) {
+static double arrived_tasks(const rr_core *c, const char *job_class, const rr_job **last) {
     double tasks = 0;
     *last = NULL;
     for (guint k = 0; k < c->arrivals->len; k++) {
         const rr_job *j = g_array_index(c->arrivals, rr_job *, k);
-        if (strcmp(j->s.lane, lane) == 0) {
+        if (strcmp(j->s.job_class, job_class) == 0) {
             *last = j;
             tasks += j->at > c->term.born + START_STOCK_S ? j->s.pieces : 0;
         }
@@ -337,7 +337,7 @@
         if (strcmp(o->kind, "wait") != 0) {
             continue;
         }
-        double tasks = arrived_tasks(c, o->lane, &last);
+        double tasks = arrived_tasks(c, o->job_class, &last);
         if (!last) {
             continue;
         }
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -64,7 +64,7 @@
         if (j && p->standing == RR_RUNNING && j->team >= 0 && rr_owns_team(c, j->team) &&
             !was_running(m, p)) {
             rr_log_at(c, RR_LOG_DEBUG, "runs %s/%u (%s) on %s %.1f s after it was known, image %s",
-                      p->ref, p->task, j->s.lane, m->name, now - j->first_seen,
+                      p->ref, p->task, j->s.job_class, m->name, now - j->first_seen,
                       rr_machine_has_cast(m, j->cast) ? "was there" : "was fetched");
         }
     }
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -43,7 +43,7 @@
 }
 
 enum rr_admit rr_core_admit(const rr_core *c, const rr_submission *s, const char **why) {
-    const struct rr_team_config *t = team_config(c, s->crew);
+    const struct rr_team_config *t = team_config(c, s->team);
     const rr_job *known = g_hash_table_lookup(c->jobs, s->ref);
     if ((known && known->mark) || rr_job_final(c, s->ref, NULL, NULL)) {
         return RR_ADMIT_KNOWN;
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -97,8 +97,8 @@
 /* What the job is and whose. */
 static int decode_identity(const msgpack_object *o, rr_submission *s, const char **field) {
     NEED(get_name(o, "ref", s->ref, sizeof s->ref) && rr_ref_valid(s->ref), "ref");
-    NEED(get_name(o, "lane", s->lane, sizeof s->lane), "lane");
-    NEED(get_name(o, "crew", s->crew, sizeof s->crew), "crew");
+    NEED(get_name(o, "lane", s->job_class, sizeof s->job_class), "lane");
+    NEED(get_name(o, "crew", s->team, sizeof s->team), "crew");
     NEED(get_name(o, "cast", s->cast, sizeof s->cast), "cast");
     int shape = index_of(rr_get(o, "shape"), shapes, G_N_ELEMENTS(shapes));
     NEED(shape >= 0, "shape");
@@ -156,8 +156,8 @@
 
 void rr_submission_encode_fields(rr_out *o, const rr_submission *s) {
     rr_put_key_text(o, "ref", s->ref);
-    rr_put_key_text(o, "lane", s->lane);
-    rr_put_key_text(o, "crew", s->crew);
+    rr_put_key_text(o, "lane", s->job_class);
+    rr_put_key_text(o, "crew", s->team);
     rr_put_key_text(o, "cast", s->cast);
     rr_put_key_text(o, "shape", shapes[s->shape]);
     rr_put_key_text(o, "rank", ranks[s->rank]);
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -206,7 +206,7 @@
     g_strlcpy(c->teams[1].name, "blue", RR_NAME);
     c->nobjectives = 1;
     g_strlcpy(c->objectives[0].kind, "wait", sizeof c->objectives[0].kind);
-    g_strlcpy(c->objectives[0].lane, "live", RR_NAME);
+    g_strlcpy(c->objectives[0].job_class, "live", RR_NAME);
     c->objectives[0].within_s = 5;
     c->report_s = 3;
     c->lease_s = 30;
@@ -308,8 +308,8 @@
     static const char *const ranks[] = {"low", "standard", "high", "prod"};
     memset(out, 0, sizeof *out);
     g_strlcpy(out->ref, j->ref, sizeof out->ref);
-    g_strlcpy(out->crew, j->crew ? j->crew : "red", sizeof out->crew);
-    g_strlcpy(out->lane, j->lane ? j->lane : "plain", sizeof out->lane);
+    g_strlcpy(out->team, j->team ? j->team : "red", sizeof out->team);
+    g_strlcpy(out->job_class, j->job_class ? j->job_class : "plain", sizeof out->job_class);
     g_strlcpy(out->cast, j->cast ? j->cast : "img-1", sizeof out->cast);
     g_strlcpy(out->zone, j->zone ? j->zone : "", sizeof out->zone);
     for (int i = 0; i < 4; i++) {
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -217,10 +217,11 @@
     char *r1 = running("req-1", low);
     fx_report(n, "vm-1", "a", false, 1, 2, rr_core_token(n->core), r1, NULL);
     /* The same rank waits. */
-    submit(w, &(struct fx_job){.ref = "req-2", .rank = "low", .lane = "live", .cpu = 16});
+    submit(w, &(struct fx_job){.ref = "req-2", .rank = "low", .job_class = "live", .cpu = 16});
     plan_once(n);
     assert_true(fx_booked(w->store, "vm-1", "req-2", 0) == 0);
-    submit(w, &(struct fx_job){.ref = "req-3", .rank = "prod", .lane = "live", .service = true});
+    submit(w,
+           &(struct fx_job){.ref = "req-3", .rank = "prod", .job_class = "live", .service = true});
     plan_once(n);
     assert_true(fx_booked(w->store, "vm-1", "req-3", 0) != 0);
     n->now += 2;
@@ -251,8 +252,8 @@
     for (int i = 0; i < 4; i++) {
         assert_true(fx_booked(w->store, "vm-1", refs[i], 0) != 0);
     }
-    submit(w, &(struct fx_job){.ref = "req-5", .crew = "blue", .rank = "low", .cpu = 4});
-    submit(w, &(struct fx_job){.ref = "req-6", .crew = "blue", .rank = "prod", .cpu = 4});
+    submit(w, &(struct fx_job){.ref = "req-5", .team = "blue", .rank = "low", .cpu = 4});
+    submit(w, &(struct fx_job){.ref = "req-6", .team = "blue", .rank = "prod", .cpu = 4});
     plan_once(n);
     bool five = fx_booked(w->store, "vm-1", "req-5", 0) != 0;
     bool six = fx_booked(w->store, "vm-1", "req-6", 0) != 0;
@@ -280,7 +281,7 @@
     fx_machine(w->store, "vm-1", "a", false, false);
     empty_report(&w->n, "vm-1", "a", false, 1);
     submit(w, &(struct fx_job){
-                  .ref = "req-1", .cpu = 8, .rank = "prod", .lane = "live", .service = true});
+                  .ref = "req-1", .cpu = 8, .rank = "prod", .job_class = "live", .service = true});
     submit(w, &(struct fx_job){.ref = "req-2", .cpu = 8, .rank = "low"});
     plan_once(&w->n);
     uint64_t low = fx_booked(w->store, "vm-1", "req-2", 0);
@@ -289,9 +290,9 @@
     char *r2 = running("req-2", low);
     fx_report(&w->n, "vm-1", "a", false, 1, 2, rr_core_token(w->n.core), r1, r2, NULL);
     submit(w, &(struct fx_job){
-                  .ref = "req-3", .cpu = 8, .rank = "prod", .lane = "live", .service = true});
+                  .ref = "req-3", .cpu = 8, .rank = "prod", .job_class = "live", .service = true});
     submit(w, &(struct fx_job){
-                  .ref = "req-4", .cpu = 8, .rank = "prod", .lane = "live", .service = true});
+                  .ref = "req-4", .cpu = 8, .rank = "prod", .job_class = "live", .service = true});
     plan_once(&w->n);
     assert_int_equal(fx_placed(w->store, "req-3") + fx_placed(w->store, "req-4"), 1);
     g_free(r1);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -510,7 +510,7 @@
     assert_int_equal(fx_placed(w->store, "req-5"), 12);
     show_jobs(n, arrays, 1, 12, runs);
     large.ref = "req-2";
-    large.lane = "live";
+    large.job_class = "live";
     large.pieces = 4; /* of ten CPUs: three machines a zone */
     fx_submit(w->store, &large, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -519,7 +519,7 @@
     n->now += 1;
     assert_int_equal(plan(n, RR_STOP, "req-5", NULL), 0);
     assert_int_equal(fx_placed(w->store, "req-2"), 0);
-    urgent.lane = "live";
+    urgent.job_class = "live";
     urgent.pieces = 2;
     fx_submit(w->store, &urgent, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -547,10 +547,10 @@
     all.rank = "standard";
     start(w, &all);
     show_all(n, "req-1", "running");
-    fx_submit(
-        w->store,
-        &(struct fx_job){.ref = "req-2", .rank = "prod", .lane = "live", .service = true, .cpu = 8},
-        n->now);
+    fx_submit(w->store,
+              &(struct fx_job){
+                  .ref = "req-2", .rank = "prod", .job_class = "live", .service = true, .cpu = 8},
+              n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-2", NULL);
     assert_int_equal(fx_placed(w->store, "req-2"), 1);
@@ -588,7 +588,7 @@
     plan(n, RR_START, "req-5", NULL);
     assert_int_equal(fx_placed(w->store, "req-5"), MACHINES);
     show_jobs(n, others, 1, 12, runs);
-    owed.crew = beyond.crew = "blue";
+    owed.team = beyond.team = "blue";
     owed.rank = beyond.rank = "low";
     owed.pieces = 2;
     beyond.ref = "req-2";
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -385,9 +385,9 @@
     n->cfg.teams[0].cpus_max = 48;
     n->cfg.teams[1].cpus = 16;
     fx_fleet(n, 1, 4, "a");
-    submit_many(n, 1, 300, &(struct fx_job){.crew = "red", .cpu = 4, .deadline_s = 10});
+    submit_many(n, 1, 300, &(struct fx_job){.team = "red", .cpu = 4, .deadline_s = 10});
     settle(n);
-    submit_many(n, 500, 4, &(struct fx_job){.crew = "blue", .cpu = 4});
+    submit_many(n, 500, 4, &(struct fx_job){.team = "blue", .cpu = 4});
     n->now += 3;
     settle(n);
     for (int r = 500; r < 504; r++) {
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -316,7 +316,7 @@
             assert_true(shared == (i + 1 < 1.5 * n->cfg.report_s));
             rr_report_clear(&r);
         }
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .crew = "blue", .zone = "a"}, n->now);
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .team = "blue", .zone = "a"}, n->now);
         fx_submit(w->store, &(struct fx_job){.ref = "req-9", .zone = "a"}, n->now);
         fx_sync(w->store, n->core, n->now);
         fx_sync(w->store, other.core, n->now);
@@ -391,7 +391,7 @@
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-%d", t + 1);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .crew = t ? "blue" : "red", .zone = "a"},
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .team = t ? "blue" : "red", .zone = "a"},
                   owner->now);
     }
     fx_sync(w->store, owner->core, owner->now);
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -420,8 +420,8 @@
 static void two_owners_one_room(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n, b;
-    struct fx_job j1 = {.ref = "req-000012", .crew = "red", .cpu = 16};
-    struct fx_job j2 = {.ref = "req-000013", .crew = "blue", .cpu = 16};
+    struct fx_job j1 = {.ref = "req-000012", .team = "red", .cpu = 16};
+    struct fx_job j2 = {.ref = "req-000013", .team = "blue", .cpu = 16};
     const char *refs[2] = {j1.ref, j2.ref};
     rr_plan p;
     fx_machine_gone(w->store, "vm-2");
@@ -472,7 +472,7 @@
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-10000%d", t);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .crew = teams[t], .cpu = 1}, n->now);
+        fx_submit(w->store, &(struct fx_job){.ref = ref, .team = teams[t], .cpu = 1}, n->now);
         for (int i = 0; i < 2 && !seen[t]; i++) {
             fx_sync(w->store, nodes[i]->core, nodes[i]->now);
             fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_token(nodes[i]->core), NULL);
@@ -530,7 +530,7 @@
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
     s.vcpus = 17;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
-    g_strlcpy(s.crew, "nobody", sizeof s.crew);
+    g_strlcpy(s.team, "nobody", sizeof s.team);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
