--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -33,7 +33,7 @@
             const rr_place *p = &g_array_index(m->places, rr_place, k);
             m->sim = p->over_at > 0 ? rr_res_add(m->sim, p->job->need, 1) : m->sim;
         }
-        m->booked_cast = -1;
+        m->booked_image = -1;
     }
 }
 
@@ -128,7 +128,7 @@
 
 double rr_fetch_time(const rr_core *c, const rr_job *j, const rr_machine *m) {
     const rr_build *b = rr_build_at(c, m->build);
-    if (rr_machine_has_cast(m, j->cast)) {
+    if (rr_machine_has_image(m, j->image)) {
         return 0;
     }
     return b && b->pull_rate > 0 ? j->s.image_size_gb / b->pull_rate : 5;
@@ -148,13 +148,13 @@
     double trouble, image, cost, fetch, foreign, coming, room;
 };
 
-static bool image_coming(const rr_machine *m, int cast) {
+static bool image_coming(const rr_machine *m, int image) {
     for (guint k = 0; k < m->places->len; k++) {
-        if (g_array_index(m->places, rr_place, k).job->cast == cast) {
+        if (g_array_index(m->places, rr_place, k).job->image == image) {
             return true;
         }
     }
-    return m->booked_cast == cast;
+    return m->booked_image == image;
 }
 
 /* The same for all controllers, as machines' indices are not. */
@@ -174,7 +174,7 @@
             continue;
         }
         double fetch = rr_fetch_time(c, j, m);
-        if ((how->need_cast && fetch > 0) ||
+        if ((how->need_image && fetch > 0) ||
             (how->separate && m != how->home && rr_machine_has_task(m, j))) {
             continue;
         }
@@ -190,7 +190,7 @@
         if (k.foreign && c->pressure > SHORT) {
             k.trouble += 0.5;
         }
-        k.coming = fetch > 0 && image_coming(m, j->cast);
+        k.coming = fetch > 0 && image_coming(m, j->image);
         g_array_append_val(out, k);
     }
 }
@@ -309,7 +309,7 @@
     zone->capacity = rr_res_add(zone->capacity, rr_machine_cap(c, m), 1);
     uint32_t fitting = rr_tasks_in(j->need, m->sim, wanted);
     zone->fitting = MIN(zone->fitting + fitting, wanted);
-    if (j->s.shape == RR_GANG && rr_machine_has_cast(m, j->cast)) {
+    if (j->s.shape == RR_GANG && rr_machine_has_image(m, j->image)) {
         zone->warm = MIN(zone->warm + fitting, wanted);
     }
 }
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -51,7 +51,7 @@
     rr_machine *m = p;
     g_array_free(m->places, TRUE);
     rr_report_clear(&m->rep);
-    g_array_free(m->casts, TRUE);
+    g_array_free(m->images, TRUE);
     g_array_free(m->err_jobs, TRUE);
     g_hash_table_destroy(m->lost);
     if (m->booked) {
@@ -89,7 +89,7 @@
     rr_names_init(&c->zones);
     rr_names_init(&c->builds);
     rr_names_init(&c->job_classes);
-    rr_names_init(&c->casts);
+    rr_names_init(&c->images);
     for (size_t i = 0; i < cfg->nteams; i++) {
         rr_names_add(&c->teams, cfg->teams[i].name);
     }
@@ -160,7 +160,7 @@
     rr_names_clear(&c->zones);
     rr_names_clear(&c->builds);
     rr_names_clear(&c->job_classes);
-    rr_names_clear(&c->casts);
+    rr_names_clear(&c->images);
     g_free(c);
 }
 
@@ -262,7 +262,7 @@
         j = g_new0(rr_job, 1);
         g_strlcpy(j->s.ref, ref, sizeof j->s.ref);
         j->s.pieces = 0;
-        j->team = j->job_class = j->cast = j->zone = -1;
+        j->team = j->job_class = j->image = j->zone = -1;
         j->first_seen = now;
         j->per = c->chunk;
         g_hash_table_insert(c->jobs, j->s.ref, j);
@@ -273,7 +273,7 @@
 static void job_index(rr_core *c, rr_job *j) {
     j->team = rr_names_add(&c->teams, j->s.team);
     j->job_class = rr_names_add(&c->job_classes, j->s.job_class);
-    j->cast = rr_names_add(&c->casts, j->s.cast);
+    j->image = rr_names_add(&c->images, j->s.image);
     j->need = (rr_res){j->s.vcpus, j->s.cards, j->s.mem_gb};
 }
 
@@ -424,7 +424,7 @@
     g_strlcpy(m->name, name, sizeof m->name);
     m->build = m->zone = -1;
     m->places = g_array_new(FALSE, TRUE, sizeof(rr_place));
-    m->casts = g_array_new(FALSE, FALSE, sizeof(int));
+    m->images = g_array_new(FALSE, FALSE, sizeof(int));
     m->err_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
     m->lost = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     m->known_at = m->idle_since = now;
@@ -509,9 +509,9 @@
     return NULL;
 }
 
-bool rr_machine_has_cast(const rr_machine *m, int cast) {
-    for (guint i = 0; i < m->casts->len; i++) {
-        if (g_array_index(m->casts, int, i) == cast) {
+bool rr_machine_has_image(const rr_machine *m, int image) {
+    for (guint i = 0; i < m->images->len; i++) {
+        if (g_array_index(m->images, int, i) == image) {
             return true;
         }
     }
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -78,7 +78,7 @@
 
 struct rr_job {
     rr_submission s;
-    int team, job_class, cast;
+    int team, job_class, image;
     rr_res need;
     uint64_t mark;     /* of the record that tells of it */
     uint64_t own_mark; /* of its own record, 0 while it is known from a batch only */
@@ -133,7 +133,7 @@
     double heard_at, known_at, direct_bad_until;
     double reported_at; /* by itself, to whatever controller: not in answer to a command */
     int via;
-    GArray *casts;    /* int: images it has, oldest first */
+    GArray *images;   /* int: images it has, oldest first */
     GArray *err_jobs; /* rr_job*: jobs that failed here */
     double err_at, full_until;
     GHashTable *lost; /* attempts with an unanswered start under lost_token/lost_tenure */
@@ -148,7 +148,7 @@
     double listed_at, idle_since, probed_at;
     /* scratch of one plan or simulation */
     rr_res sim;
-    int booked_cast; /* image of the last task booked here in this plan, -1 */
+    int booked_image; /* image of the last task booked here in this plan, -1 */
     bool emptied;
     GArray *booked; /* rr_job*: booked here in this plan; NULL: none */
     guint leaving, arriving;
@@ -196,7 +196,7 @@
 struct rr_core {
     const struct rr_config *cfg;
     rr_core_log_fn log;
-    rr_names teams, zones, builds, job_classes, casts;
+    rr_names teams, zones, builds, job_classes, images;
     GArray *build_info; /* rr_build, by index; sku empty: not in the catalogue */
     bool catalog_known;
     double catalog_at;    /* steady, last read from the cloud by this process */
@@ -325,7 +325,7 @@
 rr_run *rr_garbage_run(const rr_core *c, guint i, rr_job **job);
 rr_place *rr_place_find(const rr_machine *m, uint64_t attempt, const rr_job *j, uint32_t task);
 const rr_piece *rr_piece_find(const rr_machine *m, const rr_place *p);
-bool rr_machine_has_cast(const rr_machine *m, int cast);
+bool rr_machine_has_image(const rr_machine *m, int image);
 /* Counts what the plan under construction has booked, too. */
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j);
 const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind,
@@ -396,7 +396,7 @@
     const bool *zones;      /* allowed zones */
     bool separate;          /* no machine that has a task of this job */
     const rr_machine *home; /* where it runs now: never refused for its own sake */
-    bool need_cast;         /* only machines that have the image */
+    bool need_image;        /* only machines that have the image */
     bool (*filter)(const rr_core *c, const rr_machine *m, double now);
 };
 /* The machines that may take a task of the job, each with the part of its rank that placing does
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -211,7 +211,7 @@
 static bool may_take(const struct rr_planner *planner, const rr_machine *machine, const rr_job *job,
                      const struct rr_choice *choice, bool warm_only) {
     return machine->places->len > 0 && rr_machine_may_take(planner, machine, job, choice->zones) &&
-           (!warm_only || rr_machine_has_cast(machine, job->cast)) &&
+           (!warm_only || rr_machine_has_image(machine, job->image)) &&
            !(choice->separate && rr_machine_has_task(machine, job));
 }
 
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -17,20 +17,20 @@
 }
 
 /* A machine fetches an image before it runs a task, and keeps those used last. */
-static void note_casts(rr_core *c, rr_machine *m) {
+static void note_images(rr_core *c, rr_machine *m) {
     const rr_build *b = rr_build_at(c, m->build);
     for (guint i = 0; i < m->rep.pieces->len; i++) {
         const rr_piece *p = &g_array_index(m->rep.pieces, rr_piece, i);
         const rr_job *j = g_hash_table_lookup(c->jobs, p->ref);
         bool fetched = p->standing == RR_RUNNING || p->standing == RR_WAITING;
-        if (!j || j->cast < 0 || !fetched || rr_machine_has_cast(m, j->cast)) {
+        if (!j || j->image < 0 || !fetched || rr_machine_has_image(m, j->image)) {
             continue;
         }
-        g_array_append_val(m->casts, j->cast);
+        g_array_append_val(m->images, j->image);
         /* Without the images' sizes at hand after their jobs, the oldest goes after a bounded
          * number; a wrong guess costs one fetch. */
-        if (m->casts->len > (b && b->cache_gb > 0 ? 12 : 1)) {
-            g_array_remove_index(m->casts, 0);
+        if (m->images->len > (b && b->cache_gb > 0 ? 12 : 1)) {
+            g_array_remove_index(m->images, 0);
         }
     }
 }
@@ -65,7 +65,7 @@
             !was_running(m, p)) {
             rr_log_at(c, RR_LOG_DEBUG, "runs %s/%u (%s) on %s %.1f s after it was known, image %s",
                       p->ref, p->task, j->s.job_class, m->name, now - j->first_seen,
-                      rr_machine_has_cast(m, j->cast) ? "was there" : "was fetched");
+                      rr_machine_has_image(m, j->image) ? "was there" : "was fetched");
         }
     }
 }
@@ -169,7 +169,7 @@
         rr_contact_heard(&c->direct, now);
     }
     if (changed) {
-        note_casts(c, m);
+        note_images(c, m);
         rr_touch(c, m);
     }
     return changed ? RR_NEWS_CHANGED : RR_NEWS_HEARD;
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -171,7 +171,7 @@
         struct rr_choice how = {.zones = zones,
                                 .separate = it->job->s.pieces > 1,
                                 .home = it->home,
-                                .need_cast = true,
+                                .need_image = true,
                                 .filter = rr_machine_usable};
         rr_machine *to = rr_choose(c, it->job, &how, now);
         if (!to || (to != it->home && job_planned_on(items, i, it->job, to))) {
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -99,7 +99,7 @@
     NEED(get_name(o, "ref", s->ref, sizeof s->ref) && rr_ref_valid(s->ref), "ref");
     NEED(get_name(o, "lane", s->job_class, sizeof s->job_class), "lane");
     NEED(get_name(o, "crew", s->team, sizeof s->team), "crew");
-    NEED(get_name(o, "cast", s->cast, sizeof s->cast), "cast");
+    NEED(get_name(o, "cast", s->image, sizeof s->image), "cast");
     int shape = index_of(rr_get(o, "shape"), shapes, G_N_ELEMENTS(shapes));
     NEED(shape >= 0, "shape");
     int rank = index_of(rr_get(o, "rank"), ranks, 4);
@@ -158,7 +158,7 @@
     rr_put_key_text(o, "ref", s->ref);
     rr_put_key_text(o, "lane", s->job_class);
     rr_put_key_text(o, "crew", s->team);
-    rr_put_key_text(o, "cast", s->cast);
+    rr_put_key_text(o, "cast", s->image);
     rr_put_key_text(o, "shape", shapes[s->shape]);
     rr_put_key_text(o, "rank", ranks[s->rank]);
     rr_put_key_u64(o, "pieces", s->pieces);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -63,7 +63,7 @@
 enum rr_rank { RR_LOW, RR_STANDARD, RR_HIGH, RR_PROD };
 
 typedef struct {
-    char ref[RR_ID], job_class[RR_TEXT], team[RR_TEXT], cast[RR_TEXT], zone[RR_TEXT];
+    char ref[RR_ID], job_class[RR_TEXT], team[RR_TEXT], image[RR_TEXT], zone[RR_TEXT];
     char (*builds)[RR_ID]; /* owned; jobs are kept for good, and few name any */
     int nbuilds;           /* 0: any */
     enum rr_shape shape;
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -310,7 +310,7 @@
     g_strlcpy(out->ref, j->ref, sizeof out->ref);
     g_strlcpy(out->team, j->team ? j->team : "red", sizeof out->team);
     g_strlcpy(out->job_class, j->job_class ? j->job_class : "plain", sizeof out->job_class);
-    g_strlcpy(out->cast, j->cast ? j->cast : "img-1", sizeof out->cast);
+    g_strlcpy(out->image, j->image ? j->image : "img-1", sizeof out->image);
     g_strlcpy(out->zone, j->zone ? j->zone : "", sizeof out->zone);
     for (int i = 0; i < 4; i++) {
         if (strcmp(ranks[i], j->rank ? j->rank : "standard") == 0) {
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -64,7 +64,7 @@
 void fx_build(fx_store *s, const char *sku, double cpu, double gpu, double mem, double price,
               double spot);
 struct fx_job {
-    const char *ref, *team, *job_class, *cast, *zone, *rank;
+    const char *ref, *team, *job_class, *image, *zone, *rank;
     bool service, gang, one_zone, apart, spot;
     uint32_t pieces;
     double cpu, gpu, mem, checkpoint_interval_s, save_s, deadline_s;
