--- a/src/app/app.c
+++ b/src/app/app.c
@@ -56,10 +56,10 @@
     }
 }
 
-static void on_suspect(void *user, const char *stone) {
+static void on_suspect(void *user, const char *machine) {
     struct rr_app *a = user;
     pthread_mutex_lock(&a->lock);
-    rr_core_suspect(a->core, stone, rr_now());
+    rr_core_suspect(a->core, machine, rr_now());
     pthread_mutex_unlock(&a->lock);
 }
 
--- a/src/app/duties.c
+++ b/src/app/duties.c
@@ -764,10 +764,10 @@
         if (ok) {
             h = (rr_heard){
                 .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
-            g_strlcpy(h.stone, r.stone, sizeof h.stone);
+            g_strlcpy(h.machine, r.machine, sizeof h.machine);
             pthread_mutex_lock(&a->lock);
             share = rr_core_take_answer(a->core, rr_now(), &r, via) && share;
-            wanted = rr_core_wanted_by(a->core, h.stone, &rare);
+            wanted = rr_core_wanted_by(a->core, h.machine, &rare);
             pthread_mutex_unlock(&a->lock);
         }
         rr_report_clear(&r);
@@ -819,7 +819,7 @@
                                  : rc == 0 && ok && (status == 200 || status == 409)
                                      ? RR_DO_ANSWERED
                                      : RR_DO_DOUBT;
-    rr_log(RR_DEBUG_LEVEL, "do %s: %u orders, via %d: %s %ld", d->stone, d->orders->len, via,
+    rr_log(RR_DEBUG_LEVEL, "do %s: %u orders, via %d: %s %ld", d->machine, d->orders->len, via,
            outcome == RR_DO_ANSWERED ? "answered"
            : outcome == RR_DO_DOUBT  ? "in doubt"
                                      : "not sent",
@@ -885,15 +885,15 @@
 }
 
 static int do_list(struct rr_app *a, rr_cloud *cloud) {
-    GArray *stones = g_array_new(FALSE, TRUE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, TRUE, sizeof(rr_listed_machine));
     double asked = rr_now();
-    int rc = rr_cloud_list(cloud, stones);
+    int rc = rr_cloud_list(cloud, machines);
     if (rc == 0) {
         pthread_mutex_lock(&a->lock);
-        rr_core_listed(a->core, asked, rr_now(), rr_wall(), stones);
+        rr_core_listed(a->core, asked, rr_now(), rr_wall(), machines);
         pthread_mutex_unlock(&a->lock);
     }
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
     return rc;
 }
 
@@ -910,10 +910,10 @@
 }
 
 static int do_release(struct rr_app *a, rr_cloud *cloud, const rr_step *step) {
-    int rc = rr_cloud_release(cloud, step->stones);
+    int rc = rr_cloud_release(cloud, step->machines);
     if (rc == 0) {
         pthread_mutex_lock(&a->lock);
-        rr_core_released(a->core, rr_now(), step->stones);
+        rr_core_released(a->core, rr_now(), step->machines);
         pthread_mutex_unlock(&a->lock);
     }
     return rc;
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -255,7 +255,7 @@
         if (rr_report_decode(doc.root, &r) == 0) {
             rr_heard h = {
                 .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
-            g_strlcpy(h.stone, r.stone, sizeof h.stone);
+            g_strlcpy(h.machine, r.machine, sizeof h.machine);
             pthread_mutex_lock(&a->lock);
             enum rr_news news = rr_core_report(a->core, rr_now(), &r, via);
             if (news == RR_NEWS_CHANGED) {
@@ -289,7 +289,7 @@
     }
     rr_heard h = {
         .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
-    g_strlcpy(h.stone, r.stone, sizeof h.stone);
+    g_strlcpy(h.machine, r.machine, sizeof h.machine);
     pthread_mutex_lock(&a->lock);
     double now = rr_now();
     rr_core_answer(a->core, now, &r, &ans);
@@ -297,7 +297,7 @@
     if (news == RR_NEWS_CHANGED) {
         rr_app_kick(a);
     }
-    uint32_t rare, wanted = rr_core_wanted_by(a->core, h.stone, &rare);
+    uint32_t rare, wanted = rr_core_wanted_by(a->core, h.machine, &rare);
     pthread_mutex_unlock(&a->lock);
     if (news != RR_NEWS_NONE) {
         rr_peers_report(a->peers, wanted, rare, &h, rq->body, rq->len);
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -81,7 +81,7 @@
     return rc;
 }
 
-static int list_page(rr_cloud *c, char *from, size_t size, GArray *stones, bool *more) {
+static int list_page(rr_cloud *c, char *from, size_t size, GArray *machines, bool *more) {
     char path[160];
     rr_reply reply;
     rr_doc doc;
@@ -93,10 +93,10 @@
     const msgpack_object *list = rr_get(doc.root, "stones");
     rc = list && list->type == MSGPACK_OBJECT_ARRAY ? 0 : -EBADMSG;
     for (uint32_t i = 0; rc == 0 && i < list->via.array.size; i++) {
-        rr_stone s;
-        rc = rr_stone_decode(&list->via.array.ptr[i], &s);
+        rr_listed_machine s;
+        rc = rr_listed_machine_decode(&list->via.array.ptr[i], &s);
         if (rc == 0) {
-            g_array_append_val(stones, s);
+            g_array_append_val(machines, s);
             g_strlcpy(from, s.id, size);
         }
     }
@@ -107,12 +107,12 @@
 }
 
 /* Whole or not at all: a machine missing from half a list proves nothing. */
-int rr_cloud_list(rr_cloud *c, GArray *stones) {
+int rr_cloud_list(rr_cloud *c, GArray *machines) {
     char from[RR_ID] = "";
     bool more = true;
     int rc = 0;
     for (int page = 0; more && rc == 0; page++) {
-        rc = page < 100 ? list_page(c, from, sizeof from, stones, &more) : -E2BIG;
+        rc = page < 100 ? list_page(c, from, sizeof from, machines, &more) : -E2BIG;
     }
     return rc;
 }
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -10,7 +10,7 @@
 void rr_cloud_destroy(rr_cloud *c);
 /* All return 0 or a negative errno; -EAGAIN: refused for now. */
 int rr_cloud_catalog(rr_cloud *c, GArray *builds /* rr_build */);
-int rr_cloud_list(rr_cloud *c, GArray *stones /* rr_stone */);
+int rr_cloud_list(rr_cloud *c, GArray *machines /* rr_listed_machine */);
 /* *status: 200 (ids filled), 503 no capacity, 0: not known. */
 int rr_cloud_hire(rr_cloud *c, const char *hire, const char *build, const char *zone, bool spot,
                   int how_many, int *status, GPtrArray *ids);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -108,7 +108,7 @@
 bool rr_core_heard(rr_core *c, double now, const rr_heard *h, int via);
 /* Which peers need a machine's reports whole, as bits of their indices: with every change the
  * owners of its tasks and the provisioner; now and then all owners. */
-uint32_t rr_core_wanted_by(const rr_core *c, const char *stone, uint32_t *now_and_then);
+uint32_t rr_core_wanted_by(const rr_core *c, const char *machine, uint32_t *now_and_then);
 struct rr_answer {
     int status; /* 200, 421 or 503 */
     uint64_t fencing_token;
@@ -119,7 +119,7 @@
 
 /* ---- planning (team owner) ---- */
 typedef struct {
-    char stone[RR_ID], addr[RR_ID];
+    char machine[RR_ID], addr[RR_ID];
     uint64_t fencing_token, worker_epoch;
     GArray *orders; /* rr_order; empty: only ask for the machine's status */
     int via;        /* peer to go through, -1: direct */
@@ -144,7 +144,7 @@
                        bool executed);
 
 /* A machine reports but answers no command, says a controller that sent some. */
-void rr_core_suspect(rr_core *c, const char *stone, double now);
+void rr_core_suspect(rr_core *c, const char *machine, double now);
 /* Those that this controller has found so: char*. */
 void rr_core_suspects(rr_core *c, double now, GPtrArray *out);
 
@@ -163,14 +163,14 @@
     char hire[RR_ID], build[RR_ID], zone[RR_TEXT]; /* HIRE */
     bool spot;
     int how_many;
-    GPtrArray *stones; /* RELEASE: char* */
+    GPtrArray *machines; /* RELEASE: char* */
 } rr_step;
 void rr_step_init(rr_step *s);
 void rr_step_clear(rr_step *s);
 void rr_core_provisioner_step(rr_core *c, double now, double wall, rr_step *out);
 void rr_core_catalog(rr_core *c, double now, const GArray *builds /* rr_build */);
 void rr_core_listed(rr_core *c, double asked_at, double now, double wall,
-                    const GArray *stones /* rr_stone */);
+                    const GArray *machines /* rr_listed_machine */);
 /* status: 200 with ids, 503 no capacity, else: unknown, try again later. */
 void rr_core_hired(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids);
 void rr_core_released(rr_core *c, double now, const GPtrArray *ids);
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -462,7 +462,7 @@
 static void finish_dos(struct rr_planner *p) {
     for (guint i = 0; i < p->out->dos->len; i++) {
         const rr_do *d = g_ptr_array_index(p->out->dos, i);
-        rr_machine *m = g_hash_table_lookup(p->c->machines, d->stone);
+        rr_machine *m = g_hash_table_lookup(p->c->machines, d->machine);
         m->do_inflight = true;
         m->plan_do = NULL;
         m->reap_at = 0;
@@ -551,7 +551,7 @@
     rr_probe_silent(&p);
     for (guint i = first; i < out->dos->len; i++) {
         rr_machine *m =
-            g_hash_table_lookup(c->machines, ((rr_do *)g_ptr_array_index(out->dos, i))->stone);
+            g_hash_table_lookup(c->machines, ((rr_do *)g_ptr_array_index(out->dos, i))->machine);
         m->plan_do = NULL;
     }
     if (now - c->strangers_at > 1) {
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -90,8 +90,8 @@
     }
 }
 
-void rr_core_suspect(rr_core *c, const char *stone, double now) {
-    rr_machine *m = g_hash_table_lookup(c->machines, stone);
+void rr_core_suspect(rr_core *c, const char *machine, double now) {
+    rr_machine *m = g_hash_table_lookup(c->machines, machine);
     if (m) {
         m->suspect_until = now + 2 * c->cfg->report_s;
     }
@@ -127,7 +127,7 @@
 
 void rr_core_do_result(rr_core *c, double now, const rr_do *d, enum rr_do_outcome outcome,
                        bool executed) {
-    rr_machine *m = g_hash_table_lookup(c->machines, d->stone);
+    rr_machine *m = g_hash_table_lookup(c->machines, d->machine);
     bool probe = d->orders->len == 0;
     c->probing -= probe && c->probing > 0;
     if (!m) {
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -16,12 +16,12 @@
 void rr_step_init(rr_step *s) {
     memset(s, 0, sizeof *s);
     rr_txn_init(&s->txn);
-    s->stones = g_ptr_array_new_with_free_func(g_free);
+    s->machines = g_ptr_array_new_with_free_func(g_free);
 }
 
 void rr_step_clear(rr_step *s) {
     rr_txn_clear(&s->txn);
-    g_ptr_array_free(s->stones, TRUE);
+    g_ptr_array_free(s->machines, TRUE);
 }
 
 /* ---- what the cloud said ---- */
@@ -46,10 +46,11 @@
     return at && now - *at < 3 * c->cfg->list_lag_s + 40;
 }
 
-static void see_listed(rr_core *c, const rr_stone *s, double asked_at, double now, double wall) {
+static void see_listed(rr_core *c, const rr_listed_machine *s, double asked_at, double now,
+                       double wall) {
     rr_machine *m = g_hash_table_lookup(c->machines, s->id);
     if (!m || !m->recorded) {
-        if (s->state == RR_STONE_FAILED) {
+        if (s->state == RR_LISTED_FAILED) {
             g_hash_table_add(c->stray_failed, g_strdup(s->id));
             return;
         }
@@ -75,7 +76,7 @@
         m->listed = true;
         m->listed_at = asked_at;
     }
-    m->list_failed = s->state == RR_STONE_FAILED;
+    m->list_failed = s->state == RR_LISTED_FAILED;
 }
 
 /* Missing from a list taken more than twice the lag after it was first listed (three times, if it
@@ -86,13 +87,13 @@
                      : asked_at > fmax(m->known_at, c->provisioner_since) + 3 * lag + 10;
 }
 
-void rr_core_listed(rr_core *c, double asked_at, double now, double wall, const GArray *stones) {
+void rr_core_listed(rr_core *c, double asked_at, double now, double wall, const GArray *machines) {
     GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
     c->list_at = now;
     c->list_read = true;
     g_hash_table_remove_all(c->stray_failed);
-    for (guint i = 0; i < stones->len; i++) {
-        const rr_stone *s = &g_array_index(stones, rr_stone, i);
+    for (guint i = 0; i < machines->len; i++) {
+        const rr_listed_machine *s = &g_array_index(machines, rr_listed_machine, i);
         g_hash_table_add(seen, (gpointer)s->id);
         see_listed(c, s, asked_at, now, wall);
     }
@@ -255,16 +256,16 @@
         /* What an owner booked there meanwhile is not thrown away; a dead machine goes as it is. */
         bool empty = m->places->len == 0 && now - m->ret_at > RETURN_WAIT_S;
         if (m->recorded && m->ret && m->give_up && !m->list_failed && (empty || m->dead) &&
-            out->stones->len < 100) {
-            g_ptr_array_add(out->stones, g_strdup(m->name));
+            out->machines->len < 100) {
+            g_ptr_array_add(out->machines, g_strdup(m->name));
             m->releasing = true;
         }
     }
     g_hash_table_iter_init(&it, c->stray_failed);
-    while (g_hash_table_iter_next(&it, &k, NULL) && out->stones->len < 100) {
-        g_ptr_array_add(out->stones, g_strdup(k));
+    while (g_hash_table_iter_next(&it, &k, NULL) && out->machines->len < 100) {
+        g_ptr_array_add(out->machines, g_strdup(k));
     }
-    return out->stones->len > 0;
+    return out->machines->len > 0;
 }
 
 static bool step_hire(rr_core *c, double now, double wall, rr_step *out) {
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -15,7 +15,7 @@
         return m->plan_do;
     }
     rr_do *d = g_new0(rr_do, 1);
-    g_strlcpy(d->stone, m->name, sizeof d->stone);
+    g_strlcpy(d->machine, m->name, sizeof d->machine);
     g_strlcpy(d->addr, m->addr, sizeof d->addr);
     d->fencing_token = p->c->term.token;
     d->worker_epoch = m->rep.worker_epoch;
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -125,13 +125,13 @@
 }
 
 enum rr_news rr_core_report(rr_core *c, double now, rr_report *r, int via) {
-    rr_machine *m = g_hash_table_lookup(c->machines, r->stone);
-    if (!m && g_hash_table_contains(c->gone, r->stone)) {
+    rr_machine *m = g_hash_table_lookup(c->machines, r->machine);
+    if (!m && g_hash_table_contains(c->gone, r->machine)) {
         rr_report_clear(r); /* a late copy about a machine that has gone creates nothing */
         return RR_NEWS_NONE;
     }
     if (!m) {
-        m = rr_machine_get(c, r->stone, now);
+        m = rr_machine_get(c, r->machine, now);
     }
     if (!newer(m, r)) {
         rr_report_clear(r);
@@ -180,7 +180,7 @@
  * first is gone, but a command on its way to that one could still reach this one. So it is asked
  * back. */
 void rr_core_vouch(rr_core *c, double now, const rr_heard *h) {
-    rr_machine *m = g_hash_table_lookup(c->machines, h->stone);
+    rr_machine *m = g_hash_table_lookup(c->machines, h->machine);
     if (!m) {
         return;
     }
@@ -200,12 +200,12 @@
 /* It shows the machine as a report does, but says nothing of whether its own reports arrive. */
 bool rr_core_take_answer(rr_core *c, double now, rr_report *r, int via) {
     rr_heard h = {.worker_epoch = r->worker_epoch, .sequence = r->sequence};
-    g_strlcpy(h.stone, r->stone, sizeof h.stone);
-    const rr_machine *known = g_hash_table_lookup(c->machines, r->stone);
+    g_strlcpy(h.machine, r->machine, sizeof h.machine);
+    const rr_machine *known = g_hash_table_lookup(c->machines, r->machine);
     double reported = known && known->heard ? known->reported_at : now;
     rr_core_report(c, now, r, via);
     rr_core_vouch(c, now, &h);
-    rr_machine *m = g_hash_table_lookup(c->machines, h.stone);
+    rr_machine *m = g_hash_table_lookup(c->machines, h.machine);
     if (m) {
         m->reported_at = reported;
     }
@@ -217,7 +217,7 @@
 }
 
 bool rr_core_heard(rr_core *c, double now, const rr_heard *h, int via) {
-    rr_machine *m = g_hash_table_lookup(c->machines, h->stone);
+    rr_machine *m = g_hash_table_lookup(c->machines, h->machine);
     if (!m || !m->heard || m->rep.worker_epoch != h->worker_epoch ||
         h->sequence <= m->rep.sequence) {
         return false;
@@ -245,8 +245,8 @@
     }
 }
 
-uint32_t rr_core_wanted_by(const rr_core *c, const char *stone, uint32_t *now_and_then) {
-    const rr_machine *m = g_hash_table_lookup(c->machines, stone);
+uint32_t rr_core_wanted_by(const rr_core *c, const char *machine, uint32_t *now_and_then) {
+    const rr_machine *m = g_hash_table_lookup(c->machines, machine);
     uint32_t peers = 0;
     *now_and_then = 0;
     want(c, c->provisioner, &peers);
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -34,7 +34,7 @@
     bool started;
     pthread_cond_t wake;
     GQueue queue;         /* GBytes*: payloads of report frames */
-    GHashTable *heard[2]; /* stone -> rr_heard, by hops */
+    GHashTable *heard[2]; /* machine -> rr_heard, by hops */
     GPtrArray *suspects;  /* char* */
     unsigned life;        /* counts losses: what was sent before may not have arrived */
     double up_at;         /* since when our connection to it stands */
@@ -61,7 +61,7 @@
     const atomic_bool *stop;
     pthread_mutex_t lock;
     pthread_cond_t wake; /* connections end */
-    GHashTable *sent;    /* stone -> struct sent */
+    GHashTable *sent;    /* machine -> struct sent */
     double swept_at;
     struct link links[RR_MAX_NODES];
     int listener;
@@ -225,7 +225,7 @@
     g_hash_table_iter_init(&it, l->heard[hops]);
     while (n < LIST_MAX && g_hash_table_iter_next(&it, NULL, &v)) {
         const rr_heard *h = v;
-        rr_frame_text(out, h->stone);
+        rr_frame_text(out, h->machine);
         rr_frame_u64(out, h->worker_epoch);
         rr_frame_u64(out, h->sequence);
         rr_frame_u64(out, h->hash);
@@ -380,7 +380,7 @@
 
 static void queue_line(struct link *l, unsigned hops, const rr_heard *h) {
     rr_heard *copy = g_memdup2(h, sizeof *h);
-    g_hash_table_replace(l->heard[hops], copy->stone, copy);
+    g_hash_table_replace(l->heard[hops], copy->machine, copy);
 }
 
 static gboolean unused(gpointer k, gpointer v, gpointer now) {
@@ -388,15 +388,15 @@
     return *(double *)now - ((struct sent *)v)->used_at > SENT_KEEP_S;
 }
 
-static struct sent *sent_of(rr_peers *p, const char *stone, double now) {
+static struct sent *sent_of(rr_peers *p, const char *machine, double now) {
     if (now - p->swept_at > SENT_KEEP_S) {
         p->swept_at = now;
         g_hash_table_foreach_remove(p->sent, unused, &now);
     }
-    struct sent *s = g_hash_table_lookup(p->sent, stone);
+    struct sent *s = g_hash_table_lookup(p->sent, machine);
     if (!s) {
         s = g_new0(struct sent, 1);
-        g_hash_table_insert(p->sent, g_strdup(stone), s);
+        g_hash_table_insert(p->sent, g_strdup(machine), s);
     }
     s->used_at = now;
     return s;
@@ -417,7 +417,7 @@
     GBytes *whole = NULL;
     pthread_mutex_lock(&p->lock);
     double now = rr_now();
-    struct sent *s = sent_of(p, h->stone, now);
+    struct sent *s = sent_of(p, h->machine, now);
     for (size_t i = 0; i < p->cfg->npeers; i++) {
         struct link *l = &p->links[i];
         bool has = s->to[i].at > 0 && s->to[i].life == l->life &&
@@ -552,7 +552,7 @@
     }
     rr_heard *list = g_new0(rr_heard, n + 1);
     for (uint16_t i = 0; i < n && !u->bad; i++) {
-        rr_unpack_text(u, list[i].stone, sizeof list[i].stone);
+        rr_unpack_text(u, list[i].machine, sizeof list[i].machine);
         list[i].worker_epoch = rr_unpack_u64(u);
         list[i].sequence = rr_unpack_u64(u);
         list[i].hash = rr_unpack_u64(u);
@@ -570,10 +570,10 @@
 }
 
 static int serve_suspects(rr_peers *p, rr_unpack *u) {
-    char stone[RR_ID];
+    char machine[RR_ID];
     uint16_t n = rr_unpack_u16(u);
-    for (uint16_t i = 0; i < n && rr_unpack_text(u, stone, sizeof stone); i++) {
-        p->ev.suspect(p->ev.user, stone);
+    for (uint16_t i = 0; i < n && rr_unpack_text(u, machine, sizeof machine); i++) {
+        p->ev.suspect(p->ev.user, machine);
     }
     return u->bad ? -EBADMSG : 0;
 }
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -21,7 +21,7 @@
     /* Machines that a peer heard again, with nothing to say that it has not sent before. */
     void (*heard)(void *user, int peer, unsigned hops, const rr_heard *list, size_t n);
     /* A peer's commands get no answer from this machine. */
-    void (*suspect)(void *user, const char *stone);
+    void (*suspect)(void *user, const char *machine);
     /* A peer that has lost the state service asks whether we have it (end false), or to end its
      * lease for it. True: yes, or done. */
     bool (*resign)(void *user, uint64_t tether, bool end);
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -230,7 +230,7 @@
     r->pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     r->spot_notice_s = -1;
     const msgpack_object *list = rr_get(o, "pieces");
-    if (!rr_get_text(o, "stone", r->stone, sizeof r->stone) || !r->stone[0] ||
+    if (!rr_get_text(o, "stone", r->machine, sizeof r->machine) || !r->machine[0] ||
         !rr_get_text(o, "addr", r->addr, sizeof r->addr) ||
         !rr_get_text(o, "build", r->build, sizeof r->build) ||
         !rr_get_text(o, "ward", r->zone, sizeof r->zone) || !rr_get_bool(o, "loaners", &r->spot) ||
@@ -330,7 +330,7 @@
     }
 }
 
-int rr_stone_decode(const msgpack_object *o, rr_stone *s) {
+int rr_listed_machine_decode(const msgpack_object *o, rr_listed_machine *s) {
     memset(s, 0, sizeof *s);
     const msgpack_object *st = rr_get(o, "standing");
     rr_get_text(o, "addr", s->addr, sizeof s->addr);
@@ -341,11 +341,11 @@
     }
     rr_get_num(o, "age_s", &s->age_s);
     if (rr_text_is(st, "running")) {
-        s->state = RR_STONE_RUNNING;
+        s->state = RR_LISTED_RUNNING;
     } else if (rr_text_is(st, "failed")) {
-        s->state = RR_STONE_FAILED;
+        s->state = RR_LISTED_FAILED;
     } else {
-        s->state = RR_STONE_STARTING;
+        s->state = RR_LISTED_STARTING;
     }
     return 0;
 }
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -106,7 +106,7 @@
 } rr_piece;
 
 typedef struct {
-    char stone[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
+    char machine[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool spot;
     uint64_t worker_epoch, sequence, fencing_token;
     double spot_notice_s; /* <0: no notice */
@@ -122,7 +122,7 @@
 
 /* A sign of life, for those who need no more: the report with this sequence had this hash. */
 typedef struct {
-    char stone[RR_ID];
+    char machine[RR_ID];
     uint64_t worker_epoch, sequence, hash;
 } rr_heard;
 bool rr_piece_parse(const char *text, char *ref, size_t size, uint32_t *task);
@@ -151,13 +151,13 @@
 void rr_build_encode(rr_out *o, const rr_build *b);
 void rr_build_clear(rr_build *b);
 
-enum rr_stone_state { RR_STONE_STARTING, RR_STONE_RUNNING, RR_STONE_FAILED };
+enum rr_listed_state { RR_LISTED_STARTING, RR_LISTED_RUNNING, RR_LISTED_FAILED };
 typedef struct {
     char id[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool spot;
-    enum rr_stone_state state;
+    enum rr_listed_state state;
     double age_s;
-} rr_stone;
-int rr_stone_decode(const msgpack_object *o, rr_stone *out);
+} rr_listed_machine;
+int rr_listed_machine_decode(const msgpack_object *o, rr_listed_machine *out);
 
 #endif
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -439,7 +439,7 @@
                    .spot_notice_s = n->spot_notice_s};
     va_list ap;
     const char *text;
-    g_strlcpy(r.stone, id, sizeof r.stone);
+    g_strlcpy(r.machine, id, sizeof r.machine);
     g_snprintf(r.addr, sizeof r.addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
     g_strlcpy(r.build, "m1", sizeof r.build);
     g_strlcpy(r.zone, zone, sizeof r.zone);
@@ -532,7 +532,7 @@
 rr_do *fx_do(const rr_plan *p, const char *id) {
     for (guint i = 0; i < p->dos->len; i++) {
         rr_do *d = g_ptr_array_index(p->dos, i);
-        if (strcmp(d->stone, id) == 0) {
+        if (strcmp(d->machine, id) == 0) {
             return d;
         }
     }
@@ -622,13 +622,13 @@
     return n;
 }
 
-void fx_provisioner_step(fx_node *n, const GArray *stones, rr_step *out) {
+void fx_provisioner_step(fx_node *n, const GArray *machines, rr_step *out) {
     rr_step_init(out);
     rr_core_provisioner_step(n->core, n->now, n->now, out);
     if (out->kind == RR_STEP_TXN) {
         fx_commit(n->store, &out->txn);
         fx_sync(n->store, n->core, n->now);
     } else if (out->kind == RR_STEP_LIST) {
-        rr_core_listed(n->core, n->now, n->now, n->now, stones);
+        rr_core_listed(n->core, n->now, n->now, n->now, machines);
     }
 }
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -48,7 +48,7 @@
     fx_world *w;
     rr_plan p;
     rr_step s;
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_world_setup((void **)&w);
     fx_node *n = &w->n;
     fx_fleet(n, 1, 3, "a");
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -384,7 +384,7 @@
     fx_plan(n, &p);
     for (guint i = 0; i < p.dos->len; i++) {
         rr_do *d = g_ptr_array_index(p.dos, i);
-        bool lost = strcmp(d->stone, id) == 0;
+        bool lost = strcmp(d->machine, id) == 0;
         rr_core_do_result(n->core, n->now, d, lost ? RR_DO_DOUBT : RR_DO_ANSWERED, !lost);
     }
     rr_plan_clear(&p);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -265,15 +265,15 @@
 static void the_fleet_comes_in_bulk(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     unsigned changes = 0, hires = 0, asked = 0;
     for (int i = 1; i <= 1000; i++) {
-        rr_stone s = {.state = RR_STONE_RUNNING, .age_s = 100};
+        rr_listed_machine s = {.state = RR_LISTED_RUNNING, .age_s = 100};
         g_snprintf(s.id, sizeof s.id, "vm-%06d", i);
         g_snprintf(s.addr, sizeof s.addr, "10.1.2.3:%d", 1000 + i);
         g_strlcpy(s.build, "m1", sizeof s.build);
         g_strlcpy(s.zone, "a", sizeof s.zone);
-        g_array_append_val(stones, s);
+        g_array_append_val(machines, s);
     }
     submit_many(n, 1, 100, &(struct fx_job){.pieces = 40, .cpu = 8, .zone = "b"});
     for (int i = 0; i < 120; i++) {
@@ -285,7 +285,7 @@
             assert_int_equal(fx_commit(w->store, &s.txn), 0);
             fx_sync(w->store, n->core, n->now);
         } else if (s.kind == RR_STEP_LIST) {
-            rr_core_listed(n->core, n->now, n->now, n->now, stones);
+            rr_core_listed(n->core, n->now, n->now, n->now, machines);
         } else if (s.kind == RR_STEP_HIRE) {
             hires++;
             assert_true(s.how_many <= 50);
@@ -298,7 +298,7 @@
     assert_true(fx_recorded(w->store, "vm-000001") && fx_recorded(w->store, "vm-001000"));
     assert_true(changes <= 1000 / 20 + 40);
     assert_true(hires >= 20 && asked >= 1000);
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
 }
 
 #define HUGE_JOB 1          /* its number; those of the small ones follow */
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -307,7 +307,7 @@
                            .sequence = ++sequence,
                            .fencing_token = rr_core_token(n->core),
                            .spot_notice_s = -1,
-                           .stone = "vm-1",
+                           .machine = "vm-1",
                            .addr = "127.0.0.1:1001",
                            .build = "m1",
                            .zone = "a"};
@@ -532,7 +532,7 @@
     fx_node *n = &w->n, next;
     uint64_t at;
     rr_step s;
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_machine_gone(w->store, "vm-1");
     fx_machine_gone(w->store, "vm-2");
     fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -5,9 +5,9 @@
 
 /* Runs steps until one of this kind comes; transactions are committed, lists and the catalogue
  * answered with what is given. */
-static bool step_until(fx_world *w, enum rr_step_kind kind, const GArray *stones, rr_step *out) {
+static bool step_until(fx_world *w, enum rr_step_kind kind, const GArray *machines, rr_step *out) {
     fx_node *n = &w->n;
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *builds = g_array_new(FALSE, FALSE, sizeof(rr_build));
     bool found = false;
     rr_step_init(out);
@@ -21,7 +21,7 @@
             fx_commit(w->store, &out->txn);
             fx_sync(w->store, n->core, n->now);
         } else if (out->kind == RR_STEP_LIST) {
-            rr_core_listed(n->core, n->now, n->now, n->now, stones ? stones : none);
+            rr_core_listed(n->core, n->now, n->now, n->now, machines ? machines : none);
         } else if (out->kind == RR_STEP_CATALOG) {
             rr_core_catalog(n->core, n->now, builds);
         } else if (out->kind == RR_STEP_NONE && kind == RR_STEP_RELEASE) {
@@ -45,7 +45,7 @@
     for (guint i = 0; i < p.dos->len; i++) {
         rr_do *d = g_ptr_array_index(p.dos, i);
         probes += d->orders->len == 0;
-        bool up = id && strcmp(d->stone, id) == 0;
+        bool up = id && strcmp(d->machine, id) == 0;
         rr_core_do_result(n->core, n->now, d, up ? RR_DO_ANSWERED : RR_DO_NOT_SENT, up);
     }
     rr_plan_clear(&p);
@@ -56,8 +56,8 @@
     return plan_reaching(n, NULL);
 }
 
-static void add_stone(GArray *a, const char *id, enum rr_stone_state st, double age) {
-    rr_stone s = {.state = st, .age_s = age};
+static void add_machine(GArray *a, const char *id, enum rr_listed_state st, double age) {
+    rr_listed_machine s = {.state = st, .age_s = age};
     g_strlcpy(s.id, id, sizeof s.id);
     g_strlcpy(s.build, "m1", sizeof s.build);
     g_strlcpy(s.zone, "a", sizeof s.zone);
@@ -128,18 +128,18 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_step s;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
-    add_stone(stones, "vm-1", RR_STONE_RUNNING, 500);
-    add_stone(stones, "vm-4", RR_STONE_RUNNING, 0);
-    assert_true(step_until(w, RR_STEP_NONE, stones, &s));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    add_machine(machines, "vm-1", RR_LISTED_RUNNING, 500);
+    add_machine(machines, "vm-4", RR_LISTED_RUNNING, 0);
+    assert_true(step_until(w, RR_STEP_NONE, machines, &s));
     rr_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-4"));
     fx_machine(w->store, "vm-3", "b", false, false); /* the first one rented */
     fx_sync(w->store, n->core, n->now);
     n->now += 30;
-    add_stone(stones, "vm-2", RR_STONE_RUNNING, 10);
-    add_stone(stones, "vm-3", RR_STONE_RUNNING, 10);
-    assert_true(step_until(w, RR_STEP_NONE, stones, &s));
+    add_machine(machines, "vm-2", RR_LISTED_RUNNING, 10);
+    add_machine(machines, "vm-3", RR_LISTED_RUNNING, 10);
+    assert_true(step_until(w, RR_STEP_NONE, machines, &s));
     rr_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-1"));
     assert_true(fx_recorded(w->store, "vm-2"));
@@ -149,25 +149,25 @@
         fx_report(n, "vm-1", "a", false, 1, i + 1, 1, NULL);
         fx_report(n, "vm-2", "a", false, 1, i + 1, 1, NULL);
         fx_report(n, "vm-4", "a", false, 1, i + 1, 1, NULL);
-        asked = step_until(w, RR_STEP_RELEASE, stones, &s);
-        for (guint k = 0; asked && k < s.stones->len; k++) {
-            assert_string_not_equal(s.stones->pdata[k], "vm-1");
-            assert_string_not_equal(s.stones->pdata[k], "vm-4");
+        asked = step_until(w, RR_STEP_RELEASE, machines, &s);
+        for (guint k = 0; asked && k < s.machines->len; k++) {
+            assert_string_not_equal(s.machines->pdata[k], "vm-1");
+            assert_string_not_equal(s.machines->pdata[k], "vm-4");
         }
-        asked = asked && g_ptr_array_find_with_equal_func(s.stones, "vm-2", g_str_equal, NULL);
+        asked = asked && g_ptr_array_find_with_equal_func(s.machines, "vm-2", g_str_equal, NULL);
         rr_step_clear(&s);
     }
     assert_true(asked);
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
 }
 
 /* vm-1 to vm-3 of zone a, listed, recorded and heard once. */
-static void three_machines(fx_world *w, GArray *stones) {
+static void three_machines(fx_world *w, GArray *machines) {
     fx_node *n = &w->n;
     const char *ids[] = {"vm-1", "vm-2", "vm-3"};
     for (int i = 0; i < 3; i++) {
         fx_machine(w->store, ids[i], "a", false, true);
-        add_stone(stones, ids[i], RR_STONE_RUNNING, 100);
+        add_machine(machines, ids[i], RR_LISTED_RUNNING, 100);
     }
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 3; i++) {
@@ -181,12 +181,12 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_step s;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
-    three_machines(w, stones);
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    three_machines(w, machines);
     for (int i = 0; i < 20; i++) {
         n->now += 2;
         plan_unreachable(n);
-        assert_false(step_until(w, RR_STEP_RELEASE, stones, &s));
+        assert_false(step_until(w, RR_STEP_RELEASE, machines, &s));
         rr_step_clear(&s);
     }
     /* The cut heals for two of three first: the third is not given up in that moment, but once it
@@ -197,18 +197,18 @@
         fx_report(n, "vm-1", "a", false, 1, i, 1, NULL);
         fx_report(n, "vm-2", "a", false, 1, i, 1, NULL);
         plan_unreachable(n);
-        fx_provisioner_step(n, stones, &s);
+        fx_provisioner_step(n, machines, &s);
         if (s.kind == RR_STEP_RELEASE) {
             asked = true;
             assert_true(i > n->cfg.tune.dead_reports * n->cfg.report_s);
-            assert_int_equal(s.stones->len, 1);
-            assert_string_equal(s.stones->pdata[0], "vm-3");
+            assert_int_equal(s.machines->len, 1);
+            assert_string_equal(s.machines->pdata[0], "vm-3");
             assert_true(fx_recorded(w->store, "vm-3"));
         }
         rr_step_clear(&s);
     }
     assert_true(asked);
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
 }
 
 /* A cut begins: its machines were heard at different times, and the probes of all fail. The first
@@ -219,11 +219,11 @@
     rr_step s;
     char id[16];
     n->cfg.tune.dead_reports = 1.9;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     for (int i = 1; i <= 12; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
         fx_machine(w->store, id, "a", false, true);
-        add_stone(stones, id, RR_STONE_RUNNING, 100);
+        add_machine(machines, id, RR_LISTED_RUNNING, 100);
     }
     fx_sync(w->store, n->core, n->now);
     for (uint64_t t = 1; t < 160; t++) {
@@ -239,11 +239,11 @@
         } else {
             plan_unreachable(n);
         }
-        fx_provisioner_step(n, stones, &s);
+        fx_provisioner_step(n, machines, &s);
         assert_int_not_equal(s.kind, RR_STEP_RELEASE);
         rr_step_clear(&s);
     }
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
 }
 
 /* A provisioner that restarted while a zone was cut has never heard most of it. It gave up fourteen
@@ -254,10 +254,10 @@
     rr_step s;
     rr_plan p;
     const char *ids[] = {"vm-1", "vm-2", "vm-3", "vm-4"};
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     for (int i = 0; i < 4; i++) {
         fx_machine(w->store, ids[i], "a", false, true);
-        add_stone(stones, ids[i], RR_STONE_RUNNING, 100);
+        add_machine(machines, ids[i], RR_LISTED_RUNNING, 100);
     }
     fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 4, .cpu = 16}, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -277,10 +277,10 @@
         w2.n.now += 1;
         fx_report(&w2.n, "vm-1", "a", false, 1, i, 1, NULL);
         plan_reaching(&w2.n, "vm-1");
-        assert_false(step_until(&w2, RR_STEP_RELEASE, stones, &s));
+        assert_false(step_until(&w2, RR_STEP_RELEASE, machines, &s));
         rr_step_clear(&s);
     }
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
     fx_node_clear(&w2.n);
 }
 
@@ -313,9 +313,9 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_step s;
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_stone));
-    GArray *one = g_array_new(FALSE, FALSE, sizeof(rr_stone));
-    add_stone(one, "vm-1", RR_STONE_RUNNING, 3);
+    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    GArray *one = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    add_machine(one, "vm-1", RR_LISTED_RUNNING, 3);
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_sync(w->store, n->core, n->now);
     /* The first step makes it provisioner. */
@@ -349,7 +349,7 @@
     fx_node *n = &w->n;
     rr_plan p;
     rr_step s;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_sync(w->store, n->core, n->now);
     fx_report(n, "vm-1", "a", false, 1, 1, 1, NULL);
@@ -358,14 +358,14 @@
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, "vm-1", "req-000001", 0) != 0);
-    add_stone(stones, "vm-1", RR_STONE_FAILED, 100);
+    add_machine(machines, "vm-1", RR_LISTED_FAILED, 100);
     bool asked = false;
     for (int i = 0; i < 10 && !asked; i++) {
         n->now += 5;
-        asked = step_until(w, RR_STEP_RELEASE, stones, &s);
+        asked = step_until(w, RR_STEP_RELEASE, machines, &s);
         if (asked) {
             assert_false(fx_recorded(w->store, "vm-1"));
-            rr_core_released(n->core, n->now, s.stones);
+            rr_core_released(n->core, n->now, s.machines);
         }
         rr_step_clear(&s);
     }
@@ -380,7 +380,7 @@
     }
     assert_true(fx_booked(w->store, "vm-2", "req-000001", 0) != 0);
     assert_true(fx_booked(w->store, "vm-1", "req-000001", 0) == 0);
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
 }
 
 /* Work on machines that are gone is rented for before its owner, short of changes, has cleared the
@@ -406,12 +406,12 @@
 }
 
 /* vm-1 to vm-`many` in zone a, standing and listed. */
-static void standing_fleet(fx_world *w, int many, GArray *stones) {
+static void standing_fleet(fx_world *w, int many, GArray *machines) {
     char id[16];
     for (int i = 1; i <= many; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
         fx_machine(w->store, id, "a", false, true);
-        add_stone(stones, id, RR_STONE_RUNNING, 500);
+        add_machine(machines, id, RR_LISTED_RUNNING, 500);
     }
     fx_sync(w->store, w->n.core, w->n.now);
 }
@@ -430,11 +430,11 @@
     fx_node *n = &w->n;
     rr_step s;
     const int many = 12;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     unsigned asked = 0;
-    standing_fleet(w, many, stones);
+    standing_fleet(w, many, machines);
     report_each(n, 1, many, 1);
-    fx_provisioner_step(n, stones, &s);
+    fx_provisioner_step(n, machines, &s);
     rr_step_clear(&s);
     n->now += still;
     for (int t = 0; t < 60; t++) {
@@ -446,11 +446,11 @@
             report_each(n, 1, many, 3 + (uint64_t)t);
         }
         plan_unreachable(n);
-        fx_provisioner_step(n, stones, &s);
+        fx_provisioner_step(n, machines, &s);
         asked += s.kind == RR_STEP_RELEASE;
         rr_step_clear(&s);
     }
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
     return asked;
 }
 
@@ -465,7 +465,7 @@
 
 /* A controller with more work than processor time hears only two of three machines and its probes
  * go unanswered. Releases asked for in so many seconds, while its timers fire late. */
-static unsigned released_while(fx_world *w, int seconds, uint64_t *sequence, const GArray *stones,
+static unsigned released_while(fx_world *w, int seconds, uint64_t *sequence, const GArray *machines,
                                bool late) {
     fx_node *n = &w->n;
     unsigned asked = 0;
@@ -479,8 +479,8 @@
         fx_report(n, "vm-1", "a", false, 1, *sequence, 1, NULL);
         fx_report(n, "vm-2", "a", false, 1, *sequence, 1, NULL);
         plan_unreachable(n);
-        fx_provisioner_step(n, stones, &s);
-        asked += s.kind == RR_STEP_RELEASE ? s.stones->len : 0;
+        fx_provisioner_step(n, machines, &s);
+        asked += s.kind == RR_STEP_RELEASE ? s.machines->len : 0;
         rr_step_clear(&s);
     }
     return asked;
@@ -492,16 +492,16 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     uint64_t sequence = 1;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
-    three_machines(w, stones);
-    assert_int_equal(released_while(w, (int)(1.5 * n->cfg.lease_s), &sequence, stones, true), 0);
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    three_machines(w, machines);
+    assert_int_equal(released_while(w, (int)(1.5 * n->cfg.lease_s), &sequence, machines, true), 0);
     assert_true(rr_core_late(n->core, n->now, 1));
     /* Its report is read at last, and it stays: */
     fx_report(n, "vm-3", "a", false, 1, ++sequence, 1, NULL);
-    assert_int_equal(released_while(w, (int)n->cfg.report_s, &sequence, stones, false), 0);
+    assert_int_equal(released_while(w, (int)n->cfg.report_s, &sequence, machines, false), 0);
     /* until it is silent for long enough to a controller that keeps up. */
-    assert_int_equal(released_while(w, (int)(5 * n->cfg.report_s), &sequence, stones, false), 1);
-    g_array_free(stones, TRUE);
+    assert_int_equal(released_while(w, (int)(5 * n->cfg.report_s), &sequence, machines, false), 1);
+    g_array_free(machines, TRUE);
 }
 
 /* Most of a zone hangs for good, and looks like a cut. Releases asked for within three leases,
@@ -511,12 +511,12 @@
     rr_step s;
     const int many = 10, hung = 8;
     unsigned asked = 0;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     n->cfg.npeers = 1;
     g_strlcpy(n->cfg.zone, "b", RR_NAME);
     g_strlcpy(n->cfg.peers[0].name, "n1", RR_NAME);
     g_strlcpy(n->cfg.peers[0].zone, "a", RR_NAME);
-    standing_fleet(w, many, stones);
+    standing_fleet(w, many, machines);
     for (int t = 0; t < 3 * n->cfg.lease_s; t++) {
         n->now += 1;
         report_each(n, 1, t == 0 ? many : many - hung, (uint64_t)t + 1);
@@ -525,15 +525,15 @@
         }
         plan_unreachable(n);
         for (int k = 0; k < 3; k++) {
-            fx_provisioner_step(n, stones, &s);
+            fx_provisioner_step(n, machines, &s);
             if (s.kind == RR_STEP_RELEASE && asked == 0) {
                 assert_true(t > n->cfg.lease_s);
-                asked = s.stones->len;
+                asked = s.machines->len;
             }
             rr_step_clear(&s);
         }
     }
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
     return asked;
 }
 
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -566,7 +566,7 @@
     assert_int_equal(v.nrunning, 0);
     /* Once forgotten, an old report is news again: it is taken as that of a machine never heard. */
     rr_report r = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
-    g_strlcpy(r.stone, "vm-77", sizeof r.stone);
+    g_strlcpy(r.machine, "vm-77", sizeof r.machine);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     assert_true(rr_core_report(n->core, n->now, &r, -1) != RR_NEWS_NONE);
 }
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -33,7 +33,7 @@
     fx_plan(n, &p);
     for (guint i = 0; i < p.dos->len; i++) {
         rr_do *d = g_ptr_array_index(p.dos, i);
-        bool lost = deaf && strcmp(d->stone, deaf) == 0;
+        bool lost = deaf && strcmp(d->machine, deaf) == 0;
         rr_core_do_result(n->core, n->now, d, lost ? RR_DO_DOUBT : RR_DO_ANSWERED, !lost);
     }
     rr_plan_clear(&p);
@@ -45,26 +45,26 @@
 static bool step(fx_world *w, const char *id) {
     fx_node *n = &w->n;
     rr_step s;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     bool asked = false;
     for (int i = 1; i <= 2; i++) {
-        rr_stone st = {.state = RR_STONE_RUNNING, .age_s = 500};
+        rr_listed_machine st = {.state = RR_LISTED_RUNNING, .age_s = 500};
         g_snprintf(st.id, sizeof st.id, "vm-%d", i);
         g_strlcpy(st.build, "m1", sizeof st.build);
         g_strlcpy(st.zone, i == 1 ? "a" : "b", sizeof st.zone);
-        g_array_append_val(stones, st);
+        g_array_append_val(machines, st);
     }
-    fx_provisioner_step(n, stones, &s);
+    fx_provisioner_step(n, machines, &s);
     if (s.kind == RR_STEP_RELEASE) {
-        for (guint i = 0; i < s.stones->len; i++) {
-            asked = asked || strcmp(s.stones->pdata[i], id) == 0;
+        for (guint i = 0; i < s.machines->len; i++) {
+            asked = asked || strcmp(s.machines->pdata[i], id) == 0;
         }
         if (asked) {
-            rr_core_released(n->core, n->now, s.stones);
+            rr_core_released(n->core, n->now, s.machines);
         }
     }
     rr_step_clear(&s);
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
     return asked;
 }
 
@@ -182,7 +182,7 @@
     plan_with_deaf(&again, NULL);
     assert_null(place_of(w, "req-2"));
     again.now += 3;
-    rr_heard line = {.stone = "vm-2", .worker_epoch = 1, .sequence = 41, .hash = 5};
+    rr_heard line = {.machine = "vm-2", .worker_epoch = 1, .sequence = 41, .hash = 5};
     assert_true(rr_core_heard(again.core, again.now, &line, 0));
     plan_with_deaf(&again, NULL);
     assert_string_equal(place_of(w, "req-2"), "vm-2");
@@ -203,7 +203,7 @@
                    .sequence = 6,
                    .fencing_token = rr_core_token(n->core),
                    .spot_notice_s = -1};
-    g_strlcpy(r.stone, "vm-1", sizeof r.stone);
+    g_strlcpy(r.machine, "vm-1", sizeof r.machine);
     r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     assert_int_equal(rr_core_report(n->core, n->now, &r, -1), RR_NEWS_NONE);
     rr_core_get_stats(n->core, &st);
@@ -214,7 +214,8 @@
         step(w, "");
     }
     assert_false(fx_recorded(w->store, "vm-7"));
-    rr_core_vouch(n->core, n->now, &(rr_heard){.stone = "vm-7", .worker_epoch = 1, .sequence = 4});
+    rr_core_vouch(n->core, n->now,
+                  &(rr_heard){.machine = "vm-7", .worker_epoch = 1, .sequence = 4});
     for (int i = 0; i < 4; i++) {
         step(w, "");
     }
@@ -242,8 +243,8 @@
         for (guint k = 0; k < p.dos->len; k++) {
             rr_do *d = g_ptr_array_index(p.dos, k);
             rr_heard h = {.worker_epoch = 1,
-                          .sequence = strcmp(d->stone, "vm-1") == 0 ? i : 500 + i};
-            g_strlcpy(h.stone, d->stone, sizeof h.stone);
+                          .sequence = strcmp(d->machine, "vm-1") == 0 ? i : 500 + i};
+            g_strlcpy(h.machine, d->machine, sizeof h.machine);
             rr_core_vouch(n->core, n->now, &h);
             rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
         }
@@ -306,7 +307,7 @@
             probes++;
             assert_int_equal(d->orders->len, 0);
             assert_true(d->fencing_token == rr_core_token(n->core));
-            hear(n, d->stone, 10 + (uint64_t)i);
+            hear(n, d->machine, 10 + (uint64_t)i);
             rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
         }
         rr_plan_clear(&p);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -498,21 +498,21 @@
     fx_node *n = &w->n, other;
     rr_core_stats st;
     rr_step s;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_node_init(&other, w->store, "n1");
     fx_fleet(n, 1, 40, "a");
     fx_sync(w->store, other.core, other.now);
     for (int i = 1; i <= 40; i++) {
-        rr_stone st1 = {.state = RR_STONE_RUNNING, .age_s = 500};
+        rr_listed_machine st1 = {.state = RR_LISTED_RUNNING, .age_s = 500};
         g_snprintf(st1.id, sizeof st1.id, "vm-%d", i);
         g_strlcpy(st1.build, "m1", sizeof st1.build);
         g_strlcpy(st1.zone, "a", sizeof st1.zone);
-        g_array_append_val(stones, st1);
+        g_array_append_val(machines, st1);
     }
     assert_true(fx_value_size(w->store, RR_ROOT "fleet/00000001") > (size_t)(NEXT_KB * 1024));
     lower(w->store);
     for (int i = 0; i < 20; i++) {
-        fx_provisioner_step(n, stones, &s);
+        fx_provisioner_step(n, machines, &s);
         rr_step_clear(&s);
         n->now += 0.6;
         fx_node fresh;
@@ -534,7 +534,7 @@
         g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", i);
         assert_true(fx_value_size(w->store, key) <= w->store->value_max);
     }
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
     fx_node_clear(&other);
 }
 
@@ -545,27 +545,27 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_step s;
-    GArray *stones = g_array_new(FALSE, FALSE, sizeof(rr_stone));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     n->cfg.next_value_kb = n->cfg.next_txn_ops = 0;
     fx_fleet(n, 1, 40, "a");
     n->cfg.value_kb = (double)fx_value_size(w->store, RR_ROOT "fleet/00000001") / 1024;
     for (int i = 2; i <= 40; i++) {
-        rr_stone st = {.state = RR_STONE_RUNNING, .age_s = 500};
+        rr_listed_machine st = {.state = RR_LISTED_RUNNING, .age_s = 500};
         g_snprintf(st.id, sizeof st.id, "vm-%d", i);
         g_strlcpy(st.build, "m1", sizeof st.build);
         g_strlcpy(st.zone, "a", sizeof st.zone);
-        g_array_append_val(stones, st);
+        g_array_append_val(machines, st);
     }
-    rr_stone dead = {.id = "vm-1", .build = "m1", .zone = "a", .state = RR_STONE_FAILED};
-    g_array_append_val(stones, dead);
+    rr_listed_machine dead = {.id = "vm-1", .build = "m1", .zone = "a", .state = RR_LISTED_FAILED};
+    g_array_append_val(machines, dead);
     for (int i = 0; i < 20 && fx_recorded(w->store, "vm-1"); i++) {
-        fx_provisioner_step(n, stones, &s);
+        fx_provisioner_step(n, machines, &s);
         rr_step_clear(&s);
         n->now += 0.6;
     }
     assert_false(fx_recorded(w->store, "vm-1"));
     assert_true(fx_recorded(w->store, "vm-2"));
-    g_array_free(stones, TRUE);
+    g_array_free(machines, TRUE);
 }
 
 /* A transaction went unanswered and its repeat is called invalid: the first copy may be carried out
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -39,9 +39,9 @@
     atomic_fetch_add(&f->lines, (unsigned)n);
 }
 
-static void on_suspect(void *user, const char *stone) {
+static void on_suspect(void *user, const char *machine) {
     (void)user;
-    (void)stone;
+    (void)machine;
 }
 
 static bool on_resign(void *user, uint64_t tether, bool end) {
@@ -141,7 +141,7 @@
 }
 
 static void wait_report(struct fixture *f, int fd) {
-    rr_heard h = {.stone = "vm-7", .worker_epoch = 1, .sequence = 5, .hash = 9};
+    rr_heard h = {.machine = "vm-7", .worker_epoch = 1, .sequence = 5, .hash = 9};
     rr_peers_report(f->peers, 1, 0, &h, "report", 6);
     while (next_frame(fd) != RR_FRAME_REPORT) {
     }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -240,7 +240,7 @@
             rr_submission s;
             rr_report r;
             rr_build b;
-            rr_stone st;
+            rr_listed_machine st;
             const char *field;
             if (rr_submission_decode(d.root, &s, &field) == 0) {
                 assert_true(s.pieces >= 1 && s.pieces <= RR_PIECES_MAX);
@@ -252,7 +252,7 @@
             rr_report_clear(&r);
             rr_build_decode(d.root, &b);
             rr_build_clear(&b);
-            rr_stone_decode(d.root, &st);
+            rr_listed_machine_decode(d.root, &st);
         }
         rr_doc_clear(&d);
     }
