--- a/src/app/duties.c
+++ b/src/app/duties.c
@@ -243,7 +243,7 @@
            "%u tasks placed, %u waiting, so far %u moves, %u machines rented, "
            "%u given up or returned, %u leases lost, %u notices",
            line, rr_door_open(a->door), st.machines, st.booting, st.jobs_open, st.tasks_placed,
-           st.tasks_waiting, st.moves, st.hired, st.given_up, st.leases_lost, st.notices);
+           st.tasks_waiting, st.moves, st.rented, st.given_up, st.leases_lost, st.notices);
 }
 
 void *rr_duty_term(void *app) {
@@ -897,13 +897,13 @@
     return rc;
 }
 
-static int do_hire(struct rr_app *a, rr_cloud *cloud, const rr_step *step) {
+static int do_rental(struct rr_app *a, rr_cloud *cloud, const rr_step *step) {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     int status;
-    int rc = rr_cloud_hire(cloud, step->hire, step->build, step->zone, step->spot, step->how_many,
-                           &status, ids);
+    int rc = rr_cloud_rental(cloud, step->rental, step->build, step->zone, step->spot,
+                             step->how_many, &status, ids);
     pthread_mutex_lock(&a->lock);
-    rr_core_hired(a->core, rr_now(), step, status, ids);
+    rr_core_rented(a->core, rr_now(), step, status, ids);
     pthread_mutex_unlock(&a->lock);
     g_ptr_array_free(ids, TRUE);
     return status == 503 ? 0 : rc;
@@ -928,8 +928,8 @@
         return do_catalog(a, cloud);
     case RR_STEP_LIST:
         return do_list(a, cloud);
-    case RR_STEP_HIRE:
-        return do_hire(a, cloud, step);
+    case RR_STEP_RENT:
+        return do_rental(a, cloud, step);
     case RR_STEP_RELEASE:
         return do_release(a, cloud, step);
     case RR_STEP_TXN:
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -117,14 +117,14 @@
     return rc;
 }
 
-int rr_cloud_hire(rr_cloud *c, const char *hire, const char *build, const char *zone, bool spot,
-                  int how_many, int *status, GPtrArray *ids) {
+int rr_cloud_rental(rr_cloud *c, const char *rental, const char *build, const char *zone, bool spot,
+                    int how_many, int *status, GPtrArray *ids) {
     rr_reply reply = {0};
     rr_doc doc;
     rr_out o;
     rr_out_init(&o);
     rr_put_map(&o, 5);
-    rr_put_key_text(&o, "hire", hire);
+    rr_put_key_text(&o, "hire", rental);
     rr_put_key_text(&o, "build", build);
     rr_put_key_text(&o, "ward", zone);
     rr_put_key_bool(&o, "loaners", spot);
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -12,8 +12,8 @@
 int rr_cloud_catalog(rr_cloud *c, GArray *builds /* rr_build */);
 int rr_cloud_list(rr_cloud *c, GArray *machines /* rr_listed_machine */);
 /* *status: 200 (ids filled), 503 no capacity, 0: not known. */
-int rr_cloud_hire(rr_cloud *c, const char *hire, const char *build, const char *zone, bool spot,
-                  int how_many, int *status, GPtrArray *ids);
+int rr_cloud_rental(rr_cloud *c, const char *rental, const char *build, const char *zone, bool spot,
+                    int how_many, int *status, GPtrArray *ids);
 int rr_cloud_release(rr_cloud *c, const GPtrArray *ids);
 
 #endif
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -154,13 +154,13 @@
     RR_STEP_CATALOG,
     RR_STEP_LIST,
     RR_STEP_TXN,
-    RR_STEP_HIRE,
+    RR_STEP_RENT,
     RR_STEP_RELEASE
 };
 typedef struct {
     enum rr_step_kind kind;
-    rr_txn txn;                                    /* TXN */
-    char hire[RR_ID], build[RR_ID], zone[RR_TEXT]; /* HIRE */
+    rr_txn txn;                                      /* TXN */
+    char rental[RR_ID], build[RR_ID], zone[RR_TEXT]; /* HIRE */
     bool spot;
     int how_many;
     GPtrArray *machines; /* RELEASE: char* */
@@ -172,15 +172,15 @@
 void rr_core_listed(rr_core *c, double asked_at, double now, double wall,
                     const GArray *machines /* rr_listed_machine */);
 /* status: 200 with ids, 503 no capacity, else: unknown, try again later. */
-void rr_core_hired(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids);
+void rr_core_rented(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids);
 void rr_core_released(rr_core *c, double now, const GPtrArray *ids);
 
 /* ---- for logs and tests ---- */
 typedef struct {
     unsigned machines, booting, jobs_open, tasks_waiting, tasks_placed, moves;
-    unsigned hired, given_up, leases_lost, notices; /* so far */
-    unsigned visits;                                /* machines looked at so far */
-    unsigned jobs_whole;                            /* jobs kept as more than a line */
+    unsigned rented, given_up, leases_lost, notices; /* so far */
+    unsigned visits;                                 /* machines looked at so far */
+    unsigned jobs_whole;                             /* jobs kept as more than a line */
     double priced;
 } rr_core_stats;
 void rr_core_get_stats(const rr_core *c, rr_core_stats *out);
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -122,7 +122,7 @@
     m->zone = rr_names_add(&c->zones, zone);
     m->spot = flags & FLAG_SPOT;
     m->own = flags & FLAG_OWN;
-    c->ever_hired = c->ever_hired || !m->own;
+    c->ever_rented = c->ever_rented || !m->own;
     rr_as_num(&f[5], &m->born);
     if (!m->heard && addr[0]) {
         g_strlcpy(m->addr, addr, sizeof m->addr);
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -66,8 +66,8 @@
     g_free(b);
 }
 
-static void hire_free(gpointer p) {
-    rr_hire *h = p;
+static void rental_free(gpointer p) {
+    rr_rental *h = p;
     g_ptr_array_free(h->ids, TRUE);
     g_free(h);
 }
@@ -118,7 +118,7 @@
     c->zone_counts = g_array_new(FALSE, TRUE, sizeof(rr_zone_count));
     c->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->sessions = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    c->hires = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, hire_free);
+    c->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rental_free);
     c->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->stray_failed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     c->term.nodes = g_array_new(FALSE, TRUE, sizeof(rr_session));
@@ -146,7 +146,7 @@
     g_array_free(c->term.nodes, TRUE);
     g_hash_table_destroy(c->stray_failed);
     g_hash_table_destroy(c->refused);
-    g_hash_table_destroy(c->hires);
+    g_hash_table_destroy(c->rentals);
     g_hash_table_destroy(c->sessions);
     g_hash_table_destroy(c->gone);
     g_ptr_array_free(c->machine_list, TRUE);
@@ -176,7 +176,7 @@
     g_snprintf(out, size, RR_ROOT "fleet/%08u", page);
 }
 
-void rr_hire_key(const char *name, char *out, size_t size) {
+void rr_rental_key(const char *name, char *out, size_t size) {
     g_snprintf(out, size, RR_ROOT "hire/%s", name);
 }
 
@@ -872,7 +872,7 @@
     }
 }
 
-/* ---- terms, sessions, hires ---- */
+/* ---- terms, sessions, rentals ---- */
 
 static void put_session(rr_core *c, const char *name, const msgpack_object *v) {
     uint64_t tether;
@@ -914,16 +914,16 @@
     g_array_set_size(c->plan_moves, 0); /* teams may have moved */
 }
 
-static void put_hire(rr_core *c, const char *name, const msgpack_object *v, uint64_t mark) {
-    rr_hire *h = g_hash_table_lookup(c->hires, name);
+static void put_rental(rr_core *c, const char *name, const msgpack_object *v, uint64_t mark) {
+    rr_rental *h = g_hash_table_lookup(c->rentals, name);
     uint64_t n = 0;
     if (!h) {
-        h = g_new0(rr_hire, 1);
+        h = g_new0(rr_rental, 1);
         h->ids = g_ptr_array_new_with_free_func(g_free);
         g_strlcpy(h->name, name, sizeof h->name);
-        g_hash_table_insert(c->hires, h->name, h);
+        g_hash_table_insert(c->rentals, h->name, h);
     }
-    c->ever_hired = true;
+    c->ever_rented = true;
     h->mark = mark;
     h->keep = true;
     rr_get_text(v, "build", h->build, sizeof h->build);
@@ -954,7 +954,7 @@
     } else if (strcmp(key, RR_ROOT "term") == 0) {
         put_term(c, v, mark);
     } else if ((rest = after(key, RR_ROOT "hire/"))) {
-        put_hire(c, rest, v, mark);
+        put_rental(c, rest, v, mark);
     } else if (after(key, RR_ROOT "build/")) {
         rr_build_put(c, v);
     } else if (after(key, RR_ROOT "batch/")) {
@@ -974,7 +974,7 @@
     } else if ((rest = after(key, RR_ROOT "node/"))) {
         g_hash_table_remove(c->sessions, rest);
     } else if ((rest = after(key, RR_ROOT "hire/"))) {
-        g_hash_table_remove(c->hires, rest);
+        g_hash_table_remove(c->rentals, rest);
     } else if (after(key, RR_ROOT "batch/")) {
         g_hash_table_remove(c->batches, key);
     }
@@ -986,9 +986,9 @@
     c->rereading = true;
     g_hash_table_remove_all(c->sessions);
     g_hash_table_remove_all(c->batches);
-    g_hash_table_iter_init(&it, c->hires);
+    g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, &k, &v)) {
-        ((rr_hire *)v)->keep = false;
+        ((rr_rental *)v)->keep = false;
     }
     for (guint i = 0; i < c->machine_list->len; i++) {
         ((rr_machine *)g_ptr_array_index(c->machine_list, i))->keep = false;
@@ -1039,10 +1039,10 @@
     }
 }
 
-static gboolean hire_stale(gpointer k, gpointer v, gpointer user) {
+static gboolean rental_stale(gpointer k, gpointer v, gpointer user) {
     (void)k;
     (void)user;
-    return !((rr_hire *)v)->keep;
+    return !((rr_rental *)v)->keep;
 }
 
 void rr_core_apply(rr_core *c, const rr_txn *t, uint64_t epoch, double now) {
@@ -1073,7 +1073,7 @@
             rr_machine_drop(c, m, now);
         }
     }
-    g_hash_table_foreach_remove(c->hires, hire_stale, NULL);
+    g_hash_table_foreach_remove(c->rentals, rental_stale, NULL);
     g_hash_table_foreach_remove(c->pages, page_stale, &first);
     drop_stale_runs(c, first, now);
     c->rereading = false;
@@ -1109,7 +1109,7 @@
         }
     }
     out->moves = c->moves_made;
-    out->hired = c->hired;
+    out->rented = c->rented;
     out->given_up = c->given_up;
     out->leases_lost = c->leases_lost;
     out->notices = c->notices;
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -142,7 +142,7 @@
     double reap_at; /* an exited task has waited since then to be reaped, 0: none */
     void *plan_do;  /* scratch of one plan: rr_do */
     /* provisioner */
-    bool listed, list_failed, to_adopt, hired, give_up, dead, releasing;
+    bool listed, list_failed, to_adopt, rented, give_up, dead, releasing;
     bool surplus;
     int probe_fails;
     double listed_at, idle_since, probed_at;
@@ -175,7 +175,7 @@
     double tried_at; /* 0: never */
     bool answered, refused;
     GPtrArray *ids; /* char*, once answered */
-} rr_hire;
+} rr_rental;
 
 typedef struct {
     rr_job *job;
@@ -226,7 +226,7 @@
     int next_machine_id;
     GHashTable *gone;     /* name -> double*: when its record went */
     GHashTable *sessions; /* node name -> rr_session */
-    GHashTable *hires;    /* name -> rr_hire */
+    GHashTable *rentals;  /* name -> rr_hire */
     GHashTable *refused;  /* "build|zone|kind" -> double*: not before */
     rr_term term;
     uint64_t epoch;
@@ -244,9 +244,9 @@
     uint64_t counter; /* for attempts and request names, with the token */
     /* provisioner */
     double provisioner_since, list_at, sim_at, parted_at;
-    double hired_at; /* wall, when the last rental was asked for */
+    double rented_at; /* wall, when the last rental was asked for */
     uint64_t provisioner_token;
-    bool list_read, ever_hired;
+    bool list_read, ever_rented;
     GArray *cut_at;                 /* double by zone: when most of it was last silent */
     GArray *zone_counts;            /* rr_zone_count by zone, as of the last look */
     rr_contact peers[RR_MAX_NODES]; /* by index: their links to us */
@@ -260,7 +260,7 @@
     double round_at, calm_since;
     int round_left; /* moves left in this round */
     uint64_t round_token;
-    unsigned moves_made, probing, hired, given_up, leases_lost, notices;
+    unsigned moves_made, probing, rented, given_up, leases_lost, notices;
 };
 
 /* Formats nothing that is not printed. */
@@ -330,7 +330,7 @@
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j);
 const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind,
                                             const char *job_class);
-void rr_hire_key(const char *name, char *out, size_t size);
+void rr_rental_key(const char *name, char *out, size_t size);
 
 /* term.c */
 bool rr_in_term(const rr_core *c);
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define CATALOG_S 60.0
-#define HIRE_RETRY_S 5.0
+#define RENTAL_RETRY_S 5.0
 #define REFUSED_S 15.0
 #define DEAF_S 4.0        /* probes of a machine that still reports fail for this long */
 #define RETURN_WAIT_S 0.8 /* a booking made just before a return was announced shows by then */
@@ -62,7 +62,7 @@
         m->born = wall - s->age_s;
         /* There before the service's first term, or before it first rented anything: the operators'
          * own machines. (A list may give them no age when all start together.) */
-        m->own = !m->hired && (m->born < c->term.born - 5 || !c->ever_hired);
+        m->own = !m->rented && (m->born < c->term.born - 5 || !c->ever_rented);
     }
     if (m->build < 0) {
         m->build = rr_names_add(&c->builds, s->build);
@@ -102,7 +102,7 @@
         if (g_hash_table_contains(seen, m->name)) {
             continue;
         }
-        m->to_adopt = m->to_adopt && m->hired;
+        m->to_adopt = m->to_adopt && m->rented;
         if (m->recorded && missing_is_gone(c, m, asked_at)) {
             m->list_failed = true;
         }
@@ -126,24 +126,24 @@
         return;
     }
     rr_machine *m = rr_machine_get(c, id, now);
-    m->hired = true;
+    m->rented = true;
     m->own = false;
     if (!m->recorded) {
         m->to_adopt = true;
-        m->born = m->born > 0 ? m->born : c->hired_at;
+        m->born = m->born > 0 ? m->born : c->rented_at;
         m->build = rr_names_add(&c->builds, s->build);
         m->zone = rr_names_add(&c->zones, s->zone);
         m->spot = s->spot;
     }
 }
 
-void rr_core_hired(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids) {
-    rr_hire *h = g_hash_table_lookup(c->hires, s->hire);
+void rr_core_rented(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids) {
+    rr_rental *h = g_hash_table_lookup(c->rentals, s->rental);
     const char *kind = s->spot ? "spot" : "ordinary";
     if (h && status == 503) {
         h->refused = true;
         note_refusal(c, now, s);
-        rr_log_at(c, RR_LOG_INFO, "hire %s: no capacity for %s %s in %s", s->hire, s->build, kind,
+        rr_log_at(c, RR_LOG_INFO, "hire %s: no capacity for %s %s in %s", s->rental, s->build, kind,
                   s->zone);
     }
     if (!h || status != 200) {
@@ -158,8 +158,8 @@
         g_ptr_array_add(h->ids, g_strdup(id));
         note_rented(c, now, s, id);
     }
-    c->hired += ids->len;
-    rr_log_at(c, RR_LOG_DEBUG, "hire %s: %u of %d %s %s in %s", s->hire, ids->len, h->how_many,
+    c->rented += ids->len;
+    rr_log_at(c, RR_LOG_DEBUG, "hire %s: %u of %d %s %s in %s", s->rental, ids->len, h->how_many,
               s->build, kind, s->zone);
 }
 
@@ -182,13 +182,13 @@
 
 /* ---- steps ---- */
 
-static bool step_hires_done(rr_core *c, double now, rr_step *out) {
+static bool step_rentals_done(rr_core *c, double now, rr_step *out) {
     GHashTableIter it;
     gpointer v;
     char key[RR_ID + 32];
-    g_hash_table_iter_init(&it, c->hires);
+    g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        rr_hire *h = v;
+        rr_rental *h = v;
         bool over = h->refused;
         if (h->answered) {
             over = true;
@@ -199,7 +199,7 @@
             }
         }
         if (over && (int)out->txn.changes->len < rr_txn_ops(c->cfg)) {
-            rr_hire_key(h->name, key, sizeof key);
+            rr_rental_key(h->name, key, sizeof key);
             rr_txn_guard(&out->txn, key, h->mark);
             rr_txn_delete(&out->txn, key);
         }
@@ -268,18 +268,18 @@
     return out->machines->len > 0;
 }
 
-static bool step_hire(rr_core *c, double now, double wall, rr_step *out) {
+static bool step_rental(rr_core *c, double now, double wall, rr_step *out) {
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, c->hires);
+    g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        rr_hire *h = v;
-        if (h->answered || h->refused || (h->tried_at > 0 && now - h->tried_at < HIRE_RETRY_S)) {
+        rr_rental *h = v;
+        if (h->answered || h->refused || (h->tried_at > 0 && now - h->tried_at < RENTAL_RETRY_S)) {
             continue;
         }
         h->tried_at = now;
-        c->hired_at = wall;
-        g_strlcpy(out->hire, h->name, sizeof out->hire);
+        c->rented_at = wall;
+        g_strlcpy(out->rental, h->name, sizeof out->rental);
         g_strlcpy(out->build, h->build, sizeof out->build);
         g_strlcpy(out->zone, h->zone, sizeof out->zone);
         out->spot = h->spot;
@@ -361,9 +361,9 @@
     }
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, c->hires);
+    g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        rr_hire *h = v;
+        rr_rental *h = v;
         h->answered = h->refused = false;
         h->tried_at = 0;
         g_ptr_array_set_size(h->ids, 0);
@@ -379,13 +379,13 @@
     if (c->provisioner_token != c->term.token) {
         begin_provisioning(c, now);
     }
-    if (rr_step_records(c, now, wall, out) || step_hires_done(c, now, out) ||
+    if (rr_step_records(c, now, wall, out) || step_rentals_done(c, now, out) ||
         step_catalog(c, now, out) || rr_step_rent(c, now, wall, out)) {
         if (out->kind == RR_STEP_NONE) {
             out->kind = RR_STEP_TXN;
         }
-    } else if (step_hire(c, now, wall, out)) {
-        out->kind = RR_STEP_HIRE;
+    } else if (step_rental(c, now, wall, out)) {
+        out->kind = RR_STEP_RENT;
     } else if (step_release(c, now, out)) {
         out->kind = RR_STEP_RELEASE;
     } else if (c->list_at == 0 || now - c->list_at > c->cfg->tune.cloud_list_s) {
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <string.h>
 
-#define HIRE_MAX 50        /* the cloud's limit a call */
-#define HIRES_MAX 24       /* intents at a time */
+#define RENTAL_MAX 50      /* the cloud's limit a call */
+#define RENTALS_MAX 24     /* intents at a time */
 #define WANTED_MAX 5000    /* tasks of one job for which room is looked for at a time */
 #define START_STOCK_S 20.0 /* jobs that came so soon after the first term were there before */
 
@@ -359,9 +359,9 @@
     GHashTableIter it;
     gpointer v;
     int n = 0;
-    g_hash_table_iter_init(&it, c->hires);
+    g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const rr_hire *h = v;
+        const rr_rental *h = v;
         if (strcmp(h->build, rr_names_at(&c->builds, r->build)) == 0 &&
             strcmp(h->zone, rr_names_at(&c->zones, r->zone)) == 0 && h->spot == r->spot) {
             n += h->how_many;
@@ -376,7 +376,7 @@
     /* A request's name is never used again: token, counter. */
     g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, c->term.token,
                ++c->counter);
-    rr_hire_key(name, key, sizeof key);
+    rr_rental_key(name, key, sizeof key);
     rr_out_init(&o);
     rr_put_map(&o, 4);
     rr_put_key_text(&o, "build", rr_names_at(&c->builds, r->build));
@@ -393,8 +393,8 @@
         const struct rent *r = &g_array_index(rents, struct rent, i);
         int left = r->count - pending_for(c, r);
         while (left > 0 && (int)out->txn.changes->len < rr_txn_ops(c->cfg) &&
-               g_hash_table_size(c->hires) + out->txn.changes->len < HIRES_MAX) {
-            int n = MIN(left, HIRE_MAX);
+               g_hash_table_size(c->rentals) + out->txn.changes->len < RENTALS_MAX) {
+            int n = MIN(left, RENTAL_MAX);
             put_intent(c, r, n, out);
             left -= n;
         }
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -266,7 +266,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    unsigned changes = 0, hires = 0, asked = 0;
+    unsigned changes = 0, rentals = 0, asked = 0;
     for (int i = 1; i <= 1000; i++) {
         rr_listed_machine s = {.state = RR_LISTED_RUNNING, .age_s = 100};
         g_snprintf(s.id, sizeof s.id, "vm-%06d", i);
@@ -286,8 +286,8 @@
             fx_sync(w->store, n->core, n->now);
         } else if (s.kind == RR_STEP_LIST) {
             rr_core_listed(n->core, n->now, n->now, n->now, machines);
-        } else if (s.kind == RR_STEP_HIRE) {
-            hires++;
+        } else if (s.kind == RR_STEP_RENT) {
+            rentals++;
             assert_true(s.how_many <= 50);
             asked += (unsigned)s.how_many;
         } else {
@@ -297,7 +297,7 @@
     }
     assert_true(fx_recorded(w->store, "vm-000001") && fx_recorded(w->store, "vm-001000"));
     assert_true(changes <= 1000 / 20 + 40);
-    assert_true(hires >= 20 && asked >= 1000);
+    assert_true(rentals >= 20 && asked >= 1000);
     g_array_free(machines, TRUE);
 }
 
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -539,14 +539,14 @@
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 40; i++) {
         fx_provisioner_step(n, none, &s);
-        bool hire = s.kind == RR_STEP_HIRE;
+        bool rental = s.kind == RR_STEP_RENT;
         n->now += 0.5;
-        if (hire) {
+        if (rental) {
             break; /* the cloud has the request; the leader ends before it reads the answer */
         }
         rr_step_clear(&s);
     }
-    assert_int_equal(s.kind, RR_STEP_HIRE);
+    assert_int_equal(s.kind, RR_STEP_RENT);
     fx_node_init(&next, w->store, "n1");
     next.now = n->now;
     fx_reread(w->store, next.core, next.now);
@@ -559,12 +559,12 @@
     for (int i = 0; i < 60 && !fx_recorded(w->store, "vm-7"); i++) {
         rr_step again;
         fx_provisioner_step(&next, none, &again);
-        if (again.kind == RR_STEP_HIRE) {
+        if (again.kind == RR_STEP_RENT) {
             GPtrArray *ids = g_ptr_array_new();
             g_ptr_array_add(ids, (gpointer) "vm-7");
-            assert_string_equal(again.hire, s.hire);
+            assert_string_equal(again.rental, s.rental);
             repeated = true;
-            rr_core_hired(next.core, next.now, &again, 200, ids);
+            rr_core_rented(next.core, next.now, &again, 200, ids);
             g_ptr_array_free(ids, TRUE);
         }
         rr_step_clear(&again);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -74,9 +74,9 @@
     char first[RR_ID];
     fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
-    assert_true(step_until(w, RR_STEP_HIRE, NULL, &s));
+    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
     assert_int_equal(fx_count(w->store, RR_ROOT "hire/"), 1);
-    g_strlcpy(first, s.hire, sizeof first);
+    g_strlcpy(first, s.rental, sizeof first);
     rr_step_clear(&s); /* the answer never comes: this controller dies */
     fx_leave(n);
     fx_node_init(&b, w->store, "n0");
@@ -84,11 +84,11 @@
     fx_sync(w->store, b.core, b.now);
     fx_join(&b, 8);
     fx_world w2 = {w->store, b};
-    assert_true(step_until(&w2, RR_STEP_HIRE, NULL, &s));
-    assert_string_equal(s.hire, first);
+    assert_true(step_until(&w2, RR_STEP_RENT, NULL, &s));
+    assert_string_equal(s.rental, first);
     GPtrArray *ids = g_ptr_array_new();
     g_ptr_array_add(ids, "vm-9");
-    rr_core_hired(w2.n.core, w2.n.now, &s, 200, ids);
+    rr_core_rented(w2.n.core, w2.n.now, &s, 200, ids);
     rr_step_clear(&s);
     for (int i = 0; i < 4; i++) {
         step_until(&w2, RR_STEP_NONE, NULL, &s);
@@ -109,12 +109,12 @@
     GPtrArray *none = g_ptr_array_new();
     fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
-    assert_true(step_until(w, RR_STEP_HIRE, NULL, &s));
-    g_strlcpy(first, s.hire, sizeof first);
-    rr_core_hired(n->core, n->now, &s, 503, none);
+    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
+    g_strlcpy(first, s.rental, sizeof first);
+    rr_core_rented(n->core, n->now, &s, 503, none);
     rr_step_clear(&s);
-    assert_true(step_until(w, RR_STEP_HIRE, NULL, &s));
-    assert_string_not_equal(s.hire, first);
+    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
+    assert_string_not_equal(s.rental, first);
     /* And the refused zone is left alone for a while. */
     assert_string_equal(s.zone, "b");
     rr_step_clear(&s);
@@ -400,7 +400,7 @@
     assert_int_equal(fx_placed(w->store, "req-000001"), 3);
     fx_machine_gone(w->store, "vm-1");
     fx_sync(w->store, n->core, n->now);
-    assert_true(step_until(w, RR_STEP_HIRE, NULL, &s));
+    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
     assert_int_equal(fx_placed(w->store, "req-000001"), 3);
     rr_step_clear(&s);
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -281,7 +281,7 @@
     return 200;
 }
 
-static int hire(world *w, rr_out *out) {
+static int rental(world *w, rr_out *out) {
     if (w->up) {
         rr_put_map(out, 1);
         rr_put_key_text(out, "error", "no capacity");
@@ -417,7 +417,7 @@
         return catalog(out);
     }
     if (strcmp(url, "/machines") == 0) {
-        return strcmp(method, "GET") == 0 ? machines(w, out) : hire(w, out);
+        return strcmp(method, "GET") == 0 ? machines(w, out) : rental(w, out);
     }
     if (strcmp(url, "/machines/release") == 0) {
         w->up = false;
