--- a/src/app/app.c
+++ b/src/app/app.c
@@ -63,6 +63,13 @@
     pthread_mutex_unlock(&a->lock);
 }
 
+static void on_cancelled(void *user, const char *job_id) {
+    struct rr_app *a = user;
+    pthread_mutex_lock(&a->lock);
+    rr_core_cancel_hint(a->core, job_id, rr_now());
+    pthread_mutex_unlock(&a->lock);
+}
+
 #define STORE_FRESH_S 2.0
 
 static bool on_resign(void *user, uint64_t tether, bool end) {
@@ -111,7 +118,7 @@
 }
 
 int rr_app_start(struct rr_app *a) {
-    struct rr_peer_events ev = {a, on_peer_report, on_heard, on_suspect, on_resign};
+    struct rr_peer_events ev = {a, on_peer_report, on_heard, on_suspect, on_cancelled, on_resign};
     pthread_mutex_init(&a->lock, NULL);
     pthread_mutex_init(&a->user_lock, NULL);
     rr_app_cond_init(&a->mirrored);
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -193,6 +193,17 @@
     }
 }
 
+/* The other controllers stop the job's tasks in their answers from now on, also one that the state
+ * service refuses and whose mirror does not bring it the cancellation. */
+static void tell_peers(struct rr_app *a, const char *ref) {
+    pthread_mutex_lock(&a->lock);
+    bool able = rr_core_peers_able(a->core);
+    pthread_mutex_unlock(&a->lock);
+    if (able) {
+        rr_peers_cancelled(a->peers, ref, rr_now() + a->cfg.cancel_s);
+    }
+}
+
 /* One try to record the cancellation. True: answered. */
 static bool try_cancel(struct rr_app *a, const char *ref, double until, struct rr_response *rs) {
     struct rr_user_commit u = {.until = until};
@@ -217,6 +228,7 @@
         refuse(rs, 503, "overloaded", 1);
     } else if (u.outcome == RR_COMMITTED) {
         rr_log(RR_DEBUG_LEVEL, "job %s is cancelled", ref);
+        tell_peers(a, ref);
         answer_standing(rs, 200, ref, "aborted");
     } else if (u.outcome == RR_CONFLICT) {
         pthread_mutex_lock(&a->lock);
--- /dev/null
+++ b/src/core/cancel_hints.c
@@ -0,0 +1,29 @@
+/* Cancellations that another controller says it has confirmed, before the state service's watch has
+ * brought them: answers to reports stop the tasks of those jobs. Stopping a cancelled task is
+ * always right, so this needs no record; and it is no authority for anything else: it frees no room
+ * and changes no state that anybody is told. */
+#include "core/model.h"
+
+#define HINTS_MAX 4096u /* more say nothing that the watch does not bring, too */
+
+static gboolean is_old(gpointer job_id, gpointer until, gpointer now) {
+    (void)job_id;
+    return *(const double *)until < *(const double *)now;
+}
+
+void rr_core_cancel_hint(rr_core *c, const char *job_id, double now) {
+    if (g_hash_table_size(c->cancel_hints) >= HINTS_MAX) {
+        g_hash_table_foreach_remove(c->cancel_hints, is_old, &now);
+    }
+    if (g_hash_table_size(c->cancel_hints) >= HINTS_MAX) {
+        return;
+    }
+    double *until = g_new(double, 1);
+    *until = now + c->cfg->cancel_s;
+    g_hash_table_replace(c->cancel_hints, g_strdup(job_id), until);
+}
+
+bool rr_cancel_hinted(const rr_core *c, const char *job_id, double now) {
+    const double *until = g_hash_table_lookup(c->cancel_hints, job_id);
+    return until && now <= *until;
+}
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -115,6 +115,10 @@
     const char *peer; /* with 421, may be NULL */
     GArray *orders;   /* rr_order, with 200 */
 };
+/* Another controller has confirmed this job's cancellation to its user. */
+void rr_core_cancel_hint(rr_core *c, const char *job_id, double now);
+/* Every controller of the term reads what this version tells its peers beside the one before. */
+bool rr_core_peers_able(const rr_core *c);
 void rr_core_answer(rr_core *c, double now, const rr_report *r, struct rr_answer *out);
 
 /* ---- planning (team owner) ---- */
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -117,6 +117,7 @@
     c->changes = rr_txn_ops(cfg);
     c->zone_counts = g_array_new(FALSE, TRUE, sizeof(rr_zone_count));
     c->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    c->cancel_hints = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->sessions = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     c->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rental_free);
     c->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -149,6 +150,7 @@
     g_hash_table_destroy(c->rentals);
     g_hash_table_destroy(c->sessions);
     g_hash_table_destroy(c->gone);
+    g_hash_table_destroy(c->cancel_hints);
     g_ptr_array_free(c->machine_list, TRUE);
     g_hash_table_destroy(c->machines);
     g_ptr_array_free(c->open, TRUE);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -224,10 +224,11 @@
     uint64_t all_dirty_token; /* the term for which all machines were looked at */
     unsigned visits;          /* machines looked at, for the tests of growth */
     int next_machine_id;
-    GHashTable *gone;     /* name -> double*: when its record went */
-    GHashTable *sessions; /* node name -> rr_session */
-    GHashTable *rentals;  /* name -> rr_hire */
-    GHashTable *refused;  /* "build|zone|kind" -> double*: not before */
+    GHashTable *cancel_hints; /* job id -> double*: until when */
+    GHashTable *gone;         /* name -> double*: when its record went */
+    GHashTable *sessions;     /* node name -> rr_session */
+    GHashTable *rentals;      /* name -> rr_hire */
+    GHashTable *refused;      /* "build|zone|kind" -> double*: not before */
     rr_term term;
     uint64_t epoch;
     bool loaded, rereading;
@@ -380,6 +381,9 @@
 bool rr_gang_stops(const rr_core *c, const rr_job *j, double now, bool *saving);
 uint32_t rr_gang_most(const rr_core *c); /* tasks of one gang at most */
 
+/* cancel_hints.c */
+bool rr_cancel_hinted(const rr_core *c, const char *job_id, double now);
+
 /* allocation.c */
 bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool spot);
 /* The zones in which one more task of the job may start, given its placements (and, while moving,
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -298,7 +298,8 @@
     for (guint i = 0; i < r->pieces->len; i++) {
         const rr_piece *p = &g_array_index(r->pieces, rr_piece, i);
         const rr_job *j = g_hash_table_lookup(c->jobs, p->ref);
-        bool unwanted = (j && j->cancelled && !j->done) || rr_job_final(c, p->ref, NULL, NULL);
+        bool unwanted = (j && j->cancelled && !j->done) || rr_job_final(c, p->ref, NULL, NULL) ||
+                        rr_cancel_hinted(c, p->ref, now);
         if (p->standing != RR_ENDED && unwanted) {
             rr_order o = {.verb = RR_STOP, .task = p->task, .attempt = p->attempt, .grace_s = 0};
             g_strlcpy(o.ref, p->ref, sizeof o.ref);
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -27,6 +27,10 @@
     rr_put_key_u64(o, "able", ABLE_GANGS);
 }
 
+bool rr_core_peers_able(const rr_core *c) {
+    return rr_all_able(c);
+}
+
 bool rr_all_able(const rr_core *c) {
     bool all = c->term.nodes->len > 0;
     for (guint i = 0; i < c->term.nodes->len; i++) {
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -4,6 +4,7 @@
 #include "app/thread.h"
 #include "app/usage.h"
 #include "net/socket.h"
+#include "peer/cancellations.h"
 #include "peer/frame.h"
 #include "worker/worker.h"
 
@@ -36,9 +37,10 @@
     GQueue queue;         /* GBytes*: payloads of report frames */
     GHashTable *heard[2]; /* machine -> rr_heard, by hops */
     GPtrArray *suspects;  /* char* */
-    unsigned life;        /* counts losses: what was sent before may not have arrived */
-    double up_at;         /* since when our connection to it stands */
-    double patience;      /* how long it may stand without a sign that it works */
+    rr_cancellations *cancelled;
+    unsigned life;   /* counts losses: what was sent before may not have arrived */
+    double up_at;    /* since when our connection to it stands */
+    double patience; /* how long it may stand without a sign that it works */
     /* What the peer last said of whom it hears, by index of ours. */
     double
         heard_at; /* when it last said so: on its link to us, nothing else shows that that works */
@@ -192,7 +194,8 @@
 /* ---- outgoing links ---- */
 
 static bool has_news(struct link *l) {
-    return !g_queue_is_empty(&l->queue) || l->suspects->len > 0;
+    return !g_queue_is_empty(&l->queue) || l->suspects->len > 0 ||
+           rr_cancellations_pending(l->cancelled, l->life, rr_now());
 }
 
 static void wait_for(pthread_cond_t *c, pthread_mutex_t *m, double until) {
@@ -283,6 +286,9 @@
     if (l->suspects->len > 0) {
         put_suspects(l, out);
     }
+    if (rr_cancellations_pending(l->cancelled, l->life, now)) {
+        rr_cancellations_put(l->cancelled, l->life, out);
+    }
     pthread_mutex_unlock(&p->lock);
     return !atomic_load(p->stop);
 }
@@ -482,6 +488,15 @@
     pthread_mutex_unlock(&p->lock);
 }
 
+void rr_peers_cancelled(rr_peers *p, const char *job_id, double until) {
+    pthread_mutex_lock(&p->lock);
+    for (size_t i = 0; i < p->cfg->npeers; i++) {
+        rr_cancellations_add(p->links[i].cancelled, job_id, until);
+        pthread_cond_signal(&p->links[i].wake);
+    }
+    pthread_mutex_unlock(&p->lock);
+}
+
 /* ---- incoming connections ---- */
 
 static int peer_index(const rr_peers *p, const char *name) {
@@ -578,6 +593,18 @@
     return u->bad ? -EBADMSG : 0;
 }
 
+/* However late it comes: stopping a cancelled job's tasks is right at any time. */
+static int serve_cancelled(rr_peers *p, rr_unpack *u) {
+    char job_id[RR_ID];
+    uint16_t n = rr_unpack_u16(u);
+    for (uint16_t i = 0; i < n && rr_unpack_text(u, job_id, sizeof job_id); i++) {
+        if (rr_ref_valid(job_id)) {
+            p->ev.cancelled(p->ev.user, job_id);
+        }
+    }
+    return u->bad ? -EBADMSG : 0;
+}
+
 /* Held up by a cut, or unread while this process stood still: a machine heard then may be dead now,
  * and would seem alive for as long again. The time of day tells, within its bound. */
 static bool sent_long_ago(const rr_peers *p, rr_unpack *u) {
@@ -611,6 +638,8 @@
         return c->late ? 0 : serve_heard(p, c->peer, u);
     case RR_FRAME_SUSPECT:
         return c->late ? 0 : serve_suspects(p, u);
+    case RR_FRAME_CANCELLED:
+        return serve_cancelled(p, u);
     case RR_FRAME_RELAY:
         return serve_relay(c->fd, client, u);
     case RR_FRAME_RESIGN:
@@ -784,6 +813,7 @@
         p->links[i].heard[0] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
         p->links[i].heard[1] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
         p->links[i].suspects = g_ptr_array_new_with_free_func(g_free);
+        p->links[i].cancelled = rr_cancellations_create();
         p->links[i].owner = p;
         p->links[i].patience = HEARS_S;
         p->links[i].index = i;
@@ -844,6 +874,7 @@
         g_hash_table_destroy(p->links[i].heard[0]);
         g_hash_table_destroy(p->links[i].heard[1]);
         g_ptr_array_free(p->links[i].suspects, TRUE);
+        rr_cancellations_destroy(p->links[i].cancelled);
         pthread_cond_destroy(&p->links[i].wake);
     }
     g_hash_table_destroy(p->sent);
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -22,6 +22,8 @@
     void (*heard)(void *user, int peer, unsigned hops, const rr_heard *list, size_t n);
     /* A peer's commands get no answer from this machine. */
     void (*suspect)(void *user, const char *machine);
+    /* A peer has confirmed this job's cancellation. */
+    void (*cancelled)(void *user, const char *job_id);
     /* A peer that has lost the state service asks whether we have it (end false), or to end its
      * lease for it. True: yes, or done. */
     bool (*resign)(void *user, uint64_t tether, bool end);
@@ -45,6 +47,10 @@
                       size_t len);
 void rr_peers_suspects(rr_peers *p, const GPtrArray *names /* char* */);
 
+/* Tells all peers that this job's cancellation is confirmed, over each connection anew until then.
+ */
+void rr_peers_cancelled(rr_peers *p, const char *job_id, double until);
+
 /* Asks peer i whether it reaches the state service, or to end our lease there. */
 bool rr_peers_resign(rr_peers *p, int peer, uint64_t tether, bool end);
 
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -771,6 +771,7 @@
     fx_put(w->store, RR_ROOT "node/n1", &o);
     fx_term(n);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_UNKNOWN_YET);
+    assert_false(rr_core_peers_able(n->core)); /* nor is anything new told over links */
     rr_job_view v;
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_string_equal(v.standing, "running");
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -138,6 +138,39 @@
     fx_node_clear(&other);
 }
 
+/* The confirming controller's word comes over a link while the leader's mirror stands still: the
+ * leader's answers stop the task at once. The word is no record: the job's state, its bookings and
+ * its room are as before, and it lapses; whoever was told nothing stops nothing. */
+static void a_confirmed_cancellation_is_told(void **state) {
+    fx_world *w = *state;
+    fx_node *leader = &w->n;
+    struct fx_job j = {.ref = "req-1", .service = true};
+    rr_job_view before, after;
+    uint64_t at;
+    unsigned stops;
+    run_job(w, &j, &at);
+    double now = leader->now;
+    assert_int_equal(answer_at(leader, now, j.ref, at, &stops), 200);
+    assert_int_equal(stops, 0);
+    rr_core_job_view(leader->core, j.ref, now, &before);
+    rr_core_cancel_hint(leader->core, j.ref, now);
+    rr_core_cancel_hint(leader->core, "req-999999", now); /* of a job that is not known here yet */
+    assert_int_equal(answer_at(leader, now, j.ref, at, &stops), 200);
+    assert_int_equal(stops, 1);
+    assert_int_equal(answer_at(leader, now, "req-999999", at, &stops), 200);
+    assert_int_equal(stops, 1);
+    assert_int_equal(answer_at(leader, now, "req-2", at, &stops), 200);
+    assert_int_equal(stops, 0);
+    rr_core_job_view(leader->core, j.ref, now, &after);
+    assert_memory_equal(&before, &after, sizeof before);
+    assert_int_equal(fx_placed(w->store, j.ref), 1);
+    double lapsed = now + leader->cfg.cancel_s + 0.001;
+    rr_core_set_session(leader->core, 7, lapsed + 100);
+    rr_core_set_fresh(leader->core, lapsed);
+    assert_int_equal(answer_at(leader, lapsed, j.ref, at, &stops), 200);
+    assert_int_equal(stops, 0);
+}
+
 /* A booking without an answer is carried out late, after newer changes of the same controller:
  * after its own repeat, after the task's end, after a cancellation, and when its record is gone. It
  * stands in the ledger once at most. */
@@ -674,6 +707,7 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(the_gap, setup, fx_world_teardown),
+        cmocka_unit_test_setup_teardown(a_confirmed_cancellation_is_told, setup, fx_world_teardown),
         cmocka_unit_test_setup_teardown(a_late_booking, setup, fx_world_teardown),
         cmocka_unit_test(the_end_meets_a_cancellation),
         cmocka_unit_test_setup_teardown(the_limit_across_a_change, setup, fx_world_teardown),
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -18,7 +18,7 @@
     struct rr_config cfg;
     struct rr_peers *peers;
     atomic_bool stop;
-    atomic_uint reports, lines;
+    atomic_uint reports, lines, cancelled;
     int listener; /* the scripted peer's */
     int to;       /* its connection to us */
 };
@@ -44,6 +44,12 @@
     (void)machine;
 }
 
+static void on_cancelled(void *user, const char *job_id) {
+    struct fixture *f = user;
+    assert_string_equal(job_id, "req-000007");
+    atomic_fetch_add(&f->cancelled, 1);
+}
+
 static bool on_resign(void *user, uint64_t tether, bool end) {
     (void)user;
     (void)tether;
@@ -72,7 +78,7 @@
     f->cfg.peers[0].endpoint.port = ntohs(a.sin_port);
     f->cfg.peer_listen = f->cfg.peers[0].endpoint;
     f->cfg.peer_listen.port = world_free_port();
-    struct rr_peer_events ev = {f, on_report, on_heard, on_suspect, on_resign};
+    struct rr_peer_events ev = {f, on_report, on_heard, on_suspect, on_cancelled, on_resign};
     f->peers = rr_peers_create(&f->cfg, &ev, &f->stop);
     assert_int_equal(rr_peers_start(f->peers), 0);
     f->to = world_dial(&f->cfg.peer_listen);
@@ -147,6 +153,20 @@
     }
 }
 
+static int accept_again(struct fixture *f) {
+    struct timeval tick = {0, 200000}, long_enough = {20, 0};
+    double until = rr_now() + 20;
+    int fd = -1;
+    setsockopt(f->listener, SOL_SOCKET, SO_RCVTIMEO, &tick, sizeof tick);
+    while (fd < 0) {
+        assert_true(rr_now() < until);
+        beat(f, false, 0);
+        fd = accept(f->listener, NULL, NULL);
+    }
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &long_enough, sizeof long_enough);
+    return fd;
+}
+
 /* A connection that takes all that is sent and brings nothing across: after a cut the peer had
  * given it up and no reset came back, so that reports of a quarter of all machines were lost for
  * good. The peer does not say that it hears us: a new connection, and what went over the old one is
@@ -156,16 +176,7 @@
     int first = accept(f->listener, NULL, NULL);
     assert_true(first >= 0);
     wait_report(f, first);
-    double until = rr_now() + 20;
-    int second = -1;
-    struct timeval tick = {0, 200000}, long_enough = {20, 0};
-    setsockopt(f->listener, SOL_SOCKET, SO_RCVTIMEO, &tick, sizeof tick);
-    while (second < 0) {
-        assert_true(rr_now() < until);
-        beat(f, false, 0);
-        second = accept(f->listener, NULL, NULL);
-    }
-    setsockopt(second, SOL_SOCKET, SO_RCVTIMEO, &long_enough, sizeof long_enough);
+    int second = accept_again(f);
     wait_report(f, second);
     for (int beats = 0; beats < 12; beats++) { /* six seconds: longer than it was patient before */
         beat(f, true, 0);
@@ -190,10 +201,57 @@
     assert_int_equal(atomic_load(&f->lines), 1);
 }
 
+/* A confirmed cancellation is told once over a connection, and over the next one anew, as the first
+ * may not have brought it; until it is too old. */
+static void a_cancellation_is_told_until_heard(void **state) {
+    struct fixture *f = *state;
+    int first = accept(f->listener, NULL, NULL);
+    assert_true(first >= 0);
+    rr_peers_cancelled(f->peers, "req-000007", rr_now() + 60);
+    rr_peers_cancelled(f->peers, "req-000008", rr_now() - 1);
+    while (next_frame(first) != RR_FRAME_CANCELLED) {
+    }
+    int second = accept_again(f);
+    while (next_frame(second) != RR_FRAME_CANCELLED) {
+    }
+    for (int beats = 0; beats < 4; beats++) {
+        beat(f, true, 0);
+        uint8_t type;
+        while ((type = next_frame(second)) != RR_FRAME_HEARD) {
+            assert_int_not_equal(type, RR_FRAME_CANCELLED);
+        }
+    }
+    close(first);
+    close(second);
+}
+
+/* One that a cut held up counts all the same; one that is no job's id does not. */
+static void a_late_cancellation_counts(void **state) {
+    struct fixture *f = *state;
+    GByteArray *b = g_byte_array_new();
+    guint at = rr_frame_begin(b, RR_FRAME_SENT_AT);
+    rr_frame_u64(b, (uint64_t)((rr_wall() - 300) * 1000));
+    rr_frame_end(b, at);
+    at = rr_frame_begin(b, RR_FRAME_CANCELLED);
+    rr_frame_u16(b, 2);
+    rr_frame_text(b, "no id");
+    rr_frame_text(b, "req-000007");
+    rr_frame_end(b, at);
+    send_frames(f->to, b);
+    double until = rr_now() + 20;
+    while (atomic_load(&f->cancelled) == 0) {
+        assert_true(rr_now() < until);
+        rr_sleep(0.01);
+    }
+    assert_int_equal(atomic_load(&f->cancelled), 1);
+}
+
 #define T(f) cmocka_unit_test_setup_teardown(f, setup, teardown)
 
 int main(void) {
-    const struct CMUnitTest tests[] = {T(a_dead_link_is_made_anew), T(late_frames_are_dropped)};
+    const struct CMUnitTest tests[] = {T(a_dead_link_is_made_anew), T(late_frames_are_dropped),
+                                       T(a_cancellation_is_told_until_heard),
+                                       T(a_late_cancellation_counts)};
     rr_net_init();
     rr_log_set_level("error");
     return cmocka_run_group_tests(tests, NULL, NULL);
