--- a/src/core/model.h
+++ b/src/core/model.h
@@ -193,75 +193,91 @@
     guint recent;    /* and in the last part of a report interval */
 } rr_zone_count;
 
+/* The rules rest on what is stored, and on observations only where they prove something; scratch is
+ * of one plan or simulation and says nothing after it. */
 struct rr_core {
     const struct rr_config *cfg;
     rr_core_log_fn log;
+    int log_level;
+    uint32_t chunk; /* tasks in one record of the ledger */
+
+    /* Names as dense indices. */
     rr_names teams, zones, builds, job_classes, images;
+
+    /* Stored: the mirror of the state service. */
     GArray *build_info; /* rr_build, by index; sku empty: not in the catalogue */
-    bool catalog_known;
-    double catalog_at;    /* steady, last read from the cloud by this process */
-    GArray *fresh_builds; /* rr_build read from the cloud, to be recorded */
-    GHashTable *jobs;     /* ref -> rr_job */
+    GHashTable *jobs;   /* ref -> rr_job */
     GHashTable *finals; /* ref -> tasks done * 2 + 1 if done: final jobs of which nothing is left */
     GPtrArray *open;    /* rr_job*, not final or with placements */
     GHashTable *machines; /* name -> rr_machine */
     GPtrArray *machine_list;
-    GPtrArray *dirty;          /* rr_machine*: something about them is to be looked at */
-    GPtrArray *garbage;        /* char*: keys of ledger records whose jobs are final */
-    GArray *team_used;         /* rr_res by team: all placements in the ledger */
-    GArray *team_booked;       /* rr_res by team: scratch of one plan */
-    GArray *owners;            /* int by configured team: place in the term of its owner */
-    guint parts, part;         /* owners of teams in this term; which of them this controller is */
-    int provisioner;           /* place in the term, -1 */
-    int place;                 /* this controller's, -1 */
-    int peer_at[RR_MAX_NODES]; /* by place in the term: index of the peer, -1: this controller */
-    unsigned plans;
-    double probe_at, strangers_at, batches_at, recount_at, shrunk_at;
-    GHashTable *pages;   /* id -> rr_page */
-    GHashTable *batches; /* key -> rr_batch */
-    uint32_t next_page;
-    uint32_t chunk;           /* tasks in one record of the ledger */
-    uint64_t all_dirty_token; /* the term for which all machines were looked at */
-    unsigned visits;          /* machines looked at, for the tests of growth */
-    int next_machine_id;
-    GHashTable *cancel_hints; /* job id -> double*: until when */
-    GHashTable *gone;         /* name -> double*: when its record went */
-    GHashTable *sessions;     /* node name -> rr_session */
-    GHashTable *rentals;      /* name -> rr_hire */
-    GHashTable *refused;      /* "build|zone|kind" -> double*: not before */
+    GHashTable *pages;    /* id -> rr_page */
+    GHashTable *batches;  /* key -> rr_batch */
+    GHashTable *sessions; /* node name -> rr_session */
+    GHashTable *rentals;  /* name -> rr_rental */
+    GPtrArray *garbage;   /* char*: keys of ledger records whose jobs are final */
+    GArray *team_used;    /* rr_res by team: all placements in the ledger */
     rr_term term;
     uint64_t epoch;
-    bool loaded, rereading;
     uint64_t settle; /* revision at which the last reread is one consistent state */
-    double pressure; /* 0: changes at the store are plentiful; 1: there are none to spare */
-    double short_at; /* a plan was last cut short by the changes it might make */
-    int changes;     /* that a plan may make now */
-    bool lowered;    /* the state service's next limits hold: it has refused what the old allowed */
-    bool anew;       /* a new term is wanted, whatever the sessions say */
-    int log_level;
+    double fresh_at; /* the mirror has every change made before */
+    uint32_t next_page;
+    int next_machine_id;
+    bool loaded, rereading;
+    bool catalog_known;
+    bool lowered; /* the state service's next limits hold: it has refused what the old allowed */
+    bool anew;    /* a new term is wanted, whatever the sessions say */
+
+    /* Membership: this controller's session, and what follows from the term. */
     uint64_t tether;
     double entitled_until;
-    double fresh_at;  /* the mirror has every change made before */
-    uint64_t counter; /* for attempts and request names, with the token */
-    /* provisioner */
-    double provisioner_since, list_at, sim_at, parted_at;
-    double rented_at; /* wall, when the last rental was asked for */
-    uint64_t provisioner_token;
-    bool list_read, ever_rented;
+    uint64_t counter;          /* for attempts and request names, with the token */
+    uint64_t all_dirty_token;  /* the term for which all machines were looked at */
+    GArray *owners;            /* int by configured team: place in the term of its owner */
+    guint parts, part;         /* owners of teams in this term; which of them this controller is */
+    int provisioner;           /* place in the term, -1 */
+    int place;                 /* this controller's, -1 */
+    int peer_at[RR_MAX_NODES]; /* by place in the term: index of the peer, -1: this controller */
+
+    /* Observed by this process. */
+    GPtrArray *dirty;               /* rr_machine*: something about them is to be looked at */
+    GHashTable *gone;               /* name -> double*: when its record went */
+    GHashTable *cancel_hints;       /* job id -> double*: until when */
     GArray *cut_at;                 /* double by zone: when most of it was last silent */
     GArray *zone_counts;            /* rr_zone_count by zone, as of the last look */
     rr_contact peers[RR_MAX_NODES]; /* by index: their links to us */
+    rr_contact direct;              /* workers' reports to this controller itself */
+    GArray *arrivals;               /* rr_job*: lately */
     double looked_at, woke_at;      /* the last look at zones; the first after a pause of our own */
     double late_at;                 /* our timers last fired late, 0: never */
-    rr_contact direct;              /* workers' reports to this controller itself */
-    GArray *arrivals;               /* rr_job* */
-    GHashTable *stray_failed;       /* names listed as failed without a record */
-    /* rounds */
-    GArray *plan_moves; /* rr_move still to make */
+    double pressure; /* 0: changes at the store are plentiful; 1: there are none to spare */
+    double short_at; /* a plan was last cut short by the changes it might make */
+
+    /* The provisioner's. */
+    GArray *fresh_builds;     /* rr_build read from the cloud, to be recorded */
+    GHashTable *refused;      /* "build|zone|kind" -> double*: not before */
+    GHashTable *stray_failed; /* names listed as failed without a record */
+    uint64_t provisioner_token;
+    double provisioner_since, list_at, sim_at, parted_at;
+    double catalog_at; /* steady, last read from the cloud by this process */
+    double rented_at;  /* wall, when the last rental was asked for */
+    bool list_read, ever_rented;
+
+    /* Planning, from one plan to the next. */
+    double probe_at, strangers_at, batches_at, recount_at, shrunk_at;
+    GArray *plan_moves; /* rr_move of a round still to make */
     double round_at, calm_since;
-    int round_left; /* moves left in this round */
     uint64_t round_token;
+    int round_left; /* moves left in this round */
+    int changes;    /* that a plan may make now */
+    unsigned plans;
+
+    /* Counters, for the log and the tests of growth. */
+    unsigned visits; /* machines looked at */
     unsigned moves_made, probing, rented, given_up, leases_lost, notices;
+
+    /* Scratch of one plan. */
+    GArray *team_booked; /* rr_res by team */
 };
 
 /* Formats nothing that is not printed. */
