--- a/src/core/users.c
+++ b/src/core/users.c
@@ -49,13 +49,13 @@
         return RR_ADMIT_KNOWN;
     }
     if (!t) {
-        *why = "unknown crew";
+        *why = "unknown team";
         return RR_ADMIT_NEVER;
     }
     double n = s->shape == RR_BATCH ? 1 : s->pieces;
     if ((t->cpus_max > 0 && n * s->vcpus > t->cpus_max + RR_EPS) ||
         (t->gpus_max > 0 && n * s->cards > t->gpus_max + RR_EPS)) {
-        *why = "over the crew's limit";
+        *why = "over the team's limit";
         return RR_ADMIT_NEVER;
     }
     if (!c->catalog_known) {
@@ -67,7 +67,7 @@
         return RR_ADMIT_NEVER;
     }
     if (s->shape == RR_GANG && s->pieces > rr_gang_most(c)) {
-        *why = "more linked tasks than one record of the ledger holds";
+        *why = "more linked tasks than one transaction books";
         return RR_ADMIT_NEVER;
     }
     if (s->shape == RR_GANG && !rr_all_able(c)) {
