--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -130,8 +130,8 @@
     *booked = rr_res_add(*booked, job->need, 1);
     rr_plan_guard(planner, job);
     planner->booked = machine;
-    rr_log_at(core, RR_LOG_DEBUG, "place %s/%u try %" G_GUINT64_FORMAT " on %s", job->s.ref, task,
-              attempt, machine->name);
+    rr_log_at(core, RR_LOG_DEBUG, "place %s/%u attempt %" G_GUINT64_FORMAT " on %s", job->s.ref,
+              task, attempt, machine->name);
     return true;
 }
 
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -143,8 +143,8 @@
     if (h && status == 503) {
         h->refused = true;
         note_refusal(c, now, s);
-        rr_log_at(c, RR_LOG_INFO, "hire %s: no capacity for %s %s in %s", s->rental, s->build, kind,
-                  s->zone);
+        rr_log_at(c, RR_LOG_INFO, "rental %s: no capacity for %s %s in %s", s->rental, s->build,
+                  kind, s->zone);
     }
     if (!h || status != 200) {
         return;
@@ -159,7 +159,7 @@
         note_rented(c, now, s, id);
     }
     c->rented += ids->len;
-    rr_log_at(c, RR_LOG_DEBUG, "hire %s: %u of %d %s %s in %s", s->rental, ids->len, h->how_many,
+    rr_log_at(c, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", s->rental, ids->len, h->how_many,
               s->build, kind, s->zone);
 }
 
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -170,7 +170,8 @@
     if (m->rep.worker_epoch > pl->worker_epoch) {
         /* The worker killed and forgot everything of the earlier worker_epoch, and commands for it
          * are refused. */
-        rr_plan_over(p, m, pl, r && r->standing == RR_ENDED && r->cause == RR_DONE, "later tenure");
+        rr_plan_over(p, m, pl, r && r->standing == RR_ENDED && r->cause == RR_DONE,
+                     "later worker epoch");
         return true;
     }
     if (r && r->standing == RR_ENDED) {
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -114,8 +114,8 @@
                   now - m->known_at);
     }
     if (m->heard && r->worker_epoch > m->rep.worker_epoch) {
-        rr_log_at(c, RR_LOG_DEBUG, "machine %s lost its lease: tenure %" G_GUINT64_FORMAT, m->name,
-                  r->worker_epoch);
+        rr_log_at(c, RR_LOG_DEBUG, "machine %s lost its lease: worker epoch %" G_GUINT64_FORMAT,
+                  m->name, r->worker_epoch);
         c->leases_lost++;
     }
     if (r->spot_notice_s >= 0 && (!m->heard || m->rep.spot_notice_s < 0)) {
