--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -52,6 +52,10 @@
     return rr_record_fits(planner->c, placements + 1);
 }
 
+static const rr_run *record_at(const rr_job *job, uint32_t chunk) {
+    return job->runs && chunk < job->runs->len ? g_ptr_array_index(job->runs, chunk) : NULL;
+}
+
 /* The number of a record with room, of the task's chunk or else an overflow record; -1: none. Those
  * are written only while every controller reads them. */
 static int64_t chunk_with_room(const struct rr_planner *planner, rr_job *job, uint32_t task) {
@@ -61,8 +65,7 @@
     }
     uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX, RR_PIECES_MAX / planner->c->chunk + 1);
     for (uint32_t chunk = first; rr_all_able(planner->c) && chunk < end; chunk++) {
-        const rr_run *run = chunk < job->runs->len ? g_ptr_array_index(job->runs, chunk) : NULL;
-        if (has_room(planner, run)) {
+        if (has_room(planner, record_at(job, chunk))) {
             return chunk;
         }
     }
@@ -79,12 +82,22 @@
     return false;
 }
 
+/* The records in which a task may stand: that of its chunk, then the overflow records. A job may
+ * have hundreds of others. */
+static guint records_of_task(const rr_job *job) {
+    return rr_job_overflows(job) ? 1 + job->runs->len - rr_job_chunks(job) : 1;
+}
+
+static uint32_t record_of_task(const rr_job *job, uint32_t task, guint i) {
+    return i == 0 ? task / job->per : rr_job_chunks(job) + i - 1;
+}
+
 enum rr_bookable rr_bookable(const struct rr_planner *planner, rr_job *job, uint32_t task) {
     if (chunk_with_room(planner, job, task) < 0) {
         return RR_CHUNK_BLOCKED;
     }
-    for (guint chunk = 0; chunk < job->runs->len; chunk++) {
-        const rr_run *run = g_ptr_array_index(job->runs, chunk);
+    for (guint i = 0; i < records_of_task(job); i++) {
+        const rr_run *run = record_at(job, record_of_task(job, task, i));
         if (has_earlier(run, task) && !rr_plan_writable(planner, run)) {
             return RR_TASK_BLOCKED;
         }
@@ -95,9 +108,9 @@
 /* An earlier placement of the task that is over leaves the ledger with the change that books it
  * anew, whichever record it is in. */
 static bool begin_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
-    for (guint chunk = 0; job->runs && chunk < job->runs->len; chunk++) {
-        if (has_earlier(g_ptr_array_index(job->runs, chunk), task) &&
-            !rr_edit_of(planner, job, chunk)) {
+    for (guint i = 0; i < records_of_task(job); i++) {
+        uint32_t chunk = record_of_task(job, task, i);
+        if (has_earlier(record_at(job, chunk), task) && !rr_edit_of(planner, job, chunk)) {
             return false;
         }
     }
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -622,6 +622,16 @@
     return n;
 }
 
+void fx_listed(GArray *list, const char *id, const char *zone, enum rr_listed_state state,
+               double age_s) {
+    rr_listed_machine machine = {.state = state, .age_s = age_s};
+    g_strlcpy(machine.id, id, sizeof machine.id);
+    g_strlcpy(machine.build, "m1", sizeof machine.build);
+    g_strlcpy(machine.zone, zone, sizeof machine.zone);
+    g_strlcpy(machine.addr, "127.0.0.1:1", sizeof machine.addr);
+    g_array_append_val(list, machine);
+}
+
 void fx_provisioner_step(fx_node *n, const GArray *machines, rr_step *out) {
     rr_step_init(out);
     rr_core_provisioner_step(n->core, n->now, n->now, out);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -268,12 +268,9 @@
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     unsigned changes = 0, rentals = 0, asked = 0;
     for (int i = 1; i <= 1000; i++) {
-        rr_listed_machine s = {.state = RR_LISTED_RUNNING, .age_s = 100};
-        g_snprintf(s.id, sizeof s.id, "vm-%06d", i);
-        g_snprintf(s.addr, sizeof s.addr, "10.1.2.3:%d", 1000 + i);
-        g_strlcpy(s.build, "m1", sizeof s.build);
-        g_strlcpy(s.zone, "a", sizeof s.zone);
-        g_array_append_val(machines, s);
+        char id[16];
+        g_snprintf(id, sizeof id, "vm-%06d", i);
+        fx_listed(machines, id, "a", RR_LISTED_RUNNING, 100);
     }
     submit_many(n, 1, 100, &(struct fx_job){.pieces = 40, .cpu = 8, .zone = "b"});
     for (int i = 0; i < 120; i++) {
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -56,15 +56,6 @@
     return plan_reaching(n, NULL);
 }
 
-static void add_machine(GArray *a, const char *id, enum rr_listed_state st, double age) {
-    rr_listed_machine s = {.state = st, .age_s = age};
-    g_strlcpy(s.id, id, sizeof s.id);
-    g_strlcpy(s.build, "m1", sizeof s.build);
-    g_strlcpy(s.zone, "a", sizeof s.zone);
-    g_strlcpy(s.addr, "127.0.0.1:1", sizeof s.addr);
-    g_array_append_val(a, s);
-}
-
 /* The intent is written before the cloud is called, and a new provisioner repeats it under the same
  * name: the cloud then answers as before and rents nothing. */
 static void a_rental_is_repeated_under_its_name(void **state) {
@@ -129,16 +120,16 @@
     fx_node *n = &w->n;
     rr_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    add_machine(machines, "vm-1", RR_LISTED_RUNNING, 500);
-    add_machine(machines, "vm-4", RR_LISTED_RUNNING, 0);
+    fx_listed(machines, "vm-1", "a", RR_LISTED_RUNNING, 500);
+    fx_listed(machines, "vm-4", "a", RR_LISTED_RUNNING, 0);
     assert_true(step_until(w, RR_STEP_NONE, machines, &s));
     rr_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-4"));
     fx_machine(w->store, "vm-3", "b", false, false); /* the first one rented */
     fx_sync(w->store, n->core, n->now);
     n->now += 30;
-    add_machine(machines, "vm-2", RR_LISTED_RUNNING, 10);
-    add_machine(machines, "vm-3", RR_LISTED_RUNNING, 10);
+    fx_listed(machines, "vm-2", "a", RR_LISTED_RUNNING, 10);
+    fx_listed(machines, "vm-3", "a", RR_LISTED_RUNNING, 10);
     assert_true(step_until(w, RR_STEP_NONE, machines, &s));
     rr_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-1"));
@@ -167,7 +158,7 @@
     const char *ids[] = {"vm-1", "vm-2", "vm-3"};
     for (int i = 0; i < 3; i++) {
         fx_machine(w->store, ids[i], "a", false, true);
-        add_machine(machines, ids[i], RR_LISTED_RUNNING, 100);
+        fx_listed(machines, ids[i], "a", RR_LISTED_RUNNING, 100);
     }
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 3; i++) {
@@ -223,7 +214,7 @@
     for (int i = 1; i <= 12; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
         fx_machine(w->store, id, "a", false, true);
-        add_machine(machines, id, RR_LISTED_RUNNING, 100);
+        fx_listed(machines, id, "a", RR_LISTED_RUNNING, 100);
     }
     fx_sync(w->store, n->core, n->now);
     for (uint64_t t = 1; t < 160; t++) {
@@ -257,7 +248,7 @@
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     for (int i = 0; i < 4; i++) {
         fx_machine(w->store, ids[i], "a", false, true);
-        add_machine(machines, ids[i], RR_LISTED_RUNNING, 100);
+        fx_listed(machines, ids[i], "a", RR_LISTED_RUNNING, 100);
     }
     fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 4, .cpu = 16}, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -315,7 +306,7 @@
     rr_step s;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *one = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    add_machine(one, "vm-1", RR_LISTED_RUNNING, 3);
+    fx_listed(one, "vm-1", "a", RR_LISTED_RUNNING, 3);
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_sync(w->store, n->core, n->now);
     /* The first step makes it provisioner. */
@@ -358,7 +349,7 @@
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, "vm-1", "req-000001", 0) != 0);
-    add_machine(machines, "vm-1", RR_LISTED_FAILED, 100);
+    fx_listed(machines, "vm-1", "a", RR_LISTED_FAILED, 100);
     bool asked = false;
     for (int i = 0; i < 10 && !asked; i++) {
         n->now += 5;
@@ -411,7 +402,7 @@
     for (int i = 1; i <= many; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
         fx_machine(w->store, id, "a", false, true);
-        add_machine(machines, id, RR_LISTED_RUNNING, 500);
+        fx_listed(machines, id, "a", RR_LISTED_RUNNING, 500);
     }
     fx_sync(w->store, w->n.core, w->n.now);
 }
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -48,11 +48,9 @@
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     bool asked = false;
     for (int i = 1; i <= 2; i++) {
-        rr_listed_machine st = {.state = RR_LISTED_RUNNING, .age_s = 500};
-        g_snprintf(st.id, sizeof st.id, "vm-%d", i);
-        g_strlcpy(st.build, "m1", sizeof st.build);
-        g_strlcpy(st.zone, i == 1 ? "a" : "b", sizeof st.zone);
-        g_array_append_val(machines, st);
+        char name[16];
+        g_snprintf(name, sizeof name, "vm-%d", i);
+        fx_listed(machines, name, i == 1 ? "a" : "b", RR_LISTED_RUNNING, 500);
     }
     fx_provisioner_step(n, machines, &s);
     if (s.kind == RR_STEP_RELEASE) {
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -503,11 +503,9 @@
     fx_fleet(n, 1, 40, "a");
     fx_sync(w->store, other.core, other.now);
     for (int i = 1; i <= 40; i++) {
-        rr_listed_machine st1 = {.state = RR_LISTED_RUNNING, .age_s = 500};
-        g_snprintf(st1.id, sizeof st1.id, "vm-%d", i);
-        g_strlcpy(st1.build, "m1", sizeof st1.build);
-        g_strlcpy(st1.zone, "a", sizeof st1.zone);
-        g_array_append_val(machines, st1);
+        char id[16];
+        g_snprintf(id, sizeof id, "vm-%d", i);
+        fx_listed(machines, id, "a", RR_LISTED_RUNNING, 500);
     }
     assert_true(fx_value_size(w->store, RR_ROOT "fleet/00000001") > (size_t)(NEXT_KB * 1024));
     lower(w->store);
@@ -550,14 +548,11 @@
     fx_fleet(n, 1, 40, "a");
     n->cfg.value_kb = (double)fx_value_size(w->store, RR_ROOT "fleet/00000001") / 1024;
     for (int i = 2; i <= 40; i++) {
-        rr_listed_machine st = {.state = RR_LISTED_RUNNING, .age_s = 500};
-        g_snprintf(st.id, sizeof st.id, "vm-%d", i);
-        g_strlcpy(st.build, "m1", sizeof st.build);
-        g_strlcpy(st.zone, "a", sizeof st.zone);
-        g_array_append_val(machines, st);
+        char id[16];
+        g_snprintf(id, sizeof id, "vm-%d", i);
+        fx_listed(machines, id, "a", RR_LISTED_RUNNING, 500);
     }
-    rr_listed_machine dead = {.id = "vm-1", .build = "m1", .zone = "a", .state = RR_LISTED_FAILED};
-    g_array_append_val(machines, dead);
+    fx_listed(machines, "vm-1", "a", RR_LISTED_FAILED, 0);
     for (int i = 0; i < 20 && fx_recorded(w->store, "vm-1"); i++) {
         fx_provisioner_step(n, machines, &s);
         rr_step_clear(&s);
