--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -281,6 +281,24 @@
     rr_txn_clear(&t);
 }
 
+void fx_join_old_version(fx_node *n) {
+    rr_out o;
+    rr_out_init(&o);
+    rr_put_map(&o, 1);
+    rr_put_key_u64(&o, "tether", 44);
+    fx_put(n->store, RR_ROOT "node/n1", &o);
+    fx_term(n);
+}
+
+void fx_leave_old_version(fx_node *n) {
+    rr_txn t;
+    rr_txn_init(&t);
+    rr_txn_delete(&t, RR_ROOT "node/n1");
+    assert_int_equal(fx_commit(n->store, &t), 0);
+    rr_txn_clear(&t);
+    fx_term(n);
+}
+
 void fx_build(fx_store *s, const char *sku, double cpu, double gpu, double mem, double price,
               double spot) {
     rr_build b = {.vcpus = cpu,
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -61,6 +61,11 @@
 void fx_leave(fx_node *n);
 void fx_term(fx_node *n); /* commits the next term if there is one; syncs */
 
+/* Another controller, n1, in a version that knows only what the first ones did: it joins, and
+ * leaves. */
+void fx_join_old_version(fx_node *n);
+void fx_leave_old_version(fx_node *n);
+
 void fx_build(fx_store *s, const char *sku, double cpu, double gpu, double mem, double price,
               double spot);
 struct fx_job {
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -107,6 +107,17 @@
     return 0;
 }
 
+/* The attempt of all these tasks, by which they find each other: they have the same. */
+static uint64_t shared_attempt(const fx_world *w, uint32_t tasks) {
+    uint64_t attempt, other;
+    machine_of(w, 0, &attempt);
+    for (uint32_t t = 1; t < tasks; t++) {
+        machine_of(w, t, &other);
+        assert_true(other == attempt);
+    }
+    return attempt;
+}
+
 static void booked_together(void **state) {
     fx_world *w = *state;
     uint64_t first, at;
@@ -221,7 +232,7 @@
 static void lost_and_brought_back(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    uint64_t first, at, other;
+    uint64_t first, at;
     start(w, &gang);
     show_all(n, "req-1", "running");
     plan(n, RR_START, "req-1", NULL);
@@ -250,12 +261,7 @@
         n->now += 0.5;
     }
     assert_int_equal(fx_placed(w->store, "req-1"), 3);
-    machine_of(w, 0, &at);
-    assert_true(at > first);
-    for (uint32_t t = 1; t < 3; t++) {
-        machine_of(w, t, &other);
-        assert_true(other == at);
-    }
+    assert_true(shared_attempt(w, 3) > first);
 }
 
 /* One done means all are: the job ends with one change, and is called done by nobody before. */
@@ -710,7 +716,6 @@
     struct fx_job wide = gang;
     const char *const wide_ref[] = {"req-1"};
     rr_job_view v;
-    uint64_t at, other;
     n->cfg.next_value_kb = 2;
     n->cfg.next_txn_ops = 4;
     w->store->value_max = (size_t)2 * 1024;
@@ -726,11 +731,7 @@
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
     assert_int_equal(w->store->epoch, before + 1);
     assert_true(fx_count(w->store, RR_ROOT "run/req-1/") == 2);
-    machine_of(w, 0, &at);
-    for (uint32_t t = 1; t < 60; t++) {
-        machine_of(w, t, &other);
-        assert_true(other == at);
-    }
+    shared_attempt(w, 60);
     show_jobs(n, wide_ref, 1, 60, runs);
     assert_int_equal(phase(n, "req-1"), RR_GANG_RUNNING);
     n->now += 20;
@@ -764,18 +765,14 @@
     start(w, &gang);
     show_all(n, "req-1", "running");
     g_strlcpy(s.ref, "req-9", sizeof s.ref);
-    rr_out o; /* n1 comes back in the older version */
-    rr_out_init(&o);
-    rr_put_map(&o, 1);
-    rr_put_key_u64(&o, "tether", 44);
-    fx_put(w->store, RR_ROOT "node/n1", &o);
-    fx_term(n);
+    fx_join_old_version(n);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_UNKNOWN_YET);
     assert_false(rr_core_peers_able(n->core)); /* nor is anything new told over links */
     rr_job_view v;
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_string_equal(v.standing, "running");
-    rr_out_init(&o); /* it could not read the job, and cancels it */
+    rr_out o; /* it could not read the job, and cancels it */
+    rr_out_init(&o);
     rr_put_map(&o, 3);
     rr_put_key_text(&o, "ref", "req-1");
     rr_put_key_text(&o, "shape", "batch");
@@ -784,12 +781,7 @@
     fx_sync(w->store, n->core, n->now);
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_true(v.aborted);
-    rr_txn t;
-    rr_txn_init(&t);
-    rr_txn_delete(&t, RR_ROOT "node/n1");
-    assert_int_equal(fx_commit(w->store, &t), 0);
-    rr_txn_clear(&t);
-    fx_term(n);
+    fx_leave_old_version(n);
     show_all(n, "req-1", "running");
     assert_int_equal(plan(n, RR_STOP, "req-1", NULL), 3);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -162,25 +162,6 @@
     }
 }
 
-/* Another controller joins, in a version that knows nothing of overflow records. */
-static void join_old_version(fx_node *n) {
-    rr_out o;
-    rr_out_init(&o);
-    rr_put_map(&o, 1);
-    rr_put_key_u64(&o, "tether", 44);
-    fx_put(n->store, RR_ROOT "node/n1", &o);
-    fx_term(n);
-}
-
-static void leave_old_version(fx_node *n) {
-    rr_txn t;
-    rr_txn_init(&t);
-    rr_txn_delete(&t, RR_ROOT "node/n1");
-    assert_int_equal(fx_commit(n->store, &t), 0);
-    rr_txn_clear(&t);
-    fx_term(n);
-}
-
 /* From the first write on everything keeps to the smaller limits: an array that would fill a record
  * of the old size, the fleet, and what ends and is cancelled. All its tasks run at once all the
  * same, in overflow records, as soon as no controller is left that does not read them. (A
@@ -188,7 +169,7 @@
 static void the_first_write_is_small(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    join_old_version(n);
+    fx_join_old_version(n);
     fx_fleet(n, 1, 20, "a"); /* written by an old version: 40 machines a page */
     lower(w->store);
     fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1}, n->now);
@@ -200,7 +181,7 @@
     unsigned placed = fx_placed(w->store, "req-1");
     assert_true(placed >= 30 && placed < 60); /* the rest of the record's tasks wait for others */
     assert_int_equal(fx_count(w->store, RR_ROOT "run/req-1/"), 1);
-    leave_old_version(n);
+    fx_leave_old_version(n);
     for (int m = 1; m <= 20; m++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
