--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -150,6 +150,9 @@
 
 static rr_transfer_message commit(struct test_cell *cell, const rr_transfer_write *write,
                                   bool refuse) {
+    if (cell->on_write) {
+        cell->on_write(cell->watcher, write);
+    }
     bool done = !refuse && fx_commit(cell->store, &write->txn) == 0;
     fx_sync(cell->store, cell->node.core, cell->node.now);
     return rr_transfers_written(cell->transfers, write, done);
@@ -161,6 +164,9 @@
     GByteArray *frame = g_byte_array_new();
     rr_cells_request request;
     rr_cells_request_pack(sent, frame);
+    if (from->on_request) {
+        from->on_request(from->watcher, frame);
+    }
     assert_int_equal(rr_cells_request_unpack(frame->data + 8, frame->len - 8, &request), 0);
     bool refuse = pair->refuse_commit && to == &pair->guest;
     for (guint i = 0; i < request.items->len; i++) {
@@ -173,6 +179,9 @@
             reply = commit(to, &write, refuse);
             rr_transfer_write_clear(&write);
         }
+        if (to->on_reply) {
+            to->on_reply(to->watcher, &reply);
+        }
         if (!pair->lose_replies && rr_transfers_replied(from->transfers, 0, item, &reply,
                                                         from->node.now, from->node.now, &write)) {
             commit(from, &write, false);
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -16,6 +16,12 @@
     uint64_t process, session;
     int machines;      /* vm-1 and so on, which report with each plan */
     uint64_t sequence; /* of their reports */
+    /* If set, these see what the cell's package gives out: writes, requests as they go over the
+     * wire, and its replies to requests. */
+    void (*on_write)(void *watcher, const rr_transfer_write *write);
+    void (*on_request)(void *watcher, const GByteArray *frame);
+    void (*on_reply)(void *watcher, const rr_transfer_message *reply);
+    void *watcher;
 };
 
 typedef struct {
--- /dev/null
+++ b/tests/trace_hash.c
@@ -0,0 +1,134 @@
+#include "trace_hash.h"
+
+#include <stdio.h>
+#include <string.h>
+
+#define FNV_OFFSET 14695981039346656037ULL
+#define FNV_PRIME 1099511628211ULL
+
+void trace_hash_init(trace_hash *hash) {
+    hash->value = FNV_OFFSET;
+}
+
+void trace_bytes(trace_hash *hash, const void *data, size_t size) {
+    const uint8_t *bytes = data;
+    for (size_t i = 0; i < size; i++) {
+        hash->value = (hash->value ^ bytes[i]) * FNV_PRIME;
+    }
+}
+
+void trace_text(trace_hash *hash, const char *text) {
+    trace_int(hash, text ? strlen(text) : UINT64_MAX);
+    if (text) {
+        trace_bytes(hash, text, strlen(text));
+    }
+}
+
+void trace_int(trace_hash *hash, uint64_t number) {
+    uint8_t bytes[8];
+    for (int i = 0; i < 8; i++) {
+        bytes[i] = (uint8_t)(number >> (8 * i));
+    }
+    trace_bytes(hash, bytes, sizeof bytes);
+}
+
+void trace_decimal(trace_hash *hash, double number) {
+    char text[32];
+    snprintf(text, sizeof text, "%.6g", number);
+    trace_text(hash, text);
+}
+
+/* As it goes to the state service: guards, changes and their bytes. */
+void trace_txn(trace_hash *hash, const rr_txn *txn) {
+    rr_out out;
+    rr_out_init(&out);
+    rr_txn_encode(txn, &out);
+    trace_int(hash, out.buf.size);
+    trace_bytes(hash, out.buf.data, out.buf.size);
+    rr_out_clear(&out);
+}
+
+static void trace_orders(trace_hash *hash, const GArray *orders) {
+    trace_int(hash, orders->len);
+    for (guint i = 0; i < orders->len; i++) {
+        const rr_order *order = &g_array_index(orders, rr_order, i);
+        trace_int(hash, order->verb);
+        trace_text(hash, order->ref);
+        trace_int(hash, order->task);
+        trace_int(hash, order->attempt);
+        trace_decimal(hash, order->grace_s);
+    }
+}
+
+void trace_command(trace_hash *hash, const rr_do *command) {
+    trace_text(hash, command->machine);
+    trace_text(hash, command->addr);
+    trace_int(hash, command->fencing_token);
+    trace_int(hash, command->worker_epoch);
+    trace_orders(hash, command->orders);
+    trace_int(hash, (uint64_t)(int64_t)command->via);
+    trace_int(hash, (uint64_t)(int64_t)command->fallback);
+    trace_int(hash, command->doubtful);
+}
+
+void trace_plan(trace_hash *hash, const rr_plan *plan) {
+    trace_int(hash, plan->has_txn);
+    trace_txn(hash, &plan->txn);
+    trace_int(hash, plan->dos->len);
+    for (guint i = 0; i < plan->dos->len; i++) {
+        trace_command(hash, g_ptr_array_index(plan->dos, i));
+    }
+    trace_decimal(hash, plan->next_s);
+}
+
+void trace_step(trace_hash *hash, const rr_step *step) {
+    trace_int(hash, step->kind);
+    trace_txn(hash, &step->txn);
+    trace_text(hash, step->rental);
+    trace_text(hash, step->build);
+    trace_text(hash, step->zone);
+    trace_int(hash, step->spot);
+    trace_int(hash, (uint64_t)step->how_many);
+    trace_int(hash, step->machines->len);
+    for (guint i = 0; i < step->machines->len; i++) {
+        trace_text(hash, g_ptr_array_index(step->machines, i));
+    }
+}
+
+void trace_answer(trace_hash *hash, const struct rr_answer *answer) {
+    trace_int(hash, (uint64_t)answer->status);
+    trace_int(hash, answer->fencing_token);
+    trace_text(hash, answer->peer);
+    if (answer->orders) {
+        trace_orders(hash, answer->orders);
+    }
+}
+
+void trace_job_view(trace_hash *hash, const rr_job_view *view) {
+    trace_int(hash, view->known);
+    trace_int(hash, view->done);
+    trace_int(hash, view->aborted);
+    trace_text(hash, view->standing);
+    trace_int(hash, view->ndone);
+    trace_int(hash, view->nrunning);
+    trace_int(hash, view->mark);
+}
+
+void trace_submission(trace_hash *hash, const rr_submission *submission) {
+    rr_out out;
+    rr_out_init(&out);
+    rr_core_job_encode(&out, submission, 0, false);
+    trace_bytes(hash, out.buf.data, out.buf.size);
+    rr_out_clear(&out);
+}
+
+void trace_stats(trace_hash *hash, const rr_core_stats *stats) {
+    const unsigned counts[] = {stats->machines,      stats->booting,      stats->jobs_open,
+                               stats->tasks_waiting, stats->tasks_placed, stats->moves,
+                               stats->rented,        stats->given_up,     stats->leases_lost,
+                               stats->notices,       stats->visits,       stats->jobs_whole};
+    for (size_t i = 0; i < G_N_ELEMENTS(counts); i++) {
+        trace_int(hash, counts[i]);
+    }
+    trace_decimal(hash, stats->priced);
+}
--- /dev/null
+++ b/tests/trace_workers.c
@@ -0,0 +1,275 @@
+#include "trace_world.h"
+
+#include <math.h>
+#include <string.h>
+
+#define GRACE_OF_LEASE_S 30.0
+#define NEVER_S 1e12
+
+static void lease_renewed(struct trace_world *world, struct trace_machine *machine) {
+    machine->lease_until = world->now + GRACE_OF_LEASE_S;
+}
+
+struct trace_machine *trace_machine_new(struct trace_world *world, int number, const char *type,
+                                        const char *zone, bool spot) {
+    struct trace_machine *machine = g_new0(struct trace_machine, 1);
+    g_snprintf(machine->id, sizeof machine->id, "vm-%d", number);
+    g_snprintf(machine->addr, sizeof machine->addr, "127.0.0.1:%d", 1000 + number);
+    machine->type = type;
+    machine->zone = zone;
+    machine->spot = spot;
+    machine->listed = true;
+    machine->made_at = world->now;
+    machine->up_at = NEVER_S;
+    machine->notice_at = -1;
+    machine->worker_epoch = 1;
+    machine->controller = trace_roll(world, world->scenario.controllers);
+    machine->tasks = g_array_new(FALSE, TRUE, sizeof(struct trace_task));
+    g_ptr_array_add(world->machines, machine);
+    g_hash_table_insert(world->machine_by_id, machine->id, machine);
+    return machine;
+}
+
+void trace_machine_free(gpointer pointer) {
+    struct trace_machine *machine = pointer;
+    g_array_free(machine->tasks, TRUE);
+    g_free(machine);
+}
+
+struct trace_machine *trace_any_machine(struct trace_world *world) {
+    guint first = (guint)trace_roll(world, (int)world->machines->len + 1);
+    for (guint i = 0; i < world->machines->len; i++) {
+        struct trace_machine *machine =
+            g_ptr_array_index(world->machines, (first + i) % world->machines->len);
+        if (machine->up) {
+            return machine;
+        }
+    }
+    return NULL;
+}
+
+void trace_machine_dies(struct trace_machine *machine) {
+    machine->up = false;
+    machine->up_at = NEVER_S;
+    machine->failed = true;
+    g_array_set_size(machine->tasks, 0);
+}
+
+void trace_machine_reborn(struct trace_world *world, struct trace_machine *machine) {
+    g_array_set_size(machine->tasks, 0);
+    machine->worker_epoch = 1;
+    machine->sequence = 0;
+    machine->fencing_token = 0;
+    lease_renewed(world, machine);
+}
+
+/* ---- tasks ---- */
+
+static struct trace_task *task_at(const struct trace_machine *machine, guint i) {
+    return &g_array_index(machine->tasks, struct trace_task, i);
+}
+
+static struct trace_task *find_task(const struct trace_machine *machine, const rr_order *order) {
+    for (guint i = 0; i < machine->tasks->len; i++) {
+        struct trace_task *task = task_at(machine, i);
+        if (task->attempt == order->attempt && task->task == order->task &&
+            strcmp(task->job->id, order->ref) == 0) {
+            return task;
+        }
+    }
+    return NULL;
+}
+
+static void enter(const struct trace_world *world, struct trace_task *task,
+                  enum rr_standing standing, double seconds) {
+    task->standing = standing;
+    task->since = world->now;
+    task->until = world->now + seconds;
+}
+
+static void end_task(const struct trace_world *world, struct trace_task *task,
+                     enum rr_cause cause) {
+    enter(world, task, RR_ENDED, NEVER_S);
+    task->cause = cause;
+}
+
+/* What a worker may refuse a start with. */
+static enum rr_cause refusal(struct trace_world *world) {
+    static const enum rr_cause causes[] = {RR_FULL, RR_IN_USE, RR_NO_SUCH, RR_CAUSE_OTHER};
+    return trace_chance(world, 0.01) ? causes[trace_roll(world, 4)] : RR_CAUSE_NONE;
+}
+
+static void start_task(struct trace_world *world, struct trace_machine *machine,
+                       const rr_order *order) {
+    struct trace_task task = {.job = g_hash_table_lookup(world->job_by_id, order->ref),
+                              .task = order->task,
+                              .attempt = order->attempt};
+    enum rr_cause cause = refusal(world);
+    enter(world, &task, RR_FETCHING, trace_between(world, 0, 2));
+    if (cause != RR_CAUSE_NONE) {
+        end_task(world, &task, cause);
+    }
+    g_array_append_val(machine->tasks, task);
+}
+
+static void stop_task(const struct trace_world *world, struct trace_task *task, double grace_s) {
+    if (task->standing == RR_ENDED) {
+        return;
+    }
+    if (grace_s > 0 && task->standing == RR_RUNNING) {
+        enter(world, task, RR_FLUSHING, fmin(grace_s, 3));
+    } else {
+        end_task(world, task, RR_HALTED);
+    }
+}
+
+void trace_execute_orders(struct trace_world *world, struct trace_machine *machine,
+                          const GArray *orders) {
+    for (guint i = 0; i < orders->len; i++) {
+        const rr_order *order = &g_array_index(orders, rr_order, i);
+        struct trace_task *task = find_task(machine, order);
+        if (order->verb == RR_START && !task) {
+            start_task(world, machine, order);
+        } else if (order->verb == RR_STOP && task) {
+            stop_task(world, task, order->grace_s);
+        } else if (order->verb == RR_REAP && task && task->standing == RR_ENDED) {
+            g_array_remove_index(machine->tasks, (guint)(task - task_at(machine, 0)));
+        }
+    }
+}
+
+bool trace_execute(struct trace_world *world, struct trace_machine *machine, const rr_do *command) {
+    if (command->fencing_token < machine->fencing_token ||
+        (command->worker_epoch != machine->worker_epoch && command->orders->len > 0)) {
+        return false;
+    }
+    machine->fencing_token = command->fencing_token;
+    trace_execute_orders(world, machine, command->orders);
+    return true;
+}
+
+/* ---- time passes ---- */
+
+struct gang_count {
+    uint32_t ready, ended, done;
+};
+
+/* The gang's tasks of this attempt, wherever they are. */
+static struct gang_count count_gang(const struct trace_world *world,
+                                    const struct trace_task *member) {
+    struct gang_count count = {0, 0, 0};
+    for (guint i = 0; i < world->machines->len; i++) {
+        const struct trace_machine *machine = g_ptr_array_index(world->machines, i);
+        for (guint k = 0; k < machine->tasks->len; k++) {
+            const struct trace_task *task = task_at(machine, k);
+            if (task->attempt != member->attempt || task->job != member->job) {
+                continue;
+            }
+            count.ready += task->standing == RR_WAITING || task->standing == RR_RUNNING;
+            count.ended += task->standing == RR_ENDED && task->cause != RR_DONE;
+            count.done += task->standing == RR_ENDED && task->cause == RR_DONE;
+        }
+    }
+    return count;
+}
+
+static void run_task(struct trace_world *world, struct trace_machine *machine,
+                     struct trace_task *task, const struct trace_job *job) {
+    bool fails = job->fails || machine->ill_until > world->now;
+    double seconds = job->runtime_s * trace_between(world, 0.7, 1.3);
+    if (job->shape == RR_GANG) {
+        seconds = job->runtime_s;
+    }
+    enter(world, task, RR_RUNNING, fails ? trace_between(world, 0.5, 2) : seconds);
+}
+
+static void advance_gang_task(struct trace_world *world, struct trace_machine *machine,
+                              struct trace_task *task, const struct trace_job *job) {
+    struct gang_count count = count_gang(world, task);
+    if (task->standing == RR_WAITING && count.ready >= job->tasks) {
+        run_task(world, machine, task, job);
+    } else if (task->standing == RR_WAITING && task->until <= world->now) {
+        end_task(world, task, RR_INCOMPLETE);
+    } else if (task->standing == RR_RUNNING && count.done > 0) {
+        end_task(world, task, RR_DONE);
+    } else if (count.ended > 0 && trace_chance(world, 0.3)) {
+        end_task(world, task, RR_PEERS);
+    }
+}
+
+static void advance_task(struct trace_world *world, struct trace_machine *machine,
+                         struct trace_task *task) {
+    const struct trace_job *job = task->job;
+    bool gang = job->shape == RR_GANG;
+    if (gang && (task->standing == RR_WAITING || task->standing == RR_RUNNING)) {
+        advance_gang_task(world, machine, task, job);
+    }
+    if (task->until > world->now || task->standing == RR_ENDED) {
+        return;
+    }
+    if (task->standing == RR_FETCHING && gang) {
+        enter(world, task, RR_WAITING, 40);
+    } else if (task->standing == RR_FETCHING) {
+        run_task(world, machine, task, job);
+    } else if (task->standing == RR_FLUSHING) {
+        end_task(world, task, RR_HALTED);
+    } else if (job->fails || machine->ill_until > world->now) {
+        end_task(world, task, RR_ERROR);
+    } else if (job->shape != RR_SERVICE) {
+        end_task(world, task, RR_DONE);
+    }
+}
+
+static void advance_machine(struct trace_world *world, struct trace_machine *machine) {
+    if (!machine->up && machine->up_at <= world->now) {
+        machine->up = true;
+        machine->up_at = NEVER_S;
+        machine->report_at = world->now + trace_between(world, 0, 3);
+        lease_renewed(world, machine);
+    }
+    if (machine->up && machine->notice_at >= 0 && machine->notice_at <= world->now) {
+        trace_machine_dies(machine);
+        machine->failed = machine->listed = false;
+    }
+    if (!machine->up || machine->hung_until > world->now) {
+        return;
+    }
+    if (machine->lease_until <= world->now) {
+        machine->worker_epoch++;
+        machine->sequence = 0;
+        g_array_set_size(machine->tasks, 0);
+        lease_renewed(world, machine);
+    }
+    for (guint i = 0; i < machine->tasks->len; i++) {
+        advance_task(world, machine, task_at(machine, i));
+    }
+}
+
+void trace_workers_advance(struct trace_world *world) {
+    for (guint i = 0; i < world->machines->len; i++) {
+        advance_machine(world, g_ptr_array_index(world->machines, i));
+    }
+}
+
+void trace_report_of(struct trace_world *world, struct trace_machine *machine, rr_report *out) {
+    memset(out, 0, sizeof *out);
+    g_strlcpy(out->machine, machine->id, sizeof out->machine);
+    g_strlcpy(out->addr, machine->addr, sizeof out->addr);
+    g_strlcpy(out->build, machine->type, sizeof out->build);
+    g_strlcpy(out->zone, machine->zone, sizeof out->zone);
+    out->spot = machine->spot;
+    out->worker_epoch = machine->worker_epoch;
+    out->sequence = ++machine->sequence;
+    out->fencing_token = machine->fencing_token;
+    out->spot_notice_s = machine->notice_at < 0 ? -1 : fmax(0, machine->notice_at - world->now);
+    out->pieces = g_array_new(FALSE, TRUE, sizeof(rr_piece));
+    for (guint i = 0; i < machine->tasks->len; i++) {
+        const struct trace_task *task = task_at(machine, i);
+        rr_piece piece = {.task = task->task,
+                          .attempt = task->attempt,
+                          .standing = task->standing,
+                          .cause = task->cause};
+        g_strlcpy(piece.ref, task->job->id, sizeof piece.ref);
+        g_array_append_val(out->pieces, piece);
+    }
+}
