--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -97,7 +97,7 @@
 /* Both slots' records are guarded: a provisioner that has not read the newest table writes none. */
 bool rr_admission_write(const rr_admission *admission, const rr_admission_table *table,
                         rr_txn *out) {
-    rr_out records[RR_ADMISSION_PARTS_MAX];
+    rr_encoder records[RR_ADMISSION_PARTS_MAX];
     char key[64];
     size_t bytes = (size_t)(rr_value_kb(admission->config) * 1024);
     guint most = (guint)rr_txn_ops(admission->config);
--- a/src/admission/table.c
+++ b/src/admission/table.c
@@ -73,11 +73,11 @@
     return x->id < y->id ? -1 : x->id > y->id;
 }
 
-static void put_row(rr_out *out, const rr_admission_row *row) {
-    rr_put_array(out, 3);
-    rr_put_u64(out, row->id);
-    rr_put_u64(out, row->phase);
-    rr_put_u64(out, row->share);
+static void put_row(rr_encoder *out, const rr_admission_row *row) {
+    rr_encode_array(out, 3);
+    rr_encode_u64(out, row->id);
+    rr_encode_u64(out, row->phase);
+    rr_encode_u64(out, row->share);
 }
 
 #define CORRECTION_UNIT                                                                            \
@@ -85,11 +85,11 @@
             */
 #define ROOM_UNIT 1e6
 
-static void put_team(rr_out *out, const rr_admission_team *team) {
-    rr_put_array(out, 3);
-    rr_put_text(out, team->name);
-    rr_put_u64(out, (uint64_t)(team->room * ROOM_UNIT));
-    rr_put_u64(out, (uint64_t)(team->correction * CORRECTION_UNIT));
+static void put_team(rr_encoder *out, const rr_admission_team *team) {
+    rr_encode_array(out, 3);
+    rr_encode_text(out, team->name);
+    rr_encode_u64(out, (uint64_t)(team->room * ROOM_UNIT));
+    rr_encode_u64(out, (uint64_t)(team->correction * CORRECTION_UNIT));
 }
 
 /* How many entries, from `from` on, one record takes beside what it has. */
@@ -136,7 +136,7 @@
 }
 
 guint rr_admission_table_encode(const rr_admission_table *table, size_t value_bytes, guint most,
-                                rr_out *out) {
+                                rr_encoder *out) {
     struct part parts[RR_ADMISSION_PARTS_MAX];
     rr_admission_table sorted = *table;
     sorted.rows = g_array_copy(table->rows);
@@ -144,25 +144,25 @@
     guint count = part_table(&sorted, value_bytes, most, parts);
     for (guint i = 0; i < count; i++) {
         const struct part *part = &parts[i];
-        rr_out *record = &out[i];
-        rr_out_init(record);
-        rr_put_map(record, 11);
-        rr_put_key_u64(record, "v", RR_ADMISSION_VERSION);
-        rr_put_key_u64(record, "sequence", table->sequence);
-        rr_put_key_u64(record, "parts", count);
-        rr_put_key_num(record, "starts_at", table->starts_at);
-        rr_put_key_num(record, "length_s", table->length_s);
-        rr_put_key_bool(record, "active", table->active);
-        rr_put_key_num(record, "cpu", table->cpu);
-        rr_put_key_num(record, "gpu", table->gpu);
-        rr_put_key_num(record, "mem", table->mem);
-        rr_put_text(record, "teams");
-        rr_put_array(record, part->teams);
+        rr_encoder *record = &out[i];
+        rr_encoder_init(record);
+        rr_encode_map(record, 11);
+        rr_encode_key_u64(record, "v", RR_ADMISSION_VERSION);
+        rr_encode_key_u64(record, "sequence", table->sequence);
+        rr_encode_key_u64(record, "parts", count);
+        rr_encode_key_number(record, "starts_at", table->starts_at);
+        rr_encode_key_number(record, "length_s", table->length_s);
+        rr_encode_key_bool(record, "active", table->active);
+        rr_encode_key_number(record, "cpu", table->cpu);
+        rr_encode_key_number(record, "gpu", table->gpu);
+        rr_encode_key_number(record, "mem", table->mem);
+        rr_encode_text(record, "teams");
+        rr_encode_array(record, part->teams);
         for (guint k = 0; k < part->teams; k++) {
             put_team(record, &g_array_index(table->teams, rr_admission_team, part->team + k));
         }
-        rr_put_text(record, "rows");
-        rr_put_array(record, part->rows);
+        rr_encode_text(record, "rows");
+        rr_encode_array(record, part->rows);
         for (guint k = 0; k < part->rows; k++) {
             put_row(record, &g_array_index(sorted.rows, rr_admission_row, part->row + k));
         }
@@ -179,9 +179,10 @@
 
 static bool get_row(const msgpack_object *o, rr_admission_row *row) {
     uint64_t phase;
-    if (!triple(o) || !rr_as_u64(&o->via.array.ptr[0], &row->id) ||
-        !rr_as_u64(&o->via.array.ptr[1], &phase) || !rr_as_u64(&o->via.array.ptr[2], &row->share) ||
-        phase >= RR_ADMISSION_FULL || row->share > RR_ADMISSION_FULL) {
+    if (!triple(o) || !rr_object_u64(&o->via.array.ptr[0], &row->id) ||
+        !rr_object_u64(&o->via.array.ptr[1], &phase) ||
+        !rr_object_u64(&o->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
+        row->share > RR_ADMISSION_FULL) {
         return false;
     }
     row->phase = (uint32_t)phase;
@@ -190,8 +191,9 @@
 
 static bool get_team(const msgpack_object *o, rr_admission_team *team) {
     uint64_t room, correction;
-    if (!triple(o) || !rr_as_text(&o->via.array.ptr[0], team->name, sizeof team->name) ||
-        !rr_as_u64(&o->via.array.ptr[1], &room) || !rr_as_u64(&o->via.array.ptr[2], &correction)) {
+    if (!triple(o) || !rr_object_text(&o->via.array.ptr[0], team->name, sizeof team->name) ||
+        !rr_object_u64(&o->via.array.ptr[1], &room) ||
+        !rr_object_u64(&o->via.array.ptr[2], &correction)) {
         return false;
     }
     team->room = (double)room / ROOM_UNIT;
@@ -200,7 +202,7 @@
 }
 
 static const msgpack_object_array *list_of(const msgpack_object *map, const char *key) {
-    const msgpack_object *o = rr_get(map, key);
+    const msgpack_object *o = rr_map_get(map, key);
     return o && o->type == MSGPACK_OBJECT_ARRAY ? &o->via.array : NULL;
 }
 
@@ -208,14 +210,15 @@
 static bool read_record(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
     uint64_t version;
     const msgpack_object_array *rows = list_of(value, "rows"), *teams = list_of(value, "teams");
-    if (!rr_get_u64(value, "v", &version) || version != RR_ADMISSION_VERSION || !rows || !teams ||
-        !rr_get_u64(value, "sequence", &table->sequence) || table->sequence == 0 ||
-        !rr_get_u64(value, "parts", parts) || *parts == 0 || *parts > RR_ADMISSION_PARTS_MAX ||
-        !rr_get_num(value, "starts_at", &table->starts_at) ||
-        !rr_get_num(value, "length_s", &table->length_s) || !(table->length_s > 0) ||
-        table->length_s > LENGTH_MAX_S || !rr_get_bool(value, "active", &table->active) ||
-        !rr_get_num(value, "cpu", &table->cpu) || !rr_get_num(value, "gpu", &table->gpu) ||
-        !rr_get_num(value, "mem", &table->mem)) {
+    if (!rr_map_get_u64(value, "v", &version) || version != RR_ADMISSION_VERSION || !rows ||
+        !teams || !rr_map_get_u64(value, "sequence", &table->sequence) || table->sequence == 0 ||
+        !rr_map_get_u64(value, "parts", parts) || *parts == 0 || *parts > RR_ADMISSION_PARTS_MAX ||
+        !rr_map_get_number(value, "starts_at", &table->starts_at) ||
+        !rr_map_get_number(value, "length_s", &table->length_s) || !(table->length_s > 0) ||
+        table->length_s > LENGTH_MAX_S || !rr_map_get_bool(value, "active", &table->active) ||
+        !rr_map_get_number(value, "cpu", &table->cpu) ||
+        !rr_map_get_number(value, "gpu", &table->gpu) ||
+        !rr_map_get_number(value, "mem", &table->mem)) {
         return false;
     }
     for (uint32_t i = 0; i < rows->size; i++) {
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -43,11 +43,11 @@
 const rr_admission_row *rr_admission_table_row(const rr_admission_table *table, uint64_t id);
 const rr_admission_team *rr_admission_table_team(const rr_admission_table *table, const char *name);
 
-/* The table as records of at most value_bytes of JSON, at most `most` of them: rr_out each, to be
- * cleared by the caller. Rows that do not fit, those of the largest share, are left to the
- * rest of their team's band. Returns the number of records. */
+/* The table as records of at most value_bytes of JSON, at most `most` of them: rr_encoder each, to
+ * be cleared by the caller. Rows that do not fit, those of the largest share, are left to the rest
+ * of their team's band. Returns the number of records. */
 guint rr_admission_table_encode(const rr_admission_table *table, size_t value_bytes, guint most,
-                                rr_out *out);
+                                rr_encoder *out);
 void rr_admission_record_key(uint64_t sequence, guint part, char *out, size_t size);
 
 /* Puts a slot's records together again. */
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -72,7 +72,7 @@
 /* A user's change waiting for its transaction. */
 struct rr_user_commit {
     char key[96];
-    rr_out value;
+    rr_encoder value;
     uint64_t mark;     /* guard */
     char also_key[96]; /* another record that must be unchanged; empty: none */
     uint64_t also_mark;
--- a/src/app/batch.c
+++ b/src/app/batch.c
@@ -6,7 +6,7 @@
 
 /* The store counts JSON, which is longer than what is packed. */
 static size_t json_size(const struct rr_user_commit *u) {
-    return u->value.buf.size * 14 / 10 + 16;
+    return u->value.buffer.size * 14 / 10 + 16;
 }
 
 /* A transaction guards and writes a key once. An acceptance whose answer was lost, on its way
@@ -42,8 +42,8 @@
 }
 
 static void put_alone(rr_txn *t, const struct rr_user_commit *u) {
-    rr_change ch = {g_strdup(u->key), g_memdup2(u->value.buf.data, u->value.buf.size),
-                    u->value.buf.size, 0};
+    rr_change ch = {g_strdup(u->key), g_memdup2(u->value.buffer.data, u->value.buffer.size),
+                    u->value.buffer.size, 0};
     g_array_append_val(t->changes, ch);
 }
 
@@ -51,15 +51,16 @@
 static void put_together(uint64_t tether, uint64_t *batches, rr_txn *t,
                          struct rr_user_commit **entries, guint n) {
     char key[96];
-    rr_out o;
+    rr_encoder o;
     if (n == 1) {
         put_alone(t, entries[0]);
         return;
     }
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_core_batch_begin(&o, n);
     for (guint i = 0; i < n; i++) {
-        msgpack_sbuffer_write(&o.buf, entries[i]->value.buf.data, entries[i]->value.buf.size);
+        msgpack_sbuffer_write(&o.buffer, entries[i]->value.buffer.data,
+                              entries[i]->value.buffer.size);
     }
     rr_core_batch_key(tether, ++*batches, key, sizeof key);
     rr_txn_guard(t, key, 0);
--- a/src/app/cells_duty.c
+++ b/src/app/cells_duty.c
@@ -147,11 +147,11 @@
     rr_store_cursor cursor = {.more = true};
     int rc = 0;
     while (rc == 0 && cursor.more && !rr_duty_stopping(a)) {
-        rr_doc doc;
+        rr_document doc;
         rc = rr_store_next_page(reader->store, prefix, &cursor, &doc);
         if (rc == 0) {
             rr_store_each_row(&doc, &cursor, fn, user);
-            rr_doc_clear(&doc);
+            rr_document_clear(&doc);
         }
     }
     return rr_duty_stopping(a) ? -ECANCELED : rc;
@@ -343,7 +343,7 @@
 /* Another cell's user asks here, for a job that this cell may have accepted. */
 static void serve_user(struct rr_app *a, const rr_cells_request *request, rr_cells_reply *reply) {
     struct rr_response response = {0};
-    rr_out_init(&response.body);
+    rr_encoder_init(&response.body);
     if (request->kind == RR_CELLS_POLL) {
         rr_app_poll_here(a, request->job_id, &response);
     } else {
@@ -351,9 +351,9 @@
     }
     reply->http_status = response.status;
     reply->retry_after_s = response.retry_after_s;
-    g_byte_array_append(reply->body, (const guint8 *)response.body.buf.data,
-                        (guint)response.body.buf.size);
-    rr_out_clear(&response.body);
+    g_byte_array_append(reply->body, (const guint8 *)response.body.buffer.data,
+                        (guint)response.body.buffer.size);
+    rr_encoder_clear(&response.body);
 }
 
 static void serve(void *user, void **context, size_t neighbour, const rr_cells_request *request,
@@ -402,8 +402,9 @@
     if (answered) {
         response->status = reply.http_status;
         response->retry_after_s = reply.retry_after_s;
-        msgpack_sbuffer_clear(&response->body.buf);
-        msgpack_sbuffer_write(&response->body.buf, (const char *)reply.body->data, reply.body->len);
+        msgpack_sbuffer_clear(&response->body.buffer);
+        msgpack_sbuffer_write(&response->body.buffer, (const char *)reply.body->data,
+                              reply.body->len);
     }
     rr_cells_reply_clear(&reply);
     return answered;
@@ -417,7 +418,7 @@
     char key[RR_ID + 64];
     uint64_t version, lease, tasks = 0;
     bool cancelled = false;
-    rr_doc doc;
+    rr_document doc;
     if (!cell->claimable) {
         return false;
     }
@@ -425,21 +426,21 @@
     rr_core_job_key(job_id, key, sizeof key);
     bool found = rr_store_get(store, key, &doc, &version, &lease) == 0;
     if (found) {
-        const msgpack_object *value = rr_get(doc.root, "v");
-        bool done = rr_get(value, "final") != NULL;
-        rr_get_u64(value, "pieces", &tasks);
-        rr_get_bool(value, "cancelled", &cancelled);
+        const msgpack_object *value = rr_map_get(doc.root, "v");
+        bool done = rr_map_get(value, "final") != NULL;
+        rr_map_get_u64(value, "pieces", &tasks);
+        rr_map_get_bool(value, "cancelled", &cancelled);
         found = done || cancelled;
         if (found) {
-            msgpack_sbuffer_clear(&response->body.buf);
+            msgpack_sbuffer_clear(&response->body.buffer);
             response->status = 200;
-            rr_put_map(&response->body, 4);
-            rr_put_key_text(&response->body, "ref", job_id);
-            rr_put_key_text(&response->body, "standing", done ? "done" : "aborted");
-            rr_put_key_u64(&response->body, "done", done ? tasks : 0);
-            rr_put_key_u64(&response->body, "running", 0);
+            rr_encode_map(&response->body, 4);
+            rr_encode_key_text(&response->body, "ref", job_id);
+            rr_encode_key_text(&response->body, "standing", done ? "done" : "aborted");
+            rr_encode_key_u64(&response->body, "done", done ? tasks : 0);
+            rr_encode_key_u64(&response->body, "running", 0);
         }
-        rr_doc_clear(&doc);
+        rr_document_clear(&doc);
     }
     rr_store_destroy(store);
     return found;
@@ -463,7 +464,7 @@
     }
     rr_cells_request_clear(&request);
     if (!known && !all) {
-        msgpack_sbuffer_clear(&response->body.buf);
+        msgpack_sbuffer_clear(&response->body.buffer);
         rr_app_refuse(response, 503, "a cell that may know the job is not reachable",
                       RELAY_RETRY_S);
     }
@@ -473,20 +474,20 @@
 /* What the guest says of its copy, as far as it may change: tasks that are done there count only
  * when the home has recorded the end. */
 static bool read_away(const rr_cells_reply *reply, rr_job_view *view) {
-    rr_doc doc;
+    rr_document doc;
     char standing[32] = "";
     uint64_t running = 0;
     if (reply->status != RR_CELLS_OK || reply->http_status != 200 ||
-        rr_doc_parse(&doc, reply->body->data, reply->body->len) != 0) {
+        rr_document_parse(&doc, reply->body->data, reply->body->len) != 0) {
         return reply->status == RR_CELLS_OK && reply->http_status == 404; /* not taken yet */
     }
-    rr_get_text(doc.root, "standing", standing, sizeof standing);
-    rr_get_u64(doc.root, "running", &running);
+    rr_map_get_text(doc.root, "standing", standing, sizeof standing);
+    rr_map_get_u64(doc.root, "running", &running);
     if (strcmp(standing, "running") == 0) {
         view->standing = "running";
         view->nrunning = (uint32_t)running;
     }
-    rr_doc_clear(&doc);
+    rr_document_clear(&doc);
     return true;
 }
 
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -12,16 +12,16 @@
 void rr_app_refuse(struct rr_response *rs, int status, const char *why, int retry_after_s) {
     rs->status = status;
     rs->retry_after_s = retry_after_s;
-    rr_put_map(&rs->body, 1);
-    rr_put_key_text(&rs->body, "error", why);
+    rr_encode_map(&rs->body, 1);
+    rr_encode_key_text(&rs->body, "error", why);
 }
 
 static void answer_standing(struct rr_response *rs, int status, const char *ref,
                             const char *standing) {
     rs->status = status;
-    rr_put_map(&rs->body, 2);
-    rr_put_key_text(&rs->body, "ref", ref);
-    rr_put_key_text(&rs->body, "standing", standing);
+    rr_encode_map(&rs->body, 2);
+    rr_encode_key_text(&rs->body, "ref", ref);
+    rr_encode_key_text(&rs->body, "standing", standing);
 }
 
 static void view_of(struct rr_app *a, const char *ref, rr_job_view *v) {
@@ -109,10 +109,10 @@
         return;
     }
     rr_core_job_key(s->ref, u.key, sizeof u.key);
-    rr_out_init(&u.value);
+    rr_encoder_init(&u.value);
     rr_core_job_encode(&u.value, s, rr_wall(), false);
     /* The store counts JSON, which is longer than what is packed here. */
-    if (1.4 * (double)u.value.buf.size > rr_value_kb(&a->cfg) * 1024) {
+    if (1.4 * (double)u.value.buffer.size > rr_value_kb(&a->cfg) * 1024) {
         rr_app_refuse(rs, 400, "too large", 0);
     } else if (!commit_for_user(a, &u)) {
         rr_app_refuse(rs, 503, "overloaded", 2);
@@ -121,21 +121,21 @@
     } else if (u.outcome != RR_CONFLICT || !answer_known(a, s->ref, rs)) {
         rr_app_refuse(rs, 503, "state not reachable", 1);
     }
-    rr_out_clear(&u.value);
+    rr_encoder_clear(&u.value);
 }
 
 static void decide_submission(struct rr_app *a, const struct rr_request *rq,
                               struct rr_response *rs) {
-    rr_doc doc;
+    rr_document doc;
     rr_submission s = {0};
     const char *why = "not MessagePack";
     char ref[RR_ID] = "";
-    int rc = rr_doc_parse(&doc, rq->body, rq->len);
+    int rc = rr_document_parse(&doc, rq->body, rq->len);
     if (rc == 0) {
-        rr_get_text(doc.root, "ref", ref, sizeof ref);
+        rr_map_get_text(doc.root, "ref", ref, sizeof ref);
         rc = rr_submission_decode(doc.root, &s, &why);
     }
-    rr_doc_clear(&doc);
+    rr_document_clear(&doc);
     enum rr_admit admit = RR_ADMIT_NEVER;
     if (rc == 0) {
         pthread_mutex_lock(&a->lock);
@@ -195,11 +195,11 @@
         rr_app_refuse(rs, 503, "the cell that has the job is not reachable", 1);
     } else {
         rs->status = 200;
-        rr_put_map(&rs->body, 4);
-        rr_put_key_text(&rs->body, "ref", ref);
-        rr_put_key_text(&rs->body, "standing", v.standing);
-        rr_put_key_u64(&rs->body, "done", v.ndone);
-        rr_put_key_u64(&rs->body, "running", v.nrunning);
+        rr_encode_map(&rs->body, 4);
+        rr_encode_key_text(&rs->body, "ref", ref);
+        rr_encode_key_text(&rs->body, "standing", v.standing);
+        rr_encode_key_u64(&rs->body, "done", v.ndone);
+        rr_encode_key_u64(&rs->body, "running", v.nrunning);
     }
 }
 
@@ -218,7 +218,7 @@
 static bool try_cancel(struct rr_app *a, const char *ref, double until, struct rr_response *rs) {
     struct rr_user_commit u = {.until = until};
     rr_job_view v;
-    rr_out_init(&u.value);
+    rr_encoder_init(&u.value);
     rr_core_job_key(ref, u.key, sizeof u.key);
     pthread_mutex_lock(&a->lock);
     bool open = rr_core_cancel_record(a->core, ref, &u.value, &u.mark);
@@ -253,19 +253,19 @@
     } else {
         rr_app_refuse(rs, 503, "state not reachable", 1);
     }
-    rr_out_clear(&u.value);
+    rr_encoder_clear(&u.value);
     return answered;
 }
 
 /* Whether no other cell can have the job any more; if one has it, it is taken back. */
 static bool is_here(struct rr_app *a, const char *ref, int *retry_after_s) {
     struct rr_user_commit u = {.until = rr_now() + RR_ACCEPT_S};
-    rr_out_init(&u.value);
+    rr_encoder_init(&u.value);
     enum rr_cancel_first first = rr_app_cells_cancel(a, ref, &u, retry_after_s);
     if (first == RR_CANCEL_WITHDRAW) {
         commit_for_user(a, &u);
     }
-    rr_out_clear(&u.value);
+    rr_encoder_clear(&u.value);
     return first == RR_CANCEL_FREE;
 }
 
@@ -305,9 +305,9 @@
 /* ---- workers ---- */
 
 void rr_app_take_report(struct rr_app *a, const void *body, size_t len, int via, unsigned hops) {
-    rr_doc doc;
+    rr_document doc;
     rr_report r;
-    if (rr_doc_parse(&doc, body, len) == 0) {
+    if (rr_document_parse(&doc, body, len) == 0) {
         if (rr_report_decode(doc.root, &r) == 0) {
             rr_heard h = {
                 .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
@@ -324,19 +324,19 @@
         }
         rr_report_clear(&r);
     }
-    rr_doc_clear(&doc);
+    rr_document_clear(&doc);
 }
 
 static void hello(struct rr_app *a, const struct rr_request *rq, struct rr_response *rs) {
     rs->yields = true;
-    rr_doc doc;
+    rr_document doc;
     rr_report r = {0};
     struct rr_answer ans = {0};
-    int rc = rr_doc_parse(&doc, rq->body, rq->len);
+    int rc = rr_document_parse(&doc, rq->body, rq->len);
     if (rc == 0) {
         rc = rr_report_decode(doc.root, &r);
     }
-    rr_doc_clear(&doc);
+    rr_document_clear(&doc);
     if (rc != 0) {
         rr_report_clear(&r);
         rr_log(RR_INFO_LEVEL, "unreadable report of %zu bytes", rq->len);
@@ -363,9 +363,9 @@
         rr_orders_encode(&rs->body, ans.fencing_token, 0, ans.orders);
         g_array_free(ans.orders, TRUE);
     } else {
-        rr_put_map(&rs->body, ans.peer ? 1 : 0);
+        rr_encode_map(&rs->body, ans.peer ? 1 : 0);
         if (ans.peer) {
-            rr_put_key_text(&rs->body, "answers_to", ans.peer);
+            rr_encode_key_text(&rs->body, "answers_to", ans.peer);
         }
     }
 }
--- a/src/app/mirror_duty.c
+++ b/src/app/mirror_duty.c
@@ -19,7 +19,7 @@
 
 static bool row_of(const msgpack_object *o, const char *name, char *key, size_t size,
                    uint64_t *mark) {
-    return rr_get_text(o, name, key, size) && rr_get_u64(o, "mark", mark);
+    return rr_map_get_text(o, name, key, size) && rr_map_get_u64(o, "mark", mark);
 }
 
 struct page_put {
@@ -44,7 +44,7 @@
     rr_core_mirror_begin(a->core);
     pthread_mutex_unlock(&a->lock);
     while (cursor.more && rc == 0 && !rr_duty_stopping(a)) {
-        rr_doc d;
+        rr_document d;
         rc = rr_store_next_page(s, RR_ROOT, &cursor, &d);
         if (rc != 0) {
             break;
@@ -53,7 +53,7 @@
         struct page_put page = {a->core, rr_now()};
         rr_store_each_row(&d, &cursor, put_row, &page);
         pthread_mutex_unlock(&a->lock);
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
         first = first ? first : cursor.epoch;
         last = cursor.epoch > last ? cursor.epoch : last;
     }
@@ -71,10 +71,10 @@
 
 /* The log comes in no promised order; a record may speak of an older one, so by mark. It answers a
  * request sent at `asked` and has every change made before. */
-static int apply_log(struct rr_app *a, const rr_doc *d, double asked) {
-    const msgpack_object *log = rr_get(d->root, "log");
+static int apply_log(struct rr_app *a, const rr_document *d, double asked) {
+    const msgpack_object *log = rr_map_get(d->root, "log");
     uint64_t epoch;
-    if (!rr_get_u64(d->root, "epoch", &epoch) || (log && log->type != MSGPACK_OBJECT_ARRAY)) {
+    if (!rr_map_get_u64(d->root, "epoch", &epoch) || (log && log->type != MSGPACK_OBJECT_ARRAY)) {
         return -EBADMSG;
     }
     uint32_t n = log ? log->via.array.size : 0;
@@ -84,11 +84,11 @@
         const msgpack_object *o = &log->via.array.ptr[i];
         char key[256];
         struct row r = {0};
-        bool put = rr_get(o, "put") != NULL;
+        bool put = rr_map_get(o, "put") != NULL;
         if (row_of(o, put ? "put" : "delete", key, sizeof key, &r.mark) &&
-            (!put || rr_get(o, "v"))) {
+            (!put || rr_map_get(o, "v"))) {
             r.key = g_string_chunk_insert(keys, key);
-            r.value = put ? rr_get(o, "v") : NULL;
+            r.value = put ? rr_map_get(o, "v") : NULL;
             g_array_append_val(rows, r);
         }
     }
@@ -127,7 +127,7 @@
     bool loaded = false;
     double opened = 0;
     while (!rr_duty_stopping(a)) {
-        rr_doc d;
+        rr_document d;
         if (!loaded) {
             loaded = reread(a, s) == 0;
             if (!loaded) {
@@ -146,7 +146,7 @@
         int rc = rr_store_watch(s, RR_ROOT, from, WATCH_MS, &d);
         if (rc == 0) {
             rc = apply_log(a, &d, opened);
-            rr_doc_clear(&d);
+            rr_document_clear(&d);
         }
         if (rc == -ESTALE) {
             rr_log(RR_INFO_LEVEL, "mirror too old: reading all again");
--- a/src/app/sender_duty.c
+++ b/src/app/sender_duty.c
@@ -9,12 +9,12 @@
 
 /* Takes an answer's body as a report, which vouches for the machine. True if it was one. */
 static bool take_answer(struct rr_app *a, const void *body, size_t len, int via, bool share) {
-    rr_doc doc;
+    rr_document doc;
     rr_report r;
     rr_heard h = {0};
     uint32_t wanted = 0, rare = 0;
     bool ok = false;
-    if (rr_doc_parse(&doc, body, len) == 0) {
+    if (rr_document_parse(&doc, body, len) == 0) {
         ok = rr_report_decode(doc.root, &r) == 0;
         if (ok) {
             h = (rr_heard){
@@ -27,7 +27,7 @@
         }
         rr_report_clear(&r);
     }
-    rr_doc_clear(&doc);
+    rr_document_clear(&doc);
     if (ok && share) {
         rr_peers_report(a->peers, wanted, rare, &h, body, len);
     }
@@ -40,7 +40,7 @@
 /* Without orders it is a probe: a command that does nothing, but brings the present token. What it
  * hears the others hear. */
 static void send_do(struct rr_app *a, rr_client *client, const rr_do *d) {
-    rr_out o;
+    rr_encoder o;
     bool probe = d->orders->len == 0;
     double limit = probe ? PROBE_S : COMMAND_S;
     rr_reply reply = {0};
@@ -48,13 +48,13 @@
     bool ok = false;
     long status = 0;
     int rc = -ENOTCONN, via = d->via;
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_orders_encode(&o, d->fencing_token, d->worker_epoch, d->orders);
     if (via < 0) {
         /* Never heard, its worker_epoch is not known: only its status can be asked. */
         bool ask = probe && d->worker_epoch == 0;
-        rc = rr_worker_call(client, d->addr, ask ? NULL : o.buf.data, ask ? 0 : o.buf.size, limit,
-                            &reply);
+        rc = rr_worker_call(client, d->addr, ask ? NULL : o.buffer.data, ask ? 0 : o.buffer.size,
+                            limit, &reply);
         /* Only what surely was not sent may go another way. */
         if (rc == -ENOTCONN && d->fallback >= 0) {
             via = d->fallback;
@@ -64,7 +64,7 @@
         }
     }
     if (via >= 0) {
-        rc = rr_peers_relay(a->peers, via, d->addr, o.buf.data, o.buf.size, limit, &relayed);
+        rc = rr_peers_relay(a->peers, via, d->addr, o.buffer.data, o.buffer.size, limit, &relayed);
         if (rc == 0) {
             status = relayed.status;
             ok = take_answer(a, relayed.body->data, relayed.body->len, via, false);
@@ -86,7 +86,7 @@
     if (relayed.body) {
         g_byte_array_free(relayed.body, TRUE);
     }
-    rr_out_clear(&o);
+    rr_encoder_clear(&o);
 }
 
 static void send_from(struct rr_app *a, GQueue *queue, pthread_cond_t *wake) {
--- a/src/app/session_duty.c
+++ b/src/app/session_duty.c
@@ -26,13 +26,13 @@
     char key[RR_NAME + 16];
     uint64_t mark = 0, old = 0, epoch;
     double life = rr_session_s(&a->cfg);
-    rr_doc doc;
+    rr_document doc;
     rr_txn t;
-    rr_out o;
+    rr_encoder o;
     g_snprintf(key, sizeof key, RR_ROOT "node/%s", a->cfg.node_name);
     int rc = rr_store_get(s, key, &doc, &mark, &old);
     if (rc == 0) {
-        rr_doc_clear(&doc);
+        rr_document_clear(&doc);
     } else if (rc != -ENOENT) {
         return rc;
     }
@@ -42,7 +42,7 @@
         return rc;
     }
     rr_txn_init(&t);
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_core_node_put(&a->cfg, &o, *tether);
     rr_txn_guard(&t, key, mark);
     rr_txn_put(&t, key, &o, *tether);
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -81,11 +81,11 @@
         return;
     }
     rr_in_record record = entry->record;
-    rr_out packed;
+    rr_encoder packed;
     record.state = next->state;
     record.claim = next->claim;
     record.answer = next->answer;
-    rr_out_init(&packed);
+    rr_encoder_init(&packed);
     rr_cells_in_encode(&record, &packed);
     rr_txn_put(&write->txn, key, &packed, 0);
 }
@@ -345,9 +345,9 @@
 static void write_copy(rr_transfers *transfers, rr_incoming *entry, const rr_submission *submission,
                        double at, rr_transfer_write *write) {
     char key[RR_ID + 64];
-    rr_out packed;
+    rr_encoder packed;
     make_write(transfers, entry, write);
-    rr_out_init(&packed);
+    rr_encoder_init(&packed);
     rr_core_job_encode(&packed, submission, at, false);
     rr_core_job_key(entry->local_id, key, sizeof key);
     rr_txn_guard(&write->txn, key, 0);
@@ -370,17 +370,17 @@
 static bool take(rr_transfers *transfers, size_t neighbour, const rr_cells_request *request,
                  const rr_cells_item *item, const char *local_id, double now, double wall,
                  rr_transfer_message *reply, rr_transfer_write *write) {
-    rr_doc doc;
+    rr_document doc;
     rr_submission submission = {0};
     const char *field;
     double at = wall;
     rr_guest none = {.process = transfers->process};
-    bool readable =
-        item->submission && rr_doc_parse(&doc, item->submission->data, item->submission->len) == 0;
+    bool readable = item->submission &&
+                    rr_document_parse(&doc, item->submission->data, item->submission->len) == 0;
     if (readable) {
         readable = rr_submission_decode(doc.root, &submission, &field) == 0;
-        rr_get_num(doc.root, "at", &at);
-        rr_doc_clear(&doc);
+        rr_map_get_number(doc.root, "at", &at);
+        rr_document_clear(&doc);
     }
     if (readable) {
         g_strlcpy(submission.ref, local_id, sizeof submission.ref);
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -56,14 +56,15 @@
 
 void rr_cells_add_offer(GArray *items, const rr_transfer_message *offer,
                         const rr_submission *submission, double at) {
-    rr_out packed;
+    rr_encoder packed;
     rr_cells_add_item(items, submission->ref, offer);
     rr_cells_item *item = &g_array_index(items, rr_cells_item, items->len - 1);
-    rr_out_init(&packed);
+    rr_encoder_init(&packed);
     rr_core_job_encode(&packed, submission, at, false);
     item->submission = g_byte_array_new();
-    g_byte_array_append(item->submission, (const guint8 *)packed.buf.data, (guint)packed.buf.size);
-    rr_out_clear(&packed);
+    g_byte_array_append(item->submission, (const guint8 *)packed.buffer.data,
+                        (guint)packed.buffer.size);
+    rr_encoder_clear(&packed);
 }
 
 void rr_cells_request_address(rr_cells_request *request, const rr_cells_settings *settings,
--- a/src/cells/records.c
+++ b/src/cells/records.c
@@ -9,9 +9,9 @@
 
 static int index_of(const msgpack_object *value, const char *key, const char *const *names,
                     int count) {
-    const msgpack_object *text = rr_get(value, key);
+    const msgpack_object *text = rr_map_get(value, key);
     for (int i = 0; text && i < count; i++) {
-        if (rr_text_is(text, names[i])) {
+        if (rr_object_text_equals(text, names[i])) {
             return i;
         }
     }
@@ -26,23 +26,23 @@
     g_snprintf(out, size, RR_CELLS_PREFIX RR_CELLS_IN "%s", local_id);
 }
 
-void rr_cells_out_encode(const rr_out_record *record, rr_out *out) {
-    rr_put_map(out, 5);
-    rr_put_key_text(out, "crew", record->team);
-    rr_put_key_text(out, "guest", record->guest);
-    rr_put_key_text(out, "state", home_states[record->state]);
-    rr_put_key_u64(out, "claim", record->claim);
-    rr_put_key_num(out, "withdrawn", record->withdrawn_at);
+void rr_cells_out_encode(const rr_out_record *record, rr_encoder *out) {
+    rr_encode_map(out, 5);
+    rr_encode_key_text(out, "crew", record->team);
+    rr_encode_key_text(out, "guest", record->guest);
+    rr_encode_key_text(out, "state", home_states[record->state]);
+    rr_encode_key_u64(out, "claim", record->claim);
+    rr_encode_key_number(out, "withdrawn", record->withdrawn_at);
 }
 
-void rr_cells_in_encode(const rr_in_record *record, rr_out *out) {
-    rr_put_map(out, 6);
-    rr_put_key_text(out, "crew", record->team);
-    rr_put_key_text(out, "home", record->home);
-    rr_put_key_text(out, "ref", record->job_id);
-    rr_put_key_text(out, "state", guest_states[record->state]);
-    rr_put_key_u64(out, "claim", record->claim);
-    rr_put_key_text(out, "answer", answers[record->answer]);
+void rr_cells_in_encode(const rr_in_record *record, rr_encoder *out) {
+    rr_encode_map(out, 6);
+    rr_encode_key_text(out, "crew", record->team);
+    rr_encode_key_text(out, "home", record->home);
+    rr_encode_key_text(out, "ref", record->job_id);
+    rr_encode_key_text(out, "state", guest_states[record->state]);
+    rr_encode_key_u64(out, "claim", record->claim);
+    rr_encode_key_text(out, "answer", answers[record->answer]);
 }
 
 void rr_cells_out_write(rr_txn *txn, const char *job_id, uint64_t version,
@@ -54,8 +54,8 @@
         rr_txn_delete(txn, key);
         return;
     }
-    rr_out packed;
-    rr_out_init(&packed);
+    rr_encoder packed;
+    rr_encoder_init(&packed);
     rr_cells_out_encode(record, &packed);
     rr_txn_put(txn, key, &packed, 0);
 }
@@ -71,10 +71,10 @@
     uint64_t claim = 0;
     int state = index_of(value, "state", home_states, G_N_ELEMENTS(home_states));
     memset(out, 0, sizeof *out);
-    bool good = state >= 0 && rr_get_u64(value, "claim", &claim) && claim <= UINT32_MAX &&
-                rr_get_text(value, "crew", out->team, sizeof out->team) &&
-                rr_get_text(value, "guest", out->guest, sizeof out->guest) &&
-                rr_get_num(value, "withdrawn", &out->withdrawn_at);
+    bool good = state >= 0 && rr_map_get_u64(value, "claim", &claim) && claim <= UINT32_MAX &&
+                rr_map_get_text(value, "crew", out->team, sizeof out->team) &&
+                rr_map_get_text(value, "guest", out->guest, sizeof out->guest) &&
+                rr_map_get_number(value, "withdrawn", &out->withdrawn_at);
     out->state = state >= 0 ? (enum rr_home_state)state : RR_HOME_LOCAL;
     out->claim = (uint32_t)claim;
     return good ? 0 : -EBADMSG;
@@ -85,11 +85,11 @@
     int state = index_of(value, "state", guest_states, G_N_ELEMENTS(guest_states));
     int answer = index_of(value, "answer", answers, G_N_ELEMENTS(answers));
     memset(out, 0, sizeof *out);
-    bool good = state >= 0 && answer >= 0 && rr_get_u64(value, "claim", &claim) &&
-                claim <= UINT32_MAX && rr_get_text(value, "crew", out->team, sizeof out->team) &&
-                rr_get_text(value, "home", out->home, sizeof out->home) &&
-                rr_get_text(value, "ref", out->job_id, sizeof out->job_id) &&
-                rr_ref_valid(out->job_id);
+    bool good =
+        state >= 0 && answer >= 0 && rr_map_get_u64(value, "claim", &claim) &&
+        claim <= UINT32_MAX && rr_map_get_text(value, "crew", out->team, sizeof out->team) &&
+        rr_map_get_text(value, "home", out->home, sizeof out->home) &&
+        rr_map_get_text(value, "ref", out->job_id, sizeof out->job_id) && rr_ref_valid(out->job_id);
     out->state = state >= 0 ? (enum rr_guest_state)state : RR_GUEST_NONE;
     out->answer = answer >= 0 ? (enum rr_job_answer)answer : RR_ANSWER_NONE;
     out->claim = (uint32_t)claim;
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -31,8 +31,8 @@
 
 void rr_cells_out_key(const char *job_id, char *out, size_t size);
 void rr_cells_in_key(const char *local_id, char *out, size_t size);
-void rr_cells_out_encode(const rr_out_record *record, rr_out *out);
-void rr_cells_in_encode(const rr_in_record *record, rr_out *out);
+void rr_cells_out_encode(const rr_out_record *record, rr_encoder *out);
+void rr_cells_in_encode(const rr_in_record *record, rr_encoder *out);
 /* Changes the record that has this version (0: there is none); record NULL: deletes it. */
 void rr_cells_out_write(rr_txn *txn, const char *job_id, uint64_t version,
                         const rr_out_record *record);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -58,7 +58,7 @@
 bool rr_core_late(const rr_core *c, double now, double within); /* so, not longer ago than this */
 /* Whether our node key stands in the mirror with this lease. */
 bool rr_core_session_seen(const rr_core *c, uint64_t tether);
-void rr_core_node_put(const struct rr_config *cfg, rr_out *o, uint64_t tether);
+void rr_core_node_put(const struct rr_config *cfg, rr_encoder *o, uint64_t tether);
 /* The transaction that makes the next term if the sessions differ from the present one; false:
  * nothing to change. */
 bool rr_core_next_term(rr_core *c, double now, double wall, rr_txn *out);
@@ -85,11 +85,11 @@
 void rr_core_job_key(const char *ref, char *out, size_t size);
 /* Several jobs accepted with one change: n encoded jobs follow. tether and n make the key unique.
  */
-void rr_core_batch_begin(rr_out *o, size_t n);
+void rr_core_batch_begin(rr_encoder *o, size_t n);
 void rr_core_batch_key(uint64_t tether, uint64_t n, char *out, size_t size);
-void rr_core_job_encode(rr_out *o, const rr_submission *s, double at, bool cancelled);
+void rr_core_job_encode(rr_encoder *o, const rr_submission *s, double at, bool cancelled);
 /* The record of a known job, marked cancelled. False if it is unknown or final. */
-bool rr_core_cancel_record(const rr_core *c, const char *ref, rr_out *o, uint64_t *mark);
+bool rr_core_cancel_record(const rr_core *c, const char *ref, rr_encoder *o, uint64_t *mark);
 bool rr_core_ready(const rr_core *c, double now);
 
 /* ---- workers ---- */
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -65,20 +65,20 @@
            strlen(rr_names_at(&c->zones, m->zone));
 }
 
-void rr_page_encode(const rr_core *c, rr_out *o, const GPtrArray *machines) {
-    rr_put_map(o, 1);
-    rr_put_text(o, "stones");
-    rr_put_array(o, machines->len);
+void rr_page_encode(const rr_core *c, rr_encoder *o, const GPtrArray *machines) {
+    rr_encode_map(o, 1);
+    rr_encode_text(o, "stones");
+    rr_encode_array(o, machines->len);
     for (guint i = 0; i < machines->len; i++) {
         const rr_machine *m = g_ptr_array_index(machines, i);
-        rr_put_array(o, 6);
-        rr_put_text(o, m->name);
-        rr_put_text(o, m->addr);
-        rr_put_text(o, rr_names_at(&c->builds, m->build));
-        rr_put_text(o, rr_names_at(&c->zones, m->zone));
-        rr_put_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->own ? FLAG_OWN : 0) |
-                                 (m->give_up ? FLAG_RET : 0)));
-        rr_put_u64(o, m->born > 0 ? (uint64_t)m->born : 0);
+        rr_encode_array(o, 6);
+        rr_encode_text(o, m->name);
+        rr_encode_text(o, m->addr);
+        rr_encode_text(o, rr_names_at(&c->builds, m->build));
+        rr_encode_text(o, rr_names_at(&c->zones, m->zone));
+        rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->own ? FLAG_OWN : 0) |
+                                    (m->give_up ? FLAG_RET : 0)));
+        rr_encode_u64(o, m->born > 0 ? (uint64_t)m->born : 0);
     }
 }
 
@@ -101,9 +101,9 @@
     char name[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     uint64_t flags;
     const msgpack_object *f = o->type == MSGPACK_OBJECT_ARRAY ? o->via.array.ptr : NULL;
-    if (!f || o->via.array.size < 6 || !rr_as_text(&f[0], name, sizeof name) || !name[0] ||
-        !rr_as_text(&f[1], addr, sizeof addr) || !rr_as_text(&f[2], build, sizeof build) ||
-        !rr_as_text(&f[3], zone, sizeof zone) || !rr_as_u64(&f[4], &flags)) {
+    if (!f || o->via.array.size < 6 || !rr_object_text(&f[0], name, sizeof name) || !name[0] ||
+        !rr_object_text(&f[1], addr, sizeof addr) || !rr_object_text(&f[2], build, sizeof build) ||
+        !rr_object_text(&f[3], zone, sizeof zone) || !rr_object_u64(&f[4], &flags)) {
         return;
     }
     rr_machine *m = rr_machine_get(c, name, now);
@@ -123,7 +123,7 @@
     m->spot = flags & FLAG_SPOT;
     m->own = flags & FLAG_OWN;
     c->ever_rented = c->ever_rented || !m->own;
-    rr_as_num(&f[5], &m->born);
+    rr_object_number(&f[5], &m->born);
     if (!m->heard && addr[0]) {
         g_strlcpy(m->addr, addr, sizeof m->addr);
     }
@@ -142,7 +142,7 @@
 void rr_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark, double now) {
     uint32_t id = (uint32_t)g_ascii_strtoull(rest, NULL, 10);
     rr_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(id));
-    const msgpack_object *list = rr_get(v, "stones");
+    const msgpack_object *list = rr_map_get(v, "stones");
     if (id == 0 || !list || list->type != MSGPACK_OBJECT_ARRAY || (p && mark < p->mark)) {
         return;
     }
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -1,14 +1,14 @@
 /* Jobs as the store cache has them: accepted, cancelled, done, and final ones as lines. */
 #include "core/records.h"
 
-void rr_core_job_encode(rr_out *o, const rr_submission *s, double at, bool cancelled) {
-    rr_put_map(o, rr_submission_field_count(s) + 2);
+void rr_core_job_encode(rr_encoder *o, const rr_submission *s, double at, bool cancelled) {
+    rr_encode_map(o, rr_submission_field_count(s) + 2);
     rr_submission_encode_fields(o, s);
-    rr_put_key_num(o, "at", at);
-    rr_put_key_bool(o, "cancelled", cancelled);
+    rr_encode_key_number(o, "at", at);
+    rr_encode_key_bool(o, "cancelled", cancelled);
 }
 
-bool rr_core_cancel_record(const rr_core *c, const char *ref, rr_out *o, uint64_t *mark) {
+bool rr_core_cancel_record(const rr_core *c, const char *ref, rr_encoder *o, uint64_t *mark) {
     const rr_job *j = g_hash_table_lookup(c->jobs, ref);
     if (!j || j->done || j->cancelled) {
         return false;
@@ -103,11 +103,11 @@
 
 static void put_final(rr_job *j, const msgpack_object *v) {
     uint64_t pieces = 0;
-    rr_get_u64(v, "pieces", &pieces);
+    rr_map_get_u64(v, "pieces", &pieces);
     if (j->s.pieces == 0) {
         j->s.pieces = (uint32_t)pieces;
     }
-    rr_get_text(v, "crew", j->s.team, sizeof j->s.team);
+    rr_map_get_text(v, "crew", j->s.team, sizeof j->s.team);
     j->done = true;
     j->ndone = j->s.pieces;
 }
@@ -132,7 +132,7 @@
     if (rr_submission_decode(v, &s, &field) != 0) {
         rr_log_at(c, RR_LOG_ERROR, "job %s: record unreadable at %s", j->s.ref, field);
         /* A version that did not know the job's shape writes its cancellation without the rest. */
-        rr_get_bool(v, "cancelled", &j->cancelled);
+        rr_map_get_bool(v, "cancelled", &j->cancelled);
         recount(c, j, -1);
         recount(c, j, 1); /* its machines are looked at */
         return;
@@ -145,8 +145,8 @@
     recount(c, j, -1);
     rr_submission_clear(&j->s);
     j->s = s;
-    rr_get_num(v, "at", &j->at);
-    rr_get_bool(v, "cancelled", &j->cancelled);
+    rr_map_get_number(v, "at", &j->at);
+    rr_map_get_bool(v, "cancelled", &j->cancelled);
     job_index(c, j);
     rr_job_open(c, j);
     recount(c, j, 1);
@@ -165,7 +165,7 @@
         return;
     }
     j->mark = j->own_mark = mark;
-    if (rr_get(v, "final")) {
+    if (rr_map_get(v, "final")) {
         put_final(j, v);
         j->team = rr_names_add(&c->teams, j->s.team);
     } else {
@@ -177,7 +177,7 @@
 /* Jobs accepted together. A job's own record, written by its cancellation or its end, says more,
  * whichever comes first; of two batches that name a job (a user's retry elsewhere) the first. */
 void rr_batch_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark, double now) {
-    const msgpack_object *list = rr_get(v, "jobs");
+    const msgpack_object *list = rr_map_get(v, "jobs");
     rr_batch *b = g_new0(rr_batch, 1);
     b->mark = mark;
     b->jobs = g_ptr_array_new();
@@ -186,7 +186,7 @@
          i++) {
         const msgpack_object *o = &list->via.array.ptr[i];
         char ref[RR_ID];
-        if (!rr_get_text(o, "ref", ref, sizeof ref) || !rr_ref_valid(ref) ||
+        if (!rr_map_get_text(o, "ref", ref, sizeof ref) || !rr_ref_valid(ref) ||
             rr_job_final(c, ref, NULL, NULL)) {
             continue;
         }
@@ -200,10 +200,10 @@
     }
 }
 
-void rr_core_batch_begin(rr_out *o, size_t n) {
-    rr_put_map(o, 1);
-    rr_put_text(o, "jobs");
-    rr_put_array(o, n);
+void rr_core_batch_begin(rr_encoder *o, size_t n) {
+    rr_encode_map(o, 1);
+    rr_encode_text(o, "jobs");
+    rr_encode_array(o, n);
 }
 
 void rr_core_batch_key(uint64_t tether, uint64_t n, char *out, size_t size) {
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -66,25 +66,25 @@
     return 220 + (size_t)items * 44;
 }
 
-void rr_run_encode(const rr_core *c, rr_out *o, const rr_job *j, uint32_t chunk,
+void rr_run_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
                    const GArray *items, const GArray *done, int zone) {
     char hex[RR_CHUNK_MAX / 4 + 1];
     chunk_hex(j, chunk, done, hex);
-    rr_put_map(o, zone >= 0 ? 3 : 2);
-    rr_put_key_text(o, "bits", hex);
+    rr_encode_map(o, zone >= 0 ? 3 : 2);
+    rr_encode_key_text(o, "bits", hex);
     if (zone >= 0) {
-        rr_put_key_text(o, "zone", rr_names_at(&c->zones, zone));
+        rr_encode_key_text(o, "zone", rr_names_at(&c->zones, zone));
     }
-    rr_put_text(o, "tasks");
-    rr_put_array(o, items->len);
+    rr_encode_text(o, "tasks");
+    rr_encode_array(o, items->len);
     for (guint i = 0; i < items->len; i++) {
         const rr_item *it = &g_array_index(items, rr_item, i);
-        rr_put_array(o, 5);
-        rr_put_u64(o, it->task);
-        rr_put_text(o, it->m->name);
-        rr_put_u64(o, it->attempt);
-        rr_put_u64(o, it->worker_epoch);
-        rr_put_u64(o, (uint64_t)it->evict);
+        rr_encode_array(o, 5);
+        rr_encode_u64(o, it->task);
+        rr_encode_text(o, it->m->name);
+        rr_encode_u64(o, it->attempt);
+        rr_encode_u64(o, it->worker_epoch);
+        rr_encode_u64(o, (uint64_t)it->evict);
     }
 }
 
@@ -97,12 +97,12 @@
         return false;
     }
     const msgpack_object *f = o->via.array.ptr;
-    if (!rr_as_u64(&f[0], &task) || task >= RR_PIECES_MAX ||
-        !rr_as_text(&f[1], name, sizeof name) || !name[0] || !rr_as_u64(&f[2], &it->attempt) ||
-        !rr_as_u64(&f[3], &it->worker_epoch)) {
+    if (!rr_object_u64(&f[0], &task) || task >= RR_PIECES_MAX ||
+        !rr_object_text(&f[1], name, sizeof name) || !name[0] ||
+        !rr_object_u64(&f[2], &it->attempt) || !rr_object_u64(&f[3], &it->worker_epoch)) {
         return false;
     }
-    rr_as_u64(&f[4], &evict);
+    rr_object_u64(&f[4], &evict);
     it->evict = evict > RR_EVICT_AT_ONCE ? RR_EVICT_SAVING : (int)evict;
     it->task = (uint32_t)task;
     it->m = rr_machine_get(c, name, now);
@@ -198,15 +198,15 @@
     }
     r->mark = mark;
     r->keep = true;
-    const msgpack_object *list = rr_get(v, "tasks");
+    const msgpack_object *list = rr_map_get(v, "tasks");
     bool some = list && list->type == MSGPACK_OBJECT_ARRAY && list->via.array.size > 0;
     if (j->s.pieces && (some || !(j->done || j->cancelled))) {
         rr_job_open(c, j);
     }
-    if (j->bits && rr_get_text(v, "bits", hex, sizeof hex)) {
+    if (j->bits && rr_map_get_text(v, "bits", hex, sizeof hex)) {
         put_bits(j, chunk, hex);
     }
-    if (rr_get_text(v, "zone", zone, sizeof zone)) {
+    if (rr_map_get_text(v, "zone", zone, sizeof zone)) {
         j->zone = rr_names_add(&c->zones, zone);
     }
     GArray *fresh = g_array_new(FALSE, TRUE, sizeof(rr_item));
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -198,8 +198,8 @@
 } rr_contact;
 
 typedef struct {
-    guint up, heard; /* machines that were up, and those of them heard lately */
-    guint recent;    /* and in the last part of a report interval */
+    guint machines, heard; /* machines that were up, and those of them heard lately */
+    guint recent;          /* and in the last part of a report interval */
 } rr_zone_count;
 
 /* The rules rest on what is stored, and on observations only where they prove something; scratch is
@@ -331,7 +331,7 @@
 double rr_machine_price(const rr_core *c, const rr_machine *m);
 size_t rr_page_entry_bytes(const rr_core *c, const rr_machine *m);
 /* The record of a page, its machines as the flags in them say now. */
-void rr_page_encode(const rr_core *c, rr_out *o, const GPtrArray *machines /* rr_machine* */);
+void rr_page_encode(const rr_core *c, rr_encoder *o, const GPtrArray *machines /* rr_machine* */);
 
 /* model.c */
 rr_machine *rr_machine_get(rr_core *c, const char *name, double now);
@@ -350,7 +350,7 @@
 void rr_run_key(const char *ref, uint32_t chunk, char *out, size_t size);
 /* The record of a chunk with these placements; done: tasks (uint32_t) completed beside those known.
  */
-void rr_run_encode(const rr_core *c, rr_out *o, const rr_job *j, uint32_t chunk,
+void rr_run_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
                    const GArray *items, const GArray *done, int zone);
 size_t rr_run_bytes(guint items);
 rr_res rr_team_used(const rr_core *c, int team);
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -86,13 +86,13 @@
 
 void rr_job_final_record(const rr_job *job, rr_txn *t) {
     char key[RR_ID + 64];
-    rr_out o;
-    rr_out_init(&o);
-    rr_put_map(&o, 4);
-    rr_put_key_text(&o, "ref", job->s.ref);
-    rr_put_key_text(&o, "final", "done");
-    rr_put_key_text(&o, "crew", job->s.team);
-    rr_put_key_u64(&o, "pieces", job->s.pieces);
+    rr_encoder o;
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 4);
+    rr_encode_key_text(&o, "ref", job->s.ref);
+    rr_encode_key_text(&o, "final", "done");
+    rr_encode_key_text(&o, "crew", job->s.team);
+    rr_encode_key_u64(&o, "pieces", job->s.pieces);
     rr_core_job_key(job->s.ref, key, sizeof key);
     rr_txn_guard(t, key, job->own_mark);
     rr_txn_put(t, key, &o, 0);
@@ -125,11 +125,11 @@
 bool rr_core_abandon_job(const rr_core *c, const char *job_id, rr_txn *t) {
     char key[RR_ID + 64];
     uint64_t mark;
-    rr_out o;
+    rr_encoder o;
     if (!open_job(c, job_id)) {
         return false;
     }
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_core_cancel_record(c, job_id, &o, &mark);
     rr_core_job_key(job_id, key, sizeof key);
     rr_txn_guard(t, key, mark);
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -344,8 +344,8 @@
     if (over && e->items->len == 0) {
         rr_txn_delete(t, key);
     } else {
-        rr_out o;
-        rr_out_init(&o);
+        rr_encoder o;
+        rr_encoder_init(&o);
         rr_run_encode(p->c, &o, j, e->run->chunk, e->items, e->done,
                       j->s.one_zone ? (e->zone >= 0 ? e->zone : j->zone) : -1);
         rr_txn_put(t, key, &o, 0);
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -225,8 +225,8 @@
         if ((int)out->txn.changes->len < rr_txn_ops(c->cfg) &&
             !same_build(rr_build_at(c, rr_names_find(&c->builds, b->sku)), b)) {
             char key[RR_ID + 32];
-            rr_out o;
-            rr_out_init(&o);
+            rr_encoder o;
+            rr_encoder_init(&o);
             rr_build_encode(&o, b);
             g_snprintf(key, sizeof key, RR_ROOT "build/%s", b->sku);
             rr_txn_put(&out->txn, key, &o, 0);
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -373,17 +373,17 @@
 
 static void put_intent(rr_core *c, const struct rent *r, int n, rr_step *out) {
     char name[RR_ID], key[RR_ID + 32];
-    rr_out o;
+    rr_encoder o;
     /* A request's name is never used again: token, counter. */
     g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, c->term.token,
                ++c->counter);
     rr_rental_key(name, key, sizeof key);
-    rr_out_init(&o);
-    rr_put_map(&o, 4);
-    rr_put_key_text(&o, "build", rr_names_at(&c->builds, r->build));
-    rr_put_key_text(&o, "ward", rr_names_at(&c->zones, r->zone));
-    rr_put_key_bool(&o, "loaners", r->spot);
-    rr_put_key_u64(&o, "n", (uint64_t)n);
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 4);
+    rr_encode_key_text(&o, "build", rr_names_at(&c->builds, r->build));
+    rr_encode_key_text(&o, "ward", rr_names_at(&c->zones, r->zone));
+    rr_encode_key_bool(&o, "loaners", r->spot);
+    rr_encode_key_u64(&o, "n", (uint64_t)n);
     rr_txn_guard(&out->txn, key, 0);
     rr_txn_put(&out->txn, key, &o, 0);
 }
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -180,8 +180,8 @@
     g_hash_table_iter_init(&it, p.changed);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         const rr_page *page = g_hash_table_lookup(c->pages, k);
-        rr_out o;
-        rr_out_init(&o);
+        rr_encoder o;
+        rr_encoder_init(&o);
         rr_page_encode(c, &o, v);
         rr_page_key(GPOINTER_TO_UINT(k), key, sizeof key);
         rr_txn_guard(t, key, page ? page->mark : 0);
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -5,21 +5,21 @@
 
 static void put_session(rr_core *c, const char *name, const msgpack_object *v) {
     uint64_t tether;
-    if (!rr_get_u64(v, "tether", &tether) || strlen(name) >= RR_NAME) {
+    if (!rr_map_get_u64(v, "tether", &tether) || strlen(name) >= RR_NAME) {
         return;
     }
     rr_session *s = g_new0(rr_session, 1);
     g_strlcpy(s->name, name, sizeof s->name);
     s->tether = tether;
-    rr_get_u64(v, "able", &s->able);
-    rr_get_bool(v, "holds", &s->holds);
+    rr_map_get_u64(v, "able", &s->able);
+    rr_map_get_bool(v, "holds", &s->holds);
     g_hash_table_replace(c->sessions, s->name, s);
 }
 
 static void put_term(rr_core *c, const msgpack_object *v, uint64_t mark) {
     uint64_t token;
-    const msgpack_object *nodes = rr_get(v, "nodes");
-    if (mark < c->term.mark || !rr_get_u64(v, "token", &token) || !nodes ||
+    const msgpack_object *nodes = rr_map_get(v, "nodes");
+    if (mark < c->term.mark || !rr_map_get_u64(v, "token", &token) || !nodes ||
         nodes->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
@@ -29,14 +29,14 @@
         c->anew = false;
     }
     c->term.token = token;
-    rr_get_num(v, "born", &c->term.born);
+    rr_map_get_number(v, "born", &c->term.born);
     g_array_set_size(c->term.nodes, 0);
     for (uint32_t i = 0; i < nodes->via.array.size; i++) {
         const msgpack_object *n = &nodes->via.array.ptr[i];
         rr_session s = {0};
         if (n->type == MSGPACK_OBJECT_ARRAY && n->via.array.size == 2 &&
-            rr_as_text(&n->via.array.ptr[0], s.name, sizeof s.name) &&
-            rr_as_u64(&n->via.array.ptr[1], &s.tether)) {
+            rr_object_text(&n->via.array.ptr[0], s.name, sizeof s.name) &&
+            rr_object_u64(&n->via.array.ptr[1], &s.tether)) {
             g_array_append_val(c->term.nodes, s);
         }
     }
@@ -56,10 +56,10 @@
     c->ever_rented = true;
     h->mark = mark;
     h->keep = true;
-    rr_get_text(v, "build", h->build, sizeof h->build);
-    rr_get_text(v, "ward", h->zone, sizeof h->zone);
-    rr_get_bool(v, "loaners", &h->spot);
-    rr_get_u64(v, "n", &n);
+    rr_map_get_text(v, "build", h->build, sizeof h->build);
+    rr_map_get_text(v, "ward", h->zone, sizeof h->zone);
+    rr_map_get_bool(v, "loaners", &h->spot);
+    rr_map_get_u64(v, "n", &n);
     h->how_many = (int)n;
 }
 
@@ -180,15 +180,15 @@
 void rr_core_apply(rr_core *c, const rr_txn *t, uint64_t epoch, double now) {
     for (guint i = 0; i < t->changes->len; i++) {
         const rr_change *ch = &g_array_index(t->changes, rr_change, i);
-        rr_doc d;
+        rr_document d;
         if (!ch->value) {
             rr_core_mirror_delete(c, ch->key, epoch, now);
             continue;
         }
-        if (rr_doc_parse(&d, ch->value, ch->len) == 0) {
+        if (rr_document_parse(&d, ch->value, ch->len) == 0) {
             rr_core_mirror_put(c, ch->key, d.root, epoch, now);
         }
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
     }
 }
 
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -19,13 +19,13 @@
 
 /* What this version can do beyond the first ones, told in its session's record. Those pass over the
  * field. */
-void rr_core_node_put(const struct rr_config *cfg, rr_out *o, uint64_t tether) {
-    rr_put_map(o, cfg->cells ? 3 : 2);
-    rr_put_key_u64(o, "tether", tether);
+void rr_core_node_put(const struct rr_config *cfg, rr_encoder *o, uint64_t tether) {
+    rr_encode_map(o, cfg->cells ? 3 : 2);
+    rr_encode_key_u64(o, "tether", tether);
     if (cfg->cells) {
-        rr_put_key_bool(o, "holds", true);
+        rr_encode_key_bool(o, "holds", true);
     }
-    rr_put_key_u64(o, "able", cfg->admission ? RR_ABLE_ADMISSION : RR_ABLE_GANGS);
+    rr_encode_key_u64(o, "able", cfg->admission ? RR_ABLE_ADMISSION : RR_ABLE_GANGS);
 }
 
 bool rr_core_peers_able(const rr_core *c) {
@@ -262,18 +262,18 @@
     g_ptr_array_sort(live, by_name);
     bool change = sessions_changed(c, live) || (c->anew && c->term.token > 0);
     if (change) {
-        rr_out o;
-        rr_out_init(&o);
-        rr_put_map(&o, 3);
-        rr_put_key_u64(&o, "token", c->term.token + 1);
-        rr_put_key_num(&o, "born", c->term.token ? c->term.born : wall);
-        rr_put_text(&o, "nodes");
-        rr_put_array(&o, live->len);
+        rr_encoder o;
+        rr_encoder_init(&o);
+        rr_encode_map(&o, 3);
+        rr_encode_key_u64(&o, "token", c->term.token + 1);
+        rr_encode_key_number(&o, "born", c->term.token ? c->term.born : wall);
+        rr_encode_text(&o, "nodes");
+        rr_encode_array(&o, live->len);
         for (guint i = 0; i < live->len; i++) {
             const rr_session *s = g_ptr_array_index(live, i);
-            rr_put_array(&o, 2);
-            rr_put_text(&o, s->name);
-            rr_put_u64(&o, s->tether);
+            rr_encode_array(&o, 2);
+            rr_encode_text(&o, s->name);
+            rr_encode_u64(&o, s->tether);
         }
         rr_txn_guard(out, RR_ROOT "term", c->term.mark);
         rr_txn_put(out, RR_ROOT "term", &o, 0);
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -127,7 +127,7 @@
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         if (m->zone >= 0 && was_up(m)) {
             rr_zone_count *z = &g_array_index(c->zone_counts, rr_zone_count, m->zone);
-            z->up++;
+            z->machines++;
             z->heard += rr_machine_fresh(c, m, now);
             z->recent += heard_recently(c, m, now);
         }
@@ -140,10 +140,10 @@
     }
     rr_zone_count z = g_array_index(c->zone_counts, rr_zone_count, zone);
     if (but && was_up(but)) {
-        z.up--;
+        z.machines--;
         z.heard -= rr_machine_fresh(c, but, now) && z.heard > 0;
     }
-    return z.heard * 2 < z.up;
+    return z.heard * 2 < z.machines;
 }
 
 /* May only hold a verdict back: in a small zone it happens by chance, too. */
@@ -153,7 +153,7 @@
     }
     rr_zone_count z = g_array_index(c->zone_counts, rr_zone_count, zone);
     bool recent = heard_recently(c, but, now) && z.recent > 0;
-    return z.recent - recent < RECENT_SHARE * (z.up - (z.up > 0));
+    return z.recent - recent < RECENT_SHARE * (z.machines - (z.machines > 0));
 }
 
 bool rr_zone_silent(const rr_core *c, int zone) {
--- a/src/core/txn.c
+++ b/src/core/txn.c
@@ -37,11 +37,11 @@
     g_array_append_val(t->guards, g);
 }
 
-void rr_txn_put(rr_txn *t, const char *key, rr_out *value, uint64_t tether) {
-    rr_change c = {g_strdup(key), g_memdup2(value->buf.data, value->buf.size), value->buf.size,
-                   tether};
+void rr_txn_put(rr_txn *t, const char *key, rr_encoder *value, uint64_t tether) {
+    rr_change c = {g_strdup(key), g_memdup2(value->buffer.data, value->buffer.size),
+                   value->buffer.size, tether};
     g_array_append_val(t->changes, c);
-    rr_out_clear(value);
+    rr_encoder_clear(value);
 }
 
 void rr_txn_delete(rr_txn *t, const char *key) {
@@ -49,31 +49,31 @@
     g_array_append_val(t->changes, c);
 }
 
-void rr_txn_encode(const rr_txn *t, rr_out *o) {
-    rr_put_map(o, 2);
-    rr_put_text(o, "guards");
-    rr_put_array(o, t->guards->len);
+void rr_txn_encode(const rr_txn *t, rr_encoder *o) {
+    rr_encode_map(o, 2);
+    rr_encode_text(o, "guards");
+    rr_encode_array(o, t->guards->len);
     for (guint i = 0; i < t->guards->len; i++) {
         const rr_guard *g = &g_array_index(t->guards, rr_guard, i);
-        rr_put_map(o, 2);
-        rr_put_key_text(o, "path", g->key);
-        rr_put_key_u64(o, "mark", g->mark);
+        rr_encode_map(o, 2);
+        rr_encode_key_text(o, "path", g->key);
+        rr_encode_key_u64(o, "mark", g->mark);
     }
-    rr_put_text(o, "apply");
-    rr_put_array(o, t->changes->len);
+    rr_encode_text(o, "apply");
+    rr_encode_array(o, t->changes->len);
     for (guint i = 0; i < t->changes->len; i++) {
         const rr_change *c = &g_array_index(t->changes, rr_change, i);
         if (!c->value) {
-            rr_put_map(o, 1);
-            rr_put_key_text(o, "delete", c->key);
+            rr_encode_map(o, 1);
+            rr_encode_key_text(o, "delete", c->key);
             continue;
         }
-        rr_put_map(o, c->tether ? 3 : 2);
-        rr_put_key_text(o, "put", c->key);
-        rr_put_text(o, "v");
-        msgpack_sbuffer_write(&o->buf, c->value, c->len);
+        rr_encode_map(o, c->tether ? 3 : 2);
+        rr_encode_key_text(o, "put", c->key);
+        rr_encode_text(o, "v");
+        msgpack_sbuffer_write(&o->buffer, c->value, c->len);
         if (c->tether) {
-            rr_put_key_u64(o, "tether", c->tether);
+            rr_encode_key_u64(o, "tether", c->tether);
         }
     }
 }
--- a/src/core/txn.h
+++ b/src/core/txn.h
@@ -25,8 +25,8 @@
 void rr_txn_init(rr_txn *t);
 void rr_txn_clear(rr_txn *t);
 void rr_txn_guard(rr_txn *t, const char *key, uint64_t mark); /* the first guard on a key stays */
-void rr_txn_put(rr_txn *t, const char *key, rr_out *value, uint64_t tether); /* empties value */
+void rr_txn_put(rr_txn *t, const char *key, rr_encoder *value, uint64_t tether); /* empties value */
 void rr_txn_delete(rr_txn *t, const char *key);
-void rr_txn_encode(const rr_txn *t, rr_out *o);
+void rr_txn_encode(const rr_txn *t, rr_encoder *o);
 
 #endif
--- a/src/http/door.c
+++ b/src/http/door.c
@@ -52,12 +52,12 @@
 
 static enum MHD_Result send_response(struct MHD_Connection *conn, struct rr_response *rs,
                                      bool close) {
-    struct MHD_Response *r = MHD_create_response_from_buffer(rs->body.buf.size, rs->body.buf.data,
-                                                             MHD_RESPMEM_MUST_COPY);
+    struct MHD_Response *r = MHD_create_response_from_buffer(
+        rs->body.buffer.size, rs->body.buffer.data, MHD_RESPMEM_MUST_COPY);
     if (!r) {
         return MHD_NO;
     }
-    if (rs->body.buf.size) {
+    if (rs->body.buffer.size) {
         MHD_add_response_header(r, "Content-Type", "application/msgpack");
     }
     if (rs->retry_after_s > 0) {
@@ -106,7 +106,7 @@
     }
     struct rr_request rq = {method, url, up->body->data, up->body->len};
     struct rr_response rs = {.status = 413};
-    rr_out_init(&rs.body);
+    rr_encoder_init(&rs.body);
     if (atomic_load(&d->stop)) {
         return MHD_NO;
     }
@@ -117,7 +117,7 @@
      * those that come now are served and make room, so that users and health checks get in. */
     bool crowded = atomic_load(&d->open) > CROWDED_SHARE * d->most;
     enum MHD_Result ok = send_response(conn, &rs, rs.yields && crowded);
-    rr_out_clear(&rs.body);
+    rr_encoder_clear(&rs.body);
     return ok;
 }
 
--- a/src/peer/stream.c
+++ b/src/peer/stream.c
@@ -55,23 +55,23 @@
 
 void rr_inbox_init(struct inbox *in, int fd) {
     in->fd = fd;
-    in->buf = g_byte_array_new();
+    in->buffer = g_byte_array_new();
     in->at = 0;
 }
 
 void rr_inbox_clear(struct inbox *in) {
-    g_byte_array_free(in->buf, TRUE);
+    g_byte_array_free(in->buffer, TRUE);
 }
 
 /* Until len bytes are there. Waits in slices so that a stop is seen; -EIO at the end of the stream
  * or of the time. */
 static int inbox_fill(const atomic_bool *stop, struct inbox *in, guint len, double timeout_s) {
     double until = rr_now() + timeout_s;
-    if (in->at > 0 && in->buf->len - in->at < len) {
-        g_byte_array_remove_range(in->buf, 0, in->at);
+    if (in->at > 0 && in->buffer->len - in->at < len) {
+        g_byte_array_remove_range(in->buffer, 0, in->at);
         in->at = 0;
     }
-    while (in->buf->len - in->at < len) {
+    while (in->buffer->len - in->at < len) {
         struct pollfd pf = {in->fd, POLLIN, 0};
         double left = until - rr_now();
         if (atomic_load(stop) || left <= 0) {
@@ -81,10 +81,10 @@
         if (n == 0 || (n < 0 && errno == EINTR)) {
             continue;
         }
-        guint had = in->buf->len, room = len > 16384 ? len : 16384;
-        g_byte_array_set_size(in->buf, had + room);
-        ssize_t got = recv(in->fd, in->buf->data + had, room, 0);
-        g_byte_array_set_size(in->buf, had + (got > 0 ? (guint)got : 0));
+        guint had = in->buffer->len, room = len > 16384 ? len : 16384;
+        g_byte_array_set_size(in->buffer, had + room);
+        ssize_t got = recv(in->fd, in->buffer->data + had, room, 0);
+        g_byte_array_set_size(in->buffer, had + (got > 0 ? (guint)got : 0));
         if (got <= 0) {
             return -EIO;
         }
@@ -98,13 +98,13 @@
     uint32_t len = 0;
     int rc = inbox_fill(stop, in, RR_FRAME_HEAD, timeout_s);
     if (rc == 0) {
-        rc = rr_frame_head(in->buf->data + in->at, type, &len);
+        rc = rr_frame_head(in->buffer->data + in->at, type, &len);
     }
     if (rc == 0) {
         rc = inbox_fill(stop, in, RR_FRAME_HEAD + len, timeout_s);
     }
     if (rc == 0) {
-        *u = (rr_unpack){in->buf->data + in->at + RR_FRAME_HEAD, len, false};
+        *u = (rr_unpack){in->buffer->data + in->at + RR_FRAME_HEAD, len, false};
         in->at += RR_FRAME_HEAD + len;
     }
     return rc;
--- a/src/peer/stream.h
+++ b/src/peer/stream.h
@@ -11,7 +11,7 @@
 /* Bytes read from a connection and not yet taken: one read brings many frames. */
 struct inbox {
     int fd;
-    GByteArray *buf;
+    GByteArray *buffer;
     guint at;
 };
 
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -30,15 +30,15 @@
 }
 
 static int call(rr_store *s, enum rr_prio prio, int writes, const char *method, const char *path,
-                rr_out *body, double timeout_s, rr_reply *reply) {
+                rr_encoder *body, double timeout_s, rr_reply *reply) {
     if (rr_budget_take(s->budget, prio, writes, timeout_s) != 0) {
         return -ENOTCONN;
     }
     struct rr_call c = {.method = method,
                         .to = &s->to,
                         .path = path,
-                        .body = body ? body->buf.data : NULL,
-                        .len = body ? body->buf.size : 0,
+                        .body = body ? body->buffer.data : NULL,
+                        .len = body ? body->buffer.size : 0,
                         .timeout_s = timeout_s};
     int rc = rr_client_call(s->client, &c, reply);
     if (rc == 0 && reply->status == 429) {
@@ -48,11 +48,11 @@
 }
 
 static void failed_keys(const msgpack_object *root, GPtrArray *failed) {
-    const msgpack_object *list = rr_get(root, "failed");
+    const msgpack_object *list = rr_map_get(root, "failed");
     char key[256];
     for (uint32_t i = 0; list && list->type == MSGPACK_OBJECT_ARRAY && i < list->via.array.size;
          i++) {
-        if (rr_as_text(&list->via.array.ptr[i], key, sizeof key)) {
+        if (rr_object_text(&list->via.array.ptr[i], key, sizeof key)) {
             g_ptr_array_add(failed, g_strdup(key));
         }
     }
@@ -60,36 +60,36 @@
 
 static enum rr_commit outcome(const rr_reply *reply, uint64_t *epoch, GPtrArray *failed) {
     if (reply->status == 400) {
-        rr_doc e;
-        rr_doc_parse(&e, reply->body->data, reply->body->len);
-        bool lease = rr_text_is(rr_get(e.root, "error"), "no such lease");
-        rr_doc_clear(&e);
+        rr_document e;
+        rr_document_parse(&e, reply->body->data, reply->body->len);
+        bool lease = rr_object_text_equals(rr_map_get(e.root, "error"), "no such lease");
+        rr_document_clear(&e);
         return lease ? RR_NO_LEASE : RR_INVALID;
     }
     if (reply->status != 200 && reply->status != 409) {
         return reply->status == 503 || reply->status == 429 ? RR_REFUSED : RR_DOUBT;
     }
-    rr_doc doc;
+    rr_document doc;
     enum rr_commit rc = RR_DOUBT;
-    if (rr_doc_parse(&doc, reply->body->data, reply->body->len) == 0 &&
-        rr_get_u64(doc.root, "epoch", epoch)) {
+    if (rr_document_parse(&doc, reply->body->data, reply->body->len) == 0 &&
+        rr_map_get_u64(doc.root, "epoch", epoch)) {
         rc = reply->status == 200 ? RR_COMMITTED : RR_CONFLICT;
         if (failed && rc == RR_CONFLICT) {
             failed_keys(doc.root, failed);
         }
     }
-    rr_doc_clear(&doc);
+    rr_document_clear(&doc);
     return rc;
 }
 
 enum rr_commit rr_store_commit(rr_store *s, enum rr_prio prio, const rr_txn *t, double timeout_s,
                                uint64_t *epoch, GPtrArray *failed) {
-    rr_out o;
+    rr_encoder o;
     rr_reply reply;
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_txn_encode(t, &o);
     int rc = call(s, prio, (int)t->changes->len, "POST", "/commit", &o, timeout_s, &reply);
-    rr_out_clear(&o);
+    rr_encoder_clear(&o);
     if (rc == -ENOTCONN) {
         return RR_REFUSED;
     }
@@ -99,29 +99,30 @@
 int rr_store_epoch(rr_store *s, uint64_t *epoch, double timeout_s) {
     /* A key that never exists: its 404 carries the store's revision. */
     rr_reply reply;
-    rr_doc doc;
+    rr_document doc;
     if (call(s, RR_PRIO_READ, 0, "GET", "/store/rr-epoch", NULL, timeout_s, &reply) != 0 ||
         reply.status != 404) {
         return -EAGAIN;
     }
     int rc = -EAGAIN;
-    if (rr_doc_parse(&doc, reply.body->data, reply.body->len) == 0 &&
-        rr_get_u64(doc.root, "epoch", epoch)) {
+    if (rr_document_parse(&doc, reply.body->data, reply.body->len) == 0 &&
+        rr_map_get_u64(doc.root, "epoch", epoch)) {
         rc = 0;
     }
-    rr_doc_clear(&doc);
+    rr_document_clear(&doc);
     return rc;
 }
 
-static int parse_reply(const rr_reply *reply, rr_doc *doc) {
-    if (rr_doc_parse(doc, reply->body->data, reply->body->len) != 0 || !rr_is_map(doc->root)) {
-        rr_doc_clear(doc);
+static int parse_reply(const rr_reply *reply, rr_document *doc) {
+    if (rr_document_parse(doc, reply->body->data, reply->body->len) != 0 ||
+        !rr_object_is_map(doc->root)) {
+        rr_document_clear(doc);
         return -EAGAIN;
     }
     return 0;
 }
 
-int rr_store_get(rr_store *s, const char *key, rr_doc *doc, uint64_t *mark, uint64_t *tether) {
+int rr_store_get(rr_store *s, const char *key, rr_document *doc, uint64_t *mark, uint64_t *tether) {
     char path[256];
     rr_reply reply;
     g_snprintf(path, sizeof path, "/store/%s", key);
@@ -135,13 +136,13 @@
     int rc = parse_reply(&reply, doc);
     if (rc == 0) {
         *mark = *tether = 0;
-        rr_get_u64(doc->root, "mark", mark);
-        rr_get_u64(doc->root, "tether", tether);
+        rr_map_get_u64(doc->root, "mark", mark);
+        rr_map_get_u64(doc->root, "tether", tether);
     }
     return rc;
 }
 
-int rr_store_next_page(rr_store *s, const char *prefix, rr_store_cursor *cursor, rr_doc *doc) {
+int rr_store_next_page(rr_store *s, const char *prefix, rr_store_cursor *cursor, rr_document *doc) {
     char path[512];
     rr_reply reply;
     g_snprintf(path, sizeof path, "/store?starts=%s%s%s&limit=1000", prefix,
@@ -153,30 +154,31 @@
     if (rc != 0) {
         return rc;
     }
-    const msgpack_object *rows = rr_get(doc->root, "rows");
+    const msgpack_object *rows = rr_map_get(doc->root, "rows");
     cursor->more = false;
-    rr_get_bool(doc->root, "more", &cursor->more);
-    if (!rr_get_u64(doc->root, "epoch", &cursor->epoch) || !rows ||
+    rr_map_get_bool(doc->root, "more", &cursor->more);
+    if (!rr_map_get_u64(doc->root, "epoch", &cursor->epoch) || !rows ||
         rows->type != MSGPACK_OBJECT_ARRAY) {
-        rr_doc_clear(doc);
+        rr_document_clear(doc);
         return -EAGAIN;
     }
     return 0;
 }
 
-void rr_store_each_row(const rr_doc *doc, rr_store_cursor *cursor, rr_store_row_fn fn, void *user) {
-    const msgpack_object *rows = rr_get(doc->root, "rows");
+void rr_store_each_row(const rr_document *doc, rr_store_cursor *cursor, rr_store_row_fn fn,
+                       void *user) {
+    const msgpack_object *rows = rr_map_get(doc->root, "rows");
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
         const msgpack_object *row = &rows->via.array.ptr[i];
         uint64_t mark;
-        if (rr_get_text(row, "path", cursor->from, sizeof cursor->from) &&
-            rr_get_u64(row, "mark", &mark) && rr_get(row, "v")) {
-            fn(user, cursor->from, rr_get(row, "v"), mark);
+        if (rr_map_get_text(row, "path", cursor->from, sizeof cursor->from) &&
+            rr_map_get_u64(row, "mark", &mark) && rr_map_get(row, "v")) {
+            fn(user, cursor->from, rr_map_get(row, "v"), mark);
         }
     }
 }
 
-int rr_store_watch(rr_store *s, const char *prefix, uint64_t from, int hold_ms, rr_doc *doc) {
+int rr_store_watch(rr_store *s, const char *prefix, uint64_t from, int hold_ms, rr_document *doc) {
     char path[256];
     rr_reply reply;
     g_snprintf(path, sizeof path, "/watch?starts=%s&from=%" G_GUINT64_FORMAT "&hold_ms=%d", prefix,
@@ -191,31 +193,31 @@
 }
 
 int rr_store_lease(rr_store *s, double life_s, uint64_t *tether) {
-    rr_out o;
+    rr_encoder o;
     rr_reply reply;
-    rr_doc doc;
-    rr_out_init(&o);
-    rr_put_map(&o, 1);
-    rr_put_key_u64(&o, "life_ms", (uint64_t)(life_s * 1000));
+    rr_document doc;
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 1);
+    rr_encode_key_u64(&o, "life_ms", (uint64_t)(life_s * 1000));
     int rc = call(s, RR_PRIO_SESSION, 0, "POST", "/holds", &o, 1.5, &reply);
-    rr_out_clear(&o);
+    rr_encoder_clear(&o);
     if (rc != 0 || reply.status != 200 || parse_reply(&reply, &doc) != 0) {
         return -EAGAIN;
     }
-    rc = rr_get_u64(doc.root, "tether", tether) ? 0 : -EAGAIN;
-    rr_doc_clear(&doc);
+    rc = rr_map_get_u64(doc.root, "tether", tether) ? 0 : -EAGAIN;
+    rr_document_clear(&doc);
     return rc;
 }
 
 static int hold_call(rr_store *s, const char *method, uint64_t tether, const char *verb) {
     char path[96];
     rr_reply reply;
-    rr_out o;
+    rr_encoder o;
     g_snprintf(path, sizeof path, "/holds/%" G_GUINT64_FORMAT "%s", tether, verb);
-    rr_out_init(&o);
-    rr_put_map(&o, 0);
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 0);
     int rc = call(s, RR_PRIO_SESSION, 0, method, path, &o, 1.5, &reply);
-    rr_out_clear(&o);
+    rr_encoder_clear(&o);
     if (rc != 0) {
         return -EAGAIN;
     }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -40,7 +40,7 @@
 
 int rr_store_epoch(rr_store *s, uint64_t *epoch, double timeout_s);
 /* 0 with the value in *doc and its mark and tether; -ENOENT; -EAGAIN: no answer. */
-int rr_store_get(rr_store *s, const char *key, rr_doc *doc, uint64_t *mark, uint64_t *tether);
+int rr_store_get(rr_store *s, const char *key, rr_document *doc, uint64_t *mark, uint64_t *tether);
 /* A prefix in full, page by page. */
 typedef struct {
     bool more; /* true at first */
@@ -48,12 +48,13 @@
     uint64_t epoch; /* of the last page */
 } rr_store_cursor;
 /* 0 with the page in *doc, to be handed to rr_store_each_row() and cleared; -EAGAIN. */
-int rr_store_next_page(rr_store *s, const char *prefix, rr_store_cursor *cursor, rr_doc *doc);
+int rr_store_next_page(rr_store *s, const char *prefix, rr_store_cursor *cursor, rr_document *doc);
 typedef void (*rr_store_row_fn)(void *user, const char *key, const msgpack_object *value,
                                 uint64_t mark);
-void rr_store_each_row(const rr_doc *doc, rr_store_cursor *cursor, rr_store_row_fn fn, void *user);
+void rr_store_each_row(const rr_document *doc, rr_store_cursor *cursor, rr_store_row_fn fn,
+                       void *user);
 /* -ESTALE: too old (410). */
-int rr_store_watch(rr_store *s, const char *prefix, uint64_t from, int hold_ms, rr_doc *doc);
+int rr_store_watch(rr_store *s, const char *prefix, uint64_t from, int hold_ms, rr_document *doc);
 
 int rr_store_lease(rr_store *s, double life_s, uint64_t *tether);
 /* 0, -ENOENT (ended), -EAGAIN (no answer or refused). */
--- a/src/wire/doc.c
+++ b/src/wire/doc.c
@@ -107,9 +107,9 @@
     return scan_wide(s, b, depth);
 }
 
-int rr_doc_parse(rr_doc *doc, const void *data, size_t len) {
+int rr_document_parse(rr_document *doc, const void *data, size_t len) {
     struct scan s = {data, (const uint8_t *)data + len};
-    msgpack_unpacked_init(&doc->up);
+    msgpack_unpacked_init(&doc->unpacked);
     doc->root = NULL;
     doc->copy = NULL;
     if (len == 0 || !scan_value(&s, RR_DEPTH_MAX) || s.p != s.end) {
@@ -117,44 +117,44 @@
     }
     size_t off = 0;
     doc->copy = g_memdup2(data, len);
-    if (msgpack_unpack_next(&doc->up, doc->copy, len, &off) != MSGPACK_UNPACK_SUCCESS ||
+    if (msgpack_unpack_next(&doc->unpacked, doc->copy, len, &off) != MSGPACK_UNPACK_SUCCESS ||
         off != len) {
         return -EBADMSG;
     }
-    doc->root = &doc->up.data;
+    doc->root = &doc->unpacked.data;
     return 0;
 }
 
-void rr_doc_clear(rr_doc *doc) {
-    msgpack_unpacked_destroy(&doc->up);
+void rr_document_clear(rr_document *doc) {
+    msgpack_unpacked_destroy(&doc->unpacked);
     g_free(doc->copy);
     doc->copy = NULL;
     doc->root = NULL;
 }
 
-bool rr_is_map(const msgpack_object *o) {
+bool rr_object_is_map(const msgpack_object *o) {
     return o && o->type == MSGPACK_OBJECT_MAP;
 }
 
-bool rr_text_is(const msgpack_object *o, const char *text) {
+bool rr_object_text_equals(const msgpack_object *o, const char *text) {
     return o && o->type == MSGPACK_OBJECT_STR && o->via.str.size == strlen(text) &&
            memcmp(o->via.str.ptr, text, o->via.str.size) == 0;
 }
 
-const msgpack_object *rr_get(const msgpack_object *map, const char *key) {
-    if (!rr_is_map(map)) {
+const msgpack_object *rr_map_get(const msgpack_object *map, const char *key) {
+    if (!rr_object_is_map(map)) {
         return NULL;
     }
     for (uint32_t i = 0; i < map->via.map.size; i++) {
         const msgpack_object_kv *kv = &map->via.map.ptr[i];
-        if (rr_text_is(&kv->key, key)) {
+        if (rr_object_text_equals(&kv->key, key)) {
             return kv->val.type == MSGPACK_OBJECT_NIL ? NULL : &kv->val;
         }
     }
     return NULL;
 }
 
-bool rr_as_u64(const msgpack_object *o, uint64_t *out) {
+bool rr_object_u64(const msgpack_object *o, uint64_t *out) {
     if (!o || o->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return false;
     }
@@ -162,7 +162,7 @@
     return true;
 }
 
-bool rr_as_num(const msgpack_object *o, double *out) {
+bool rr_object_number(const msgpack_object *o, double *out) {
     if (!o) {
         return false;
     }
@@ -182,7 +182,7 @@
     }
 }
 
-bool rr_as_text(const msgpack_object *o, char *out, size_t size) {
+bool rr_object_text(const msgpack_object *o, char *out, size_t size) {
     if (!o || o->type != MSGPACK_OBJECT_STR || o->via.str.size >= size ||
         (o->via.str.size && memchr(o->via.str.ptr, 0, o->via.str.size))) {
         return false;
@@ -194,20 +194,20 @@
     return true;
 }
 
-bool rr_get_u64(const msgpack_object *map, const char *key, uint64_t *out) {
-    return rr_as_u64(rr_get(map, key), out);
+bool rr_map_get_u64(const msgpack_object *map, const char *key, uint64_t *out) {
+    return rr_object_u64(rr_map_get(map, key), out);
 }
 
-bool rr_get_num(const msgpack_object *map, const char *key, double *out) {
-    return rr_as_num(rr_get(map, key), out);
+bool rr_map_get_number(const msgpack_object *map, const char *key, double *out) {
+    return rr_object_number(rr_map_get(map, key), out);
 }
 
-bool rr_get_text(const msgpack_object *map, const char *key, char *out, size_t size) {
-    return rr_as_text(rr_get(map, key), out, size);
+bool rr_map_get_text(const msgpack_object *map, const char *key, char *out, size_t size) {
+    return rr_object_text(rr_map_get(map, key), out, size);
 }
 
-bool rr_get_bool(const msgpack_object *map, const char *key, bool *out) {
-    const msgpack_object *o = rr_get(map, key);
+bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out) {
+    const msgpack_object *o = rr_map_get(map, key);
     if (!o || o->type != MSGPACK_OBJECT_BOOLEAN) {
         return false;
     }
@@ -215,61 +215,61 @@
     return true;
 }
 
-void rr_out_init(rr_out *o) {
-    msgpack_sbuffer_init(&o->buf);
-    msgpack_packer_init(&o->pk, &o->buf, msgpack_sbuffer_write);
+void rr_encoder_init(rr_encoder *o) {
+    msgpack_sbuffer_init(&o->buffer);
+    msgpack_packer_init(&o->packer, &o->buffer, msgpack_sbuffer_write);
 }
 
-void rr_out_clear(rr_out *o) {
-    msgpack_sbuffer_destroy(&o->buf);
+void rr_encoder_clear(rr_encoder *o) {
+    msgpack_sbuffer_destroy(&o->buffer);
 }
 
-void rr_put_map(rr_out *o, size_t n) {
-    msgpack_pack_map(&o->pk, n);
+void rr_encode_map(rr_encoder *o, size_t n) {
+    msgpack_pack_map(&o->packer, n);
 }
 
-void rr_put_array(rr_out *o, size_t n) {
-    msgpack_pack_array(&o->pk, n);
+void rr_encode_array(rr_encoder *o, size_t n) {
+    msgpack_pack_array(&o->packer, n);
 }
 
-void rr_put_text(rr_out *o, const char *s) {
+void rr_encode_text(rr_encoder *o, const char *s) {
     size_t n = strlen(s);
-    msgpack_pack_str(&o->pk, n);
-    msgpack_pack_str_body(&o->pk, s, n);
+    msgpack_pack_str(&o->packer, n);
+    msgpack_pack_str_body(&o->packer, s, n);
 }
 
-void rr_put_u64(rr_out *o, uint64_t v) {
-    msgpack_pack_uint64(&o->pk, v);
+void rr_encode_u64(rr_encoder *o, uint64_t v) {
+    msgpack_pack_uint64(&o->packer, v);
 }
 
-void rr_put_num(rr_out *o, double v) {
-    msgpack_pack_double(&o->pk, v);
+void rr_encode_number(rr_encoder *o, double v) {
+    msgpack_pack_double(&o->packer, v);
 }
 
-void rr_put_bool(rr_out *o, bool v) {
+void rr_encode_bool(rr_encoder *o, bool v) {
     if (v) {
-        msgpack_pack_true(&o->pk);
+        msgpack_pack_true(&o->packer);
     } else {
-        msgpack_pack_false(&o->pk);
+        msgpack_pack_false(&o->packer);
     }
 }
 
-void rr_put_key_text(rr_out *o, const char *k, const char *v) {
-    rr_put_text(o, k);
-    rr_put_text(o, v);
+void rr_encode_key_text(rr_encoder *o, const char *k, const char *v) {
+    rr_encode_text(o, k);
+    rr_encode_text(o, v);
 }
 
-void rr_put_key_u64(rr_out *o, const char *k, uint64_t v) {
-    rr_put_text(o, k);
-    rr_put_u64(o, v);
+void rr_encode_key_u64(rr_encoder *o, const char *k, uint64_t v) {
+    rr_encode_text(o, k);
+    rr_encode_u64(o, v);
 }
 
-void rr_put_key_num(rr_out *o, const char *k, double v) {
-    rr_put_text(o, k);
-    rr_put_num(o, v);
+void rr_encode_key_number(rr_encoder *o, const char *k, double v) {
+    rr_encode_text(o, k);
+    rr_encode_number(o, v);
 }
 
-void rr_put_key_bool(rr_out *o, const char *k, bool v) {
-    rr_put_text(o, k);
-    rr_put_bool(o, v);
+void rr_encode_key_bool(rr_encoder *o, const char *k, bool v) {
+    rr_encode_text(o, k);
+    rr_encode_bool(o, v);
 }
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -14,7 +14,7 @@
 
 static int index_of(const msgpack_object *o, const char *const *names, int n) {
     for (int i = 0; i < n; i++) {
-        if (rr_text_is(o, names[i])) {
+        if (rr_object_text_equals(o, names[i])) {
             return i;
         }
     }
@@ -35,7 +35,7 @@
 
 /* A name is text without spaces or control characters and not empty. */
 static bool get_name(const msgpack_object *o, const char *key, char *out, size_t size) {
-    if (!rr_get_text(o, key, out, size) || !out[0]) {
+    if (!rr_map_get_text(o, key, out, size) || !out[0]) {
         return false;
     }
     for (const char *c = out; *c; c++) {
@@ -47,11 +47,11 @@
 }
 
 static bool get_amount(const msgpack_object *o, const char *key, double least, double *out) {
-    return rr_get_num(o, key, out) && *out >= least && *out <= AMOUNT_MAX;
+    return rr_map_get_number(o, key, out) && *out >= least && *out <= AMOUNT_MAX;
 }
 
 static bool get_builds(const msgpack_object *o, rr_submission *s) {
-    const msgpack_object *b = rr_get(o, "builds");
+    const msgpack_object *b = rr_map_get(o, "builds");
     s->nbuilds = 0;
     if (!b) {
         return true;
@@ -62,7 +62,7 @@
     }
     s->builds = g_malloc0(b->via.array.size * sizeof *s->builds);
     for (uint32_t i = 0; i < b->via.array.size; i++) {
-        if (!rr_as_text(&b->via.array.ptr[i], s->builds[s->nbuilds], RR_ID)) {
+        if (!rr_object_text(&b->via.array.ptr[i], s->builds[s->nbuilds], RR_ID)) {
             rr_submission_clear(s);
             return false;
         }
@@ -79,7 +79,7 @@
 
 static bool get_pieces(const msgpack_object *o, uint32_t *out) {
     uint64_t n;
-    if (!rr_get_u64(o, "pieces", &n) || n == 0 || n > RR_PIECES_MAX) {
+    if (!rr_map_get_u64(o, "pieces", &n) || n == 0 || n > RR_PIECES_MAX) {
         return false;
     }
     *out = (uint32_t)n;
@@ -100,9 +100,9 @@
     NEED(get_name(o, "lane", s->job_class, sizeof s->job_class), "lane");
     NEED(get_name(o, "crew", s->team, sizeof s->team), "crew");
     NEED(get_name(o, "cast", s->image, sizeof s->image), "cast");
-    int shape = index_of(rr_get(o, "shape"), shapes, G_N_ELEMENTS(shapes));
+    int shape = index_of(rr_map_get(o, "shape"), shapes, G_N_ELEMENTS(shapes));
     NEED(shape >= 0, "shape");
-    int rank = index_of(rr_get(o, "rank"), ranks, 4);
+    int rank = index_of(rr_map_get(o, "rank"), ranks, 4);
     NEED(rank >= 0, "rank");
     s->shape = (enum rr_shape)shape;
     s->rank = (enum rr_rank)rank;
@@ -126,23 +126,23 @@
         NEED(get_amount(o, amounts[i].name, 0, amounts[i].amount), amounts[i].name);
     }
     s->deadline_s = -1;
-    NEED(!rr_get(o, "due_s") || get_amount(o, "due_s", 0, &s->deadline_s), "due_s");
+    NEED(!rr_map_get(o, "due_s") || get_amount(o, "due_s", 0, &s->deadline_s), "due_s");
     return 0;
 }
 
 /* Where they may run. */
 static int decode_constraints(const msgpack_object *o, rr_submission *s, const char **field) {
-    NEED(!rr_get(o, "ward") || get_name(o, "ward", s->zone, sizeof s->zone), "ward");
-    NEED(rr_get_bool(o, "one_zone", &s->one_zone), "one_zone");
-    NEED(rr_get_bool(o, "apart", &s->apart), "apart");
-    NEED(rr_get_bool(o, "loaners", &s->spot), "loaners");
+    NEED(!rr_map_get(o, "ward") || get_name(o, "ward", s->zone, sizeof s->zone), "ward");
+    NEED(rr_map_get_bool(o, "one_zone", &s->one_zone), "one_zone");
+    NEED(rr_map_get_bool(o, "apart", &s->apart), "apart");
+    NEED(rr_map_get_bool(o, "loaners", &s->spot), "loaners");
     NEED(get_builds(o, s), "builds"); /* last: it allocates */
     return 0;
 }
 
 int rr_submission_decode(const msgpack_object *o, rr_submission *s, const char **field) {
     memset(s, 0, sizeof *s);
-    NEED(rr_is_map(o), "body");
+    NEED(rr_object_is_map(o), "body");
     int rc = decode_identity(o, s, field);
     if (rc == 0) {
         rc = decode_amounts(o, s, field);
@@ -154,37 +154,37 @@
     return 17 + (s->deadline_s >= 0) + (s->zone[0] != 0) + (s->nbuilds > 0);
 }
 
-void rr_submission_encode_fields(rr_out *o, const rr_submission *s) {
-    rr_put_key_text(o, "ref", s->ref);
-    rr_put_key_text(o, "lane", s->job_class);
-    rr_put_key_text(o, "crew", s->team);
-    rr_put_key_text(o, "cast", s->image);
-    rr_put_key_text(o, "shape", shapes[s->shape]);
-    rr_put_key_text(o, "rank", ranks[s->rank]);
-    rr_put_key_u64(o, "pieces", s->pieces);
-    rr_put_key_num(o, "vcpus", s->vcpus);
-    rr_put_key_num(o, "cards", s->cards);
-    rr_put_key_num(o, "mem_gb", s->mem_gb);
-    rr_put_key_num(o, "pull_gb", s->image_size_gb);
-    rr_put_key_num(o, "guess_s", s->runtime_estimate_s);
-    rr_put_key_num(o, "cairn_s", s->checkpoint_interval_s);
-    rr_put_key_num(o, "stash_s", s->save_s);
+void rr_submission_encode_fields(rr_encoder *o, const rr_submission *s) {
+    rr_encode_key_text(o, "ref", s->ref);
+    rr_encode_key_text(o, "lane", s->job_class);
+    rr_encode_key_text(o, "crew", s->team);
+    rr_encode_key_text(o, "cast", s->image);
+    rr_encode_key_text(o, "shape", shapes[s->shape]);
+    rr_encode_key_text(o, "rank", ranks[s->rank]);
+    rr_encode_key_u64(o, "pieces", s->pieces);
+    rr_encode_key_number(o, "vcpus", s->vcpus);
+    rr_encode_key_number(o, "cards", s->cards);
+    rr_encode_key_number(o, "mem_gb", s->mem_gb);
+    rr_encode_key_number(o, "pull_gb", s->image_size_gb);
+    rr_encode_key_number(o, "guess_s", s->runtime_estimate_s);
+    rr_encode_key_number(o, "cairn_s", s->checkpoint_interval_s);
+    rr_encode_key_number(o, "stash_s", s->save_s);
     if (s->deadline_s >= 0) {
-        rr_put_key_num(o, "due_s", s->deadline_s);
+        rr_encode_key_number(o, "due_s", s->deadline_s);
     }
     if (s->zone[0]) {
-        rr_put_key_text(o, "ward", s->zone);
+        rr_encode_key_text(o, "ward", s->zone);
     }
     if (s->nbuilds) {
-        rr_put_text(o, "builds");
-        rr_put_array(o, (size_t)s->nbuilds);
+        rr_encode_text(o, "builds");
+        rr_encode_array(o, (size_t)s->nbuilds);
         for (int i = 0; i < s->nbuilds; i++) {
-            rr_put_text(o, s->builds[i]);
+            rr_encode_text(o, s->builds[i]);
         }
     }
-    rr_put_key_bool(o, "one_zone", s->one_zone);
-    rr_put_key_bool(o, "apart", s->apart);
-    rr_put_key_bool(o, "loaners", s->spot);
+    rr_encode_key_bool(o, "one_zone", s->one_zone);
+    rr_encode_key_bool(o, "apart", s->apart);
+    rr_encode_key_bool(o, "loaners", s->spot);
 }
 
 bool rr_piece_parse(const char *text, char *ref, size_t size, uint32_t *task) {
@@ -213,15 +213,15 @@
 static bool piece_decode(const msgpack_object *o, rr_piece *p) {
     static const char *const names[] = {"fetching", "running", "flushing", "ended", "waiting"};
     char text[2 * RR_ID];
-    int standing = index_of(rr_get(o, "standing"), names, G_N_ELEMENTS(names));
-    if (!rr_get_text(o, "piece", text, sizeof text) ||
+    int standing = index_of(rr_map_get(o, "standing"), names, G_N_ELEMENTS(names));
+    if (!rr_map_get_text(o, "piece", text, sizeof text) ||
         !rr_piece_parse(text, p->ref, sizeof p->ref, &p->task) ||
-        !rr_get_u64(o, "try", &p->attempt)) {
+        !rr_map_get_u64(o, "try", &p->attempt)) {
         return false;
     }
     /* An unknown standing (a state this version does not know) counts as on the machine. */
     p->standing = standing < 0 ? RR_FETCHING : (enum rr_standing)standing;
-    p->cause = p->standing == RR_ENDED ? cause_of(rr_get(o, "cause")) : RR_CAUSE_NONE;
+    p->cause = p->standing == RR_ENDED ? cause_of(rr_map_get(o, "cause")) : RR_CAUSE_NONE;
     return true;
 }
 
@@ -229,15 +229,17 @@
     memset(r, 0, sizeof *r);
     r->pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
     r->spot_notice_s = -1;
-    const msgpack_object *list = rr_get(o, "pieces");
-    if (!rr_get_text(o, "stone", r->machine, sizeof r->machine) || !r->machine[0] ||
-        !rr_get_text(o, "addr", r->addr, sizeof r->addr) ||
-        !rr_get_text(o, "build", r->build, sizeof r->build) ||
-        !rr_get_text(o, "ward", r->zone, sizeof r->zone) || !rr_get_bool(o, "loaners", &r->spot) ||
-        !rr_get_u64(o, "tenure", &r->worker_epoch) || !rr_get_u64(o, "tally", &r->sequence) ||
-        !rr_get_u64(o, "warrant", &r->fencing_token) ||
+    const msgpack_object *list = rr_map_get(o, "pieces");
+    if (!rr_map_get_text(o, "stone", r->machine, sizeof r->machine) || !r->machine[0] ||
+        !rr_map_get_text(o, "addr", r->addr, sizeof r->addr) ||
+        !rr_map_get_text(o, "build", r->build, sizeof r->build) ||
+        !rr_map_get_text(o, "ward", r->zone, sizeof r->zone) ||
+        !rr_map_get_bool(o, "loaners", &r->spot) ||
+        !rr_map_get_u64(o, "tenure", &r->worker_epoch) ||
+        !rr_map_get_u64(o, "tally", &r->sequence) ||
+        !rr_map_get_u64(o, "warrant", &r->fencing_token) ||
         (list && list->type != MSGPACK_OBJECT_ARRAY) ||
-        (rr_get(o, "recall_s") && !rr_get_num(o, "recall_s", &r->spot_notice_s))) {
+        (rr_map_get(o, "recall_s") && !rr_map_get_number(o, "recall_s", &r->spot_notice_s))) {
         return -EBADMSG;
     }
     for (uint32_t i = 0; list && i < list->via.array.size; i++) {
@@ -258,25 +260,25 @@
     }
 }
 
-void rr_orders_encode(rr_out *o, uint64_t fencing_token, uint64_t worker_epoch,
+void rr_orders_encode(rr_encoder *o, uint64_t fencing_token, uint64_t worker_epoch,
                       const GArray *orders) {
-    rr_put_map(o, worker_epoch ? 3 : 2);
-    rr_put_key_u64(o, "warrant", fencing_token);
+    rr_encode_map(o, worker_epoch ? 3 : 2);
+    rr_encode_key_u64(o, "warrant", fencing_token);
     if (worker_epoch) {
-        rr_put_key_u64(o, "tenure", worker_epoch);
+        rr_encode_key_u64(o, "tenure", worker_epoch);
     }
-    rr_put_text(o, "orders");
-    rr_put_array(o, orders ? orders->len : 0);
+    rr_encode_text(o, "orders");
+    rr_encode_array(o, orders ? orders->len : 0);
     for (guint i = 0; orders && i < orders->len; i++) {
         const rr_order *c = &g_array_index(orders, rr_order, i);
         char piece[2 * RR_ID];
         g_snprintf(piece, sizeof piece, "%s/%u", c->ref, c->task);
-        rr_put_map(o, c->verb == RR_STOP ? 4 : 3);
-        rr_put_key_text(o, "verb", verbs[c->verb]);
-        rr_put_key_text(o, "piece", piece);
-        rr_put_key_u64(o, "try", c->attempt);
+        rr_encode_map(o, c->verb == RR_STOP ? 4 : 3);
+        rr_encode_key_text(o, "verb", verbs[c->verb]);
+        rr_encode_key_text(o, "piece", piece);
+        rr_encode_key_u64(o, "try", c->attempt);
         if (c->verb == RR_STOP) {
-            rr_put_key_num(o, "leave_s", c->grace_s);
+            rr_encode_key_number(o, "leave_s", c->grace_s);
         }
     }
 }
@@ -284,20 +286,21 @@
 int rr_build_decode(const msgpack_object *o, rr_build *b) {
     memset(b, 0, sizeof *b);
     b->zones = g_ptr_array_new_with_free_func(g_free);
-    const msgpack_object *w = rr_get(o, "wards");
-    if (!rr_get_text(o, "sku", b->sku, sizeof b->sku) || !rr_get_num(o, "vcpus", &b->vcpus) ||
-        !rr_get_num(o, "cards", &b->cards) || !rr_get_num(o, "mem_gb", &b->mem_gb) ||
-        !rr_get_num(o, "price", &b->price) || !w || w->type != MSGPACK_OBJECT_ARRAY) {
+    const msgpack_object *w = rr_map_get(o, "wards");
+    if (!rr_map_get_text(o, "sku", b->sku, sizeof b->sku) ||
+        !rr_map_get_number(o, "vcpus", &b->vcpus) || !rr_map_get_number(o, "cards", &b->cards) ||
+        !rr_map_get_number(o, "mem_gb", &b->mem_gb) || !rr_map_get_number(o, "price", &b->price) ||
+        !w || w->type != MSGPACK_OBJECT_ARRAY) {
         return -EBADMSG;
     }
     b->spot_price = b->price;
-    rr_get_num(o, "spot_price", &b->spot_price);
-    rr_get_num(o, "cache_gb", &b->cache_gb);
-    rr_get_num(o, "pull_gb_per_s", &b->pull_rate);
-    rr_get_num(o, "startup_s", &b->startup_s);
+    rr_map_get_number(o, "spot_price", &b->spot_price);
+    rr_map_get_number(o, "cache_gb", &b->cache_gb);
+    rr_map_get_number(o, "pull_gb_per_s", &b->pull_rate);
+    rr_map_get_number(o, "startup_s", &b->startup_s);
     for (uint32_t i = 0; i < w->via.array.size; i++) {
         char zone[RR_TEXT];
-        if (!rr_as_text(&w->via.array.ptr[i], zone, sizeof zone)) {
+        if (!rr_object_text(&w->via.array.ptr[i], zone, sizeof zone)) {
             return -EBADMSG;
         }
         g_ptr_array_add(b->zones, g_strdup(zone));
@@ -305,21 +308,21 @@
     return 0;
 }
 
-void rr_build_encode(rr_out *o, const rr_build *b) {
-    rr_put_map(o, 10);
-    rr_put_key_text(o, "sku", b->sku);
-    rr_put_key_num(o, "vcpus", b->vcpus);
-    rr_put_key_num(o, "cards", b->cards);
-    rr_put_key_num(o, "mem_gb", b->mem_gb);
-    rr_put_key_num(o, "cache_gb", b->cache_gb);
-    rr_put_key_num(o, "pull_gb_per_s", b->pull_rate);
-    rr_put_key_num(o, "price", b->price);
-    rr_put_key_num(o, "spot_price", b->spot_price);
-    rr_put_key_num(o, "startup_s", b->startup_s);
-    rr_put_text(o, "wards");
-    rr_put_array(o, b->zones->len);
+void rr_build_encode(rr_encoder *o, const rr_build *b) {
+    rr_encode_map(o, 10);
+    rr_encode_key_text(o, "sku", b->sku);
+    rr_encode_key_number(o, "vcpus", b->vcpus);
+    rr_encode_key_number(o, "cards", b->cards);
+    rr_encode_key_number(o, "mem_gb", b->mem_gb);
+    rr_encode_key_number(o, "cache_gb", b->cache_gb);
+    rr_encode_key_number(o, "pull_gb_per_s", b->pull_rate);
+    rr_encode_key_number(o, "price", b->price);
+    rr_encode_key_number(o, "spot_price", b->spot_price);
+    rr_encode_key_number(o, "startup_s", b->startup_s);
+    rr_encode_text(o, "wards");
+    rr_encode_array(o, b->zones->len);
     for (guint i = 0; i < b->zones->len; i++) {
-        rr_put_text(o, g_ptr_array_index(b->zones, i));
+        rr_encode_text(o, g_ptr_array_index(b->zones, i));
     }
 }
 
@@ -332,17 +335,18 @@
 
 int rr_listed_machine_decode(const msgpack_object *o, rr_listed_machine *s) {
     memset(s, 0, sizeof *s);
-    const msgpack_object *st = rr_get(o, "standing");
-    rr_get_text(o, "addr", s->addr, sizeof s->addr);
-    if (!rr_get_text(o, "ref", s->id, sizeof s->id) ||
-        !rr_get_text(o, "build", s->build, sizeof s->build) ||
-        !rr_get_text(o, "ward", s->zone, sizeof s->zone) || !rr_get_bool(o, "loaners", &s->spot)) {
+    const msgpack_object *st = rr_map_get(o, "standing");
+    rr_map_get_text(o, "addr", s->addr, sizeof s->addr);
+    if (!rr_map_get_text(o, "ref", s->id, sizeof s->id) ||
+        !rr_map_get_text(o, "build", s->build, sizeof s->build) ||
+        !rr_map_get_text(o, "ward", s->zone, sizeof s->zone) ||
+        !rr_map_get_bool(o, "loaners", &s->spot)) {
         return -EBADMSG;
     }
-    rr_get_num(o, "age_s", &s->age_s);
-    if (rr_text_is(st, "running")) {
+    rr_map_get_number(o, "age_s", &s->age_s);
+    if (rr_object_text_equals(st, "running")) {
         s->state = RR_LISTED_RUNNING;
-    } else if (rr_text_is(st, "failed")) {
+    } else if (rr_object_text_equals(st, "failed")) {
         s->state = RR_LISTED_FAILED;
     } else {
         s->state = RR_LISTED_STARTING;
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,5 +1,5 @@
 /* PROTOCOL messages to and from structs. Pure functions: no I/O, no clock, no locks. Decoded trees
- * belong to their rr_doc; strings in structs are copies. */
+ * belong to their rr_document; strings in structs are copies. */
 #ifndef RR_WIRE_WIRE_H
 #define RR_WIRE_WIRE_H
 
@@ -17,45 +17,45 @@
 
 /* ---- documents ---- */
 typedef struct {
-    msgpack_unpacked up;
+    msgpack_unpacked unpacked;
     void *copy; /* libmsgpack's text points into what it read; the document keeps its own */
     const msgpack_object *root;
-} rr_doc;
+} rr_document;
 
 /* Checks declared lengths and depth before anything is allocated, then decodes one value that must
- * fill the buffer. 0, or -EBADMSG. rr_doc_clear() is safe after a failure too. */
-int rr_doc_parse(rr_doc *doc, const void *data, size_t len);
-void rr_doc_clear(rr_doc *doc);
+ * fill the buffer. 0, or -EBADMSG. rr_document_clear() is safe after a failure too. */
+int rr_document_parse(rr_document *doc, const void *data, size_t len);
+void rr_document_clear(rr_document *doc);
 
 /* Map access: a missing key and null are the same: NULL. */
-const msgpack_object *rr_get(const msgpack_object *map, const char *key);
-bool rr_is_map(const msgpack_object *o);
-bool rr_as_u64(const msgpack_object *o, uint64_t *out);
-bool rr_as_num(const msgpack_object *o, double *out); /* integer or decimal, finite */
-bool rr_as_text(const msgpack_object *o, char *out, size_t size);
-bool rr_get_u64(const msgpack_object *map, const char *key, uint64_t *out);
-bool rr_get_num(const msgpack_object *map, const char *key, double *out);
-bool rr_get_text(const msgpack_object *map, const char *key, char *out, size_t size);
-bool rr_get_bool(const msgpack_object *map, const char *key, bool *out);
-bool rr_text_is(const msgpack_object *o, const char *text);
+const msgpack_object *rr_map_get(const msgpack_object *map, const char *key);
+bool rr_object_is_map(const msgpack_object *o);
+bool rr_object_u64(const msgpack_object *o, uint64_t *out);
+bool rr_object_number(const msgpack_object *o, double *out); /* integer or decimal, finite */
+bool rr_object_text(const msgpack_object *o, char *out, size_t size);
+bool rr_map_get_u64(const msgpack_object *map, const char *key, uint64_t *out);
+bool rr_map_get_number(const msgpack_object *map, const char *key, double *out);
+bool rr_map_get_text(const msgpack_object *map, const char *key, char *out, size_t size);
+bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out);
+bool rr_object_text_equals(const msgpack_object *o, const char *text);
 
 /* ---- encoding ---- */
 typedef struct {
-    msgpack_sbuffer buf;
-    msgpack_packer pk;
-} rr_out;
-void rr_out_init(rr_out *o);
-void rr_out_clear(rr_out *o);
-void rr_put_map(rr_out *o, size_t n);
-void rr_put_array(rr_out *o, size_t n);
-void rr_put_text(rr_out *o, const char *s);
-void rr_put_u64(rr_out *o, uint64_t v);
-void rr_put_num(rr_out *o, double v);
-void rr_put_bool(rr_out *o, bool v);
-void rr_put_key_text(rr_out *o, const char *k, const char *v);
-void rr_put_key_u64(rr_out *o, const char *k, uint64_t v);
-void rr_put_key_num(rr_out *o, const char *k, double v);
-void rr_put_key_bool(rr_out *o, const char *k, bool v);
+    msgpack_sbuffer buffer;
+    msgpack_packer packer;
+} rr_encoder;
+void rr_encoder_init(rr_encoder *o);
+void rr_encoder_clear(rr_encoder *o);
+void rr_encode_map(rr_encoder *o, size_t n);
+void rr_encode_array(rr_encoder *o, size_t n);
+void rr_encode_text(rr_encoder *o, const char *s);
+void rr_encode_u64(rr_encoder *o, uint64_t v);
+void rr_encode_number(rr_encoder *o, double v);
+void rr_encode_bool(rr_encoder *o, bool v);
+void rr_encode_key_text(rr_encoder *o, const char *k, const char *v);
+void rr_encode_key_u64(rr_encoder *o, const char *k, uint64_t v);
+void rr_encode_key_number(rr_encoder *o, const char *k, double v);
+void rr_encode_key_bool(rr_encoder *o, const char *k, bool v);
 
 /* ---- users ---- */
 /* Of a gang ("group" in messages) all tasks run at the same time, or none does. */
@@ -77,7 +77,7 @@
 /* 0, or -EINVAL with the field at fault in *field. rr_submission_clear() after success. */
 int rr_submission_decode(const msgpack_object *o, rr_submission *out, const char **field);
 /* Writes the fields of a submission into an open map. */
-void rr_submission_encode_fields(rr_out *o, const rr_submission *s);
+void rr_submission_encode_fields(rr_encoder *o, const rr_submission *s);
 size_t rr_submission_field_count(const rr_submission *s);
 void rr_submission_clear(rr_submission *s);
 bool rr_ref_valid(const char *ref);
@@ -137,7 +137,7 @@
 } rr_order;
 
 /* Body of /do (worker_epoch > 0) or of an answer to /hello (worker_epoch 0). */
-void rr_orders_encode(rr_out *o, uint64_t fencing_token, uint64_t worker_epoch,
+void rr_orders_encode(rr_encoder *o, uint64_t fencing_token, uint64_t worker_epoch,
                       const GArray *orders);
 
 /* ---- cloud ---- */
@@ -148,7 +148,7 @@
 } rr_build;
 
 int rr_build_decode(const msgpack_object *o, rr_build *out);
-void rr_build_encode(rr_out *o, const rr_build *b);
+void rr_build_encode(rr_encoder *o, const rr_build *b);
 void rr_build_clear(rr_build *b);
 
 enum rr_listed_state { RR_LISTED_STARTING, RR_LISTED_RUNNING, RR_LISTED_FAILED };
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -79,10 +79,10 @@
 /* ---- the state service ---- */
 
 static void deliver(struct model *model, int controller, const struct record *record) {
-    rr_doc doc;
-    if (record->value && rr_doc_parse(&doc, record->value->data, record->value->len) == 0) {
+    rr_document doc;
+    if (record->value && rr_document_parse(&doc, record->value->data, record->value->len) == 0) {
         rr_admission_put(model->controllers[controller], record->rest, doc.root, record->version);
-        rr_doc_clear(&doc);
+        rr_document_clear(&doc);
     }
 }
 
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -58,10 +58,10 @@
     g_hash_table_iter_init(&it, s->kv);
     while (g_hash_table_iter_next(&it, &key, &value)) {
         const struct fx_value *record = value;
-        rr_doc doc;
-        assert_int_equal(rr_doc_parse(&doc, record->data, record->len), 0);
+        rr_document doc;
+        assert_int_equal(rr_document_parse(&doc, record->data, record->len), 0);
         fn(user, key, doc.root, record->mark);
-        rr_doc_clear(&doc);
+        rr_document_clear(&doc);
     }
 }
 
@@ -79,10 +79,10 @@
 /* As the state service counts it. */
 static size_t json_size(const void *data, size_t len) {
     static char text[256 * 1024];
-    rr_doc d;
-    assert_int_equal(rr_doc_parse(&d, data, len), 0);
+    rr_document d;
+    assert_int_equal(rr_document_parse(&d, data, len), 0);
     int n = msgpack_object_print_buffer(text, sizeof text, *d.root);
-    rr_doc_clear(&d);
+    rr_document_clear(&d);
     return (size_t)n;
 }
 
@@ -149,10 +149,10 @@
             rr_core_mirror_delete(c, ch->key, ch->mark, now);
             continue;
         }
-        rr_doc d;
-        assert_int_equal(rr_doc_parse(&d, ch->data, ch->len), 0);
+        rr_document d;
+        assert_int_equal(rr_document_parse(&d, ch->data, ch->len), 0);
         rr_core_mirror_put(c, ch->key, d.root, ch->mark, now);
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
     }
     if (!rr_core_loaded(c)) {
         rr_core_mirror_end(c, s->epoch, s->epoch, now);
@@ -170,10 +170,10 @@
     rr_core_mirror_begin(c);
     for (const GList *k = keys; k; k = k->next) {
         const struct fx_value *v = g_hash_table_lookup(s->kv, k->data);
-        rr_doc d;
-        assert_int_equal(rr_doc_parse(&d, v->data, v->len), 0);
+        rr_document d;
+        assert_int_equal(rr_document_parse(&d, v->data, v->len), 0);
         rr_core_mirror_put(c, k->data, d.root, v->mark, now);
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
     }
     rr_core_mirror_end(c, s->epoch, s->epoch, now);
     rr_core_set_epoch(c, s->epoch);
@@ -196,7 +196,7 @@
     return out;
 }
 
-void fx_put(fx_store *s, const char *key, rr_out *o) {
+void fx_put(fx_store *s, const char *key, rr_encoder *o) {
     rr_txn t;
     rr_txn_init(&t);
     rr_txn_put(&t, key, o, 0);
@@ -275,9 +275,9 @@
 
 void fx_join(fx_node *n, uint64_t tether) {
     char key[RR_NAME + 16];
-    rr_out o;
+    rr_encoder o;
     node_key(n, key, sizeof key);
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_core_node_put(&n->cfg, &o, tether);
     fx_put(n->store, key, &o);
     rr_core_set_session(n->core, tether, n->now + 1e6);
@@ -295,10 +295,10 @@
 }
 
 void fx_join_old_version(fx_node *n) {
-    rr_out o;
-    rr_out_init(&o);
-    rr_put_map(&o, 1);
-    rr_put_key_u64(&o, "tether", 44);
+    rr_encoder o;
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 1);
+    rr_encode_key_u64(&o, "tether", 44);
     fx_put(n->store, RR_ROOT "node/n1", &o);
     fx_term(n);
 }
@@ -323,12 +323,12 @@
                   .spot_price = spot,
                   .startup_s = 30};
     char key[128];
-    rr_out o;
+    rr_encoder o;
     g_strlcpy(b.sku, sku, sizeof b.sku);
     b.zones = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(b.zones, g_strdup("a"));
     g_ptr_array_add(b.zones, g_strdup("b"));
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_build_encode(&o, &b);
     g_snprintf(key, sizeof key, RR_ROOT "build/%s", sku);
     fx_put(s, key, &o);
@@ -364,9 +364,9 @@
 void fx_submit(fx_store *s, const struct fx_job *j, double at) {
     rr_submission sub;
     char key[128];
-    rr_out o;
+    rr_encoder o;
     fx_submission(&sub, j);
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_core_job_encode(&o, &sub, at, false);
     rr_core_job_key(j->ref, key, sizeof key);
     fx_put(s, key, &o);
@@ -375,9 +375,9 @@
 void fx_cancel(fx_node *n, const char *ref) {
     char key[128];
     uint64_t mark;
-    rr_out o;
+    rr_encoder o;
     rr_txn t;
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     assert_true(rr_core_cancel_record(n->core, ref, &o, &mark));
     rr_core_job_key(ref, key, sizeof key);
     rr_txn_init(&t);
@@ -390,30 +390,30 @@
 
 void fx_machine(fx_store *s, const char *id, const char *zone, bool spot, bool own) {
     char key[128], addr[64];
-    rr_out o;
+    rr_encoder o;
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
-    rr_out_init(&o);
-    rr_put_map(&o, 1);
-    rr_put_text(&o, "stones");
-    rr_put_array(&o, 1);
-    rr_put_array(&o, 6);
-    rr_put_text(&o, id);
-    rr_put_text(&o, addr);
-    rr_put_text(&o, "m1");
-    rr_put_text(&o, zone);
-    rr_put_u64(&o, (spot ? 1 : 0) | (own ? 2 : 0));
-    rr_put_num(&o, 0);
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 1);
+    rr_encode_text(&o, "stones");
+    rr_encode_array(&o, 1);
+    rr_encode_array(&o, 6);
+    rr_encode_text(&o, id);
+    rr_encode_text(&o, addr);
+    rr_encode_text(&o, "m1");
+    rr_encode_text(&o, zone);
+    rr_encode_u64(&o, (spot ? 1 : 0) | (own ? 2 : 0));
+    rr_encode_number(&o, 0);
     g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", atoi(id + 3) + 100000);
     fx_put(s, key, &o);
 }
 
 void fx_machine_gone(fx_store *s, const char *id) {
     char key[128];
-    rr_out o;
-    rr_out_init(&o);
-    rr_put_map(&o, 1);
-    rr_put_text(&o, "stones");
-    rr_put_array(&o, 0);
+    rr_encoder o;
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 1);
+    rr_encode_text(&o, "stones");
+    rr_encode_array(&o, 0);
     g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", atoi(id + 3) + 100000);
     fx_put(s, key, &o);
 }
@@ -426,16 +426,16 @@
     g_hash_table_iter_init(&it, s->kv);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         const struct fx_value *val = v;
-        rr_doc d;
+        rr_document d;
         if (!g_str_has_prefix(k, RR_ROOT "fleet/")) {
             continue;
         }
-        assert_int_equal(rr_doc_parse(&d, val->data, val->len), 0);
-        const msgpack_object *list = rr_get(d.root, "stones");
+        assert_int_equal(rr_document_parse(&d, val->data, val->len), 0);
+        const msgpack_object *list = rr_map_get(d.root, "stones");
         for (uint32_t i = 0; i < list->via.array.size; i++) {
-            found = found || rr_text_is(&list->via.array.ptr[i].via.array.ptr[0], id);
+            found = found || rr_object_text_equals(&list->via.array.ptr[i].via.array.ptr[0], id);
         }
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
     }
     return found;
 }
@@ -497,16 +497,16 @@
 
 static uint64_t booked_in(const struct fx_value *v, const char *id, uint32_t task) {
     uint64_t found = 0;
-    rr_doc d;
-    assert_int_equal(rr_doc_parse(&d, v->data, v->len), 0);
-    const msgpack_object *list = rr_get(d.root, "tasks");
+    rr_document d;
+    assert_int_equal(rr_document_parse(&d, v->data, v->len), 0);
+    const msgpack_object *list = rr_map_get(d.root, "tasks");
     for (uint32_t i = 0; i < list->via.array.size; i++) {
         const msgpack_object *f = list->via.array.ptr[i].via.array.ptr;
-        if (rr_text_is(&f[1], id) && f[0].via.u64 == task) {
+        if (rr_object_text_equals(&f[1], id) && f[0].via.u64 == task) {
             found = f[2].via.u64;
         }
     }
-    rr_doc_clear(&d);
+    rr_document_clear(&d);
     return found;
 }
 
@@ -602,21 +602,21 @@
 
 static void put_fleet(fx_store *s, int first, int n, const char *zone, bool own) {
     char key[64], id[32], addr[32];
-    rr_out o;
-    rr_out_init(&o);
-    rr_put_map(&o, 1);
-    rr_put_text(&o, "stones");
-    rr_put_array(&o, (size_t)n);
+    rr_encoder o;
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 1);
+    rr_encode_text(&o, "stones");
+    rr_encode_array(&o, (size_t)n);
     for (int i = first; i < first + n; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
         g_snprintf(addr, sizeof addr, "127.0.0.1:%d", 1000 + i);
-        rr_put_array(&o, 6);
-        rr_put_text(&o, id);
-        rr_put_text(&o, addr);
-        rr_put_text(&o, "m1");
-        rr_put_text(&o, zone);
-        rr_put_u64(&o, own ? 2 : 0);
-        rr_put_num(&o, 0);
+        rr_encode_array(&o, 6);
+        rr_encode_text(&o, id);
+        rr_encode_text(&o, addr);
+        rr_encode_text(&o, "m1");
+        rr_encode_text(&o, zone);
+        rr_encode_u64(&o, own ? 2 : 0);
+        rr_encode_number(&o, 0);
     }
     g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", first);
     fx_put(s, key, &o);
@@ -643,11 +643,11 @@
     g_hash_table_iter_init(&it, s->kv);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         const struct fx_value *val = v;
-        rr_doc d;
+        rr_document d;
         if (g_str_has_prefix(k, prefix)) {
-            assert_int_equal(rr_doc_parse(&d, val->data, val->len), 0);
-            n += rr_get(d.root, "tasks")->via.array.size;
-            rr_doc_clear(&d);
+            assert_int_equal(rr_document_parse(&d, val->data, val->len), 0);
+            n += rr_map_get(d.root, "tasks")->via.array.size;
+            rr_document_clear(&d);
         }
     }
     return n;
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -38,8 +38,8 @@
                              uint64_t mark);
 void fx_each(const fx_store *s, fx_record_fn fn, void *user);
 unsigned fx_count(const fx_store *s, const char *prefix);
-void fx_put(fx_store *s, const char *key, rr_out *o);   /* writes, whatever is there */
-unsigned fx_placed(const fx_store *s, const char *ref); /* bookings of a job in the ledger */
+void fx_put(fx_store *s, const char *key, rr_encoder *o); /* writes, whatever is there */
+unsigned fx_placed(const fx_store *s, const char *ref);   /* bookings of a job in the ledger */
 
 typedef struct {
     struct rr_config cfg;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -78,15 +78,16 @@
 }
 
 /* Puts the records in one by one; the slot must be whole with the last one and not before. */
-static void put_records(rr_admission_slot *slot, rr_out *records, guint count) {
+static void put_records(rr_admission_slot *slot, rr_encoder *records, guint count) {
     for (guint i = 0; i < count; i++) {
-        rr_doc doc;
-        assert_int_equal(rr_doc_parse(&doc, records[i].buf.data, records[i].buf.size), 0);
+        rr_document doc;
+        assert_int_equal(rr_document_parse(&doc, records[i].buffer.data, records[i].buffer.size),
+                         0);
         int rc = rr_admission_slot_put(slot, count - 1 - i, NULL, 1);
         assert_int_equal(rc, -EPROTO);
         assert_int_equal(rr_admission_slot_put(slot, i, doc.root, 7), i + 1 == count);
-        rr_doc_clear(&doc);
-        rr_out_clear(&records[i]);
+        rr_document_clear(&doc);
+        rr_encoder_clear(&records[i]);
     }
 }
 
@@ -95,7 +96,7 @@
 static void a_table_in_records(void **state) {
     (void)state;
     rr_admission_table table;
-    rr_out records[RR_ADMISSION_PARTS_MAX];
+    rr_encoder records[RR_ADMISSION_PARTS_MAX];
     rr_admission_slot slot = {.parts = 0};
     rr_admission_table_init(&slot.table);
     fill_table(&table, 5, 1000, 200);
@@ -126,7 +127,7 @@
 static void records_keep_to_the_limit(void **state) {
     (void)state;
     rr_admission_table table;
-    rr_out records[RR_ADMISSION_PARTS_MAX];
+    rr_encoder records[RR_ADMISSION_PARTS_MAX];
     fx_store *store = fx_store_create();
     fill_table(&table, 5, 1e9, 900);
     for (guint i = 0; i < table.teams->len; i++) {
@@ -153,16 +154,16 @@
     rr_admission *admission = rr_admission_create(&config, &settings);
     static const char *const rests[] = {"0/0", "0/99", "7/0", "x", "0", "0/0/0", ""};
     for (guint i = 0; i < G_N_ELEMENTS(rests); i++) {
-        rr_out out;
-        rr_doc doc;
-        rr_out_init(&out);
-        rr_put_map(&out, 2);
-        rr_put_key_u64(&out, "v", RR_ADMISSION_VERSION + 1);
-        rr_put_key_u64(&out, "sequence", 9);
-        assert_int_equal(rr_doc_parse(&doc, out.buf.data, out.buf.size), 0);
+        rr_encoder out;
+        rr_document doc;
+        rr_encoder_init(&out);
+        rr_encode_map(&out, 2);
+        rr_encode_key_u64(&out, "v", RR_ADMISSION_VERSION + 1);
+        rr_encode_key_u64(&out, "sequence", 9);
+        assert_int_equal(rr_document_parse(&doc, out.buffer.data, out.buffer.size), 0);
         rr_admission_put(admission, rests[i], doc.root, 3);
-        rr_doc_clear(&doc);
-        rr_out_clear(&out);
+        rr_document_clear(&doc);
+        rr_encoder_clear(&out);
     }
     rr_admission_get_stats(admission, &stats);
     assert_int_equal(stats.records_unread, G_N_ELEMENTS(rests));
--- a/tests/test_batch.c
+++ b/tests/test_batch.c
@@ -10,9 +10,9 @@
     char *body = g_strnfill(bytes, 'x');
     memset(u, 0, sizeof *u);
     rr_core_job_key(ref, u->key, sizeof u->key);
-    rr_out_init(&u->value);
-    rr_put_map(&u->value, 1);
-    rr_put_key_text(&u->value, "ref", body);
+    rr_encoder_init(&u->value);
+    rr_encode_map(&u->value, 1);
+    rr_encode_key_text(&u->value, "ref", body);
     u->accepts = accepts;
     u->mark = mark;
     g_free(body);
@@ -52,7 +52,7 @@
         assert_true(puts <= 1);
         rr_txn_clear(&t);
         for (int i = 0; i < 3; i++) {
-            rr_out_clear(&u[i].value);
+            rr_encoder_clear(&u[i].value);
         }
     }
 }
@@ -93,7 +93,7 @@
         }
         rr_txn_clear(&t);
         for (int i = 0; i < 64; i++) {
-            rr_out_clear(&u[i].value);
+            rr_encoder_clear(&u[i].value);
         }
     }
 }
@@ -118,7 +118,7 @@
     assert_string_equal(g_array_index(t.guards, rr_guard, 1).key, "rr/cells/out/req-1");
     assert_int_equal(g_array_index(t.guards, rr_guard, 1).mark, 9);
     rr_txn_clear(&t);
-    rr_out_clear(&u.value);
+    rr_encoder_clear(&u.value);
 }
 
 int main(void) {
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -445,11 +445,11 @@
 /* A cancellation that this controller's mirror has not seen yet: the offer is not made. */
 static void cancelled_before_the_offer(void **state) {
     cell_pair *pair = *state;
-    rr_out out;
+    rr_encoder out;
     uint64_t mark;
     wait_at_home(pair, &waiting);
     cell_pair_step(pair); /* asks for room */
-    rr_out_init(&out);
+    rr_encoder_init(&out);
     assert_true(rr_core_cancel_record(pair->home.node.core, JOB, &out, &mark));
     fx_put(pair->home.store, "rr/job/" JOB, &out);
     cell_pair_advance(pair, 0.5);
@@ -758,10 +758,10 @@
     rr_transfers_stats stats;
     static const char *const keys[] = {"rr/cells/out/req-5", "rr/cells/in/req-5", "rr/cells/x"};
     for (int i = 0; i < 3; i++) {
-        rr_out out;
-        rr_out_init(&out);
-        rr_put_map(&out, 1);
-        rr_put_key_text(&out, "state", "unheard of");
+        rr_encoder out;
+        rr_encoder_init(&out);
+        rr_encode_map(&out, 1);
+        rr_encode_key_text(&out, "state", "unheard of");
         fx_put(pair->home.store, keys[i], &out);
     }
     fx_sync(pair->home.store, pair->home.node.core, pair->home.node.now);
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -213,18 +213,18 @@
 static int ask(int cell, const char *method, const char *id, const char *what, char *standing,
                uint64_t *done) {
     char path[96];
-    rr_doc doc = {0};
+    rr_document doc = {0};
     g_snprintf(path, sizeof path, "/submissions/%s%s", id, what);
     int status = world_call(some_controller(cell), method, path, NULL, 0, &doc);
     standing[0] = 0;
     if (status > 0 && doc.root) {
-        rr_get_text(doc.root, "standing", standing, 32);
+        rr_map_get_text(doc.root, "standing", standing, 32);
         if (done) {
-            rr_get_u64(doc.root, "done", done);
+            rr_map_get_u64(doc.root, "done", done);
         }
     }
     if (status > 0) {
-        rr_doc_clear(&doc);
+        rr_document_clear(&doc);
     }
     return status;
 }
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -771,12 +771,12 @@
     rr_job_view v;
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_string_equal(v.standing, "running");
-    rr_out o; /* it could not read the job, and cancels it */
-    rr_out_init(&o);
-    rr_put_map(&o, 3);
-    rr_put_key_text(&o, "ref", "req-1");
-    rr_put_key_text(&o, "shape", "batch");
-    rr_put_key_bool(&o, "cancelled", true);
+    rr_encoder o; /* it could not read the job, and cancels it */
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 3);
+    rr_encode_key_text(&o, "ref", "req-1");
+    rr_encode_key_text(&o, "shape", "batch");
+    rr_encode_key_bool(&o, "cancelled", true);
     fx_put(w->store, RR_ROOT "job/req-1", &o);
     fx_sync(w->store, n->core, n->now);
     rr_core_job_view(n->core, "req-1", n->now, &v);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -487,17 +487,17 @@
     fx_fleet(n, 1, 10, "a");
     submit_many(n, 1, jobs, &(struct fx_job){.pieces = 1, .cpu = 1});
     settle(n);
-    rr_out late;
-    rr_out_init(&late);
-    rr_put_map(&late, 2);
-    rr_put_key_text(&late, "bits", "0");
-    rr_put_text(&late, "tasks");
-    rr_put_array(&late, 1);
-    rr_put_array(&late, 5);
-    rr_put_u64(&late, 0);
-    rr_put_text(&late, "vm-1");
+    rr_encoder late;
+    rr_encoder_init(&late);
+    rr_encode_map(&late, 2);
+    rr_encode_key_text(&late, "bits", "0");
+    rr_encode_text(&late, "tasks");
+    rr_encode_array(&late, 1);
+    rr_encode_array(&late, 5);
+    rr_encode_u64(&late, 0);
+    rr_encode_text(&late, "vm-1");
     for (int i = 0; i < 3; i++) {
-        rr_put_u64(&late, 1);
+        rr_encode_u64(&late, 1);
     }
     for (int i = 1; i <= jobs; i++) {
         g_snprintf(ref, sizeof ref, "req-%06d", i);
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -111,10 +111,10 @@
     /* Its own commit tells it of its own changes alone. */
     leader->now = last + 2;
     rr_txn own;
-    rr_out o;
+    rr_encoder o;
     rr_txn_init(&own);
-    rr_out_init(&o);
-    rr_put_map(&o, 0);
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 0);
     rr_txn_put(&own, RR_ROOT "hire/none", &o, 0);
     rr_core_apply(leader->core, &own, w->store->epoch + 1, leader->now);
     rr_txn_clear(&own);
@@ -220,7 +220,7 @@
         struct fx_job j = {.ref = "req-1"};
         uint64_t at, mark;
         rr_plan end;
-        rr_out o;
+        rr_encoder o;
         rr_txn cancel;
         rr_job_view v;
         const char *m = run_job(w, &j, &at);
@@ -230,7 +230,7 @@
         rr_plan_init(&end);
         rr_core_plan(n->core, n->now, n->now, &end);
         assert_true(end.has_txn);
-        rr_out_init(&o);
+        rr_encoder_init(&o);
         assert_true(rr_core_cancel_record(n->core, j.ref, &o, &mark));
         rr_txn_init(&cancel);
         rr_txn_guard(&cancel, RR_ROOT "job/req-1", mark);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -326,8 +326,8 @@
         fx_node *n = &w->n;
         fx_node_init(&peer, w->store, "n1");
         fx_sync(w->store, peer.core, peer.now);
-        rr_out o;
-        rr_out_init(&o);
+        rr_encoder o;
+        rr_encoder_init(&o);
         rr_core_node_put(&n->cfg, &o, 9);
         fx_put(w->store, RR_ROOT "node/n1", &o);
         rr_core_set_session(peer.core, 9, 1e6);
@@ -339,7 +339,7 @@
             assert_int_equal(fx_commit(w->store, &old), 0);
         }
         fx_node_init(&again, w->store, "n0");
-        rr_out_init(&o);
+        rr_encoder_init(&o);
         rr_core_node_put(&n->cfg, &o, 77);
         fx_put(w->store, RR_ROOT "node/n0", &o);
         rr_core_set_session(again.core, 77, 1e6);
@@ -373,16 +373,16 @@
 }
 
 static void put_batch(fx_world *w, const char *key, const struct fx_job *jobs, size_t n) {
-    rr_out o, one;
+    rr_encoder o, one;
     rr_submission s;
-    rr_out_init(&o);
+    rr_encoder_init(&o);
     rr_core_batch_begin(&o, n);
     for (size_t i = 0; i < n; i++) {
-        rr_out_init(&one);
+        rr_encoder_init(&one);
         fx_submission(&s, &jobs[i]);
         rr_core_job_encode(&one, &s, w->n.now, false);
-        msgpack_sbuffer_write(&o.buf, one.buf.data, one.buf.size);
-        rr_out_clear(&one);
+        msgpack_sbuffer_write(&o.buffer, one.buffer.data, one.buffer.size);
+        rr_encoder_clear(&one);
     }
     fx_put(w->store, key, &o);
     fx_sync(w->store, w->n.core, w->n.now);
@@ -495,37 +495,37 @@
     fx_node_clear(&again);
 }
 
-static void random_value(GRand *rnd, rr_out *o, int depth) {
+static void random_value(GRand *rnd, rr_encoder *o, int depth) {
     static const char *const texts[] = {"",     "a",     "vm-1", "req-1", "m1",
                                         "ffff", "batch", "prod", "done"};
     int kind = g_rand_int_range(rnd, 0, depth > 0 ? 7 : 5);
     int n = g_rand_int_range(rnd, 0, 7);
     switch (kind) {
     case 0:
-        rr_put_u64(o, g_rand_int(rnd) >> g_rand_int_range(rnd, 0, 31));
+        rr_encode_u64(o, g_rand_int(rnd) >> g_rand_int_range(rnd, 0, 31));
         break;
     case 1:
-        rr_put_num(o, g_rand_double_range(rnd, -10, 1e7));
+        rr_encode_number(o, g_rand_double_range(rnd, -10, 1e7));
         break;
     case 2:
-        rr_put_bool(o, n & 1);
+        rr_encode_bool(o, n & 1);
         break;
     case 3:
-        msgpack_pack_nil(&o->pk);
+        msgpack_pack_nil(&o->packer);
         break;
     case 5:
-        rr_put_array(o, (size_t)n);
+        rr_encode_array(o, (size_t)n);
         for (int i = 0; i < n; i++) {
             random_value(rnd, o, depth - 1);
         }
         break;
     case 6:
-        rr_put_map(o, 1);
-        rr_put_text(o, texts[g_rand_int_range(rnd, 0, G_N_ELEMENTS(texts))]);
+        rr_encode_map(o, 1);
+        rr_encode_text(o, texts[g_rand_int_range(rnd, 0, G_N_ELEMENTS(texts))]);
         random_value(rnd, o, depth - 1);
         break;
     default:
-        rr_put_text(o, texts[g_rand_int_range(rnd, 0, G_N_ELEMENTS(texts))]);
+        rr_encode_text(o, texts[g_rand_int_range(rnd, 0, G_N_ELEMENTS(texts))]);
     }
 }
 
@@ -545,21 +545,21 @@
     rr_plan p;
     for (uint64_t i = 0; i < 20000; i++) {
         char key[64];
-        rr_out o;
-        rr_doc d;
-        rr_out_init(&o);
+        rr_encoder o;
+        rr_document d;
+        rr_encoder_init(&o);
         g_snprintf(key, sizeof key, RR_ROOT "%s",
                    keys[g_rand_int_range(rnd, 0, G_N_ELEMENTS(keys))]);
         int many = g_rand_int_range(rnd, 0, 3);
-        rr_put_map(&o, (size_t)many);
+        rr_encode_map(&o, (size_t)many);
         for (int k = 0; k < many; k++) {
-            rr_put_text(&o, fields[g_rand_int_range(rnd, 0, G_N_ELEMENTS(fields))]);
+            rr_encode_text(&o, fields[g_rand_int_range(rnd, 0, G_N_ELEMENTS(fields))]);
             random_value(rnd, &o, 3);
         }
-        assert_int_equal(rr_doc_parse(&d, o.buf.data, o.buf.size), 0);
+        assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
         rr_core_mirror_put(n->core, key, d.root, 1000 + i, n->now);
-        rr_doc_clear(&d);
-        rr_out_clear(&o);
+        rr_document_clear(&d);
+        rr_encoder_clear(&o);
         if (i % 500 == 0) {
             n->now += 0.5;
             rr_plan_init(&p);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -33,14 +33,14 @@
     char *old = take_session(was), *new = take_session(is);
     uint64_t tether = 0, able = 0;
     size_t len;
-    rr_doc d;
+    rr_document d;
     assert_string_equal(is->str, was->str);
     assert_string_not_equal(old, new);
     guint8 *data = from_hex(strchr(new, ' ') + 1, &len);
-    assert_int_equal(rr_doc_parse(&d, data, len), 0);
-    assert_true(rr_get_u64(d.root, "tether", &tether) && tether == 7);
-    assert_true(rr_get_u64(d.root, "able", &able) && able == 1);
-    rr_doc_clear(&d);
+    assert_int_equal(rr_document_parse(&d, data, len), 0);
+    assert_true(rr_map_get_u64(d.root, "tether", &tether) && tether == 7);
+    assert_true(rr_map_get_u64(d.root, "able", &able) && able == 1);
+    rr_document_clear(&d);
     g_free(data);
     g_free(old);
     g_free(new);
@@ -92,10 +92,10 @@
         if (strcmp(lines[i], "frames") == 0) {
             read_frames(data, len);
         } else {
-            rr_doc d;
-            assert_int_equal(rr_doc_parse(&d, data, len), 0);
+            rr_document d;
+            assert_int_equal(rr_document_parse(&d, data, len), 0);
             rr_core_mirror_put(n.core, lines[i], d.root, (uint64_t)i + 1, n.now);
-            rr_doc_clear(&d);
+            rr_document_clear(&d);
         }
         g_free(data);
     }
@@ -312,21 +312,21 @@
 static void put_record(fx_world *w, const char *ref, int chunk, int first, int count,
                        uint64_t attempt) {
     char key[64];
-    rr_out o;
-    rr_out_init(&o);
-    rr_put_map(&o, 2);
-    rr_put_key_text(&o, "bits", "0000000000000000");
-    rr_put_text(&o, "tasks");
-    rr_put_array(&o, (size_t)count);
+    rr_encoder o;
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 2);
+    rr_encode_key_text(&o, "bits", "0000000000000000");
+    rr_encode_text(&o, "tasks");
+    rr_encode_array(&o, (size_t)count);
     for (int t = first; t < first + count; t++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", t % 20 + 1);
-        rr_put_array(&o, 5);
-        rr_put_u64(&o, (uint64_t)t);
-        rr_put_text(&o, id);
-        rr_put_u64(&o, attempt + (uint64_t)t);
-        rr_put_u64(&o, 1);
-        rr_put_u64(&o, 0);
+        rr_encode_array(&o, 5);
+        rr_encode_u64(&o, (uint64_t)t);
+        rr_encode_text(&o, id);
+        rr_encode_u64(&o, attempt + (uint64_t)t);
+        rr_encode_u64(&o, 1);
+        rr_encode_u64(&o, 0);
     }
     g_snprintf(key, sizeof key, RR_ROOT "run/%s/%d", ref, chunk);
     fx_put(w->store, key, &o);
--- a/tests/test_door.c
+++ b/tests/test_door.c
@@ -20,7 +20,7 @@
     (void)user;
     rs->status = 200;
     rs->yields = strcmp(rq->path, "/hello") == 0;
-    rr_put_map(&rs->body, 0);
+    rr_encode_map(&rs->body, 0);
 }
 
 struct fixture {
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -38,14 +38,14 @@
 
 static bool is_done(const struct rr_config *cfg, const char *ref) {
     char path[64], standing[32] = "";
-    rr_doc d;
+    rr_document d;
     g_snprintf(path, sizeof path, "/submissions/%s", ref);
     int status = world_call(cfg, "GET", path, NULL, 0, &d);
     if (status > 0) {
         if (status == 200) {
-            rr_get_text(d.root, "standing", standing, sizeof standing);
+            rr_map_get_text(d.root, "standing", standing, sizeof standing);
         }
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
     }
     return strcmp(standing, "done") == 0;
 }
@@ -138,14 +138,14 @@
 
 /* One request on a connection, which stays open if the controller leaves it so. Its status, 0:
  * closed instead. */
-static int talk(int fd, const char *method, const char *path, const rr_out *body) {
+static int talk(int fd, const char *method, const char *path, const rr_encoder *body) {
     char text[4096];
-    size_t size = body ? body->buf.size : 0, got = 0, whole = 0;
+    size_t size = body ? body->buffer.size : 0, got = 0, whole = 0;
     int len =
         g_snprintf(text, sizeof text, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n",
                    method, path, size);
     if (size && (size_t)len + size <= sizeof text) {
-        memcpy(text + len, body->buf.data, size);
+        memcpy(text + len, body->buffer.data, size);
         len += (int)size;
     }
     if (send(fd, text, (size_t)len, MSG_NOSIGNAL) != len) {
@@ -168,29 +168,29 @@
 /* A report of worker n: that many tasks, the first of them in this standing. */
 static int hello(int fd, unsigned n, uint64_t sequence, unsigned tasks, const char *standing) {
     char name[32], piece[32];
-    rr_out o;
+    rr_encoder o;
     g_snprintf(name, sizeof name, "vm-%06u", 500000 + n);
-    rr_out_init(&o);
-    rr_put_map(&o, 9);
-    rr_put_key_text(&o, "stone", name);
-    rr_put_key_text(&o, "addr", "127.0.0.1:9");
-    rr_put_key_text(&o, "build", "m1");
-    rr_put_key_text(&o, "ward", "a");
-    rr_put_key_bool(&o, "loaners", false);
-    rr_put_key_u64(&o, "tenure", 1);
-    rr_put_key_u64(&o, "tally", sequence);
-    rr_put_key_u64(&o, "warrant", 0);
-    rr_put_text(&o, "pieces");
-    rr_put_array(&o, tasks);
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 9);
+    rr_encode_key_text(&o, "stone", name);
+    rr_encode_key_text(&o, "addr", "127.0.0.1:9");
+    rr_encode_key_text(&o, "build", "m1");
+    rr_encode_key_text(&o, "ward", "a");
+    rr_encode_key_bool(&o, "loaners", false);
+    rr_encode_key_u64(&o, "tenure", 1);
+    rr_encode_key_u64(&o, "tally", sequence);
+    rr_encode_key_u64(&o, "warrant", 0);
+    rr_encode_text(&o, "pieces");
+    rr_encode_array(&o, tasks);
     for (unsigned i = 0; i < tasks; i++) {
         g_snprintf(piece, sizeof piece, "req-%06u/%u", 180000 + n, i);
-        rr_put_map(&o, 3);
-        rr_put_key_text(&o, "piece", piece);
-        rr_put_key_u64(&o, "try", 4294967296 + i);
-        rr_put_key_text(&o, "standing", i ? "running" : standing);
+        rr_encode_map(&o, 3);
+        rr_encode_key_text(&o, "piece", piece);
+        rr_encode_key_u64(&o, "try", 4294967296 + i);
+        rr_encode_key_text(&o, "standing", i ? "running" : standing);
     }
     int status = talk(fd, "POST", "/hello", &o);
-    rr_out_clear(&o);
+    rr_encoder_clear(&o);
     return status;
 }
 
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -63,15 +63,15 @@
 /* The standing that a poll tells, or "" with any other answer than 200. */
 static const char *poll_standing(const struct rr_app *a, const char *ref, char *out, size_t size) {
     char path[96];
-    rr_doc d;
+    rr_document d;
     g_snprintf(path, sizeof path, "/submissions/%s", ref);
     out[0] = 0;
     int status = world_call(&a->cfg, "GET", path, NULL, 0, &d);
     if (status > 0) {
         if (status == 200) {
-            rr_get_text(d.root, "standing", out, size);
+            rr_map_get_text(d.root, "standing", out, size);
         }
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
     }
     return out;
 }
@@ -234,32 +234,32 @@
     static const char *const texts[][2] = {
         {"lane", "plain"}, {"crew", "red"}, {"cast", "img-1"}, {"shape", "batch"}, {"rank", "low"}};
     static const char *const flags[] = {"one_zone", "apart", "loaners"};
-    rr_out o;
-    rr_out_init(&o);
-    rr_put_map(&o, 17 - (left_out != NULL));
+    rr_encoder o;
+    rr_encoder_init(&o);
+    rr_encode_map(&o, 17 - (left_out != NULL));
     if (!left_out || strcmp(left_out, "ref") != 0) {
-        rr_put_key_text(&o, "ref", ref);
+        rr_encode_key_text(&o, "ref", ref);
     }
     if (!left_out || strcmp(left_out, "pieces") != 0) {
-        rr_put_key_u64(&o, "pieces", 1);
+        rr_encode_key_u64(&o, "pieces", 1);
     }
     for (int i = 0; i < 7; i++) {
         if (!left_out || strcmp(left_out, nums[i]) != 0) {
-            rr_put_key_num(&o, nums[i], strcmp(nums[i], "cards") == 0 ? cards : 1);
+            rr_encode_key_number(&o, nums[i], strcmp(nums[i], "cards") == 0 ? cards : 1);
         }
     }
     for (int i = 0; i < 5; i++) {
         if (!left_out || strcmp(left_out, texts[i][0]) != 0) {
-            rr_put_key_text(&o, texts[i][0], texts[i][1]);
+            rr_encode_key_text(&o, texts[i][0], texts[i][1]);
         }
     }
     for (int i = 0; i < 3; i++) {
         if (!left_out || strcmp(left_out, flags[i]) != 0) {
-            rr_put_key_bool(&o, flags[i], false);
+            rr_encode_key_bool(&o, flags[i], false);
         }
     }
-    int status = world_call(&a->cfg, "POST", "/submissions", o.buf.data, o.buf.size, NULL);
-    rr_out_clear(&o);
+    int status = world_call(&a->cfg, "POST", "/submissions", o.buffer.data, o.buffer.size, NULL);
+    rr_encoder_clear(&o);
     return status;
 }
 
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 static int parse(const void *data, size_t len) {
-    rr_doc d;
-    int rc = rr_doc_parse(&d, data, len);
-    rr_doc_clear(&d);
+    rr_document d;
+    int rc = rr_document_parse(&d, data, len);
+    rr_document_clear(&d);
     return rc;
 }
 
@@ -41,12 +41,12 @@
     char buf[] = "\x81\xa1k\xa3"
                  "abc",
          out[8];
-    rr_doc d;
-    assert_int_equal(rr_doc_parse(&d, buf, sizeof buf - 1), 0);
+    rr_document d;
+    assert_int_equal(rr_document_parse(&d, buf, sizeof buf - 1), 0);
     memset(buf, 'x', sizeof buf);
-    assert_true(rr_get_text(d.root, "k", out, sizeof out));
+    assert_true(rr_map_get_text(d.root, "k", out, sizeof out));
     assert_string_equal(out, "abc");
-    rr_doc_clear(&d);
+    rr_document_clear(&d);
 }
 
 static void one_whole_value_only(void **state) {
@@ -57,83 +57,83 @@
     assert_int_equal(parse("", 0), -EBADMSG);
 }
 
-static void encode_job(rr_out *o) {
+static void encode_job(rr_encoder *o) {
     rr_submission s;
     fx_submission(&s, &(struct fx_job){.ref = "req-000001", .deadline_s = 90, .zone = "a"});
-    rr_out_init(o);
-    rr_put_map(o, rr_submission_field_count(&s));
+    rr_encoder_init(o);
+    rr_encode_map(o, rr_submission_field_count(&s));
     rr_submission_encode_fields(o, &s);
 }
 
 static void submission_round_trip(void **state) {
     (void)state;
-    rr_out o;
-    rr_doc d;
+    rr_encoder o;
+    rr_document d;
     rr_submission s;
     const char *field = NULL;
     encode_job(&o);
-    assert_int_equal(rr_doc_parse(&d, o.buf.data, o.buf.size), 0);
+    assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
     assert_int_equal(rr_submission_decode(d.root, &s, &field), 0);
     assert_string_equal(s.ref, "req-000001");
     assert_true(s.deadline_s == 90);
     assert_string_equal(s.zone, "a");
-    rr_doc_clear(&d);
-    rr_out_clear(&o);
+    rr_document_clear(&d);
+    rr_encoder_clear(&o);
 }
 
 /* Encodes a submission by hand with one field replaced, and expects it to be refused there. */
 enum kind { MISSING, NIL, TEXT, NEGATIVE, NOT_FINITE, INTEGER, TOO_MANY };
 
-static void put_odd(rr_out *o, enum kind kind) {
+static void put_odd(rr_encoder *o, enum kind kind) {
     switch (kind) {
     case NIL:
-        msgpack_pack_nil(&o->pk);
+        msgpack_pack_nil(&o->packer);
         break;
     case TEXT:
-        rr_put_text(o, "what");
+        rr_encode_text(o, "what");
         break;
     case NEGATIVE:
-        rr_put_num(o, -1);
+        rr_encode_number(o, -1);
         break;
     case NOT_FINITE:
-        rr_put_num(o, INFINITY);
+        rr_encode_number(o, INFINITY);
         break;
     case INTEGER:
-        rr_put_u64(o, 4);
+        rr_encode_u64(o, 4);
         break;
     default:
-        rr_put_u64(o, 100001);
+        rr_encode_u64(o, 100001);
     }
 }
 
 static int decode_with(const char *name, enum kind kind, const char **field) {
-    rr_out o, odd;
-    rr_doc d, whole;
+    rr_encoder o, odd;
+    rr_document d, whole;
     rr_submission s;
     encode_job(&o);
-    assert_int_equal(rr_doc_parse(&whole, o.buf.data, o.buf.size), 0);
+    assert_int_equal(rr_document_parse(&whole, o.buffer.data, o.buffer.size), 0);
     const msgpack_object_map *m = &whole.root->via.map;
-    rr_out_init(&odd);
-    rr_put_map(&odd, kind == MISSING ? m->size - 1 : m->size);
+    rr_encoder_init(&odd);
+    rr_encode_map(&odd, kind == MISSING ? m->size - 1 : m->size);
     for (uint32_t i = 0; i < m->size; i++) {
-        bool hit = rr_text_is(&m->ptr[i].key, name);
+        bool hit = rr_object_text_equals(&m->ptr[i].key, name);
         if (hit && kind == MISSING) {
             continue;
         }
-        msgpack_pack_object(&odd.pk, m->ptr[i].key);
+        msgpack_pack_object(&odd.packer, m->ptr[i].key);
         if (hit) {
             put_odd(&odd, kind);
         } else {
-            msgpack_pack_object(&odd.pk, m->ptr[i].val);
+            msgpack_pack_object(&odd.packer, m->ptr[i].val);
         }
     }
-    assert_int_equal(rr_doc_parse(&d, odd.buf.data, odd.buf.size), 0);
+    assert_int_equal(rr_document_parse(&d, odd.buffer.data, odd.buffer.size), 0);
     int rc = rr_submission_decode(d.root, &s, field);
     rr_submission_clear(&s);
-    rr_doc_clear(&d);
-    rr_doc_clear(&whole);
-    rr_out_clear(&o);
-    rr_out_clear(&odd);
+    rr_document_clear(&d);
+    rr_document_clear(&whole);
+    rr_encoder_clear(&o);
+    rr_encoder_clear(&odd);
     return rc;
 }
 
@@ -185,31 +185,31 @@
 /* A task list that can't be read whole proves nothing about what is absent from it. */
 static void a_report_counts_whole_or_not_at_all(void **state) {
     (void)state;
-    rr_out o;
-    rr_doc d;
+    rr_encoder o;
+    rr_document d;
     rr_report r;
     for (int bad = 0; bad < 2; bad++) {
-        rr_out_init(&o);
-        rr_put_map(&o, 9);
-        rr_put_key_text(&o, "stone", "vm-1");
-        rr_put_key_text(&o, "addr", "10.0.0.1:9000");
-        rr_put_key_text(&o, "build", "m1");
-        rr_put_key_text(&o, "ward", "a");
-        rr_put_key_bool(&o, "loaners", false);
-        rr_put_key_u64(&o, "tenure", 1);
-        rr_put_key_u64(&o, "tally", 2);
-        rr_put_key_u64(&o, "warrant", 3);
-        rr_put_text(&o, "pieces");
-        rr_put_array(&o, 1);
-        rr_put_map(&o, 3);
-        rr_put_key_text(&o, "piece", bad ? "nonsense" : "req-1/0");
-        rr_put_key_u64(&o, "try", 2);
-        rr_put_key_text(&o, "standing", "running");
-        assert_int_equal(rr_doc_parse(&d, o.buf.data, o.buf.size), 0);
+        rr_encoder_init(&o);
+        rr_encode_map(&o, 9);
+        rr_encode_key_text(&o, "stone", "vm-1");
+        rr_encode_key_text(&o, "addr", "10.0.0.1:9000");
+        rr_encode_key_text(&o, "build", "m1");
+        rr_encode_key_text(&o, "ward", "a");
+        rr_encode_key_bool(&o, "loaners", false);
+        rr_encode_key_u64(&o, "tenure", 1);
+        rr_encode_key_u64(&o, "tally", 2);
+        rr_encode_key_u64(&o, "warrant", 3);
+        rr_encode_text(&o, "pieces");
+        rr_encode_array(&o, 1);
+        rr_encode_map(&o, 3);
+        rr_encode_key_text(&o, "piece", bad ? "nonsense" : "req-1/0");
+        rr_encode_key_u64(&o, "try", 2);
+        rr_encode_key_text(&o, "standing", "running");
+        assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
         assert_int_equal(rr_report_decode(d.root, &r), bad ? -EBADMSG : 0);
         rr_report_clear(&r);
-        rr_doc_clear(&d);
-        rr_out_clear(&o);
+        rr_document_clear(&d);
+        rr_encoder_clear(&o);
     }
 }
 
@@ -219,13 +219,13 @@
     (void)state;
     GRand *rnd = g_rand_new_with_seed(20);
     uint8_t buf[512] = {0};
-    rr_out job;
+    rr_encoder job;
     encode_job(&job);
     for (int i = 0; i < 40000; i++) {
         size_t n = (size_t)g_rand_int_range(rnd, 1, sizeof buf);
         if (i % 2) {
-            n = job.buf.size < sizeof buf ? job.buf.size : sizeof buf;
-            memcpy(buf, job.buf.data, n);
+            n = job.buffer.size < sizeof buf ? job.buffer.size : sizeof buf;
+            memcpy(buf, job.buffer.data, n);
             for (int k = g_rand_int_range(rnd, 1, 6); k > 0; k--) {
                 buf[g_rand_int_range(rnd, 0, (gint)n)] = (uint8_t)g_rand_int(rnd);
             }
@@ -235,8 +235,8 @@
             }
             buf[0] = (uint8_t)(0x80 | (buf[0] & 0x0f));
         }
-        rr_doc d;
-        if (rr_doc_parse(&d, buf, n) == 0) {
+        rr_document d;
+        if (rr_document_parse(&d, buf, n) == 0) {
             rr_submission s;
             rr_report r;
             rr_build b;
@@ -254,9 +254,9 @@
             rr_build_clear(&b);
             rr_listed_machine_decode(d.root, &st);
         }
-        rr_doc_clear(&d);
+        rr_document_clear(&d);
     }
-    rr_out_clear(&job);
+    rr_encoder_clear(&job);
     g_rand_free(rnd);
 }
 
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -37,15 +37,15 @@
     const rr_admission *admission = model->controllers[controller];
     const rr_admission_table *table = rr_admission_newest(admission);
     trace_hash *hash = &admission_trace.hash;
-    rr_out records[RR_ADMISSION_PARTS_MAX];
+    rr_encoder records[RR_ADMISSION_PARTS_MAX];
     trace_int(hash, table ? table->sequence : UINT64_MAX);
     if (!table || table->sequence == 0) {
         return;
     }
     guint count = rr_admission_table_encode(table, 4096, RR_ADMISSION_PARTS_MAX, records);
     for (guint i = 0; i < count; i++) {
-        trace_bytes(hash, records[i].buf.data, records[i].buf.size);
-        rr_out_clear(&records[i]);
+        trace_bytes(hash, records[i].buffer.data, records[i].buffer.size);
+        rr_encoder_clear(&records[i]);
     }
     rr_txn txn;
     rr_txn_init(&txn);
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -96,18 +96,18 @@
 
 static void join(struct trace_world *world, struct trace_controller *controller) {
     char key[RR_NAME + 16];
-    rr_out out;
+    rr_encoder out;
     controller->session = ++world->sessions;
     controller->session_until = world->now + rr_session_s(&controller->node.cfg);
     controller->joined = true;
-    rr_out_init(&out);
+    rr_encoder_init(&out);
     if (world->scenario.odd_records && trace_chance(world, 0.1)) {
-        rr_put_map(&out, 1); /* a version that knows no gangs */
-        rr_put_key_u64(&out, "tether", controller->session);
+        rr_encode_map(&out, 1); /* a version that knows no gangs */
+        rr_encode_key_u64(&out, "tether", controller->session);
     } else {
         rr_core_node_put(&controller->node.cfg, &out, controller->session);
     }
-    trace_bytes(&world->hash, out.buf.data, out.buf.size);
+    trace_bytes(&world->hash, out.buffer.data, out.buffer.size);
     g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.cfg.node_name);
     fx_put(world->store, key, &out);
     rr_core_set_session(controller->node.core, controller->session, controller->session_until);
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -40,12 +40,12 @@
 
 /* As it goes to the state service: guards, changes and their bytes. */
 void trace_txn(trace_hash *hash, const rr_txn *txn) {
-    rr_out out;
-    rr_out_init(&out);
+    rr_encoder out;
+    rr_encoder_init(&out);
     rr_txn_encode(txn, &out);
-    trace_int(hash, out.buf.size);
-    trace_bytes(hash, out.buf.data, out.buf.size);
-    rr_out_clear(&out);
+    trace_int(hash, out.buffer.size);
+    trace_bytes(hash, out.buffer.data, out.buffer.size);
+    rr_encoder_clear(&out);
 }
 
 static void trace_orders(trace_hash *hash, const GArray *orders) {
@@ -115,11 +115,11 @@
 }
 
 void trace_submission(trace_hash *hash, const rr_submission *submission) {
-    rr_out out;
-    rr_out_init(&out);
+    rr_encoder out;
+    rr_encoder_init(&out);
     rr_core_job_encode(&out, submission, 0, false);
-    trace_bytes(hash, out.buf.data, out.buf.size);
-    rr_out_clear(&out);
+    trace_bytes(hash, out.buffer.data, out.buffer.size);
+    rr_encoder_clear(&out);
 }
 
 void trace_stats(trace_hash *hash, const rr_core_stats *stats) {
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -114,10 +114,10 @@
 static void write_one(struct trace_world *world, struct trace_controller *controller,
                       const rr_submission *submission) {
     char key[RR_ID + 64];
-    rr_out out;
+    rr_encoder out;
     rr_txn txn;
     rr_txn_init(&txn);
-    rr_out_init(&out);
+    rr_encoder_init(&out);
     rr_core_job_encode(&out, submission, trace_wall(world), trace_chance(world, 0.02));
     rr_core_job_key(submission->ref, key, sizeof key);
     rr_txn_guard(&txn, key, 0);
@@ -132,10 +132,10 @@
 static void write_batch(struct trace_world *world, struct trace_controller *controller,
                         const rr_submission *submissions, size_t count) {
     char key[RR_ID + 64];
-    rr_out out;
+    rr_encoder out;
     rr_txn txn;
     rr_txn_init(&txn);
-    rr_out_init(&out);
+    rr_encoder_init(&out);
     rr_core_batch_begin(&out, count);
     for (size_t i = 0; i < count; i++) {
         rr_core_job_encode(&out, &submissions[i], trace_wall(world), false);
@@ -211,13 +211,13 @@
     struct trace_job *job = any_job(world);
     char key[RR_ID + 64];
     uint64_t mark = 0;
-    rr_out out;
+    rr_encoder out;
     rr_txn txn;
     if (!controller || !job) {
         return;
     }
     rr_txn_init(&txn);
-    rr_out_init(&out);
+    rr_encoder_init(&out);
     bool possible = rr_core_cancel_record(controller->node.core, job->id, &out, &mark);
     trace_int(&world->hash, possible);
     if (possible) {
@@ -229,7 +229,7 @@
             hint_peers(world, controller, job->id);
         }
     } else {
-        rr_out_clear(&out);
+        rr_encoder_clear(&out);
     }
     rr_txn_clear(&txn);
 }
@@ -308,10 +308,10 @@
 
 static void put_unreadable(struct trace_world *world, const char *key, const char *field,
                            const char *text) {
-    rr_out out;
-    rr_out_init(&out);
-    rr_put_map(&out, 1);
-    rr_put_key_text(&out, field, text);
+    rr_encoder out;
+    rr_encoder_init(&out);
+    rr_encode_map(&out, 1);
+    rr_encode_key_text(&out, field, text);
     fx_put(world->store, key, &out);
 }
 
@@ -319,7 +319,7 @@
 static void cancel_by_earlier_version(struct trace_world *world) {
     const struct trace_job *job = any_job(world);
     char key[RR_ID + 64];
-    rr_out out;
+    rr_encoder out;
     if (!job) {
         return;
     }
@@ -327,10 +327,10 @@
     if (fx_mark(world->store, key) == 0) {
         return;
     }
-    rr_out_init(&out);
-    rr_put_map(&out, 2);
-    rr_put_key_text(&out, "ref", job->id);
-    rr_put_key_bool(&out, "cancelled", true);
+    rr_encoder_init(&out);
+    rr_encode_map(&out, 2);
+    rr_encode_key_text(&out, "ref", job->id);
+    rr_encode_key_bool(&out, "cancelled", true);
     fx_put(world->store, key, &out);
 }
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -115,15 +115,15 @@
     g_ptr_array_add(w->log, c);
 }
 
-static int commit(world *w, const msgpack_object *o, rr_out *out) {
-    const msgpack_object *guards = rr_get(o, "guards"), *apply = rr_get(o, "apply");
+static int commit(world *w, const msgpack_object *o, rr_encoder *out) {
+    const msgpack_object *guards = rr_map_get(o, "guards"), *apply = rr_map_get(o, "apply");
     GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
     char key[256];
     uint64_t mark, tether;
     for (uint32_t i = 0; guards && i < guards->via.array.size; i++) {
         const msgpack_object *g = &guards->via.array.ptr[i];
-        rr_get_text(g, "path", key, sizeof key);
-        rr_get_u64(g, "mark", &mark);
+        rr_map_get_text(g, "path", key, sizeof key);
+        rr_map_get_u64(g, "mark", &mark);
         const struct value *v = g_tree_lookup(w->kv, key);
         if ((v ? v->mark : 0) != mark) {
             g_ptr_array_add(failed, g_strdup(key));
@@ -135,66 +135,66 @@
         for (uint32_t i = 0; apply && i < apply->via.array.size; i++) {
             const msgpack_object *c = &apply->via.array.ptr[i];
             tether = 0;
-            rr_get_u64(c, "tether", &tether);
-            if (rr_get_text(c, "put", key, sizeof key)) {
-                set_key(w, key, rr_get(c, "v"), tether);
-            } else if (rr_get_text(c, "delete", key, sizeof key)) {
+            rr_map_get_u64(c, "tether", &tether);
+            if (rr_map_get_text(c, "put", key, sizeof key)) {
+                set_key(w, key, rr_map_get(c, "v"), tether);
+            } else if (rr_map_get_text(c, "delete", key, sizeof key)) {
                 set_key(w, key, NULL, 0);
             }
         }
         pthread_cond_broadcast(&w->moved);
     }
-    rr_put_map(out, ok ? 1 : 2);
-    rr_put_key_u64(out, "epoch", w->epoch);
+    rr_encode_map(out, ok ? 1 : 2);
+    rr_encode_key_u64(out, "epoch", w->epoch);
     if (!ok) {
-        rr_put_text(out, "failed");
-        rr_put_array(out, failed->len);
+        rr_encode_text(out, "failed");
+        rr_encode_array(out, failed->len);
         for (guint i = 0; i < failed->len; i++) {
-            rr_put_text(out, failed->pdata[i]);
+            rr_encode_text(out, failed->pdata[i]);
         }
     }
     g_ptr_array_free(failed, TRUE);
     return ok ? 200 : 409;
 }
 
-static int get_key(world *w, const char *key, rr_out *out) {
+static int get_key(world *w, const char *key, rr_encoder *out) {
     const struct value *v = g_tree_lookup(w->kv, key);
     if (!v) {
-        rr_put_map(out, 1);
-        rr_put_key_u64(out, "epoch", w->epoch);
+        rr_encode_map(out, 1);
+        rr_encode_key_u64(out, "epoch", w->epoch);
         return 404;
     }
-    rr_put_map(out, 4);
-    rr_put_key_text(out, "path", key);
-    rr_put_text(out, "v");
-    msgpack_sbuffer_write(&out->buf, v->data, v->len);
-    rr_put_key_u64(out, "mark", v->mark);
-    rr_put_key_u64(out, "tether", v->tether);
+    rr_encode_map(out, 4);
+    rr_encode_key_text(out, "path", key);
+    rr_encode_text(out, "v");
+    msgpack_sbuffer_write(&out->buffer, v->data, v->len);
+    rr_encode_key_u64(out, "mark", v->mark);
+    rr_encode_key_u64(out, "tether", v->tether);
     return 200;
 }
 
 struct listing {
-    rr_out *out;
+    rr_encoder *out;
 };
 
 static gboolean list_one(gpointer k, gpointer v, gpointer user) {
     struct listing *l = user;
     const struct value *val = v;
-    rr_put_map(l->out, 3);
-    rr_put_key_text(l->out, "path", k);
-    rr_put_text(l->out, "v");
-    msgpack_sbuffer_write(&l->out->buf, val->data, val->len);
-    rr_put_key_u64(l->out, "mark", val->mark);
+    rr_encode_map(l->out, 3);
+    rr_encode_key_text(l->out, "path", k);
+    rr_encode_text(l->out, "v");
+    msgpack_sbuffer_write(&l->out->buffer, val->data, val->len);
+    rr_encode_key_u64(l->out, "mark", val->mark);
     return FALSE;
 }
 
-static int list_keys(world *w, rr_out *out) {
+static int list_keys(world *w, rr_encoder *out) {
     struct listing l = {out};
-    rr_put_map(out, 3);
-    rr_put_key_bool(out, "more", false);
-    rr_put_key_u64(out, "epoch", w->epoch);
-    rr_put_text(out, "rows");
-    rr_put_array(out, (size_t)g_tree_nnodes(w->kv));
+    rr_encode_map(out, 3);
+    rr_encode_key_bool(out, "more", false);
+    rr_encode_key_u64(out, "epoch", w->epoch);
+    rr_encode_text(out, "rows");
+    rr_encode_array(out, (size_t)g_tree_nnodes(w->kv));
     g_tree_foreach(w->kv, list_one, &l);
     return 200;
 }
@@ -209,7 +209,7 @@
     return door->w->frozen || door->w->down || door->frozen || door->refused;
 }
 
-static int watch(const struct door *door, uint64_t from, double hold_s, rr_out *out) {
+static int watch(const struct door *door, uint64_t from, double hold_s, rr_encoder *out) {
     world *w = door->w;
     double until = rr_now() + hold_s;
     while (!w->stopping && (shows_nothing(door) || w->epoch <= from) && rr_now() < until) {
@@ -223,22 +223,22 @@
         }
         n++;
     }
-    rr_put_map(out, 2);
-    rr_put_key_u64(out, "epoch", show ? w->epoch : from);
-    rr_put_text(out, "log");
-    rr_put_array(out, n);
+    rr_encode_map(out, 2);
+    rr_encode_key_u64(out, "epoch", show ? w->epoch : from);
+    rr_encode_text(out, "log");
+    rr_encode_array(out, n);
     /* Newest first: the order is not promised. */
     for (guint i = w->log->len; show && i > 0; i--) {
         const struct change *c = w->log->pdata[i - 1];
         if (c->mark <= from) {
             break;
         }
-        rr_put_map(out, c->data ? 3 : 2);
-        rr_put_key_text(out, c->data ? "put" : "delete", c->key);
-        rr_put_key_u64(out, "mark", c->mark);
+        rr_encode_map(out, c->data ? 3 : 2);
+        rr_encode_key_text(out, c->data ? "put" : "delete", c->key);
+        rr_encode_key_u64(out, "mark", c->mark);
         if (c->data) {
-            rr_put_text(out, "v");
-            msgpack_sbuffer_write(&out->buf, c->data, c->len);
+            rr_encode_text(out, "v");
+            msgpack_sbuffer_write(&out->buffer, c->data, c->len);
         }
     }
     return 200;
@@ -291,16 +291,16 @@
     g_hash_table_foreach_remove(w->leases, lease_over, &now);
 }
 
-static int grant_lease(world *w, const msgpack_object *o, rr_out *out) {
+static int grant_lease(world *w, const msgpack_object *o, rr_encoder *out) {
     double life_ms = 1000;
     struct lease *lease = g_new0(struct lease, 1);
     uint64_t *key = g_new(uint64_t, 1);
-    rr_get_num(o, "life_ms", &life_ms);
+    rr_map_get_number(o, "life_ms", &life_ms);
     *key = ++w->holds;
     *lease = (struct lease){life_ms / 1000, rr_now() + life_ms / 1000};
     g_hash_table_insert(w->leases, key, lease);
-    rr_put_map(out, 1);
-    rr_put_key_u64(out, "tether", *key);
+    rr_encode_map(out, 1);
+    rr_encode_key_u64(out, "tether", *key);
     return 200;
 }
 
@@ -314,7 +314,7 @@
 
 /* ---- cloud and worker ---- */
 
-static int catalog(const world *w, rr_out *out) {
+static int catalog(const world *w, rr_encoder *out) {
     rr_build b = {.sku = "m1",
                   .vcpus = 16,
                   .cards = 4,
@@ -326,46 +326,46 @@
                   .startup_s = 1};
     b.zones = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(b.zones, g_strdup(w->zone));
-    rr_put_map(out, 1);
-    rr_put_text(out, "builds");
-    rr_put_array(out, 1);
+    rr_encode_map(out, 1);
+    rr_encode_text(out, "builds");
+    rr_encode_array(out, 1);
     rr_build_encode(out, &b);
     rr_build_clear(&b);
     return 200;
 }
 
-static int machines(world *w, rr_out *out) {
+static int machines(world *w, rr_encoder *out) {
     char addr[40];
     g_snprintf(addr, sizeof addr, "127.0.0.1:%u", w->port);
-    rr_put_map(out, 2);
-    rr_put_key_bool(out, "more", false);
-    rr_put_text(out, "stones");
-    rr_put_array(out, w->up ? 1 : 0);
+    rr_encode_map(out, 2);
+    rr_encode_key_bool(out, "more", false);
+    rr_encode_text(out, "stones");
+    rr_encode_array(out, w->up ? 1 : 0);
     if (w->up) {
-        rr_put_map(out, 7);
-        rr_put_key_text(out, "ref", "vm-000001");
-        rr_put_key_text(out, "addr", addr);
-        rr_put_key_text(out, "build", "m1");
-        rr_put_key_text(out, "ward", w->zone);
-        rr_put_key_bool(out, "loaners", false);
-        rr_put_key_text(out, "standing", "running");
-        rr_put_key_num(out, "age_s", 1);
+        rr_encode_map(out, 7);
+        rr_encode_key_text(out, "ref", "vm-000001");
+        rr_encode_key_text(out, "addr", addr);
+        rr_encode_key_text(out, "build", "m1");
+        rr_encode_key_text(out, "ward", w->zone);
+        rr_encode_key_bool(out, "loaners", false);
+        rr_encode_key_text(out, "standing", "running");
+        rr_encode_key_number(out, "age_s", 1);
     }
     return 200;
 }
 
-static int rental(world *w, rr_out *out) {
+static int rental(world *w, rr_encoder *out) {
     if (w->up) {
-        rr_put_map(out, 1);
-        rr_put_key_text(out, "error", "no capacity");
+        rr_encode_map(out, 1);
+        rr_encode_key_text(out, "error", "no capacity");
         return 503;
     }
     w->up = true;
     w->rented++;
-    rr_put_map(out, 1);
-    rr_put_text(out, "stones");
-    rr_put_array(out, 1);
-    rr_put_text(out, "vm-000001");
+    rr_encode_map(out, 1);
+    rr_encode_text(out, "stones");
+    rr_encode_array(out, 1);
+    rr_encode_text(out, "vm-000001");
     return 200;
 }
 
@@ -401,8 +401,8 @@
 static void do_order(world *w, const msgpack_object *o) {
     char piece[80];
     uint64_t attempt = 0;
-    rr_get_text(o, "piece", piece, sizeof piece);
-    rr_get_u64(o, "try", &attempt);
+    rr_map_get_text(o, "piece", piece, sizeof piece);
+    rr_map_get_u64(o, "try", &attempt);
     guint at = w->tasks->len;
     for (guint i = 0; i < w->tasks->len; i++) {
         const struct task *t = &g_array_index(w->tasks, struct task, i);
@@ -412,7 +412,7 @@
     }
     bool known = at < w->tasks->len;
     struct task *t = known ? &g_array_index(w->tasks, struct task, at) : NULL;
-    if (rr_text_is(rr_get(o, "verb"), "start") && !known) {
+    if (rr_object_text_equals(rr_map_get(o, "verb"), "start") && !known) {
         struct task fresh = {.attempt = attempt, .standing = 1};
         g_strlcpy(fresh.piece, piece, sizeof fresh.piece);
         /* Jobs numbered from 5 are services. */
@@ -423,48 +423,48 @@
         g_array_append_val(w->runs, run);
         g_array_append_val(w->tasks, fresh);
         note_start(w, piece);
-    } else if (rr_text_is(rr_get(o, "verb"), "stop") && known && t->standing == 1) {
+    } else if (rr_object_text_equals(rr_map_get(o, "verb"), "stop") && known && t->standing == 1) {
         end_task(w, t, 3, rr_now());
-    } else if (rr_text_is(rr_get(o, "verb"), "reap") && known && t->standing > 1) {
+    } else if (rr_object_text_equals(rr_map_get(o, "verb"), "reap") && known && t->standing > 1) {
         g_array_remove_index(w->tasks, at);
     }
 }
 
-static void report(world *w, rr_out *out) {
+static void report(world *w, rr_encoder *out) {
     static const char *const standings[] = {"", "running", "ended", "ended"};
     static const char *const causes[] = {"", "", "done", "halted"};
     char addr[40];
     g_snprintf(addr, sizeof addr, "127.0.0.1:%u", w->port);
-    rr_put_map(out, 9);
-    rr_put_key_text(out, "stone", "vm-000001");
-    rr_put_key_text(out, "addr", addr);
-    rr_put_key_text(out, "build", "m1");
-    rr_put_key_text(out, "ward", w->zone);
-    rr_put_key_bool(out, "loaners", false);
-    rr_put_key_u64(out, "tenure", 1);
-    rr_put_key_u64(out, "tally", ++w->sequence);
-    rr_put_key_u64(out, "warrant", w->fencing_token);
-    rr_put_text(out, "pieces");
-    rr_put_array(out, w->tasks->len);
+    rr_encode_map(out, 9);
+    rr_encode_key_text(out, "stone", "vm-000001");
+    rr_encode_key_text(out, "addr", addr);
+    rr_encode_key_text(out, "build", "m1");
+    rr_encode_key_text(out, "ward", w->zone);
+    rr_encode_key_bool(out, "loaners", false);
+    rr_encode_key_u64(out, "tenure", 1);
+    rr_encode_key_u64(out, "tally", ++w->sequence);
+    rr_encode_key_u64(out, "warrant", w->fencing_token);
+    rr_encode_text(out, "pieces");
+    rr_encode_array(out, w->tasks->len);
     for (guint i = 0; i < w->tasks->len; i++) {
         struct task *t = &g_array_index(w->tasks, struct task, i);
         if (t->standing == 1 && t->ends_at > 0 && rr_now() > t->ends_at) {
             end_task(w, t, 2, t->ends_at);
         }
-        rr_put_map(out, t->standing > 1 ? 4 : 3);
-        rr_put_key_text(out, "piece", t->piece);
-        rr_put_key_u64(out, "try", t->attempt);
-        rr_put_key_text(out, "standing", standings[t->standing]);
+        rr_encode_map(out, t->standing > 1 ? 4 : 3);
+        rr_encode_key_text(out, "piece", t->piece);
+        rr_encode_key_u64(out, "try", t->attempt);
+        rr_encode_key_text(out, "standing", standings[t->standing]);
         if (t->standing > 1) {
-            rr_put_key_text(out, "cause", causes[t->standing]);
+            rr_encode_key_text(out, "cause", causes[t->standing]);
         }
     }
 }
 
 static bool take_orders(world *w, const msgpack_object *o) {
     uint64_t fencing_token = 0;
-    const msgpack_object *orders = rr_get(o, "orders");
-    if (!rr_get_u64(o, "warrant", &fencing_token) || fencing_token < w->fencing_token) {
+    const msgpack_object *orders = rr_map_get(o, "orders");
+    if (!rr_map_get_u64(o, "warrant", &fencing_token) || fencing_token < w->fencing_token) {
         return false;
     }
     w->fencing_token = fencing_token;
@@ -486,9 +486,9 @@
     world *w = arg;
     rr_client *c = rr_client_create(NULL);
     for (;;) {
-        rr_out o;
+        rr_encoder o;
         rr_reply reply;
-        rr_out_init(&o);
+        rr_encoder_init(&o);
         pthread_mutex_lock(&w->lock);
         bool stop = w->stopping, up = w->up && w->reports_to.port;
         struct rr_endpoint to = w->reports_to;
@@ -499,27 +499,27 @@
         }
         pthread_mutex_unlock(&w->lock);
         if (stop) {
-            rr_out_clear(&o);
+            rr_encoder_clear(&o);
             break;
         }
         struct rr_call call = {.method = "POST",
                                .to = &to,
                                .path = "/hello",
-                               .body = o.buf.data,
-                               .len = o.buf.size,
+                               .body = o.buffer.data,
+                               .len = o.buffer.size,
                                .timeout_s = 2};
         if (up && rr_client_call(c, &call, &reply) == 0 && reply.status == 200) {
-            rr_doc d;
-            if (rr_doc_parse(&d, reply.body->data, reply.body->len) == 0) {
+            rr_document d;
+            if (rr_document_parse(&d, reply.body->data, reply.body->len) == 0) {
                 pthread_mutex_lock(&w->lock);
                 take_orders(w, d.root);
                 pthread_mutex_unlock(&w->lock);
             }
-            rr_doc_clear(&d);
+            rr_document_clear(&d);
         } else if (up) {
             try_next_controller(w);
         }
-        rr_out_clear(&o);
+        rr_encoder_clear(&o);
         rr_sleep(0.05);
     }
     rr_client_destroy(c);
@@ -529,7 +529,7 @@
 /* ---- one door for all ---- */
 
 static int route(const struct door *door, struct MHD_Connection *conn, const char *url,
-                 const char *method, const msgpack_object *o, rr_out *out) {
+                 const char *method, const msgpack_object *o, rr_encoder *out) {
     world *w = door->w;
     const char *from = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "from");
     const char *hold = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "hold_ms");
@@ -596,24 +596,24 @@
         *len = 0;
         return MHD_YES;
     }
-    rr_doc d;
-    rr_out out;
-    rr_doc_parse(&d, body->data, body->len);
-    rr_out_init(&out);
+    rr_document d;
+    rr_encoder out;
+    rr_document_parse(&d, body->data, body->len);
+    rr_encoder_init(&out);
     pthread_mutex_lock(&w->lock);
     int status = route(door, conn, url, method, d.root, &out);
     bool drop = w->drop_next && strcmp(url, "/commit") == 0 && strstr((char *)body->data, "req-");
     w->drop_next = w->drop_next && !drop;
     pthread_mutex_unlock(&w->lock);
-    rr_doc_clear(&d);
+    rr_document_clear(&d);
     enum MHD_Result ok = MHD_NO; /* closes the connection */
     if (!drop) {
-        struct MHD_Response *r =
-            MHD_create_response_from_buffer(out.buf.size, out.buf.data, MHD_RESPMEM_MUST_COPY);
+        struct MHD_Response *r = MHD_create_response_from_buffer(out.buffer.size, out.buffer.data,
+                                                                 MHD_RESPMEM_MUST_COPY);
         ok = MHD_queue_response(conn, (unsigned)status, r);
         MHD_destroy_response(r);
     }
-    rr_out_clear(&out);
+    rr_encoder_clear(&out);
     return ok;
 }
 
@@ -851,7 +851,7 @@
 }
 
 int world_call(const struct rr_config *c, const char *method, const char *path, const void *body,
-               size_t len, rr_doc *doc) {
+               size_t len, rr_document *doc) {
     rr_client *client = rr_client_create(NULL);
     rr_reply reply;
     struct rr_call call = {.method = method,
@@ -863,18 +863,18 @@
                            .fresh = true};
     int rc = rr_client_call(client, &call, &reply);
     if (rc == 0 && doc) {
-        rr_doc_parse(doc, reply.body->data, reply.body->len);
+        rr_document_parse(doc, reply.body->data, reply.body->len);
     }
     rr_client_destroy(client);
     return rc == 0 ? (int)reply.status : -1;
 }
 
 int world_submit(const struct rr_config *c, const rr_submission *submission) {
-    rr_out out;
-    rr_out_init(&out);
-    rr_put_map(&out, rr_submission_field_count(submission));
+    rr_encoder out;
+    rr_encoder_init(&out);
+    rr_encode_map(&out, rr_submission_field_count(submission));
     rr_submission_encode_fields(&out, submission);
-    int status = world_call(c, "POST", "/submissions", out.buf.data, out.buf.size, NULL);
-    rr_out_clear(&out);
+    int status = world_call(c, "POST", "/submissions", out.buffer.data, out.buffer.size, NULL);
+    rr_encoder_clear(&out);
     return status;
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -50,7 +50,7 @@
 void world_config(world *w, struct rr_config *c, const char *name);
 /* One request to a controller; -1 if there was no answer. *doc may be NULL. */
 int world_call(const struct rr_config *c, const char *method, const char *path, const void *body,
-               size_t len, rr_doc *doc);
+               size_t len, rr_document *doc);
 /* Submits a job; the status as above. */
 int world_submit(const struct rr_config *c, const rr_submission *submission);
 
