--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -118,7 +118,7 @@
 
 static rr_work job_work(const rr_admission *admission, const rr_submission *submission) {
     rr_work task = rr_work_of_task(submission, admission->settings->service_estimate_s);
-    return rr_work_scale(task, submission->pieces);
+    return rr_work_scale(task, submission->task_count);
 }
 
 /* Without a table to rely on: of what its team is guaranteed in an interval, this controller's part
@@ -164,7 +164,7 @@
                  standing->cache_age_s > rr_admission_counts_s(admission->settings->interval_s);
     if (!stale) {
         verdict = rr_admission_decide(&tables, wall, admission->config->clock_off_s, &key,
-                                      submission->ref);
+                                      submission->job_id);
         stale = verdict.kind == RR_ADMISSION_STALE;
     }
     if (stale) {
@@ -173,8 +173,8 @@
     }
     if (verdict.kind != RR_ADMISSION_ADMIT) {
         admission->stats.refused++;
-        rr_demand_refused(admission->demand, &key, submission->ref, job_work(admission, submission),
-                          now);
+        rr_demand_refused(admission->demand, &key, submission->job_id,
+                          job_work(admission, submission), now);
     }
     return verdict;
 }
@@ -183,7 +183,8 @@
     rr_admission_key key;
     rr_admission_key_of(submission, admission->settings->band_limits, &key);
     admission->stats.admitted++;
-    rr_demand_admitted(admission->demand, &key, submission->ref, job_work(admission, submission));
+    rr_demand_admitted(admission->demand, &key, submission->job_id,
+                       job_work(admission, submission));
 }
 
 /* ---- demand ---- */
--- a/src/admission/demand.c
+++ b/src/admission/demand.c
@@ -10,7 +10,8 @@
 #define SAMPLE_MOST 256u
 
 rr_work rr_work_of_task(const rr_submission *submission, double service_s) {
-    double seconds = submission->shape == RR_SERVICE ? service_s : submission->runtime_estimate_s;
+    double seconds =
+        submission->kind == RR_JOB_SERVICE ? service_s : submission->runtime_estimate_s;
     return (rr_work){submission->vcpus * seconds, submission->cards * seconds,
                      submission->mem_gb * seconds};
 }
--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -68,8 +68,8 @@
     g_strlcpy(out->job_class, submission->job_class, sizeof out->job_class);
     g_strlcpy(out->zone, submission->zone, sizeof out->zone);
     set_types(submission, out);
-    out->band =
-        (submission->pieces >= band_limits[0]) + (submission->pieces >= band_limits[1] ? 1U : 0U);
+    out->band = (submission->task_count >= band_limits[0]) +
+                (submission->task_count >= band_limits[1] ? 1U : 0U);
     rr_admission_key_hash(out);
 }
 
--- a/src/admission/load.c
+++ b/src/admission/load.c
@@ -98,12 +98,12 @@
     rr_load_team *of_team = &load->teams[team];
     rr_amount need = {submission->vcpus, submission->cards, submission->mem_gb};
     rr_work work = rr_work_of_task(submission, load->settings->service_estimate_s);
-    bool ends = submission->shape != RR_SERVICE;
+    bool ends = submission->kind != RR_JOB_SERVICE;
     of_team->used = amount_add(of_team->used, need, placed);
     of_team->batch = amount_add(of_team->batch, need, ends ? placed : 0);
     of_team->waiting = amount_add(of_team->waiting, need, waiting);
     of_team->done =
-        rr_work_add(of_team->done, work, newly_done(load, submission->ref, ends ? done : 0));
+        rr_work_add(of_team->done, work, newly_done(load, submission->job_id, ends ? done : 0));
     if (waiting > 0) {
         add_waiting(load, submission, rr_work_scale(work, waiting));
     }
--- a/src/app/cells_duty.c
+++ b/src/app/cells_duty.c
@@ -484,8 +484,8 @@
     rr_map_get_text(doc.root, "standing", standing, sizeof standing);
     rr_map_get_u64(doc.root, "running", &running);
     if (strcmp(standing, "running") == 0) {
-        view->standing = "running";
-        view->nrunning = (uint32_t)running;
+        view->state = "running";
+        view->running_count = (uint32_t)running;
     }
     rr_document_clear(&doc);
     return true;
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -16,8 +16,8 @@
     rr_encode_key_text(&rs->body, "error", why);
 }
 
-static void answer_standing(struct rr_response *rs, int status, const char *ref,
-                            const char *standing) {
+static void answer_job_state(struct rr_response *rs, int status, const char *ref,
+                             const char *standing) {
     rs->status = status;
     rr_encode_map(&rs->body, 2);
     rr_encode_key_text(&rs->body, "ref", ref);
@@ -34,7 +34,7 @@
  * Final states can't change and need no barrier. False: can't be told now. */
 static bool view_behind_barrier(struct rr_app *a, const char *ref, rr_job_view *v) {
     view_of(a, ref, v);
-    if (v->known && (v->done || v->aborted)) {
+    if (v->known && (v->done || v->cancelled)) {
         return true;
     }
     double until = rr_now() + BARRIER_S;
@@ -92,7 +92,7 @@
         return true;
     }
     if (v.known) {
-        answer_standing(rs, 200, ref, v.standing);
+        answer_job_state(rs, 200, ref, v.state);
     }
     return v.known;
 }
@@ -108,7 +108,7 @@
         rr_app_refuse(rs, 503, "state not reachable", 2);
         return;
     }
-    rr_core_job_key(s->ref, u.key, sizeof u.key);
+    rr_core_job_key(s->job_id, u.key, sizeof u.key);
     rr_encoder_init(&u.value);
     rr_core_job_encode(&u.value, s, rr_wall(), false);
     /* The store counts JSON, which is longer than what is packed here. */
@@ -117,8 +117,8 @@
     } else if (!commit_for_user(a, &u)) {
         rr_app_refuse(rs, 503, "overloaded", 2);
     } else if (u.outcome == RR_COMMITTED) {
-        answer_standing(rs, 201, s->ref, "queued");
-    } else if (u.outcome != RR_CONFLICT || !answer_known(a, s->ref, rs)) {
+        answer_job_state(rs, 201, s->job_id, "queued");
+    } else if (u.outcome != RR_CONFLICT || !answer_known(a, s->job_id, rs)) {
         rr_app_refuse(rs, 503, "state not reachable", 1);
     }
     rr_encoder_clear(&u.value);
@@ -157,7 +157,7 @@
     }
     rr_submission_clear(&s);
     /* Before a refusal for good: the job may be known where this mirror does not reach yet. */
-    if (rr_ref_valid(ref) && answer_known(a, ref, rs)) {
+    if (rr_job_id_valid(ref) && answer_known(a, ref, rs)) {
         return;
     }
     if (rc != 0) {
@@ -186,20 +186,20 @@
 
 void rr_app_poll_here(struct rr_app *a, const char *ref, struct rr_response *rs) {
     rr_job_view v = {0};
-    bool valid = rr_ref_valid(ref);
+    bool valid = rr_job_id_valid(ref);
     if (valid && !view_behind_barrier(a, ref, &v)) {
         rr_app_refuse(rs, 503, "state not reachable", 1);
     } else if (!v.known) {
         rr_app_refuse(rs, 404, "no such job", 0);
-    } else if (!v.done && !v.aborted && !rr_app_cells_view_away(a, ref, &v)) {
+    } else if (!v.done && !v.cancelled && !rr_app_cells_view_away(a, ref, &v)) {
         rr_app_refuse(rs, 503, "the cell that has the job is not reachable", 1);
     } else {
         rs->status = 200;
         rr_encode_map(&rs->body, 4);
         rr_encode_key_text(&rs->body, "ref", ref);
-        rr_encode_key_text(&rs->body, "standing", v.standing);
-        rr_encode_key_u64(&rs->body, "done", v.ndone);
-        rr_encode_key_u64(&rs->body, "running", v.nrunning);
+        rr_encode_key_text(&rs->body, "standing", v.state);
+        rr_encode_key_u64(&rs->body, "done", v.done_count);
+        rr_encode_key_u64(&rs->body, "running", v.running_count);
     }
 }
 
@@ -232,8 +232,8 @@
             rr_app_refuse(rs, 503, "state not reachable", 1);
         } else if (!v.known) {
             rr_app_refuse(rs, 404, "no such job", 0);
-        } else if (v.done || v.aborted) {
-            answer_standing(rs, 200, ref, v.standing);
+        } else if (v.done || v.cancelled) {
+            answer_job_state(rs, 200, ref, v.state);
         } else {
             answered = false; /* it came to be known just now */
         }
@@ -242,7 +242,7 @@
     } else if (u.outcome == RR_COMMITTED) {
         rr_log(RR_DEBUG_LEVEL, "job %s is cancelled", ref);
         rr_app_tell_cancelled(a, ref);
-        answer_standing(rs, 200, ref, "aborted");
+        answer_job_state(rs, 200, ref, "aborted");
     } else if (u.outcome == RR_CONFLICT) {
         pthread_mutex_lock(&a->lock);
         answered = !rr_app_wait_epoch(a, u.epoch, until);
@@ -272,7 +272,7 @@
 void rr_app_cancel_here(struct rr_app *a, const char *ref, struct rr_response *rs) {
     double until = rr_now() + 2.5;
     int retry_after_s = 0;
-    if (!rr_ref_valid(ref)) {
+    if (!rr_job_id_valid(ref)) {
         rr_app_refuse(rs, 404, "no such job", 0);
         return;
     }
@@ -290,14 +290,14 @@
 
 static void poll_job(struct rr_app *a, const char *ref, struct rr_response *rs) {
     rr_app_poll_here(a, ref, rs);
-    if (rs->status == 404 && rr_ref_valid(ref)) {
+    if (rs->status == 404 && rr_job_id_valid(ref)) {
         rr_app_cells_relay(a, false, ref, rs);
     }
 }
 
 static void cancel_job(struct rr_app *a, const char *ref, struct rr_response *rs) {
     rr_app_cancel_here(a, ref, rs);
-    if (rs->status == 404 && rr_ref_valid(ref)) {
+    if (rs->status == 404 && rr_job_id_valid(ref)) {
         rr_app_cells_relay(a, true, ref, rs);
     }
 }
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -97,10 +97,10 @@
     (void)waiting;
     (void)placed;
     (void)done;
-    if (rr_core_find_job(visit->absent->mirror, submission->ref, &job) && !job.done &&
+    if (rr_core_find_job(visit->absent->mirror, submission->job_id, &job) && !job.done &&
         !job.cancelled) {
         visit->fn(visit->user, submission, job.at,
-                  rr_absent_out_of(visit->absent, submission->ref));
+                  rr_absent_out_of(visit->absent, submission->job_id));
     }
 }
 
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -125,7 +125,7 @@
     if (!rr_transfers_owns(look->transfers, submission->team, look->now)) {
         return;
     }
-    if (out && rr_absent_holds(look->absent, submission->ref, out->record.claim)) {
+    if (out && rr_absent_holds(look->absent, submission->job_id, out->record.claim)) {
         take_offered(look, submission, at, out);
         return;
     }
@@ -133,10 +133,10 @@
         return;
     }
     rr_txn_init(&txn);
-    if (rr_absent_claim(look->absent, submission->ref, submission->team, &txn)) {
+    if (rr_absent_claim(look->absent, submission->job_id, submission->team, &txn)) {
         rr_room_take(&look->transfers->room, submission);
         look->claims++;
-        add_there(look, submission->ref, false, &txn);
+        add_there(look, submission->job_id, false, &txn);
     } else {
         rr_txn_clear(&txn);
     }
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -42,7 +42,7 @@
         }
         return;
     }
-    if (!rr_ref_valid(local_id) || rr_cells_in_decode(value, &record) != 0) {
+    if (!rr_job_id_valid(local_id) || rr_cells_in_decode(value, &record) != 0) {
         transfers->stats.records_unread++;
         return;
     }
@@ -219,7 +219,7 @@
     bool held = entry->guest.record.state == RR_GUEST_HELD;
     bool done = !cancelled && (!known || job.done);
     entry->guest.running = job.placed > 0;
-    entry->begun = entry->begun || job.placed > 0 || job.ndone > 0;
+    entry->begun = entry->begun || job.placed > 0 || job.done_count > 0;
     if (held && done && !entry->guest.over) {
         rr_guest_step step = rr_guest_end(&entry->guest, RR_ANSWER_DONE);
         if (step.action == RR_GUEST_WRITE) {
@@ -383,7 +383,7 @@
         rr_document_clear(&doc);
     }
     if (readable) {
-        g_strlcpy(submission.ref, local_id, sizeof submission.ref);
+        g_strlcpy(submission.job_id, local_id, sizeof submission.job_id);
     }
     bool room = readable && may_take(transfers, request, &submission, now);
     rr_guest_step step = rr_guest_receive(&none, &item->message, room, &transfers->settings->times);
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -57,7 +57,7 @@
 void rr_cells_add_offer(GArray *items, const rr_transfer_message *offer,
                         const rr_submission *submission, double at) {
     rr_encoder packed;
-    rr_cells_add_item(items, submission->ref, offer);
+    rr_cells_add_item(items, submission->job_id, offer);
     rr_cells_item *item = &g_array_index(items, rr_cells_item, items->len - 1);
     rr_encoder_init(&packed);
     rr_core_job_encode(&packed, submission, at, false);
@@ -167,7 +167,7 @@
     item->message.answer = (enum rr_job_answer)answer;
     bool empty = kind == RR_TRANSFER_NOTHING;
     return !fields.bad && known_message(kind) && answer <= RR_ANSWER_CANCELLED &&
-           (empty || rr_ref_valid(item->job_id));
+           (empty || rr_job_id_valid(item->job_id));
 }
 
 static bool unpack_items(rr_unpack *from, GArray *items) {
@@ -203,7 +203,7 @@
         good = unpack_items(&from, out->items);
     } else {
         rr_unpack_text(&from, out->job_id, sizeof out->job_id);
-        good = rr_ref_valid(out->job_id);
+        good = rr_job_id_valid(out->job_id);
     }
     return good && !from.bad ? 0 : -EBADMSG;
 }
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -62,7 +62,7 @@
         }
         return;
     }
-    if (!rr_ref_valid(job_id) || rr_cells_out_decode(value, &record) != 0) {
+    if (!rr_job_id_valid(job_id) || rr_cells_out_decode(value, &record) != 0) {
         transfers->stats.records_unread++;
         return;
     }
@@ -268,7 +268,7 @@
     const rr_cells_settings *settings = choice->transfers->settings;
     double wait_s = choice->wall - at;
     if (!some_cell_takes(settings, submission) ||
-        was_away_often(choice->transfers, submission->ref)) {
+        was_away_often(choice->transfers, submission->job_id)) {
         return;
     }
     choice->longest_s = fmax(choice->longest_s, wait_s);
@@ -294,7 +294,7 @@
  * way. */
 static void offer(rr_transfers *transfers, const struct candidate *candidate, size_t neighbour,
                   double now, double wall, rr_transfers_plan *plan) {
-    rr_outgoing *entry = rr_outgoing_get(transfers, candidate->submission->ref);
+    rr_outgoing *entry = rr_outgoing_get(transfers, candidate->submission->job_id);
     g_strlcpy(entry->record.team, candidate->submission->team, sizeof entry->record.team);
     if (!load(transfers, entry, now)) {
         return;
--- a/src/cells/records.c
+++ b/src/cells/records.c
@@ -85,11 +85,12 @@
     int state = index_of(value, "state", guest_states, G_N_ELEMENTS(guest_states));
     int answer = index_of(value, "answer", answers, G_N_ELEMENTS(answers));
     memset(out, 0, sizeof *out);
-    bool good =
-        state >= 0 && answer >= 0 && rr_map_get_u64(value, "claim", &claim) &&
-        claim <= UINT32_MAX && rr_map_get_text(value, "crew", out->team, sizeof out->team) &&
-        rr_map_get_text(value, "home", out->home, sizeof out->home) &&
-        rr_map_get_text(value, "ref", out->job_id, sizeof out->job_id) && rr_ref_valid(out->job_id);
+    bool good = state >= 0 && answer >= 0 && rr_map_get_u64(value, "claim", &claim) &&
+                claim <= UINT32_MAX &&
+                rr_map_get_text(value, "crew", out->team, sizeof out->team) &&
+                rr_map_get_text(value, "home", out->home, sizeof out->home) &&
+                rr_map_get_text(value, "ref", out->job_id, sizeof out->job_id) &&
+                rr_job_id_valid(out->job_id);
     out->state = state >= 0 ? (enum rr_guest_state)state : RR_GUEST_NONE;
     out->answer = answer >= 0 ? (enum rr_job_answer)answer : RR_ANSWER_NONE;
     out->claim = (uint32_t)claim;
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -144,7 +144,7 @@
 }
 
 bool rr_room_take(rr_cells_room *room, const rr_submission *submission) {
-    double tasks = submission->pieces;
+    double tasks = submission->task_count;
     double cpu = tasks * submission->vcpus, gpu = tasks * submission->cards,
            mem = tasks * submission->mem_gb;
     bool fits = cpu <= room->cpu && gpu <= fmax(room->gpu, 0) && mem <= room->mem;
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -21,7 +21,7 @@
 }
 
 bool rr_zone_bound(const rr_job *j) {
-    return j->s.one_zone || j->s.zone[0];
+    return j->submission.one_zone || j->submission.zone[0];
 }
 
 void rr_sim_reset(rr_core *c) {
@@ -31,24 +31,24 @@
         /* What is known to be over takes no room any more, though its record waits for others. */
         for (guint k = 0; k < m->places->len; k++) {
             const rr_place *p = &g_array_index(m->places, rr_place, k);
-            m->sim = p->over_at > 0 ? rr_res_add(m->sim, p->job->need, 1) : m->sim;
+            m->sim = p->over_at > 0 ? rr_res_add(m->sim, p->job->request, 1) : m->sim;
         }
         m->booked_image = -1;
     }
 }
 
 bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool spot) {
-    if (spot && !j->s.spot) {
+    if (spot && !j->submission.spot) {
         return false;
     }
-    if (j->s.zone[0] && strcmp(j->s.zone, rr_names_at(&c->zones, zone)) != 0) {
+    if (j->submission.zone[0] && strcmp(j->submission.zone, rr_names_at(&c->zones, zone)) != 0) {
         return false;
     }
-    if (j->s.nbuilds == 0) {
+    if (j->submission.nbuilds == 0) {
         return true;
     }
-    for (int i = 0; i < j->s.nbuilds; i++) {
-        if (strcmp(j->s.builds[i], rr_names_at(&c->builds, build)) == 0) {
+    for (int i = 0; i < j->submission.nbuilds; i++) {
+        if (strcmp(j->submission.builds[i], rr_names_at(&c->builds, build)) == 0) {
             return true;
         }
     }
@@ -78,16 +78,17 @@
 
 void rr_job_zones_from(const rr_core *c, const rr_job *j, const uint32_t *by_zone, uint32_t all,
                        bool *allowed) {
-    uint32_t half = (j->s.pieces + 1) / 2;
+    uint32_t half = (j->submission.task_count + 1) / 2;
     for (guint w = 0; w < c->zones.names->len; w++) {
         allowed[w] = true;
-        if (j->s.zone[0] && strcmp(j->s.zone, rr_names_at(&c->zones, (int)w)) != 0) {
+        if (j->submission.zone[0] &&
+            strcmp(j->submission.zone, rr_names_at(&c->zones, (int)w)) != 0) {
             allowed[w] = false;
         }
-        if (j->s.apart && by_zone[w] >= half) {
+        if (j->submission.spread && by_zone[w] >= half) {
             allowed[w] = false;
         }
-        if (j->s.one_zone &&
+        if (j->submission.one_zone &&
             ((all && !by_zone[w]) || (!all && j->zone >= 0 && j->zone != (int)w))) {
             allowed[w] = false;
         }
@@ -98,7 +99,9 @@
     guint n = c->zones.names->len;
     uint32_t by_zone[n + 1];
     memset(by_zone, 0, sizeof by_zone);
-    uint32_t all = j->s.one_zone || j->s.apart ? rr_job_count_by_zone(c, j, except, by_zone) : 0;
+    uint32_t all = j->submission.one_zone || j->submission.spread
+                       ? rr_job_count_by_zone(c, j, except, by_zone)
+                       : 0;
     rr_job_zones_from(c, j, by_zone, all, allowed);
 }
 
@@ -131,7 +134,7 @@
     if (rr_machine_has_image(m, j->image)) {
         return 0;
     }
-    return b && b->pull_rate > 0 ? j->s.image_size_gb / b->pull_rate : 5;
+    return b && b->pull_rate > 0 ? j->submission.image_size_gb / b->pull_rate : 5;
 }
 
 /* Sort key, least first. An image that is already there comes before price where the class has an
@@ -164,12 +167,12 @@
 
 void rr_candidates(rr_core *c, const rr_job *j, const struct rr_choice *how, double now,
                    GArray *out) {
-    bool urgent = rr_objective_for(c, "wait", j->s.job_class) != NULL;
+    bool urgent = rr_objective_for(c, "wait", j->submission.job_class) != NULL;
     g_array_set_size(out, 0);
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
-        if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->need, m->sim) ||
+        if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->request, m->sim) ||
             !rr_job_allows(c, j, m->build, m->zone, m->spot) || !how->filter(c, m, now)) {
             continue;
         }
@@ -182,8 +185,8 @@
         k.trouble = failed_here(m, j) ? 2 : rr_machine_doubtful(m, now) ? 1 : 0;
         k.image = urgent && fetch > 0;
         k.price = rr_zone_bound(j) ? 1 : rr_machine_price(c, m);
-        if (!urgent && j->s.runtime_estimate_s > 0 && !rr_zone_bound(j)) {
-            k.price *= 1 + fetch / j->s.runtime_estimate_s;
+        if (!urgent && j->submission.runtime_estimate_s > 0 && !rr_zone_bound(j)) {
+            k.price *= 1 + fetch / j->submission.runtime_estimate_s;
         }
         /* A replica that is planned anew settles where it is, if it can. */
         k.foreign = !how->home && c->parts > 1 && part_of(m) % c->parts != c->part;
@@ -236,7 +239,7 @@
     for (guint i = 0; i < cands->len;) {
         const rr_cand *k = &g_array_index(cands, rr_cand, i);
         c->visits++;
-        if (!rr_res_fits(j->need, k->m->sim) ||
+        if (!rr_res_fits(j->request, k->m->sim) ||
             (how->separate && k->m != how->home && k->m->booked && rr_machine_has_task(k->m, j))) {
             g_array_remove_index_fast(cands, i);
             continue;
@@ -307,9 +310,9 @@
                         struct zone_room *zone) {
     zone->free = rr_res_add(zone->free, m->sim, 1);
     zone->capacity = rr_res_add(zone->capacity, rr_machine_cap(c, m), 1);
-    uint32_t fitting = rr_tasks_in(j->need, m->sim, wanted);
+    uint32_t fitting = rr_tasks_in(j->request, m->sim, wanted);
     zone->fitting = MIN(zone->fitting + fitting, wanted);
-    if (j->s.shape == RR_GANG && rr_machine_has_image(m, j->image)) {
+    if (j->submission.kind == RR_JOB_GANG && rr_machine_has_image(m, j->image)) {
         zone->warm = MIN(zone->warm + fitting, wanted);
     }
 }
@@ -317,7 +320,8 @@
 int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *zones, double now) {
     guint n = c->zones.names->len;
     struct zone_room rooms[n + 1];
-    uint32_t wanted = j->s.pieces - MIN(j->s.pieces, j->ndone + j->nplaced);
+    uint32_t wanted =
+        j->submission.task_count - MIN(j->submission.task_count, j->done_count + j->placed_count);
     memset(rooms, 0, sizeof rooms);
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -16,7 +16,7 @@
 
 bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
     const struct rr_team_config *team = &planner->c->cfg->teams[job->team];
-    rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->need, tasks);
+    rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->request, tasks);
     return (team->cpus_max <= 0 || used.cpu <= team->cpus_max + RR_EPS) &&
            (team->gpus_max <= 0 || used.gpu <= team->gpus_max + RR_EPS);
 }
@@ -31,7 +31,7 @@
 
 bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
     rr_res guarantee = guarantee_of(planner->c, job->team);
-    rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->need, tasks);
+    rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->request, tasks);
     return used.cpu <= guarantee.cpu + RR_EPS && used.gpu <= guarantee.gpu + RR_EPS;
 }
 
@@ -137,14 +137,14 @@
     g_array_append_val(edit->items, item);
     rr_plan_use(planner, machine);
     g_array_append_val(machine->booked, job);
-    machine->sim = rr_res_add(machine->sim, job->need, -1);
+    machine->sim = rr_res_add(machine->sim, job->request, -1);
     machine->booked_image = job->image;
     rr_res *booked = &g_array_index(core->team_booked, rr_res, job->team);
-    *booked = rr_res_add(*booked, job->need, 1);
+    *booked = rr_res_add(*booked, job->request, 1);
     rr_plan_guard(planner, job);
     planner->booked = machine;
-    rr_log_at(core, RR_LOG_DEBUG, "place %s/%u attempt %" G_GUINT64_FORMAT " on %s", job->s.ref,
-              task, attempt, machine->name);
+    rr_log_at(core, RR_LOG_DEBUG, "place %s/%u attempt %" G_GUINT64_FORMAT " on %s",
+              job->submission.job_id, task, attempt, machine->name);
     return true;
 }
 
@@ -183,17 +183,20 @@
 }
 
 static bool same_demands(const rr_job *a, const rr_job *b) {
-    return a->team == b->team && a->job_class == b->job_class && a->s.rank == b->s.rank &&
-           a->s.spot == b->s.spot && a->s.shape == b->s.shape &&
-           strcmp(a->s.zone, b->s.zone) == 0 && same_machine_types(&a->s, &b->s);
+    return a->team == b->team && a->job_class == b->job_class &&
+           a->submission.priority == b->submission.priority &&
+           a->submission.spot == b->submission.spot && a->submission.kind == b->submission.kind &&
+           strcmp(a->submission.zone, b->submission.zone) == 0 &&
+           same_machine_types(&a->submission, &b->submission);
 }
 
 bool rr_search_hopeless(const struct rr_planner *planner, const rr_job *job, uint64_t zone_mask) {
     for (guint i = 0; i < planner->failures->len; i++) {
         const struct rr_plan_failure *failure =
             &g_array_index(planner->failures, struct rr_plan_failure, i);
-        if (same_demands(failure->job, job) && rr_res_fits(failure->job->need, job->need) &&
-            (job->s.shape != RR_GANG || failure->job->s.pieces <= job->s.pieces) &&
+        if (same_demands(failure->job, job) && rr_res_fits(failure->job->request, job->request) &&
+            (job->submission.kind != RR_JOB_GANG ||
+             failure->job->submission.task_count <= job->submission.task_count) &&
             (zone_mask & ~failure->zones) == 0) {
             return true;
         }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -76,9 +76,9 @@
 enum rr_admit { RR_ADMIT_OK, RR_ADMIT_KNOWN, RR_ADMIT_NEVER, RR_ADMIT_UNKNOWN_YET };
 enum rr_admit rr_core_admit(const rr_core *c, const rr_submission *s, const char **why);
 typedef struct {
-    bool known, done, aborted;
-    const char *standing;
-    uint32_t ndone, nrunning;
+    bool known, done, cancelled;
+    const char *state;
+    uint32_t done_count, running_count;
     uint64_t mark;
 } rr_job_view;
 void rr_core_job_view(const rr_core *c, const char *ref, double now, rr_job_view *out);
@@ -211,7 +211,7 @@
     double at;                       /* wall, when accepted */
     bool known;                      /* its record is */
     bool done, cancelled;
-    uint32_t placed, ndone;
+    uint32_t placed, done_count;
 } rr_core_job;
 /* False: not known as more than a line; a final one may still be. */
 bool rr_core_find_job(const rr_core *c, const char *job_id, rr_core_job *out);
--- a/src/core/fair_room.c
+++ b/src/core/fair_room.c
@@ -28,11 +28,11 @@
 
 bool rr_within_fair_room(const struct rr_planner *planner, const rr_job *job) {
     const rr_core *c = planner->c;
-    if (!c->fair || job->s.rank == RR_PROD || planner->wall - job->at > FAIR_WAIT_S ||
-        rr_within_guarantee(planner, job, 1)) {
+    if (!c->fair || job->submission.priority == RR_PRIORITY_PROD ||
+        planner->wall - job->at > FAIR_WAIT_S || rr_within_guarantee(planner, job, 1)) {
         return true;
     }
-    rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->need, 1);
+    rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->request, 1);
     return dominant_part(c, used) <= c->fair_room[job->team] + RR_EPS;
 }
 
@@ -43,7 +43,7 @@
         const rr_job *job = g_ptr_array_index(c->open, i);
         if (job->team >= 0 && (size_t)job->team < c->cfg->nteams && job->job_class >= 0) {
             rr_res *of_class = &used[(guint)job->team * classes + (guint)job->job_class];
-            *of_class = rr_res_add(*of_class, job->need, job->nplaced);
+            *of_class = rr_res_add(*of_class, job->request, job->placed_count);
         }
     }
     return used;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -24,9 +24,9 @@
 
 /* One placement. LOST: over, or never to come in time. LEAVES: its machine goes soon. */
 static enum state state_of(const rr_core *c, const rr_machine *m, const rr_place *pl, double now) {
-    const rr_piece *r = rr_piece_find(m, pl);
-    if (r && r->standing == RR_ENDED) {
-        return r->cause == RR_DONE ? DONE : LOST;
+    const rr_task_status *r = rr_task_status_find(m, pl);
+    if (r && r->state == RR_TASK_ENDED) {
+        return r->exit_reason == RR_EXIT_DONE ? DONE : LOST;
     }
     if (m->gone || !m->recorded || (m->heard && m->rep.worker_epoch > pl->worker_epoch) ||
         pl->over_at > 0) {
@@ -35,10 +35,10 @@
     if (!r) {
         return now - pl->seen_at > SHOWN_SHARE * c->cfg->gang_wait_s ? LOST : ABSENT;
     }
-    if (m->rep.spot_notice_s >= 0 || pl->evict || r->standing == RR_FLUSHING) {
+    if (m->rep.spot_notice_s >= 0 || pl->evict || r->state == RR_TASK_SAVING) {
         return LEAVES;
     }
-    return r->standing == RR_RUNNING ? RUNS : SHOWN;
+    return r->state == RR_TASK_RUNNING ? RUNS : SHOWN;
 }
 
 struct count {
@@ -76,7 +76,7 @@
     if (n->all == 0) {
         return RR_GANG_QUEUED;
     }
-    if (n->by[LOST] + n->by[LEAVES] > 0 || n->all < j->s.pieces) {
+    if (n->by[LOST] + n->by[LEAVES] > 0 || n->all < j->submission.task_count) {
         return RR_GANG_STOPPING;
     }
     if (n->by[ABSENT] == n->all) {
@@ -98,6 +98,7 @@
     /* Only a gang that has lost nothing can save, and only if all are told in time. Where the work
      * that takes its room can't wait for that, it does not. */
     *saving = phase == RR_GANG_STOPPING && n.by[LOST] == 0 && n.by[ABSENT] == 0 &&
-              n.all == j->s.pieces && n.told && !n.at_once && j->s.checkpoint_interval_s > 0;
+              n.all == j->submission.task_count && n.told && !n.at_once &&
+              j->submission.checkpoint_interval_s > 0;
     return phase == RR_GANG_STOPPING || phase == RR_GANG_ENDING;
 }
--- a/src/core/holds.c
+++ b/src/core/holds.c
@@ -49,7 +49,8 @@
 }
 
 static const rr_hold *hold_of(const rr_core *c, const rr_job *job) {
-    return g_hash_table_size(c->holds) ? g_hash_table_lookup(c->holds, job->s.ref) : NULL;
+    return g_hash_table_size(c->holds) ? g_hash_table_lookup(c->holds, job->submission.job_id)
+                                       : NULL;
 }
 
 bool rr_job_held(const rr_core *c, const rr_job *job, double now) {
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -13,7 +13,7 @@
     if (!j || j->done || j->cancelled) {
         return false;
     }
-    rr_core_job_encode(o, &j->s, j->at, true);
+    rr_core_job_encode(o, &j->submission, j->at, true);
     *mark = j->own_mark;
     return true;
 }
@@ -22,7 +22,7 @@
     if (j->done) {
         return true;
     }
-    return j->bits && task < j->s.pieces && (j->bits[task / 8] >> (task % 8) & 1);
+    return j->bits && task < j->submission.task_count && (j->bits[task / 8] >> (task % 8) & 1);
 }
 
 void rr_job_open(rr_core *c, rr_job *j) {
@@ -31,16 +31,16 @@
         g_ptr_array_add(c->open, j);
     }
     if (!j->placed) {
-        j->placed = g_malloc0(j->s.pieces);
+        j->placed = g_malloc0(j->submission.task_count);
     }
     if (!j->bits && !j->done) {
-        j->bits = g_malloc0((j->s.pieces + 7) / 8);
+        j->bits = g_malloc0((j->submission.task_count + 7) / 8);
     }
 }
 
 /* A final job without placements needs no task tables any more. */
 void rr_job_maybe_close(rr_core *c, rr_job *j) {
-    if (!j->open || !(j->done || j->cancelled) || j->nplaced) {
+    if (!j->open || !(j->done || j->cancelled) || j->placed_count) {
         return;
     }
     j->open = false;
@@ -52,7 +52,7 @@
         const rr_run *r = g_ptr_array_index(j->runs, i);
         if (r && r->mark) {
             char key[RR_ID + 64];
-            rr_run_key(j->s.ref, r->chunk, key, sizeof key);
+            rr_run_key(j->submission.job_id, r->chunk, key, sizeof key);
             g_ptr_array_add(c->garbage, g_strdup(key));
         }
     }
@@ -62,21 +62,21 @@
     rr_job *j = g_hash_table_lookup(c->jobs, ref);
     if (!j) {
         j = g_new0(rr_job, 1);
-        g_strlcpy(j->s.ref, ref, sizeof j->s.ref);
-        j->s.pieces = 0;
+        g_strlcpy(j->submission.job_id, ref, sizeof j->submission.job_id);
+        j->submission.task_count = 0;
         j->team = j->job_class = j->image = j->zone = -1;
         j->first_seen = now;
         j->per = c->chunk;
-        g_hash_table_insert(c->jobs, j->s.ref, j);
+        g_hash_table_insert(c->jobs, j->submission.job_id, j);
     }
     return j;
 }
 
 static void job_index(rr_core *c, rr_job *j) {
-    j->team = rr_names_add(&c->teams, j->s.team);
-    j->job_class = rr_names_add(&c->job_classes, j->s.job_class);
-    j->image = rr_names_add(&c->images, j->s.image);
-    j->need = (rr_res){j->s.vcpus, j->s.cards, j->s.mem_gb};
+    j->team = rr_names_add(&c->teams, j->submission.team);
+    j->job_class = rr_names_add(&c->job_classes, j->submission.job_class);
+    j->image = rr_names_add(&c->images, j->submission.image);
+    j->request = (rr_res){j->submission.vcpus, j->submission.cards, j->submission.mem_gb};
 }
 
 /* Recent arrivals of each class, for the headroom. */
@@ -104,12 +104,12 @@
 static void put_final(rr_job *j, const msgpack_object *v) {
     uint64_t pieces = 0;
     rr_map_get_u64(v, "pieces", &pieces);
-    if (j->s.pieces == 0) {
-        j->s.pieces = (uint32_t)pieces;
+    if (j->submission.task_count == 0) {
+        j->submission.task_count = (uint32_t)pieces;
     }
-    rr_map_get_text(v, "crew", j->s.team, sizeof j->s.team);
+    rr_map_get_text(v, "crew", j->submission.team, sizeof j->submission.team);
     j->done = true;
-    j->ndone = j->s.pieces;
+    j->done_count = j->submission.task_count;
 }
 
 /* A ledger record that came before its job's (pages of a reread are of different moments) was
@@ -130,21 +130,22 @@
     rr_submission s;
     const char *field;
     if (rr_submission_decode(v, &s, &field) != 0) {
-        rr_log_at(c, RR_LOG_ERROR, "job %s: record unreadable at %s", j->s.ref, field);
+        rr_log_at(c, RR_LOG_ERROR, "job %s: record unreadable at %s", j->submission.job_id, field);
         /* A version that did not know the job's shape writes its cancellation without the rest. */
         rr_map_get_bool(v, "cancelled", &j->cancelled);
         recount(c, j, -1);
         recount(c, j, 1); /* its machines are looked at */
         return;
     }
-    if (j->s.pieces && j->s.pieces != s.pieces) {
-        rr_log_at(c, RR_LOG_ERROR, "job %s: record of another size passed over", j->s.ref);
+    if (j->submission.task_count && j->submission.task_count != s.task_count) {
+        rr_log_at(c, RR_LOG_ERROR, "job %s: record of another size passed over",
+                  j->submission.job_id);
         rr_submission_clear(&s);
         return;
     }
     recount(c, j, -1);
-    rr_submission_clear(&j->s);
-    j->s = s;
+    rr_submission_clear(&j->submission);
+    j->submission = s;
     rr_map_get_number(v, "at", &j->at);
     rr_map_get_bool(v, "cancelled", &j->cancelled);
     job_index(c, j);
@@ -167,7 +168,7 @@
     j->mark = j->own_mark = mark;
     if (rr_map_get(v, "final")) {
         put_final(j, v);
-        j->team = rr_names_add(&c->teams, j->s.team);
+        j->team = rr_names_add(&c->teams, j->submission.team);
     } else {
         put_body(c, j, v, is_new);
     }
@@ -186,7 +187,7 @@
          i++) {
         const msgpack_object *o = &list->via.array.ptr[i];
         char ref[RR_ID];
-        if (!rr_map_get_text(o, "ref", ref, sizeof ref) || !rr_ref_valid(ref) ||
+        if (!rr_map_get_text(o, "ref", ref, sizeof ref) || !rr_job_id_valid(ref) ||
             rr_job_final(c, ref, NULL, NULL)) {
             continue;
         }
@@ -288,8 +289,8 @@
         bool rested = j->resting;
         j->resting = rests(c, j) && !g_hash_table_contains(pinned, j);
         if (rested && j->resting) {
-            gsize line = (gsize)j->ndone * 2 + (j->done ? 1 : 0);
-            g_hash_table_replace(c->finals, g_strdup(j->s.ref), GSIZE_TO_POINTER(line));
+            gsize line = (gsize)j->done_count * 2 + (j->done ? 1 : 0);
+            g_hash_table_replace(c->finals, g_strdup(j->submission.job_id), GSIZE_TO_POINTER(line));
             g_hash_table_iter_remove(&it);
         }
     }
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -21,7 +21,7 @@
 }
 
 uint32_t rr_job_chunks(const rr_job *j) {
-    return (j->s.pieces + j->per - 1) / j->per;
+    return (j->submission.task_count + j->per - 1) / j->per;
 }
 
 bool rr_job_overflows(const rr_job *j) {
@@ -34,16 +34,18 @@
     for (uint32_t i = 0; i < n * 4; i++) {
         uint32_t task = chunk * j->per + i;
         int d = g_ascii_xdigit_value(hex[i / 4]);
-        if (d >= 0 && (d >> (i % 4) & 1) && task < j->s.pieces && !rr_job_task_done(j, task)) {
+        if (d >= 0 && (d >> (i % 4) & 1) && task < j->submission.task_count &&
+            !rr_job_task_done(j, task)) {
             j->bits[task / 8] |= (guint8)(1 << (task % 8));
-            j->ndone++;
+            j->done_count++;
         }
     }
 }
 
 static void chunk_hex(const rr_job *j, uint32_t chunk, const GArray *extra, char *hex) {
     uint32_t first = chunk * j->per;
-    uint32_t n = first >= j->s.pieces ? 0 : MIN(j->s.pieces - first, j->per);
+    uint32_t n =
+        first >= j->submission.task_count ? 0 : MIN(j->submission.task_count - first, j->per);
     int d[RR_CHUNK_MAX / 4] = {0};
     for (uint32_t i = 0; i < n; i++) {
         if (rr_job_task_done(j, first + i)) {
@@ -185,7 +187,7 @@
 void rr_run_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark, double now) {
     char ref[RR_ID], hex[RR_CHUNK_MAX / 4 + 1], zone[RR_TEXT];
     uint32_t chunk;
-    if (!rr_piece_parse(rest, ref, sizeof ref, &chunk) || chunk > RR_PIECES_MAX / c->chunk ||
+    if (!rr_task_name_parse(rest, ref, sizeof ref, &chunk) || chunk > RR_PIECES_MAX / c->chunk ||
         rr_job_final(c, ref, NULL, NULL)) {
         return;
     }
@@ -200,7 +202,7 @@
     r->keep = true;
     const msgpack_object *list = rr_map_get(v, "tasks");
     bool some = list && list->type == MSGPACK_OBJECT_ARRAY && list->via.array.size > 0;
-    if (j->s.pieces && (some || !(j->done || j->cancelled))) {
+    if (j->submission.task_count && (some || !(j->done || j->cancelled))) {
         rr_job_open(c, j);
     }
     if (j->bits && rr_map_get_text(v, "bits", hex, sizeof hex)) {
@@ -228,7 +230,7 @@
     const char *key = g_ptr_array_index(c->garbage, i);
     char ref[RR_ID];
     uint32_t chunk;
-    rr_job *j = rr_piece_parse(key + strlen(RR_ROOT "run/"), ref, sizeof ref, &chunk)
+    rr_job *j = rr_task_name_parse(key + strlen(RR_ROOT "run/"), ref, sizeof ref, &chunk)
                     ? g_hash_table_lookup(c->jobs, ref)
                     : NULL;
     if (job) {
@@ -246,8 +248,9 @@
 void rr_run_delete(rr_core *c, const char *rest, uint64_t mark, double now) {
     char ref[RR_ID];
     uint32_t chunk;
-    rr_job *j =
-        rr_piece_parse(rest, ref, sizeof ref, &chunk) ? g_hash_table_lookup(c->jobs, ref) : NULL;
+    rr_job *j = rr_task_name_parse(rest, ref, sizeof ref, &chunk)
+                    ? g_hash_table_lookup(c->jobs, ref)
+                    : NULL;
     rr_run *r = j && j->runs && chunk < j->runs->len ? g_ptr_array_index(j->runs, chunk) : NULL;
     if (r && mark >= r->mark) {
         rr_run_drop(c, j, r, mark, now);
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -56,23 +56,23 @@
         g_array_set_size(c->team_used, (guint)j->team + 1);
     }
     rr_res *u = &g_array_index(c->team_used, rr_res, j->team);
-    *u = rr_res_add(*u, j->need, sign);
+    *u = rr_res_add(*u, j->request, sign);
 }
 
 void rr_place_count(rr_core *c, rr_machine *m, rr_place *p, int sign) {
     rr_job *j = p->job;
-    m->used = rr_res_add(m->used, j->need, sign);
+    m->used = rr_res_add(m->used, j->request, sign);
     if (j->team >= 0) {
         team_add(c, j, sign);
     }
     rr_touch(c, m);
-    if (!j->placed || p->task >= j->s.pieces) {
+    if (!j->placed || p->task >= j->submission.task_count) {
         return;
     }
     if (sign > 0) {
-        j->nplaced += j->placed[p->task]++ == 0;
+        j->placed_count += j->placed[p->task]++ == 0;
     } else if (j->placed[p->task] > 0) {
-        j->nplaced -= --j->placed[p->task] == 0;
+        j->placed_count -= --j->placed[p->task] == 0;
         j->hint = p->task < j->hint ? p->task : j->hint;
         rr_job_maybe_close(c, j);
     }
@@ -88,10 +88,11 @@
     return NULL;
 }
 
-const rr_piece *rr_piece_find(const rr_machine *m, const rr_place *p) {
-    for (guint i = 0; m->heard && i < m->rep.pieces->len; i++) {
-        const rr_piece *r = &g_array_index(m->rep.pieces, rr_piece, i);
-        if (r->attempt == p->attempt && r->task == p->task && strcmp(r->ref, p->job->s.ref) == 0) {
+const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_place *p) {
+    for (guint i = 0; m->heard && i < m->rep.tasks->len; i++) {
+        const rr_task_status *r = &g_array_index(m->rep.tasks, rr_task_status, i);
+        if (r->attempt == p->attempt && r->task == p->task &&
+            strcmp(r->job_id, p->job->submission.job_id) == 0) {
             return r;
         }
     }
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -34,7 +34,7 @@
 
 static void job_free(gpointer p) {
     rr_job *j = p;
-    rr_submission_clear(&j->s);
+    rr_submission_clear(&j->submission);
     g_free(j->bits);
     g_free(j->placed);
     if (j->failed_on) {
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -77,16 +77,16 @@
 } rr_batch;
 
 struct rr_job {
-    rr_submission s;
+    rr_submission submission;
     int team, job_class, image;
-    rr_res need;
+    rr_res request;
     uint64_t mark;     /* of the record that tells of it */
     uint64_t own_mark; /* of its own record, 0 while it is known from a batch only */
     double at;         /* wall, when accepted */
     bool cancelled, done, open;
     guint8 *bits;   /* done tasks, one bit each; NULL once final */
     guint8 *placed; /* placements a task has in the ledger */
-    uint32_t ndone, nplaced, hint;
+    uint32_t done_count, placed_count, hint;
     uint32_t per;             /* tasks in a record of its ledger */
     GPtrArray *runs;          /* rr_run* by chunk, NULL where there is none; NULL: none at all */
     uint32_t over, finishing; /* scratch of one plan: tasks known to be over, to be recorded */
@@ -358,7 +358,7 @@
 /* The record that the i-th key of garbage names, and its job; NULL: not in the mirror. */
 rr_run *rr_garbage_run(const rr_core *c, guint i, rr_job **job);
 rr_place *rr_place_find(const rr_machine *m, uint64_t attempt, const rr_job *j, uint32_t task);
-const rr_piece *rr_piece_find(const rr_machine *m, const rr_place *p);
+const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_place *p);
 bool rr_machine_has_image(const rr_machine *m, int image);
 /* Counts what the plan under construction has booked, too. */
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j);
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -42,9 +42,10 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const rr_job *job = value;
         bool open = job->mark && !job->cancelled && !job->done && !rr_job_away(c, job);
-        uint32_t waiting = open ? job->s.pieces - job->ndone - job->nplaced : 0;
+        uint32_t waiting =
+            open ? job->submission.task_count - job->done_count - job->placed_count : 0;
         if (job->mark) {
-            fn(user, &job->s, job->team, waiting, job->nplaced, job->ndone);
+            fn(user, &job->submission, job->team, waiting, job->placed_count, job->done_count);
         }
     }
 }
@@ -71,8 +72,8 @@
     if (!job || !job->mark) {
         return false;
     }
-    *out =
-        (rr_core_job){&job->s, job->at, true, job->done, job->cancelled, job->nplaced, job->ndone};
+    *out = (rr_core_job){&job->submission, job->at,           true,           job->done,
+                         job->cancelled,   job->placed_count, job->done_count};
     return true;
 }
 
@@ -89,11 +90,11 @@
     rr_encoder o;
     rr_encoder_init(&o);
     rr_encode_map(&o, 4);
-    rr_encode_key_text(&o, "ref", job->s.ref);
+    rr_encode_key_text(&o, "ref", job->submission.job_id);
     rr_encode_key_text(&o, "final", "done");
-    rr_encode_key_text(&o, "crew", job->s.team);
-    rr_encode_key_u64(&o, "pieces", job->s.pieces);
-    rr_core_job_key(job->s.ref, key, sizeof key);
+    rr_encode_key_text(&o, "crew", job->submission.team);
+    rr_encode_key_u64(&o, "pieces", job->submission.task_count);
+    rr_core_job_key(job->submission.job_id, key, sizeof key);
     rr_txn_guard(t, key, job->own_mark);
     rr_txn_put(t, key, &o, 0);
 }
@@ -105,7 +106,7 @@
 
 bool rr_core_finish_job(const rr_core *c, const char *job_id, bool placed_are_gone, rr_txn *t) {
     const rr_job *job = open_job(c, job_id);
-    bool may_end = job && (job->nplaced == 0 || placed_are_gone);
+    bool may_end = job && (job->placed_count == 0 || placed_are_gone);
     if (may_end) {
         rr_job_final_record(job, t);
     }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -10,10 +10,10 @@
 #define RETRY_MAX_S 2.0 /* a job that found no room is looked at again after this at the latest */
 
 static bool next_task(const rr_job *j, uint32_t *task) {
-    while (*task < j->s.pieces && (j->placed[*task] || rr_job_task_done(j, *task))) {
+    while (*task < j->submission.task_count && (j->placed[*task] || rr_job_task_done(j, *task))) {
         (*task)++;
     }
-    return *task < j->s.pieces;
+    return *task < j->submission.task_count;
 }
 
 /* Where a class has an aim on its start: a free machine that can make it, else the room of lower
@@ -21,7 +21,7 @@
 static bool place_urgent(struct rr_planner *p, rr_job *j, uint32_t task,
                          const struct rr_choice *how) {
     rr_core *c = p->c;
-    double within = rr_objective_for(c, "wait", j->s.job_class)->within_s;
+    double within = rr_objective_for(c, "wait", j->submission.job_class)->within_s;
     rr_machine *m = rr_choose_from(c, j, how, p->cands);
     if (m && rr_fetch_time(c, j, m) + 1 <= within) {
         return rr_book(p, m, j, task);
@@ -38,11 +38,11 @@
 }
 
 static bool place_task(struct rr_planner *p, rr_job *j, uint32_t task, struct rr_choice *how) {
-    if (rr_objective_for(p->c, "wait", j->s.job_class) && place_urgent(p, j, task, how)) {
+    if (rr_objective_for(p->c, "wait", j->submission.job_class) && place_urgent(p, j, task, how)) {
         return true;
     }
     rr_machine *m = rr_choose_from(p->c, j, how, p->cands);
-    if (!m && how->separate && j->nplaced) {
+    if (!m && how->separate && j->placed_count) {
         how->separate = false; /* better two on one machine than one not at all */
         rr_candidates(p->c, j, how, p->now, p->cands);
         m = rr_choose_from(p->c, j, how, p->cands);
@@ -61,14 +61,14 @@
 
 static void place_job(struct rr_planner *p, rr_job *j, int *left) {
     rr_core *c = p->c;
-    if (j->s.shape == RR_GANG) {
+    if (j->submission.kind == RR_JOB_GANG) {
         rr_place_gang(p, j, left);
         return;
     }
     guint n = c->zones.names->len;
     bool zones[n + 1];
     uint32_t by_zone[n + 1];
-    struct rr_job_zones z = {zones, by_zone, 0, j->s.apart || j->s.one_zone};
+    struct rr_job_zones z = {zones, by_zone, 0, j->submission.spread || j->submission.one_zone};
     memset(zones, 0, sizeof zones);
     memset(by_zone, 0, sizeof by_zone);
     z.all = z.counted ? rr_job_count_by_zone(c, j, NULL, by_zone) : 0;
@@ -78,8 +78,9 @@
         j->failed_at = p->now;
         return;
     }
-    struct rr_choice how = {
-        .zones = zones, .separate = j->s.shape == RR_SERVICE, .filter = rr_machine_usable};
+    struct rr_choice how = {.zones = zones,
+                            .separate = j->submission.kind == RR_JOB_SERVICE,
+                            .filter = rr_machine_usable};
     /* All zones that the job may use, so that one walk serves all its tasks. */
     bool any[n + 1];
     memset(any, z.counted && !rr_zone_bound(j), sizeof any);
@@ -123,13 +124,15 @@
 /* When a task must start to be in time. By deadline alone a task of a long job that lost its place
  * came last, and with it the whole job. */
 static double latest_start(const rr_job *j) {
-    return j->s.deadline_s >= 0 ? j->at + j->s.deadline_s - j->s.runtime_estimate_s : 1e18;
+    return j->submission.deadline_s >= 0
+               ? j->at + j->submission.deadline_s - j->submission.runtime_estimate_s
+               : 1e18;
 }
 
 static gint by_turn(gconstpointer a, gconstpointer b) {
     const rr_job *x = *(const rr_job *const *)a, *y = *(const rr_job *const *)b;
-    if (x->s.rank != y->s.rank) {
-        return x->s.rank > y->s.rank ? -1 : 1;
+    if (x->submission.priority != y->submission.priority) {
+        return x->submission.priority > y->submission.priority ? -1 : 1;
     }
     if (x->missing != y->missing) {
         return x->missing > y->missing ? -1 : 1;
@@ -141,7 +144,7 @@
         return x->class_fill < y->class_fill ? -1 : 1;
     }
     double dx = latest_start(x), dy = latest_start(y);
-    if (x->s.rank < RR_PROD && dx != dy) {
+    if (x->submission.priority < RR_PRIORITY_PROD && dx != dy) {
         return dx < dy ? -1 : 1;
     }
     return x->at < y->at ? -1 : x->at > y->at;
@@ -149,15 +152,17 @@
 
 static bool waits(const rr_core *c, const rr_job *j, double now) {
     return j->mark && !j->cancelled && !j->done && j->team >= 0 &&
-           (size_t)j->team < c->cfg->nteams && j->ndone + j->nplaced < j->s.pieces &&
-           now >= j->hold_until && rr_owns_team(c, j->team) && !rr_job_held(c, j, now);
+           (size_t)j->team < c->cfg->nteams &&
+           j->done_count + j->placed_count < j->submission.task_count && now >= j->hold_until &&
+           rr_owns_team(c, j->team) && !rr_job_held(c, j, now);
 }
 
 void rr_core_each_spillable(const rr_core *c, double now, rr_core_spillable_fn fn, void *user) {
     for (guint i = 0; i < c->open->len; i++) {
         const rr_job *j = g_ptr_array_index(c->open, i);
-        if (waits(c, j, now) && j->nplaced == 0 && j->ndone == 0 && !rr_job_of_another_cell(c, j)) {
-            fn(user, &j->s, j->at);
+        if (waits(c, j, now) && j->placed_count == 0 && j->done_count == 0 &&
+            !rr_job_of_another_cell(c, j)) {
+            fn(user, &j->submission, j->at);
         }
     }
 }
@@ -194,7 +199,8 @@
     rr_job *oldest = NULL;
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        bool overdue = j->s.shape == RR_GANG && j->nplaced == 0 && p->wall - j->at > FIRST_TASK_S;
+        bool overdue = j->submission.kind == RR_JOB_GANG && j->placed_count == 0 &&
+                       p->wall - j->at > FIRST_TASK_S;
         if (overdue && (!oldest || j->at < oldest->at)) {
             oldest = j;
         }
@@ -209,7 +215,7 @@
     bool any = p->c->plans % OLDEST_EVERY == 0;
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        bool unbegun = j->ndone + j->nplaced == 0 && p->wall - j->at > FIRST_TASK_S;
+        bool unbegun = j->done_count + j->placed_count == 0 && p->wall - j->at > FIRST_TASK_S;
         if ((unbegun || any) && p->now - j->failed_at >= RETRY_MAX_S &&
             (!best || j->at < best->at)) {
             best = j;
@@ -222,8 +228,9 @@
 static void set_missing(const struct rr_planner *p, const GPtrArray *wait) {
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        bool counts = p->c->pressure > 0.9 && j->s.rank == RR_PROD && j->s.shape == RR_SERVICE;
-        j->missing = counts ? j->s.pieces - j->ndone - j->nplaced : 0;
+        bool counts = p->c->pressure > 0.9 && j->submission.priority == RR_PRIORITY_PROD &&
+                      j->submission.kind == RR_JOB_SERVICE;
+        j->missing = counts ? j->submission.task_count - j->done_count - j->placed_count : 0;
     }
 }
 
@@ -263,7 +270,7 @@
     g_ptr_array_sort(wait, by_turn);
     for (guint i = 0; i < wait->len && !p->full && left > 0; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        if (early.reserve && j->s.rank <= early.reserve->s.rank) {
+        if (early.reserve && j->submission.priority <= early.reserve->submission.priority) {
             rr_reserve_for_gang(p, early.reserve);
             early.reserve = NULL;
         }
@@ -292,7 +299,7 @@
         bool zones[c->zones.names->len + 1];
         rr_job_zones(c, mv.job, zones, old);
         if (!old || mv.job->cancelled || rr_job_held(c, mv.job, p->now) ||
-            !rr_machine_usable(c, mv.to, p->now) || !rr_res_fits(mv.job->need, mv.to->sim) ||
+            !rr_machine_usable(c, mv.to, p->now) || !rr_res_fits(mv.job->request, mv.to->sim) ||
             !zones[mv.to->zone] || !rr_within_limit(p, mv.job, 1) ||
             !rr_edit_of(p, mv.job, old->chunk) || !rr_book(p, mv.to, mv.job, mv.task)) {
             /* A move that fails ends the plan. */
@@ -305,7 +312,7 @@
             it->evict = RR_EVICT_SAVING;
         }
         c->moves_made++;
-        rr_log_at(c, RR_LOG_DEBUG, "move %s/%u from %s to %s", mv.job->s.ref, mv.task,
+        rr_log_at(c, RR_LOG_DEBUG, "move %s/%u from %s to %s", mv.job->submission.job_id, mv.task,
                   mv.from->name, mv.to->name);
     }
 }
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -12,8 +12,8 @@
     rr_res *booked = &g_array_index(planner->c->team_booked, rr_res, job->team);
     g_array_set_size(items, items->len - 1);
     g_array_set_size(machine->booked, machine->booked->len - 1);
-    machine->sim = rr_res_add(machine->sim, job->need, 1);
-    *booked = rr_res_add(*booked, job->need, -1);
+    machine->sim = rr_res_add(machine->sim, job->request, 1);
+    *booked = rr_res_add(*booked, job->request, -1);
 }
 
 /* Takes this plan's bookings of the gang under this attempt back. */
@@ -31,11 +31,11 @@
 /* The plan's candidates have free room for all tasks. */
 static bool fits_whole(const struct rr_planner *planner, const rr_job *job) {
     uint32_t fitting = 0;
-    for (guint i = 0; i < planner->cands->len && fitting < job->s.pieces; i++) {
+    for (guint i = 0; i < planner->cands->len && fitting < job->submission.task_count; i++) {
         const rr_machine *machine = g_array_index(planner->cands, rr_cand, i).m;
-        fitting += rr_tasks_in(job->need, machine->sim, job->s.pieces - fitting);
+        fitting += rr_tasks_in(job->request, machine->sim, job->submission.task_count - fitting);
     }
-    return fitting >= job->s.pieces;
+    return fitting >= job->submission.task_count;
 }
 
 /* Books all tasks on free room, or none. */
@@ -44,7 +44,7 @@
     struct rr_choice choice = {.zones = zones->allowed, .filter = rr_machine_usable};
     uint64_t attempt = rr_next_attempt(core);
     uint32_t task = 0;
-    for (; task < job->s.pieces; task++) {
+    for (; task < job->submission.task_count; task++) {
         rr_machine *machine = rr_choose_from(core, job, &choice, planner->cands);
         if (!machine || !rr_book_attempt(planner, machine, job, task, attempt)) {
             break;
@@ -53,7 +53,7 @@
         zones->all++;
         rr_job_zones_from(core, job, zones->placements, zones->all, zones->allowed);
     }
-    if (task == job->s.pieces) {
+    if (task == job->submission.task_count) {
         return true;
     }
     if (task > 0) {
@@ -75,13 +75,13 @@
 /* ---- making room ---- */
 
 guint rr_gang_searches(const rr_core *core, const rr_job *job) {
-    return job->s.one_zone ? core->zones.names->len : 1;
+    return job->submission.one_zone ? core->zones.names->len : 1;
 }
 
 void rr_gang_search_zones(const rr_core *core, const rr_job *job, const bool *allowed, guint search,
                           bool *zones) {
     for (guint zone = 0; zone < core->zones.names->len; zone++) {
-        zones[zone] = allowed[zone] && (!job->s.one_zone || zone == search);
+        zones[zone] = allowed[zone] && (!job->submission.one_zone || zone == search);
     }
 }
 
@@ -107,9 +107,9 @@
 static bool add_seats(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                       struct rr_preemption *found, GArray *seats) {
     double fetch = rr_fetch_time(planner->c, job, machine);
-    uint32_t free_seats = rr_tasks_in(job->need, machine->sim, job->s.pieces);
+    uint32_t free_seats = rr_tasks_in(job->request, machine->sim, job->submission.task_count);
     bool victims = false;
-    for (uint32_t tasks = 1; tasks <= job->s.pieces; tasks++) {
+    for (uint32_t tasks = 1; tasks <= job->submission.task_count; tasks++) {
         struct seat seat = {machine, tasks, fetch};
         if (tasks > free_seats) {
             if (!rr_preemption_find(planner, machine, job, tasks, found)) {
@@ -149,10 +149,11 @@
                          double *loss) {
     guint zone_count = planner->c->zones.names->len, kept = 0;
     uint32_t in_zone[zone_count + 1];
-    uint32_t most = job->s.apart ? (job->s.pieces + 1) / 2 : job->s.pieces;
+    uint32_t most =
+        job->submission.spread ? (job->submission.task_count + 1) / 2 : job->submission.task_count;
     memset(in_zone, 0, sizeof in_zone);
     *loss = 0;
-    for (guint i = 0; i < seats->len && kept < job->s.pieces; i++) {
+    for (guint i = 0; i < seats->len && kept < job->submission.task_count; i++) {
         struct seat seat = g_array_index(seats, struct seat, i);
         if (in_zone[seat.machine->zone] < most) {
             in_zone[seat.machine->zone]++;
@@ -161,7 +162,7 @@
         }
     }
     g_array_set_size(seats, kept);
-    return kept == job->s.pieces;
+    return kept == job->submission.task_count;
 }
 
 /* The seats for the whole gang where least is lost; NULL: there is no such room. */
@@ -200,7 +201,7 @@
     for (guint i = 0; i < seats->len && marked; i++) {
         rr_machine *machine = g_array_index(seats, struct seat, i).machine;
         uint32_t tasks = seats_on(seats, machine);
-        if (rr_tasks_in(job->need, machine->sim, tasks) < tasks) {
+        if (rr_tasks_in(job->request, machine->sim, tasks) < tasks) {
             marked = rr_preemption_find(planner, machine, job, tasks, &found) &&
                      rr_preemption_mark(planner, machine, job, &found);
         }
@@ -212,9 +213,10 @@
 /* The class has an aim on its start, or the team is owed the room for all of the gang. */
 static bool may_make_room(const struct rr_planner *planner, const rr_job *job) {
     const rr_core *core = planner->c;
-    bool urgent = job->s.rank > RR_LOW && rr_objective_for(core, "wait", job->s.job_class);
+    bool urgent = job->submission.priority > RR_PRIORITY_LOW &&
+                  rr_objective_for(core, "wait", job->submission.job_class);
     return (urgent && core->pressure < SHORT_OF_CHANGES) ||
-           rr_within_guarantee(planner, job, job->s.pieces);
+           rr_within_guarantee(planner, job, job->submission.task_count);
 }
 
 /* Has lower work stopped where least is lost, and books all tasks there; they start when the
@@ -227,17 +229,17 @@
     uint64_t attempt = rr_next_attempt(planner->c);
     uint32_t task = 0;
     if (mark_victims(planner, job, seats)) {
-        while (task < job->s.pieces &&
+        while (task < job->submission.task_count &&
                rr_book_attempt(planner, g_array_index(seats, struct seat, task).machine, job, task,
                                attempt)) {
             task++;
         }
     }
-    if (task > 0 && task < job->s.pieces) {
+    if (task > 0 && task < job->submission.task_count) {
         unbook(planner, job, attempt);
     }
     g_array_unref(seats);
-    return task == job->s.pieces;
+    return task == job->submission.task_count;
 }
 
 /* ---- one gang ---- */
@@ -251,7 +253,7 @@
     struct rr_job_zones zones = {allowed, placements, 0, true};
     memset(allowed, 0, sizeof allowed);
     memset(placements, 0, sizeof placements);
-    if (job->nplaced > 0 || !rr_within_limit(planner, job, job->s.pieces) ||
+    if (job->placed_count > 0 || !rr_within_limit(planner, job, job->submission.task_count) ||
         rr_job_count_by_zone(core, job, NULL, placements) > 0) {
         return false; /* an earlier attempt has tasks left, or the team has no room */
     }
@@ -269,7 +271,7 @@
     bool fits = fits_whole(planner, job);
     if ((fits && book_on_free_room(planner, job, &zones)) ||
         (!planner->full && book_on_made_room(planner, job, any_allowed))) {
-        *left -= (int)job->s.pieces;
+        *left -= (int)job->submission.task_count;
         return true;
     }
     if (!planner->full) {
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -87,7 +87,8 @@
  * placed anew beside an old one, and what was seen of the first loss stays to be seen. Once it is
  * done or cancelled each goes by itself. */
 static bool gang_goes(const struct rr_planner *p, const rr_job *j) {
-    return j->s.shape != RR_GANG || j->cancelled || j->done || j->over > 0 || all_over(p, j);
+    return j->submission.kind != RR_JOB_GANG || j->cancelled || j->done || j->over > 0 ||
+           all_over(p, j);
 }
 
 struct rr_plan_edit *rr_edit_of(struct rr_planner *p, rr_job *j, uint32_t chunk) {
@@ -153,10 +154,10 @@
 /* A task whose placement is over may be placed anew in the same change. */
 static void reopen(struct rr_planner *p, rr_job *j, uint32_t task) {
     struct rr_plan_reopened r = {j, task};
-    if (j->placed && task < j->s.pieces && j->placed[task] == 1 && !j->cancelled &&
+    if (j->placed && task < j->submission.task_count && j->placed[task] == 1 && !j->cancelled &&
         !rr_job_task_done(j, task)) {
         j->placed[task] = 0;
-        j->nplaced--;
+        j->placed_count--;
         j->hint = MIN(j->hint, task);
         g_array_append_val(p->reopened, r);
     }
@@ -167,7 +168,7 @@
     for (guint i = 0; i < p->reopened->len; i++) {
         const struct rr_plan_reopened *r = &g_array_index(p->reopened, struct rr_plan_reopened, i);
         r->job->placed[r->task] = 1;
-        r->job->nplaced++;
+        r->job->placed_count++;
     }
 }
 
@@ -175,8 +176,8 @@
 
 /* One task of a gang is done, and so are all: its tasks are of one chunk. */
 static void gang_done(struct rr_plan_edit *home, rr_job *j) {
-    j->finishing = j->s.pieces;
-    for (uint32_t t = 0; t < j->s.pieces; t++) {
+    j->finishing = j->submission.task_count;
+    for (uint32_t t = 0; t < j->submission.task_count; t++) {
         g_array_append_val(home->done, t);
     }
 }
@@ -186,7 +187,7 @@
 static bool record_done(struct rr_planner *p, struct rr_plan_edit *e,
                         const struct rr_plan_over *o) {
     rr_job *j = o->job;
-    bool gang = j->s.shape == RR_GANG;
+    bool gang = j->submission.kind == RR_JOB_GANG;
     uint32_t chunk = o->task / j->per;
     struct rr_plan_edit *home = e->run->chunk == chunk ? e : rr_edit_of(p, j, chunk);
     if (!home) {
@@ -196,7 +197,7 @@
         return true;
     }
     /* The last one ends the job: a change more. */
-    bool last = gang || j->ndone + j->finishing + 1 >= j->s.pieces;
+    bool last = gang || j->done_count + j->finishing + 1 >= j->submission.task_count;
     if (last && !has_room(p, 1, FINAL_BYTES)) {
         return false;
     }
@@ -235,7 +236,8 @@
 void rr_plan_over(struct rr_planner *p, rr_machine *m, rr_place *pl, bool done, const char *why) {
     rr_job *j = pl->job;
     if (pl->over_at <= 0 && !done) {
-        rr_log_at(p->c, RR_LOG_DEBUG, "over %s/%u on %s: %s", j->s.ref, pl->task, m->name, why);
+        rr_log_at(p->c, RR_LOG_DEBUG, "over %s/%u on %s: %s", j->submission.job_id, pl->task,
+                  m->name, why);
     }
     rr_run *r = rr_job_run(j, pl->chunk);
     struct rr_plan_over o = {.m = m,
@@ -249,14 +251,14 @@
     pl->over_at = pl->over_at > 0 ? pl->over_at : p->now;
     o.wait = p->now - pl->over_at < GATHER_S * p->c->pressure;
     if (done && !rr_job_task_done(j, pl->task)) {
-        j->over = j->s.shape == RR_GANG ? j->s.pieces : j->over + 1;
+        j->over = j->submission.kind == RR_JOB_GANG ? j->submission.task_count : j->over + 1;
     }
     g_array_append_val(p->overs, o);
     r->overs = p->overs->len;
 }
 
 static bool finishes(const rr_job *j) {
-    return !j->cancelled && j->ndone + j->over >= j->s.pieces;
+    return !j->cancelled && j->done_count + j->over >= j->submission.task_count;
 }
 
 #define TOGETHER_S 1.0 /* a gang's tasks complete together; their reports come within this */
@@ -265,8 +267,8 @@
 static bool waits_for_gang(const struct rr_planner *p, const struct rr_plan_over *o) {
     const rr_job *j = o->job;
     const rr_place *pl = rr_place_find(o->m, o->attempt, j, o->task);
-    return j->s.shape == RR_GANG && o->done && pl && p->now - pl->over_at < TOGETHER_S &&
-           !all_over(p, j);
+    return j->submission.kind == RR_JOB_GANG && o->done && pl &&
+           p->now - pl->over_at < TOGETHER_S && !all_over(p, j);
 }
 
 static bool lost(const struct rr_plan_over *o) {
@@ -327,17 +329,18 @@
     rr_job_final_record(j, &p->out->txn);
     rr_log_at(p->c, RR_LOG_DEBUG,
               "job %s is done, %u tasks, %.0f s after it came, due after %.0f, guess %.0f",
-              j->s.ref, j->s.pieces, p->wall - j->at, j->s.deadline_s, j->s.runtime_estimate_s);
+              j->submission.job_id, j->submission.task_count, p->wall - j->at,
+              j->submission.deadline_s, j->submission.runtime_estimate_s);
 }
 
 static void put_edit(struct rr_planner *p, const struct rr_plan_edit *e) {
     rr_txn *t = &p->out->txn;
     rr_job *j = e->job;
     char key[RR_ID + 64];
-    rr_run_key(j->s.ref, e->run->chunk, key, sizeof key);
-    bool ends = j->finishing > 0 && j->ndone + j->finishing >= j->s.pieces;
+    rr_run_key(j->submission.job_id, e->run->chunk, key, sizeof key);
+    bool ends = j->finishing > 0 && j->done_count + j->finishing >= j->submission.task_count;
     bool over = ends || j->cancelled || j->done;
-    if ((over || j->s.shape == RR_GANG) && e->items->len == 0 && e->run->mark == 0) {
+    if ((over || j->submission.kind == RR_JOB_GANG) && e->items->len == 0 && e->run->mark == 0) {
         return; /* nothing to delete; or a gang that found no room after all */
     }
     rr_txn_guard(t, key, e->run->mark);
@@ -347,7 +350,7 @@
         rr_encoder o;
         rr_encoder_init(&o);
         rr_run_encode(p->c, &o, j, e->run->chunk, e->items, e->done,
-                      j->s.one_zone ? (e->zone >= 0 ? e->zone : j->zone) : -1);
+                      j->submission.one_zone ? (e->zone >= 0 ? e->zone : j->zone) : -1);
         rr_txn_put(t, key, &o, 0);
     }
     if (e->done->len > 0) {
@@ -435,7 +438,7 @@
      * the job changed by its end, should the ledger's record be gone by then. */
     for (guint i = 0; i < p->guards->len; i++) {
         rr_job *j = g_ptr_array_index(p->guards, i);
-        rr_core_job_key(j->s.ref, key, sizeof key);
+        rr_core_job_key(j->submission.job_id, key, sizeof key);
         rr_txn_guard(t, key, j->own_mark);
     }
     /* On their own: if one of them is not as the mirror has it, no other change suffers. */
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -24,7 +24,7 @@
 /* Work that stopping this placement at once would lose: its run time since its last checkpoint. */
 static double unsaved_work(const rr_place *place, double now) {
     double ran = now - place->seen_at;
-    double interval = place->job->s.checkpoint_interval_s;
+    double interval = place->job->submission.checkpoint_interval_s;
     return interval > 0 ? fmod(ran, interval) : ran;
 }
 
@@ -32,11 +32,11 @@
  * nothing left to lose. */
 static double slack_of(const rr_place *place, double now, double wall) {
     const rr_job *job = place->job;
-    if (job->s.deadline_s < 0) {
+    if (job->submission.deadline_s < 0) {
         return NO_DEADLINE_SLACK_S;
     }
-    double left = fmax(0, job->s.runtime_estimate_s - (now - place->seen_at));
-    double slack = job->at + job->s.deadline_s - wall - left;
+    double left = fmax(0, job->submission.runtime_estimate_s - (now - place->seen_at));
+    double slack = job->at + job->submission.deadline_s - wall - left;
     return slack < 0 ? NO_DEADLINE_SLACK_S : slack;
 }
 
@@ -48,8 +48,8 @@
 /* Lowest priority first, then most time to spare. */
 static gint by_priority_and_slack(gconstpointer a, gconstpointer b) {
     const struct victim *x = a, *y = b;
-    if (x->place->job->s.rank != y->place->job->s.rank) {
-        return x->place->job->s.rank < y->place->job->s.rank ? -1 : 1;
+    if (x->place->job->submission.priority != y->place->job->submission.priority) {
+        return x->place->job->submission.priority < y->place->job->submission.priority ? -1 : 1;
     }
     return x->slack > y->slack ? -1 : x->slack < y->slack;
 }
@@ -60,8 +60,9 @@
 static bool may_stop(const struct rr_planner *planner, const rr_job *job, const rr_place *place,
                      bool owed, rr_res returned) {
     const rr_job *victim = place->job;
-    if (victim->s.rank < job->s.rank && victim->s.shape != RR_SERVICE &&
-        rr_objective_for(planner->c, "wait", job->s.job_class)) {
+    if (victim->submission.priority < job->submission.priority &&
+        victim->submission.kind != RR_JOB_SERVICE &&
+        rr_objective_for(planner->c, "wait", job->submission.job_class)) {
         return true;
     }
     return owed && victim->team >= 0 && victim->team != job->team &&
@@ -82,7 +83,7 @@
             continue;
         }
         if (place->evict) {
-            *room = rr_res_add(*room, place->job->need, 1);
+            *room = rr_res_add(*room, place->job->request, 1);
         } else if (may_stop(planner, job, place, owed, nothing)) {
             struct victim victim = {place, slack_of(place, planner->now, planner->wall)};
             g_array_append_val(possible, victim);
@@ -94,14 +95,14 @@
 
 static double loss_of(const struct rr_planner *planner, const struct victim *victim, bool at_once) {
     const rr_job *job = victim->place->job;
-    bool saves = job->s.checkpoint_interval_s > 0 && !at_once;
+    bool saves = job->submission.checkpoint_interval_s > 0 && !at_once;
     double loss = VICTIM_LOSS_S;
-    loss += saves ? job->s.save_s : unsaved_work(victim->place, planner->now);
+    loss += saves ? job->submission.save_s : unsaved_work(victim->place, planner->now);
     loss += victim->slack < TIGHT_S ? TIGHT_S - victim->slack : 0;
-    loss += job->ndone + job->nplaced < job->s.pieces ? 0 : INTACT_JOB_S;
+    loss += job->done_count + job->placed_count < job->submission.task_count ? 0 : INTACT_JOB_S;
     loss += rr_owns_team(planner->c, job->team) ? 0 : FOREIGN_OWNER_S;
     /* A gang stops whole, and starts anew only when room for all of it is found again. */
-    return job->s.shape == RR_GANG ? loss * job->s.pieces : loss;
+    return job->submission.kind == RR_JOB_GANG ? loss * job->submission.task_count : loss;
 }
 
 static bool is_chosen(const GArray *victims, const rr_place *place) {
@@ -119,15 +120,16 @@
     const rr_job *job = victim->place->job;
     for (guint i = 0; i < possible->len; i++) {
         rr_place *place = g_array_index(possible, struct victim, i).place;
-        if (place == victim->place || (job->s.shape == RR_GANG && place->job == job)) {
+        if (place == victim->place || (job->submission.kind == RR_JOB_GANG && place->job == job)) {
             g_array_append_val(victims, place);
-            *room = rr_res_add(*room, place->job->need, 1);
+            *room = rr_res_add(*room, place->job->request, 1);
         }
     }
 }
 
 bool rr_may_preempt(const rr_core *core, const rr_job *job) {
-    return job->s.rank > RR_STANDARD && rr_objective_for(core, "wait", job->s.job_class);
+    return job->submission.priority > RR_PRIORITY_STANDARD &&
+           rr_objective_for(core, "wait", job->submission.job_class);
 }
 
 /* Saving takes the victims' time; where the aim on the start does not leave it, or is missed
@@ -135,14 +137,16 @@
  * their last checkpoint. */
 static bool must_stop_at_once(const struct rr_planner *planner, const rr_job *job,
                               const rr_machine *machine) {
-    const struct rr_objective *aim = rr_objective_for(planner->c, "wait", job->s.job_class);
+    const struct rr_objective *aim =
+        rr_objective_for(planner->c, "wait", job->submission.job_class);
     if (!aim) {
         return false;
     }
     double left = aim->within_s - (planner->wall - job->at);
     for (guint i = 0; i < machine->places->len; i++) {
         const rr_job *other = g_array_index(machine->places, rr_place, i).job;
-        if (other->s.rank < job->s.rank && other->s.save_s + STOP_ROUND_TRIP_S > left) {
+        if (other->submission.priority < job->submission.priority &&
+            other->submission.save_s + STOP_ROUND_TRIP_S > left) {
             return true;
         }
     }
@@ -151,26 +155,26 @@
 
 bool rr_preemption_find(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                         uint32_t tasks, struct rr_preemption *out) {
-    bool gang = job->s.shape == RR_GANG;
-    bool owed = rr_within_guarantee(planner, job, gang ? job->s.pieces : tasks);
+    bool gang = job->submission.kind == RR_JOB_GANG;
+    bool owed = rr_within_guarantee(planner, job, gang ? job->submission.task_count : tasks);
     bool at_once = must_stop_at_once(planner, job, machine);
     rr_res room = machine->sim, returned = {0, 0, 0};
     GArray *possible = possible_victims(planner, machine, job, owed, &room);
     g_array_set_size(out->victims, 0);
     out->loss = 0;
-    for (guint i = 0; i < possible->len && rr_tasks_in(job->need, room, tasks) < tasks; i++) {
+    for (guint i = 0; i < possible->len && rr_tasks_in(job->request, room, tasks) < tasks; i++) {
         const struct victim *victim = &g_array_index(possible, struct victim, i);
         rr_place *place = victim->place;
         /* Those before it may have brought its team back within its guarantee. */
         if (is_chosen(out->victims, place) || !may_stop(planner, job, place, owed, returned)) {
             continue;
         }
-        returned = rr_res_add(returned, place->job->need, 1);
+        returned = rr_res_add(returned, place->job->request, 1);
         out->loss += loss_of(planner, victim, at_once);
         choose(possible, victim, out->victims, &room);
     }
     g_array_free(possible, TRUE);
-    return rr_tasks_in(job->need, room, tasks) >= tasks;
+    return rr_tasks_in(job->request, room, tasks) >= tasks;
 }
 
 static struct rr_plan_edit *edit_of_victim(struct rr_planner *planner, const rr_place *victim) {
@@ -194,9 +198,10 @@
         }
         place->leaving = true;
         rr_plan_use(planner, machine);
-        machine->sim = rr_res_add(machine->sim, place->job->need, 1);
-        rr_log_at(planner->c, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s", place->job->s.ref,
-                  place->task, machine->name, job->s.ref, at_once ? ", unsaved" : "");
+        machine->sim = rr_res_add(machine->sim, place->job->request, 1);
+        rr_log_at(planner->c, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s",
+                  place->job->submission.job_id, place->task, machine->name, job->submission.job_id,
+                  at_once ? ", unsaved" : "");
     }
     return true;
 }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -90,8 +90,8 @@
         rr_machine *m = g_ptr_array_index(s->roomy, i);
         c->visits++;
         if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->spot)) {
-            uint32_t k = rr_tasks_in(j->need, m->sim, MIN(n, each));
-            m->sim = rr_res_add(m->sim, j->need, -(double)k);
+            uint32_t k = rr_tasks_in(j->request, m->sim, MIN(n, each));
+            m->sim = rr_res_add(m->sim, j->request, -(double)k);
             m->surplus = m->surplus && k == 0;
             n -= k;
         }
@@ -126,10 +126,10 @@
     rr_core *c = s->c;
     const rr_build *b = rr_build_at(c, build);
     rr_res cap = b ? (rr_res){b->vcpus, b->cards, b->mem_gb} : (rr_res){0, 0, 0};
-    if (!b || !rr_res_fits(j->need, cap)) {
+    if (!b || !rr_res_fits(j->request, cap)) {
         return;
     }
-    double share = 1 - rr_res_room(rr_res_add(cap, j->need, -1), cap);
+    double share = 1 - rr_res_room(rr_res_add(cap, j->request, -1), cap);
     for (guint i = 0; i < 2 * b->zones->len; i++) {
         int w = rr_names_find(&c->zones, g_ptr_array_index(b->zones, i / 2));
         bool spot = i % 2 == 1;
@@ -179,8 +179,8 @@
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
         if (zones[r->zone] && rr_job_allows(s->c, j, r->build, r->zone, r->spot) &&
-            rr_res_fits(j->need, r->room)) {
-            r->room = rr_res_add(r->room, j->need, -1);
+            rr_res_fits(j->request, r->room)) {
+            r->room = rr_res_add(r->room, j->request, -1);
             return true;
         }
     }
@@ -200,13 +200,13 @@
         if (!r) {
             return;
         }
-        r->room = rr_res_add(r->room, j->need, -1);
+        r->room = rr_res_add(r->room, j->request, -1);
     }
 }
 
 /* Deadline work waits for room to come free while it can still make it on a new machine. */
 static bool must_rent(const rr_core *c, const rr_job *j, double wall) {
-    if (j->s.deadline_s < 0) {
+    if (j->submission.deadline_s < 0) {
         return true;
     }
     double boot = 0, pull = 0;
@@ -214,11 +214,11 @@
         const rr_build *b = rr_build_at(c, (int)i);
         if (b) {
             boot = fmax(boot, b->startup_s);
-            pull = fmax(pull, b->pull_rate > 0 ? j->s.image_size_gb / b->pull_rate : 0);
+            pull = fmax(pull, b->pull_rate > 0 ? j->submission.image_size_gb / b->pull_rate : 0);
         }
     }
-    double slack =
-        j->at + j->s.deadline_s - wall - 1.3 * j->s.runtime_estimate_s - 1.3 * boot - pull;
+    double slack = j->at + j->submission.deadline_s - wall -
+                   1.3 * j->submission.runtime_estimate_s - 1.3 * boot - pull;
     return slack < 40;
 }
 
@@ -257,13 +257,14 @@
         return 0;
     }
     const struct rr_team_config *t = &c->cfg->teams[j->team];
-    uint32_t n = MIN(j->s.pieces - j->ndone - j->nplaced + j->lost, j->s.pieces - j->ndone);
+    uint32_t n = MIN(j->submission.task_count - j->done_count - j->placed_count + j->lost,
+                     j->submission.task_count - j->done_count);
     n = MIN(n, WANTED_MAX);
-    if (t->cpus_max > 0 && j->need.cpu > 0) {
-        n = MIN(n, (uint32_t)(t->cpus_max / j->need.cpu + 1));
+    if (t->cpus_max > 0 && j->request.cpu > 0) {
+        n = MIN(n, (uint32_t)(t->cpus_max / j->request.cpu + 1));
     }
-    if (t->gpus_max > 0 && j->need.gpu > 0) {
-        n = MIN(n, (uint32_t)(t->gpus_max / j->need.gpu + 1));
+    if (t->gpus_max > 0 && j->request.gpu > 0) {
+        n = MIN(n, (uint32_t)(t->gpus_max / j->request.gpu + 1));
     }
     return n;
 }
@@ -279,11 +280,12 @@
             continue;
         }
         rr_job_zones(c, j, zones, NULL);
-        if (j->s.shape == RR_GANG && j->s.one_zone) {
+        if (j->submission.kind == RR_JOB_GANG && j->submission.one_zone) {
             one_zone(s, j, zones);
         }
         /* A service's replicas keep separate machines. */
-        demand(s, j, zones, n, j->s.shape == RR_SERVICE ? 1 : n, must_rent(c, j, s->wall));
+        demand(s, j, zones, n, j->submission.kind == RR_JOB_SERVICE ? 1 : n,
+               must_rent(c, j, s->wall));
     }
 }
 
@@ -293,11 +295,11 @@
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         for (guint k = 0; k < m->places->len && counts(c, m, now); k++) {
             const rr_place *p = &g_array_index(m->places, rr_place, k);
-            const rr_submission *v = &p->job->s;
-            if (v->shape == RR_BATCH && v->rank < j->s.rank && j->s.rank > RR_STANDARD &&
-                v->checkpoint_interval_s > 0 && v->save_s + 1 <= within_s &&
-                rr_job_allows(c, j, m->build, m->zone, m->spot)) {
-                m->sim = rr_res_add(m->sim, p->job->need, 1);
+            const rr_submission *v = &p->job->submission;
+            if (v->kind == RR_JOB_ARRAY && v->priority < j->submission.priority &&
+                j->submission.priority > RR_PRIORITY_STANDARD && v->checkpoint_interval_s > 0 &&
+                v->save_s + 1 <= within_s && rr_job_allows(c, j, m->build, m->zone, m->spot)) {
+                m->sim = rr_res_add(m->sim, p->job->request, 1);
             }
         }
     }
@@ -310,9 +312,9 @@
     *last = NULL;
     for (guint k = 0; k < c->arrivals->len; k++) {
         const rr_job *j = g_array_index(c->arrivals, rr_job *, k);
-        if (strcmp(j->s.job_class, job_class) == 0) {
+        if (strcmp(j->submission.job_class, job_class) == 0) {
             *last = j;
-            tasks += j->at > c->term.born + START_STOCK_S ? j->s.pieces : 0;
+            tasks += j->at > c->term.born + START_STOCK_S ? j->submission.task_count : 0;
         }
     }
     return tasks;
@@ -346,8 +348,8 @@
         int n = (int)ceil(c->cfg->tune.headroom * (mean + sqrt(mean)));
         bool zones[c->zones.names->len + 1];
         for (guint w = 0; w < c->zones.names->len; w++) {
-            zones[w] =
-                !last->s.zone[0] || strcmp(last->s.zone, rr_names_at(&c->zones, (int)w)) == 0;
+            zones[w] = !last->submission.zone[0] ||
+                       strcmp(last->submission.zone, rr_names_at(&c->zones, (int)w)) == 0;
         }
         credit_preemptible(c, last, o->within_s, s->now);
         sort_roomy(s);
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -31,7 +31,7 @@
 static void order(struct rr_planner *p, rr_machine *m, enum rr_verb verb, const char *ref,
                   uint32_t task, uint64_t attempt, double grace_s) {
     rr_order o = {.verb = verb, .task = task, .attempt = attempt, .grace_s = grace_s};
-    g_strlcpy(o.ref, ref, sizeof o.ref);
+    g_strlcpy(o.job_id, ref, sizeof o.job_id);
     g_array_append_val(rr_do_for(p, m)->orders, o);
 }
 
@@ -42,7 +42,7 @@
            g_hash_table_contains(m->lost, &attempt);
 }
 
-static const char *cause_name(enum rr_cause cause) {
+static const char *exit_reason_name(enum rr_exit_reason cause) {
     static const char *const names[] = {"ended",  "done",    "halted", "error",      "full",
                                         "in use", "no such", "peers",  "incomplete", "ended"};
     return names[cause];
@@ -64,7 +64,7 @@
  * destination is booked first). */
 static bool has_older(const rr_place *pl) {
     rr_job *j = pl->job;
-    if (!j->placed || pl->task >= j->s.pieces || j->placed[pl->task] < 2) {
+    if (!j->placed || pl->task >= j->submission.task_count || j->placed[pl->task] < 2) {
         return false;
     }
     if (older_in(rr_job_run(j, pl->task / j->per), pl)) {
@@ -81,7 +81,7 @@
 
 static bool unwanted(const struct rr_planner *p, const rr_machine *m, const rr_place *pl) {
     bool saving;
-    if (pl->job->s.shape == RR_GANG && rr_gang_stops(p->c, pl->job, p->now, &saving)) {
+    if (pl->job->submission.kind == RR_JOB_GANG && rr_gang_stops(p->c, pl->job, p->now, &saving)) {
         return true;
     }
     return pl->job->cancelled || rr_job_revoked(p->c, pl->job) ||
@@ -92,36 +92,36 @@
 static double leave_for(const struct rr_planner *p, const rr_machine *m, const rr_place *pl) {
     bool saving = true;
     if (pl->job->cancelled || pl->job->done || rr_job_revoked(p->c, pl->job) ||
-        pl->job->s.checkpoint_interval_s <= 0) {
+        pl->job->submission.checkpoint_interval_s <= 0) {
         return 0;
     }
     /* A gang saves whole: who has saved waits for those that were told last. */
-    if (pl->job->s.shape == RR_GANG) {
+    if (pl->job->submission.kind == RR_JOB_GANG) {
         rr_gang_stops(p->c, pl->job, p->now, &saving);
-        return saving ? pl->job->s.save_s + p->c->cfg->gang_peer_s : 0;
+        return saving ? pl->job->submission.save_s + p->c->cfg->gang_peer_s : 0;
     }
     if (pl->evict == RR_EVICT_AT_ONCE) {
         return 0;
     }
-    double leave = pl->job->s.save_s + 2;
+    double leave = pl->job->submission.save_s + 2;
     if (m->rep.spot_notice_s >= 0 && m->rep.spot_notice_s < leave) {
         leave = fmax(m->rep.spot_notice_s, 0);
     }
     return leave;
 }
 
-static void stop_place(struct rr_planner *p, rr_machine *m, rr_place *pl, const rr_piece *r) {
+static void stop_place(struct rr_planner *p, rr_machine *m, rr_place *pl, const rr_task_status *r) {
     double leave = leave_for(p, m, pl);
     /* A task that is saving is left to it, unless its user has cancelled the job. */
     if (pl->stop_at > 0 && p->now - pl->stop_at < RESEND_S) {
         return;
     }
-    if (r && r->standing == RR_FLUSHING && leave > 0) {
+    if (r && r->state == RR_TASK_SAVING && leave > 0) {
         return;
     }
     /* Told to save, a gang is left to it for as long as that takes: another stop without grace, as
      * one exits and the gang counts as lost, would undo what the others save. */
-    if (pl->job->s.shape == RR_GANG && pl->stop_leave > 0 && !pl->job->cancelled &&
+    if (pl->job->submission.kind == RR_JOB_GANG && pl->stop_leave > 0 && !pl->job->cancelled &&
         p->now - pl->stop_at < pl->stop_leave) {
         return;
     }
@@ -131,10 +131,10 @@
     if (!r) {
         /* An unanswered start may come late. Started and stopped under one token, the attempt
          * stays on the machine as exited and blocks the late copy. */
-        order(p, m, RR_START, pl->job->s.ref, pl->task, pl->attempt, 0);
+        order(p, m, RR_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
         leave = 0;
     }
-    order(p, m, RR_STOP, pl->job->s.ref, pl->task, pl->attempt, leave);
+    order(p, m, RR_STOP, pl->job->submission.job_id, pl->task, pl->attempt, leave);
     pl->stop_at = p->now;
     pl->stop_leave = leave;
 }
@@ -147,7 +147,7 @@
     for (guint i = 0; i < m->places->len; i++) {
         const rr_place *q = &g_array_index(m->places, rr_place, i);
         bool over = q->over_at > 0;
-        used = over ? rr_res_add(used, q->job->need, -1) : used;
+        used = over ? rr_res_add(used, q->job->request, -1) : used;
         leaving = leaving || (!over && (q->evict || q->job->cancelled));
     }
     return leaving && !rr_res_fits(used, rr_machine_cap(c, m));
@@ -160,24 +160,24 @@
     if (room_coming(p->c, m) || has_older(pl) || m->ret) {
         return;
     }
-    order(p, m, RR_START, pl->job->s.ref, pl->task, pl->attempt, 0);
+    order(p, m, RR_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
     pl->start_at = p->now;
 }
 
 /* True: it is to be looked at again before the machine reports anything new. */
 static bool reconcile_place(struct rr_planner *p, rr_machine *m, rr_place *pl) {
     const rr_core *c = p->c;
-    const rr_piece *r = rr_piece_find(m, pl);
+    const rr_task_status *r = rr_task_status_find(m, pl);
     if (m->rep.worker_epoch > pl->worker_epoch) {
         /* The worker killed and forgot everything of the earlier worker_epoch, and commands for it
          * are refused. */
-        rr_plan_over(p, m, pl, r && r->standing == RR_ENDED && r->cause == RR_DONE,
+        rr_plan_over(p, m, pl, r && r->state == RR_TASK_ENDED && r->exit_reason == RR_EXIT_DONE,
                      "later worker epoch");
         return true;
     }
-    if (r && r->standing == RR_ENDED) {
+    if (r && r->state == RR_TASK_ENDED) {
         /* Shown as exited it can't start again before it is reaped, and that comes after this. */
-        rr_plan_over(p, m, pl, r->cause == RR_DONE, cause_name(r->cause));
+        rr_plan_over(p, m, pl, r->exit_reason == RR_EXIT_DONE, exit_reason_name(r->exit_reason));
         return true;
     }
     bool stop = unwanted(p, m, pl);
@@ -206,8 +206,8 @@
  * connection, and one more report with news that every owner has to hear. Only what is done for
  * good waits: a task that is to run again may be refused where an earlier attempt of it is still
  * shown. */
-static bool reap_may_wait(const struct rr_planner *p, rr_machine *m, const rr_piece *r) {
-    if (m->plan_do || r->cause != RR_DONE || m->rep.pieces->len > REAP_PIECES) {
+static bool reap_may_wait(const struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
+    if (m->plan_do || r->exit_reason != RR_EXIT_DONE || m->rep.tasks->len > REAP_PIECES) {
         return false;
     }
     m->reap_at = m->reap_at > 0 ? m->reap_at : p->now;
@@ -218,24 +218,24 @@
  * and clears what an earlier term started: the command's token voids any start of it that comes
  * late. An exited attempt of this term is left to the controller that made it, which alone knows
  * whether a copy of its start may still be on its way and has to find the attempt there. */
-static bool clears_line(const rr_core *c, const rr_piece *r, double now) {
-    if (r->standing == RR_ENDED && rr_attempt_token(r->attempt) == c->term.token) {
+static bool clears_line(const rr_core *c, const rr_task_status *r, double now) {
+    if (r->state == RR_TASK_ENDED && rr_attempt_token(r->attempt) == c->term.token) {
         return rr_attempt_place(r->attempt) == rr_term_place(c);
     }
     return rr_core_is_provisioner(c, now);
 }
 
 /* Tasks on the machine that the ledger does not know: exited ones are reaped, others stopped. */
-static bool reconcile_stray(struct rr_planner *p, rr_machine *m, const rr_piece *r) {
+static bool reconcile_stray(struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
     const rr_core *c = p->c;
-    rr_job *j = g_hash_table_lookup(c->jobs, r->ref);
+    rr_job *j = g_hash_table_lookup(c->jobs, r->job_id);
     bool ours = j ? j->team >= 0 && rr_owns_team(c, j->team)
-                  : rr_job_final(c, r->ref, NULL, NULL) && clears_line(c, r, p->now);
+                  : rr_job_final(c, r->job_id, NULL, NULL) && clears_line(c, r, p->now);
     if (!ours || (j && rr_place_find(m, r->attempt, j, r->task))) {
         return false;
     }
-    if (r->standing != RR_ENDED) {
-        order(p, m, RR_STOP, r->ref, r->task, r->attempt, 0);
+    if (r->state != RR_TASK_ENDED) {
+        order(p, m, RR_STOP, r->job_id, r->task, r->attempt, 0);
         return true;
     }
     /* While a copy of its start may come late, the exited attempt stays and blocks it. */
@@ -245,15 +245,15 @@
     if (reap_may_wait(p, m, r)) {
         return true;
     }
-    order(p, m, RR_REAP, r->ref, r->task, r->attempt, 0);
+    order(p, m, RR_REAP, r->job_id, r->task, r->attempt, 0);
     return true;
 }
 
 /* Another owner's task: that it is over makes room, long before its owner records it. */
 static void see_over(const struct rr_planner *p, const rr_machine *m, rr_place *pl) {
-    const rr_piece *r = rr_piece_find(m, pl);
-    if (pl->over_at <= 0 &&
-        ((r && r->standing == RR_ENDED) || (m->heard && m->rep.worker_epoch > pl->worker_epoch))) {
+    const rr_task_status *r = rr_task_status_find(m, pl);
+    if (pl->over_at <= 0 && ((r && r->state == RR_TASK_ENDED) ||
+                             (m->heard && m->rep.worker_epoch > pl->worker_epoch))) {
         pl->over_at = p->now;
     }
 }
@@ -284,8 +284,8 @@
     if (gone || m->do_inflight || p->now < m->do_next || !rr_machine_fresh(c, m, p->now)) {
         return again || m->do_inflight || p->now < m->do_next;
     }
-    for (guint i = 0; i < m->rep.pieces->len; i++) {
-        again = reconcile_stray(p, m, &g_array_index(m->rep.pieces, rr_piece, i)) || again;
+    for (guint i = 0; i < m->rep.tasks->len; i++) {
+        again = reconcile_stray(p, m, &g_array_index(m->rep.tasks, rr_task_status, i)) || again;
     }
     return again;
 }
@@ -294,7 +294,7 @@
 static void note_gangs(const struct rr_planner *p, const rr_machine *m, GPtrArray *gangs) {
     for (guint i = 0; i < m->places->len; i++) {
         rr_job *j = g_array_index(m->places, rr_place, i).job;
-        if (j->s.shape == RR_GANG && j->team >= 0 && rr_owns_team(p->c, j->team) &&
+        if (j->submission.kind == RR_JOB_GANG && j->team >= 0 && rr_owns_team(p->c, j->team) &&
             !g_ptr_array_find(gangs, j, NULL)) {
             g_ptr_array_add(gangs, j);
         }
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -19,10 +19,10 @@
 /* A machine fetches an image before it runs a task, and keeps those used last. */
 static void note_images(rr_core *c, rr_machine *m) {
     const rr_build *b = rr_build_at(c, m->build);
-    for (guint i = 0; i < m->rep.pieces->len; i++) {
-        const rr_piece *p = &g_array_index(m->rep.pieces, rr_piece, i);
-        const rr_job *j = g_hash_table_lookup(c->jobs, p->ref);
-        bool fetched = p->standing == RR_RUNNING || p->standing == RR_WAITING;
+    for (guint i = 0; i < m->rep.tasks->len; i++) {
+        const rr_task_status *p = &g_array_index(m->rep.tasks, rr_task_status, i);
+        const rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
+        bool fetched = p->state == RR_TASK_RUNNING || p->state == RR_TASK_WAITING;
         if (!j || j->image < 0 || !fetched || rr_machine_has_image(m, j->image)) {
             continue;
         }
@@ -35,22 +35,22 @@
     }
 }
 
-static bool was_shown_failed(const rr_machine *m, const rr_piece *p) {
-    for (guint i = 0; m->heard && i < m->rep.pieces->len; i++) {
-        const rr_piece *q = &g_array_index(m->rep.pieces, rr_piece, i);
-        if (q->attempt == p->attempt && q->task == p->task && q->standing == RR_ENDED &&
-            strcmp(q->ref, p->ref) == 0) {
+static bool was_shown_failed(const rr_machine *m, const rr_task_status *p) {
+    for (guint i = 0; m->heard && i < m->rep.tasks->len; i++) {
+        const rr_task_status *q = &g_array_index(m->rep.tasks, rr_task_status, i);
+        if (q->attempt == p->attempt && q->task == p->task && q->state == RR_TASK_ENDED &&
+            strcmp(q->job_id, p->job_id) == 0) {
             return true;
         }
     }
     return false;
 }
 
-static bool was_running(const rr_machine *m, const rr_piece *p) {
-    for (guint i = 0; m->heard && i < m->rep.pieces->len; i++) {
-        const rr_piece *q = &g_array_index(m->rep.pieces, rr_piece, i);
-        if (q->attempt == p->attempt && q->task == p->task && strcmp(q->ref, p->ref) == 0) {
-            return q->standing != RR_FETCHING;
+static bool was_running(const rr_machine *m, const rr_task_status *p) {
+    for (guint i = 0; m->heard && i < m->rep.tasks->len; i++) {
+        const rr_task_status *q = &g_array_index(m->rep.tasks, rr_task_status, i);
+        if (q->attempt == p->attempt && q->task == p->task && strcmp(q->job_id, p->job_id) == 0) {
+            return q->state != RR_TASK_FETCHING;
         }
     }
     return false;
@@ -58,32 +58,32 @@
 
 /* For whoever follows a day: when each task runs, and how long after its job came to be known. */
 static void log_starts(rr_core *c, const rr_machine *m, const rr_report *r, double now) {
-    for (guint i = 0; i < r->pieces->len; i++) {
-        const rr_piece *p = &g_array_index(r->pieces, rr_piece, i);
-        const rr_job *j = g_hash_table_lookup(c->jobs, p->ref);
-        if (j && p->standing == RR_RUNNING && j->team >= 0 && rr_owns_team(c, j->team) &&
+    for (guint i = 0; i < r->tasks->len; i++) {
+        const rr_task_status *p = &g_array_index(r->tasks, rr_task_status, i);
+        const rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
+        if (j && p->state == RR_TASK_RUNNING && j->team >= 0 && rr_owns_team(c, j->team) &&
             !was_running(m, p)) {
             rr_log_at(c, RR_LOG_DEBUG, "runs %s/%u (%s) on %s %.1f s after it was known, image %s",
-                      p->ref, p->task, j->s.job_class, m->name, now - j->first_seen,
+                      p->job_id, p->task, j->submission.job_class, m->name, now - j->first_seen,
                       rr_machine_has_image(m, j->image) ? "was there" : "was fetched");
         }
     }
 }
 
 static void note_failures(rr_core *c, rr_machine *m, const rr_report *r, double now) {
-    for (guint i = 0; i < r->pieces->len; i++) {
-        const rr_piece *p = &g_array_index(r->pieces, rr_piece, i);
-        if (p->standing != RR_ENDED || was_shown_failed(m, p)) {
+    for (guint i = 0; i < r->tasks->len; i++) {
+        const rr_task_status *p = &g_array_index(r->tasks, rr_task_status, i);
+        if (p->state != RR_TASK_ENDED || was_shown_failed(m, p)) {
             continue;
         }
-        rr_job *j = g_hash_table_lookup(c->jobs, p->ref);
-        if (p->cause == RR_ERROR && j) {
+        rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
+        if (p->exit_reason == RR_EXIT_ERROR && j) {
             rr_note_error(c, m, j, now);
-        } else if (p->cause == RR_FULL) {
+        } else if (p->exit_reason == RR_EXIT_FULL) {
             m->full_until = now + FULL_S;
-        } else if (p->cause == RR_NO_SUCH && j) {
+        } else if (p->exit_reason == RR_EXIT_NO_SUCH && j) {
             j->hold_until = now + 2;
-        } else if (p->cause == RR_DONE && j && j->failed_on) {
+        } else if (p->exit_reason == RR_EXIT_DONE && j && j->failed_on) {
             g_array_set_size(j->failed_on, 0);
         }
     }
@@ -159,7 +159,7 @@
     rr_report_clear(&m->rep);
     m->rep = *r;
     m->rep_hash = hash;
-    r->pieces = NULL;
+    r->tasks = NULL;
     m->heard = true;
     m->heard_at = m->reported_at = now;
     m->probe_fails = 0;
@@ -253,8 +253,8 @@
     for (guint i = 0; m && i < m->places->len; i++) {
         want_owner(c, g_array_index(m->places, rr_place, i).job, &peers);
     }
-    for (guint i = 0; m && m->heard && i < m->rep.pieces->len; i++) {
-        const char *ref = g_array_index(m->rep.pieces, rr_piece, i).ref;
+    for (guint i = 0; m && m->heard && i < m->rep.tasks->len; i++) {
+        const char *ref = g_array_index(m->rep.tasks, rr_task_status, i).job_id;
         want_owner(c, g_hash_table_lookup(c->jobs, ref), &peers);
     }
     /* Every owner looks for room everywhere. */
@@ -295,14 +295,14 @@
     out->status = 200;
     out->fencing_token = c->term.token;
     out->orders = g_array_new(FALSE, TRUE, sizeof(rr_order));
-    for (guint i = 0; i < r->pieces->len; i++) {
-        const rr_piece *p = &g_array_index(r->pieces, rr_piece, i);
-        const rr_job *j = g_hash_table_lookup(c->jobs, p->ref);
-        bool unwanted = (j && j->cancelled && !j->done) || rr_job_final(c, p->ref, NULL, NULL) ||
-                        rr_cancel_hinted(c, p->ref, now);
-        if (p->standing != RR_ENDED && unwanted) {
+    for (guint i = 0; i < r->tasks->len; i++) {
+        const rr_task_status *p = &g_array_index(r->tasks, rr_task_status, i);
+        const rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
+        bool unwanted = (j && j->cancelled && !j->done) || rr_job_final(c, p->job_id, NULL, NULL) ||
+                        rr_cancel_hinted(c, p->job_id, now);
+        if (p->state != RR_TASK_ENDED && unwanted) {
             rr_order o = {.verb = RR_STOP, .task = p->task, .attempt = p->attempt, .grace_s = 0};
-            g_strlcpy(o.ref, p->ref, sizeof o.ref);
+            g_strlcpy(o.job_id, p->job_id, sizeof o.job_id);
             g_array_append_val(out->orders, o);
         }
     }
--- a/src/core/reserve_gang.c
+++ b/src/core/reserve_gang.c
@@ -26,12 +26,13 @@
     rr_res room = rr_machine_cap(core, machine);
     for (guint i = 0; i < machine->places->len; i++) {
         const rr_job *other = g_array_index(machine->places, rr_place, i).job;
-        bool stays = other->s.shape == RR_SERVICE || (gangs_stay && other->s.shape == RR_GANG);
+        bool stays = other->submission.kind == RR_JOB_SERVICE ||
+                     (gangs_stay && other->submission.kind == RR_JOB_GANG);
         if (stays && !other->cancelled) {
-            room = rr_res_add(room, other->need, -1);
+            room = rr_res_add(room, other->request, -1);
         }
     }
-    return rr_tasks_in(job->need, room, job->s.pieces);
+    return rr_tasks_in(job->request, room, job->submission.task_count);
 }
 
 /* All machines of these zones that may ever take tasks of the gang, the emptiest first. */
@@ -73,14 +74,15 @@
     uint32_t seats = 0;
     guint needed = 0;
     *progress = (struct progress){0, 0};
-    for (; needed < prospects->len && seats < job->s.pieces; needed++) {
+    for (; needed < prospects->len && seats < job->submission.task_count; needed++) {
         const struct prospect *prospect = &g_array_index(prospects, struct prospect, needed);
         seats += prospect->seats;
-        progress->free_seats += rr_tasks_in(job->need, prospect->machine->sim, job->s.pieces);
+        progress->free_seats +=
+            rr_tasks_in(job->request, prospect->machine->sim, job->submission.task_count);
         progress->free_share += prospect->free_share;
     }
     g_array_set_size(prospects, needed);
-    return seats >= job->s.pieces;
+    return seats >= job->submission.task_count;
 }
 
 /* The machines to keep for the gang, in the zones where most of it fits now; NULL: there are none.
@@ -126,8 +128,8 @@
         reserve_machines(prospects);
         g_array_unref(prospects);
     }
-    if (!rr_within_limit(planner, job, job->s.pieces)) {
+    if (!rr_within_limit(planner, job, job->submission.task_count)) {
         rr_res *booked = &g_array_index(core->team_booked, rr_res, job->team);
-        *booked = rr_res_add(*booked, job->need, job->s.pieces);
+        *booked = rr_res_add(*booked, job->request, job->submission.task_count);
     }
 }
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -18,13 +18,13 @@
 
 static bool movable(const rr_core *c, const rr_machine *m, const rr_place *p, double now) {
     const rr_job *j = p->job;
-    if (j->s.shape != RR_SERVICE || j->cancelled || j->done || p->evict || !j->placed ||
-        p->task >= j->s.pieces || j->placed[p->task] != 1 || j->team < 0 ||
+    if (j->submission.kind != RR_JOB_SERVICE || j->cancelled || j->done || p->evict || !j->placed ||
+        p->task >= j->submission.task_count || j->placed[p->task] != 1 || j->team < 0 ||
         !rr_owns_team(c, j->team) || !rr_machine_usable(c, m, now) || rr_job_held(c, j, now)) {
         return false;
     }
-    const rr_piece *r = rr_piece_find(m, p);
-    return r && r->standing == RR_RUNNING;
+    const rr_task_status *r = rr_task_status_find(m, p);
+    return r && r->state == RR_TASK_RUNNING;
 }
 
 /* No replica moves while a trouble is on: recorded machines silent, notices, a young term, or this
@@ -51,7 +51,7 @@
 }
 
 static double size_of(const rr_core *c, const rr_machine *m, const rr_job *j) {
-    return 1 - rr_res_room(rr_res_add(rr_machine_cap(c, m), j->need, -1), rr_machine_cap(c, m));
+    return 1 - rr_res_room(rr_res_add(rr_machine_cap(c, m), j->request, -1), rr_machine_cap(c, m));
 }
 
 static gint by_group_and_size(gconstpointer a, gconstpointer b) {
@@ -61,7 +61,7 @@
         return gx ? -1 : 1;
     }
     if (gx && x->job != y->job) {
-        return strcmp(x->job->s.ref, y->job->s.ref);
+        return strcmp(x->job->submission.job_id, y->job->submission.job_id);
     }
     if (fabs(x->size - y->size) > 1e-9) {
         return x->size > y->size ? -1 : 1;
@@ -144,10 +144,11 @@
 static void allowed_zones(rr_core *c, const struct item *it, bool *zones, double now) {
     rr_job *j = it->job;
     guint n = c->zones.names->len;
-    bool fixed = j->s.pieces > 1 && (j->s.apart || j->s.one_zone);
+    bool fixed = j->submission.task_count > 1 && (j->submission.spread || j->submission.one_zone);
     for (guint w = 0; w < n; w++) {
         zones[w] = fixed ? (int)w == it->home->zone
-                         : !j->s.zone[0] || strcmp(j->s.zone, rr_names_at(&c->zones, (int)w)) == 0;
+                         : !j->submission.zone[0] ||
+                               strcmp(j->submission.zone, rr_names_at(&c->zones, (int)w)) == 0;
     }
     if (!fixed && rr_zone_bound(j)) {
         int z = rr_zone_most_room(c, j, zones, now);
@@ -161,7 +162,7 @@
     rr_sim_reset(c);
     for (guint i = 0; i < items->len; i++) {
         struct item *it = &g_array_index(items, struct item, i);
-        it->home->sim = rr_res_add(it->home->sim, it->job->need, 1);
+        it->home->sim = rr_res_add(it->home->sim, it->job->request, 1);
     }
     for (guint i = 0; i < items->len; i++) {
         struct item *it = &g_array_index(items, struct item, i);
@@ -169,7 +170,7 @@
         allowed_zones(c, it, zones, now);
         /* An image still to be fetched would keep the replica down for the fetch. */
         struct rr_choice how = {.zones = zones,
-                                .separate = it->job->s.pieces > 1,
+                                .separate = it->job->submission.task_count > 1,
                                 .home = it->home,
                                 .need_image = true,
                                 .filter = rr_machine_usable};
@@ -178,7 +179,7 @@
             to = it->home;
         }
         it->to = to;
-        to->sim = rr_res_add(to->sim, it->job->need, -1);
+        to->sim = rr_res_add(to->sim, it->job->request, -1);
     }
 }
 
@@ -210,7 +211,7 @@
     for (guint i = 0; i < items->len; i++) {
         struct item *it = &g_array_index(items, struct item, i);
         if (it->taken || !it->home->emptied || it->to == it->home || it->to->emptied ||
-            !rr_res_fits(it->job->need, it->to->sim)) {
+            !rr_res_fits(it->job->request, it->to->sim)) {
             continue;
         }
         double room = rr_res_room(it->to->sim, rr_machine_cap(c, it->to));
@@ -231,8 +232,8 @@
         rr_move mv = {it->job, it->task, it->home, it->to};
         g_array_append_val(moves, mv);
         it->taken = true;
-        it->to->sim = rr_res_add(it->to->sim, it->job->need, -1);
-        it->home->sim = rr_res_add(it->home->sim, it->job->need, 1);
+        it->to->sim = rr_res_add(it->to->sim, it->job->request, -1);
+        it->home->sim = rr_res_add(it->home->sim, it->job->request, 1);
     }
     /* A machine that can't be emptied whole is left alone: half-made plans only cost. */
     for (guint i = 0; i < moves->len; i++) {
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -237,7 +237,7 @@
         const rr_job *j = g_ptr_array_index(c->open, i);
         out->jobs_open++;
         if (!j->cancelled && !j->done) {
-            out->tasks_waiting += j->s.pieces - j->ndone - j->nplaced;
+            out->tasks_waiting += j->submission.task_count - j->done_count - j->placed_count;
         }
     }
     out->moves = c->moves_made;
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -96,7 +96,7 @@
     double pause = n <= 2 ? 0 : n >= 7 ? 60 : (double)(1u << (n - 1));
     j->hold_until = now + pause;
     rr_log_at(c, RR_LOG_DEBUG, "task of %s failed on %s (job on %u machines, machine with %u jobs)",
-              j->s.ref, m->name, n, m->err_jobs->len);
+              j->submission.job_id, m->name, n, m->err_jobs->len);
 }
 
 /* A machine counts as dead or hung if it is silent while its zone is heard and our own probes of it
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -36,15 +36,15 @@
 enum rr_admit rr_core_admit(const rr_core *c, const rr_submission *s, const char **why) {
     int team = rr_config_team(c->cfg, s->team);
     const struct rr_team_config *t = team >= 0 ? &c->cfg->teams[team] : NULL;
-    const rr_job *known = g_hash_table_lookup(c->jobs, s->ref);
-    if ((known && known->mark) || rr_job_final(c, s->ref, NULL, NULL)) {
+    const rr_job *known = g_hash_table_lookup(c->jobs, s->job_id);
+    if ((known && known->mark) || rr_job_final(c, s->job_id, NULL, NULL)) {
         return RR_ADMIT_KNOWN;
     }
     if (!t) {
         *why = "unknown team";
         return RR_ADMIT_NEVER;
     }
-    double n = s->shape == RR_BATCH ? 1 : s->pieces;
+    double n = s->kind == RR_JOB_ARRAY ? 1 : s->task_count;
     if ((t->cpus_max > 0 && n * s->vcpus > t->cpus_max + RR_EPS) ||
         (t->gpus_max > 0 && n * s->cards > t->gpus_max + RR_EPS)) {
         *why = "over the team's limit";
@@ -58,11 +58,11 @@
         *why = "fits no allowed machine type";
         return RR_ADMIT_NEVER;
     }
-    if (s->shape == RR_GANG && s->pieces > rr_gang_most(c)) {
+    if (s->kind == RR_JOB_GANG && s->task_count > rr_gang_most(c)) {
         *why = "more linked tasks than one transaction books";
         return RR_ADMIT_NEVER;
     }
-    if (s->shape == RR_GANG && !rr_all_able(c)) {
+    if (s->kind == RR_JOB_GANG && !rr_all_able(c)) {
         *why = "an older version still serves";
         return RR_ADMIT_UNKNOWN_YET;
     }
@@ -80,8 +80,8 @@
         for (guint i = 0; run && i < run->items->len; i++) {
             const rr_item *it = &g_array_index(run->items, rr_item, i);
             const rr_place *p = rr_place_find(it->m, it->attempt, j, it->task);
-            const rr_piece *r = p ? rr_piece_find(it->m, p) : NULL;
-            n += r ? r->standing == RR_RUNNING
+            const rr_task_status *r = p ? rr_task_status_find(it->m, p) : NULL;
+            n += r ? r->state == RR_TASK_RUNNING
                    : p && !it->m->gone && !rr_owns_team(c, j->team) && now - p->seen_at > SURELY_S;
         }
     }
@@ -90,11 +90,11 @@
 
 void rr_core_job_view(const rr_core *c, const char *ref, double now, rr_job_view *out) {
     memset(out, 0, sizeof *out);
-    out->standing = "queued";
-    if (rr_job_final(c, ref, &out->done, &out->ndone)) {
+    out->state = "queued";
+    if (rr_job_final(c, ref, &out->done, &out->done_count)) {
         out->known = true;
-        out->aborted = !out->done;
-        out->standing = out->done ? "done" : "aborted";
+        out->cancelled = !out->done;
+        out->state = out->done ? "done" : "aborted";
         return;
     }
     const rr_job *j = g_hash_table_lookup(c->jobs, ref);
@@ -103,15 +103,15 @@
     }
     out->known = true;
     out->mark = j->mark;
-    out->ndone = j->ndone;
+    out->done_count = j->done_count;
     out->done = j->done;
-    out->aborted = !j->done && j->cancelled;
+    out->cancelled = !j->done && j->cancelled;
     if (out->done) {
-        out->standing = "done";
-    } else if (out->aborted) {
-        out->standing = "aborted";
-    } else if ((out->nrunning = count_running(c, j, now)) > 0) {
-        out->standing = "running";
+        out->state = "done";
+    } else if (out->cancelled) {
+        out->state = "aborted";
+    } else if ((out->running_count = count_running(c, j, now)) > 0) {
+        out->state = "running";
     }
 }
 
--- a/src/peer/listener.c
+++ b/src/peer/listener.c
@@ -118,7 +118,7 @@
     char job_id[RR_ID];
     uint16_t n = rr_unpack_u16(u);
     for (uint16_t i = 0; i < n && rr_unpack_text(u, job_id, sizeof job_id); i++) {
-        if (rr_ref_valid(job_id)) {
+        if (rr_job_id_valid(job_id)) {
             p->ev.cancelled(p->ev.user, job_id);
         }
     }
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -21,7 +21,7 @@
     return -1;
 }
 
-bool rr_ref_valid(const char *ref) {
+bool rr_job_id_valid(const char *ref) {
     if (strncmp(ref, "req-", 4) != 0 || strlen(ref) < 5 || strlen(ref) > 40) {
         return false;
     }
@@ -77,7 +77,7 @@
     s->nbuilds = 0;
 }
 
-static bool get_pieces(const msgpack_object *o, uint32_t *out) {
+static bool get_tasks(const msgpack_object *o, uint32_t *out) {
     uint64_t n;
     if (!rr_map_get_u64(o, "pieces", &n) || n == 0 || n > RR_PIECES_MAX) {
         return false;
@@ -96,7 +96,7 @@
 
 /* What the job is and whose. */
 static int decode_identity(const msgpack_object *o, rr_submission *s, const char **field) {
-    NEED(get_name(o, "ref", s->ref, sizeof s->ref) && rr_ref_valid(s->ref), "ref");
+    NEED(get_name(o, "ref", s->job_id, sizeof s->job_id) && rr_job_id_valid(s->job_id), "ref");
     NEED(get_name(o, "lane", s->job_class, sizeof s->job_class), "lane");
     NEED(get_name(o, "crew", s->team, sizeof s->team), "crew");
     NEED(get_name(o, "cast", s->image, sizeof s->image), "cast");
@@ -104,9 +104,9 @@
     NEED(shape >= 0, "shape");
     int rank = index_of(rr_map_get(o, "rank"), ranks, 4);
     NEED(rank >= 0, "rank");
-    s->shape = (enum rr_shape)shape;
-    s->rank = (enum rr_rank)rank;
-    NEED(get_pieces(o, &s->pieces), "pieces");
+    s->kind = (enum rr_job_kind)shape;
+    s->priority = (enum rr_priority)rank;
+    NEED(get_tasks(o, &s->task_count), "pieces");
     return 0;
 }
 
@@ -134,7 +134,7 @@
 static int decode_constraints(const msgpack_object *o, rr_submission *s, const char **field) {
     NEED(!rr_map_get(o, "ward") || get_name(o, "ward", s->zone, sizeof s->zone), "ward");
     NEED(rr_map_get_bool(o, "one_zone", &s->one_zone), "one_zone");
-    NEED(rr_map_get_bool(o, "apart", &s->apart), "apart");
+    NEED(rr_map_get_bool(o, "apart", &s->spread), "apart");
     NEED(rr_map_get_bool(o, "loaners", &s->spot), "loaners");
     NEED(get_builds(o, s), "builds"); /* last: it allocates */
     return 0;
@@ -155,13 +155,13 @@
 }
 
 void rr_submission_encode_fields(rr_encoder *o, const rr_submission *s) {
-    rr_encode_key_text(o, "ref", s->ref);
+    rr_encode_key_text(o, "ref", s->job_id);
     rr_encode_key_text(o, "lane", s->job_class);
     rr_encode_key_text(o, "crew", s->team);
     rr_encode_key_text(o, "cast", s->image);
-    rr_encode_key_text(o, "shape", shapes[s->shape]);
-    rr_encode_key_text(o, "rank", ranks[s->rank]);
-    rr_encode_key_u64(o, "pieces", s->pieces);
+    rr_encode_key_text(o, "shape", shapes[s->kind]);
+    rr_encode_key_text(o, "rank", ranks[s->priority]);
+    rr_encode_key_u64(o, "pieces", s->task_count);
     rr_encode_key_number(o, "vcpus", s->vcpus);
     rr_encode_key_number(o, "cards", s->cards);
     rr_encode_key_number(o, "mem_gb", s->mem_gb);
@@ -183,11 +183,11 @@
         }
     }
     rr_encode_key_bool(o, "one_zone", s->one_zone);
-    rr_encode_key_bool(o, "apart", s->apart);
+    rr_encode_key_bool(o, "apart", s->spread);
     rr_encode_key_bool(o, "loaners", s->spot);
 }
 
-bool rr_piece_parse(const char *text, char *ref, size_t size, uint32_t *task) {
+bool rr_task_name_parse(const char *text, char *ref, size_t size, uint32_t *task) {
     const char *slash = strrchr(text, '/');
     if (!slash || slash == text || (size_t)(slash - text) >= size) {
         return false;
@@ -203,31 +203,32 @@
     return true;
 }
 
-static enum rr_cause cause_of(const msgpack_object *o) {
+static enum rr_exit_reason exit_reason_of(const msgpack_object *o) {
     static const char *const names[] = {"done",   "halted",  "error", "full",
                                         "in_use", "no_such", "peers", "incomplete"};
     int i = index_of(o, names, G_N_ELEMENTS(names));
-    return i < 0 ? RR_CAUSE_OTHER : (enum rr_cause)(RR_DONE + i);
+    return i < 0 ? RR_EXIT_OTHER : (enum rr_exit_reason)(RR_EXIT_DONE + i);
 }
 
-static bool piece_decode(const msgpack_object *o, rr_piece *p) {
+static bool task_status_decode(const msgpack_object *o, rr_task_status *p) {
     static const char *const names[] = {"fetching", "running", "flushing", "ended", "waiting"};
     char text[2 * RR_ID];
     int standing = index_of(rr_map_get(o, "standing"), names, G_N_ELEMENTS(names));
     if (!rr_map_get_text(o, "piece", text, sizeof text) ||
-        !rr_piece_parse(text, p->ref, sizeof p->ref, &p->task) ||
+        !rr_task_name_parse(text, p->job_id, sizeof p->job_id, &p->task) ||
         !rr_map_get_u64(o, "try", &p->attempt)) {
         return false;
     }
     /* An unknown standing (a state this version does not know) counts as on the machine. */
-    p->standing = standing < 0 ? RR_FETCHING : (enum rr_standing)standing;
-    p->cause = p->standing == RR_ENDED ? cause_of(rr_map_get(o, "cause")) : RR_CAUSE_NONE;
+    p->state = standing < 0 ? RR_TASK_FETCHING : (enum rr_task_state)standing;
+    p->exit_reason =
+        p->state == RR_TASK_ENDED ? exit_reason_of(rr_map_get(o, "cause")) : RR_EXIT_NONE;
     return true;
 }
 
 int rr_report_decode(const msgpack_object *o, rr_report *r) {
     memset(r, 0, sizeof *r);
-    r->pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
+    r->tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     r->spot_notice_s = -1;
     const msgpack_object *list = rr_map_get(o, "pieces");
     if (!rr_map_get_text(o, "stone", r->machine, sizeof r->machine) || !r->machine[0] ||
@@ -243,20 +244,20 @@
         return -EBADMSG;
     }
     for (uint32_t i = 0; list && i < list->via.array.size; i++) {
-        rr_piece p;
+        rr_task_status p;
         /* A task list that can't be read whole proves nothing about what is absent. */
-        if (!piece_decode(&list->via.array.ptr[i], &p)) {
+        if (!task_status_decode(&list->via.array.ptr[i], &p)) {
             return -EBADMSG;
         }
-        g_array_append_val(r->pieces, p);
+        g_array_append_val(r->tasks, p);
     }
     return 0;
 }
 
 void rr_report_clear(rr_report *r) {
-    if (r->pieces) {
-        g_array_free(r->pieces, TRUE);
-        r->pieces = NULL;
+    if (r->tasks) {
+        g_array_free(r->tasks, TRUE);
+        r->tasks = NULL;
     }
 }
 
@@ -272,7 +273,7 @@
     for (guint i = 0; orders && i < orders->len; i++) {
         const rr_order *c = &g_array_index(orders, rr_order, i);
         char piece[2 * RR_ID];
-        g_snprintf(piece, sizeof piece, "%s/%u", c->ref, c->task);
+        g_snprintf(piece, sizeof piece, "%s/%u", c->job_id, c->task);
         rr_encode_map(o, c->verb == RR_STOP ? 4 : 3);
         rr_encode_key_text(o, "verb", verbs[c->verb]);
         rr_encode_key_text(o, "piece", piece);
@@ -367,10 +368,10 @@
     uint64_t h = mix(1469598103934665603ULL, &r->fencing_token, sizeof r->fencing_token);
     uint8_t notice = r->spot_notice_s >= 0;
     h = mix(h, &notice, 1);
-    for (guint i = 0; r->pieces && i < r->pieces->len; i++) {
-        const rr_piece *p = &g_array_index(r->pieces, rr_piece, i);
-        uint8_t state[2] = {(uint8_t)p->standing, (uint8_t)p->cause};
-        h = mix(h, p->ref, strlen(p->ref) + 1);
+    for (guint i = 0; r->tasks && i < r->tasks->len; i++) {
+        const rr_task_status *p = &g_array_index(r->tasks, rr_task_status, i);
+        uint8_t state[2] = {(uint8_t)p->state, (uint8_t)p->exit_reason};
+        h = mix(h, p->job_id, strlen(p->job_id) + 1);
         h = mix(h, &p->task, sizeof p->task);
         h = mix(h, &p->attempt, sizeof p->attempt);
         h = mix(h, state, sizeof state);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -59,19 +59,19 @@
 
 /* ---- users ---- */
 /* Of a gang ("group" in messages) all tasks run at the same time, or none does. */
-enum rr_shape { RR_BATCH, RR_SERVICE, RR_GANG };
-enum rr_rank { RR_LOW, RR_STANDARD, RR_HIGH, RR_PROD };
+enum rr_job_kind { RR_JOB_ARRAY, RR_JOB_SERVICE, RR_JOB_GANG };
+enum rr_priority { RR_PRIORITY_LOW, RR_PRIORITY_STANDARD, RR_PRIORITY_HIGH, RR_PRIORITY_PROD };
 
 typedef struct {
-    char ref[RR_ID], job_class[RR_TEXT], team[RR_TEXT], image[RR_TEXT], zone[RR_TEXT];
+    char job_id[RR_ID], job_class[RR_TEXT], team[RR_TEXT], image[RR_TEXT], zone[RR_TEXT];
     char (*builds)[RR_ID]; /* owned; jobs are kept for good, and few name any */
     int nbuilds;           /* 0: any */
-    enum rr_shape shape;
-    enum rr_rank rank;
-    uint32_t pieces;
+    enum rr_job_kind kind;
+    enum rr_priority priority;
+    uint32_t task_count;
     double vcpus, cards, mem_gb, image_size_gb, runtime_estimate_s, checkpoint_interval_s, save_s;
     double deadline_s; /* <0: none */
-    bool one_zone, apart, spot;
+    bool one_zone, spread, spot;
 } rr_submission;
 
 /* 0, or -EINVAL with the field at fault in *field. rr_submission_clear() after success. */
@@ -80,37 +80,43 @@
 void rr_submission_encode_fields(rr_encoder *o, const rr_submission *s);
 size_t rr_submission_field_count(const rr_submission *s);
 void rr_submission_clear(rr_submission *s);
-bool rr_ref_valid(const char *ref);
+bool rr_job_id_valid(const char *ref);
 
 /* ---- workers ---- */
-enum rr_standing { RR_FETCHING, RR_RUNNING, RR_FLUSHING, RR_ENDED, RR_WAITING };
-enum rr_cause {
-    RR_CAUSE_NONE,
-    RR_DONE,
-    RR_HALTED,
-    RR_ERROR,
-    RR_FULL,
-    RR_IN_USE,
-    RR_NO_SUCH,
-    RR_PEERS,      /* another task of the gang is gone */
-    RR_INCOMPLETE, /* the gang was not complete in time */
-    RR_CAUSE_OTHER
+enum rr_task_state {
+    RR_TASK_FETCHING,
+    RR_TASK_RUNNING,
+    RR_TASK_SAVING,
+    RR_TASK_ENDED,
+    RR_TASK_WAITING
+};
+enum rr_exit_reason {
+    RR_EXIT_NONE,
+    RR_EXIT_DONE,
+    RR_EXIT_STOPPED,
+    RR_EXIT_ERROR,
+    RR_EXIT_FULL,
+    RR_EXIT_IN_USE,
+    RR_EXIT_NO_SUCH,
+    RR_EXIT_PEERS,      /* another task of the gang is gone */
+    RR_EXIT_INCOMPLETE, /* the gang was not complete in time */
+    RR_EXIT_OTHER
 };
 
 typedef struct {
-    char ref[RR_ID];
+    char job_id[RR_ID];
     uint32_t task;
     uint64_t attempt;
-    enum rr_standing standing;
-    enum rr_cause cause;
-} rr_piece;
+    enum rr_task_state state;
+    enum rr_exit_reason exit_reason;
+} rr_task_status;
 
 typedef struct {
     char machine[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
     bool spot;
     uint64_t worker_epoch, sequence, fencing_token;
     double spot_notice_s; /* <0: no notice */
-    GArray *pieces;       /* rr_piece */
+    GArray *tasks;        /* rr_task_status */
 } rr_report;
 
 int rr_report_decode(const msgpack_object *o, rr_report *out);
@@ -125,12 +131,12 @@
     char machine[RR_ID];
     uint64_t worker_epoch, sequence, hash;
 } rr_heard;
-bool rr_piece_parse(const char *text, char *ref, size_t size, uint32_t *task);
+bool rr_task_name_parse(const char *text, char *ref, size_t size, uint32_t *task);
 
 enum rr_verb { RR_START, RR_STOP, RR_REAP };
 typedef struct {
     enum rr_verb verb;
-    char ref[RR_ID];
+    char job_id[RR_ID];
     uint32_t task;
     uint64_t attempt;
     double grace_s;
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -197,7 +197,7 @@
         while (strcmp(model->config.teams[team].name, job->submission.team) != 0) {
             team++;
         }
-        rr_load_add_job(load, &job->submission, team, job->submission.pieces - job->placed, on,
+        rr_load_add_job(load, &job->submission, team, job->submission.task_count - job->placed, on,
                         job->placed - on);
     }
     g_hash_table_destroy(live);
@@ -265,11 +265,11 @@
     const struct model_stream *from = &model->streams[stream];
     struct job *job = g_new0(struct job, 1);
     rr_submission *submission = &job->submission;
-    g_snprintf(submission->ref, sizeof submission->ref, "req-%06u",
+    g_snprintf(submission->job_id, sizeof submission->job_id, "req-%06u",
                g_rand_int_range(state->random, 0, 1000) * 1000000 + state->jobs->len);
     g_strlcpy(submission->team, from->team, sizeof submission->team);
     g_strlcpy(submission->job_class, from->job_class, sizeof submission->job_class);
-    submission->pieces = from->tasks;
+    submission->task_count = from->tasks;
     submission->vcpus = 1;
     submission->mem_gb = 1;
     submission->runtime_estimate_s = from->runtime_s * from->estimate_factor;
@@ -337,11 +337,11 @@
         rr_admission_accepted(model->controllers[controller], &job->submission);
         model->admitted_at[controller]++;
         model->admitted_work_at[controller] +=
-            job->submission.pieces * job->submission.runtime_estimate_s;
+            job->submission.task_count * job->submission.runtime_estimate_s;
         job->accepted_at = state->now;
         result->accepted++;
         result->asked_s += state->now - job->came_at;
-        g_hash_table_insert(state->accepted, job->submission.ref, job);
+        g_hash_table_insert(state->accepted, job->submission.job_id, job);
         g_ptr_array_add(state->queue, job);
         return true;
     }
@@ -467,14 +467,14 @@
     while (model->state->free >= 1 && (job = next_to_place(model, used))) {
         place_task(model, job);
         count_used(model, used);
-        if (job->placed == job->submission.pieces) {
+        if (job->placed == job->submission.task_count) {
             g_ptr_array_remove(queue, job);
         }
     }
     double backlog = 0;
     for (guint i = 0; i < queue->len; i++) {
         const struct job *waiting = g_ptr_array_index(queue, i);
-        backlog += (waiting->submission.pieces - waiting->placed) *
+        backlog += (waiting->submission.task_count - waiting->placed) *
                    model->streams[waiting->stream].runtime_s;
     }
     model->peak_backlog = fmax(model->peak_backlog, backlog);
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -338,23 +338,23 @@
 void fx_submission(rr_submission *out, const struct fx_job *j) {
     static const char *const ranks[] = {"low", "standard", "high", "prod"};
     memset(out, 0, sizeof *out);
-    g_strlcpy(out->ref, j->ref, sizeof out->ref);
+    g_strlcpy(out->job_id, j->job_id, sizeof out->job_id);
     g_strlcpy(out->team, j->team ? j->team : "red", sizeof out->team);
     g_strlcpy(out->job_class, j->job_class ? j->job_class : "plain", sizeof out->job_class);
     g_strlcpy(out->image, j->image ? j->image : "img-1", sizeof out->image);
     g_strlcpy(out->zone, j->zone ? j->zone : "", sizeof out->zone);
     for (int i = 0; i < 4; i++) {
         if (strcmp(ranks[i], j->rank ? j->rank : "standard") == 0) {
-            out->rank = (enum rr_rank)i;
+            out->priority = (enum rr_priority)i;
         }
     }
-    out->shape = j->gang ? RR_GANG : j->service ? RR_SERVICE : RR_BATCH;
-    out->pieces = j->pieces ? j->pieces : 1;
+    out->kind = j->gang ? RR_JOB_GANG : j->service ? RR_JOB_SERVICE : RR_JOB_ARRAY;
+    out->task_count = j->pieces ? j->pieces : 1;
     out->vcpus = j->cpu ? j->cpu : 4;
     out->cards = j->gpu;
     out->mem_gb = j->mem ? j->mem : 8;
     out->one_zone = j->one_zone;
-    out->apart = j->apart;
+    out->spread = j->spread;
     out->spot = j->spot;
     out->checkpoint_interval_s = j->checkpoint_interval_s;
     out->save_s = j->save_s;
@@ -368,7 +368,7 @@
     fx_submission(&sub, j);
     rr_encoder_init(&o);
     rr_core_job_encode(&o, &sub, at, false);
-    rr_core_job_key(j->ref, key, sizeof key);
+    rr_core_job_key(j->job_id, key, sizeof key);
     fx_put(s, key, &o);
 }
 
@@ -444,19 +444,19 @@
     static const char *const standings[] = {"fetching", "running", "flushing", "ended", "waiting"};
     static const char *const causes[] = {"",       "done",    "halted", "error",     "full",
                                          "in_use", "no_such", "peers",  "incomplete"};
-    rr_piece p = {0};
+    rr_task_status p = {0};
     char **f = g_strsplit(text, " ", 4);
     char **sc = g_strsplit(f[3], ":", 2);
-    g_strlcpy(p.ref, f[0], sizeof p.ref);
+    g_strlcpy(p.job_id, f[0], sizeof p.job_id);
     p.task = (uint32_t)atoi(f[1]);
     p.attempt = g_ascii_strtoull(f[2], NULL, 10);
     for (int i = 0; i < 5; i++) {
-        p.standing = strcmp(standings[i], sc[0]) == 0 ? (enum rr_standing)i : p.standing;
+        p.state = strcmp(standings[i], sc[0]) == 0 ? (enum rr_task_state)i : p.state;
     }
     for (int i = 1; sc[1] && i < 9; i++) {
-        p.cause = strcmp(causes[i], sc[1]) == 0 ? (enum rr_cause)i : p.cause;
+        p.exit_reason = strcmp(causes[i], sc[1]) == 0 ? (enum rr_exit_reason)i : p.exit_reason;
     }
-    g_array_append_val(r->pieces, p);
+    g_array_append_val(r->tasks, p);
     g_strfreev(sc);
     g_strfreev(f);
 }
@@ -474,7 +474,7 @@
     g_snprintf(r.addr, sizeof r.addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
     g_strlcpy(r.build, "m1", sizeof r.build);
     g_strlcpy(r.zone, zone, sizeof r.zone);
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     va_start(ap, fencing_token);
     while ((text = va_arg(ap, const char *))) {
         add_piece(&r, text);
@@ -575,7 +575,7 @@
     const rr_do *d = fx_do(p, id);
     for (guint i = 0; d && i < d->orders->len; i++) {
         const rr_order *o = &g_array_index(d->orders, rr_order, i);
-        if (o->verb == verb && o->task == task && strcmp(o->ref, ref) == 0) {
+        if (o->verb == verb && o->task == task && strcmp(o->job_id, ref) == 0) {
             return o;
         }
     }
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -73,8 +73,8 @@
 void fx_build(fx_store *s, const char *sku, double cpu, double gpu, double mem, double price,
               double spot);
 struct fx_job {
-    const char *ref, *team, *job_class, *image, *zone, *rank;
-    bool service, gang, one_zone, apart, spot;
+    const char *job_id, *team, *job_class, *image, *zone, *rank;
+    bool service, gang, one_zone, spread, spot;
     uint32_t pieces;
     double cpu, gpu, mem, checkpoint_interval_s, save_s, deadline_s;
 };
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -52,11 +52,13 @@
     fx_world_setup((void **)&w);
     fx_node *n = &w->n;
     fx_fleet(n, 1, 3, "a");
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 5, .cpu = 2, .deadline_s = 90},
+    fx_submit(w->store,
+              &(struct fx_job){.job_id = "req-1", .pieces = 5, .cpu = 2, .deadline_s = 90}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-2", .service = true, .spread = true},
+              n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-3", .one_zone = true, .zone = "b"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-4", .service = true, .rank = "prod"},
               n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .service = true, .apart = true}, n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-3", .one_zone = true, .zone = "b"}, n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-4", .service = true, .rank = "prod"}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 3; i++) {
         n->now += 1;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -15,10 +15,11 @@
 
 static rr_submission job_of(const char *team, const char *job_class, const char *id,
                             uint32_t tasks) {
-    rr_submission submission = {.pieces = tasks, .vcpus = 1, .mem_gb = 1, .runtime_estimate_s = 10};
+    rr_submission submission = {
+        .task_count = tasks, .vcpus = 1, .mem_gb = 1, .runtime_estimate_s = 10};
     g_strlcpy(submission.team, team, sizeof submission.team);
     g_strlcpy(submission.job_class, job_class, sizeof submission.job_class);
-    g_strlcpy(submission.ref, id, sizeof submission.ref);
+    g_strlcpy(submission.job_id, id, sizeof submission.job_id);
     return submission;
 }
 
@@ -756,16 +757,16 @@
     const double rooms[] = {0.25, 1};
     fx_fleet(n, 1, 4, "a");
     fx_submit(w->store,
-              &(struct fx_job){.ref = "req-1", .team = "red", .pieces = 64, .cpu = 1, .mem = 1},
+              &(struct fx_job){.job_id = "req-1", .team = "red", .pieces = 64, .cpu = 1, .mem = 1},
               n->now);
     fx_sync(w->store, n->core, n->now);
     rr_core_set_fair_room(n->core, rooms, 64, 16, 256);
     assert_int_equal(placed_after_plan(n, "req-1"), 16);
     fx_submit(w->store,
-              &(struct fx_job){.ref = "req-2", .team = "red", .service = true, .rank = "prod"},
+              &(struct fx_job){.job_id = "req-2", .team = "red", .service = true, .rank = "prod"},
               n->now);
     fx_submit(w->store,
-              &(struct fx_job){.ref = "req-3", .team = "blue", .pieces = 8, .cpu = 1, .mem = 1},
+              &(struct fx_job){.job_id = "req-3", .team = "blue", .pieces = 8, .cpu = 1, .mem = 1},
               n->now);
     fx_sync(w->store, n->core, n->now);
     n->now += 3;
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -107,7 +107,7 @@
 
 static int submit(const struct process *to, const struct job *job) {
     rr_submission submission;
-    fx_submission(&submission, &(struct fx_job){.ref = job->id,
+    fx_submission(&submission, &(struct fx_job){.job_id = job->id,
                                                 .team = streams[job->stream].team,
                                                 .job_class = streams[job->stream].job_class,
                                                 .pieces = streams[job->stream].tasks,
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -177,10 +177,12 @@
     struct job *job = g_new0(struct job, 1);
     rr_submission submission;
     g_snprintf(job->id, sizeof job->id, "req-1%d%06u", home, run.next_id++);
-    fx_submission(
-        &submission,
-        &(struct fx_job){
-            .ref = job->id, .team = "red", .job_class = "small", .pieces = 2, .cpu = 1, .mem = 1});
+    fx_submission(&submission, &(struct fx_job){.job_id = job->id,
+                                                .team = "red",
+                                                .job_class = "small",
+                                                .pieces = 2,
+                                                .cpu = 1,
+                                                .mem = 1});
     submission.runtime_estimate_s = TASK_S;
     job->home = home;
     job->came_at = rr_now();
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -251,7 +251,7 @@
     char one[RR_ID], other[RR_ID];
     (void)state;
     rr_cells_local_id("a", "req-1", 1, one, sizeof one);
-    assert_true(rr_ref_valid(one));
+    assert_true(rr_job_id_valid(one));
     assert_string_equal(one, "req-814787604127990689069");
     rr_cells_local_id("a", "req-1", 2, other, sizeof other);
     assert_string_not_equal(one, other);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -19,7 +19,7 @@
     return 0;
 }
 
-static const struct fx_job gang = {.ref = "req-1",
+static const struct fx_job gang = {.job_id = "req-1",
                                    .gang = true,
                                    .one_zone = true,
                                    .pieces = 3,
@@ -67,7 +67,7 @@
         rr_do *d = g_ptr_array_index(p.dos, i);
         for (guint k = 0; k < d->orders->len; k++) {
             const rr_order *o = &g_array_index(d->orders, rr_order, k);
-            if (o->verb == verb && strcmp(o->ref, ref) == 0) {
+            if (o->verb == verb && strcmp(o->job_id, ref) == 0) {
                 found++;
                 least = o->grace_s < least ? o->grace_s : least;
             }
@@ -88,11 +88,11 @@
 /* Submits the gang, books and starts it. */
 static void start(fx_world *w, const struct fx_job *j) {
     fx_node *n = &w->n;
-    show_all(n, j->ref, NULL);
+    show_all(n, j->job_id, NULL);
     fx_submit(w->store, j, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, j->ref, NULL);
-    assert_int_equal(plan(n, RR_START, j->ref, NULL), j->pieces);
+    plan(n, RR_START, j->job_id, NULL);
+    assert_int_equal(plan(n, RR_START, j->job_id, NULL), j->pieces);
 }
 
 static int machine_of(const fx_world *w, uint32_t task, uint64_t *attempt) {
@@ -274,7 +274,7 @@
     show_all(n, "req-1", "running");
     plan(n, RR_START, "req-1", NULL);
     rr_core_job_view(n->core, "req-1", n->now, &v);
-    assert_string_equal(v.standing, "running");
+    assert_string_equal(v.state, "running");
     n->now += 30;
     show_all(n, "req-1", "running");
     int m = machine_of(w, 0, &at);
@@ -285,7 +285,7 @@
     show_all(n, "req-1", "ended:done");
     plan(n, RR_REAP, "req-1", NULL);
     rr_core_job_view(n->core, "req-1", n->now, &v);
-    assert_true(v.done && v.ndone == 3);
+    assert_true(v.done && v.done_count == 3);
     assert_int_equal(w->store->epoch, before + 1);
     assert_int_equal(fx_placed(w->store, "req-1"), 0);
 }
@@ -341,9 +341,9 @@
     fx_node *n = &w->n;
     struct fx_job large = gang, small = gang, other = gang;
     large.pieces = 4; /* ten CPUs of sixteen each: three machines a zone */
-    small.ref = "req-2";
+    small.job_id = "req-2";
     small.pieces = 2;
-    other.ref = "req-3";
+    other.job_id = "req-3";
     other.one_zone = false;
     other.pieces = 4;
     show_all(n, "req-1", NULL);
@@ -360,7 +360,7 @@
     assert_int_equal(fx_placed(w->store, "req-3"), 4); /* over both zones */
     n->cfg.teams[0].cpus_max = 90;
     struct fx_job over = gang;
-    over.ref = "req-4";
+    over.job_id = "req-4";
     over.one_zone = false;
     over.cpu = 11;
     over.pieces = 3;
@@ -485,7 +485,7 @@
     const char *const one[] = {"req-5"};
     uint64_t at;
     show_all(n, "req-1", NULL);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-5", .zone = "a", .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-5", .zone = "a", .cpu = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-5", NULL);
     show_jobs(n, one, 1, 1, runs);
@@ -509,13 +509,13 @@
     fx_submit(
         w->store,
         &(struct fx_job){
-            .ref = "req-5", .rank = "low", .cpu = 8, .pieces = 12, .checkpoint_interval_s = 30},
+            .job_id = "req-5", .rank = "low", .cpu = 8, .pieces = 12, .checkpoint_interval_s = 30},
         n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-5", NULL);
     assert_int_equal(fx_placed(w->store, "req-5"), 12);
     show_jobs(n, arrays, 1, 12, runs);
-    large.ref = "req-2";
+    large.job_id = "req-2";
     large.job_class = "live";
     large.pieces = 4; /* of ten CPUs: three machines a zone */
     fx_submit(w->store, &large, n->now);
@@ -553,10 +553,11 @@
     all.rank = "standard";
     start(w, &all);
     show_all(n, "req-1", "running");
-    fx_submit(w->store,
-              &(struct fx_job){
-                  .ref = "req-2", .rank = "prod", .job_class = "live", .service = true, .cpu = 8},
-              n->now);
+    fx_submit(
+        w->store,
+        &(struct fx_job){
+            .job_id = "req-2", .rank = "prod", .job_class = "live", .service = true, .cpu = 8},
+        n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-2", NULL);
     assert_int_equal(fx_placed(w->store, "req-2"), 1);
@@ -586,10 +587,11 @@
     const char *const others[] = {"req-5"};
     n->cfg.teams[1].cpus = 20; /* blue */
     show_all(n, "req-1", NULL);
-    fx_submit(w->store,
-              &(struct fx_job){
-                  .ref = "req-5", .rank = "prod", .cpu = 16, .pieces = MACHINES, .service = true},
-              n->now);
+    fx_submit(
+        w->store,
+        &(struct fx_job){
+            .job_id = "req-5", .rank = "prod", .cpu = 16, .pieces = MACHINES, .service = true},
+        n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-5", NULL);
     assert_int_equal(fx_placed(w->store, "req-5"), MACHINES);
@@ -597,7 +599,7 @@
     owed.team = beyond.team = "blue";
     owed.rank = beyond.rank = "low";
     owed.pieces = 2;
-    beyond.ref = "req-2";
+    beyond.job_id = "req-2";
     fx_submit(w->store, &beyond, n->now); /* thirty CPUs */
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-2", NULL);
@@ -627,7 +629,7 @@
     for (int i = 0; i < many; i++) {
         rr_job_view v;
         rr_core_job_view(n->core, refs[i], n->now, &v);
-        done += v.ndone;
+        done += v.done_count;
     }
     return done;
 }
@@ -644,14 +646,14 @@
     unsigned begun[2] = {0, 0};
     first.rank = second.rank = "low";
     first.cpu = second.cpu = 16;
-    second.ref = "req-2";
+    second.job_id = "req-2";
     show_all(n, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
         fx_submit(w->store,
                   &(struct fx_job){
-                      .ref = small[i], .rank = "low", .cpu = 8, .pieces = 12, .deadline_s = 20},
+                      .job_id = small[i], .rank = "low", .cpu = 8, .pieces = 12, .deadline_s = 20},
                   n->now);
     }
     fx_submit(w->store, &first, n->now);
@@ -693,7 +695,8 @@
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
         fx_submit(w->store,
-                  &(struct fx_job){.ref = small[i], .rank = "low", .cpu = 8, .pieces = 12}, n->now);
+                  &(struct fx_job){.job_id = small[i], .rank = "low", .cpu = 8, .pieces = 12},
+                  n->now);
     }
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-100", NULL);
@@ -759,18 +762,18 @@
     n->cfg.teams[0].cpus_max = 30;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
     n->cfg.teams[0].cpus_max = 0;
-    s.pieces = 5000;
+    s.task_count = 5000;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
-    s.pieces = 3;
+    s.task_count = 3;
     start(w, &gang);
     show_all(n, "req-1", "running");
-    g_strlcpy(s.ref, "req-9", sizeof s.ref);
+    g_strlcpy(s.job_id, "req-9", sizeof s.job_id);
     fx_join_old_version(n);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_UNKNOWN_YET);
     assert_false(rr_core_peers_able(n->core)); /* nor is anything new told over links */
     rr_job_view v;
     rr_core_job_view(n->core, "req-1", n->now, &v);
-    assert_string_equal(v.standing, "running");
+    assert_string_equal(v.state, "running");
     rr_encoder o; /* it could not read the job, and cancels it */
     rr_encoder_init(&o);
     rr_encode_map(&o, 3);
@@ -780,7 +783,7 @@
     fx_put(w->store, RR_ROOT "job/req-1", &o);
     fx_sync(w->store, n->core, n->now);
     rr_core_job_view(n->core, "req-1", n->now, &v);
-    assert_true(v.aborted);
+    assert_true(v.cancelled);
     fx_leave_old_version(n);
     show_all(n, "req-1", "running");
     assert_int_equal(plan(n, RR_STOP, "req-1", NULL), 3);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -45,7 +45,7 @@
         char ref[32];
         struct fx_job j = *like;
         g_snprintf(ref, sizeof ref, "req-%06d", i);
-        j.ref = ref;
+        j.job_id = ref;
         fx_submit(n->store, &j, n->now);
     }
     fx_sync(n->store, n->core, n->now);
@@ -244,7 +244,7 @@
     rr_plan p;
     fx_fleet(n, 1, 200, "a");
     fx_fleet(n, 201, 200, "b");
-    submit_many(n, 1, 1, &(struct fx_job){.pieces = 12, .service = true, .apart = true, .gpu = 1});
+    submit_many(n, 1, 1, &(struct fx_job){.pieces = 12, .service = true, .spread = true, .gpu = 1});
     fx_plan(n, &p);
     assert_int_equal(changes_of(&p), 1);
     rr_plan_clear(&p);
@@ -359,13 +359,13 @@
         rr_plan_clear(&p);
         rr_job_view v;
         rr_core_job_view(n->core, "req-000001", n->now, &v);
-        if (v.ndone > 0 && turn > 40) {
+        if (v.done_count > 0 && turn > 40) {
             break;
         }
     }
     rr_job_view v;
     rr_core_job_view(n->core, "req-000001", n->now, &v);
-    assert_true(v.ndone > 0);
+    assert_true(v.done_count > 0);
     for (int r = 2; r < next; r++) {
         char ref[32];
         g_snprintf(ref, sizeof ref, "req-%06d", r);
@@ -425,10 +425,10 @@
         &(struct fx_job){.pieces = 10, .cpu = 1, .rank = "low", .checkpoint_interval_s = 30});
     submit_many(
         n, 101, services,
-        &(struct fx_job){.pieces = 2, .cpu = 1, .service = true, .apart = true, .rank = "prod"});
+        &(struct fx_job){.pieces = 2, .cpu = 1, .service = true, .spread = true, .rank = "prod"});
     submit_many(
         n, 201, 1,
-        &(struct fx_job){.pieces = 8, .cpu = 1, .service = true, .apart = true, .rank = "prod"});
+        &(struct fx_job){.pieces = 8, .cpu = 1, .service = true, .spread = true, .rank = "prod"});
     settle(n);
     uint64_t mark = 0, most = 0;
     for (int i = 101; i < 101 + services; i++) {
@@ -473,7 +473,7 @@
     g_snprintf(ref, sizeof ref, "req-%06d", i);
     rr_core_job_view(n->core, ref, n->now, &v);
     assert_true(v.known);
-    assert_true(i % 2 ? v.done && v.ndone == 1 : v.aborted);
+    assert_true(i % 2 ? v.done && v.done_count == 1 : v.cancelled);
 }
 
 /* Jobs are known for good, so that memory would grow with every one: a final one that nothing needs
@@ -527,10 +527,10 @@
                    .sequence = 900,
                    .fencing_token = rr_core_token(n->core),
                    .spot_notice_s = -1};
-    rr_piece piece = {.ref = "req-000002", .attempt = 1, .standing = RR_RUNNING};
+    rr_task_status piece = {.job_id = "req-000002", .attempt = 1, .state = RR_TASK_RUNNING};
     struct rr_answer ans;
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
-    g_array_append_val(r.pieces, piece);
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
+    g_array_append_val(r.tasks, piece);
     rr_core_answer(n->core, n->now, &r, &ans);
     assert_int_equal(ans.status, 200);
     assert_int_equal(ans.orders->len, 1);
@@ -581,7 +581,7 @@
     fx_fleet(&w->n, half + 1, FLEET - half, "b");
     submit_many(
         &w->n, 1, 100,
-        &(struct fx_job){.pieces = 8, .cpu = 4, .service = true, .apart = true, .rank = "prod"});
+        &(struct fx_job){.pieces = 8, .cpu = 4, .service = true, .spread = true, .rank = "prod"});
     submit_many(&w->n, 201, 40, &(struct fx_job){.pieces = 60, .cpu = 4, .rank = "low"});
     settle(&w->n);
     unsigned records = fx_count(w->store, RR_ROOT "run/");
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -57,7 +57,7 @@
     fx_sync(w->store, n->core, n->now);
     assert_int_equal(plan_with(n, RR_DO_ANSWERED), 1);
     plan_with(n, RR_DO_ANSWERED);
-    return place_of(w->store, j->ref, attempt);
+    return place_of(w->store, j->job_id, attempt);
 }
 
 /* A report of one running task, as the door hands it to rr_core_answer(): how it is answered, and
@@ -68,11 +68,11 @@
                    .sequence = 3,
                    .fencing_token = rr_core_token(n->core),
                    .spot_notice_s = -1};
-    rr_piece p = {.attempt = attempt, .standing = RR_RUNNING};
+    rr_task_status p = {.attempt = attempt, .state = RR_TASK_RUNNING};
     struct rr_answer ans;
-    g_strlcpy(p.ref, ref, sizeof p.ref);
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
-    g_array_append_val(r.pieces, p);
+    g_strlcpy(p.job_id, ref, sizeof p.job_id);
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
+    g_array_append_val(r.tasks, p);
     rr_core_answer(n->core, at, &r, &ans);
     *stops = ans.orders ? ans.orders->len : 0;
     if (ans.orders) {
@@ -91,7 +91,7 @@
 static void the_gap(void **state) {
     fx_world *w = *state;
     fx_node *leader = &w->n, other;
-    struct fx_job j = {.ref = "req-1", .service = true};
+    struct fx_job j = {.job_id = "req-1", .service = true};
     uint64_t at;
     unsigned stops;
     const char *m = run_job(w, &j, &at);
@@ -102,12 +102,12 @@
     double last = leader->now; /* what the leader knows from here on it knows by itself */
     other.now = last + 0.001;
     fx_sync(w->store, other.core, other.now);
-    fx_cancel(&other, j.ref); /* confirmed, at `other.now` at the earliest */
+    fx_cancel(&other, j.job_id); /* confirmed, at `other.now` at the earliest */
     double answers = rr_answer_s(&leader->cfg), tick = 0.001;
     rr_core_set_session(leader->core, 7, last + 1e6); /* a renewal says nothing of cancellations */
-    assert_int_equal(answer_at(leader, last + answers - tick, j.ref, at, &stops), 200);
+    assert_int_equal(answer_at(leader, last + answers - tick, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 0);
-    assert_int_not_equal(answer_at(leader, last + answers + tick, j.ref, at, &stops), 200);
+    assert_int_not_equal(answer_at(leader, last + answers + tick, j.job_id, at, &stops), 200);
     /* Its own commit tells it of its own changes alone. */
     leader->now = last + 2;
     rr_txn own;
@@ -118,21 +118,21 @@
     rr_txn_put(&own, RR_ROOT "hire/none", &o, 0);
     rr_core_apply(leader->core, &own, w->store->epoch + 1, leader->now);
     rr_txn_clear(&own);
-    assert_int_not_equal(answer_at(leader, last + answers + tick, j.ref, at, &stops), 200);
+    assert_int_not_equal(answer_at(leader, last + answers + tick, j.job_id, at, &stops), 200);
     /* The worker answered last: its lease counts from the sending of its report, at the latest from
      * the answer, on a clock that may run slow, and the leader's may, too. */
     double drift = 1.0005, gone = (answers + leader->cfg.lease_s * drift) * drift;
     assert_true(gone < leader->cfg.cancel_s);
     /* Who confirmed it stops it with every answer, entitled to plan or not. */
-    assert_int_equal(answer_at(&other, other.now + answers - tick, j.ref, at, &stops), 200);
+    assert_int_equal(answer_at(&other, other.now + answers - tick, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 1);
     /* After the outage all sessions live, with mirrors of before: the leader answers nobody and
      * starts nothing that would outlast it until its mirror is current, and then it stops the task.
      */
     leader->now = last + 90;
-    assert_int_not_equal(answer_at(leader, leader->now, j.ref, at, &stops), 200);
+    assert_int_not_equal(answer_at(leader, leader->now, j.job_id, at, &stops), 200);
     fx_sync(w->store, leader->core, leader->now);
-    assert_int_equal(answer_at(leader, leader->now, j.ref, at, &stops), 200);
+    assert_int_equal(answer_at(leader, leader->now, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 1);
     assert_non_null(m);
     fx_node_clear(&other);
@@ -144,30 +144,30 @@
 static void a_confirmed_cancellation_is_told(void **state) {
     fx_world *w = *state;
     fx_node *leader = &w->n;
-    struct fx_job j = {.ref = "req-1", .service = true};
+    struct fx_job j = {.job_id = "req-1", .service = true};
     rr_job_view before, after;
     uint64_t at;
     unsigned stops;
     run_job(w, &j, &at);
     double now = leader->now;
-    assert_int_equal(answer_at(leader, now, j.ref, at, &stops), 200);
+    assert_int_equal(answer_at(leader, now, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 0);
-    rr_core_job_view(leader->core, j.ref, now, &before);
-    rr_core_cancel_hint(leader->core, j.ref, now);
+    rr_core_job_view(leader->core, j.job_id, now, &before);
+    rr_core_cancel_hint(leader->core, j.job_id, now);
     rr_core_cancel_hint(leader->core, "req-999999", now); /* of a job that is not known here yet */
-    assert_int_equal(answer_at(leader, now, j.ref, at, &stops), 200);
+    assert_int_equal(answer_at(leader, now, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 1);
     assert_int_equal(answer_at(leader, now, "req-999999", at, &stops), 200);
     assert_int_equal(stops, 1);
     assert_int_equal(answer_at(leader, now, "req-2", at, &stops), 200);
     assert_int_equal(stops, 0);
-    rr_core_job_view(leader->core, j.ref, now, &after);
+    rr_core_job_view(leader->core, j.job_id, now, &after);
     assert_memory_equal(&before, &after, sizeof before);
-    assert_int_equal(fx_placed(w->store, j.ref), 1);
+    assert_int_equal(fx_placed(w->store, j.job_id), 1);
     double lapsed = now + leader->cfg.cancel_s + 0.001;
     rr_core_set_session(leader->core, 7, lapsed + 100);
     rr_core_set_fresh(leader->core, lapsed);
-    assert_int_equal(answer_at(leader, lapsed, j.ref, at, &stops), 200);
+    assert_int_equal(answer_at(leader, lapsed, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 0);
 }
 
@@ -177,7 +177,7 @@
 static void a_late_booking(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job done = {.ref = "req-1"}, called_off = {.ref = "req-2"};
+    struct fx_job done = {.job_id = "req-1"}, called_off = {.job_id = "req-2"};
     rr_plan late;
     uint64_t at;
     hear(n, "vm-1", 1, NULL);
@@ -191,10 +191,10 @@
     assert_int_equal(fx_commit(w->store, &late.txn), 0); /* the repeat came first */
     assert_int_not_equal(fx_commit(w->store, &late.txn), 0);
     fx_sync(w->store, n->core, n->now);
-    const char *m = place_of(w->store, done.ref, &at);
-    char *ended = shown(done.ref, at, "ended:done");
+    const char *m = place_of(w->store, done.job_id, &at);
+    char *ended = shown(done.job_id, at, "ended:done");
     plan_with(n, RR_DO_ANSWERED);
-    fx_cancel(n, called_off.ref);
+    fx_cancel(n, called_off.job_id);
     n->now += 1;
     hear(n, "vm-1", 2, strcmp(m, "vm-1") == 0 ? ended : NULL);
     hear(n, "vm-2", 2, strcmp(m, "vm-2") == 0 ? ended : NULL);
@@ -217,21 +217,21 @@
         fx_world *w;
         setup((void **)&w);
         fx_node *n = &w->n;
-        struct fx_job j = {.ref = "req-1"};
+        struct fx_job j = {.job_id = "req-1"};
         uint64_t at, mark;
         rr_plan end;
         rr_encoder o;
         rr_txn cancel;
         rr_job_view v;
         const char *m = run_job(w, &j, &at);
-        char *ended = shown(j.ref, at, "ended:done");
+        char *ended = shown(j.job_id, at, "ended:done");
         n->now += 1;
         hear(n, m, 3, ended);
         rr_plan_init(&end);
         rr_core_plan(n->core, n->now, n->now, &end);
         assert_true(end.has_txn);
         rr_encoder_init(&o);
-        assert_true(rr_core_cancel_record(n->core, j.ref, &o, &mark));
+        assert_true(rr_core_cancel_record(n->core, j.job_id, &o, &mark));
         rr_txn_init(&cancel);
         rr_txn_guard(&cancel, RR_ROOT "job/req-1", mark);
         rr_txn_put(&cancel, RR_ROOT "job/req-1", &o, 0);
@@ -239,9 +239,9 @@
         assert_int_not_equal(fx_commit(w->store, cancel_first ? &end.txn : &cancel), 0);
         fx_sync(w->store, n->core, n->now);
         for (int i = 0; i < 4; i++) {
-            rr_core_job_view(n->core, j.ref, n->now, &v);
+            rr_core_job_view(n->core, j.job_id, n->now, &v);
             assert_true(v.done == !cancel_first);
-            assert_true(v.aborted == (bool)cancel_first);
+            assert_true(v.cancelled == (bool)cancel_first);
             n->now += 1;
             plan_with(n, RR_DO_ANSWERED);
         }
@@ -259,26 +259,26 @@
 static void the_limit_across_a_change(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j1 = {.ref = "req-1", .gpu = 2}, j2 = {.ref = "req-2", .gpu = 2};
+    struct fx_job j1 = {.job_id = "req-1", .gpu = 2}, j2 = {.job_id = "req-2", .gpu = 2};
     uint64_t at, at2;
     n->cfg.teams[0].gpus_max = 2;
     const char *m = run_job(w, &j1, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
     uint64_t old = rr_core_token(n->core);
     fx_submit(w->store, &j2, n->now);
     fx_sync(w->store, n->core, n->now);
-    fx_cancel(n, j1.ref);
+    fx_cancel(n, j1.job_id);
     fx_join(n, 8); /* the leader's next life: everything booked before is another's */
     assert_true(rr_core_token(n->core) > old);
     for (uint64_t i = 0; i < 12; i++) {
         n->now += 2;
         hear(n, other, 10 + i, NULL);
         plan_with(n, RR_DO_DOUBT);
-        assert_null(place_of(w->store, j2.ref, &at2));
+        assert_null(place_of(w->store, j2.job_id, &at2));
     }
     fx_report(n, m, zone_of(m), false, 1, 40, old, NULL); /* held back since before the change */
     plan_with(n, RR_DO_DOUBT);
-    assert_true(fx_booked(w->store, m, j1.ref, 0) == at);
-    assert_null(place_of(w->store, j2.ref, &at2));
+    assert_true(fx_booked(w->store, m, j1.job_id, 0) == at);
+    assert_null(place_of(w->store, j2.job_id, &at2));
     n->now += 3;
     hear(n, m, 41, NULL); /* knows the present token: what it lacks never comes */
     hear(n, other, 41, NULL);
@@ -286,8 +286,8 @@
         n->now += 1;
         plan_with(n, RR_DO_ANSWERED);
     }
-    assert_non_null(place_of(w->store, j2.ref, &at2));
-    assert_true(fx_booked(w->store, m, j1.ref, 0) == 0);
+    assert_non_null(place_of(w->store, j2.job_id, &at2));
+    assert_true(fx_booked(w->store, m, j1.job_id, 0) == 0);
 }
 
 /* A report is held back until the next leader has acted, and arrives then: older than what the
@@ -295,10 +295,10 @@
 static void a_report_held_for_the_next_leader(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-1", .service = true};
+    struct fx_job j = {.job_id = "req-1", .service = true};
     uint64_t at;
     const char *m = run_job(w, &j, &at);
-    char *runs = shown(j.ref, at, "running");
+    char *runs = shown(j.job_id, at, "running");
     fx_join(n, 8);
     n->now += 1;
     hear(n, m, 20, runs);
@@ -307,10 +307,10 @@
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core) - 1, NULL);
     fx_report(n, m, zone_of(m), false, 1, 19, rr_core_token(n->core), NULL);
     plan_with(n, RR_DO_ANSWERED);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == at);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     rr_job_view v;
-    rr_core_job_view(n->core, j.ref, n->now, &v);
-    assert_string_equal(v.standing, "running");
+    rr_core_job_view(n->core, j.job_id, n->now, &v);
+    assert_string_equal(v.state, "running");
     g_free(runs);
 }
 
@@ -344,13 +344,13 @@
                            .addr = "127.0.0.1:1001",
                            .build = "m1",
                            .zone = "a"};
-            r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
+            r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
             bool shared = rr_core_take_answer(n->core, n->now, &r, -1);
             assert_true(shared == (i + 1 < 1.5 * n->cfg.report_s));
             rr_report_clear(&r);
         }
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .team = "blue", .zone = "a"}, n->now);
-        fx_submit(w->store, &(struct fx_job){.ref = "req-9", .zone = "a"}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = "blue", .zone = "a"}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = "req-9", .zone = "a"}, n->now);
         fx_sync(w->store, n->core, n->now);
         fx_sync(w->store, other.core, n->now);
         plan_with(n, RR_DO_ANSWERED);
@@ -372,14 +372,17 @@
         g_snprintf(id, sizeof id, "vm-%d", i);
         g_snprintf(ref, sizeof ref, "req-%d", 100 + i);
         fx_machine(w->store, id, "a", false, true);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .zone = "a", .cpu = 9, .service = true},
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .zone = "a", .cpu = 9, .service = true},
                   n->now);
     }
-    fx_submit(w->store, &(struct fx_job){.ref = "req-101", .zone = "a", .cpu = 9, .service = true},
+    fx_submit(w->store,
+              &(struct fx_job){.job_id = "req-101", .zone = "a", .cpu = 9, .service = true},
               n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-102", .zone = "b", .cpu = 16, .service = true},
+    fx_submit(w->store,
+              &(struct fx_job){.job_id = "req-102", .zone = "b", .cpu = 16, .service = true},
               n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-120", .zone = "b", .cpu = 8, .service = true},
+    fx_submit(w->store,
+              &(struct fx_job){.job_id = "req-120", .zone = "b", .cpu = 8, .service = true},
               n->now);
     fx_machine(w->store, "vm-9", "b", false, true);
     fx_sync(w->store, n->core, n->now);
@@ -395,14 +398,14 @@
         plan_with(n, RR_DO_ANSWERED);
     }
     /* Seven times 7 of 16 CPUs are free in zone a, 8 of 32 in zone b, on one machine. */
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .one_zone = true, .cpu = 8}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .one_zone = true, .cpu = 8}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with(n, RR_DO_ANSWERED);
     at = fx_booked(w->store, "vm-2", "req-1", 0) + fx_booked(w->store, "vm-9", "req-1", 0);
     assert_true(at != 0);
     /* Three tasks of 6 fit into zone a alone. */
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .one_zone = true, .cpu = 6, .pieces = 3},
-              n->now);
+    fx_submit(w->store,
+              &(struct fx_job){.job_id = "req-2", .one_zone = true, .cpu = 6, .pieces = 3}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with(n, RR_DO_ANSWERED);
     assert_int_equal(fx_placed(w->store, "req-2"), 3);
@@ -424,7 +427,8 @@
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-%d", t + 1);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .team = t ? "blue" : "red", .zone = "a"},
+        fx_submit(w->store,
+                  &(struct fx_job){.job_id = ref, .team = t ? "blue" : "red", .zone = "a"},
                   owner->now);
     }
     fx_sync(w->store, owner->core, owner->now);
@@ -476,7 +480,7 @@
     for (int i = 1; i <= 2; i++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-%d", i);
-        fx_submit(w->store, &(struct fx_job){.ref = ref}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref}, n->now);
         fx_sync(w->store, n->core, n->now);
         hear(n, "vm-1", sequence++, NULL);
         plan_with(n, RR_DO_ANSWERED);
@@ -493,7 +497,7 @@
         }
     }
     double failed_at = n->now;
-    fx_submit(w->store, &(struct fx_job){.ref = "req-3"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-3"}, n->now);
     fx_sync(w->store, n->core, n->now);
     double began = 0;
     while (n->now < failed_at + 90 && began == 0) {
@@ -512,29 +516,29 @@
 static void a_line_that_blocks_a_late_start(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-1", .zone = "a"};
+    struct fx_job j = {.job_id = "req-1", .zone = "a"};
     uint64_t sequence = 10;
     hear(n, "vm-1", 1, NULL);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with(n, RR_DO_ANSWERED);
-    uint64_t at = fx_booked(w->store, "vm-1", j.ref, 0);
+    uint64_t at = fx_booked(w->store, "vm-1", j.job_id, 0);
     plan_with(n, RR_DO_DOUBT); /* the start */
-    fx_cancel(n, j.ref);
+    fx_cancel(n, j.job_id);
     n->now += 2;
     hear(n, "vm-1", 2, NULL);
     plan_with(n, RR_DO_ANSWERED); /* start and stop */
-    char *ended = shown(j.ref, at, "ended:halted");
+    char *ended = shown(j.job_id, at, "ended:halted");
     /* An attempt of another controller, in this term, of a job that is a line here. */
     uint64_t foreign = at ^ ((uint64_t)1 << 24);
-    char *theirs = shown(j.ref, foreign, "ended:halted");
+    char *theirs = shown(j.job_id, foreign, "ended:halted");
     rr_core_stats st;
     rr_plan p;
     do {
         n->now += 30;
         hear(n, "vm-1", sequence++, ended);
         fx_plan(n, &p);
-        assert_null(fx_order(&p, "vm-1", RR_REAP, j.ref, 0));
+        assert_null(fx_order(&p, "vm-1", RR_REAP, j.job_id, 0));
         for (guint i = 0; i < p.dos->len; i++) {
             rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, i), RR_DO_ANSWERED, true);
         }
@@ -544,14 +548,14 @@
     assert_int_equal(st.jobs_whole, 0);
     hear(n, "vm-1", sequence++, theirs);
     fx_plan(n, &p);
-    assert_null(fx_order(&p, "vm-1", RR_REAP, j.ref, 0));
+    assert_null(fx_order(&p, "vm-1", RR_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     /* The next term voids every copy: now the provisioner clears it. */
     fx_join(n, 8);
     n->now += 5;
     hear(n, "vm-1", sequence++, theirs);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, "vm-1", RR_REAP, j.ref, 0));
+    assert_non_null(fx_order(&p, "vm-1", RR_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(theirs);
     g_free(ended);
@@ -568,7 +572,7 @@
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_machine_gone(w->store, "vm-1");
     fx_machine_gone(w->store, "vm-2");
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 40; i++) {
         fx_provisioner_step(n, none, &s);
@@ -669,7 +673,7 @@
     before = w->store->epoch;
     for (int i = 1; i <= jobs; i++) {
         g_snprintf(ref, sizeof ref, "req-%06d", i);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .cpu = 1}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .cpu = 1}, n->now);
         fx_sync(w->store, n->core, n->now);
         if (i % 8 == 0) {
             fx_cancel(n, ref); /* before it starts */
@@ -700,7 +704,7 @@
         rr_job_view v;
         g_snprintf(ref, sizeof ref, "req-%06d", i);
         rr_core_job_view(n->core, ref, n->now, &v);
-        assert_true(v.known && v.done == (i % 4 != 0) && v.aborted == (i % 4 == 0));
+        assert_true(v.known && v.done == (i % 4 != 0) && v.cancelled == (i % 4 == 0));
     }
 }
 
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -63,7 +63,7 @@
     fx_node *n = &w->n, b;
     rr_step s;
     char first[RR_ID];
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
     assert_int_equal(fx_count(w->store, RR_ROOT "hire/"), 1);
@@ -98,7 +98,7 @@
     rr_step s;
     char first[RR_ID];
     GPtrArray *none = g_ptr_array_new();
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
     g_strlcpy(first, s.rental, sizeof first);
@@ -250,7 +250,7 @@
         fx_machine(w->store, ids[i], "a", false, true);
         fx_listed(machines, ids[i], "a", RR_LISTED_RUNNING, 100);
     }
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 4, .cpu = 16}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 4, .cpu = 16}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 4; i++) {
         fx_report(n, ids[i], "a", false, 1, 1, 1, NULL);
@@ -344,7 +344,7 @@
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_sync(w->store, n->core, n->now);
     fx_report(n, "vm-1", "a", false, 1, 1, 1, NULL);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-000001"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-000001"}, n->now);
     fx_sync(w->store, n->core, n->now);
     fx_plan(n, &p);
     rr_plan_clear(&p);
@@ -384,7 +384,7 @@
     fx_machine(w->store, "vm-1", "a", false, true);
     fx_sync(w->store, n->core, n->now);
     fx_report(n, "vm-1", "a", false, 1, 1, 1, NULL);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-000001", .pieces = 3, .cpu = 4}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-000001", .pieces = 3, .cpu = 4}, n->now);
     fx_sync(w->store, n->core, n->now);
     fx_plan(n, &p);
     rr_plan_clear(&p);
@@ -575,9 +575,9 @@
     for (int i = 0; i < 4; i++) {
         fx_machine(w->store, ids[i], "a", false, true);
     }
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2"}, n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-3", .cpu = 16}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-2"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-3", .cpu = 16}, n->now);
     fx_sync(w->store, n->core, n->now);
     /* req-1 fails everywhere, req-2 on vm-1 only. */
     for (int i = 0; i < 4; i++) {
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -24,11 +24,11 @@
     /* Nothing is started before the booking is recorded. */
     assert_int_equal(p.dos->len, 0);
     rr_plan_clear(&p);
-    *attempt = fx_booked(w->store, "vm-1", j->ref, 0);
+    *attempt = fx_booked(w->store, "vm-1", j->job_id, 0);
     if (*attempt) {
         return "vm-1";
     }
-    *attempt = fx_booked(w->store, "vm-2", j->ref, 0);
+    *attempt = fx_booked(w->store, "vm-2", j->job_id, 0);
     assert_true(*attempt != 0);
     return "vm-2";
 }
@@ -47,43 +47,43 @@
 static void late_start_after_reassignment(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000001", .service = true};
+    struct fx_job j = {.job_id = "req-000001", .service = true};
     uint64_t at;
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     fx_plan(n, &p);
     rr_do *d = fx_do(&p, m);
-    assert_non_null(fx_order(&p, m, RR_START, j.ref, 0));
+    assert_non_null(fx_order(&p, m, RR_START, j.job_id, 0));
     rr_core_do_result(n->core, n->now, d, RR_DO_DOUBT, false);
     rr_plan_clear(&p);
-    fx_cancel(n, j.ref);
+    fx_cancel(n, j.job_id);
     n->now += 3;
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == at);
-    const rr_order *start = fx_order(&p, m, RR_START, j.ref, 0);
-    const rr_order *stop = fx_order(&p, m, RR_STOP, j.ref, 0);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
+    const rr_order *start = fx_order(&p, m, RR_START, j.job_id, 0);
+    const rr_order *stop = fx_order(&p, m, RR_STOP, j.job_id, 0);
     assert_non_null(start);
     assert_non_null(stop);
     assert_true(start < stop);
     rr_core_do_result(n->core, n->now, fx_do(&p, m), RR_DO_ANSWERED, true);
     rr_plan_clear(&p);
     /* Exited now: the booking may go, the attempt must stay as a block. */
-    char *ended = shown(j.ref, at, "ended:halted");
+    char *ended = shown(j.job_id, at, "ended:halted");
     n->now += 1;
     fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == 0);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
     fx_plan(n, &p);
-    assert_null(fx_order(&p, m, RR_REAP, j.ref, 0));
+    assert_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     /* The next term voids the late copy: now it is reaped. */
     fx_join(n, 8);
     n->now += 1;
     fx_report(n, m, zone_of(m), false, 1, 4, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_REAP, j.ref, 0));
+    assert_non_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(ended);
 }
@@ -93,33 +93,33 @@
 static void done_is_recorded_before_reap(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000002"};
+    struct fx_job j = {.job_id = "req-000002"};
     uint64_t at;
     rr_plan p;
     rr_job_view v;
     const char *m = book_one(w, &j, &at);
-    char *ended = shown(j.ref, at, "ended:done");
+    char *ended = shown(j.job_id, at, "ended:done");
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
     assert_true(p.has_txn);
-    assert_null(fx_order(&p, m, RR_REAP, j.ref, 0));
+    assert_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
     rr_plan_clear(&p); /* the controller dies here: nothing is lost */
-    rr_core_job_view(n->core, j.ref, n->now, &v);
+    rr_core_job_view(n->core, j.job_id, n->now, &v);
     assert_false(v.done);
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
-    rr_core_job_view(n->core, j.ref, n->now, &v);
+    rr_core_job_view(n->core, j.job_id, n->now, &v);
     assert_true(v.done);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == 0);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
     /* The reap waits for another command to go with, but not for ever. */
     fx_plan(n, &p);
-    assert_null(fx_order(&p, m, RR_REAP, j.ref, 0));
+    assert_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     n->now += n->cfg.report_s;
     fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_REAP, j.ref, 0));
+    assert_non_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(ended);
 }
@@ -128,12 +128,12 @@
 static void reap_goes_with_the_next_start(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000002"}, next = {.ref = "req-000003"};
+    struct fx_job j = {.job_id = "req-000002"}, next = {.job_id = "req-000003"};
     uint64_t at;
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     const char *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
-    char *ended = shown(j.ref, at, "ended:done");
+    char *ended = shown(j.job_id, at, "ended:done");
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
     fx_report(n, other, zone_of(other), false, 1, 2, rr_core_token(n->core), NULL);
     assert_int_equal(fx_plan(n, &p), 1);
@@ -144,8 +144,8 @@
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_START, next.ref, 0));
-    assert_non_null(fx_order(&p, m, RR_REAP, j.ref, 0));
+    assert_non_null(fx_order(&p, m, RR_START, next.job_id, 0));
+    assert_non_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
     assert_int_equal(p.dos->len, 1);
     rr_plan_clear(&p);
     g_free(ended);
@@ -155,18 +155,18 @@
 static void not_done_before_all_tasks(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000003", .pieces = 2, .cpu = 1};
+    struct fx_job j = {.job_id = "req-000003", .pieces = 2, .cpu = 1};
     uint64_t at;
     rr_plan p;
     rr_job_view v;
     const char *m = book_one(w, &j, &at);
-    char *ended = shown(j.ref, at, "ended:done");
+    char *ended = shown(j.job_id, at, "ended:done");
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
-    rr_core_job_view(n->core, j.ref, n->now, &v);
+    rr_core_job_view(n->core, j.job_id, n->now, &v);
     assert_false(v.done);
-    assert_int_equal(v.ndone, 1);
+    assert_int_equal(v.done_count, 1);
     g_free(ended);
 }
 
@@ -175,7 +175,7 @@
 static void old_owner_changes_nothing(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n, b;
-    struct fx_job j = {.ref = "req-000004"};
+    struct fx_job j = {.job_id = "req-000004"};
     rr_plan p;
     fx_report(n, "vm-1", "a", false, 1, 1, rr_core_token(n->core), NULL);
     fx_submit(w->store, &j, n->now);
@@ -187,7 +187,7 @@
     fx_sync(w->store, b.core, b.now);
     fx_join(&b, 9);
     assert_true(fx_commit(w->store, &p.txn) != 0);
-    assert_true(fx_booked(w->store, "vm-1", j.ref, 0) == 0);
+    assert_true(fx_booked(w->store, "vm-1", j.job_id, 0) == 0);
     rr_plan_clear(&p);
     fx_node_clear(&b);
 }
@@ -197,7 +197,7 @@
 static void term_change_with_commands_in_flight(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000005", .service = true};
+    struct fx_job j = {.job_id = "req-000005", .service = true};
     uint64_t at, old = rr_core_token(n->core);
     rr_plan p;
     const char *m = book_one(w, &j, &at);
@@ -206,15 +206,15 @@
     rr_plan_clear(&p);
     fx_join(n, 8); /* a new incarnation, a new term */
     assert_true(rr_core_token(n->core) > old);
-    fx_cancel(n, j.ref);
+    fx_cancel(n, j.job_id);
     n->now += 2;
     fx_report(n, m, zone_of(m), false, 1, 2, old, NULL);
     fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == at);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     rr_plan_clear(&p);
     fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == 0);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
     rr_plan_clear(&p);
 }
 
@@ -223,7 +223,7 @@
 static void silence_proves_nothing(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000006", .service = true};
+    struct fx_job j = {.job_id = "req-000006", .service = true};
     uint64_t at;
     rr_plan p;
     const char *m = book_one(w, &j, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
@@ -231,22 +231,22 @@
     fx_report(n, other, zone_of(other), false, 1, 2, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == at);
-    assert_true(fx_booked(w->store, other, j.ref, 0) == 0);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
+    assert_true(fx_booked(w->store, other, j.job_id, 0) == 0);
     fx_machine_gone(w->store, m);
     fx_sync(w->store, n->core, n->now);
     fx_plan(n, &p); /* the booking goes */
     rr_plan_clear(&p);
     fx_plan(n, &p);
     rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, other, j.ref, 0) > at);
+    assert_true(fx_booked(w->store, other, j.job_id, 0) > at);
 }
 
 /* A worker whose lease ran out forgot its tasks: the booking of the earlier worker_epoch goes. */
 static void later_worker_epoch_ends_the_booking(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000007", .service = true};
+    struct fx_job j = {.job_id = "req-000007", .service = true};
     uint64_t at;
     rr_plan p;
     const char *m = book_one(w, &j, &at);
@@ -254,24 +254,24 @@
     fx_report(n, m, zone_of(m), false, 2, 9, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, m, j.ref, 0) != at);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) != at);
 }
 
 /* A report that was held up on the way is older than what is known and proves nothing. */
 static void late_report_is_dropped(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000008", .service = true};
+    struct fx_job j = {.job_id = "req-000008", .service = true};
     uint64_t at;
     rr_plan p;
     const char *m = book_one(w, &j, &at);
-    char *running = shown(j.ref, at, "running");
+    char *running = shown(j.job_id, at, "running");
     fx_report(n, m, zone_of(m), false, 1, 20, rr_core_token(n->core), running, NULL);
-    fx_cancel(n, j.ref);
+    fx_cancel(n, j.job_id);
     fx_report(n, m, zone_of(m), false, 1, 5, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.ref, 0) == at);
-    assert_non_null(fx_order(&p, m, RR_STOP, j.ref, 0));
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
+    assert_non_null(fx_order(&p, m, RR_STOP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(running);
 }
@@ -280,24 +280,24 @@
 static void cancel_with_start_in_flight(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000009", .service = true};
+    struct fx_job j = {.job_id = "req-000009", .service = true};
     uint64_t at;
     rr_plan p, q;
     const char *m = book_one(w, &j, &at);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_START, j.ref, 0));
-    fx_cancel(n, j.ref);
+    assert_non_null(fx_order(&p, m, RR_START, j.job_id, 0));
+    fx_cancel(n, j.job_id);
     n->now += 2;
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
     fx_plan(n, &q);
     assert_null(fx_do(&q, m));
-    assert_true(fx_booked(w->store, m, j.ref, 0) == at);
+    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     rr_plan_clear(&q);
-    char *running = shown(j.ref, at, "running");
+    char *running = shown(j.job_id, at, "running");
     fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), running, NULL);
     rr_core_do_result(n->core, n->now, fx_do(&p, m), RR_DO_ANSWERED, true);
     fx_plan(n, &q);
-    const rr_order *stop = fx_order(&q, m, RR_STOP, j.ref, 0);
+    const rr_order *stop = fx_order(&q, m, RR_STOP, j.job_id, 0);
     assert_non_null(stop);
     assert_true(stop->grace_s == 0);
     rr_plan_clear(&p);
@@ -309,19 +309,19 @@
 static void every_answer_stops_cancelled_tasks(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000010", .service = true};
+    struct fx_job j = {.job_id = "req-000010", .service = true};
     uint64_t at;
     book_one(w, &j, &at);
-    fx_cancel(n, j.ref);
+    fx_cancel(n, j.job_id);
     rr_report r = {.worker_epoch = 1,
                    .sequence = 3,
                    .fencing_token = rr_core_token(n->core),
                    .spot_notice_s = -1};
-    rr_piece piece = {.attempt = at, .standing = RR_RUNNING};
+    rr_task_status piece = {.attempt = at, .state = RR_TASK_RUNNING};
     struct rr_answer ans;
-    g_strlcpy(piece.ref, j.ref, sizeof piece.ref);
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
-    g_array_append_val(r.pieces, piece);
+    g_strlcpy(piece.job_id, j.job_id, sizeof piece.job_id);
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
+    g_array_append_val(r.tasks, piece);
     rr_core_answer(n->core, n->now, &r, &ans);
     assert_int_equal(ans.status, 200);
     assert_int_equal(ans.orders->len, 1);
@@ -337,7 +337,7 @@
     fx_node *n = &w->n;
     rr_report r = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
     struct rr_answer ans;
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     r.fencing_token = rr_core_token(n->core) + 1;
     rr_core_answer(n->core, n->now, &r, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
@@ -355,15 +355,15 @@
 static void quota_across_an_owner_change(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000011", .pieces = 3, .cpu = 1, .gpu = 1};
+    struct fx_job j = {.job_id = "req-000011", .pieces = 3, .cpu = 1, .gpu = 1};
     uint64_t at;
     rr_plan p;
     n->cfg.teams[0].gpus_max = 2;
     book_one(w, &j, &at);
     unsigned booked = 0;
     for (uint32_t t = 0; t < 3; t++) {
-        booked += fx_booked(w->store, "vm-1", j.ref, t) != 0;
-        booked += fx_booked(w->store, "vm-2", j.ref, t) != 0;
+        booked += fx_booked(w->store, "vm-1", j.job_id, t) != 0;
+        booked += fx_booked(w->store, "vm-2", j.job_id, t) != 0;
     }
     assert_int_equal(booked, 2);
     fx_join(n, 8);
@@ -372,8 +372,8 @@
     fx_plan(n, &p);
     rr_plan_clear(&p);
     for (uint32_t t = 0; t < 3; t++) {
-        booked -= fx_booked(w->store, "vm-1", j.ref, t) != 0;
-        booked -= fx_booked(w->store, "vm-2", j.ref, t) != 0;
+        booked -= fx_booked(w->store, "vm-1", j.job_id, t) != 0;
+        booked -= fx_booked(w->store, "vm-2", j.job_id, t) != 0;
     }
     assert_int_equal(booked, 0);
 }
@@ -420,9 +420,9 @@
 static void two_owners_one_room(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n, b;
-    struct fx_job j1 = {.ref = "req-000012", .team = "red", .cpu = 16};
-    struct fx_job j2 = {.ref = "req-000013", .team = "blue", .cpu = 16};
-    const char *refs[2] = {j1.ref, j2.ref};
+    struct fx_job j1 = {.job_id = "req-000012", .team = "red", .cpu = 16};
+    struct fx_job j2 = {.job_id = "req-000013", .team = "blue", .cpu = 16};
+    const char *refs[2] = {j1.job_id, j2.job_id};
     rr_plan p;
     fx_machine_gone(w->store, "vm-2");
     fx_node_init(&b, w->store, "n1");
@@ -472,7 +472,7 @@
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-10000%d", t);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .team = teams[t], .cpu = 1}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = teams[t], .cpu = 1}, n->now);
         for (int i = 0; i < 2 && !seen[t]; i++) {
             fx_sync(w->store, nodes[i]->core, nodes[i]->now);
             fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_token(nodes[i]->core), NULL);
@@ -490,7 +490,7 @@
 static void cancel_voids_a_planned_start(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000014"};
+    struct fx_job j = {.job_id = "req-000014"};
     rr_plan p;
     fx_report(n, "vm-1", "a", false, 1, 1, rr_core_token(n->core), NULL);
     fx_submit(w->store, &j, n->now);
@@ -498,7 +498,7 @@
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
     assert_true(p.has_txn);
-    fx_cancel(n, j.ref);
+    fx_cancel(n, j.job_id);
     assert_true(fx_commit(w->store, &p.txn) != 0);
     rr_plan_clear(&p);
 }
@@ -507,7 +507,7 @@
 static void an_overdue_job_is_placed_once(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000018", .pieces = 4, .cpu = 1};
+    struct fx_job j = {.job_id = "req-000018", .pieces = 4, .cpu = 1};
     rr_plan p;
     fx_submit(w->store, &j, n->now);
     n->now += 100;
@@ -516,14 +516,14 @@
     fx_report(n, "vm-2", "b", false, 1, 1, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
-    assert_int_equal(fx_placed(w->store, j.ref), 4);
+    assert_int_equal(fx_placed(w->store, j.job_id), 4);
 }
 
 /* A known job is known, whatever a repeat of it says; unknown crews and sizes are refused. */
 static void admission(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-000015"};
+    struct fx_job j = {.job_id = "req-000015"};
     rr_submission s;
     const char *why = NULL;
     fx_submission(&s, &j);
@@ -536,10 +536,10 @@
     fx_sync(w->store, n->core, n->now);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_KNOWN);
     fx_submission(&s,
-                  &(struct fx_job){.ref = "req-000016", .service = true, .pieces = 3, .gpu = 1});
+                  &(struct fx_job){.job_id = "req-000016", .service = true, .pieces = 3, .gpu = 1});
     n->cfg.teams[0].gpus_max = 2;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
-    s.shape = RR_BATCH;
+    s.kind = RR_JOB_ARRAY;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
 }
 
@@ -551,7 +551,7 @@
     rr_core_stats st;
     rr_plan p;
     rr_job_view v;
-    struct fx_job j = {.ref = "req-000017"};
+    struct fx_job j = {.job_id = "req-000017"};
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
     fx_report(n, "vm-77", "a", false, 1, 5, 1, "req-000017 0 3 running", NULL);
@@ -562,12 +562,12 @@
     rr_plan_clear(&p);
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.machines, 2);
-    rr_core_job_view(n->core, j.ref, n->now, &v);
-    assert_int_equal(v.nrunning, 0);
+    rr_core_job_view(n->core, j.job_id, n->now, &v);
+    assert_int_equal(v.running_count, 0);
     /* Once forgotten, an old report is news again: it is taken as that of a machine never heard. */
     rr_report r = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
     g_strlcpy(r.machine, "vm-77", sizeof r.machine);
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     assert_true(rr_core_report(n->core, n->now, &r, -1) != RR_NEWS_NONE);
 }
 
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -72,7 +72,8 @@
 static void one_way_machine(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j1 = {.ref = "req-1", .service = true}, j2 = {.ref = "req-2", .service = true};
+    struct fx_job j1 = {.job_id = "req-1", .service = true},
+                  j2 = {.job_id = "req-2", .service = true};
     hear(n, "vm-1", 1);
     hear(n, "vm-2", 1);
     fx_submit(w->store, &j1, n->now);
@@ -111,7 +112,7 @@
     rr_plan p;
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     hear(n, "vm-1", 1);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .service = true}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .service = true}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with_deaf(n, NULL);
     for (uint64_t i = 2; i < 8; i++) {
@@ -143,8 +144,8 @@
     fx_node_init(&again, w->store, "n0");
     fx_reread(w->store, again.core, again.now);
     fx_join(&again, 8);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .zone = "a"}, again.now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .zone = "b"}, again.now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .zone = "a"}, again.now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-2", .zone = "b"}, again.now);
     fx_sync(w->store, again.core, again.now);
     fx_report(&again, "vm-1", "a", false, 1, 40, 1, NULL);
     plan_with_deaf(&again, NULL);
@@ -166,7 +167,7 @@
     fx_node *n = &w->n, again;
     fx_machine(w->store, "vm-3", "a", false, false);
     fx_sync(w->store, n->core, n->now);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     fx_report(n, "vm-3", "a", false, 1, 1, 0, NULL);
     plan_with_deaf(n, NULL);
@@ -174,7 +175,7 @@
     fx_node_init(&again, w->store, "n0");
     fx_reread(w->store, again.core, again.now);
     fx_join(&again, 8);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .zone = "b"}, again.now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-2", .zone = "b"}, again.now);
     fx_sync(w->store, again.core, again.now);
     fx_report(&again, "vm-2", "b", false, 1, 40, 1, NULL);
     plan_with_deaf(&again, NULL);
@@ -202,7 +203,7 @@
                    .fencing_token = rr_core_token(n->core),
                    .spot_notice_s = -1};
     g_strlcpy(r.machine, "vm-1", sizeof r.machine);
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     assert_int_equal(rr_core_report(n->core, n->now, &r, -1), RR_NEWS_NONE);
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.machines, 1);
@@ -227,7 +228,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     hear(n, "vm-1", 500);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .service = true}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .service = true}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with_deaf(n, NULL);
     assert_string_equal(place_of(w, "req-1"), "vm-1");
@@ -275,7 +276,7 @@
                    .fencing_token = rr_core_token(alone.core),
                    .spot_notice_s = -1};
     struct rr_answer ans;
-    r.pieces = g_array_new(FALSE, FALSE, sizeof(rr_piece));
+    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     double answers = rr_answer_s(&alone.cfg);
     rr_core_answer(alone.core, alone.now + answers - 0.1, &r, &ans);
     assert_int_equal(ans.status, 200);
@@ -393,7 +394,7 @@
 static void jobs_accepted_together(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n, again;
-    struct fx_job jobs[] = {{.ref = "req-1", .service = true}, {.ref = "req-2"}};
+    struct fx_job jobs[] = {{.job_id = "req-1", .service = true}, {.job_id = "req-2"}};
     rr_job_view v;
     rr_plan p;
     hear(n, "vm-1", 1);
@@ -403,7 +404,7 @@
     assert_non_null(place_of(w, "req-2"));
     /* A booking planned before the cancellation is void after it, as with a job of its own record.
      */
-    struct fx_job more[] = {{.ref = "req-3"}, {.ref = "req-4"}};
+    struct fx_job more[] = {{.job_id = "req-3"}, {.job_id = "req-4"}};
     put_batch(w, RR_ROOT "batch/7-2", more, 2);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
@@ -415,12 +416,12 @@
     fx_node_init(&again, w->store, "n1");
     fx_reread(w->store, again.core, again.now);
     rr_core_job_view(again.core, "req-1", again.now, &v);
-    assert_true(v.known && v.aborted);
+    assert_true(v.known && v.cancelled);
     rr_core_job_view(again.core, "req-4", again.now, &v);
-    assert_true(v.known && !v.aborted);
+    assert_true(v.known && !v.cancelled);
     put_batch(w, RR_ROOT "batch/7-1", jobs, 2); /* once more, later */
     rr_core_job_view(n->core, "req-1", n->now, &v);
-    assert_true(v.aborted);
+    assert_true(v.cancelled);
     fx_node_clear(&again);
 }
 
@@ -429,7 +430,7 @@
 static void an_older_record_revives_nothing(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.ref = "req-1", .service = true};
+    struct fx_job j = {.job_id = "req-1", .service = true};
     rr_plan p;
     char key[64] = RR_ROOT "run/req-1/0";
     hear(n, "vm-1", 1);
@@ -466,7 +467,7 @@
     fx_node *n = &w->n;
     rr_plan p;
     hear(n, "vm-1", 1);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     rr_core_mirror_end(n->core, 1, w->store->epoch + 5, n->now);
     rr_plan_init(&p);
@@ -480,7 +481,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n, again;
     hear(n, "vm-1", 1);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .service = true}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .service = true}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with_deaf(n, NULL);
     assert_string_equal(place_of(w, "req-1"), "vm-1");
@@ -569,7 +570,7 @@
         }
     }
     g_rand_free(rnd);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-777"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-777"}, n->now);
     fx_sync(w->store, n->core, n->now);
     rr_job_view v;
     rr_core_job_view(n->core, "req-777", n->now, &v);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -104,9 +104,9 @@
     rr_core_set_session(n.core, 7, n.now + 100);
     assert_true(rr_core_entitled(n.core, n.now));
     rr_core_job_view(n.core, "req-1", n.now, &v);
-    assert_true(v.known && !v.done && v.ndone == 1);
+    assert_true(v.known && !v.done && v.done_count == 1);
     rr_core_job_view(n.core, "req-4", n.now, &v);
-    assert_true(v.aborted);
+    assert_true(v.cancelled);
     rr_core_get_stats(n.core, &st);
     assert_int_equal(st.machines, 3);
     assert_int_equal(st.tasks_placed, 6);
@@ -172,7 +172,7 @@
     fx_join_old_version(n);
     fx_fleet(n, 1, 20, "a"); /* written by an old version: 40 machines a page */
     lower(w->store);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 12; i++) {
         n->now += 0.5;
@@ -274,7 +274,7 @@
     rr_job_view v;
     fx_fleet(n, 1, 20, "a");
     lower(w->store);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_on(n, 4);
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
@@ -297,7 +297,7 @@
     show_tasks(&next, "req-1", 60, 50, 2, 2);
     plan_on(&next, 6);
     rr_core_job_view(next.core, "req-1", next.now, &v);
-    assert_int_equal(v.ndone, 50);
+    assert_int_equal(v.done_count, 50);
     assert_false(v.done);
     show_tasks(&next, "req-1", 60, 60, 2, 3);
     plan_on(&next, 6);
@@ -346,7 +346,8 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     fx_fleet(n, 1, 20, "a");
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1, .deadline_s = 10},
+    fx_submit(w->store,
+              &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1, .deadline_s = 10},
               n->now);
     put_old_record(w, "req-1", 60);
     lower(w->store);
@@ -358,7 +359,7 @@
     for (int i = 0; i < 10; i++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-2%02d", i);
-        fx_submit(w->store, &(struct fx_job){.ref = ref, .cpu = 1, .deadline_s = 100}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .cpu = 1, .deadline_s = 100}, n->now);
         fx_sync(w->store, n->core, n->now);
         n->now += 2; /* what failed is tried again in the same plan */
         show_tasks(n, "req-1", 60, 0, 1, (uint64_t)i + 3);
@@ -375,7 +376,7 @@
     fx_node *n = &w->n;
     rr_plan p;
     fx_fleet(n, 1, 20, "a");
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
     put_record(w, "req-1", 1, 50, 1, OLD_ATTEMPT);
     put_record(w, "req-1", 0, 50, 1, OLD_ATTEMPT + 100);
     n->now += 1;
@@ -398,7 +399,7 @@
     fx_node *n = &w->n;
     fx_fleet(n, 1, 20, "a");
     lower(w->store);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
     put_record(w, "req-1", 0, 0, 41, OLD_ATTEMPT);
     put_record(w, "req-1", 1, 41, 19, OLD_ATTEMPT);
     show_tasks(n, "req-1", 60, 10, 1, 2);
@@ -434,7 +435,7 @@
     const int tasks = 60;
     rr_job_view v;
     fx_fleet(n, 1, 20, "a");
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
     put_old_record(w, "req-1", tasks);
     assert_true(fx_value_size(w->store, RR_ROOT "run/req-1/0") > (size_t)(NEXT_KB * 1024));
     /* Not lowered yet: it may be written again while it does not grow. */
@@ -451,7 +452,7 @@
         assert_int_not_equal(plan(n), -EINVAL);
     }
     assert_int_equal(fx_placed(w->store, "req-1"), 58);
-    fx_submit(w->store, &(struct fx_job){.ref = "req-2", .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-2", .cpu = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     show_tasks(n, "req-1", tasks, 30, 1, 4);
     n->now += 1;
@@ -551,7 +552,7 @@
     fx_node *n = &w->n;
     rr_plan late;
     fx_fleet(n, 1, 4, "a");
-    fx_submit(w->store, &(struct fx_job){.ref = "req-1"}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     rr_plan_init(&late);
     rr_core_plan(n->core, n->now, n->now, &late);
