--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -59,7 +59,7 @@
 
 static void encode_job(rr_encoder *o) {
     rr_submission s;
-    fx_submission(&s, &(struct fx_job){.ref = "req-000001", .deadline_s = 90, .zone = "a"});
+    fx_submission(&s, &(struct fx_job){.job_id = "req-000001", .deadline_s = 90, .zone = "a"});
     rr_encoder_init(o);
     rr_encode_map(o, rr_submission_field_count(&s));
     rr_submission_encode_fields(o, &s);
@@ -74,7 +74,7 @@
     encode_job(&o);
     assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
     assert_int_equal(rr_submission_decode(d.root, &s, &field), 0);
-    assert_string_equal(s.ref, "req-000001");
+    assert_string_equal(s.job_id, "req-000001");
     assert_true(s.deadline_s == 90);
     assert_string_equal(s.zone, "a");
     rr_document_clear(&d);
@@ -168,18 +168,18 @@
 
 static void ids_have_one_form(void **state) {
     (void)state;
-    assert_true(rr_ref_valid("req-000412"));
-    assert_false(rr_ref_valid("req-"));
-    assert_false(rr_ref_valid("req-00a"));
-    assert_false(rr_ref_valid("job-000412"));
-    assert_false(rr_ref_valid("req-1/../2"));
+    assert_true(rr_job_id_valid("req-000412"));
+    assert_false(rr_job_id_valid("req-"));
+    assert_false(rr_job_id_valid("req-00a"));
+    assert_false(rr_job_id_valid("job-000412"));
+    assert_false(rr_job_id_valid("req-1/../2"));
     char ref[RR_ID];
     uint32_t task;
-    assert_true(rr_piece_parse("req-000412/3", ref, sizeof ref, &task));
+    assert_true(rr_task_name_parse("req-000412/3", ref, sizeof ref, &task));
     assert_int_equal(task, 3);
-    assert_false(rr_piece_parse("req-000412/", ref, sizeof ref, &task));
-    assert_false(rr_piece_parse("req-000412/-1", ref, sizeof ref, &task));
-    assert_false(rr_piece_parse("/3", ref, sizeof ref, &task));
+    assert_false(rr_task_name_parse("req-000412/", ref, sizeof ref, &task));
+    assert_false(rr_task_name_parse("req-000412/-1", ref, sizeof ref, &task));
+    assert_false(rr_task_name_parse("/3", ref, sizeof ref, &task));
 }
 
 /* A task list that can't be read whole proves nothing about what is absent from it. */
@@ -243,9 +243,9 @@
             rr_listed_machine st;
             const char *field;
             if (rr_submission_decode(d.root, &s, &field) == 0) {
-                assert_true(s.pieces >= 1 && s.pieces <= RR_PIECES_MAX);
+                assert_true(s.task_count >= 1 && s.task_count <= RR_PIECES_MAX);
                 assert_true(s.vcpus >= 0 && isfinite(s.vcpus));
-                assert_true(rr_ref_valid(s.ref));
+                assert_true(rr_job_id_valid(s.job_id));
             }
             rr_submission_clear(&s);
             rr_report_decode(d.root, &r);
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -85,16 +85,17 @@
         GRand *random = admission_trace.random;
         const struct model_stream *stream =
             &model->streams[g_rand_int_range(random, 0, (gint)model->stream_count)];
-        rr_submission submission = {.pieces = stream->tasks,
+        rr_submission submission = {.task_count = stream->tasks,
                                     .vcpus = 1,
                                     .mem_gb = 1,
-                                    .shape = (enum rr_shape)g_rand_int_range(random, 0, 3),
+                                    .kind = (enum rr_job_kind)g_rand_int_range(random, 0, 3),
                                     .runtime_estimate_s = stream->runtime_s};
         rr_admission_standing standing = {.entitled = g_rand_int_range(random, 0, 20) > 0,
                                           .all_able = g_rand_int_range(random, 0, 20) > 0,
                                           .cache_age_s = g_rand_double_range(random, 0, 3),
                                           .controllers = MODEL_CONTROLLERS};
-        g_snprintf(submission.ref, sizeof submission.ref, "req-9%07u", ++admission_trace.asked);
+        g_snprintf(submission.job_id, sizeof submission.job_id, "req-9%07u",
+                   ++admission_trace.asked);
         g_strlcpy(submission.team, stream->team, sizeof submission.team);
         g_strlcpy(submission.job_class, stream->job_class, sizeof submission.job_class);
         char builds[2][RR_ID] = {"m2", "m1"};
@@ -226,7 +227,7 @@
 static void submit_at_home(struct cells_trace *trace) {
     char id[RR_ID];
     g_snprintf(id, sizeof id, "req-%u", ++trace->jobs);
-    struct fx_job job = {.ref = id,
+    struct fx_job job = {.job_id = id,
                          .team = roll(trace, 2) ? "red" : "blue",
                          .service = roll(trace, 4) == 0,
                          .pieces = (uint32_t)(1 + roll(trace, 4)),
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -299,7 +299,7 @@
 
 static rr_report copy_report(const rr_report *report) {
     rr_report copy = *report;
-    copy.pieces = g_array_copy(report->pieces);
+    copy.tasks = g_array_copy(report->tasks);
     return copy;
 }
 
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -53,7 +53,7 @@
     for (guint i = 0; i < orders->len; i++) {
         const rr_order *order = &g_array_index(orders, rr_order, i);
         trace_int(hash, order->verb);
-        trace_text(hash, order->ref);
+        trace_text(hash, order->job_id);
         trace_int(hash, order->task);
         trace_int(hash, order->attempt);
         trace_decimal(hash, order->grace_s);
@@ -107,10 +107,10 @@
 void trace_job_view(trace_hash *hash, const rr_job_view *view) {
     trace_int(hash, view->known);
     trace_int(hash, view->done);
-    trace_int(hash, view->aborted);
-    trace_text(hash, view->standing);
-    trace_int(hash, view->ndone);
-    trace_int(hash, view->nrunning);
+    trace_int(hash, view->cancelled);
+    trace_text(hash, view->state);
+    trace_int(hash, view->done_count);
+    trace_int(hash, view->running_count);
     trace_int(hash, view->mark);
 }
 
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -7,20 +7,20 @@
 
 /* ---- submissions ---- */
 
-static enum rr_shape any_shape(struct trace_world *world) {
+static enum rr_job_kind any_shape(struct trace_world *world) {
     const struct trace_scenario *scenario = &world->scenario;
     int roll = trace_roll(world, scenario->arrays + scenario->services + scenario->gangs);
     if (roll < scenario->arrays) {
-        return RR_BATCH;
+        return RR_JOB_ARRAY;
     }
-    return roll < scenario->arrays + scenario->services ? RR_SERVICE : RR_GANG;
+    return roll < scenario->arrays + scenario->services ? RR_JOB_SERVICE : RR_JOB_GANG;
 }
 
-static uint32_t any_tasks(struct trace_world *world, enum rr_shape shape) {
-    if (shape == RR_GANG) {
+static uint32_t any_tasks(struct trace_world *world, enum rr_job_kind shape) {
+    if (shape == RR_JOB_GANG) {
         return trace_chance(world, 0.02) ? 500 : (uint32_t)(2 + trace_roll(world, 7));
     }
-    if (shape == RR_SERVICE) {
+    if (shape == RR_JOB_SERVICE) {
         return (uint32_t)(1 + trace_roll(world, 5));
     }
     return (uint32_t)(1 + trace_roll(world, trace_chance(world, 0.15) ? 200 : 12));
@@ -48,7 +48,7 @@
         set_builds(world, submission);
     }
     submission->one_zone = trace_chance(world, 0.15);
-    submission->apart = !submission->one_zone && trace_chance(world, 0.2);
+    submission->spread = !submission->one_zone && trace_chance(world, 0.2);
     submission->spot = trace_chance(world, 0.4);
 }
 
@@ -63,16 +63,16 @@
 
 static void any_submission(struct trace_world *world, rr_submission *submission, double runtime_s) {
     memset(submission, 0, sizeof *submission);
-    g_snprintf(submission->ref, sizeof submission->ref, "req-%u%03d", world->jobs->len + 1,
+    g_snprintf(submission->job_id, sizeof submission->job_id, "req-%u%03d", world->jobs->len + 1,
                trace_roll(world, 1000));
     g_strlcpy(submission->team, team_names[trace_roll(world, world->scenario.teams)],
               sizeof submission->team);
     g_snprintf(submission->image, sizeof submission->image, "img-%d", trace_roll(world, 12));
-    submission->shape = any_shape(world);
-    submission->pieces = any_tasks(world, submission->shape);
+    submission->kind = any_shape(world);
+    submission->task_count = any_tasks(world, submission->kind);
     bool urgent = trace_roll(world, 100) < world->scenario.urgent;
-    submission->rank = urgent ? (enum rr_rank)(RR_HIGH + trace_roll(world, 2))
-                              : (enum rr_rank)trace_roll(world, 3);
+    submission->priority = urgent ? (enum rr_priority)(RR_PRIORITY_HIGH + trace_roll(world, 2))
+                                  : (enum rr_priority)trace_roll(world, 3);
     g_strlcpy(submission->job_class, class_names[urgent ? 0 : trace_roll(world, 3)],
               sizeof submission->job_class);
     set_needs(world, submission);
@@ -85,9 +85,9 @@
 static void remember_job(struct trace_world *world, const rr_submission *submission,
                          double runtime_s) {
     struct trace_job *job = g_new0(struct trace_job, 1);
-    g_strlcpy(job->id, submission->ref, sizeof job->id);
-    job->shape = submission->shape;
-    job->tasks = submission->pieces;
+    g_strlcpy(job->id, submission->job_id, sizeof job->id);
+    job->shape = submission->kind;
+    job->tasks = submission->task_count;
     job->runtime_s = runtime_s;
     job->fails = trace_chance(world, world->scenario.failing_jobs);
     g_ptr_array_add(world->jobs, job);
@@ -119,7 +119,7 @@
     rr_txn_init(&txn);
     rr_encoder_init(&out);
     rr_core_job_encode(&out, submission, trace_wall(world), trace_chance(world, 0.02));
-    rr_core_job_key(submission->ref, key, sizeof key);
+    rr_core_job_key(submission->job_id, key, sizeof key);
     rr_txn_guard(&txn, key, 0);
     rr_txn_put(&txn, key, &out, 0);
     trace_commit(world, controller, &txn);
@@ -189,9 +189,9 @@
     const struct trace_controller *controller = trace_any_controller(world);
     const struct trace_job *job = any_job(world);
     if (controller && job) {
-        rr_submission submission = {.pieces = job->tasks, .vcpus = 1};
+        rr_submission submission = {.task_count = job->tasks, .vcpus = 1};
         const char *why = NULL;
-        g_strlcpy(submission.ref, job->id, sizeof submission.ref);
+        g_strlcpy(submission.job_id, job->id, sizeof submission.job_id);
         trace_int(&world->hash, rr_core_admit(controller->node.core, &submission, &why));
         trace_text(&world->hash, why);
     }
@@ -418,7 +418,7 @@
         trace_int(hash, job.done);
         trace_int(hash, job.cancelled);
         trace_int(hash, job.placed);
-        trace_int(hash, job.ndone);
+        trace_int(hash, job.done_count);
     }
 }
 
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -73,7 +73,7 @@
     for (guint i = 0; i < machine->tasks->len; i++) {
         struct trace_task *task = task_at(machine, i);
         if (task->attempt == order->attempt && task->task == order->task &&
-            strcmp(task->job->id, order->ref) == 0) {
+            strcmp(task->job->id, order->job_id) == 0) {
             return task;
         }
     }
@@ -81,45 +81,46 @@
 }
 
 static void enter(const struct trace_world *world, struct trace_task *task,
-                  enum rr_standing standing, double seconds) {
+                  enum rr_task_state standing, double seconds) {
     task->standing = standing;
     task->since = world->now;
     task->until = world->now + seconds;
 }
 
 static void end_task(const struct trace_world *world, struct trace_task *task,
-                     enum rr_cause cause) {
-    enter(world, task, RR_ENDED, NEVER_S);
+                     enum rr_exit_reason cause) {
+    enter(world, task, RR_TASK_ENDED, NEVER_S);
     task->cause = cause;
 }
 
 /* What a worker may refuse a start with. */
-static enum rr_cause refusal(struct trace_world *world) {
-    static const enum rr_cause causes[] = {RR_FULL, RR_IN_USE, RR_NO_SUCH, RR_CAUSE_OTHER};
-    return trace_chance(world, 0.01) ? causes[trace_roll(world, 4)] : RR_CAUSE_NONE;
+static enum rr_exit_reason refusal(struct trace_world *world) {
+    static const enum rr_exit_reason causes[] = {RR_EXIT_FULL, RR_EXIT_IN_USE, RR_EXIT_NO_SUCH,
+                                                 RR_EXIT_OTHER};
+    return trace_chance(world, 0.01) ? causes[trace_roll(world, 4)] : RR_EXIT_NONE;
 }
 
 static void start_task(struct trace_world *world, struct trace_machine *machine,
                        const rr_order *order) {
-    struct trace_task task = {.job = g_hash_table_lookup(world->job_by_id, order->ref),
+    struct trace_task task = {.job = g_hash_table_lookup(world->job_by_id, order->job_id),
                               .task = order->task,
                               .attempt = order->attempt};
-    enum rr_cause cause = refusal(world);
-    enter(world, &task, RR_FETCHING, trace_between(world, 0, 2));
-    if (cause != RR_CAUSE_NONE) {
+    enum rr_exit_reason cause = refusal(world);
+    enter(world, &task, RR_TASK_FETCHING, trace_between(world, 0, 2));
+    if (cause != RR_EXIT_NONE) {
         end_task(world, &task, cause);
     }
     g_array_append_val(machine->tasks, task);
 }
 
 static void stop_task(const struct trace_world *world, struct trace_task *task, double grace_s) {
-    if (task->standing == RR_ENDED) {
+    if (task->standing == RR_TASK_ENDED) {
         return;
     }
-    if (grace_s > 0 && task->standing == RR_RUNNING) {
-        enter(world, task, RR_FLUSHING, fmin(grace_s, 3));
+    if (grace_s > 0 && task->standing == RR_TASK_RUNNING) {
+        enter(world, task, RR_TASK_SAVING, fmin(grace_s, 3));
     } else {
-        end_task(world, task, RR_HALTED);
+        end_task(world, task, RR_EXIT_STOPPED);
     }
 }
 
@@ -132,7 +133,7 @@
             start_task(world, machine, order);
         } else if (order->verb == RR_STOP && task) {
             stop_task(world, task, order->grace_s);
-        } else if (order->verb == RR_REAP && task && task->standing == RR_ENDED) {
+        } else if (order->verb == RR_REAP && task && task->standing == RR_TASK_ENDED) {
             g_array_remove_index(machine->tasks, (guint)(task - task_at(machine, 0)));
         }
     }
@@ -165,9 +166,9 @@
             if (task->attempt != member->attempt || task->job != member->job) {
                 continue;
             }
-            count.ready += task->standing == RR_WAITING || task->standing == RR_RUNNING;
-            count.ended += task->standing == RR_ENDED && task->cause != RR_DONE;
-            count.done += task->standing == RR_ENDED && task->cause == RR_DONE;
+            count.ready += task->standing == RR_TASK_WAITING || task->standing == RR_TASK_RUNNING;
+            count.ended += task->standing == RR_TASK_ENDED && task->cause != RR_EXIT_DONE;
+            count.done += task->standing == RR_TASK_ENDED && task->cause == RR_EXIT_DONE;
         }
     }
     return count;
@@ -177,46 +178,46 @@
                      struct trace_task *task, const struct trace_job *job) {
     bool fails = job->fails || machine->ill_until > world->now;
     double seconds = job->runtime_s * trace_between(world, 0.7, 1.3);
-    if (job->shape == RR_GANG) {
+    if (job->shape == RR_JOB_GANG) {
         seconds = job->runtime_s;
     }
-    enter(world, task, RR_RUNNING, fails ? trace_between(world, 0.5, 2) : seconds);
+    enter(world, task, RR_TASK_RUNNING, fails ? trace_between(world, 0.5, 2) : seconds);
 }
 
 static void advance_gang_task(struct trace_world *world, struct trace_machine *machine,
                               struct trace_task *task, const struct trace_job *job) {
     struct gang_count count = count_gang(world, task);
-    if (task->standing == RR_WAITING && count.ready >= job->tasks) {
+    if (task->standing == RR_TASK_WAITING && count.ready >= job->tasks) {
         run_task(world, machine, task, job);
-    } else if (task->standing == RR_WAITING && task->until <= world->now) {
-        end_task(world, task, RR_INCOMPLETE);
-    } else if (task->standing == RR_RUNNING && count.done > 0) {
-        end_task(world, task, RR_DONE);
+    } else if (task->standing == RR_TASK_WAITING && task->until <= world->now) {
+        end_task(world, task, RR_EXIT_INCOMPLETE);
+    } else if (task->standing == RR_TASK_RUNNING && count.done > 0) {
+        end_task(world, task, RR_EXIT_DONE);
     } else if (count.ended > 0 && trace_chance(world, 0.3)) {
-        end_task(world, task, RR_PEERS);
+        end_task(world, task, RR_EXIT_PEERS);
     }
 }
 
 static void advance_task(struct trace_world *world, struct trace_machine *machine,
                          struct trace_task *task) {
     const struct trace_job *job = task->job;
-    bool gang = job->shape == RR_GANG;
-    if (gang && (task->standing == RR_WAITING || task->standing == RR_RUNNING)) {
+    bool gang = job->shape == RR_JOB_GANG;
+    if (gang && (task->standing == RR_TASK_WAITING || task->standing == RR_TASK_RUNNING)) {
         advance_gang_task(world, machine, task, job);
     }
-    if (task->until > world->now || task->standing == RR_ENDED) {
+    if (task->until > world->now || task->standing == RR_TASK_ENDED) {
         return;
     }
-    if (task->standing == RR_FETCHING && gang) {
-        enter(world, task, RR_WAITING, 40);
-    } else if (task->standing == RR_FETCHING) {
+    if (task->standing == RR_TASK_FETCHING && gang) {
+        enter(world, task, RR_TASK_WAITING, 40);
+    } else if (task->standing == RR_TASK_FETCHING) {
         run_task(world, machine, task, job);
-    } else if (task->standing == RR_FLUSHING) {
-        end_task(world, task, RR_HALTED);
+    } else if (task->standing == RR_TASK_SAVING) {
+        end_task(world, task, RR_EXIT_STOPPED);
     } else if (job->fails || machine->ill_until > world->now) {
-        end_task(world, task, RR_ERROR);
-    } else if (job->shape != RR_SERVICE) {
-        end_task(world, task, RR_DONE);
+        end_task(world, task, RR_EXIT_ERROR);
+    } else if (job->shape != RR_JOB_SERVICE) {
+        end_task(world, task, RR_EXIT_DONE);
     }
 }
 
@@ -262,14 +263,14 @@
     out->sequence = ++machine->sequence;
     out->fencing_token = machine->fencing_token;
     out->spot_notice_s = machine->notice_at < 0 ? -1 : fmax(0, machine->notice_at - world->now);
-    out->pieces = g_array_new(FALSE, TRUE, sizeof(rr_piece));
+    out->tasks = g_array_new(FALSE, TRUE, sizeof(rr_task_status));
     for (guint i = 0; i < machine->tasks->len; i++) {
         const struct trace_task *task = task_at(machine, i);
-        rr_piece piece = {.task = task->task,
-                          .attempt = task->attempt,
-                          .standing = task->standing,
-                          .cause = task->cause};
-        g_strlcpy(piece.ref, task->job->id, sizeof piece.ref);
-        g_array_append_val(out->pieces, piece);
+        rr_task_status piece = {.task = task->task,
+                                .attempt = task->attempt,
+                                .state = task->standing,
+                                .exit_reason = task->cause};
+        g_strlcpy(piece.job_id, task->job->id, sizeof piece.job_id);
+        g_array_append_val(out->tasks, piece);
     }
 }
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -36,7 +36,7 @@
 
 struct trace_job {
     char id[RR_ID];
-    enum rr_shape shape;
+    enum rr_job_kind shape;
     uint32_t tasks;
     double runtime_s;
     bool fails, cancelled;
@@ -47,8 +47,8 @@
     const struct trace_job *job;
     uint32_t task;
     uint64_t attempt;
-    enum rr_standing standing;
-    enum rr_cause cause;
+    enum rr_task_state standing;
+    enum rr_exit_reason cause;
     double since, until; /* in this state */
 };
 
