--- a/src/admission/demand.c
+++ b/src/admission/demand.c
@@ -12,7 +12,7 @@
 rr_work rr_work_of_task(const rr_submission *submission, double service_s) {
     double seconds =
         submission->kind == RR_JOB_SERVICE ? service_s : submission->runtime_estimate_s;
-    return (rr_work){submission->vcpus * seconds, submission->cards * seconds,
+    return (rr_work){submission->cpus * seconds, submission->gpus * seconds,
                      submission->mem_gb * seconds};
 }
 
--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -45,9 +45,9 @@
  * backlog corrects it. */
 static void set_types(const rr_submission *submission, rr_admission_key *out) {
     const char *types[RR_BUILDS_MAX];
-    int count = submission->nbuilds;
+    int count = submission->machine_type_count;
     for (int i = 0; i < count; i++) {
-        types[i] = submission->builds[i];
+        types[i] = submission->machine_types[i];
     }
     if (count > 1) {
         qsort(types, (size_t)count, sizeof types[0], by_text);
--- a/src/admission/load.c
+++ b/src/admission/load.c
@@ -38,7 +38,8 @@
 }
 
 static rr_amount amount_add(rr_amount a, rr_amount b, double factor) {
-    return (rr_amount){a.cpu + factor * b.cpu, a.gpu + factor * b.gpu, a.mem + factor * b.mem};
+    return (rr_amount){a.cpus + factor * b.cpus, a.gpus + factor * b.gpus,
+                       a.mem_gb + factor * b.mem_gb};
 }
 
 void rr_load_add_machine(rr_load *load, const char *type, const char *zone, rr_amount amount) {
@@ -96,7 +97,7 @@
         return;
     }
     rr_load_team *of_team = &load->teams[team];
-    rr_amount need = {submission->vcpus, submission->cards, submission->mem_gb};
+    rr_amount need = {submission->cpus, submission->gpus, submission->mem_gb};
     rr_work work = rr_work_of_task(submission, load->settings->service_estimate_s);
     bool ends = submission->kind != RR_JOB_SERVICE;
     of_team->used = amount_add(of_team->used, need, placed);
@@ -111,9 +112,9 @@
 
 double rr_dominant_amount(rr_amount amount, rr_amount capacity) {
     double share = 0;
-    share = capacity.cpu > 0 ? fmax(share, amount.cpu / capacity.cpu) : share;
-    share = capacity.gpu > 0 ? fmax(share, amount.gpu / capacity.gpu) : share;
-    return capacity.mem > 0 ? fmax(share, amount.mem / capacity.mem) : share;
+    share = capacity.cpus > 0 ? fmax(share, amount.cpus / capacity.cpus) : share;
+    share = capacity.gpus > 0 ? fmax(share, amount.gpus / capacity.gpus) : share;
+    return capacity.mem_gb > 0 ? fmax(share, amount.mem_gb / capacity.mem_gb) : share;
 }
 
 double rr_dominant_work(rr_work work, rr_amount capacity) {
--- a/src/admission/load.h
+++ b/src/admission/load.h
@@ -7,7 +7,7 @@
 #include "admission/settings.h"
 
 typedef struct {
-    double cpu, gpu, mem;
+    double cpus, gpus, mem_gb;
 } rr_amount;
 
 /* Machines of one type in one zone, together. */
--- a/src/admission/table.c
+++ b/src/admission/table.c
@@ -153,9 +153,9 @@
         rr_encode_key_number(record, "starts_at", table->starts_at);
         rr_encode_key_number(record, "length_s", table->length_s);
         rr_encode_key_bool(record, "active", table->active);
-        rr_encode_key_number(record, "cpu", table->cpu);
-        rr_encode_key_number(record, "gpu", table->gpu);
-        rr_encode_key_number(record, "mem", table->mem);
+        rr_encode_key_number(record, "cpu", table->cpus);
+        rr_encode_key_number(record, "gpu", table->gpus);
+        rr_encode_key_number(record, "mem", table->mem_gb);
         rr_encode_text(record, "teams");
         rr_encode_array(record, part->teams);
         for (guint k = 0; k < part->teams; k++) {
@@ -216,9 +216,9 @@
         !rr_map_get_number(value, "starts_at", &table->starts_at) ||
         !rr_map_get_number(value, "length_s", &table->length_s) || !(table->length_s > 0) ||
         table->length_s > LENGTH_MAX_S || !rr_map_get_bool(value, "active", &table->active) ||
-        !rr_map_get_number(value, "cpu", &table->cpu) ||
-        !rr_map_get_number(value, "gpu", &table->gpu) ||
-        !rr_map_get_number(value, "mem", &table->mem)) {
+        !rr_map_get_number(value, "cpu", &table->cpus) ||
+        !rr_map_get_number(value, "gpu", &table->gpus) ||
+        !rr_map_get_number(value, "mem", &table->mem_gb)) {
         return false;
     }
     for (uint32_t i = 0; i < rows->size; i++) {
@@ -246,9 +246,9 @@
     slot->table.starts_at = head->starts_at;
     slot->table.length_s = head->length_s;
     slot->table.active = head->active;
-    slot->table.cpu = head->cpu;
-    slot->table.gpu = head->gpu;
-    slot->table.mem = head->mem;
+    slot->table.cpus = head->cpus;
+    slot->table.gpus = head->gpus;
+    slot->table.mem_gb = head->mem_gb;
     slot->parts = parts;
     slot->have = 0;
 }
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -31,10 +31,10 @@
     uint64_t sequence; /* 0: no table */
     double starts_at;  /* wall */
     double length_s;
-    bool active;          /* false: everything is admitted */
-    double cpu, gpu, mem; /* all room, when it was written */
-    GArray *rows;         /* rr_admission_row, by id */
-    GArray *teams;        /* rr_admission_team */
+    bool active;               /* false: everything is admitted */
+    double cpus, gpus, mem_gb; /* all room, when it was written */
+    GArray *rows;              /* rr_admission_row, by id */
+    GArray *teams;             /* rr_admission_team */
 } rr_admission_table;
 
 void rr_admission_table_init(rr_admission_table *table);
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -100,7 +100,8 @@
                     rr_share_row *row) {
     double all = rr_dominant_work(entry->work, writer->capacity);
     const double work[] = {entry->work.cpu_s, entry->work.gpu_s, entry->work.mem_s};
-    const double capacity[] = {writer->capacity.cpu, writer->capacity.gpu, writer->capacity.mem};
+    const double capacity[] = {writer->capacity.cpus, writer->capacity.gpus,
+                               writer->capacity.mem_gb};
     for (guint r = 0; r < RR_SHARE_RESOURCES; r++) {
         row->use[r] = all > EPSILON && capacity[r] > 0 ? work[r] / capacity[r] / all : 0;
     }
@@ -193,9 +194,9 @@
     }
     for (guint p = 0; p < load->pools->len; p++) {
         rr_amount amount = g_array_index(load->pools, rr_load_pool, p).amount;
-        pools[p].capacity[0] = part_of(amount.cpu, writer->capacity.cpu) * horizon;
-        pools[p].capacity[1] = part_of(amount.gpu, writer->capacity.gpu) * horizon;
-        pools[p].capacity[2] = part_of(amount.mem, writer->capacity.mem) * horizon;
+        pools[p].capacity[0] = part_of(amount.cpus, writer->capacity.cpus) * horizon;
+        pools[p].capacity[1] = part_of(amount.gpus, writer->capacity.gpus) * horizon;
+        pools[p].capacity[2] = part_of(amount.mem_gb, writer->capacity.mem_gb) * horizon;
     }
     for (size_t i = 0; i < writer->config->nteams; i++) {
         teams[i] = (rr_share_team){writer->settings->teams[i].weight,
@@ -294,8 +295,8 @@
     guint count = (guint)writer->config->nteams;
     for (guint i = 0; i < count; i++) {
         const rr_load_team *team = &load->teams[i];
-        rr_amount all = {team->used.cpu + team->waiting.cpu, team->used.gpu + team->waiting.gpu,
-                         team->used.mem + team->waiting.mem};
+        rr_amount all = {team->used.cpus + team->waiting.cpus, team->used.gpus + team->waiting.gpus,
+                         team->used.mem_gb + team->waiting.mem_gb};
         demands[i] = rr_dominant_amount(all, writer->capacity);
         weights[i] = writer->settings->teams[i].weight;
         least[i] = writer->settings->teams[i].least_share;
@@ -357,7 +358,7 @@
 /* Overload: all that waits takes the fleet for long, and the fleet does not grow. */
 static bool overloaded(rr_admission_writer *writer, rr_amount before, bool active) {
     const rr_admission_settings *settings = writer->settings;
-    bool grows = writer->visited_at == 0 || writer->capacity.cpu > before.cpu * 1.001 + EPSILON;
+    bool grows = writer->visited_at == 0 || writer->capacity.cpus > before.cpus * 1.001 + EPSILON;
     if (!active) {
         writer->calm = 0;
         return writer->stats.backlog_s > settings->enter_backlog_s && !grows;
@@ -385,9 +386,9 @@
     out->sequence = newest->sequence + 1;
     out->starts_at = next_edge(writer, wall);
     out->length_s = writer->settings->interval_s;
-    out->cpu = writer->capacity.cpu;
-    out->gpu = writer->capacity.gpu;
-    out->mem = writer->capacity.mem;
+    out->cpus = writer->capacity.cpus;
+    out->gpus = writer->capacity.gpus;
+    out->mem_gb = writer->capacity.mem_gb;
     bool room = rr_dominant_amount((rr_amount){1, 1, 1}, writer->capacity) > 0;
     out->active = room && overloaded(writer, before, active);
     if (out->active) {
--- a/src/app/admission_duty.c
+++ b/src/app/admission_duty.c
@@ -279,7 +279,7 @@
         const rr_admission_team *team = rr_admission_table_team(table, a->cfg.teams[i].name);
         rooms[i] = team ? team->room : 1;
     }
-    rr_core_set_fair_room(a->core, rooms, table->cpu, table->gpu, table->mem);
+    rr_core_set_fair_room(a->core, rooms, table->cpus, table->gpus, table->mem_gb);
 }
 
 /* The rooms of the table in force, for this controller's own plans; told once for each table. */
--- a/src/app/provisioner_duty.c
+++ b/src/app/provisioner_duty.c
@@ -9,11 +9,11 @@
 #include <string.h>
 
 static void build_clear(gpointer b) {
-    rr_build_clear(b);
+    rr_machine_type_clear(b);
 }
 
 static int do_catalog(struct rr_app *a, rr_cloud *cloud) {
-    GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_build));
+    GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     g_array_set_clear_func(builds, build_clear);
     int rc = rr_cloud_catalog(cloud, builds);
     if (rc == 0) {
@@ -41,7 +41,7 @@
 static int do_rental(struct rr_app *a, rr_cloud *cloud, const rr_step *step) {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     int status;
-    int rc = rr_cloud_rental(cloud, step->rental, step->build, step->zone, step->spot,
+    int rc = rr_cloud_rental(cloud, step->rental, step->machine_type, step->zone, step->spot,
                              step->how_many, &status, ids);
     pthread_mutex_lock(&a->lock);
     rr_core_rented(a->core, rr_now(), step, status, ids);
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -275,7 +275,7 @@
 /* ---- offers ---- */
 
 struct sums {
-    double cpu, gpu, mem;
+    double cpus, gpus, mem_gb;
 };
 
 static void add_machine(void *user, const char *type, const char *zone, double cpu, double gpu,
@@ -283,9 +283,9 @@
     struct sums *sums = user;
     (void)type;
     (void)zone;
-    sums->cpu += cpu;
-    sums->gpu += gpu;
-    sums->mem += mem;
+    sums->cpus += cpu;
+    sums->gpus += gpu;
+    sums->mem_gb += mem;
 }
 
 static void take_off_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
@@ -294,9 +294,9 @@
     double tasks = (double)waiting + placed;
     (void)team;
     (void)done;
-    sums->cpu -= tasks * submission->vcpus;
-    sums->gpu -= tasks * submission->cards;
-    sums->mem -= tasks * submission->mem_gb;
+    sums->cpus -= tasks * submission->cpus;
+    sums->gpus -= tasks * submission->gpus;
+    sums->mem_gb -= tasks * submission->mem_gb;
 }
 
 /* What all machines have beyond all that runs or waits. */
@@ -308,7 +308,7 @@
     rr_core_each_machine(transfers->core, add_machine, &sums);
     rr_core_each_job(transfers->core, take_off_job, &sums);
     double share = transfers->settings->guest_share;
-    transfers->room = (rr_cells_room){share * sums.cpu, share * sums.gpu, share * sums.mem};
+    transfers->room = (rr_cells_room){share * sums.cpus, share * sums.gpus, share * sums.mem_gb};
     transfers->room_at = now;
 }
 
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -126,9 +126,9 @@
     rr_frame_u16(out, (uint16_t)reply->http_status);
     rr_frame_u16(out, (uint16_t)reply->retry_after_s);
     rr_frame_bytes(out, reply->body->data, reply->body->len);
-    pack_amount(reply->room.cpu, out);
-    pack_amount(reply->room.gpu, out);
-    pack_amount(reply->room.mem, out);
+    pack_amount(reply->room.cpus, out);
+    pack_amount(reply->room.gpus, out);
+    pack_amount(reply->room.mem_gb, out);
     rr_frame_end(out, at);
 }
 
@@ -227,9 +227,9 @@
         g_byte_array_free(out->body, TRUE);
         out->body = body;
     }
-    out->room.cpu = (double)rr_unpack_u64(&from) / ROOM_UNIT;
-    out->room.gpu = (double)rr_unpack_u64(&from) / ROOM_UNIT;
-    out->room.mem = (double)rr_unpack_u64(&from) / ROOM_UNIT;
+    out->room.cpus = (double)rr_unpack_u64(&from) / ROOM_UNIT;
+    out->room.gpus = (double)rr_unpack_u64(&from) / ROOM_UNIT;
+    out->room.mem_gb = (double)rr_unpack_u64(&from) / ROOM_UNIT;
     return from.bad ? -EBADMSG : 0;
 }
 
--- a/src/cells/messages.h
+++ b/src/cells/messages.h
@@ -35,7 +35,7 @@
 
 /* Free room that a cell would give to others' jobs now. */
 typedef struct {
-    double cpu, gpu, mem;
+    double cpus, gpus, mem_gb;
 } rr_cells_room;
 
 enum rr_cells_status {
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -145,13 +145,13 @@
 
 bool rr_room_take(rr_cells_room *room, const rr_submission *submission) {
     double tasks = submission->task_count;
-    double cpu = tasks * submission->vcpus, gpu = tasks * submission->cards,
+    double cpu = tasks * submission->cpus, gpu = tasks * submission->gpus,
            mem = tasks * submission->mem_gb;
-    bool fits = cpu <= room->cpu && gpu <= fmax(room->gpu, 0) && mem <= room->mem;
+    bool fits = cpu <= room->cpus && gpu <= fmax(room->gpus, 0) && mem <= room->mem_gb;
     if (fits) {
-        room->cpu -= cpu;
-        room->gpu -= gpu;
-        room->mem -= mem;
+        room->cpus -= cpu;
+        room->gpus -= gpu;
+        room->mem_gb -= mem;
     }
     return fits;
 }
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -70,12 +70,12 @@
     const msgpack_object *list = rr_map_get(doc.root, "builds");
     rc = list && list->type == MSGPACK_OBJECT_ARRAY ? 0 : -EBADMSG;
     for (uint32_t i = 0; rc == 0 && i < list->via.array.size; i++) {
-        rr_build b;
-        rc = rr_build_decode(&list->via.array.ptr[i], &b);
+        rr_machine_type b;
+        rc = rr_machine_type_decode(&list->via.array.ptr[i], &b);
         if (rc == 0) {
             g_array_append_val(builds, b);
         } else {
-            rr_build_clear(&b);
+            rr_machine_type_clear(&b);
         }
     }
     rr_document_clear(&doc);
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -9,7 +9,7 @@
 rr_cloud *rr_cloud_create(const struct rr_endpoint *to, double rps, const atomic_bool *stop);
 void rr_cloud_destroy(rr_cloud *c);
 /* All return 0 or a negative errno; -EAGAIN: refused for now. */
-int rr_cloud_catalog(rr_cloud *c, GArray *builds /* rr_build */);
+int rr_cloud_catalog(rr_cloud *c, GArray *builds /* rr_machine_type */);
 int rr_cloud_list(rr_cloud *c, GArray *machines /* rr_listed_machine */);
 /* *status: 200 (ids filled), 503 no capacity, 0: not known. */
 int rr_cloud_rental(rr_cloud *c, const char *rental, const char *build, const char *zone, bool spot,
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -8,14 +8,14 @@
 
 double rr_res_room(rr_res room, rr_res cap) {
     double r = 1;
-    if (cap.cpu > 0) {
-        r = fmin(r, room.cpu / cap.cpu);
+    if (cap.cpus > 0) {
+        r = fmin(r, room.cpus / cap.cpus);
     }
-    if (cap.gpu > 0) {
-        r = fmin(r, room.gpu / cap.gpu);
+    if (cap.gpus > 0) {
+        r = fmin(r, room.gpus / cap.gpus);
     }
-    if (cap.mem > 0) {
-        r = fmin(r, room.mem / cap.mem);
+    if (cap.mem_gb > 0) {
+        r = fmin(r, room.mem_gb / cap.mem_gb);
     }
     return r < 0 ? 0 : r;
 }
@@ -44,11 +44,11 @@
     if (j->submission.zone[0] && strcmp(j->submission.zone, rr_names_at(&c->zones, zone)) != 0) {
         return false;
     }
-    if (j->submission.nbuilds == 0) {
+    if (j->submission.machine_type_count == 0) {
         return true;
     }
-    for (int i = 0; i < j->submission.nbuilds; i++) {
-        if (strcmp(j->submission.builds[i], rr_names_at(&c->builds, build)) == 0) {
+    for (int i = 0; i < j->submission.machine_type_count; i++) {
+        if (strcmp(j->submission.machine_types[i], rr_names_at(&c->machine_types, build)) == 0) {
             return true;
         }
     }
@@ -130,7 +130,7 @@
 }
 
 double rr_fetch_time(const rr_core *c, const rr_job *j, const rr_machine *m) {
-    const rr_build *b = rr_build_at(c, m->build);
+    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
     if (rr_machine_has_image(m, j->image)) {
         return 0;
     }
@@ -173,7 +173,7 @@
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
         if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->request, m->sim) ||
-            !rr_job_allows(c, j, m->build, m->zone, m->spot) || !how->filter(c, m, now)) {
+            !rr_job_allows(c, j, m->machine_type, m->zone, m->spot) || !how->filter(c, m, now)) {
             continue;
         }
         double fetch = rr_fetch_time(c, j, m);
@@ -290,7 +290,7 @@
 
 /* The share of the zone that is free on its scarcest resource, as the paper scores clusters. */
 static double free_share(const struct zone_room *zone) {
-    return zone->capacity.cpu > 0 ? rr_res_room(zone->free, zone->capacity) : -1;
+    return zone->capacity.cpus > 0 ? rr_res_room(zone->free, zone->capacity) : -1;
 }
 
 /* A gang starts with its last image: of the zones that take all of it the one goes first in which
@@ -326,7 +326,8 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
-        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->spot) &&
+        if (m->zone >= 0 && zones[m->zone] &&
+            rr_job_allows(c, j, m->machine_type, m->zone, m->spot) &&
             rr_machine_usable(c, m, now)) {
             add_machine(c, j, m, wanted, &rooms[m->zone]);
         }
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -17,8 +17,8 @@
 bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
     const struct rr_team_config *team = &planner->c->cfg->teams[job->team];
     rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->request, tasks);
-    return (team->cpus_max <= 0 || used.cpu <= team->cpus_max + RR_EPS) &&
-           (team->gpus_max <= 0 || used.gpu <= team->gpus_max + RR_EPS);
+    return (team->cpus_max <= 0 || used.cpus <= team->cpus_max + RR_EPS) &&
+           (team->gpus_max <= 0 || used.gpus <= team->gpus_max + RR_EPS);
 }
 
 /* In a resource of which the team is guaranteed none: 0. */
@@ -32,13 +32,13 @@
 bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
     rr_res guarantee = guarantee_of(planner->c, job->team);
     rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->request, tasks);
-    return used.cpu <= guarantee.cpu + RR_EPS && used.gpu <= guarantee.gpu + RR_EPS;
+    return used.cpus <= guarantee.cpus + RR_EPS && used.gpus <= guarantee.gpus + RR_EPS;
 }
 
 bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_res returned) {
     rr_res guarantee = guarantee_of(planner->c, team);
     rr_res used = rr_res_add(rr_team_used_in_plan(planner, team), returned, -1);
-    return used.cpu > guarantee.cpu + RR_EPS || used.gpu > guarantee.gpu + RR_EPS;
+    return used.cpus > guarantee.cpus + RR_EPS || used.gpus > guarantee.gpus + RR_EPS;
 }
 
 /* Whether the record takes one placement more, once what is known to be over has left it. */
@@ -178,8 +178,9 @@
 }
 
 static bool same_machine_types(const rr_submission *a, const rr_submission *b) {
-    size_t bytes = (size_t)a->nbuilds * sizeof *a->builds;
-    return a->nbuilds == b->nbuilds && (bytes == 0 || memcmp(a->builds, b->builds, bytes) == 0);
+    size_t bytes = (size_t)a->machine_type_count * sizeof *a->machine_types;
+    return a->machine_type_count == b->machine_type_count &&
+           (bytes == 0 || memcmp(a->machine_types, b->machine_types, bytes) == 0);
 }
 
 static bool same_demands(const rr_job *a, const rr_job *b) {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -163,8 +163,8 @@
 };
 typedef struct {
     enum rr_step_kind kind;
-    rr_txn txn;                                      /* TXN */
-    char rental[RR_ID], build[RR_ID], zone[RR_TEXT]; /* HIRE */
+    rr_txn txn;                                             /* TXN */
+    char rental[RR_ID], machine_type[RR_ID], zone[RR_TEXT]; /* HIRE */
     bool spot;
     int how_many;
     GPtrArray *machines; /* RELEASE: char* */
@@ -172,7 +172,7 @@
 void rr_step_init(rr_step *s);
 void rr_step_clear(rr_step *s);
 void rr_core_provisioner_step(rr_core *c, double now, double wall, rr_step *out);
-void rr_core_catalog(rr_core *c, double now, const GArray *builds /* rr_build */);
+void rr_core_catalog(rr_core *c, double now, const GArray *builds /* rr_machine_type */);
 void rr_core_listed(rr_core *c, double asked_at, double now, double wall,
                     const GArray *machines /* rr_listed_machine */);
 /* status: 200 with ids, 503 no capacity, else: unknown, try again later. */
--- a/src/core/fair_room.c
+++ b/src/core/fair_room.c
@@ -17,8 +17,8 @@
 }
 
 static double dominant_part(const rr_core *c, rr_res used) {
-    double cpu = part_of(used.cpu, c->all_room.cpu), gpu = part_of(used.gpu, c->all_room.gpu);
-    return fmax(fmax(cpu, gpu), part_of(used.mem, c->all_room.mem));
+    double cpu = part_of(used.cpus, c->all_room.cpus), gpu = part_of(used.gpus, c->all_room.gpus);
+    return fmax(fmax(cpu, gpu), part_of(used.mem_gb, c->all_room.mem_gb));
 }
 
 /* A team at its fair part of all room leaves what is free to others: an owner sees only its own
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -7,31 +7,31 @@
 
 /* ---- builds ---- */
 
-const rr_build *rr_build_at(const rr_core *c, int build) {
+const rr_machine_type *rr_machine_type_at(const rr_core *c, int build) {
     if (build < 0 || (guint)build >= c->build_info->len) {
         return NULL;
     }
-    const rr_build *b = &g_array_index(c->build_info, rr_build, build);
-    return b->sku[0] ? b : NULL;
+    const rr_machine_type *b = &g_array_index(c->build_info, rr_machine_type, build);
+    return b->name[0] ? b : NULL;
 }
 
-static int build_index(rr_core *c, const char *sku) {
-    int i = rr_names_add(&c->builds, sku);
+static int machine_type_index(rr_core *c, const char *sku) {
+    int i = rr_names_add(&c->machine_types, sku);
     if ((guint)i >= c->build_info->len) {
         g_array_set_size(c->build_info, (guint)i + 1);
     }
     return i;
 }
 
-void rr_build_put(rr_core *c, const msgpack_object *v) {
-    rr_build b;
-    if (rr_build_decode(v, &b) != 0) {
-        rr_build_clear(&b);
+void rr_machine_type_put(rr_core *c, const msgpack_object *v) {
+    rr_machine_type b;
+    if (rr_machine_type_decode(v, &b) != 0) {
+        rr_machine_type_clear(&b);
         return;
     }
-    int index = build_index(c, b.sku); /* may move the array */
-    rr_build *slot = &g_array_index(c->build_info, rr_build, index);
-    rr_build_clear(slot);
+    int index = machine_type_index(c, b.name); /* may move the array */
+    rr_machine_type *slot = &g_array_index(c->build_info, rr_machine_type, index);
+    rr_machine_type_clear(slot);
     *slot = b;
     for (guint i = 0; i < b.zones->len; i++) {
         rr_names_add(&c->zones, g_ptr_array_index(b.zones, i));
@@ -40,14 +40,14 @@
 }
 
 rr_res rr_machine_cap(const rr_core *c, const rr_machine *m) {
-    const rr_build *b = rr_build_at(c, m->build);
-    return b ? (rr_res){b->vcpus, b->cards, b->mem_gb} : (rr_res){0, 0, 0};
+    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
+    return b ? (rr_res){b->cpus, b->gpus, b->mem_gb} : (rr_res){0, 0, 0};
 }
 
 /* Machines that stood there before the service did are the paper's private cluster: they cost
  * nothing more by being used and are never returned. */
 double rr_machine_price(const rr_core *c, const rr_machine *m) {
-    const rr_build *b = rr_build_at(c, m->build);
+    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
     if (m->own || !b) {
         return 0;
     }
@@ -61,7 +61,8 @@
 #define FLAG_RET 4
 
 size_t rr_page_entry_bytes(const rr_core *c, const rr_machine *m) {
-    return 44 + strlen(m->name) + strlen(m->addr) + strlen(rr_names_at(&c->builds, m->build)) +
+    return 44 + strlen(m->name) + strlen(m->addr) +
+           strlen(rr_names_at(&c->machine_types, m->machine_type)) +
            strlen(rr_names_at(&c->zones, m->zone));
 }
 
@@ -74,7 +75,7 @@
         rr_encode_array(o, 6);
         rr_encode_text(o, m->name);
         rr_encode_text(o, m->addr);
-        rr_encode_text(o, rr_names_at(&c->builds, m->build));
+        rr_encode_text(o, rr_names_at(&c->machine_types, m->machine_type));
         rr_encode_text(o, rr_names_at(&c->zones, m->zone));
         rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->own ? FLAG_OWN : 0) |
                                     (m->give_up ? FLAG_RET : 0)));
@@ -118,7 +119,7 @@
     m->recorded = m->keep = true;
     m->gone = m->to_adopt = false;
     m->page = page;
-    m->build = build_index(c, build);
+    m->machine_type = machine_type_index(c, build);
     m->zone = rr_names_add(&c->zones, zone);
     m->spot = flags & FLAG_SPOT;
     m->own = flags & FLAG_OWN;
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -76,7 +76,7 @@
     j->team = rr_names_add(&c->teams, j->submission.team);
     j->job_class = rr_names_add(&c->job_classes, j->submission.job_class);
     j->image = rr_names_add(&c->images, j->submission.image);
-    j->request = (rr_res){j->submission.vcpus, j->submission.cards, j->submission.mem_gb};
+    j->request = (rr_res){j->submission.cpus, j->submission.gpus, j->submission.mem_gb};
 }
 
 /* Recent arrivals of each class, for the headroom. */
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -11,7 +11,7 @@
     m = g_new0(rr_machine, 1);
     m->id = c->next_machine_id++;
     g_strlcpy(m->name, name, sizeof m->name);
-    m->build = m->zone = -1;
+    m->machine_type = m->zone = -1;
     m->places = g_array_new(FALSE, TRUE, sizeof(rr_place));
     m->images = g_array_new(FALSE, FALSE, sizeof(int));
     m->err_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -72,11 +72,11 @@
 }
 
 static void build_clear(gpointer p) {
-    rr_build_clear(p);
+    rr_machine_type_clear(p);
 }
 
-static GArray *builds_new(void) {
-    GArray *a = g_array_new(FALSE, TRUE, sizeof(rr_build));
+static GArray *machine_types_new(void) {
+    GArray *a = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     g_array_set_clear_func(a, build_clear);
     return a;
 }
@@ -86,14 +86,14 @@
     c->cfg = cfg;
     rr_names_init(&c->teams);
     rr_names_init(&c->zones);
-    rr_names_init(&c->builds);
+    rr_names_init(&c->machine_types);
     rr_names_init(&c->job_classes);
     rr_names_init(&c->images);
     for (size_t i = 0; i < cfg->nteams; i++) {
         rr_names_add(&c->teams, cfg->teams[i].name);
     }
-    c->build_info = builds_new();
-    c->fresh_builds = builds_new();
+    c->build_info = machine_types_new();
+    c->fresh_builds = machine_types_new();
     c->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
     c->finals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     c->open = g_ptr_array_new();
@@ -164,7 +164,7 @@
     g_array_free(c->fresh_builds, TRUE);
     rr_names_clear(&c->teams);
     rr_names_clear(&c->zones);
-    rr_names_clear(&c->builds);
+    rr_names_clear(&c->machine_types);
     rr_names_clear(&c->job_classes);
     rr_names_clear(&c->images);
     g_free(c);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -12,7 +12,7 @@
 #define RR_LATE_S 2.0 /* after a late timer silences and failed probes say nothing this long */
 
 typedef struct {
-    double cpu, gpu, mem;
+    double cpus, gpus, mem_gb;
 } rr_res;
 
 /* In the ledger: how a placement is to make room. */
@@ -106,7 +106,7 @@
 struct rr_machine {
     int id; /* dense, never reused */
     char name[RR_ID], addr[RR_ID];
-    int build, zone;
+    int machine_type, zone;
     bool spot;
     /* ledger */
     bool recorded, own, ret;
@@ -176,7 +176,7 @@
 } rr_term;
 
 typedef struct {
-    char name[RR_ID], build[RR_ID], zone[RR_TEXT];
+    char name[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
     bool spot;
     int how_many;
     uint64_t mark;
@@ -211,10 +211,10 @@
     uint32_t chunk; /* tasks in one record of the ledger */
 
     /* Names as dense indices. */
-    rr_names teams, zones, builds, job_classes, images;
+    rr_names teams, zones, machine_types, job_classes, images;
 
     /* Stored: the mirror of the state service. */
-    GArray *build_info; /* rr_build, by index; sku empty: not in the catalogue */
+    GArray *build_info; /* rr_machine_type, by index; sku empty: not in the catalogue */
     GHashTable *jobs;   /* ref -> rr_job */
     GHashTable *finals; /* ref -> tasks done * 2 + 1 if done: final jobs of which nothing is left */
     GPtrArray *open;    /* rr_job*, not final or with placements */
@@ -263,7 +263,7 @@
     double short_at; /* a plan was last cut short by the changes it might make */
 
     /* The provisioner's. */
-    GArray *fresh_builds;     /* rr_build read from the cloud, to be recorded */
+    GArray *fresh_builds;     /* rr_machine_type read from the cloud, to be recorded */
     GHashTable *refused;      /* "build|zone|kind" -> double*: not before */
     GHashTable *stray_failed; /* names listed as failed without a record */
     uint64_t provisioner_token;
@@ -311,22 +311,22 @@
 
 /* resources */
 static inline rr_res rr_res_add(rr_res a, rr_res b, double sign) {
-    return (rr_res){a.cpu + sign * b.cpu, a.gpu + sign * b.gpu, a.mem + sign * b.mem};
+    return (rr_res){a.cpus + sign * b.cpus, a.gpus + sign * b.gpus, a.mem_gb + sign * b.mem_gb};
 }
 static inline bool rr_res_fits(rr_res need, rr_res room) {
-    return need.cpu <= room.cpu + RR_EPS && need.gpu <= room.gpu + RR_EPS &&
-           need.mem <= room.mem + RR_EPS;
+    return need.cpus <= room.cpus + RR_EPS && need.gpus <= room.gpus + RR_EPS &&
+           need.mem_gb <= room.mem_gb + RR_EPS;
 }
 /* Free room on the scarcest resource, as a share of the machine. */
 double rr_res_room(rr_res room, rr_res cap);
 
 /* fleet.c */
-void rr_build_put(rr_core *c, const msgpack_object *v);
+void rr_machine_type_put(rr_core *c, const msgpack_object *v);
 void rr_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark, double now);
 void rr_page_delete(rr_core *c, const char *rest, uint64_t mark, double now);
 /* Its record has gone, and so has it. */
 void rr_machine_drop(rr_core *c, rr_machine *m, double now);
-const rr_build *rr_build_at(const rr_core *c, int build);
+const rr_machine_type *rr_machine_type_at(const rr_core *c, int build);
 rr_res rr_machine_cap(const rr_core *c, const rr_machine *m);
 double rr_machine_price(const rr_core *c, const rr_machine *m);
 size_t rr_page_entry_bytes(const rr_core *c, const rr_machine *m);
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -427,7 +427,7 @@
     }
 }
 
-static void build_txn(struct rr_planner *p) {
+static void build_transaction(struct rr_planner *p) {
     rr_txn *t = &p->out->txn;
     char key[RR_ID + 64];
     rr_txn_guard(t, RR_ROOT "term", p->c->term.mark);
@@ -539,7 +539,7 @@
     }
     record_lost(&p);
     note_short(&p);
-    build_txn(&p);
+    build_transaction(&p);
     guint first = out->dos->len;
     rr_probe_silent(&p);
     for (guint i = first; i < out->dos->len; i++) {
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -209,7 +209,7 @@
 bool rr_machine_may_take(const struct rr_planner *planner, const rr_machine *machine,
                          const rr_job *job, const bool *allowed) {
     return machine->zone >= 0 && allowed[machine->zone] &&
-           rr_job_allows(planner->c, job, machine->build, machine->zone, machine->spot) &&
+           rr_job_allows(planner->c, job, machine->machine_type, machine->zone, machine->spot) &&
            rr_machine_usable(planner->c, machine, planner->now);
 }
 
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -30,8 +30,8 @@
     c->catalog_at = now;
     g_array_set_size(c->fresh_builds, 0);
     for (guint i = 0; i < builds->len; i++) {
-        const rr_build *b = &g_array_index(builds, rr_build, i);
-        rr_build copy = *b;
+        const rr_machine_type *b = &g_array_index(builds, rr_machine_type, i);
+        rr_machine_type copy = *b;
         copy.zones = g_ptr_array_new_with_free_func(g_free);
         for (guint k = 0; k < b->zones->len; k++) {
             g_ptr_array_add(copy.zones, g_strdup(g_ptr_array_index(b->zones, k)));
@@ -64,8 +64,8 @@
          * own machines. (A list may give them no age when all start together.) */
         m->own = !m->rented && (m->born < c->term.born - 5 || !c->ever_rented);
     }
-    if (m->build < 0) {
-        m->build = rr_names_add(&c->builds, s->build);
+    if (m->machine_type < 0) {
+        m->machine_type = rr_names_add(&c->machine_types, s->machine_type);
         m->zone = rr_names_add(&c->zones, s->zone);
         m->spot = s->spot;
     }
@@ -118,7 +118,7 @@
 static void note_refusal(rr_core *c, double now, const rr_step *s) {
     double *until = g_new(double, 1);
     *until = now + REFUSED_S;
-    g_hash_table_replace(c->refused, rr_refusal_key(s->build, s->zone, s->spot), until);
+    g_hash_table_replace(c->refused, rr_refusal_key(s->machine_type, s->zone, s->spot), until);
 }
 
 static void note_rented(rr_core *c, double now, const rr_step *s, const char *id) {
@@ -131,7 +131,7 @@
     if (!m->recorded) {
         m->to_adopt = true;
         m->born = m->born > 0 ? m->born : c->rented_at;
-        m->build = rr_names_add(&c->builds, s->build);
+        m->machine_type = rr_names_add(&c->machine_types, s->machine_type);
         m->zone = rr_names_add(&c->zones, s->zone);
         m->spot = s->spot;
     }
@@ -143,8 +143,8 @@
     if (h && status == 503) {
         h->refused = true;
         note_refusal(c, now, s);
-        rr_log_at(c, RR_LOG_INFO, "rental %s: no capacity for %s %s in %s", s->rental, s->build,
-                  kind, s->zone);
+        rr_log_at(c, RR_LOG_INFO, "rental %s: no capacity for %s %s in %s", s->rental,
+                  s->machine_type, kind, s->zone);
     }
     if (!h || status != 200) {
         return;
@@ -160,7 +160,7 @@
     }
     c->rented += ids->len;
     rr_log_at(c, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", s->rental, ids->len, h->how_many,
-              s->build, kind, s->zone);
+              s->machine_type, kind, s->zone);
 }
 
 void rr_core_released(rr_core *c, double now, const GPtrArray *ids) {
@@ -207,8 +207,8 @@
     return out->txn.changes->len > 0;
 }
 
-static bool same_build(const rr_build *a, const rr_build *b) {
-    bool same = a && a->vcpus == b->vcpus && a->cards == b->cards && a->mem_gb == b->mem_gb &&
+static bool same_machine_type(const rr_machine_type *a, const rr_machine_type *b) {
+    bool same = a && a->cpus == b->cpus && a->gpus == b->gpus && a->mem_gb == b->mem_gb &&
                 a->cache_gb == b->cache_gb && a->pull_rate == b->pull_rate &&
                 a->price == b->price && a->spot_price == b->spot_price &&
                 a->startup_s == b->startup_s && a->zones->len == b->zones->len;
@@ -221,14 +221,15 @@
 /* What was read is written until the mirror shows it: a change of term may void a transaction. */
 static bool record_builds(rr_core *c, rr_step *out) {
     for (guint i = 0; i < c->fresh_builds->len; i++) {
-        const rr_build *b = &g_array_index(c->fresh_builds, rr_build, i);
+        const rr_machine_type *b = &g_array_index(c->fresh_builds, rr_machine_type, i);
         if ((int)out->txn.changes->len < rr_txn_ops(c->cfg) &&
-            !same_build(rr_build_at(c, rr_names_find(&c->builds, b->sku)), b)) {
+            !same_machine_type(rr_machine_type_at(c, rr_names_find(&c->machine_types, b->name)),
+                               b)) {
             char key[RR_ID + 32];
             rr_encoder o;
             rr_encoder_init(&o);
-            rr_build_encode(&o, b);
-            g_snprintf(key, sizeof key, RR_ROOT "build/%s", b->sku);
+            rr_machine_type_encode(&o, b);
+            g_snprintf(key, sizeof key, RR_ROOT "build/%s", b->name);
             rr_txn_put(&out->txn, key, &o, 0);
         }
     }
@@ -280,7 +281,7 @@
         h->tried_at = now;
         c->rented_at = wall;
         g_strlcpy(out->rental, h->name, sizeof out->rental);
-        g_strlcpy(out->build, h->build, sizeof out->build);
+        g_strlcpy(out->machine_type, h->machine_type, sizeof out->machine_type);
         g_strlcpy(out->zone, h->zone, sizeof out->zone);
         out->spot = h->spot;
         out->how_many = h->how_many;
@@ -292,7 +293,7 @@
 /* ---- troubles ---- */
 
 static const char *trouble_of(rr_core *c, const rr_machine *m, double now, double wall) {
-    const rr_build *b = rr_build_at(c, m->build);
+    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
     double boot = b && b->startup_s > 0 ? b->startup_s : 60;
     bool empty = m->places->len == 0;
     if (rr_machine_dead(c, m, now)) {
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -11,7 +11,7 @@
 #define START_STOCK_S 20.0 /* jobs that came so soon after the first term were there before */
 
 struct rent {
-    int build, zone;
+    int machine_type, zone;
     bool spot;
     int count;
     rr_res room; /* of the newest */
@@ -26,7 +26,7 @@
 
 /* A machine that new work can count on: usable now, or booting within patience. */
 static bool counts(const rr_core *c, const rr_machine *m, double now) {
-    const rr_build *b = rr_build_at(c, m->build);
+    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
     if (!m->recorded || m->ret || m->give_up || !b) {
         return false;
     }
@@ -89,7 +89,8 @@
     for (; i < s->roomy->len && n > 0; i++) {
         rr_machine *m = g_ptr_array_index(s->roomy, i);
         c->visits++;
-        if (m->zone >= 0 && zones[m->zone] && rr_job_allows(c, j, m->build, m->zone, m->spot)) {
+        if (m->zone >= 0 && zones[m->zone] &&
+            rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
             uint32_t k = rr_tasks_in(j->request, m->sim, MIN(n, each));
             m->sim = rr_res_add(m->sim, j->request, -(double)k);
             m->surplus = m->surplus && k == 0;
@@ -114,7 +115,7 @@
 };
 
 static bool better_offer(const struct offer *a, const struct offer *b) {
-    if (b->rent.build < 0 || a->price < b->price - 1e-9) {
+    if (b->rent.machine_type < 0 || a->price < b->price - 1e-9) {
         return true;
     }
     return a->price < b->price + 1e-9 && a->in_zone < b->in_zone;
@@ -124,8 +125,8 @@
 static void consider_build(const struct sim *s, const rr_job *j, const bool *zones, int build,
                            struct offer *best) {
     rr_core *c = s->c;
-    const rr_build *b = rr_build_at(c, build);
-    rr_res cap = b ? (rr_res){b->vcpus, b->cards, b->mem_gb} : (rr_res){0, 0, 0};
+    const rr_machine_type *b = rr_machine_type_at(c, build);
+    rr_res cap = b ? (rr_res){b->cpus, b->gpus, b->mem_gb} : (rr_res){0, 0, 0};
     if (!b || !rr_res_fits(j->request, cap)) {
         return;
     }
@@ -134,7 +135,7 @@
         int w = rr_names_find(&c->zones, g_ptr_array_index(b->zones, i / 2));
         bool spot = i % 2 == 1;
         if (w < 0 || !zones[w] || !rr_job_allows(c, j, build, w, spot) ||
-            is_refused(c, b->sku, rr_names_at(&c->zones, w), spot, s->now)) {
+            is_refused(c, b->name, rr_names_at(&c->zones, w), spot, s->now)) {
             continue;
         }
         struct offer offer = {
@@ -149,7 +150,8 @@
 static struct rent *add_rent(struct sim *s, const struct rent *rent) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
-        if (r->build == rent->build && r->zone == rent->zone && r->spot == rent->spot) {
+        if (r->machine_type == rent->machine_type && r->zone == rent->zone &&
+            r->spot == rent->spot) {
             r->count++;
             r->room = rent->room;
             return r;
@@ -164,11 +166,11 @@
 /* The cheapest place that would take the task, per task that fits; between equals the zone with
  * fewest machines. */
 static struct rent *rent_for(struct sim *s, const rr_job *j, const bool *zones) {
-    struct offer best = {.rent = {.build = -1}};
+    struct offer best = {.rent = {.machine_type = -1}};
     for (guint build = 0; build < s->c->build_info->len; build++) {
         consider_build(s, j, zones, (int)build, &best);
     }
-    if (best.rent.build < 0) {
+    if (best.rent.machine_type < 0) {
         return NULL;
     }
     s->in_zone[best.rent.zone]++;
@@ -178,7 +180,7 @@
 static bool into_rents(struct sim *s, const rr_job *j, const bool *zones) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
-        if (zones[r->zone] && rr_job_allows(s->c, j, r->build, r->zone, r->spot) &&
+        if (zones[r->zone] && rr_job_allows(s->c, j, r->machine_type, r->zone, r->spot) &&
             rr_res_fits(j->request, r->room)) {
             r->room = rr_res_add(r->room, j->request, -1);
             return true;
@@ -211,7 +213,7 @@
     }
     double boot = 0, pull = 0;
     for (guint i = 0; i < c->build_info->len; i++) {
-        const rr_build *b = rr_build_at(c, (int)i);
+        const rr_machine_type *b = rr_machine_type_at(c, (int)i);
         if (b) {
             boot = fmax(boot, b->startup_s);
             pull = fmax(pull, b->pull_rate > 0 ? j->submission.image_size_gb / b->pull_rate : 0);
@@ -260,11 +262,11 @@
     uint32_t n = MIN(j->submission.task_count - j->done_count - j->placed_count + j->lost,
                      j->submission.task_count - j->done_count);
     n = MIN(n, WANTED_MAX);
-    if (t->cpus_max > 0 && j->request.cpu > 0) {
-        n = MIN(n, (uint32_t)(t->cpus_max / j->request.cpu + 1));
+    if (t->cpus_max > 0 && j->request.cpus > 0) {
+        n = MIN(n, (uint32_t)(t->cpus_max / j->request.cpus + 1));
     }
-    if (t->gpus_max > 0 && j->request.gpu > 0) {
-        n = MIN(n, (uint32_t)(t->gpus_max / j->request.gpu + 1));
+    if (t->gpus_max > 0 && j->request.gpus > 0) {
+        n = MIN(n, (uint32_t)(t->gpus_max / j->request.gpus + 1));
     }
     return n;
 }
@@ -298,7 +300,8 @@
             const rr_submission *v = &p->job->submission;
             if (v->kind == RR_JOB_ARRAY && v->priority < j->submission.priority &&
                 j->submission.priority > RR_PRIORITY_STANDARD && v->checkpoint_interval_s > 0 &&
-                v->save_s + 1 <= within_s && rr_job_allows(c, j, m->build, m->zone, m->spot)) {
+                v->save_s + 1 <= within_s &&
+                rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
                 m->sim = rr_res_add(m->sim, p->job->request, 1);
             }
         }
@@ -323,7 +326,7 @@
 static double longest_boot(const rr_core *c) {
     double boot = 0;
     for (guint i = 0; i < c->build_info->len; i++) {
-        const rr_build *b = rr_build_at(c, (int)i);
+        const rr_machine_type *b = rr_machine_type_at(c, (int)i);
         boot = b ? fmax(boot, b->startup_s) : boot;
     }
     return boot;
@@ -365,7 +368,7 @@
     g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const rr_rental *h = v;
-        if (strcmp(h->build, rr_names_at(&c->builds, r->build)) == 0 &&
+        if (strcmp(h->machine_type, rr_names_at(&c->machine_types, r->machine_type)) == 0 &&
             strcmp(h->zone, rr_names_at(&c->zones, r->zone)) == 0 && h->spot == r->spot) {
             n += h->how_many;
         }
@@ -382,7 +385,7 @@
     rr_rental_key(name, key, sizeof key);
     rr_encoder_init(&o);
     rr_encode_map(&o, 4);
-    rr_encode_key_text(&o, "build", rr_names_at(&c->builds, r->build));
+    rr_encode_key_text(&o, "build", rr_names_at(&c->machine_types, r->machine_type));
     rr_encode_key_text(&o, "ward", rr_names_at(&c->zones, r->zone));
     rr_encode_key_bool(&o, "loaners", r->spot);
     rr_encode_key_u64(&o, "n", (uint64_t)n);
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -136,7 +136,7 @@
 }
 
 static bool to_record(const rr_core *c, const rr_machine *m, double now) {
-    if (m->recorded || m->gone || m->build < 0 || m->zone < 0) {
+    if (m->recorded || m->gone || m->machine_type < 0 || m->zone < 0) {
         return false;
     }
     /* One that only reports have told of: a late copy of a report creates nothing, so it has to
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -18,7 +18,7 @@
 
 /* A machine fetches an image before it runs a task, and keeps those used last. */
 static void note_images(rr_core *c, rr_machine *m) {
-    const rr_build *b = rr_build_at(c, m->build);
+    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
     for (guint i = 0; i < m->rep.tasks->len; i++) {
         const rr_task_status *p = &g_array_index(m->rep.tasks, rr_task_status, i);
         const rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
@@ -137,8 +137,8 @@
         rr_report_clear(r);
         return RR_NEWS_NONE;
     }
-    if (m->build < 0) {
-        m->build = rr_names_add(&c->builds, r->build);
+    if (m->machine_type < 0) {
+        m->machine_type = rr_names_add(&c->machine_types, r->machine_type);
         m->zone = rr_names_add(&c->zones, r->zone);
         m->spot = r->spot;
     }
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -56,7 +56,7 @@
     c->ever_rented = true;
     h->mark = mark;
     h->keep = true;
-    rr_map_get_text(v, "build", h->build, sizeof h->build);
+    rr_map_get_text(v, "build", h->machine_type, sizeof h->machine_type);
     rr_map_get_text(v, "ward", h->zone, sizeof h->zone);
     rr_map_get_bool(v, "loaners", &h->spot);
     rr_map_get_u64(v, "n", &n);
@@ -86,7 +86,7 @@
     } else if ((rest = after(key, RR_ROOT "hire/"))) {
         put_rental(c, rest, v, mark);
     } else if (after(key, RR_ROOT "build/")) {
-        rr_build_put(c, v);
+        rr_machine_type_put(c, v);
     } else if (after(key, RR_ROOT "batch/")) {
         rr_batch_put(c, key, v, mark, now);
     } else if (!rr_watched_record(c, key, v, mark)) {
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-static bool zone_offered(const rr_build *b, const char *zone) {
+static bool zone_offered(const rr_machine_type *b, const char *zone) {
     for (guint i = 0; i < b->zones->len; i++) {
         if (!zone[0] || strcmp(g_ptr_array_index(b->zones, i), zone) == 0) {
             return true;
@@ -12,21 +12,21 @@
     return false;
 }
 
-static bool build_allowed(const rr_submission *s, const rr_build *b) {
-    for (int i = 0; i < s->nbuilds; i++) {
-        if (strcmp(s->builds[i], b->sku) == 0) {
+static bool machine_type_allowed(const rr_submission *s, const rr_machine_type *b) {
+    for (int i = 0; i < s->machine_type_count; i++) {
+        if (strcmp(s->machine_types[i], b->name) == 0) {
             return true;
         }
     }
-    return s->nbuilds == 0;
+    return s->machine_type_count == 0;
 }
 
-static bool fits_some_build(const rr_core *c, const rr_submission *s) {
-    rr_res need = {s->vcpus, s->cards, s->mem_gb};
+static bool fits_some_machine_type(const rr_core *c, const rr_submission *s) {
+    rr_res need = {s->cpus, s->gpus, s->mem_gb};
     for (guint i = 0; i < c->build_info->len; i++) {
-        const rr_build *b = rr_build_at(c, (int)i);
-        if (b && build_allowed(s, b) && zone_offered(b, s->zone) &&
-            rr_res_fits(need, (rr_res){b->vcpus, b->cards, b->mem_gb})) {
+        const rr_machine_type *b = rr_machine_type_at(c, (int)i);
+        if (b && machine_type_allowed(s, b) && zone_offered(b, s->zone) &&
+            rr_res_fits(need, (rr_res){b->cpus, b->gpus, b->mem_gb})) {
             return true;
         }
     }
@@ -45,8 +45,8 @@
         return RR_ADMIT_NEVER;
     }
     double n = s->kind == RR_JOB_ARRAY ? 1 : s->task_count;
-    if ((t->cpus_max > 0 && n * s->vcpus > t->cpus_max + RR_EPS) ||
-        (t->gpus_max > 0 && n * s->cards > t->gpus_max + RR_EPS)) {
+    if ((t->cpus_max > 0 && n * s->cpus > t->cpus_max + RR_EPS) ||
+        (t->gpus_max > 0 && n * s->gpus > t->gpus_max + RR_EPS)) {
         *why = "over the team's limit";
         return RR_ADMIT_NEVER;
     }
@@ -54,7 +54,7 @@
         *why = "machine types not known yet";
         return RR_ADMIT_UNKNOWN_YET;
     }
-    if (!fits_some_build(c, s)) {
+    if (!fits_some_machine_type(c, s)) {
         *why = "fits no allowed machine type";
         return RR_ADMIT_NEVER;
     }
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -50,9 +50,9 @@
     return rr_map_get_number(o, key, out) && *out >= least && *out <= AMOUNT_MAX;
 }
 
-static bool get_builds(const msgpack_object *o, rr_submission *s) {
+static bool get_machine_types(const msgpack_object *o, rr_submission *s) {
     const msgpack_object *b = rr_map_get(o, "builds");
-    s->nbuilds = 0;
+    s->machine_type_count = 0;
     if (!b) {
         return true;
     }
@@ -60,21 +60,21 @@
         b->via.array.size > RR_BUILDS_MAX) {
         return false;
     }
-    s->builds = g_malloc0(b->via.array.size * sizeof *s->builds);
+    s->machine_types = g_malloc0(b->via.array.size * sizeof *s->machine_types);
     for (uint32_t i = 0; i < b->via.array.size; i++) {
-        if (!rr_object_text(&b->via.array.ptr[i], s->builds[s->nbuilds], RR_ID)) {
+        if (!rr_object_text(&b->via.array.ptr[i], s->machine_types[s->machine_type_count], RR_ID)) {
             rr_submission_clear(s);
             return false;
         }
-        s->nbuilds++;
+        s->machine_type_count++;
     }
     return true;
 }
 
 void rr_submission_clear(rr_submission *s) {
-    g_free(s->builds);
-    s->builds = NULL;
-    s->nbuilds = 0;
+    g_free(s->machine_types);
+    s->machine_types = NULL;
+    s->machine_type_count = 0;
 }
 
 static bool get_tasks(const msgpack_object *o, uint32_t *out) {
@@ -115,8 +115,8 @@
     const struct {
         const char *name;
         double *amount;
-    } amounts[] = {{"vcpus", &s->vcpus},
-                   {"cards", &s->cards},
+    } amounts[] = {{"vcpus", &s->cpus},
+                   {"cards", &s->gpus},
                    {"mem_gb", &s->mem_gb},
                    {"pull_gb", &s->image_size_gb},
                    {"guess_s", &s->runtime_estimate_s},
@@ -136,7 +136,7 @@
     NEED(rr_map_get_bool(o, "one_zone", &s->one_zone), "one_zone");
     NEED(rr_map_get_bool(o, "apart", &s->spread), "apart");
     NEED(rr_map_get_bool(o, "loaners", &s->spot), "loaners");
-    NEED(get_builds(o, s), "builds"); /* last: it allocates */
+    NEED(get_machine_types(o, s), "builds"); /* last: it allocates */
     return 0;
 }
 
@@ -151,7 +151,7 @@
 }
 
 size_t rr_submission_field_count(const rr_submission *s) {
-    return 17 + (s->deadline_s >= 0) + (s->zone[0] != 0) + (s->nbuilds > 0);
+    return 17 + (s->deadline_s >= 0) + (s->zone[0] != 0) + (s->machine_type_count > 0);
 }
 
 void rr_submission_encode_fields(rr_encoder *o, const rr_submission *s) {
@@ -162,8 +162,8 @@
     rr_encode_key_text(o, "shape", shapes[s->kind]);
     rr_encode_key_text(o, "rank", ranks[s->priority]);
     rr_encode_key_u64(o, "pieces", s->task_count);
-    rr_encode_key_number(o, "vcpus", s->vcpus);
-    rr_encode_key_number(o, "cards", s->cards);
+    rr_encode_key_number(o, "vcpus", s->cpus);
+    rr_encode_key_number(o, "cards", s->gpus);
     rr_encode_key_number(o, "mem_gb", s->mem_gb);
     rr_encode_key_number(o, "pull_gb", s->image_size_gb);
     rr_encode_key_number(o, "guess_s", s->runtime_estimate_s);
@@ -175,11 +175,11 @@
     if (s->zone[0]) {
         rr_encode_key_text(o, "ward", s->zone);
     }
-    if (s->nbuilds) {
+    if (s->machine_type_count) {
         rr_encode_text(o, "builds");
-        rr_encode_array(o, (size_t)s->nbuilds);
-        for (int i = 0; i < s->nbuilds; i++) {
-            rr_encode_text(o, s->builds[i]);
+        rr_encode_array(o, (size_t)s->machine_type_count);
+        for (int i = 0; i < s->machine_type_count; i++) {
+            rr_encode_text(o, s->machine_types[i]);
         }
     }
     rr_encode_key_bool(o, "one_zone", s->one_zone);
@@ -233,7 +233,7 @@
     const msgpack_object *list = rr_map_get(o, "pieces");
     if (!rr_map_get_text(o, "stone", r->machine, sizeof r->machine) || !r->machine[0] ||
         !rr_map_get_text(o, "addr", r->addr, sizeof r->addr) ||
-        !rr_map_get_text(o, "build", r->build, sizeof r->build) ||
+        !rr_map_get_text(o, "build", r->machine_type, sizeof r->machine_type) ||
         !rr_map_get_text(o, "ward", r->zone, sizeof r->zone) ||
         !rr_map_get_bool(o, "loaners", &r->spot) ||
         !rr_map_get_u64(o, "tenure", &r->worker_epoch) ||
@@ -284,12 +284,12 @@
     }
 }
 
-int rr_build_decode(const msgpack_object *o, rr_build *b) {
+int rr_machine_type_decode(const msgpack_object *o, rr_machine_type *b) {
     memset(b, 0, sizeof *b);
     b->zones = g_ptr_array_new_with_free_func(g_free);
     const msgpack_object *w = rr_map_get(o, "wards");
-    if (!rr_map_get_text(o, "sku", b->sku, sizeof b->sku) ||
-        !rr_map_get_number(o, "vcpus", &b->vcpus) || !rr_map_get_number(o, "cards", &b->cards) ||
+    if (!rr_map_get_text(o, "sku", b->name, sizeof b->name) ||
+        !rr_map_get_number(o, "vcpus", &b->cpus) || !rr_map_get_number(o, "cards", &b->gpus) ||
         !rr_map_get_number(o, "mem_gb", &b->mem_gb) || !rr_map_get_number(o, "price", &b->price) ||
         !w || w->type != MSGPACK_OBJECT_ARRAY) {
         return -EBADMSG;
@@ -309,11 +309,11 @@
     return 0;
 }
 
-void rr_build_encode(rr_encoder *o, const rr_build *b) {
+void rr_machine_type_encode(rr_encoder *o, const rr_machine_type *b) {
     rr_encode_map(o, 10);
-    rr_encode_key_text(o, "sku", b->sku);
-    rr_encode_key_number(o, "vcpus", b->vcpus);
-    rr_encode_key_number(o, "cards", b->cards);
+    rr_encode_key_text(o, "sku", b->name);
+    rr_encode_key_number(o, "vcpus", b->cpus);
+    rr_encode_key_number(o, "cards", b->gpus);
     rr_encode_key_number(o, "mem_gb", b->mem_gb);
     rr_encode_key_number(o, "cache_gb", b->cache_gb);
     rr_encode_key_number(o, "pull_gb_per_s", b->pull_rate);
@@ -327,7 +327,7 @@
     }
 }
 
-void rr_build_clear(rr_build *b) {
+void rr_machine_type_clear(rr_machine_type *b) {
     if (b->zones) {
         g_ptr_array_free(b->zones, TRUE);
         b->zones = NULL;
@@ -339,7 +339,7 @@
     const msgpack_object *st = rr_map_get(o, "standing");
     rr_map_get_text(o, "addr", s->addr, sizeof s->addr);
     if (!rr_map_get_text(o, "ref", s->id, sizeof s->id) ||
-        !rr_map_get_text(o, "build", s->build, sizeof s->build) ||
+        !rr_map_get_text(o, "build", s->machine_type, sizeof s->machine_type) ||
         !rr_map_get_text(o, "ward", s->zone, sizeof s->zone) ||
         !rr_map_get_bool(o, "loaners", &s->spot)) {
         return -EBADMSG;
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -64,12 +64,12 @@
 
 typedef struct {
     char job_id[RR_ID], job_class[RR_TEXT], team[RR_TEXT], image[RR_TEXT], zone[RR_TEXT];
-    char (*builds)[RR_ID]; /* owned; jobs are kept for good, and few name any */
-    int nbuilds;           /* 0: any */
+    char (*machine_types)[RR_ID]; /* owned; jobs are kept for good, and few name any */
+    int machine_type_count;       /* 0: any */
     enum rr_job_kind kind;
     enum rr_priority priority;
     uint32_t task_count;
-    double vcpus, cards, mem_gb, image_size_gb, runtime_estimate_s, checkpoint_interval_s, save_s;
+    double cpus, gpus, mem_gb, image_size_gb, runtime_estimate_s, checkpoint_interval_s, save_s;
     double deadline_s; /* <0: none */
     bool one_zone, spread, spot;
 } rr_submission;
@@ -112,7 +112,7 @@
 } rr_task_status;
 
 typedef struct {
-    char machine[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
+    char machine[RR_ID], addr[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
     bool spot;
     uint64_t worker_epoch, sequence, fencing_token;
     double spot_notice_s; /* <0: no notice */
@@ -148,18 +148,18 @@
 
 /* ---- cloud ---- */
 typedef struct {
-    char sku[RR_ID];
-    double vcpus, cards, mem_gb, cache_gb, pull_rate, price, spot_price, startup_s;
+    char name[RR_ID];
+    double cpus, gpus, mem_gb, cache_gb, pull_rate, price, spot_price, startup_s;
     GPtrArray *zones; /* char* */
-} rr_build;
+} rr_machine_type;
 
-int rr_build_decode(const msgpack_object *o, rr_build *out);
-void rr_build_encode(rr_encoder *o, const rr_build *b);
-void rr_build_clear(rr_build *b);
+int rr_machine_type_decode(const msgpack_object *o, rr_machine_type *out);
+void rr_machine_type_encode(rr_encoder *o, const rr_machine_type *b);
+void rr_machine_type_clear(rr_machine_type *b);
 
 enum rr_listed_state { RR_LISTED_STARTING, RR_LISTED_RUNNING, RR_LISTED_FAILED };
 typedef struct {
-    char id[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
+    char id[RR_ID], addr[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
     bool spot;
     enum rr_listed_state state;
     double age_s;
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -270,7 +270,7 @@
     g_strlcpy(submission->team, from->team, sizeof submission->team);
     g_strlcpy(submission->job_class, from->job_class, sizeof submission->job_class);
     submission->task_count = from->tasks;
-    submission->vcpus = 1;
+    submission->cpus = 1;
     submission->mem_gb = 1;
     submission->runtime_estimate_s = from->runtime_s * from->estimate_factor;
     job->stream = stream;
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -314,25 +314,25 @@
 
 void fx_build(fx_store *s, const char *sku, double cpu, double gpu, double mem, double price,
               double spot) {
-    rr_build b = {.vcpus = cpu,
-                  .cards = gpu,
-                  .mem_gb = mem,
-                  .cache_gb = 100,
-                  .pull_rate = 1,
-                  .price = price,
-                  .spot_price = spot,
-                  .startup_s = 30};
+    rr_machine_type b = {.cpus = cpu,
+                         .gpus = gpu,
+                         .mem_gb = mem,
+                         .cache_gb = 100,
+                         .pull_rate = 1,
+                         .price = price,
+                         .spot_price = spot,
+                         .startup_s = 30};
     char key[128];
     rr_encoder o;
-    g_strlcpy(b.sku, sku, sizeof b.sku);
+    g_strlcpy(b.name, sku, sizeof b.name);
     b.zones = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(b.zones, g_strdup("a"));
     g_ptr_array_add(b.zones, g_strdup("b"));
     rr_encoder_init(&o);
-    rr_build_encode(&o, &b);
+    rr_machine_type_encode(&o, &b);
     g_snprintf(key, sizeof key, RR_ROOT "build/%s", sku);
     fx_put(s, key, &o);
-    rr_build_clear(&b);
+    rr_machine_type_clear(&b);
 }
 
 void fx_submission(rr_submission *out, const struct fx_job *j) {
@@ -350,9 +350,9 @@
     }
     out->kind = j->gang ? RR_JOB_GANG : j->service ? RR_JOB_SERVICE : RR_JOB_ARRAY;
     out->task_count = j->pieces ? j->pieces : 1;
-    out->vcpus = j->cpu ? j->cpu : 4;
-    out->cards = j->gpu;
-    out->mem_gb = j->mem ? j->mem : 8;
+    out->cpus = j->cpus ? j->cpus : 4;
+    out->gpus = j->gpus;
+    out->mem_gb = j->mem_gb ? j->mem_gb : 8;
     out->one_zone = j->one_zone;
     out->spread = j->spread;
     out->spot = j->spot;
@@ -472,7 +472,7 @@
     const char *text;
     g_strlcpy(r.machine, id, sizeof r.machine);
     g_snprintf(r.addr, sizeof r.addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
-    g_strlcpy(r.build, "m1", sizeof r.build);
+    g_strlcpy(r.machine_type, "m1", sizeof r.machine_type);
     g_strlcpy(r.zone, zone, sizeof r.zone);
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     va_start(ap, fencing_token);
@@ -657,7 +657,7 @@
                double age_s) {
     rr_listed_machine machine = {.state = state, .age_s = age_s};
     g_strlcpy(machine.id, id, sizeof machine.id);
-    g_strlcpy(machine.build, "m1", sizeof machine.build);
+    g_strlcpy(machine.machine_type, "m1", sizeof machine.machine_type);
     g_strlcpy(machine.zone, zone, sizeof machine.zone);
     g_strlcpy(machine.addr, "127.0.0.1:1", sizeof machine.addr);
     g_array_append_val(list, machine);
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -76,7 +76,7 @@
     const char *job_id, *team, *job_class, *image, *zone, *rank;
     bool service, gang, one_zone, spread, spot;
     uint32_t pieces;
-    double cpu, gpu, mem, checkpoint_interval_s, save_s, deadline_s;
+    double cpus, gpus, mem_gb, checkpoint_interval_s, save_s, deadline_s;
 };
 void fx_submission(rr_submission *out, const struct fx_job *j);
 void fx_submit(fx_store *s, const struct fx_job *j, double at);
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -53,7 +53,8 @@
     fx_node *n = &w->n;
     fx_fleet(n, 1, 3, "a");
     fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-1", .pieces = 5, .cpu = 2, .deadline_s = 90}, n->now);
+              &(struct fx_job){.job_id = "req-1", .pieces = 5, .cpus = 2, .deadline_s = 90},
+              n->now);
     fx_submit(w->store, &(struct fx_job){.job_id = "req-2", .service = true, .spread = true},
               n->now);
     fx_submit(w->store, &(struct fx_job){.job_id = "req-3", .one_zone = true, .zone = "b"}, n->now);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -16,7 +16,7 @@
 static rr_submission job_of(const char *team, const char *job_class, const char *id,
                             uint32_t tasks) {
     rr_submission submission = {
-        .task_count = tasks, .vcpus = 1, .mem_gb = 1, .runtime_estimate_s = 10};
+        .task_count = tasks, .cpus = 1, .mem_gb = 1, .runtime_estimate_s = 10};
     g_strlcpy(submission.team, team, sizeof submission.team);
     g_strlcpy(submission.job_class, job_class, sizeof submission.job_class);
     g_strlcpy(submission.job_id, id, sizeof submission.job_id);
@@ -37,9 +37,9 @@
     char types[2][RR_ID] = {"g8", "a4"}, swapped[2][RR_ID] = {"a4", "g8"};
     rr_submission one = job_of("red", "x", "req-1", 7), other = job_of("red", "x", "req-2", 1);
     rr_admission_key a, b;
-    one.builds = types;
-    other.builds = swapped;
-    one.nbuilds = other.nbuilds = 2;
+    one.machine_types = types;
+    other.machine_types = swapped;
+    one.machine_type_count = other.machine_type_count = 2;
     rr_admission_key_of(&one, bands, &a);
     rr_admission_key_of(&other, bands, &b);
     assert_true(a.id == b.id);
@@ -64,7 +64,7 @@
     table->starts_at = starts_at;
     table->length_s = 10;
     table->active = true;
-    table->cpu = 100;
+    table->cpus = 100;
     for (guint i = 0; i < rows; i++) {
         rr_admission_row row = {.id = UINT64_MAX - i, .phase = UINT32_MAX - i};
         row.share = RR_ADMISSION_FULL / (i + 1);
@@ -756,18 +756,20 @@
     fx_node *n = &w->n;
     const double rooms[] = {0.25, 1};
     fx_fleet(n, 1, 4, "a");
-    fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-1", .team = "red", .pieces = 64, .cpu = 1, .mem = 1},
-              n->now);
+    fx_submit(
+        w->store,
+        &(struct fx_job){.job_id = "req-1", .team = "red", .pieces = 64, .cpus = 1, .mem_gb = 1},
+        n->now);
     fx_sync(w->store, n->core, n->now);
     rr_core_set_fair_room(n->core, rooms, 64, 16, 256);
     assert_int_equal(placed_after_plan(n, "req-1"), 16);
     fx_submit(w->store,
               &(struct fx_job){.job_id = "req-2", .team = "red", .service = true, .rank = "prod"},
               n->now);
-    fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-3", .team = "blue", .pieces = 8, .cpu = 1, .mem = 1},
-              n->now);
+    fx_submit(
+        w->store,
+        &(struct fx_job){.job_id = "req-3", .team = "blue", .pieces = 8, .cpus = 1, .mem_gb = 1},
+        n->now);
     fx_sync(w->store, n->core, n->now);
     n->now += 3;
     assert_int_equal(placed_after_plan(n, "req-2"), 1);
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -111,8 +111,8 @@
                                                 .team = streams[job->stream].team,
                                                 .job_class = streams[job->stream].job_class,
                                                 .pieces = streams[job->stream].tasks,
-                                                .cpu = 1,
-                                                .mem = 1});
+                                                .cpus = 1,
+                                                .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
     return world_submit(&to->controller.config, &submission);
 }
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define JOB "req-1"
-static const struct fx_job waiting = {.job_id = JOB, .pieces = 2, .cpu = 4};
+static const struct fx_job waiting = {.job_id = JOB, .pieces = 2, .cpus = 4};
 
 static int setup(void **state) {
     *state = cell_pair_create();
@@ -202,7 +202,7 @@
 static void release_ends_with_its_term(void **state) {
     cell_pair *pair = *state;
     rr_cells_room plenty = {100, 10, 1000};
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpu = 4});
+    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpus = 4});
     rr_transfers_room_told(pair->home.transfers, 0, &plenty, pair->home.node.now);
     for (int i = 0; i < 3; i++) {
         cell_pair_step(pair); /* offered, refused, released */
@@ -215,7 +215,7 @@
 
 static void no_room_no_offer(void **state) {
     cell_pair *pair = *state;
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpu = 4});
+    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpus = 4});
     cell_pair_play(pair, 20);
     assert_int_equal(pair->offers, 0);
     assert_int_equal(fx_count(pair->home.store, "rr/cells/"), 0);
@@ -226,7 +226,7 @@
     cell_pair *pair = *state;
     cell_fleet(&pair->home, 1);
     rr_cells_room plenty = {100, 10, 1000};
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpu = 4});
+    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpus = 4});
     rr_transfers_room_told(pair->home.transfers, 0, &plenty, pair->home.node.now);
     cell_pair_step(pair); /* writes it down */
     cell_pair_step(pair);
@@ -272,7 +272,7 @@
 static void waiting_cell_takes_nothing(void **state) {
     cell_pair *pair = *state;
     wait_at_home(pair, &waiting);
-    cell_submit(&pair->guest, &(struct fx_job){.job_id = "req-2", .cpu = 1, .zone = "far"});
+    cell_submit(&pair->guest, &(struct fx_job){.job_id = "req-2", .cpus = 1, .zone = "far"});
     cell_pair_advance(pair, 11); /* longer than end_wait_s; there is room beside it */
     pair->cut = true;
     cell_pair_step(pair); /* it has looked at its own */
@@ -285,12 +285,12 @@
     cell_pair *pair = *state;
     cell_fleet(&pair->guest, 2);
     g_ptr_array_add(pair->home.settings.neighbours[0].teams, g_strdup("blue"));
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-1", .cpu = 1, .zone = "a"});
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-2", .cpu = 1});
+    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-1", .cpus = 1, .zone = "a"});
+    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-2", .cpus = 1});
     cell_pair_advance(pair, 31);
     cell_pair_play(pair, 10);
     assert_int_equal(pair->offers, 0);
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-3", .cpu = 1, .team = "blue"});
+    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-3", .cpus = 1, .team = "blue"});
     cell_pair_advance(pair, 31);
     cell_pair_play(pair, 3);
     assert_int_equal(pair->offers, 1);
@@ -301,7 +301,7 @@
     cell_pair *pair = *state;
     char local[RR_ID];
     size_t neighbour = 9;
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .service = true, .cpu = 1});
+    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .service = true, .cpus = 1});
     assert_false(rr_transfers_away(pair->home.transfers, JOB, &neighbour, local, sizeof local));
     cell_pair_play(pair, 3);
     cell_plan(&pair->guest, cell_pair_local(pair, JOB, 1));
@@ -313,7 +313,7 @@
 /* A gang goes whole, and is placed whole. */
 static void gangs_go_whole(void **state) {
     cell_pair *pair = *state;
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .gang = true, .pieces = 3, .cpu = 8});
+    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .gang = true, .pieces = 3, .cpus = 8});
     cell_pair_play(pair, 3);
     cell_plan(&pair->guest, cell_pair_local(pair, JOB, 1));
     assert_int_equal(placed(&pair->guest, cell_pair_local(pair, JOB, 1)), 3);
@@ -596,7 +596,7 @@
 /* Two jobs, one of which is at the guest already; then nobody is there. */
 static struct dead_home kill_home(cell_pair *pair) {
     spill(pair);
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-2", .cpu = 4});
+    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-2", .cpus = 4});
     cell_pair_home_dies(pair);
     return (struct dead_home){pair, rr_absent_create(&pair->guest.node.cfg, "g")};
 }
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -181,8 +181,8 @@
                                                 .team = "red",
                                                 .job_class = "small",
                                                 .pieces = 2,
-                                                .cpu = 1,
-                                                .mem = 1});
+                                                .cpus = 1,
+                                                .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
     job->home = home;
     job->came_at = rr_now();
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -234,7 +234,7 @@
     assert_string_equal(got.owner, "m1");
     assert_int_equal(got.http_status, 503);
     assert_int_equal(got.body->len, 3);
-    assert_true(got.room.cpu == 1.5 && got.room.mem == 64);
+    assert_true(got.room.cpus == 1.5 && got.room.mem_gb == 64);
     rr_cells_reply_clear(&got);
     for (guint cut = 0; cut < len; cut++) {
         guint8 *copy = g_memdup2(payload, cut ? cut : 1);
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -29,11 +29,11 @@
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_machine(w->store, "vm-2", "a", false, false);
     empty_report(&w->n, "vm-1", "a", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-1", .cpu = 8});
+    submit(w, &(struct fx_job){.job_id = "req-1", .cpus = 8});
     plan_once(&w->n);
     assert_true(fx_booked(w->store, "vm-1", "req-1", 0) != 0);
     empty_report(&w->n, "vm-2", "a", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-2", .cpu = 4});
+    submit(w, &(struct fx_job){.job_id = "req-2", .cpus = 4});
     plan_once(&w->n);
     assert_true(fx_booked(w->store, "vm-1", "req-2", 0) != 0);
 }
@@ -58,7 +58,7 @@
     fx_world *w = *state;
     fx_machine(w->store, "vm-1", "a", false, false);
     empty_report(&w->n, "vm-1", "a", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-1", .cpu = 8});
+    submit(w, &(struct fx_job){.job_id = "req-1", .cpus = 8});
     plan_once(&w->n);
     fx_machine(w->store, "vm-2", "a", false, false);
     fx_machine(w->store, "vm-3", "b", false, false);
@@ -67,7 +67,7 @@
     empty_report(&w->n, "vm-2", "a", false, 1);
     empty_report(&w->n, "vm-3", "b", false, 1);
     empty_report(&w->n, "vm-4", "b", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-2", .cpu = 10, .pieces = 2, .one_zone = true});
+    submit(w, &(struct fx_job){.job_id = "req-2", .cpus = 10, .pieces = 2, .one_zone = true});
     plan_once(&w->n);
     plan_once(&w->n);
     unsigned in_b = 0;
@@ -133,13 +133,13 @@
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_machine(w->store, "vm-2", "a", false, false);
     empty_report(n, "vm-1", "a", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-1", .service = true, .cpu = 12});
+    submit(w, &(struct fx_job){.job_id = "req-1", .service = true, .cpus = 12});
     plan_once(n);
     uint64_t big = fx_booked(w->store, "vm-1", "req-1", 0);
     char *r1 = running("req-1", big);
     n->now += 7;
     empty_report(n, "vm-2", "a", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-2", .service = true, .cpu = 4});
+    submit(w, &(struct fx_job){.job_id = "req-2", .service = true, .cpus = 4});
     plan_once(n);
     uint64_t small = fx_booked(w->store, "vm-2", "req-2", 0);
     assert_true(big && small);
@@ -181,11 +181,11 @@
     fx_machine(w->store, "vm-1", "a", false, true);
     fx_machine(w->store, "vm-2", "a", false, true);
     empty_report(n, "vm-1", "a", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-1", .service = true, .cpu = 8});
+    submit(w, &(struct fx_job){.job_id = "req-1", .service = true, .cpus = 8});
     plan_once(n);
     n->now += 7;
     empty_report(n, "vm-2", "a", false, 1);
-    submit(w, &(struct fx_job){.job_id = "req-2", .service = true, .cpu = 4});
+    submit(w, &(struct fx_job){.job_id = "req-2", .service = true, .cpus = 4});
     plan_once(n);
     char *r1 = running("req-1", fx_booked(w->store, "vm-1", "req-1", 0));
     char *r2 = running("req-2", fx_booked(w->store, "vm-2", "req-2", 0));
@@ -209,16 +209,17 @@
     rr_plan p;
     fx_machine(w->store, "vm-1", "a", false, false);
     empty_report(n, "vm-1", "a", false, 1);
-    submit(
-        w,
-        &(struct fx_job){
-            .job_id = "req-1", .rank = "low", .cpu = 16, .checkpoint_interval_s = 30, .save_s = 2});
+    submit(w, &(struct fx_job){.job_id = "req-1",
+                               .rank = "low",
+                               .cpus = 16,
+                               .checkpoint_interval_s = 30,
+                               .save_s = 2});
     plan_once(n);
     uint64_t low = fx_booked(w->store, "vm-1", "req-1", 0);
     char *r1 = running("req-1", low);
     fx_report(n, "vm-1", "a", false, 1, 2, rr_core_token(n->core), r1, NULL);
     /* The same rank waits. */
-    submit(w, &(struct fx_job){.job_id = "req-2", .rank = "low", .job_class = "live", .cpu = 16});
+    submit(w, &(struct fx_job){.job_id = "req-2", .rank = "low", .job_class = "live", .cpus = 16});
     plan_once(n);
     assert_true(fx_booked(w->store, "vm-1", "req-2", 0) == 0);
     submit(w, &(struct fx_job){
@@ -247,14 +248,14 @@
     empty_report(n, "vm-1", "a", false, 1);
     const char *const refs[] = {"req-1", "req-2", "req-3", "req-4"};
     for (int i = 0; i < 4; i++) {
-        submit(w, &(struct fx_job){.job_id = refs[i], .rank = "prod", .service = true, .cpu = 4});
+        submit(w, &(struct fx_job){.job_id = refs[i], .rank = "prod", .service = true, .cpus = 4});
     }
     plan_once(n);
     for (int i = 0; i < 4; i++) {
         assert_true(fx_booked(w->store, "vm-1", refs[i], 0) != 0);
     }
-    submit(w, &(struct fx_job){.job_id = "req-5", .team = "blue", .rank = "low", .cpu = 4});
-    submit(w, &(struct fx_job){.job_id = "req-6", .team = "blue", .rank = "prod", .cpu = 4});
+    submit(w, &(struct fx_job){.job_id = "req-5", .team = "blue", .rank = "low", .cpus = 4});
+    submit(w, &(struct fx_job){.job_id = "req-6", .team = "blue", .rank = "prod", .cpus = 4});
     plan_once(n);
     bool five = fx_booked(w->store, "vm-1", "req-5", 0) != 0;
     bool six = fx_booked(w->store, "vm-1", "req-6", 0) != 0;
@@ -283,8 +284,8 @@
     empty_report(&w->n, "vm-1", "a", false, 1);
     submit(w,
            &(struct fx_job){
-               .job_id = "req-1", .cpu = 8, .rank = "prod", .job_class = "live", .service = true});
-    submit(w, &(struct fx_job){.job_id = "req-2", .cpu = 8, .rank = "low"});
+               .job_id = "req-1", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
+    submit(w, &(struct fx_job){.job_id = "req-2", .cpus = 8, .rank = "low"});
     plan_once(&w->n);
     uint64_t low = fx_booked(w->store, "vm-1", "req-2", 0);
     assert_true(low != 0);
@@ -293,10 +294,10 @@
     fx_report(&w->n, "vm-1", "a", false, 1, 2, rr_core_token(w->n.core), r1, r2, NULL);
     submit(w,
            &(struct fx_job){
-               .job_id = "req-3", .cpu = 8, .rank = "prod", .job_class = "live", .service = true});
+               .job_id = "req-3", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
     submit(w,
            &(struct fx_job){
-               .job_id = "req-4", .cpu = 8, .rank = "prod", .job_class = "live", .service = true});
+               .job_id = "req-4", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
     plan_once(&w->n);
     assert_int_equal(fx_placed(w->store, "req-3") + fx_placed(w->store, "req-4"), 1);
     g_free(r1);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -23,7 +23,7 @@
                                    .gang = true,
                                    .one_zone = true,
                                    .pieces = 3,
-                                   .cpu = 10,
+                                   .cpus = 10,
                                    .checkpoint_interval_s = 20,
                                    .save_s = 3,
                                    .rank = "high"};
@@ -362,7 +362,7 @@
     struct fx_job over = gang;
     over.job_id = "req-4";
     over.one_zone = false;
-    over.cpu = 11;
+    over.cpus = 11;
     over.pieces = 3;
     fx_submit(w->store, &over, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -485,7 +485,7 @@
     const char *const one[] = {"req-5"};
     uint64_t at;
     show_all(n, "req-1", NULL);
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-5", .zone = "a", .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-5", .zone = "a", .cpus = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-5", NULL);
     show_jobs(n, one, 1, 1, runs);
@@ -509,7 +509,7 @@
     fx_submit(
         w->store,
         &(struct fx_job){
-            .job_id = "req-5", .rank = "low", .cpu = 8, .pieces = 12, .checkpoint_interval_s = 30},
+            .job_id = "req-5", .rank = "low", .cpus = 8, .pieces = 12, .checkpoint_interval_s = 30},
         n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-5", NULL);
@@ -547,7 +547,7 @@
     struct fx_job all = gang;
     uint64_t at;
     double leave;
-    all.cpu = 16;
+    all.cpus = 16;
     all.one_zone = false;
     all.pieces = MACHINES;
     all.rank = "standard";
@@ -556,7 +556,7 @@
     fx_submit(
         w->store,
         &(struct fx_job){
-            .job_id = "req-2", .rank = "prod", .job_class = "live", .service = true, .cpu = 8},
+            .job_id = "req-2", .rank = "prod", .job_class = "live", .service = true, .cpus = 8},
         n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-2", NULL);
@@ -590,7 +590,7 @@
     fx_submit(
         w->store,
         &(struct fx_job){
-            .job_id = "req-5", .rank = "prod", .cpu = 16, .pieces = MACHINES, .service = true},
+            .job_id = "req-5", .rank = "prod", .cpus = 16, .pieces = MACHINES, .service = true},
         n->now);
     fx_sync(w->store, n->core, n->now);
     plan(n, RR_START, "req-5", NULL);
@@ -645,7 +645,7 @@
     const char *small[SMALL_JOBS];
     unsigned begun[2] = {0, 0};
     first.rank = second.rank = "low";
-    first.cpu = second.cpu = 16;
+    first.cpus = second.cpus = 16;
     second.job_id = "req-2";
     show_all(n, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
@@ -653,7 +653,7 @@
         small[i] = names[i];
         fx_submit(w->store,
                   &(struct fx_job){
-                      .job_id = small[i], .rank = "low", .cpu = 8, .pieces = 12, .deadline_s = 20},
+                      .job_id = small[i], .rank = "low", .cpus = 8, .pieces = 12, .deadline_s = 20},
                   n->now);
     }
     fx_submit(w->store, &first, n->now);
@@ -695,7 +695,7 @@
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
         fx_submit(w->store,
-                  &(struct fx_job){.job_id = small[i], .rank = "low", .cpu = 8, .pieces = 12},
+                  &(struct fx_job){.job_id = small[i], .rank = "low", .cpus = 8, .pieces = 12},
                   n->now);
     }
     fx_sync(w->store, n->core, n->now);
@@ -723,7 +723,7 @@
     n->cfg.next_txn_ops = 4;
     w->store->value_max = (size_t)2 * 1024;
     w->store->ops_max = 4;
-    wide.cpu = wide.mem = 1;
+    wide.cpus = wide.mem_gb = 1;
     wide.one_zone = false;
     wide.pieces = 60;
     show_all(n, "req-1", NULL);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -153,7 +153,7 @@
     size_t machine = (held() - before) / FLEET;
     settle(n);
     before = held();
-    submit_many(n, 1, jobs, &(struct fx_job){.pieces = 4, .cpu = 4, .service = true});
+    submit_many(n, 1, jobs, &(struct fx_job){.pieces = 4, .cpus = 4, .service = true});
     settle(n);
     size_t job = (held() - before) / jobs;
     assert_int_equal(fx_placed(w->store, "req-000001"), 4);
@@ -175,7 +175,7 @@
     rr_plan p;
     rr_job_view v;
     fx_fleet(n, 1, FLEET, "a");
-    submit_many(n, 1, 1, &(struct fx_job){.pieces = 60, .cpu = 4, .gpu = 1});
+    submit_many(n, 1, 1, &(struct fx_job){.pieces = 60, .cpus = 4, .gpus = 1});
     fx_plan(n, &p);
     assert_int_equal(changes_of(&p), 1);
     assert_int_equal(fx_placed(w->store, "req-000001"), 60);
@@ -201,7 +201,7 @@
     fx_node *n = &w->n;
     rr_plan p;
     fx_fleet(n, 1, 1, "a");
-    submit_many(n, 1, 1, &(struct fx_job){.pieces = 2, .cpu = 8});
+    submit_many(n, 1, 1, &(struct fx_job){.pieces = 2, .cpus = 8});
     settle(n);
     char *one = g_strdup_printf("req-000001 0 %" G_GUINT64_FORMAT " ended:done",
                                 fx_booked(w->store, "vm-1", "req-000001", 0));
@@ -212,7 +212,7 @@
     fx_plan(n, &p);
     assert_int_equal(changes_of(&p), 0);
     rr_plan_clear(&p);
-    submit_many(n, 2, 1, &(struct fx_job){.cpu = 8});
+    submit_many(n, 2, 1, &(struct fx_job){.cpus = 8});
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, "vm-1", "req-000002", 0) != 0);
@@ -244,7 +244,8 @@
     rr_plan p;
     fx_fleet(n, 1, 200, "a");
     fx_fleet(n, 201, 200, "b");
-    submit_many(n, 1, 1, &(struct fx_job){.pieces = 12, .service = true, .spread = true, .gpu = 1});
+    submit_many(n, 1, 1,
+                &(struct fx_job){.pieces = 12, .service = true, .spread = true, .gpus = 1});
     fx_plan(n, &p);
     assert_int_equal(changes_of(&p), 1);
     rr_plan_clear(&p);
@@ -272,7 +273,7 @@
         g_snprintf(id, sizeof id, "vm-%06d", i);
         fx_listed(machines, id, "a", RR_LISTED_RUNNING, 100);
     }
-    submit_many(n, 1, 100, &(struct fx_job){.pieces = 40, .cpu = 8, .zone = "b"});
+    submit_many(n, 1, 100, &(struct fx_job){.pieces = 40, .cpus = 8, .zone = "b"});
     for (int i = 0; i < 120; i++) {
         rr_step s;
         rr_step_init(&s);
@@ -342,12 +343,12 @@
     fx_node *n = &w->n;
     unsigned small = 0;
     fx_fleet(n, 1, 2, "a"); /* eight tasks at a time */
-    submit_many(n, 1, 1, &(struct fx_job){.pieces = 3000, .cpu = 4, .deadline_s = 5000});
+    submit_many(n, 1, 1, &(struct fx_job){.pieces = 3000, .cpus = 4, .deadline_s = 5000});
     int next = 2;
     for (uint64_t turn = 2; turn < 100; turn++) {
         rr_plan p;
         n->now += 1;
-        submit_many(n, next, 9, &(struct fx_job){.cpu = 4, .deadline_s = 60});
+        submit_many(n, next, 9, &(struct fx_job){.cpus = 4, .deadline_s = 60});
         next += 9;
         for (int i = 0; i < 3; i++) {
             n->now += 0.4;
@@ -382,9 +383,9 @@
     n->cfg.teams[0].cpus_max = 48;
     n->cfg.teams[1].cpus = 16;
     fx_fleet(n, 1, 4, "a");
-    submit_many(n, 1, 300, &(struct fx_job){.team = "red", .cpu = 4, .deadline_s = 10});
+    submit_many(n, 1, 300, &(struct fx_job){.team = "red", .cpus = 4, .deadline_s = 10});
     settle(n);
-    submit_many(n, 500, 4, &(struct fx_job){.team = "blue", .cpu = 4});
+    submit_many(n, 500, 4, &(struct fx_job){.team = "blue", .cpus = 4});
     n->now += 3;
     settle(n);
     for (int r = 500; r < 504; r++) {
@@ -422,13 +423,13 @@
     fx_fleet(n, half + 1, half, "b");
     submit_many(
         n, 1, 10,
-        &(struct fx_job){.pieces = 10, .cpu = 1, .rank = "low", .checkpoint_interval_s = 30});
+        &(struct fx_job){.pieces = 10, .cpus = 1, .rank = "low", .checkpoint_interval_s = 30});
     submit_many(
         n, 101, services,
-        &(struct fx_job){.pieces = 2, .cpu = 1, .service = true, .spread = true, .rank = "prod"});
+        &(struct fx_job){.pieces = 2, .cpus = 1, .service = true, .spread = true, .rank = "prod"});
     submit_many(
         n, 201, 1,
-        &(struct fx_job){.pieces = 8, .cpu = 1, .service = true, .spread = true, .rank = "prod"});
+        &(struct fx_job){.pieces = 8, .cpus = 1, .service = true, .spread = true, .rank = "prod"});
     settle(n);
     uint64_t mark = 0, most = 0;
     for (int i = 101; i < 101 + services; i++) {
@@ -485,7 +486,7 @@
     const int jobs = 20;
     char ref[32];
     fx_fleet(n, 1, 10, "a");
-    submit_many(n, 1, jobs, &(struct fx_job){.pieces = 1, .cpu = 1});
+    submit_many(n, 1, jobs, &(struct fx_job){.pieces = 1, .cpus = 1});
     settle(n);
     rr_encoder late;
     rr_encoder_init(&late);
@@ -547,9 +548,9 @@
     rr_step s;
     rr_txn t;
     fx_fleet(n, 1, 4, "a");
-    submit_many(n, 1, 4, &(struct fx_job){.pieces = 1, .cpu = 1});
+    submit_many(n, 1, 4, &(struct fx_job){.pieces = 1, .cpus = 1});
     settle(n);
-    submit_many(n, 5, 4, &(struct fx_job){.pieces = 1, .cpu = 1});
+    submit_many(n, 5, 4, &(struct fx_job){.pieces = 1, .cpus = 1});
     rr_core_mirror_begin(n->core);
     n->now += 3;
     rr_core_plan(n->core, n->now, n->now, (rr_plan_init(&p), &p));
@@ -581,8 +582,8 @@
     fx_fleet(&w->n, half + 1, FLEET - half, "b");
     submit_many(
         &w->n, 1, 100,
-        &(struct fx_job){.pieces = 8, .cpu = 4, .service = true, .spread = true, .rank = "prod"});
-    submit_many(&w->n, 201, 40, &(struct fx_job){.pieces = 60, .cpu = 4, .rank = "low"});
+        &(struct fx_job){.pieces = 8, .cpus = 4, .service = true, .spread = true, .rank = "prod"});
+    submit_many(&w->n, 201, 40, &(struct fx_job){.pieces = 60, .cpus = 4, .rank = "low"});
     settle(&w->n);
     unsigned records = fx_count(w->store, RR_ROOT "run/");
     fx_node_init(&again, w->store, "n0");
@@ -619,7 +620,7 @@
     unsigned steps = 0;
     w->store->value_max = (size_t)(n->cfg.value_kb * 1024);
     w->store->ops_max = (guint)n->cfg.txn_ops;
-    submit_many(n, 1, FLEET / 100, &(struct fx_job){.pieces = 100, .cpu = 16});
+    submit_many(n, 1, FLEET / 100, &(struct fx_job){.pieces = 100, .cpus = 16});
     for (; rented < FLEET && steps < 4000; steps++) {
         rr_step s;
         fx_provisioner_step(n, machines, &s);
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -259,7 +259,7 @@
 static void the_limit_across_a_change(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j1 = {.job_id = "req-1", .gpu = 2}, j2 = {.job_id = "req-2", .gpu = 2};
+    struct fx_job j1 = {.job_id = "req-1", .gpus = 2}, j2 = {.job_id = "req-2", .gpus = 2};
     uint64_t at, at2;
     n->cfg.teams[0].gpus_max = 2;
     const char *m = run_job(w, &j1, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
@@ -342,7 +342,7 @@
                            .spot_notice_s = -1,
                            .machine = "vm-1",
                            .addr = "127.0.0.1:1001",
-                           .build = "m1",
+                           .machine_type = "m1",
                            .zone = "a"};
             r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
             bool shared = rr_core_take_answer(n->core, n->now, &r, -1);
@@ -372,17 +372,17 @@
         g_snprintf(id, sizeof id, "vm-%d", i);
         g_snprintf(ref, sizeof ref, "req-%d", 100 + i);
         fx_machine(w->store, id, "a", false, true);
-        fx_submit(w->store, &(struct fx_job){.job_id = ref, .zone = "a", .cpu = 9, .service = true},
-                  n->now);
+        fx_submit(w->store,
+                  &(struct fx_job){.job_id = ref, .zone = "a", .cpus = 9, .service = true}, n->now);
     }
     fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-101", .zone = "a", .cpu = 9, .service = true},
+              &(struct fx_job){.job_id = "req-101", .zone = "a", .cpus = 9, .service = true},
               n->now);
     fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-102", .zone = "b", .cpu = 16, .service = true},
+              &(struct fx_job){.job_id = "req-102", .zone = "b", .cpus = 16, .service = true},
               n->now);
     fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-120", .zone = "b", .cpu = 8, .service = true},
+              &(struct fx_job){.job_id = "req-120", .zone = "b", .cpus = 8, .service = true},
               n->now);
     fx_machine(w->store, "vm-9", "b", false, true);
     fx_sync(w->store, n->core, n->now);
@@ -398,14 +398,15 @@
         plan_with(n, RR_DO_ANSWERED);
     }
     /* Seven times 7 of 16 CPUs are free in zone a, 8 of 32 in zone b, on one machine. */
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .one_zone = true, .cpu = 8}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .one_zone = true, .cpus = 8}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with(n, RR_DO_ANSWERED);
     at = fx_booked(w->store, "vm-2", "req-1", 0) + fx_booked(w->store, "vm-9", "req-1", 0);
     assert_true(at != 0);
     /* Three tasks of 6 fit into zone a alone. */
     fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-2", .one_zone = true, .cpu = 6, .pieces = 3}, n->now);
+              &(struct fx_job){.job_id = "req-2", .one_zone = true, .cpus = 6, .pieces = 3},
+              n->now);
     fx_sync(w->store, n->core, n->now);
     plan_with(n, RR_DO_ANSWERED);
     assert_int_equal(fx_placed(w->store, "req-2"), 3);
@@ -673,7 +674,7 @@
     before = w->store->epoch;
     for (int i = 1; i <= jobs; i++) {
         g_snprintf(ref, sizeof ref, "req-%06d", i);
-        fx_submit(w->store, &(struct fx_job){.job_id = ref, .cpu = 1}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .cpus = 1}, n->now);
         fx_sync(w->store, n->core, n->now);
         if (i % 8 == 0) {
             fx_cancel(n, ref); /* before it starts */
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -8,7 +8,7 @@
 static bool step_until(fx_world *w, enum rr_step_kind kind, const GArray *machines, rr_step *out) {
     fx_node *n = &w->n;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    GArray *builds = g_array_new(FALSE, FALSE, sizeof(rr_build));
+    GArray *builds = g_array_new(FALSE, FALSE, sizeof(rr_machine_type));
     bool found = false;
     rr_step_init(out);
     for (int i = 0; i < 60 && !found; i++) {
@@ -250,7 +250,7 @@
         fx_machine(w->store, ids[i], "a", false, true);
         fx_listed(machines, ids[i], "a", RR_LISTED_RUNNING, 100);
     }
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 4, .cpu = 16}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 4, .cpus = 16}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 4; i++) {
         fx_report(n, ids[i], "a", false, 1, 1, 1, NULL);
@@ -384,7 +384,7 @@
     fx_machine(w->store, "vm-1", "a", false, true);
     fx_sync(w->store, n->core, n->now);
     fx_report(n, "vm-1", "a", false, 1, 1, 1, NULL);
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-000001", .pieces = 3, .cpu = 4}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-000001", .pieces = 3, .cpus = 4}, n->now);
     fx_sync(w->store, n->core, n->now);
     fx_plan(n, &p);
     rr_plan_clear(&p);
@@ -541,14 +541,14 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_step s;
-    GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_build));
-    rr_build b = {.sku = "m2",
-                  .vcpus = 8,
-                  .cards = 1,
-                  .mem_gb = 32,
-                  .price = 3,
-                  .spot_price = 1,
-                  .startup_s = 20};
+    GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
+    rr_machine_type b = {.name = "m2",
+                         .cpus = 8,
+                         .gpus = 1,
+                         .mem_gb = 32,
+                         .price = 3,
+                         .spot_price = 1,
+                         .startup_s = 20};
     b.zones = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(b.zones, g_strdup("a"));
     g_array_append_val(builds, b);
@@ -562,7 +562,7 @@
     step_until(w, RR_STEP_NONE, NULL, &s);
     rr_step_clear(&s);
     assert_true(fx_mark(w->store, RR_ROOT "build/m2") != 0);
-    rr_build_clear(&b);
+    rr_machine_type_clear(&b);
     g_array_free(builds, TRUE);
 }
 
@@ -577,7 +577,7 @@
     }
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_submit(w->store, &(struct fx_job){.job_id = "req-2"}, n->now);
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-3", .cpu = 16}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-3", .cpus = 16}, n->now);
     fx_sync(w->store, n->core, n->now);
     /* req-1 fails everywhere, req-2 on vm-1 only. */
     for (int i = 0; i < 4; i++) {
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -155,7 +155,7 @@
 static void not_done_before_all_tasks(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000003", .pieces = 2, .cpu = 1};
+    struct fx_job j = {.job_id = "req-000003", .pieces = 2, .cpus = 1};
     uint64_t at;
     rr_plan p;
     rr_job_view v;
@@ -355,7 +355,7 @@
 static void quota_across_an_owner_change(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000011", .pieces = 3, .cpu = 1, .gpu = 1};
+    struct fx_job j = {.job_id = "req-000011", .pieces = 3, .cpus = 1, .gpus = 1};
     uint64_t at;
     rr_plan p;
     n->cfg.teams[0].gpus_max = 2;
@@ -420,8 +420,8 @@
 static void two_owners_one_room(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n, b;
-    struct fx_job j1 = {.job_id = "req-000012", .team = "red", .cpu = 16};
-    struct fx_job j2 = {.job_id = "req-000013", .team = "blue", .cpu = 16};
+    struct fx_job j1 = {.job_id = "req-000012", .team = "red", .cpus = 16};
+    struct fx_job j2 = {.job_id = "req-000013", .team = "blue", .cpus = 16};
     const char *refs[2] = {j1.job_id, j2.job_id};
     rr_plan p;
     fx_machine_gone(w->store, "vm-2");
@@ -472,7 +472,7 @@
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-10000%d", t);
-        fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = teams[t], .cpu = 1}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = teams[t], .cpus = 1}, n->now);
         for (int i = 0; i < 2 && !seen[t]; i++) {
             fx_sync(w->store, nodes[i]->core, nodes[i]->now);
             fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_token(nodes[i]->core), NULL);
@@ -507,7 +507,7 @@
 static void an_overdue_job_is_placed_once(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000018", .pieces = 4, .cpu = 1};
+    struct fx_job j = {.job_id = "req-000018", .pieces = 4, .cpus = 1};
     rr_plan p;
     fx_submit(w->store, &j, n->now);
     n->now += 100;
@@ -528,15 +528,15 @@
     const char *why = NULL;
     fx_submission(&s, &j);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
-    s.vcpus = 17;
+    s.cpus = 17;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
     g_strlcpy(s.team, "nobody", sizeof s.team);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_KNOWN);
-    fx_submission(&s,
-                  &(struct fx_job){.job_id = "req-000016", .service = true, .pieces = 3, .gpu = 1});
+    fx_submission(
+        &s, &(struct fx_job){.job_id = "req-000016", .service = true, .pieces = 3, .gpus = 1});
     n->cfg.teams[0].gpus_max = 2;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
     s.kind = RR_JOB_ARRAY;
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -172,7 +172,7 @@
     fx_join_old_version(n);
     fx_fleet(n, 1, 20, "a"); /* written by an old version: 40 machines a page */
     lower(w->store);
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpus = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 12; i++) {
         n->now += 0.5;
@@ -274,7 +274,7 @@
     rr_job_view v;
     fx_fleet(n, 1, 20, "a");
     lower(w->store);
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpus = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     plan_on(n, 4);
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
@@ -347,7 +347,7 @@
     fx_node *n = &w->n;
     fx_fleet(n, 1, 20, "a");
     fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1, .deadline_s = 10},
+              &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpus = 1, .deadline_s = 10},
               n->now);
     put_old_record(w, "req-1", 60);
     lower(w->store);
@@ -359,7 +359,7 @@
     for (int i = 0; i < 10; i++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-2%02d", i);
-        fx_submit(w->store, &(struct fx_job){.job_id = ref, .cpu = 1, .deadline_s = 100}, n->now);
+        fx_submit(w->store, &(struct fx_job){.job_id = ref, .cpus = 1, .deadline_s = 100}, n->now);
         fx_sync(w->store, n->core, n->now);
         n->now += 2; /* what failed is tried again in the same plan */
         show_tasks(n, "req-1", 60, 0, 1, (uint64_t)i + 3);
@@ -376,7 +376,7 @@
     fx_node *n = &w->n;
     rr_plan p;
     fx_fleet(n, 1, 20, "a");
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpus = 1}, n->now);
     put_record(w, "req-1", 1, 50, 1, OLD_ATTEMPT);
     put_record(w, "req-1", 0, 50, 1, OLD_ATTEMPT + 100);
     n->now += 1;
@@ -399,7 +399,7 @@
     fx_node *n = &w->n;
     fx_fleet(n, 1, 20, "a");
     lower(w->store);
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpus = 1}, n->now);
     put_record(w, "req-1", 0, 0, 41, OLD_ATTEMPT);
     put_record(w, "req-1", 1, 41, 19, OLD_ATTEMPT);
     show_tasks(n, "req-1", 60, 10, 1, 2);
@@ -435,7 +435,7 @@
     const int tasks = 60;
     rr_job_view v;
     fx_fleet(n, 1, 20, "a");
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpus = 1}, n->now);
     put_old_record(w, "req-1", tasks);
     assert_true(fx_value_size(w->store, RR_ROOT "run/req-1/0") > (size_t)(NEXT_KB * 1024));
     /* Not lowered yet: it may be written again while it does not grow. */
@@ -452,7 +452,7 @@
         assert_int_not_equal(plan(n), -EINVAL);
     }
     assert_int_equal(fx_placed(w->store, "req-1"), 58);
-    fx_submit(w->store, &(struct fx_job){.job_id = "req-2", .cpu = 1}, n->now);
+    fx_submit(w->store, &(struct fx_job){.job_id = "req-2", .cpus = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
     show_tasks(n, "req-1", tasks, 30, 1, 4);
     n->now += 1;
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -32,7 +32,7 @@
 
 static int submit(const struct rr_config *cfg, const char *ref) {
     rr_submission s;
-    fx_submission(&s, &(struct fx_job){.job_id = ref, .cpu = 1, .mem = 1});
+    fx_submission(&s, &(struct fx_job){.job_id = ref, .cpus = 1, .mem_gb = 1});
     return world_submit(cfg, &s);
 }
 
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -56,7 +56,7 @@
 static int submit(const struct rr_app *a, const char *ref, uint32_t pieces, bool service) {
     rr_submission sub;
     fx_submission(&sub,
-                  &(struct fx_job){.job_id = ref, .pieces = pieces, .cpu = 1, .service = service});
+                  &(struct fx_job){.job_id = ref, .pieces = pieces, .cpus = 1, .service = service});
     return world_submit(&a->cfg, &sub);
 }
 
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -239,19 +239,19 @@
         if (rr_document_parse(&d, buf, n) == 0) {
             rr_submission s;
             rr_report r;
-            rr_build b;
+            rr_machine_type b;
             rr_listed_machine st;
             const char *field;
             if (rr_submission_decode(d.root, &s, &field) == 0) {
                 assert_true(s.task_count >= 1 && s.task_count <= RR_PIECES_MAX);
-                assert_true(s.vcpus >= 0 && isfinite(s.vcpus));
+                assert_true(s.cpus >= 0 && isfinite(s.cpus));
                 assert_true(rr_job_id_valid(s.job_id));
             }
             rr_submission_clear(&s);
             rr_report_decode(d.root, &r);
             rr_report_clear(&r);
-            rr_build_decode(d.root, &b);
-            rr_build_clear(&b);
+            rr_machine_type_decode(d.root, &b);
+            rr_machine_type_clear(&b);
             rr_listed_machine_decode(d.root, &st);
         }
         rr_document_clear(&d);
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -86,7 +86,7 @@
         const struct model_stream *stream =
             &model->streams[g_rand_int_range(random, 0, (gint)model->stream_count)];
         rr_submission submission = {.task_count = stream->tasks,
-                                    .vcpus = 1,
+                                    .cpus = 1,
                                     .mem_gb = 1,
                                     .kind = (enum rr_job_kind)g_rand_int_range(random, 0, 3),
                                     .runtime_estimate_s = stream->runtime_s};
@@ -99,8 +99,8 @@
         g_strlcpy(submission.team, stream->team, sizeof submission.team);
         g_strlcpy(submission.job_class, stream->job_class, sizeof submission.job_class);
         char builds[2][RR_ID] = {"m2", "m1"};
-        submission.builds = builds;
-        submission.nbuilds = g_rand_int_range(random, 0, 3);
+        submission.machine_types = builds;
+        submission.machine_type_count = g_rand_int_range(random, 0, 3);
         if (model->settings[0].solver_s <= 0) { /* more keys than a table takes */
             g_snprintf(submission.job_class, sizeof submission.job_class, "class-%d",
                        g_rand_int_range(random, 0, 300));
@@ -231,7 +231,7 @@
                          .team = roll(trace, 2) ? "red" : "blue",
                          .service = roll(trace, 4) == 0,
                          .pieces = (uint32_t)(1 + roll(trace, 4)),
-                         .cpu = 2 + 2 * roll(trace, 7),
+                         .cpus = 2 + 2 * roll(trace, 7),
                          .rank = roll(trace, 4) == 0 ? "prod" : "standard"};
     cell_submit(&trace->pair->home, &job);
 }
@@ -329,7 +329,7 @@
     rr_cells_reply_pack(&reply, frame);
     trace_bytes(hash, frame->data, frame->len);
     trace_int(hash, (uint64_t)rr_cells_reply_unpack(frame->data + 8, frame->len - 8, &unpacked));
-    trace_decimal(hash, unpacked.room.cpu);
+    trace_decimal(hash, unpacked.room.cpus);
     rr_cells_reply_clear(&unpacked);
     rr_cells_reply_clear(&reply);
     g_byte_array_free(frame, TRUE);
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -6,7 +6,7 @@
 
 struct machine_type {
     const char *name;
-    double cpu, gpu, mem, price, spot_price, boot_s;
+    double cpus, gpus, mem_gb, price, spot_price, boot_s;
     unsigned zones; /* bits */
 };
 
@@ -22,17 +22,17 @@
 }
 
 static void answer_catalogue(struct trace_world *world, struct trace_controller *controller) {
-    GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_build));
+    GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     for (size_t i = 0; i < G_N_ELEMENTS(types); i++) {
-        rr_build build = {.vcpus = types[i].cpu,
-                          .cards = types[i].gpu,
-                          .mem_gb = types[i].mem,
-                          .cache_gb = i == 2 ? 0 : 100,
-                          .pull_rate = 1,
-                          .price = types[i].price,
-                          .spot_price = types[i].spot_price,
-                          .startup_s = types[i].boot_s};
-        g_strlcpy(build.sku, types[i].name, sizeof build.sku);
+        rr_machine_type build = {.cpus = types[i].cpus,
+                                 .gpus = types[i].gpus,
+                                 .mem_gb = types[i].mem_gb,
+                                 .cache_gb = i == 2 ? 0 : 100,
+                                 .pull_rate = 1,
+                                 .price = types[i].price,
+                                 .spot_price = types[i].spot_price,
+                                 .startup_s = types[i].boot_s};
+        g_strlcpy(build.name, types[i].name, sizeof build.name);
         build.zones = g_ptr_array_new_with_free_func(g_free);
         for (unsigned zone = 0; zone < TRACE_ZONES; zone++) {
             if (types[i].zones & 1u << zone) {
@@ -43,7 +43,7 @@
     }
     rr_core_catalog(controller->node.core, world->now, builds);
     for (guint i = 0; i < builds->len; i++) {
-        rr_build_clear(&g_array_index(builds, rr_build, i));
+        rr_machine_type_clear(&g_array_index(builds, rr_machine_type, i));
     }
     g_array_free(builds, TRUE);
 }
@@ -64,7 +64,7 @@
                                    .age_s = world->now - machine->made_at};
         g_strlcpy(entry.id, machine->id, sizeof entry.id);
         g_strlcpy(entry.addr, machine->addr, sizeof entry.addr);
-        g_strlcpy(entry.build, machine->type, sizeof entry.build);
+        g_strlcpy(entry.machine_type, machine->type, sizeof entry.machine_type);
         g_strlcpy(entry.zone, machine->zone, sizeof entry.zone);
         g_array_append_val(list, entry);
     }
@@ -105,7 +105,7 @@
     count -= count > 1 && trace_chance(world, 0.15);
     ids = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < count; i++) {
-        const struct machine_type *type = type_named(step->build);
+        const struct machine_type *type = type_named(step->machine_type);
         struct trace_machine *machine = trace_machine_new(
             world, (int)world->machines->len + 1, type->name, zone_named(step->zone), step->spot);
         if (!trace_chance(world, 0.05)) {
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -85,7 +85,7 @@
     trace_int(hash, step->kind);
     trace_txn(hash, &step->txn);
     trace_text(hash, step->rental);
-    trace_text(hash, step->build);
+    trace_text(hash, step->machine_type);
     trace_text(hash, step->zone);
     trace_int(hash, step->spot);
     trace_int(hash, (uint64_t)step->how_many);
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -27,17 +27,17 @@
 }
 
 static void set_builds(struct trace_world *world, rr_submission *submission) {
-    submission->nbuilds = 2;
-    submission->builds = g_malloc0_n(2, sizeof *submission->builds);
-    g_strlcpy(submission->builds[0], trace_chance(world, 0.9) ? "m1" : "m9", RR_ID);
-    g_strlcpy(submission->builds[1], "m2", RR_ID);
+    submission->machine_type_count = 2;
+    submission->machine_types = g_malloc0_n(2, sizeof *submission->machine_types);
+    g_strlcpy(submission->machine_types[0], trace_chance(world, 0.9) ? "m1" : "m9", RR_ID);
+    g_strlcpy(submission->machine_types[1], "m2", RR_ID);
 }
 
 static void set_needs(struct trace_world *world, rr_submission *submission) {
     static const double cpus[] = {0.5, 1, 2, 4, 6, 8, 12, 16};
     bool large = trace_chance(world, 0.03);
-    submission->vcpus = large ? 64 : cpus[trace_roll(world, (int)G_N_ELEMENTS(cpus))];
-    submission->cards = trace_chance(world, 0.2) ? 1 + trace_roll(world, 2) : 0;
+    submission->cpus = large ? 64 : cpus[trace_roll(world, (int)G_N_ELEMENTS(cpus))];
+    submission->gpus = trace_chance(world, 0.2) ? 1 + trace_roll(world, 2) : 0;
     submission->mem_gb = 1 + trace_roll(world, 16);
     submission->image_size_gb = trace_between(world, 0.2, 8);
     if (trace_chance(world, 0.15)) {
@@ -189,7 +189,7 @@
     const struct trace_controller *controller = trace_any_controller(world);
     const struct trace_job *job = any_job(world);
     if (controller && job) {
-        rr_submission submission = {.task_count = job->tasks, .vcpus = 1};
+        rr_submission submission = {.task_count = job->tasks, .cpus = 1};
         const char *why = NULL;
         g_strlcpy(submission.job_id, job->id, sizeof submission.job_id);
         trace_int(&world->hash, rr_core_admit(controller->node.core, &submission, &why));
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -256,7 +256,7 @@
     memset(out, 0, sizeof *out);
     g_strlcpy(out->machine, machine->id, sizeof out->machine);
     g_strlcpy(out->addr, machine->addr, sizeof out->addr);
-    g_strlcpy(out->build, machine->type, sizeof out->build);
+    g_strlcpy(out->machine_type, machine->type, sizeof out->machine_type);
     g_strlcpy(out->zone, machine->zone, sizeof out->zone);
     out->spot = machine->spot;
     out->worker_epoch = machine->worker_epoch;
--- a/tests/world.c
+++ b/tests/world.c
@@ -315,22 +315,22 @@
 /* ---- cloud and worker ---- */
 
 static int catalog(const world *w, rr_encoder *out) {
-    rr_build b = {.sku = "m1",
-                  .vcpus = 16,
-                  .cards = 4,
-                  .mem_gb = 64,
-                  .cache_gb = 50,
-                  .pull_rate = 1,
-                  .price = 3,
-                  .spot_price = 1,
-                  .startup_s = 1};
+    rr_machine_type b = {.name = "m1",
+                         .cpus = 16,
+                         .gpus = 4,
+                         .mem_gb = 64,
+                         .cache_gb = 50,
+                         .pull_rate = 1,
+                         .price = 3,
+                         .spot_price = 1,
+                         .startup_s = 1};
     b.zones = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(b.zones, g_strdup(w->zone));
     rr_encode_map(out, 1);
     rr_encode_text(out, "builds");
     rr_encode_array(out, 1);
-    rr_build_encode(out, &b);
-    rr_build_clear(&b);
+    rr_machine_type_encode(out, &b);
+    rr_machine_type_clear(&b);
     return 200;
 }
 
