--- a/src/app/app.c
+++ b/src/app/app.c
@@ -34,26 +34,27 @@
     return true;
 }
 
-static void on_peer_report(void *user, int peer, unsigned hops, const void *body, size_t len) {
-    rr_app_take_report(user, body, len, peer, hops);
+static void on_peer_heartbeat(void *user, int peer, unsigned hops, const void *body, size_t len) {
+    rr_app_take_heartbeat(user, body, len, peer, hops);
 }
 
 /* Where two zones can't reach each other a third may reach both: what is news here is passed on
  * once to those that do not hear its sender, so that nobody takes a machine for dead that a
  * neighbour hears. */
-static void on_heard(void *user, int peer, unsigned hops, const rr_heard *list, size_t n) {
+static void on_heard(void *user, int peer, unsigned hops, const rr_heartbeat_digest *list,
+                     size_t n) {
     struct rr_app *a = user;
     pthread_mutex_lock(&a->lock);
     double now = rr_now();
     if (hops == 0) {
-        rr_core_peer_heard(a->core, now, peer);
+        rr_core_peer_contacted(a->core, now, peer);
     }
     for (size_t i = 0; i < n; i++) {
-        rr_core_heard(a->core, now, &list[i], peer);
+        rr_core_take_heartbeat_digest(a->core, now, &list[i], peer);
     }
     pthread_mutex_unlock(&a->lock);
     if (hops == 0) {
-        rr_peers_pass_on(a->peers, peer, list, n, NULL, 0);
+        rr_peers_forward_heartbeats(a->peers, peer, list, n, NULL, 0);
     }
 }
 
@@ -127,7 +128,7 @@
 }
 
 int rr_app_start(struct rr_app *a) {
-    struct rr_peer_events ev = {a,         on_peer_report, on_heard, on_suspect, on_cancelled,
+    struct rr_peer_events ev = {a,         on_peer_heartbeat, on_heard, on_suspect, on_cancelled,
                                 on_resign, on_demand};
     pthread_mutex_init(&a->lock, NULL);
     pthread_mutex_init(&a->user_lock, NULL);
@@ -211,8 +212,8 @@
     rr_app_cells_join(a);
     rr_peers_stop(a->peers);
     rr_peers_destroy(a->peers);
-    g_queue_clear_full(&a->do_queue, (GDestroyNotify)rr_do_free);
-    g_queue_clear_full(&a->slow_queue, (GDestroyNotify)rr_do_free);
+    g_queue_clear_full(&a->do_queue, (GDestroyNotify)rr_command_batch_free);
+    g_queue_clear_full(&a->slow_queue, (GDestroyNotify)rr_command_batch_free);
     rr_stats_destroy(a->stats);
     rr_budget_destroy(a->budget);
     rr_core_destroy(a->core);
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -28,7 +28,8 @@
     bool planning;   /* a plan is made and its outcome not known yet */
     bool store_down; /* the last call of a user's request to the store failed */
     double store_ok_at;
-    /* rr_do*: commands, and those that may well go unanswered, which must not hold up the others.
+    /* rr_command_batch*: commands, and those that may well go unanswered, which must not hold up
+     * the others.
      */
     GQueue do_queue, slow_queue;
     pthread_cond_t do_wake, slow_wake;
@@ -103,7 +104,7 @@
 enum rr_commit rr_app_commit(struct rr_app *a, rr_store *s, enum rr_prio prio, const rr_txn *t,
                              uint64_t *epoch);
 /* A report that a peer has passed on. */
-void rr_app_take_report(struct rr_app *a, const void *body, size_t len, int via, unsigned hops);
+void rr_app_take_heartbeat(struct rr_app *a, const void *body, size_t len, int via, unsigned hops);
 
 /* admission_duty.c. All do nothing where admission is switched off. */
 int rr_app_admission_start(struct rr_app *a); /* before the threads; 0 or -errno */
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -304,25 +304,26 @@
 
 /* ---- workers ---- */
 
-void rr_app_take_report(struct rr_app *a, const void *body, size_t len, int via, unsigned hops) {
+void rr_app_take_heartbeat(struct rr_app *a, const void *body, size_t len, int via, unsigned hops) {
     rr_document doc;
-    rr_report r;
+    rr_heartbeat r;
     if (rr_document_parse(&doc, body, len) == 0) {
-        if (rr_report_decode(doc.root, &r) == 0) {
-            rr_heard h = {
-                .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
+        if (rr_heartbeat_decode(doc.root, &r) == 0) {
+            rr_heartbeat_digest h = {.worker_epoch = r.worker_epoch,
+                                     .sequence = r.sequence,
+                                     .hash = rr_heartbeat_hash(&r)};
             g_strlcpy(h.machine, r.machine, sizeof h.machine);
             pthread_mutex_lock(&a->lock);
-            enum rr_news news = rr_core_report(a->core, rr_now(), &r, via);
-            if (news == RR_NEWS_CHANGED) {
+            enum rr_heartbeat_news news = rr_core_take_heartbeat(a->core, rr_now(), &r, via);
+            if (news == RR_HEARTBEAT_CHANGED) {
                 rr_app_kick(a);
             }
             pthread_mutex_unlock(&a->lock);
-            if (news != RR_NEWS_NONE && hops == 0) {
-                rr_peers_pass_on(a->peers, via, &h, 1, body, len);
+            if (news != RR_HEARTBEAT_IGNORED && hops == 0) {
+                rr_peers_forward_heartbeats(a->peers, via, &h, 1, body, len);
             }
         }
-        rr_report_clear(&r);
+        rr_heartbeat_clear(&r);
     }
     rr_document_clear(&doc);
 }
@@ -330,38 +331,38 @@
 static void hello(struct rr_app *a, const struct rr_request *rq, struct rr_response *rs) {
     rs->yields = true;
     rr_document doc;
-    rr_report r = {0};
-    struct rr_answer ans = {0};
+    rr_heartbeat r = {0};
+    struct rr_heartbeat_reply ans = {0};
     int rc = rr_document_parse(&doc, rq->body, rq->len);
     if (rc == 0) {
-        rc = rr_report_decode(doc.root, &r);
+        rc = rr_heartbeat_decode(doc.root, &r);
     }
     rr_document_clear(&doc);
     if (rc != 0) {
-        rr_report_clear(&r);
+        rr_heartbeat_clear(&r);
         rr_log(RR_INFO_LEVEL, "unreadable report of %zu bytes", rq->len);
         rr_app_refuse(rs, 400, "unreadable report", 0);
         return;
     }
-    rr_heard h = {
-        .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
+    rr_heartbeat_digest h = {
+        .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_heartbeat_hash(&r)};
     g_strlcpy(h.machine, r.machine, sizeof h.machine);
     pthread_mutex_lock(&a->lock);
     double now = rr_now();
-    rr_core_answer(a->core, now, &r, &ans);
-    enum rr_news news = rr_core_report(a->core, now, &r, -1);
-    if (news == RR_NEWS_CHANGED) {
+    rr_core_reply_to_heartbeat(a->core, now, &r, &ans);
+    enum rr_heartbeat_news news = rr_core_take_heartbeat(a->core, now, &r, -1);
+    if (news == RR_HEARTBEAT_CHANGED) {
         rr_app_kick(a);
     }
-    uint32_t rare, wanted = rr_core_wanted_by(a->core, h.machine, &rare);
+    uint32_t rare, wanted = rr_core_heartbeat_subscribers(a->core, h.machine, &rare);
     pthread_mutex_unlock(&a->lock);
-    if (news != RR_NEWS_NONE) {
-        rr_peers_report(a->peers, wanted, rare, &h, rq->body, rq->len);
+    if (news != RR_HEARTBEAT_IGNORED) {
+        rr_peers_send_heartbeat(a->peers, wanted, rare, &h, rq->body, rq->len);
     }
     rs->status = ans.status;
     if (ans.status == 200) {
-        rr_orders_encode(&rs->body, ans.fencing_token, 0, ans.orders);
-        g_array_free(ans.orders, TRUE);
+        rr_commands_encode(&rs->body, ans.fencing_token, 0, ans.commands);
+        g_array_free(ans.commands, TRUE);
     } else {
         rr_encode_map(&rs->body, ans.peer ? 1 : 0);
         if (ans.peer) {
--- a/src/app/planner_duty.c
+++ b/src/app/planner_duty.c
@@ -6,15 +6,15 @@
 
 #include <math.h>
 
-static void queue_dos(struct rr_app *a, rr_plan *p) {
-    for (guint i = 0; i < p->dos->len; i++) {
-        rr_do *d = g_ptr_array_index(p->dos, i);
+static void queue_command_batches(struct rr_app *a, rr_plan *p) {
+    for (guint i = 0; i < p->command_batches->len; i++) {
+        rr_command_batch *d = g_ptr_array_index(p->command_batches, i);
         g_queue_push_tail(d->doubtful ? &a->slow_queue : &a->do_queue, d);
         pthread_cond_signal(d->doubtful ? &a->slow_wake : &a->do_wake);
     }
-    if (p->dos->len) {
-        g_ptr_array_set_free_func(p->dos, NULL);
-        g_ptr_array_set_size(p->dos, 0);
+    if (p->command_batches->len) {
+        g_ptr_array_set_free_func(p->command_batches, NULL);
+        g_ptr_array_set_size(p->command_batches, 0);
     }
 }
 
@@ -75,7 +75,7 @@
             rr_core_set_pressure(a->core, rr_budget_pressure(a->budget), changes);
             double began = rr_now();
             rr_core_plan(a->core, began, rr_wall(), &p);
-            queue_dos(a, &p);
+            queue_command_batches(a, &p);
             a->planning = p.has_txn;
             pause = fmin(PAUSE_FACTOR * (rr_now() - began), PAUSE_MAX_S);
         }
--- a/src/app/sender_duty.c
+++ b/src/app/sender_duty.c
@@ -10,26 +10,27 @@
 /* Takes an answer's body as a report, which vouches for the machine. True if it was one. */
 static bool take_answer(struct rr_app *a, const void *body, size_t len, int via, bool share) {
     rr_document doc;
-    rr_report r;
-    rr_heard h = {0};
+    rr_heartbeat r;
+    rr_heartbeat_digest h = {0};
     uint32_t wanted = 0, rare = 0;
     bool ok = false;
     if (rr_document_parse(&doc, body, len) == 0) {
-        ok = rr_report_decode(doc.root, &r) == 0;
+        ok = rr_heartbeat_decode(doc.root, &r) == 0;
         if (ok) {
-            h = (rr_heard){
-                .worker_epoch = r.worker_epoch, .sequence = r.sequence, .hash = rr_report_hash(&r)};
+            h = (rr_heartbeat_digest){.worker_epoch = r.worker_epoch,
+                                      .sequence = r.sequence,
+                                      .hash = rr_heartbeat_hash(&r)};
             g_strlcpy(h.machine, r.machine, sizeof h.machine);
             pthread_mutex_lock(&a->lock);
-            share = rr_core_take_answer(a->core, rr_now(), &r, via) && share;
-            wanted = rr_core_wanted_by(a->core, h.machine, &rare);
+            share = rr_core_take_command_reply(a->core, rr_now(), &r, via) && share;
+            wanted = rr_core_heartbeat_subscribers(a->core, h.machine, &rare);
             pthread_mutex_unlock(&a->lock);
         }
-        rr_report_clear(&r);
+        rr_heartbeat_clear(&r);
     }
     rr_document_clear(&doc);
     if (ok && share) {
-        rr_peers_report(a->peers, wanted, rare, &h, body, len);
+        rr_peers_send_heartbeat(a->peers, wanted, rare, &h, body, len);
     }
     return ok;
 }
@@ -39,9 +40,9 @@
 
 /* Without orders it is a probe: a command that does nothing, but brings the present token. What it
  * hears the others hear. */
-static void send_do(struct rr_app *a, rr_client *client, const rr_do *d) {
+static void send_command_batch(struct rr_app *a, rr_client *client, const rr_command_batch *d) {
     rr_encoder o;
-    bool probe = d->orders->len == 0;
+    bool probe = d->commands->len == 0;
     double limit = probe ? PROBE_S : COMMAND_S;
     rr_reply reply = {0};
     rr_relayed relayed = {0};
@@ -49,7 +50,7 @@
     long status = 0;
     int rc = -ENOTCONN, via = d->via;
     rr_encoder_init(&o);
-    rr_orders_encode(&o, d->fencing_token, d->worker_epoch, d->orders);
+    rr_commands_encode(&o, d->fencing_token, d->worker_epoch, d->commands);
     if (via < 0) {
         /* Never heard, its worker_epoch is not known: only its status can be asked. */
         bool ask = probe && d->worker_epoch == 0;
@@ -70,17 +71,17 @@
             ok = take_answer(a, relayed.body->data, relayed.body->len, via, false);
         }
     }
-    enum rr_do_outcome outcome = rc == -ENOTCONN ? RR_DO_NOT_SENT
-                                 : rc == 0 && ok && (status == 200 || status == 409)
-                                     ? RR_DO_ANSWERED
-                                     : RR_DO_DOUBT;
-    rr_log(RR_DEBUG_LEVEL, "do %s: %u orders, via %d: %s %ld", d->machine, d->orders->len, via,
-           outcome == RR_DO_ANSWERED ? "answered"
-           : outcome == RR_DO_DOUBT  ? "in doubt"
-                                     : "not sent",
+    enum rr_command_outcome outcome = rc == -ENOTCONN ? RR_COMMAND_NOT_SENT
+                                      : rc == 0 && ok && (status == 200 || status == 409)
+                                          ? RR_COMMAND_ANSWERED
+                                          : RR_COMMAND_OUTCOME_UNKNOWN;
+    rr_log(RR_DEBUG_LEVEL, "do %s: %u orders, via %d: %s %ld", d->machine, d->commands->len, via,
+           outcome == RR_COMMAND_ANSWERED          ? "answered"
+           : outcome == RR_COMMAND_OUTCOME_UNKNOWN ? "in doubt"
+                                                   : "not sent",
            status);
     pthread_mutex_lock(&a->lock);
-    rr_core_do_result(a->core, rr_now(), d, outcome, status == 200);
+    rr_core_command_result(a->core, rr_now(), d, outcome, status == 200);
     rr_app_kick(a);
     pthread_mutex_unlock(&a->lock);
     if (relayed.body) {
@@ -97,11 +98,11 @@
         while (!rr_duty_stopping(a) && g_queue_is_empty(queue)) {
             rr_app_wait(a, wake, &a->lock, 5.0);
         }
-        rr_do *d = g_queue_pop_head(queue);
+        rr_command_batch *d = g_queue_pop_head(queue);
         pthread_mutex_unlock(&a->lock);
         if (d) {
-            send_do(a, client, d);
-            rr_do_free(d);
+            send_command_batch(a, client, d);
+            rr_command_batch_free(d);
         }
     }
     rr_client_destroy(client);
--- a/src/cells/internal.h
+++ b/src/cells/internal.h
@@ -18,7 +18,7 @@
     uint64_t token; /* of the term for which `home` stands, 0: none */
     int neighbour;  /* the guest; -1: the settings know it no more */
     bool taken;     /* the guest has asked for a grant under this claim */
-    double heard_at, said_at;
+    double last_message_at, said_at;
     double withdrawn_at; /* of the record that is being written */
 } rr_outgoing;
 
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -173,7 +173,7 @@
     rr_home_record record = home_record(entry);
     rr_home_load(&entry->home, &record, running, now, &transfers->settings->times);
     entry->token = token;
-    entry->heard_at = now;
+    entry->last_message_at = now;
     entry->taken = true; /* it may have been */
     return true;
 }
@@ -207,7 +207,7 @@
 
 static bool guest_is_lost(const rr_transfers *transfers, const rr_outgoing *entry, double now) {
     double patience = entry->taken ? NOT_HEARD_LEASES * transfers->settings->lease_s : NOT_TAKEN_S;
-    return entry->neighbour < 0 || now - entry->heard_at > patience;
+    return entry->neighbour < 0 || now - entry->last_message_at > patience;
 }
 
 static void drive(rr_transfers *transfers, rr_outgoing *entry, size_t neighbour, double now,
@@ -303,7 +303,7 @@
     bool offered = false;
     if (step.action == RR_HOME_WRITE) {
         entry->taken = false;
-        entry->heard_at = now;
+        entry->last_message_at = now;
         entry->said_at = 0;
         rr_core_hold_job(transfers->core, entry->job_id, RR_HOLD_AWAY);
         offered = add_write(transfers, entry, wall, plan);
@@ -389,7 +389,7 @@
     if (current) {
         transfers->stats.taken += renews && !entry->taken;
         entry->taken = true;
-        entry->heard_at = now;
+        entry->last_message_at = now;
     }
     rr_home_step step = rr_home_receive(&entry->home, (uint32_t)neighbour, &item->message, now,
                                         &transfers->settings->times);
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -132,8 +132,10 @@
     if (!edit || !rr_record_fits(core, edit->items->len + 1)) {
         return false;
     }
-    rr_item item = {
-        .m = machine, .task = task, .attempt = attempt, .worker_epoch = machine->rep.worker_epoch};
+    rr_item item = {.m = machine,
+                    .task = task,
+                    .attempt = attempt,
+                    .worker_epoch = machine->heartbeat.worker_epoch};
     g_array_append_val(edit->items, item);
     rr_plan_use(planner, machine);
     g_array_append_val(machine->booked, job);
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -116,7 +116,7 @@
  * to which it knows them all. A worker answered last at the end of this time ends by its lease, and
  * that must be within cancel_s of any cancellation that this controller can't know: the rest is for
  * the drift of two clocks and the stop itself. */
-static inline double rr_answer_s(const struct rr_config *c) {
+static inline double rr_heartbeat_reply_s(const struct rr_config *c) {
     double room = c->cancel_s - c->lease_s;
     return c->tune.answer_share * (room - (room < 5 ? 0.2 * room : 1) - 0.002 * c->cancel_s);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -50,7 +50,7 @@
 /* Our own session: its lease, and until when it surely holds: until then we may plan. */
 void rr_core_set_session(rr_core *c, uint64_t tether, double entitled_until);
 /* The mirror has every change made before this time: workers' reports may be answered for
- * rr_answer_s from there, longer than the session lasts. */
+ * rr_heartbeat_reply_s from there, longer than the session lasts. */
 void rr_core_set_fresh(rr_core *c, double at);
 bool rr_core_entitled(const rr_core *c, double now);
 /* The shell's own timers have just fired late: there is more work than processor time. */
@@ -93,59 +93,61 @@
 bool rr_core_ready(const rr_core *c, double now);
 
 /* ---- workers ---- */
-enum rr_news { RR_NEWS_NONE, RR_NEWS_HEARD, RR_NEWS_CHANGED };
+enum rr_heartbeat_news { RR_HEARTBEAT_IGNORED, RR_HEARTBEAT_UNCHANGED, RR_HEARTBEAT_CHANGED };
 /* Takes over the report's content. via: index of the peer that heard it, -1: this controller. What
  * it was: nothing new, only a sign of life, or news. */
-enum rr_news rr_core_report(rr_core *c, double now, rr_report *r, int via);
+enum rr_heartbeat_news rr_core_take_heartbeat(rr_core *c, double now, rr_heartbeat *r, int via);
 /* Takes over the answer to a command or probe, and vouches for the machine. True: the machine has
  * lately reported by itself, so that others may take this for a report. */
-bool rr_core_take_answer(rr_core *c, double now, rr_report *r, int via);
+bool rr_core_take_command_reply(rr_core *c, double now, rr_heartbeat *r, int via);
 /* The machine has just answered this process: it is not known from late copies alone. */
-void rr_core_vouch(rr_core *c, double now, const rr_heard *h);
+void rr_core_vouch(rr_core *c, double now, const rr_heartbeat_digest *h);
 /* A peer has just said something on its link to us. */
-void rr_core_peer_heard(rr_core *c, double now, int peer);
+void rr_core_peer_contacted(rr_core *c, double now, int peer);
 /* A peer heard the machine again. False: not known here, or not news. */
-bool rr_core_heard(rr_core *c, double now, const rr_heard *h, int via);
+bool rr_core_take_heartbeat_digest(rr_core *c, double now, const rr_heartbeat_digest *h, int via);
 /* Which peers need a machine's reports whole, as bits of their indices: with every change the
  * owners of its tasks and the provisioner; now and then all owners. */
-uint32_t rr_core_wanted_by(const rr_core *c, const char *machine, uint32_t *now_and_then);
-struct rr_answer {
+uint32_t rr_core_heartbeat_subscribers(const rr_core *c, const char *machine,
+                                       uint32_t *now_and_then);
+struct rr_heartbeat_reply {
     int status; /* 200, 421 or 503 */
     uint64_t fencing_token;
     const char *peer; /* with 421, may be NULL */
-    GArray *orders;   /* rr_order, with 200 */
+    GArray *commands; /* rr_command, with 200 */
 };
 /* Another controller has confirmed this job's cancellation to its user. */
 void rr_core_cancel_hint(rr_core *c, const char *job_id, double now);
 /* Every controller of the term reads what this version tells its peers beside the one before. */
 bool rr_core_peers_able(const rr_core *c);
-void rr_core_answer(rr_core *c, double now, const rr_report *r, struct rr_answer *out);
+void rr_core_reply_to_heartbeat(rr_core *c, double now, const rr_heartbeat *r,
+                                struct rr_heartbeat_reply *out);
 
 /* ---- planning (team owner) ---- */
 typedef struct {
     char machine[RR_ID], addr[RR_ID];
     uint64_t fencing_token, worker_epoch;
-    GArray *orders; /* rr_order; empty: only ask for the machine's status */
-    int via;        /* peer to go through, -1: direct */
-    int fallback;   /* peer to try if nothing could be sent directly, -1: none */
-    bool doubtful;  /* it may well not answer: not before others' commands */
-} rr_do;
+    GArray *commands; /* rr_command; empty: only ask for the machine's status */
+    int via;          /* peer to go through, -1: direct */
+    int fallback;     /* peer to try if nothing could be sent directly, -1: none */
+    bool doubtful;    /* it may well not answer: not before others' commands */
+} rr_command_batch;
 
 typedef struct {
     bool has_txn;
     rr_txn txn;
-    GPtrArray *dos; /* rr_do* */
-    double next_s;  /* look again after this long at the latest */
+    GPtrArray *command_batches; /* rr_command_batch* */
+    double next_s;              /* look again after this long at the latest */
 } rr_plan;
 
 void rr_plan_init(rr_plan *p);
 void rr_plan_clear(rr_plan *p);
-void rr_do_free(rr_do *d);
+void rr_command_batch_free(rr_command_batch *d);
 void rr_core_plan(rr_core *c, double now, double wall, rr_plan *out);
-enum rr_do_outcome { RR_DO_ANSWERED, RR_DO_NOT_SENT, RR_DO_DOUBT };
-/* After rr_core_report() of the answer's body, if there was one. */
-void rr_core_do_result(rr_core *c, double now, const rr_do *d, enum rr_do_outcome outcome,
-                       bool executed);
+enum rr_command_outcome { RR_COMMAND_ANSWERED, RR_COMMAND_NOT_SENT, RR_COMMAND_OUTCOME_UNKNOWN };
+/* After rr_core_take_heartbeat() of the answer's body, if there was one. */
+void rr_core_command_result(rr_core *c, double now, const rr_command_batch *d,
+                            enum rr_command_outcome outcome, bool executed);
 
 /* A machine reports but answers no command, says a controller that sent some. */
 void rr_core_suspect(rr_core *c, const char *machine, double now);
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -110,7 +110,7 @@
     rr_machine *m = rr_machine_get(c, name, now);
     if (!m->recorded) {
         m->known_at = m->idle_since = now;
-        m->young = !c->rereading && !m->heard;
+        m->young = !c->rereading && !m->heartbeat_seen;
         rr_touch(c, m);
     }
     bool ret = flags & FLAG_RET;
@@ -125,7 +125,7 @@
     m->own = flags & FLAG_OWN;
     c->ever_rented = c->ever_rented || !m->own;
     rr_object_number(&f[5], &m->born);
-    if (!m->heard && addr[0]) {
+    if (!m->heartbeat_seen && addr[0]) {
         g_strlcpy(m->addr, addr, sizeof m->addr);
     }
 }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -28,14 +28,14 @@
     if (r && r->state == RR_TASK_ENDED) {
         return r->exit_reason == RR_EXIT_DONE ? DONE : LOST;
     }
-    if (m->gone || !m->recorded || (m->heard && m->rep.worker_epoch > pl->worker_epoch) ||
-        pl->over_at > 0) {
+    if (m->gone || !m->recorded ||
+        (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch) || pl->over_at > 0) {
         return LOST;
     }
     if (!r) {
         return now - pl->seen_at > SHOWN_SHARE * c->cfg->gang_wait_s ? LOST : ABSENT;
     }
-    if (m->rep.spot_notice_s >= 0 || pl->evict || r->state == RR_TASK_SAVING) {
+    if (m->heartbeat.spot_notice_s >= 0 || pl->evict || r->state == RR_TASK_SAVING) {
         return LEAVES;
     }
     return r->state == RR_TASK_RUNNING ? RUNS : SHOWN;
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -17,7 +17,7 @@
     m->err_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
     m->lost = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     m->known_at = m->idle_since = now;
-    m->via = -1;
+    m->heard_via = -1;
     g_hash_table_insert(c->machines, m->name, m);
     g_ptr_array_add(c->machine_list, m);
     return m;
@@ -89,8 +89,8 @@
 }
 
 const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_place *p) {
-    for (guint i = 0; m->heard && i < m->rep.tasks->len; i++) {
-        const rr_task_status *r = &g_array_index(m->rep.tasks, rr_task_status, i);
+    for (guint i = 0; m->heartbeat_seen && i < m->heartbeat.tasks->len; i++) {
+        const rr_task_status *r = &g_array_index(m->heartbeat.tasks, rr_task_status, i);
         if (r->attempt == p->attempt && r->task == p->task &&
             strcmp(r->job_id, p->job->submission.job_id) == 0) {
             return r;
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -49,7 +49,7 @@
 static void machine_free(gpointer p) {
     rr_machine *m = p;
     g_array_free(m->places, TRUE);
-    rr_report_clear(&m->rep);
+    rr_heartbeat_clear(&m->heartbeat);
     g_array_free(m->images, TRUE);
     g_array_free(m->err_jobs, TRUE);
     g_hash_table_destroy(m->lost);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -119,10 +119,10 @@
     GArray *places; /* rr_place */
     rr_res used;
     /* observed */
-    bool heard;
+    bool heartbeat_seen;
     bool young;   /* recorded while this process watched */
     bool vouched; /* by a live exchange with this process: not only by reports, which may be late */
-    bool do_inflight;
+    bool command_inflight;
     unsigned stale_answers; /* in a row that were older than its last report */
     double stale_at;
     unsigned unanswered;  /* commands in a row that got no answer */
@@ -130,19 +130,19 @@
     double suspect_until; /* an owner says that its commands get no answer there */
     unsigned deaf_probes; /* probes of a suspect in a row that failed while it went on reporting */
     double deaf_at;
-    rr_report rep; /* newest */
-    uint64_t rep_hash;
-    double heard_at, known_at, direct_bad_until;
+    rr_heartbeat heartbeat; /* newest */
+    uint64_t heartbeat_hash;
+    double heartbeat_at, known_at, direct_bad_until;
     double reported_at; /* by itself, to whatever controller: not in answer to a command */
-    int via;
+    int heard_via;
     GArray *images;   /* int: images it has, oldest first */
     GArray *err_jobs; /* rr_job*: jobs that failed here */
     double err_at, full_until;
     GHashTable *lost; /* attempts with an unanswered start under lost_token/lost_tenure */
     uint64_t lost_token, lost_worker_epoch;
-    double do_next;
+    double next_command_at;
     double reap_at; /* an exited task has waited since then to be reaped, 0: none */
-    void *plan_do;  /* scratch of one plan: rr_do */
+    void *plan_do;  /* scratch of one plan: rr_command_batch */
     /* provisioner */
     bool listed, list_failed, to_adopt, rented, give_up, dead, releasing;
     bool surplus;
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -13,16 +13,16 @@
 void rr_plan_init(rr_plan *p) {
     memset(p, 0, sizeof *p);
     rr_txn_init(&p->txn);
-    p->dos = g_ptr_array_new_with_free_func((GDestroyNotify)rr_do_free);
+    p->command_batches = g_ptr_array_new_with_free_func((GDestroyNotify)rr_command_batch_free);
 }
 
 void rr_plan_clear(rr_plan *p) {
     rr_txn_clear(&p->txn);
-    g_ptr_array_free(p->dos, TRUE);
+    g_ptr_array_free(p->command_batches, TRUE);
 }
 
-void rr_do_free(rr_do *d) {
-    g_array_free(d->orders, TRUE);
+void rr_command_batch_free(rr_command_batch *d) {
+    g_array_free(d->commands, TRUE);
     g_free(d);
 }
 
@@ -316,7 +316,7 @@
     g_hash_table_foreach_remove(c->gone, gone_old, &now);
     for (guint i = c->machine_list->len; i > 0; i--) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
-        if (!m->recorded && !m->to_adopt && !m->do_inflight && m->places->len == 0 &&
+        if (!m->recorded && !m->to_adopt && !m->command_inflight && m->places->len == 0 &&
             (m->gone || rr_silent_for(m, now) > STRANGER_S)) {
             rr_machine_forget(c, m);
         }
@@ -452,11 +452,11 @@
     }
 }
 
-static void finish_dos(struct rr_planner *p) {
-    for (guint i = 0; i < p->out->dos->len; i++) {
-        const rr_do *d = g_ptr_array_index(p->out->dos, i);
+static void finish_command_batches(struct rr_planner *p) {
+    for (guint i = 0; i < p->out->command_batches->len; i++) {
+        const rr_command_batch *d = g_ptr_array_index(p->out->command_batches, i);
         rr_machine *m = g_hash_table_lookup(p->c->machines, d->machine);
-        m->do_inflight = true;
+        m->command_inflight = true;
         m->plan_do = NULL;
         m->reap_at = 0;
     }
@@ -524,7 +524,7 @@
     p.limit = rr_any_waits(&p) ? ops - ops / 2 : ops;
     rr_reconcile(&p);
     record_overs(&p);
-    finish_dos(&p);
+    finish_command_batches(&p);
     GPtrArray *wait = rr_waiting_jobs(&p); /* with those whose tasks have just lost their places */
     p.limit = ops;
     note_short(&p);
@@ -540,11 +540,11 @@
     record_lost(&p);
     note_short(&p);
     build_transaction(&p);
-    guint first = out->dos->len;
+    guint first = out->command_batches->len;
     rr_probe_silent(&p);
-    for (guint i = first; i < out->dos->len; i++) {
-        rr_machine *m =
-            g_hash_table_lookup(c->machines, ((rr_do *)g_ptr_array_index(out->dos, i))->machine);
+    for (guint i = first; i < out->command_batches->len; i++) {
+        rr_machine *m = g_hash_table_lookup(
+            c->machines, ((rr_command_batch *)g_ptr_array_index(out->command_batches, i))->machine);
         m->plan_do = NULL;
     }
     if (now - c->strangers_at > 1) {
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -69,8 +69,9 @@
 void rr_plan_over(struct rr_planner *p, rr_machine *m, rr_place *pl, bool done, const char *why);
 
 /* reconcile.c */
-rr_do *rr_do_for(struct rr_planner *p, rr_machine *m); /* this plan's command to the machine */
-void rr_reconcile(struct rr_planner *p);               /* machines that something happened to */
+rr_command_batch *rr_plan_command_batch(struct rr_planner *p,
+                                        rr_machine *m); /* this plan's command to the machine */
+void rr_reconcile(struct rr_planner *p);                /* machines that something happened to */
 
 /* place.c */
 bool rr_any_waits(const struct rr_planner *p);
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -30,13 +30,14 @@
 }
 
 static bool wants_probe(const rr_core *c, const rr_machine *m, double now, bool provisioner) {
-    if (m->ret || !m->addr[0] || m->do_inflight || now - m->probed_at <= PROBE_EVERY_S) {
+    if (m->ret || !m->addr[0] || m->command_inflight || now - m->probed_at <= PROBE_EVERY_S) {
         return false;
     }
-    bool late = rr_silent_for(m, now) > 1.3 * c->cfg->report_s && (m->heard || m->places->len);
+    bool late =
+        rr_silent_for(m, now) > 1.3 * c->cfg->report_s && (m->heartbeat_seen || m->places->len);
     bool doubted = m->unanswered >= 2 || now < m->suspect_until;
     /* A report about an unknown machine may be a late copy: a live exchange has to vouch for it. */
-    bool stranger = !m->recorded && m->heard && !m->vouched && !m->gone;
+    bool stranger = !m->recorded && m->heartbeat_seen && !m->vouched && !m->gone;
     return (m->recorded ? late || doubted : stranger && provisioner) &&
            concerns_us(c, m, provisioner);
 }
@@ -69,8 +70,8 @@
             continue;
         }
         m->probed_at = p->now;
-        m->do_inflight = true;
-        rr_do *d = rr_do_for(p, m);
+        m->command_inflight = true;
+        rr_command_batch *d = rr_plan_command_batch(p, m);
         d->doubtful = true;
         m->plan_do = NULL;
         c->probing++;
@@ -101,7 +102,7 @@
 void rr_core_suspects(rr_core *c, double now, GPtrArray *out) {
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        if (m->unanswered >= 2 && m->recorded && now - m->heard_at < 2 * c->cfg->report_s) {
+        if (m->unanswered >= 2 && m->recorded && now - m->heartbeat_at < 2 * c->cfg->report_s) {
             g_ptr_array_add(out, g_strdup(m->name));
         }
     }
@@ -125,22 +126,22 @@
     }
 }
 
-void rr_core_do_result(rr_core *c, double now, const rr_do *d, enum rr_do_outcome outcome,
-                       bool executed) {
+void rr_core_command_result(rr_core *c, double now, const rr_command_batch *d,
+                            enum rr_command_outcome outcome, bool executed) {
     rr_machine *m = g_hash_table_lookup(c->machines, d->machine);
-    bool probe = d->orders->len == 0;
+    bool probe = d->commands->len == 0;
     c->probing -= probe && c->probing > 0;
     if (!m) {
         return;
     }
-    m->do_inflight = false;
+    m->command_inflight = false;
     rr_touch(c, m);
     if (probe) {
-        probe_result(c, m, now, outcome == RR_DO_ANSWERED);
+        probe_result(c, m, now, outcome == RR_COMMAND_ANSWERED);
         return;
     }
-    m->do_next = outcome == RR_DO_ANSWERED ? (executed ? 0 : now + 0.5) : now + 1;
-    if (outcome == RR_DO_ANSWERED) {
+    m->next_command_at = outcome == RR_COMMAND_ANSWERED ? (executed ? 0 : now + 0.5) : now + 1;
+    if (outcome == RR_COMMAND_ANSWERED) {
         m->unanswered = 0;
         return;
     }
@@ -148,7 +149,7 @@
     if (d->via < 0) {
         m->direct_bad_until = now + 10;
     }
-    if (outcome != RR_DO_DOUBT) {
+    if (outcome != RR_COMMAND_OUTCOME_UNKNOWN) {
         return;
     }
     if (m->lost_token != d->fencing_token || m->lost_worker_epoch != d->worker_epoch) {
@@ -156,9 +157,9 @@
         m->lost_token = d->fencing_token;
         m->lost_worker_epoch = d->worker_epoch;
     }
-    for (guint i = 0; i < d->orders->len; i++) {
-        const rr_order *o = &g_array_index(d->orders, rr_order, i);
-        if (o->verb == RR_START) {
+    for (guint i = 0; i < d->commands->len; i++) {
+        const rr_command *o = &g_array_index(d->commands, rr_command, i);
+        if (o->kind == RR_COMMAND_START) {
             g_hash_table_add(m->lost, g_memdup2(&o->attempt, sizeof o->attempt));
         }
     }
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -301,14 +301,14 @@
     }
     /* It goes on reporting, so that it is not silent; but no command reaches it, ours and an
      * owner's neither directly nor through whoever hears it, and its lease will run out. */
-    if (m->heard && m->deaf_probes >= 3 && now - m->deaf_at > DEAF_S &&
+    if (m->heartbeat_seen && m->deaf_probes >= 3 && now - m->deaf_at > DEAF_S &&
         !rr_machine_quiet(c, m, now)) {
         return "reports, but hears nothing";
     }
     if (rr_machine_reborn(m, now)) {
         return "back under its name with its counts begun anew";
     }
-    if (!m->heard && wall - m->born > 4 * boot + 30 && empty &&
+    if (!m->heartbeat_seen && wall - m->born > 4 * boot + 30 && empty &&
         now - c->provisioner_since > 2 * boot) {
         return "never came up";
     }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -30,12 +30,12 @@
     if (!m->recorded || m->ret || m->give_up || !b) {
         return false;
     }
-    if (!m->heard) {
+    if (!m->heartbeat_seen) {
         return now - m->known_at < c->cfg->tune.boot_patience * b->startup_s + 5;
     }
     return rr_machine_usable(c, m, now) ||
-           (rr_machine_fresh(c, m, now) && m->rep.spot_notice_s < 0 && !rr_machine_sick(m, now) &&
-            !rr_machine_mute(c, m, now));
+           (rr_machine_fresh(c, m, now) && m->heartbeat.spot_notice_s < 0 &&
+            !rr_machine_sick(m, now) && !rr_machine_mute(c, m, now));
 }
 
 /* One simulation: what waits is put on paper onto the machines there are, then onto machines to
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -10,35 +10,35 @@
 
 /* ---- orders ---- */
 
-rr_do *rr_do_for(struct rr_planner *p, rr_machine *m) {
+rr_command_batch *rr_plan_command_batch(struct rr_planner *p, rr_machine *m) {
     if (m->plan_do) {
         return m->plan_do;
     }
-    rr_do *d = g_new0(rr_do, 1);
+    rr_command_batch *d = g_new0(rr_command_batch, 1);
     g_strlcpy(d->machine, m->name, sizeof d->machine);
     g_strlcpy(d->addr, m->addr, sizeof d->addr);
     d->fencing_token = p->c->term.token;
-    d->worker_epoch = m->rep.worker_epoch;
-    d->orders = g_array_new(FALSE, TRUE, sizeof(rr_order));
-    d->fallback = m->via;
-    d->via = m->via >= 0 && p->now < m->direct_bad_until ? m->via : -1;
+    d->worker_epoch = m->heartbeat.worker_epoch;
+    d->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
+    d->fallback = m->heard_via;
+    d->via = m->heard_via >= 0 && p->now < m->direct_bad_until ? m->heard_via : -1;
     d->doubtful = m->unanswered > 0 || rr_silent_for(m, p->now) > 1.3 * p->c->cfg->report_s;
     m->plan_do = d;
-    g_ptr_array_add(p->out->dos, d);
+    g_ptr_array_add(p->out->command_batches, d);
     return d;
 }
 
-static void order(struct rr_planner *p, rr_machine *m, enum rr_verb verb, const char *ref,
+static void order(struct rr_planner *p, rr_machine *m, enum rr_command_kind verb, const char *ref,
                   uint32_t task, uint64_t attempt, double grace_s) {
-    rr_order o = {.verb = verb, .task = task, .attempt = attempt, .grace_s = grace_s};
+    rr_command o = {.kind = verb, .task = task, .attempt = attempt, .grace_s = grace_s};
     g_strlcpy(o.job_id, ref, sizeof o.job_id);
-    g_array_append_val(rr_do_for(p, m)->orders, o);
+    g_array_append_val(rr_plan_command_batch(p, m)->commands, o);
 }
 
 /* An attempt's start may be under way still: it went unanswered under this token and worker_epoch.
  */
 static bool start_lost(const rr_core *c, const rr_machine *m, uint64_t attempt) {
-    return m->lost_token == c->term.token && m->lost_worker_epoch == m->rep.worker_epoch &&
+    return m->lost_token == c->term.token && m->lost_worker_epoch == m->heartbeat.worker_epoch &&
            g_hash_table_contains(m->lost, &attempt);
 }
 
@@ -85,7 +85,7 @@
         return true;
     }
     return pl->job->cancelled || rr_job_revoked(p->c, pl->job) ||
-           rr_job_task_done(pl->job, pl->task) || pl->evict || m->rep.spot_notice_s >= 0;
+           rr_job_task_done(pl->job, pl->task) || pl->evict || m->heartbeat.spot_notice_s >= 0;
 }
 
 /* Time to save: what the aim of the work that waits, or the notice, leaves. */
@@ -104,8 +104,8 @@
         return 0;
     }
     double leave = pl->job->submission.save_s + 2;
-    if (m->rep.spot_notice_s >= 0 && m->rep.spot_notice_s < leave) {
-        leave = fmax(m->rep.spot_notice_s, 0);
+    if (m->heartbeat.spot_notice_s >= 0 && m->heartbeat.spot_notice_s < leave) {
+        leave = fmax(m->heartbeat.spot_notice_s, 0);
     }
     return leave;
 }
@@ -131,10 +131,10 @@
     if (!r) {
         /* An unanswered start may come late. Started and stopped under one token, the attempt
          * stays on the machine as exited and blocks the late copy. */
-        order(p, m, RR_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
+        order(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
         leave = 0;
     }
-    order(p, m, RR_STOP, pl->job->submission.job_id, pl->task, pl->attempt, leave);
+    order(p, m, RR_COMMAND_STOP, pl->job->submission.job_id, pl->task, pl->attempt, leave);
     pl->stop_at = p->now;
     pl->stop_leave = leave;
 }
@@ -160,7 +160,7 @@
     if (room_coming(p->c, m) || has_older(pl) || m->ret) {
         return;
     }
-    order(p, m, RR_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
+    order(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
     pl->start_at = p->now;
 }
 
@@ -168,7 +168,7 @@
 static bool reconcile_place(struct rr_planner *p, rr_machine *m, rr_place *pl) {
     const rr_core *c = p->c;
     const rr_task_status *r = rr_task_status_find(m, pl);
-    if (m->rep.worker_epoch > pl->worker_epoch) {
+    if (m->heartbeat.worker_epoch > pl->worker_epoch) {
         /* The worker killed and forgot everything of the earlier worker_epoch, and commands for it
          * are refused. */
         rr_plan_over(p, m, pl, r && r->state == RR_TASK_ENDED && r->exit_reason == RR_EXIT_DONE,
@@ -184,7 +184,7 @@
     if (r && !stop) {
         return false;
     }
-    if (m->do_inflight || p->now < m->do_next || !rr_machine_fresh(c, m, p->now)) {
+    if (m->command_inflight || p->now < m->next_command_at || !rr_machine_fresh(c, m, p->now)) {
         return true;
     }
     if (!stop) {
@@ -193,7 +193,7 @@
     }
     /* Absent in a report that knows the present token, with no start of this term under way: it
      * never will be there. */
-    if (!r && m->rep.fencing_token == c->term.token && !start_lost(c, m, pl->attempt)) {
+    if (!r && m->heartbeat.fencing_token == c->term.token && !start_lost(c, m, pl->attempt)) {
         rr_plan_over(p, m, pl, false, "absent");
     } else {
         stop_place(p, m, pl, r);
@@ -207,7 +207,7 @@
  * good waits: a task that is to run again may be refused where an earlier attempt of it is still
  * shown. */
 static bool reap_may_wait(const struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
-    if (m->plan_do || r->exit_reason != RR_EXIT_DONE || m->rep.tasks->len > REAP_PIECES) {
+    if (m->plan_do || r->exit_reason != RR_EXIT_DONE || m->heartbeat.tasks->len > REAP_PIECES) {
         return false;
     }
     m->reap_at = m->reap_at > 0 ? m->reap_at : p->now;
@@ -235,7 +235,7 @@
         return false;
     }
     if (r->state != RR_TASK_ENDED) {
-        order(p, m, RR_STOP, r->job_id, r->task, r->attempt, 0);
+        order(p, m, RR_COMMAND_STOP, r->job_id, r->task, r->attempt, 0);
         return true;
     }
     /* While a copy of its start may come late, the exited attempt stays and blocks it. */
@@ -245,7 +245,7 @@
     if (reap_may_wait(p, m, r)) {
         return true;
     }
-    order(p, m, RR_REAP, r->job_id, r->task, r->attempt, 0);
+    order(p, m, RR_COMMAND_REAP, r->job_id, r->task, r->attempt, 0);
     return true;
 }
 
@@ -253,7 +253,7 @@
 static void see_over(const struct rr_planner *p, const rr_machine *m, rr_place *pl) {
     const rr_task_status *r = rr_task_status_find(m, pl);
     if (pl->over_at <= 0 && ((r && r->state == RR_TASK_ENDED) ||
-                             (m->heard && m->rep.worker_epoch > pl->worker_epoch))) {
+                             (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch))) {
         pl->over_at = p->now;
     }
 }
@@ -265,7 +265,7 @@
     c->visits++;
     /* A booking is made on a recorded machine only; one whose record has gone is proven gone. */
     bool gone = !m->recorded;
-    if (!gone && (!m->heard || m->rep.fencing_token > c->term.token)) {
+    if (!gone && (!m->heartbeat_seen || m->heartbeat.fencing_token > c->term.token)) {
         return false; /* a report or the next term brings it back */
     }
     for (guint i = 0; i < m->places->len; i++) {
@@ -281,11 +281,13 @@
             again = reconcile_place(p, m, pl) || again;
         }
     }
-    if (gone || m->do_inflight || p->now < m->do_next || !rr_machine_fresh(c, m, p->now)) {
-        return again || m->do_inflight || p->now < m->do_next;
+    if (gone || m->command_inflight || p->now < m->next_command_at ||
+        !rr_machine_fresh(c, m, p->now)) {
+        return again || m->command_inflight || p->now < m->next_command_at;
     }
-    for (guint i = 0; i < m->rep.tasks->len; i++) {
-        again = reconcile_stray(p, m, &g_array_index(m->rep.tasks, rr_task_status, i)) || again;
+    for (guint i = 0; i < m->heartbeat.tasks->len; i++) {
+        again =
+            reconcile_stray(p, m, &g_array_index(m->heartbeat.tasks, rr_task_status, i)) || again;
     }
     return again;
 }
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -6,21 +6,21 @@
 #define FULL_S                                                                                     \
     2.0 /* what fills it is on its way into the ledger, or a stray that is being stopped */
 
-static bool newer(const rr_machine *m, const rr_report *r) {
-    if (!m->heard) {
+static bool newer(const rr_machine *m, const rr_heartbeat *r) {
+    if (!m->heartbeat_seen) {
         return true;
     }
-    if (r->worker_epoch != m->rep.worker_epoch) {
-        return r->worker_epoch > m->rep.worker_epoch;
+    if (r->worker_epoch != m->heartbeat.worker_epoch) {
+        return r->worker_epoch > m->heartbeat.worker_epoch;
     }
-    return r->sequence > m->rep.sequence;
+    return r->sequence > m->heartbeat.sequence;
 }
 
 /* A machine fetches an image before it runs a task, and keeps those used last. */
 static void note_images(rr_core *c, rr_machine *m) {
     const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    for (guint i = 0; i < m->rep.tasks->len; i++) {
-        const rr_task_status *p = &g_array_index(m->rep.tasks, rr_task_status, i);
+    for (guint i = 0; i < m->heartbeat.tasks->len; i++) {
+        const rr_task_status *p = &g_array_index(m->heartbeat.tasks, rr_task_status, i);
         const rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
         bool fetched = p->state == RR_TASK_RUNNING || p->state == RR_TASK_WAITING;
         if (!j || j->image < 0 || !fetched || rr_machine_has_image(m, j->image)) {
@@ -36,8 +36,8 @@
 }
 
 static bool was_shown_failed(const rr_machine *m, const rr_task_status *p) {
-    for (guint i = 0; m->heard && i < m->rep.tasks->len; i++) {
-        const rr_task_status *q = &g_array_index(m->rep.tasks, rr_task_status, i);
+    for (guint i = 0; m->heartbeat_seen && i < m->heartbeat.tasks->len; i++) {
+        const rr_task_status *q = &g_array_index(m->heartbeat.tasks, rr_task_status, i);
         if (q->attempt == p->attempt && q->task == p->task && q->state == RR_TASK_ENDED &&
             strcmp(q->job_id, p->job_id) == 0) {
             return true;
@@ -47,8 +47,8 @@
 }
 
 static bool was_running(const rr_machine *m, const rr_task_status *p) {
-    for (guint i = 0; m->heard && i < m->rep.tasks->len; i++) {
-        const rr_task_status *q = &g_array_index(m->rep.tasks, rr_task_status, i);
+    for (guint i = 0; m->heartbeat_seen && i < m->heartbeat.tasks->len; i++) {
+        const rr_task_status *q = &g_array_index(m->heartbeat.tasks, rr_task_status, i);
         if (q->attempt == p->attempt && q->task == p->task && strcmp(q->job_id, p->job_id) == 0) {
             return q->state != RR_TASK_FETCHING;
         }
@@ -57,7 +57,7 @@
 }
 
 /* For whoever follows a day: when each task runs, and how long after its job came to be known. */
-static void log_starts(rr_core *c, const rr_machine *m, const rr_report *r, double now) {
+static void log_starts(rr_core *c, const rr_machine *m, const rr_heartbeat *r, double now) {
     for (guint i = 0; i < r->tasks->len; i++) {
         const rr_task_status *p = &g_array_index(r->tasks, rr_task_status, i);
         const rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
@@ -70,7 +70,7 @@
     }
 }
 
-static void note_failures(rr_core *c, rr_machine *m, const rr_report *r, double now) {
+static void note_failures(rr_core *c, rr_machine *m, const rr_heartbeat *r, double now) {
     for (guint i = 0; i < r->tasks->len; i++) {
         const rr_task_status *p = &g_array_index(r->tasks, rr_task_status, i);
         if (p->state != RR_TASK_ENDED || was_shown_failed(m, p)) {
@@ -90,9 +90,9 @@
 }
 
 /* Whether a report says anything that the one before did not. */
-static bool same_content(const rr_machine *m, const rr_report *r, uint64_t hash) {
-    return m->heard && m->rep.worker_epoch == r->worker_epoch && m->rep_hash == hash &&
-           strcmp(m->rep.addr, r->addr) == 0;
+static bool same_content(const rr_machine *m, const rr_heartbeat *r, uint64_t hash) {
+    return m->heartbeat_seen && m->heartbeat.worker_epoch == r->worker_epoch &&
+           m->heartbeat_hash == hash && strcmp(m->heartbeat.addr, r->addr) == 0;
 }
 
 #define SECOND_S 0.3 /* copies of one moment come together */
@@ -102,40 +102,40 @@
  * term's token does (this process's own first term is newer than anything sent before it), or a
  * second one that is newer. A machine that was recorded while this process watched has never been
  * up before: nothing of it can be from an earlier time. */
-static void vouch(const rr_core *c, rr_machine *m, const rr_report *r, double now) {
+static void vouch(const rr_core *c, rr_machine *m, const rr_heartbeat *r, double now) {
     m->vouched = m->vouched || m->young ||
                  (c->term.token > 0 && r->fencing_token == c->term.token) ||
-                 (m->heard && now - m->heard_at > SECOND_S);
+                 (m->heartbeat_seen && now - m->heartbeat_at > SECOND_S);
 }
 
-static void note_news(rr_core *c, rr_machine *m, const rr_report *r, double now) {
-    if (!m->heard) {
+static void record_news(rr_core *c, rr_machine *m, const rr_heartbeat *r, double now) {
+    if (!m->heartbeat_seen) {
         rr_log_at(c, RR_LOG_DEBUG, "machine %s is up in %s after %.0f s", m->name, r->zone,
                   now - m->known_at);
     }
-    if (m->heard && r->worker_epoch > m->rep.worker_epoch) {
+    if (m->heartbeat_seen && r->worker_epoch > m->heartbeat.worker_epoch) {
         rr_log_at(c, RR_LOG_DEBUG, "machine %s lost its lease: worker epoch %" G_GUINT64_FORMAT,
                   m->name, r->worker_epoch);
         c->leases_lost++;
     }
-    if (r->spot_notice_s >= 0 && (!m->heard || m->rep.spot_notice_s < 0)) {
+    if (r->spot_notice_s >= 0 && (!m->heartbeat_seen || m->heartbeat.spot_notice_s < 0)) {
         rr_log_at(c, RR_LOG_DEBUG, "machine %s goes in %.0f s (notice)", m->name, r->spot_notice_s);
         c->notices++;
     }
 }
 
-enum rr_news rr_core_report(rr_core *c, double now, rr_report *r, int via) {
+enum rr_heartbeat_news rr_core_take_heartbeat(rr_core *c, double now, rr_heartbeat *r, int via) {
     rr_machine *m = g_hash_table_lookup(c->machines, r->machine);
     if (!m && g_hash_table_contains(c->gone, r->machine)) {
-        rr_report_clear(r); /* a late copy about a machine that has gone creates nothing */
-        return RR_NEWS_NONE;
+        rr_heartbeat_clear(r); /* a late copy about a machine that has gone creates nothing */
+        return RR_HEARTBEAT_IGNORED;
     }
     if (!m) {
         m = rr_machine_get(c, r->machine, now);
     }
     if (!newer(m, r)) {
-        rr_report_clear(r);
-        return RR_NEWS_NONE;
+        rr_heartbeat_clear(r);
+        return RR_HEARTBEAT_IGNORED;
     }
     if (m->machine_type < 0) {
         m->machine_type = rr_names_add(&c->machine_types, r->machine_type);
@@ -146,25 +146,25 @@
     if (rr_machine_quiet(c, m, now)) {
         m->unanswered = m->deaf_probes = 0; /* the silence explains it */
     }
-    uint64_t hash = rr_report_hash(r);
+    uint64_t hash = rr_heartbeat_hash(r);
     bool changed = !same_content(m, r, hash);
     if (changed) {
-        note_news(c, m, r, now);
+        record_news(c, m, r, now);
         g_strlcpy(m->addr, r->addr, sizeof m->addr);
         note_failures(c, m, r, now);
         if (c->log_level >= RR_LOG_DEBUG) {
             log_starts(c, m, r, now);
         }
     }
-    rr_report_clear(&m->rep);
-    m->rep = *r;
-    m->rep_hash = hash;
+    rr_heartbeat_clear(&m->heartbeat);
+    m->heartbeat = *r;
+    m->heartbeat_hash = hash;
     r->tasks = NULL;
-    m->heard = true;
-    m->heard_at = m->reported_at = now;
+    m->heartbeat_seen = true;
+    m->heartbeat_at = m->reported_at = now;
     m->probe_fails = 0;
     m->stale_answers = 0;
-    m->via = via;
+    m->heard_via = via;
     if (via < 0) {
         rr_contact_heard(&c->direct, now);
     }
@@ -172,22 +172,23 @@
         note_images(c, m);
         rr_touch(c, m);
     }
-    return changed ? RR_NEWS_CHANGED : RR_NEWS_HEARD;
+    return changed ? RR_HEARTBEAT_CHANGED : RR_HEARTBEAT_UNCHANGED;
 }
 
 /* A machine that is back under its name at once, with its counts begun anew, looks older than what
  * is known of it: its reports are dropped, and yet it answers. It is another one; what was on the
  * first is gone, but a command on its way to that one could still reach this one. So it is asked
  * back. */
-void rr_core_vouch(rr_core *c, double now, const rr_heard *h) {
+void rr_core_vouch(rr_core *c, double now, const rr_heartbeat_digest *h) {
     rr_machine *m = g_hash_table_lookup(c->machines, h->machine);
     if (!m) {
         return;
     }
     m->vouched = true;
     bool older =
-        m->heard && (h->worker_epoch < m->rep.worker_epoch ||
-                     (h->worker_epoch == m->rep.worker_epoch && h->sequence < m->rep.sequence));
+        m->heartbeat_seen &&
+        (h->worker_epoch < m->heartbeat.worker_epoch ||
+         (h->worker_epoch == m->heartbeat.worker_epoch && h->sequence < m->heartbeat.sequence));
     if (!older) {
         m->stale_answers = 0;
     } else if (m->stale_answers++ == 0) {
@@ -198,12 +199,12 @@
 #define ITSELF_REPORTS 1.5
 
 /* It shows the machine as a report does, but says nothing of whether its own reports arrive. */
-bool rr_core_take_answer(rr_core *c, double now, rr_report *r, int via) {
-    rr_heard h = {.worker_epoch = r->worker_epoch, .sequence = r->sequence};
+bool rr_core_take_command_reply(rr_core *c, double now, rr_heartbeat *r, int via) {
+    rr_heartbeat_digest h = {.worker_epoch = r->worker_epoch, .sequence = r->sequence};
     g_strlcpy(h.machine, r->machine, sizeof h.machine);
     const rr_machine *known = g_hash_table_lookup(c->machines, r->machine);
-    double reported = known && known->heard ? known->reported_at : now;
-    rr_core_report(c, now, r, via);
+    double reported = known && known->heartbeat_seen ? known->reported_at : now;
+    rr_core_take_heartbeat(c, now, r, via);
     rr_core_vouch(c, now, &h);
     rr_machine *m = g_hash_table_lookup(c->machines, h.machine);
     if (m) {
@@ -216,18 +217,18 @@
     return m->stale_answers >= 3 && now - m->stale_at > 2;
 }
 
-bool rr_core_heard(rr_core *c, double now, const rr_heard *h, int via) {
+bool rr_core_take_heartbeat_digest(rr_core *c, double now, const rr_heartbeat_digest *h, int via) {
     rr_machine *m = g_hash_table_lookup(c->machines, h->machine);
-    if (!m || !m->heard || m->rep.worker_epoch != h->worker_epoch ||
-        h->sequence <= m->rep.sequence) {
+    if (!m || !m->heartbeat_seen || m->heartbeat.worker_epoch != h->worker_epoch ||
+        h->sequence <= m->heartbeat.sequence) {
         return false;
     }
-    m->vouched = m->vouched || now - m->heard_at > SECOND_S;
-    m->heard_at = m->reported_at = now;
+    m->vouched = m->vouched || now - m->heartbeat_at > SECOND_S;
+    m->heartbeat_at = m->reported_at = now;
     m->probe_fails = 0;
-    m->via = via;
-    if (m->rep_hash == h->hash) {
-        m->rep.sequence = h->sequence; /* it says what is known here */
+    m->heard_via = via;
+    if (m->heartbeat_hash == h->hash) {
+        m->heartbeat.sequence = h->sequence; /* it says what is known here */
     }
     return true;
 }
@@ -245,7 +246,8 @@
     }
 }
 
-uint32_t rr_core_wanted_by(const rr_core *c, const char *machine, uint32_t *now_and_then) {
+uint32_t rr_core_heartbeat_subscribers(const rr_core *c, const char *machine,
+                                       uint32_t *now_and_then) {
     const rr_machine *m = g_hash_table_lookup(c->machines, machine);
     uint32_t peers = 0;
     *now_and_then = 0;
@@ -253,8 +255,8 @@
     for (guint i = 0; m && i < m->places->len; i++) {
         want_owner(c, g_array_index(m->places, rr_place, i).job, &peers);
     }
-    for (guint i = 0; m && m->heard && i < m->rep.tasks->len; i++) {
-        const char *ref = g_array_index(m->rep.tasks, rr_task_status, i).job_id;
+    for (guint i = 0; m && m->heartbeat_seen && i < m->heartbeat.tasks->len; i++) {
+        const char *ref = g_array_index(m->heartbeat.tasks, rr_task_status, i).job_id;
         want_owner(c, g_hash_table_lookup(c->jobs, ref), &peers);
     }
     /* Every owner looks for room everywhere. */
@@ -264,7 +266,7 @@
     return peers;
 }
 
-static const char *other_node(const rr_core *c, const rr_report *r) {
+static const char *other_node(const rr_core *c, const rr_heartbeat *r) {
     guint n = c->term.nodes->len;
     guint first = n ? (guint)(r->sequence % n) : 0;
     for (guint i = 0; i < n; i++) {
@@ -284,9 +286,10 @@
  * token that the worker will take: one lower than it has seen would be dropped, and the worker
  * would stay here until its lease runs out. Any controller adds the stops of cancelled jobs, so
  * that they end even where their owner can't reach the machine. */
-void rr_core_answer(rr_core *c, double now, const rr_report *r, struct rr_answer *out) {
+void rr_core_reply_to_heartbeat(rr_core *c, double now, const rr_heartbeat *r,
+                                struct rr_heartbeat_reply *out) {
     memset(out, 0, sizeof *out);
-    if (!rr_in_term(c) || now >= c->fresh_at + rr_answer_s(c->cfg) ||
+    if (!rr_in_term(c) || now >= c->fresh_at + rr_heartbeat_reply_s(c->cfg) ||
         r->fencing_token > c->term.token) {
         out->peer = other_node(c, r);
         out->status = out->peer ? 421 : 503;
@@ -294,16 +297,17 @@
     }
     out->status = 200;
     out->fencing_token = c->term.token;
-    out->orders = g_array_new(FALSE, TRUE, sizeof(rr_order));
+    out->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
     for (guint i = 0; i < r->tasks->len; i++) {
         const rr_task_status *p = &g_array_index(r->tasks, rr_task_status, i);
         const rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
         bool unwanted = (j && j->cancelled && !j->done) || rr_job_final(c, p->job_id, NULL, NULL) ||
                         rr_cancel_hinted(c, p->job_id, now);
         if (p->state != RR_TASK_ENDED && unwanted) {
-            rr_order o = {.verb = RR_STOP, .task = p->task, .attempt = p->attempt, .grace_s = 0};
+            rr_command o = {
+                .kind = RR_COMMAND_STOP, .task = p->task, .attempt = p->attempt, .grace_s = 0};
             g_strlcpy(o.job_id, p->job_id, sizeof o.job_id);
-            g_array_append_val(out->orders, o);
+            g_array_append_val(out->commands, o);
         }
     }
 }
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -34,9 +34,9 @@
     guint up = 0, bad = 0;
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        if (m->recorded && m->heard) {
+        if (m->recorded && m->heartbeat_seen) {
             up++;
-            bad += !rr_machine_fresh(c, m, now) || m->rep.spot_notice_s >= 0;
+            bad += !rr_machine_fresh(c, m, now) || m->heartbeat.spot_notice_s >= 0;
         }
     }
     bool quiet = bad * 50 <= up && !rr_core_late(c, now, RR_LATE_S);
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -229,7 +229,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         out->machines += m->recorded;
-        out->booting += m->recorded && !m->heard;
+        out->booting += m->recorded && !m->heartbeat_seen;
         out->tasks_placed += m->places->len;
         out->priced += m->recorded ? rr_machine_price(c, m) : 0;
     }
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -9,7 +9,7 @@
 #define SICK_S 60.0 /* since its last failure; jobs may wait 90 s in all */
 
 double rr_silent_for(const rr_machine *m, double now) {
-    return m->heard ? now - m->heard_at : now - m->known_at;
+    return m->heartbeat_seen ? now - m->heartbeat_at : now - m->known_at;
 }
 
 /* A worker that gets no answers reports every 5 s or so, to one controller after the other. */
@@ -20,7 +20,8 @@
 }
 
 bool rr_machine_fresh(const rr_core *c, const rr_machine *m, double now) {
-    return m->heard && now - m->heard_at <= c->cfg->tune.silent_reports * c->cfg->report_s;
+    return m->heartbeat_seen &&
+           now - m->heartbeat_at <= c->cfg->tune.silent_reports * c->cfg->report_s;
 }
 
 #define MUTE_REPORTS 2.5
@@ -30,13 +31,13 @@
  * heard for as long: otherwise it may well report to one that we don't hear. */
 bool rr_machine_mute(const rr_core *c, const rr_machine *m, double now) {
     double limit = MUTE_REPORTS * c->cfg->report_s;
-    return m->heard && now - m->reported_at > limit && rr_peers_last(c, now, limit);
+    return m->heartbeat_seen && now - m->reported_at > limit && rr_peers_last(c, now, limit);
 }
 
 /* DESIGN's risk: a cut zone keeps stale reports, so only a fresh one makes room count. */
 bool rr_machine_usable(const rr_core *c, const rr_machine *m, double now) {
     return m->recorded && !m->ret && m->addr[0] && m->vouched && rr_machine_fresh(c, m, now) &&
-           m->rep.spot_notice_s < 0 && now >= m->full_until && !rr_machine_sick(m, now) &&
+           m->heartbeat.spot_notice_s < 0 && now >= m->full_until && !rr_machine_sick(m, now) &&
            !m->give_up && !rr_machine_deaf(m) && !rr_machine_mute(c, m, now);
 }
 
@@ -105,7 +106,7 @@
 static bool was_up(const rr_machine *m) {
     /* Work in the ledger shows it, even if this process never heard the machine: a provisioner that
      * restarts into a cut must not take the few it hears for the whole zone. */
-    return m->recorded && (m->heard || m->places->len > 0);
+    return m->recorded && (m->heartbeat_seen || m->places->len > 0);
 }
 
 /* When a cut begins its machines have been heard at different times, so that the first of them are
@@ -116,7 +117,7 @@
 #define RECENT_SHARE 0.3
 
 static bool heard_recently(const rr_core *c, const rr_machine *m, double now) {
-    return m->heard && now - m->heard_at <= RECENT * c->cfg->report_s;
+    return m->heartbeat_seen && now - m->heartbeat_at <= RECENT * c->cfg->report_s;
 }
 
 /* One walk for all zones. */
@@ -168,7 +169,7 @@
     k->at = now;
 }
 
-void rr_core_peer_heard(rr_core *c, double now, int peer) {
+void rr_core_peer_contacted(rr_core *c, double now, int peer) {
     if (peer >= 0 && peer < RR_MAX_NODES) {
         rr_contact_heard(&c->peers[peer], now);
     }
--- a/src/peer/internal.h
+++ b/src/peer/internal.h
@@ -21,17 +21,17 @@
     pthread_t thread;
     bool started;
     pthread_cond_t wake;
-    GQueue queue;         /* GBytes*: payloads of report frames */
-    GHashTable *heard[2]; /* machine -> rr_heard, by hops */
-    GPtrArray *suspects;  /* char* */
+    GQueue queue;           /* GBytes*: payloads of report frames */
+    GHashTable *digests[2]; /* machine -> rr_heartbeat_digest, by hops */
+    GPtrArray *suspects;    /* char* */
     rr_cancellations *cancelled;
     GBytes *demand;  /* to be told, NULL: none */
     unsigned life;   /* counts losses: what was sent before may not have arrived */
     double up_at;    /* since when our connection to it stands */
     double patience; /* how long it may stand without a sign that it works */
     /* What the peer last said of whom it hears, by index of ours. */
-    double
-        heard_at; /* when it last said so: on its link to us, nothing else shows that that works */
+    double peer_digest_at; /* when it last said so: on its link to us, nothing else shows that that
+                              works */
     bool hears[RR_MAX_NODES], hears_us;
 };
 
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -22,14 +22,14 @@
 }
 
 bool rr_link_heard_lately(const struct link *l, double now) {
-    return l->heard_at > 0 && now - l->heard_at < RR_PEER_HEARS_S;
+    return l->peer_digest_at > 0 && now - l->peer_digest_at < RR_PEER_HEARS_S;
 }
 
 static void put_list(struct link *l, unsigned hops, GByteArray *out, double now) {
     const rr_peers *p = l->owner;
     GHashTableIter it;
     gpointer v;
-    guint at = rr_frame_begin(out, RR_FRAME_HEARD);
+    guint at = rr_frame_begin(out, RR_FRAME_HEARTBEAT_DIGESTS);
     uint16_t hears = 0, n = 0;
     rr_frame_u8(out, (uint8_t)hops);
     for (size_t i = 0; i < p->cfg->npeers; i++) {
@@ -43,9 +43,9 @@
     }
     guint count_at = out->len;
     rr_frame_u16(out, 0);
-    g_hash_table_iter_init(&it, l->heard[hops]);
+    g_hash_table_iter_init(&it, l->digests[hops]);
     while (n < RR_PEER_LIST_MAX && g_hash_table_iter_next(&it, NULL, &v)) {
-        const rr_heard *h = v;
+        const rr_heartbeat_digest *h = v;
         rr_frame_text(out, h->machine);
         rr_frame_u64(out, h->worker_epoch);
         rr_frame_u64(out, h->sequence);
@@ -61,7 +61,7 @@
 /* Bounded by the machines there are: each is in a list once. */
 static void put_rest_of_lists(struct link *l, GByteArray *out, double now) {
     for (unsigned hops = 0; hops < 2; hops++) {
-        while (g_hash_table_size(l->heard[hops]) > 0) {
+        while (g_hash_table_size(l->digests[hops]) > 0) {
             put_list(l, hops, out, now);
         }
     }
@@ -106,7 +106,7 @@
     while (out->len < RR_FRAME_MAX && (b = g_queue_pop_head(&l->queue))) {
         gsize n;
         const void *data = g_bytes_get_data(b, &n);
-        guint at = rr_frame_begin(out, RR_FRAME_REPORT);
+        guint at = rr_frame_begin(out, RR_FRAME_HEARTBEAT);
         g_byte_array_append(out, data, (guint)n);
         rr_frame_end(out, at);
         g_bytes_unref(b);
@@ -137,8 +137,8 @@
 static void forget_queue(struct link *l) {
     pthread_mutex_lock(&l->owner->lock);
     g_queue_clear_full(&l->queue, (GDestroyNotify)g_bytes_unref);
-    g_hash_table_remove_all(l->heard[0]);
-    g_hash_table_remove_all(l->heard[1]);
+    g_hash_table_remove_all(l->digests[0]);
+    g_hash_table_remove_all(l->digests[1]);
     g_ptr_array_set_size(l->suspects, 0);
     g_clear_pointer(&l->demand, g_bytes_unref);
     l->life++;
--- a/src/peer/listener.c
+++ b/src/peer/listener.c
@@ -68,7 +68,7 @@
 }
 
 /* The nodes that the peer hears, then the machines. */
-static int serve_heard(rr_peers *p, int peer, rr_unpack *u) {
+static int serve_heartbeat_digests(rr_peers *p, int peer, rr_unpack *u) {
     struct link *l = &p->links[peer];
     bool hears[RR_MAX_NODES] = {false}, hears_us = false;
     char name[RR_NAME];
@@ -85,7 +85,7 @@
     if (u->bad || n > RR_PEER_LIST_MAX || hops > 1) {
         return -EBADMSG;
     }
-    rr_heard *list = g_new0(rr_heard, n + 1);
+    rr_heartbeat_digest *list = g_new0(rr_heartbeat_digest, n + 1);
     for (uint16_t i = 0; i < n && !u->bad; i++) {
         rr_unpack_text(u, list[i].machine, sizeof list[i].machine);
         list[i].worker_epoch = rr_unpack_u64(u);
@@ -96,9 +96,9 @@
         pthread_mutex_lock(&p->lock);
         memcpy(l->hears, hears, sizeof hears);
         l->hears_us = hears_us;
-        l->heard_at = rr_now();
+        l->peer_digest_at = rr_now();
         pthread_mutex_unlock(&p->lock);
-        p->ev.heard(p->ev.user, peer, hops, list, n);
+        p->ev.heartbeat_digests(p->ev.user, peer, hops, list, n);
     }
     g_free(list);
     return u->bad ? -EBADMSG : 0;
@@ -146,7 +146,7 @@
     case RR_FRAME_SENT_AT:
         c->late = sent_long_ago(p, u);
         return u->bad ? -EBADMSG : 0;
-    case RR_FRAME_REPORT:
+    case RR_FRAME_HEARTBEAT:
         if (u->left < 2) {
             return -EBADMSG;
         }
@@ -154,8 +154,8 @@
             p->ev.report(p->ev.user, c->peer, u->p[0], u->p + 1, u->left - 1);
         }
         return 0;
-    case RR_FRAME_HEARD:
-        return c->late ? 0 : serve_heard(p, c->peer, u);
+    case RR_FRAME_HEARTBEAT_DIGESTS:
+        return c->late ? 0 : serve_heartbeat_digests(p, c->peer, u);
     case RR_FRAME_SUSPECT:
         return c->late ? 0 : serve_suspects(p, u);
     case RR_FRAME_CANCELLED:
--- a/src/peer/outbox.c
+++ b/src/peer/outbox.c
@@ -30,9 +30,9 @@
     g_queue_push_tail(&l->queue, g_bytes_ref(b));
 }
 
-static void queue_line(struct link *l, unsigned hops, const rr_heard *h) {
-    rr_heard *copy = g_memdup2(h, sizeof *h);
-    g_hash_table_replace(l->heard[hops], copy->machine, copy);
+static void queue_line(struct link *l, unsigned hops, const rr_heartbeat_digest *h) {
+    rr_heartbeat_digest *copy = g_memdup2(h, sizeof *h);
+    g_hash_table_replace(l->digests[hops], copy->machine, copy);
 }
 
 static gboolean unused(gpointer k, gpointer v, gpointer now) {
@@ -61,8 +61,8 @@
     return g_bytes_new_take(payload, len + 1);
 }
 
-void rr_peers_report(rr_peers *p, uint32_t wanted, uint32_t rare, const rr_heard *h,
-                     const void *body, size_t len) {
+void rr_peers_send_heartbeat(rr_peers *p, uint32_t wanted, uint32_t rare,
+                             const rr_heartbeat_digest *h, const void *body, size_t len) {
     if (p->cfg->npeers == 0 || len + RR_FRAME_HEAD + 1 > RR_FRAME_MAX / 2) {
         return;
     }
@@ -94,8 +94,8 @@
     }
 }
 
-void rr_peers_pass_on(rr_peers *p, int from, const rr_heard *list, size_t n, const void *body,
-                      size_t len) {
+void rr_peers_forward_heartbeats(rr_peers *p, int from, const rr_heartbeat_digest *list, size_t n,
+                                 const void *body, size_t len) {
     GBytes *whole = NULL;
     if (from < 0 || len + RR_FRAME_HEAD + 1 > RR_FRAME_MAX / 2) {
         return;
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -25,8 +25,8 @@
     for (int i = 0; i < RR_MAX_NODES; i++) {
         g_queue_init(&p->links[i].queue);
         pthread_cond_init(&p->links[i].wake, &steady);
-        p->links[i].heard[0] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-        p->links[i].heard[1] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+        p->links[i].digests[0] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+        p->links[i].digests[1] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
         p->links[i].suspects = g_ptr_array_new_with_free_func(g_free);
         p->links[i].cancelled = rr_cancellations_create();
         p->links[i].owner = p;
@@ -87,8 +87,8 @@
     }
     for (int i = 0; i < RR_MAX_NODES; i++) {
         g_queue_clear_full(&p->links[i].queue, (GDestroyNotify)g_bytes_unref);
-        g_hash_table_destroy(p->links[i].heard[0]);
-        g_hash_table_destroy(p->links[i].heard[1]);
+        g_hash_table_destroy(p->links[i].digests[0]);
+        g_hash_table_destroy(p->links[i].digests[1]);
         g_ptr_array_free(p->links[i].suspects, TRUE);
         rr_cancellations_destroy(p->links[i].cancelled);
         g_clear_pointer(&p->links[i].demand, g_bytes_unref);
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -19,7 +19,8 @@
      * thread; body is borrowed. */
     void (*report)(void *user, int peer, unsigned hops, const void *body, size_t len);
     /* Machines that a peer heard again, with nothing to say that it has not sent before. */
-    void (*heard)(void *user, int peer, unsigned hops, const rr_heard *list, size_t n);
+    void (*heartbeat_digests)(void *user, int peer, unsigned hops, const rr_heartbeat_digest *list,
+                              size_t n);
     /* A peer's commands get no answer from this machine. */
     void (*suspect)(void *user, const char *machine);
     /* A peer has confirmed this job's cancellation. */
@@ -41,12 +42,12 @@
 
 /* Queues a report that this controller heard: whole for the peers in `wanted` (bits of indices) if
  * they have not had its content, for those in `rare` now and then; for all others a line. */
-void rr_peers_report(rr_peers *p, uint32_t wanted, uint32_t rare, const rr_heard *h,
-                     const void *body, size_t len);
+void rr_peers_send_heartbeat(rr_peers *p, uint32_t wanted, uint32_t rare,
+                             const rr_heartbeat_digest *h, const void *body, size_t len);
 /* Passes on what peer `from` sent to those who say that they don't hear it: the report's body if
  * there is one, else lines. */
-void rr_peers_pass_on(rr_peers *p, int from, const rr_heard *list, size_t n, const void *body,
-                      size_t len);
+void rr_peers_forward_heartbeats(rr_peers *p, int from, const rr_heartbeat_digest *list, size_t n,
+                                 const void *body, size_t len);
 void rr_peers_suspects(rr_peers *p, const GPtrArray *names /* char* */);
 
 /* Tells all peers that this job's cancellation is confirmed, over each connection anew until then.
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -226,7 +226,7 @@
     return true;
 }
 
-int rr_report_decode(const msgpack_object *o, rr_report *r) {
+int rr_heartbeat_decode(const msgpack_object *o, rr_heartbeat *r) {
     memset(r, 0, sizeof *r);
     r->tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     r->spot_notice_s = -1;
@@ -254,15 +254,15 @@
     return 0;
 }
 
-void rr_report_clear(rr_report *r) {
+void rr_heartbeat_clear(rr_heartbeat *r) {
     if (r->tasks) {
         g_array_free(r->tasks, TRUE);
         r->tasks = NULL;
     }
 }
 
-void rr_orders_encode(rr_encoder *o, uint64_t fencing_token, uint64_t worker_epoch,
-                      const GArray *orders) {
+void rr_commands_encode(rr_encoder *o, uint64_t fencing_token, uint64_t worker_epoch,
+                        const GArray *orders) {
     rr_encode_map(o, worker_epoch ? 3 : 2);
     rr_encode_key_u64(o, "warrant", fencing_token);
     if (worker_epoch) {
@@ -271,14 +271,14 @@
     rr_encode_text(o, "orders");
     rr_encode_array(o, orders ? orders->len : 0);
     for (guint i = 0; orders && i < orders->len; i++) {
-        const rr_order *c = &g_array_index(orders, rr_order, i);
+        const rr_command *c = &g_array_index(orders, rr_command, i);
         char piece[2 * RR_ID];
         g_snprintf(piece, sizeof piece, "%s/%u", c->job_id, c->task);
-        rr_encode_map(o, c->verb == RR_STOP ? 4 : 3);
-        rr_encode_key_text(o, "verb", verbs[c->verb]);
+        rr_encode_map(o, c->kind == RR_COMMAND_STOP ? 4 : 3);
+        rr_encode_key_text(o, "verb", verbs[c->kind]);
         rr_encode_key_text(o, "piece", piece);
         rr_encode_key_u64(o, "try", c->attempt);
-        if (c->verb == RR_STOP) {
+        if (c->kind == RR_COMMAND_STOP) {
             rr_encode_key_number(o, "leave_s", c->grace_s);
         }
     }
@@ -364,7 +364,7 @@
     return h;
 }
 
-uint64_t rr_report_hash(const rr_report *r) {
+uint64_t rr_heartbeat_hash(const rr_heartbeat *r) {
     uint64_t h = mix(1469598103934665603ULL, &r->fencing_token, sizeof r->fencing_token);
     uint8_t notice = r->spot_notice_s >= 0;
     h = mix(h, &notice, 1);
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -117,34 +117,34 @@
     uint64_t worker_epoch, sequence, fencing_token;
     double spot_notice_s; /* <0: no notice */
     GArray *tasks;        /* rr_task_status */
-} rr_report;
+} rr_heartbeat;
 
-int rr_report_decode(const msgpack_object *o, rr_report *out);
-void rr_report_clear(rr_report *r);
+int rr_heartbeat_decode(const msgpack_object *o, rr_heartbeat *out);
+void rr_heartbeat_clear(rr_heartbeat *r);
 /* Of what it says beside who and when: two reports of one worker_epoch with the same hash say the
  * same.
  */
-uint64_t rr_report_hash(const rr_report *r);
+uint64_t rr_heartbeat_hash(const rr_heartbeat *r);
 
 /* A sign of life, for those who need no more: the report with this sequence had this hash. */
 typedef struct {
     char machine[RR_ID];
     uint64_t worker_epoch, sequence, hash;
-} rr_heard;
+} rr_heartbeat_digest;
 bool rr_task_name_parse(const char *text, char *ref, size_t size, uint32_t *task);
 
-enum rr_verb { RR_START, RR_STOP, RR_REAP };
+enum rr_command_kind { RR_COMMAND_START, RR_COMMAND_STOP, RR_COMMAND_REAP };
 typedef struct {
-    enum rr_verb verb;
+    enum rr_command_kind kind;
     char job_id[RR_ID];
     uint32_t task;
     uint64_t attempt;
     double grace_s;
-} rr_order;
+} rr_command;
 
 /* Body of /do (worker_epoch > 0) or of an answer to /hello (worker_epoch 0). */
-void rr_orders_encode(rr_encoder *o, uint64_t fencing_token, uint64_t worker_epoch,
-                      const GArray *orders);
+void rr_commands_encode(rr_encoder *o, uint64_t fencing_token, uint64_t worker_epoch,
+                        const GArray *orders);
 
 /* ---- cloud ---- */
 typedef struct {
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -115,12 +115,12 @@
     fx_show_jobs(&cell->node, &show);
     unsigned stops = 0;
     fx_plan(&cell->node, &plan);
-    for (guint i = 0; i < plan.dos->len; i++) {
-        rr_do *command = g_ptr_array_index(plan.dos, i);
+    for (guint i = 0; i < plan.command_batches->len; i++) {
+        rr_command_batch *command = g_ptr_array_index(plan.command_batches, i);
         for (uint32_t task = 0; task < show.tasks; task++) {
-            stops += fx_order(&plan, command->machine, RR_STOP, job_id, task) != NULL;
+            stops += fx_order(&plan, command->machine, RR_COMMAND_STOP, job_id, task) != NULL;
         }
-        rr_core_do_result(cell->node.core, cell->node.now, command, RR_DO_ANSWERED, true);
+        rr_core_command_result(cell->node.core, cell->node.now, command, RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
     return stops;
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -440,7 +440,7 @@
     return found;
 }
 
-static void add_piece(rr_report *r, const char *text) {
+static void add_piece(rr_heartbeat *r, const char *text) {
     static const char *const standings[] = {"fetching", "running", "flushing", "ended", "waiting"};
     static const char *const causes[] = {"",       "done",    "halted", "error",     "full",
                                          "in_use", "no_such", "peers",  "incomplete"};
@@ -463,11 +463,11 @@
 
 void fx_report(fx_node *n, const char *id, const char *zone, bool spot, uint64_t worker_epoch,
                uint64_t sequence, uint64_t fencing_token, ...) {
-    rr_report r = {.spot = spot,
-                   .worker_epoch = worker_epoch,
-                   .sequence = sequence,
-                   .fencing_token = fencing_token,
-                   .spot_notice_s = n->spot_notice_s};
+    rr_heartbeat r = {.spot = spot,
+                      .worker_epoch = worker_epoch,
+                      .sequence = sequence,
+                      .fencing_token = fencing_token,
+                      .spot_notice_s = n->spot_notice_s};
     va_list ap;
     const char *text;
     g_strlcpy(r.machine, id, sizeof r.machine);
@@ -480,8 +480,8 @@
         add_piece(&r, text);
     }
     va_end(ap);
-    rr_core_report(n->core, n->now, &r, -1);
-    rr_report_clear(&r);
+    rr_core_take_heartbeat(n->core, n->now, &r, -1);
+    rr_heartbeat_clear(&r);
 }
 
 int fx_plan(fx_node *n, rr_plan *p) {
@@ -560,9 +560,9 @@
     }
 }
 
-rr_do *fx_do(const rr_plan *p, const char *id) {
-    for (guint i = 0; i < p->dos->len; i++) {
-        rr_do *d = g_ptr_array_index(p->dos, i);
+rr_command_batch *fx_do(const rr_plan *p, const char *id) {
+    for (guint i = 0; i < p->command_batches->len; i++) {
+        rr_command_batch *d = g_ptr_array_index(p->command_batches, i);
         if (strcmp(d->machine, id) == 0) {
             return d;
         }
@@ -570,12 +570,12 @@
     return NULL;
 }
 
-const rr_order *fx_order(const rr_plan *p, const char *id, enum rr_verb verb, const char *ref,
-                         uint32_t task) {
-    const rr_do *d = fx_do(p, id);
-    for (guint i = 0; d && i < d->orders->len; i++) {
-        const rr_order *o = &g_array_index(d->orders, rr_order, i);
-        if (o->verb == verb && o->task == task && strcmp(o->job_id, ref) == 0) {
+const rr_command *fx_order(const rr_plan *p, const char *id, enum rr_command_kind verb,
+                           const char *ref, uint32_t task) {
+    const rr_command_batch *d = fx_do(p, id);
+    for (guint i = 0; d && i < d->commands->len; i++) {
+        const rr_command *o = &g_array_index(d->commands, rr_command, i);
+        if (o->kind == verb && o->task == task && strcmp(o->job_id, ref) == 0) {
             return o;
         }
     }
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -116,8 +116,8 @@
 /* The attempt booked for ref/task on machine id, 0: none. */
 uint64_t fx_booked(const fx_store *s, const char *id, const char *ref, uint32_t task);
 /* The first order of this verb for the task in the plan, or NULL. */
-const rr_order *fx_order(const rr_plan *p, const char *id, enum rr_verb verb, const char *ref,
-                         uint32_t task);
-rr_do *fx_do(const rr_plan *p, const char *id);
+const rr_command *fx_order(const rr_plan *p, const char *id, enum rr_command_kind verb,
+                           const char *ref, uint32_t task);
+rr_command_batch *fx_do(const rr_plan *p, const char *id);
 
 #endif
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -24,7 +24,7 @@
     at = rr_frame_begin(b, RR_FRAME_SENT_AT);
     rr_frame_u64(b, 1000000);
     rr_frame_end(b, at);
-    at = rr_frame_begin(b, RR_FRAME_HEARD);
+    at = rr_frame_begin(b, RR_FRAME_HEARTBEAT_DIGESTS);
     rr_frame_u8(b, 0);
     rr_frame_u16(b, 1);
     rr_frame_text(b, "n1");
@@ -64,8 +64,9 @@
     for (int i = 0; i < 3; i++) {
         n->now += 1;
         fx_plan(n, &p);
-        for (guint k = 0; k < p.dos->len; k++) {
-            rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, k), RR_DO_ANSWERED, true);
+        for (guint k = 0; k < p.command_batches->len; k++) {
+            rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, k),
+                                   RR_COMMAND_ANSWERED, true);
         }
         rr_plan_clear(&p);
     }
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -12,8 +12,9 @@
 static void plan_once(fx_node *n) {
     rr_plan p;
     fx_plan(n, &p);
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, i), RR_DO_ANSWERED, true);
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, i),
+                               RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&p);
 }
@@ -157,7 +158,7 @@
     assert_true(fx_booked(w->store, "vm-2", "req-2", 0) == small);
     /* The old copy is stopped; the new one waits. */
     fx_plan(n, &p);
-    assert_null(fx_order(&p, "vm-1", RR_START, "req-2", 0));
+    assert_null(fx_order(&p, "vm-1", RR_COMMAND_START, "req-2", 0));
     rr_plan_clear(&p);
     char *gone = g_strdup_printf("req-2 0 %" G_GUINT64_FORMAT " ended:halted", small);
     n->now += 1;
@@ -165,7 +166,7 @@
     plan_once(n);
     assert_true(fx_booked(w->store, "vm-2", "req-2", 0) == 0);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, "vm-1", RR_START, "req-2", 0));
+    assert_non_null(fx_order(&p, "vm-1", RR_COMMAND_START, "req-2", 0));
     rr_plan_clear(&p);
     g_free(gone);
     g_free(r1);
@@ -228,10 +229,10 @@
     assert_true(fx_booked(w->store, "vm-1", "req-3", 0) != 0);
     n->now += 2;
     fx_plan(n, &p);
-    const rr_order *stop = fx_order(&p, "vm-1", RR_STOP, "req-1", 0);
+    const rr_command *stop = fx_order(&p, "vm-1", RR_COMMAND_STOP, "req-1", 0);
     assert_non_null(stop);
     assert_true(stop->grace_s >= 2);
-    assert_null(fx_order(&p, "vm-1", RR_START, "req-3", 0));
+    assert_null(fx_order(&p, "vm-1", RR_COMMAND_START, "req-3", 0));
     rr_plan_clear(&p);
     g_free(r1);
 }
@@ -269,7 +270,7 @@
     fx_plan(n, &p);
     unsigned stops = 0;
     for (int i = 0; i < 4; i++) {
-        stops += fx_order(&p, "vm-1", RR_STOP, refs[i], 0) != NULL;
+        stops += fx_order(&p, "vm-1", RR_COMMAND_STOP, refs[i], 0) != NULL;
         g_free(r[i]);
     }
     assert_int_equal(stops, 1);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -58,21 +58,21 @@
 }
 
 /* One plan, answered: how many orders of this verb went out for the job, and the least grace. */
-static unsigned plan(fx_node *n, enum rr_verb verb, const char *ref, double *leave) {
+static unsigned plan(fx_node *n, enum rr_command_kind verb, const char *ref, double *leave) {
     rr_plan p;
     unsigned found = 0;
     double least = 1e9;
     fx_plan(n, &p);
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_do *d = g_ptr_array_index(p.dos, i);
-        for (guint k = 0; k < d->orders->len; k++) {
-            const rr_order *o = &g_array_index(d->orders, rr_order, k);
-            if (o->verb == verb && strcmp(o->job_id, ref) == 0) {
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_command_batch *d = g_ptr_array_index(p.command_batches, i);
+        for (guint k = 0; k < d->commands->len; k++) {
+            const rr_command *o = &g_array_index(d->commands, rr_command, k);
+            if (o->kind == verb && strcmp(o->job_id, ref) == 0) {
                 found++;
                 least = o->grace_s < least ? o->grace_s : least;
             }
         }
-        rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
+        rr_core_command_result(n->core, n->now, d, RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&p);
     if (leave) {
@@ -91,8 +91,8 @@
     show_all(n, j->job_id, NULL);
     fx_submit(w->store, j, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, j->job_id, NULL);
-    assert_int_equal(plan(n, RR_START, j->job_id, NULL), j->pieces);
+    plan(n, RR_COMMAND_START, j->job_id, NULL);
+    assert_int_equal(plan(n, RR_COMMAND_START, j->job_id, NULL), j->pieces);
 }
 
 static int machine_of(const fx_world *w, uint32_t task, uint64_t *attempt) {
@@ -218,7 +218,7 @@
         show_all(n, "req-1", shown_in[before]);
         let_happen(w, event, m, before);
         assert_int_equal(phase(n, "req-1"), phase_after(event, before));
-        unsigned stops = plan(n, RR_STOP, "req-1", &leave);
+        unsigned stops = plan(n, RR_COMMAND_STOP, "req-1", &leave);
         assert_int_equal(stops, stops_after(event, before));
         if (stops > 0) {
             assert_true(event == NOTICE ? leave >= 3 : leave == 0);
@@ -235,11 +235,11 @@
     uint64_t first, at;
     start(w, &gang);
     show_all(n, "req-1", "running");
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     int m = machine_of(w, 1, &first);
     n->now += 1;
     show(n, m, "req-1", NULL, 2, -1);
-    assert_int_equal(plan(n, RR_STOP, "req-1", NULL), 2);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", NULL), 2);
     for (int i = 0; i < 6; i++) { /* one of the others goes on, or can't be heard */
         n->now += 1;
         int slow = machine_of(w, 2, &at);
@@ -248,7 +248,7 @@
                 show(n, k, "req-1", k == m ? NULL : "ended:peers", k == m ? 2 : 1, -1);
             }
         }
-        plan(n, RR_STOP, "req-1", NULL);
+        plan(n, RR_COMMAND_STOP, "req-1", NULL);
         assert_int_equal(fx_placed(w->store, "req-1"), 3);
         assert_true(machine_of(w, 2, &at) == slow && at == first);
     }
@@ -257,7 +257,7 @@
         show(n, k, "req-1", k == m ? NULL : "ended:peers", k == m ? 2 : 1, -1);
     }
     for (int i = 0; i < 3; i++) {
-        plan(n, RR_REAP, "req-1", NULL);
+        plan(n, RR_COMMAND_REAP, "req-1", NULL);
         n->now += 0.5;
     }
     assert_int_equal(fx_placed(w->store, "req-1"), 3);
@@ -272,7 +272,7 @@
     uint64_t at;
     start(w, &gang);
     show_all(n, "req-1", "running");
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_string_equal(v.state, "running");
     n->now += 30;
@@ -280,10 +280,10 @@
     int m = machine_of(w, 0, &at);
     uint64_t before = w->store->epoch;
     show(n, m, "req-1", "ended:done", 1, -1);
-    plan(n, RR_REAP, "req-1", NULL);
+    plan(n, RR_COMMAND_REAP, "req-1", NULL);
     n->now += 0.5;
     show_all(n, "req-1", "ended:done");
-    plan(n, RR_REAP, "req-1", NULL);
+    plan(n, RR_COMMAND_REAP, "req-1", NULL);
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_true(v.done && v.done_count == 3);
     assert_int_equal(w->store->epoch, before + 1);
@@ -303,14 +303,14 @@
     show_all(n, "req-1", "running");
     show(n, machine_of(w, 0, &at), "req-1", "ended:done", 1, -1);
     for (int i = 0; i < 4; i++) {
-        plan(n, RR_REAP, "req-1", NULL);
+        plan(n, RR_COMMAND_REAP, "req-1", NULL);
         n->now += 0.5;
     }
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_true(v.done);
     assert_int_equal(fx_placed(w->store, "req-1"), 2);
     show_all(n, "req-1", "ended:done");
-    plan(n, RR_REAP, "req-1", NULL);
+    plan(n, RR_COMMAND_REAP, "req-1", NULL);
     assert_int_equal(fx_placed(w->store, "req-1"), 0);
 }
 
@@ -322,17 +322,17 @@
     double leave;
     start(w, &gang);
     show_all(n, "req-1", "running");
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     int m = machine_of(w, 0, &at);
     show(n, m, "req-1", "running", 1, 20);
-    assert_int_equal(plan(n, RR_STOP, "req-1", &leave), 3);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", &leave), 3);
     assert_true(leave >= 3 && leave <= 3 + n->cfg.gang_peer_s);
     n->now += 1.6;
     show_all(n, "req-1", "flushing");
-    assert_int_equal(plan(n, RR_STOP, "req-1", NULL), 0);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", NULL), 0);
     n->now += 1.6;
     show(n, m, "req-1", "ended:halted", 1, 18);
-    assert_int_equal(plan(n, RR_STOP, "req-1", NULL), 0);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", NULL), 0);
 }
 
 /* The limit counts the whole gang, and a gang without room holds none: another that fits goes. */
@@ -350,13 +350,13 @@
     fx_submit(w->store, &large, n->now);
     fx_submit(w->store, &small, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fx_placed(w->store, "req-1"), 0);
     assert_int_equal(fx_placed(w->store, "req-2"), 2);
     fx_submit(w->store, &other, n->now);
     fx_sync(w->store, n->core, n->now);
     n->now += 0.1;
-    plan(n, RR_START, "req-3", NULL);
+    plan(n, RR_COMMAND_START, "req-3", NULL);
     assert_int_equal(fx_placed(w->store, "req-3"), 4); /* over both zones */
     n->cfg.teams[0].cpus_max = 90;
     struct fx_job over = gang;
@@ -368,7 +368,7 @@
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 4; i++) {
         n->now += 1;
-        plan(n, RR_START, "req-4", NULL);
+        plan(n, RR_COMMAND_START, "req-4", NULL);
     }
     assert_int_equal(fx_placed(w->store, "req-4"), 0);
 }
@@ -383,15 +383,16 @@
     show_all(n, "req-1", NULL);
     fx_submit(w->store, &gang, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     int m = machine_of(w, 0, &first);
     char id[16];
     g_snprintf(id, sizeof id, "vm-%d", m);
     fx_plan(n, &p);
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_do *d = g_ptr_array_index(p.dos, i);
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_command_batch *d = g_ptr_array_index(p.command_batches, i);
         bool lost = strcmp(d->machine, id) == 0;
-        rr_core_do_result(n->core, n->now, d, lost ? RR_DO_DOUBT : RR_DO_ANSWERED, !lost);
+        rr_core_command_result(n->core, n->now, d,
+                               lost ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED, !lost);
     }
     rr_plan_clear(&p);
     for (int k = 1; k <= MACHINES; k++) {
@@ -402,17 +403,18 @@
         show(n, k, "req-1", k == m ? NULL : "ended:incomplete", 1, -1);
     }
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, id, RR_START, "req-1", 0));
-    assert_non_null(fx_order(&p, id, RR_STOP, "req-1", 0));
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, i), RR_DO_ANSWERED, true);
+    assert_non_null(fx_order(&p, id, RR_COMMAND_START, "req-1", 0));
+    assert_non_null(fx_order(&p, id, RR_COMMAND_STOP, "req-1", 0));
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, i),
+                               RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&p);
     assert_true(machine_of(w, 0, &at) == m && at == first);
     n->now += 1;
     show_all(n, "req-1", "ended:halted");
     for (int i = 0; i < 3; i++) {
-        plan(n, RR_REAP, "req-1", NULL);
+        plan(n, RR_COMMAND_REAP, "req-1", NULL);
         n->now += 0.5;
     }
     machine_of(w, 0, &at);
@@ -438,7 +440,7 @@
         show(&next, k, "req-1", k == m ? "ended:peers" : "running", 1, -1);
     }
     assert_int_equal(phase(&next, "req-1"), RR_GANG_STOPPING);
-    assert_int_equal(plan(&next, RR_STOP, "req-1", NULL), 2);
+    assert_int_equal(plan(&next, RR_COMMAND_STOP, "req-1", NULL), 2);
     fx_node_clear(&next);
 }
 
@@ -487,11 +489,11 @@
     show_all(n, "req-1", NULL);
     fx_submit(w->store, &(struct fx_job){.job_id = "req-5", .zone = "a", .cpus = 1}, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-5", NULL);
+    plan(n, RR_COMMAND_START, "req-5", NULL);
     show_jobs(n, one, 1, 1, runs);
     fx_submit(w->store, &gang, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     for (uint32_t t = 0; t < 3; t++) {
         assert_in_range(machine_of(w, t, &at), 1, 3);
     }
@@ -512,7 +514,7 @@
             .job_id = "req-5", .rank = "low", .cpus = 8, .pieces = 12, .checkpoint_interval_s = 30},
         n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-5", NULL);
+    plan(n, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fx_placed(w->store, "req-5"), 12);
     show_jobs(n, arrays, 1, 12, runs);
     large.job_id = "req-2";
@@ -521,22 +523,22 @@
     fx_submit(w->store, &large, n->now);
     fx_sync(w->store, n->core, n->now);
     n->now += 1;
-    plan(n, RR_START, "req-2", NULL);
+    plan(n, RR_COMMAND_START, "req-2", NULL);
     n->now += 1;
-    assert_int_equal(plan(n, RR_STOP, "req-5", NULL), 0);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-5", NULL), 0);
     assert_int_equal(fx_placed(w->store, "req-2"), 0);
     urgent.job_class = "live";
     urgent.pieces = 2;
     fx_submit(w->store, &urgent, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fx_placed(w->store, "req-1"), 2);
     uint64_t at;
     assert_int_equal(machine_of(w, 0, &at) <= 3, machine_of(w, 1, &at) <= 3);
     show_jobs(n, arrays, 1, 12, runs);
     n->now += 1;
-    assert_int_equal(plan(n, RR_STOP, "req-5", NULL), 4); /* two machines' worth, no more */
-    assert_int_equal(plan(n, RR_START, "req-1", NULL), 0);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-5", NULL), 4); /* two machines' worth, no more */
+    assert_int_equal(plan(n, RR_COMMAND_START, "req-1", NULL), 0);
 }
 
 /* A replica takes the room of one task of a gang of lower priority: all of the gang is told to save
@@ -559,18 +561,18 @@
             .job_id = "req-2", .rank = "prod", .job_class = "live", .service = true, .cpus = 8},
         n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-2", NULL);
+    plan(n, RR_COMMAND_START, "req-2", NULL);
     assert_int_equal(fx_placed(w->store, "req-2"), 1);
     show_all(n, "req-1", "running");
     n->now += 1;
-    assert_int_equal(plan(n, RR_STOP, "req-1", &leave), MACHINES);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", &leave), MACHINES);
     assert_true(leave >= 3);
     assert_int_equal(phase(n, "req-1"), RR_GANG_STOPPING);
     machine_of(w, 0, &at);
     n->now += 4;
     show_all(n, "req-1", "ended:halted");
     for (int i = 0; i < 4; i++) {
-        plan(n, RR_REAP, "req-1", NULL);
+        plan(n, RR_COMMAND_REAP, "req-1", NULL);
         n->now += 0.5;
     }
     /* There is room for five of six now: it waits, and holds none of it. */
@@ -593,7 +595,7 @@
             .job_id = "req-5", .rank = "prod", .cpus = 16, .pieces = MACHINES, .service = true},
         n->now);
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-5", NULL);
+    plan(n, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fx_placed(w->store, "req-5"), MACHINES);
     show_jobs(n, others, 1, 12, runs);
     owed.team = beyond.team = "blue";
@@ -602,16 +604,16 @@
     beyond.job_id = "req-2";
     fx_submit(w->store, &beyond, n->now); /* thirty CPUs */
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-2", NULL);
+    plan(n, RR_COMMAND_START, "req-2", NULL);
     assert_int_equal(fx_placed(w->store, "req-2"), 0);
     fx_submit(w->store, &owed, n->now);
     fx_sync(w->store, n->core, n->now);
     n->now += 0.1;
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fx_placed(w->store, "req-1"), 2);
     show_jobs(n, others, 1, 12, runs);
     n->now += 1;
-    assert_int_equal(plan(n, RR_STOP, "req-5", NULL), 2);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-5", NULL), 2);
 }
 
 #define SMALL_JOBS 40
@@ -661,7 +663,7 @@
     fx_sync(w->store, n->core, n->now);
     double began = n->now;
     while (begun[0] + begun[1] < 2 && n->now - began < 240) {
-        plan(n, RR_START, "req-1", NULL);
+        plan(n, RR_COMMAND_START, "req-1", NULL);
         unsigned held[2] = {fx_placed(w->store, "req-1"), fx_placed(w->store, "req-2")};
         assert_true(held[0] % 3 == 0 && held[1] % 3 == 0);
         begun[0] = held[0] == 3;
@@ -699,14 +701,14 @@
                   n->now);
     }
     fx_sync(w->store, n->core, n->now);
-    plan(n, RR_START, "req-100", NULL);
+    plan(n, RR_COMMAND_START, "req-100", NULL);
     fx_submit(w->store, &gang, n->now); /* thirty CPUs */
     fx_sync(w->store, n->core, n->now);
     double began = n->now;
     while (fx_placed(w->store, "req-1") == 0 && n->now - began < 240) {
         n->now += 2;
         show_jobs(n, small, SMALL_JOBS, 12, one_in_eight_ends);
-        plan(n, RR_START, "req-1", NULL);
+        plan(n, RR_COMMAND_START, "req-1", NULL);
     }
     assert_int_equal(fx_placed(w->store, "req-1"), 3);
 }
@@ -730,7 +732,7 @@
     fx_submit(w->store, &wide, n->now);
     fx_sync(w->store, n->core, n->now);
     uint64_t before = w->store->epoch;
-    plan(n, RR_START, "req-1", NULL);
+    plan(n, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
     assert_int_equal(w->store->epoch, before + 1);
     assert_true(fx_count(w->store, RR_ROOT "run/req-1/") == 2);
@@ -740,7 +742,7 @@
     n->now += 20;
     show_jobs(n, wide_ref, 1, 60, is_done);
     before = w->store->epoch;
-    plan(n, RR_REAP, "req-1", NULL);
+    plan(n, RR_COMMAND_REAP, "req-1", NULL);
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_true(v.done);
     assert_int_equal(w->store->epoch, before + 1);
@@ -786,7 +788,7 @@
     assert_true(v.cancelled);
     fx_leave_old_version(n);
     show_all(n, "req-1", "running");
-    assert_int_equal(plan(n, RR_STOP, "req-1", NULL), 3);
+    assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", NULL), 3);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
 }
 
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -27,10 +27,11 @@
         n->now += 0.01;
         fx_plan(n, &p);
         guint now = changes_of(&p);
-        for (guint k = 0; k < p.dos->len; k++) {
-            rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, k), RR_DO_ANSWERED, true);
+        for (guint k = 0; k < p.command_batches->len; k++) {
+            rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, k),
+                                   RR_COMMAND_ANSWERED, true);
         }
-        bool idle = now == 0 && p.dos->len == 0;
+        bool idle = now == 0 && p.command_batches->len == 0;
         rr_plan_clear(&p);
         changes += now;
         if (idle) {
@@ -120,7 +121,7 @@
         report_all(n, 1, FLEET, "a", 1, sequence);
         fx_plan(n, &p);
         assert_false(p.has_txn);
-        assert_int_equal(p.dos->len, 0);
+        assert_int_equal(p.command_batches->len, 0);
         rr_plan_clear(&p);
     }
     assert_int_equal(visits(n), before);
@@ -524,19 +525,19 @@
     rr_core_stats st;
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.tasks_placed, 0);
-    rr_report r = {.worker_epoch = 1,
-                   .sequence = 900,
-                   .fencing_token = rr_core_token(n->core),
-                   .spot_notice_s = -1};
+    rr_heartbeat r = {.worker_epoch = 1,
+                      .sequence = 900,
+                      .fencing_token = rr_core_token(n->core),
+                      .spot_notice_s = -1};
     rr_task_status piece = {.job_id = "req-000002", .attempt = 1, .state = RR_TASK_RUNNING};
-    struct rr_answer ans;
+    struct rr_heartbeat_reply ans;
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     g_array_append_val(r.tasks, piece);
-    rr_core_answer(n->core, n->now, &r, &ans);
+    rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
     assert_int_equal(ans.status, 200);
-    assert_int_equal(ans.orders->len, 1);
-    g_array_free(ans.orders, TRUE);
-    rr_report_clear(&r);
+    assert_int_equal(ans.commands->len, 1);
+    g_array_free(ans.commands, TRUE);
+    rr_heartbeat_clear(&r);
 }
 
 /* A mirror is read page by page; in between it is half a state, in which a machine may be missing
@@ -555,7 +556,7 @@
     n->now += 3;
     rr_core_plan(n->core, n->now, n->now, (rr_plan_init(&p), &p));
     assert_false(p.has_txn);
-    assert_int_equal(p.dos->len, 0);
+    assert_int_equal(p.command_batches->len, 0);
     rr_plan_clear(&p);
     rr_step_init(&s);
     rr_core_provisioner_step(n->core, n->now, n->now, &s);
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -24,12 +24,12 @@
 }
 
 /* One plan; commands are answered or stay in doubt. Changes committed: 1. */
-static int plan_with(fx_node *n, enum rr_do_outcome outcome) {
+static int plan_with(fx_node *n, enum rr_command_outcome outcome) {
     rr_plan p;
     int committed = fx_plan(n, &p);
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, i), outcome,
-                          outcome == RR_DO_ANSWERED);
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, i), outcome,
+                               outcome == RR_COMMAND_ANSWERED);
     }
     rr_plan_clear(&p);
     return committed;
@@ -55,30 +55,30 @@
     hear(n, "vm-2", 1, NULL);
     fx_submit(w->store, j, n->now);
     fx_sync(w->store, n->core, n->now);
-    assert_int_equal(plan_with(n, RR_DO_ANSWERED), 1);
-    plan_with(n, RR_DO_ANSWERED);
+    assert_int_equal(plan_with(n, RR_COMMAND_ANSWERED), 1);
+    plan_with(n, RR_COMMAND_ANSWERED);
     return place_of(w->store, j->job_id, attempt);
 }
 
-/* A report of one running task, as the door hands it to rr_core_answer(): how it is answered, and
- * how many stops the answer carries. */
+/* A report of one running task, as the door hands it to rr_core_reply_to_heartbeat(): how it is
+ * answered, and how many stops the answer carries. */
 static int answer_at(const fx_node *n, double at, const char *ref, uint64_t attempt,
                      unsigned *stops) {
-    rr_report r = {.worker_epoch = 1,
-                   .sequence = 3,
-                   .fencing_token = rr_core_token(n->core),
-                   .spot_notice_s = -1};
+    rr_heartbeat r = {.worker_epoch = 1,
+                      .sequence = 3,
+                      .fencing_token = rr_core_token(n->core),
+                      .spot_notice_s = -1};
     rr_task_status p = {.attempt = attempt, .state = RR_TASK_RUNNING};
-    struct rr_answer ans;
+    struct rr_heartbeat_reply ans;
     g_strlcpy(p.job_id, ref, sizeof p.job_id);
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     g_array_append_val(r.tasks, p);
-    rr_core_answer(n->core, at, &r, &ans);
-    *stops = ans.orders ? ans.orders->len : 0;
-    if (ans.orders) {
-        g_array_free(ans.orders, TRUE);
+    rr_core_reply_to_heartbeat(n->core, at, &r, &ans);
+    *stops = ans.commands ? ans.commands->len : 0;
+    if (ans.commands) {
+        g_array_free(ans.commands, TRUE);
     }
-    rr_report_clear(&r);
+    rr_heartbeat_clear(&r);
     return ans.status;
 }
 
@@ -103,7 +103,7 @@
     other.now = last + 0.001;
     fx_sync(w->store, other.core, other.now);
     fx_cancel(&other, j.job_id); /* confirmed, at `other.now` at the earliest */
-    double answers = rr_answer_s(&leader->cfg), tick = 0.001;
+    double answers = rr_heartbeat_reply_s(&leader->cfg), tick = 0.001;
     rr_core_set_session(leader->core, 7, last + 1e6); /* a renewal says nothing of cancellations */
     assert_int_equal(answer_at(leader, last + answers - tick, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 0);
@@ -193,14 +193,14 @@
     fx_sync(w->store, n->core, n->now);
     const char *m = place_of(w->store, done.job_id, &at);
     char *ended = shown(done.job_id, at, "ended:done");
-    plan_with(n, RR_DO_ANSWERED);
+    plan_with(n, RR_COMMAND_ANSWERED);
     fx_cancel(n, called_off.job_id);
     n->now += 1;
     hear(n, "vm-1", 2, strcmp(m, "vm-1") == 0 ? ended : NULL);
     hear(n, "vm-2", 2, strcmp(m, "vm-2") == 0 ? ended : NULL);
     for (int i = 0; i < 6; i++) {
         n->now += 1;
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
         assert_int_not_equal(fx_commit(w->store, &late.txn), 0);
     }
     assert_int_equal(fx_count(w->store, RR_ROOT "run/"), 0);
@@ -243,7 +243,7 @@
             assert_true(v.done == !cancel_first);
             assert_true(v.cancelled == (bool)cancel_first);
             n->now += 1;
-            plan_with(n, RR_DO_ANSWERED);
+            plan_with(n, RR_COMMAND_ANSWERED);
         }
         rr_txn_clear(&cancel);
         rr_plan_clear(&end);
@@ -272,11 +272,11 @@
     for (uint64_t i = 0; i < 12; i++) {
         n->now += 2;
         hear(n, other, 10 + i, NULL);
-        plan_with(n, RR_DO_DOUBT);
+        plan_with(n, RR_COMMAND_OUTCOME_UNKNOWN);
         assert_null(place_of(w->store, j2.job_id, &at2));
     }
     fx_report(n, m, zone_of(m), false, 1, 40, old, NULL); /* held back since before the change */
-    plan_with(n, RR_DO_DOUBT);
+    plan_with(n, RR_COMMAND_OUTCOME_UNKNOWN);
     assert_true(fx_booked(w->store, m, j1.job_id, 0) == at);
     assert_null(place_of(w->store, j2.job_id, &at2));
     n->now += 3;
@@ -284,7 +284,7 @@
     hear(n, other, 41, NULL);
     for (int i = 0; i < 3; i++) {
         n->now += 1;
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
     }
     assert_non_null(place_of(w->store, j2.job_id, &at2));
     assert_true(fx_booked(w->store, m, j1.job_id, 0) == 0);
@@ -302,11 +302,11 @@
     fx_join(n, 8);
     n->now += 1;
     hear(n, m, 20, runs);
-    plan_with(n, RR_DO_ANSWERED);
+    plan_with(n, RR_COMMAND_ANSWERED);
     /* Sent before the task had started, with the token of then; and a copy from after a lease. */
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core) - 1, NULL);
     fx_report(n, m, zone_of(m), false, 1, 19, rr_core_token(n->core), NULL);
-    plan_with(n, RR_DO_ANSWERED);
+    plan_with(n, RR_COMMAND_ANSWERED);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     rr_job_view v;
     rr_core_job_view(n->core, j.job_id, n->now, &v);
@@ -333,27 +333,27 @@
         for (int i = 0; i < 14; i++) {
             n->now += 1;
             if (peer_heard) {
-                rr_core_peer_heard(n->core, n->now, 0);
+                rr_core_peer_contacted(n->core, n->now, 0);
             }
-            plan_with(n, RR_DO_ANSWERED);
-            rr_report r = {.worker_epoch = 1,
-                           .sequence = ++sequence,
-                           .fencing_token = rr_core_token(n->core),
-                           .spot_notice_s = -1,
-                           .machine = "vm-1",
-                           .addr = "127.0.0.1:1001",
-                           .machine_type = "m1",
-                           .zone = "a"};
+            plan_with(n, RR_COMMAND_ANSWERED);
+            rr_heartbeat r = {.worker_epoch = 1,
+                              .sequence = ++sequence,
+                              .fencing_token = rr_core_token(n->core),
+                              .spot_notice_s = -1,
+                              .machine = "vm-1",
+                              .addr = "127.0.0.1:1001",
+                              .machine_type = "m1",
+                              .zone = "a"};
             r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-            bool shared = rr_core_take_answer(n->core, n->now, &r, -1);
+            bool shared = rr_core_take_command_reply(n->core, n->now, &r, -1);
             assert_true(shared == (i + 1 < 1.5 * n->cfg.report_s));
-            rr_report_clear(&r);
+            rr_heartbeat_clear(&r);
         }
         fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = "blue", .zone = "a"}, n->now);
         fx_submit(w->store, &(struct fx_job){.job_id = "req-9", .zone = "a"}, n->now);
         fx_sync(w->store, n->core, n->now);
         fx_sync(w->store, other.core, n->now);
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
         bool placed = place_of(w->store, ref, &at) || place_of(w->store, "req-9", &at);
         assert_true(placed == !peer_heard);
     }
@@ -395,12 +395,12 @@
     }
     for (int i = 0; i < 6; i++) {
         n->now += 0.3;
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
     }
     /* Seven times 7 of 16 CPUs are free in zone a, 8 of 32 in zone b, on one machine. */
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .one_zone = true, .cpus = 8}, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan_with(n, RR_DO_ANSWERED);
+    plan_with(n, RR_COMMAND_ANSWERED);
     at = fx_booked(w->store, "vm-2", "req-1", 0) + fx_booked(w->store, "vm-9", "req-1", 0);
     assert_true(at != 0);
     /* Three tasks of 6 fit into zone a alone. */
@@ -408,7 +408,7 @@
               &(struct fx_job){.job_id = "req-2", .one_zone = true, .cpus = 6, .pieces = 3},
               n->now);
     fx_sync(w->store, n->core, n->now);
-    plan_with(n, RR_DO_ANSWERED);
+    plan_with(n, RR_COMMAND_ANSWERED);
     assert_int_equal(fx_placed(w->store, "req-2"), 3);
 }
 
@@ -436,7 +436,7 @@
     hear(owner, "vm-1", 1, NULL);
     for (uint64_t i = 0; i < 6; i++) {
         owner->now += 1.6;
-        plan_with(owner, RR_DO_DOUBT);
+        plan_with(owner, RR_COMMAND_OUTCOME_UNKNOWN);
         hear(owner, "vm-1", 2 + i, NULL);
     }
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -445,9 +445,9 @@
     fx_report(owner, "vm-1", "a", false, 2, 20, rr_core_token(owner->core), NULL);
     /* The plan that finds its work there over comes right after a probe. */
     owner->now += 0.1;
-    plan_with(owner, RR_DO_DOUBT);
+    plan_with(owner, RR_COMMAND_OUTCOME_UNKNOWN);
     owner->now += 0.1;
-    plan_with(owner, RR_DO_DOUBT);
+    plan_with(owner, RR_COMMAND_OUTCOME_UNKNOWN);
     assert_null(place_of(w->store, "req-1", &at));
     assert_null(place_of(w->store, "req-2", &at));
     unsigned asked = 0;
@@ -456,10 +456,10 @@
         owner->now += 1;
         fx_report(owner, "vm-1", "a", false, 2, 21 + i, rr_core_token(owner->core), NULL);
         fx_plan(owner, &p);
-        for (guint k = 0; k < p.dos->len; k++) {
-            rr_do *d = g_ptr_array_index(p.dos, k);
-            asked += d->orders->len == 0;
-            rr_core_do_result(owner->core, owner->now, d, RR_DO_ANSWERED, true);
+        for (guint k = 0; k < p.command_batches->len; k++) {
+            rr_command_batch *d = g_ptr_array_index(p.command_batches, k);
+            asked += d->commands->len == 0;
+            rr_core_command_result(owner->core, owner->now, d, RR_COMMAND_ANSWERED, true);
         }
         rr_plan_clear(&p);
     }
@@ -484,7 +484,7 @@
         fx_submit(w->store, &(struct fx_job){.job_id = ref}, n->now);
         fx_sync(w->store, n->core, n->now);
         hear(n, "vm-1", sequence++, NULL);
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
         at = fx_booked(w->store, "vm-1", ref, 0);
         assert_true(at != 0);
         char *failed = shown(ref, at, "ended:error");
@@ -494,7 +494,7 @@
         for (int k = 0; k < 8; k++) {
             n->now += 0.5;
             hear(n, "vm-1", sequence++, NULL);
-            plan_with(n, RR_DO_ANSWERED);
+            plan_with(n, RR_COMMAND_ANSWERED);
         }
     }
     double failed_at = n->now;
@@ -504,7 +504,7 @@
     while (n->now < failed_at + 90 && began == 0) {
         n->now += 1;
         hear(n, "vm-1", sequence++, NULL);
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
         began = fx_booked(w->store, "vm-1", "req-3", 0) ? n->now : 0;
     }
     assert_true(began > failed_at + 40 && began < failed_at + 65);
@@ -522,13 +522,13 @@
     hear(n, "vm-1", 1, NULL);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
-    plan_with(n, RR_DO_ANSWERED);
+    plan_with(n, RR_COMMAND_ANSWERED);
     uint64_t at = fx_booked(w->store, "vm-1", j.job_id, 0);
-    plan_with(n, RR_DO_DOUBT); /* the start */
+    plan_with(n, RR_COMMAND_OUTCOME_UNKNOWN); /* the start */
     fx_cancel(n, j.job_id);
     n->now += 2;
     hear(n, "vm-1", 2, NULL);
-    plan_with(n, RR_DO_ANSWERED); /* start and stop */
+    plan_with(n, RR_COMMAND_ANSWERED); /* start and stop */
     char *ended = shown(j.job_id, at, "ended:halted");
     /* An attempt of another controller, in this term, of a job that is a line here. */
     uint64_t foreign = at ^ ((uint64_t)1 << 24);
@@ -539,9 +539,10 @@
         n->now += 30;
         hear(n, "vm-1", sequence++, ended);
         fx_plan(n, &p);
-        assert_null(fx_order(&p, "vm-1", RR_REAP, j.job_id, 0));
-        for (guint i = 0; i < p.dos->len; i++) {
-            rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, i), RR_DO_ANSWERED, true);
+        assert_null(fx_order(&p, "vm-1", RR_COMMAND_REAP, j.job_id, 0));
+        for (guint i = 0; i < p.command_batches->len; i++) {
+            rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, i),
+                                   RR_COMMAND_ANSWERED, true);
         }
         rr_plan_clear(&p);
         rr_core_get_stats(n->core, &st);
@@ -549,14 +550,14 @@
     assert_int_equal(st.jobs_whole, 0);
     hear(n, "vm-1", sequence++, theirs);
     fx_plan(n, &p);
-    assert_null(fx_order(&p, "vm-1", RR_REAP, j.job_id, 0));
+    assert_null(fx_order(&p, "vm-1", RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     /* The next term voids every copy: now the provisioner clears it. */
     fx_join(n, 8);
     n->now += 5;
     hear(n, "vm-1", sequence++, theirs);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, "vm-1", RR_REAP, j.job_id, 0));
+    assert_non_null(fx_order(&p, "vm-1", RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(theirs);
     g_free(ended);
@@ -591,7 +592,7 @@
     fx_leave(n);
     fx_join(&next, 9);
     fx_report(&next, "vm-7", "a", false, 1, 1, 0, NULL);
-    plan_with(&next, RR_DO_ANSWERED);
+    plan_with(&next, RR_COMMAND_ANSWERED);
     assert_true(fx_booked(w->store, "vm-7", "req-1", 0) == 0);
     bool repeated = false;
     for (int i = 0; i < 60 && !fx_recorded(w->store, "vm-7"); i++) {
@@ -611,7 +612,7 @@
     assert_true(repeated);
     assert_true(fx_recorded(w->store, "vm-7"));
     fx_report(&next, "vm-7", "a", false, 1, 2, rr_core_token(next.core), NULL);
-    plan_with(&next, RR_DO_ANSWERED);
+    plan_with(&next, RR_COMMAND_ANSWERED);
     at = fx_booked(w->store, "vm-7", "req-1", 0);
     assert_true(at != 0);
     rr_step_clear(&s);
@@ -680,7 +681,7 @@
             fx_cancel(n, ref); /* before it starts */
         }
         n->now += 0.25;
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
         if (i % 8 == 4) {
             fx_cancel(n, ref); /* while it runs */
         }
@@ -690,14 +691,14 @@
     }
     for (int i = 0; i < 8; i++) {
         n->now += 0.3;
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
     }
     assert_int_equal(fx_count(w->store, RR_ROOT "run/"), 0);
     /* Accepted, booked, ended with its ledger record gone; a cancelled one no more than that. */
     assert_true(changes_since(w->store, before) <= 4 * (unsigned)jobs);
     for (int i = 0; i < 6; i++) {
         n->now += 61;
-        plan_with(n, RR_DO_ANSWERED);
+        plan_with(n, RR_COMMAND_ANSWERED);
     }
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.jobs_whole, 0);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -42,11 +42,12 @@
     rr_plan p;
     unsigned probes = 0;
     fx_plan(n, &p);
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_do *d = g_ptr_array_index(p.dos, i);
-        probes += d->orders->len == 0;
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_command_batch *d = g_ptr_array_index(p.command_batches, i);
+        probes += d->commands->len == 0;
         bool up = id && strcmp(d->machine, id) == 0;
-        rr_core_do_result(n->core, n->now, d, up ? RR_DO_ANSWERED : RR_DO_NOT_SENT, up);
+        rr_core_command_result(n->core, n->now, d, up ? RR_COMMAND_ANSWERED : RR_COMMAND_NOT_SENT,
+                               up);
     }
     rr_plan_clear(&p);
     return probes;
@@ -292,7 +293,7 @@
     assert_int_equal(plan_unreachable(n), 0);
     n->now += 7;
     fx_plan(n, &p);
-    assert_int_equal(p.dos->len, 2);
+    assert_int_equal(p.command_batches->len, 2);
     rr_plan_clear(&p); /* still under way */
     n->now += 0.2;
     assert_int_equal(plan_unreachable(n), 0);
@@ -512,7 +513,7 @@
         n->now += 1;
         report_each(n, 1, t == 0 ? many : many - hung, (uint64_t)t + 1);
         if (controller_heard) {
-            rr_core_peer_heard(n->core, n->now, 0);
+            rr_core_peer_contacted(n->core, n->now, 0);
         }
         plan_unreachable(n);
         for (int k = 0; k < 3; k++) {
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -22,7 +22,7 @@
     fx_sync(w->store, w->n.core, w->n.now);
     assert_int_equal(fx_plan(&w->n, &p), 1);
     /* Nothing is started before the booking is recorded. */
-    assert_int_equal(p.dos->len, 0);
+    assert_int_equal(p.command_batches->len, 0);
     rr_plan_clear(&p);
     *attempt = fx_booked(w->store, "vm-1", j->job_id, 0);
     if (*attempt) {
@@ -52,21 +52,21 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     fx_plan(n, &p);
-    rr_do *d = fx_do(&p, m);
-    assert_non_null(fx_order(&p, m, RR_START, j.job_id, 0));
-    rr_core_do_result(n->core, n->now, d, RR_DO_DOUBT, false);
+    rr_command_batch *d = fx_do(&p, m);
+    assert_non_null(fx_order(&p, m, RR_COMMAND_START, j.job_id, 0));
+    rr_core_command_result(n->core, n->now, d, RR_COMMAND_OUTCOME_UNKNOWN, false);
     rr_plan_clear(&p);
     fx_cancel(n, j.job_id);
     n->now += 3;
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
-    const rr_order *start = fx_order(&p, m, RR_START, j.job_id, 0);
-    const rr_order *stop = fx_order(&p, m, RR_STOP, j.job_id, 0);
+    const rr_command *start = fx_order(&p, m, RR_COMMAND_START, j.job_id, 0);
+    const rr_command *stop = fx_order(&p, m, RR_COMMAND_STOP, j.job_id, 0);
     assert_non_null(start);
     assert_non_null(stop);
     assert_true(start < stop);
-    rr_core_do_result(n->core, n->now, fx_do(&p, m), RR_DO_ANSWERED, true);
+    rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_ANSWERED, true);
     rr_plan_clear(&p);
     /* Exited now: the booking may go, the attempt must stay as a block. */
     char *ended = shown(j.job_id, at, "ended:halted");
@@ -76,14 +76,14 @@
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
     fx_plan(n, &p);
-    assert_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
+    assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     /* The next term voids the late copy: now it is reaped. */
     fx_join(n, 8);
     n->now += 1;
     fx_report(n, m, zone_of(m), false, 1, 4, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
+    assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(ended);
 }
@@ -103,7 +103,7 @@
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
     assert_true(p.has_txn);
-    assert_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
+    assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p); /* the controller dies here: nothing is lost */
     rr_core_job_view(n->core, j.job_id, n->now, &v);
     assert_false(v.done);
@@ -114,12 +114,12 @@
     assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
     /* The reap waits for another command to go with, but not for ever. */
     fx_plan(n, &p);
-    assert_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
+    assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     n->now += n->cfg.report_s;
     fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
+    assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(ended);
 }
@@ -144,9 +144,9 @@
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_START, next.job_id, 0));
-    assert_non_null(fx_order(&p, m, RR_REAP, j.job_id, 0));
-    assert_int_equal(p.dos->len, 1);
+    assert_non_null(fx_order(&p, m, RR_COMMAND_START, next.job_id, 0));
+    assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
+    assert_int_equal(p.command_batches->len, 1);
     rr_plan_clear(&p);
     g_free(ended);
 }
@@ -202,7 +202,7 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     fx_plan(n, &p); /* the start is on its way */
-    rr_core_do_result(n->core, n->now, fx_do(&p, m), RR_DO_DOUBT, false);
+    rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_OUTCOME_UNKNOWN, false);
     rr_plan_clear(&p);
     fx_join(n, 8); /* a new incarnation, a new term */
     assert_true(rr_core_token(n->core) > old);
@@ -271,7 +271,7 @@
     fx_report(n, m, zone_of(m), false, 1, 5, rr_core_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
-    assert_non_null(fx_order(&p, m, RR_STOP, j.job_id, 0));
+    assert_non_null(fx_order(&p, m, RR_COMMAND_STOP, j.job_id, 0));
     rr_plan_clear(&p);
     g_free(running);
 }
@@ -285,7 +285,7 @@
     rr_plan p, q;
     const char *m = book_one(w, &j, &at);
     fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_START, j.job_id, 0));
+    assert_non_null(fx_order(&p, m, RR_COMMAND_START, j.job_id, 0));
     fx_cancel(n, j.job_id);
     n->now += 2;
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
@@ -295,9 +295,9 @@
     rr_plan_clear(&q);
     char *running = shown(j.job_id, at, "running");
     fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), running, NULL);
-    rr_core_do_result(n->core, n->now, fx_do(&p, m), RR_DO_ANSWERED, true);
+    rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_ANSWERED, true);
     fx_plan(n, &q);
-    const rr_order *stop = fx_order(&q, m, RR_STOP, j.job_id, 0);
+    const rr_command *stop = fx_order(&q, m, RR_COMMAND_STOP, j.job_id, 0);
     assert_non_null(stop);
     assert_true(stop->grace_s == 0);
     rr_plan_clear(&p);
@@ -313,21 +313,21 @@
     uint64_t at;
     book_one(w, &j, &at);
     fx_cancel(n, j.job_id);
-    rr_report r = {.worker_epoch = 1,
-                   .sequence = 3,
-                   .fencing_token = rr_core_token(n->core),
-                   .spot_notice_s = -1};
+    rr_heartbeat r = {.worker_epoch = 1,
+                      .sequence = 3,
+                      .fencing_token = rr_core_token(n->core),
+                      .spot_notice_s = -1};
     rr_task_status piece = {.attempt = at, .state = RR_TASK_RUNNING};
-    struct rr_answer ans;
+    struct rr_heartbeat_reply ans;
     g_strlcpy(piece.job_id, j.job_id, sizeof piece.job_id);
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     g_array_append_val(r.tasks, piece);
-    rr_core_answer(n->core, n->now, &r, &ans);
+    rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
     assert_int_equal(ans.status, 200);
-    assert_int_equal(ans.orders->len, 1);
-    assert_int_equal(g_array_index(ans.orders, rr_order, 0).verb, RR_STOP);
-    g_array_free(ans.orders, TRUE);
-    rr_report_clear(&r);
+    assert_int_equal(ans.commands->len, 1);
+    assert_int_equal(g_array_index(ans.commands, rr_command, 0).kind, RR_COMMAND_STOP);
+    g_array_free(ans.commands, TRUE);
+    rr_heartbeat_clear(&r);
 }
 
 /* A 200 with a lower token would be dropped by the worker, which would then stay here until its
@@ -335,19 +335,19 @@
 static void no_answer_that_would_be_dropped(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_report r = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
-    struct rr_answer ans;
+    rr_heartbeat r = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
+    struct rr_heartbeat_reply ans;
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     r.fencing_token = rr_core_token(n->core) + 1;
-    rr_core_answer(n->core, n->now, &r, &ans);
+    rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
-    assert_null(ans.orders);
+    assert_null(ans.commands);
     r.fencing_token = 0;
     rr_core_set_session(n->core, 0, 0);
-    rr_core_answer(n->core, n->now, &r, &ans);
+    rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
     assert_false(rr_core_entitled(n->core, n->now));
-    rr_report_clear(&r);
+    rr_heartbeat_clear(&r);
 }
 
 /* The limit holds across a change of owner: what the old owner booked counts, proven gone or not.
@@ -403,13 +403,14 @@
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
     for (int q = 0; q < 2; q++) {
-        if (fx_order(&p, "vm-1", RR_START, refs[q], 0)) {
+        if (fx_order(&p, "vm-1", RR_COMMAND_START, refs[q], 0)) {
             owner[q] = node;
             started++;
         }
     }
-    for (guint d = 0; d < p.dos->len; d++) {
-        rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, d), RR_DO_ANSWERED, true);
+    for (guint d = 0; d < p.command_batches->len; d++) {
+        rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, d),
+                               RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&p);
     return started;
@@ -565,10 +566,10 @@
     rr_core_job_view(n->core, j.job_id, n->now, &v);
     assert_int_equal(v.running_count, 0);
     /* Once forgotten, an old report is news again: it is taken as that of a machine never heard. */
-    rr_report r = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
+    rr_heartbeat r = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
     g_strlcpy(r.machine, "vm-77", sizeof r.machine);
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    assert_true(rr_core_report(n->core, n->now, &r, -1) != RR_NEWS_NONE);
+    assert_true(rr_core_take_heartbeat(n->core, n->now, &r, -1) != RR_HEARTBEAT_IGNORED);
 }
 
 /* A restarted controller of the same name is not the one the term names. */
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -31,10 +31,11 @@
 static void plan_with_deaf(fx_node *n, const char *deaf) {
     rr_plan p;
     fx_plan(n, &p);
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_do *d = g_ptr_array_index(p.dos, i);
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_command_batch *d = g_ptr_array_index(p.command_batches, i);
         bool lost = deaf && strcmp(d->machine, deaf) == 0;
-        rr_core_do_result(n->core, n->now, d, lost ? RR_DO_DOUBT : RR_DO_ANSWERED, !lost);
+        rr_core_command_result(n->core, n->now, d,
+                               lost ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED, !lost);
     }
     rr_plan_clear(&p);
 }
@@ -127,7 +128,7 @@
     hear(n, "vm-1", 9);
     fx_plan(n, &p); /* the start once more, or a probe: answered */
     assert_non_null(fx_do(&p, "vm-1"));
-    rr_core_do_result(n->core, n->now, fx_do(&p, "vm-1"), RR_DO_ANSWERED, true);
+    rr_core_command_result(n->core, n->now, fx_do(&p, "vm-1"), RR_COMMAND_ANSWERED, true);
     rr_plan_clear(&p);
     g_ptr_array_set_size(names, 0);
     rr_core_suspects(n->core, n->now, names);
@@ -181,8 +182,8 @@
     plan_with_deaf(&again, NULL);
     assert_null(place_of(w, "req-2"));
     again.now += 3;
-    rr_heard line = {.machine = "vm-2", .worker_epoch = 1, .sequence = 41, .hash = 5};
-    assert_true(rr_core_heard(again.core, again.now, &line, 0));
+    rr_heartbeat_digest line = {.machine = "vm-2", .worker_epoch = 1, .sequence = 41, .hash = 5};
+    assert_true(rr_core_take_heartbeat_digest(again.core, again.now, &line, 0));
     plan_with_deaf(&again, NULL);
     assert_string_equal(place_of(w, "req-2"), "vm-2");
     fx_node_clear(&again);
@@ -198,13 +199,13 @@
     hear(n, "vm-2", 5);
     fx_machine_gone(w->store, "vm-1");
     fx_sync(w->store, n->core, n->now);
-    rr_report r = {.worker_epoch = 1,
-                   .sequence = 6,
-                   .fencing_token = rr_core_token(n->core),
-                   .spot_notice_s = -1};
+    rr_heartbeat r = {.worker_epoch = 1,
+                      .sequence = 6,
+                      .fencing_token = rr_core_token(n->core),
+                      .spot_notice_s = -1};
     g_strlcpy(r.machine, "vm-1", sizeof r.machine);
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    assert_int_equal(rr_core_report(n->core, n->now, &r, -1), RR_NEWS_NONE);
+    assert_int_equal(rr_core_take_heartbeat(n->core, n->now, &r, -1), RR_HEARTBEAT_IGNORED);
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.machines, 1);
     fx_report(n, "vm-7", "a", false, 1, 3, 0, NULL);
@@ -214,7 +215,7 @@
     }
     assert_false(fx_recorded(w->store, "vm-7"));
     rr_core_vouch(n->core, n->now,
-                  &(rr_heard){.machine = "vm-7", .worker_epoch = 1, .sequence = 4});
+                  &(rr_heartbeat_digest){.machine = "vm-7", .worker_epoch = 1, .sequence = 4});
     for (int i = 0; i < 4; i++) {
         step(w, "");
     }
@@ -239,13 +240,13 @@
         hear(n, "vm-2", 500 + i);
         rr_plan p;
         fx_plan(n, &p);
-        for (guint k = 0; k < p.dos->len; k++) {
-            rr_do *d = g_ptr_array_index(p.dos, k);
-            rr_heard h = {.worker_epoch = 1,
-                          .sequence = strcmp(d->machine, "vm-1") == 0 ? i : 500 + i};
+        for (guint k = 0; k < p.command_batches->len; k++) {
+            rr_command_batch *d = g_ptr_array_index(p.command_batches, k);
+            rr_heartbeat_digest h = {.worker_epoch = 1,
+                                     .sequence = strcmp(d->machine, "vm-1") == 0 ? i : 500 + i};
             g_strlcpy(h.machine, d->machine, sizeof h.machine);
             rr_core_vouch(n->core, n->now, &h);
-            rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
+            rr_core_command_result(n->core, n->now, d, RR_COMMAND_ANSWERED, true);
         }
         rr_plan_clear(&p);
         assert_string_equal(place_of(w, "req-1"), "vm-1");
@@ -271,28 +272,28 @@
     hear(n, "vm-2", 1);
     /* Cut off from here on: no renewal, no change of the mirror. */
     rr_core_set_session(alone.core, 9, alone.now + 10);
-    rr_report r = {.worker_epoch = 1,
-                   .sequence = 2,
-                   .fencing_token = rr_core_token(alone.core),
-                   .spot_notice_s = -1};
-    struct rr_answer ans;
+    rr_heartbeat r = {.worker_epoch = 1,
+                      .sequence = 2,
+                      .fencing_token = rr_core_token(alone.core),
+                      .spot_notice_s = -1};
+    struct rr_heartbeat_reply ans;
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    double answers = rr_answer_s(&alone.cfg);
-    rr_core_answer(alone.core, alone.now + answers - 0.1, &r, &ans);
+    double answers = rr_heartbeat_reply_s(&alone.cfg);
+    rr_core_reply_to_heartbeat(alone.core, alone.now + answers - 0.1, &r, &ans);
     assert_int_equal(ans.status, 200);
-    g_array_free(ans.orders, TRUE);
+    g_array_free(ans.commands, TRUE);
     assert_false(rr_core_ready(alone.core, alone.now + answers - 0.1));
-    rr_core_answer(alone.core, alone.now + answers + 0.1, &r, &ans);
+    rr_core_reply_to_heartbeat(alone.core, alone.now + answers + 0.1, &r, &ans);
     assert_int_not_equal(ans.status, 200);
     /* A renewal, held up or late, says nothing of cancellations: only the mirror does. */
     rr_core_set_session(alone.core, 9, alone.now + 1e6);
-    rr_core_answer(alone.core, alone.now + answers + 0.1, &r, &ans);
+    rr_core_reply_to_heartbeat(alone.core, alone.now + answers + 0.1, &r, &ans);
     assert_int_not_equal(ans.status, 200);
     /* The worker answered last ends by its lease, in time for a cancellation made just after the
      * last moment that this mirror knows. */
     assert_true(answers + 1.001 * alone.cfg.lease_s < alone.cfg.cancel_s - 0.9);
     assert_true(answers > 0.9 * (alone.cfg.cancel_s - alone.cfg.lease_s));
-    rr_report_clear(&r);
+    rr_heartbeat_clear(&r);
     /* Its session ends; the others make a term without it. */
     fx_leave(&alone);
     fx_term(n);
@@ -301,13 +302,13 @@
         rr_plan p;
         n->now += 1;
         fx_plan(n, &p);
-        for (guint k = 0; k < p.dos->len; k++) {
-            rr_do *d = g_ptr_array_index(p.dos, k);
+        for (guint k = 0; k < p.command_batches->len; k++) {
+            rr_command_batch *d = g_ptr_array_index(p.command_batches, k);
             probes++;
-            assert_int_equal(d->orders->len, 0);
+            assert_int_equal(d->commands->len, 0);
             assert_true(d->fencing_token == rr_core_token(n->core));
             hear(n, d->machine, 10 + (uint64_t)i);
-            rr_core_do_result(n->core, n->now, d, RR_DO_ANSWERED, true);
+            rr_core_command_result(n->core, n->now, d, RR_COMMAND_ANSWERED, true);
         }
         rr_plan_clear(&p);
         assert_false(step(w, "vm-1"));
@@ -455,7 +456,7 @@
     rr_core_get_stats(n->core, &st);
     assert_int_equal(st.tasks_placed, 0);
     fx_plan(n, &p);
-    assert_null(fx_order(&p, "vm-1", RR_START, "req-1", 0));
+    assert_null(fx_order(&p, "vm-1", RR_COMMAND_START, "req-1", 0));
     rr_plan_clear(&p);
     rr_txn_clear(&booking);
 }
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -60,7 +60,7 @@
 }
 
 static void read_frames(const guint8 *data, size_t len) {
-    static const uint8_t types[] = {RR_FRAME_HELLO, RR_FRAME_SENT_AT, RR_FRAME_HEARD,
+    static const uint8_t types[] = {RR_FRAME_HELLO, RR_FRAME_SENT_AT, RR_FRAME_HEARTBEAT_DIGESTS,
                                     RR_FRAME_SUSPECT};
     size_t at = 0;
     for (int i = 0; i < 4; i++) {
@@ -147,8 +147,9 @@
         }
     }
     fx_sync(n->store, n->core, n->now);
-    for (guint i = 0; i < p.dos->len; i++) {
-        rr_core_do_result(n->core, n->now, g_ptr_array_index(p.dos, i), RR_DO_ANSWERED, true);
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, i),
+                               RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&p);
     return rc;
@@ -381,11 +382,11 @@
     put_record(w, "req-1", 0, 50, 1, OLD_ATTEMPT + 100);
     n->now += 1;
     fx_plan(n, &p);
-    for (guint i = 0; i < p.dos->len; i++) {
-        const rr_do *d = g_ptr_array_index(p.dos, i);
-        for (guint k = 0; k < d->orders->len; k++) {
-            const rr_order *o = &g_array_index(d->orders, rr_order, k);
-            assert_false(o->verb == RR_START && o->task == 50 &&
+    for (guint i = 0; i < p.command_batches->len; i++) {
+        const rr_command_batch *d = g_ptr_array_index(p.command_batches, i);
+        for (guint k = 0; k < d->commands->len; k++) {
+            const rr_command *o = &g_array_index(d->commands, rr_command, k);
+            assert_false(o->kind == RR_COMMAND_START && o->task == 50 &&
                          o->attempt == OLD_ATTEMPT + 100 + 50);
         }
     }
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -31,7 +31,8 @@
     atomic_fetch_add(&f->reports, 1);
 }
 
-static void on_heard(void *user, int peer, unsigned hops, const rr_heard *list, size_t n) {
+static void on_heard(void *user, int peer, unsigned hops, const rr_heartbeat_digest *list,
+                     size_t n) {
     struct fixture *f = user;
     (void)peer;
     (void)hops;
@@ -117,7 +118,7 @@
     guint at = rr_frame_begin(b, RR_FRAME_SENT_AT);
     rr_frame_u64(b, (uint64_t)((rr_wall() - ago) * 1000));
     rr_frame_end(b, at);
-    at = rr_frame_begin(b, RR_FRAME_HEARD);
+    at = rr_frame_begin(b, RR_FRAME_HEARTBEAT_DIGESTS);
     rr_frame_u8(b, 0);
     rr_frame_u16(b, hears_us ? 1 : 0);
     if (hears_us) {
@@ -129,7 +130,7 @@
         rr_frame_u64(b, 1);
     }
     rr_frame_end(b, at);
-    at = rr_frame_begin(b, RR_FRAME_REPORT);
+    at = rr_frame_begin(b, RR_FRAME_HEARTBEAT);
     rr_frame_u8(b, 0);
     g_byte_array_append(b, (const guint8 *)"report", 6);
     rr_frame_end(b, at);
@@ -166,22 +167,22 @@
         read_all(fd, payload, len);
         rr_unpack in = {payload, len, false};
         rr_unpack_u8(&in);
-        uint16_t hears = type == RR_FRAME_HEARD ? rr_unpack_u16(&in) : 0;
+        uint16_t hears = type == RR_FRAME_HEARTBEAT_DIGESTS ? rr_unpack_u16(&in) : 0;
         for (uint16_t i = 0; i < hears; i++) {
             rr_unpack_text(&in, name, sizeof name);
         }
         uint16_t machines = rr_unpack_u16(&in);
         g_free(payload);
-        if (type == RR_FRAME_HEARD) {
+        if (type == RR_FRAME_HEARTBEAT_DIGESTS) {
             return machines;
         }
     }
 }
 
 static void wait_report(struct fixture *f, int fd) {
-    rr_heard h = {.machine = "vm-7", .worker_epoch = 1, .sequence = 5, .hash = 9};
-    rr_peers_report(f->peers, 1, 0, &h, "report", 6);
-    while (next_frame(fd) != RR_FRAME_REPORT) {
+    rr_heartbeat_digest h = {.machine = "vm-7", .worker_epoch = 1, .sequence = 5, .hash = 9};
+    rr_peers_send_heartbeat(f->peers, 1, 0, &h, "report", 6);
+    while (next_frame(fd) != RR_FRAME_HEARTBEAT) {
     }
 }
 
@@ -212,7 +213,7 @@
     wait_report(f, second);
     for (int beats = 0; beats < 12; beats++) { /* six seconds: longer than it was patient before */
         beat(f, true, 0);
-        while (next_frame(second) != RR_FRAME_HEARD) {
+        while (next_frame(second) != RR_FRAME_HEARTBEAT_DIGESTS) {
         }
     }
     close(first);
@@ -249,7 +250,7 @@
     for (int beats = 0; beats < 4; beats++) {
         beat(f, true, 0);
         uint8_t type;
-        while ((type = next_frame(second)) != RR_FRAME_HEARD) {
+        while ((type = next_frame(second)) != RR_FRAME_HEARTBEAT_DIGESTS) {
             assert_int_not_equal(type, RR_FRAME_CANCELLED);
         }
     }
@@ -287,9 +288,9 @@
     assert_true(fd >= 0);
     beat(f, true, 0);
     for (unsigned i = 0; i < fleet; i++) {
-        rr_heard h = {.worker_epoch = 1, .sequence = 2, .hash = 3};
+        rr_heartbeat_digest h = {.worker_epoch = 1, .sequence = 2, .hash = 3};
         g_snprintf(h.machine, sizeof h.machine, "vm-%06u", i);
-        rr_peers_report(f->peers, 0, 0, &h, "report", 6);
+        rr_peers_send_heartbeat(f->peers, 0, 0, &h, "report", 6);
     }
     unsigned lists = 0;
     double first = 0;
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -187,7 +187,7 @@
     (void)state;
     rr_encoder o;
     rr_document d;
-    rr_report r;
+    rr_heartbeat r;
     for (int bad = 0; bad < 2; bad++) {
         rr_encoder_init(&o);
         rr_encode_map(&o, 9);
@@ -206,8 +206,8 @@
         rr_encode_key_u64(&o, "try", 2);
         rr_encode_key_text(&o, "standing", "running");
         assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
-        assert_int_equal(rr_report_decode(d.root, &r), bad ? -EBADMSG : 0);
-        rr_report_clear(&r);
+        assert_int_equal(rr_heartbeat_decode(d.root, &r), bad ? -EBADMSG : 0);
+        rr_heartbeat_clear(&r);
         rr_document_clear(&d);
         rr_encoder_clear(&o);
     }
@@ -238,7 +238,7 @@
         rr_document d;
         if (rr_document_parse(&d, buf, n) == 0) {
             rr_submission s;
-            rr_report r;
+            rr_heartbeat r;
             rr_machine_type b;
             rr_listed_machine st;
             const char *field;
@@ -248,8 +248,8 @@
                 assert_true(rr_job_id_valid(s.job_id));
             }
             rr_submission_clear(&s);
-            rr_report_decode(d.root, &r);
-            rr_report_clear(&r);
+            rr_heartbeat_decode(d.root, &r);
+            rr_heartbeat_clear(&r);
             rr_machine_type_decode(d.root, &b);
             rr_machine_type_clear(&b);
             rr_listed_machine_decode(d.root, &st);
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -234,8 +234,8 @@
         const struct trace_controller *peer = &world->controllers[i];
         if (peer != controller && peer->running &&
             reaches(world, zone_of(peer), zone_of(controller))) {
-            rr_core_peer_heard(controller->node.core, world->now,
-                               trace_peer_index(controller, peer));
+            rr_core_peer_contacted(controller->node.core, world->now,
+                                   trace_peer_index(controller, peer));
         }
     }
 }
@@ -258,13 +258,13 @@
 
 void trace_flight_free(gpointer pointer) {
     struct trace_flight *flight = pointer;
-    rr_do_free(flight->command);
+    rr_command_batch_free(flight->command);
     g_free(flight);
 }
 
 static bool command_reaches(const struct trace_world *world,
                             const struct trace_controller *controller,
-                            const struct trace_machine *machine, const rr_do *command) {
+                            const struct trace_machine *machine, const rr_command_batch *command) {
     const struct trace_controller *from = controller;
     if (command->via >= 0) {
         int index = command->via < controller->index ? command->via : command->via + 1;
@@ -278,14 +278,14 @@
 }
 
 static void send_command(struct trace_world *world, const struct trace_controller *controller,
-                         const rr_do *command) {
+                         const rr_command_batch *command) {
     const struct trace_machine *machine =
         g_hash_table_lookup(world->machine_by_id, command->machine);
     struct trace_flight *flight = g_new0(struct trace_flight, 1);
     flight->controller = controller->index;
     flight->session = controller->session;
     flight->command = g_memdup2(command, sizeof *command);
-    flight->command->orders = g_array_copy(command->orders);
+    flight->command->commands = g_array_copy(command->commands);
     flight->due = world->now + (trace_chance(world, 0.6) ? 0 : trace_between(world, 0.1, 1.5));
     flight->arrives = flight->answered = command_reaches(world, controller, machine, command);
     flight->sent = flight->arrives || (machine && machine->up && trace_chance(world, 0.7));
@@ -297,8 +297,8 @@
     g_ptr_array_add(world->flights, flight);
 }
 
-static rr_report copy_report(const rr_report *report) {
-    rr_report copy = *report;
+static rr_heartbeat copy_report(const rr_heartbeat *report) {
+    rr_heartbeat copy = *report;
     copy.tasks = g_array_copy(report->tasks);
     return copy;
 }
@@ -306,23 +306,23 @@
 /* The machine's answer shows it as a report does, and others may take it for one. */
 static void take_answer(struct trace_world *world, const struct trace_controller *controller,
                         struct trace_machine *machine, int via) {
-    rr_report report;
+    rr_heartbeat report;
     trace_report_of(world, machine, &report);
-    rr_report copy = copy_report(&report);
-    bool others = rr_core_take_answer(controller->node.core, world->now, &report, via);
+    rr_heartbeat copy = copy_report(&report);
+    bool others = rr_core_take_command_reply(controller->node.core, world->now, &report, via);
     trace_int(&world->hash, others);
     for (int i = 0; others && i < world->scenario.controllers; i++) {
         struct trace_controller *peer = &world->controllers[i];
         if (peer != controller && peer->running &&
             reaches(world, zone_of(peer), zone_of(controller))) {
-            rr_report passed = copy_report(&copy);
-            trace_int(&world->hash, rr_core_report(peer->node.core, world->now, &passed,
-                                                   trace_peer_index(peer, controller)));
-            rr_report_clear(&passed);
+            rr_heartbeat passed = copy_report(&copy);
+            trace_int(&world->hash, rr_core_take_heartbeat(peer->node.core, world->now, &passed,
+                                                           trace_peer_index(peer, controller)));
+            rr_heartbeat_clear(&passed);
         }
     }
-    rr_report_clear(&copy);
-    rr_report_clear(&report);
+    rr_heartbeat_clear(&copy);
+    rr_heartbeat_clear(&report);
 }
 
 static void arrive(struct trace_world *world, struct trace_flight *flight) {
@@ -341,11 +341,11 @@
     if (answered) {
         take_answer(world, controller, machine, flight->command->via);
     }
-    rr_core_do_result(controller->node.core, world->now, flight->command,
-                      answered       ? RR_DO_ANSWERED
-                      : flight->sent ? RR_DO_DOUBT
-                                     : RR_DO_NOT_SENT,
-                      executed);
+    rr_core_command_result(controller->node.core, world->now, flight->command,
+                           answered       ? RR_COMMAND_ANSWERED
+                           : flight->sent ? RR_COMMAND_OUTCOME_UNKNOWN
+                                          : RR_COMMAND_NOT_SENT,
+                           executed);
     flight->judged = true;
 }
 
@@ -420,8 +420,8 @@
     rr_plan_init(&made);
     rr_core_plan(core, world->now, trace_wall(world), &made);
     trace_plan(&world->hash, &made);
-    for (guint i = 0; i < made.dos->len; i++) {
-        send_command(world, controller, g_ptr_array_index(made.dos, i));
+    for (guint i = 0; i < made.command_batches->len; i++) {
+        send_command(world, controller, g_ptr_array_index(made.command_batches, i));
     }
     if (made.has_txn) {
         trace_commit(world, controller, &made.txn);
@@ -456,13 +456,13 @@
 
 void trace_copy_free(gpointer pointer) {
     struct trace_copy *copy = pointer;
-    rr_report_clear(&copy->report);
+    rr_heartbeat_clear(&copy->report);
     g_free(copy);
 }
 
 #define COPIES_MAX 64
 
-static void keep_copy(struct trace_world *world, const rr_report *report) {
+static void keep_copy(struct trace_world *world, const rr_heartbeat *report) {
     struct trace_copy *copy = g_new0(struct trace_copy, 1);
     copy->report = copy_report(report);
     copy->via = trace_roll(world, 3) - 1;
@@ -479,61 +479,65 @@
     }
     const struct trace_copy *copy =
         g_ptr_array_index(world->copies, (guint)trace_roll(world, (int)world->copies->len));
-    rr_report report = copy_report(&copy->report);
-    trace_int(&world->hash, rr_core_report(controller->node.core, world->now, &report, copy->via));
-    rr_report_clear(&report);
+    rr_heartbeat report = copy_report(&copy->report);
+    trace_int(&world->hash,
+              rr_core_take_heartbeat(controller->node.core, world->now, &report, copy->via));
+    rr_heartbeat_clear(&report);
 }
 
 /* What one controller has heard goes to the others: whole, or as a sign of life. */
 static void pass_on(struct trace_world *world, const struct trace_controller *from,
-                    const rr_report *report, enum rr_news news) {
+                    const rr_heartbeat *report, enum rr_heartbeat_news news) {
     uint32_t now_and_then = 0;
-    uint32_t wanted = rr_core_wanted_by(from->node.core, report->machine, &now_and_then);
-    rr_heard heard = {.worker_epoch = report->worker_epoch,
-                      .sequence = report->sequence,
-                      .hash = rr_report_hash(report)};
+    uint32_t wanted =
+        rr_core_heartbeat_subscribers(from->node.core, report->machine, &now_and_then);
+    rr_heartbeat_digest heard = {.worker_epoch = report->worker_epoch,
+                                 .sequence = report->sequence,
+                                 .hash = rr_heartbeat_hash(report)};
     g_strlcpy(heard.machine, report->machine, sizeof heard.machine);
     trace_int(&world->hash, wanted);
     trace_int(&world->hash, now_and_then);
     trace_int(&world->hash, heard.hash);
-    for (int i = 0; news != RR_NEWS_NONE && i < world->scenario.controllers; i++) {
+    for (int i = 0; news != RR_HEARTBEAT_IGNORED && i < world->scenario.controllers; i++) {
         struct trace_controller *peer = &world->controllers[i];
         if (peer == from || !peer->running || !reaches(world, zone_of(peer), zone_of(from))) {
             continue;
         }
         uint32_t bit = 1u << trace_peer_index(from, peer);
         int via = trace_peer_index(peer, from);
-        if ((news == RR_NEWS_CHANGED && (wanted & bit)) ||
+        if ((news == RR_HEARTBEAT_CHANGED && (wanted & bit)) ||
             ((now_and_then & bit) && trace_chance(world, 0.2))) {
-            rr_report copy = copy_report(report);
-            trace_int(&world->hash, rr_core_report(peer->node.core, world->now, &copy, via));
-            rr_report_clear(&copy);
+            rr_heartbeat copy = copy_report(report);
+            trace_int(&world->hash,
+                      rr_core_take_heartbeat(peer->node.core, world->now, &copy, via));
+            rr_heartbeat_clear(&copy);
         } else {
-            trace_int(&world->hash, rr_core_heard(peer->node.core, world->now, &heard, via));
+            trace_int(&world->hash,
+                      rr_core_take_heartbeat_digest(peer->node.core, world->now, &heard, via));
         }
     }
 }
 
 static void answer(struct trace_world *world, const struct trace_controller *controller,
-                   struct trace_machine *machine, const rr_report *report) {
-    struct rr_answer given;
-    rr_core_answer(controller->node.core, world->now, report, &given);
+                   struct trace_machine *machine, const rr_heartbeat *report) {
+    struct rr_heartbeat_reply given;
+    rr_core_reply_to_heartbeat(controller->node.core, world->now, report, &given);
     trace_answer(&world->hash, &given);
     if (given.status == 200 && given.fencing_token >= machine->fencing_token) {
         machine->fencing_token = given.fencing_token;
         machine->lease_until = world->now + controller->node.cfg.lease_s;
-        trace_execute_orders(world, machine, given.orders);
+        trace_execute_orders(world, machine, given.commands);
     } else {
         machine->controller = trace_roll(world, world->scenario.controllers);
     }
-    if (given.orders) {
-        g_array_free(given.orders, TRUE);
+    if (given.commands) {
+        g_array_free(given.commands, TRUE);
     }
 }
 
 static void report_once(struct trace_world *world, struct trace_machine *machine) {
     const struct trace_controller *controller = &world->controllers[machine->controller];
-    rr_report report;
+    rr_heartbeat report;
     machine->report_at = world->now + 3 * trace_between(world, 0.85, 1.15);
     if (machine->mute_until > world->now || !controller->running ||
         !reaches(world, zone_of(controller), machine->zone)) {
@@ -541,16 +545,17 @@
         return;
     }
     trace_report_of(world, machine, &report);
-    rr_report copy = copy_report(&report);
-    enum rr_news news = rr_core_report(controller->node.core, world->now, &copy, -1);
+    rr_heartbeat copy = copy_report(&report);
+    enum rr_heartbeat_news news =
+        rr_core_take_heartbeat(controller->node.core, world->now, &copy, -1);
     trace_int(&world->hash, news);
     pass_on(world, controller, &report, news);
     answer(world, controller, machine, &report);
     if (trace_chance(world, 0.03)) {
         keep_copy(world, &report);
     }
-    rr_report_clear(&copy);
-    rr_report_clear(&report);
+    rr_heartbeat_clear(&copy);
+    rr_heartbeat_clear(&report);
 }
 
 void trace_reports(struct trace_world *world) {
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -51,8 +51,8 @@
 static void trace_orders(trace_hash *hash, const GArray *orders) {
     trace_int(hash, orders->len);
     for (guint i = 0; i < orders->len; i++) {
-        const rr_order *order = &g_array_index(orders, rr_order, i);
-        trace_int(hash, order->verb);
+        const rr_command *order = &g_array_index(orders, rr_command, i);
+        trace_int(hash, order->kind);
         trace_text(hash, order->job_id);
         trace_int(hash, order->task);
         trace_int(hash, order->attempt);
@@ -60,12 +60,12 @@
     }
 }
 
-void trace_command(trace_hash *hash, const rr_do *command) {
+void trace_command(trace_hash *hash, const rr_command_batch *command) {
     trace_text(hash, command->machine);
     trace_text(hash, command->addr);
     trace_int(hash, command->fencing_token);
     trace_int(hash, command->worker_epoch);
-    trace_orders(hash, command->orders);
+    trace_orders(hash, command->commands);
     trace_int(hash, (uint64_t)(int64_t)command->via);
     trace_int(hash, (uint64_t)(int64_t)command->fallback);
     trace_int(hash, command->doubtful);
@@ -74,9 +74,9 @@
 void trace_plan(trace_hash *hash, const rr_plan *plan) {
     trace_int(hash, plan->has_txn);
     trace_txn(hash, &plan->txn);
-    trace_int(hash, plan->dos->len);
-    for (guint i = 0; i < plan->dos->len; i++) {
-        trace_command(hash, g_ptr_array_index(plan->dos, i));
+    trace_int(hash, plan->command_batches->len);
+    for (guint i = 0; i < plan->command_batches->len; i++) {
+        trace_command(hash, g_ptr_array_index(plan->command_batches, i));
     }
     trace_decimal(hash, plan->next_s);
 }
@@ -95,12 +95,12 @@
     }
 }
 
-void trace_answer(trace_hash *hash, const struct rr_answer *answer) {
+void trace_answer(trace_hash *hash, const struct rr_heartbeat_reply *answer) {
     trace_int(hash, (uint64_t)answer->status);
     trace_int(hash, answer->fencing_token);
     trace_text(hash, answer->peer);
-    if (answer->orders) {
-        trace_orders(hash, answer->orders);
+    if (answer->commands) {
+        trace_orders(hash, answer->commands);
     }
 }
 
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -69,7 +69,7 @@
     return &g_array_index(machine->tasks, struct trace_task, i);
 }
 
-static struct trace_task *find_task(const struct trace_machine *machine, const rr_order *order) {
+static struct trace_task *find_task(const struct trace_machine *machine, const rr_command *order) {
     for (guint i = 0; i < machine->tasks->len; i++) {
         struct trace_task *task = task_at(machine, i);
         if (task->attempt == order->attempt && task->task == order->task &&
@@ -101,7 +101,7 @@
 }
 
 static void start_task(struct trace_world *world, struct trace_machine *machine,
-                       const rr_order *order) {
+                       const rr_command *order) {
     struct trace_task task = {.job = g_hash_table_lookup(world->job_by_id, order->job_id),
                               .task = order->task,
                               .attempt = order->attempt};
@@ -127,25 +127,26 @@
 void trace_execute_orders(struct trace_world *world, struct trace_machine *machine,
                           const GArray *orders) {
     for (guint i = 0; i < orders->len; i++) {
-        const rr_order *order = &g_array_index(orders, rr_order, i);
+        const rr_command *order = &g_array_index(orders, rr_command, i);
         struct trace_task *task = find_task(machine, order);
-        if (order->verb == RR_START && !task) {
+        if (order->kind == RR_COMMAND_START && !task) {
             start_task(world, machine, order);
-        } else if (order->verb == RR_STOP && task) {
+        } else if (order->kind == RR_COMMAND_STOP && task) {
             stop_task(world, task, order->grace_s);
-        } else if (order->verb == RR_REAP && task && task->standing == RR_TASK_ENDED) {
+        } else if (order->kind == RR_COMMAND_REAP && task && task->standing == RR_TASK_ENDED) {
             g_array_remove_index(machine->tasks, (guint)(task - task_at(machine, 0)));
         }
     }
 }
 
-bool trace_execute(struct trace_world *world, struct trace_machine *machine, const rr_do *command) {
+bool trace_execute(struct trace_world *world, struct trace_machine *machine,
+                   const rr_command_batch *command) {
     if (command->fencing_token < machine->fencing_token ||
-        (command->worker_epoch != machine->worker_epoch && command->orders->len > 0)) {
+        (command->worker_epoch != machine->worker_epoch && command->commands->len > 0)) {
         return false;
     }
     machine->fencing_token = command->fencing_token;
-    trace_execute_orders(world, machine, command->orders);
+    trace_execute_orders(world, machine, command->commands);
     return true;
 }
 
@@ -252,7 +253,7 @@
     }
 }
 
-void trace_report_of(struct trace_world *world, struct trace_machine *machine, rr_report *out) {
+void trace_report_of(struct trace_world *world, struct trace_machine *machine, rr_heartbeat *out) {
     memset(out, 0, sizeof *out);
     g_strlcpy(out->machine, machine->id, sizeof out->machine);
     g_strlcpy(out->addr, machine->addr, sizeof out->addr);
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -83,7 +83,7 @@
 struct trace_flight {
     int controller;
     uint64_t session;
-    rr_do *command;
+    rr_command_batch *command;
     double due;
     bool sent, arrives, answered;
     bool late;   /* it arrives long after its outcome was given up */
@@ -92,7 +92,7 @@
 
 /* A copy of a report that may arrive once more. */
 struct trace_copy {
-    rr_report report;
+    rr_heartbeat report;
     int via;
 };
 
@@ -132,9 +132,10 @@
 void trace_machine_free(gpointer machine);
 void trace_workers_advance(struct trace_world *world);
 /* The report that the machine makes now; to be cleared. */
-void trace_report_of(struct trace_world *world, struct trace_machine *machine, rr_report *out);
+void trace_report_of(struct trace_world *world, struct trace_machine *machine, rr_heartbeat *out);
 /* It executes the command. False: refused, as its token or its epoch is not the present one. */
-bool trace_execute(struct trace_world *world, struct trace_machine *machine, const rr_do *command);
+bool trace_execute(struct trace_world *world, struct trace_machine *machine,
+                   const rr_command_batch *command);
 void trace_execute_orders(struct trace_world *world, struct trace_machine *machine,
                           const GArray *orders);
 /* The machine is gone, or another one stands under its name. */
