--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -96,20 +96,20 @@
 
 /* Both slots' records are guarded: a provisioner that has not read the newest table writes none. */
 bool rr_admission_write(const rr_admission *admission, const rr_admission_table *table,
-                        rr_txn *out) {
+                        rr_transaction *out) {
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
     char key[64];
-    size_t bytes = (size_t)(rr_value_kb(admission->config) * 1024);
-    guint most = (guint)rr_txn_ops(admission->config);
+    size_t bytes = (size_t)(rr_value_kb_max(admission->config) * 1024);
+    guint most = (guint)rr_transaction_changes_max(admission->config);
     guint parts = rr_admission_table_encode(table, bytes, most, records);
     const rr_admission_slot *slot = &admission->slots[table->sequence % 2];
     const rr_admission_slot *other = &admission->slots[(table->sequence + 1) % 2];
     rr_admission_record_key(table->sequence + 1, 0, key, sizeof key);
-    rr_txn_guard(out, key, other->marks[0]);
+    rr_transaction_guard(out, key, other->versions[0]);
     for (guint i = 0; i < parts; i++) {
         rr_admission_record_key(table->sequence, i, key, sizeof key);
-        rr_txn_guard(out, key, slot->marks[i]);
-        rr_txn_put(out, key, &records[i], 0);
+        rr_transaction_guard(out, key, slot->versions[i]);
+        rr_transaction_put(out, key, &records[i], 0);
     }
     return parts > 0;
 }
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -22,7 +22,7 @@
 /* The transaction that writes the table; the term's guard is the caller's. False: it does not fit.
  */
 bool rr_admission_write(const rr_admission *admission, const rr_admission_table *table,
-                        rr_txn *out);
+                        rr_transaction *out);
 
 /* ---- submissions ---- */
 /* What a controller knows of its own standing. */
--- a/src/admission/table.c
+++ b/src/admission/table.c
@@ -260,8 +260,8 @@
     if (part >= RR_ADMISSION_PARTS_MAX) {
         return -EPROTO;
     }
-    bool known = slot->marks[part] == mark && slot->have >> part & 1;
-    slot->marks[part] = mark;
+    bool known = slot->versions[part] == mark && slot->have >> part & 1;
+    slot->versions[part] = mark;
     rr_admission_table_init(&read);
     int rc = -EPROTO;
     if (read_record(value, &read, &parts) && part < parts) {
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -53,8 +53,8 @@
 /* Puts a slot's records together again. */
 typedef struct {
     rr_admission_table table;
-    guint parts, have;                      /* have: bits of those that are there */
-    uint64_t marks[RR_ADMISSION_PARTS_MAX]; /* of the records as mirrored, 0: not there */
+    guint parts, have;                         /* have: bits of those that are there */
+    uint64_t versions[RR_ADMISSION_PARTS_MAX]; /* of the records as mirrored, 0: not there */
 } rr_admission_slot;
 
 /* 1: the slot holds a whole table; 0: not yet; -EPROTO: of an unknown version or not readable. */
--- a/src/app/admission_duty.c
+++ b/src/app/admission_duty.c
@@ -81,7 +81,7 @@
     pthread_mutex_lock(&a->lock);
     rr_admission_standing standing = {.entitled = rr_core_entitled(a->core, now),
                                       .all_able = rr_core_all_admit(a->core),
-                                      .cache_age_s = rr_core_mirror_age(a->core, now),
+                                      .cache_age_s = rr_core_cache_age(a->core, now),
                                       .controllers = rr_core_live(a->core)};
     pthread_mutex_unlock(&a->lock);
     return standing;
@@ -198,11 +198,12 @@
 }
 
 /* What the table is made of, from one moment. False: this controller is not to write one now. */
-static bool gather(struct rr_app *a, GArray *demand, rr_admission_table *newest, rr_txn *txn) {
+static bool gather(struct rr_app *a, GArray *demand, rr_admission_table *newest,
+                   rr_transaction *txn) {
     struct rr_app_admission *state = a->admission;
     double now = rr_now();
     pthread_mutex_lock(&a->lock);
-    bool writes = rr_core_settled(a->core) && rr_core_is_provisioner(a->core, now) &&
+    bool writes = rr_core_cache_consistent(a->core) && rr_core_is_provisioner(a->core, now) &&
                   rr_core_all_admit(a->core);
     if (writes) {
         rr_load_begin(&state->load);
@@ -222,17 +223,17 @@
 }
 
 static bool commit_table(struct rr_app *a, rr_store *store, const rr_admission_table *table,
-                         rr_txn *txn) {
+                         rr_transaction *txn) {
     struct rr_app_admission *state = a->admission;
     pthread_mutex_lock(&state->lock);
     bool fits = rr_admission_write(state->admission, table, txn);
     pthread_mutex_unlock(&state->lock);
     uint64_t revision = 0;
-    enum rr_commit rc = RR_INVALID;
+    enum rr_commit_status rc = RR_COMMIT_INVALID;
     if (fits) {
         rc = rr_store_commit(store, RR_PRIO_STEWARD, txn, COMMIT_S, &revision, NULL);
     }
-    if (rc == RR_COMMITTED) {
+    if (rc == RR_COMMIT_DONE) {
         pthread_mutex_lock(&a->lock);
         rr_core_apply(a->core, txn, revision, rr_now());
         pthread_mutex_unlock(&a->lock);
@@ -240,7 +241,7 @@
         rr_log(RR_INFO_LEVEL, "admission: table %" G_GUINT64_FORMAT " was not written (%d)",
                table->sequence, (int)rc);
     }
-    return rc == RR_COMMITTED;
+    return rc == RR_COMMIT_DONE;
 }
 
 /* A try that fails is repeated with what is known then: in doubt the records' guards decide. */
@@ -248,8 +249,8 @@
     struct rr_app_admission *state = a->admission;
     rr_admission_table newest, table;
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     if (gather(a, demand, &newest, &txn)) {
         bool wanted = rr_admission_writer_next(state->writer, &state->load, demand, &newest,
                                                rr_wall(), rr_now(), &table);
@@ -268,7 +269,7 @@
         rr_admission_table_clear(&table);
         rr_admission_table_clear(&newest);
     }
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
     g_array_free(demand, TRUE);
 }
 
--- a/src/app/app.c
+++ b/src/app/app.c
@@ -23,8 +23,8 @@
     pthread_cond_broadcast(&a->work);
 }
 
-bool rr_app_wait_epoch(struct rr_app *a, uint64_t epoch, double until) {
-    while (rr_core_epoch(a->core) < epoch) {
+bool rr_app_wait_revision(struct rr_app *a, uint64_t epoch, double until) {
+    while (rr_core_revision(a->core) < epoch) {
         double left = until - rr_now();
         if (left <= 0 || atomic_load(&a->stop)) {
             return false;
@@ -148,7 +148,7 @@
     rr_core_set_log(a->core, rr_log_line, rr_log_level());
     a->stats = rr_stats_create();
     a->budget = rr_budget_create(a->cfg.state_rps, a->cfg.state_write_rps);
-    rr_budget_next(a->budget, a->cfg.next_rps, a->cfg.next_write_rps);
+    rr_budget_set_next_limits(a->budget, a->cfg.next_rps, a->cfg.next_write_rps);
     a->peers = rr_peers_create(&a->cfg, &ev, &a->stop);
     int rc = rr_app_admission_start(a);
     rc = rc == 0 ? rr_app_cells_start(a) : rc;
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -39,9 +39,9 @@
     pthread_cond_t commit_wake;  /* the committer has work */
     pthread_cond_t barrier_wake; /* the barrier has work */
     GQueue commits;              /* struct rr_user_commit* */
-    double pace;      /* of them were served a second by the last transaction, 0: none yet */
-    uint64_t batches; /* written so far */
-    uint64_t tether;  /* of our session: batches' keys are unique by it */
+    double pace;       /* of them were served a second by the last transaction, 0: none yet */
+    uint64_t batches;  /* written so far */
+    uint64_t lease_id; /* of our session: batches' keys are unique by it */
     /* Polls wait in groups, each for one read of the store's revision and for the mirror to reach
      * it: one group is served while the next gathers, so that two are enough. Whoever waits is
      * woken once, with its group. */
@@ -74,13 +74,13 @@
 struct rr_user_commit {
     char key[96];
     rr_encoder value;
-    uint64_t mark;     /* guard */
+    uint64_t version;  /* guard */
     char also_key[96]; /* another record that must be unchanged; empty: none */
-    uint64_t also_mark;
+    uint64_t also_version;
     double until;        /* given up after */
     pthread_cond_t done; /* finished is set */
-    uint64_t epoch;
-    enum rr_commit outcome;
+    uint64_t revision;
+    enum rr_commit_status outcome;
     bool accepts; /* a new job, which may share a record with others */
     bool finished;
     bool doubted; /* an earlier try went unanswered */
@@ -97,12 +97,12 @@
 /* Wakes planner and provisioner; caller holds `lock`. */
 void rr_app_kick(struct rr_app *a);
 /* Waits until the mirror has reached epoch. Caller holds `lock`. */
-bool rr_app_wait_epoch(struct rr_app *a, uint64_t epoch, double until);
+bool rr_app_wait_revision(struct rr_app *a, uint64_t epoch, double until);
 void rr_app_wait(struct rr_app *a, pthread_cond_t *c, pthread_mutex_t *m, double seconds);
 void rr_app_cond_init(pthread_cond_t *c); /* by the steady clock */
 /* Repeats a transaction until its outcome is certain; see duty.c. */
-enum rr_commit rr_app_commit(struct rr_app *a, rr_store *s, enum rr_prio prio, const rr_txn *t,
-                             uint64_t *epoch);
+enum rr_commit_status rr_app_commit(struct rr_app *a, rr_store *s, enum rr_request_priority prio,
+                                    const rr_transaction *t, uint64_t *epoch);
 /* A report that a peer has passed on. */
 void rr_app_take_heartbeat(struct rr_app *a, const void *body, size_t len, int via, unsigned hops);
 
--- a/src/app/batch.c
+++ b/src/app/batch.c
@@ -24,12 +24,13 @@
 
 bool rr_user_batch_add(const struct rr_config *cfg, struct rr_user_batch *b,
                        struct rr_user_commit *u) {
-    size_t size = json_size(u), most = (size_t)(rr_value_kb(cfg) * 1024) - 64;
+    size_t size = json_size(u), most = (size_t)(rr_value_kb_max(cfg) * 1024) - 64;
     bool joins = u->accepts && b->open > 0 && b->open + size <= most;
     guint records = b->records + !joins;
     guint guards = b->n + 1 + records + b->more_guards + (u->also_key[0] != 0);
-    if (b->n == RR_BATCH_MAX || batch_has(b, u->key) || records > (guint)rr_txn_ops(cfg) ||
-        b->bytes + size > BATCH_BYTES || guards > 4 * (guint)rr_txn_ops(cfg)) {
+    if (b->n == RR_BATCH_MAX || batch_has(b, u->key) ||
+        records > (guint)rr_transaction_changes_max(cfg) || b->bytes + size > BATCH_BYTES ||
+        guards > 4 * (guint)rr_transaction_changes_max(cfg)) {
         return b->n == 0;
     }
     b->open = joins ? b->open + size : u->accepts ? size : b->open;
@@ -41,14 +42,14 @@
     return true;
 }
 
-static void put_alone(rr_txn *t, const struct rr_user_commit *u) {
+static void put_alone(rr_transaction *t, const struct rr_user_commit *u) {
     rr_change ch = {g_strdup(u->key), g_memdup2(u->value.buffer.data, u->value.buffer.size),
                     u->value.buffer.size, 0};
     g_array_append_val(t->changes, ch);
 }
 
 /* entries[from..to) are new jobs that share a record. */
-static void put_together(uint64_t tether, uint64_t *batches, rr_txn *t,
+static void put_together(uint64_t tether, uint64_t *batches, rr_transaction *t,
                          struct rr_user_commit **entries, guint n) {
     char key[96];
     rr_encoder o;
@@ -63,21 +64,21 @@
                               entries[i]->value.buffer.size);
     }
     rr_core_batch_key(tether, ++*batches, key, sizeof key);
-    rr_txn_guard(t, key, 0);
-    rr_txn_put(t, key, &o, 0);
+    rr_transaction_guard(t, key, 0);
+    rr_transaction_put(t, key, &o, 0);
 }
 
 /* Every job is guarded by its own key, batch or not: a cancellation or an earlier acceptance of it
  * fails the transaction, and the others go again without it. */
-void rr_user_batch_txn(const struct rr_user_batch *b, uint64_t tether, uint64_t *batches,
-                       rr_txn *t) {
+void rr_user_batch_transaction(const struct rr_user_batch *b, uint64_t tether, uint64_t *batches,
+                               rr_transaction *t) {
     struct rr_user_commit *group[RR_BATCH_MAX];
     guint n = 0;
     for (guint i = 0; i < b->n; i++) {
         struct rr_user_commit *u = b->entries[i];
-        rr_txn_guard(t, u->key, u->mark);
+        rr_transaction_guard(t, u->key, u->version);
         if (u->also_key[0]) {
-            rr_txn_guard(t, u->also_key, u->also_mark);
+            rr_transaction_guard(t, u->also_key, u->also_version);
         }
         if (!u->accepts) {
             put_alone(t, u);
--- a/src/app/batch.h
+++ b/src/app/batch.h
@@ -19,7 +19,7 @@
 bool rr_user_batch_add(const struct rr_config *cfg, struct rr_user_batch *b,
                        struct rr_user_commit *u);
 /* tether, and the count of batches so far, make the keys of shared records unique. */
-void rr_user_batch_txn(const struct rr_user_batch *b, uint64_t tether, uint64_t *batches,
-                       rr_txn *t);
+void rr_user_batch_transaction(const struct rr_user_batch *b, uint64_t tether, uint64_t *batches,
+                               rr_transaction *t);
 
 #endif
--- a/src/app/cells_duty.c
+++ b/src/app/cells_duty.c
@@ -70,19 +70,20 @@
     if (write->ends_copy) {
         tell_end_of_copy(a, write->id);
     }
-    enum rr_commit rc = rr_app_commit(a, store, RR_PRIO_USER, &write->txn, &revision);
+    enum rr_commit_status rc =
+        rr_app_commit(a, store, RR_REQUEST_USER, &write->transaction, &revision);
     pthread_mutex_lock(&a->lock);
     double now = rr_now();
-    if (rc == RR_COMMITTED) {
-        rr_core_apply(a->core, &write->txn, revision, now);
-    } else if (rc == RR_CONFLICT) {
-        rr_app_wait_epoch(a, revision, now + 1);
+    if (rc == RR_COMMIT_DONE) {
+        rr_core_apply(a->core, &write->transaction, revision, now);
+    } else if (rc == RR_COMMIT_CONFLICT) {
+        rr_app_wait_revision(a, revision, now + 1);
     }
     rr_transfer_message message =
-        rr_transfers_written(a->cells->transfers, write, rc == RR_COMMITTED);
+        rr_transfers_written(a->cells->transfers, write, rc == RR_COMMIT_DONE);
     rr_app_kick(a);
     pthread_mutex_unlock(&a->lock);
-    if (rc != RR_COMMITTED) {
+    if (rc != RR_COMMIT_DONE) {
         rr_log(RR_DEBUG_LEVEL, "cells: a change of %s was not made (%d)", write->id, (int)rc);
     }
     return message;
@@ -179,9 +180,9 @@
 static void commit_there(struct rr_app *a, struct absent_reader *reader,
                          const rr_transfer_write *write) {
     uint64_t revision;
-    enum rr_commit rc =
-        rr_store_commit(reader->store, RR_PRIO_USER, &write->txn, THERE_S, &revision, NULL);
-    if (rc == RR_COMMITTED) {
+    enum rr_commit_status rc = rr_store_commit(reader->store, RR_REQUEST_USER, &write->transaction,
+                                               THERE_S, &revision, NULL);
+    if (rc == RR_COMMIT_DONE) {
         pthread_mutex_lock(&a->lock);
         rr_transfers_absent_written(a->cells->transfers, write);
         pthread_mutex_unlock(&a->lock);
@@ -521,8 +522,8 @@
         return RR_CANCEL_FREE;
     }
     pthread_mutex_lock(&a->lock);
-    enum rr_cancel_first first =
-        rr_transfers_cancel(a->cells->transfers, job_id, rr_wall(), &wait_s, &withdrawn, &u->mark);
+    enum rr_cancel_first first = rr_transfers_cancel(a->cells->transfers, job_id, rr_wall(),
+                                                     &wait_s, &withdrawn, &u->version);
     pthread_mutex_unlock(&a->lock);
     if (first == RR_CANCEL_WITHDRAW) {
         rr_cells_out_key(job_id, u->key, sizeof u->key);
@@ -538,7 +539,7 @@
         return true;
     }
     rr_cells_out_key(job_id, u->also_key, sizeof u->also_key);
-    return rr_transfers_may_cancel(a->cells->transfers, job_id, rr_wall(), &u->also_mark);
+    return rr_transfers_may_cancel(a->cells->transfers, job_id, rr_wall(), &u->also_version);
 }
 
 /* ---- life ---- */
@@ -550,7 +551,7 @@
     }
     rr_budget *budget =
         rr_budget_create(READ_SHARE * a->cfg.state_rps, READ_SHARE * a->cfg.state_write_rps);
-    rr_budget_share(budget, &all);
+    rr_budget_set_shares(budget, &all);
     return budget;
 }
 
--- a/src/app/duty.c
+++ b/src/app/duty.c
@@ -36,10 +36,10 @@
 }
 
 /* A valid transaction was called invalid: the state service's lower limits hold. */
-static void limits_lowered(struct rr_app *a, bool in_doubt) {
-    rr_budget_lower(a->budget);
+static void next_limits_hold(struct rr_app *a, bool in_doubt) {
+    rr_budget_next_limits_hold(a->budget);
     pthread_mutex_lock(&a->lock);
-    rr_core_limits_lowered(a->core, in_doubt);
+    rr_core_lower_limits(a->core, in_doubt);
     pthread_cond_broadcast(&a->mirrored);
     pthread_mutex_unlock(&a->lock);
 }
@@ -47,22 +47,22 @@
 /* Until the outcome is certain. An unanswered transaction may still be carried out late, and a task
  * placed anew meanwhile would then stand in the ledger twice. The same transaction sent again
  * settles it: its guards hold at most once, since it changes the keys that it guards. */
-enum rr_commit rr_app_commit(struct rr_app *a, rr_store *s, enum rr_prio prio, const rr_txn *t,
-                             uint64_t *epoch) {
+enum rr_commit_status rr_app_commit(struct rr_app *a, rr_store *s, enum rr_request_priority prio,
+                                    const rr_transaction *t, uint64_t *epoch) {
     bool doubted = false;
     for (;;) {
-        enum rr_commit rc = rr_store_commit(s, prio, t, 2.0, epoch, NULL);
-        if (rc == RR_COMMITTED || rc == RR_CONFLICT || rc == RR_NO_LEASE) {
+        enum rr_commit_status rc = rr_store_commit(s, prio, t, 2.0, epoch, NULL);
+        if (rc == RR_COMMIT_DONE || rc == RR_COMMIT_CONFLICT || rc == RR_COMMIT_NO_LEASE) {
             return rc;
         }
-        if (rc == RR_INVALID) {
-            limits_lowered(a, doubted);
+        if (rc == RR_COMMIT_INVALID) {
+            next_limits_hold(a, doubted);
             return rc;
         }
-        if (rr_duty_stopping(a) || (rc == RR_REFUSED && !doubted)) {
+        if (rr_duty_stopping(a) || (rc == RR_COMMIT_REFUSED && !doubted)) {
             return rc;
         }
-        doubted = doubted || rc == RR_DOUBT;
+        doubted = doubted || rc == RR_COMMIT_OUTCOME_UNKNOWN;
         rr_duty_pause(a, 0.2);
     }
 }
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -102,7 +102,7 @@
     pthread_mutex_lock(&a->lock);
     /* Known to be down: answered at once, with the time to come back. The session's renewals tell
      * when it is up again; when one submission in two tried, each of those waited for 1.5 s. */
-    bool down = !rr_core_loaded(a->core) || (a->store_down && rr_now() - a->store_ok_at > 2);
+    bool down = !rr_core_cache_loaded(a->core) || (a->store_down && rr_now() - a->store_ok_at > 2);
     pthread_mutex_unlock(&a->lock);
     if (down) {
         rr_app_refuse(rs, 503, "state not reachable", 2);
@@ -112,13 +112,13 @@
     rr_encoder_init(&u.value);
     rr_core_job_encode(&u.value, s, rr_wall(), false);
     /* The store counts JSON, which is longer than what is packed here. */
-    if (1.4 * (double)u.value.buffer.size > rr_value_kb(&a->cfg) * 1024) {
+    if (1.4 * (double)u.value.buffer.size > rr_value_kb_max(&a->cfg) * 1024) {
         rr_app_refuse(rs, 400, "too large", 0);
     } else if (!commit_for_user(a, &u)) {
         rr_app_refuse(rs, 503, "overloaded", 2);
-    } else if (u.outcome == RR_COMMITTED) {
+    } else if (u.outcome == RR_COMMIT_DONE) {
         answer_job_state(rs, 201, s->job_id, "queued");
-    } else if (u.outcome != RR_CONFLICT || !answer_known(a, s->job_id, rs)) {
+    } else if (u.outcome != RR_COMMIT_CONFLICT || !answer_known(a, s->job_id, rs)) {
         rr_app_refuse(rs, 503, "state not reachable", 1);
     }
     rr_encoder_clear(&u.value);
@@ -221,7 +221,7 @@
     rr_encoder_init(&u.value);
     rr_core_job_key(ref, u.key, sizeof u.key);
     pthread_mutex_lock(&a->lock);
-    bool open = rr_core_cancel_record(a->core, ref, &u.value, &u.mark);
+    bool open = rr_core_cancel_record(a->core, ref, &u.value, &u.version);
     bool here = !open || rr_app_cells_guard_cancel(a, ref, &u);
     pthread_mutex_unlock(&a->lock);
     bool answered = true;
@@ -239,13 +239,13 @@
         }
     } else if (!commit_for_user(a, &u)) {
         rr_app_refuse(rs, 503, "overloaded", 1);
-    } else if (u.outcome == RR_COMMITTED) {
+    } else if (u.outcome == RR_COMMIT_DONE) {
         rr_log(RR_DEBUG_LEVEL, "job %s is cancelled", ref);
         rr_app_tell_cancelled(a, ref);
         answer_job_state(rs, 200, ref, "aborted");
-    } else if (u.outcome == RR_CONFLICT) {
+    } else if (u.outcome == RR_COMMIT_CONFLICT) {
         pthread_mutex_lock(&a->lock);
-        answered = !rr_app_wait_epoch(a, u.epoch, until);
+        answered = !rr_app_wait_revision(a, u.revision, until);
         pthread_mutex_unlock(&a->lock);
         if (answered) {
             rr_app_refuse(rs, 503, "state not reachable", 1);
--- a/src/app/mirror_duty.c
+++ b/src/app/mirror_duty.c
@@ -9,12 +9,12 @@
 struct row {
     const char *key;
     const msgpack_object *value; /* NULL: deleted */
-    uint64_t mark;
+    uint64_t version;
 };
 
-static gint by_mark(gconstpointer a, gconstpointer b) {
+static gint by_version(gconstpointer a, gconstpointer b) {
     const struct row *x = a, *y = b;
-    return x->mark < y->mark ? -1 : x->mark > y->mark;
+    return x->version < y->version ? -1 : x->version > y->version;
 }
 
 static bool row_of(const msgpack_object *o, const char *name, char *key, size_t size,
@@ -29,7 +29,7 @@
 
 static void put_row(void *user, const char *key, const msgpack_object *value, uint64_t mark) {
     const struct page_put *page = user;
-    rr_core_mirror_put(page->core, key, value, mark, page->now);
+    rr_core_cache_put(page->core, key, value, mark, page->now);
 }
 
 /* Page by page, so that a mirror of any size is never held twice. Nobody is shown half a state:
@@ -41,7 +41,7 @@
     uint64_t first = 0, last = 0;
     int rc = 0;
     pthread_mutex_lock(&a->lock);
-    rr_core_mirror_begin(a->core);
+    rr_core_cache_begin_reload(a->core);
     pthread_mutex_unlock(&a->lock);
     while (cursor.more && rc == 0 && !rr_duty_stopping(a)) {
         rr_document d;
@@ -54,14 +54,14 @@
         rr_store_each_row(&d, &cursor, put_row, &page);
         pthread_mutex_unlock(&a->lock);
         rr_document_clear(&d);
-        first = first ? first : cursor.epoch;
-        last = cursor.epoch > last ? cursor.epoch : last;
+        first = first ? first : cursor.revision;
+        last = cursor.revision > last ? cursor.revision : last;
     }
     pthread_mutex_lock(&a->lock);
     if (rc == 0 && !rr_duty_stopping(a)) {
-        rr_core_mirror_end(a->core, first, last, rr_now());
-        rr_core_set_epoch(a->core, first);
-        rr_core_set_fresh(a->core, began);
+        rr_core_cache_end_reload(a->core, first, last, rr_now());
+        rr_core_set_revision(a->core, first);
+        rr_core_set_cache_current(a->core, began);
         pthread_cond_broadcast(&a->mirrored);
         rr_app_kick(a);
     }
@@ -85,26 +85,26 @@
         char key[256];
         struct row r = {0};
         bool put = rr_map_get(o, "put") != NULL;
-        if (row_of(o, put ? "put" : "delete", key, sizeof key, &r.mark) &&
+        if (row_of(o, put ? "put" : "delete", key, sizeof key, &r.version) &&
             (!put || rr_map_get(o, "v"))) {
             r.key = g_string_chunk_insert(keys, key);
             r.value = put ? rr_map_get(o, "v") : NULL;
             g_array_append_val(rows, r);
         }
     }
-    g_array_sort(rows, by_mark);
+    g_array_sort(rows, by_version);
     pthread_mutex_lock(&a->lock);
     double now = rr_now();
     for (guint i = 0; i < rows->len; i++) {
         const struct row *r = &g_array_index(rows, struct row, i);
         if (r->value) {
-            rr_core_mirror_put(a->core, r->key, r->value, r->mark, now);
+            rr_core_cache_put(a->core, r->key, r->value, r->version, now);
         } else {
-            rr_core_mirror_delete(a->core, r->key, r->mark, now);
+            rr_core_cache_delete(a->core, r->key, r->version, now);
         }
     }
-    rr_core_set_epoch(a->core, epoch);
-    rr_core_set_fresh(a->core, asked);
+    rr_core_set_revision(a->core, epoch);
+    rr_core_set_cache_current(a->core, asked);
     a->store_ok_at = now;
     pthread_cond_broadcast(&a->mirrored);
     if (rows->len) {
@@ -136,7 +136,7 @@
             continue;
         }
         pthread_mutex_lock(&a->lock);
-        uint64_t from = rr_core_epoch(a->core);
+        uint64_t from = rr_core_revision(a->core);
         unsigned live = rr_core_live(a->core);
         pthread_mutex_unlock(&a->lock);
         /* A watch ends with the first change, and the next one is a request: under load changes
--- a/src/app/planner_duty.c
+++ b/src/app/planner_duty.c
@@ -19,14 +19,15 @@
 }
 
 /* Our own changes are in the mirror at once; those that others made first come with the watch. */
-static uint64_t plan_outcome(struct rr_app *a, const rr_txn *t, enum rr_commit rc, uint64_t epoch) {
+static uint64_t plan_outcome(struct rr_app *a, const rr_transaction *t, enum rr_commit_status rc,
+                             uint64_t epoch) {
     pthread_mutex_lock(&a->lock);
-    if (rc == RR_COMMITTED) {
+    if (rc == RR_COMMIT_DONE) {
         rr_core_apply(a->core, t, epoch, rr_now());
     }
     a->planning = false;
     pthread_mutex_unlock(&a->lock);
-    return rc == RR_CONFLICT ? epoch : 0;
+    return rc == RR_COMMIT_CONFLICT ? epoch : 0;
 }
 
 #define SUSPECTS_S 2.0
@@ -68,7 +69,7 @@
         }
         kicks = a->kicks;
         /* After a conflict, until the mirror shows what came first. */
-        if (rr_app_wait_epoch(a, need, rr_now() + 1)) {
+        if (rr_app_wait_revision(a, need, rr_now() + 1)) {
             int changes = rr_budget_changes(a->budget);
             /* Few at a time cost a request each. */
             changes = changes < FEW && rr_now() - committed < FEW_S ? 0 : changes;
@@ -76,18 +77,18 @@
             double began = rr_now();
             rr_core_plan(a->core, began, rr_wall(), &p);
             queue_command_batches(a, &p);
-            a->planning = p.has_txn;
+            a->planning = p.has_transaction;
             pause = fmin(PAUSE_FACTOR * (rr_now() - began), PAUSE_MAX_S);
         }
         pthread_mutex_unlock(&a->lock);
-        if (p.has_txn) {
+        if (p.has_transaction) {
             uint64_t epoch = 0;
-            enum rr_commit rc = rr_app_commit(a, s, RR_PRIO_PLAN, &p.txn, &epoch);
-            need = plan_outcome(a, &p.txn, rc, epoch);
+            enum rr_commit_status rc = rr_app_commit(a, s, RR_REQUEST_PLAN, &p.transaction, &epoch);
+            need = plan_outcome(a, &p.transaction, rc, epoch);
             committed = rr_now();
-            if (rc == RR_COMMITTED) {
+            if (rc == RR_COMMIT_DONE) {
                 kicks--; /* what it booked is to be started */
-            } else if (rc != RR_CONFLICT) {
+            } else if (rc != RR_COMMIT_CONFLICT) {
                 rr_log(RR_DEBUG_LEVEL, "plan not committed");
                 rr_duty_pause(a, 0.2);
             }
--- a/src/app/provisioner_duty.c
+++ b/src/app/provisioner_duty.c
@@ -63,7 +63,7 @@
 static int do_step(struct rr_app *a, rr_store *s, rr_cloud *cloud, const rr_step *step,
                    uint64_t *need) {
     uint64_t epoch;
-    enum rr_commit rc;
+    enum rr_commit_status rc;
     switch (step->kind) {
     case RR_STEP_CATALOG:
         return do_catalog(a, cloud);
@@ -74,12 +74,12 @@
     case RR_STEP_RELEASE:
         return do_release(a, cloud, step);
     case RR_STEP_TXN:
-        rc = rr_app_commit(a, s, RR_PRIO_STEWARD, &step->txn, &epoch);
-        if (rc != RR_COMMITTED && rc != RR_CONFLICT) {
+        rc = rr_app_commit(a, s, RR_PRIO_STEWARD, &step->transaction, &epoch);
+        if (rc != RR_COMMIT_DONE && rc != RR_COMMIT_CONFLICT) {
             return -EAGAIN;
         }
-        rr_log(RR_DEBUG_LEVEL, "provisioner: %u records %s", step->txn.changes->len,
-               rc == RR_COMMITTED ? "written" : "in conflict");
+        rr_log(RR_DEBUG_LEVEL, "provisioner: %u records %s", step->transaction.changes->len,
+               rc == RR_COMMIT_DONE ? "written" : "in conflict");
         *need = epoch;
         return 0;
     default:
@@ -97,7 +97,7 @@
         rr_step step;
         rr_step_init(&step);
         pthread_mutex_lock(&a->lock);
-        if (rr_app_wait_epoch(a, need, rr_now() + 1)) {
+        if (rr_app_wait_revision(a, need, rr_now() + 1)) {
             rr_core_provisioner_step(a->core, rr_now(), rr_wall(), &step);
         }
         if (step.kind == RR_STEP_NONE) {
--- a/src/app/session_duty.c
+++ b/src/app/session_duty.c
@@ -11,7 +11,7 @@
 static void set_session(struct rr_app *a, uint64_t tether, double sent) {
     double until = sent + rr_session_s(&a->cfg) * 0.998 - 0.1;
     pthread_mutex_lock(&a->user_lock);
-    a->tether = tether;
+    a->lease_id = tether;
     pthread_mutex_unlock(&a->user_lock);
     pthread_mutex_lock(&a->lock);
     rr_core_set_session(a->core, tether, tether ? until : 0);
@@ -27,7 +27,7 @@
     uint64_t mark = 0, old = 0, epoch;
     double life = rr_session_s(&a->cfg);
     rr_document doc;
-    rr_txn t;
+    rr_transaction t;
     rr_encoder o;
     g_snprintf(key, sizeof key, RR_ROOT "node/%s", a->cfg.node_name);
     int rc = rr_store_get(s, key, &doc, &mark, &old);
@@ -37,17 +37,18 @@
         return rc;
     }
     double sent = rr_now();
-    rc = rr_store_lease(s, life, tether);
+    rc = rr_store_grant_lease(s, life, tether);
     if (rc != 0) {
         return rc;
     }
-    rr_txn_init(&t);
+    rr_transaction_init(&t);
     rr_encoder_init(&o);
     rr_core_node_put(&a->cfg, &o, *tether);
-    rr_txn_guard(&t, key, mark);
-    rr_txn_put(&t, key, &o, *tether);
-    rc = rr_store_commit(s, RR_PRIO_SESSION, &t, 1.5, &epoch, NULL) == RR_COMMITTED ? 0 : -EAGAIN;
-    rr_txn_clear(&t);
+    rr_transaction_guard(&t, key, mark);
+    rr_transaction_put(&t, key, &o, *tether);
+    rc = rr_store_commit(s, RR_REQUEST_SESSION, &t, 1.5, &epoch, NULL) == RR_COMMIT_DONE ? 0
+                                                                                         : -EAGAIN;
+    rr_transaction_clear(&t);
     if (rc != 0) {
         rr_store_end_lease(s, *tether);
         return rc;
@@ -63,7 +64,7 @@
 /* The key may have been overwritten by a late change of an earlier incarnation. */
 static bool session_lost(struct rr_app *a, uint64_t tether, double since) {
     pthread_mutex_lock(&a->lock);
-    bool lost = rr_core_loaded(a->core) && rr_now() - since > 3 &&
+    bool lost = rr_core_cache_loaded(a->core) && rr_now() - since > 3 &&
                 !rr_core_session_seen(a->core, tether) && rr_now() - a->store_ok_at < 1;
     pthread_mutex_unlock(&a->lock);
     return lost;
@@ -71,7 +72,7 @@
 
 static int renew(struct rr_app *a, rr_store *s, uint64_t tether) {
     double sent = rr_now();
-    int rc = rr_store_renew(s, tether);
+    int rc = rr_store_renew_lease(s, tether);
     if (rc == 0) {
         set_session(a, tether, sent);
         pthread_mutex_lock(&a->lock);
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -159,15 +159,15 @@
     need_num(l, "deployment.state.write_rps", 1, 1e6, &c->state_write_rps);
     need_num(l, "deployment.state.value_kb", 1, 1e6, &c->value_kb);
     need_num(l, "deployment.state.txn_ops", 4, 10000, &n);
-    c->txn_ops = (int)n;
+    c->transaction_changes_max = (int)n;
     if (rr_toml_table(l->t, "deployment.state.next") == -EINVAL) {
         fail(l, "deployment.state.next", "must be a table");
     }
     opt_num(l, "deployment.state.next.rps", 1, 1e6, c->state_rps, &c->next_rps);
     opt_num(l, "deployment.state.next.write_rps", 1, 1e6, c->state_write_rps, &c->next_write_rps);
     opt_num(l, "deployment.state.next.value_kb", 1, 1e6, c->value_kb, &c->next_value_kb);
-    opt_num(l, "deployment.state.next.txn_ops", 4, 10000, c->txn_ops, &n);
-    c->next_txn_ops = (int)n;
+    opt_num(l, "deployment.state.next.txn_ops", 4, 10000, c->transaction_changes_max, &n);
+    c->next_transaction_changes_max = (int)n;
     need_num(l, "deployment.cloud.rps", 0.01, 1e6, &c->cloud_rps);
     need_num(l, "deployment.cloud.list_lag_s", 0, 3600, &c->list_lag_s);
     opt_num(l, "deployment.limits.core_share", 0.001, 1024, 1, &c->core_share);
--- a/src/app/term_duty.c
+++ b/src/app/term_duty.c
@@ -46,9 +46,9 @@
             logged = rr_now();
             log_minute(a);
         }
-        rr_txn t;
+        rr_transaction t;
         uint64_t epoch;
-        rr_txn_init(&t);
+        rr_transaction_init(&t);
         pthread_mutex_lock(&a->lock);
         bool change = rr_core_next_term(a->core, rr_now(), rr_wall(), &t);
         uint64_t token = rr_core_token(a->core);
@@ -59,22 +59,23 @@
             rr_app_wait(a, &a->mirrored, &a->lock, 1.0);
         }
         pthread_mutex_unlock(&a->lock);
-        rr_budget_share(a->budget, &shares);
+        rr_budget_set_shares(a->budget, &shares);
         if (token != seen) {
             seen = token;
             rr_log(RR_INFO_LEVEL, "term %" G_GUINT64_FORMAT " with %u controllers", token, live);
         }
         if (change) {
-            enum rr_commit rc = rr_store_commit(s, RR_PRIO_SESSION, &t, 1.5, &epoch, NULL);
-            if (rc == RR_COMMITTED || rc == RR_CONFLICT) {
+            enum rr_commit_status rc =
+                rr_store_commit(s, RR_REQUEST_SESSION, &t, 1.5, &epoch, NULL);
+            if (rc == RR_COMMIT_DONE || rc == RR_COMMIT_CONFLICT) {
                 pthread_mutex_lock(&a->lock);
-                rr_app_wait_epoch(a, epoch, rr_now() + 1);
+                rr_app_wait_revision(a, epoch, rr_now() + 1);
                 pthread_mutex_unlock(&a->lock);
             } else {
                 rr_duty_pause(a, 0.3);
             }
         }
-        rr_txn_clear(&t);
+        rr_transaction_clear(&t);
     }
     rr_store_destroy(s);
     rr_usage_leave();
--- a/src/app/users_duty.c
+++ b/src/app/users_duty.c
@@ -9,7 +9,7 @@
 
 /* ---- users' commits and barriers ---- */
 
-static void finish(struct rr_user_commit *u, enum rr_commit outcome) {
+static void finish(struct rr_user_commit *u, enum rr_commit_status outcome) {
     u->outcome = outcome;
     u->finished = true;
     pthread_cond_signal(&u->done);
@@ -21,7 +21,7 @@
     double now = rr_now();
     while ((u = g_queue_peek_head(&a->commits)) && now > u->until) {
         g_queue_pop_head(&a->commits);
-        finish(u, u->doubted ? RR_DOUBT : RR_REFUSED);
+        finish(u, u->doubted ? RR_COMMIT_OUTCOME_UNKNOWN : RR_COMMIT_REFUSED);
     }
 }
 
@@ -37,7 +37,7 @@
            rr_user_batch_add(&a->cfg, b, g_queue_peek_head(&a->commits)) && b->n > 0) {
         g_queue_pop_head(&a->commits);
     }
-    uint64_t tether = a->tether;
+    uint64_t tether = a->lease_id;
     pthread_mutex_unlock(&a->user_lock);
     return tether;
 }
@@ -51,20 +51,21 @@
     return false;
 }
 
-static void settle(struct rr_app *a, struct rr_user_commit **batch, guint n, enum rr_commit rc,
-                   uint64_t epoch, const GPtrArray *failed, double took) {
+static void settle(struct rr_app *a, struct rr_user_commit **batch, guint n,
+                   enum rr_commit_status rc, uint64_t epoch, const GPtrArray *failed, double took) {
     double now = rr_now();
     pthread_mutex_lock(&a->user_lock);
-    a->pace = rc == RR_COMMITTED ? n / fmax(took, 0.001) : a->pace;
+    a->pace = rc == RR_COMMIT_DONE ? n / fmax(took, 0.001) : a->pace;
     for (guint i = 0; i < n; i++) {
         struct rr_user_commit *u = batch[i];
-        u->epoch = epoch;
-        u->doubted = u->doubted || rc == RR_DOUBT;
+        u->revision = epoch;
+        u->doubted = u->doubted || rc == RR_COMMIT_OUTCOME_UNKNOWN;
         /* A conflict names its keys; the others of the batch go again. */
-        bool again = rc == RR_CONFLICT && n > 1 && !listed(failed, u->key) &&
+        bool again = rc == RR_COMMIT_CONFLICT && n > 1 && !listed(failed, u->key) &&
                      !(u->also_key[0] && listed(failed, u->also_key));
-        again =
-            again || ((rc == RR_REFUSED || rc == RR_INVALID || rc == RR_DOUBT) && now < u->until);
+        again = again || ((rc == RR_COMMIT_REFUSED || rc == RR_COMMIT_INVALID ||
+                           rc == RR_COMMIT_OUTCOME_UNKNOWN) &&
+                          now < u->until);
         if (again && !rr_duty_stopping(a)) {
             g_queue_push_tail(&a->commits, u);
         } else {
@@ -84,30 +85,30 @@
         if (b.n == 0) {
             continue;
         }
-        rr_txn t;
-        rr_txn_init(&t);
+        rr_transaction t;
+        rr_transaction_init(&t);
         GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
-        rr_user_batch_txn(&b, tether, &a->batches, &t);
+        rr_user_batch_transaction(&b, tether, &a->batches, &t);
         uint64_t epoch = 0;
         double began = rr_now();
-        enum rr_commit rc = rr_store_commit(s, RR_PRIO_USER, &t, 1.0, &epoch, failed);
-        rr_txn_clear(&t);
+        enum rr_commit_status rc = rr_store_commit(s, RR_REQUEST_USER, &t, 1.0, &epoch, failed);
+        rr_transaction_clear(&t);
         pthread_mutex_lock(&a->lock);
-        a->store_down = rc == RR_REFUSED || rc == RR_DOUBT;
+        a->store_down = rc == RR_COMMIT_REFUSED || rc == RR_COMMIT_OUTCOME_UNKNOWN;
         if (!a->store_down) {
             a->store_ok_at = rr_now();
         }
         pthread_mutex_unlock(&a->lock);
         settle(a, b.entries, b.n, rc, epoch, failed, rr_now() - began);
         g_ptr_array_free(failed, TRUE);
-        if (rc == RR_REFUSED || rc == RR_INVALID || rc == RR_DOUBT) {
+        if (rc == RR_COMMIT_REFUSED || rc == RR_COMMIT_INVALID || rc == RR_COMMIT_OUTCOME_UNKNOWN) {
             rr_duty_pause(a, 0.1);
         }
     }
     pthread_mutex_lock(&a->user_lock);
     struct rr_user_commit *u;
     while ((u = g_queue_pop_head(&a->commits))) {
-        finish(u, RR_REFUSED);
+        finish(u, RR_COMMIT_REFUSED);
     }
     pthread_mutex_unlock(&a->user_lock);
     rr_store_destroy(s);
@@ -135,14 +136,14 @@
 }
 
 /* The mirror has all that was committed before this call. */
-static bool mirror_is_current(struct rr_app *a, rr_store *s) {
+static bool cache_is_current(struct rr_app *a, rr_store *s) {
     uint64_t epoch = 0;
     double until = rr_now() + 1.2;
-    if (rr_store_epoch(s, &epoch, 0.8) != 0) {
+    if (rr_store_revision(s, &epoch, 0.8) != 0) {
         return false;
     }
     pthread_mutex_lock(&a->lock);
-    bool ok = rr_core_loaded(a->core) && rr_app_wait_epoch(a, epoch, until);
+    bool ok = rr_core_cache_loaded(a->core) && rr_app_wait_revision(a, epoch, until);
     pthread_mutex_unlock(&a->lock);
     return ok;
 }
@@ -166,7 +167,7 @@
             continue;
         }
         last = rr_now();
-        bool ok = mirror_is_current(a, s);
+        bool ok = cache_is_current(a, s);
         pthread_mutex_lock(&a->user_lock);
         b->served = b->number;
         b->ok = ok;
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -45,16 +45,16 @@
     g_hash_table_remove_all(absent->outs);
     absent->mirror = rr_core_create(absent->config);
     rr_core_watch_records(absent->mirror, RR_CELLS_PREFIX, on_record, absent);
-    rr_core_mirror_begin(absent->mirror);
+    rr_core_cache_begin_reload(absent->mirror);
 }
 
 void rr_absent_put(rr_absent *absent, const char *key, const msgpack_object *value,
                    uint64_t version, double now) {
-    rr_core_mirror_put(absent->mirror, key, value, version, now);
+    rr_core_cache_put(absent->mirror, key, value, version, now);
 }
 
 void rr_absent_end(rr_absent *absent, double now) {
-    rr_core_mirror_end(absent->mirror, 1, 1, now);
+    rr_core_cache_end_reload(absent->mirror, 1, 1, now);
     absent->token = rr_core_token(absent->mirror);
 }
 
@@ -113,14 +113,15 @@
 
 /* Guarded by the term and by the record that was read. */
 static void change_out(const rr_absent *absent, const char *job_id, const rr_out_record *record,
-                       rr_txn *out) {
+                       rr_transaction *out) {
     const rr_absent_out *before = rr_absent_out_of(absent, job_id);
     rr_core_guard_term(absent->mirror, out);
     rr_cells_out_write(out, job_id, before ? before->version : 0, record);
 }
 
 /* Also guarded by the job's own record: its user may have cancelled it. */
-bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team, rr_txn *out) {
+bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
+                     rr_transaction *out) {
     const rr_absent_out *before = rr_absent_out_of(absent, job_id);
     rr_out_record record = {.state = RR_HOME_OFFERED, .claim = 1};
     if ((before && before->record.state != RR_HOME_LOCAL) ||
@@ -135,7 +136,7 @@
 }
 
 /* What its ledger has placed there is gone, as its workers had no controllers. */
-bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_txn *out) {
+bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out) {
     if (!rr_core_finish_job(absent->mirror, job_id, true, out)) {
         return false;
     }
@@ -143,7 +144,8 @@
     return true;
 }
 
-bool rr_absent_give_back(const rr_absent *absent, const char *job_id, double wall, rr_txn *out) {
+bool rr_absent_give_back(const rr_absent *absent, const char *job_id, double wall,
+                         rr_transaction *out) {
     const rr_absent_out *before = rr_absent_out_of(absent, job_id);
     if (!before) {
         return false;
--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -44,8 +44,10 @@
 
 /* Changes to its state service, guarded by its term and the records that were read. False: there is
  * nothing to change. */
-bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team, rr_txn *out);
-bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_txn *out);
-bool rr_absent_give_back(const rr_absent *absent, const char *job_id, double wall, rr_txn *out);
+bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
+                     rr_transaction *out);
+bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out);
+bool rr_absent_give_back(const rr_absent *absent, const char *job_id, double wall,
+                         rr_transaction *out);
 
 #endif
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -22,10 +22,11 @@
 }
 
 /* Takes the transaction over. */
-static void add_there(struct look *look, const char *id, bool ends_claim, const rr_txn *txn) {
+static void add_there(struct look *look, const char *id, bool ends_claim,
+                      const rr_transaction *txn) {
     rr_transfer_write *write = g_new0(rr_transfer_write, 1);
     write->ends_claim = ends_claim;
-    write->txn = *txn;
+    write->transaction = *txn;
     g_strlcpy(write->id, id, sizeof write->id);
     g_ptr_array_set_free_func(look->there, free_write);
     g_ptr_array_add(look->there, write);
@@ -42,23 +43,23 @@
 }
 
 static void tell_answer(struct look *look, const rr_incoming *entry) {
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     if (rr_absent_finish(look->absent, entry->record.job_id, &txn)) {
         add_there(look, entry->local_id, true, &txn);
     } else {
-        rr_txn_clear(&txn);
+        rr_transaction_clear(&txn);
     }
 }
 
 /* The copy has gone: its record there says so. */
 static void give_back(struct look *look, const rr_incoming *entry) {
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     if (rr_absent_give_back(look->absent, entry->record.job_id, look->wall, &txn)) {
         add_there(look, entry->local_id, true, &txn);
     } else {
-        rr_txn_clear(&txn);
+        rr_transaction_clear(&txn);
     }
 }
 
@@ -121,7 +122,7 @@
 static void look_at_job(void *user, const rr_submission *submission, double at,
                         const rr_absent_out *out) {
     struct look *look = user;
-    rr_txn txn;
+    rr_transaction txn;
     if (!rr_transfers_owns(look->transfers, submission->team, look->now)) {
         return;
     }
@@ -132,13 +133,13 @@
     if (!may_claim(look, submission)) {
         return;
     }
-    rr_txn_init(&txn);
+    rr_transaction_init(&txn);
     if (rr_absent_claim(look->absent, submission->job_id, submission->team, &txn)) {
         rr_room_take(&look->transfers->room, submission);
         look->claims++;
         add_there(look, submission->job_id, false, &txn);
     } else {
-        rr_txn_clear(&txn);
+        rr_transaction_clear(&txn);
     }
 }
 
@@ -155,7 +156,7 @@
                         .there = there};
     GHashTableIter iterator;
     gpointer value;
-    if (rr_absent_for(absent, now) <= 0 || !rr_core_settled(transfers->core)) {
+    if (rr_absent_for(absent, now) <= 0 || !rr_core_cache_consistent(transfers->core)) {
         return;
     }
     g_hash_table_iter_init(&iterator, transfers->incoming);
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -63,10 +63,10 @@
     char key[RR_ID + 64];
     memset(write, 0, sizeof *write);
     g_strlcpy(write->id, entry->local_id, sizeof write->id);
-    rr_txn_init(&write->txn);
-    rr_core_guard_term(transfers->core, &write->txn);
+    rr_transaction_init(&write->transaction);
+    rr_core_guard_term(transfers->core, &write->transaction);
     rr_cells_in_key(entry->local_id, key, sizeof key);
-    rr_txn_guard(&write->txn, key, entry->version);
+    rr_transaction_guard(&write->transaction, key, entry->version);
 }
 
 /* What the machine wants written. */
@@ -77,7 +77,7 @@
     begin_write(transfers, entry, write);
     rr_cells_in_key(entry->local_id, key, sizeof key);
     if (next->state == RR_GUEST_NONE) {
-        rr_txn_delete(&write->txn, key);
+        rr_transaction_delete(&write->transaction, key);
         return;
     }
     rr_in_record record = entry->record;
@@ -87,7 +87,7 @@
     record.answer = next->answer;
     rr_encoder_init(&packed);
     rr_cells_in_encode(&record, &packed);
-    rr_txn_put(&write->txn, key, &packed, 0);
+    rr_transaction_put(&write->transaction, key, &packed, 0);
 }
 
 static void add_write(rr_transfers *transfers, const rr_incoming *entry, rr_transfers_plan *plan) {
@@ -103,7 +103,7 @@
     rr_core_revoke_job(transfers->core, entry->local_id);
     begin_write(transfers, entry, &write);
     write.ends_copy = true;
-    if (rr_core_abandon_job(transfers->core, entry->local_id, &write.txn)) {
+    if (rr_core_abandon_job(transfers->core, entry->local_id, &write.transaction)) {
         g_ptr_array_add(plan->writes, g_memdup2(&write, sizeof write));
     } else {
         rr_transfer_write_clear(&write);
@@ -350,8 +350,8 @@
     rr_encoder_init(&packed);
     rr_core_job_encode(&packed, submission, at, false);
     rr_core_job_key(entry->local_id, key, sizeof key);
-    rr_txn_guard(&write->txn, key, 0);
-    rr_txn_put(&write->txn, key, &packed, 0);
+    rr_transaction_guard(&write->transaction, key, 0);
+    rr_transaction_put(&write->transaction, key, &packed, 0);
 }
 
 static void fill_record(rr_transfers *transfers, rr_incoming *entry, size_t neighbour,
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -100,18 +100,18 @@
     memset(write, 0, sizeof *write);
     write->outgoing = true;
     g_strlcpy(write->id, entry->job_id, sizeof write->id);
-    rr_txn_init(&write->txn);
-    rr_core_guard_term(transfers->core, &write->txn);
+    rr_transaction_init(&write->transaction);
+    rr_core_guard_term(transfers->core, &write->transaction);
     if (next->state == RR_HOME_FINAL) {
         good = next->answer != RR_ANSWER_DONE ||
-               rr_core_finish_job(transfers->core, entry->job_id, false, &write->txn);
-        rr_cells_out_write(&write->txn, entry->job_id, entry->version, NULL);
+               rr_core_finish_job(transfers->core, entry->job_id, false, &write->transaction);
+        rr_cells_out_write(&write->transaction, entry->job_id, entry->version, NULL);
     } else {
         rr_out_record record = next_record(transfers, entry, wall);
         /* Its user may have cancelled it, and this mirror not know. */
         good = next->state != RR_HOME_OFFERED ||
-               rr_core_guard_job(transfers->core, entry->job_id, &write->txn);
-        rr_cells_out_write(&write->txn, entry->job_id, entry->version, &record);
+               rr_core_guard_job(transfers->core, entry->job_id, &write->transaction);
+        rr_cells_out_write(&write->transaction, entry->job_id, entry->version, &record);
     }
     if (!good) {
         rr_home_written(&entry->home, false);
--- a/src/cells/records.c
+++ b/src/cells/records.c
@@ -45,19 +45,19 @@
     rr_encode_key_text(out, "answer", answers[record->answer]);
 }
 
-void rr_cells_out_write(rr_txn *txn, const char *job_id, uint64_t version,
+void rr_cells_out_write(rr_transaction *txn, const char *job_id, uint64_t version,
                         const rr_out_record *record) {
     char key[RR_ID + 64];
     rr_cells_out_key(job_id, key, sizeof key);
-    rr_txn_guard(txn, key, version);
+    rr_transaction_guard(txn, key, version);
     if (!record) {
-        rr_txn_delete(txn, key);
+        rr_transaction_delete(txn, key);
         return;
     }
     rr_encoder packed;
     rr_encoder_init(&packed);
     rr_cells_out_encode(record, &packed);
-    rr_txn_put(txn, key, &packed, 0);
+    rr_transaction_put(txn, key, &packed, 0);
 }
 
 rr_out_record rr_cells_out_withdrawn(const rr_out_record *record, double wall) {
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -31,7 +31,7 @@
     char id[RR_ID];  /* the job's, as this cell calls it */
     bool ends_copy;  /* cancels the copy of another cell's job: peers are to be told */
     bool ends_claim; /* at a cell without controllers: its record of the claim is over with it */
-    rr_txn txn;
+    rr_transaction transaction;
 } rr_transfer_write;
 
 void rr_transfer_write_clear(gpointer write);
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -30,7 +30,7 @@
         m->sim = rr_res_add(rr_machine_cap(c, m), m->used, -1);
         /* What is known to be over takes no room any more, though its record waits for others. */
         for (guint k = 0; k < m->places->len; k++) {
-            const rr_place *p = &g_array_index(m->places, rr_place, k);
+            const rr_placement *p = &g_array_index(m->places, rr_placement, k);
             m->sim = p->over_at > 0 ? rr_res_add(m->sim, p->job->request, 1) : m->sim;
         }
         m->booked_image = -1;
@@ -41,14 +41,16 @@
     if (spot && !j->submission.spot) {
         return false;
     }
-    if (j->submission.zone[0] && strcmp(j->submission.zone, rr_names_at(&c->zones, zone)) != 0) {
+    if (j->submission.zone[0] &&
+        strcmp(j->submission.zone, rr_name_index_at(&c->zones, zone)) != 0) {
         return false;
     }
     if (j->submission.machine_type_count == 0) {
         return true;
     }
     for (int i = 0; i < j->submission.machine_type_count; i++) {
-        if (strcmp(j->submission.machine_types[i], rr_names_at(&c->machine_types, build)) == 0) {
+        if (strcmp(j->submission.machine_types[i], rr_name_index_at(&c->machine_types, build)) ==
+            0) {
             return true;
         }
     }
@@ -57,15 +59,15 @@
 
 /* Placements of the job by zone, but those known to be over; a task being moved counts where it is
  * and where it goes. */
-uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_place *except,
+uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_placement *except,
                               uint32_t *by_zone) {
     uint32_t all = 0;
     (void)c;
     for (guint n = 0; j->runs && n < j->runs->len; n++) {
-        const rr_run *r = g_ptr_array_index(j->runs, n);
+        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
         for (guint i = 0; r && i < r->items->len; i++) {
-            const rr_item *it = &g_array_index(r->items, rr_item, i);
-            const rr_place *p = rr_place_find(it->m, it->attempt, j, it->task);
+            const rr_placement_record *it = &g_array_index(r->items, rr_placement_record, i);
+            const rr_placement *p = rr_placement_find(it->m, it->attempt, j, it->task);
             if (it->m->zone >= 0 && !it->m->gone && !(p && p->over_at > 0) &&
                 !(except && it->attempt == except->attempt)) {
                 by_zone[it->m->zone]++;
@@ -82,7 +84,7 @@
     for (guint w = 0; w < c->zones.names->len; w++) {
         allowed[w] = true;
         if (j->submission.zone[0] &&
-            strcmp(j->submission.zone, rr_names_at(&c->zones, (int)w)) != 0) {
+            strcmp(j->submission.zone, rr_name_index_at(&c->zones, (int)w)) != 0) {
             allowed[w] = false;
         }
         if (j->submission.spread && by_zone[w] >= half) {
@@ -95,7 +97,7 @@
     }
 }
 
-void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_place *except) {
+void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_placement *except) {
     guint n = c->zones.names->len;
     uint32_t by_zone[n + 1];
     memset(by_zone, 0, sizeof by_zone);
@@ -107,7 +109,7 @@
 
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j) {
     for (guint k = 0; k < m->places->len; k++) {
-        const rr_place *p = &g_array_index(m->places, rr_place, k);
+        const rr_placement *p = &g_array_index(m->places, rr_placement, k);
         if (p->job == j && p->over_at <= 0) {
             return true;
         }
@@ -153,7 +155,7 @@
 
 static bool image_coming(const rr_machine *m, int image) {
     for (guint k = 0; k < m->places->len; k++) {
-        if (g_array_index(m->places, rr_place, k).job->image == image) {
+        if (g_array_index(m->places, rr_placement, k).job->image == image) {
             return true;
         }
     }
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -42,17 +42,17 @@
 }
 
 /* Whether the record takes one placement more, once what is known to be over has left it. */
-static bool has_room(const struct rr_planner *planner, const rr_run *run) {
+static bool has_room(const struct rr_planner *planner, const rr_ledger_record *run) {
     if (!run) {
         return true;
     }
     const struct rr_plan_edit *edit = run->edit;
     guint over = MIN(rr_plan_overs(planner, run), run->items->len);
     guint placements = edit ? edit->items->len : run->items->len - over;
-    return rr_record_fits(planner->c, placements + 1);
+    return rr_ledger_record_fits(planner->c, placements + 1);
 }
 
-static const rr_run *record_at(const rr_job *job, uint32_t chunk) {
+static const rr_ledger_record *record_at(const rr_job *job, uint32_t chunk) {
     return job->runs && chunk < job->runs->len ? g_ptr_array_index(job->runs, chunk) : NULL;
 }
 
@@ -60,7 +60,7 @@
  * are written only while every controller reads them. */
 static int64_t chunk_with_room(const struct rr_planner *planner, rr_job *job, uint32_t task) {
     uint32_t home = task / job->per, first = rr_job_chunks(job);
-    if (has_room(planner, rr_job_run(job, home))) {
+    if (has_room(planner, rr_job_ledger_record(job, home))) {
         return home;
     }
     uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX, RR_PIECES_MAX / planner->c->chunk + 1);
@@ -73,9 +73,9 @@
 }
 
 /* A record that this plan has not begun, with a placement of the task. */
-static bool has_earlier(const rr_run *run, uint32_t task) {
+static bool has_earlier(const rr_ledger_record *run, uint32_t task) {
     for (guint i = 0; run && !run->edit && i < run->items->len; i++) {
-        if (g_array_index(run->items, rr_item, i).task == task) {
+        if (g_array_index(run->items, rr_placement_record, i).task == task) {
             return true;
         }
     }
@@ -97,7 +97,7 @@
         return RR_CHUNK_BLOCKED;
     }
     for (guint i = 0; i < records_of_task(job); i++) {
-        const rr_run *run = record_at(job, record_of_task(job, task, i));
+        const rr_ledger_record *run = record_at(job, record_of_task(job, task, i));
         if (has_earlier(run, task) && !rr_plan_writable(planner, run)) {
             return RR_TASK_BLOCKED;
         }
@@ -129,13 +129,13 @@
                      uint64_t attempt) {
     rr_core *core = planner->c;
     struct rr_plan_edit *edit = rr_booking_record(planner, job, task);
-    if (!edit || !rr_record_fits(core, edit->items->len + 1)) {
+    if (!edit || !rr_ledger_record_fits(core, edit->items->len + 1)) {
         return false;
     }
-    rr_item item = {.m = machine,
-                    .task = task,
-                    .attempt = attempt,
-                    .worker_epoch = machine->heartbeat.worker_epoch};
+    rr_placement_record item = {.m = machine,
+                                .task = task,
+                                .attempt = attempt,
+                                .worker_epoch = machine->heartbeat.worker_epoch};
     g_array_append_val(edit->items, item);
     rr_plan_use(planner, machine);
     g_array_append_val(machine->booked, job);
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -72,11 +72,11 @@
     double gang_wait_s; /* a gang's task gives up after waiting so long for the others */
     double gang_peer_s; /* within this the others notice that one is gone, or is told to stop */
     double state_rps, state_write_rps, value_kb;
-    int txn_ops;
+    int transaction_changes_max;
     /* The limits that the state service will have from some moment on, without notice; 0 or the
      * same as above where the settings name none. */
     double next_rps, next_write_rps, next_value_kb;
-    int next_txn_ops;
+    int next_transaction_changes_max;
     double cloud_rps, list_lag_s;
     double core_share, ram_mb;
     int max_sockets;
@@ -98,12 +98,15 @@
 /* What is written obeys the smaller of the state service's limits from the first write on: what is
  * larger could not be written again once they are lowered. How a job's tasks are parted over the
  * records of its ledger follows the present limit, in every version alike. */
-static inline double rr_value_kb(const struct rr_config *c) {
+static inline double rr_value_kb_max(const struct rr_config *c) {
     return c->next_value_kb > 0 && c->next_value_kb < c->value_kb ? c->next_value_kb : c->value_kb;
 }
 
-static inline int rr_txn_ops(const struct rr_config *c) {
-    return c->next_txn_ops > 0 && c->next_txn_ops < c->txn_ops ? c->next_txn_ops : c->txn_ops;
+static inline int rr_transaction_changes_max(const struct rr_config *c) {
+    return c->next_transaction_changes_max > 0 &&
+                   c->next_transaction_changes_max < c->transaction_changes_max
+               ? c->next_transaction_changes_max
+               : c->transaction_changes_max;
 }
 
 /* The lease of a session: short, so that another takes over soon from one that has lost the state
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -27,31 +27,31 @@
 /* The state service has refused a valid transaction: its lower limits hold from here on. in_doubt:
  * an earlier copy of it went unanswered and may be carried out yet. A new term voids it, as every
  * plan is guarded by the term's record. */
-void rr_core_limits_lowered(rr_core *c, bool in_doubt);
+void rr_core_lower_limits(rr_core *c, bool in_doubt);
 
 /* ---- the mirror of the state service ---- */
 /* A full reread starts: keys not seen again will go. Until it ends nothing is decided. */
-void rr_core_mirror_begin(rr_core *c);
-void rr_core_mirror_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark,
-                        double now);
-void rr_core_mirror_delete(rr_core *c, const char *key, uint64_t mark, double now);
+void rr_core_cache_begin_reload(rr_core *c);
+void rr_core_cache_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark,
+                       double now);
+void rr_core_cache_delete(rr_core *c, const char *key, uint64_t mark, double now);
 /* Ends a full reread whose pages were of the revisions first to last: what came after the first
  * stays, and nothing is decided before the watch has brought the mirror to the last. */
-void rr_core_mirror_end(rr_core *c, uint64_t first, uint64_t last, double now);
-bool rr_core_settled(const rr_core *c);
+void rr_core_cache_end_reload(rr_core *c, uint64_t first, uint64_t last, double now);
+bool rr_core_cache_consistent(const rr_core *c);
 /* Our own transaction, committed at this revision: planning goes on without waiting for the watch.
  */
-void rr_core_apply(rr_core *c, const rr_txn *t, uint64_t epoch, double now);
-void rr_core_set_epoch(rr_core *c, uint64_t epoch);
-uint64_t rr_core_epoch(const rr_core *c);
-bool rr_core_loaded(const rr_core *c);
+void rr_core_apply(rr_core *c, const rr_transaction *t, uint64_t epoch, double now);
+void rr_core_set_revision(rr_core *c, uint64_t epoch);
+uint64_t rr_core_revision(const rr_core *c);
+bool rr_core_cache_loaded(const rr_core *c);
 
 /* ---- sessions and terms ---- */
 /* Our own session: its lease, and until when it surely holds: until then we may plan. */
 void rr_core_set_session(rr_core *c, uint64_t tether, double entitled_until);
 /* The mirror has every change made before this time: workers' reports may be answered for
  * rr_heartbeat_reply_s from there, longer than the session lasts. */
-void rr_core_set_fresh(rr_core *c, double at);
+void rr_core_set_cache_current(rr_core *c, double at);
 bool rr_core_entitled(const rr_core *c, double now);
 /* The shell's own timers have just fired late: there is more work than processor time. */
 void rr_core_set_late(rr_core *c, double now);
@@ -61,7 +61,7 @@
 void rr_core_node_put(const struct rr_config *cfg, rr_encoder *o, uint64_t tether);
 /* The transaction that makes the next term if the sessions differ from the present one; false:
  * nothing to change. */
-bool rr_core_next_term(rr_core *c, double now, double wall, rr_txn *out);
+bool rr_core_next_term(rr_core *c, double now, double wall, rr_transaction *out);
 unsigned rr_core_live(const rr_core *c);
 /* This controller's part of what the store allows a second, by what it has to write: requests, and
  * changes for users, its plans and the provisioner's records. */
@@ -79,7 +79,7 @@
     bool known, done, cancelled;
     const char *state;
     uint32_t done_count, running_count;
-    uint64_t mark;
+    uint64_t version;
 } rr_job_view;
 void rr_core_job_view(const rr_core *c, const char *ref, double now, rr_job_view *out);
 void rr_core_job_key(const char *ref, char *out, size_t size);
@@ -134,8 +134,8 @@
 } rr_command_batch;
 
 typedef struct {
-    bool has_txn;
-    rr_txn txn;
+    bool has_transaction;
+    rr_transaction transaction;
     GPtrArray *command_batches; /* rr_command_batch* */
     double next_s;              /* look again after this long at the latest */
 } rr_plan;
@@ -165,7 +165,7 @@
 };
 typedef struct {
     enum rr_step_kind kind;
-    rr_txn txn;                                             /* TXN */
+    rr_transaction transaction;                             /* TXN */
     char rental[RR_ID], machine_type[RR_ID], zone[RR_TEXT]; /* HIRE */
     bool spot;
     int how_many;
@@ -199,10 +199,10 @@
 void rr_core_each_job(const rr_core *c, rr_core_job_fn fn, void *user);
 bool rr_core_job_known(const rr_core *c, const char *job_id);
 /* A change that only this term's provisioner may make. */
-void rr_core_guard_term(const rr_core *c, rr_txn *t);
+void rr_core_guard_term(const rr_core *c, rr_transaction *t);
 /* Every controller of the term takes part in fair admission. */
 bool rr_core_all_admit(const rr_core *c);
-double rr_core_mirror_age(const rr_core *c, double now); /* it surely had every change before */
+double rr_core_cache_age(const rr_core *c, double now); /* it surely had every change before */
 /* Under overload no team fills more than its part of all room (rooms, by team of the settings)
  * while others wait; NULL: no overload. The rooms are copied. */
 void rr_core_set_fair_room(rr_core *c, const double *rooms, double cpu, double gpu, double mem);
@@ -221,11 +221,12 @@
 const char *rr_core_team_owner(const rr_core *c, const char *team);
 /* Adds the job's final record, done. False: no such job is open, or tasks of it are placed here
  * (unless those are surely gone). */
-bool rr_core_finish_job(const rr_core *c, const char *job_id, bool placed_are_gone, rr_txn *t);
+bool rr_core_finish_job(const rr_core *c, const char *job_id, bool placed_are_gone,
+                        rr_transaction *t);
 /* Guards the record of a job that is open. False: it is not. */
-bool rr_core_guard_job(const rr_core *c, const char *job_id, rr_txn *t);
+bool rr_core_guard_job(const rr_core *c, const char *job_id, rr_transaction *t);
 /* Adds a record of the job that marks it cancelled. False: it is not known or final. */
-bool rr_core_abandon_job(const rr_core *c, const char *job_id, rr_txn *t);
+bool rr_core_abandon_job(const rr_core *c, const char *job_id, rr_transaction *t);
 /* Jobs that this controller plans, of which nothing has begun; none of another cell. at: wall, when
  * accepted. */
 typedef void (*rr_core_spillable_fn)(void *user, const rr_submission *submission, double at);
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -16,7 +16,7 @@
 }
 
 static int machine_type_index(rr_core *c, const char *sku) {
-    int i = rr_names_add(&c->machine_types, sku);
+    int i = rr_name_index_add(&c->machine_types, sku);
     if ((guint)i >= c->build_info->len) {
         g_array_set_size(c->build_info, (guint)i + 1);
     }
@@ -34,7 +34,7 @@
     rr_machine_type_clear(slot);
     *slot = b;
     for (guint i = 0; i < b.zones->len; i++) {
-        rr_names_add(&c->zones, g_ptr_array_index(b.zones, i));
+        rr_name_index_add(&c->zones, g_ptr_array_index(b.zones, i));
     }
     c->catalog_known = true;
 }
@@ -60,13 +60,13 @@
 #define FLAG_OWN 2
 #define FLAG_RET 4
 
-size_t rr_page_entry_bytes(const rr_core *c, const rr_machine *m) {
+size_t rr_machine_page_entry_bytes(const rr_core *c, const rr_machine *m) {
     return 44 + strlen(m->name) + strlen(m->addr) +
-           strlen(rr_names_at(&c->machine_types, m->machine_type)) +
-           strlen(rr_names_at(&c->zones, m->zone));
+           strlen(rr_name_index_at(&c->machine_types, m->machine_type)) +
+           strlen(rr_name_index_at(&c->zones, m->zone));
 }
 
-void rr_page_encode(const rr_core *c, rr_encoder *o, const GPtrArray *machines) {
+void rr_machine_page_encode(const rr_core *c, rr_encoder *o, const GPtrArray *machines) {
     rr_encode_map(o, 1);
     rr_encode_text(o, "stones");
     rr_encode_array(o, machines->len);
@@ -75,8 +75,8 @@
         rr_encode_array(o, 6);
         rr_encode_text(o, m->name);
         rr_encode_text(o, m->addr);
-        rr_encode_text(o, rr_names_at(&c->machine_types, m->machine_type));
-        rr_encode_text(o, rr_names_at(&c->zones, m->zone));
+        rr_encode_text(o, rr_name_index_at(&c->machine_types, m->machine_type));
+        rr_encode_text(o, rr_name_index_at(&c->zones, m->zone));
         rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->own ? FLAG_OWN : 0) |
                                     (m->give_up ? FLAG_RET : 0)));
         rr_encode_u64(o, m->born > 0 ? (uint64_t)m->born : 0);
@@ -116,11 +116,11 @@
     bool ret = flags & FLAG_RET;
     m->ret_at = ret && !m->ret ? now : m->ret_at;
     m->ret = ret;
-    m->recorded = m->keep = true;
+    m->recorded = m->seen_in_reload = true;
     m->gone = m->to_adopt = false;
     m->page = page;
     m->machine_type = machine_type_index(c, build);
-    m->zone = rr_names_add(&c->zones, zone);
+    m->zone = rr_name_index_add(&c->zones, zone);
     m->spot = flags & FLAG_SPOT;
     m->own = flags & FLAG_OWN;
     c->ever_rented = c->ever_rented || !m->own;
@@ -134,31 +134,32 @@
 static void drop_unkept(rr_core *c, uint32_t page, double now) {
     for (guint i = c->machine_list->len; i > 0; i--) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
-        if (m->recorded && m->page == page && !m->keep) {
+        if (m->recorded && m->page == page && !m->seen_in_reload) {
             rr_machine_drop(c, m, now);
         }
     }
 }
 
-void rr_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark, double now) {
+void rr_machine_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark,
+                         double now) {
     uint32_t id = (uint32_t)g_ascii_strtoull(rest, NULL, 10);
-    rr_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(id));
+    rr_machine_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(id));
     const msgpack_object *list = rr_map_get(v, "stones");
-    if (id == 0 || !list || list->type != MSGPACK_OBJECT_ARRAY || (p && mark < p->mark)) {
+    if (id == 0 || !list || list->type != MSGPACK_OBJECT_ARRAY || (p && mark < p->version)) {
         return;
     }
     if (!p) {
-        p = g_new0(rr_page, 1);
+        p = g_new0(rr_machine_page, 1);
         p->id = id;
         g_hash_table_insert(c->pages, GUINT_TO_POINTER(id), p);
     }
-    p->mark = mark;
-    p->keep = true;
-    p->entries = list->via.array.size;
+    p->version = mark;
+    p->seen_in_reload = true;
+    p->entry_count = list->via.array.size;
     c->next_page = id >= c->next_page ? id + 1 : c->next_page;
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->keep = m->keep && m->page != id;
+        m->seen_in_reload = m->seen_in_reload && m->page != id;
     }
     p->bytes = 0;
     for (uint32_t i = 0; i < list->via.array.size; i++) {
@@ -166,20 +167,22 @@
     }
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        p->bytes += m->recorded && m->page == id && m->keep ? rr_page_entry_bytes(c, m) : 0;
+        p->bytes += m->recorded && m->page == id && m->seen_in_reload
+                        ? rr_machine_page_entry_bytes(c, m)
+                        : 0;
     }
     drop_unkept(c, id, now);
 }
 
-void rr_page_delete(rr_core *c, const char *rest, uint64_t mark, double now) {
+void rr_machine_page_delete(rr_core *c, const char *rest, uint64_t mark, double now) {
     uint32_t id = (uint32_t)g_ascii_strtoull(rest, NULL, 10);
-    const rr_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(id));
-    if (!p || mark < p->mark) {
+    const rr_machine_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(id));
+    if (!p || mark < p->version) {
         return;
     }
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->keep = m->keep && m->page != id;
+        m->seen_in_reload = m->seen_in_reload && m->page != id;
     }
     drop_unkept(c, id, now);
     g_hash_table_remove(c->pages, GUINT_TO_POINTER(id));
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -10,10 +10,10 @@
  * books or ends it, now and under the limits to come: its records, and its final one at the end. */
 uint32_t rr_gang_most(const rr_core *c) {
     uint32_t in_record = c->chunk;
-    while (in_record > 1 && !rr_record_fits(c, in_record)) {
+    while (in_record > 1 && !rr_ledger_record_fits(c, in_record)) {
         in_record--;
     }
-    uint32_t records = (uint32_t)MAX(rr_txn_ops(c->cfg) - 1, 1);
+    uint32_t records = (uint32_t)MAX(rr_transaction_changes_max(c->cfg) - 1, 1);
     return MIN(c->chunk, in_record * records);
 }
 
@@ -23,7 +23,8 @@
 enum state { ABSENT, SHOWN, RUNS, LEAVES, LOST, DONE };
 
 /* One placement. LOST: over, or never to come in time. LEAVES: its machine goes soon. */
-static enum state state_of(const rr_core *c, const rr_machine *m, const rr_place *pl, double now) {
+static enum state state_of(const rr_core *c, const rr_machine *m, const rr_placement *pl,
+                           double now) {
     const rr_task_status *r = rr_task_status_find(m, pl);
     if (r && r->state == RR_TASK_ENDED) {
         return r->exit_reason == RR_EXIT_DONE ? DONE : LOST;
@@ -47,11 +48,11 @@
     bool at_once; /* it has to make room without delay */
 };
 
-static void count_run(const rr_core *c, const rr_job *j, const rr_run *run, double now,
-                      struct count *n) {
+static void count_record(const rr_core *c, const rr_job *j, const rr_ledger_record *run, double now,
+                         struct count *n) {
     for (guint i = 0; run && i < run->items->len; i++) {
-        const rr_item *it = &g_array_index(run->items, rr_item, i);
-        const rr_place *pl = rr_place_find(it->m, it->attempt, j, it->task);
+        const rr_placement_record *it = &g_array_index(run->items, rr_placement_record, i);
+        const rr_placement *pl = rr_placement_find(it->m, it->attempt, j, it->task);
         if (pl) {
             n->all++;
             n->by[state_of(c, it->m, pl, now)]++;
@@ -65,7 +66,7 @@
     memset(n, 0, sizeof *n);
     n->told = true;
     for (guint k = 0; j->runs && k < j->runs->len; k++) {
-        count_run(c, j, g_ptr_array_index(j->runs, k), now, n);
+        count_record(c, j, g_ptr_array_index(j->runs, k), now, n);
     }
 }
 
--- a/src/core/holds.c
+++ b/src/core/holds.c
@@ -41,9 +41,9 @@
         hold->revoked = true;
     }
     for (guint n = 0; job && job->runs && n < job->runs->len; n++) {
-        const rr_run *run = g_ptr_array_index(job->runs, n);
+        const rr_ledger_record *run = g_ptr_array_index(job->runs, n);
         for (guint i = 0; run && i < run->items->len; i++) {
-            rr_touch(c, g_array_index(run->items, rr_item, i).m);
+            rr_touch(c, g_array_index(run->items, rr_placement_record, i).m);
         }
     }
 }
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -14,7 +14,7 @@
         return false;
     }
     rr_core_job_encode(o, &j->submission, j->at, true);
-    *mark = j->own_mark;
+    *mark = j->own_version;
     return true;
 }
 
@@ -39,7 +39,7 @@
 }
 
 /* A final job without placements needs no task tables any more. */
-void rr_job_maybe_close(rr_core *c, rr_job *j) {
+void rr_job_close_if_final(rr_core *c, rr_job *j) {
     if (!j->open || !(j->done || j->cancelled) || j->placed_count) {
         return;
     }
@@ -49,10 +49,10 @@
     g_clear_pointer(&j->placed, g_free);
     /* What is left of its ledger says nothing any more. */
     for (guint i = 0; j->runs && i < j->runs->len; i++) {
-        const rr_run *r = g_ptr_array_index(j->runs, i);
-        if (r && r->mark) {
+        const rr_ledger_record *r = g_ptr_array_index(j->runs, i);
+        if (r && r->version) {
             char key[RR_ID + 64];
-            rr_run_key(j->submission.job_id, r->chunk, key, sizeof key);
+            rr_ledger_record_key(j->submission.job_id, r->chunk, key, sizeof key);
             g_ptr_array_add(c->garbage, g_strdup(key));
         }
     }
@@ -73,9 +73,9 @@
 }
 
 static void job_index(rr_core *c, rr_job *j) {
-    j->team = rr_names_add(&c->teams, j->submission.team);
-    j->job_class = rr_names_add(&c->job_classes, j->submission.job_class);
-    j->image = rr_names_add(&c->images, j->submission.image);
+    j->team = rr_name_index_add(&c->teams, j->submission.team);
+    j->job_class = rr_name_index_add(&c->job_classes, j->submission.job_class);
+    j->image = rr_name_index_add(&c->images, j->submission.image);
     j->request = (rr_res){j->submission.cpus, j->submission.gpus, j->submission.mem_gb};
 }
 
@@ -116,11 +116,11 @@
  * counted without sizes: out with it before they are known, in again after. */
 static void recount(rr_core *c, rr_job *j, int sign) {
     for (guint n = 0; j->runs && n < j->runs->len; n++) {
-        const rr_run *r = g_ptr_array_index(j->runs, n);
+        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
         for (guint i = 0; r && i < r->items->len; i++) {
-            const rr_item *it = &g_array_index(r->items, rr_item, i);
-            rr_place p = {.job = j, .task = it->task};
-            rr_place_count(c, it->m, &p, sign);
+            const rr_placement_record *it = &g_array_index(r->items, rr_placement_record, i);
+            rr_placement p = {.job = j, .task = it->task};
+            rr_placement_count(c, it->m, &p, sign);
         }
     }
 }
@@ -161,26 +161,27 @@
         return; /* it can't change any more */
     }
     rr_job *j = rr_job_get(c, ref, now);
-    bool is_new = j->mark == 0;
-    if (mark < j->own_mark) {
+    bool is_new = j->version == 0;
+    if (mark < j->own_version) {
         return;
     }
-    j->mark = j->own_mark = mark;
+    j->version = j->own_version = mark;
     if (rr_map_get(v, "final")) {
         put_final(j, v);
-        j->team = rr_names_add(&c->teams, j->submission.team);
+        j->team = rr_name_index_add(&c->teams, j->submission.team);
     } else {
         put_body(c, j, v, is_new);
     }
-    rr_job_maybe_close(c, j);
+    rr_job_close_if_final(c, j);
 }
 
 /* Jobs accepted together. A job's own record, written by its cancellation or its end, says more,
  * whichever comes first; of two batches that name a job (a user's retry elsewhere) the first. */
-void rr_batch_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark, double now) {
+void rr_job_batch_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark,
+                      double now) {
     const msgpack_object *list = rr_map_get(v, "jobs");
-    rr_batch *b = g_new0(rr_batch, 1);
-    b->mark = mark;
+    rr_job_batch *b = g_new0(rr_job_batch, 1);
+    b->version = mark;
     b->jobs = g_ptr_array_new();
     g_hash_table_replace(c->batches, g_strdup(key), b);
     for (uint32_t i = 0; list && list->type == MSGPACK_OBJECT_ARRAY && i < list->via.array.size;
@@ -193,9 +194,9 @@
         }
         rr_job *j = rr_job_get(c, ref, now);
         g_ptr_array_add(b->jobs, j);
-        if (j->own_mark == 0 && (j->mark == 0 || mark < j->mark)) {
-            bool is_new = j->mark == 0;
-            j->mark = mark;
+        if (j->own_version == 0 && (j->version == 0 || mark < j->version)) {
+            bool is_new = j->version == 0;
+            j->version = mark;
             put_body(c, j, o, is_new);
         }
     }
@@ -214,8 +215,8 @@
 /* A final job whose ledger is gone needs no place for it either: jobs are kept for good. */
 void rr_job_trim(const rr_core *c, rr_job *j) {
     for (guint i = 0; j->runs && i < j->runs->len; i++) {
-        const rr_run *r = g_ptr_array_index(j->runs, i);
-        if (r && (r->mark || r->edit || r->items->len || r->floor > c->epoch)) {
+        const rr_ledger_record *r = g_ptr_array_index(j->runs, i);
+        if (r && (r->version || r->edit || r->items->len || r->deleted_at_revision > c->epoch)) {
             return;
         }
     }
@@ -259,7 +260,7 @@
     }
     g_hash_table_iter_init(&it, c->batches);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const GPtrArray *jobs = ((rr_batch *)v)->jobs;
+        const GPtrArray *jobs = ((rr_job_batch *)v)->jobs;
         for (guint i = 0; i < jobs->len; i++) {
             g_hash_table_add(pinned, g_ptr_array_index(jobs, i));
         }
@@ -269,7 +270,7 @@
 
 /* Known from its own record, over, and the watch past all that may still be said of it. */
 static bool rests(const rr_core *c, rr_job *j) {
-    if (!(j->done || j->cancelled) || j->open || j->own_mark == 0 || j->own_mark > c->epoch) {
+    if (!(j->done || j->cancelled) || j->open || j->own_version == 0 || j->own_version > c->epoch) {
         return false;
     }
     rr_job_trim(c, j);
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -3,18 +3,18 @@
 
 #include <string.h>
 
-rr_run *rr_job_run(rr_job *j, uint32_t chunk) {
+rr_ledger_record *rr_job_ledger_record(rr_job *j, uint32_t chunk) {
     if (!j->runs) {
-        j->runs = g_ptr_array_new_with_free_func(rr_run_free);
+        j->runs = g_ptr_array_new_with_free_func(rr_ledger_record_free);
     }
     if (chunk >= j->runs->len) {
         g_ptr_array_set_size(j->runs, (gint)chunk + 1);
     }
-    rr_run *r = g_ptr_array_index(j->runs, chunk);
+    rr_ledger_record *r = g_ptr_array_index(j->runs, chunk);
     if (!r) {
-        r = g_new0(rr_run, 1);
+        r = g_new0(rr_ledger_record, 1);
         r->chunk = chunk;
-        r->items = g_array_new(FALSE, TRUE, sizeof(rr_item));
+        r->items = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
         j->runs->pdata[chunk] = r;
     }
     return r;
@@ -62,25 +62,25 @@
     hex[(n + 3) / 4] = 0;
 }
 
-size_t rr_run_bytes(guint items) {
+size_t rr_ledger_record_bytes(guint items) {
     /* As JSON, which is what the store counts: task, machine's name, attempt, worker_epoch, mark.
      */
     return 220 + (size_t)items * 44;
 }
 
-void rr_run_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
-                   const GArray *items, const GArray *done, int zone) {
+void rr_ledger_record_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
+                             const GArray *items, const GArray *done, int zone) {
     char hex[RR_CHUNK_MAX / 4 + 1];
     chunk_hex(j, chunk, done, hex);
     rr_encode_map(o, zone >= 0 ? 3 : 2);
     rr_encode_key_text(o, "bits", hex);
     if (zone >= 0) {
-        rr_encode_key_text(o, "zone", rr_names_at(&c->zones, zone));
+        rr_encode_key_text(o, "zone", rr_name_index_at(&c->zones, zone));
     }
     rr_encode_text(o, "tasks");
     rr_encode_array(o, items->len);
     for (guint i = 0; i < items->len; i++) {
-        const rr_item *it = &g_array_index(items, rr_item, i);
+        const rr_placement_record *it = &g_array_index(items, rr_placement_record, i);
         rr_encode_array(o, 5);
         rr_encode_u64(o, it->task);
         rr_encode_text(o, it->m->name);
@@ -91,7 +91,8 @@
 }
 
 /* One placement: [task, machine, attempt, worker_epoch, evict]. */
-static bool item_decode(rr_core *c, const msgpack_object *o, rr_item *it, double now) {
+static bool placement_decode(rr_core *c, const msgpack_object *o, rr_placement_record *it,
+                             double now) {
     char name[RR_ID];
     uint64_t task, evict = RR_KEEP;
     memset(it, 0, sizeof *it);
@@ -111,26 +112,27 @@
     return true;
 }
 
-static void place_add(rr_core *c, rr_job *j, uint32_t chunk, const rr_item *it, double now) {
-    rr_place p = {.job = j,
-                  .task = it->task,
-                  .chunk = chunk,
-                  .attempt = it->attempt,
-                  .worker_epoch = it->worker_epoch,
-                  .evict = it->evict,
-                  .seen_at = now};
+static void placement_add(rr_core *c, rr_job *j, uint32_t chunk, const rr_placement_record *it,
+                          double now) {
+    rr_placement p = {.job = j,
+                      .task = it->task,
+                      .chunk = chunk,
+                      .attempt = it->attempt,
+                      .worker_epoch = it->worker_epoch,
+                      .evict = it->evict,
+                      .seen_at = now};
     g_array_append_val(it->m->places, p);
-    rr_place_count(c, it->m, &p, 1);
+    rr_placement_count(c, it->m, &p, 1);
 }
 
-static void place_drop(rr_core *c, rr_job *j, const rr_item *it, double now) {
+static void placement_remove(rr_core *c, rr_job *j, const rr_placement_record *it, double now) {
     rr_machine *m = it->m;
     for (guint i = 0; i < m->places->len; i++) {
-        rr_place *p = &g_array_index(m->places, rr_place, i);
+        rr_placement *p = &g_array_index(m->places, rr_placement, i);
         if (p->attempt == it->attempt && p->job == j && p->task == it->task) {
-            rr_place old = *p;
+            rr_placement old = *p;
             g_array_remove_index(m->places, i);
-            rr_place_count(c, m, &old, -1);
+            rr_placement_count(c, m, &old, -1);
             break;
         }
     }
@@ -140,17 +142,18 @@
     }
 }
 
-static bool same_item(const rr_item *a, const rr_item *b) {
+static bool same_placement(const rr_placement_record *a, const rr_placement_record *b) {
     return a->attempt == b->attempt && a->task == b->task && a->m == b->m;
 }
 
 /* Both lists keep their order, so that the search mostly ends where it begins. */
-static const rr_item *find_item(const GArray *items, const rr_item *it, guint *from) {
+static const rr_placement_record *find_placement(const GArray *items, const rr_placement_record *it,
+                                                 guint *from) {
     for (guint n = 0; n < items->len; n++) {
         guint i = (*from + n) % items->len;
-        if (same_item(&g_array_index(items, rr_item, i), it)) {
+        if (same_placement(&g_array_index(items, rr_placement_record, i), it)) {
             *from = i + 1;
-            return &g_array_index(items, rr_item, i);
+            return &g_array_index(items, rr_placement_record, i);
         }
     }
     return NULL;
@@ -158,17 +161,17 @@
 
 /* Takes over a record's placements: what is new is added, what has gone is dropped, the rest keeps
  * what this process remembers of it. */
-static void set_items(rr_core *c, rr_job *j, rr_run *r, GArray *fresh, double now) {
+static void set_placements(rr_core *c, rr_job *j, rr_ledger_record *r, GArray *fresh, double now) {
     GArray *old = r->items;
     guint from = 0;
     r->items = fresh;
     for (guint i = 0; i < fresh->len; i++) {
-        const rr_item *it = &g_array_index(fresh, rr_item, i);
-        if (!find_item(old, it, &from)) {
-            place_add(c, j, r->chunk, it, now);
+        const rr_placement_record *it = &g_array_index(fresh, rr_placement_record, i);
+        if (!find_placement(old, it, &from)) {
+            placement_add(c, j, r->chunk, it, now);
             continue;
         }
-        rr_place *p = rr_place_find(it->m, it->attempt, j, it->task);
+        rr_placement *p = rr_placement_find(it->m, it->attempt, j, it->task);
         if (p && p->evict != it->evict) {
             p->evict = it->evict;
             rr_touch(c, it->m);
@@ -176,15 +179,16 @@
     }
     from = 0;
     for (guint i = 0; i < old->len; i++) {
-        const rr_item *it = &g_array_index(old, rr_item, i);
-        if (!find_item(fresh, it, &from)) {
-            place_drop(c, j, it, now);
+        const rr_placement_record *it = &g_array_index(old, rr_placement_record, i);
+        if (!find_placement(fresh, it, &from)) {
+            placement_remove(c, j, it, now);
         }
     }
     g_array_free(old, TRUE);
 }
 
-void rr_run_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark, double now) {
+void rr_ledger_record_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark,
+                          double now) {
     char ref[RR_ID], hex[RR_CHUNK_MAX / 4 + 1], zone[RR_TEXT];
     uint32_t chunk;
     if (!rr_task_name_parse(rest, ref, sizeof ref, &chunk) || chunk > RR_PIECES_MAX / c->chunk ||
@@ -192,14 +196,14 @@
         return;
     }
     rr_job *j = rr_job_get(c, ref, now);
-    rr_run *r = rr_job_run(j, chunk);
+    rr_ledger_record *r = rr_job_ledger_record(j, chunk);
     /* Our own changes are here before the watch brings those before them: a record that is older
      * than its end would bring back placements that are over, and start them again. */
-    if (mark < r->mark || mark <= r->floor) {
+    if (mark < r->version || mark <= r->deleted_at_revision) {
         return;
     }
-    r->mark = mark;
-    r->keep = true;
+    r->version = mark;
+    r->seen_in_reload = true;
     const msgpack_object *list = rr_map_get(v, "tasks");
     bool some = list && list->type == MSGPACK_OBJECT_ARRAY && list->via.array.size > 0;
     if (j->submission.task_count && (some || !(j->done || j->cancelled))) {
@@ -209,24 +213,24 @@
         put_bits(j, chunk, hex);
     }
     if (rr_map_get_text(v, "zone", zone, sizeof zone)) {
-        j->zone = rr_names_add(&c->zones, zone);
+        j->zone = rr_name_index_add(&c->zones, zone);
     }
-    GArray *fresh = g_array_new(FALSE, TRUE, sizeof(rr_item));
+    GArray *fresh = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
     for (uint32_t i = 0; some && i < list->via.array.size; i++) {
-        rr_item it;
-        if (item_decode(c, &list->via.array.ptr[i], &it, now)) {
+        rr_placement_record it;
+        if (placement_decode(c, &list->via.array.ptr[i], &it, now)) {
             g_array_append_val(fresh, it);
         }
     }
-    set_items(c, j, r, fresh, now);
-    if (!j->open && j->mark && (j->done || j->cancelled)) {
+    set_placements(c, j, r, fresh, now);
+    if (!j->open && j->version && (j->done || j->cancelled)) {
         char key[RR_ID + 64];
-        rr_run_key(ref, chunk, key, sizeof key);
+        rr_ledger_record_key(ref, chunk, key, sizeof key);
         g_ptr_array_add(c->garbage, g_strdup(key));
     }
 }
 
-rr_run *rr_garbage_run(const rr_core *c, guint i, rr_job **job) {
+rr_ledger_record *rr_garbage_record(const rr_core *c, guint i, rr_job **job) {
     const char *key = g_ptr_array_index(c->garbage, i);
     char ref[RR_ID];
     uint32_t chunk;
@@ -239,21 +243,23 @@
     return j && j->runs && chunk < j->runs->len ? g_ptr_array_index(j->runs, chunk) : NULL;
 }
 
-void rr_run_drop(rr_core *c, rr_job *j, rr_run *r, uint64_t mark, double now) {
-    r->mark = 0;
-    r->floor = mark;
-    set_items(c, j, r, g_array_new(FALSE, TRUE, sizeof(rr_item)), now);
+void rr_ledger_record_remove(rr_core *c, rr_job *j, rr_ledger_record *r, uint64_t mark,
+                             double now) {
+    r->version = 0;
+    r->deleted_at_revision = mark;
+    set_placements(c, j, r, g_array_new(FALSE, TRUE, sizeof(rr_placement_record)), now);
 }
 
-void rr_run_delete(rr_core *c, const char *rest, uint64_t mark, double now) {
+void rr_ledger_record_delete(rr_core *c, const char *rest, uint64_t mark, double now) {
     char ref[RR_ID];
     uint32_t chunk;
     rr_job *j = rr_task_name_parse(rest, ref, sizeof ref, &chunk)
                     ? g_hash_table_lookup(c->jobs, ref)
                     : NULL;
-    rr_run *r = j && j->runs && chunk < j->runs->len ? g_ptr_array_index(j->runs, chunk) : NULL;
-    if (r && mark >= r->mark) {
-        rr_run_drop(c, j, r, mark, now);
+    rr_ledger_record *r =
+        j && j->runs && chunk < j->runs->len ? g_ptr_array_index(j->runs, chunk) : NULL;
+    if (r && mark >= r->version) {
+        rr_ledger_record_remove(c, j, r, mark, now);
         rr_job_trim(c, j);
     }
 }
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -12,7 +12,7 @@
     m->id = c->next_machine_id++;
     g_strlcpy(m->name, name, sizeof m->name);
     m->machine_type = m->zone = -1;
-    m->places = g_array_new(FALSE, TRUE, sizeof(rr_place));
+    m->places = g_array_new(FALSE, TRUE, sizeof(rr_placement));
     m->images = g_array_new(FALSE, FALSE, sizeof(int));
     m->err_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
     m->lost = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
@@ -59,7 +59,7 @@
     *u = rr_res_add(*u, j->request, sign);
 }
 
-void rr_place_count(rr_core *c, rr_machine *m, rr_place *p, int sign) {
+void rr_placement_count(rr_core *c, rr_machine *m, rr_placement *p, int sign) {
     rr_job *j = p->job;
     m->used = rr_res_add(m->used, j->request, sign);
     if (j->team >= 0) {
@@ -74,13 +74,14 @@
     } else if (j->placed[p->task] > 0) {
         j->placed_count -= --j->placed[p->task] == 0;
         j->hint = p->task < j->hint ? p->task : j->hint;
-        rr_job_maybe_close(c, j);
+        rr_job_close_if_final(c, j);
     }
 }
 
-rr_place *rr_place_find(const rr_machine *m, uint64_t attempt, const rr_job *j, uint32_t task) {
+rr_placement *rr_placement_find(const rr_machine *m, uint64_t attempt, const rr_job *j,
+                                uint32_t task) {
     for (guint i = 0; i < m->places->len; i++) {
-        rr_place *p = &g_array_index(m->places, rr_place, i);
+        rr_placement *p = &g_array_index(m->places, rr_placement, i);
         if (p->attempt == attempt && p->job == j && p->task == task) {
             return p;
         }
@@ -88,7 +89,7 @@
     return NULL;
 }
 
-const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_place *p) {
+const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_placement *p) {
     for (guint i = 0; m->heartbeat_seen && i < m->heartbeat.tasks->len; i++) {
         const rr_task_status *r = &g_array_index(m->heartbeat.tasks, rr_task_status, i);
         if (r->attempt == p->attempt && r->task == p->task &&
@@ -113,7 +114,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         for (guint k = 0; k < m->places->len; k++) {
-            const rr_job *j = g_array_index(m->places, rr_place, k).job;
+            const rr_job *j = g_array_index(m->places, rr_placement, k).job;
             if (j->team >= 0) {
                 team_add(c, j, 1);
             }
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -24,8 +24,8 @@
     c->changes = changes;
 }
 
-void rr_run_free(gpointer p) {
-    rr_run *r = p;
+void rr_ledger_record_free(gpointer p) {
+    rr_ledger_record *r = p;
     if (r) {
         g_array_free(r->items, TRUE);
         g_free(r);
@@ -60,7 +60,7 @@
 }
 
 static void batch_free(gpointer p) {
-    rr_batch *b = p;
+    rr_job_batch *b = p;
     g_ptr_array_free(b->jobs, TRUE);
     g_free(b);
 }
@@ -84,13 +84,13 @@
 rr_core *rr_core_create(const struct rr_config *cfg) {
     rr_core *c = g_new0(rr_core, 1);
     c->cfg = cfg;
-    rr_names_init(&c->teams);
-    rr_names_init(&c->zones);
-    rr_names_init(&c->machine_types);
-    rr_names_init(&c->job_classes);
-    rr_names_init(&c->images);
+    rr_name_index_init(&c->teams);
+    rr_name_index_init(&c->zones);
+    rr_name_index_init(&c->machine_types);
+    rr_name_index_init(&c->job_classes);
+    rr_name_index_init(&c->images);
     for (size_t i = 0; i < cfg->nteams; i++) {
-        rr_names_add(&c->teams, cfg->teams[i].name);
+        rr_name_index_add(&c->teams, cfg->teams[i].name);
     }
     c->build_info = machine_types_new();
     c->fresh_builds = machine_types_new();
@@ -107,13 +107,14 @@
     c->provisioner = c->place = -1;
     /* The same on every controller: from the settings alone. */
     c->chunk = RR_CHUNK_MIN;
-    while (c->chunk < RR_CHUNK_MAX && (double)rr_run_bytes(2 * c->chunk) < cfg->value_kb * 1024) {
+    while (c->chunk < RR_CHUNK_MAX &&
+           (double)rr_ledger_record_bytes(2 * c->chunk) < cfg->value_kb * 1024) {
         c->chunk *= 2;
     }
     c->pages = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     c->batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, batch_free);
     c->next_page = 1;
-    c->changes = rr_txn_ops(cfg);
+    c->changes = rr_transaction_changes_max(cfg);
     c->zone_counts = g_array_new(FALSE, TRUE, sizeof(rr_zone_count));
     c->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->holds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -162,11 +163,11 @@
     g_hash_table_destroy(c->finals);
     g_array_free(c->build_info, TRUE);
     g_array_free(c->fresh_builds, TRUE);
-    rr_names_clear(&c->teams);
-    rr_names_clear(&c->zones);
-    rr_names_clear(&c->machine_types);
-    rr_names_clear(&c->job_classes);
-    rr_names_clear(&c->images);
+    rr_name_index_clear(&c->teams);
+    rr_name_index_clear(&c->zones);
+    rr_name_index_clear(&c->machine_types);
+    rr_name_index_clear(&c->job_classes);
+    rr_name_index_clear(&c->images);
     g_free(c);
 }
 
@@ -178,7 +179,7 @@
     g_snprintf(out, size, RR_ROOT "job/%s", ref);
 }
 
-void rr_page_key(uint32_t page, char *out, size_t size) {
+void rr_machine_page_key(uint32_t page, char *out, size_t size) {
     g_snprintf(out, size, RR_ROOT "fleet/%08u", page);
 }
 
@@ -186,7 +187,7 @@
     g_snprintf(out, size, RR_ROOT "hire/%s", name);
 }
 
-void rr_run_key(const char *ref, uint32_t chunk, char *out, size_t size) {
+void rr_ledger_record_key(const char *ref, uint32_t chunk, char *out, size_t size) {
     g_snprintf(out, size, RR_ROOT "run/%s/%u", ref, chunk);
 }
 
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -36,7 +36,7 @@
     double stop_leave; /* the time it left */
     double over_at;    /* since when it is known to be over, 0: it is not */
     bool leaving;      /* a plan under construction stops it */
-} rr_place;
+} rr_placement;
 
 /* The same placement as its record holds it. */
 typedef struct {
@@ -44,7 +44,7 @@
     uint32_t task;
     uint64_t attempt, worker_epoch;
     int evict;
-} rr_item;
+} rr_placement_record;
 
 /* One record of the ledger: the placements of a chunk of a job's tasks, and which are done. One
  * change books or ends many tasks of a job, which a ledger by machine can't. Where the state
@@ -53,42 +53,43 @@
  * the chunk's own record, where every version reads them. */
 typedef struct {
     uint32_t chunk;
-    uint64_t mark;  /* 0: not in the store */
-    uint64_t floor; /* revision of its end: what is not newer says nothing */
-    GArray *items;  /* rr_item */
-    bool keep;      /* seen in the reread that is under way */
-    void *edit;     /* scratch of one plan */
-    guint overs;    /* likewise: 1 + the index of the first placement known to be over, 0: none */
-} rr_run;
+    uint64_t version;             /* 0: not in the store */
+    uint64_t deleted_at_revision; /* revision of its end: what is not newer says nothing */
+    GArray *items;                /* rr_placement_record */
+    bool seen_in_reload;          /* seen in the reread that is under way */
+    void *edit;                   /* scratch of one plan */
+    guint first_terminated; /* likewise: 1 + the index of the first placement known to be over, 0:
+                               none */
+} rr_ledger_record;
 
 /* A record of machines, written by the provisioner. */
 typedef struct {
     uint32_t id;
-    uint64_t mark;
-    size_t bytes;  /* their size, roughly */
-    guint entries; /* in the record; one that moved to another page may still be among them */
-    bool keep;
-} rr_page;
+    uint64_t version;
+    size_t bytes;      /* their size, roughly */
+    guint entry_count; /* in the record; one that moved to another page may still be among them */
+    bool seen_in_reload;
+} rr_machine_page;
 
 /* Jobs accepted together, in one record. */
 typedef struct {
-    uint64_t mark;
+    uint64_t version;
     GPtrArray *jobs; /* rr_job* */
-} rr_batch;
+} rr_job_batch;
 
 struct rr_job {
     rr_submission submission;
     int team, job_class, image;
     rr_res request;
-    uint64_t mark;     /* of the record that tells of it */
-    uint64_t own_mark; /* of its own record, 0 while it is known from a batch only */
-    double at;         /* wall, when accepted */
+    uint64_t version;     /* of the record that tells of it */
+    uint64_t own_version; /* of its own record, 0 while it is known from a batch only */
+    double at;            /* wall, when accepted */
     bool cancelled, done, open;
     guint8 *bits;   /* done tasks, one bit each; NULL once final */
     guint8 *placed; /* placements a task has in the ledger */
     uint32_t done_count, placed_count, hint;
-    uint32_t per;             /* tasks in a record of its ledger */
-    GPtrArray *runs;          /* rr_run* by chunk, NULL where there is none; NULL: none at all */
+    uint32_t per;    /* tasks in a record of its ledger */
+    GPtrArray *runs; /* rr_ledger_record* by chunk, NULL where there is none; NULL: none at all */
     uint32_t over, finishing; /* scratch of one plan: tasks known to be over, to be recorded */
     double failed_at;         /* steady; no room was found for it then */
     bool listed, ending;      /* scratch of one plan */
@@ -111,12 +112,12 @@
     /* ledger */
     bool recorded, own, ret;
     bool gone; /* was recorded: proven gone, with all that was on it */
-    bool keep;
+    bool seen_in_reload;
     bool dirty;  /* on the core's list of machines to reconcile */
     double born; /* wall */
     uint32_t page;
     double ret_at;  /* when the mirror first showed ret */
-    GArray *places; /* rr_place */
+    GArray *places; /* rr_placement */
     rr_res used;
     /* observed */
     bool heartbeat_seen;
@@ -164,13 +165,13 @@
 
 typedef struct {
     char name[RR_NAME];
-    uint64_t tether;
+    uint64_t lease_id;
     bool holds;    /* keeps holds of other cells' jobs */
     uint64_t able; /* 0: a version that knows no gangs; not kept in terms */
 } rr_session;
 
 typedef struct {
-    uint64_t token, mark;
+    uint64_t token, version;
     GArray *nodes; /* rr_session */
     double born;   /* wall, of the first term */
 } rr_term;
@@ -179,8 +180,8 @@
     char name[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
     bool spot;
     int how_many;
-    uint64_t mark;
-    bool keep;
+    uint64_t version;
+    bool seen_in_reload;
     double tried_at; /* 0: never */
     bool answered, refused;
     GPtrArray *ids; /* char*, once answered */
@@ -211,7 +212,7 @@
     uint32_t chunk; /* tasks in one record of the ledger */
 
     /* Names as dense indices. */
-    rr_names teams, zones, machine_types, job_classes, images;
+    rr_name_index teams, zones, machine_types, job_classes, images;
 
     /* Stored: the mirror of the state service. */
     GArray *build_info; /* rr_machine_type, by index; sku empty: not in the catalogue */
@@ -220,8 +221,8 @@
     GPtrArray *open;    /* rr_job*, not final or with placements */
     GHashTable *machines; /* name -> rr_machine */
     GPtrArray *machine_list;
-    GHashTable *pages;    /* id -> rr_page */
-    GHashTable *batches;  /* key -> rr_batch */
+    GHashTable *pages;    /* id -> rr_machine_page */
+    GHashTable *batches;  /* key -> rr_job_batch */
     GHashTable *sessions; /* node name -> rr_session */
     GHashTable *rentals;  /* name -> rr_rental */
     GPtrArray *garbage;   /* char*: keys of ledger records whose jobs are final */
@@ -238,7 +239,7 @@
     bool anew;    /* a new term is wanted, whatever the sessions say */
 
     /* Membership: this controller's session, and what follows from the term. */
-    uint64_t tether;
+    uint64_t lease_id;
     double entitled_until;
     uint64_t counter;          /* for attempts and request names, with the token */
     uint64_t all_dirty_token;  /* the term for which all machines were looked at */
@@ -322,43 +323,46 @@
 
 /* fleet.c */
 void rr_machine_type_put(rr_core *c, const msgpack_object *v);
-void rr_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark, double now);
-void rr_page_delete(rr_core *c, const char *rest, uint64_t mark, double now);
+void rr_machine_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark,
+                         double now);
+void rr_machine_page_delete(rr_core *c, const char *rest, uint64_t mark, double now);
 /* Its record has gone, and so has it. */
 void rr_machine_drop(rr_core *c, rr_machine *m, double now);
 const rr_machine_type *rr_machine_type_at(const rr_core *c, int build);
 rr_res rr_machine_cap(const rr_core *c, const rr_machine *m);
 double rr_machine_price(const rr_core *c, const rr_machine *m);
-size_t rr_page_entry_bytes(const rr_core *c, const rr_machine *m);
+size_t rr_machine_page_entry_bytes(const rr_core *c, const rr_machine *m);
 /* The record of a page, its machines as the flags in them say now. */
-void rr_page_encode(const rr_core *c, rr_encoder *o, const GPtrArray *machines /* rr_machine* */);
+void rr_machine_page_encode(const rr_core *c, rr_encoder *o,
+                            const GPtrArray *machines /* rr_machine* */);
 
 /* model.c */
 rr_machine *rr_machine_get(rr_core *c, const char *name, double now);
 void rr_machine_forget(rr_core *c, rr_machine *m);
 void rr_touch(rr_core *c, rr_machine *m); /* it is to be reconciled */
-void rr_page_key(uint32_t page, char *out, size_t size);
+void rr_machine_page_key(uint32_t page, char *out, size_t size);
 bool rr_job_task_done(const rr_job *j, uint32_t task);
 void rr_arrivals_trim(rr_core *c, double wall); /* those that count no more go */
 /* A final job that is kept as a line only; *done and *ndone may be NULL. */
 bool rr_job_final(const rr_core *c, const char *ref, bool *done, uint32_t *ndone);
 /* Jobs are known for good, but final ones out of use shrink to a line. */
 void rr_jobs_shrink(rr_core *c, double wall);
-rr_run *rr_job_run(rr_job *j, uint32_t chunk); /* makes it if need be */
-uint32_t rr_job_chunks(const rr_job *j);       /* the first overflow record has this number */
-bool rr_job_overflows(const rr_job *j);        /* it has overflow records */
-void rr_run_key(const char *ref, uint32_t chunk, char *out, size_t size);
+rr_ledger_record *rr_job_ledger_record(rr_job *j, uint32_t chunk); /* makes it if need be */
+uint32_t rr_job_chunks(const rr_job *j); /* the first overflow record has this number */
+bool rr_job_overflows(const rr_job *j);  /* it has overflow records */
+void rr_ledger_record_key(const char *ref, uint32_t chunk, char *out, size_t size);
 /* The record of a chunk with these placements; done: tasks (uint32_t) completed beside those known.
  */
-void rr_run_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
-                   const GArray *items, const GArray *done, int zone);
-size_t rr_run_bytes(guint items);
+void rr_ledger_record_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
+                             const GArray *items, const GArray *done, int zone);
+size_t rr_ledger_record_bytes(guint items);
 rr_res rr_team_used(const rr_core *c, int team);
 void rr_team_recount(rr_core *c); /* sums anew: what is added and taken off for ever drifts */
 /* The record that the i-th key of garbage names, and its job; NULL: not in the mirror. */
-rr_run *rr_garbage_run(const rr_core *c, guint i, rr_job **job);
-rr_place *rr_place_find(const rr_machine *m, uint64_t attempt, const rr_job *j, uint32_t task);
-const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_place *p);
+rr_ledger_record *rr_garbage_record(const rr_core *c, guint i, rr_job **job);
+rr_placement *rr_placement_find(const rr_machine *m, uint64_t attempt, const rr_job *j,
+                                uint32_t task);
+const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_placement *p);
 bool rr_machine_has_image(const rr_machine *m, int image);
 /* Counts what the plan under construction has booked, too. */
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j);
@@ -430,15 +434,15 @@
 /* observe.c */
 bool rr_watched_record(const rr_core *c, const char *key, const msgpack_object *value,
                        uint64_t version);
-void rr_job_final_record(const rr_job *job, rr_txn *t); /* done */
+void rr_job_final_record(const rr_job *job, rr_transaction *t); /* done */
 
 /* allocation.c */
 bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool spot);
 /* The zones in which one more task of the job may start, given its placements (and, while moving,
  * not counting `except`): fills allowed[zone]. */
-void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_place *except);
+void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_placement *except);
 /* The same from counts that the caller keeps while it books: placements by zone. */
-uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_place *except,
+uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_placement *except,
                               uint32_t *by_zone);
 void rr_job_zones_from(const rr_core *c, const rr_job *j, const uint32_t *by_zone, uint32_t all,
                        bool *allowed);
--- a/src/core/names.h
+++ b/src/core/names.h
@@ -7,12 +7,12 @@
 typedef struct {
     GHashTable *index; /* char* -> index + 1 */
     GPtrArray *names;
-} rr_names;
+} rr_name_index;
 
-void rr_names_init(rr_names *n);
-void rr_names_clear(rr_names *n);
-int rr_names_add(rr_names *n, const char *name);        /* the index, old or new */
-int rr_names_find(const rr_names *n, const char *name); /* -1: unknown */
-const char *rr_names_at(const rr_names *n, int i);
+void rr_name_index_init(rr_name_index *n);
+void rr_name_index_clear(rr_name_index *n);
+int rr_name_index_add(rr_name_index *n, const char *name);        /* the index, old or new */
+int rr_name_index_find(const rr_name_index *n, const char *name); /* -1: unknown */
+const char *rr_name_index_at(const rr_name_index *n, int i);
 
 #endif
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -29,7 +29,7 @@
         const rr_machine *machine = g_ptr_array_index(c->machine_list, i);
         const rr_machine_type *type = rr_machine_type_at(c, machine->machine_type);
         if (type && machine->recorded && !machine->ret && machine->zone >= 0) {
-            fn(user, type->name, rr_names_at(&c->zones, machine->zone), type->cpus, type->gpus,
+            fn(user, type->name, rr_name_index_at(&c->zones, machine->zone), type->cpus, type->gpus,
                type->mem_gb);
         }
     }
@@ -41,10 +41,10 @@
     g_hash_table_iter_init(&iterator, c->jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const rr_job *job = value;
-        bool open = job->mark && !job->cancelled && !job->done && !rr_job_away(c, job);
+        bool open = job->version && !job->cancelled && !job->done && !rr_job_away(c, job);
         uint32_t waiting =
             open ? job->submission.task_count - job->done_count - job->placed_count : 0;
-        if (job->mark) {
+        if (job->version) {
             fn(user, &job->submission, job->team, waiting, job->placed_count, job->done_count);
         }
     }
@@ -52,24 +52,24 @@
 
 bool rr_core_job_known(const rr_core *c, const char *job_id) {
     const rr_job *job = g_hash_table_lookup(c->jobs, job_id);
-    return (job && job->mark) || rr_job_final(c, job_id, NULL, NULL);
+    return (job && job->version) || rr_job_final(c, job_id, NULL, NULL);
 }
 
-void rr_core_guard_term(const rr_core *c, rr_txn *t) {
-    rr_txn_guard(t, RR_ROOT "term", c->term.mark);
+void rr_core_guard_term(const rr_core *c, rr_transaction *t) {
+    rr_transaction_guard(t, RR_ROOT "term", c->term.version);
 }
 
 bool rr_core_all_admit(const rr_core *c) {
     return rr_all_able_to(c, RR_ABLE_ADMISSION);
 }
 
-double rr_core_mirror_age(const rr_core *c, double now) {
+double rr_core_cache_age(const rr_core *c, double now) {
     return now - c->fresh_at;
 }
 
 bool rr_core_find_job(const rr_core *c, const char *job_id, rr_core_job *out) {
     const rr_job *job = g_hash_table_lookup(c->jobs, job_id);
-    if (!job || !job->mark) {
+    if (!job || !job->version) {
         return false;
     }
     *out = (rr_core_job){&job->submission, job->at,           true,           job->done,
@@ -85,7 +85,7 @@
     return known ? g_array_index(c->term.nodes, rr_session, place).name : NULL;
 }
 
-void rr_job_final_record(const rr_job *job, rr_txn *t) {
+void rr_job_final_record(const rr_job *job, rr_transaction *t) {
     char key[RR_ID + 64];
     rr_encoder o;
     rr_encoder_init(&o);
@@ -95,16 +95,17 @@
     rr_encode_key_text(&o, "crew", job->submission.team);
     rr_encode_key_u64(&o, "pieces", job->submission.task_count);
     rr_core_job_key(job->submission.job_id, key, sizeof key);
-    rr_txn_guard(t, key, job->own_mark);
-    rr_txn_put(t, key, &o, 0);
+    rr_transaction_guard(t, key, job->own_version);
+    rr_transaction_put(t, key, &o, 0);
 }
 
 static rr_job *open_job(const rr_core *c, const char *job_id) {
     rr_job *job = g_hash_table_lookup(c->jobs, job_id);
-    return job && job->mark && !job->done && !job->cancelled ? job : NULL;
+    return job && job->version && !job->done && !job->cancelled ? job : NULL;
 }
 
-bool rr_core_finish_job(const rr_core *c, const char *job_id, bool placed_are_gone, rr_txn *t) {
+bool rr_core_finish_job(const rr_core *c, const char *job_id, bool placed_are_gone,
+                        rr_transaction *t) {
     const rr_job *job = open_job(c, job_id);
     bool may_end = job && (job->placed_count == 0 || placed_are_gone);
     if (may_end) {
@@ -113,17 +114,17 @@
     return may_end;
 }
 
-bool rr_core_guard_job(const rr_core *c, const char *job_id, rr_txn *t) {
+bool rr_core_guard_job(const rr_core *c, const char *job_id, rr_transaction *t) {
     const rr_job *job = open_job(c, job_id);
     if (job) {
         char key[RR_ID + 64];
         rr_core_job_key(job_id, key, sizeof key);
-        rr_txn_guard(t, key, job->own_mark);
+        rr_transaction_guard(t, key, job->own_version);
     }
     return job != NULL;
 }
 
-bool rr_core_abandon_job(const rr_core *c, const char *job_id, rr_txn *t) {
+bool rr_core_abandon_job(const rr_core *c, const char *job_id, rr_transaction *t) {
     char key[RR_ID + 64];
     uint64_t mark;
     rr_encoder o;
@@ -133,8 +134,8 @@
     rr_encoder_init(&o);
     rr_core_cancel_record(c, job_id, &o, &mark);
     rr_core_job_key(job_id, key, sizeof key);
-    rr_txn_guard(t, key, mark);
-    rr_txn_put(t, key, &o, 0);
+    rr_transaction_guard(t, key, mark);
+    rr_transaction_put(t, key, &o, 0);
     return true;
 }
 
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -151,7 +151,7 @@
 }
 
 static bool waits(const rr_core *c, const rr_job *j, double now) {
-    return j->mark && !j->cancelled && !j->done && j->team >= 0 &&
+    return j->version && !j->cancelled && !j->done && j->team >= 0 &&
            (size_t)j->team < c->cfg->nteams &&
            j->done_count + j->placed_count < j->submission.task_count && now >= j->hold_until &&
            rr_owns_team(c, j->team) && !rr_job_held(c, j, now);
@@ -287,9 +287,9 @@
     rr_core *c = p->c;
     while (c->plan_moves->len > 0 && c->round_left > 0 && p->ops + 1 <= p->limit) {
         rr_move mv = g_array_index(c->plan_moves, rr_move, 0);
-        rr_place *old = NULL;
+        rr_placement *old = NULL;
         for (guint k = 0; k < mv.from->places->len; k++) {
-            rr_place *q = &g_array_index(mv.from->places, rr_place, k);
+            rr_placement *q = &g_array_index(mv.from->places, rr_placement, k);
             if (q->job == mv.job && q->task == mv.task && !q->evict) {
                 old = q;
             }
@@ -307,7 +307,7 @@
             return;
         }
         const struct rr_plan_edit *e = rr_edit_of(p, mv.job, old->chunk);
-        rr_item *it = e ? rr_edit_item(e, old->attempt, mv.task) : NULL;
+        rr_placement_record *it = e ? rr_edit_item(e, old->attempt, mv.task) : NULL;
         if (it) {
             it->evict = RR_EVICT_SAVING;
         }
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -8,7 +8,7 @@
 #define SHORT_OF_CHANGES 0.9
 
 static void unbook_last(struct rr_planner *planner, const rr_job *job, GArray *items) {
-    rr_machine *machine = g_array_index(items, rr_item, items->len - 1).m;
+    rr_machine *machine = g_array_index(items, rr_placement_record, items->len - 1).m;
     rr_res *booked = &g_array_index(planner->c->team_booked, rr_res, job->team);
     g_array_set_size(items, items->len - 1);
     g_array_set_size(machine->booked, machine->booked->len - 1);
@@ -19,10 +19,11 @@
 /* Takes this plan's bookings of the gang under this attempt back. */
 static void unbook(struct rr_planner *planner, const rr_job *job, uint64_t attempt) {
     for (guint chunk = 0; chunk < job->runs->len; chunk++) {
-        const rr_run *run = g_ptr_array_index(job->runs, chunk);
+        const rr_ledger_record *run = g_ptr_array_index(job->runs, chunk);
         const struct rr_plan_edit *edit = run ? run->edit : NULL;
         while (edit && edit->items->len > 0 &&
-               g_array_index(edit->items, rr_item, edit->items->len - 1).attempt == attempt) {
+               g_array_index(edit->items, rr_placement_record, edit->items->len - 1).attempt ==
+                   attempt) {
             unbook_last(planner, job, edit->items);
         }
     }
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -12,12 +12,12 @@
 
 void rr_plan_init(rr_plan *p) {
     memset(p, 0, sizeof *p);
-    rr_txn_init(&p->txn);
+    rr_transaction_init(&p->transaction);
     p->command_batches = g_ptr_array_new_with_free_func((GDestroyNotify)rr_command_batch_free);
 }
 
 void rr_plan_clear(rr_plan *p) {
-    rr_txn_clear(&p->txn);
+    rr_transaction_clear(&p->transaction);
     g_ptr_array_free(p->command_batches, TRUE);
 }
 
@@ -39,25 +39,25 @@
 /* ---- the transaction under construction ---- */
 
 /* Whether a record with this many placements keeps to the store's size of a value. */
-bool rr_record_fits(const rr_core *c, guint items) {
-    return (double)rr_run_bytes(items) <= rr_value_kb(c->cfg) * 1024;
+bool rr_ledger_record_fits(const rr_core *c, guint items) {
+    return (double)rr_ledger_record_bytes(items) <= rr_value_kb_max(c->cfg) * 1024;
 }
 
 static bool has_room(const struct rr_planner *p, int ops, size_t bytes) {
     return p->ops + ops <= p->limit && p->bytes + bytes <= TXN_BYTES;
 }
 
-static bool txn_room(struct rr_planner *p, int ops, size_t bytes) {
+static bool transaction_room(struct rr_planner *p, int ops, size_t bytes) {
     p->full = p->full || !has_room(p, ops, bytes);
     return has_room(p, ops, bytes);
 }
 
 static void take_overs(struct rr_planner *p, struct rr_plan_edit *e);
 
-guint rr_plan_overs(const struct rr_planner *p, const rr_run *r) {
+guint rr_plan_overs(const struct rr_planner *p, const rr_ledger_record *r) {
     guint over = 0;
-    for (guint n = r->overs; n > 0; over++) {
-        n = g_array_index(p->overs, struct rr_plan_over, n - 1).next;
+    for (guint n = r->first_terminated; n > 0; over++) {
+        n = g_array_index(p->terminated, struct rr_plan_over, n - 1).next;
     }
     return over;
 }
@@ -65,17 +65,17 @@
 /* A record of before the state service's limits were lowered may be larger than they allow now: it
  * can't be written again until enough of its placements are over, which one change then takes out.
  * Until the lower limits are seen to hold it may, as long as it does not grow. */
-bool rr_plan_writable(const struct rr_planner *p, const rr_run *r) {
-    if (!p->c->lowered || rr_record_fits(p->c, r->items->len)) {
+bool rr_plan_writable(const struct rr_planner *p, const rr_ledger_record *r) {
+    if (!p->c->lowered || rr_ledger_record_fits(p->c, r->items->len)) {
         return true;
     }
-    return rr_record_fits(p->c, r->items->len - MIN(rr_plan_overs(p, r), r->items->len));
+    return rr_ledger_record_fits(p->c, r->items->len - MIN(rr_plan_overs(p, r), r->items->len));
 }
 
 /* Every placement of the job is known to be over. */
 static bool all_over(const struct rr_planner *p, const rr_job *j) {
     for (guint n = 0; j->runs && n < j->runs->len; n++) {
-        const rr_run *r = g_ptr_array_index(j->runs, n);
+        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
         if (r && rr_plan_overs(p, r) < r->items->len) {
             return false;
         }
@@ -92,15 +92,15 @@
 }
 
 struct rr_plan_edit *rr_edit_of(struct rr_planner *p, rr_job *j, uint32_t chunk) {
-    rr_run *r = rr_job_run(j, chunk);
+    rr_ledger_record *r = rr_job_ledger_record(j, chunk);
     if (r->edit) {
         return r->edit;
     }
-    size_t bytes = rr_run_bytes(r->items->len + 1) + 120;
+    size_t bytes = rr_ledger_record_bytes(r->items->len + 1) + 120;
     if (!rr_plan_writable(p, r) || (rr_plan_overs(p, r) > 0 && !gang_goes(p, j))) {
         return NULL;
     }
-    if (!txn_room(p, 1, bytes)) {
+    if (!transaction_room(p, 1, bytes)) {
         return NULL;
     }
     struct rr_plan_edit *e = g_new0(struct rr_plan_edit, 1);
@@ -117,9 +117,9 @@
     return e;
 }
 
-rr_item *rr_edit_item(const struct rr_plan_edit *e, uint64_t attempt, uint32_t task) {
+rr_placement_record *rr_edit_item(const struct rr_plan_edit *e, uint64_t attempt, uint32_t task) {
     for (guint i = 0; i < e->items->len; i++) {
-        rr_item *it = &g_array_index(e->items, rr_item, i);
+        rr_placement_record *it = &g_array_index(e->items, rr_placement_record, i);
         if (it->attempt == attempt && it->task == task) {
             return it;
         }
@@ -218,28 +218,29 @@
     if (o->done && !j->cancelled && !rr_job_task_done(j, o->task) && !record_done(p, e, o)) {
         return;
     }
-    rr_item *it = rr_edit_item(e, o->attempt, o->task);
+    rr_placement_record *it = rr_edit_item(e, o->attempt, o->task);
     if (it) {
-        g_array_remove_index(e->items, (guint)(it - (rr_item *)(void *)e->items->data));
+        g_array_remove_index(e->items, (guint)(it - (rr_placement_record *)(void *)e->items->data));
     }
 }
 
 /* A record that changes anyway loses all that is known to be over in it. */
 static void take_overs(struct rr_planner *p, struct rr_plan_edit *e) {
-    for (guint n = e->run->overs; n > 0;) {
-        const struct rr_plan_over *o = &g_array_index(p->overs, struct rr_plan_over, n - 1);
+    for (guint n = e->run->first_terminated; n > 0;) {
+        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, n - 1);
         take_over(p, e, o);
         n = o->next;
     }
 }
 
-void rr_plan_over(struct rr_planner *p, rr_machine *m, rr_place *pl, bool done, const char *why) {
+void rr_plan_over(struct rr_planner *p, rr_machine *m, rr_placement *pl, bool done,
+                  const char *why) {
     rr_job *j = pl->job;
     if (pl->over_at <= 0 && !done) {
         rr_log_at(p->c, RR_LOG_DEBUG, "over %s/%u on %s: %s", j->submission.job_id, pl->task,
                   m->name, why);
     }
-    rr_run *r = rr_job_run(j, pl->chunk);
+    rr_ledger_record *r = rr_job_ledger_record(j, pl->chunk);
     struct rr_plan_over o = {.m = m,
                              .job = j,
                              .task = pl->task,
@@ -247,14 +248,14 @@
                              .attempt = pl->attempt,
                              .done = done,
                              .evicted = pl->evict != RR_KEEP,
-                             .next = r->overs};
+                             .next = r->first_terminated};
     pl->over_at = pl->over_at > 0 ? pl->over_at : p->now;
     o.wait = p->now - pl->over_at < GATHER_S * p->c->pressure;
     if (done && !rr_job_task_done(j, pl->task)) {
         j->over = j->submission.kind == RR_JOB_GANG ? j->submission.task_count : j->over + 1;
     }
-    g_array_append_val(p->overs, o);
-    r->overs = p->overs->len;
+    g_array_append_val(p->terminated, o);
+    r->first_terminated = p->terminated->len;
 }
 
 static bool finishes(const rr_job *j) {
@@ -266,7 +267,7 @@
 /* The end of a gang waits for the reports of its other tasks, a little, and is one change then. */
 static bool waits_for_gang(const struct rr_planner *p, const struct rr_plan_over *o) {
     const rr_job *j = o->job;
-    const rr_place *pl = rr_place_find(o->m, o->attempt, j, o->task);
+    const rr_placement *pl = rr_placement_find(o->m, o->attempt, j, o->task);
     return j->submission.kind == RR_JOB_GANG && o->done && pl &&
            p->now - pl->over_at < TOGETHER_S && !all_over(p, j);
 }
@@ -281,8 +282,8 @@
  * had lost its leases, records of arrays were cleared first, a change each, and services came back
  * after them, 35 s later. */
 static void record_overs(struct rr_planner *p) {
-    for (guint i = 0; i < p->overs->len; i++) {
-        const struct rr_plan_over *o = &g_array_index(p->overs, struct rr_plan_over, i);
+    for (guint i = 0; i < p->terminated->len; i++) {
+        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, i);
         if (lost(o) && gang_goes(p, o->job)) {
             reopen(p, o->job, o->task);
         }
@@ -294,8 +295,8 @@
 
 /* Lost places for whose tasks there was no room: their records are cleared as changes allow. */
 static void record_lost(struct rr_planner *p) {
-    for (guint i = 0; i < p->overs->len && !p->full; i++) {
-        const struct rr_plan_over *o = &g_array_index(p->overs, struct rr_plan_over, i);
+    for (guint i = 0; i < p->terminated->len && !p->full; i++) {
+        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, i);
         if (lost(o) && !o->wait) {
             rr_edit_of(p, o->job, o->chunk);
         }
@@ -326,7 +327,7 @@
 /* ---- putting it together ---- */
 
 static void put_final(struct rr_planner *p, const rr_job *j) {
-    rr_job_final_record(j, &p->out->txn);
+    rr_job_final_record(j, &p->out->transaction);
     rr_log_at(p->c, RR_LOG_DEBUG,
               "job %s is done, %u tasks, %.0f s after it came, due after %.0f, guess %.0f",
               j->submission.job_id, j->submission.task_count, p->wall - j->at,
@@ -334,24 +335,24 @@
 }
 
 static void put_edit(struct rr_planner *p, const struct rr_plan_edit *e) {
-    rr_txn *t = &p->out->txn;
+    rr_transaction *t = &p->out->transaction;
     rr_job *j = e->job;
     char key[RR_ID + 64];
-    rr_run_key(j->submission.job_id, e->run->chunk, key, sizeof key);
+    rr_ledger_record_key(j->submission.job_id, e->run->chunk, key, sizeof key);
     bool ends = j->finishing > 0 && j->done_count + j->finishing >= j->submission.task_count;
     bool over = ends || j->cancelled || j->done;
-    if ((over || j->submission.kind == RR_JOB_GANG) && e->items->len == 0 && e->run->mark == 0) {
+    if ((over || j->submission.kind == RR_JOB_GANG) && e->items->len == 0 && e->run->version == 0) {
         return; /* nothing to delete; or a gang that found no room after all */
     }
-    rr_txn_guard(t, key, e->run->mark);
+    rr_transaction_guard(t, key, e->run->version);
     if (over && e->items->len == 0) {
-        rr_txn_delete(t, key);
+        rr_transaction_delete(t, key);
     } else {
         rr_encoder o;
         rr_encoder_init(&o);
-        rr_run_encode(p->c, &o, j, e->run->chunk, e->items, e->done,
-                      j->submission.one_zone ? (e->zone >= 0 ? e->zone : j->zone) : -1);
-        rr_txn_put(t, key, &o, 0);
+        rr_ledger_record_encode(p->c, &o, j, e->run->chunk, e->items, e->done,
+                                j->submission.one_zone ? (e->zone >= 0 ? e->zone : j->zone) : -1);
+        rr_transaction_put(t, key, &o, 0);
     }
     if (e->done->len > 0) {
         rr_plan_guard(p, j);
@@ -368,12 +369,12 @@
     for (guint i = c->garbage->len; i > 0 && c->pressure < 0.5 && p->ops < p->limit; i--) {
         const char *key = g_ptr_array_index(c->garbage, i - 1);
         rr_job *j;
-        const rr_run *r = rr_garbage_run(c, i - 1, &j);
-        if (!r || !r->mark) {
+        const rr_ledger_record *r = rr_garbage_record(c, i - 1, &j);
+        if (!r || !r->version) {
             g_ptr_array_remove_index_fast(c->garbage, i - 1);
         } else if (!j->open && !r->edit && j->team >= 0 && rr_owns_team(c, j->team)) {
-            rr_txn_guard(&p->out->txn, key, r->mark);
-            rr_txn_delete(&p->out->txn, key);
+            rr_transaction_guard(&p->out->transaction, key, r->version);
+            rr_transaction_delete(&p->out->transaction, key);
             p->ops++;
         }
     }
@@ -386,8 +387,8 @@
         const struct rr_plan_edit *e = g_ptr_array_index(p->edits, i);
         guint new = 0;
         for (guint k = 0; k < e->items->len; k++) {
-            const rr_item *it = &g_array_index(e->items, rr_item, k);
-            new += rr_place_find(it->m, it->attempt, e->job, it->task) == NULL;
+            const rr_placement_record *it = &g_array_index(e->items, rr_placement_record, k);
+            new += rr_placement_find(it->m, it->attempt, e->job, it->task) == NULL;
         }
         booked += new > 0;
         done += new == 0 && e->done->len > 0;
@@ -396,13 +397,14 @@
     rr_log_at(p->c, RR_LOG_DEBUG,
               "plan: %u changes: %u records book, %u end tasks, %u others; %u known over; "
               "pressure %.2f",
-              p->out->txn.changes->len, booked, done, freed, p->overs->len, p->c->pressure);
+              p->out->transaction.changes->len, booked, done, freed, p->terminated->len,
+              p->c->pressure);
 }
 
 /* A batch says nothing any more once all its jobs have records of their own. */
-static bool batch_over(const rr_batch *b) {
+static bool batch_over(const rr_job_batch *b) {
     for (guint i = 0; i < b->jobs->len; i++) {
-        if (((const rr_job *)g_ptr_array_index(b->jobs, i))->own_mark == 0) {
+        if (((const rr_job *)g_ptr_array_index(b->jobs, i))->own_version == 0) {
             return false;
         }
     }
@@ -420,17 +422,17 @@
     g_hash_table_iter_init(&it, c->batches);
     while (p->ops < p->limit && g_hash_table_iter_next(&it, &k, &v)) {
         if (batch_over(v)) {
-            rr_txn_guard(&p->out->txn, k, ((rr_batch *)v)->mark);
-            rr_txn_delete(&p->out->txn, k);
+            rr_transaction_guard(&p->out->transaction, k, ((rr_job_batch *)v)->version);
+            rr_transaction_delete(&p->out->transaction, k);
             p->ops++;
         }
     }
 }
 
 static void build_transaction(struct rr_planner *p) {
-    rr_txn *t = &p->out->txn;
+    rr_transaction *t = &p->out->transaction;
     char key[RR_ID + 64];
-    rr_txn_guard(t, RR_ROOT "term", p->c->term.mark);
+    rr_transaction_guard(t, RR_ROOT "term", p->c->term.version);
     for (guint i = 0; i < p->edits->len; i++) {
         put_edit(p, g_ptr_array_index(p->edits, i));
     }
@@ -439,15 +441,15 @@
     for (guint i = 0; i < p->guards->len; i++) {
         rr_job *j = g_ptr_array_index(p->guards, i);
         rr_core_job_key(j->submission.job_id, key, sizeof key);
-        rr_txn_guard(t, key, j->own_mark);
+        rr_transaction_guard(t, key, j->own_version);
     }
     /* On their own: if one of them is not as the mirror has it, no other change suffers. */
     if (t->changes->len == 0) {
         put_garbage(p);
         put_old_batches(p);
     }
-    p->out->has_txn = t->changes->len > 0;
-    if (p->out->has_txn && p->c->log_level >= RR_LOG_DEBUG) {
+    p->out->has_transaction = t->changes->len > 0;
+    if (p->out->has_transaction && p->c->log_level >= RR_LOG_DEBUG) {
         log_plan(p);
     }
 }
@@ -468,7 +470,7 @@
         g_array_free(m->booked, TRUE);
         m->booked = NULL;
         for (guint k = 0; k < m->places->len; k++) {
-            g_array_index(m->places, rr_place, k).leaving = false;
+            g_array_index(m->places, rr_placement, k).leaving = false;
         }
     }
     for (guint i = 0; i < p->guards->len; i++) {
@@ -478,13 +480,13 @@
     g_ptr_array_free(p->guards, TRUE);
     g_ptr_array_free(p->edits, TRUE);
     close_again(p);
-    for (guint i = 0; i < p->overs->len; i++) {
-        const struct rr_plan_over *o = &g_array_index(p->overs, struct rr_plan_over, i);
+    for (guint i = 0; i < p->terminated->len; i++) {
+        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, i);
         o->job->over = 0;
-        rr_job_run(o->job, o->chunk)->overs = 0;
+        rr_job_ledger_record(o->job, o->chunk)->first_terminated = 0;
     }
     g_array_free(p->reopened, TRUE);
-    g_array_free(p->overs, TRUE);
+    g_array_free(p->terminated, TRUE);
     g_array_free(p->failures, TRUE);
     g_array_free(p->cands, TRUE);
 }
@@ -492,7 +494,7 @@
 /* Whether changes were what bounded the plan, not the transaction. Between two plans some gather,
  * so that their number alone never looked short while hundreds of bookings waited for them. */
 static void note_short(struct rr_planner *p) {
-    if (p->full && p->c->changes < rr_txn_ops(p->c->cfg)) {
+    if (p->full && p->c->changes < rr_transaction_changes_max(p->c->cfg)) {
         p->c->short_at = p->now;
     }
     p->full = false;
@@ -505,13 +507,13 @@
 }
 
 void rr_core_plan(rr_core *c, double now, double wall, rr_plan *out) {
-    if (!rr_core_entitled(c, now) || !rr_core_settled(c) || c->anew) {
+    if (!rr_core_entitled(c, now) || !rr_core_cache_consistent(c) || c->anew) {
         return;
     }
     struct rr_planner p = {.c = c, .now = now, .wall = wall, .out = out};
     c->pressure = pressure_now(c, now);
     p.edits = g_ptr_array_new_with_free_func(edit_free);
-    p.overs = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_over));
+    p.terminated = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_over));
     p.reopened = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_reopened));
     p.machines = g_ptr_array_new();
     p.guards = g_ptr_array_new();
@@ -520,7 +522,7 @@
     g_array_set_size(c->team_booked, 0);
     g_array_set_size(c->team_booked, (guint)c->cfg->nteams);
     /* What is over leaves part of the transaction to what waits for its start. */
-    int ops = MIN(rr_txn_ops(c->cfg), c->changes);
+    int ops = MIN(rr_transaction_changes_max(c->cfg), c->changes);
     p.limit = rr_any_waits(&p) ? ops - ops / 2 : ops;
     rr_reconcile(&p);
     record_overs(&p);
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -9,8 +9,8 @@
 /* Changes to one record of the ledger in this plan. */
 struct rr_plan_edit {
     rr_job *job;
-    rr_run *run;
-    GArray *items; /* rr_item: as they will be */
+    rr_ledger_record *run;
+    GArray *items; /* rr_placement_record: as they will be */
     GArray *done;  /* uint32_t: tasks completed */
     int zone;      /* of a completed task, -1 */
 };
@@ -43,7 +43,7 @@
     double now, wall;
     rr_plan *out;
     GPtrArray *edits;    /* struct rr_plan_edit* */
-    GArray *overs;       /* struct rr_plan_over */
+    GArray *terminated;  /* struct rr_plan_over */
     GArray *reopened;    /* struct rr_plan_reopened */
     GPtrArray *machines; /* rr_machine*: with scratch to clear */
     GPtrArray *guards;   /* rr_job*: guarded against a cancellation in between */
@@ -56,17 +56,19 @@
 };
 
 /* plan.c: the transaction */
-bool rr_record_fits(const rr_core *c, guint items);
+bool rr_ledger_record_fits(const rr_core *c, guint items);
 /* The record's changes in this plan, begun if need be; NULL: the transaction takes no more. */
 struct rr_plan_edit *rr_edit_of(struct rr_planner *p, rr_job *j, uint32_t chunk);
-rr_item *rr_edit_item(const struct rr_plan_edit *e, uint64_t attempt, uint32_t task);
-guint rr_plan_overs(const struct rr_planner *p, const rr_run *r); /* known to be over in it */
+rr_placement_record *rr_edit_item(const struct rr_plan_edit *e, uint64_t attempt, uint32_t task);
+guint rr_plan_overs(const struct rr_planner *p,
+                    const rr_ledger_record *r); /* known to be over in it */
 /* The state service takes the record as this plan may write it. */
-bool rr_plan_writable(const struct rr_planner *p, const rr_run *r);
+bool rr_plan_writable(const struct rr_planner *p, const rr_ledger_record *r);
 void rr_plan_guard(struct rr_planner *p, rr_job *j);
 void rr_plan_use(struct rr_planner *p, rr_machine *m);
 /* A placement is known to be over. */
-void rr_plan_over(struct rr_planner *p, rr_machine *m, rr_place *pl, bool done, const char *why);
+void rr_plan_over(struct rr_planner *p, rr_machine *m, rr_placement *pl, bool done,
+                  const char *why);
 
 /* reconcile.c */
 rr_command_batch *rr_plan_command_batch(struct rr_planner *p,
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -13,7 +13,7 @@
 #define STOP_ROUND_TRIP_S 1.0 /* until a machine shows the room that a stop has made */
 
 void rr_preemption_init(struct rr_preemption *preemption) {
-    preemption->victims = g_array_new(FALSE, FALSE, sizeof(rr_place *));
+    preemption->victims = g_array_new(FALSE, FALSE, sizeof(rr_placement *));
     preemption->loss = 0;
 }
 
@@ -22,7 +22,7 @@
 }
 
 /* Work that stopping this placement at once would lose: its run time since its last checkpoint. */
-static double unsaved_work(const rr_place *place, double now) {
+static double unsaved_work(const rr_placement *place, double now) {
     double ran = now - place->seen_at;
     double interval = place->job->submission.checkpoint_interval_s;
     return interval > 0 ? fmod(ran, interval) : ran;
@@ -30,7 +30,7 @@
 
 /* Time to spare until the job's deadline if this task ran on from here; what is late already has
  * nothing left to lose. */
-static double slack_of(const rr_place *place, double now, double wall) {
+static double slack_of(const rr_placement *place, double now, double wall) {
     const rr_job *job = place->job;
     if (job->submission.deadline_s < 0) {
         return NO_DEADLINE_SLACK_S;
@@ -41,7 +41,7 @@
 }
 
 struct victim {
-    rr_place *place;
+    rr_placement *place;
     double slack;
 };
 
@@ -57,7 +57,7 @@
 /* The protocol's two grounds: lower priority, or work of any priority that another team runs beyond
  * its own guarantee where this team is owed the room. `returned` is what victims so far give back.
  * Replicas are stopped on the second ground alone. */
-static bool may_stop(const struct rr_planner *planner, const rr_job *job, const rr_place *place,
+static bool may_stop(const struct rr_planner *planner, const rr_job *job, const rr_placement *place,
                      bool owed, rr_res returned) {
     const rr_job *victim = place->job;
     if (victim->submission.priority < job->submission.priority &&
@@ -76,7 +76,7 @@
     const rr_res nothing = {0, 0, 0};
     GArray *possible = g_array_new(FALSE, FALSE, sizeof(struct victim));
     for (guint i = 0; i < machine->places->len; i++) {
-        rr_place *place = &g_array_index(machine->places, rr_place, i);
+        rr_placement *place = &g_array_index(machine->places, rr_placement, i);
         /* Free room has what is over, and what this plan stops, already: counted once more, the
          * same victim made room for two. */
         if (place->leaving || place->over_at > 0) {
@@ -105,9 +105,9 @@
     return job->submission.kind == RR_JOB_GANG ? loss * job->submission.task_count : loss;
 }
 
-static bool is_chosen(const GArray *victims, const rr_place *place) {
+static bool is_chosen(const GArray *victims, const rr_placement *place) {
     for (guint i = 0; i < victims->len; i++) {
-        if (g_array_index(victims, const rr_place *, i) == place) {
+        if (g_array_index(victims, const rr_placement *, i) == place) {
             return true;
         }
     }
@@ -119,7 +119,7 @@
                    rr_res *room) {
     const rr_job *job = victim->place->job;
     for (guint i = 0; i < possible->len; i++) {
-        rr_place *place = g_array_index(possible, struct victim, i).place;
+        rr_placement *place = g_array_index(possible, struct victim, i).place;
         if (place == victim->place || (job->submission.kind == RR_JOB_GANG && place->job == job)) {
             g_array_append_val(victims, place);
             *room = rr_res_add(*room, place->job->request, 1);
@@ -144,7 +144,7 @@
     }
     double left = aim->within_s - (planner->wall - job->at);
     for (guint i = 0; i < machine->places->len; i++) {
-        const rr_job *other = g_array_index(machine->places, rr_place, i).job;
+        const rr_job *other = g_array_index(machine->places, rr_placement, i).job;
         if (other->submission.priority < job->submission.priority &&
             other->submission.save_s + STOP_ROUND_TRIP_S > left) {
             return true;
@@ -164,7 +164,7 @@
     out->loss = 0;
     for (guint i = 0; i < possible->len && rr_tasks_in(job->request, room, tasks) < tasks; i++) {
         const struct victim *victim = &g_array_index(possible, struct victim, i);
-        rr_place *place = victim->place;
+        rr_placement *place = victim->place;
         /* Those before it may have brought its team back within its guarantee. */
         if (is_chosen(out->victims, place) || !may_stop(planner, job, place, owed, returned)) {
             continue;
@@ -177,7 +177,7 @@
     return rr_tasks_in(job->request, room, tasks) >= tasks;
 }
 
-static struct rr_plan_edit *edit_of_victim(struct rr_planner *planner, const rr_place *victim) {
+static struct rr_plan_edit *edit_of_victim(struct rr_planner *planner, const rr_placement *victim) {
     return rr_edit_of(planner, victim->job, victim->chunk);
 }
 
@@ -186,13 +186,14 @@
     const GArray *victims = preemption->victims;
     bool at_once = must_stop_at_once(planner, job, machine);
     for (guint i = 0; i < victims->len; i++) {
-        if (!edit_of_victim(planner, g_array_index(victims, rr_place *, i))) {
+        if (!edit_of_victim(planner, g_array_index(victims, rr_placement *, i))) {
             return false;
         }
     }
     for (guint i = 0; i < victims->len; i++) {
-        rr_place *place = g_array_index(victims, rr_place *, i);
-        rr_item *item = rr_edit_item(edit_of_victim(planner, place), place->attempt, place->task);
+        rr_placement *place = g_array_index(victims, rr_placement *, i);
+        rr_placement_record *item =
+            rr_edit_item(edit_of_victim(planner, place), place->attempt, place->task);
         if (item) {
             item->evict = at_once ? RR_EVICT_AT_ONCE : RR_EVICT_SAVING;
         }
--- a/src/core/preempt.h
+++ b/src/core/preempt.h
@@ -8,7 +8,7 @@
 
 /* What would have to stop on one machine. */
 struct rr_preemption {
-    GArray *victims; /* rr_place*: in the machine's list, to be stopped */
+    GArray *victims; /* rr_placement*: in the machine's list, to be stopped */
     double loss;     /* what that loses: seconds of work, with penalties of the same unit */
 };
 
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -21,7 +21,7 @@
 static bool concerns_us(const rr_core *c, const rr_machine *m, bool provisioner) {
     provisioner = provisioner || rr_machine_deaf(m);
     for (guint i = 0; !provisioner && i < m->places->len; i++) {
-        const rr_job *j = g_array_index(m->places, rr_place, i).job;
+        const rr_job *j = g_array_index(m->places, rr_placement, i).job;
         if (j->team >= 0 && rr_owns_team(c, j->team)) {
             return true;
         }
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -15,12 +15,12 @@
 
 void rr_step_init(rr_step *s) {
     memset(s, 0, sizeof *s);
-    rr_txn_init(&s->txn);
+    rr_transaction_init(&s->transaction);
     s->machines = g_ptr_array_new_with_free_func(g_free);
 }
 
 void rr_step_clear(rr_step *s) {
-    rr_txn_clear(&s->txn);
+    rr_transaction_clear(&s->transaction);
     g_ptr_array_free(s->machines, TRUE);
 }
 
@@ -65,8 +65,8 @@
         m->own = !m->rented && (m->born < c->term.born - 5 || !c->ever_rented);
     }
     if (m->machine_type < 0) {
-        m->machine_type = rr_names_add(&c->machine_types, s->machine_type);
-        m->zone = rr_names_add(&c->zones, s->zone);
+        m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
+        m->zone = rr_name_index_add(&c->zones, s->zone);
         m->spot = s->spot;
     }
     if (!m->addr[0]) {
@@ -131,8 +131,8 @@
     if (!m->recorded) {
         m->to_adopt = true;
         m->born = m->born > 0 ? m->born : c->rented_at;
-        m->machine_type = rr_names_add(&c->machine_types, s->machine_type);
-        m->zone = rr_names_add(&c->zones, s->zone);
+        m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
+        m->zone = rr_name_index_add(&c->zones, s->zone);
         m->spot = s->spot;
     }
 }
@@ -198,13 +198,13 @@
                 over = over && ((m && m->recorded) || rr_recently_gone(c, id, now));
             }
         }
-        if (over && (int)out->txn.changes->len < rr_txn_ops(c->cfg)) {
+        if (over && (int)out->transaction.changes->len < rr_transaction_changes_max(c->cfg)) {
             rr_rental_key(h->name, key, sizeof key);
-            rr_txn_guard(&out->txn, key, h->mark);
-            rr_txn_delete(&out->txn, key);
+            rr_transaction_guard(&out->transaction, key, h->version);
+            rr_transaction_delete(&out->transaction, key);
         }
     }
-    return out->txn.changes->len > 0;
+    return out->transaction.changes->len > 0;
 }
 
 static bool same_machine_type(const rr_machine_type *a, const rr_machine_type *b) {
@@ -222,18 +222,18 @@
 static bool record_builds(rr_core *c, rr_step *out) {
     for (guint i = 0; i < c->fresh_builds->len; i++) {
         const rr_machine_type *b = &g_array_index(c->fresh_builds, rr_machine_type, i);
-        if ((int)out->txn.changes->len < rr_txn_ops(c->cfg) &&
-            !same_machine_type(rr_machine_type_at(c, rr_names_find(&c->machine_types, b->name)),
-                               b)) {
+        if ((int)out->transaction.changes->len < rr_transaction_changes_max(c->cfg) &&
+            !same_machine_type(
+                rr_machine_type_at(c, rr_name_index_find(&c->machine_types, b->name)), b)) {
             char key[RR_ID + 32];
             rr_encoder o;
             rr_encoder_init(&o);
             rr_machine_type_encode(&o, b);
             g_snprintf(key, sizeof key, RR_ROOT "build/%s", b->name);
-            rr_txn_put(&out->txn, key, &o, 0);
+            rr_transaction_put(&out->transaction, key, &o, 0);
         }
     }
-    return out->txn.changes->len > 0;
+    return out->transaction.changes->len > 0;
 }
 
 static bool step_catalog(rr_core *c, double now, rr_step *out) {
@@ -374,7 +374,7 @@
 
 void rr_core_provisioner_step(rr_core *c, double now, double wall, rr_step *out) {
     out->kind = RR_STEP_NONE;
-    if (!rr_core_is_provisioner(c, now) || !rr_core_settled(c) || c->anew) {
+    if (!rr_core_is_provisioner(c, now) || !rr_core_cache_consistent(c) || c->anew) {
         return;
     }
     if (c->provisioner_token != c->term.token) {
@@ -394,6 +394,6 @@
         out->kind = RR_STEP_LIST;
     }
     if (out->kind == RR_STEP_TXN) {
-        rr_txn_guard(&out->txn, RR_ROOT "term", c->term.mark);
+        rr_transaction_guard(&out->transaction, RR_ROOT "term", c->term.version);
     }
 }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -132,10 +132,10 @@
     }
     double share = 1 - rr_res_room(rr_res_add(cap, j->request, -1), cap);
     for (guint i = 0; i < 2 * b->zones->len; i++) {
-        int w = rr_names_find(&c->zones, g_ptr_array_index(b->zones, i / 2));
+        int w = rr_name_index_find(&c->zones, g_ptr_array_index(b->zones, i / 2));
         bool spot = i % 2 == 1;
         if (w < 0 || !zones[w] || !rr_job_allows(c, j, build, w, spot) ||
-            is_refused(c, b->name, rr_names_at(&c->zones, w), spot, s->now)) {
+            is_refused(c, b->name, rr_name_index_at(&c->zones, w), spot, s->now)) {
             continue;
         }
         struct offer offer = {
@@ -234,7 +234,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         for (guint k = 0; k < m->places->len && (m->gone || (m->give_up && m->dead)); k++) {
-            const rr_place *p = &g_array_index(m->places, rr_place, k);
+            const rr_placement *p = &g_array_index(m->places, rr_placement, k);
             p->job->lost += !rr_job_task_done(p->job, p->task);
         }
     }
@@ -254,8 +254,8 @@
 /* Tasks of the job for which room is wanted: no more than the team's limit lets run at a time, and
  * than can be rented soon. */
 static uint32_t wanted_tasks(const rr_core *c, const rr_job *j) {
-    if (!j->mark || j->cancelled || j->done || rr_job_away(c, j) || rr_job_of_another_cell(c, j) ||
-        j->team < 0 || (size_t)j->team >= c->cfg->nteams) {
+    if (!j->version || j->cancelled || j->done || rr_job_away(c, j) ||
+        rr_job_of_another_cell(c, j) || j->team < 0 || (size_t)j->team >= c->cfg->nteams) {
         return 0;
     }
     const struct rr_team_config *t = &c->cfg->teams[j->team];
@@ -296,7 +296,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         for (guint k = 0; k < m->places->len && counts(c, m, now); k++) {
-            const rr_place *p = &g_array_index(m->places, rr_place, k);
+            const rr_placement *p = &g_array_index(m->places, rr_placement, k);
             const rr_submission *v = &p->job->submission;
             if (v->kind == RR_JOB_ARRAY && v->priority < j->submission.priority &&
                 j->submission.priority > RR_PRIORITY_STANDARD && v->checkpoint_interval_s > 0 &&
@@ -352,7 +352,7 @@
         bool zones[c->zones.names->len + 1];
         for (guint w = 0; w < c->zones.names->len; w++) {
             zones[w] = !last->submission.zone[0] ||
-                       strcmp(last->submission.zone, rr_names_at(&c->zones, (int)w)) == 0;
+                       strcmp(last->submission.zone, rr_name_index_at(&c->zones, (int)w)) == 0;
         }
         credit_preemptible(c, last, o->within_s, s->now);
         sort_roomy(s);
@@ -368,8 +368,8 @@
     g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const rr_rental *h = v;
-        if (strcmp(h->machine_type, rr_names_at(&c->machine_types, r->machine_type)) == 0 &&
-            strcmp(h->zone, rr_names_at(&c->zones, r->zone)) == 0 && h->spot == r->spot) {
+        if (strcmp(h->machine_type, rr_name_index_at(&c->machine_types, r->machine_type)) == 0 &&
+            strcmp(h->zone, rr_name_index_at(&c->zones, r->zone)) == 0 && h->spot == r->spot) {
             n += h->how_many;
         }
     }
@@ -385,12 +385,12 @@
     rr_rental_key(name, key, sizeof key);
     rr_encoder_init(&o);
     rr_encode_map(&o, 4);
-    rr_encode_key_text(&o, "build", rr_names_at(&c->machine_types, r->machine_type));
-    rr_encode_key_text(&o, "ward", rr_names_at(&c->zones, r->zone));
+    rr_encode_key_text(&o, "build", rr_name_index_at(&c->machine_types, r->machine_type));
+    rr_encode_key_text(&o, "ward", rr_name_index_at(&c->zones, r->zone));
     rr_encode_key_bool(&o, "loaners", r->spot);
     rr_encode_key_u64(&o, "n", (uint64_t)n);
-    rr_txn_guard(&out->txn, key, 0);
-    rr_txn_put(&out->txn, key, &o, 0);
+    rr_transaction_guard(&out->transaction, key, 0);
+    rr_transaction_put(&out->transaction, key, &o, 0);
 }
 
 /* Intents for what is to be rented, less what is under way. */
@@ -398,8 +398,9 @@
     for (guint i = 0; i < rents->len; i++) {
         const struct rent *r = &g_array_index(rents, struct rent, i);
         int left = r->count - pending_for(c, r);
-        while (left > 0 && (int)out->txn.changes->len < rr_txn_ops(c->cfg) &&
-               g_hash_table_size(c->rentals) + out->txn.changes->len < RENTALS_MAX) {
+        while (left > 0 &&
+               (int)out->transaction.changes->len < rr_transaction_changes_max(c->cfg) &&
+               g_hash_table_size(c->rentals) + out->transaction.changes->len < RENTALS_MAX) {
             int n = MIN(left, RENTAL_MAX);
             put_intent(c, r, n, out);
             left -= n;
@@ -429,5 +430,5 @@
     put_intents(c, s.rents, out);
     g_array_free(s.rents, TRUE);
     g_ptr_array_free(s.roomy, TRUE);
-    return out->txn.changes->len > 0;
+    return out->transaction.changes->len > 0;
 }
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -16,13 +16,13 @@
 static size_t page_bytes(const rr_core *c, const GPtrArray *list) {
     size_t n = 64;
     for (guint i = 0; i < list->len; i++) {
-        n += rr_page_entry_bytes(c, g_ptr_array_index(list, i));
+        n += rr_machine_page_entry_bytes(c, g_ptr_array_index(list, i));
     }
     return n;
 }
 
 static double page_most(const rr_core *c) {
-    return rr_value_kb(c->cfg) * 1024 - 128;
+    return rr_value_kb_max(c->cfg) * 1024 - 128;
 }
 
 /* NULL: not in this step, or not before the page is parted. */
@@ -40,7 +40,7 @@
     }
     /* Only where it will be parted. A page grows a little as addresses come to be known: where no
      * lower limit is to come it was left alone for good, and none of its machines went back. */
-    if (rr_value_kb(p->c->cfg) < p->c->cfg->value_kb &&
+    if (rr_value_kb_max(p->c->cfg) < p->c->cfg->value_kb &&
         (double)page_bytes(p->c, list) > page_most(p->c)) {
         g_ptr_array_free(list, TRUE);
         return NULL;
@@ -59,7 +59,7 @@
     size_t left = 64, taken = 64;
     for (guint i = 0; i < p->c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(p->c->machine_list, i);
-        size_t bytes = m->recorded && m->page == id ? rr_page_entry_bytes(p->c, m) : 0;
+        size_t bytes = m->recorded && m->page == id ? rr_machine_page_entry_bytes(p->c, m) : 0;
         if (bytes > 0 && (double)(left + bytes) > 0.75 * page_most(p->c)) {
             if ((double)(taken + bytes) <= page_most(p->c)) {
                 g_ptr_array_add(moved, m);
@@ -95,7 +95,7 @@
         }
         if (m->recorded) {
             n->n++;
-            n->bytes += rr_page_entry_bytes(c, m);
+            n->bytes += rr_machine_page_entry_bytes(c, m);
         }
     }
     g_hash_table_iter_init(&it, c->pages);
@@ -103,7 +103,7 @@
         const struct page_count *n = g_hash_table_lookup(counts, k);
         if (n && (double)n->bytes > page_most(c)) {
             part_page(p, GPOINTER_TO_UINT(k));
-        } else if (((const rr_page *)v)->entries > (n ? n->n : 0)) {
+        } else if (((const rr_machine_page *)v)->entry_count > (n ? n->n : 0)) {
             change_page(p, GPOINTER_TO_UINT(k));
         }
     }
@@ -116,7 +116,7 @@
  * one. NULL: not in this step. */
 static GPtrArray *page_with_room(struct pages *p, const rr_machine *m) {
     double most = page_most(p->c);
-    size_t need = rr_page_entry_bytes(p->c, m);
+    size_t need = rr_machine_page_entry_bytes(p->c, m);
     GHashTableIter it;
     gpointer k, v;
     g_hash_table_iter_init(&it, p->changed);
@@ -128,7 +128,7 @@
     g_hash_table_iter_init(&it, p->c->pages);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         if (!g_hash_table_contains(p->changed, k) &&
-            (double)(64 + ((rr_page *)v)->bytes + need) <= most) {
+            (double)(64 + ((rr_machine_page *)v)->bytes + need) <= most) {
             return change_page(p, GPOINTER_TO_UINT(k));
         }
     }
@@ -163,14 +163,16 @@
 
 /* Machines that came, are to go back or are gone, many in a change. */
 bool rr_step_records(rr_core *c, double now, double wall, rr_step *out) {
-    rr_txn *t = &out->txn;
+    rr_transaction *t = &out->transaction;
     char key[RR_ID];
     GHashTableIter it;
     gpointer k, v;
-    int most = (int)(TXN_KB / rr_value_kb(c->cfg));
-    most = most < 1 ? 1 : most > rr_txn_ops(c->cfg) ? rr_txn_ops(c->cfg) : most;
+    int most = (int)(TXN_KB / rr_value_kb_max(c->cfg));
+    most = most < 1                                    ? 1
+           : most > rr_transaction_changes_max(c->cfg) ? rr_transaction_changes_max(c->cfg)
+                                                       : most;
     struct pages p = {c, g_hash_table_new(NULL, NULL), most < PAGES_MAX ? most : PAGES_MAX};
-    if (rr_value_kb(c->cfg) < c->cfg->value_kb && now - c->parted_at > PART_EVERY_S) {
+    if (rr_value_kb_max(c->cfg) < c->cfg->value_kb && now - c->parted_at > PART_EVERY_S) {
         c->parted_at = now;
         part_pages(&p);
     }
@@ -179,13 +181,13 @@
     }
     g_hash_table_iter_init(&it, p.changed);
     while (g_hash_table_iter_next(&it, &k, &v)) {
-        const rr_page *page = g_hash_table_lookup(c->pages, k);
+        const rr_machine_page *page = g_hash_table_lookup(c->pages, k);
         rr_encoder o;
         rr_encoder_init(&o);
-        rr_page_encode(c, &o, v);
-        rr_page_key(GPOINTER_TO_UINT(k), key, sizeof key);
-        rr_txn_guard(t, key, page ? page->mark : 0);
-        rr_txn_put(t, key, &o, 0);
+        rr_machine_page_encode(c, &o, v);
+        rr_machine_page_key(GPOINTER_TO_UINT(k), key, sizeof key);
+        rr_transaction_guard(t, key, page ? page->version : 0);
+        rr_transaction_put(t, key, &o, 0);
         g_ptr_array_free(v, TRUE);
     }
     g_hash_table_destroy(p.changed);
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -50,9 +50,9 @@
 
 /* ---- what a placement needs ---- */
 
-static bool older_in(const rr_run *r, const rr_place *pl) {
+static bool older_in(const rr_ledger_record *r, const rr_placement *pl) {
     for (guint i = 0; i < r->items->len; i++) {
-        const rr_item *it = &g_array_index(r->items, rr_item, i);
+        const rr_placement_record *it = &g_array_index(r->items, rr_placement_record, i);
         if (it->task == pl->task && it->attempt < pl->attempt) {
             return true;
         }
@@ -62,16 +62,16 @@
 
 /* The older placement of a task is the live one; a newer one waits for its end (moves: the
  * destination is booked first). */
-static bool has_older(const rr_place *pl) {
+static bool has_older(const rr_placement *pl) {
     rr_job *j = pl->job;
     if (!j->placed || pl->task >= j->submission.task_count || j->placed[pl->task] < 2) {
         return false;
     }
-    if (older_in(rr_job_run(j, pl->task / j->per), pl)) {
+    if (older_in(rr_job_ledger_record(j, pl->task / j->per), pl)) {
         return true;
     }
     for (guint n = rr_job_chunks(j); n < j->runs->len; n++) { /* overflow records */
-        const rr_run *r = g_ptr_array_index(j->runs, n);
+        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
         if (r && older_in(r, pl)) {
             return true;
         }
@@ -79,7 +79,7 @@
     return false;
 }
 
-static bool unwanted(const struct rr_planner *p, const rr_machine *m, const rr_place *pl) {
+static bool unwanted(const struct rr_planner *p, const rr_machine *m, const rr_placement *pl) {
     bool saving;
     if (pl->job->submission.kind == RR_JOB_GANG && rr_gang_stops(p->c, pl->job, p->now, &saving)) {
         return true;
@@ -89,7 +89,7 @@
 }
 
 /* Time to save: what the aim of the work that waits, or the notice, leaves. */
-static double leave_for(const struct rr_planner *p, const rr_machine *m, const rr_place *pl) {
+static double leave_for(const struct rr_planner *p, const rr_machine *m, const rr_placement *pl) {
     bool saving = true;
     if (pl->job->cancelled || pl->job->done || rr_job_revoked(p->c, pl->job) ||
         pl->job->submission.checkpoint_interval_s <= 0) {
@@ -110,7 +110,8 @@
     return leave;
 }
 
-static void stop_place(struct rr_planner *p, rr_machine *m, rr_place *pl, const rr_task_status *r) {
+static void stop_place(struct rr_planner *p, rr_machine *m, rr_placement *pl,
+                       const rr_task_status *r) {
     double leave = leave_for(p, m, pl);
     /* A task that is saving is left to it, unless its user has cancelled the job. */
     if (pl->stop_at > 0 && p->now - pl->stop_at < RESEND_S) {
@@ -145,7 +146,7 @@
     bool leaving = false;
     rr_res used = m->used;
     for (guint i = 0; i < m->places->len; i++) {
-        const rr_place *q = &g_array_index(m->places, rr_place, i);
+        const rr_placement *q = &g_array_index(m->places, rr_placement, i);
         bool over = q->over_at > 0;
         used = over ? rr_res_add(used, q->job->request, -1) : used;
         leaving = leaving || (!over && (q->evict || q->job->cancelled));
@@ -153,7 +154,7 @@
     return leaving && !rr_res_fits(used, rr_machine_cap(c, m));
 }
 
-static void start_place(struct rr_planner *p, rr_machine *m, rr_place *pl) {
+static void start_place(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
     if (pl->start_at > 0 && p->now - pl->start_at < RESEND_S) {
         return;
     }
@@ -165,7 +166,7 @@
 }
 
 /* True: it is to be looked at again before the machine reports anything new. */
-static bool reconcile_place(struct rr_planner *p, rr_machine *m, rr_place *pl) {
+static bool reconcile_place(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
     const rr_core *c = p->c;
     const rr_task_status *r = rr_task_status_find(m, pl);
     if (m->heartbeat.worker_epoch > pl->worker_epoch) {
@@ -231,7 +232,7 @@
     rr_job *j = g_hash_table_lookup(c->jobs, r->job_id);
     bool ours = j ? j->team >= 0 && rr_owns_team(c, j->team)
                   : rr_job_final(c, r->job_id, NULL, NULL) && clears_line(c, r, p->now);
-    if (!ours || (j && rr_place_find(m, r->attempt, j, r->task))) {
+    if (!ours || (j && rr_placement_find(m, r->attempt, j, r->task))) {
         return false;
     }
     if (r->state != RR_TASK_ENDED) {
@@ -250,7 +251,7 @@
 }
 
 /* Another owner's task: that it is over makes room, long before its owner records it. */
-static void see_over(const struct rr_planner *p, const rr_machine *m, rr_place *pl) {
+static void see_over(const struct rr_planner *p, const rr_machine *m, rr_placement *pl) {
     const rr_task_status *r = rr_task_status_find(m, pl);
     if (pl->over_at <= 0 && ((r && r->state == RR_TASK_ENDED) ||
                              (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch))) {
@@ -269,7 +270,7 @@
         return false; /* a report or the next term brings it back */
     }
     for (guint i = 0; i < m->places->len; i++) {
-        rr_place *pl = &g_array_index(m->places, rr_place, i);
+        rr_placement *pl = &g_array_index(m->places, rr_placement, i);
         if (pl->job->team < 0 || !rr_owns_team(c, pl->job->team)) {
             see_over(p, m, pl);
             continue;
@@ -295,7 +296,7 @@
 /* Gangs of ours with a task on a machine that something happened to. */
 static void note_gangs(const struct rr_planner *p, const rr_machine *m, GPtrArray *gangs) {
     for (guint i = 0; i < m->places->len; i++) {
-        rr_job *j = g_array_index(m->places, rr_place, i).job;
+        rr_job *j = g_array_index(m->places, rr_placement, i).job;
         if (j->submission.kind == RR_JOB_GANG && j->team >= 0 && rr_owns_team(p->c, j->team) &&
             !g_ptr_array_find(gangs, j, NULL)) {
             g_ptr_array_add(gangs, j);
@@ -303,9 +304,9 @@
     }
 }
 
-static void reconcile_run(struct rr_planner *p, const rr_run *run) {
+static void reconcile_run(struct rr_planner *p, const rr_ledger_record *run) {
     for (guint k = 0; run && k < run->items->len; k++) {
-        rr_machine *m = g_array_index(run->items, rr_item, k).m;
+        rr_machine *m = g_array_index(run->items, rr_placement_record, k).m;
         if (!m->dirty && reconcile(p, m)) {
             rr_touch(p->c, m);
         }
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -7,23 +7,25 @@
 
 /* Records of jobs, alone or in batches. */
 void rr_job_put(rr_core *c, const char *ref, const msgpack_object *v, uint64_t mark, double now);
-void rr_batch_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark, double now);
+void rr_job_batch_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark,
+                      double now);
 /* The job of this name, made if need be. */
 rr_job *rr_job_get(rr_core *c, const char *ref, double now);
 /* The job is not final: it goes to the open ones. */
 void rr_job_open(rr_core *c, rr_job *j);
 /* Final, and no placement of it is left: it leaves the open ones. */
-void rr_job_maybe_close(rr_core *c, rr_job *j);
+void rr_job_close_if_final(rr_core *c, rr_job *j);
 /* A final job whose ledger is gone keeps no list of records. */
 void rr_job_trim(const rr_core *c, rr_job *j);
 /* A placement comes (sign 1) or goes (-1): the sums follow. */
-void rr_place_count(rr_core *c, rr_machine *m, rr_place *p, int sign);
+void rr_placement_count(rr_core *c, rr_machine *m, rr_placement *p, int sign);
 /* Records of the ledger; rest: their keys after the prefix. */
-void rr_run_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark, double now);
-void rr_run_delete(rr_core *c, const char *rest, uint64_t mark, double now);
+void rr_ledger_record_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark,
+                          double now);
+void rr_ledger_record_delete(rr_core *c, const char *rest, uint64_t mark, double now);
 /* The record is no more, and its placements with it. */
-void rr_run_drop(rr_core *c, rr_job *j, rr_run *r, uint64_t mark, double now);
+void rr_ledger_record_remove(rr_core *c, rr_job *j, rr_ledger_record *r, uint64_t mark, double now);
 /* Frees one record of the ledger; takes gpointer, for containers. */
-void rr_run_free(gpointer p);
+void rr_ledger_record_free(gpointer p);
 
 #endif
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -138,8 +138,8 @@
         return RR_HEARTBEAT_IGNORED;
     }
     if (m->machine_type < 0) {
-        m->machine_type = rr_names_add(&c->machine_types, r->machine_type);
-        m->zone = rr_names_add(&c->zones, r->zone);
+        m->machine_type = rr_name_index_add(&c->machine_types, r->machine_type);
+        m->zone = rr_name_index_add(&c->zones, r->zone);
         m->spot = r->spot;
     }
     vouch(c, m, r, now);
@@ -253,7 +253,7 @@
     *now_and_then = 0;
     want(c, c->provisioner, &peers);
     for (guint i = 0; m && i < m->places->len; i++) {
-        want_owner(c, g_array_index(m->places, rr_place, i).job, &peers);
+        want_owner(c, g_array_index(m->places, rr_placement, i).job, &peers);
     }
     for (guint i = 0; m && m->heartbeat_seen && i < m->heartbeat.tasks->len; i++) {
         const char *ref = g_array_index(m->heartbeat.tasks, rr_task_status, i).job_id;
--- a/src/core/reserve_gang.c
+++ b/src/core/reserve_gang.c
@@ -25,7 +25,7 @@
                               bool gangs_stay) {
     rr_res room = rr_machine_cap(core, machine);
     for (guint i = 0; i < machine->places->len; i++) {
-        const rr_job *other = g_array_index(machine->places, rr_place, i).job;
+        const rr_job *other = g_array_index(machine->places, rr_placement, i).job;
         bool stays = other->submission.kind == RR_JOB_SERVICE ||
                      (gangs_stay && other->submission.kind == RR_JOB_GANG);
         if (stays && !other->cancelled) {
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -16,7 +16,7 @@
     bool taken;
 };
 
-static bool movable(const rr_core *c, const rr_machine *m, const rr_place *p, double now) {
+static bool movable(const rr_core *c, const rr_machine *m, const rr_placement *p, double now) {
     const rr_job *j = p->job;
     if (j->submission.kind != RR_JOB_SERVICE || j->cancelled || j->done || p->evict || !j->placed ||
         p->task >= j->submission.task_count || j->placed[p->task] != 1 || j->team < 0 ||
@@ -79,7 +79,7 @@
  * room on paper that real moves need. */
 static bool can_be_emptied(const rr_core *c, const rr_machine *m, double now) {
     for (guint k = 0; k < m->places->len; k++) {
-        if (!movable(c, m, &g_array_index(m->places, rr_place, k), now)) {
+        if (!movable(c, m, &g_array_index(m->places, rr_placement, k), now)) {
             return false;
         }
     }
@@ -120,7 +120,7 @@
         rr_machine *m = g_array_index(lots, struct lot, i).m;
         double room = g_array_index(lots, struct lot, i).room;
         for (guint k = 0; k < m->places->len; k++) {
-            const rr_place *p = &g_array_index(m->places, rr_place, k);
+            const rr_placement *p = &g_array_index(m->places, rr_placement, k);
             struct item it = {p->job, p->task, m, NULL, size_of(c, m, p->job), room, false};
             g_array_append_val(items, it);
         }
@@ -148,7 +148,7 @@
     for (guint w = 0; w < n; w++) {
         zones[w] = fixed ? (int)w == it->home->zone
                          : !j->submission.zone[0] ||
-                               strcmp(j->submission.zone, rr_names_at(&c->zones, (int)w)) == 0;
+                               strcmp(j->submission.zone, rr_name_index_at(&c->zones, (int)w)) == 0;
     }
     if (!fixed && rr_zone_bound(j)) {
         int z = rr_zone_most_room(c, j, zones, now);
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -4,17 +4,17 @@
 #include <string.h>
 
 void rr_core_set_session(rr_core *c, uint64_t tether, double entitled_until) {
-    c->tether = tether;
+    c->lease_id = tether;
     c->entitled_until = entitled_until;
 }
 
-void rr_core_set_fresh(rr_core *c, double at) {
+void rr_core_set_cache_current(rr_core *c, double at) {
     c->fresh_at = at > c->fresh_at ? at : c->fresh_at;
 }
 
 bool rr_core_session_seen(const rr_core *c, uint64_t tether) {
     const rr_session *s = g_hash_table_lookup(c->sessions, c->cfg->node_name);
-    return c->rereading || (s && s->tether == tether); /* a reread has not come to it yet */
+    return c->rereading || (s && s->lease_id == tether); /* a reread has not come to it yet */
 }
 
 /* What this version can do beyond the first ones, told in its session's record. Those pass over the
@@ -40,7 +40,7 @@
 static const rr_session *live_session(const rr_core *c, guint place) {
     const rr_session *t = &g_array_index(c->term.nodes, rr_session, place);
     const rr_session *s = g_hash_table_lookup(c->sessions, t->name);
-    return s && s->tether == t->tether ? s : NULL;
+    return s && s->lease_id == t->lease_id ? s : NULL;
 }
 
 bool rr_all_able_to(const rr_core *c, uint64_t able) {
@@ -73,7 +73,7 @@
 
 bool rr_in_term(const rr_core *c) {
     const rr_session *s = term_node(c, c->cfg->node_name);
-    return c->loaded && c->tether && s && s->tether == c->tether;
+    return c->loaded && c->lease_id && s && s->lease_id == c->lease_id;
 }
 
 /* Term, place in the term, counter. Without the place two owners of one term used the same numbers,
@@ -232,14 +232,14 @@
     for (guint i = 0; i < live->len; i++) {
         const rr_session *s = g_ptr_array_index(live, i);
         const rr_session *t = term_node(c, s->name);
-        if (!t || t->tether != s->tether) {
+        if (!t || t->lease_id != s->lease_id) {
             return true;
         }
     }
     return false;
 }
 
-void rr_core_limits_lowered(rr_core *c, bool in_doubt) {
+void rr_core_lower_limits(rr_core *c, bool in_doubt) {
     if (!c->lowered) {
         rr_log_at(c, RR_LOG_INFO, "state service: the lower limits hold");
     }
@@ -247,9 +247,9 @@
     c->anew = c->anew || in_doubt;
 }
 
-bool rr_core_next_term(rr_core *c, double now, double wall, rr_txn *out) {
+bool rr_core_next_term(rr_core *c, double now, double wall, rr_transaction *out) {
     (void)now;
-    if (!c->loaded || c->rereading || !rr_core_session_seen(c, c->tether)) {
+    if (!c->loaded || c->rereading || !rr_core_session_seen(c, c->lease_id)) {
         return false;
     }
     GPtrArray *live = g_ptr_array_new();
@@ -273,10 +273,10 @@
             const rr_session *s = g_ptr_array_index(live, i);
             rr_encode_array(&o, 2);
             rr_encode_text(&o, s->name);
-            rr_encode_u64(&o, s->tether);
+            rr_encode_u64(&o, s->lease_id);
         }
-        rr_txn_guard(out, RR_ROOT "term", c->term.mark);
-        rr_txn_put(out, RR_ROOT "term", &o, 0);
+        rr_transaction_guard(out, RR_ROOT "term", c->term.version);
+        rr_transaction_put(out, RR_ROOT "term", &o, 0);
     }
     g_ptr_array_free(live, TRUE);
     return change;
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -191,7 +191,7 @@
  * zone is not cut off from us. Ourselves count while workers report to us: we may have lost them.
  */
 static bool zone_reached(const rr_core *c, int zone, double now) {
-    const char *name = rr_names_at(&c->zones, zone);
+    const char *name = rr_name_index_at(&c->zones, zone);
     double seconds = c->cfg->tune.dead_reports * c->cfg->report_s;
     if (now - c->woke_at < seconds) {
         return false;
--- a/src/core/txn.c
+++ b/src/core/txn.c
@@ -12,14 +12,14 @@
     g_free(c->value);
 }
 
-void rr_txn_init(rr_txn *t) {
+void rr_transaction_init(rr_transaction *t) {
     t->guards = g_array_new(FALSE, FALSE, sizeof(rr_guard));
     t->changes = g_array_new(FALSE, FALSE, sizeof(rr_change));
     g_array_set_clear_func(t->guards, guard_free);
     g_array_set_clear_func(t->changes, change_free);
 }
 
-void rr_txn_clear(rr_txn *t) {
+void rr_transaction_clear(rr_transaction *t) {
     if (t->guards) {
         g_array_free(t->guards, TRUE);
         g_array_free(t->changes, TRUE);
@@ -27,7 +27,7 @@
     t->guards = t->changes = NULL;
 }
 
-void rr_txn_guard(rr_txn *t, const char *key, uint64_t mark) {
+void rr_transaction_guard(rr_transaction *t, const char *key, uint64_t mark) {
     for (guint i = 0; i < t->guards->len; i++) {
         if (strcmp(g_array_index(t->guards, rr_guard, i).key, key) == 0) {
             return;
@@ -37,19 +37,19 @@
     g_array_append_val(t->guards, g);
 }
 
-void rr_txn_put(rr_txn *t, const char *key, rr_encoder *value, uint64_t tether) {
+void rr_transaction_put(rr_transaction *t, const char *key, rr_encoder *value, uint64_t tether) {
     rr_change c = {g_strdup(key), g_memdup2(value->buffer.data, value->buffer.size),
                    value->buffer.size, tether};
     g_array_append_val(t->changes, c);
     rr_encoder_clear(value);
 }
 
-void rr_txn_delete(rr_txn *t, const char *key) {
+void rr_transaction_delete(rr_transaction *t, const char *key) {
     rr_change c = {g_strdup(key), NULL, 0, 0};
     g_array_append_val(t->changes, c);
 }
 
-void rr_txn_encode(const rr_txn *t, rr_encoder *o) {
+void rr_transaction_encode(const rr_transaction *t, rr_encoder *o) {
     rr_encode_map(o, 2);
     rr_encode_text(o, "guards");
     rr_encode_array(o, t->guards->len);
@@ -57,7 +57,7 @@
         const rr_guard *g = &g_array_index(t->guards, rr_guard, i);
         rr_encode_map(o, 2);
         rr_encode_key_text(o, "path", g->key);
-        rr_encode_key_u64(o, "mark", g->mark);
+        rr_encode_key_u64(o, "mark", g->version);
     }
     rr_encode_text(o, "apply");
     rr_encode_array(o, t->changes->len);
@@ -68,12 +68,12 @@
             rr_encode_key_text(o, "delete", c->key);
             continue;
         }
-        rr_encode_map(o, c->tether ? 3 : 2);
+        rr_encode_map(o, c->lease_id ? 3 : 2);
         rr_encode_key_text(o, "put", c->key);
         rr_encode_text(o, "v");
         msgpack_sbuffer_write(&o->buffer, c->value, c->len);
-        if (c->tether) {
-            rr_encode_key_u64(o, "tether", c->tether);
+        if (c->lease_id) {
+            rr_encode_key_u64(o, "tether", c->lease_id);
         }
     }
 }
--- a/src/core/txn.h
+++ b/src/core/txn.h
@@ -7,26 +7,28 @@
 
 typedef struct {
     char *key;
-    uint64_t mark;
+    uint64_t version;
 } rr_guard;
 
 typedef struct {
     char *key;
     void *value; /* NULL: delete */
     size_t len;
-    uint64_t tether; /* 0: none */
+    uint64_t lease_id; /* 0: none */
 } rr_change;
 
 typedef struct {
     GArray *guards;  /* rr_guard */
     GArray *changes; /* rr_change */
-} rr_txn;
+} rr_transaction;
 
-void rr_txn_init(rr_txn *t);
-void rr_txn_clear(rr_txn *t);
-void rr_txn_guard(rr_txn *t, const char *key, uint64_t mark); /* the first guard on a key stays */
-void rr_txn_put(rr_txn *t, const char *key, rr_encoder *value, uint64_t tether); /* empties value */
-void rr_txn_delete(rr_txn *t, const char *key);
-void rr_txn_encode(const rr_txn *t, rr_encoder *o);
+void rr_transaction_init(rr_transaction *t);
+void rr_transaction_clear(rr_transaction *t);
+void rr_transaction_guard(rr_transaction *t, const char *key,
+                          uint64_t mark); /* the first guard on a key stays */
+void rr_transaction_put(rr_transaction *t, const char *key, rr_encoder *value,
+                        uint64_t tether); /* empties value */
+void rr_transaction_delete(rr_transaction *t, const char *key);
+void rr_transaction_encode(const rr_transaction *t, rr_encoder *o);
 
 #endif
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -37,7 +37,7 @@
     int team = rr_config_team(c->cfg, s->team);
     const struct rr_team_config *t = team >= 0 ? &c->cfg->teams[team] : NULL;
     const rr_job *known = g_hash_table_lookup(c->jobs, s->job_id);
-    if ((known && known->mark) || rr_job_final(c, s->job_id, NULL, NULL)) {
+    if ((known && known->version) || rr_job_final(c, s->job_id, NULL, NULL)) {
         return RR_ADMIT_KNOWN;
     }
     if (!t) {
@@ -76,10 +76,10 @@
 static uint32_t count_running(const rr_core *c, const rr_job *j, double now) {
     uint32_t n = 0;
     for (guint k = 0; j->runs && k < j->runs->len; k++) {
-        const rr_run *run = g_ptr_array_index(j->runs, k);
+        const rr_ledger_record *run = g_ptr_array_index(j->runs, k);
         for (guint i = 0; run && i < run->items->len; i++) {
-            const rr_item *it = &g_array_index(run->items, rr_item, i);
-            const rr_place *p = rr_place_find(it->m, it->attempt, j, it->task);
+            const rr_placement_record *it = &g_array_index(run->items, rr_placement_record, i);
+            const rr_placement *p = rr_placement_find(it->m, it->attempt, j, it->task);
             const rr_task_status *r = p ? rr_task_status_find(it->m, p) : NULL;
             n += r ? r->state == RR_TASK_RUNNING
                    : p && !it->m->gone && !rr_owns_team(c, j->team) && now - p->seen_at > SURELY_S;
@@ -98,11 +98,11 @@
         return;
     }
     const rr_job *j = g_hash_table_lookup(c->jobs, ref);
-    if (!j || j->mark == 0) {
+    if (!j || j->version == 0) {
         return;
     }
     out->known = true;
-    out->mark = j->mark;
+    out->version = j->version;
     out->done_count = j->done_count;
     out->done = j->done;
     out->cancelled = !j->done && j->cancelled;
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -53,7 +53,7 @@
     return b;
 }
 
-void rr_budget_next(rr_budget *b, double rps, double write_rps) {
+void rr_budget_set_next_limits(rr_budget *b, double rps, double write_rps) {
     pthread_mutex_lock(&b->lock);
     b->next_rps = rps > 0 ? fmin(rps, b->rps) : b->rps;
     b->next_write_rps = write_rps > 0 ? fmin(write_rps, b->write_rps) : b->write_rps;
@@ -67,7 +67,7 @@
     set_shares(b, &b->shares);
 }
 
-void rr_budget_lower(rr_budget *b) {
+void rr_budget_next_limits_hold(rr_budget *b) {
     pthread_mutex_lock(&b->lock);
     lower(b);
     pthread_mutex_unlock(&b->lock);
@@ -76,7 +76,7 @@
 #define REFUSALS 3 /* within REFUSED_S: what a burst of several controllers brings is fewer */
 #define REFUSED_S 5.0
 
-void rr_budget_refused(rr_budget *b) {
+void rr_budget_request_refused(rr_budget *b) {
     pthread_mutex_lock(&b->lock);
     double now = rr_now();
     b->refusals = now - b->refused_at < REFUSED_S ? b->refusals + 1 : 1;
@@ -94,7 +94,7 @@
     }
 }
 
-void rr_budget_share(rr_budget *b, const struct rr_shares *s) {
+void rr_budget_set_shares(rr_budget *b, const struct rr_shares *s) {
     pthread_mutex_lock(&b->lock);
     set_shares(b, s);
     pthread_mutex_unlock(&b->lock);
@@ -117,8 +117,8 @@
     b->pool = fmin(b->pool + spare, all_writes(b));
 }
 
-static enum kind kind_of(enum rr_prio prio) {
-    return prio == RR_PRIO_PLAN ? PLANS : prio == RR_PRIO_STEWARD ? STEWARD : USERS;
+static enum kind kind_of(enum rr_request_priority prio) {
+    return prio == RR_REQUEST_PLAN ? PLANS : prio == RR_PRIO_STEWARD ? STEWARD : USERS;
 }
 
 /* Seconds until so many changes may go; 0: now. A transaction larger than what a second brings
@@ -143,13 +143,13 @@
 }
 
 /* Seconds until the request may go; 0: taken. */
-static double try_take(rr_budget *b, enum rr_prio prio, int writes) {
+static double try_take(rr_budget *b, enum rr_request_priority prio, int writes) {
     static const double reserve[] = {0, 0.1, 0.1, 0.2, 0.2};
     struct bucket *w = &b->writes[kind_of(prio)];
     refill(b);
     double need = fmin(1 + reserve[prio] * b->rate, fmax(b->rate, 1));
     double w1 = b->tokens >= need - 1e-9 ? 0 : (need - b->tokens) / b->rate;
-    double w2 = writes && prio != RR_PRIO_SESSION ? writes_wait(b, w, writes) : 0;
+    double w2 = writes && prio != RR_REQUEST_SESSION ? writes_wait(b, w, writes) : 0;
     if (w1 <= 0 && w2 <= 0) {
         b->tokens -= 1;
         if (writes) {
@@ -177,7 +177,7 @@
     return n > 0 ? (int)n : 0;
 }
 
-int rr_budget_take(rr_budget *b, enum rr_prio prio, int writes, double wait_s) {
+int rr_budget_take(rr_budget *b, enum rr_request_priority prio, int writes, double wait_s) {
     double until = rr_now() + wait_s;
     for (;;) {
         pthread_mutex_lock(&b->lock);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -29,8 +29,8 @@
     }
 }
 
-static int call(rr_store *s, enum rr_prio prio, int writes, const char *method, const char *path,
-                rr_encoder *body, double timeout_s, rr_reply *reply) {
+static int call(rr_store *s, enum rr_request_priority prio, int writes, const char *method,
+                const char *path, rr_encoder *body, double timeout_s, rr_reply *reply) {
     if (rr_budget_take(s->budget, prio, writes, timeout_s) != 0) {
         return -ENOTCONN;
     }
@@ -42,7 +42,7 @@
                         .timeout_s = timeout_s};
     int rc = rr_client_call(s->client, &c, reply);
     if (rc == 0 && reply->status == 429) {
-        rr_budget_refused(s->budget);
+        rr_budget_request_refused(s->budget);
     }
     return rc;
 }
@@ -58,23 +58,24 @@
     }
 }
 
-static enum rr_commit outcome(const rr_reply *reply, uint64_t *epoch, GPtrArray *failed) {
+static enum rr_commit_status outcome(const rr_reply *reply, uint64_t *epoch, GPtrArray *failed) {
     if (reply->status == 400) {
         rr_document e;
         rr_document_parse(&e, reply->body->data, reply->body->len);
         bool lease = rr_object_text_equals(rr_map_get(e.root, "error"), "no such lease");
         rr_document_clear(&e);
-        return lease ? RR_NO_LEASE : RR_INVALID;
+        return lease ? RR_COMMIT_NO_LEASE : RR_COMMIT_INVALID;
     }
     if (reply->status != 200 && reply->status != 409) {
-        return reply->status == 503 || reply->status == 429 ? RR_REFUSED : RR_DOUBT;
+        return reply->status == 503 || reply->status == 429 ? RR_COMMIT_REFUSED
+                                                            : RR_COMMIT_OUTCOME_UNKNOWN;
     }
     rr_document doc;
-    enum rr_commit rc = RR_DOUBT;
+    enum rr_commit_status rc = RR_COMMIT_OUTCOME_UNKNOWN;
     if (rr_document_parse(&doc, reply->body->data, reply->body->len) == 0 &&
         rr_map_get_u64(doc.root, "epoch", epoch)) {
-        rc = reply->status == 200 ? RR_COMMITTED : RR_CONFLICT;
-        if (failed && rc == RR_CONFLICT) {
+        rc = reply->status == 200 ? RR_COMMIT_DONE : RR_COMMIT_CONFLICT;
+        if (failed && rc == RR_COMMIT_CONFLICT) {
             failed_keys(doc.root, failed);
         }
     }
@@ -82,25 +83,26 @@
     return rc;
 }
 
-enum rr_commit rr_store_commit(rr_store *s, enum rr_prio prio, const rr_txn *t, double timeout_s,
-                               uint64_t *epoch, GPtrArray *failed) {
+enum rr_commit_status rr_store_commit(rr_store *s, enum rr_request_priority prio,
+                                      const rr_transaction *t, double timeout_s, uint64_t *epoch,
+                                      GPtrArray *failed) {
     rr_encoder o;
     rr_reply reply;
     rr_encoder_init(&o);
-    rr_txn_encode(t, &o);
+    rr_transaction_encode(t, &o);
     int rc = call(s, prio, (int)t->changes->len, "POST", "/commit", &o, timeout_s, &reply);
     rr_encoder_clear(&o);
     if (rc == -ENOTCONN) {
-        return RR_REFUSED;
+        return RR_COMMIT_REFUSED;
     }
-    return rc != 0 ? RR_DOUBT : outcome(&reply, epoch, failed);
+    return rc != 0 ? RR_COMMIT_OUTCOME_UNKNOWN : outcome(&reply, epoch, failed);
 }
 
-int rr_store_epoch(rr_store *s, uint64_t *epoch, double timeout_s) {
+int rr_store_revision(rr_store *s, uint64_t *epoch, double timeout_s) {
     /* A key that never exists: its 404 carries the store's revision. */
     rr_reply reply;
     rr_document doc;
-    if (call(s, RR_PRIO_READ, 0, "GET", "/store/rr-epoch", NULL, timeout_s, &reply) != 0 ||
+    if (call(s, RR_REQUEST_READ, 0, "GET", "/store/rr-epoch", NULL, timeout_s, &reply) != 0 ||
         reply.status != 404) {
         return -EAGAIN;
     }
@@ -126,7 +128,7 @@
     char path[256];
     rr_reply reply;
     g_snprintf(path, sizeof path, "/store/%s", key);
-    if (call(s, RR_PRIO_SESSION, 0, "GET", path, NULL, 2, &reply) != 0 ||
+    if (call(s, RR_REQUEST_SESSION, 0, "GET", path, NULL, 2, &reply) != 0 ||
         (reply.status != 200 && reply.status != 404)) {
         return -EAGAIN;
     }
@@ -147,7 +149,7 @@
     rr_reply reply;
     g_snprintf(path, sizeof path, "/store?starts=%s%s%s&limit=1000", prefix,
                cursor->from[0] ? "&from=" : "", cursor->from);
-    if (call(s, RR_PRIO_SESSION, 0, "GET", path, NULL, 5, &reply) != 0 || reply.status != 200) {
+    if (call(s, RR_REQUEST_SESSION, 0, "GET", path, NULL, 5, &reply) != 0 || reply.status != 200) {
         return -EAGAIN;
     }
     int rc = parse_reply(&reply, doc);
@@ -157,7 +159,7 @@
     const msgpack_object *rows = rr_map_get(doc->root, "rows");
     cursor->more = false;
     rr_map_get_bool(doc->root, "more", &cursor->more);
-    if (!rr_map_get_u64(doc->root, "epoch", &cursor->epoch) || !rows ||
+    if (!rr_map_get_u64(doc->root, "epoch", &cursor->revision) || !rows ||
         rows->type != MSGPACK_OBJECT_ARRAY) {
         rr_document_clear(doc);
         return -EAGAIN;
@@ -183,7 +185,7 @@
     rr_reply reply;
     g_snprintf(path, sizeof path, "/watch?starts=%s&from=%" G_GUINT64_FORMAT "&hold_ms=%d", prefix,
                from, hold_ms);
-    if (call(s, RR_PRIO_SESSION, 0, "GET", path, NULL, hold_ms / 1000.0 + 3, &reply) != 0) {
+    if (call(s, RR_REQUEST_SESSION, 0, "GET", path, NULL, hold_ms / 1000.0 + 3, &reply) != 0) {
         return -EAGAIN;
     }
     if (reply.status == 410) {
@@ -192,14 +194,14 @@
     return reply.status == 200 ? parse_reply(&reply, doc) : -EAGAIN;
 }
 
-int rr_store_lease(rr_store *s, double life_s, uint64_t *tether) {
+int rr_store_grant_lease(rr_store *s, double life_s, uint64_t *tether) {
     rr_encoder o;
     rr_reply reply;
     rr_document doc;
     rr_encoder_init(&o);
     rr_encode_map(&o, 1);
     rr_encode_key_u64(&o, "life_ms", (uint64_t)(life_s * 1000));
-    int rc = call(s, RR_PRIO_SESSION, 0, "POST", "/holds", &o, 1.5, &reply);
+    int rc = call(s, RR_REQUEST_SESSION, 0, "POST", "/holds", &o, 1.5, &reply);
     rr_encoder_clear(&o);
     if (rc != 0 || reply.status != 200 || parse_reply(&reply, &doc) != 0) {
         return -EAGAIN;
@@ -216,7 +218,7 @@
     g_snprintf(path, sizeof path, "/holds/%" G_GUINT64_FORMAT "%s", tether, verb);
     rr_encoder_init(&o);
     rr_encode_map(&o, 0);
-    int rc = call(s, RR_PRIO_SESSION, 0, method, path, &o, 1.5, &reply);
+    int rc = call(s, RR_REQUEST_SESSION, 0, method, path, &o, 1.5, &reply);
     rr_encoder_clear(&o);
     if (rc != 0) {
         return -EAGAIN;
@@ -224,7 +226,7 @@
     return reply.status == 200 ? 0 : reply.status == 404 ? -ENOENT : -EAGAIN;
 }
 
-int rr_store_renew(rr_store *s, uint64_t tether) {
+int rr_store_renew_lease(rr_store *s, uint64_t tether) {
     return hold_call(s, "POST", tether, "/renew");
 }
 
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -69,7 +69,7 @@
     config->npeers = MODEL_CONTROLLERS - 1;
     config->clock_off_s = 0.1;
     config->value_kb = 4;
-    config->txn_ops = 8;
+    config->transaction_changes_max = 8;
     config->admission = true;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         rr_admission_settings_init(&model->settings[i]);
@@ -104,17 +104,17 @@
     return record;
 }
 
-static bool guards_hold(struct model_state *state, const rr_txn *txn) {
+static bool guards_hold(struct model_state *state, const rr_transaction *txn) {
     for (guint i = 0; i < txn->guards->len; i++) {
         const rr_guard *guard = &g_array_index(txn->guards, rr_guard, i);
-        if (record_at(state, guard->key)->version != guard->mark) {
+        if (record_at(state, guard->key)->version != guard->version) {
             return false;
         }
     }
     return true;
 }
 
-static bool commit(struct model *model, const rr_txn *txn) {
+static bool commit(struct model *model, const rr_transaction *txn) {
     struct model_state *state = model->state;
     if (!guards_hold(state, txn)) {
         return false;
@@ -209,8 +209,8 @@
     const rr_admission_table *newest = rr_admission_newest(admission);
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_admission_table table;
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     gather_load(model, &state->loads[i]);
     rr_admission_demand(admission, state->now, demand);
     bool wanted = rr_admission_writer_next(state->writers[i], &state->loads[i], demand, newest,
@@ -227,7 +227,7 @@
         assert_false(commit(model, &txn));
     }
     rr_admission_table_clear(&table);
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
     g_array_free(demand, TRUE);
 }
 
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -153,7 +153,7 @@
     if (cell->on_write) {
         cell->on_write(cell->watcher, write);
     }
-    bool done = !refuse && fx_commit(cell->store, &write->txn) == 0;
+    bool done = !refuse && fx_commit(cell->store, &write->transaction) == 0;
     fx_sync(cell->store, cell->node.core, cell->node.now);
     return rr_transfers_written(cell->transfers, write, done);
 }
@@ -239,7 +239,7 @@
 void cell_pair_commit_there(cell_pair *pair, GPtrArray *writes, unsigned *made) {
     for (guint i = 0; i < writes->len; i++) {
         const rr_transfer_write *write = g_ptr_array_index(writes, i);
-        bool done = fx_commit(pair->home.store, &write->txn) == 0;
+        bool done = fx_commit(pair->home.store, &write->transaction) == 0;
         *made += done;
         if (done) {
             rr_transfers_absent_written(pair->guest.transfers, write);
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -7,14 +7,14 @@
 struct fx_value {
     void *data;
     size_t len;
-    uint64_t mark;
+    uint64_t version;
 };
 
 struct fx_change {
     char *key;
     void *data; /* NULL: deleted */
     size_t len;
-    uint64_t mark;
+    uint64_t version;
 };
 
 static void value_free(gpointer p) {
@@ -45,11 +45,11 @@
 
 uint64_t fx_mark(const fx_store *s, const char *key) {
     const struct fx_value *v = g_hash_table_lookup(s->kv, key);
-    return v ? v->mark : 0;
+    return v ? v->version : 0;
 }
 
 uint64_t fx_log_mark(const fx_store *s, guint i) {
-    return ((const struct fx_change *)g_ptr_array_index(s->log, i))->mark;
+    return ((const struct fx_change *)g_ptr_array_index(s->log, i))->version;
 }
 
 void fx_each(const fx_store *s, fx_record_fn fn, void *user) {
@@ -60,7 +60,7 @@
         const struct fx_value *record = value;
         rr_document doc;
         assert_int_equal(rr_document_parse(&doc, record->data, record->len), 0);
-        fn(user, key, doc.root, record->mark);
+        fn(user, key, doc.root, record->version);
         rr_document_clear(&doc);
     }
 }
@@ -91,7 +91,7 @@
     return v ? json_size(v->data, v->len) : 0;
 }
 
-static bool within_limits(const fx_store *s, const rr_txn *t) {
+static bool within_limits(const fx_store *s, const rr_transaction *t) {
     if (s->ops_max && (t->changes->len > s->ops_max || t->guards->len > 4 * s->ops_max)) {
         return false;
     }
@@ -104,13 +104,13 @@
     return true;
 }
 
-int fx_commit(fx_store *s, const rr_txn *t) {
+int fx_commit(fx_store *s, const rr_transaction *t) {
     if (!within_limits(s, t)) {
         return -EINVAL;
     }
     for (guint i = 0; i < t->guards->len; i++) {
         const rr_guard *g = &g_array_index(t->guards, rr_guard, i);
-        if (fx_mark(s, g->key) != g->mark) {
+        if (fx_mark(s, g->key) != g->version) {
             return -EAGAIN;
         }
     }
@@ -119,12 +119,12 @@
         const rr_change *c = &g_array_index(t->changes, rr_change, i);
         struct fx_change *log = g_new0(struct fx_change, 1);
         log->key = g_strdup(c->key);
-        log->mark = s->epoch;
+        log->version = s->epoch;
         if (c->value) {
             struct fx_value *v = g_new0(struct fx_value, 1);
             v->data = g_memdup2(c->value, c->len);
             v->len = log->len = c->len;
-            v->mark = s->epoch;
+            v->version = s->epoch;
             log->data = g_memdup2(c->value, c->len);
             g_hash_table_replace(s->kv, g_strdup(c->key), v);
         } else {
@@ -136,29 +136,29 @@
 }
 
 void fx_sync(fx_store *s, rr_core *c, double now) {
-    uint64_t from = rr_core_epoch(c);
-    if (!rr_core_loaded(c)) {
-        rr_core_mirror_begin(c);
+    uint64_t from = rr_core_revision(c);
+    if (!rr_core_cache_loaded(c)) {
+        rr_core_cache_begin_reload(c);
     }
     for (guint i = 0; i < s->log->len; i++) {
         const struct fx_change *ch = g_ptr_array_index(s->log, i);
-        if (ch->mark <= from) {
+        if (ch->version <= from) {
             continue;
         }
         if (!ch->data) {
-            rr_core_mirror_delete(c, ch->key, ch->mark, now);
+            rr_core_cache_delete(c, ch->key, ch->version, now);
             continue;
         }
         rr_document d;
         assert_int_equal(rr_document_parse(&d, ch->data, ch->len), 0);
-        rr_core_mirror_put(c, ch->key, d.root, ch->mark, now);
+        rr_core_cache_put(c, ch->key, d.root, ch->version, now);
         rr_document_clear(&d);
     }
-    if (!rr_core_loaded(c)) {
-        rr_core_mirror_end(c, s->epoch, s->epoch, now);
+    if (!rr_core_cache_loaded(c)) {
+        rr_core_cache_end_reload(c, s->epoch, s->epoch, now);
     }
-    rr_core_set_epoch(c, s->epoch);
-    rr_core_set_fresh(c, now);
+    rr_core_set_revision(c, s->epoch);
+    rr_core_set_cache_current(c, now);
 }
 
 static gint by_text(gconstpointer a, gconstpointer b) {
@@ -167,17 +167,17 @@
 
 void fx_reread(fx_store *s, rr_core *c, double now) {
     GList *keys = g_list_sort(g_hash_table_get_keys(s->kv), by_text);
-    rr_core_mirror_begin(c);
+    rr_core_cache_begin_reload(c);
     for (const GList *k = keys; k; k = k->next) {
         const struct fx_value *v = g_hash_table_lookup(s->kv, k->data);
         rr_document d;
         assert_int_equal(rr_document_parse(&d, v->data, v->len), 0);
-        rr_core_mirror_put(c, k->data, d.root, v->mark, now);
+        rr_core_cache_put(c, k->data, d.root, v->version, now);
         rr_document_clear(&d);
     }
-    rr_core_mirror_end(c, s->epoch, s->epoch, now);
-    rr_core_set_epoch(c, s->epoch);
-    rr_core_set_fresh(c, now);
+    rr_core_cache_end_reload(c, s->epoch, s->epoch, now);
+    rr_core_set_revision(c, s->epoch);
+    rr_core_set_cache_current(c, now);
     g_list_free(keys);
 }
 
@@ -197,11 +197,11 @@
 }
 
 void fx_put(fx_store *s, const char *key, rr_encoder *o) {
-    rr_txn t;
-    rr_txn_init(&t);
-    rr_txn_put(&t, key, o, 0);
+    rr_transaction t;
+    rr_transaction_init(&t);
+    rr_transaction_put(&t, key, o, 0);
     assert_int_equal(fx_commit(s, &t), 0);
-    rr_txn_clear(&t);
+    rr_transaction_clear(&t);
 }
 
 void fx_config(struct rr_config *c, const char *name) {
@@ -229,7 +229,7 @@
     c->state_rps = 100;
     c->state_write_rps = 50;
     c->value_kb = 4;
-    c->txn_ops = 8;
+    c->transaction_changes_max = 8;
     c->cloud_rps = 5;
     c->list_lag_s = 5;
     c->tune = (struct rr_tuning){.round_period_s = 30,
@@ -259,13 +259,13 @@
 }
 
 void fx_term(fx_node *n) {
-    rr_txn t;
-    rr_txn_init(&t);
+    rr_transaction t;
+    rr_transaction_init(&t);
     fx_sync(n->store, n->core, n->now);
     if (rr_core_next_term(n->core, n->now, n->now, &t)) {
         assert_int_equal(fx_commit(n->store, &t), 0);
     }
-    rr_txn_clear(&t);
+    rr_transaction_clear(&t);
     fx_sync(n->store, n->core, n->now);
 }
 
@@ -286,12 +286,12 @@
 
 void fx_leave(fx_node *n) {
     char key[RR_NAME + 16];
-    rr_txn t;
+    rr_transaction t;
     node_key(n, key, sizeof key);
-    rr_txn_init(&t);
-    rr_txn_delete(&t, key);
+    rr_transaction_init(&t);
+    rr_transaction_delete(&t, key);
     assert_int_equal(fx_commit(n->store, &t), 0);
-    rr_txn_clear(&t);
+    rr_transaction_clear(&t);
 }
 
 void fx_join_old_version(fx_node *n) {
@@ -304,11 +304,11 @@
 }
 
 void fx_leave_old_version(fx_node *n) {
-    rr_txn t;
-    rr_txn_init(&t);
-    rr_txn_delete(&t, RR_ROOT "node/n1");
+    rr_transaction t;
+    rr_transaction_init(&t);
+    rr_transaction_delete(&t, RR_ROOT "node/n1");
     assert_int_equal(fx_commit(n->store, &t), 0);
-    rr_txn_clear(&t);
+    rr_transaction_clear(&t);
     fx_term(n);
 }
 
@@ -376,15 +376,15 @@
     char key[128];
     uint64_t mark;
     rr_encoder o;
-    rr_txn t;
+    rr_transaction t;
     rr_encoder_init(&o);
     assert_true(rr_core_cancel_record(n->core, ref, &o, &mark));
     rr_core_job_key(ref, key, sizeof key);
-    rr_txn_init(&t);
-    rr_txn_guard(&t, key, mark);
-    rr_txn_put(&t, key, &o, 0);
+    rr_transaction_init(&t);
+    rr_transaction_guard(&t, key, mark);
+    rr_transaction_put(&t, key, &o, 0);
     assert_int_equal(fx_commit(n->store, &t), 0);
-    rr_txn_clear(&t);
+    rr_transaction_clear(&t);
     fx_sync(n->store, n->core, n->now);
 }
 
@@ -488,8 +488,8 @@
     int done = 0;
     rr_plan_init(p);
     rr_core_plan(n->core, n->now, n->now, p);
-    if (p->has_txn) {
-        done = fx_commit(n->store, &p->txn) == 0;
+    if (p->has_transaction) {
+        done = fx_commit(n->store, &p->transaction) == 0;
     }
     fx_sync(n->store, n->core, n->now);
     return done;
@@ -667,7 +667,7 @@
     rr_step_init(out);
     rr_core_provisioner_step(n->core, n->now, n->now, out);
     if (out->kind == RR_STEP_TXN) {
-        fx_commit(n->store, &out->txn);
+        fx_commit(n->store, &out->transaction);
         fx_sync(n->store, n->core, n->now);
     } else if (out->kind == RR_STEP_LIST) {
         rr_core_listed(n->core, n->now, n->now, n->now, machines);
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -23,7 +23,7 @@
 fx_store *fx_store_create(void);
 void fx_store_destroy(fx_store *s);
 /* 0, -EAGAIN if a guard fails, -EINVAL beyond a limit (nothing is changed then). */
-int fx_commit(fx_store *s, const rr_txn *t);
+int fx_commit(fx_store *s, const rr_transaction *t);
 /* Brings the core's mirror up to now. */
 void fx_sync(fx_store *s, rr_core *c, double now);
 /* A full read in key order, as a controller makes that has just started. */
