--- a/tests/test_batch.c
+++ b/tests/test_batch.c
@@ -14,7 +14,7 @@
     rr_encode_map(&u->value, 1);
     rr_encode_key_text(&u->value, "ref", body);
     u->accepts = accepts;
-    u->mark = mark;
+    u->version = mark;
     g_free(body);
 }
 
@@ -35,7 +35,7 @@
         struct rr_user_commit u[3];
         struct rr_user_batch b;
         uint64_t batches = 0;
-        rr_txn t;
+        rr_transaction t;
         memset(&b, 0, sizeof b);
         entry(&u[0], "req-1", !cancel_first, 0, 100);
         entry(&u[1], "req-1", cancel_first, 0, 100);
@@ -43,14 +43,14 @@
         assert_true(rr_user_batch_add(&cfg, &b, &u[0]));
         assert_false(rr_user_batch_add(&cfg, &b, &u[1]));
         assert_true(rr_user_batch_add(&cfg, &b, &u[2]));
-        rr_txn_init(&t);
-        rr_user_batch_txn(&b, 7, &batches, &t);
+        rr_transaction_init(&t);
+        rr_user_batch_transaction(&b, 7, &batches, &t);
         unsigned puts = 0;
         for (guint i = 0; i < t.changes->len; i++) {
             puts += strcmp(g_array_index(t.changes, rr_change, i).key, u[0].key) == 0;
         }
         assert_true(puts <= 1);
-        rr_txn_clear(&t);
+        rr_transaction_clear(&t);
         for (int i = 0; i < 3; i++) {
             rr_encoder_clear(&u[i].value);
         }
@@ -67,10 +67,10 @@
         struct rr_user_batch b;
         uint64_t batches = 0;
         char ref[32];
-        rr_txn t;
+        rr_transaction t;
         guint n = 0;
         cfg.next_value_kb = next ? 2 : 0;
-        cfg.next_txn_ops = next ? 4 : 0;
+        cfg.next_transaction_changes_max = next ? 4 : 0;
         memset(&b, 0, sizeof b);
         for (int i = 0; i < 64; i++) {
             g_snprintf(ref, sizeof ref, "req-%d", i + 1);
@@ -82,16 +82,16 @@
         while (n < 64 && rr_user_batch_add(&cfg, &b, &u[n])) {
             n++;
         }
-        rr_txn_init(&t);
-        rr_user_batch_txn(&b, 7, &batches, &t);
+        rr_transaction_init(&t);
+        rr_user_batch_transaction(&b, 7, &batches, &t);
         assert_true(n > 2 && n < 64);
-        assert_true(t.changes->len <= (guint)rr_txn_ops(&cfg));
-        assert_true(t.guards->len <= 4 * (guint)rr_txn_ops(&cfg));
+        assert_true(t.changes->len <= (guint)rr_transaction_changes_max(&cfg));
+        assert_true(t.guards->len <= 4 * (guint)rr_transaction_changes_max(&cfg));
         for (guint i = 0; i < t.changes->len; i++) {
             size_t len = g_array_index(t.changes, rr_change, i).len;
-            assert_true((double)len <= rr_value_kb(&cfg) * 1024);
+            assert_true((double)len <= rr_value_kb_max(&cfg) * 1024);
         }
-        rr_txn_clear(&t);
+        rr_transaction_clear(&t);
         for (int i = 0; i < 64; i++) {
             rr_encoder_clear(&u[i].value);
         }
@@ -104,20 +104,20 @@
     struct rr_user_batch b;
     struct rr_config cfg;
     uint64_t batches = 0;
-    rr_txn t;
+    rr_transaction t;
     (void)state;
     config(&cfg);
     memset(&b, 0, sizeof b);
     entry(&u, "req-1", false, 4, 100);
     g_strlcpy(u.also_key, "rr/cells/out/req-1", sizeof u.also_key);
-    u.also_mark = 9;
+    u.also_version = 9;
     assert_true(rr_user_batch_add(&cfg, &b, &u));
-    rr_txn_init(&t);
-    rr_user_batch_txn(&b, 7, &batches, &t);
+    rr_transaction_init(&t);
+    rr_user_batch_transaction(&b, 7, &batches, &t);
     assert_int_equal(t.guards->len, 2);
     assert_string_equal(g_array_index(t.guards, rr_guard, 1).key, "rr/cells/out/req-1");
-    assert_int_equal(g_array_index(t.guards, rr_guard, 1).mark, 9);
-    rr_txn_clear(&t);
+    assert_int_equal(g_array_index(t.guards, rr_guard, 1).version, 9);
+    rr_transaction_clear(&t);
     rr_encoder_clear(&u.value);
 }
 
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -410,11 +410,11 @@
     enum rr_cancel_first first =
         rr_transfers_cancel(pair->home.transfers, JOB, home->now, wait_s, &withdrawn, &version);
     if (first == RR_CANCEL_WITHDRAW) {
-        rr_txn txn;
-        rr_txn_init(&txn);
+        rr_transaction txn;
+        rr_transaction_init(&txn);
         rr_cells_out_write(&txn, JOB, version, &withdrawn);
         assert_int_equal(fx_commit(home->store, &txn), 0);
-        rr_txn_clear(&txn);
+        rr_transaction_clear(&txn);
         fx_sync(home->store, home->core, home->now);
     }
     return first;
@@ -704,10 +704,10 @@
     GPtrArray *writes = ready_to_claim(&dead);
     rr_absent *other = rr_absent_create(&pair->guest.node.cfg, "other");
     rr_transfer_write theirs = {.ends_claim = false};
-    rr_txn_init(&theirs.txn);
+    rr_transaction_init(&theirs.transaction);
     cell_pair_read_home(pair, other, writes);
-    assert_true(rr_absent_claim(other, "req-2", "red", &theirs.txn));
-    assert_int_equal(fx_commit(pair->home.store, &theirs.txn), 0);
+    assert_true(rr_absent_claim(other, "req-2", "red", &theirs.transaction));
+    assert_int_equal(fx_commit(pair->home.store, &theirs.transaction), 0);
     cell_pair_commit_there(pair, writes, &made);
     assert_int_equal(made, 0);
     watch_home(&dead, 10);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -722,7 +722,7 @@
     const char *const wide_ref[] = {"req-1"};
     rr_job_view v;
     n->cfg.next_value_kb = 2;
-    n->cfg.next_txn_ops = 4;
+    n->cfg.next_transaction_changes_max = 4;
     w->store->value_max = (size_t)2 * 1024;
     w->store->ops_max = 4;
     wide.cpus = wide.mem_gb = 1;
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -16,7 +16,7 @@
 }
 
 static guint changes_of(const rr_plan *p) {
-    return p->has_txn ? p->txn.changes->len : 0;
+    return p->has_transaction ? p->transaction.changes->len : 0;
 }
 
 /* Plans until nothing changes; every command is answered. Returns the changes made. */
@@ -120,7 +120,7 @@
     for (uint64_t sequence = 2; sequence < 6; sequence++) {
         report_all(n, 1, FLEET, "a", 1, sequence);
         fx_plan(n, &p);
-        assert_false(p.has_txn);
+        assert_false(p.has_transaction);
         assert_int_equal(p.command_batches->len, 0);
         rr_plan_clear(&p);
     }
@@ -280,8 +280,8 @@
         rr_step_init(&s);
         rr_core_provisioner_step(n->core, n->now, n->now, &s);
         if (s.kind == RR_STEP_TXN) {
-            changes += s.txn.changes->len;
-            assert_int_equal(fx_commit(w->store, &s.txn), 0);
+            changes += s.transaction.changes->len;
+            assert_int_equal(fx_commit(w->store, &s.transaction), 0);
             fx_sync(w->store, n->core, n->now);
         } else if (s.kind == RR_STEP_LIST) {
             rr_core_listed(n->core, n->now, n->now, n->now, machines);
@@ -547,24 +547,24 @@
     fx_node *n = &w->n;
     rr_plan p;
     rr_step s;
-    rr_txn t;
+    rr_transaction t;
     fx_fleet(n, 1, 4, "a");
     submit_many(n, 1, 4, &(struct fx_job){.pieces = 1, .cpus = 1});
     settle(n);
     submit_many(n, 5, 4, &(struct fx_job){.pieces = 1, .cpus = 1});
-    rr_core_mirror_begin(n->core);
+    rr_core_cache_begin_reload(n->core);
     n->now += 3;
     rr_core_plan(n->core, n->now, n->now, (rr_plan_init(&p), &p));
-    assert_false(p.has_txn);
+    assert_false(p.has_transaction);
     assert_int_equal(p.command_batches->len, 0);
     rr_plan_clear(&p);
     rr_step_init(&s);
     rr_core_provisioner_step(n->core, n->now, n->now, &s);
     assert_int_equal(s.kind, RR_STEP_NONE);
     rr_step_clear(&s);
-    rr_txn_init(&t);
+    rr_transaction_init(&t);
     assert_false(rr_core_next_term(n->core, n->now, n->now, &t));
-    rr_txn_clear(&t);
+    rr_transaction_clear(&t);
     assert_true(rr_core_session_seen(n->core, 7)); /* not yet come to it: no reason to end it */
     fx_reread(w->store, n->core, n->now);
     settle(n);
@@ -620,7 +620,7 @@
     int rented = 0;
     unsigned steps = 0;
     w->store->value_max = (size_t)(n->cfg.value_kb * 1024);
-    w->store->ops_max = (guint)n->cfg.txn_ops;
+    w->store->ops_max = (guint)n->cfg.transaction_changes_max;
     submit_many(n, 1, FLEET / 100, &(struct fx_job){.pieces = 100, .cpus = 16});
     for (; rented < FLEET && steps < 4000; steps++) {
         rr_step s;
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -110,14 +110,14 @@
     assert_int_not_equal(answer_at(leader, last + answers + tick, j.job_id, at, &stops), 200);
     /* Its own commit tells it of its own changes alone. */
     leader->now = last + 2;
-    rr_txn own;
+    rr_transaction own;
     rr_encoder o;
-    rr_txn_init(&own);
+    rr_transaction_init(&own);
     rr_encoder_init(&o);
     rr_encode_map(&o, 0);
-    rr_txn_put(&own, RR_ROOT "hire/none", &o, 0);
+    rr_transaction_put(&own, RR_ROOT "hire/none", &o, 0);
     rr_core_apply(leader->core, &own, w->store->epoch + 1, leader->now);
-    rr_txn_clear(&own);
+    rr_transaction_clear(&own);
     assert_int_not_equal(answer_at(leader, last + answers + tick, j.job_id, at, &stops), 200);
     /* The worker answered last: its lease counts from the sending of its report, at the latest from
      * the answer, on a clock that may run slow, and the leader's may, too. */
@@ -166,7 +166,7 @@
     assert_int_equal(fx_placed(w->store, j.job_id), 1);
     double lapsed = now + leader->cfg.cancel_s + 0.001;
     rr_core_set_session(leader->core, 7, lapsed + 100);
-    rr_core_set_fresh(leader->core, lapsed);
+    rr_core_set_cache_current(leader->core, lapsed);
     assert_int_equal(answer_at(leader, lapsed, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 0);
 }
@@ -187,9 +187,9 @@
     fx_sync(w->store, n->core, n->now);
     rr_plan_init(&late);
     rr_core_plan(n->core, n->now, n->now, &late);
-    assert_true(late.has_txn);
-    assert_int_equal(fx_commit(w->store, &late.txn), 0); /* the repeat came first */
-    assert_int_not_equal(fx_commit(w->store, &late.txn), 0);
+    assert_true(late.has_transaction);
+    assert_int_equal(fx_commit(w->store, &late.transaction), 0); /* the repeat came first */
+    assert_int_not_equal(fx_commit(w->store, &late.transaction), 0);
     fx_sync(w->store, n->core, n->now);
     const char *m = place_of(w->store, done.job_id, &at);
     char *ended = shown(done.job_id, at, "ended:done");
@@ -201,10 +201,10 @@
     for (int i = 0; i < 6; i++) {
         n->now += 1;
         plan_with(n, RR_COMMAND_ANSWERED);
-        assert_int_not_equal(fx_commit(w->store, &late.txn), 0);
+        assert_int_not_equal(fx_commit(w->store, &late.transaction), 0);
     }
     assert_int_equal(fx_count(w->store, RR_ROOT "run/"), 0);
-    assert_int_not_equal(fx_commit(w->store, &late.txn), 0);
+    assert_int_not_equal(fx_commit(w->store, &late.transaction), 0);
     rr_plan_clear(&late);
     g_free(ended);
 }
@@ -221,7 +221,7 @@
         uint64_t at, mark;
         rr_plan end;
         rr_encoder o;
-        rr_txn cancel;
+        rr_transaction cancel;
         rr_job_view v;
         const char *m = run_job(w, &j, &at);
         char *ended = shown(j.job_id, at, "ended:done");
@@ -229,14 +229,14 @@
         hear(n, m, 3, ended);
         rr_plan_init(&end);
         rr_core_plan(n->core, n->now, n->now, &end);
-        assert_true(end.has_txn);
+        assert_true(end.has_transaction);
         rr_encoder_init(&o);
         assert_true(rr_core_cancel_record(n->core, j.job_id, &o, &mark));
-        rr_txn_init(&cancel);
-        rr_txn_guard(&cancel, RR_ROOT "job/req-1", mark);
-        rr_txn_put(&cancel, RR_ROOT "job/req-1", &o, 0);
-        assert_int_equal(fx_commit(w->store, cancel_first ? &cancel : &end.txn), 0);
-        assert_int_not_equal(fx_commit(w->store, cancel_first ? &end.txn : &cancel), 0);
+        rr_transaction_init(&cancel);
+        rr_transaction_guard(&cancel, RR_ROOT "job/req-1", mark);
+        rr_transaction_put(&cancel, RR_ROOT "job/req-1", &o, 0);
+        assert_int_equal(fx_commit(w->store, cancel_first ? &cancel : &end.transaction), 0);
+        assert_int_not_equal(fx_commit(w->store, cancel_first ? &end.transaction : &cancel), 0);
         fx_sync(w->store, n->core, n->now);
         for (int i = 0; i < 4; i++) {
             rr_core_job_view(n->core, j.job_id, n->now, &v);
@@ -245,7 +245,7 @@
             n->now += 1;
             plan_with(n, RR_COMMAND_ANSWERED);
         }
-        rr_txn_clear(&cancel);
+        rr_transaction_clear(&cancel);
         rr_plan_clear(&end);
         g_free(ended);
         fx_world_teardown((void **)&w);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -18,7 +18,7 @@
             break;
         }
         if (out->kind == RR_STEP_TXN) {
-            fx_commit(w->store, &out->txn);
+            fx_commit(w->store, &out->transaction);
             fx_sync(w->store, n->core, n->now);
         } else if (out->kind == RR_STEP_LIST) {
             rr_core_listed(n->core, n->now, n->now, n->now, machines ? machines : none);
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -102,7 +102,7 @@
     fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_txn);
+    assert_true(p.has_transaction);
     assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p); /* the controller dies here: nothing is lost */
     rr_core_job_view(n->core, j.job_id, n->now, &v);
@@ -182,11 +182,11 @@
     fx_sync(w->store, n->core, n->now);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_txn);
+    assert_true(p.has_transaction);
     fx_node_init(&b, w->store, "n1");
     fx_sync(w->store, b.core, b.now);
     fx_join(&b, 9);
-    assert_true(fx_commit(w->store, &p.txn) != 0);
+    assert_true(fx_commit(w->store, &p.transaction) != 0);
     assert_true(fx_booked(w->store, "vm-1", j.job_id, 0) == 0);
     rr_plan_clear(&p);
     fx_node_clear(&b);
@@ -388,7 +388,7 @@
         rr_core_plan(nodes[i]->core, nodes[i]->now, nodes[i]->now, &plans[i]);
     }
     for (int i = 0; i < 2; i++) {
-        assert_int_equal(fx_commit(s, &plans[i].txn), 0);
+        assert_int_equal(fx_commit(s, &plans[i].transaction), 0);
         rr_plan_clear(&plans[i]);
     }
     for (int i = 0; i < 2; i++) {
@@ -498,9 +498,9 @@
     fx_sync(w->store, n->core, n->now);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_txn);
+    assert_true(p.has_transaction);
     fx_cancel(n, j.job_id);
-    assert_true(fx_commit(w->store, &p.txn) != 0);
+    assert_true(fx_commit(w->store, &p.transaction) != 0);
     rr_plan_clear(&p);
 }
 
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -323,7 +323,7 @@
     for (int late = 0; late < 3; late++) {
         fx_world *w;
         fx_node again, peer;
-        rr_txn old, mine;
+        rr_transaction old, mine;
         fx_world_setup((void **)&w);
         fx_node *n = &w->n;
         fx_node_init(&peer, w->store, "n1");
@@ -335,7 +335,7 @@
         rr_core_set_session(peer.core, 9, 1e6);
         /* The old incarnation has seen the new node and prepares the next term, then dies. */
         fx_sync(w->store, n->core, n->now);
-        rr_txn_init(&old);
+        rr_transaction_init(&old);
         assert_true(rr_core_next_term(n->core, n->now, n->now, &old));
         if (late == 0) { /* applied before the new incarnation registers */
             assert_int_equal(fx_commit(w->store, &old), 0);
@@ -347,11 +347,11 @@
         rr_core_set_session(again.core, 77, 1e6);
         fx_sync(w->store, again.core, again.now);
         if (late == 1) { /* applied while the new incarnation's own is under way */
-            rr_txn_init(&mine);
+            rr_transaction_init(&mine);
             assert_true(rr_core_next_term(again.core, again.now, again.now, &mine));
             assert_int_equal(fx_commit(w->store, &old), 0);
             assert_true(fx_commit(w->store, &mine) != 0);
-            rr_txn_clear(&mine);
+            rr_transaction_clear(&mine);
         }
         fx_term(&again);
         uint64_t token = rr_core_token(again.core);
@@ -366,7 +366,7 @@
         /* The old one's lease may live on: its mirror tells it that it is deposed. */
         fx_sync(w->store, n->core, n->now);
         assert_false(rr_core_entitled(n->core, n->now));
-        rr_txn_clear(&old);
+        rr_transaction_clear(&old);
         fx_node_clear(&peer);
         fx_node_clear(&again);
         fx_world_teardown((void **)&w);
@@ -409,9 +409,9 @@
     put_batch(w, RR_ROOT "batch/7-2", more, 2);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_txn);
+    assert_true(p.has_transaction);
     fx_cancel(n, "req-3");
-    assert_true(fx_commit(w->store, &p.txn) != 0);
+    assert_true(fx_commit(w->store, &p.transaction) != 0);
     rr_plan_clear(&p);
     fx_cancel(n, "req-1");
     fx_node_init(&again, w->store, "n1");
@@ -438,17 +438,17 @@
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
     fx_plan(n, &p);
-    rr_txn booking = p.txn;
-    rr_txn_init(&p.txn);
+    rr_transaction booking = p.transaction;
+    rr_transaction_init(&p.transaction);
     rr_plan_clear(&p);
     uint64_t booked = w->store->epoch;
     fx_cancel(n, "req-1");
     hear(n, "vm-1", 2);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_txn);
-    assert_int_equal(fx_commit(w->store, &p.txn), 0);
-    rr_core_apply(n->core, &p.txn, w->store->epoch, n->now);
+    assert_true(p.has_transaction);
+    assert_int_equal(fx_commit(w->store, &p.transaction), 0);
+    rr_core_apply(n->core, &p.transaction, w->store->epoch, n->now);
     rr_plan_clear(&p);
     assert_true(fx_mark(w->store, key) == 0);
     rr_core_apply(n->core, &booking, booked, n->now); /* as the watch would, late */
@@ -458,7 +458,7 @@
     fx_plan(n, &p);
     assert_null(fx_order(&p, "vm-1", RR_COMMAND_START, "req-1", 0));
     rr_plan_clear(&p);
-    rr_txn_clear(&booking);
+    rr_transaction_clear(&booking);
 }
 
 /* Pages of a reread are of different moments: a booking may be read whose machine's record was not
@@ -470,10 +470,10 @@
     hear(n, "vm-1", 1);
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
-    rr_core_mirror_end(n->core, 1, w->store->epoch + 5, n->now);
+    rr_core_cache_end_reload(n->core, 1, w->store->epoch + 5, n->now);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
-    assert_false(p.has_txn);
+    assert_false(p.has_transaction);
     rr_plan_clear(&p);
 }
 
@@ -559,7 +559,7 @@
             random_value(rnd, &o, 3);
         }
         assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
-        rr_core_mirror_put(n->core, key, d.root, 1000 + i, n->now);
+        rr_core_cache_put(n->core, key, d.root, 1000 + i, n->now);
         rr_document_clear(&d);
         rr_encoder_clear(&o);
         if (i % 500 == 0) {
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -83,7 +83,7 @@
     rr_job_view v;
     rr_core_stats st;
     fx_node_init(&n, s, "n0");
-    rr_core_mirror_begin(n.core);
+    rr_core_cache_begin_reload(n.core);
     for (int i = 0; lines[i] && lines[i][0]; i++) {
         char *hex = strchr(lines[i], ' ');
         size_t len;
@@ -94,13 +94,13 @@
         } else {
             rr_document d;
             assert_int_equal(rr_document_parse(&d, data, len), 0);
-            rr_core_mirror_put(n.core, lines[i], d.root, (uint64_t)i + 1, n.now);
+            rr_core_cache_put(n.core, lines[i], d.root, (uint64_t)i + 1, n.now);
             rr_document_clear(&d);
         }
         g_free(data);
     }
-    rr_core_mirror_end(n.core, 50, 50, n.now);
-    rr_core_set_epoch(n.core, 50);
+    rr_core_cache_end_reload(n.core, 50, 50, n.now);
+    rr_core_set_revision(n.core, 50);
     rr_core_set_session(n.core, 7, n.now + 100);
     assert_true(rr_core_entitled(n.core, n.now));
     rr_core_job_view(n.core, "req-1", n.now, &v);
@@ -125,7 +125,7 @@
     fx_world_setup(state);
     fx_world *w = *state;
     w->n.cfg.next_value_kb = NEXT_KB;
-    w->n.cfg.next_txn_ops = NEXT_OPS;
+    w->n.cfg.next_transaction_changes_max = NEXT_OPS;
     return 0;
 }
 
@@ -140,10 +140,10 @@
     int rc = 0;
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
-    if (p.has_txn) {
-        rc = fx_commit(n->store, &p.txn);
+    if (p.has_transaction) {
+        rc = fx_commit(n->store, &p.transaction);
         if (rc == -EINVAL) {
-            rr_core_limits_lowered(n->core, false);
+            rr_core_lower_limits(n->core, false);
         }
     }
     fx_sync(n->store, n->core, n->now);
@@ -290,7 +290,7 @@
     }
     fx_node_init(&next, w->store, "n1");
     next.cfg.next_value_kb = NEXT_KB;
-    next.cfg.next_txn_ops = NEXT_OPS;
+    next.cfg.next_transaction_changes_max = NEXT_OPS;
     next.now = n->now;
     fx_reread(w->store, next.core, next.now);
     fx_leave(n);
@@ -352,7 +352,7 @@
               n->now);
     put_old_record(w, "req-1", 60);
     lower(w->store);
-    rr_core_limits_lowered(n->core, false);
+    rr_core_lower_limits(n->core, false);
     show_tasks(n, "req-1", 60, 0, 1, 2);
     fx_report(n, "vm-1", "a", false, 2, 1, rr_core_token(n->core), NULL);
     n->now += 1;
@@ -527,7 +527,7 @@
     fx_node *n = &w->n;
     rr_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    n->cfg.next_value_kb = n->cfg.next_txn_ops = 0;
+    n->cfg.next_value_kb = n->cfg.next_transaction_changes_max = 0;
     fx_fleet(n, 1, 40, "a");
     n->cfg.value_kb = (double)fx_value_size(w->store, RR_ROOT "fleet/00000001") / 1024;
     for (int i = 2; i <= 40; i++) {
@@ -557,14 +557,14 @@
     fx_sync(w->store, n->core, n->now);
     rr_plan_init(&late);
     rr_core_plan(n->core, n->now, n->now, &late);
-    assert_true(late.has_txn);
-    rr_core_limits_lowered(n->core, true);
+    assert_true(late.has_transaction);
+    rr_core_lower_limits(n->core, true);
     uint64_t token = rr_core_token(n->core);
     assert_int_equal(plan(n), 0);
     assert_int_equal(fx_placed(w->store, "req-1"), 0);
     fx_term(n);
     assert_true(rr_core_token(n->core) == token + 1);
-    assert_int_not_equal(fx_commit(w->store, &late.txn), 0);
+    assert_int_not_equal(fx_commit(w->store, &late.transaction), 0);
     for (int m = 1; m <= 4; m++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -69,11 +69,12 @@
     struct rr_config c;
     char err[256] = "";
     assert_int_equal(load(base, NULL, &c, err, sizeof err), 0);
-    assert_true(rr_value_kb(&c) == 8 && rr_txn_ops(&c) == 32 && c.next_write_rps == 100);
+    assert_true(rr_value_kb_max(&c) == 8 && rr_transaction_changes_max(&c) == 32 &&
+                c.next_write_rps == 100);
     char *text = replaced("txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\n"
                                             "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
     assert_int_equal(load(text, NULL, &c, err, sizeof err), 0);
-    assert_true(rr_value_kb(&c) == 2 && rr_txn_ops(&c) == 32);
+    assert_true(rr_value_kb_max(&c) == 2 && rr_transaction_changes_max(&c) == 32);
     assert_true(c.next_write_rps == 24 && c.next_rps == c.state_rps);
     g_free(text);
 }
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -47,11 +47,11 @@
         trace_bytes(hash, records[i].buffer.data, records[i].buffer.size);
         rr_encoder_clear(&records[i]);
     }
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     trace_int(hash, rr_admission_write(admission, table, &txn));
     trace_txn(hash, &txn);
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
 }
 
 static void hash_demand_of(const struct model *model, int controller, double now) {
@@ -195,7 +195,7 @@
     trace_text(hash, write->id);
     trace_int(hash, write->ends_copy);
     trace_int(hash, write->ends_claim);
-    trace_txn(hash, &write->txn);
+    trace_txn(hash, &write->transaction);
 }
 
 static void on_request(void *watcher, const GByteArray *frame) {
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -154,7 +154,7 @@
         answer_list(world, controller);
         break;
     case RR_STEP_TXN:
-        trace_commit(world, controller, &step->txn);
+        trace_commit(world, controller, &step->transaction);
         break;
     case RR_STEP_RENT:
         answer_rental(world, controller, step);
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -75,7 +75,7 @@
         }
     }
     set_teams(scenario, config);
-    config->txn_ops = scenario->lowered_limits ? 8 : 16;
+    config->transaction_changes_max = scenario->lowered_limits ? 8 : 16;
     config->cells = scenario->holds;
     config->admission = scenario->fair_room;
     config->tune.rounds = scenario->rounds;
@@ -85,7 +85,7 @@
     config->tune.headroom = scenario->cloud_machines > 30 ? 1 : 0;
     if (world->announced) {
         config->next_value_kb = 1;
-        config->next_txn_ops = 6;
+        config->next_transaction_changes_max = 6;
     }
 }
 
@@ -115,12 +115,12 @@
 
 static void leave(struct trace_world *world, struct trace_controller *controller) {
     char key[RR_NAME + 16];
-    rr_txn txn;
+    rr_transaction txn;
     g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.cfg.node_name);
-    rr_txn_init(&txn);
-    rr_txn_delete(&txn, key);
+    rr_transaction_init(&txn);
+    rr_transaction_delete(&txn, key);
     fx_commit(world->store, &txn);
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
     controller->joined = false;
 }
 
@@ -168,7 +168,7 @@
 /* ---- transactions ---- */
 
 bool trace_commit(struct trace_world *world, struct trace_controller *controller,
-                  const rr_txn *txn) {
+                  const rr_transaction *txn) {
     rr_core *core = controller->node.core;
     trace_txn(&world->hash, txn);
     if (!has_store(world, controller)) {
@@ -178,7 +178,7 @@
     trace_int(&world->hash, (uint64_t)(int64_t)rc);
     if (rc == -EINVAL) {
         assert_true(world->lowered);
-        rr_core_limits_lowered(core, trace_chance(world, 0.3));
+        rr_core_lower_limits(core, trace_chance(world, 0.3));
         return false;
     }
     if (rc == 0 && !trace_chance(world, world->scenario.lost_answers)) {
@@ -220,13 +220,13 @@
 }
 
 static void next_term(struct trace_world *world, struct trace_controller *controller) {
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     if (has_store(world, controller) &&
         rr_core_next_term(controller->node.core, world->now, trace_wall(world), &txn)) {
         trace_commit(world, controller, &txn);
     }
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
 }
 
 static void hear_peers(struct trace_world *world, struct trace_controller *controller) {
@@ -386,7 +386,7 @@
 }
 
 static void set_pressure(struct trace_world *world, struct trace_controller *controller) {
-    int all = rr_txn_ops(&controller->node.cfg);
+    int all = rr_transaction_changes_max(&controller->node.cfg);
     if (world->scenario.short_of_changes) {
         rr_core_set_pressure(controller->node.core, trace_between(world, 0, 1),
                              trace_roll(world, all + 1));
@@ -412,7 +412,7 @@
 static void plan(struct trace_world *world, struct trace_controller *controller) {
     rr_core *core = controller->node.core;
     rr_plan made;
-    if (rr_core_epoch(core) < controller->need && trace_chance(world, 0.9)) {
+    if (rr_core_revision(core) < controller->need && trace_chance(world, 0.9)) {
         return;
     }
     set_pressure(world, controller);
@@ -423,8 +423,8 @@
     for (guint i = 0; i < made.command_batches->len; i++) {
         send_command(world, controller, g_ptr_array_index(made.command_batches, i));
     }
-    if (made.has_txn) {
-        trace_commit(world, controller, &made.txn);
+    if (made.has_transaction) {
+        trace_commit(world, controller, &made.transaction);
     }
     rr_plan_clear(&made);
 }
--- a/tests/trace_core.c
+++ b/tests/trace_core.c
@@ -276,7 +276,7 @@
     }
     if (world->steps == TRACE_STEPS / 3) {
         world->store->value_max = (size_t)(config->next_value_kb * 1024);
-        world->store->ops_max = (guint)config->next_txn_ops;
+        world->store->ops_max = (guint)config->next_transaction_changes_max;
         world->lowered = true;
     }
 }
@@ -356,7 +356,7 @@
     /* To see that they are kept takes time. */
     if (world->scenario.lowered_limits || seed % 4 == 0) {
         world->store->value_max = (size_t)(world->controllers[0].node.cfg.value_kb * 1024);
-        world->store->ops_max = (guint)world->controllers[0].node.cfg.txn_ops;
+        world->store->ops_max = (guint)world->controllers[0].node.cfg.transaction_changes_max;
     }
 }
 
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -39,10 +39,10 @@
 }
 
 /* As it goes to the state service: guards, changes and their bytes. */
-void trace_txn(trace_hash *hash, const rr_txn *txn) {
+void trace_txn(trace_hash *hash, const rr_transaction *txn) {
     rr_encoder out;
     rr_encoder_init(&out);
-    rr_txn_encode(txn, &out);
+    rr_transaction_encode(txn, &out);
     trace_int(hash, out.buffer.size);
     trace_bytes(hash, out.buffer.data, out.buffer.size);
     rr_encoder_clear(&out);
@@ -72,8 +72,8 @@
 }
 
 void trace_plan(trace_hash *hash, const rr_plan *plan) {
-    trace_int(hash, plan->has_txn);
-    trace_txn(hash, &plan->txn);
+    trace_int(hash, plan->has_transaction);
+    trace_txn(hash, &plan->transaction);
     trace_int(hash, plan->command_batches->len);
     for (guint i = 0; i < plan->command_batches->len; i++) {
         trace_command(hash, g_ptr_array_index(plan->command_batches, i));
@@ -83,7 +83,7 @@
 
 void trace_step(trace_hash *hash, const rr_step *step) {
     trace_int(hash, step->kind);
-    trace_txn(hash, &step->txn);
+    trace_txn(hash, &step->transaction);
     trace_text(hash, step->rental);
     trace_text(hash, step->machine_type);
     trace_text(hash, step->zone);
@@ -111,7 +111,7 @@
     trace_text(hash, view->state);
     trace_int(hash, view->done_count);
     trace_int(hash, view->running_count);
-    trace_int(hash, view->mark);
+    trace_int(hash, view->version);
 }
 
 void trace_submission(trace_hash *hash, const rr_submission *submission) {
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -115,15 +115,15 @@
                       const rr_submission *submission) {
     char key[RR_ID + 64];
     rr_encoder out;
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     rr_encoder_init(&out);
     rr_core_job_encode(&out, submission, trace_wall(world), trace_chance(world, 0.02));
     rr_core_job_key(submission->job_id, key, sizeof key);
-    rr_txn_guard(&txn, key, 0);
-    rr_txn_put(&txn, key, &out, 0);
+    rr_transaction_guard(&txn, key, 0);
+    rr_transaction_put(&txn, key, &out, 0);
     trace_commit(world, controller, &txn);
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
 }
 
 #define BATCH_MAX 4
@@ -133,18 +133,18 @@
                         const rr_submission *submissions, size_t count) {
     char key[RR_ID + 64];
     rr_encoder out;
-    rr_txn txn;
-    rr_txn_init(&txn);
+    rr_transaction txn;
+    rr_transaction_init(&txn);
     rr_encoder_init(&out);
     rr_core_batch_begin(&out, count);
     for (size_t i = 0; i < count; i++) {
         rr_core_job_encode(&out, &submissions[i], trace_wall(world), false);
     }
     rr_core_batch_key(controller->session, ++controller->batches, key, sizeof key);
-    rr_txn_guard(&txn, key, 0);
-    rr_txn_put(&txn, key, &out, 0);
+    rr_transaction_guard(&txn, key, 0);
+    rr_transaction_put(&txn, key, &out, 0);
     trace_commit(world, controller, &txn);
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
 }
 
 void trace_submit(struct trace_world *world) {
@@ -212,18 +212,18 @@
     char key[RR_ID + 64];
     uint64_t mark = 0;
     rr_encoder out;
-    rr_txn txn;
+    rr_transaction txn;
     if (!controller || !job) {
         return;
     }
-    rr_txn_init(&txn);
+    rr_transaction_init(&txn);
     rr_encoder_init(&out);
     bool possible = rr_core_cancel_record(controller->node.core, job->id, &out, &mark);
     trace_int(&world->hash, possible);
     if (possible) {
         rr_core_job_key(job->id, key, sizeof key);
-        rr_txn_guard(&txn, key, mark);
-        rr_txn_put(&txn, key, &out, 0);
+        rr_transaction_guard(&txn, key, mark);
+        rr_transaction_put(&txn, key, &out, 0);
         if (trace_commit(world, controller, &txn)) {
             job->cancelled = true;
             hint_peers(world, controller, job->id);
@@ -231,7 +231,7 @@
     } else {
         rr_encoder_clear(&out);
     }
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
 }
 
 /* ---- jobs that another cell has a say in ---- */
@@ -262,12 +262,12 @@
 static void finish_elsewhere(struct trace_world *world) {
     struct trace_controller *controller = trace_any_controller(world);
     const struct trace_job *job = any_job(world);
-    rr_txn txn;
+    rr_transaction txn;
     if (!controller || !job) {
         return;
     }
     rr_core *core = controller->node.core;
-    rr_txn_init(&txn);
+    rr_transaction_init(&txn);
     bool finishes = trace_chance(world, 0.3);
     bool changes = finishes ? rr_core_finish_job(core, job->id, trace_chance(world, 0.2), &txn)
                             : rr_core_abandon_job(core, job->id, &txn);
@@ -279,7 +279,7 @@
         trace_int(&world->hash, rr_core_guard_job(core, job->id, &txn));
         trace_txn(&world->hash, &txn);
     }
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
 }
 
 void trace_users(struct trace_world *world, double seconds) {
@@ -336,15 +336,15 @@
 
 static void delete_page(struct trace_world *world) {
     char key[64];
-    rr_txn txn;
+    rr_transaction txn;
     g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d",
                100001 + trace_roll(world, world->scenario.own_machines));
-    rr_txn_init(&txn);
+    rr_transaction_init(&txn);
     if (fx_mark(world->store, key) != 0) {
-        rr_txn_delete(&txn, key);
+        rr_transaction_delete(&txn, key);
         fx_commit(world->store, &txn);
     }
-    rr_txn_clear(&txn);
+    rr_transaction_clear(&txn);
 }
 
 void trace_odd_record(struct trace_world *world) {
@@ -454,7 +454,7 @@
     trace_int(hash, rr_core_peers_able(core));
     trace_int(hash, rr_core_all_admit(core));
     trace_int(hash, rr_core_all_hold(core));
-    trace_decimal(hash, rr_core_mirror_age(core, world->now));
+    trace_decimal(hash, rr_core_cache_age(core, world->now));
     rr_core_get_stats(core, &stats);
     trace_stats(hash, &stats);
 }
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -169,7 +169,7 @@
 void trace_flights(struct trace_world *world);
 /* Commits what a core asked for; the core may learn of it at once or with the next watch. */
 bool trace_commit(struct trace_world *world, struct trace_controller *controller,
-                  const rr_txn *txn);
+                  const rr_transaction *txn);
 void trace_reports(struct trace_world *world);
 /* The peer's index in the owner's settings. */
 int trace_peer_index(const struct trace_controller *owner, const struct trace_controller *peer);
--- a/tests/world.c
+++ b/tests/world.c
@@ -14,14 +14,14 @@
 struct value {
     void *data;
     size_t len;
-    uint64_t mark, tether;
+    uint64_t version, lease_id;
 };
 
 struct change {
     char *key;
     void *data;
     size_t len;
-    uint64_t mark;
+    uint64_t version;
 };
 
 /* A way in of its own, so that one controller can be treated differently from the others. */
@@ -94,7 +94,7 @@
 static void set_key(world *w, const char *key, const msgpack_object *v, uint64_t tether) {
     struct change *c = g_new0(struct change, 1);
     c->key = g_strdup(key);
-    c->mark = w->epoch;
+    c->version = w->epoch;
     if (v) {
         msgpack_sbuffer b;
         msgpack_packer pk;
@@ -104,8 +104,8 @@
         struct value *nv = g_new0(struct value, 1);
         nv->data = g_memdup2(b.data, b.size);
         nv->len = c->len = b.size;
-        nv->mark = w->epoch;
-        nv->tether = tether;
+        nv->version = w->epoch;
+        nv->lease_id = tether;
         c->data = g_memdup2(b.data, b.size);
         g_tree_replace(w->kv, g_strdup(key), nv);
         msgpack_sbuffer_destroy(&b);
@@ -125,7 +125,7 @@
         rr_map_get_text(g, "path", key, sizeof key);
         rr_map_get_u64(g, "mark", &mark);
         const struct value *v = g_tree_lookup(w->kv, key);
-        if ((v ? v->mark : 0) != mark) {
+        if ((v ? v->version : 0) != mark) {
             g_ptr_array_add(failed, g_strdup(key));
         }
     }
@@ -168,8 +168,8 @@
     rr_encode_key_text(out, "path", key);
     rr_encode_text(out, "v");
     msgpack_sbuffer_write(&out->buffer, v->data, v->len);
-    rr_encode_key_u64(out, "mark", v->mark);
-    rr_encode_key_u64(out, "tether", v->tether);
+    rr_encode_key_u64(out, "mark", v->version);
+    rr_encode_key_u64(out, "tether", v->lease_id);
     return 200;
 }
 
@@ -184,7 +184,7 @@
     rr_encode_key_text(l->out, "path", k);
     rr_encode_text(l->out, "v");
     msgpack_sbuffer_write(&l->out->buffer, val->data, val->len);
-    rr_encode_key_u64(l->out, "mark", val->mark);
+    rr_encode_key_u64(l->out, "mark", val->version);
     return FALSE;
 }
 
@@ -218,7 +218,7 @@
     guint n = 0;
     bool show = !shows_nothing(door);
     for (guint i = w->log->len; show && i > 0; i--) {
-        if (((struct change *)w->log->pdata[i - 1])->mark <= from) {
+        if (((struct change *)w->log->pdata[i - 1])->version <= from) {
             break; /* the log is in the order of revisions */
         }
         n++;
@@ -230,12 +230,12 @@
     /* Newest first: the order is not promised. */
     for (guint i = w->log->len; show && i > 0; i--) {
         const struct change *c = w->log->pdata[i - 1];
-        if (c->mark <= from) {
+        if (c->version <= from) {
             break;
         }
         rr_encode_map(out, c->data ? 3 : 2);
         rr_encode_key_text(out, c->data ? "put" : "delete", c->key);
-        rr_encode_key_u64(out, "mark", c->mark);
+        rr_encode_key_u64(out, "mark", c->version);
         if (c->data) {
             rr_encode_text(out, "v");
             msgpack_sbuffer_write(&out->buffer, c->data, c->len);
@@ -246,7 +246,7 @@
 
 static gboolean find_tethered(gpointer k, gpointer v, gpointer user) {
     uint64_t *want = ((void **)user)[0];
-    if (((struct value *)v)->tether == *want) {
+    if (((struct value *)v)->lease_id == *want) {
         ((void **)user)[1] = k;
         return TRUE;
     }
@@ -836,7 +836,7 @@
     c->state_rps = 2000;
     c->state_write_rps = 1000;
     c->value_kb = 8;
-    c->txn_ops = 16;
+    c->transaction_changes_max = 16;
     c->cloud_rps = 100;
     c->list_lag_s = 0.5;
     c->max_sockets = 500;
