--- a/src/app/admission_duty.c
+++ b/src/app/admission_duty.c
@@ -203,7 +203,7 @@
     struct rr_app_admission *state = a->admission;
     double now = rr_now();
     pthread_mutex_lock(&a->lock);
-    bool writes = rr_core_cache_consistent(a->core) && rr_core_is_provisioner(a->core, now) &&
+    bool writes = rr_core_cache_consistent(a->core) && rr_core_is_autoscaler(a->core, now) &&
                   rr_core_all_admit(a->core);
     if (writes) {
         rr_load_begin(&state->load);
@@ -231,7 +231,7 @@
     uint64_t revision = 0;
     enum rr_commit_status rc = RR_COMMIT_INVALID;
     if (fits) {
-        rc = rr_store_commit(store, RR_PRIO_STEWARD, txn, COMMIT_S, &revision, NULL);
+        rc = rr_store_commit(store, RR_REQUEST_AUTOSCALER, txn, COMMIT_S, &revision, NULL);
     }
     if (rc == RR_COMMIT_DONE) {
         pthread_mutex_lock(&a->lock);
--- a/src/app/app.c
+++ b/src/app/app.c
@@ -106,9 +106,9 @@
     return rc;
 }
 
-static void *(*const duties[])(void *) = {rr_duty_session,    rr_duty_watch,   rr_duty_term,
-                                          rr_duty_committer,  rr_duty_barrier, rr_duty_planner,
-                                          rr_duty_provisioner};
+static void *(*const duties[])(void *) = {rr_duty_session,     rr_duty_watch,   rr_duty_term,
+                                          rr_duty_committer,   rr_duty_barrier, rr_duty_planner,
+                                          rr_autoscaler_thread};
 
 /* Beside the connections': main, the door's own two and its opener, the duties, the senders and the
  * peers' threads; and two sockets for each that calls out: a client keeps one and opens another. */
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -155,7 +155,7 @@
 void *rr_duty_committer(void *app);
 void *rr_duty_barrier(void *app);
 void *rr_duty_planner(void *app);
-void *rr_duty_provisioner(void *app);
+void *rr_autoscaler_thread(void *app);
 void *rr_duty_door(void *app);
 void *rr_duty_sender(void *app);
 void *rr_duty_slow_sender(void *app);
--- a/src/app/provisioner_duty.c
+++ b/src/app/provisioner_duty.c
@@ -12,69 +12,69 @@
     rr_machine_type_clear(b);
 }
 
-static int do_catalog(struct rr_app *a, rr_cloud *cloud) {
+static int run_catalog(struct rr_app *a, rr_cloud *cloud) {
     GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     g_array_set_clear_func(builds, build_clear);
     int rc = rr_cloud_catalog(cloud, builds);
     if (rc == 0) {
         pthread_mutex_lock(&a->lock);
-        rr_core_catalog(a->core, rr_now(), builds);
+        rr_core_catalog_read(a->core, rr_now(), builds);
         pthread_mutex_unlock(&a->lock);
     }
     g_array_free(builds, TRUE);
     return rc;
 }
 
-static int do_list(struct rr_app *a, rr_cloud *cloud) {
+static int run_list(struct rr_app *a, rr_cloud *cloud) {
     GArray *machines = g_array_new(FALSE, TRUE, sizeof(rr_listed_machine));
     double asked = rr_now();
     int rc = rr_cloud_list(cloud, machines);
     if (rc == 0) {
         pthread_mutex_lock(&a->lock);
-        rr_core_listed(a->core, asked, rr_now(), rr_wall(), machines);
+        rr_core_machines_listed(a->core, asked, rr_now(), rr_wall(), machines);
         pthread_mutex_unlock(&a->lock);
     }
     g_array_free(machines, TRUE);
     return rc;
 }
 
-static int do_rental(struct rr_app *a, rr_cloud *cloud, const rr_step *step) {
+static int run_scale_out(struct rr_app *a, rr_cloud *cloud, const rr_autoscaler_step *step) {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     int status;
     int rc = rr_cloud_rental(cloud, step->rental, step->machine_type, step->zone, step->spot,
-                             step->how_many, &status, ids);
+                             step->count, &status, ids);
     pthread_mutex_lock(&a->lock);
-    rr_core_rented(a->core, rr_now(), step, status, ids);
+    rr_core_scale_out_result(a->core, rr_now(), step, status, ids);
     pthread_mutex_unlock(&a->lock);
     g_ptr_array_free(ids, TRUE);
     return status == 503 ? 0 : rc;
 }
 
-static int do_release(struct rr_app *a, rr_cloud *cloud, const rr_step *step) {
+static int run_scale_in(struct rr_app *a, rr_cloud *cloud, const rr_autoscaler_step *step) {
     int rc = rr_cloud_release(cloud, step->machines);
     if (rc == 0) {
         pthread_mutex_lock(&a->lock);
-        rr_core_released(a->core, rr_now(), step->machines);
+        rr_core_scale_in_result(a->core, rr_now(), step->machines);
         pthread_mutex_unlock(&a->lock);
     }
     return rc;
 }
 
-static int do_step(struct rr_app *a, rr_store *s, rr_cloud *cloud, const rr_step *step,
-                   uint64_t *need) {
+static int run_step(struct rr_app *a, rr_store *s, rr_cloud *cloud, const rr_autoscaler_step *step,
+                    uint64_t *need) {
     uint64_t epoch;
     enum rr_commit_status rc;
     switch (step->kind) {
-    case RR_STEP_CATALOG:
-        return do_catalog(a, cloud);
-    case RR_STEP_LIST:
-        return do_list(a, cloud);
-    case RR_STEP_RENT:
-        return do_rental(a, cloud, step);
-    case RR_STEP_RELEASE:
-        return do_release(a, cloud, step);
-    case RR_STEP_TXN:
-        rc = rr_app_commit(a, s, RR_PRIO_STEWARD, &step->transaction, &epoch);
+    case RR_AUTOSCALER_CATALOG:
+        return run_catalog(a, cloud);
+    case RR_AUTOSCALER_LIST:
+        return run_list(a, cloud);
+    case RR_AUTOSCALER_SCALE_OUT:
+        return run_scale_out(a, cloud, step);
+    case RR_AUTOSCALER_SCALE_IN:
+        return run_scale_in(a, cloud, step);
+    case RR_AUTOSCALER_COMMIT:
+        rc = rr_app_commit(a, s, RR_REQUEST_AUTOSCALER, &step->transaction, &epoch);
         if (rc != RR_COMMIT_DONE && rc != RR_COMMIT_CONFLICT) {
             return -EAGAIN;
         }
@@ -87,30 +87,30 @@
     }
 }
 
-void *rr_duty_provisioner(void *app) {
+void *rr_autoscaler_thread(void *app) {
     struct rr_app *a = app;
-    rr_usage_enter(RR_USE_STEWARD);
+    rr_usage_enter(RR_USAGE_AUTOSCALER);
     rr_store *s = rr_duty_open_store(a);
     rr_cloud *cloud = rr_cloud_create(&a->cfg.cloud, a->cfg.cloud_rps, &a->stop);
     uint64_t need = 0;
     while (!rr_duty_stopping(a)) {
-        rr_step step;
-        rr_step_init(&step);
+        rr_autoscaler_step step;
+        rr_autoscaler_step_init(&step);
         pthread_mutex_lock(&a->lock);
         if (rr_app_wait_revision(a, need, rr_now() + 1)) {
-            rr_core_provisioner_step(a->core, rr_now(), rr_wall(), &step);
+            rr_core_autoscaler_step(a->core, rr_now(), rr_wall(), &step);
         }
-        if (step.kind == RR_STEP_NONE) {
+        if (step.kind == RR_AUTOSCALER_NONE) {
             rr_app_wait(a, &a->mirrored, &a->lock, 0.3);
         }
         pthread_mutex_unlock(&a->lock);
-        int rc = do_step(a, s, cloud, &step, &need);
+        int rc = run_step(a, s, cloud, &step, &need);
         if (rc != 0) {
             rr_log(RR_DEBUG_LEVEL, "provisioner step %d: %s", (int)step.kind, strerror(-rc));
             /* Jitter keeps two nodes from knocking in step. */
             rr_duty_pause(a, 0.3 + g_random_double_range(0, 0.4));
         }
-        rr_step_clear(&step);
+        rr_autoscaler_step_clear(&step);
     }
     rr_cloud_destroy(cloud);
     rr_store_destroy(s);
--- a/src/app/usage.h
+++ b/src/app/usage.h
@@ -11,7 +11,7 @@
     RR_USE_MIRROR,
     RR_USE_USERS, /* committer and barrier */
     RR_USE_PLANNER,
-    RR_USE_STEWARD,
+    RR_USAGE_AUTOSCALER,
     RR_USE_SENDERS,
     RR_USE_PEERS,
     RR_USE_ADMISSION,
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -27,11 +27,11 @@
 void rr_sim_reset(rr_core *c) {
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->sim = rr_res_add(rr_machine_cap(c, m), m->used, -1);
+        m->free = rr_res_add(rr_machine_cap(c, m), m->used, -1);
         /* What is known to be over takes no room any more, though its record waits for others. */
         for (guint k = 0; k < m->places->len; k++) {
             const rr_placement *p = &g_array_index(m->places, rr_placement, k);
-            m->sim = p->over_at > 0 ? rr_res_add(m->sim, p->job->request, 1) : m->sim;
+            m->free = p->over_at > 0 ? rr_res_add(m->free, p->job->request, 1) : m->free;
         }
         m->booked_image = -1;
     }
@@ -174,7 +174,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
-        if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->request, m->sim) ||
+        if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->request, m->free) ||
             !rr_job_allows(c, j, m->machine_type, m->zone, m->spot) || !how->filter(c, m, now)) {
             continue;
         }
@@ -201,7 +201,7 @@
 }
 
 static struct rank rank_of(const struct rr_choice *how, const rr_cand *k) {
-    double room = rr_res_room(k->m->sim, k->cap);
+    double room = rr_res_room(k->m->free, k->cap);
     struct rank r = {.trouble = k->trouble,
                      .image = k->image,
                      .cost = k->price * room,
@@ -241,7 +241,7 @@
     for (guint i = 0; i < cands->len;) {
         const rr_cand *k = &g_array_index(cands, rr_cand, i);
         c->visits++;
-        if (!rr_res_fits(j->request, k->m->sim) ||
+        if (!rr_res_fits(j->request, k->m->free) ||
             (how->separate && k->m != how->home && k->m->booked && rr_machine_has_task(k->m, j))) {
             g_array_remove_index_fast(cands, i);
             continue;
@@ -310,9 +310,9 @@
 
 static void add_machine(const rr_core *c, const rr_job *j, const rr_machine *m, uint32_t wanted,
                         struct zone_room *zone) {
-    zone->free = rr_res_add(zone->free, m->sim, 1);
+    zone->free = rr_res_add(zone->free, m->free, 1);
     zone->capacity = rr_res_add(zone->capacity, rr_machine_cap(c, m), 1);
-    uint32_t fitting = rr_tasks_in(j->request, m->sim, wanted);
+    uint32_t fitting = rr_tasks_in(j->request, m->free, wanted);
     zone->fitting = MIN(zone->fitting + fitting, wanted);
     if (j->submission.kind == RR_JOB_GANG && rr_machine_has_image(m, j->image)) {
         zone->warm = MIN(zone->warm + fitting, wanted);
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -139,7 +139,7 @@
     g_array_append_val(edit->items, item);
     rr_plan_use(planner, machine);
     g_array_append_val(machine->booked, job);
-    machine->sim = rr_res_add(machine->sim, job->request, -1);
+    machine->free = rr_res_add(machine->free, job->request, -1);
     machine->booked_image = job->image;
     rr_res *booked = &g_array_index(core->team_booked, rr_res, job->team);
     *booked = rr_res_add(*booked, job->request, 1);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -66,11 +66,11 @@
 /* This controller's part of what the store allows a second, by what it has to write: requests, and
  * changes for users, its plans and the provisioner's records. */
 struct rr_shares {
-    double requests, users, plans, provisioner;
+    double requests, users, plans, autoscaler;
 };
 void rr_core_shares(const rr_core *c, struct rr_shares *out);
 uint64_t rr_core_token(const rr_core *c);
-bool rr_core_is_provisioner(const rr_core *c, double now);
+bool rr_core_is_autoscaler(const rr_core *c, double now);
 
 /* ---- users ---- */
 enum rr_admit { RR_ADMIT_OK, RR_ADMIT_KNOWN, RR_ADMIT_NEVER, RR_ADMIT_UNKNOWN_YET };
@@ -155,31 +155,32 @@
 void rr_core_suspects(rr_core *c, double now, GPtrArray *out);
 
 /* ---- renting (provisioner) ---- */
-enum rr_step_kind {
-    RR_STEP_NONE,
-    RR_STEP_CATALOG,
-    RR_STEP_LIST,
-    RR_STEP_TXN,
-    RR_STEP_RENT,
-    RR_STEP_RELEASE
+enum rr_autoscaler_step_kind {
+    RR_AUTOSCALER_NONE,
+    RR_AUTOSCALER_CATALOG,
+    RR_AUTOSCALER_LIST,
+    RR_AUTOSCALER_COMMIT,
+    RR_AUTOSCALER_SCALE_OUT,
+    RR_AUTOSCALER_SCALE_IN
 };
 typedef struct {
-    enum rr_step_kind kind;
+    enum rr_autoscaler_step_kind kind;
     rr_transaction transaction;                             /* TXN */
     char rental[RR_ID], machine_type[RR_ID], zone[RR_TEXT]; /* HIRE */
     bool spot;
-    int how_many;
+    int count;
     GPtrArray *machines; /* RELEASE: char* */
-} rr_step;
-void rr_step_init(rr_step *s);
-void rr_step_clear(rr_step *s);
-void rr_core_provisioner_step(rr_core *c, double now, double wall, rr_step *out);
-void rr_core_catalog(rr_core *c, double now, const GArray *builds /* rr_machine_type */);
-void rr_core_listed(rr_core *c, double asked_at, double now, double wall,
-                    const GArray *machines /* rr_listed_machine */);
+} rr_autoscaler_step;
+void rr_autoscaler_step_init(rr_autoscaler_step *s);
+void rr_autoscaler_step_clear(rr_autoscaler_step *s);
+void rr_core_autoscaler_step(rr_core *c, double now, double wall, rr_autoscaler_step *out);
+void rr_core_catalog_read(rr_core *c, double now, const GArray *builds /* rr_machine_type */);
+void rr_core_machines_listed(rr_core *c, double asked_at, double now, double wall,
+                             const GArray *machines /* rr_listed_machine */);
 /* status: 200 with ids, 503 no capacity, else: unknown, try again later. */
-void rr_core_rented(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids);
-void rr_core_released(rr_core *c, double now, const GPtrArray *ids);
+void rr_core_scale_out_result(rr_core *c, double now, const rr_autoscaler_step *s, int status,
+                              const GPtrArray *ids);
+void rr_core_scale_in_result(rr_core *c, double now, const GPtrArray *ids);
 
 /* ---- for packages beside the core (observe.c) ---- */
 /* Hands every record under this prefix to fn, with the rest of its key, whenever the mirror takes
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -48,7 +48,7 @@
  * nothing more by being used and are never returned. */
 double rr_machine_price(const rr_core *c, const rr_machine *m) {
     const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    if (m->own || !b) {
+    if (m->operator_owned || !b) {
         return 0;
     }
     return m->spot ? b->spot_price : b->price;
@@ -77,8 +77,8 @@
         rr_encode_text(o, m->addr);
         rr_encode_text(o, rr_name_index_at(&c->machine_types, m->machine_type));
         rr_encode_text(o, rr_name_index_at(&c->zones, m->zone));
-        rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->own ? FLAG_OWN : 0) |
-                                    (m->give_up ? FLAG_RET : 0)));
+        rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->operator_owned ? FLAG_OWN : 0) |
+                                    (m->to_release ? FLAG_RET : 0)));
         rr_encode_u64(o, m->born > 0 ? (uint64_t)m->born : 0);
     }
 }
@@ -89,7 +89,7 @@
     double *at = g_new(double, 1);
     *at = now;
     g_hash_table_replace(c->gone, g_strdup(m->name), at);
-    m->recorded = m->to_adopt = false;
+    m->recorded = m->to_record = false;
     m->gone = true;
     if (m->places->len == 0) {
         rr_machine_forget(c, m);
@@ -114,16 +114,16 @@
         rr_touch(c, m);
     }
     bool ret = flags & FLAG_RET;
-    m->ret_at = ret && !m->ret ? now : m->ret_at;
-    m->ret = ret;
+    m->scaling_in_at = ret && !m->scaling_in ? now : m->scaling_in_at;
+    m->scaling_in = ret;
     m->recorded = m->seen_in_reload = true;
-    m->gone = m->to_adopt = false;
+    m->gone = m->to_record = false;
     m->page = page;
     m->machine_type = machine_type_index(c, build);
     m->zone = rr_name_index_add(&c->zones, zone);
     m->spot = flags & FLAG_SPOT;
-    m->own = flags & FLAG_OWN;
-    c->ever_rented = c->ever_rented || !m->own;
+    m->operator_owned = flags & FLAG_OWN;
+    c->ever_rented = c->ever_rented || !m->operator_owned;
     rr_object_number(&f[5], &m->born);
     if (!m->heartbeat_seen && addr[0]) {
         g_strlcpy(m->addr, addr, sizeof m->addr);
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -67,7 +67,7 @@
 
 static void rental_free(gpointer p) {
     rr_rental *h = p;
-    g_ptr_array_free(h->ids, TRUE);
+    g_ptr_array_free(h->machine_ids, TRUE);
     g_free(h);
 }
 
@@ -104,7 +104,7 @@
     c->team_used = g_array_new(FALSE, TRUE, sizeof(rr_res));
     c->team_booked = g_array_new(FALSE, TRUE, sizeof(rr_res));
     c->owners = g_array_new(FALSE, TRUE, sizeof(int));
-    c->provisioner = c->place = -1;
+    c->autoscaler = c->place = -1;
     /* The same on every controller: from the settings alone. */
     c->chunk = RR_CHUNK_MIN;
     while (c->chunk < RR_CHUNK_MAX &&
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -110,14 +110,14 @@
     int machine_type, zone;
     bool spot;
     /* ledger */
-    bool recorded, own, ret;
+    bool recorded, operator_owned, scaling_in;
     bool gone; /* was recorded: proven gone, with all that was on it */
     bool seen_in_reload;
     bool dirty;  /* on the core's list of machines to reconcile */
     double born; /* wall */
     uint32_t page;
-    double ret_at;  /* when the mirror first showed ret */
-    GArray *places; /* rr_placement */
+    double scaling_in_at; /* when the mirror first showed ret */
+    GArray *places;       /* rr_placement */
     rr_res used;
     /* observed */
     bool heartbeat_seen;
@@ -145,12 +145,12 @@
     double reap_at; /* an exited task has waited since then to be reaped, 0: none */
     void *plan_do;  /* scratch of one plan: rr_command_batch */
     /* provisioner */
-    bool listed, list_failed, to_adopt, rented, give_up, dead, releasing;
+    bool listed, list_failed, to_record, rented, to_release, declared_dead, releasing;
     bool surplus;
     int probe_fails;
     double listed_at, idle_since, probed_at;
     /* scratch of one plan or simulation */
-    rr_res sim;
+    rr_res free;
     int booked_image; /* image of the last task booked here in this plan, -1 */
     bool emptied;
     GArray *booked; /* rr_job*: booked here in this plan; NULL: none */
@@ -179,12 +179,12 @@
 typedef struct {
     char name[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
     bool spot;
-    int how_many;
+    int count;
     uint64_t version;
     bool seen_in_reload;
     double tried_at; /* 0: never */
     bool answered, refused;
-    GPtrArray *ids; /* char*, once answered */
+    GPtrArray *machine_ids; /* char*, once answered */
 } rr_rental;
 
 typedef struct {
@@ -245,7 +245,7 @@
     uint64_t all_dirty_token;  /* the term for which all machines were looked at */
     GArray *owners;            /* int by configured team: place in the term of its owner */
     guint parts, part;         /* owners of teams in this term; which of them this controller is */
-    int provisioner;           /* place in the term, -1 */
+    int autoscaler;            /* place in the term, -1 */
     int place;                 /* this controller's, -1 */
     int peer_at[RR_MAX_NODES]; /* by place in the term: index of the peer, -1: this controller */
 
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -28,7 +28,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(c->machine_list, i);
         const rr_machine_type *type = rr_machine_type_at(c, machine->machine_type);
-        if (type && machine->recorded && !machine->ret && machine->zone >= 0) {
+        if (type && machine->recorded && !machine->scaling_in && machine->zone >= 0) {
             fn(user, type->name, rr_name_index_at(&c->zones, machine->zone), type->cpus, type->gpus,
                type->mem_gb);
         }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -299,7 +299,7 @@
         bool zones[c->zones.names->len + 1];
         rr_job_zones(c, mv.job, zones, old);
         if (!old || mv.job->cancelled || rr_job_held(c, mv.job, p->now) ||
-            !rr_machine_usable(c, mv.to, p->now) || !rr_res_fits(mv.job->request, mv.to->sim) ||
+            !rr_machine_usable(c, mv.to, p->now) || !rr_res_fits(mv.job->request, mv.to->free) ||
             !zones[mv.to->zone] || !rr_within_limit(p, mv.job, 1) ||
             !rr_edit_of(p, mv.job, old->chunk) || !rr_book(p, mv.to, mv.job, mv.task)) {
             /* A move that fails ends the plan. */
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -12,7 +12,7 @@
     rr_res *booked = &g_array_index(planner->c->team_booked, rr_res, job->team);
     g_array_set_size(items, items->len - 1);
     g_array_set_size(machine->booked, machine->booked->len - 1);
-    machine->sim = rr_res_add(machine->sim, job->request, 1);
+    machine->free = rr_res_add(machine->free, job->request, 1);
     *booked = rr_res_add(*booked, job->request, -1);
 }
 
@@ -34,7 +34,7 @@
     uint32_t fitting = 0;
     for (guint i = 0; i < planner->cands->len && fitting < job->submission.task_count; i++) {
         const rr_machine *machine = g_array_index(planner->cands, rr_cand, i).m;
-        fitting += rr_tasks_in(job->request, machine->sim, job->submission.task_count - fitting);
+        fitting += rr_tasks_in(job->request, machine->free, job->submission.task_count - fitting);
     }
     return fitting >= job->submission.task_count;
 }
@@ -108,7 +108,7 @@
 static bool add_seats(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                       struct rr_preemption *found, GArray *seats) {
     double fetch = rr_fetch_time(planner->c, job, machine);
-    uint32_t free_seats = rr_tasks_in(job->request, machine->sim, job->submission.task_count);
+    uint32_t free_seats = rr_tasks_in(job->request, machine->free, job->submission.task_count);
     bool victims = false;
     for (uint32_t tasks = 1; tasks <= job->submission.task_count; tasks++) {
         struct seat seat = {machine, tasks, fetch};
@@ -202,7 +202,7 @@
     for (guint i = 0; i < seats->len && marked; i++) {
         rr_machine *machine = g_array_index(seats, struct seat, i).machine;
         uint32_t tasks = seats_on(seats, machine);
-        if (rr_tasks_in(job->request, machine->sim, tasks) < tasks) {
+        if (rr_tasks_in(job->request, machine->free, tasks) < tasks) {
             marked = rr_preemption_find(planner, machine, job, tasks, &found) &&
                      rr_preemption_mark(planner, machine, job, &found);
         }
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -317,7 +317,7 @@
     g_hash_table_foreach_remove(c->gone, gone_old, &now);
     for (guint i = c->machine_list->len; i > 0; i--) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
-        if (!m->recorded && !m->to_adopt && !m->command_inflight && m->places->len == 0 &&
+        if (!m->recorded && !m->to_record && !m->command_inflight && m->places->len == 0 &&
             (m->gone || rr_silent_for(m, now) > STRANGER_S)) {
             rr_machine_forget(c, m);
         }
@@ -415,7 +415,7 @@
     rr_core *c = p->c;
     GHashTableIter it;
     gpointer k, v;
-    if (c->pressure > 0.3 || p->now - c->batches_at < 2 || !rr_core_is_provisioner(c, p->now)) {
+    if (c->pressure > 0.3 || p->now - c->batches_at < 2 || !rr_core_is_autoscaler(c, p->now)) {
         return;
     }
     c->batches_at = p->now;
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -158,7 +158,7 @@
     bool gang = job->submission.kind == RR_JOB_GANG;
     bool owed = rr_within_guarantee(planner, job, gang ? job->submission.task_count : tasks);
     bool at_once = must_stop_at_once(planner, job, machine);
-    rr_res room = machine->sim, returned = {0, 0, 0};
+    rr_res room = machine->free, returned = {0, 0, 0};
     GArray *possible = possible_victims(planner, machine, job, owed, &room);
     g_array_set_size(out->victims, 0);
     out->loss = 0;
@@ -199,7 +199,7 @@
         }
         place->leaving = true;
         rr_plan_use(planner, machine);
-        machine->sim = rr_res_add(machine->sim, place->job->request, 1);
+        machine->free = rr_res_add(machine->free, place->job->request, 1);
         rr_log_at(planner->c, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s",
                   place->job->submission.job_id, place->task, machine->name, job->submission.job_id,
                   at_once ? ", unsaved" : "");
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -30,7 +30,8 @@
 }
 
 static bool wants_probe(const rr_core *c, const rr_machine *m, double now, bool provisioner) {
-    if (m->ret || !m->addr[0] || m->command_inflight || now - m->probed_at <= PROBE_EVERY_S) {
+    if (m->scaling_in || !m->addr[0] || m->command_inflight ||
+        now - m->probed_at <= PROBE_EVERY_S) {
         return false;
     }
     bool late =
@@ -52,7 +53,7 @@
     }
     c->probe_at = p->now;
     rr_note_cuts(c, p->now);
-    bool provisioner = rr_core_is_provisioner(c, p->now);
+    bool provisioner = rr_core_is_autoscaler(c, p->now);
     guint in_cut[c->zones.names->len + 1];
     memset(in_cut, 0, sizeof in_cut);
     GPtrArray *late = g_ptr_array_new();
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -13,20 +13,20 @@
 #define DEAF_S 4.0        /* probes of a machine that still reports fail for this long */
 #define RETURN_WAIT_S 0.8 /* a booking made just before a return was announced shows by then */
 
-void rr_step_init(rr_step *s) {
+void rr_autoscaler_step_init(rr_autoscaler_step *s) {
     memset(s, 0, sizeof *s);
     rr_transaction_init(&s->transaction);
     s->machines = g_ptr_array_new_with_free_func(g_free);
 }
 
-void rr_step_clear(rr_step *s) {
+void rr_autoscaler_step_clear(rr_autoscaler_step *s) {
     rr_transaction_clear(&s->transaction);
     g_ptr_array_free(s->machines, TRUE);
 }
 
 /* ---- what the cloud said ---- */
 
-void rr_core_catalog(rr_core *c, double now, const GArray *builds) {
+void rr_core_catalog_read(rr_core *c, double now, const GArray *builds) {
     c->catalog_at = now;
     g_array_set_size(c->fresh_builds, 0);
     for (guint i = 0; i < builds->len; i++) {
@@ -58,11 +58,11 @@
             return;
         }
         m = rr_machine_get(c, s->id, now);
-        m->to_adopt = true;
+        m->to_record = true;
         m->born = wall - s->age_s;
         /* There before the service's first term, or before it first rented anything: the operators'
          * own machines. (A list may give them no age when all start together.) */
-        m->own = !m->rented && (m->born < c->term.born - 5 || !c->ever_rented);
+        m->operator_owned = !m->rented && (m->born < c->term.born - 5 || !c->ever_rented);
     }
     if (m->machine_type < 0) {
         m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
@@ -87,7 +87,8 @@
                      : asked_at > fmax(m->known_at, c->provisioner_since) + 3 * lag + 10;
 }
 
-void rr_core_listed(rr_core *c, double asked_at, double now, double wall, const GArray *machines) {
+void rr_core_machines_listed(rr_core *c, double asked_at, double now, double wall,
+                             const GArray *machines) {
     GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
     c->list_at = now;
     c->list_read = true;
@@ -102,7 +103,7 @@
         if (g_hash_table_contains(seen, m->name)) {
             continue;
         }
-        m->to_adopt = m->to_adopt && m->rented;
+        m->to_record = m->to_record && m->rented;
         if (m->recorded && missing_is_gone(c, m, asked_at)) {
             m->list_failed = true;
         }
@@ -115,21 +116,21 @@
 }
 
 /* The cloud has no more of this type, zone and kind for a while. */
-static void note_refusal(rr_core *c, double now, const rr_step *s) {
+static void note_refusal(rr_core *c, double now, const rr_autoscaler_step *s) {
     double *until = g_new(double, 1);
     *until = now + REFUSED_S;
     g_hash_table_replace(c->refused, rr_refusal_key(s->machine_type, s->zone, s->spot), until);
 }
 
-static void note_rented(rr_core *c, double now, const rr_step *s, const char *id) {
+static void note_rented(rr_core *c, double now, const rr_autoscaler_step *s, const char *id) {
     if (rr_recently_gone(c, id, now)) {
         return;
     }
     rr_machine *m = rr_machine_get(c, id, now);
     m->rented = true;
-    m->own = false;
+    m->operator_owned = false;
     if (!m->recorded) {
-        m->to_adopt = true;
+        m->to_record = true;
         m->born = m->born > 0 ? m->born : c->rented_at;
         m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
         m->zone = rr_name_index_add(&c->zones, s->zone);
@@ -137,7 +138,8 @@
     }
 }
 
-void rr_core_rented(rr_core *c, double now, const rr_step *s, int status, const GPtrArray *ids) {
+void rr_core_scale_out_result(rr_core *c, double now, const rr_autoscaler_step *s, int status,
+                              const GPtrArray *ids) {
     rr_rental *h = g_hash_table_lookup(c->rentals, s->rental);
     const char *kind = s->spot ? "spot" : "ordinary";
     if (h && status == 503) {
@@ -149,21 +151,21 @@
     if (!h || status != 200) {
         return;
     }
-    if ((int)ids->len < h->how_many) {
+    if ((int)ids->len < h->count) {
         note_refusal(c, now, s);
     }
     h->answered = true;
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
-        g_ptr_array_add(h->ids, g_strdup(id));
+        g_ptr_array_add(h->machine_ids, g_strdup(id));
         note_rented(c, now, s, id);
     }
     c->rented += ids->len;
-    rr_log_at(c, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", s->rental, ids->len, h->how_many,
+    rr_log_at(c, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", s->rental, ids->len, h->count,
               s->machine_type, kind, s->zone);
 }
 
-void rr_core_released(rr_core *c, double now, const GPtrArray *ids) {
+void rr_core_scale_in_result(rr_core *c, double now, const GPtrArray *ids) {
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
         rr_machine *m = g_hash_table_lookup(c->machines, id);
@@ -182,7 +184,7 @@
 
 /* ---- steps ---- */
 
-static bool step_rentals_done(rr_core *c, double now, rr_step *out) {
+static bool step_rentals_done(rr_core *c, double now, rr_autoscaler_step *out) {
     GHashTableIter it;
     gpointer v;
     char key[RR_ID + 32];
@@ -192,8 +194,8 @@
         bool over = h->refused;
         if (h->answered) {
             over = true;
-            for (guint i = 0; i < h->ids->len; i++) {
-                const char *id = g_ptr_array_index(h->ids, i);
+            for (guint i = 0; i < h->machine_ids->len; i++) {
+                const char *id = g_ptr_array_index(h->machine_ids, i);
                 const rr_machine *m = g_hash_table_lookup(c->machines, id);
                 over = over && ((m && m->recorded) || rr_recently_gone(c, id, now));
             }
@@ -219,7 +221,7 @@
 }
 
 /* What was read is written until the mirror shows it: a change of term may void a transaction. */
-static bool record_builds(rr_core *c, rr_step *out) {
+static bool record_machine_types(rr_core *c, rr_autoscaler_step *out) {
     for (guint i = 0; i < c->fresh_builds->len; i++) {
         const rr_machine_type *b = &g_array_index(c->fresh_builds, rr_machine_type, i);
         if ((int)out->transaction.changes->len < rr_transaction_changes_max(c->cfg) &&
@@ -236,28 +238,28 @@
     return out->transaction.changes->len > 0;
 }
 
-static bool step_catalog(rr_core *c, double now, rr_step *out) {
-    if (record_builds(c, out)) {
-        out->kind = RR_STEP_TXN;
+static bool step_catalog(rr_core *c, double now, rr_autoscaler_step *out) {
+    if (record_machine_types(c, out)) {
+        out->kind = RR_AUTOSCALER_COMMIT;
         return true;
     }
     if (c->catalog_at == 0 || now - c->catalog_at > CATALOG_S) {
         c->catalog_at = now - CATALOG_S + 2; /* not again at once if it fails */
-        out->kind = RR_STEP_CATALOG;
+        out->kind = RR_AUTOSCALER_CATALOG;
         return true;
     }
     return false;
 }
 
-static bool step_release(rr_core *c, double now, rr_step *out) {
+static bool step_release(rr_core *c, double now, rr_autoscaler_step *out) {
     GHashTableIter it;
     gpointer k;
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         /* What an owner booked there meanwhile is not thrown away; a dead machine goes as it is. */
-        bool empty = m->places->len == 0 && now - m->ret_at > RETURN_WAIT_S;
-        if (m->recorded && m->ret && m->give_up && !m->list_failed && (empty || m->dead) &&
-            out->machines->len < 100) {
+        bool empty = m->places->len == 0 && now - m->scaling_in_at > RETURN_WAIT_S;
+        if (m->recorded && m->scaling_in && m->to_release && !m->list_failed &&
+            (empty || m->declared_dead) && out->machines->len < 100) {
             g_ptr_array_add(out->machines, g_strdup(m->name));
             m->releasing = true;
         }
@@ -269,7 +271,7 @@
     return out->machines->len > 0;
 }
 
-static bool step_rental(rr_core *c, double now, double wall, rr_step *out) {
+static bool step_rental(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, c->rentals);
@@ -284,7 +286,7 @@
         g_strlcpy(out->machine_type, h->machine_type, sizeof out->machine_type);
         g_strlcpy(out->zone, h->zone, sizeof out->zone);
         out->spot = h->spot;
-        out->how_many = h->how_many;
+        out->count = h->count;
         return true;
     }
     return false;
@@ -325,22 +327,22 @@
     }
     const char *why = trouble_of(c, m, now, wall);
     bool empty = m->places->len == 0;
-    if (m->give_up && !why && !empty && rr_machine_fresh(c, m, now) && !m->releasing) {
-        m->give_up = m->dead = false; /* it speaks again, or was idle, and has work */
+    if (m->to_release && !why && !empty && rr_machine_fresh(c, m, now) && !m->releasing) {
+        m->to_release = m->declared_dead = false; /* it speaks again, or was idle, and has work */
         return;
     }
-    bool idle = m->surplus && empty && !m->own &&
+    bool idle = m->surplus && empty && !m->operator_owned &&
                 now - m->idle_since > c->cfg->tune.idle_return_s && wall - m->born > 60;
-    if (m->give_up || m->ret || !(why || idle)) {
+    if (m->to_release || m->scaling_in || !(why || idle)) {
         return;
     }
-    m->give_up = true;
-    m->dead = why && !empty;
+    m->to_release = true;
+    m->declared_dead = why && !empty;
     c->given_up++;
     rr_log_at(c, RR_LOG_DEBUG, "give up %s (%u tasks): %s", m->name, m->places->len,
               why ? why : "idle");
 }
-void rr_judge_machines(rr_core *c, double now, double wall) {
+void rr_review_machines(rr_core *c, double now, double wall) {
     rr_note_cuts(c, now);
     for (guint i = 0; i < c->machine_list->len; i++) {
         judge(c, g_ptr_array_index(c->machine_list, i), now, wall);
@@ -354,9 +356,10 @@
     c->list_read = false;
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->list_failed = m->listed = m->surplus = m->dead = m->releasing = false;
-        m->give_up = m->ret; /* what was to go back goes, unless it is judged to have work */
-        m->dead = m->ret && m->places->len > 0 && !rr_machine_fresh(c, m, now);
+        m->list_failed = m->listed = m->surplus = m->declared_dead = m->releasing = false;
+        m->to_release =
+            m->scaling_in; /* what was to go back goes, unless it is judged to have work */
+        m->declared_dead = m->scaling_in && m->places->len > 0 && !rr_machine_fresh(c, m, now);
         m->probe_fails = 0;
         m->deaf_probes = 0;
     }
@@ -367,33 +370,33 @@
         rr_rental *h = v;
         h->answered = h->refused = false;
         h->tried_at = 0;
-        g_ptr_array_set_size(h->ids, 0);
+        g_ptr_array_set_size(h->machine_ids, 0);
     }
     rr_log_at(c, RR_LOG_INFO, "provisioner of term %" G_GUINT64_FORMAT, c->term.token);
 }
 
-void rr_core_provisioner_step(rr_core *c, double now, double wall, rr_step *out) {
-    out->kind = RR_STEP_NONE;
-    if (!rr_core_is_provisioner(c, now) || !rr_core_cache_consistent(c) || c->anew) {
+void rr_core_autoscaler_step(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
+    out->kind = RR_AUTOSCALER_NONE;
+    if (!rr_core_is_autoscaler(c, now) || !rr_core_cache_consistent(c) || c->anew) {
         return;
     }
     if (c->provisioner_token != c->term.token) {
         begin_provisioning(c, now);
     }
-    if (rr_step_records(c, now, wall, out) || step_rentals_done(c, now, out) ||
-        step_catalog(c, now, out) || rr_step_rent(c, now, wall, out)) {
-        if (out->kind == RR_STEP_NONE) {
-            out->kind = RR_STEP_TXN;
+    if (rr_autoscaler_step_records(c, now, wall, out) || step_rentals_done(c, now, out) ||
+        step_catalog(c, now, out) || rr_autoscaler_step_demand(c, now, wall, out)) {
+        if (out->kind == RR_AUTOSCALER_NONE) {
+            out->kind = RR_AUTOSCALER_COMMIT;
         }
     } else if (step_rental(c, now, wall, out)) {
-        out->kind = RR_STEP_RENT;
+        out->kind = RR_AUTOSCALER_SCALE_OUT;
     } else if (step_release(c, now, out)) {
-        out->kind = RR_STEP_RELEASE;
+        out->kind = RR_AUTOSCALER_SCALE_IN;
     } else if (c->list_at == 0 || now - c->list_at > c->cfg->tune.cloud_list_s) {
         c->list_at = now;
-        out->kind = RR_STEP_LIST;
+        out->kind = RR_AUTOSCALER_LIST;
     }
-    if (out->kind == RR_STEP_TXN) {
+    if (out->kind == RR_AUTOSCALER_COMMIT) {
         rr_transaction_guard(&out->transaction, RR_ROOT "term", c->term.version);
     }
 }
--- a/src/core/provisioner.h
+++ b/src/core/provisioner.h
@@ -12,14 +12,14 @@
 /* The key of a type, zone and kind among the cloud's refusals; the caller's to free. */
 char *rr_refusal_key(const char *build, const char *zone, bool spot);
 /* Decides which machines are given up or go back; those that the demand left as surplus may. */
-void rr_judge_machines(rr_core *core, double now, double wall);
+void rr_review_machines(rr_core *core, double now, double wall);
 
 /* provisioner_records.c: machines that came, are to go back or are gone, many in a change. True:
  * out->txn is to be committed. */
-bool rr_step_records(rr_core *core, double now, double wall, rr_step *out);
+bool rr_autoscaler_step_records(rr_core *core, double now, double wall, rr_autoscaler_step *out);
 
 /* provisioner_demand.c: intents to rent, and the judgement of machines. True: out->txn is to be
  * committed. */
-bool rr_step_rent(rr_core *core, double now, double wall, rr_step *out);
+bool rr_autoscaler_step_demand(rr_core *core, double now, double wall, rr_autoscaler_step *out);
 
 #endif
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -27,7 +27,7 @@
 /* A machine that new work can count on: usable now, or booting within patience. */
 static bool counts(const rr_core *c, const rr_machine *m, double now) {
     const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    if (!m->recorded || m->ret || m->give_up || !b) {
+    if (!m->recorded || m->scaling_in || m->to_release || !b) {
         return false;
     }
     if (!m->heartbeat_seen) {
@@ -49,15 +49,15 @@
 };
 
 static bool roomy(const rr_core *c, const rr_machine *m) {
-    return rr_res_room(m->sim, rr_machine_cap(c, m)) > RR_EPS;
+    return rr_res_room(m->free, rr_machine_cap(c, m)) > RR_EPS;
 }
 
 static const rr_core *sort_core; /* qsort has no argument; the core is one call at a time */
 
 static gint by_cost(gconstpointer a, gconstpointer b) {
     const rr_machine *x = *(rr_machine *const *)a, *y = *(rr_machine *const *)b;
-    double cx = rr_machine_price(sort_core, x) * rr_res_room(x->sim, rr_machine_cap(sort_core, x));
-    double cy = rr_machine_price(sort_core, y) * rr_res_room(y->sim, rr_machine_cap(sort_core, y));
+    double cx = rr_machine_price(sort_core, x) * rr_res_room(x->free, rr_machine_cap(sort_core, x));
+    double cy = rr_machine_price(sort_core, y) * rr_res_room(y->free, rr_machine_cap(sort_core, y));
     if (fabs(cx - cy) > 1e-9) {
         return cx < cy ? -1 : 1;
     }
@@ -91,8 +91,8 @@
         c->visits++;
         if (m->zone >= 0 && zones[m->zone] &&
             rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
-            uint32_t k = rr_tasks_in(j->request, m->sim, MIN(n, each));
-            m->sim = rr_res_add(m->sim, j->request, -(double)k);
+            uint32_t k = rr_tasks_in(j->request, m->free, MIN(n, each));
+            m->free = rr_res_add(m->free, j->request, -(double)k);
             m->surplus = m->surplus && k == 0;
             n -= k;
         }
@@ -122,8 +122,8 @@
 }
 
 /* The machine type's cheapest offer for the task, if it is better than *best. */
-static void consider_build(const struct sim *s, const rr_job *j, const bool *zones, int build,
-                           struct offer *best) {
+static void consider_machine_type(const struct sim *s, const rr_job *j, const bool *zones,
+                                  int build, struct offer *best) {
     rr_core *c = s->c;
     const rr_machine_type *b = rr_machine_type_at(c, build);
     rr_res cap = b ? (rr_res){b->cpus, b->gpus, b->mem_gb} : (rr_res){0, 0, 0};
@@ -147,7 +147,7 @@
 }
 
 /* One machine more of this type, zone and kind is to be rented. */
-static struct rent *add_rent(struct sim *s, const struct rent *rent) {
+static struct rent *add_rental(struct sim *s, const struct rent *rent) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
         if (r->machine_type == rent->machine_type && r->zone == rent->zone &&
@@ -165,19 +165,19 @@
 
 /* The cheapest place that would take the task, per task that fits; between equals the zone with
  * fewest machines. */
-static struct rent *rent_for(struct sim *s, const rr_job *j, const bool *zones) {
+static struct rent *plan_rental_for(struct sim *s, const rr_job *j, const bool *zones) {
     struct offer best = {.rent = {.machine_type = -1}};
     for (guint build = 0; build < s->c->build_info->len; build++) {
-        consider_build(s, j, zones, (int)build, &best);
+        consider_machine_type(s, j, zones, (int)build, &best);
     }
     if (best.rent.machine_type < 0) {
         return NULL;
     }
     s->in_zone[best.rent.zone]++;
-    return add_rent(s, &best.rent);
+    return add_rental(s, &best.rent);
 }
 
-static bool into_rents(struct sim *s, const rr_job *j, const bool *zones) {
+static bool fill_planned_rentals(struct sim *s, const rr_job *j, const bool *zones) {
     for (guint i = 0; i < s->rents->len; i++) {
         struct rent *r = &g_array_index(s->rents, struct rent, i);
         if (zones[r->zone] && rr_job_allows(s->c, j, r->machine_type, r->zone, r->spot) &&
@@ -195,10 +195,10 @@
                    bool may_rent) {
     n = fill_machines(s, j, zones, n, each);
     for (; may_rent && n > 0; n--) {
-        if (into_rents(s, j, zones)) {
+        if (fill_planned_rentals(s, j, zones)) {
             continue;
         }
-        struct rent *r = rent_for(s, j, zones);
+        struct rent *r = plan_rental_for(s, j, zones);
         if (!r) {
             return;
         }
@@ -207,7 +207,7 @@
 }
 
 /* Deadline work waits for room to come free while it can still make it on a new machine. */
-static bool must_rent(const rr_core *c, const rr_job *j, double wall) {
+static bool must_scale_out(const rr_core *c, const rr_job *j, double wall) {
     if (j->submission.deadline_s < 0) {
         return true;
     }
@@ -233,7 +233,8 @@
     }
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        for (guint k = 0; k < m->places->len && (m->gone || (m->give_up && m->dead)); k++) {
+        for (guint k = 0; k < m->places->len && (m->gone || (m->to_release && m->declared_dead));
+             k++) {
             const rr_placement *p = &g_array_index(m->places, rr_placement, k);
             p->job->lost += !rr_job_task_done(p->job, p->task);
         }
@@ -287,7 +288,7 @@
         }
         /* A service's replicas keep separate machines. */
         demand(s, j, zones, n, j->submission.kind == RR_JOB_SERVICE ? 1 : n,
-               must_rent(c, j, s->wall));
+               must_scale_out(c, j, s->wall));
     }
 }
 
@@ -302,7 +303,7 @@
                 j->submission.priority > RR_PRIORITY_STANDARD && v->checkpoint_interval_s > 0 &&
                 v->save_s + 1 <= within_s &&
                 rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
-                m->sim = rr_res_add(m->sim, p->job->request, 1);
+                m->free = rr_res_add(m->free, p->job->request, 1);
             }
         }
     }
@@ -370,13 +371,13 @@
         const rr_rental *h = v;
         if (strcmp(h->machine_type, rr_name_index_at(&c->machine_types, r->machine_type)) == 0 &&
             strcmp(h->zone, rr_name_index_at(&c->zones, r->zone)) == 0 && h->spot == r->spot) {
-            n += h->how_many;
+            n += h->count;
         }
     }
     return n;
 }
 
-static void put_intent(rr_core *c, const struct rent *r, int n, rr_step *out) {
+static void put_intent(rr_core *c, const struct rent *r, int n, rr_autoscaler_step *out) {
     char name[RR_ID], key[RR_ID + 32];
     rr_encoder o;
     /* A request's name is never used again: token, counter. */
@@ -394,7 +395,7 @@
 }
 
 /* Intents for what is to be rented, less what is under way. */
-static void put_intents(rr_core *c, const GArray *rents, rr_step *out) {
+static void put_intents(rr_core *c, const GArray *rents, rr_autoscaler_step *out) {
     for (guint i = 0; i < rents->len; i++) {
         const struct rent *r = &g_array_index(rents, struct rent, i);
         int left = r->count - pending_for(c, r);
@@ -408,7 +409,7 @@
     }
 }
 
-bool rr_step_rent(rr_core *c, double now, double wall, rr_step *out) {
+bool rr_autoscaler_step_demand(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
     if (now - c->sim_at < 1 || !c->list_read || !c->catalog_known) {
         return false;
     }
@@ -426,7 +427,7 @@
     sort_roomy(&s);
     demand_waiting(&s);
     demand_headroom(&s);
-    rr_judge_machines(c, now, wall);
+    rr_review_machines(c, now, wall);
     put_intents(c, s.rents, out);
     g_array_free(s.rents, TRUE);
     g_ptr_array_free(s.roomy, TRUE);
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -141,7 +141,7 @@
     }
     /* One that only reports have told of: a late copy of a report creates nothing, so it has to
      * answer us first. */
-    return m->to_adopt ||
+    return m->to_record ||
            (m->heartbeat_seen && m->vouched && c->list_read &&
             now - m->heartbeat_at < 2 * c->cfg->report_s && !rr_recently_gone(c, m->name, now));
 }
@@ -152,17 +152,18 @@
         if ((list = change_page(p, m->page))) {
             g_ptr_array_remove(list, m);
         }
-    } else if (m->recorded && m->give_up != m->ret) {
+    } else if (m->recorded && m->to_release != m->scaling_in) {
         change_page(p, m->page); /* written with the new flag; the mirror follows */
     } else if (to_record(p->c, m, now) && (list = page_with_room(p, m))) {
         m->born = m->born > 0 ? m->born : wall;
         g_ptr_array_add(list, m);
-        rr_log_at(p->c, RR_LOG_DEBUG, "record %s (%s)", m->name, m->own ? "standing" : "rented");
+        rr_log_at(p->c, RR_LOG_DEBUG, "record %s (%s)", m->name,
+                  m->operator_owned ? "standing" : "rented");
     }
 }
 
 /* Machines that came, are to go back or are gone, many in a change. */
-bool rr_step_records(rr_core *c, double now, double wall, rr_step *out) {
+bool rr_autoscaler_step_records(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
     rr_transaction *t = &out->transaction;
     char key[RR_ID];
     GHashTableIter it;
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -158,7 +158,7 @@
     if (pl->start_at > 0 && p->now - pl->start_at < RESEND_S) {
         return;
     }
-    if (room_coming(p->c, m) || has_older(pl) || m->ret) {
+    if (room_coming(p->c, m) || has_older(pl) || m->scaling_in) {
         return;
     }
     order(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
@@ -223,7 +223,7 @@
     if (r->state == RR_TASK_ENDED && rr_attempt_token(r->attempt) == c->term.token) {
         return rr_attempt_place(r->attempt) == rr_term_place(c);
     }
-    return rr_core_is_provisioner(c, now);
+    return rr_core_is_autoscaler(c, now);
 }
 
 /* Tasks on the machine that the ledger does not know: exited ones are reaped, others stopped. */
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -251,7 +251,7 @@
     const rr_machine *m = g_hash_table_lookup(c->machines, machine);
     uint32_t peers = 0;
     *now_and_then = 0;
-    want(c, c->provisioner, &peers);
+    want(c, c->autoscaler, &peers);
     for (guint i = 0; m && i < m->places->len; i++) {
         want_owner(c, g_array_index(m->places, rr_placement, i).job, &peers);
     }
--- a/src/core/reserve_gang.c
+++ b/src/core/reserve_gang.c
@@ -48,7 +48,7 @@
         }
         struct prospect prospect = {.machine = machine,
                                     .free_share =
-                                        rr_res_room(machine->sim, rr_machine_cap(core, machine)),
+                                        rr_res_room(machine->free, rr_machine_cap(core, machine)),
                                     .seats = seats_in_time(core, machine, job, gangs_stay)};
         if (prospect.seats > 0) {
             g_array_append_val(prospects, prospect);
@@ -78,7 +78,7 @@
         const struct prospect *prospect = &g_array_index(prospects, struct prospect, needed);
         seats += prospect->seats;
         progress->free_seats +=
-            rr_tasks_in(job->request, prospect->machine->sim, job->submission.task_count);
+            rr_tasks_in(job->request, prospect->machine->free, job->submission.task_count);
         progress->free_share += prospect->free_share;
     }
     g_array_set_size(prospects, needed);
@@ -109,7 +109,7 @@
 static void reserve_machines(const GArray *prospects) {
     const rr_res none = {0, 0, 0};
     for (guint i = 0; i < prospects->len; i++) {
-        g_array_index(prospects, struct prospect, i).machine->sim = none;
+        g_array_index(prospects, struct prospect, i).machine->free = none;
     }
 }
 
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -162,7 +162,7 @@
     rr_sim_reset(c);
     for (guint i = 0; i < items->len; i++) {
         struct item *it = &g_array_index(items, struct item, i);
-        it->home->sim = rr_res_add(it->home->sim, it->job->request, 1);
+        it->home->free = rr_res_add(it->home->free, it->job->request, 1);
     }
     for (guint i = 0; i < items->len; i++) {
         struct item *it = &g_array_index(items, struct item, i);
@@ -179,7 +179,7 @@
             to = it->home;
         }
         it->to = to;
-        to->sim = rr_res_add(to->sim, it->job->request, -1);
+        to->free = rr_res_add(to->free, it->job->request, -1);
     }
 }
 
@@ -197,8 +197,8 @@
     }
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->emptied = m->recorded && !m->ret && rr_machine_price(c, m) > 0 && m->places->len > 0 &&
-                     m->leaving == m->places->len && m->arriving == 0;
+        m->emptied = m->recorded && !m->scaling_in && rr_machine_price(c, m) > 0 &&
+                     m->places->len > 0 && m->leaving == m->places->len && m->arriving == 0;
         n += m->emptied;
     }
     return n;
@@ -211,10 +211,10 @@
     for (guint i = 0; i < items->len; i++) {
         struct item *it = &g_array_index(items, struct item, i);
         if (it->taken || !it->home->emptied || it->to == it->home || it->to->emptied ||
-            !rr_res_fits(it->job->request, it->to->sim)) {
+            !rr_res_fits(it->job->request, it->to->free)) {
             continue;
         }
-        double room = rr_res_room(it->to->sim, rr_machine_cap(c, it->to));
+        double room = rr_res_room(it->to->free, rr_machine_cap(c, it->to));
         double score = room > 0 ? it->size / room : INFINITY;
         if (!best || score < least) {
             best = it;
@@ -232,8 +232,8 @@
         rr_move mv = {it->job, it->task, it->home, it->to};
         g_array_append_val(moves, mv);
         it->taken = true;
-        it->to->sim = rr_res_add(it->to->sim, it->job->request, -1);
-        it->home->sim = rr_res_add(it->home->sim, it->job->request, 1);
+        it->to->free = rr_res_add(it->to->free, it->job->request, -1);
+        it->home->free = rr_res_add(it->home->free, it->job->request, 1);
     }
     /* A machine that can't be emptied whole is left alone: half-made plans only cost. */
     for (guint i = 0; i < moves->len; i++) {
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -49,7 +49,7 @@
     uint64_t n = 0;
     if (!h) {
         h = g_new0(rr_rental, 1);
-        h->ids = g_ptr_array_new_with_free_func(g_free);
+        h->machine_ids = g_ptr_array_new_with_free_func(g_free);
         g_strlcpy(h->name, name, sizeof h->name);
         g_hash_table_insert(c->rentals, h->name, h);
     }
@@ -60,7 +60,7 @@
     rr_map_get_text(v, "ward", h->zone, sizeof h->zone);
     rr_map_get_bool(v, "loaners", &h->spot);
     rr_map_get_u64(v, "n", &n);
-    h->how_many = (int)n;
+    h->count = (int)n;
 }
 
 /* ---- the mirror's door ---- */
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -147,7 +147,7 @@
 
 /* The provisioner sits with the controller that owns fewest teams: where one owner has most of the
  * work its processor is the narrowest. Rendezvous hashing between equals. */
-static int provisioner_place(const rr_core *c) {
+static int autoscaler_member(const rr_core *c) {
     int best = -1;
     guint fewest = 0;
     uint64_t most = 0;
@@ -176,7 +176,7 @@
         int place = owner_place(c, c->cfg->teams[i].name);
         g_array_append_val(c->owners, place);
     }
-    c->provisioner = provisioner_place(c);
+    c->autoscaler = autoscaler_member(c);
     c->parts = c->part = 0;
     for (guint i = 0; i < c->term.nodes->len; i++) {
         c->part = i == rr_term_place(c) ? c->parts : c->part;
@@ -209,16 +209,16 @@
         return;
     }
     double own = teams_at(c, (int)rr_term_place(c)) / teams;
-    double provisioners = at_place(c, c->provisioner) ? 1 : 0;
+    double provisioners = at_place(c, c->autoscaler) ? 1 : 0;
     /* Everybody mirrors, reads for polls and accepts. */
     out->requests = 0.65 / live + 0.3 * own + 0.05 * provisioners;
     out->users = 0.35 / live;
     out->plans = 0.5 * own;
-    out->provisioner = 0.15 * provisioners;
+    out->autoscaler = 0.15 * provisioners;
 }
 
-bool rr_core_is_provisioner(const rr_core *c, double now) {
-    return rr_core_entitled(c, now) && at_place(c, c->provisioner);
+bool rr_core_is_autoscaler(const rr_core *c, double now) {
+    return rr_core_entitled(c, now) && at_place(c, c->autoscaler);
 }
 
 static gint by_name(gconstpointer a, gconstpointer b) {
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -36,9 +36,10 @@
 
 /* DESIGN's risk: a cut zone keeps stale reports, so only a fresh one makes room count. */
 bool rr_machine_usable(const rr_core *c, const rr_machine *m, double now) {
-    return m->recorded && !m->ret && m->addr[0] && m->vouched && rr_machine_fresh(c, m, now) &&
-           m->heartbeat.spot_notice_s < 0 && now >= m->full_until && !rr_machine_sick(m, now) &&
-           !m->give_up && !rr_machine_deaf(m) && !rr_machine_mute(c, m, now);
+    return m->recorded && !m->scaling_in && m->addr[0] && m->vouched &&
+           rr_machine_fresh(c, m, now) && m->heartbeat.spot_notice_s < 0 && now >= m->full_until &&
+           !rr_machine_sick(m, now) && !m->to_release && !rr_machine_deaf(m) &&
+           !rr_machine_mute(c, m, now);
 }
 
 /* Its reports may go on arriving while answers and commands no longer reach it: it looks fresh,
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -37,7 +37,7 @@
     b->rate = fmax(SAFE * b->rps * s->requests, 0.5);
     b->writes[USERS].rate = fmax(SAFE * b->write_rps * s->users, 0.2);
     b->writes[PLANS].rate = fmax(SAFE * b->write_rps * s->plans, 0.05);
-    b->writes[STEWARD].rate = fmax(SAFE * b->write_rps * s->provisioner, 0.05);
+    b->writes[STEWARD].rate = fmax(SAFE * b->write_rps * s->autoscaler, 0.05);
 }
 
 rr_budget *rr_budget_create(double rps, double write_rps) {
@@ -118,7 +118,7 @@
 }
 
 static enum kind kind_of(enum rr_request_priority prio) {
-    return prio == RR_REQUEST_PLAN ? PLANS : prio == RR_PRIO_STEWARD ? STEWARD : USERS;
+    return prio == RR_REQUEST_PLAN ? PLANS : prio == RR_REQUEST_AUTOSCALER ? STEWARD : USERS;
 }
 
 /* Seconds until so many changes may go; 0: now. A transaction larger than what a second brings
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -13,7 +13,7 @@
     RR_REQUEST_USER,
     RR_REQUEST_READ,
     RR_REQUEST_PLAN,
-    RR_PRIO_STEWARD
+    RR_REQUEST_AUTOSCALER
 };
 
 typedef struct rr_budget rr_budget;
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -242,7 +242,7 @@
         state->told_for = edge;
         tell_demand(model);
     }
-    int writer = model->provisioner;
+    int writer = model->autoscaler;
     if (writer >= 0 && state->written_for != edge &&
         rr_admission_writer_due(state->writers[writer],
                                 rr_admission_newest(model->controllers[writer]),
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -43,7 +43,7 @@
     /* Failures, switched by each_second. */
     bool cut[MODEL_CONTROLLERS]; /* its store cache gets nothing new */
     double clock_off_s[MODEL_CONTROLLERS];
-    int provisioner;  /* -1: none */
+    int autoscaler;   /* -1: none */
     bool lose_answer; /* tables are written, but their writer does not hear of it */
     bool deaf_peers;  /* no view of the demand comes across */
 
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -663,13 +663,13 @@
     g_array_append_val(list, machine);
 }
 
-void fx_provisioner_step(fx_node *n, const GArray *machines, rr_step *out) {
-    rr_step_init(out);
-    rr_core_provisioner_step(n->core, n->now, n->now, out);
-    if (out->kind == RR_STEP_TXN) {
+void fx_provisioner_step(fx_node *n, const GArray *machines, rr_autoscaler_step *out) {
+    rr_autoscaler_step_init(out);
+    rr_core_autoscaler_step(n->core, n->now, n->now, out);
+    if (out->kind == RR_AUTOSCALER_COMMIT) {
         fx_commit(n->store, &out->transaction);
         fx_sync(n->store, n->core, n->now);
-    } else if (out->kind == RR_STEP_LIST) {
-        rr_core_listed(n->core, n->now, n->now, n->now, machines);
+    } else if (out->kind == RR_AUTOSCALER_LIST) {
+        rr_core_machines_listed(n->core, n->now, n->now, n->now, machines);
     }
 }
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -104,8 +104,8 @@
 #define FX_SHOWN_MAX 16
 void fx_show_jobs(fx_node *n, const struct fx_show *show);
 /* One step of the provisioner: records are committed, a list is answered with `machines`
- * (rr_listed_machine); what else it asks for is the caller's. rr_step_clear() after. */
-void fx_provisioner_step(fx_node *n, const GArray *machines, rr_step *out);
+ * (rr_listed_machine); what else it asks for is the caller's. rr_autoscaler_step_clear() after. */
+void fx_provisioner_step(fx_node *n, const GArray *machines, rr_autoscaler_step *out);
 /* Adds a machine of type m1 to a list of the cloud's. */
 void fx_listed(GArray *list, const char *id, const char *zone, enum rr_listed_state state,
                double age_s);
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -47,7 +47,7 @@
 static GString *scene_play(void) {
     fx_world *w;
     rr_plan p;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_world_setup((void **)&w);
     fx_node *n = &w->n;
@@ -86,7 +86,7 @@
     rr_plan_clear(&p);
     for (int i = 0; i < 20 && fx_count(w->store, RR_ROOT "hire/") == 0; i++) {
         fx_provisioner_step(n, none, &s);
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
         n->now += 1;
     }
     GString *out = fx_dump(w->store);
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -133,10 +133,10 @@
     /* Odd times, within intervals; now and then nobody is, as in an election. */
     unsigned second = (unsigned)now;
     if (second % 47 == 0) {
-        model->provisioner = -1;
+        model->autoscaler = -1;
     }
     if (second % 47 == 8) {
-        model->provisioner = (int)(second / 47 % MODEL_CONTROLLERS);
+        model->autoscaler = (int)(second / 47 % MODEL_CONTROLLERS);
     }
     model->lose_answer = second / 100 % 2;
 }
@@ -284,7 +284,7 @@
     if (now == 600) {
         model->settings[1].teams[3].weight = 3;
         model_restart(model, 1);
-        model->provisioner = 1;
+        model->autoscaler = 1;
     }
     if (now == 660) {
         model->settings[0].teams[3].weight = 3;
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -276,23 +276,23 @@
     }
     submit_many(n, 1, 100, &(struct fx_job){.pieces = 40, .cpus = 8, .zone = "b"});
     for (int i = 0; i < 120; i++) {
-        rr_step s;
-        rr_step_init(&s);
-        rr_core_provisioner_step(n->core, n->now, n->now, &s);
-        if (s.kind == RR_STEP_TXN) {
+        rr_autoscaler_step s;
+        rr_autoscaler_step_init(&s);
+        rr_core_autoscaler_step(n->core, n->now, n->now, &s);
+        if (s.kind == RR_AUTOSCALER_COMMIT) {
             changes += s.transaction.changes->len;
             assert_int_equal(fx_commit(w->store, &s.transaction), 0);
             fx_sync(w->store, n->core, n->now);
-        } else if (s.kind == RR_STEP_LIST) {
-            rr_core_listed(n->core, n->now, n->now, n->now, machines);
-        } else if (s.kind == RR_STEP_RENT) {
+        } else if (s.kind == RR_AUTOSCALER_LIST) {
+            rr_core_machines_listed(n->core, n->now, n->now, n->now, machines);
+        } else if (s.kind == RR_AUTOSCALER_SCALE_OUT) {
             rentals++;
-            assert_true(s.how_many <= 50);
-            asked += (unsigned)s.how_many;
+            assert_true(s.count <= 50);
+            asked += (unsigned)s.count;
         } else {
             n->now += 0.3;
         }
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
     }
     assert_true(fx_recorded(w->store, "vm-000001") && fx_recorded(w->store, "vm-001000"));
     assert_true(changes <= 1000 / 20 + 40);
@@ -546,7 +546,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_plan p;
-    rr_step s;
+    rr_autoscaler_step s;
     rr_transaction t;
     fx_fleet(n, 1, 4, "a");
     submit_many(n, 1, 4, &(struct fx_job){.pieces = 1, .cpus = 1});
@@ -558,10 +558,10 @@
     assert_false(p.has_transaction);
     assert_int_equal(p.command_batches->len, 0);
     rr_plan_clear(&p);
-    rr_step_init(&s);
-    rr_core_provisioner_step(n->core, n->now, n->now, &s);
-    assert_int_equal(s.kind, RR_STEP_NONE);
-    rr_step_clear(&s);
+    rr_autoscaler_step_init(&s);
+    rr_core_autoscaler_step(n->core, n->now, n->now, &s);
+    assert_int_equal(s.kind, RR_AUTOSCALER_NONE);
+    rr_autoscaler_step_clear(&s);
     rr_transaction_init(&t);
     assert_false(rr_core_next_term(n->core, n->now, n->now, &t));
     rr_transaction_clear(&t);
@@ -623,26 +623,26 @@
     w->store->ops_max = (guint)n->cfg.transaction_changes_max;
     submit_many(n, 1, FLEET / 100, &(struct fx_job){.pieces = 100, .cpus = 16});
     for (; rented < FLEET && steps < 4000; steps++) {
-        rr_step s;
+        rr_autoscaler_step s;
         fx_provisioner_step(n, machines, &s);
-        if (s.kind == RR_STEP_RENT) {
+        if (s.kind == RR_AUTOSCALER_SCALE_OUT) {
             GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
-            for (int i = 0; i < s.how_many; i++) {
+            for (int i = 0; i < s.count; i++) {
                 g_ptr_array_add(ids, g_strdup_printf("vm-%06d", ++rented));
                 fx_listed(machines, g_ptr_array_index(ids, ids->len - 1), s.zone,
                           RR_LISTED_STARTING, 1);
             }
-            rr_core_rented(n->core, n->now, &s, 200, ids);
+            rr_core_scale_out_result(n->core, n->now, &s, 200, ids);
             g_ptr_array_free(ids, TRUE);
         }
-        n->now += s.kind == RR_STEP_NONE ? 0.5 : 0.05;
-        rr_step_clear(&s);
+        n->now += s.kind == RR_AUTOSCALER_NONE ? 0.5 : 0.05;
+        rr_autoscaler_step_clear(&s);
     }
     for (int i = 0; i < 200; i++) {
-        rr_step s;
+        rr_autoscaler_step s;
         fx_provisioner_step(n, machines, &s);
         n->now += 0.1;
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
     }
     assert_int_equal(rented, FLEET);
     assert_true(fx_recorded(w->store, "vm-000001"));
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -424,7 +424,7 @@
     fx_join(&b, 9);
     fx_term(n);
     /* Whichever of the two is not the provisioner, with a team of its own. */
-    fx_node *owner = rr_core_is_provisioner(n->core, n->now) ? &b : n;
+    fx_node *owner = rr_core_is_autoscaler(n->core, n->now) ? &b : n;
     for (int t = 0; t < 2; t++) {
         char ref[16];
         g_snprintf(ref, sizeof ref, "req-%d", t + 1);
@@ -570,7 +570,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n, next;
     uint64_t at;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_machine_gone(w->store, "vm-1");
     fx_machine_gone(w->store, "vm-2");
@@ -578,14 +578,14 @@
     fx_sync(w->store, n->core, n->now);
     for (int i = 0; i < 40; i++) {
         fx_provisioner_step(n, none, &s);
-        bool rental = s.kind == RR_STEP_RENT;
+        bool rental = s.kind == RR_AUTOSCALER_SCALE_OUT;
         n->now += 0.5;
         if (rental) {
             break; /* the cloud has the request; the leader ends before it reads the answer */
         }
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
     }
-    assert_int_equal(s.kind, RR_STEP_RENT);
+    assert_int_equal(s.kind, RR_AUTOSCALER_SCALE_OUT);
     fx_node_init(&next, w->store, "n1");
     next.now = n->now;
     fx_reread(w->store, next.core, next.now);
@@ -596,17 +596,17 @@
     assert_true(fx_booked(w->store, "vm-7", "req-1", 0) == 0);
     bool repeated = false;
     for (int i = 0; i < 60 && !fx_recorded(w->store, "vm-7"); i++) {
-        rr_step again;
+        rr_autoscaler_step again;
         fx_provisioner_step(&next, none, &again);
-        if (again.kind == RR_STEP_RENT) {
+        if (again.kind == RR_AUTOSCALER_SCALE_OUT) {
             GPtrArray *ids = g_ptr_array_new();
             g_ptr_array_add(ids, (gpointer) "vm-7");
             assert_string_equal(again.rental, s.rental);
             repeated = true;
-            rr_core_rented(next.core, next.now, &again, 200, ids);
+            rr_core_scale_out_result(next.core, next.now, &again, 200, ids);
             g_ptr_array_free(ids, TRUE);
         }
-        rr_step_clear(&again);
+        rr_autoscaler_step_clear(&again);
         next.now += 0.2;
     }
     assert_true(repeated);
@@ -615,7 +615,7 @@
     plan_with(&next, RR_COMMAND_ANSWERED);
     at = fx_booked(w->store, "vm-7", "req-1", 0);
     assert_true(at != 0);
-    rr_step_clear(&s);
+    rr_autoscaler_step_clear(&s);
     g_array_free(none, TRUE);
     fx_node_clear(&next);
 }
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -5,32 +5,33 @@
 
 /* Runs steps until one of this kind comes; transactions are committed, lists and the catalogue
  * answered with what is given. */
-static bool step_until(fx_world *w, enum rr_step_kind kind, const GArray *machines, rr_step *out) {
+static bool step_until(fx_world *w, enum rr_autoscaler_step_kind kind, const GArray *machines,
+                       rr_autoscaler_step *out) {
     fx_node *n = &w->n;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *builds = g_array_new(FALSE, FALSE, sizeof(rr_machine_type));
     bool found = false;
-    rr_step_init(out);
+    rr_autoscaler_step_init(out);
     for (int i = 0; i < 60 && !found; i++) {
-        rr_core_provisioner_step(n->core, n->now, n->now, out);
+        rr_core_autoscaler_step(n->core, n->now, n->now, out);
         found = out->kind == kind;
         if (found) {
             break;
         }
-        if (out->kind == RR_STEP_TXN) {
+        if (out->kind == RR_AUTOSCALER_COMMIT) {
             fx_commit(w->store, &out->transaction);
             fx_sync(w->store, n->core, n->now);
-        } else if (out->kind == RR_STEP_LIST) {
-            rr_core_listed(n->core, n->now, n->now, n->now, machines ? machines : none);
-        } else if (out->kind == RR_STEP_CATALOG) {
-            rr_core_catalog(n->core, n->now, builds);
-        } else if (out->kind == RR_STEP_NONE && kind == RR_STEP_RELEASE) {
+        } else if (out->kind == RR_AUTOSCALER_LIST) {
+            rr_core_machines_listed(n->core, n->now, n->now, n->now, machines ? machines : none);
+        } else if (out->kind == RR_AUTOSCALER_CATALOG) {
+            rr_core_catalog_read(n->core, n->now, builds);
+        } else if (out->kind == RR_AUTOSCALER_NONE && kind == RR_AUTOSCALER_SCALE_IN) {
             break; /* nothing more to do at this time */
-        } else if (out->kind == RR_STEP_NONE) {
+        } else if (out->kind == RR_AUTOSCALER_NONE) {
             n->now += 1;
         }
-        rr_step_clear(out);
-        rr_step_init(out);
+        rr_autoscaler_step_clear(out);
+        rr_autoscaler_step_init(out);
     }
     g_array_free(none, TRUE);
     g_array_free(builds, TRUE);
@@ -62,29 +63,29 @@
 static void a_rental_is_repeated_under_its_name(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n, b;
-    rr_step s;
+    rr_autoscaler_step s;
     char first[RR_ID];
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
-    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
+    assert_true(step_until(w, RR_AUTOSCALER_SCALE_OUT, NULL, &s));
     assert_int_equal(fx_count(w->store, RR_ROOT "hire/"), 1);
     g_strlcpy(first, s.rental, sizeof first);
-    rr_step_clear(&s); /* the answer never comes: this controller dies */
+    rr_autoscaler_step_clear(&s); /* the answer never comes: this controller dies */
     fx_leave(n);
     fx_node_init(&b, w->store, "n0");
     b.now = n->now;
     fx_sync(w->store, b.core, b.now);
     fx_join(&b, 8);
     fx_world w2 = {w->store, b};
-    assert_true(step_until(&w2, RR_STEP_RENT, NULL, &s));
+    assert_true(step_until(&w2, RR_AUTOSCALER_SCALE_OUT, NULL, &s));
     assert_string_equal(s.rental, first);
     GPtrArray *ids = g_ptr_array_new();
     g_ptr_array_add(ids, "vm-9");
-    rr_core_rented(w2.n.core, w2.n.now, &s, 200, ids);
-    rr_step_clear(&s);
+    rr_core_scale_out_result(w2.n.core, w2.n.now, &s, 200, ids);
+    rr_autoscaler_step_clear(&s);
     for (int i = 0; i < 4; i++) {
-        step_until(&w2, RR_STEP_NONE, NULL, &s);
-        rr_step_clear(&s);
+        step_until(&w2, RR_AUTOSCALER_NONE, NULL, &s);
+        rr_autoscaler_step_clear(&s);
     }
     assert_true(fx_recorded(w->store, "vm-9"));
     assert_int_equal(fx_count(w->store, RR_ROOT "hire/"), 0);
@@ -96,20 +97,20 @@
 static void names_are_not_reused(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     char first[RR_ID];
     GPtrArray *none = g_ptr_array_new();
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
-    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
+    assert_true(step_until(w, RR_AUTOSCALER_SCALE_OUT, NULL, &s));
     g_strlcpy(first, s.rental, sizeof first);
-    rr_core_rented(n->core, n->now, &s, 503, none);
-    rr_step_clear(&s);
-    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
+    rr_core_scale_out_result(n->core, n->now, &s, 503, none);
+    rr_autoscaler_step_clear(&s);
+    assert_true(step_until(w, RR_AUTOSCALER_SCALE_OUT, NULL, &s));
     assert_string_not_equal(s.rental, first);
     /* And the refused zone is left alone for a while. */
     assert_string_equal(s.zone, "b");
-    rr_step_clear(&s);
+    rr_autoscaler_step_clear(&s);
     g_ptr_array_free(none, TRUE);
 }
 
@@ -119,20 +120,20 @@
 static void adoption_and_idle_return(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_listed(machines, "vm-1", "a", RR_LISTED_RUNNING, 500);
     fx_listed(machines, "vm-4", "a", RR_LISTED_RUNNING, 0);
-    assert_true(step_until(w, RR_STEP_NONE, machines, &s));
-    rr_step_clear(&s);
+    assert_true(step_until(w, RR_AUTOSCALER_NONE, machines, &s));
+    rr_autoscaler_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-4"));
     fx_machine(w->store, "vm-3", "b", false, false); /* the first one rented */
     fx_sync(w->store, n->core, n->now);
     n->now += 30;
     fx_listed(machines, "vm-2", "a", RR_LISTED_RUNNING, 10);
     fx_listed(machines, "vm-3", "a", RR_LISTED_RUNNING, 10);
-    assert_true(step_until(w, RR_STEP_NONE, machines, &s));
-    rr_step_clear(&s);
+    assert_true(step_until(w, RR_AUTOSCALER_NONE, machines, &s));
+    rr_autoscaler_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-1"));
     assert_true(fx_recorded(w->store, "vm-2"));
     bool asked = false;
@@ -141,13 +142,13 @@
         fx_report(n, "vm-1", "a", false, 1, i + 1, 1, NULL);
         fx_report(n, "vm-2", "a", false, 1, i + 1, 1, NULL);
         fx_report(n, "vm-4", "a", false, 1, i + 1, 1, NULL);
-        asked = step_until(w, RR_STEP_RELEASE, machines, &s);
+        asked = step_until(w, RR_AUTOSCALER_SCALE_IN, machines, &s);
         for (guint k = 0; asked && k < s.machines->len; k++) {
             assert_string_not_equal(s.machines->pdata[k], "vm-1");
             assert_string_not_equal(s.machines->pdata[k], "vm-4");
         }
         asked = asked && g_ptr_array_find_with_equal_func(s.machines, "vm-2", g_str_equal, NULL);
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
     }
     assert_true(asked);
     g_array_free(machines, TRUE);
@@ -172,14 +173,14 @@
 static void a_cut_zone_is_left_a_dead_machine_is_not(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     three_machines(w, machines);
     for (int i = 0; i < 20; i++) {
         n->now += 2;
         plan_unreachable(n);
-        assert_false(step_until(w, RR_STEP_RELEASE, machines, &s));
-        rr_step_clear(&s);
+        assert_false(step_until(w, RR_AUTOSCALER_SCALE_IN, machines, &s));
+        rr_autoscaler_step_clear(&s);
     }
     /* The cut heals for two of three first: the third is not given up in that moment, but once it
      * alone has stayed silent for as long as any other would be given. */
@@ -190,14 +191,14 @@
         fx_report(n, "vm-2", "a", false, 1, i, 1, NULL);
         plan_unreachable(n);
         fx_provisioner_step(n, machines, &s);
-        if (s.kind == RR_STEP_RELEASE) {
+        if (s.kind == RR_AUTOSCALER_SCALE_IN) {
             asked = true;
             assert_true(i > n->cfg.tune.dead_reports * n->cfg.report_s);
             assert_int_equal(s.machines->len, 1);
             assert_string_equal(s.machines->pdata[0], "vm-3");
             assert_true(fx_recorded(w->store, "vm-3"));
         }
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
     }
     assert_true(asked);
     g_array_free(machines, TRUE);
@@ -208,7 +209,7 @@
 static void a_cut_begins_with_staggered_reports(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     char id[16];
     n->cfg.tune.dead_reports = 1.9;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -232,8 +233,8 @@
             plan_unreachable(n);
         }
         fx_provisioner_step(n, machines, &s);
-        assert_int_not_equal(s.kind, RR_STEP_RELEASE);
-        rr_step_clear(&s);
+        assert_int_not_equal(s.kind, RR_AUTOSCALER_SCALE_IN);
+        rr_autoscaler_step_clear(&s);
     }
     g_array_free(machines, TRUE);
 }
@@ -243,7 +244,7 @@
 static void a_restart_into_a_cut(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     rr_plan p;
     const char *ids[] = {"vm-1", "vm-2", "vm-3", "vm-4"};
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -269,8 +270,8 @@
         w2.n.now += 1;
         fx_report(&w2.n, "vm-1", "a", false, 1, i, 1, NULL);
         plan_reaching(&w2.n, "vm-1");
-        assert_false(step_until(&w2, RR_STEP_RELEASE, machines, &s));
-        rr_step_clear(&s);
+        assert_false(step_until(&w2, RR_AUTOSCALER_SCALE_IN, machines, &s));
+        rr_autoscaler_step_clear(&s);
     }
     g_array_free(machines, TRUE);
     fx_node_clear(&w2.n);
@@ -304,31 +305,31 @@
 static void missing_from_a_late_list(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *one = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_listed(one, "vm-1", "a", RR_LISTED_RUNNING, 3);
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_sync(w->store, n->core, n->now);
     /* The first step makes it provisioner. */
-    rr_step_init(&s);
-    rr_core_provisioner_step(n->core, n->now, n->now, &s);
-    rr_step_clear(&s);
+    rr_autoscaler_step_init(&s);
+    rr_core_autoscaler_step(n->core, n->now, n->now, &s);
+    rr_autoscaler_step_clear(&s);
     n->now += 3;
-    rr_core_listed(n->core, n->now, n->now, n->now, none);
-    step_until(w, RR_STEP_NONE, none, &s);
-    rr_step_clear(&s);
+    rr_core_machines_listed(n->core, n->now, n->now, n->now, none);
+    step_until(w, RR_AUTOSCALER_NONE, none, &s);
+    rr_autoscaler_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-1"));
-    rr_core_listed(n->core, n->now, n->now, n->now, one);
-    rr_core_listed(n->core, n->now + 9, n->now + 9, n->now + 9, none);
+    rr_core_machines_listed(n->core, n->now, n->now, n->now, one);
+    rr_core_machines_listed(n->core, n->now + 9, n->now + 9, n->now + 9, none);
     n->now += 9;
-    step_until(w, RR_STEP_NONE, one, &s);
-    rr_step_clear(&s);
+    step_until(w, RR_AUTOSCALER_NONE, one, &s);
+    rr_autoscaler_step_clear(&s);
     assert_true(fx_recorded(w->store, "vm-1"));
     n->now += 5;
-    rr_core_listed(n->core, n->now, n->now, n->now, none);
-    step_until(w, RR_STEP_NONE, none, &s);
-    rr_step_clear(&s);
+    rr_core_machines_listed(n->core, n->now, n->now, n->now, none);
+    step_until(w, RR_AUTOSCALER_NONE, none, &s);
+    rr_autoscaler_step_clear(&s);
     assert_false(fx_recorded(w->store, "vm-1"));
     g_array_free(none, TRUE);
     g_array_free(one, TRUE);
@@ -340,7 +341,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_plan p;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_machine(w->store, "vm-1", "a", false, false);
     fx_sync(w->store, n->core, n->now);
@@ -354,12 +355,12 @@
     bool asked = false;
     for (int i = 0; i < 10 && !asked; i++) {
         n->now += 5;
-        asked = step_until(w, RR_STEP_RELEASE, machines, &s);
+        asked = step_until(w, RR_AUTOSCALER_SCALE_IN, machines, &s);
         if (asked) {
             assert_false(fx_recorded(w->store, "vm-1"));
-            rr_core_released(n->core, n->now, s.machines);
+            rr_core_scale_in_result(n->core, n->now, s.machines);
         }
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
     }
     assert_true(asked);
     fx_machine(w->store, "vm-2", "a", false, false);
@@ -381,7 +382,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_plan p;
-    rr_step s;
+    rr_autoscaler_step s;
     fx_machine(w->store, "vm-1", "a", false, true);
     fx_sync(w->store, n->core, n->now);
     fx_report(n, "vm-1", "a", false, 1, 1, 1, NULL);
@@ -392,9 +393,9 @@
     assert_int_equal(fx_placed(w->store, "req-000001"), 3);
     fx_machine_gone(w->store, "vm-1");
     fx_sync(w->store, n->core, n->now);
-    assert_true(step_until(w, RR_STEP_RENT, NULL, &s));
+    assert_true(step_until(w, RR_AUTOSCALER_SCALE_OUT, NULL, &s));
     assert_int_equal(fx_placed(w->store, "req-000001"), 3);
-    rr_step_clear(&s);
+    rr_autoscaler_step_clear(&s);
 }
 
 /* vm-1 to vm-`many` in zone a, standing and listed. */
@@ -420,14 +421,14 @@
  * within an interval, while probes fail. Releases asked for. */
 static unsigned released_after_standing(fx_world *w, double still) {
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     const int many = 12;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     unsigned asked = 0;
     standing_fleet(w, many, machines);
     report_each(n, 1, many, 1);
     fx_provisioner_step(n, machines, &s);
-    rr_step_clear(&s);
+    rr_autoscaler_step_clear(&s);
     n->now += still;
     for (int t = 0; t < 60; t++) {
         n->now += n->cfg.report_s / 12;
@@ -439,8 +440,8 @@
         }
         plan_unreachable(n);
         fx_provisioner_step(n, machines, &s);
-        asked += s.kind == RR_STEP_RELEASE;
-        rr_step_clear(&s);
+        asked += s.kind == RR_AUTOSCALER_SCALE_IN;
+        rr_autoscaler_step_clear(&s);
     }
     g_array_free(machines, TRUE);
     return asked;
@@ -461,7 +462,7 @@
                                bool late) {
     fx_node *n = &w->n;
     unsigned asked = 0;
-    rr_step s;
+    rr_autoscaler_step s;
     for (int t = 0; t < seconds && !asked; t++) {
         n->now += 1;
         if (late) {
@@ -472,8 +473,8 @@
         fx_report(n, "vm-2", "a", false, 1, *sequence, 1, NULL);
         plan_unreachable(n);
         fx_provisioner_step(n, machines, &s);
-        asked += s.kind == RR_STEP_RELEASE ? s.machines->len : 0;
-        rr_step_clear(&s);
+        asked += s.kind == RR_AUTOSCALER_SCALE_IN ? s.machines->len : 0;
+        rr_autoscaler_step_clear(&s);
     }
     return asked;
 }
@@ -500,7 +501,7 @@
  * while the zone's controller is heard or not. */
 static unsigned released_of_hung_zone(fx_world *w, bool controller_heard) {
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     const int many = 10, hung = 8;
     unsigned asked = 0;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -518,11 +519,11 @@
         plan_unreachable(n);
         for (int k = 0; k < 3; k++) {
             fx_provisioner_step(n, machines, &s);
-            if (s.kind == RR_STEP_RELEASE && asked == 0) {
+            if (s.kind == RR_AUTOSCALER_SCALE_IN && asked == 0) {
                 assert_true(t > n->cfg.lease_s);
                 asked = s.machines->len;
             }
-            rr_step_clear(&s);
+            rr_autoscaler_step_clear(&s);
         }
     }
     g_array_free(machines, TRUE);
@@ -541,7 +542,7 @@
 static void catalogue_survives_a_lost_transaction(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     rr_machine_type b = {.name = "m2",
                          .cpus = 8,
@@ -553,15 +554,15 @@
     b.zones = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(b.zones, g_strdup("a"));
     g_array_append_val(builds, b);
-    assert_true(step_until(w, RR_STEP_CATALOG, NULL, &s));
-    rr_step_clear(&s);
-    rr_core_catalog(n->core, n->now, builds);
-    rr_step_init(&s);
-    rr_core_provisioner_step(n->core, n->now, n->now, &s);
-    assert_int_equal(s.kind, RR_STEP_TXN);
-    rr_step_clear(&s); /* voided by a change of term, say */
-    step_until(w, RR_STEP_NONE, NULL, &s);
-    rr_step_clear(&s);
+    assert_true(step_until(w, RR_AUTOSCALER_CATALOG, NULL, &s));
+    rr_autoscaler_step_clear(&s);
+    rr_core_catalog_read(n->core, n->now, builds);
+    rr_autoscaler_step_init(&s);
+    rr_core_autoscaler_step(n->core, n->now, n->now, &s);
+    assert_int_equal(s.kind, RR_AUTOSCALER_COMMIT);
+    rr_autoscaler_step_clear(&s); /* voided by a change of term, say */
+    step_until(w, RR_AUTOSCALER_NONE, NULL, &s);
+    rr_autoscaler_step_clear(&s);
     assert_true(fx_mark(w->store, RR_ROOT "build/m2") != 0);
     rr_machine_type_clear(&b);
     g_array_free(builds, TRUE);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -45,7 +45,7 @@
  */
 static bool step(fx_world *w, const char *id) {
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     bool asked = false;
     for (int i = 1; i <= 2; i++) {
@@ -54,15 +54,15 @@
         fx_listed(machines, name, i == 1 ? "a" : "b", RR_LISTED_RUNNING, 500);
     }
     fx_provisioner_step(n, machines, &s);
-    if (s.kind == RR_STEP_RELEASE) {
+    if (s.kind == RR_AUTOSCALER_SCALE_IN) {
         for (guint i = 0; i < s.machines->len; i++) {
             asked = asked || strcmp(s.machines->pdata[i], id) == 0;
         }
         if (asked) {
-            rr_core_released(n->core, n->now, s.machines);
+            rr_core_scale_in_result(n->core, n->now, s.machines);
         }
     }
-    rr_step_clear(&s);
+    rr_autoscaler_step_clear(&s);
     g_array_free(machines, TRUE);
     return asked;
 }
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -480,7 +480,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n, other;
     rr_core_stats st;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fx_node_init(&other, w->store, "n1");
     fx_fleet(n, 1, 40, "a");
@@ -494,7 +494,7 @@
     lower(w->store);
     for (int i = 0; i < 20; i++) {
         fx_provisioner_step(n, machines, &s);
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
         n->now += 0.6;
         fx_node fresh;
         fx_node_init(&fresh, w->store, "n2");
@@ -525,7 +525,7 @@
 static void a_page_that_has_grown(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    rr_step s;
+    rr_autoscaler_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     n->cfg.next_value_kb = n->cfg.next_transaction_changes_max = 0;
     fx_fleet(n, 1, 40, "a");
@@ -538,7 +538,7 @@
     fx_listed(machines, "vm-1", "a", RR_LISTED_FAILED, 0);
     for (int i = 0; i < 20 && fx_recorded(w->store, "vm-1"); i++) {
         fx_provisioner_step(n, machines, &s);
-        rr_step_clear(&s);
+        rr_autoscaler_step_clear(&s);
         n->now += 0.6;
     }
     assert_false(fx_recorded(w->store, "vm-1"));
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -119,7 +119,7 @@
     model->lose_answer = second >= 120 && second < 140;
     model->deaf_peers = model->seed % 3 == 0 && second >= 90 && second < 130;
     model->clock_off_s[2] = model->seed % 2 ? 0 : 0.05;
-    model->provisioner = second >= 150 && second < 160 ? -1 : (int)(second / 80) % 3;
+    model->autoscaler = second >= 150 && second < 160 ? -1 : (int)(second / 80) % 3;
     if (second == 170) {
         model_restart(model, (int)(model->seed % MODEL_CONTROLLERS));
     }
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -41,7 +41,7 @@
         }
         g_array_append_val(builds, build);
     }
-    rr_core_catalog(controller->node.core, world->now, builds);
+    rr_core_catalog_read(controller->node.core, world->now, builds);
     for (guint i = 0; i < builds->len; i++) {
         rr_machine_type_clear(&g_array_index(builds, rr_machine_type, i));
     }
@@ -68,7 +68,8 @@
         g_strlcpy(entry.zone, machine->zone, sizeof entry.zone);
         g_array_append_val(list, entry);
     }
-    rr_core_listed(controller->node.core, world->now - 0.2, world->now, trace_wall(world), list);
+    rr_core_machines_listed(controller->node.core, world->now - 0.2, world->now, trace_wall(world),
+                            list);
     g_array_free(list, TRUE);
 }
 
@@ -92,13 +93,13 @@
 }
 
 /* The same name asked for again gets the same machines. */
-static GPtrArray *rent(struct trace_world *world, const rr_step *step) {
+static GPtrArray *rent(struct trace_world *world, const rr_autoscaler_step *step) {
     GPtrArray *ids = g_hash_table_lookup(world->rentals, step->rental);
     if (ids) {
         return ids;
     }
     int room = world->scenario.cloud_machines - rented_now(world);
-    int count = MIN(step->how_many, room);
+    int count = MIN(step->count, room);
     if (count <= 0) {
         return NULL;
     }
@@ -118,17 +119,18 @@
 }
 
 static void answer_rental(struct trace_world *world, struct trace_controller *controller,
-                          const rr_step *step) {
+                          const rr_autoscaler_step *step) {
     GPtrArray *none = g_ptr_array_new();
     bool refused = world->zone_empty_until > world->now;
     GPtrArray *ids = refused ? NULL : rent(world, step);
     int status = trace_chance(world, 0.1) ? 0 : ids ? 200 : 503;
-    rr_core_rented(controller->node.core, world->now, step, status, status == 200 ? ids : none);
+    rr_core_scale_out_result(controller->node.core, world->now, step, status,
+                             status == 200 ? ids : none);
     g_ptr_array_free(none, TRUE);
 }
 
 static void answer_release(struct trace_world *world, struct trace_controller *controller,
-                           const rr_step *step) {
+                           const rr_autoscaler_step *step) {
     for (guint i = 0; i < step->machines->len; i++) {
         struct trace_machine *machine =
             g_hash_table_lookup(world->machine_by_id, g_ptr_array_index(step->machines, i));
@@ -138,31 +140,31 @@
         }
     }
     if (!trace_chance(world, 0.1)) {
-        rr_core_released(controller->node.core, world->now, step->machines);
+        rr_core_scale_in_result(controller->node.core, world->now, step->machines);
     }
 }
 
 void trace_cloud_step(struct trace_world *world, struct trace_controller *controller,
-                      rr_step *step) {
-    rr_core_provisioner_step(controller->node.core, world->now, trace_wall(world), step);
+                      rr_autoscaler_step *step) {
+    rr_core_autoscaler_step(controller->node.core, world->now, trace_wall(world), step);
     trace_step(&world->hash, step);
     switch (step->kind) {
-    case RR_STEP_CATALOG:
+    case RR_AUTOSCALER_CATALOG:
         answer_catalogue(world, controller);
         break;
-    case RR_STEP_LIST:
+    case RR_AUTOSCALER_LIST:
         answer_list(world, controller);
         break;
-    case RR_STEP_TXN:
+    case RR_AUTOSCALER_COMMIT:
         trace_commit(world, controller, &step->transaction);
         break;
-    case RR_STEP_RENT:
+    case RR_AUTOSCALER_SCALE_OUT:
         answer_rental(world, controller, step);
         break;
-    case RR_STEP_RELEASE:
+    case RR_AUTOSCALER_SCALE_IN:
         answer_release(world, controller, step);
         break;
-    case RR_STEP_NONE:
+    case RR_AUTOSCALER_NONE:
         break;
     }
 }
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -431,10 +431,10 @@
 
 static void step_provisioner(struct trace_world *world, struct trace_controller *controller) {
     for (int i = 0; i < 3; i++) {
-        rr_step step;
-        rr_step_init(&step);
+        rr_autoscaler_step step;
+        rr_autoscaler_step_init(&step);
         trace_cloud_step(world, controller, &step);
-        rr_step_clear(&step);
+        rr_autoscaler_step_clear(&step);
     }
 }
 
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -81,14 +81,14 @@
     trace_decimal(hash, plan->next_s);
 }
 
-void trace_step(trace_hash *hash, const rr_step *step) {
+void trace_step(trace_hash *hash, const rr_autoscaler_step *step) {
     trace_int(hash, step->kind);
     trace_txn(hash, &step->transaction);
     trace_text(hash, step->rental);
     trace_text(hash, step->machine_type);
     trace_text(hash, step->zone);
     trace_int(hash, step->spot);
-    trace_int(hash, (uint64_t)step->how_many);
+    trace_int(hash, (uint64_t)step->count);
     trace_int(hash, step->machines->len);
     for (guint i = 0; i < step->machines->len; i++) {
         trace_text(hash, g_ptr_array_index(step->machines, i));
--- a/tests/trace_hash.h
+++ b/tests/trace_hash.h
@@ -20,7 +20,7 @@
 void trace_txn(trace_hash *hash, const rr_transaction *txn);
 void trace_command(trace_hash *hash, const rr_command_batch *command);
 void trace_plan(trace_hash *hash, const rr_plan *plan);
-void trace_step(trace_hash *hash, const rr_step *step);
+void trace_step(trace_hash *hash, const rr_autoscaler_step *step);
 void trace_answer(trace_hash *hash, const struct rr_heartbeat_reply *answer);
 void trace_job_view(trace_hash *hash, const rr_job_view *view);
 void trace_submission(trace_hash *hash, const rr_submission *submission);
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -444,7 +444,7 @@
     trace_decimal(hash, shares.requests);
     trace_decimal(hash, shares.users);
     trace_decimal(hash, shares.plans);
-    trace_decimal(hash, shares.provisioner);
+    trace_decimal(hash, shares.autoscaler);
     for (int i = 0; i < world->scenario.teams; i++) {
         trace_text(hash, rr_core_team_owner(core, team_names[i]));
     }
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -145,7 +145,7 @@
 
 /* ---- trace_cloud.c ---- */
 void trace_cloud_step(struct trace_world *world, struct trace_controller *controller,
-                      rr_step *step);
+                      rr_autoscaler_step *step);
 
 /* ---- trace_users.c ---- */
 void trace_users(struct trace_world *world, double seconds);
