--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -157,10 +157,10 @@
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     rr_admission_key key;
     rr_admission_key_of(submission, admission->settings->band_limits, &key);
-    if (!standing->all_able) {
+    if (!standing->all_capable) {
         return verdict;
     }
-    bool stale = !standing->entitled ||
+    bool stale = !standing->lease_valid ||
                  standing->cache_age_s > rr_admission_counts_s(admission->settings->interval_s);
     if (!stale) {
         verdict = rr_admission_decide(&tables, wall, admission->config->clock_off_s, &key,
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -27,8 +27,8 @@
 /* ---- submissions ---- */
 /* What a controller knows of its own standing. */
 typedef struct {
-    bool entitled;        /* its session holds, and the term names it */
-    bool all_able;        /* every controller of the term takes part */
+    bool lease_valid;     /* its session holds, and the term names it */
+    bool all_capable;     /* every controller of the term takes part */
     double cache_age_s;   /* since the store cache surely had every change */
     unsigned controllers; /* of the last known term */
 } rr_admission_standing;
--- a/src/app/admission_duty.c
+++ b/src/app/admission_duty.c
@@ -79,10 +79,10 @@
 static rr_admission_standing standing_of(struct rr_app *a) {
     double now = rr_now();
     pthread_mutex_lock(&a->lock);
-    rr_admission_standing standing = {.entitled = rr_core_entitled(a->core, now),
-                                      .all_able = rr_core_all_admit(a->core),
+    rr_admission_standing standing = {.lease_valid = rr_core_lease_valid(a->core, now),
+                                      .all_capable = rr_core_all_admission_capable(a->core),
                                       .cache_age_s = rr_core_cache_age(a->core, now),
-                                      .controllers = rr_core_live(a->core)};
+                                      .controllers = rr_core_live_controllers(a->core)};
     pthread_mutex_unlock(&a->lock);
     return standing;
 }
@@ -115,7 +115,7 @@
         return;
     }
     pthread_mutex_lock(&a->lock);
-    uint64_t token = rr_core_token(a->core);
+    uint64_t token = rr_core_fencing_token(a->core);
     pthread_mutex_unlock(&a->lock);
     pthread_mutex_lock(&state->lock);
     int rc = rr_admission_heard(state->admission, (size_t)peer, token, data, len, rr_now());
@@ -174,8 +174,8 @@
     state->told_for = edge;
     settle(a);
     pthread_mutex_lock(&a->lock);
-    bool able = rr_core_all_admit(a->core);
-    uint64_t token = rr_core_token(a->core);
+    bool able = rr_core_all_admission_capable(a->core);
+    uint64_t token = rr_core_fencing_token(a->core);
     pthread_mutex_unlock(&a->lock);
     GByteArray *view = g_byte_array_new();
     pthread_mutex_lock(&state->lock);
@@ -204,7 +204,7 @@
     double now = rr_now();
     pthread_mutex_lock(&a->lock);
     bool writes = rr_core_cache_consistent(a->core) && rr_core_is_autoscaler(a->core, now) &&
-                  rr_core_all_admit(a->core);
+                  rr_core_all_admission_capable(a->core);
     if (writes) {
         rr_load_begin(&state->load);
         rr_core_each_machine(a->core, visit_machine, &state->load);
@@ -289,7 +289,7 @@
     pthread_mutex_lock(&a->lock);
     pthread_mutex_lock(&state->lock);
     const rr_admission_table *table = rr_admission_table_at(state->admission, wall);
-    bool fresh = table && table->active && rr_core_all_admit(a->core) &&
+    bool fresh = table && table->active && rr_core_all_admission_capable(a->core) &&
                  wall < table->starts_at + rr_admission_counts_s(table->length_s);
     uint64_t rooms_of = fresh ? table->sequence : 0;
     if (fresh && rooms_of != state->rooms_of) {
--- a/src/app/cells_duty.c
+++ b/src/app/cells_duty.c
@@ -545,7 +545,7 @@
 /* ---- life ---- */
 
 static rr_budget *neighbour_budget(const struct rr_app *a, size_t neighbour) {
-    struct rr_shares all = {1, 1, 1, 1};
+    struct rr_budget_shares all = {1, 1, 1, 1};
     if (!a->cells_settings.neighbours[neighbour].claimable) {
         return NULL;
     }
--- a/src/app/door_duty.c
+++ b/src/app/door_duty.c
@@ -13,9 +13,9 @@
  * service users are to be told, so that the door opens after a session's time at the latest. */
 void *rr_duty_door(void *app) {
     struct rr_app *a = app;
-    double until = rr_now() + rr_session_s(&a->cfg);
+    double until = rr_now() + rr_session_lease_s(&a->cfg);
     pthread_mutex_lock(&a->lock);
-    while (!rr_duty_stopping(a) && !rr_core_entitled(a->core, rr_now()) && rr_now() < until) {
+    while (!rr_duty_stopping(a) && !rr_core_lease_valid(a->core, rr_now()) && rr_now() < until) {
         rr_app_wait(a, &a->mirrored, &a->lock, until - rr_now());
     }
     pthread_mutex_unlock(&a->lock);
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -207,7 +207,7 @@
  * service refuses and whose mirror does not bring it the cancellation. */
 void rr_app_tell_cancelled(struct rr_app *a, const char *ref) {
     pthread_mutex_lock(&a->lock);
-    bool able = rr_core_peers_able(a->core);
+    bool able = rr_core_all_gang_capable(a->core);
     pthread_mutex_unlock(&a->lock);
     if (able) {
         rr_peers_cancelled(a->peers, ref, rr_now() + a->cfg.cancel_s);
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -87,7 +87,7 @@
         return 1;
     }
     rr_log(RR_INFO_LEVEL, "ringrock %s in %s, session %.1f s", RINGROCK_VERSION, app->cfg.zone,
-           rr_session_s(&app->cfg));
+           rr_session_lease_s(&app->cfg));
     while (sem_wait(&quit) != 0 && errno == EINTR) {
     }
     rr_log(RR_INFO_LEVEL, "stopping");
--- a/src/app/mirror_duty.c
+++ b/src/app/mirror_duty.c
@@ -137,7 +137,7 @@
         }
         pthread_mutex_lock(&a->lock);
         uint64_t from = rr_core_revision(a->core);
-        unsigned live = rr_core_live(a->core);
+        unsigned live = rr_core_live_controllers(a->core);
         pthread_mutex_unlock(&a->lock);
         /* A watch ends with the first change, and the next one is a request: under load changes
          * gather, so that watches take a quarter of the limit of requests at most. */
--- a/src/app/session_duty.c
+++ b/src/app/session_duty.c
@@ -9,7 +9,7 @@
 
 /* Our steady clock may run slow against the store's: drift and a little more come off. */
 static void set_session(struct rr_app *a, uint64_t tether, double sent) {
-    double until = sent + rr_session_s(&a->cfg) * 0.998 - 0.1;
+    double until = sent + rr_session_lease_s(&a->cfg) * 0.998 - 0.1;
     pthread_mutex_lock(&a->user_lock);
     a->lease_id = tether;
     pthread_mutex_unlock(&a->user_lock);
@@ -25,7 +25,7 @@
 static int take_session(struct rr_app *a, rr_store *s, uint64_t *tether) {
     char key[RR_NAME + 16];
     uint64_t mark = 0, old = 0, epoch;
-    double life = rr_session_s(&a->cfg);
+    double life = rr_session_lease_s(&a->cfg);
     rr_document doc;
     rr_transaction t;
     rr_encoder o;
@@ -43,7 +43,7 @@
     }
     rr_transaction_init(&t);
     rr_encoder_init(&o);
-    rr_core_node_put(&a->cfg, &o, *tether);
+    rr_core_encode_session(&a->cfg, &o, *tether);
     rr_transaction_guard(&t, key, mark);
     rr_transaction_put(&t, key, &o, *tether);
     rc = rr_store_commit(s, RR_REQUEST_SESSION, &t, 1.5, &epoch, NULL) == RR_COMMIT_DONE ? 0
@@ -114,7 +114,7 @@
     struct rr_app *a = app;
     rr_usage_enter(RR_USE_SESSION);
     rr_store *s = rr_duty_open_store(a);
-    double life = rr_session_s(&a->cfg), step = life / 8 < 0.3 ? 0.3 : life / 8, since = 0;
+    double life = rr_session_lease_s(&a->cfg), step = life / 8 < 0.3 ? 0.3 : life / 8, since = 0;
     uint64_t tether = 0;
     double renewed = 0;
     while (!rr_duty_stopping(a)) {
--- a/src/app/term_duty.c
+++ b/src/app/term_duty.c
@@ -51,10 +51,10 @@
         rr_transaction_init(&t);
         pthread_mutex_lock(&a->lock);
         bool change = rr_core_next_term(a->core, rr_now(), rr_wall(), &t);
-        uint64_t token = rr_core_token(a->core);
-        unsigned live = rr_core_live(a->core);
-        struct rr_shares shares;
-        rr_core_shares(a->core, &shares);
+        uint64_t token = rr_core_fencing_token(a->core);
+        unsigned live = rr_core_live_controllers(a->core);
+        struct rr_budget_shares shares;
+        rr_core_budget_shares(a->core, &shares);
         if (!change) {
             rr_app_wait(a, &a->mirrored, &a->lock, 1.0);
         }
--- a/src/app/users_duty.c
+++ b/src/app/users_duty.c
@@ -158,7 +158,7 @@
     while (!rr_duty_stopping(a)) {
         wait_for_polls(a);
         pthread_mutex_lock(&a->lock);
-        unsigned live = rr_core_live(a->core);
+        unsigned live = rr_core_live_controllers(a->core);
         pthread_mutex_unlock(&a->lock);
         /* Under load polls gather: reads take a sixth of the limit. */
         rr_sleep(last + 6.0 * (live ? live : 1) / a->cfg.state_rps - rr_now());
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -55,7 +55,7 @@
 
 void rr_absent_end(rr_absent *absent, double now) {
     rr_core_cache_end_reload(absent->mirror, 1, 1, now);
-    absent->token = rr_core_token(absent->mirror);
+    absent->token = rr_core_fencing_token(absent->mirror);
 }
 
 void rr_absent_confirm(rr_absent *absent, bool no_sessions, double now) {
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -135,7 +135,7 @@
 /* ---- driving ---- */
 
 static bool load(rr_transfers *transfers, rr_incoming *entry, bool running, double now) {
-    uint64_t token = rr_core_token(transfers->core);
+    uint64_t token = rr_core_fencing_token(transfers->core);
     if (entry->token != token && !entry->guest.writes) {
         rr_guest_record record = {entry->record.state, entry->record.claim, entry->record.answer};
         rr_guest_load(&entry->guest, &record, running, transfers->process);
@@ -245,7 +245,7 @@
 
 bool rr_incoming_ready(rr_transfers *transfers, const rr_incoming *entry, double now) {
     return rr_transfers_owns(transfers, entry->record.team, now) &&
-           entry->token == rr_core_token(transfers->core) && !entry->guest.writes;
+           entry->token == rr_core_fencing_token(transfers->core) && !entry->guest.writes;
 }
 
 void rr_incoming_look(rr_transfers *transfers, size_t neighbour, double now,
@@ -267,7 +267,7 @@
     rr_cells_local_id(transfers->settings->neighbours[neighbour].name, asked->job_id,
                       asked->message.claim, local_id, sizeof local_id);
     rr_incoming *entry = g_hash_table_lookup(transfers->incoming, local_id);
-    if (entry && entry->token == rr_core_token(transfers->core)) {
+    if (entry && entry->token == rr_core_fencing_token(transfers->core)) {
         rr_guest_receive(&entry->guest, reply, false, &transfers->settings->times);
     }
 }
@@ -315,7 +315,7 @@
 /* A cell whose own jobs wait has none for others. */
 static bool has_room(const rr_transfers *transfers) {
     return !transfers->spill.spilling && transfers->own_wait_s <= transfers->settings->end_wait_s &&
-           rr_core_all_hold(transfers->core);
+           rr_core_all_hold_capable(transfers->core);
 }
 
 rr_cells_room rr_transfers_room(rr_transfers *transfers, double now) {
@@ -357,7 +357,7 @@
 static void fill_record(rr_transfers *transfers, rr_incoming *entry, size_t neighbour,
                         const rr_cells_item *item, const char *team, double now) {
     entry->neighbour = (int)neighbour;
-    entry->token = rr_core_token(transfers->core);
+    entry->token = rr_core_fencing_token(transfers->core);
     entry->loaded_at = now;
     entry->guest.process = transfers->process;
     g_strlcpy(entry->record.team, team, sizeof entry->record.team);
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -162,7 +162,7 @@
 
 static bool load(rr_transfers *transfers, rr_outgoing *entry, double now) {
     rr_core_job job;
-    uint64_t token = rr_core_token(transfers->core);
+    uint64_t token = rr_core_fencing_token(transfers->core);
     if (entry->token == token) {
         return true;
     }
@@ -350,7 +350,7 @@
             drive(transfers, entry, neighbour, now, wall, plan);
         }
     }
-    if (may_offer && rr_core_all_hold(transfers->core)) {
+    if (may_offer && rr_core_all_hold_capable(transfers->core)) {
         choose_offers(transfers, neighbour, now, wall, plan);
     }
 }
@@ -402,7 +402,7 @@
                          const rr_transfer_message *message, double now, double wall,
                          rr_transfer_write *write) {
     rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
-    if (!entry || entry->token != rr_core_token(transfers->core)) {
+    if (!entry || entry->token != rr_core_fencing_token(transfers->core)) {
         return false;
     }
     transfers->stats.refused++;
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -208,10 +208,10 @@
  * takes over, records. */
 static const char *work_out_times(rr_cells_settings *out) {
     double longest = out->lease_s * (1 + 2 * out->drift);
-    out->times =
-        (rr_transfer_times){.lease_s = out->lease_s,
-                            .rest_s = platform->cancel_s + rr_session_s(platform) + out->stop_s,
-                            .drift = out->drift};
+    out->times = (rr_transfer_times){.lease_s = out->lease_s,
+                                     .rest_s = platform->cancel_s + rr_session_lease_s(platform) +
+                                               out->stop_s,
+                                     .drift = out->drift};
     if (longest + platform->lease_s + out->stop_s >= platform->cancel_s) {
         return "lease_s: with stop_s and the platform's lease_s it must be below its cancel_s";
     }
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -63,7 +63,7 @@
 bool rr_transfers_owns(const rr_transfers *transfers, const char *team, double now) {
     const char *owner = rr_core_team_owner(transfers->core, team);
     return owner && strcmp(owner, transfers->config->node_name) == 0 &&
-           rr_core_cache_consistent(transfers->core) && rr_core_entitled(transfers->core, now);
+           rr_core_cache_consistent(transfers->core) && rr_core_lease_valid(transfers->core, now);
 }
 
 bool rr_transfers_speaks_for(const rr_transfers *transfers, const char *team, double now) {
@@ -94,7 +94,7 @@
 
 void rr_transfers_look(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
                        double wall, rr_transfers_plan *out) {
-    if (rr_core_cache_consistent(transfers->core) && rr_core_entitled(transfers->core, now)) {
+    if (rr_core_cache_consistent(transfers->core) && rr_core_lease_valid(transfers->core, now)) {
         rr_incoming_look(transfers, neighbour, now, out);
         rr_outgoing_look(transfers, neighbour, may_offer, now, wall, out);
     }
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -64,7 +64,7 @@
         return home;
     }
     uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX, RR_PIECES_MAX / planner->c->chunk + 1);
-    for (uint32_t chunk = first; rr_all_able(planner->c) && chunk < end; chunk++) {
+    for (uint32_t chunk = first; rr_all_gang_capable(planner->c) && chunk < end; chunk++) {
         if (has_room(planner, record_at(job, chunk))) {
             return chunk;
         }
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -111,7 +111,7 @@
 
 /* The lease of a session: short, so that another takes over soon from one that has lost the state
  * service; longer than an ordinary restart takes. */
-static inline double rr_session_s(const struct rr_config *c) {
+static inline double rr_session_lease_s(const struct rr_config *c) {
     return c->tune.session_share * (c->cancel_s - c->lease_s);
 }
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -52,24 +52,24 @@
 /* The mirror has every change made before this time: workers' reports may be answered for
  * rr_heartbeat_reply_s from there, longer than the session lasts. */
 void rr_core_set_cache_current(rr_core *c, double at);
-bool rr_core_entitled(const rr_core *c, double now);
+bool rr_core_lease_valid(const rr_core *c, double now);
 /* The shell's own timers have just fired late: there is more work than processor time. */
 void rr_core_set_late(rr_core *c, double now);
 bool rr_core_late(const rr_core *c, double now, double within); /* so, not longer ago than this */
 /* Whether our node key stands in the mirror with this lease. */
 bool rr_core_session_seen(const rr_core *c, uint64_t tether);
-void rr_core_node_put(const struct rr_config *cfg, rr_encoder *o, uint64_t tether);
+void rr_core_encode_session(const struct rr_config *cfg, rr_encoder *o, uint64_t tether);
 /* The transaction that makes the next term if the sessions differ from the present one; false:
  * nothing to change. */
 bool rr_core_next_term(rr_core *c, double now, double wall, rr_transaction *out);
-unsigned rr_core_live(const rr_core *c);
+unsigned rr_core_live_controllers(const rr_core *c);
 /* This controller's part of what the store allows a second, by what it has to write: requests, and
  * changes for users, its plans and the provisioner's records. */
-struct rr_shares {
+struct rr_budget_shares {
     double requests, users, plans, autoscaler;
 };
-void rr_core_shares(const rr_core *c, struct rr_shares *out);
-uint64_t rr_core_token(const rr_core *c);
+void rr_core_budget_shares(const rr_core *c, struct rr_budget_shares *out);
+uint64_t rr_core_fencing_token(const rr_core *c);
 bool rr_core_is_autoscaler(const rr_core *c, double now);
 
 /* ---- users ---- */
@@ -119,7 +119,7 @@
 /* Another controller has confirmed this job's cancellation to its user. */
 void rr_core_cancel_hint(rr_core *c, const char *job_id, double now);
 /* Every controller of the term reads what this version tells its peers beside the one before. */
-bool rr_core_peers_able(const rr_core *c);
+bool rr_core_all_gang_capable(const rr_core *c);
 void rr_core_reply_to_heartbeat(rr_core *c, double now, const rr_heartbeat *r,
                                 struct rr_heartbeat_reply *out);
 
@@ -202,7 +202,7 @@
 /* A change that only this term's provisioner may make. */
 void rr_core_guard_term(const rr_core *c, rr_transaction *t);
 /* Every controller of the term takes part in fair admission. */
-bool rr_core_all_admit(const rr_core *c);
+bool rr_core_all_admission_capable(const rr_core *c);
 double rr_core_cache_age(const rr_core *c, double now); /* it surely had every change before */
 /* Under overload no team fills more than its part of all room (rooms, by team of the settings)
  * while others wait; NULL: no overload. The rooms are copied. */
@@ -233,7 +233,7 @@
 typedef void (*rr_core_spillable_fn)(void *user, const rr_submission *submission, double at);
 void rr_core_each_spillable(const rr_core *c, double now, rr_core_spillable_fn fn, void *user);
 /* Every controller of the term keeps the holds below. */
-bool rr_core_all_hold(const rr_core *c);
+bool rr_core_all_hold_capable(const rr_core *c);
 /* The job's cancellation is confirmed, by its record or a peer's word. */
 bool rr_core_job_cancelled(const rr_core *c, const char *job_id, double now);
 
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -79,7 +79,7 @@
         rr_encode_text(o, rr_name_index_at(&c->zones, m->zone));
         rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->operator_owned ? FLAG_OWN : 0) |
                                     (m->to_release ? FLAG_RET : 0)));
-        rr_encode_u64(o, m->born > 0 ? (uint64_t)m->born : 0);
+        rr_encode_u64(o, m->created_at > 0 ? (uint64_t)m->created_at : 0);
     }
 }
 
@@ -124,7 +124,7 @@
     m->spot = flags & FLAG_SPOT;
     m->operator_owned = flags & FLAG_OWN;
     c->ever_rented = c->ever_rented || !m->operator_owned;
-    rr_object_number(&f[5], &m->born);
+    rr_object_number(&f[5], &m->created_at);
     if (!m->heartbeat_seen && addr[0]) {
         g_strlcpy(m->addr, addr, sizeof m->addr);
     }
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -123,7 +123,7 @@
     c->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rental_free);
     c->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->stray_failed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    c->term.nodes = g_array_new(FALSE, TRUE, sizeof(rr_session));
+    c->term.members = g_array_new(FALSE, TRUE, sizeof(rr_session));
     c->cut_at = g_array_new(FALSE, TRUE, sizeof(double));
     c->arrivals = g_array_new(FALSE, FALSE, sizeof(rr_job *));
     c->plan_moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
@@ -149,7 +149,7 @@
     g_hash_table_destroy(c->batches);
     g_ptr_array_free(c->dirty, TRUE);
     g_ptr_array_free(c->garbage, TRUE);
-    g_array_free(c->term.nodes, TRUE);
+    g_array_free(c->term.members, TRUE);
     g_hash_table_destroy(c->stray_failed);
     g_hash_table_destroy(c->refused);
     g_hash_table_destroy(c->rentals);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -113,8 +113,8 @@
     bool recorded, operator_owned, scaling_in;
     bool gone; /* was recorded: proven gone, with all that was on it */
     bool seen_in_reload;
-    bool dirty;  /* on the core's list of machines to reconcile */
-    double born; /* wall */
+    bool dirty;        /* on the core's list of machines to reconcile */
+    double created_at; /* wall */
     uint32_t page;
     double scaling_in_at; /* when the mirror first showed ret */
     GArray *places;       /* rr_placement */
@@ -166,14 +166,14 @@
 typedef struct {
     char name[RR_NAME];
     uint64_t lease_id;
-    bool holds;    /* keeps holds of other cells' jobs */
-    uint64_t able; /* 0: a version that knows no gangs; not kept in terms */
+    bool keeps_holds;      /* keeps holds of other cells' jobs */
+    uint64_t capabilities; /* 0: a version that knows no gangs; not kept in terms */
 } rr_session;
 
 typedef struct {
     uint64_t token, version;
-    GArray *nodes; /* rr_session */
-    double born;   /* wall, of the first term */
+    GArray *members;      /* rr_session */
+    double first_term_at; /* wall, of the first term */
 } rr_term;
 
 typedef struct {
@@ -371,21 +371,21 @@
 void rr_rental_key(const char *name, char *out, size_t size);
 
 /* term.c */
-bool rr_in_term(const rr_core *c);
+bool rr_is_member(const rr_core *c);
 /* Every controller of the term knows gangs. One that comes back in an older version ends that. */
-bool rr_all_able(const rr_core *c);
+bool rr_all_gang_capable(const rr_core *c);
 /* So does each of them, and takes part in fair admission. */
 #define RR_ABLE_GANGS 1
 #define RR_ABLE_ADMISSION 2
-bool rr_all_able_to(const rr_core *c, uint64_t able);
+bool rr_all_capable(const rr_core *c, uint64_t able);
 /* A number that no other attempt has, of whatever controller and term; later ones are higher within
  * a team. */
 uint64_t rr_next_attempt(rr_core *c);
 uint64_t rr_attempt_token(uint64_t attempt); /* of the term in which it was booked */
-guint rr_attempt_place(uint64_t attempt);    /* and the place there of who booked it */
-guint rr_term_place(const rr_core *c);       /* this controller's place in the term */
+guint rr_attempt_member(uint64_t attempt);   /* and the place there of who booked it */
+guint rr_member_index(const rr_core *c);     /* this controller's place in the term */
 bool rr_owns_team(const rr_core *c, int team);
-void rr_term_assign(rr_core *c); /* finds owners and provisioner of a new term */
+void rr_assign_shards(rr_core *c); /* finds owners and provisioner of a new term */
 
 /* troubles.c */
 bool rr_machine_quiet(const rr_core *c, const rr_machine *m, double now); /* does not report on */
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -59,8 +59,8 @@
     rr_transaction_guard(t, RR_ROOT "term", c->term.version);
 }
 
-bool rr_core_all_admit(const rr_core *c) {
-    return rr_all_able_to(c, RR_ABLE_ADMISSION);
+bool rr_core_all_admission_capable(const rr_core *c) {
+    return rr_all_capable(c, RR_ABLE_ADMISSION);
 }
 
 double rr_core_cache_age(const rr_core *c, double now) {
@@ -81,8 +81,8 @@
     int index = rr_config_team(c->cfg, team);
     int place =
         index >= 0 && (guint)index < c->owners->len ? g_array_index(c->owners, int, index) : -1;
-    bool known = place >= 0 && (guint)place < c->term.nodes->len;
-    return known ? g_array_index(c->term.nodes, rr_session, place).name : NULL;
+    bool known = place >= 0 && (guint)place < c->term.members->len;
+    return known ? g_array_index(c->term.members, rr_session, place).name : NULL;
 }
 
 void rr_job_final_record(const rr_job *job, rr_transaction *t) {
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -507,7 +507,7 @@
 }
 
 void rr_core_plan(rr_core *c, double now, double wall, rr_plan *out) {
-    if (!rr_core_entitled(c, now) || !rr_core_cache_consistent(c) || c->anew) {
+    if (!rr_core_lease_valid(c, now) || !rr_core_cache_consistent(c) || c->anew) {
         return;
     }
     struct rr_planner p = {.c = c, .now = now, .wall = wall, .out = out};
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -59,10 +59,11 @@
         }
         m = rr_machine_get(c, s->id, now);
         m->to_record = true;
-        m->born = wall - s->age_s;
+        m->created_at = wall - s->age_s;
         /* There before the service's first term, or before it first rented anything: the operators'
          * own machines. (A list may give them no age when all start together.) */
-        m->operator_owned = !m->rented && (m->born < c->term.born - 5 || !c->ever_rented);
+        m->operator_owned =
+            !m->rented && (m->created_at < c->term.first_term_at - 5 || !c->ever_rented);
     }
     if (m->machine_type < 0) {
         m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
@@ -131,7 +132,7 @@
     m->operator_owned = false;
     if (!m->recorded) {
         m->to_record = true;
-        m->born = m->born > 0 ? m->born : c->rented_at;
+        m->created_at = m->created_at > 0 ? m->created_at : c->rented_at;
         m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
         m->zone = rr_name_index_add(&c->zones, s->zone);
         m->spot = s->spot;
@@ -310,7 +311,7 @@
     if (rr_machine_reborn(m, now)) {
         return "back under its name with its counts begun anew";
     }
-    if (!m->heartbeat_seen && wall - m->born > 4 * boot + 30 && empty &&
+    if (!m->heartbeat_seen && wall - m->created_at > 4 * boot + 30 && empty &&
         now - c->provisioner_since > 2 * boot) {
         return "never came up";
     }
@@ -332,7 +333,7 @@
         return;
     }
     bool idle = m->surplus && empty && !m->operator_owned &&
-                now - m->idle_since > c->cfg->tune.idle_return_s && wall - m->born > 60;
+                now - m->idle_since > c->cfg->tune.idle_return_s && wall - m->created_at > 60;
     if (m->to_release || m->scaling_in || !(why || idle)) {
         return;
     }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -318,7 +318,7 @@
         const rr_job *j = g_array_index(c->arrivals, rr_job *, k);
         if (strcmp(j->submission.job_class, job_class) == 0) {
             *last = j;
-            tasks += j->at > c->term.born + START_STOCK_S ? j->submission.task_count : 0;
+            tasks += j->at > c->term.first_term_at + START_STOCK_S ? j->submission.task_count : 0;
         }
     }
     return tasks;
@@ -337,7 +337,7 @@
 static void demand_headroom(struct sim *s) {
     rr_core *c = s->c;
     rr_arrivals_trim(c, s->wall);
-    double span = fmin(RR_ARRIVALS_S, fmax(60, s->wall - c->term.born));
+    double span = fmin(RR_ARRIVALS_S, fmax(60, s->wall - c->term.first_term_at));
     for (size_t i = 0; i < c->cfg->nobjectives; i++) {
         const struct rr_objective *o = &c->cfg->objectives[i];
         const rr_job *last;
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -155,7 +155,7 @@
     } else if (m->recorded && m->to_release != m->scaling_in) {
         change_page(p, m->page); /* written with the new flag; the mirror follows */
     } else if (to_record(p->c, m, now) && (list = page_with_room(p, m))) {
-        m->born = m->born > 0 ? m->born : wall;
+        m->created_at = m->created_at > 0 ? m->created_at : wall;
         g_ptr_array_add(list, m);
         rr_log_at(p->c, RR_LOG_DEBUG, "record %s (%s)", m->name,
                   m->operator_owned ? "standing" : "rented");
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -221,7 +221,7 @@
  * whether a copy of its start may still be on its way and has to find the attempt there. */
 static bool clears_line(const rr_core *c, const rr_task_status *r, double now) {
     if (r->state == RR_TASK_ENDED && rr_attempt_token(r->attempt) == c->term.token) {
-        return rr_attempt_place(r->attempt) == rr_term_place(c);
+        return rr_attempt_member(r->attempt) == rr_member_index(c);
     }
     return rr_core_is_autoscaler(c, now);
 }
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -234,7 +234,7 @@
 }
 
 static void want(const rr_core *c, int place, uint32_t *peers) {
-    if (place >= 0 && (guint)place < c->term.nodes->len && place < RR_MAX_NODES &&
+    if (place >= 0 && (guint)place < c->term.members->len && place < RR_MAX_NODES &&
         c->peer_at[place] >= 0) {
         *peers |= 1u << c->peer_at[place];
     }
@@ -267,10 +267,10 @@
 }
 
 static const char *other_node(const rr_core *c, const rr_heartbeat *r) {
-    guint n = c->term.nodes->len;
+    guint n = c->term.members->len;
     guint first = n ? (guint)(r->sequence % n) : 0;
     for (guint i = 0; i < n; i++) {
-        const rr_session *s = &g_array_index(c->term.nodes, rr_session, (first + i) % n);
+        const rr_session *s = &g_array_index(c->term.members, rr_session, (first + i) % n);
         if (strcmp(s->name, c->cfg->node_name) != 0) {
             return s->name;
         }
@@ -289,7 +289,7 @@
 void rr_core_reply_to_heartbeat(rr_core *c, double now, const rr_heartbeat *r,
                                 struct rr_heartbeat_reply *out) {
     memset(out, 0, sizeof *out);
-    if (!rr_in_term(c) || now >= c->fresh_at + rr_heartbeat_reply_s(c->cfg) ||
+    if (!rr_is_member(c) || now >= c->fresh_at + rr_heartbeat_reply_s(c->cfg) ||
         r->fencing_token > c->term.token) {
         out->peer = other_node(c, r);
         out->status = out->peer ? 421 : 503;
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -11,8 +11,8 @@
     rr_session *s = g_new0(rr_session, 1);
     g_strlcpy(s->name, name, sizeof s->name);
     s->lease_id = tether;
-    rr_map_get_u64(v, "able", &s->able);
-    rr_map_get_bool(v, "holds", &s->holds);
+    rr_map_get_u64(v, "able", &s->capabilities);
+    rr_map_get_bool(v, "holds", &s->keeps_holds);
     g_hash_table_replace(c->sessions, s->name, s);
 }
 
@@ -29,18 +29,18 @@
         c->anew = false;
     }
     c->term.token = token;
-    rr_map_get_number(v, "born", &c->term.born);
-    g_array_set_size(c->term.nodes, 0);
+    rr_map_get_number(v, "born", &c->term.first_term_at);
+    g_array_set_size(c->term.members, 0);
     for (uint32_t i = 0; i < nodes->via.array.size; i++) {
         const msgpack_object *n = &nodes->via.array.ptr[i];
         rr_session s = {0};
         if (n->type == MSGPACK_OBJECT_ARRAY && n->via.array.size == 2 &&
             rr_object_text(&n->via.array.ptr[0], s.name, sizeof s.name) &&
             rr_object_u64(&n->via.array.ptr[1], &s.lease_id)) {
-            g_array_append_val(c->term.nodes, s);
+            g_array_append_val(c->term.members, s);
         }
     }
-    rr_term_assign(c);
+    rr_assign_shards(c);
     g_array_set_size(c->plan_moves, 0); /* teams may have moved */
 }
 
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -19,7 +19,7 @@
 
 /* What this version can do beyond the first ones, told in its session's record. Those pass over the
  * field. */
-void rr_core_node_put(const struct rr_config *cfg, rr_encoder *o, uint64_t tether) {
+void rr_core_encode_session(const struct rr_config *cfg, rr_encoder *o, uint64_t tether) {
     rr_encode_map(o, cfg->cells ? 3 : 2);
     rr_encode_key_u64(o, "tether", tether);
     if (cfg->cells) {
@@ -28,42 +28,42 @@
     rr_encode_key_u64(o, "able", cfg->admission ? RR_ABLE_ADMISSION : RR_ABLE_GANGS);
 }
 
-bool rr_core_peers_able(const rr_core *c) {
-    return rr_all_able(c);
+bool rr_core_all_gang_capable(const rr_core *c) {
+    return rr_all_gang_capable(c);
 }
 
-bool rr_all_able(const rr_core *c) {
-    return rr_all_able_to(c, RR_ABLE_GANGS);
+bool rr_all_gang_capable(const rr_core *c) {
+    return rr_all_capable(c, RR_ABLE_GANGS);
 }
 
 /* The record of a controller of the term, by its present session; NULL: it has none. */
 static const rr_session *live_session(const rr_core *c, guint place) {
-    const rr_session *t = &g_array_index(c->term.nodes, rr_session, place);
+    const rr_session *t = &g_array_index(c->term.members, rr_session, place);
     const rr_session *s = g_hash_table_lookup(c->sessions, t->name);
     return s && s->lease_id == t->lease_id ? s : NULL;
 }
 
-bool rr_all_able_to(const rr_core *c, uint64_t able) {
-    bool all = c->term.nodes->len > 0;
-    for (guint i = 0; i < c->term.nodes->len; i++) {
+bool rr_all_capable(const rr_core *c, uint64_t able) {
+    bool all = c->term.members->len > 0;
+    for (guint i = 0; i < c->term.members->len; i++) {
         const rr_session *s = live_session(c, i);
-        all = all && s && s->able >= able;
+        all = all && s && s->capabilities >= able;
     }
     return all;
 }
 
-bool rr_core_all_hold(const rr_core *c) {
-    bool all = c->term.nodes->len > 0;
-    for (guint i = 0; i < c->term.nodes->len; i++) {
+bool rr_core_all_hold_capable(const rr_core *c) {
+    bool all = c->term.members->len > 0;
+    for (guint i = 0; i < c->term.members->len; i++) {
         const rr_session *s = live_session(c, i);
-        all = all && s && s->holds;
+        all = all && s && s->keeps_holds;
     }
     return all;
 }
 
 static const rr_session *term_node(const rr_core *c, const char *name) {
-    for (guint i = 0; i < c->term.nodes->len; i++) {
-        const rr_session *s = &g_array_index(c->term.nodes, rr_session, i);
+    for (guint i = 0; i < c->term.members->len; i++) {
+        const rr_session *s = &g_array_index(c->term.members, rr_session, i);
         if (strcmp(s->name, name) == 0) {
             return s;
         }
@@ -71,7 +71,7 @@
     return NULL;
 }
 
-bool rr_in_term(const rr_core *c) {
+bool rr_is_member(const rr_core *c) {
     const rr_session *s = term_node(c, c->cfg->node_name);
     return c->loaded && c->lease_id && s && s->lease_id == c->lease_id;
 }
@@ -79,31 +79,31 @@
 /* Term, place in the term, counter. Without the place two owners of one term used the same numbers,
  * and a victim marked by its attempt was mistaken for another team's task on the machine. */
 uint64_t rr_next_attempt(rr_core *c) {
-    return c->term.token << 32 | (uint64_t)rr_term_place(c) << 24 | (++c->counter & 0xffffff);
+    return c->term.token << 32 | (uint64_t)rr_member_index(c) << 24 | (++c->counter & 0xffffff);
 }
 
 uint64_t rr_attempt_token(uint64_t attempt) {
     return attempt >> 32;
 }
 
-guint rr_attempt_place(uint64_t attempt) {
+guint rr_attempt_member(uint64_t attempt) {
     return (guint)(attempt >> 24 & 0xff);
 }
 
-guint rr_term_place(const rr_core *c) {
+guint rr_member_index(const rr_core *c) {
     return c->place < 0 ? 0 : (guint)c->place;
 }
 
 /* Only an incarnation that the term names and whose lease surely lasts may command. */
-bool rr_core_entitled(const rr_core *c, double now) {
-    return rr_in_term(c) && now < c->entitled_until;
+bool rr_core_lease_valid(const rr_core *c, double now) {
+    return rr_is_member(c) && now < c->entitled_until;
 }
 
-unsigned rr_core_live(const rr_core *c) {
-    return c->term.nodes->len;
+unsigned rr_core_live_controllers(const rr_core *c) {
+    return c->term.members->len;
 }
 
-uint64_t rr_core_token(const rr_core *c) {
+uint64_t rr_core_fencing_token(const rr_core *c) {
     return c->term.token;
 }
 
@@ -124,11 +124,11 @@
 }
 
 /* Rendezvous hashing by node name: a change of the live set moves few teams, and a restart none. */
-static int owner_place(const rr_core *c, const char *what) {
+static int owner_member(const rr_core *c, const char *what) {
     int best = -1;
     uint64_t most = 0;
-    for (guint i = 0; i < c->term.nodes->len; i++) {
-        uint64_t h = hash_pair(g_array_index(c->term.nodes, rr_session, i).name, what);
+    for (guint i = 0; i < c->term.members->len; i++) {
+        uint64_t h = hash_pair(g_array_index(c->term.members, rr_session, i).name, what);
         if (best < 0 || h > most) {
             best = (int)i;
             most = h;
@@ -151,10 +151,10 @@
     int best = -1;
     guint fewest = 0;
     uint64_t most = 0;
-    for (guint i = 0; i < c->term.nodes->len; i++) {
+    for (guint i = 0; i < c->term.members->len; i++) {
         guint n = teams_at(c, (int)i);
         /* Every version hashes this word: controllers of two versions must choose the same. */
-        uint64_t h = hash_pair(g_array_index(c->term.nodes, rr_session, i).name, "/steward");
+        uint64_t h = hash_pair(g_array_index(c->term.members, rr_session, i).name, "/steward");
         if (best < 0 || n < fewest || (n == fewest && h > most)) {
             best = (int)i;
             fewest = n;
@@ -164,28 +164,28 @@
     return best;
 }
 
-void rr_term_assign(rr_core *c) {
+void rr_assign_shards(rr_core *c) {
     g_array_set_size(c->owners, 0);
     c->place = -1;
-    for (guint i = 0; i < c->term.nodes->len; i++) {
-        if (strcmp(g_array_index(c->term.nodes, rr_session, i).name, c->cfg->node_name) == 0) {
+    for (guint i = 0; i < c->term.members->len; i++) {
+        if (strcmp(g_array_index(c->term.members, rr_session, i).name, c->cfg->node_name) == 0) {
             c->place = (int)i;
         }
     }
     for (size_t i = 0; i < c->cfg->nteams; i++) {
-        int place = owner_place(c, c->cfg->teams[i].name);
+        int place = owner_member(c, c->cfg->teams[i].name);
         g_array_append_val(c->owners, place);
     }
     c->autoscaler = autoscaler_member(c);
     c->parts = c->part = 0;
-    for (guint i = 0; i < c->term.nodes->len; i++) {
-        c->part = i == rr_term_place(c) ? c->parts : c->part;
+    for (guint i = 0; i < c->term.members->len; i++) {
+        c->part = i == rr_member_index(c) ? c->parts : c->part;
         c->parts += teams_at(c, (int)i) > 0;
     }
-    for (guint i = 0; i < c->term.nodes->len && i < RR_MAX_NODES; i++) {
+    for (guint i = 0; i < c->term.members->len && i < RR_MAX_NODES; i++) {
         c->peer_at[i] = -1;
         for (size_t k = 0; k < c->cfg->npeers; k++) {
-            if (strcmp(c->cfg->peers[k].name, g_array_index(c->term.nodes, rr_session, i).name) ==
+            if (strcmp(c->cfg->peers[k].name, g_array_index(c->term.members, rr_session, i).name) ==
                 0) {
                 c->peer_at[i] = (int)k;
             }
@@ -193,23 +193,23 @@
     }
 }
 
-static bool at_place(const rr_core *c, int place) {
+static bool member_at(const rr_core *c, int place) {
     return place >= 0 && place == c->place;
 }
 
 bool rr_owns_team(const rr_core *c, int team) {
     return team >= 0 && (guint)team < c->owners->len &&
-           at_place(c, g_array_index(c->owners, int, team));
+           member_at(c, g_array_index(c->owners, int, team));
 }
 
-void rr_core_shares(const rr_core *c, struct rr_shares *out) {
-    double live = c->term.nodes->len, teams = c->cfg->nteams ? (double)c->cfg->nteams : 1;
-    if (!rr_in_term(c)) {
-        *out = (struct rr_shares){1 / (live + 1), 0.3 / (live + 1), 0, 0};
+void rr_core_budget_shares(const rr_core *c, struct rr_budget_shares *out) {
+    double live = c->term.members->len, teams = c->cfg->nteams ? (double)c->cfg->nteams : 1;
+    if (!rr_is_member(c)) {
+        *out = (struct rr_budget_shares){1 / (live + 1), 0.3 / (live + 1), 0, 0};
         return;
     }
-    double own = teams_at(c, (int)rr_term_place(c)) / teams;
-    double provisioners = at_place(c, c->autoscaler) ? 1 : 0;
+    double own = teams_at(c, (int)rr_member_index(c)) / teams;
+    double provisioners = member_at(c, c->autoscaler) ? 1 : 0;
     /* Everybody mirrors, reads for polls and accepts. */
     out->requests = 0.65 / live + 0.3 * own + 0.05 * provisioners;
     out->users = 0.35 / live;
@@ -218,7 +218,7 @@
 }
 
 bool rr_core_is_autoscaler(const rr_core *c, double now) {
-    return rr_core_entitled(c, now) && at_place(c, c->autoscaler);
+    return rr_core_lease_valid(c, now) && member_at(c, c->autoscaler);
 }
 
 static gint by_name(gconstpointer a, gconstpointer b) {
@@ -226,7 +226,7 @@
 }
 
 static bool sessions_changed(const rr_core *c, const GPtrArray *live) {
-    if (live->len != c->term.nodes->len) {
+    if (live->len != c->term.members->len) {
         return true;
     }
     for (guint i = 0; i < live->len; i++) {
@@ -266,7 +266,7 @@
         rr_encoder_init(&o);
         rr_encode_map(&o, 3);
         rr_encode_key_u64(&o, "token", c->term.token + 1);
-        rr_encode_key_number(&o, "born", c->term.token ? c->term.born : wall);
+        rr_encode_key_number(&o, "born", c->term.token ? c->term.first_term_at : wall);
         rr_encode_text(&o, "nodes");
         rr_encode_array(&o, live->len);
         for (guint i = 0; i < live->len; i++) {
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -182,7 +182,7 @@
 
 bool rr_peers_last(const rr_core *c, double now, double seconds) {
     bool all = now - c->woke_at >= seconds;
-    for (guint i = 0; i < c->term.nodes->len && i < RR_MAX_NODES; i++) {
+    for (guint i = 0; i < c->term.members->len && i < RR_MAX_NODES; i++) {
         all = all && (c->peer_at[i] < 0 || lasting(&c->peers[c->peer_at[i]], now, seconds));
     }
     return all;
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -62,7 +62,7 @@
         *why = "more linked tasks than one transaction books";
         return RR_ADMIT_NEVER;
     }
-    if (s->kind == RR_JOB_GANG && !rr_all_able(c)) {
+    if (s->kind == RR_JOB_GANG && !rr_all_gang_capable(c)) {
         *why = "an older version still serves";
         return RR_ADMIT_UNKNOWN_YET;
     }
@@ -116,5 +116,5 @@
 }
 
 bool rr_core_ready(const rr_core *c, double now) {
-    return rr_core_entitled(c, now) && c->catalog_known;
+    return rr_core_lease_valid(c, now) && c->catalog_known;
 }
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -23,7 +23,7 @@
     bool lowered;
     unsigned refusals; /* since refused_at */
     double refused_at;
-    struct rr_shares shares;
+    struct rr_budget_shares shares;
     double rate, tokens; /* requests */
     struct bucket writes[KINDS];
     double pool; /* changes left unused */
@@ -32,7 +32,7 @@
 
 #define SAFE 0.9 /* of a limit that others count against too */
 
-static void set_shares(rr_budget *b, const struct rr_shares *s) {
+static void set_shares(rr_budget *b, const struct rr_budget_shares *s) {
     b->shares = *s;
     b->rate = fmax(SAFE * b->rps * s->requests, 0.5);
     b->writes[USERS].rate = fmax(SAFE * b->write_rps * s->users, 0.2);
@@ -41,7 +41,7 @@
 }
 
 rr_budget *rr_budget_create(double rps, double write_rps) {
-    static const struct rr_shares all = {1, 0.4, 0.4, 0.2};
+    static const struct rr_budget_shares all = {1, 0.4, 0.4, 0.2};
     rr_budget *b = g_new0(rr_budget, 1);
     pthread_mutex_init(&b->lock, NULL);
     b->rps = rps;
@@ -94,7 +94,7 @@
     }
 }
 
-void rr_budget_set_shares(rr_budget *b, const struct rr_shares *s) {
+void rr_budget_set_shares(rr_budget *b, const struct rr_budget_shares *s) {
     pthread_mutex_lock(&b->lock);
     set_shares(b, s);
     pthread_mutex_unlock(&b->lock);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -20,7 +20,7 @@
 rr_budget *rr_budget_create(double rps, double write_rps);
 void rr_budget_destroy(rr_budget *b);
 /* Our parts of the service's limits. */
-void rr_budget_set_shares(rr_budget *b, const struct rr_shares *s);
+void rr_budget_set_shares(rr_budget *b, const struct rr_budget_shares *s);
 /* The limits that the service will have from some moment on. The present ones are used up to until
  * refusals, or a valid transaction that it calls invalid, show that the next ones hold. */
 void rr_budget_set_next_limits(rr_budget *b, double rps, double write_rps);
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -298,8 +298,8 @@
 
 static rr_admission_verdict ask(struct model *model, int controller, const struct job *job) {
     struct model_state *state = model->state;
-    rr_admission_standing standing = {.entitled = true,
-                                      .all_able = true,
+    rr_admission_standing standing = {.lease_valid = true,
+                                      .all_capable = true,
                                       .cache_age_s = state->now - state->fresh_at[controller],
                                       .controllers = MODEL_CONTROLLERS};
     return rr_admission_ask(model->controllers[controller], &job->submission, &standing,
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -278,7 +278,7 @@
     rr_encoder o;
     node_key(n, key, sizeof key);
     rr_encoder_init(&o);
-    rr_core_node_put(&n->cfg, &o, tether);
+    rr_core_encode_session(&n->cfg, &o, tether);
     fx_put(n->store, key, &o);
     rr_core_set_session(n->core, tether, n->now + 1e6);
     fx_term(n);
@@ -552,8 +552,8 @@
         int shown = shown_on(n, show, m, t);
         g_snprintf(id, sizeof id, "vm-%d", m);
         fx_report(n, id, m <= show->last_in_a ? "a" : "b", false, show->worker_epoch,
-                  show->sequence, rr_core_token(n->core), t[0], t[1], t[2], t[3], t[4], t[5], t[6],
-                  t[7], t[8], t[9], t[10], t[11], t[12], t[13], t[14], t[15], NULL);
+                  show->sequence, rr_core_fencing_token(n->core), t[0], t[1], t[2], t[3], t[4],
+                  t[5], t[6], t[7], t[8], t[9], t[10], t[11], t[12], t[13], t[14], t[15], NULL);
         for (int i = 0; i < shown; i++) {
             g_free(t[i]);
         }
@@ -630,7 +630,7 @@
     fx_sync(n->store, n->core, n->now);
     for (int i = first; i < first + many; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
-        fx_report(n, id, zone, false, 1, 1, rr_core_token(n->core), NULL);
+        fx_report(n, id, zone, false, 1, 1, rr_core_fencing_token(n->core), NULL);
     }
 }
 
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -77,7 +77,7 @@
         uint64_t at = fx_booked(w->store, id, "req-1", 0);
         if (at) {
             char *ended = g_strdup_printf("req-1 0 %" G_GUINT64_FORMAT " ended:done", at);
-            fx_report(n, id, "a", false, 1, 2, rr_core_token(n->core), ended, NULL);
+            fx_report(n, id, "a", false, 1, 2, rr_core_fencing_token(n->core), ended, NULL);
             g_free(ended);
         }
     }
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -730,16 +730,16 @@
 static void versions_side_by_side(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    assert_false(rr_core_all_admit(n->core));
+    assert_false(rr_core_all_admission_capable(n->core));
     n->cfg.admission = true;
     fx_leave(n);
     fx_join(n, 12);
-    assert_true(rr_core_all_admit(n->core));
-    assert_true(rr_core_peers_able(n->core));
+    assert_true(rr_core_all_admission_capable(n->core));
+    assert_true(rr_core_all_gang_capable(n->core));
     fx_join_old_version(n);
-    assert_false(rr_core_all_admit(n->core));
+    assert_false(rr_core_all_admission_capable(n->core));
     fx_leave_old_version(n);
-    assert_true(rr_core_all_admit(n->core));
+    assert_true(rr_core_all_admission_capable(n->core));
 }
 
 static guint placed_after_plan(fx_node *n, const char *id) {
@@ -780,7 +780,7 @@
     for (int m = 1; m <= 4; m++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, "a", false, 1, 9, rr_core_token(n->core), NULL);
+        fx_report(n, id, "a", false, 1, 9, rr_core_fencing_token(n->core), NULL);
     }
     n->now += 3;
     assert_true(placed_after_plan(n, "req-1") > 16);
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -8,7 +8,7 @@
 static void users_may_owe_a_second(void **state) {
     (void)state;
     rr_budget *b = rr_budget_create(1e6, 10);
-    static const struct rr_shares parts = {1, 0.4, 0.4, 0.2};
+    static const struct rr_budget_shares parts = {1, 0.4, 0.4, 0.2};
     rr_budget_set_shares(b, &parts);
     assert_int_equal(rr_budget_take(b, RR_REQUEST_READ, 0, 5), 0); /* requests are no matter here */
     int users = 0, plans = 0;
@@ -25,7 +25,7 @@
  * parts follow those. One refusal says nothing. */
 static void the_next_limits(void **state) {
     (void)state;
-    static const struct rr_shares parts = {1, 0.4, 0.4, 0.2};
+    static const struct rr_budget_shares parts = {1, 0.4, 0.4, 0.2};
     for (int refusals = 1; refusals <= 3; refusals += 2) {
         rr_budget *b = rr_budget_create(1e6, 1000);
         rr_budget_set_shares(b, &parts);
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -6,7 +6,7 @@
 
 static void empty_report(fx_node *n, const char *id, const char *zone, bool spot,
                          uint64_t sequence) {
-    fx_report(n, id, zone, spot, 1, sequence, rr_core_token(n->core), NULL);
+    fx_report(n, id, zone, spot, 1, sequence, rr_core_fencing_token(n->core), NULL);
 }
 
 static void plan_once(fx_node *n) {
@@ -149,8 +149,10 @@
     uint64_t moved = 0;
     for (int i = 0; i < 15 && !moved; i++) {
         n->now += 3;
-        fx_report(n, "vm-1", "a", false, 1, 10 + (uint64_t)i, rr_core_token(n->core), r1, NULL);
-        fx_report(n, "vm-2", "a", false, 1, 10 + (uint64_t)i, rr_core_token(n->core), r2, NULL);
+        fx_report(n, "vm-1", "a", false, 1, 10 + (uint64_t)i, rr_core_fencing_token(n->core), r1,
+                  NULL);
+        fx_report(n, "vm-2", "a", false, 1, 10 + (uint64_t)i, rr_core_fencing_token(n->core), r2,
+                  NULL);
         plan_once(n);
         moved = fx_booked(w->store, "vm-1", "req-2", 0);
     }
@@ -162,7 +164,7 @@
     rr_plan_clear(&p);
     char *gone = g_strdup_printf("req-2 0 %" G_GUINT64_FORMAT " ended:halted", small);
     n->now += 1;
-    fx_report(n, "vm-2", "a", false, 1, 90, rr_core_token(n->core), gone, NULL);
+    fx_report(n, "vm-2", "a", false, 1, 90, rr_core_fencing_token(n->core), gone, NULL);
     plan_once(n);
     assert_true(fx_booked(w->store, "vm-2", "req-2", 0) == 0);
     fx_plan(n, &p);
@@ -192,8 +194,10 @@
     char *r2 = running("req-2", fx_booked(w->store, "vm-2", "req-2", 0));
     for (int i = 0; i < 30; i++) {
         n->now += 3;
-        fx_report(n, "vm-1", "a", false, 1, 10 + (uint64_t)i, rr_core_token(n->core), r1, NULL);
-        fx_report(n, "vm-2", "a", false, 1, 10 + (uint64_t)i, rr_core_token(n->core), r2, NULL);
+        fx_report(n, "vm-1", "a", false, 1, 10 + (uint64_t)i, rr_core_fencing_token(n->core), r1,
+                  NULL);
+        fx_report(n, "vm-2", "a", false, 1, 10 + (uint64_t)i, rr_core_fencing_token(n->core), r2,
+                  NULL);
         plan_once(n);
     }
     rr_core_get_stats(n->core, &st);
@@ -218,7 +222,7 @@
     plan_once(n);
     uint64_t low = fx_booked(w->store, "vm-1", "req-1", 0);
     char *r1 = running("req-1", low);
-    fx_report(n, "vm-1", "a", false, 1, 2, rr_core_token(n->core), r1, NULL);
+    fx_report(n, "vm-1", "a", false, 1, 2, rr_core_fencing_token(n->core), r1, NULL);
     /* The same rank waits. */
     submit(w, &(struct fx_job){.job_id = "req-2", .rank = "low", .job_class = "live", .cpus = 16});
     plan_once(n);
@@ -266,7 +270,8 @@
     for (int i = 0; i < 4; i++) {
         r[i] = running(refs[i], fx_booked(w->store, "vm-1", refs[i], 0));
     }
-    fx_report(n, "vm-1", "a", false, 1, 9, rr_core_token(n->core), r[0], r[1], r[2], r[3], NULL);
+    fx_report(n, "vm-1", "a", false, 1, 9, rr_core_fencing_token(n->core), r[0], r[1], r[2], r[3],
+              NULL);
     fx_plan(n, &p);
     unsigned stops = 0;
     for (int i = 0; i < 4; i++) {
@@ -292,7 +297,7 @@
     assert_true(low != 0);
     char *r1 = running("req-1", fx_booked(w->store, "vm-1", "req-1", 0));
     char *r2 = running("req-2", low);
-    fx_report(&w->n, "vm-1", "a", false, 1, 2, rr_core_token(w->n.core), r1, r2, NULL);
+    fx_report(&w->n, "vm-1", "a", false, 1, 2, rr_core_fencing_token(w->n.core), r1, r2, NULL);
     submit(w,
            &(struct fx_job){
                .job_id = "req-3", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -44,7 +44,7 @@
     }
     n->spot_notice_s = recall;
     fx_report(n, id, m <= 3 ? "a" : "b", false, worker_epoch, ++last_sequence,
-              rr_core_token(n->core), text[0], text[1], text[2], text[3], NULL);
+              rr_core_fencing_token(n->core), text[0], text[1], text[2], text[3], NULL);
     n->spot_notice_s = -1;
     for (int i = 0; i < k; i++) {
         g_free(text[i]);
@@ -772,7 +772,7 @@
     g_strlcpy(s.job_id, "req-9", sizeof s.job_id);
     fx_join_old_version(n);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_UNKNOWN_YET);
-    assert_false(rr_core_peers_able(n->core)); /* nor is anything new told over links */
+    assert_false(rr_core_all_gang_capable(n->core)); /* nor is anything new told over links */
     rr_job_view v;
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_string_equal(v.state, "running");
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -66,8 +66,8 @@
             }
         }
         if (k > 0) {
-            fx_report(n, id, "a", false, 1, sequence, rr_core_token(n->core), show[0], show[1],
-                      show[2], show[3], NULL);
+            fx_report(n, id, "a", false, 1, sequence, rr_core_fencing_token(n->core), show[0],
+                      show[1], show[2], show[3], NULL);
         }
         for (int i = 0; i < k; i++) {
             g_free(show[i]);
@@ -81,7 +81,7 @@
     char id[32];
     for (int m = from; m <= to; m++) {
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, zone, false, worker_epoch, sequence, rr_core_token(n->core), NULL);
+        fx_report(n, id, zone, false, worker_epoch, sequence, rr_core_fencing_token(n->core), NULL);
     }
 }
 
@@ -105,7 +105,8 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     settled_fleet(n);
-    fx_report(n, "vm-77", "a", false, 1, 2, rr_core_token(n->core), "req-000001 0 3 running", NULL);
+    fx_report(n, "vm-77", "a", false, 1, 2, rr_core_fencing_token(n->core),
+              "req-000001 0 3 running", NULL);
     assert_true(visits_of_a_plan(n) <= 4);
 }
 
@@ -209,7 +210,7 @@
     char *two = g_strdup_printf("req-000001 1 %" G_GUINT64_FORMAT " ended:done",
                                 fx_booked(w->store, "vm-1", "req-000001", 1));
     rr_core_set_pressure(n->core, 1, 8);
-    fx_report(n, "vm-1", "a", false, 1, 2, rr_core_token(n->core), one, NULL);
+    fx_report(n, "vm-1", "a", false, 1, 2, rr_core_fencing_token(n->core), one, NULL);
     fx_plan(n, &p);
     assert_int_equal(changes_of(&p), 0);
     rr_plan_clear(&p);
@@ -217,7 +218,7 @@
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, "vm-1", "req-000002", 0) != 0);
-    fx_report(n, "vm-1", "a", false, 1, 3, rr_core_token(n->core), one, two, NULL);
+    fx_report(n, "vm-1", "a", false, 1, 3, rr_core_fencing_token(n->core), one, two, NULL);
     fx_plan(n, &p);
     assert_int_equal(changes_of(&p), 2);
     rr_plan_clear(&p);
@@ -329,8 +330,8 @@
         for (int r = HUGE_JOB; r < next && shown < 4; r++) {
             shown = show_ended(n, id, r, show, shown);
         }
-        fx_report(n, id, "a", false, 1, sequence, rr_core_token(n->core), show[0], show[1], show[2],
-                  show[3], NULL);
+        fx_report(n, id, "a", false, 1, sequence, rr_core_fencing_token(n->core), show[0], show[1],
+                  show[2], show[3], NULL);
         for (int i = 0; i < shown; i++) {
             g_free(show[i]);
         }
@@ -527,7 +528,7 @@
     assert_int_equal(st.tasks_placed, 0);
     rr_heartbeat r = {.worker_epoch = 1,
                       .sequence = 900,
-                      .fencing_token = rr_core_token(n->core),
+                      .fencing_token = rr_core_fencing_token(n->core),
                       .spot_notice_s = -1};
     rr_task_status piece = {.job_id = "req-000002", .attempt = 1, .state = RR_TASK_RUNNING};
     struct rr_heartbeat_reply ans;
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -20,7 +20,7 @@
 }
 
 static void hear(fx_node *n, const char *id, uint64_t sequence, const char *piece) {
-    fx_report(n, id, zone_of(id), false, 1, sequence, rr_core_token(n->core), piece, NULL);
+    fx_report(n, id, zone_of(id), false, 1, sequence, rr_core_fencing_token(n->core), piece, NULL);
 }
 
 /* One plan; commands are answered or stay in doubt. Changes committed: 1. */
@@ -66,7 +66,7 @@
                      unsigned *stops) {
     rr_heartbeat r = {.worker_epoch = 1,
                       .sequence = 3,
-                      .fencing_token = rr_core_token(n->core),
+                      .fencing_token = rr_core_fencing_token(n->core),
                       .spot_notice_s = -1};
     rr_task_status p = {.attempt = attempt, .state = RR_TASK_RUNNING};
     struct rr_heartbeat_reply ans;
@@ -263,12 +263,12 @@
     uint64_t at, at2;
     n->cfg.teams[0].gpus_max = 2;
     const char *m = run_job(w, &j1, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
-    uint64_t old = rr_core_token(n->core);
+    uint64_t old = rr_core_fencing_token(n->core);
     fx_submit(w->store, &j2, n->now);
     fx_sync(w->store, n->core, n->now);
     fx_cancel(n, j1.job_id);
     fx_join(n, 8); /* the leader's next life: everything booked before is another's */
-    assert_true(rr_core_token(n->core) > old);
+    assert_true(rr_core_fencing_token(n->core) > old);
     for (uint64_t i = 0; i < 12; i++) {
         n->now += 2;
         hear(n, other, 10 + i, NULL);
@@ -304,8 +304,8 @@
     hear(n, m, 20, runs);
     plan_with(n, RR_COMMAND_ANSWERED);
     /* Sent before the task had started, with the token of then; and a copy from after a lease. */
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core) - 1, NULL);
-    fx_report(n, m, zone_of(m), false, 1, 19, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core) - 1, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 19, rr_core_fencing_token(n->core), NULL);
     plan_with(n, RR_COMMAND_ANSWERED);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     rr_job_view v;
@@ -338,7 +338,7 @@
             plan_with(n, RR_COMMAND_ANSWERED);
             rr_heartbeat r = {.worker_epoch = 1,
                               .sequence = ++sequence,
-                              .fencing_token = rr_core_token(n->core),
+                              .fencing_token = rr_core_fencing_token(n->core),
                               .spot_notice_s = -1,
                               .machine = "vm-1",
                               .addr = "127.0.0.1:1001",
@@ -391,7 +391,7 @@
     for (int i = 3; i < 10; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", i);
-        fx_report(n, id, i < 9 ? "a" : "b", false, 1, 1, rr_core_token(n->core), NULL);
+        fx_report(n, id, i < 9 ? "a" : "b", false, 1, 1, rr_core_fencing_token(n->core), NULL);
     }
     for (int i = 0; i < 6; i++) {
         n->now += 0.3;
@@ -442,7 +442,7 @@
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     rr_core_suspects(owner->core, owner->now, names);
     assert_int_equal(names->len, 1);
-    fx_report(owner, "vm-1", "a", false, 2, 20, rr_core_token(owner->core), NULL);
+    fx_report(owner, "vm-1", "a", false, 2, 20, rr_core_fencing_token(owner->core), NULL);
     /* The plan that finds its work there over comes right after a probe. */
     owner->now += 0.1;
     plan_with(owner, RR_COMMAND_OUTCOME_UNKNOWN);
@@ -454,7 +454,7 @@
     for (uint64_t i = 0; i < 5; i++) {
         rr_plan p;
         owner->now += 1;
-        fx_report(owner, "vm-1", "a", false, 2, 21 + i, rr_core_token(owner->core), NULL);
+        fx_report(owner, "vm-1", "a", false, 2, 21 + i, rr_core_fencing_token(owner->core), NULL);
         fx_plan(owner, &p);
         for (guint k = 0; k < p.command_batches->len; k++) {
             rr_command_batch *d = g_ptr_array_index(p.command_batches, k);
@@ -611,7 +611,7 @@
     }
     assert_true(repeated);
     assert_true(fx_recorded(w->store, "vm-7"));
-    fx_report(&next, "vm-7", "a", false, 1, 2, rr_core_token(next.core), NULL);
+    fx_report(&next, "vm-7", "a", false, 1, 2, rr_core_fencing_token(next.core), NULL);
     plan_with(&next, RR_COMMAND_ANSWERED);
     at = fx_booked(w->store, "vm-7", "req-1", 0);
     assert_true(at != 0);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -224,7 +224,7 @@
         for (int i = 1; i <= 12 && t < 40; i++) {
             g_snprintf(id, sizeof id, "vm-%d", i);
             if ((t + (uint64_t)i) % 12 == 0) { /* each every three seconds */
-                fx_report(n, id, "a", false, 1, t, rr_core_token(n->core), NULL);
+                fx_report(n, id, "a", false, 1, t, rr_core_fencing_token(n->core), NULL);
             }
         }
         if (t < 40) {
@@ -413,7 +413,7 @@
     char id[16];
     for (int i = from; i <= to; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
-        fx_report(n, id, "a", false, 1, sequence, rr_core_token(n->core), NULL);
+        fx_report(n, id, "a", false, 1, sequence, rr_core_fencing_token(n->core), NULL);
     }
 }
 
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -16,8 +16,8 @@
 /* Both machines report empty; the job is booked on one of them, whose id comes back. */
 static const char *book_one(fx_world *w, const struct fx_job *j, uint64_t *attempt) {
     rr_plan p;
-    fx_report(&w->n, "vm-1", "a", false, 1, 1, rr_core_token(w->n.core), NULL);
-    fx_report(&w->n, "vm-2", "b", false, 1, 1, rr_core_token(w->n.core), NULL);
+    fx_report(&w->n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(w->n.core), NULL);
+    fx_report(&w->n, "vm-2", "b", false, 1, 1, rr_core_fencing_token(w->n.core), NULL);
     fx_submit(w->store, j, w->n.now);
     fx_sync(w->store, w->n.core, w->n.now);
     assert_int_equal(fx_plan(&w->n, &p), 1);
@@ -58,7 +58,7 @@
     rr_plan_clear(&p);
     fx_cancel(n, j.job_id);
     n->now += 3;
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     const rr_command *start = fx_order(&p, m, RR_COMMAND_START, j.job_id, 0);
@@ -71,7 +71,7 @@
     /* Exited now: the booking may go, the attempt must stay as a block. */
     char *ended = shown(j.job_id, at, "ended:halted");
     n->now += 1;
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), ended, NULL);
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
@@ -81,7 +81,7 @@
     /* The next term voids the late copy: now it is reaped. */
     fx_join(n, 8);
     n->now += 1;
-    fx_report(n, m, zone_of(m), false, 1, 4, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 4, rr_core_fencing_token(n->core), ended, NULL);
     fx_plan(n, &p);
     assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
@@ -99,7 +99,7 @@
     rr_job_view v;
     const char *m = book_one(w, &j, &at);
     char *ended = shown(j.job_id, at, "ended:done");
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), ended, NULL);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
     assert_true(p.has_transaction);
@@ -117,7 +117,7 @@
     assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
     n->now += n->cfg.report_s;
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), ended, NULL);
     fx_plan(n, &p);
     assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
@@ -134,8 +134,8 @@
     const char *m = book_one(w, &j, &at);
     const char *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
     char *ended = shown(j.job_id, at, "ended:done");
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
-    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), ended, NULL);
+    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_fencing_token(n->core), NULL);
     assert_int_equal(fx_plan(n, &p), 1);
     rr_plan_clear(&p);
     next.zone = zone_of(m);
@@ -161,7 +161,7 @@
     rr_job_view v;
     const char *m = book_one(w, &j, &at);
     char *ended = shown(j.job_id, at, "ended:done");
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), ended, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), ended, NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     rr_core_job_view(n->core, j.job_id, n->now, &v);
@@ -177,7 +177,7 @@
     fx_node *n = &w->n, b;
     struct fx_job j = {.job_id = "req-000004"};
     rr_plan p;
-    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_token(n->core), NULL);
+    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(n->core), NULL);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
     rr_plan_init(&p);
@@ -198,21 +198,21 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     struct fx_job j = {.job_id = "req-000005", .service = true};
-    uint64_t at, old = rr_core_token(n->core);
+    uint64_t at, old = rr_core_fencing_token(n->core);
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     fx_plan(n, &p); /* the start is on its way */
     rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_OUTCOME_UNKNOWN, false);
     rr_plan_clear(&p);
     fx_join(n, 8); /* a new incarnation, a new term */
-    assert_true(rr_core_token(n->core) > old);
+    assert_true(rr_core_fencing_token(n->core) > old);
     fx_cancel(n, j.job_id);
     n->now += 2;
     fx_report(n, m, zone_of(m), false, 1, 2, old, NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     rr_plan_clear(&p);
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
     rr_plan_clear(&p);
@@ -228,7 +228,7 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
     n->now += 600;
-    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
@@ -251,7 +251,7 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     n->now += 40;
-    fx_report(n, m, zone_of(m), false, 2, 9, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 2, 9, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) != at);
@@ -266,9 +266,9 @@
     rr_plan p;
     const char *m = book_one(w, &j, &at);
     char *running = shown(j.job_id, at, "running");
-    fx_report(n, m, zone_of(m), false, 1, 20, rr_core_token(n->core), running, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 20, rr_core_fencing_token(n->core), running, NULL);
     fx_cancel(n, j.job_id);
-    fx_report(n, m, zone_of(m), false, 1, 5, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 5, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &p);
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     assert_non_null(fx_order(&p, m, RR_COMMAND_STOP, j.job_id, 0));
@@ -288,13 +288,13 @@
     assert_non_null(fx_order(&p, m, RR_COMMAND_START, j.job_id, 0));
     fx_cancel(n, j.job_id);
     n->now += 2;
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_token(n->core), NULL);
+    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &q);
     assert_null(fx_do(&q, m));
     assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
     rr_plan_clear(&q);
     char *running = shown(j.job_id, at, "running");
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_token(n->core), running, NULL);
+    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), running, NULL);
     rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_ANSWERED, true);
     fx_plan(n, &q);
     const rr_command *stop = fx_order(&q, m, RR_COMMAND_STOP, j.job_id, 0);
@@ -315,7 +315,7 @@
     fx_cancel(n, j.job_id);
     rr_heartbeat r = {.worker_epoch = 1,
                       .sequence = 3,
-                      .fencing_token = rr_core_token(n->core),
+                      .fencing_token = rr_core_fencing_token(n->core),
                       .spot_notice_s = -1};
     rr_task_status piece = {.attempt = at, .state = RR_TASK_RUNNING};
     struct rr_heartbeat_reply ans;
@@ -338,7 +338,7 @@
     rr_heartbeat r = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
     struct rr_heartbeat_reply ans;
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    r.fencing_token = rr_core_token(n->core) + 1;
+    r.fencing_token = rr_core_fencing_token(n->core) + 1;
     rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
     assert_null(ans.commands);
@@ -346,7 +346,7 @@
     rr_core_set_session(n->core, 0, 0);
     rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
-    assert_false(rr_core_entitled(n->core, n->now));
+    assert_false(rr_core_lease_valid(n->core, n->now));
     rr_heartbeat_clear(&r);
 }
 
@@ -367,8 +367,8 @@
     }
     assert_int_equal(booked, 2);
     fx_join(n, 8);
-    fx_report(n, "vm-1", "a", false, 1, 5, rr_core_token(n->core), NULL);
-    fx_report(n, "vm-2", "b", false, 1, 5, rr_core_token(n->core), NULL);
+    fx_report(n, "vm-1", "a", false, 1, 5, rr_core_fencing_token(n->core), NULL);
+    fx_report(n, "vm-2", "b", false, 1, 5, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     for (uint32_t t = 0; t < 3; t++) {
@@ -383,7 +383,7 @@
     rr_plan plans[2];
     for (int i = 0; i < 2; i++) {
         fx_sync(s, nodes[i]->core, nodes[i]->now);
-        fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_token(nodes[0]->core), NULL);
+        fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_fencing_token(nodes[0]->core), NULL);
         rr_plan_init(&plans[i]);
         rr_core_plan(nodes[i]->core, nodes[i]->now, nodes[i]->now, &plans[i]);
     }
@@ -446,7 +446,8 @@
     assert_int_equal(started, 2);
     char *runs = shown(refs[0], at[0], "running"), *full = shown(refs[1], at[1], "ended:full");
     for (int i = 0; i < 2; i++) {
-        fx_report(nodes[i], "vm-1", "a", false, 1, 9, rr_core_token(n->core), runs, full, NULL);
+        fx_report(nodes[i], "vm-1", "a", false, 1, 9, rr_core_fencing_token(n->core), runs, full,
+                  NULL);
     }
     fx_plan(nodes[owner[1]], &p);
     rr_plan_clear(&p);
@@ -476,7 +477,8 @@
         fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = teams[t], .cpus = 1}, n->now);
         for (int i = 0; i < 2 && !seen[t]; i++) {
             fx_sync(w->store, nodes[i]->core, nodes[i]->now);
-            fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_token(nodes[i]->core), NULL);
+            fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_fencing_token(nodes[i]->core),
+                      NULL);
             fx_plan(nodes[i], &p);
             rr_plan_clear(&p);
             seen[t] = fx_booked(w->store, "vm-1", ref, 0);
@@ -493,7 +495,7 @@
     fx_node *n = &w->n;
     struct fx_job j = {.job_id = "req-000014"};
     rr_plan p;
-    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_token(n->core), NULL);
+    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(n->core), NULL);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
     rr_plan_init(&p);
@@ -513,8 +515,8 @@
     fx_submit(w->store, &j, n->now);
     n->now += 100;
     fx_sync(w->store, n->core, n->now);
-    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_token(n->core), NULL);
-    fx_report(n, "vm-2", "b", false, 1, 1, rr_core_token(n->core), NULL);
+    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(n->core), NULL);
+    fx_report(n, "vm-2", "b", false, 1, 1, rr_core_fencing_token(n->core), NULL);
     fx_plan(n, &p);
     rr_plan_clear(&p);
     assert_int_equal(fx_placed(w->store, j.job_id), 4);
@@ -579,11 +581,11 @@
     fx_node_init(&again, w->store, "n0");
     fx_sync(w->store, again.core, again.now);
     rr_core_set_session(again.core, 77, again.now + 100);
-    assert_false(rr_core_entitled(again.core, again.now));
+    assert_false(rr_core_lease_valid(again.core, again.now));
     fx_join(&again, 77);
-    assert_true(rr_core_entitled(again.core, again.now));
+    assert_true(rr_core_lease_valid(again.core, again.now));
     fx_sync(w->store, n->core, n->now);
-    assert_false(rr_core_entitled(n->core, n->now));
+    assert_false(rr_core_lease_valid(n->core, n->now));
     fx_node_clear(&again);
 }
 
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -18,7 +18,7 @@
 }
 
 static void hear(fx_node *n, const char *id, uint64_t sequence) {
-    fx_report(n, id, zone_of(id), false, 1, sequence, rr_core_token(n->core), NULL);
+    fx_report(n, id, zone_of(id), false, 1, sequence, rr_core_fencing_token(n->core), NULL);
 }
 
 static const char *place_of(const fx_world *w, const char *ref) {
@@ -201,7 +201,7 @@
     fx_sync(w->store, n->core, n->now);
     rr_heartbeat r = {.worker_epoch = 1,
                       .sequence = 6,
-                      .fencing_token = rr_core_token(n->core),
+                      .fencing_token = rr_core_fencing_token(n->core),
                       .spot_notice_s = -1};
     g_strlcpy(r.machine, "vm-1", sizeof r.machine);
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
@@ -274,7 +274,7 @@
     rr_core_set_session(alone.core, 9, alone.now + 10);
     rr_heartbeat r = {.worker_epoch = 1,
                       .sequence = 2,
-                      .fencing_token = rr_core_token(alone.core),
+                      .fencing_token = rr_core_fencing_token(alone.core),
                       .spot_notice_s = -1};
     struct rr_heartbeat_reply ans;
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
@@ -306,7 +306,7 @@
             rr_command_batch *d = g_ptr_array_index(p.command_batches, k);
             probes++;
             assert_int_equal(d->commands->len, 0);
-            assert_true(d->fencing_token == rr_core_token(n->core));
+            assert_true(d->fencing_token == rr_core_fencing_token(n->core));
             hear(n, d->machine, 10 + (uint64_t)i);
             rr_core_command_result(n->core, n->now, d, RR_COMMAND_ANSWERED, true);
         }
@@ -330,7 +330,7 @@
         fx_sync(w->store, peer.core, peer.now);
         rr_encoder o;
         rr_encoder_init(&o);
-        rr_core_node_put(&n->cfg, &o, 9);
+        rr_core_encode_session(&n->cfg, &o, 9);
         fx_put(w->store, RR_ROOT "node/n1", &o);
         rr_core_set_session(peer.core, 9, 1e6);
         /* The old incarnation has seen the new node and prepares the next term, then dies. */
@@ -342,7 +342,7 @@
         }
         fx_node_init(&again, w->store, "n0");
         rr_encoder_init(&o);
-        rr_core_node_put(&n->cfg, &o, 77);
+        rr_core_encode_session(&n->cfg, &o, 77);
         fx_put(w->store, RR_ROOT "node/n0", &o);
         rr_core_set_session(again.core, 77, 1e6);
         fx_sync(w->store, again.core, again.now);
@@ -354,18 +354,18 @@
             rr_transaction_clear(&mine);
         }
         fx_term(&again);
-        uint64_t token = rr_core_token(again.core);
+        uint64_t token = rr_core_fencing_token(again.core);
         if (late == 2) { /* applied after it */
             assert_true(fx_commit(w->store, &old) != 0);
         }
         fx_sync(w->store, again.core, again.now);
-        assert_true(rr_core_token(again.core) == token);
-        assert_true(rr_core_entitled(again.core, again.now));
+        assert_true(rr_core_fencing_token(again.core) == token);
+        assert_true(rr_core_lease_valid(again.core, again.now));
         fx_sync(w->store, peer.core, peer.now);
-        assert_true(rr_core_entitled(peer.core, peer.now));
+        assert_true(rr_core_lease_valid(peer.core, peer.now));
         /* The old one's lease may live on: its mirror tells it that it is deposed. */
         fx_sync(w->store, n->core, n->now);
-        assert_false(rr_core_entitled(n->core, n->now));
+        assert_false(rr_core_lease_valid(n->core, n->now));
         rr_transaction_clear(&old);
         fx_node_clear(&peer);
         fx_node_clear(&again);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -102,7 +102,7 @@
     rr_core_cache_end_reload(n.core, 50, 50, n.now);
     rr_core_set_revision(n.core, 50);
     rr_core_set_session(n.core, 7, n.now + 100);
-    assert_true(rr_core_entitled(n.core, n.now));
+    assert_true(rr_core_lease_valid(n.core, n.now));
     rr_core_job_view(n.core, "req-1", n.now, &v);
     assert_true(v.known && !v.done && v.done_count == 1);
     rr_core_job_view(n.core, "req-4", n.now, &v);
@@ -186,7 +186,7 @@
     for (int m = 1; m <= 20; m++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, "a", false, 1, 8, rr_core_token(n->core), NULL);
+        fx_report(n, id, "a", false, 1, 8, rr_core_fencing_token(n->core), NULL);
     }
     for (int i = 0; i < 4; i++) {
         n->now += 0.5;
@@ -199,7 +199,7 @@
     for (int m = 1; m <= 20; m++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, "a", false, 1, 9, rr_core_token(n->core), NULL);
+        fx_report(n, id, "a", false, 1, 9, rr_core_fencing_token(n->core), NULL);
     }
     for (int i = 0; i < 4; i++) {
         n->now += 0.5;
@@ -241,7 +241,7 @@
     for (int m = 1; m <= 20; m++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, "a", false, 2, 1, rr_core_token(n->core), NULL);
+        fx_report(n, id, "a", false, 2, 1, rr_core_fencing_token(n->core), NULL);
     }
 }
 
@@ -354,7 +354,7 @@
     lower(w->store);
     rr_core_lower_limits(n->core, false);
     show_tasks(n, "req-1", 60, 0, 1, 2);
-    fx_report(n, "vm-1", "a", false, 2, 1, rr_core_token(n->core), NULL);
+    fx_report(n, "vm-1", "a", false, 2, 1, rr_core_fencing_token(n->core), NULL);
     n->now += 1;
     assert_int_not_equal(plan(n), -EINVAL);
     for (int i = 0; i < 10; i++) {
@@ -412,7 +412,7 @@
     rr_core_set_pressure(n->core, 1, NEXT_OPS);
     uint64_t lost = fx_booked(w->store, "vm-11", "req-1", 50);
     assert_true(lost != 0);
-    fx_report(n, "vm-11", "a", false, 2, 1, rr_core_token(n->core), NULL);
+    fx_report(n, "vm-11", "a", false, 2, 1, rr_core_fencing_token(n->core), NULL);
     for (int i = 0; i < 6; i++) {
         unsigned places = 0;
         n->now += 0.5;
@@ -559,22 +559,22 @@
     rr_core_plan(n->core, n->now, n->now, &late);
     assert_true(late.has_transaction);
     rr_core_lower_limits(n->core, true);
-    uint64_t token = rr_core_token(n->core);
+    uint64_t token = rr_core_fencing_token(n->core);
     assert_int_equal(plan(n), 0);
     assert_int_equal(fx_placed(w->store, "req-1"), 0);
     fx_term(n);
-    assert_true(rr_core_token(n->core) == token + 1);
+    assert_true(rr_core_fencing_token(n->core) == token + 1);
     assert_int_not_equal(fx_commit(w->store, &late.transaction), 0);
     for (int m = 1; m <= 4; m++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, "a", false, 1, 9, rr_core_token(n->core), NULL);
+        fx_report(n, id, "a", false, 1, 9, rr_core_fencing_token(n->core), NULL);
     }
     n->now += 1;
     assert_int_equal(plan(n), 0);
     assert_int_equal(fx_placed(w->store, "req-1"), 1);
     fx_term(n);
-    assert_true(rr_core_token(n->core) == token + 1); /* one is enough */
+    assert_true(rr_core_fencing_token(n->core) == token + 1); /* one is enough */
     rr_plan_clear(&late);
 }
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -59,7 +59,7 @@
     assert_int_equal(c.npeers, 1);
     assert_true(c.teams[0].gpus_max == 3);
     assert_true(c.lease_s == 36);
-    assert_true(rr_session_s(&c) + c.lease_s < c.cancel_s);
+    assert_true(rr_session_lease_s(&c) + c.lease_s < c.cancel_s);
 }
 
 /* The limits that are to come: what is not named stays as it is, and a larger one changes nothing.
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -90,8 +90,8 @@
                                     .mem_gb = 1,
                                     .kind = (enum rr_job_kind)g_rand_int_range(random, 0, 3),
                                     .runtime_estimate_s = stream->runtime_s};
-        rr_admission_standing standing = {.entitled = g_rand_int_range(random, 0, 20) > 0,
-                                          .all_able = g_rand_int_range(random, 0, 20) > 0,
+        rr_admission_standing standing = {.lease_valid = g_rand_int_range(random, 0, 20) > 0,
+                                          .all_capable = g_rand_int_range(random, 0, 20) > 0,
                                           .cache_age_s = g_rand_double_range(random, 0, 3),
                                           .controllers = MODEL_CONTROLLERS};
         g_snprintf(submission.job_id, sizeof submission.job_id, "req-9%07u",
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -98,14 +98,14 @@
     char key[RR_NAME + 16];
     rr_encoder out;
     controller->session = ++world->sessions;
-    controller->session_until = world->now + rr_session_s(&controller->node.cfg);
+    controller->session_until = world->now + rr_session_lease_s(&controller->node.cfg);
     controller->joined = true;
     rr_encoder_init(&out);
     if (world->scenario.odd_records && trace_chance(world, 0.1)) {
         rr_encode_map(&out, 1); /* a version that knows no gangs */
         rr_encode_key_u64(&out, "tether", controller->session);
     } else {
-        rr_core_node_put(&controller->node.cfg, &out, controller->session);
+        rr_core_encode_session(&controller->node.cfg, &out, controller->session);
     }
     trace_bytes(&world->hash, out.buffer.data, out.buffer.size);
     g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.cfg.node_name);
@@ -204,7 +204,7 @@
         leave(world, controller);
     }
     if (has_store(world, controller) && controller->joined) {
-        controller->session_until = world->now + rr_session_s(&controller->node.cfg);
+        controller->session_until = world->now + rr_session_lease_s(&controller->node.cfg);
         rr_core_set_session(controller->node.core, controller->session,
                             controller->session_until - 0.5);
     } else if (has_store(world, controller)) {
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -432,7 +432,7 @@
     const rr_core *core = controller->node.core;
     trace_hash *hash = &world->hash;
     uint64_t jobs = 0, machines = 0;
-    struct rr_shares shares;
+    struct rr_budget_shares shares;
     rr_core_stats stats;
     rr_core_each_job(core, add_job, &jobs);
     rr_core_each_machine(core, add_machine, &machines);
@@ -440,7 +440,7 @@
     trace_int(hash, machines);
     rr_core_each_spillable(core, world->now, add_spillable, hash);
     trace_polls(world, controller);
-    rr_core_shares(core, &shares);
+    rr_core_budget_shares(core, &shares);
     trace_decimal(hash, shares.requests);
     trace_decimal(hash, shares.users);
     trace_decimal(hash, shares.plans);
@@ -448,12 +448,12 @@
     for (int i = 0; i < world->scenario.teams; i++) {
         trace_text(hash, rr_core_team_owner(core, team_names[i]));
     }
-    trace_int(hash, rr_core_live(core));
-    trace_int(hash, rr_core_token(core));
+    trace_int(hash, rr_core_live_controllers(core));
+    trace_int(hash, rr_core_fencing_token(core));
     trace_int(hash, rr_core_ready(core, world->now));
-    trace_int(hash, rr_core_peers_able(core));
-    trace_int(hash, rr_core_all_admit(core));
-    trace_int(hash, rr_core_all_hold(core));
+    trace_int(hash, rr_core_all_gang_capable(core));
+    trace_int(hash, rr_core_all_admission_capable(core));
+    trace_int(hash, rr_core_all_hold_capable(core));
     trace_decimal(hash, rr_core_cache_age(core, world->now));
     rr_core_get_stats(core, &stats);
     trace_stats(hash, &stats);
