--- a/src/app/duty.c
+++ b/src/app/duty.c
@@ -16,7 +16,7 @@
     atomic_store(&a->lag_ms, lag);
     if (late > LATE_S) {
         pthread_mutex_lock(&a->lock);
-        rr_core_set_late(a->core, now);
+        rr_core_set_timers_late(a->core, now);
         pthread_mutex_unlock(&a->lock);
     }
 }
--- a/src/app/planner_duty.c
+++ b/src/app/planner_duty.c
@@ -39,7 +39,7 @@
     *told = rr_now();
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     pthread_mutex_lock(&a->lock);
-    rr_core_suspects(a->core, rr_now(), names);
+    rr_core_list_suspects(a->core, rr_now(), names);
     pthread_mutex_unlock(&a->lock);
     rr_peers_suspects(a->peers, names);
     g_ptr_array_free(names, TRUE);
--- a/src/app/session_duty.c
+++ b/src/app/session_duty.c
@@ -89,7 +89,7 @@
  * round once more. */
 static bool is_late(struct rr_app *a) {
     pthread_mutex_lock(&a->lock);
-    bool late = rr_core_late(a->core, rr_now(), ALONE_S);
+    bool late = rr_core_timers_late(a->core, rr_now(), ALONE_S);
     pthread_mutex_unlock(&a->lock);
     return late;
 }
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -123,8 +123,8 @@
 }
 
 static bool failed_here(const rr_machine *m, const rr_job *j) {
-    for (guint k = 0; j->failed_on && k < j->failed_on->len; k++) {
-        if (g_array_index(j->failed_on, int, k) == m->id) {
+    for (guint k = 0; j->failed_machines && k < j->failed_machines->len; k++) {
+        if (g_array_index(j->failed_machines, int, k) == m->id) {
             return true;
         }
     }
@@ -184,7 +184,7 @@
             continue;
         }
         rr_cand k = {.m = m, .cap = rr_machine_cap(c, m), .fetch = fetch};
-        k.trouble = failed_here(m, j) ? 2 : rr_machine_doubtful(m, now) ? 1 : 0;
+        k.trouble = failed_here(m, j) ? 2 : rr_machine_failed_recently(m, now) ? 1 : 0;
         k.image = urgent && fetch > 0;
         k.price = rr_zone_bound(j) ? 1 : rr_machine_price(c, m);
         if (!urgent && j->submission.runtime_estimate_s > 0 && !rr_zone_bound(j)) {
@@ -330,7 +330,7 @@
         c->visits++;
         if (m->zone >= 0 && zones[m->zone] &&
             rr_job_allows(c, j, m->machine_type, m->zone, m->spot) &&
-            rr_machine_usable(c, m, now)) {
+            rr_machine_schedulable(c, m, now)) {
             add_machine(c, j, m, wanted, &rooms[m->zone]);
         }
     }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -54,8 +54,9 @@
 void rr_core_set_cache_current(rr_core *c, double at);
 bool rr_core_lease_valid(const rr_core *c, double now);
 /* The shell's own timers have just fired late: there is more work than processor time. */
-void rr_core_set_late(rr_core *c, double now);
-bool rr_core_late(const rr_core *c, double now, double within); /* so, not longer ago than this */
+void rr_core_set_timers_late(rr_core *c, double now);
+bool rr_core_timers_late(const rr_core *c, double now,
+                         double within); /* so, not longer ago than this */
 /* Whether our node key stands in the mirror with this lease. */
 bool rr_core_session_seen(const rr_core *c, uint64_t tether);
 void rr_core_encode_session(const struct rr_config *cfg, rr_encoder *o, uint64_t tether);
@@ -101,7 +102,7 @@
  * lately reported by itself, so that others may take this for a report. */
 bool rr_core_take_command_reply(rr_core *c, double now, rr_heartbeat *r, int via);
 /* The machine has just answered this process: it is not known from late copies alone. */
-void rr_core_vouch(rr_core *c, double now, const rr_heartbeat_digest *h);
+void rr_core_verify_machine(rr_core *c, double now, const rr_heartbeat_digest *h);
 /* A peer has just said something on its link to us. */
 void rr_core_peer_contacted(rr_core *c, double now, int peer);
 /* A peer heard the machine again. False: not known here, or not news. */
@@ -152,7 +153,7 @@
 /* A machine reports but answers no command, says a controller that sent some. */
 void rr_core_suspect(rr_core *c, const char *machine, double now);
 /* Those that this controller has found so: char*. */
-void rr_core_suspects(rr_core *c, double now, GPtrArray *out);
+void rr_core_list_suspects(rr_core *c, double now, GPtrArray *out);
 
 /* ---- renting (provisioner) ---- */
 enum rr_autoscaler_step_kind {
--- a/src/core/fair_room.c
+++ b/src/core/fair_room.c
@@ -29,7 +29,7 @@
 bool rr_within_fair_room(const struct rr_planner *planner, const rr_job *job) {
     const rr_core *c = planner->c;
     if (!c->fair || job->submission.priority == RR_PRIORITY_PROD ||
-        planner->wall - job->at > FAIR_WAIT_S || rr_within_guarantee(planner, job, 1)) {
+        planner->wall - job->accepted_at > FAIR_WAIT_S || rr_within_guarantee(planner, job, 1)) {
         return true;
     }
     rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->request, 1);
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -110,7 +110,7 @@
     rr_machine *m = rr_machine_get(c, name, now);
     if (!m->recorded) {
         m->known_at = m->idle_since = now;
-        m->young = !c->rereading && !m->heartbeat_seen;
+        m->recorded_while_watching = !c->rereading && !m->heartbeat_seen;
         rr_touch(c, m);
     }
     bool ret = flags & FLAG_RET;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -57,7 +57,8 @@
             n->all++;
             n->by[state_of(c, it->m, pl, now)]++;
             n->at_once = n->at_once || pl->evict == RR_EVICT_AT_ONCE;
-            n->told = n->told && rr_machine_fresh(c, it->m, now) && !rr_machine_deaf(it->m);
+            n->told = n->told && rr_machine_heartbeat_recent(c, it->m, now) &&
+                      !rr_machine_commands_unanswered(it->m);
         }
     }
 }
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -13,7 +13,7 @@
     if (!j || j->done || j->cancelled) {
         return false;
     }
-    rr_core_job_encode(o, &j->submission, j->at, true);
+    rr_core_job_encode(o, &j->submission, j->accepted_at, true);
     *mark = j->own_version;
     return true;
 }
@@ -93,7 +93,7 @@
 void rr_arrivals_trim(rr_core *c, double wall) {
     guint n = 0;
     while (n < c->arrivals->len &&
-           wall - g_array_index(c->arrivals, rr_job *, n)->at > RR_ARRIVALS_S) {
+           wall - g_array_index(c->arrivals, rr_job *, n)->accepted_at > RR_ARRIVALS_S) {
         n++;
     }
     if (n > 0) {
@@ -146,7 +146,7 @@
     recount(c, j, -1);
     rr_submission_clear(&j->submission);
     j->submission = s;
-    rr_map_get_number(v, "at", &j->at);
+    rr_map_get_number(v, "at", &j->accepted_at);
     rr_map_get_bool(v, "cancelled", &j->cancelled);
     job_index(c, j);
     rr_job_open(c, j);
@@ -253,7 +253,7 @@
     gpointer v;
     pin(pinned, c->arrivals);
     for (guint i = 0; i < c->machine_list->len; i++) {
-        pin(pinned, ((rr_machine *)g_ptr_array_index(c->machine_list, i))->err_jobs);
+        pin(pinned, ((rr_machine *)g_ptr_array_index(c->machine_list, i))->failed_jobs);
     }
     for (guint i = 0; i < c->plan_moves->len; i++) {
         g_hash_table_add(pinned, g_array_index(c->plan_moves, rr_move, i).job);
--- a/src/core/machines.c
+++ b/src/core/machines.c
@@ -14,8 +14,8 @@
     m->machine_type = m->zone = -1;
     m->places = g_array_new(FALSE, TRUE, sizeof(rr_placement));
     m->images = g_array_new(FALSE, FALSE, sizeof(int));
-    m->err_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
-    m->lost = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+    m->failed_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
+    m->unanswered_starts = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     m->known_at = m->idle_since = now;
     m->heard_via = -1;
     g_hash_table_insert(c->machines, m->name, m);
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -37,8 +37,8 @@
     rr_submission_clear(&j->submission);
     g_free(j->bits);
     g_free(j->placed);
-    if (j->failed_on) {
-        g_array_free(j->failed_on, TRUE);
+    if (j->failed_machines) {
+        g_array_free(j->failed_machines, TRUE);
     }
     if (j->runs) {
         g_ptr_array_free(j->runs, TRUE);
@@ -51,8 +51,8 @@
     g_array_free(m->places, TRUE);
     rr_heartbeat_clear(&m->heartbeat);
     g_array_free(m->images, TRUE);
-    g_array_free(m->err_jobs, TRUE);
-    g_hash_table_destroy(m->lost);
+    g_array_free(m->failed_jobs, TRUE);
+    g_hash_table_destroy(m->unanswered_starts);
     if (m->booked) {
         g_array_free(m->booked, TRUE);
     }
@@ -115,7 +115,7 @@
     c->batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, batch_free);
     c->next_page = 1;
     c->changes = rr_transaction_changes_max(cfg);
-    c->zone_counts = g_array_new(FALSE, TRUE, sizeof(rr_zone_count));
+    c->zone_counts = g_array_new(FALSE, TRUE, sizeof(rr_zone_heartbeats));
     c->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->holds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->cancel_hints = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -83,7 +83,7 @@
     rr_res request;
     uint64_t version;     /* of the record that tells of it */
     uint64_t own_version; /* of its own record, 0 while it is known from a batch only */
-    double at;            /* wall, when accepted */
+    double accepted_at;   /* wall, when accepted */
     bool cancelled, done, open;
     guint8 *bits;   /* done tasks, one bit each; NULL once final */
     guint8 *placed; /* placements a task has in the ledger */
@@ -97,10 +97,10 @@
     uint32_t missing;         /* likewise: tasks that one change would bring back, 0: no matter */
     double team_fill;         /* likewise, under overload: how full its team's fair room is, */
     double class_fill;        /* and what its class fills of all room */
-    uint32_t lost;            /* scratch of one simulation: placements on machines that are gone */
+    uint32_t lost_count;      /* scratch of one simulation: placements on machines that are gone */
     int zone;                 /* of completed tasks of a one-zone job, -1 */
-    GArray *failed_on;        /* rr_machine ids (int) where a task failed */
-    double hold_until;        /* steady; placed no sooner */
+    GArray *failed_machines;  /* rr_machine ids (int) where a task failed */
+    double backoff_until;     /* steady; placed no sooner */
     double first_seen;        /* steady */
 };
 
@@ -121,26 +121,29 @@
     rr_res used;
     /* observed */
     bool heartbeat_seen;
-    bool young;   /* recorded while this process watched */
-    bool vouched; /* by a live exchange with this process: not only by reports, which may be late */
+    bool recorded_while_watching; /* recorded while this process watched */
+    bool
+        verified; /* by a live exchange with this process: not only by reports, which may be late */
     bool command_inflight;
     unsigned stale_answers; /* in a row that were older than its last report */
     double stale_at;
-    unsigned unanswered;  /* commands in a row that got no answer */
-    double unanswered_at; /* since when */
-    double suspect_until; /* an owner says that its commands get no answer there */
-    unsigned deaf_probes; /* probes of a suspect in a row that failed while it went on reporting */
-    double deaf_at;
+    unsigned unanswered;            /* commands in a row that got no answer */
+    double unanswered_at;           /* since when */
+    double suspect_until;           /* an owner says that its commands get no answer there */
+    unsigned failed_suspect_probes; /* probes of a suspect in a row that failed while it went on
+                                       reporting */
+    double suspect_probes_failed_at;
     rr_heartbeat heartbeat; /* newest */
     uint64_t heartbeat_hash;
-    double heartbeat_at, known_at, direct_bad_until;
+    double heartbeat_at, known_at, direct_path_bad_until;
     double reported_at; /* by itself, to whatever controller: not in answer to a command */
     int heard_via;
-    GArray *images;   /* int: images it has, oldest first */
-    GArray *err_jobs; /* rr_job*: jobs that failed here */
-    double err_at, full_until;
-    GHashTable *lost; /* attempts with an unanswered start under lost_token/lost_tenure */
-    uint64_t lost_token, lost_worker_epoch;
+    GArray *images;      /* int: images it has, oldest first */
+    GArray *failed_jobs; /* rr_job*: jobs that failed here */
+    double last_failure_at, full_until;
+    GHashTable
+        *unanswered_starts; /* attempts with an unanswered start under lost_token/lost_tenure */
+    uint64_t unanswered_starts_token, unanswered_starts_epoch;
     double next_command_at;
     double reap_at; /* an exited task has waited since then to be reaped, 0: none */
     void *plan_do;  /* scratch of one plan: rr_command_batch */
@@ -195,13 +198,13 @@
 
 /* Something heard now and then: when last, and since when without a pause. */
 typedef struct {
-    double at, since;
+    double last_at, unbroken_since;
 } rr_contact;
 
 typedef struct {
     guint machines, heard; /* machines that were up, and those of them heard lately */
     guint recent;          /* and in the last part of a report interval */
-} rr_zone_count;
+} rr_zone_heartbeats;
 
 /* The rules rest on what is stored, and on observations only where they prove something; scratch is
  * of one plan or simulation and says nothing after it. */
@@ -254,7 +257,7 @@
     GHashTable *gone;               /* name -> double*: when its record went */
     GHashTable *cancel_hints;       /* job id -> double*: until when */
     GArray *cut_at;                 /* double by zone: when most of it was last silent */
-    GArray *zone_counts;            /* rr_zone_count by zone, as of the last look */
+    GArray *zone_counts;            /* rr_zone_heartbeats by zone, as of the last look */
     rr_contact peers[RR_MAX_NODES]; /* by index: their links to us */
     rr_contact direct;              /* workers' reports to this controller itself */
     GArray *arrivals;               /* rr_job*: lately */
@@ -388,24 +391,25 @@
 void rr_assign_shards(rr_core *c); /* finds owners and provisioner of a new term */
 
 /* troubles.c */
-bool rr_machine_quiet(const rr_core *c, const rr_machine *m, double now); /* does not report on */
-bool rr_machine_fresh(const rr_core *c, const rr_machine *m, double now);
-bool rr_machine_usable(const rr_core *c, const rr_machine *m, double now);
-bool rr_machine_reborn(const rr_machine *m, double now); /* another one under its name */
-bool rr_machine_sick(const rr_machine *m, double now);
-bool rr_machine_mute(const rr_core *c, const rr_machine *m, double now);
-bool rr_machine_doubtful(const rr_machine *m, double now); /* failed a task not long ago */
-void rr_note_error(rr_core *c, rr_machine *m, rr_job *j, double now);
+bool rr_machine_heartbeat_overdue(const rr_core *c, const rr_machine *m,
+                                  double now); /* does not report on */
+bool rr_machine_heartbeat_recent(const rr_core *c, const rr_machine *m, double now);
+bool rr_machine_schedulable(const rr_core *c, const rr_machine *m, double now);
+bool rr_machine_name_reused(const rr_machine *m, double now); /* another one under its name */
+bool rr_machine_quarantined(const rr_machine *m, double now);
+bool rr_machine_heartbeats_lost(const rr_core *c, const rr_machine *m, double now);
+bool rr_machine_failed_recently(const rr_machine *m, double now); /* failed a task not long ago */
+void rr_record_task_failure(rr_core *c, rr_machine *m, rr_job *j, double now);
 /* To be called before machines are judged: counts who is heard in each zone and keeps when each was
  * last cut off. */
-void rr_note_cuts(rr_core *c, double now);
-bool rr_zone_silent(const rr_core *c, int zone); /* most of it, at the last count */
-void rr_contact_heard(rr_contact *k, double now);
+void rr_detect_partitions(rr_core *c, double now);
+bool rr_zone_partitioned(const rr_core *c, int zone); /* most of it, at the last count */
+void rr_contact_record(rr_contact *k, double now);
 /* Every other controller of the term has been heard without a pause for so long. */
-bool rr_peers_last(const rr_core *c, double now, double seconds);
-bool rr_machine_deaf(const rr_machine *m); /* reports, but commands get no answer */
+bool rr_peers_connected_for(const rr_core *c, double now, double seconds);
+bool rr_machine_commands_unanswered(const rr_machine *m); /* reports, but commands get no answer */
 bool rr_machine_dead(const rr_core *c, const rr_machine *m, double now);
-double rr_silent_for(const rr_machine *m, double now);
+double rr_heartbeat_age(const rr_machine *m, double now);
 
 /* gang.c */
 enum rr_gang_phase {
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -72,7 +72,7 @@
     if (!job || !job->version) {
         return false;
     }
-    *out = (rr_core_job){&job->submission, job->at,           true,           job->done,
+    *out = (rr_core_job){&job->submission, job->accepted_at,  true,           job->done,
                          job->cancelled,   job->placed_count, job->done_count};
     return true;
 }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -29,7 +29,7 @@
     /* While changes are short a free machine is better: a victim costs three changes more, and
      * those that wait behind it their starts. In a burst of four times as many services a fifth of
      * all changes went to victims while one machine in four stood free. */
-    bool worth = c->pressure < 0.9 && (p->wall - j->at + 1 < within || c->pressure < 0.5);
+    bool worth = c->pressure < 0.9 && (p->wall - j->accepted_at + 1 < within || c->pressure < 0.5);
     if ((worth || !m) && rr_may_preempt(c, j) && rr_preempt_for_task(p, j, task, how, true)) {
         return true;
     }
@@ -80,7 +80,7 @@
     }
     struct rr_choice how = {.zones = zones,
                             .separate = j->submission.kind == RR_JOB_SERVICE,
-                            .filter = rr_machine_usable};
+                            .filter = rr_machine_schedulable};
     /* All zones that the job may use, so that one walk serves all its tasks. */
     bool any[n + 1];
     memset(any, z.counted && !rr_zone_bound(j), sizeof any);
@@ -125,7 +125,7 @@
  * came last, and with it the whole job. */
 static double latest_start(const rr_job *j) {
     return j->submission.deadline_s >= 0
-               ? j->at + j->submission.deadline_s - j->submission.runtime_estimate_s
+               ? j->accepted_at + j->submission.deadline_s - j->submission.runtime_estimate_s
                : 1e18;
 }
 
@@ -147,13 +147,13 @@
     if (x->submission.priority < RR_PRIORITY_PROD && dx != dy) {
         return dx < dy ? -1 : 1;
     }
-    return x->at < y->at ? -1 : x->at > y->at;
+    return x->accepted_at < y->accepted_at ? -1 : x->accepted_at > y->accepted_at;
 }
 
 static bool waits(const rr_core *c, const rr_job *j, double now) {
     return j->version && !j->cancelled && !j->done && j->team >= 0 &&
            (size_t)j->team < c->cfg->nteams &&
-           j->done_count + j->placed_count < j->submission.task_count && now >= j->hold_until &&
+           j->done_count + j->placed_count < j->submission.task_count && now >= j->backoff_until &&
            rr_owns_team(c, j->team) && !rr_job_held(c, j, now);
 }
 
@@ -162,7 +162,7 @@
         const rr_job *j = g_ptr_array_index(c->open, i);
         if (waits(c, j, now) && j->placed_count == 0 && j->done_count == 0 &&
             !rr_job_of_another_cell(c, j)) {
-            fn(user, &j->submission, j->at);
+            fn(user, &j->submission, j->accepted_at);
         }
     }
 }
@@ -200,8 +200,8 @@
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
         bool overdue = j->submission.kind == RR_JOB_GANG && j->placed_count == 0 &&
-                       p->wall - j->at > FIRST_TASK_S;
-        if (overdue && (!oldest || j->at < oldest->at)) {
+                       p->wall - j->accepted_at > FIRST_TASK_S;
+        if (overdue && (!oldest || j->accepted_at < oldest->accepted_at)) {
             oldest = j;
         }
     }
@@ -215,9 +215,10 @@
     bool any = p->c->plans % OLDEST_EVERY == 0;
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        bool unbegun = j->done_count + j->placed_count == 0 && p->wall - j->at > FIRST_TASK_S;
+        bool unbegun =
+            j->done_count + j->placed_count == 0 && p->wall - j->accepted_at > FIRST_TASK_S;
         if ((unbegun || any) && p->now - j->failed_at >= RETRY_MAX_S &&
-            (!best || j->at < best->at)) {
+            (!best || j->accepted_at < best->accepted_at)) {
             best = j;
         }
     }
@@ -247,7 +248,7 @@
     if (!(gang && p->now - gang->failed_at >= retry && rr_place_gang(p, gang, left))) {
         early.reserve = gang;
     }
-    if (early.reserve && p->wall - gang->at > RESERVE_FIRST_S) {
+    if (early.reserve && p->wall - gang->accepted_at > RESERVE_FIRST_S) {
         rr_reserve_for_gang(p, gang);
         early.reserve = NULL;
     }
@@ -299,9 +300,10 @@
         bool zones[c->zones.names->len + 1];
         rr_job_zones(c, mv.job, zones, old);
         if (!old || mv.job->cancelled || rr_job_held(c, mv.job, p->now) ||
-            !rr_machine_usable(c, mv.to, p->now) || !rr_res_fits(mv.job->request, mv.to->free) ||
-            !zones[mv.to->zone] || !rr_within_limit(p, mv.job, 1) ||
-            !rr_edit_of(p, mv.job, old->chunk) || !rr_book(p, mv.to, mv.job, mv.task)) {
+            !rr_machine_schedulable(c, mv.to, p->now) ||
+            !rr_res_fits(mv.job->request, mv.to->free) || !zones[mv.to->zone] ||
+            !rr_within_limit(p, mv.job, 1) || !rr_edit_of(p, mv.job, old->chunk) ||
+            !rr_book(p, mv.to, mv.job, mv.task)) {
             /* A move that fails ends the plan. */
             g_array_set_size(c->plan_moves, 0);
             return;
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -42,7 +42,7 @@
 /* Books all tasks on free room, or none. */
 static bool book_on_free_room(struct rr_planner *planner, rr_job *job, struct rr_job_zones *zones) {
     rr_core *core = planner->c;
-    struct rr_choice choice = {.zones = zones->allowed, .filter = rr_machine_usable};
+    struct rr_choice choice = {.zones = zones->allowed, .filter = rr_machine_schedulable};
     uint64_t attempt = rr_next_attempt(core);
     uint32_t task = 0;
     for (; task < job->submission.task_count; task++) {
@@ -69,7 +69,7 @@
     bool all_zones[zone_count + 1];
     memset(all_zones, true, sizeof all_zones);
     struct rr_choice choice = {.zones = rr_zone_bound(job) ? allowed : all_zones,
-                               .filter = rr_machine_usable};
+                               .filter = rr_machine_schedulable};
     rr_candidates(planner->c, job, &choice, planner->now, planner->cands);
 }
 
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -313,12 +313,12 @@
 
 /* Machines known only from reports that came late, after their records were gone, and names of
  * machines that went with work of which nothing is left in the ledger. */
-static void forget_strangers(rr_core *c, double now) {
+static void forget_unknown_machines(rr_core *c, double now) {
     g_hash_table_foreach_remove(c->gone, gone_old, &now);
     for (guint i = c->machine_list->len; i > 0; i--) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
         if (!m->recorded && !m->to_record && !m->command_inflight && m->places->len == 0 &&
-            (m->gone || rr_silent_for(m, now) > STRANGER_S)) {
+            (m->gone || rr_heartbeat_age(m, now) > STRANGER_S)) {
             rr_machine_forget(c, m);
         }
     }
@@ -330,7 +330,7 @@
     rr_job_final_record(j, &p->out->transaction);
     rr_log_at(p->c, RR_LOG_DEBUG,
               "job %s is done, %u tasks, %.0f s after it came, due after %.0f, guess %.0f",
-              j->submission.job_id, j->submission.task_count, p->wall - j->at,
+              j->submission.job_id, j->submission.task_count, p->wall - j->accepted_at,
               j->submission.deadline_s, j->submission.runtime_estimate_s);
 }
 
@@ -543,7 +543,7 @@
     note_short(&p);
     build_transaction(&p);
     guint first = out->command_batches->len;
-    rr_probe_silent(&p);
+    rr_probe_overdue_machines(&p);
     for (guint i = first; i < out->command_batches->len; i++) {
         rr_machine *m = g_hash_table_lookup(
             c->machines, ((rr_command_batch *)g_ptr_array_index(out->command_batches, i))->machine);
@@ -551,7 +551,7 @@
     }
     if (now - c->strangers_at > 1) {
         c->strangers_at = now;
-        forget_strangers(c, now);
+        forget_unknown_machines(c, now);
     }
     if (now - c->recount_at > RECOUNT_S) {
         c->recount_at = now;
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -82,6 +82,6 @@
 void rr_make_moves(struct rr_planner *p); /* those of a round's plan that are due */
 
 /* probes.c */
-void rr_probe_silent(struct rr_planner *p);
+void rr_probe_overdue_machines(struct rr_planner *p);
 
 #endif
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -36,7 +36,7 @@
         return NO_DEADLINE_SLACK_S;
     }
     double left = fmax(0, job->submission.runtime_estimate_s - (now - place->seen_at));
-    double slack = job->at + job->submission.deadline_s - wall - left;
+    double slack = job->accepted_at + job->submission.deadline_s - wall - left;
     return slack < 0 ? NO_DEADLINE_SLACK_S : slack;
 }
 
@@ -142,7 +142,7 @@
     if (!aim) {
         return false;
     }
-    double left = aim->within_s - (planner->wall - job->at);
+    double left = aim->within_s - (planner->wall - job->accepted_at);
     for (guint i = 0; i < machine->places->len; i++) {
         const rr_job *other = g_array_index(machine->places, rr_placement, i).job;
         if (other->submission.priority < job->submission.priority &&
@@ -211,7 +211,7 @@
                          const rr_job *job, const bool *allowed) {
     return machine->zone >= 0 && allowed[machine->zone] &&
            rr_job_allows(planner->c, job, machine->machine_type, machine->zone, machine->spot) &&
-           rr_machine_usable(planner->c, machine, planner->now);
+           rr_machine_schedulable(planner->c, machine, planner->now);
 }
 
 static bool may_take(const struct rr_planner *planner, const rr_machine *machine, const rr_job *job,
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -19,7 +19,7 @@
  * those that it doubts itself: only an answer to it ends that, and one that had lost its work there
  * never sent another command and left the machine out for good. */
 static bool concerns_us(const rr_core *c, const rr_machine *m, bool provisioner) {
-    provisioner = provisioner || rr_machine_deaf(m);
+    provisioner = provisioner || rr_machine_commands_unanswered(m);
     for (guint i = 0; !provisioner && i < m->places->len; i++) {
         const rr_job *j = g_array_index(m->places, rr_placement, i).job;
         if (j->team >= 0 && rr_owns_team(c, j->team)) {
@@ -35,10 +35,10 @@
         return false;
     }
     bool late =
-        rr_silent_for(m, now) > 1.3 * c->cfg->report_s && (m->heartbeat_seen || m->places->len);
+        rr_heartbeat_age(m, now) > 1.3 * c->cfg->report_s && (m->heartbeat_seen || m->places->len);
     bool doubted = m->unanswered >= 2 || now < m->suspect_until;
     /* A report about an unknown machine may be a late copy: a live exchange has to vouch for it. */
-    bool stranger = !m->recorded && m->heartbeat_seen && !m->vouched && !m->gone;
+    bool stranger = !m->recorded && m->heartbeat_seen && !m->verified && !m->gone;
     return (m->recorded ? late || doubted : stranger && provisioner) &&
            concerns_us(c, m, provisioner);
 }
@@ -46,13 +46,13 @@
 /* A report late by more than its usual quarter, commands without answers: ask, with a command that
  * carries the present token, so that a worker that a deposed controller holds on to learns of it.
  * Those asked longest ago come first. */
-void rr_probe_silent(struct rr_planner *p) {
+void rr_probe_overdue_machines(struct rr_planner *p) {
     rr_core *c = p->c;
     if (p->now - c->probe_at < PROBE_LOOK_S) {
         return;
     }
     c->probe_at = p->now;
-    rr_note_cuts(c, p->now);
+    rr_detect_partitions(c, p->now);
     bool provisioner = rr_core_is_autoscaler(c, p->now);
     guint in_cut[c->zones.names->len + 1];
     memset(in_cut, 0, sizeof in_cut);
@@ -66,8 +66,8 @@
     g_ptr_array_sort(late, by_probed);
     for (guint i = 0; i < late->len && c->probing < PROBES_MAX; i++) {
         rr_machine *m = g_ptr_array_index(late, i);
-        if (m->plan_do ||
-            (m->zone >= 0 && rr_zone_silent(c, m->zone) && in_cut[m->zone]++ >= PROBES_IN_CUT)) {
+        if (m->plan_do || (m->zone >= 0 && rr_zone_partitioned(c, m->zone) &&
+                           in_cut[m->zone]++ >= PROBES_IN_CUT)) {
             continue;
         }
         m->probed_at = p->now;
@@ -83,7 +83,7 @@
 /* Commands to it go unanswered: the others are told, since the provisioner may not have sent any.
  */
 static void suspect(rr_core *c, rr_machine *m, double now) {
-    if (rr_core_late(c, now, RR_LATE_S)) {
+    if (rr_core_timers_late(c, now, RR_LATE_S)) {
         return; /* the answer may be waiting to be read */
     }
     m->unanswered_at = m->unanswered++ == 0 ? now : m->unanswered_at;
@@ -100,7 +100,7 @@
 }
 
 /* Machines whose commands got no answer twice or more in a row, for the peers. */
-void rr_core_suspects(rr_core *c, double now, GPtrArray *out) {
+void rr_core_list_suspects(rr_core *c, double now, GPtrArray *out) {
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         if (m->unanswered >= 2 && m->recorded && now - m->heartbeat_at < 2 * c->cfg->report_s) {
@@ -112,17 +112,18 @@
 static void probe_result(rr_core *c, rr_machine *m, double now, bool answered) {
     if (answered) {
         m->probe_fails = 0;
-        m->deaf_probes = m->unanswered = 0;
+        m->failed_suspect_probes = m->unanswered = 0;
         m->suspect_until = 0;
         return;
     }
-    if (rr_core_late(c, now, RR_LATE_S)) {
+    if (rr_core_timers_late(c, now, RR_LATE_S)) {
         return; /* its answer may be waiting to be read */
     }
     m->probe_fails++;
     /* Only while it goes on reporting: a silent machine is another trouble. */
-    if (!rr_machine_quiet(c, m, now)) {
-        m->deaf_at = m->deaf_probes++ == 0 ? now : m->deaf_at;
+    if (!rr_machine_heartbeat_overdue(c, m, now)) {
+        m->suspect_probes_failed_at =
+            m->failed_suspect_probes++ == 0 ? now : m->suspect_probes_failed_at;
         suspect(c, m, now);
     }
 }
@@ -148,20 +149,21 @@
     }
     suspect(c, m, now);
     if (d->via < 0) {
-        m->direct_bad_until = now + 10;
+        m->direct_path_bad_until = now + 10;
     }
     if (outcome != RR_COMMAND_OUTCOME_UNKNOWN) {
         return;
     }
-    if (m->lost_token != d->fencing_token || m->lost_worker_epoch != d->worker_epoch) {
-        g_hash_table_remove_all(m->lost);
-        m->lost_token = d->fencing_token;
-        m->lost_worker_epoch = d->worker_epoch;
+    if (m->unanswered_starts_token != d->fencing_token ||
+        m->unanswered_starts_epoch != d->worker_epoch) {
+        g_hash_table_remove_all(m->unanswered_starts);
+        m->unanswered_starts_token = d->fencing_token;
+        m->unanswered_starts_epoch = d->worker_epoch;
     }
     for (guint i = 0; i < d->commands->len; i++) {
         const rr_command *o = &g_array_index(d->commands, rr_command, i);
         if (o->kind == RR_COMMAND_START) {
-            g_hash_table_add(m->lost, g_memdup2(&o->attempt, sizeof o->attempt));
+            g_hash_table_add(m->unanswered_starts, g_memdup2(&o->attempt, sizeof o->attempt));
         }
     }
 }
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -304,18 +304,18 @@
     }
     /* It goes on reporting, so that it is not silent; but no command reaches it, ours and an
      * owner's neither directly nor through whoever hears it, and its lease will run out. */
-    if (m->heartbeat_seen && m->deaf_probes >= 3 && now - m->deaf_at > DEAF_S &&
-        !rr_machine_quiet(c, m, now)) {
+    if (m->heartbeat_seen && m->failed_suspect_probes >= 3 &&
+        now - m->suspect_probes_failed_at > DEAF_S && !rr_machine_heartbeat_overdue(c, m, now)) {
         return "reports, but hears nothing";
     }
-    if (rr_machine_reborn(m, now)) {
+    if (rr_machine_name_reused(m, now)) {
         return "back under its name with its counts begun anew";
     }
     if (!m->heartbeat_seen && wall - m->created_at > 4 * boot + 30 && empty &&
         now - c->provisioner_since > 2 * boot) {
         return "never came up";
     }
-    if (rr_machine_sick(m, now) && empty) {
+    if (rr_machine_quarantined(m, now) && empty) {
         return "sick: tasks of several jobs failed";
     }
     return NULL;
@@ -328,7 +328,8 @@
     }
     const char *why = trouble_of(c, m, now, wall);
     bool empty = m->places->len == 0;
-    if (m->to_release && !why && !empty && rr_machine_fresh(c, m, now) && !m->releasing) {
+    if (m->to_release && !why && !empty && rr_machine_heartbeat_recent(c, m, now) &&
+        !m->releasing) {
         m->to_release = m->declared_dead = false; /* it speaks again, or was idle, and has work */
         return;
     }
@@ -344,7 +345,7 @@
               why ? why : "idle");
 }
 void rr_review_machines(rr_core *c, double now, double wall) {
-    rr_note_cuts(c, now);
+    rr_detect_partitions(c, now);
     for (guint i = 0; i < c->machine_list->len; i++) {
         judge(c, g_ptr_array_index(c->machine_list, i), now, wall);
     }
@@ -360,9 +361,10 @@
         m->list_failed = m->listed = m->surplus = m->declared_dead = m->releasing = false;
         m->to_release =
             m->scaling_in; /* what was to go back goes, unless it is judged to have work */
-        m->declared_dead = m->scaling_in && m->places->len > 0 && !rr_machine_fresh(c, m, now);
+        m->declared_dead =
+            m->scaling_in && m->places->len > 0 && !rr_machine_heartbeat_recent(c, m, now);
         m->probe_fails = 0;
-        m->deaf_probes = 0;
+        m->failed_suspect_probes = 0;
     }
     GHashTableIter it;
     gpointer v;
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -33,9 +33,9 @@
     if (!m->heartbeat_seen) {
         return now - m->known_at < c->cfg->tune.boot_patience * b->startup_s + 5;
     }
-    return rr_machine_usable(c, m, now) ||
-           (rr_machine_fresh(c, m, now) && m->heartbeat.spot_notice_s < 0 &&
-            !rr_machine_sick(m, now) && !rr_machine_mute(c, m, now));
+    return rr_machine_schedulable(c, m, now) ||
+           (rr_machine_heartbeat_recent(c, m, now) && m->heartbeat.spot_notice_s < 0 &&
+            !rr_machine_quarantined(m, now) && !rr_machine_heartbeats_lost(c, m, now));
 }
 
 /* One simulation: what waits is put on paper onto the machines there are, then onto machines to
@@ -219,7 +219,7 @@
             pull = fmax(pull, b->pull_rate > 0 ? j->submission.image_size_gb / b->pull_rate : 0);
         }
     }
-    double slack = j->at + j->submission.deadline_s - wall -
+    double slack = j->accepted_at + j->submission.deadline_s - wall -
                    1.3 * j->submission.runtime_estimate_s - 1.3 * boot - pull;
     return slack < 40;
 }
@@ -229,14 +229,14 @@
  * half. */
 static void count_lost(const rr_core *c) {
     for (guint i = 0; i < c->open->len; i++) {
-        ((rr_job *)g_ptr_array_index(c->open, i))->lost = 0;
+        ((rr_job *)g_ptr_array_index(c->open, i))->lost_count = 0;
     }
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         for (guint k = 0; k < m->places->len && (m->gone || (m->to_release && m->declared_dead));
              k++) {
             const rr_placement *p = &g_array_index(m->places, rr_placement, k);
-            p->job->lost += !rr_job_task_done(p->job, p->task);
+            p->job->lost_count += !rr_job_task_done(p->job, p->task);
         }
     }
 }
@@ -260,7 +260,7 @@
         return 0;
     }
     const struct rr_team_config *t = &c->cfg->teams[j->team];
-    uint32_t n = MIN(j->submission.task_count - j->done_count - j->placed_count + j->lost,
+    uint32_t n = MIN(j->submission.task_count - j->done_count - j->placed_count + j->lost_count,
                      j->submission.task_count - j->done_count);
     n = MIN(n, WANTED_MAX);
     if (t->cpus_max > 0 && j->request.cpus > 0) {
@@ -318,7 +318,9 @@
         const rr_job *j = g_array_index(c->arrivals, rr_job *, k);
         if (strcmp(j->submission.job_class, job_class) == 0) {
             *last = j;
-            tasks += j->at > c->term.first_term_at + START_STOCK_S ? j->submission.task_count : 0;
+            tasks += j->accepted_at > c->term.first_term_at + START_STOCK_S
+                         ? j->submission.task_count
+                         : 0;
         }
     }
     return tasks;
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -142,7 +142,7 @@
     /* One that only reports have told of: a late copy of a report creates nothing, so it has to
      * answer us first. */
     return m->to_record ||
-           (m->heartbeat_seen && m->vouched && c->list_read &&
+           (m->heartbeat_seen && m->verified && c->list_read &&
             now - m->heartbeat_at < 2 * c->cfg->report_s && !rr_recently_gone(c, m->name, now));
 }
 
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -21,8 +21,8 @@
     d->worker_epoch = m->heartbeat.worker_epoch;
     d->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
     d->fallback = m->heard_via;
-    d->via = m->heard_via >= 0 && p->now < m->direct_bad_until ? m->heard_via : -1;
-    d->doubtful = m->unanswered > 0 || rr_silent_for(m, p->now) > 1.3 * p->c->cfg->report_s;
+    d->via = m->heard_via >= 0 && p->now < m->direct_path_bad_until ? m->heard_via : -1;
+    d->doubtful = m->unanswered > 0 || rr_heartbeat_age(m, p->now) > 1.3 * p->c->cfg->report_s;
     m->plan_do = d;
     g_ptr_array_add(p->out->command_batches, d);
     return d;
@@ -38,8 +38,9 @@
 /* An attempt's start may be under way still: it went unanswered under this token and worker_epoch.
  */
 static bool start_lost(const rr_core *c, const rr_machine *m, uint64_t attempt) {
-    return m->lost_token == c->term.token && m->lost_worker_epoch == m->heartbeat.worker_epoch &&
-           g_hash_table_contains(m->lost, &attempt);
+    return m->unanswered_starts_token == c->term.token &&
+           m->unanswered_starts_epoch == m->heartbeat.worker_epoch &&
+           g_hash_table_contains(m->unanswered_starts, &attempt);
 }
 
 static const char *exit_reason_name(enum rr_exit_reason cause) {
@@ -185,7 +186,8 @@
     if (r && !stop) {
         return false;
     }
-    if (m->command_inflight || p->now < m->next_command_at || !rr_machine_fresh(c, m, p->now)) {
+    if (m->command_inflight || p->now < m->next_command_at ||
+        !rr_machine_heartbeat_recent(c, m, p->now)) {
         return true;
     }
     if (!stop) {
@@ -283,7 +285,7 @@
         }
     }
     if (gone || m->command_inflight || p->now < m->next_command_at ||
-        !rr_machine_fresh(c, m, p->now)) {
+        !rr_machine_heartbeat_recent(c, m, p->now)) {
         return again || m->command_inflight || p->now < m->next_command_at;
     }
     for (guint i = 0; i < m->heartbeat.tasks->len; i++) {
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -78,13 +78,13 @@
         }
         rr_job *j = g_hash_table_lookup(c->jobs, p->job_id);
         if (p->exit_reason == RR_EXIT_ERROR && j) {
-            rr_note_error(c, m, j, now);
+            rr_record_task_failure(c, m, j, now);
         } else if (p->exit_reason == RR_EXIT_FULL) {
             m->full_until = now + FULL_S;
         } else if (p->exit_reason == RR_EXIT_NO_SUCH && j) {
-            j->hold_until = now + 2;
-        } else if (p->exit_reason == RR_EXIT_DONE && j && j->failed_on) {
-            g_array_set_size(j->failed_on, 0);
+            j->backoff_until = now + 2;
+        } else if (p->exit_reason == RR_EXIT_DONE && j && j->failed_machines) {
+            g_array_set_size(j->failed_machines, 0);
         }
     }
 }
@@ -102,10 +102,10 @@
  * term's token does (this process's own first term is newer than anything sent before it), or a
  * second one that is newer. A machine that was recorded while this process watched has never been
  * up before: nothing of it can be from an earlier time. */
-static void vouch(const rr_core *c, rr_machine *m, const rr_heartbeat *r, double now) {
-    m->vouched = m->vouched || m->young ||
-                 (c->term.token > 0 && r->fencing_token == c->term.token) ||
-                 (m->heartbeat_seen && now - m->heartbeat_at > SECOND_S);
+static void verify(const rr_core *c, rr_machine *m, const rr_heartbeat *r, double now) {
+    m->verified = m->verified || m->recorded_while_watching ||
+                  (c->term.token > 0 && r->fencing_token == c->term.token) ||
+                  (m->heartbeat_seen && now - m->heartbeat_at > SECOND_S);
 }
 
 static void record_news(rr_core *c, rr_machine *m, const rr_heartbeat *r, double now) {
@@ -142,9 +142,9 @@
         m->zone = rr_name_index_add(&c->zones, r->zone);
         m->spot = r->spot;
     }
-    vouch(c, m, r, now);
-    if (rr_machine_quiet(c, m, now)) {
-        m->unanswered = m->deaf_probes = 0; /* the silence explains it */
+    verify(c, m, r, now);
+    if (rr_machine_heartbeat_overdue(c, m, now)) {
+        m->unanswered = m->failed_suspect_probes = 0; /* the silence explains it */
     }
     uint64_t hash = rr_heartbeat_hash(r);
     bool changed = !same_content(m, r, hash);
@@ -166,7 +166,7 @@
     m->stale_answers = 0;
     m->heard_via = via;
     if (via < 0) {
-        rr_contact_heard(&c->direct, now);
+        rr_contact_record(&c->direct, now);
     }
     if (changed) {
         note_images(c, m);
@@ -179,12 +179,12 @@
  * is known of it: its reports are dropped, and yet it answers. It is another one; what was on the
  * first is gone, but a command on its way to that one could still reach this one. So it is asked
  * back. */
-void rr_core_vouch(rr_core *c, double now, const rr_heartbeat_digest *h) {
+void rr_core_verify_machine(rr_core *c, double now, const rr_heartbeat_digest *h) {
     rr_machine *m = g_hash_table_lookup(c->machines, h->machine);
     if (!m) {
         return;
     }
-    m->vouched = true;
+    m->verified = true;
     bool older =
         m->heartbeat_seen &&
         (h->worker_epoch < m->heartbeat.worker_epoch ||
@@ -205,7 +205,7 @@
     const rr_machine *known = g_hash_table_lookup(c->machines, r->machine);
     double reported = known && known->heartbeat_seen ? known->reported_at : now;
     rr_core_take_heartbeat(c, now, r, via);
-    rr_core_vouch(c, now, &h);
+    rr_core_verify_machine(c, now, &h);
     rr_machine *m = g_hash_table_lookup(c->machines, h.machine);
     if (m) {
         m->reported_at = reported;
@@ -213,7 +213,7 @@
     return now - reported < ITSELF_REPORTS * c->cfg->report_s;
 }
 
-bool rr_machine_reborn(const rr_machine *m, double now) {
+bool rr_machine_name_reused(const rr_machine *m, double now) {
     return m->stale_answers >= 3 && now - m->stale_at > 2;
 }
 
@@ -223,7 +223,7 @@
         h->sequence <= m->heartbeat.sequence) {
         return false;
     }
-    m->vouched = m->vouched || now - m->heartbeat_at > SECOND_S;
+    m->verified = m->verified || now - m->heartbeat_at > SECOND_S;
     m->heartbeat_at = m->reported_at = now;
     m->probe_fails = 0;
     m->heard_via = via;
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -20,7 +20,7 @@
     const rr_job *j = p->job;
     if (j->submission.kind != RR_JOB_SERVICE || j->cancelled || j->done || p->evict || !j->placed ||
         p->task >= j->submission.task_count || j->placed[p->task] != 1 || j->team < 0 ||
-        !rr_owns_team(c, j->team) || !rr_machine_usable(c, m, now) || rr_job_held(c, j, now)) {
+        !rr_owns_team(c, j->team) || !rr_machine_schedulable(c, m, now) || rr_job_held(c, j, now)) {
         return false;
     }
     const rr_task_status *r = rr_task_status_find(m, p);
@@ -36,10 +36,10 @@
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         if (m->recorded && m->heartbeat_seen) {
             up++;
-            bad += !rr_machine_fresh(c, m, now) || m->heartbeat.spot_notice_s >= 0;
+            bad += !rr_machine_heartbeat_recent(c, m, now) || m->heartbeat.spot_notice_s >= 0;
         }
     }
-    bool quiet = bad * 50 <= up && !rr_core_late(c, now, RR_LATE_S);
+    bool quiet = bad * 50 <= up && !rr_core_timers_late(c, now, RR_LATE_S);
     if (c->round_token != c->term.token) {
         c->round_token = c->term.token;
         quiet = false;
@@ -173,7 +173,7 @@
                                 .separate = it->job->submission.task_count > 1,
                                 .home = it->home,
                                 .need_image = true,
-                                .filter = rr_machine_usable};
+                                .filter = rr_machine_schedulable};
         rr_machine *to = rr_choose(c, it->job, &how, now);
         if (!to || (to != it->home && job_planned_on(items, i, it->job, to))) {
             to = it->home;
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -8,18 +8,18 @@
 #define ERR_WINDOW_S 150.0
 #define SICK_S 60.0 /* since its last failure; jobs may wait 90 s in all */
 
-double rr_silent_for(const rr_machine *m, double now) {
+double rr_heartbeat_age(const rr_machine *m, double now) {
     return m->heartbeat_seen ? now - m->heartbeat_at : now - m->known_at;
 }
 
 /* A worker that gets no answers reports every 5 s or so, to one controller after the other. */
 #define REPORTS_ON_S 6.5
 
-bool rr_machine_quiet(const rr_core *c, const rr_machine *m, double now) {
-    return rr_silent_for(m, now) > fmax(1.3 * c->cfg->report_s, REPORTS_ON_S);
+bool rr_machine_heartbeat_overdue(const rr_core *c, const rr_machine *m, double now) {
+    return rr_heartbeat_age(m, now) > fmax(1.3 * c->cfg->report_s, REPORTS_ON_S);
 }
 
-bool rr_machine_fresh(const rr_core *c, const rr_machine *m, double now) {
+bool rr_machine_heartbeat_recent(const rr_core *c, const rr_machine *m, double now) {
     return m->heartbeat_seen &&
            now - m->heartbeat_at <= c->cfg->tune.silent_reports * c->cfg->report_s;
 }
@@ -29,44 +29,45 @@
 /* Its reports reach no controller, though it answers commands: those renew no lease, so that
  * whatever starts there is lost within one. Only said while every controller of the term has been
  * heard for as long: otherwise it may well report to one that we don't hear. */
-bool rr_machine_mute(const rr_core *c, const rr_machine *m, double now) {
+bool rr_machine_heartbeats_lost(const rr_core *c, const rr_machine *m, double now) {
     double limit = MUTE_REPORTS * c->cfg->report_s;
-    return m->heartbeat_seen && now - m->reported_at > limit && rr_peers_last(c, now, limit);
+    return m->heartbeat_seen && now - m->reported_at > limit &&
+           rr_peers_connected_for(c, now, limit);
 }
 
 /* DESIGN's risk: a cut zone keeps stale reports, so only a fresh one makes room count. */
-bool rr_machine_usable(const rr_core *c, const rr_machine *m, double now) {
-    return m->recorded && !m->scaling_in && m->addr[0] && m->vouched &&
-           rr_machine_fresh(c, m, now) && m->heartbeat.spot_notice_s < 0 && now >= m->full_until &&
-           !rr_machine_sick(m, now) && !m->to_release && !rr_machine_deaf(m) &&
-           !rr_machine_mute(c, m, now);
+bool rr_machine_schedulable(const rr_core *c, const rr_machine *m, double now) {
+    return m->recorded && !m->scaling_in && m->addr[0] && m->verified &&
+           rr_machine_heartbeat_recent(c, m, now) && m->heartbeat.spot_notice_s < 0 &&
+           now >= m->full_until && !rr_machine_quarantined(m, now) && !m->to_release &&
+           !rr_machine_commands_unanswered(m) && !rr_machine_heartbeats_lost(c, m, now);
 }
 
 /* Its reports may go on arriving while answers and commands no longer reach it: it looks fresh,
  * takes bookings and then loses its lease. Two commands in a row without an answer, and it takes no
  * new work until one is answered. */
-bool rr_machine_deaf(const rr_machine *m) {
+bool rr_machine_commands_unanswered(const rr_machine *m) {
     return m->unanswered >= 2;
 }
 
 /* A job that fails on many machines is at fault itself and says nothing about this one. */
 static guint credible_errors(const rr_machine *m) {
     guint n = 0;
-    for (guint i = 0; i < m->err_jobs->len; i++) {
-        const rr_job *j = g_array_index(m->err_jobs, rr_job *, i);
-        n += !j->failed_on || j->failed_on->len <= 2;
+    for (guint i = 0; i < m->failed_jobs->len; i++) {
+        const rr_job *j = g_array_index(m->failed_jobs, rr_job *, i);
+        n += !j->failed_machines || j->failed_machines->len <= 2;
     }
     return n;
 }
 
 /* What failed there a while ago says little of the next task: one is tried again then. A machine
  * that could not be given back stayed out for good, though its fault was long over. */
-bool rr_machine_sick(const rr_machine *m, double now) {
-    return m->err_at > 0 && now - m->err_at < SICK_S && credible_errors(m) >= 2;
+bool rr_machine_quarantined(const rr_machine *m, double now) {
+    return m->last_failure_at > 0 && now - m->last_failure_at < SICK_S && credible_errors(m) >= 2;
 }
 
-bool rr_machine_doubtful(const rr_machine *m, double now) {
-    return m->err_at > 0 && now - m->err_at < 60 && credible_errors(m) > 0;
+bool rr_machine_failed_recently(const rr_machine *m, double now) {
+    return m->last_failure_at > 0 && now - m->last_failure_at < 60 && credible_errors(m) > 0;
 }
 
 static bool array_has(GArray *a, const void *item) {
@@ -79,26 +80,26 @@
     return false;
 }
 
-void rr_note_error(rr_core *c, rr_machine *m, rr_job *j, double now) {
-    if (m->err_at > 0 && now - m->err_at > ERR_WINDOW_S) {
-        g_array_set_size(m->err_jobs, 0);
+void rr_record_task_failure(rr_core *c, rr_machine *m, rr_job *j, double now) {
+    if (m->last_failure_at > 0 && now - m->last_failure_at > ERR_WINDOW_S) {
+        g_array_set_size(m->failed_jobs, 0);
     }
-    m->err_at = now;
-    if (!array_has(m->err_jobs, &j) && m->err_jobs->len < 16) {
-        g_array_append_val(m->err_jobs, j);
+    m->last_failure_at = now;
+    if (!array_has(m->failed_jobs, &j) && m->failed_jobs->len < 16) {
+        g_array_append_val(m->failed_jobs, j);
     }
-    if (!j->failed_on) {
-        j->failed_on = g_array_new(FALSE, FALSE, sizeof(int));
+    if (!j->failed_machines) {
+        j->failed_machines = g_array_new(FALSE, FALSE, sizeof(int));
     }
-    if (!array_has(j->failed_on, &m->id) && j->failed_on->len < 16) {
-        g_array_append_val(j->failed_on, m->id);
+    if (!array_has(j->failed_machines, &m->id) && j->failed_machines->len < 16) {
+        g_array_append_val(j->failed_machines, m->id);
     }
     /* The first two failures may be the machines'; then the job waits longer each time. */
-    guint n = j->failed_on->len;
+    guint n = j->failed_machines->len;
     double pause = n <= 2 ? 0 : n >= 7 ? 60 : (double)(1u << (n - 1));
-    j->hold_until = now + pause;
+    j->backoff_until = now + pause;
     rr_log_at(c, RR_LOG_DEBUG, "task of %s failed on %s (job on %u machines, machine with %u jobs)",
-              j->submission.job_id, m->name, n, m->err_jobs->len);
+              j->submission.job_id, m->name, n, m->failed_jobs->len);
 }
 
 /* A machine counts as dead or hung if it is silent while its zone is heard and our own probes of it
@@ -117,7 +118,7 @@
 #define RECENT 0.65
 #define RECENT_SHARE 0.3
 
-static bool heard_recently(const rr_core *c, const rr_machine *m, double now) {
+static bool heartbeat_within(const rr_core *c, const rr_machine *m, double now) {
     return m->heartbeat_seen && now - m->heartbeat_at <= RECENT * c->cfg->report_s;
 }
 
@@ -128,59 +129,59 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         if (m->zone >= 0 && was_up(m)) {
-            rr_zone_count *z = &g_array_index(c->zone_counts, rr_zone_count, m->zone);
+            rr_zone_heartbeats *z = &g_array_index(c->zone_counts, rr_zone_heartbeats, m->zone);
             z->machines++;
-            z->heard += rr_machine_fresh(c, m, now);
-            z->recent += heard_recently(c, m, now);
+            z->heard += rr_machine_heartbeat_recent(c, m, now);
+            z->recent += heartbeat_within(c, m, now);
         }
     }
 }
 
-static bool mostly_silent(const rr_core *c, int zone, const rr_machine *but, double now) {
+static bool mostly_overdue(const rr_core *c, int zone, const rr_machine *but, double now) {
     if (zone < 0 || (guint)zone >= c->zone_counts->len) {
         return false;
     }
-    rr_zone_count z = g_array_index(c->zone_counts, rr_zone_count, zone);
+    rr_zone_heartbeats z = g_array_index(c->zone_counts, rr_zone_heartbeats, zone);
     if (but && was_up(but)) {
         z.machines--;
-        z.heard -= rr_machine_fresh(c, but, now) && z.heard > 0;
+        z.heard -= rr_machine_heartbeat_recent(c, but, now) && z.heard > 0;
     }
     return z.heard * 2 < z.machines;
 }
 
 /* May only hold a verdict back: in a small zone it happens by chance, too. */
-static bool cut_begins(const rr_core *c, int zone, const rr_machine *but, double now) {
+static bool partition_begins(const rr_core *c, int zone, const rr_machine *but, double now) {
     if (zone < 0 || (guint)zone >= c->zone_counts->len) {
         return false;
     }
-    rr_zone_count z = g_array_index(c->zone_counts, rr_zone_count, zone);
-    bool recent = heard_recently(c, but, now) && z.recent > 0;
+    rr_zone_heartbeats z = g_array_index(c->zone_counts, rr_zone_heartbeats, zone);
+    bool recent = heartbeat_within(c, but, now) && z.recent > 0;
     return z.recent - recent < RECENT_SHARE * (z.machines - (z.machines > 0));
 }
 
-bool rr_zone_silent(const rr_core *c, int zone) {
-    return mostly_silent(c, zone, NULL, 0);
+bool rr_zone_partitioned(const rr_core *c, int zone) {
+    return mostly_overdue(c, zone, NULL, 0);
 }
 
 #define PAUSE_S                                                                                    \
     4.0 /* silence of a peer, or of our own looks, that begins anew what is counted from */
 
-void rr_contact_heard(rr_contact *k, double now) {
-    k->since = k->at <= 0 || now - k->at > PAUSE_S ? now : k->since;
-    k->at = now;
+void rr_contact_record(rr_contact *k, double now) {
+    k->unbroken_since = k->last_at <= 0 || now - k->last_at > PAUSE_S ? now : k->unbroken_since;
+    k->last_at = now;
 }
 
 void rr_core_peer_contacted(rr_core *c, double now, int peer) {
     if (peer >= 0 && peer < RR_MAX_NODES) {
-        rr_contact_heard(&c->peers[peer], now);
+        rr_contact_record(&c->peers[peer], now);
     }
 }
 
 static bool lasting(const rr_contact *k, double now, double seconds) {
-    return k->at > 0 && now - k->at < PAUSE_S && now - k->since >= seconds;
+    return k->last_at > 0 && now - k->last_at < PAUSE_S && now - k->unbroken_since >= seconds;
 }
 
-bool rr_peers_last(const rr_core *c, double now, double seconds) {
+bool rr_peers_connected_for(const rr_core *c, double now, double seconds) {
     bool all = now - c->woke_at >= seconds;
     for (guint i = 0; i < c->term.members->len && i < RR_MAX_NODES; i++) {
         all = all && (c->peer_at[i] < 0 || lasting(&c->peers[c->peer_at[i]], now, seconds));
@@ -205,15 +206,15 @@
     return reached;
 }
 
-void rr_core_set_late(rr_core *c, double now) {
+void rr_core_set_timers_late(rr_core *c, double now) {
     c->late_at = now;
 }
 
-bool rr_core_late(const rr_core *c, double now, double within) {
+bool rr_core_timers_late(const rr_core *c, double now, double within) {
     return c->late_at > 0 && now - c->late_at < within;
 }
 
-void rr_note_cuts(rr_core *c, double now) {
+void rr_detect_partitions(rr_core *c, double now) {
     if (c->looked_at <= 0 || now - c->looked_at > PAUSE_S) {
         c->woke_at = now;
     }
@@ -221,7 +222,7 @@
     count_zones(c, now);
     g_array_set_size(c->cut_at, c->zones.names->len);
     for (guint w = 0; w < c->cut_at->len; w++) {
-        if (mostly_silent(c, (int)w, NULL, now)) {
+        if (mostly_overdue(c, (int)w, NULL, now)) {
             g_array_index(c->cut_at, double, w) = now;
         }
     }
@@ -229,23 +230,23 @@
 
 bool rr_machine_dead(const rr_core *c, const rr_machine *m, double now) {
     double limit = c->cfg->tune.dead_reports * c->cfg->report_s;
-    if (!was_up(m) || m->zone < 0 || rr_silent_for(m, now) < limit || m->probe_fails < 2) {
+    if (!was_up(m) || m->zone < 0 || rr_heartbeat_age(m, now) < limit || m->probe_fails < 2) {
         return false;
     }
     /* Who is behind has reports in its sockets that it has not read. */
-    if (rr_core_late(c, now, RR_LATE_S)) {
+    if (rr_core_timers_late(c, now, RR_LATE_S)) {
         return false;
     }
     /* Most of a zone may be dead or hung, and looks like a cut; but a cut silences the zone's
      * controllers, too. Where one of them is heard, whoever has been silent for longer than a lease
      * has nothing left to lose: machines that hung for good in the greater part of a zone kept
      * their tasks booked for ever. */
-    if (rr_silent_for(m, now) > 1.2 * c->cfg->lease_s && zone_reached(c, m->zone, now)) {
+    if (rr_heartbeat_age(m, now) > 1.2 * c->cfg->lease_s && zone_reached(c, m->zone, now)) {
         return true;
     }
     /* When a cut heals, the first machines speak again before the others: those get as long as
      * anybody to be heard. Nine healthy ones were once given up in that moment. */
     double cut = (guint)m->zone < c->cut_at->len ? g_array_index(c->cut_at, double, m->zone) : 0;
-    return !mostly_silent(c, m->zone, m, now) && !cut_begins(c, m->zone, m, now) &&
+    return !mostly_overdue(c, m->zone, m, now) && !partition_begins(c, m->zone, m, now) &&
            (cut <= 0 || now - cut >= limit);
 }
--- a/src/peer/stream.c
+++ b/src/peer/stream.c
@@ -56,7 +56,7 @@
 void rr_inbox_init(struct inbox *in, int fd) {
     in->fd = fd;
     in->buffer = g_byte_array_new();
-    in->at = 0;
+    in->offset = 0;
 }
 
 void rr_inbox_clear(struct inbox *in) {
@@ -67,11 +67,11 @@
  * or of the time. */
 static int inbox_fill(const atomic_bool *stop, struct inbox *in, guint len, double timeout_s) {
     double until = rr_now() + timeout_s;
-    if (in->at > 0 && in->buffer->len - in->at < len) {
-        g_byte_array_remove_range(in->buffer, 0, in->at);
-        in->at = 0;
+    if (in->offset > 0 && in->buffer->len - in->offset < len) {
+        g_byte_array_remove_range(in->buffer, 0, in->offset);
+        in->offset = 0;
     }
-    while (in->buffer->len - in->at < len) {
+    while (in->buffer->len - in->offset < len) {
         struct pollfd pf = {in->fd, POLLIN, 0};
         double left = until - rr_now();
         if (atomic_load(stop) || left <= 0) {
@@ -98,14 +98,14 @@
     uint32_t len = 0;
     int rc = inbox_fill(stop, in, RR_FRAME_HEAD, timeout_s);
     if (rc == 0) {
-        rc = rr_frame_head(in->buffer->data + in->at, type, &len);
+        rc = rr_frame_head(in->buffer->data + in->offset, type, &len);
     }
     if (rc == 0) {
         rc = inbox_fill(stop, in, RR_FRAME_HEAD + len, timeout_s);
     }
     if (rc == 0) {
-        *u = (rr_unpack){in->buffer->data + in->at + RR_FRAME_HEAD, len, false};
-        in->at += RR_FRAME_HEAD + len;
+        *u = (rr_unpack){in->buffer->data + in->offset + RR_FRAME_HEAD, len, false};
+        in->offset += RR_FRAME_HEAD + len;
     }
     return rc;
 }
--- a/src/peer/stream.h
+++ b/src/peer/stream.h
@@ -12,7 +12,7 @@
 struct inbox {
     int fd;
     GByteArray *buffer;
-    guint at;
+    guint offset;
 };
 
 void rr_inbox_init(struct inbox *in, int fd);
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -440,7 +440,7 @@
         hear(owner, "vm-1", 2 + i, NULL);
     }
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    rr_core_suspects(owner->core, owner->now, names);
+    rr_core_list_suspects(owner->core, owner->now, names);
     assert_int_equal(names->len, 1);
     fx_report(owner, "vm-1", "a", false, 2, 20, rr_core_fencing_token(owner->core), NULL);
     /* The plan that finds its work there over comes right after a probe. */
@@ -465,7 +465,7 @@
     }
     assert_true(asked > 0);
     g_ptr_array_set_size(names, 0);
-    rr_core_suspects(owner->core, owner->now, names);
+    rr_core_list_suspects(owner->core, owner->now, names);
     assert_int_equal(names->len, 0);
     g_ptr_array_free(names, TRUE);
     fx_node_clear(&b);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -466,7 +466,7 @@
     for (int t = 0; t < seconds && !asked; t++) {
         n->now += 1;
         if (late) {
-            rr_core_set_late(n->core, n->now);
+            rr_core_set_timers_late(n->core, n->now);
         }
         ++*sequence;
         fx_report(n, "vm-1", "a", false, 1, *sequence, 1, NULL);
@@ -488,7 +488,7 @@
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     three_machines(w, machines);
     assert_int_equal(released_while(w, (int)(1.5 * n->cfg.lease_s), &sequence, machines, true), 0);
-    assert_true(rr_core_late(n->core, n->now, 1));
+    assert_true(rr_core_timers_late(n->core, n->now, 1));
     /* Its report is read at last, and it stays: */
     fx_report(n, "vm-3", "a", false, 1, ++sequence, 1, NULL);
     assert_int_equal(released_while(w, (int)n->cfg.report_s, &sequence, machines, false), 0);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -121,7 +121,7 @@
         hear(n, "vm-1", i);
         plan_with_deaf(n, "vm-1");
     }
-    rr_core_suspects(n->core, n->now, names);
+    rr_core_list_suspects(n->core, n->now, names);
     assert_int_equal(names->len, 1);
     assert_string_equal(names->pdata[0], "vm-1");
     n->now += 2;
@@ -131,7 +131,7 @@
     rr_core_command_result(n->core, n->now, fx_do(&p, "vm-1"), RR_COMMAND_ANSWERED, true);
     rr_plan_clear(&p);
     g_ptr_array_set_size(names, 0);
-    rr_core_suspects(n->core, n->now, names);
+    rr_core_list_suspects(n->core, n->now, names);
     assert_int_equal(names->len, 0);
     g_ptr_array_free(names, TRUE);
 }
@@ -214,8 +214,9 @@
         step(w, "");
     }
     assert_false(fx_recorded(w->store, "vm-7"));
-    rr_core_vouch(n->core, n->now,
-                  &(rr_heartbeat_digest){.machine = "vm-7", .worker_epoch = 1, .sequence = 4});
+    rr_core_verify_machine(
+        n->core, n->now,
+        &(rr_heartbeat_digest){.machine = "vm-7", .worker_epoch = 1, .sequence = 4});
     for (int i = 0; i < 4; i++) {
         step(w, "");
     }
@@ -245,7 +246,7 @@
             rr_heartbeat_digest h = {.worker_epoch = 1,
                                      .sequence = strcmp(d->machine, "vm-1") == 0 ? i : 500 + i};
             g_strlcpy(h.machine, d->machine, sizeof h.machine);
-            rr_core_vouch(n->core, n->now, &h);
+            rr_core_verify_machine(n->core, n->now, &h);
             rr_core_command_result(n->core, n->now, d, RR_COMMAND_ANSWERED, true);
         }
         rr_plan_clear(&p);
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -371,7 +371,7 @@
 
 static void tell_suspects(struct trace_world *world, struct trace_controller *controller) {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    rr_core_suspects(controller->node.core, world->now, names);
+    rr_core_list_suspects(controller->node.core, world->now, names);
     trace_int(&world->hash, names->len);
     for (guint i = 0; i < names->len; i++) {
         trace_text(&world->hash, g_ptr_array_index(names, i));
--- a/tests/trace_core.c
+++ b/tests/trace_core.c
@@ -243,7 +243,7 @@
         world->zone_empty_until = until;
         break;
     default:
-        rr_core_set_late(world->controllers[0].node.core, world->now);
+        rr_core_set_timers_late(world->controllers[0].node.core, world->now);
     }
 }
 
