--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -240,7 +240,7 @@
     rr_demand_view_of(admission->demand, 0, &own);
     views[count] = &own;
     ages[count++] = 0;
-    for (size_t i = 0; i < admission->config->npeers; i++) {
+    for (size_t i = 0; i < admission->config->peer_count; i++) {
         const struct peer_view *peer = &admission->peers[i];
         double age = (now - peer->heard_at) / admission->settings->interval_s;
         if (peer->heard_at > 0 && age < VIEW_KEPT) {
--- a/src/admission/demand_frame.c
+++ b/src/admission/demand_frame.c
@@ -120,9 +120,9 @@
     entry->mean.mem_s = get_work(in);
     entry->bound = rr_unpack_u64(in);
     uint16_t samples = rr_unpack_u16(in);
-    if (!texts || in->bad || entry->key.band >= RR_ADMISSION_BANDS ||
+    if (!texts || in->malformed || entry->key.band >= RR_ADMISSION_BANDS ||
         (length > 0 && entry->key.types[length - 1] != ',') ||
-        samples * sizeof(uint64_t) > in->left || entry->bound == 0) {
+        samples * sizeof(uint64_t) > in->bytes_left || entry->bound == 0) {
         return false;
     }
     for (uint16_t i = 0; i < samples; i++) {
@@ -130,7 +130,7 @@
         g_array_append_val(entry->sample, hash);
     }
     rr_admission_key_hash(&entry->key);
-    return !in->bad;
+    return !in->malformed;
 }
 
 int rr_demand_view_unpack(const void *data, size_t len, rr_demand_view *out) {
@@ -139,12 +139,12 @@
     bool good = rr_unpack_u8(&in) == RR_DEMAND_VERSION;
     out->fencing_token = rr_unpack_u64(&in);
     uint16_t count = rr_unpack_u16(&in);
-    for (uint16_t i = 0; good && !in.bad && i < count; i++) {
+    for (uint16_t i = 0; good && !in.malformed && i < count; i++) {
         rr_demand_entry entry = {.sample = g_array_new(FALSE, FALSE, sizeof(uint64_t))};
         good = get_entry(&in, &entry);
         g_array_append_val(out->entries, entry);
     }
-    if (!good || in.bad || in.left > 0) {
+    if (!good || in.malformed || in.bytes_left > 0) {
         rr_demand_view_clear(out);
         return -EBADMSG;
     }
--- a/src/admission/settings.c
+++ b/src/admission/settings.c
@@ -78,7 +78,7 @@
 static int check_class(cfg_t *cfg, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
     bool known = false, any = false;
-    for (size_t i = 0; i < platform->nobjectives; i++) {
+    for (size_t i = 0; i < platform->objective_count; i++) {
         any = any || platform->objectives[i].job_class[0];
         known = known || strcmp(platform->objectives[i].job_class, name) == 0;
     }
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -69,7 +69,7 @@
 static void correct_estimates(rr_admission_writer *writer, const rr_load *load,
                               const rr_admission_table *newest, double now) {
     double passed = writer->visited_at > 0 ? now - writer->visited_at : 0;
-    for (size_t i = 0; i < writer->config->nteams; i++) {
+    for (size_t i = 0; i < writer->config->team_count; i++) {
         const rr_load_team *team = &load->teams[i];
         const rr_admission_team *before =
             newest->sequence ? rr_admission_table_team(newest, writer->config->teams[i].name)
@@ -198,12 +198,12 @@
         pools[p].capacity[1] = part_of(amount.gpus, writer->capacity.gpus) * horizon;
         pools[p].capacity[2] = part_of(amount.mem_gb, writer->capacity.mem_gb) * horizon;
     }
-    for (size_t i = 0; i < writer->config->nteams; i++) {
+    for (size_t i = 0; i < writer->config->team_count; i++) {
         teams[i] = (rr_share_team){writer->settings->teams[i].weight,
                                    writer->settings->teams[i].least_share * horizon};
     }
     rr_share_problem problem = {
-        rows, entries->len, pools, load->pools->len, teams, (guint)writer->config->nteams};
+        rows, entries->len, pools, load->pools->len, teams, (guint)writer->config->team_count};
     if (rr_share_solve(&problem, writer->settings->solver_s) == RR_SHARE_BY_FILLING) {
         writer->stats.fallbacks++;
     }
@@ -292,7 +292,7 @@
 /* The part of all room that each team may fill while others wait. */
 static void fair_rooms(const rr_admission_writer *writer, const rr_load *load, double *rooms) {
     double demands[RR_MAX_TEAMS] = {0}, weights[RR_MAX_TEAMS] = {0}, least[RR_MAX_TEAMS] = {0};
-    guint count = (guint)writer->config->nteams;
+    guint count = (guint)writer->config->team_count;
     for (guint i = 0; i < count; i++) {
         const rr_load_team *team = &load->teams[i];
         rr_amount all = {team->used.cpus + team->waiting.cpus, team->used.gpus + team->waiting.gpus,
@@ -325,7 +325,7 @@
 
 static void add_teams(const rr_admission_writer *writer, const double *rooms,
                       rr_admission_table *out) {
-    for (size_t i = 0; i < writer->config->nteams; i++) {
+    for (size_t i = 0; i < writer->config->team_count; i++) {
         rr_admission_team team = {.room = rooms[i], .correction = writer->correction[i]};
         g_strlcpy(team.name, writer->config->teams[i].name, sizeof team.name);
         g_array_append_val(out->teams, team);
--- a/src/app/admission_duty.c
+++ b/src/app/admission_duty.c
@@ -24,7 +24,7 @@
     /* The duty's own. */
     rr_admission_writer *writer;
     rr_load load;
-    double told_for;                   /* wall: the interval for which the demand was told, */
+    double announced_for;              /* wall: the interval for which the demand was told, */
     double settled_for;                /* and whose table is written or not needed */
     uint64_t rooms_of;                 /* the table whose rooms the core has, 0: none */
     rr_admission_writer_stats written; /* under lock */
@@ -48,13 +48,13 @@
 }
 
 int rr_app_admission_start(struct rr_app *a) {
-    if (!a->cfg.admission) {
+    if (!a->config.admission) {
         return 0;
     }
     struct rr_app_admission *state = g_new0(struct rr_app_admission, 1);
     pthread_mutex_init(&state->lock, NULL);
-    state->admission = rr_admission_create(&a->cfg, &a->admission_settings);
-    state->writer = rr_admission_writer_create(&a->cfg, &a->admission_settings);
+    state->admission = rr_admission_create(&a->config, &a->admission_settings);
+    state->writer = rr_admission_writer_create(&a->config, &a->admission_settings);
     rr_load_init(&state->load, &a->admission_settings);
     rr_core_watch_records(a->core, RR_ADMISSION_PREFIX, on_record, state);
     a->admission = state;
@@ -168,10 +168,10 @@
 static void tell_demand(struct rr_app *a, double wall) {
     struct rr_app_admission *state = a->admission;
     double length = a->admission_settings.interval_s, edge = floor(wall / length) * length;
-    if (edge == state->told_for || wall - edge < TELL_AT * length) {
+    if (edge == state->announced_for || wall - edge < TELL_AT * length) {
         return;
     }
-    state->told_for = edge;
+    state->announced_for = edge;
     settle(a);
     pthread_mutex_lock(&a->lock);
     bool able = rr_core_all_admission_capable(a->core);
@@ -276,8 +276,8 @@
 /* Under both locks. */
 static void tell_rooms(struct rr_app *a, const rr_admission_table *table) {
     double rooms[RR_MAX_TEAMS];
-    for (size_t i = 0; i < a->cfg.nteams; i++) {
-        const rr_admission_team *team = rr_admission_table_team(table, a->cfg.teams[i].name);
+    for (size_t i = 0; i < a->config.team_count; i++) {
+        const rr_admission_team *team = rr_admission_table_team(table, a->config.teams[i].name);
         rooms[i] = team ? team->room : 1;
     }
     rr_core_set_fair_room(a->core, rooms, table->cpus, table->gpus, table->mem_gb);
@@ -316,7 +316,7 @@
     struct rr_app *a = app;
     struct rr_app_admission *state = a->admission;
     rr_usage_enter(RR_USE_ADMISSION);
-    rr_store *store = rr_store_create(&a->cfg.state, a->budget, &a->stop);
+    rr_store *store = rr_store_create(&a->config.state, a->budget, &a->stop);
     double length = a->admission_settings.interval_s, tried_at = 0;
     while (!atomic_load(&a->stop)) {
         rr_sleep(fmin(length / LOOKS, LOOK_MAX_S));
--- a/src/app/app.c
+++ b/src/app/app.c
@@ -19,7 +19,7 @@
 }
 
 void rr_app_kick(struct rr_app *a) {
-    a->kicks++;
+    a->wake_count++;
     pthread_cond_broadcast(&a->work);
 }
 
@@ -29,7 +29,7 @@
         if (left <= 0 || atomic_load(&a->stop)) {
             return false;
         }
-        rr_app_wait(a, &a->mirrored, &a->lock, left);
+        rr_app_wait(a, &a->cache_advanced, &a->lock, left);
     }
     return true;
 }
@@ -86,7 +86,7 @@
     if (!fresh || !end) {
         return fresh;
     }
-    rr_store *s = rr_store_create(&a->cfg.state, a->budget, &a->stop);
+    rr_store *s = rr_store_create(&a->config.state, a->budget, &a->stop);
     int rc = s ? rr_store_end_lease(s, tether) : -ENOMEM;
     rr_store_destroy(s);
     return rc == 0 || rc == -ENOENT;
@@ -101,8 +101,8 @@
 }
 
 static int run(struct rr_app *a, void *(*duty)(void *)) {
-    int rc = rr_thread_start(&a->threads[a->nthreads], duty, a, false);
-    a->nthreads += rc == 0;
+    int rc = rr_thread_start(&a->threads[a->thread_count], duty, a, false);
+    a->thread_count += rc == 0;
     return rc;
 }
 
@@ -118,7 +118,7 @@
 
 int rr_app_connections(const struct rr_config *cfg) {
     int threads = 4 + (int)G_N_ELEMENTS(duties) + cfg->admission + cells_threads(cfg) +
-                  cfg->tune.senders + 1 + (int)cfg->npeers + RR_PEER_CONNS + SPARE;
+                  cfg->tuning.senders + 1 + (int)cfg->peer_count + RR_PEER_CONNS + SPARE;
     return rr_door_limit(cfg, threads, 2 * threads);
 }
 
@@ -132,24 +132,24 @@
                                 on_resign, on_demand};
     pthread_mutex_init(&a->lock, NULL);
     pthread_mutex_init(&a->user_lock, NULL);
-    rr_app_cond_init(&a->mirrored);
+    rr_app_cond_init(&a->cache_advanced);
     rr_app_cond_init(&a->work);
-    rr_app_cond_init(&a->do_wake);
-    rr_app_cond_init(&a->slow_wake);
+    rr_app_cond_init(&a->command_wake);
+    rr_app_cond_init(&a->slow_command_wake);
     rr_app_cond_init(&a->commit_wake);
     rr_app_cond_init(&a->barrier_wake);
     rr_app_cond_init(&a->barrier[0].done);
     rr_app_cond_init(&a->barrier[1].done);
-    a->gathers = 1;
-    g_queue_init(&a->do_queue);
-    g_queue_init(&a->slow_queue);
+    a->gathering_group = 1;
+    g_queue_init(&a->command_queue);
+    g_queue_init(&a->slow_command_queue);
     g_queue_init(&a->commits);
-    a->core = rr_core_create(&a->cfg);
+    a->core = rr_core_create(&a->config);
     rr_core_set_log(a->core, rr_log_line, rr_log_level());
     a->stats = rr_stats_create();
-    a->budget = rr_budget_create(a->cfg.state_rps, a->cfg.state_write_rps);
-    rr_budget_set_next_limits(a->budget, a->cfg.next_rps, a->cfg.next_write_rps);
-    a->peers = rr_peers_create(&a->cfg, &ev, &a->stop);
+    a->budget = rr_budget_create(a->config.state_rps, a->config.state_write_rps);
+    rr_budget_set_next_limits(a->budget, a->config.next_rps, a->config.next_write_rps);
+    a->peers = rr_peers_create(&a->config, &ev, &a->stop);
     int rc = rr_app_admission_start(a);
     rc = rc == 0 ? rr_app_cells_start(a) : rc;
     if (rc != 0) {
@@ -160,24 +160,26 @@
         rr_log(RR_ERROR_LEVEL, "peer_listen: %s", strerror(-rc));
         goto fail;
     }
-    a->door = rr_door_create(&a->cfg, rr_app_connections(&a->cfg), rr_app_handle, NULL, a);
-    if (!a->door) {
-        rr_log(RR_ERROR_LEVEL, "bind: can't listen on %s:%u", a->cfg.bind.host, a->cfg.bind.port);
+    a->http_server =
+        rr_door_create(&a->config, rr_app_connections(&a->config), rr_app_handle, NULL, a);
+    if (!a->http_server) {
+        rr_log(RR_ERROR_LEVEL, "bind: can't listen on %s:%u", a->config.bind.host,
+               a->config.bind.port);
         rc = -EADDRINUSE;
         goto fail;
     }
     for (size_t i = 0; rc == 0 && i < G_N_ELEMENTS(duties); i++) {
         rc = run(a, duties[i]);
     }
-    for (int i = 0; rc == 0 && i < a->cfg.tune.senders; i++) {
+    for (int i = 0; rc == 0 && i < a->config.tuning.senders; i++) {
         rc = run(a, i % 3 == 0 ? rr_duty_sender : rr_duty_slow_sender);
     }
     if (rc == 0 && a->admission) {
         rc = run(a, rr_duty_admission);
     }
     if (rc == 0) {
-        rc = rr_thread_start(&a->opener, rr_duty_door, a, false);
-        a->opening = rc == 0;
+        rc = rr_thread_start(&a->startup_thread, rr_duty_door, a, false);
+        a->startup_running = rc == 0;
     }
     if (rc == 0) {
         return 0;
@@ -191,10 +193,10 @@
 void rr_app_stop(struct rr_app *a) {
     atomic_store(&a->stop, true);
     pthread_mutex_lock(&a->lock);
-    pthread_cond_broadcast(&a->mirrored);
+    pthread_cond_broadcast(&a->cache_advanced);
     pthread_cond_broadcast(&a->work);
-    pthread_cond_broadcast(&a->do_wake);
-    pthread_cond_broadcast(&a->slow_wake);
+    pthread_cond_broadcast(&a->command_wake);
+    pthread_cond_broadcast(&a->slow_command_wake);
     pthread_mutex_unlock(&a->lock);
     pthread_mutex_lock(&a->user_lock);
     pthread_cond_broadcast(&a->commit_wake);
@@ -202,18 +204,19 @@
     pthread_cond_broadcast(&a->barrier[0].done);
     pthread_cond_broadcast(&a->barrier[1].done);
     pthread_mutex_unlock(&a->user_lock);
-    if (a->opening) {
-        pthread_join(a->opener, NULL); /* it may be about to listen */
+    if (a->startup_running) {
+        pthread_join(a->startup_thread, NULL); /* it may be about to listen */
     }
-    rr_door_stop(a->door); /* joins the connections' threads, which wait on the duties at most */
-    for (int i = 0; i < a->nthreads; i++) {
+    rr_door_stop(
+        a->http_server); /* joins the connections' threads, which wait on the duties at most */
+    for (int i = 0; i < a->thread_count; i++) {
         pthread_join(a->threads[i], NULL);
     }
     rr_app_cells_join(a);
     rr_peers_stop(a->peers);
     rr_peers_destroy(a->peers);
-    g_queue_clear_full(&a->do_queue, (GDestroyNotify)rr_command_batch_free);
-    g_queue_clear_full(&a->slow_queue, (GDestroyNotify)rr_command_batch_free);
+    g_queue_clear_full(&a->command_queue, (GDestroyNotify)rr_command_batch_free);
+    g_queue_clear_full(&a->slow_command_queue, (GDestroyNotify)rr_command_batch_free);
     rr_stats_destroy(a->stats);
     rr_budget_destroy(a->budget);
     rr_core_destroy(a->core);
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -14,34 +14,34 @@
 #include <pthread.h>
 
 struct rr_app {
-    struct rr_config cfg;
+    struct rr_config config;
     atomic_bool stop;
     atomic_int lag_ms; /* how late pauses have ended lately: 0 with time enough */
 
     /* The core and everything below, down to the next blank line, is under `lock`. No I/O under it.
      */
     pthread_mutex_t lock;
-    pthread_cond_t mirrored; /* the mirror moved on */
-    pthread_cond_t work;     /* planner and provisioner have something to look at */
+    pthread_cond_t cache_advanced; /* the mirror moved on */
+    pthread_cond_t work;           /* planner and provisioner have something to look at */
     rr_core *core;
-    uint64_t kicks;  /* counts wakes of `work` */
-    bool planning;   /* a plan is made and its outcome not known yet */
-    bool store_down; /* the last call of a user's request to the store failed */
+    uint64_t wake_count; /* counts wakes of `work` */
+    bool planning;       /* a plan is made and its outcome not known yet */
+    bool store_down;     /* the last call of a user's request to the store failed */
     double store_ok_at;
     /* rr_command_batch*: commands, and those that may well go unanswered, which must not hold up
      * the others.
      */
-    GQueue do_queue, slow_queue;
-    pthread_cond_t do_wake, slow_wake;
+    GQueue command_queue, slow_command_queue;
+    pthread_cond_t command_wake, slow_command_wake;
 
     /* Commits for users, and polls that wait for a barrier: under `user_lock`. */
     pthread_mutex_t user_lock;
     pthread_cond_t commit_wake;  /* the committer has work */
     pthread_cond_t barrier_wake; /* the barrier has work */
     GQueue commits;              /* struct rr_user_commit* */
-    double pace;       /* of them were served a second by the last transaction, 0: none yet */
-    uint64_t batches;  /* written so far */
-    uint64_t lease_id; /* of our session: batches' keys are unique by it */
+    double commit_rate;   /* of them were served a second by the last transaction, 0: none yet */
+    uint64_t batch_count; /* written so far */
+    uint64_t lease_id;    /* of our session: batches' keys are unique by it */
     /* Polls wait in groups, each for one read of the store's revision and for the mirror to reach
      * it: one group is served while the next gathers, so that two are enough. Whoever waits is
      * woken once, with its group. */
@@ -52,7 +52,7 @@
         unsigned waiting;
         pthread_cond_t done;
     } barrier[2];
-    uint64_t gathers; /* the group that gathers now */
+    uint64_t gathering_group; /* the group that gathers now */
 
     rr_admission_settings admission_settings; /* cleared by rr_app_stop() */
     struct rr_app_admission *admission;       /* NULL: switched off */
@@ -61,10 +61,10 @@
     rr_budget *budget;
     rr_stats *stats;
     rr_peers *peers;
-    rr_door *door;
-    pthread_t threads[160], opener; /* opener: opens the door, and ends */
-    int nthreads;
-    bool opening;
+    rr_door *http_server;
+    pthread_t threads[160], startup_thread; /* opener: opens the door, and ends */
+    int thread_count;
+    bool startup_running;
 };
 
 #define RR_ACCEPT_S 1.5 /* a new job waits for its transaction this long at most */
@@ -77,13 +77,13 @@
     uint64_t version;  /* guard */
     char also_key[96]; /* another record that must be unchanged; empty: none */
     uint64_t also_version;
-    double until;        /* given up after */
+    double deadline;     /* given up after */
     pthread_cond_t done; /* finished is set */
     uint64_t revision;
-    enum rr_commit_status outcome;
-    bool accepts; /* a new job, which may share a record with others */
+    enum rr_commit_status status;
+    bool is_submission; /* a new job, which may share a record with others */
     bool finished;
-    bool doubted; /* an earlier try went unanswered */
+    bool outcome_unknown; /* an earlier try went unanswered */
 };
 
 /* Many threads, little memory: few arenas, and freed pages go back. Before any thread starts. */
@@ -124,7 +124,7 @@
 void rr_app_cells_log(struct rr_app *a);
 /* A job that is not known here: what the other cells say. False: none of them knows it. */
 bool rr_app_cells_relay(struct rr_app *a, bool cancel, const char *job_id,
-                        struct rr_response *response);
+                        struct rr_http_response *response);
 /* What a neighbour says of a job of ours that it holds, added to the view. False: it can't be
  * asked.
  */
@@ -140,13 +140,13 @@
                                struct rr_user_commit *u);
 
 /* handlers.c */
-void rr_app_handle(void *user, const struct rr_request *rq, struct rr_response *rs);
+void rr_app_handle(void *user, const struct rr_request *rq, struct rr_http_response *rs);
 /* A cancellation that is confirmed: the other controllers stop the job's tasks in their answers. */
 void rr_app_tell_cancelled(struct rr_app *a, const char *ref);
-void rr_app_refuse(struct rr_response *rs, int status, const char *why, int retry_after_s);
+void rr_app_refuse(struct rr_http_response *rs, int status, const char *why, int retry_after_s);
 /* A user's requests for a job, answered by what this cell alone knows. */
-void rr_app_poll_here(struct rr_app *a, const char *ref, struct rr_response *rs);
-void rr_app_cancel_here(struct rr_app *a, const char *ref, struct rr_response *rs);
+void rr_app_poll_here(struct rr_app *a, const char *ref, struct rr_http_response *rs);
+void rr_app_cancel_here(struct rr_app *a, const char *ref, struct rr_http_response *rs);
 
 /* duties: one thread each */
 void *rr_duty_session(void *app);
--- a/src/app/batch.c
+++ b/src/app/batch.c
@@ -25,7 +25,7 @@
 bool rr_user_batch_add(const struct rr_config *cfg, struct rr_user_batch *b,
                        struct rr_user_commit *u) {
     size_t size = json_size(u), most = (size_t)(rr_value_kb_max(cfg) * 1024) - 64;
-    bool joins = u->accepts && b->open > 0 && b->open + size <= most;
+    bool joins = u->is_submission && b->open > 0 && b->open + size <= most;
     guint records = b->records + !joins;
     guint guards = b->n + 1 + records + b->more_guards + (u->also_key[0] != 0);
     if (b->n == RR_BATCH_MAX || batch_has(b, u->key) ||
@@ -33,7 +33,7 @@
         guards > 4 * (guint)rr_transaction_changes_max(cfg)) {
         return b->n == 0;
     }
-    b->open = joins ? b->open + size : u->accepts ? size : b->open;
+    b->open = joins ? b->open + size : u->is_submission ? size : b->open;
     b->records = records;
     b->more_guards += u->also_key[0] != 0;
     b->bytes += size + 100;
@@ -80,7 +80,7 @@
         if (u->also_key[0]) {
             rr_transaction_guard(t, u->also_key, u->also_version);
         }
-        if (!u->accepts) {
+        if (!u->is_submission) {
             put_alone(t, u);
             continue;
         }
--- a/src/app/cells_duty.c
+++ b/src/app/cells_duty.c
@@ -27,7 +27,7 @@
 struct absent_reader {
     rr_store *store; /* NULL: the settings name none */
     rr_absent *absent;
-    double silent_since; /* steady, 0: its controllers answer */
+    double unanswered_since; /* steady, 0: its controllers answer */
     double heartbeat_at, asked_at, read_at;
 };
 
@@ -41,7 +41,7 @@
 struct rr_app_cells {
     rr_transfers *transfers; /* under the core's lock */
     rr_cells_links *links;
-    struct neighbour_duty duties[RR_CELLS_MAX];
+    struct neighbour_duty neighbour_threads[RR_CELLS_MAX];
     double down_until[RR_CELLS_MAX];  /* steady, under the core's lock */
     rr_budget *budgets[RR_CELLS_MAX]; /* for the neighbours' state services; NULL: not claimable */
 };
@@ -123,7 +123,7 @@
     memset(reader, 0, sizeof *reader);
     if (cell->claimable) {
         reader->store = rr_store_create(&cell->state, a->cells->budgets[neighbour], &a->stop);
-        reader->absent = rr_absent_create(&a->cfg, a->cells_settings.name);
+        reader->absent = rr_absent_create(&a->config, a->cells_settings.name);
     }
 }
 
@@ -192,8 +192,8 @@
 static void look_absent(struct rr_app *a, rr_store *store, struct absent_reader *reader,
                         size_t neighbour) {
     double pause = a->cells_settings.lease_s / READINGS;
-    if (!reader->store || reader->silent_since <= 0 ||
-        rr_now() - reader->silent_since < a->cells_settings.lease_s / 2 ||
+    if (!reader->store || reader->unanswered_since <= 0 ||
+        rr_now() - reader->unanswered_since < a->cells_settings.lease_s / 2 ||
         rr_now() - reader->read_at < pause) {
         return;
     }
@@ -244,7 +244,7 @@
     rr_cells_request *request = g_new0(rr_cells_request, 1);
     rr_cells_request_init(request, RR_CELLS_TRANSFERS);
     rr_cells_request_address(request, &a->cells_settings, neighbour);
-    g_strlcpy(request->team, a->cfg.teams[0].name, sizeof request->team);
+    g_strlcpy(request->team, a->config.teams[0].name, sizeof request->team);
     g_ptr_array_add(plan->requests, request);
 }
 
@@ -269,9 +269,9 @@
     }
     if (asked) {
         reader->heartbeat_at = rr_now();
-        reader->silent_since = answers                    ? 0
-                               : reader->silent_since > 0 ? reader->silent_since
-                                                          : reader->heartbeat_at;
+        reader->unanswered_since = answers                        ? 0
+                                   : reader->unanswered_since > 0 ? reader->unanswered_since
+                                                                  : reader->heartbeat_at;
     }
     rr_transfers_plan_clear(&plan);
 }
@@ -323,7 +323,7 @@
     pthread_mutex_lock(&a->lock);
     bool speaks = rr_transfers_speaks_for(a->cells->transfers, request->team, rr_now());
     const char *owner = rr_core_team_owner(a->core, request->team);
-    g_strlcpy(reply->owner, owner && strcmp(owner, a->cfg.node_name) != 0 ? owner : "",
+    g_strlcpy(reply->owner, owner && strcmp(owner, a->config.node_name) != 0 ? owner : "",
               sizeof reply->owner);
     pthread_mutex_unlock(&a->lock);
     if (!speaks) {
@@ -343,7 +343,7 @@
 
 /* Another cell's user asks here, for a job that this cell may have accepted. */
 static void serve_user(struct rr_app *a, const rr_cells_request *request, rr_cells_reply *reply) {
-    struct rr_response response = {0};
+    struct rr_http_response response = {0};
     rr_encoder_init(&response.body);
     if (request->kind == RR_CELLS_POLL) {
         rr_app_poll_here(a, request->job_id, &response);
@@ -390,7 +390,7 @@
 
 /* True: the cell has answered, and knows the job or not. */
 static bool relay_to(struct rr_app *a, size_t neighbour, const rr_cells_request *request,
-                     struct rr_response *response) {
+                     struct rr_http_response *response) {
     rr_cells_reply reply;
     if (!reachable(a, neighbour)) {
         return false;
@@ -414,7 +414,7 @@
 /* A final state that stands in the cell's state service can't change any more: it may be told while
  * nobody there answers. */
 static bool read_final(struct rr_app *a, size_t neighbour, const char *job_id,
-                       struct rr_response *response) {
+                       struct rr_http_response *response) {
     const rr_cell *cell = &a->cells_settings.neighbours[neighbour];
     char key[RR_ID + 64];
     uint64_t version, lease, tasks = 0;
@@ -449,7 +449,7 @@
 
 /* One that knows the job answers; that none does is said only when every one was asked. */
 bool rr_app_cells_relay(struct rr_app *a, bool cancel, const char *job_id,
-                        struct rr_response *response) {
+                        struct rr_http_response *response) {
     rr_cells_request request;
     bool all = true, known = false;
     if (!a->cells) {
@@ -457,7 +457,7 @@
     }
     rr_cells_request_init(&request, cancel ? RR_CELLS_CANCEL : RR_CELLS_POLL);
     g_strlcpy(request.job_id, job_id, sizeof request.job_id);
-    for (size_t i = 0; i < a->cells_settings.nneighbours && !known; i++) {
+    for (size_t i = 0; i < a->cells_settings.neighbour_count && !known; i++) {
         rr_cells_request_address(&request, &a->cells_settings, i);
         bool answered = relay_to(a, i, &request, response);
         known = answered ? response->status != 404 : read_final(a, i, job_id, response);
@@ -550,27 +550,27 @@
         return NULL;
     }
     rr_budget *budget =
-        rr_budget_create(READ_SHARE * a->cfg.state_rps, READ_SHARE * a->cfg.state_write_rps);
+        rr_budget_create(READ_SHARE * a->config.state_rps, READ_SHARE * a->config.state_write_rps);
     rr_budget_set_shares(budget, &all);
     return budget;
 }
 
 int rr_app_cells_start(struct rr_app *a) {
-    if (!a->cfg.cells) {
+    if (!a->config.cells) {
         return 0;
     }
     struct rr_app_cells *state = g_new0(struct rr_app_cells, 1);
     uint64_t process = (uint64_t)g_random_int() << 32 | g_random_int();
-    state->transfers = rr_transfers_create(&a->cells_settings, &a->cfg, a->core, process);
+    state->transfers = rr_transfers_create(&a->cells_settings, &a->config, a->core, process);
     rr_core_watch_records(a->core, RR_CELLS_PREFIX, on_record, state);
     a->cells = state;
-    for (size_t i = 0; i < a->cells_settings.nneighbours; i++) {
+    for (size_t i = 0; i < a->cells_settings.neighbour_count; i++) {
         state->budgets[i] = neighbour_budget(a, i);
     }
     int rc =
         rr_cells_links_start(&a->cells_settings, &a->stop, serve, end_context, a, &state->links);
-    for (size_t i = 0; rc == 0 && i < a->cells_settings.nneighbours; i++) {
-        struct neighbour_duty *duty = &state->duties[i];
+    for (size_t i = 0; rc == 0 && i < a->cells_settings.neighbour_count; i++) {
+        struct neighbour_duty *duty = &state->neighbour_threads[i];
         *duty = (struct neighbour_duty){.app = a, .neighbour = i};
         rc = rr_thread_start(&duty->thread, neighbour_main, duty, false);
         duty->started = rc == 0;
@@ -584,8 +584,8 @@
 
 void rr_app_cells_join(struct rr_app *a) {
     for (size_t i = 0; a->cells && i < RR_CELLS_MAX; i++) {
-        if (a->cells->duties[i].started) {
-            pthread_join(a->cells->duties[i].thread, NULL);
+        if (a->cells->neighbour_threads[i].started) {
+            pthread_join(a->cells->neighbour_threads[i].thread, NULL);
         }
     }
     if (a->cells) {
@@ -597,7 +597,7 @@
 void rr_app_cells_stop(struct rr_app *a) {
     if (a->cells) {
         rr_transfers_destroy(a->cells->transfers);
-        for (size_t i = 0; i < a->cells_settings.nneighbours; i++) {
+        for (size_t i = 0; i < a->cells_settings.neighbour_count; i++) {
             rr_budget_destroy(a->cells->budgets[i]);
         }
         g_free(a->cells);
@@ -627,5 +627,5 @@
            stats.spilling ? "spilling" : "not spilling", stats.outgoing, stats.incoming,
            stats.offered, stats.taken, stats.refused, stats.finished, stats.withdrawn,
            stats.accepted, stats.given_back, stats.lapsed, stats.granted, stats.claimed,
-           links.strangers, links.refused);
+           links.unknown_peers, links.refused);
 }
--- a/src/app/door_duty.c
+++ b/src/app/door_duty.c
@@ -13,14 +13,14 @@
  * service users are to be told, so that the door opens after a session's time at the latest. */
 void *rr_duty_door(void *app) {
     struct rr_app *a = app;
-    double until = rr_now() + rr_session_lease_s(&a->cfg);
+    double until = rr_now() + rr_session_lease_s(&a->config);
     pthread_mutex_lock(&a->lock);
     while (!rr_duty_stopping(a) && !rr_core_lease_valid(a->core, rr_now()) && rr_now() < until) {
-        rr_app_wait(a, &a->mirrored, &a->lock, until - rr_now());
+        rr_app_wait(a, &a->cache_advanced, &a->lock, until - rr_now());
     }
     pthread_mutex_unlock(&a->lock);
     int rc;
-    while (!rr_duty_stopping(a) && (rc = rr_door_listen(a->door)) != 0) {
+    while (!rr_duty_stopping(a) && (rc = rr_door_listen(a->http_server)) != 0) {
         rr_log(RR_ERROR_LEVEL, "bind: can't listen: %s", strerror(-rc));
         rr_duty_pause(a, 1);
     }
--- a/src/app/duty.c
+++ b/src/app/duty.c
@@ -32,7 +32,7 @@
 }
 
 rr_store *rr_duty_open_store(struct rr_app *a) {
-    return rr_store_create(&a->cfg.state, a->budget, &a->stop);
+    return rr_store_create(&a->config.state, a->budget, &a->stop);
 }
 
 /* A valid transaction was called invalid: the state service's lower limits hold. */
@@ -40,7 +40,7 @@
     rr_budget_next_limits_hold(a->budget);
     pthread_mutex_lock(&a->lock);
     rr_core_lower_limits(a->core, in_doubt);
-    pthread_cond_broadcast(&a->mirrored);
+    pthread_cond_broadcast(&a->cache_advanced);
     pthread_mutex_unlock(&a->lock);
 }
 
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -9,14 +9,14 @@
 #define LAG_MS 1000   /* pauses late by more: nobody waits as long for what is asked now */
 #define BARRIER_S 1.6 /* a poll's user waits for 2 s */
 
-void rr_app_refuse(struct rr_response *rs, int status, const char *why, int retry_after_s) {
+void rr_app_refuse(struct rr_http_response *rs, int status, const char *why, int retry_after_s) {
     rs->status = status;
     rs->retry_after_s = retry_after_s;
     rr_encode_map(&rs->body, 1);
     rr_encode_key_text(&rs->body, "error", why);
 }
 
-static void answer_job_state(struct rr_response *rs, int status, const char *ref,
+static void answer_job_state(struct rr_http_response *rs, int status, const char *ref,
                              const char *standing) {
     rs->status = status;
     rr_encode_map(&rs->body, 2);
@@ -39,7 +39,7 @@
     }
     double until = rr_now() + BARRIER_S;
     pthread_mutex_lock(&a->user_lock);
-    uint64_t group = a->gathers;
+    uint64_t group = a->gathering_group;
     struct rr_barrier *b = &a->barrier[group % 2];
     b->number = group;
     if (b->waiting++ == 0) {
@@ -59,7 +59,7 @@
 
 /* Seconds until so many changes are served at the pace of the last transaction. */
 static double wait_of(const struct rr_app *a, guint n) {
-    return n < RR_BATCH_MAX || a->pace <= 0 ? 0 : n / a->pace;
+    return n < RR_BATCH_MAX || a->commit_rate <= 0 ? 0 : n / a->commit_rate;
 }
 
 /* False if too many wait already, more than are served before the first of them would be given up:
@@ -85,7 +85,7 @@
 /* ---- submissions ---- */
 
 /* A job that was accepted before is answered 200, whatever the repeat says. False: not known. */
-static bool answer_known(struct rr_app *a, const char *ref, struct rr_response *rs) {
+static bool answer_known(struct rr_app *a, const char *ref, struct rr_http_response *rs) {
     rr_job_view v;
     if (!view_behind_barrier(a, ref, &v)) {
         rr_app_refuse(rs, 503, "state not reachable", 1);
@@ -97,8 +97,8 @@
     return v.known;
 }
 
-static void accept_job(struct rr_app *a, const rr_submission *s, struct rr_response *rs) {
-    struct rr_user_commit u = {.until = rr_now() + RR_ACCEPT_S, .accepts = true};
+static void accept_job(struct rr_app *a, const rr_submission *s, struct rr_http_response *rs) {
+    struct rr_user_commit u = {.deadline = rr_now() + RR_ACCEPT_S, .is_submission = true};
     pthread_mutex_lock(&a->lock);
     /* Known to be down: answered at once, with the time to come back. The session's renewals tell
      * when it is up again; when one submission in two tried, each of those waited for 1.5 s. */
@@ -112,20 +112,20 @@
     rr_encoder_init(&u.value);
     rr_core_job_encode(&u.value, s, rr_wall(), false);
     /* The store counts JSON, which is longer than what is packed here. */
-    if (1.4 * (double)u.value.buffer.size > rr_value_kb_max(&a->cfg) * 1024) {
+    if (1.4 * (double)u.value.buffer.size > rr_value_kb_max(&a->config) * 1024) {
         rr_app_refuse(rs, 400, "too large", 0);
     } else if (!commit_for_user(a, &u)) {
         rr_app_refuse(rs, 503, "overloaded", 2);
-    } else if (u.outcome == RR_COMMIT_DONE) {
+    } else if (u.status == RR_COMMIT_DONE) {
         answer_job_state(rs, 201, s->job_id, "queued");
-    } else if (u.outcome != RR_COMMIT_CONFLICT || !answer_known(a, s->job_id, rs)) {
+    } else if (u.status != RR_COMMIT_CONFLICT || !answer_known(a, s->job_id, rs)) {
         rr_app_refuse(rs, 503, "state not reachable", 1);
     }
     rr_encoder_clear(&u.value);
 }
 
 static void decide_submission(struct rr_app *a, const struct rr_request *rq,
-                              struct rr_response *rs) {
+                              struct rr_http_response *rs) {
     rr_document doc;
     rr_submission s = {0};
     const char *why = "not MessagePack";
@@ -169,7 +169,7 @@
     }
 }
 
-static void submit(struct rr_app *a, const struct rr_request *rq, struct rr_response *rs) {
+static void submit(struct rr_app *a, const struct rr_request *rq, struct rr_http_response *rs) {
     double began = rr_now();
     /* New work is what goes first when there is too little time: told before a byte is decoded. */
     if (atomic_load(&a->lag_ms) > LAG_MS) {
@@ -184,7 +184,7 @@
     }
 }
 
-void rr_app_poll_here(struct rr_app *a, const char *ref, struct rr_response *rs) {
+void rr_app_poll_here(struct rr_app *a, const char *ref, struct rr_http_response *rs) {
     rr_job_view v = {0};
     bool valid = rr_job_id_valid(ref);
     if (valid && !view_behind_barrier(a, ref, &v)) {
@@ -210,13 +210,14 @@
     bool able = rr_core_all_gang_capable(a->core);
     pthread_mutex_unlock(&a->lock);
     if (able) {
-        rr_peers_cancelled(a->peers, ref, rr_now() + a->cfg.cancel_s);
+        rr_peers_cancelled(a->peers, ref, rr_now() + a->config.cancel_s);
     }
 }
 
 /* One try to record the cancellation. True: answered. */
-static bool try_cancel(struct rr_app *a, const char *ref, double until, struct rr_response *rs) {
-    struct rr_user_commit u = {.until = until};
+static bool try_cancel(struct rr_app *a, const char *ref, double until,
+                       struct rr_http_response *rs) {
+    struct rr_user_commit u = {.deadline = until};
     rr_job_view v;
     rr_encoder_init(&u.value);
     rr_core_job_key(ref, u.key, sizeof u.key);
@@ -239,11 +240,11 @@
         }
     } else if (!commit_for_user(a, &u)) {
         rr_app_refuse(rs, 503, "overloaded", 1);
-    } else if (u.outcome == RR_COMMIT_DONE) {
+    } else if (u.status == RR_COMMIT_DONE) {
         rr_log(RR_DEBUG_LEVEL, "job %s is cancelled", ref);
         rr_app_tell_cancelled(a, ref);
         answer_job_state(rs, 200, ref, "aborted");
-    } else if (u.outcome == RR_COMMIT_CONFLICT) {
+    } else if (u.status == RR_COMMIT_CONFLICT) {
         pthread_mutex_lock(&a->lock);
         answered = !rr_app_wait_revision(a, u.revision, until);
         pthread_mutex_unlock(&a->lock);
@@ -259,7 +260,7 @@
 
 /* Whether no other cell can have the job any more; if one has it, it is taken back. */
 static bool is_here(struct rr_app *a, const char *ref, int *retry_after_s) {
-    struct rr_user_commit u = {.until = rr_now() + RR_ACCEPT_S};
+    struct rr_user_commit u = {.deadline = rr_now() + RR_ACCEPT_S};
     rr_encoder_init(&u.value);
     enum rr_cancel_first first = rr_app_cells_cancel(a, ref, &u, retry_after_s);
     if (first == RR_CANCEL_WITHDRAW) {
@@ -269,7 +270,7 @@
     return first == RR_CANCEL_FREE;
 }
 
-void rr_app_cancel_here(struct rr_app *a, const char *ref, struct rr_response *rs) {
+void rr_app_cancel_here(struct rr_app *a, const char *ref, struct rr_http_response *rs) {
     double until = rr_now() + 2.5;
     int retry_after_s = 0;
     if (!rr_job_id_valid(ref)) {
@@ -288,14 +289,14 @@
     }
 }
 
-static void poll_job(struct rr_app *a, const char *ref, struct rr_response *rs) {
+static void poll_job(struct rr_app *a, const char *ref, struct rr_http_response *rs) {
     rr_app_poll_here(a, ref, rs);
     if (rs->status == 404 && rr_job_id_valid(ref)) {
         rr_app_cells_relay(a, false, ref, rs);
     }
 }
 
-static void cancel_job(struct rr_app *a, const char *ref, struct rr_response *rs) {
+static void cancel_job(struct rr_app *a, const char *ref, struct rr_http_response *rs) {
     rr_app_cancel_here(a, ref, rs);
     if (rs->status == 404 && rr_job_id_valid(ref)) {
         rr_app_cells_relay(a, true, ref, rs);
@@ -328,7 +329,7 @@
     rr_document_clear(&doc);
 }
 
-static void hello(struct rr_app *a, const struct rr_request *rq, struct rr_response *rs) {
+static void hello(struct rr_app *a, const struct rr_request *rq, struct rr_http_response *rs) {
     rs->yields = true;
     rr_document doc;
     rr_heartbeat r = {0};
@@ -371,7 +372,7 @@
     }
 }
 
-static void ready(struct rr_app *a, struct rr_response *rs) {
+static void ready(struct rr_app *a, struct rr_http_response *rs) {
     pthread_mutex_lock(&a->lock);
     bool ok = rr_core_ready(a->core, rr_now());
     pthread_mutex_unlock(&a->lock);
@@ -384,7 +385,7 @@
 
 /* ---- routes ---- */
 
-static bool expect(const struct rr_request *rq, const char *method, struct rr_response *rs) {
+static bool expect(const struct rr_request *rq, const char *method, struct rr_http_response *rs) {
     if (strcmp(rq->method, method) == 0) {
         return true;
     }
@@ -393,7 +394,7 @@
     return false;
 }
 
-static void route_job(struct rr_app *a, const struct rr_request *rq, struct rr_response *rs,
+static void route_job(struct rr_app *a, const struct rr_request *rq, struct rr_http_response *rs,
                       const char *rest) {
     char ref[RR_ID];
     const char *slash = strchr(rest, '/');
@@ -413,7 +414,7 @@
     }
 }
 
-void rr_app_handle(void *user, const struct rr_request *rq, struct rr_response *rs) {
+void rr_app_handle(void *user, const struct rr_request *rq, struct rr_http_response *rs) {
     struct rr_app *a = user;
     if (strcmp(rq->path, "/hello") == 0) {
         if (expect(rq, "POST", rs)) {
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -86,8 +86,8 @@
     if (rr_net_init() != 0 || rr_app_start(app) != 0) {
         return 1;
     }
-    rr_log(RR_INFO_LEVEL, "ringrock %s in %s, session %.1f s", RINGROCK_VERSION, app->cfg.zone,
-           rr_session_lease_s(&app->cfg));
+    rr_log(RR_INFO_LEVEL, "ringrock %s in %s, session %.1f s", RINGROCK_VERSION, app->config.zone,
+           rr_session_lease_s(&app->config));
     while (sem_wait(&quit) != 0 && errno == EINTR) {
     }
     rr_log(RR_INFO_LEVEL, "stopping");
@@ -96,15 +96,15 @@
 }
 
 static int load_settings(const struct options *o, struct rr_app *app, char *err, size_t size) {
-    int rc = rr_settings_load(o->config, o->settings, &app->cfg, err, size);
+    int rc = rr_settings_load(o->config, o->settings, &app->config, err, size);
     if (rc == 0 && o->admission) {
-        rc = rr_admission_settings_load(o->admission, &app->cfg, &app->admission_settings, err,
+        rc = rr_admission_settings_load(o->admission, &app->config, &app->admission_settings, err,
                                         size);
-        app->cfg.admission = rc == 0;
+        app->config.admission = rc == 0;
     }
     if (rc == 0 && o->cells) {
-        rc = rr_cells_settings_load(o->cells, &app->cfg, &app->cells_settings, err, size);
-        app->cfg.cells = rc == 0;
+        rc = rr_cells_settings_load(o->cells, &app->config, &app->cells_settings, err, size);
+        app->config.cells = rc == 0;
     }
     return rc;
 }
@@ -131,7 +131,7 @@
     if (load_settings(&o, app, err, sizeof err) != 0) {
         fprintf(stderr, "ringrock: %s\n", err);
         rc = 2;
-    } else if (rr_app_connections(&app->cfg) < RR_CONNECTIONS_LEAST) {
+    } else if (rr_app_connections(&app->config) < RR_CONNECTIONS_LEAST) {
         fprintf(stderr,
                 "ringrock: %s: deployment.limits, max_threads and senders leave no room for "
                 "connections\n",
@@ -140,7 +140,7 @@
     } else if (o.check) {
         printf("settings are fine\n");
     } else {
-        rr_log_node(app->cfg.node_name);
+        rr_log_node(app->config.node_name);
         rc = serve(app);
     }
     rr_admission_settings_clear(&app->admission_settings);
--- a/src/app/mirror_duty.c
+++ b/src/app/mirror_duty.c
@@ -62,7 +62,7 @@
         rr_core_cache_end_reload(a->core, first, last, rr_now());
         rr_core_set_revision(a->core, first);
         rr_core_set_cache_current(a->core, began);
-        pthread_cond_broadcast(&a->mirrored);
+        pthread_cond_broadcast(&a->cache_advanced);
         rr_app_kick(a);
     }
     pthread_mutex_unlock(&a->lock);
@@ -106,7 +106,7 @@
     rr_core_set_revision(a->core, epoch);
     rr_core_set_cache_current(a->core, asked);
     a->store_ok_at = now;
-    pthread_cond_broadcast(&a->mirrored);
+    pthread_cond_broadcast(&a->cache_advanced);
     if (rows->len) {
         rr_app_kick(a);
     }
@@ -141,7 +141,7 @@
         pthread_mutex_unlock(&a->lock);
         /* A watch ends with the first change, and the next one is a request: under load changes
          * gather, so that watches take a quarter of the limit of requests at most. */
-        rr_duty_pause(a, opened + 4.0 * (live ? live : 1) / a->cfg.state_rps - rr_now());
+        rr_duty_pause(a, opened + 4.0 * (live ? live : 1) / a->config.state_rps - rr_now());
         opened = rr_now();
         int rc = rr_store_watch(s, RR_ROOT, from, WATCH_MS, &d);
         if (rc == 0) {
--- a/src/app/planner_duty.c
+++ b/src/app/planner_duty.c
@@ -9,8 +9,8 @@
 static void queue_command_batches(struct rr_app *a, rr_plan *p) {
     for (guint i = 0; i < p->command_batches->len; i++) {
         rr_command_batch *d = g_ptr_array_index(p->command_batches, i);
-        g_queue_push_tail(d->doubtful ? &a->slow_queue : &a->do_queue, d);
-        pthread_cond_signal(d->doubtful ? &a->slow_wake : &a->do_wake);
+        g_queue_push_tail(d->may_time_out ? &a->slow_command_queue : &a->command_queue, d);
+        pthread_cond_signal(d->may_time_out ? &a->slow_command_wake : &a->command_wake);
     }
     if (p->command_batches->len) {
         g_ptr_array_set_free_func(p->command_batches, NULL);
@@ -58,16 +58,17 @@
     rr_usage_enter(RR_USE_PLANNER);
     rr_store *s = rr_duty_open_store(a);
     uint64_t kicks = 0, need = 0;
-    double least = fmax(a->cfg.tune.plan_pause_ms / 1000, PAUSE_SHARE * a->cfg.report_s);
+    double least =
+        fmax(a->config.tuning.plan_pause_ms / 1000, PAUSE_SHARE * a->config.heartbeat_interval_s);
     double told = 0, committed = 0, pause = 0;
     while (!rr_duty_stopping(a)) {
         rr_plan p;
         rr_plan_init(&p);
         pthread_mutex_lock(&a->lock);
-        if (a->kicks == kicks) {
+        if (a->wake_count == kicks) {
             rr_app_wait(a, &a->work, &a->lock, 0.5);
         }
-        kicks = a->kicks;
+        kicks = a->wake_count;
         /* After a conflict, until the mirror shows what came first. */
         if (rr_app_wait_revision(a, need, rr_now() + 1)) {
             int changes = rr_budget_changes(a->budget);
--- a/src/app/provisioner_duty.c
+++ b/src/app/provisioner_duty.c
@@ -8,13 +8,13 @@
 #include <errno.h>
 #include <string.h>
 
-static void build_clear(gpointer b) {
+static void machine_type_clear(gpointer b) {
     rr_machine_type_clear(b);
 }
 
 static int run_catalog(struct rr_app *a, rr_cloud *cloud) {
     GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
-    g_array_set_clear_func(builds, build_clear);
+    g_array_set_clear_func(builds, machine_type_clear);
     int rc = rr_cloud_catalog(cloud, builds);
     if (rc == 0) {
         pthread_mutex_lock(&a->lock);
@@ -91,7 +91,7 @@
     struct rr_app *a = app;
     rr_usage_enter(RR_USAGE_AUTOSCALER);
     rr_store *s = rr_duty_open_store(a);
-    rr_cloud *cloud = rr_cloud_create(&a->cfg.cloud, a->cfg.cloud_rps, &a->stop);
+    rr_cloud *cloud = rr_cloud_create(&a->config.cloud, a->config.cloud_rps, &a->stop);
     uint64_t need = 0;
     while (!rr_duty_stopping(a)) {
         rr_autoscaler_step step;
@@ -101,7 +101,7 @@
             rr_core_autoscaler_step(a->core, rr_now(), rr_wall(), &step);
         }
         if (step.kind == RR_AUTOSCALER_NONE) {
-            rr_app_wait(a, &a->mirrored, &a->lock, 0.3);
+            rr_app_wait(a, &a->cache_advanced, &a->lock, 0.3);
         }
         pthread_mutex_unlock(&a->lock);
         int rc = run_step(a, s, cloud, &step, &need);
--- a/src/app/sender_duty.c
+++ b/src/app/sender_duty.c
@@ -54,7 +54,7 @@
     if (via < 0) {
         /* Never heard, its worker_epoch is not known: only its status can be asked. */
         bool ask = probe && d->worker_epoch == 0;
-        rc = rr_worker_call(client, d->addr, ask ? NULL : o.buffer.data, ask ? 0 : o.buffer.size,
+        rc = rr_worker_call(client, d->address, ask ? NULL : o.buffer.data, ask ? 0 : o.buffer.size,
                             limit, &reply);
         /* Only what surely was not sent may go another way. */
         if (rc == -ENOTCONN && d->fallback >= 0) {
@@ -65,7 +65,8 @@
         }
     }
     if (via >= 0) {
-        rc = rr_peers_relay(a->peers, via, d->addr, o.buffer.data, o.buffer.size, limit, &relayed);
+        rc = rr_peers_relay(a->peers, via, d->address, o.buffer.data, o.buffer.size, limit,
+                            &relayed);
         if (rc == 0) {
             status = relayed.status;
             ok = take_answer(a, relayed.body->data, relayed.body->len, via, false);
@@ -111,12 +112,12 @@
 
 void *rr_duty_sender(void *app) {
     struct rr_app *a = app;
-    send_from(a, &a->do_queue, &a->do_wake);
+    send_from(a, &a->command_queue, &a->command_wake);
     return NULL;
 }
 
 void *rr_duty_slow_sender(void *app) {
     struct rr_app *a = app;
-    send_from(a, &a->slow_queue, &a->slow_wake);
+    send_from(a, &a->slow_command_queue, &a->slow_command_wake);
     return NULL;
 }
--- a/src/app/session_duty.c
+++ b/src/app/session_duty.c
@@ -9,14 +9,14 @@
 
 /* Our steady clock may run slow against the store's: drift and a little more come off. */
 static void set_session(struct rr_app *a, uint64_t tether, double sent) {
-    double until = sent + rr_session_lease_s(&a->cfg) * 0.998 - 0.1;
+    double until = sent + rr_session_lease_s(&a->config) * 0.998 - 0.1;
     pthread_mutex_lock(&a->user_lock);
     a->lease_id = tether;
     pthread_mutex_unlock(&a->user_lock);
     pthread_mutex_lock(&a->lock);
     rr_core_set_session(a->core, tether, tether ? until : 0);
     rr_app_kick(a);
-    pthread_cond_broadcast(&a->mirrored);
+    pthread_cond_broadcast(&a->cache_advanced);
     pthread_mutex_unlock(&a->lock);
 }
 
@@ -25,11 +25,11 @@
 static int take_session(struct rr_app *a, rr_store *s, uint64_t *tether) {
     char key[RR_NAME + 16];
     uint64_t mark = 0, old = 0, epoch;
-    double life = rr_session_lease_s(&a->cfg);
+    double life = rr_session_lease_s(&a->config);
     rr_document doc;
     rr_transaction t;
     rr_encoder o;
-    g_snprintf(key, sizeof key, RR_ROOT "node/%s", a->cfg.node_name);
+    g_snprintf(key, sizeof key, RR_ROOT "node/%s", a->config.node_name);
     int rc = rr_store_get(s, key, &doc, &mark, &old);
     if (rc == 0) {
         rr_document_clear(&doc);
@@ -43,7 +43,7 @@
     }
     rr_transaction_init(&t);
     rr_encoder_init(&o);
-    rr_core_encode_session(&a->cfg, &o, *tether);
+    rr_core_encode_session(&a->config, &o, *tether);
     rr_transaction_guard(&t, key, mark);
     rr_transaction_put(&t, key, &o, *tether);
     rc = rr_store_commit(s, RR_REQUEST_SESSION, &t, 1.5, &epoch, NULL) == RR_COMMIT_DONE ? 0
@@ -98,7 +98,7 @@
  * lease runs out. We stop commanding first, then have the peer end the lease. In an outage for all
  * no peer says yes, and everybody stays. */
 static bool resign(struct rr_app *a, uint64_t tether) {
-    for (size_t i = 0; i < a->cfg.npeers && !rr_duty_stopping(a); i++) {
+    for (size_t i = 0; i < a->config.peer_count && !rr_duty_stopping(a); i++) {
         if (rr_peers_resign(a->peers, (int)i, tether, false)) {
             rr_log(RR_INFO_LEVEL,
                    "state service lost here alone: resigning session %" G_GUINT64_FORMAT, tether);
@@ -114,7 +114,7 @@
     struct rr_app *a = app;
     rr_usage_enter(RR_USE_SESSION);
     rr_store *s = rr_duty_open_store(a);
-    double life = rr_session_lease_s(&a->cfg), step = life / 8 < 0.3 ? 0.3 : life / 8, since = 0;
+    double life = rr_session_lease_s(&a->config), step = life / 8 < 0.3 ? 0.3 : life / 8, since = 0;
     uint64_t tether = 0;
     double renewed = 0;
     while (!rr_duty_stopping(a)) {
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -11,16 +11,16 @@
 #include <string.h>
 
 struct load {
-    const rr_toml *t;
+    const rr_toml *table;
     const char *file;
-    char *err;
+    char *error;
     size_t size;
     bool failed;
 };
 
 static void fail(struct load *l, const char *field, const char *what) {
     if (!l->failed) {
-        snprintf(l->err, l->size, "%s: %s: %s", l->file, field, what);
+        snprintf(l->error, l->size, "%s: %s: %s", l->file, field, what);
         l->failed = true;
     }
 }
@@ -43,7 +43,7 @@
 }
 
 static void need_text(struct load *l, const char *path, char *out, size_t size) {
-    int rc = rr_toml_text(l->t, path, out, size);
+    int rc = rr_toml_text(l->table, path, out, size);
     if (rc != 0) {
         fail(l, path, rc == -ENOENT ? "missing" : "must be text");
     } else if (!out[0]) {
@@ -60,7 +60,7 @@
 }
 
 static void need_num(struct load *l, const char *path, double least, double most, double *out) {
-    int rc = rr_toml_num(l->t, path, out);
+    int rc = rr_toml_num(l->table, path, out);
     char what[96];
     if (rc != 0) {
         fail(l, path, rc == -ENOENT ? "missing" : "must be a number");
@@ -74,13 +74,13 @@
                     double *out) {
     *out = dflt;
     double v;
-    if (rr_toml_num(l->t, path, &v) != -ENOENT) {
+    if (rr_toml_num(l->table, path, &v) != -ENOENT) {
         need_num(l, path, least, most, out);
     }
 }
 
 static size_t count(struct load *l, const char *path, size_t most) {
-    int n = rr_toml_count(l->t, path);
+    int n = rr_toml_count(l->table, path);
     if (n < 0) {
         fail(l, path, "must be an array of tables");
         return 0;
@@ -94,8 +94,8 @@
 
 static void load_peers(struct load *l, struct rr_config *c) {
     char path[96];
-    c->npeers = count(l, "seeds", RR_MAX_NODES - 1);
-    for (size_t i = 0; i < c->npeers && !l->failed; i++) {
+    c->peer_count = count(l, "seeds", RR_MAX_NODES - 1);
+    for (size_t i = 0; i < c->peer_count && !l->failed; i++) {
         snprintf(path, sizeof path, "seeds[%zu].node_name", i);
         need_text(l, path, c->peers[i].name, RR_NAME);
         snprintf(path, sizeof path, "seeds[%zu].zone", i);
@@ -108,8 +108,8 @@
 static void load_teams(struct load *l, struct rr_config *c) {
     static const char *const fields[] = {"cpus", "cpus_max", "gpus", "gpus_max"};
     char path[96];
-    c->nteams = count(l, "deployment.teams", RR_MAX_TEAMS);
-    for (size_t i = 0; i < c->nteams && !l->failed; i++) {
+    c->team_count = count(l, "deployment.teams", RR_MAX_TEAMS);
+    for (size_t i = 0; i < c->team_count && !l->failed; i++) {
         double *into[] = {&c->teams[i].cpus, &c->teams[i].cpus_max, &c->teams[i].gpus,
                           &c->teams[i].gpus_max};
         snprintf(path, sizeof path, "deployment.teams[%zu].name", i);
@@ -123,13 +123,13 @@
 
 static void load_objectives(struct load *l, struct rr_config *c) {
     char path[96];
-    c->nobjectives = count(l, "deployment.objectives", RR_MAX_OBJECTIVES);
-    for (size_t i = 0; i < c->nobjectives && !l->failed; i++) {
+    c->objective_count = count(l, "deployment.objectives", RR_MAX_OBJECTIVES);
+    for (size_t i = 0; i < c->objective_count && !l->failed; i++) {
         struct rr_objective *o = &c->objectives[i];
         snprintf(path, sizeof path, "deployment.objectives[%zu].kind", i);
         need_text(l, path, o->kind, sizeof o->kind);
         snprintf(path, sizeof path, "deployment.objectives[%zu].class", i);
-        rr_toml_text(l->t, path, o->job_class, sizeof o->job_class);
+        rr_toml_text(l->table, path, o->job_class, sizeof o->job_class);
         snprintf(path, sizeof path, "deployment.objectives[%zu].within_s", i);
         opt_num(l, path, 0, 1e9, 0, &o->within_s);
         snprintf(path, sizeof path, "deployment.objectives[%zu].share", i);
@@ -150,7 +150,7 @@
     load_objectives(l, c);
     opt_num(l, "deployment.clock_off_ms", 0, 1e6, 100, &c->clock_off_s);
     c->clock_off_s /= 1000;
-    need_num(l, "deployment.workers.report_s", 0.01, 3600, &c->report_s);
+    need_num(l, "deployment.workers.report_s", 0.01, 3600, &c->heartbeat_interval_s);
     need_num(l, "deployment.workers.lease_s", 0.1, 86400, &c->lease_s);
     opt_num(l, "deployment.workers.gang_wait_s", 0.1, 86400, 40, &c->gang_wait_s);
     opt_num(l, "deployment.workers.gang_peer_s", 0.1, 86400, 5, &c->gang_peer_s);
@@ -160,7 +160,7 @@
     need_num(l, "deployment.state.value_kb", 1, 1e6, &c->value_kb);
     need_num(l, "deployment.state.txn_ops", 4, 10000, &n);
     c->transaction_changes_max = (int)n;
-    if (rr_toml_table(l->t, "deployment.state.next") == -EINVAL) {
+    if (rr_toml_table(l->table, "deployment.state.next") == -EINVAL) {
         fail(l, "deployment.state.next", "must be a table");
     }
     opt_num(l, "deployment.state.next.rps", 1, 1e6, c->state_rps, &c->next_rps);
@@ -183,29 +183,29 @@
 
 struct knob {
     const char *name;
-    double dflt, least, most;
+    double default_value, least, most;
     bool whole;
     size_t offset;
 };
 
-#define KNOB(n, d, lo, hi, w)                                                                      \
-    { #n, d, lo, hi, w, offsetof(struct rr_tuning, n) }
+#define KNOB(name, field, standard, least, most, whole)                                            \
+    { name, standard, least, most, whole, offsetof(struct rr_tuning, field) }
 static const struct knob knobs[] = {
-    KNOB(round_period_s, 12, 1, 86400, false),
-    KNOB(round_moves, 4, 1, 1000, true),
-    KNOB(round_share, 0.025, 0, 1, false),
-    KNOB(session_share, 0.35, 0.05, 0.8, false),
-    KNOB(answer_share, 1, 0.05, 1, false),
-    KNOB(silent_reports, 2.0, 1.3, 100, false),
-    KNOB(dead_reports, 1.9, 1.5, 1000, false),
-    KNOB(idle_return_s, 6, 0, 86400, false),
-    KNOB(headroom, 1, 0, 100, false),
-    KNOB(boot_patience, 2, 1, 100, false),
-    KNOB(cloud_list_s, 4, 0.5, 3600, false),
-    KNOB(senders, 24, 2, 64, true),
-    KNOB(max_connections, 100000, 8, 100000, true),
-    KNOB(max_threads, 2000, 128, 100000, true),
-    KNOB(plan_pause_ms, 30, 0, 10000, false),
+    KNOB("round_period_s", rebalance_period_s, 12, 1, 86400, false),
+    KNOB("round_moves", rebalance_moves, 4, 1, 1000, true),
+    KNOB("round_share", rebalance_share, 0.025, 0, 1, false),
+    KNOB("session_share", session_share, 0.35, 0.05, 0.8, false),
+    KNOB("answer_share", answer_share, 1, 0.05, 1, false),
+    KNOB("silent_reports", silent_reports, 2.0, 1.3, 100, false),
+    KNOB("dead_reports", dead_reports, 1.9, 1.5, 1000, false),
+    KNOB("idle_return_s", idle_return_s, 6, 0, 86400, false),
+    KNOB("headroom", headroom, 1, 0, 100, false),
+    KNOB("boot_patience", boot_patience, 2, 1, 100, false),
+    KNOB("cloud_list_s", cloud_list_s, 4, 0.5, 3600, false),
+    KNOB("senders", senders, 24, 2, 64, true),
+    KNOB("max_connections", max_connections, 100000, 8, 100000, true),
+    KNOB("max_threads", max_threads, 2000, 128, 100000, true),
+    KNOB("plan_pause_ms", plan_pause_ms, 30, 0, 10000, false),
 };
 
 static void set_knob(struct rr_tuning *t, const struct knob *k, double v) {
@@ -220,9 +220,9 @@
 void rr_settings_defaults(struct rr_tuning *t) {
     memset(t, 0, sizeof *t);
     for (size_t i = 0; i < G_N_ELEMENTS(knobs); i++) {
-        set_knob(t, &knobs[i], knobs[i].dflt);
+        set_knob(t, &knobs[i], knobs[i].default_value);
     }
-    t->rounds = true;
+    t->rebalance = true;
 }
 
 /* libconfuse reports through a callback without a user pointer; settings are read once, before any
@@ -246,8 +246,8 @@
         cfg_opt_t f = CFG_FLOAT(NULL, 0, CFGF_NONE), w = CFG_INT(NULL, 0, CFGF_NONE);
         opts[i] = knobs[i].whole ? w : f;
         opts[i].name = knobs[i].name;
-        opts[i].def.fpnumber = knobs[i].whole ? 0 : knobs[i].dflt;
-        opts[i].def.number = knobs[i].whole ? (long)knobs[i].dflt : 0;
+        opts[i].def.fpnumber = knobs[i].whole ? 0 : knobs[i].default_value;
+        opts[i].def.number = knobs[i].whole ? (long)knobs[i].default_value : 0;
     }
     cfg_opt_t rounds = CFG_BOOL("rounds", cfg_true, CFGF_NONE), end = CFG_END();
     opts[n] = rounds;
@@ -280,7 +280,7 @@
         rc = -EINVAL;
     }
     if (rc == 0) {
-        t->rounds = cfg_getbool(cfg, "rounds") == cfg_true;
+        t->rebalance = cfg_getbool(cfg, "rounds") == cfg_true;
     }
     cfg_free(cfg);
     return rc;
@@ -299,6 +299,6 @@
     if (l.failed) {
         return -EINVAL;
     }
-    rr_settings_defaults(&out->tune);
-    return own ? load_own(own, &out->tune, err, size) : 0;
+    rr_settings_defaults(&out->tuning);
+    return own ? load_own(own, &out->tuning, err, size) : 0;
 }
--- a/src/app/term_duty.c
+++ b/src/app/term_duty.c
@@ -24,15 +24,16 @@
     rr_log(RR_INFO_LEVEL, "processor, last minute: %s; heap %.1f MB, %.1f of it free", used,
            (double)(heap.arena + heap.hblkhd) / 1e6, (double)heap.fordblks / 1e6);
     /* What a peak has left goes back. */
-    if ((double)heap.fordblks > FREE_SHARE * a->cfg.ram_mb * 1e6) {
+    if ((double)heap.fordblks > FREE_SHARE * a->config.ram_mb * 1e6) {
         malloc_trim(0);
     }
     rr_log(RR_INFO_LEVEL,
            "last minute: %s; %d connections, %u machines (%u not heard), %u jobs open, "
            "%u tasks placed, %u waiting, so far %u moves, %u machines rented, "
            "%u given up or returned, %u leases lost, %u notices",
-           line, rr_door_open(a->door), st.machines, st.booting, st.jobs_open, st.tasks_placed,
-           st.tasks_waiting, st.moves, st.rented, st.given_up, st.leases_lost, st.notices);
+           line, rr_door_open(a->http_server), st.machines, st.booting, st.jobs_open,
+           st.tasks_placed, st.tasks_waiting, st.moves, st.rented, st.given_up, st.leases_lost,
+           st.notices);
 }
 
 void *rr_duty_term(void *app) {
@@ -56,7 +57,7 @@
         struct rr_budget_shares shares;
         rr_core_budget_shares(a->core, &shares);
         if (!change) {
-            rr_app_wait(a, &a->mirrored, &a->lock, 1.0);
+            rr_app_wait(a, &a->cache_advanced, &a->lock, 1.0);
         }
         pthread_mutex_unlock(&a->lock);
         rr_budget_set_shares(a->budget, &shares);
--- a/src/app/users_duty.c
+++ b/src/app/users_duty.c
@@ -10,7 +10,7 @@
 /* ---- users' commits and barriers ---- */
 
 static void finish(struct rr_user_commit *u, enum rr_commit_status outcome) {
-    u->outcome = outcome;
+    u->status = outcome;
     u->finished = true;
     pthread_cond_signal(&u->done);
 }
@@ -19,9 +19,9 @@
 static void drop_expired(struct rr_app *a) {
     struct rr_user_commit *u;
     double now = rr_now();
-    while ((u = g_queue_peek_head(&a->commits)) && now > u->until) {
+    while ((u = g_queue_peek_head(&a->commits)) && now > u->deadline) {
         g_queue_pop_head(&a->commits);
-        finish(u, u->doubted ? RR_COMMIT_OUTCOME_UNKNOWN : RR_COMMIT_REFUSED);
+        finish(u, u->outcome_unknown ? RR_COMMIT_OUTCOME_UNKNOWN : RR_COMMIT_REFUSED);
     }
 }
 
@@ -34,7 +34,7 @@
     }
     drop_expired(a);
     while (!g_queue_is_empty(&a->commits) &&
-           rr_user_batch_add(&a->cfg, b, g_queue_peek_head(&a->commits)) && b->n > 0) {
+           rr_user_batch_add(&a->config, b, g_queue_peek_head(&a->commits)) && b->n > 0) {
         g_queue_pop_head(&a->commits);
     }
     uint64_t tether = a->lease_id;
@@ -55,17 +55,17 @@
                    enum rr_commit_status rc, uint64_t epoch, const GPtrArray *failed, double took) {
     double now = rr_now();
     pthread_mutex_lock(&a->user_lock);
-    a->pace = rc == RR_COMMIT_DONE ? n / fmax(took, 0.001) : a->pace;
+    a->commit_rate = rc == RR_COMMIT_DONE ? n / fmax(took, 0.001) : a->commit_rate;
     for (guint i = 0; i < n; i++) {
         struct rr_user_commit *u = batch[i];
         u->revision = epoch;
-        u->doubted = u->doubted || rc == RR_COMMIT_OUTCOME_UNKNOWN;
+        u->outcome_unknown = u->outcome_unknown || rc == RR_COMMIT_OUTCOME_UNKNOWN;
         /* A conflict names its keys; the others of the batch go again. */
         bool again = rc == RR_COMMIT_CONFLICT && n > 1 && !listed(failed, u->key) &&
                      !(u->also_key[0] && listed(failed, u->also_key));
         again = again || ((rc == RR_COMMIT_REFUSED || rc == RR_COMMIT_INVALID ||
                            rc == RR_COMMIT_OUTCOME_UNKNOWN) &&
-                          now < u->until);
+                          now < u->deadline);
         if (again && !rr_duty_stopping(a)) {
             g_queue_push_tail(&a->commits, u);
         } else {
@@ -88,7 +88,7 @@
         rr_transaction t;
         rr_transaction_init(&t);
         GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
-        rr_user_batch_transaction(&b, tether, &a->batches, &t);
+        rr_user_batch_transaction(&b, tether, &a->batch_count, &t);
         uint64_t epoch = 0;
         double began = rr_now();
         enum rr_commit_status rc = rr_store_commit(s, RR_REQUEST_USER, &t, 1.0, &epoch, failed);
@@ -120,16 +120,16 @@
  * waits. */
 static struct rr_barrier *take_group(struct rr_app *a) {
     pthread_mutex_lock(&a->user_lock);
-    struct rr_barrier *b = &a->barrier[a->gathers % 2];
+    struct rr_barrier *b = &a->barrier[a->gathering_group % 2];
     b = b->waiting > 0 ? b : NULL;
-    a->gathers += b != NULL;
+    a->gathering_group += b != NULL;
     pthread_mutex_unlock(&a->user_lock);
     return b;
 }
 
 static void wait_for_polls(struct rr_app *a) {
     pthread_mutex_lock(&a->user_lock);
-    while (!rr_duty_stopping(a) && a->barrier[a->gathers % 2].waiting == 0) {
+    while (!rr_duty_stopping(a) && a->barrier[a->gathering_group % 2].waiting == 0) {
         rr_app_wait(a, &a->barrier_wake, &a->user_lock, 5.0);
     }
     pthread_mutex_unlock(&a->user_lock);
@@ -161,7 +161,7 @@
         unsigned live = rr_core_live_controllers(a->core);
         pthread_mutex_unlock(&a->lock);
         /* Under load polls gather: reads take a sixth of the limit. */
-        rr_sleep(last + 6.0 * (live ? live : 1) / a->cfg.state_rps - rr_now());
+        rr_sleep(last + 6.0 * (live ? live : 1) / a->config.state_rps - rr_now());
         struct rr_barrier *b = take_group(a);
         if (!b) {
             continue;
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -5,7 +5,7 @@
 struct rr_absent {
     const struct rr_config *config;
     const char *own_cell;
-    rr_core *mirror;
+    rr_core *cache;
     GHashTable *outs; /* job id -> rr_absent_out */
     uint64_t token;   /* of the term that was read */
     uint64_t gone_token;
@@ -22,7 +22,7 @@
 
 void rr_absent_destroy(rr_absent *absent) {
     if (absent) {
-        rr_core_destroy(absent->mirror);
+        rr_core_destroy(absent->cache);
         g_hash_table_destroy(absent->outs);
         g_free(absent);
     }
@@ -41,21 +41,21 @@
 }
 
 void rr_absent_begin(rr_absent *absent) {
-    rr_core_destroy(absent->mirror);
+    rr_core_destroy(absent->cache);
     g_hash_table_remove_all(absent->outs);
-    absent->mirror = rr_core_create(absent->config);
-    rr_core_watch_records(absent->mirror, RR_CELLS_PREFIX, on_record, absent);
-    rr_core_cache_begin_reload(absent->mirror);
+    absent->cache = rr_core_create(absent->config);
+    rr_core_watch_records(absent->cache, RR_CELLS_PREFIX, on_record, absent);
+    rr_core_cache_begin_reload(absent->cache);
 }
 
 void rr_absent_put(rr_absent *absent, const char *key, const msgpack_object *value,
                    uint64_t version, double now) {
-    rr_core_cache_put(absent->mirror, key, value, version, now);
+    rr_core_cache_put(absent->cache, key, value, version, now);
 }
 
 void rr_absent_end(rr_absent *absent, double now) {
-    rr_core_cache_end_reload(absent->mirror, 1, 1, now);
-    absent->token = rr_core_fencing_token(absent->mirror);
+    rr_core_cache_end_reload(absent->cache, 1, 1, now);
+    absent->token = rr_core_fencing_token(absent->cache);
 }
 
 void rr_absent_confirm(rr_absent *absent, bool no_sessions, double now) {
@@ -85,7 +85,7 @@
 
 struct visit {
     const rr_absent *absent;
-    rr_absent_job_fn fn;
+    rr_absent_job_fn callback;
     void *user;
 };
 
@@ -97,16 +97,16 @@
     (void)waiting;
     (void)placed;
     (void)done;
-    if (rr_core_find_job(visit->absent->mirror, submission->job_id, &job) && !job.done &&
+    if (rr_core_find_job(visit->absent->cache, submission->job_id, &job) && !job.done &&
         !job.cancelled) {
-        visit->fn(visit->user, submission, job.at,
-                  rr_absent_out_of(visit->absent, submission->job_id));
+        visit->callback(visit->user, submission, job.at,
+                        rr_absent_out_of(visit->absent, submission->job_id));
     }
 }
 
 void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn fn, void *user) {
     struct visit visit = {absent, fn, user};
-    rr_core_each_job(absent->mirror, visit_job, &visit);
+    rr_core_each_job(absent->cache, visit_job, &visit);
 }
 
 /* ---- changes ---- */
@@ -115,7 +115,7 @@
 static void change_out(const rr_absent *absent, const char *job_id, const rr_out_record *record,
                        rr_transaction *out) {
     const rr_absent_out *before = rr_absent_out_of(absent, job_id);
-    rr_core_guard_term(absent->mirror, out);
+    rr_core_guard_term(absent->cache, out);
     rr_cells_out_write(out, job_id, before ? before->version : 0, record);
 }
 
@@ -125,7 +125,7 @@
     const rr_absent_out *before = rr_absent_out_of(absent, job_id);
     rr_out_record record = {.state = RR_HOME_OFFERED, .claim = 1};
     if ((before && before->record.state != RR_HOME_LOCAL) ||
-        !rr_core_guard_job(absent->mirror, job_id, out)) {
+        !rr_core_guard_job(absent->cache, job_id, out)) {
         return false;
     }
     record.claim += before ? before->record.claim : 0;
@@ -137,7 +137,7 @@
 
 /* What its ledger has placed there is gone, as its workers had no controllers. */
 bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out) {
-    if (!rr_core_finish_job(absent->mirror, job_id, true, out)) {
+    if (!rr_core_finish_job(absent->cache, job_id, true, out)) {
         return false;
     }
     change_out(absent, job_id, NULL, out);
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -82,7 +82,7 @@
 void rr_transfers_absent_written(rr_transfers *transfers, const rr_transfer_write *write) {
     rr_incoming *entry = g_hash_table_lookup(transfers->incoming, write->id);
     if (entry && write->ends_claim) {
-        entry->guest.over = true;
+        entry->guest.terminated = true;
     }
     transfers->stats.claimed += !write->ends_claim;
 }
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -178,8 +178,8 @@
     if (entry->guest.running) {
         return;
     }
-    entry->guest.over = entry->guest.over || entry->neighbour < 0;
-    if (entry->guest.over) {
+    entry->guest.terminated = entry->guest.terminated || entry->neighbour < 0;
+    if (entry->guest.terminated) {
         rr_guest_step step = rr_guest_repeat(&entry->guest, now);
         if (step.action == RR_GUEST_WRITE) {
             add_write(transfers, entry, plan);
@@ -220,7 +220,7 @@
     bool done = !cancelled && (!known || job.done);
     entry->guest.running = job.placed > 0;
     entry->begun = entry->begun || job.placed > 0 || job.done_count > 0;
-    if (held && done && !entry->guest.over) {
+    if (held && done && !entry->guest.terminated) {
         rr_guest_step step = rr_guest_end(&entry->guest, RR_ANSWER_DONE);
         if (step.action == RR_GUEST_WRITE) {
             add_write(transfers, entry, plan);
@@ -233,7 +233,7 @@
         transfers->stats.lapsed += lapsed;
         transfers->stats.given_back += entry->leaving;
     }
-    if (entry->guest.over || entry->leaving || entry->neighbour < 0) {
+    if (entry->guest.terminated || entry->leaving || entry->neighbour < 0) {
         drive_end(transfers, entry, known && !job.done && !job.cancelled, now, plan);
     } else if (held) {
         drive_held(transfers, entry, now, plan);
--- a/src/cells/links.c
+++ b/src/cells/links.c
@@ -73,7 +73,7 @@
     rr_cells_request request;
     rr_cells_reply reply;
     rr_cells_reply_init(&reply);
-    int unpacked = rr_cells_request_unpack(payload->p, payload->left, &request);
+    int unpacked = rr_cells_request_unpack(payload->next, payload->bytes_left, &request);
     reply.status = check(connection, unpacked, &request);
     if (reply.status == RR_CELLS_OK) {
         links->serve(links->user, context, connection->neighbour, &request, &reply);
@@ -120,7 +120,7 @@
 }
 
 static int neighbour_at(const rr_cells_settings *settings, const struct in_addr *address) {
-    for (size_t i = 0; i < settings->nneighbours; i++) {
+    for (size_t i = 0; i < settings->neighbour_count; i++) {
         if (rr_networks_contain(settings->neighbours[i].networks, address)) {
             return (int)i;
         }
@@ -149,7 +149,7 @@
 static void take_connection(rr_cells_links *links, int fd, const struct in_addr *address) {
     int neighbour = neighbour_at(links->settings, address);
     if (neighbour < 0) {
-        count(links, &links->stats.strangers);
+        count(links, &links->stats.unknown_peers);
         log_stranger(links, address);
         close(fd);
         return;
@@ -276,7 +276,7 @@
 
 void rr_cells_client_destroy(rr_cells_client *client) {
     if (client) {
-        for (size_t i = 0; i < client->cell->ncontrollers; i++) {
+        for (size_t i = 0; i < client->cell->controller_count; i++) {
             close_line(&client->lines[i]);
         }
         g_hash_table_destroy(client->planners);
@@ -286,7 +286,7 @@
 
 static size_t choose(const rr_cells_client *client, const char *team) {
     guint known = GPOINTER_TO_UINT(g_hash_table_lookup(client->planners, team));
-    return known > 0 ? known - 1 : client->next % client->cell->ncontrollers;
+    return known > 0 ? known - 1 : client->next % client->cell->controller_count;
 }
 
 static int open_line(const rr_cells_client *client, size_t controller, struct line *line) {
@@ -307,7 +307,7 @@
     rc = rc == 0 ? rr_peer_receive(client->stop, &line->in, &type, &payload, REPLY_S) : rc;
     if (rc == 0) {
         rr_cells_reply_clear(reply);
-        rc = rr_cells_reply_unpack(payload.p, payload.left, reply);
+        rc = rr_cells_reply_unpack(payload.next, payload.bytes_left, reply);
         rc = rc == 0 && type != RR_FRAME_CELLS_REPLY ? -EBADMSG : rc;
     }
     return rc;
@@ -319,7 +319,7 @@
     }
     g_hash_table_remove(client->planners, team);
     client->next++;
-    for (size_t i = 0; i < client->cell->ncontrollers; i++) {
+    for (size_t i = 0; i < client->cell->controller_count; i++) {
         if (strcmp(client->cell->controllers[i].name, reply->owner) == 0) {
             g_hash_table_replace(client->planners, g_strdup(team), GUINT_TO_POINTER(i + 1));
         }
--- a/src/cells/links.h
+++ b/src/cells/links.h
@@ -16,9 +16,9 @@
 typedef struct rr_cells_links rr_cells_links;
 
 typedef struct {
-    uint64_t strangers; /* connections from outside every neighbour's networks */
-    uint64_t refused;   /* requests that were malformed, of another cell or version */
-    uint64_t crowded;   /* connections beyond the bound */
+    uint64_t unknown_peers; /* connections from outside every neighbour's networks */
+    uint64_t refused;       /* requests that were malformed, of another cell or version */
+    uint64_t crowded;       /* connections beyond the bound */
 } rr_cells_links_stats;
 
 /* Connections that may stand at a time. */
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -141,8 +141,8 @@
 static GByteArray *unpack_bytes(rr_unpack *from, uint32_t most) {
     uint32_t len;
     const uint8_t *data = rr_unpack_bytes(from, &len);
-    if (from->bad || len > most) {
-        from->bad = true;
+    if (from->malformed || len > most) {
+        from->malformed = true;
         return NULL;
     }
     GByteArray *out = g_byte_array_new();
@@ -155,7 +155,7 @@
 static bool unpack_item(rr_unpack *from, rr_cells_item *item) {
     uint32_t len;
     const uint8_t *data = rr_unpack_bytes(from, &len);
-    rr_unpack fields = {data, len, from->bad};
+    rr_unpack fields = {data, len, from->malformed};
     uint8_t kind = rr_unpack_u8(&fields);
     rr_unpack_text(&fields, item->job_id, sizeof item->job_id);
     item->message.claim = rr_unpack_u32(&fields);
@@ -166,13 +166,13 @@
     item->message.kind = (enum rr_transfer_kind)kind;
     item->message.answer = (enum rr_job_answer)answer;
     bool empty = kind == RR_TRANSFER_NOTHING;
-    return !fields.bad && known_message(kind) && answer <= RR_ANSWER_CANCELLED &&
+    return !fields.malformed && known_message(kind) && answer <= RR_ANSWER_CANCELLED &&
            (empty || rr_job_id_valid(item->job_id));
 }
 
 static bool unpack_items(rr_unpack *from, GArray *items) {
     uint16_t count = rr_unpack_u16(from);
-    bool good = !from->bad && count <= RR_CELLS_ITEMS_MAX;
+    bool good = !from->malformed && count <= RR_CELLS_ITEMS_MAX;
     for (uint16_t i = 0; good && i < count; i++) {
         rr_cells_item item = {0};
         good = unpack_item(from, &item);
@@ -188,7 +188,7 @@
     uint8_t kind = rr_unpack_u8(&from);
     rr_unpack_text(&from, out->from, sizeof out->from);
     rr_unpack_text(&from, out->to, sizeof out->to);
-    if (from.bad) {
+    if (from.malformed) {
         return -EBADMSG;
     }
     if (out->version < RR_CELLS_VERSION || kind < RR_CELLS_TRANSFERS || kind > RR_CELLS_CANCEL) {
@@ -205,14 +205,14 @@
         rr_unpack_text(&from, out->job_id, sizeof out->job_id);
         good = rr_job_id_valid(out->job_id);
     }
-    return good && !from.bad ? 0 : -EBADMSG;
+    return good && !from.malformed ? 0 : -EBADMSG;
 }
 
 int rr_cells_reply_unpack(const void *data, size_t len, rr_cells_reply *out) {
     rr_unpack from = {data, len, false};
     rr_cells_reply_init(out);
     uint8_t version = rr_unpack_u8(&from), status = rr_unpack_u8(&from);
-    if (!from.bad && (version < RR_CELLS_VERSION || status >= RR_CELLS_STATUSES)) {
+    if (!from.malformed && (version < RR_CELLS_VERSION || status >= RR_CELLS_STATUSES)) {
         return -EPROTO;
     }
     out->status = (enum rr_cells_status)status;
@@ -230,7 +230,7 @@
     out->room.cpus = (double)rr_unpack_u64(&from) / ROOM_UNIT;
     out->room.gpus = (double)rr_unpack_u64(&from) / ROOM_UNIT;
     out->room.mem_gb = (double)rr_unpack_u64(&from) / ROOM_UNIT;
-    return from.bad ? -EBADMSG : 0;
+    return from.malformed ? -EBADMSG : 0;
 }
 
 const char *rr_cells_status_name(enum rr_cells_status status) {
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -249,7 +249,7 @@
 };
 
 static bool some_cell_takes(const rr_cells_settings *settings, const rr_submission *submission) {
-    for (size_t i = 0; i < settings->nneighbours; i++) {
+    for (size_t i = 0; i < settings->neighbour_count; i++) {
         if (rr_cell_takes(&settings->neighbours[i], submission->team, submission->zone)) {
             return true;
         }
@@ -358,8 +358,8 @@
 /* ---- what guests say ---- */
 
 /* A claim of which there is no record here is over. */
-static rr_transfer_message over(const rr_transfers *transfers, const rr_cells_item *item,
-                                double now) {
+static rr_transfer_message terminated(const rr_transfers *transfers, const rr_cells_item *item,
+                                      double now) {
     bool done = item->message.kind == RR_TRANSFER_ENDED && item->message.answer == RR_ANSWER_DONE &&
                 rr_core_job_known(transfers->core, item->job_id) &&
                 !rr_core_job_cancelled(transfers->core, item->job_id, now);
@@ -372,7 +372,7 @@
                          rr_transfer_write *write) {
     rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, item->job_id);
     if (!entry) {
-        *reply = over(transfers, item, now);
+        *reply = terminated(transfers, item, now);
         return false;
     }
     if (!load(transfers, entry, now)) {
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -17,7 +17,7 @@
 };
 
 int rr_cells_neighbour(const rr_cells_settings *settings, const char *name) {
-    for (size_t i = 0; i < settings->nneighbours; i++) {
+    for (size_t i = 0; i < settings->neighbour_count; i++) {
         if (strcmp(settings->neighbours[i].name, name) == 0) {
             return (int)i;
         }
@@ -40,7 +40,7 @@
 }
 
 void rr_cells_settings_clear(rr_cells_settings *settings) {
-    for (size_t i = 0; i < settings->nneighbours; i++) {
+    for (size_t i = 0; i < settings->neighbour_count; i++) {
         rr_networks_destroy(settings->neighbours[i].networks);
         g_ptr_array_free(settings->neighbours[i].zones, TRUE);
         g_ptr_array_free(settings->neighbours[i].teams, TRUE);
@@ -105,7 +105,7 @@
 static int check_zone(cfg_t *cfg, cfg_opt_t *option) {
     const char *name = cfg_opt_getnstr(option, cfg_opt_size(option) - 1);
     bool own = strcmp(platform->zone, name) == 0;
-    for (size_t i = 0; i < platform->npeers; i++) {
+    for (size_t i = 0; i < platform->peer_count; i++) {
         own = own || strcmp(platform->peers[i].zone, name) == 0;
     }
     if (!plain_name(name, RR_NAME) || own) {
@@ -136,11 +136,11 @@
 }
 
 static const char *read_controllers(cfg_t *section, rr_cell *cell) {
-    cell->ncontrollers = cfg_size(section, "controller");
-    if (cell->ncontrollers == 0 || cell->ncontrollers > RR_MAX_NODES) {
+    cell->controller_count = cfg_size(section, "controller");
+    if (cell->controller_count == 0 || cell->controller_count > RR_MAX_NODES) {
         return "names no controller, or more than 32";
     }
-    for (unsigned i = 0; i < cell->ncontrollers; i++) {
+    for (unsigned i = 0; i < cell->controller_count; i++) {
         cfg_t *controller = cfg_getnsec(section, "controller", i);
         const char *endpoint = cfg_getstr(controller, "endpoint");
         g_strlcpy(cell->controllers[i].name, cfg_title(controller), RR_NAME);
@@ -158,7 +158,7 @@
             wrong = "has networks that overlap";
         }
     }
-    for (size_t i = 0; i + 1 < settings->nneighbours; i++) {
+    for (size_t i = 0; i + 1 < settings->neighbour_count; i++) {
         if (rr_networks_overlap(settings->neighbours[i].networks, cell->networks)) {
             wrong = "has networks that overlap with another cell's";
         }
@@ -167,7 +167,7 @@
 }
 
 static const char *read_neighbour(cfg_t *section, rr_cells_settings *out) {
-    rr_cell *cell = &out->neighbours[out->nneighbours++];
+    rr_cell *cell = &out->neighbours[out->neighbour_count++];
     g_strlcpy(cell->name, cfg_title(section), sizeof cell->name);
     cell->networks = rr_networks_create();
     const char *state = cfg_getstr(section, "state");
@@ -176,7 +176,7 @@
     cell->teams = read_names(section, "teams");
     const char *wrong = read_controllers(section, cell);
     wrong = wrong ? wrong : read_networks(section, out, cell);
-    for (size_t i = 0; !wrong && i + 1 < out->nneighbours; i++) {
+    for (size_t i = 0; !wrong && i + 1 < out->neighbour_count; i++) {
         for (guint z = 0; z < cell->zones->len; z++) {
             if (named_in(out->neighbours[i].zones, g_ptr_array_index(cell->zones, z))) {
                 wrong = "has a zone that another cell has too";
@@ -237,7 +237,7 @@
             *line = section->line;
         }
     }
-    if (!reason && out->nneighbours == 0) {
+    if (!reason && out->neighbour_count == 0) {
         reason = "neighbour: none is named";
         g_string_assign(wrong, reason);
     }
--- a/src/cells/settings.h
+++ b/src/cells/settings.h
@@ -20,7 +20,7 @@
 typedef struct {
     char name[RR_CELL_NAME];
     rr_cell_controller controllers[RR_MAX_NODES];
-    size_t ncontrollers;
+    size_t controller_count;
     rr_networks *networks;    /* its controllers connect from there */
     GPtrArray *zones;         /* char*: where it has machines */
     GPtrArray *teams;         /* char*: whose jobs may go there; empty: any */
@@ -40,7 +40,7 @@
     double give_back_s;        /* a job of another cell that has not begun by then goes back */
     double guest_share;        /* of the free room that one neighbour's offers may take at a time */
     rr_cell neighbours[RR_CELLS_MAX];
-    size_t nneighbours;
+    size_t neighbour_count;
     rr_transfer_times times; /* worked out from these and the platform's */
 } rr_cells_settings;
 
--- a/src/cells/transfer.h
+++ b/src/cells/transfer.h
@@ -108,7 +108,7 @@
     rr_guest_record record, writing;
     bool writes;
     bool running;         /* tasks of it are placed here, not proven over */
-    bool over;            /* the home has said so: stop, then forget */
+    bool terminated;      /* the home has said so: stop, then forget */
     double granted_until; /* 0: no grant is known to this process */
     uint64_t process;     /* unique: the controller's lease in its own cell */
 } rr_guest;
--- a/src/cells/transfer_guest.c
+++ b/src/cells/transfer_guest.c
@@ -24,7 +24,7 @@
 }
 
 bool rr_guest_may_run(const rr_guest *guest, double now) {
-    return guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->over &&
+    return guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->terminated &&
            now < guest->granted_until;
 }
 
@@ -36,7 +36,7 @@
     }
     if (guest->record.state != RR_GUEST_NONE) {
         /* A claim above the one held shows that the home has taken that one back. */
-        guest->over = guest->over || claim > guest->record.claim;
+        guest->terminated = guest->terminated || claim > guest->record.claim;
         return nothing();
     }
     if (claim <= guest->record.claim) {
@@ -60,7 +60,7 @@
         return nothing();
     case RR_TRANSFER_VOID:
     case RR_TRANSFER_ACK:
-        guest->over = guest->over || ours;
+        guest->terminated = guest->terminated || ours;
         return nothing();
     default:
         return nothing();
@@ -70,7 +70,7 @@
 rr_guest_step rr_guest_written(rr_guest *guest, bool done) {
     if (guest->writes && done) {
         guest->record = guest->writing;
-        guest->over = guest->over && guest->record.state != RR_GUEST_NONE;
+        guest->terminated = guest->terminated && guest->record.state != RR_GUEST_NONE;
         guest->granted_until = 0;
     }
     guest->writes = false;
@@ -78,7 +78,7 @@
 }
 
 rr_guest_step rr_guest_end(rr_guest *guest, enum rr_job_answer answer) {
-    bool ends = guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->over;
+    bool ends = guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->terminated;
     return ends ? write_record(guest, RR_GUEST_ENDED, guest->record.claim, answer) : nothing();
 }
 
@@ -87,7 +87,7 @@
     if (guest->record.state == RR_GUEST_NONE || guest->writes) {
         return step;
     }
-    if (guest->over) {
+    if (guest->terminated) {
         /* The claim's number stays, so that a late copy of its offer is not taken again. */
         return guest->running
                    ? step
--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -6,7 +6,7 @@
 #include <math.h>
 #include <string.h>
 
-double rr_res_room(rr_res room, rr_res cap) {
+double rr_resources_free_share(rr_resources room, rr_resources cap) {
     double r = 1;
     if (cap.cpus > 0) {
         r = fmin(r, room.cpus / cap.cpus);
@@ -20,20 +20,21 @@
     return r < 0 ? 0 : r;
 }
 
-bool rr_zone_bound(const rr_job *j) {
+bool rr_job_zone_bound(const rr_job *j) {
     return j->submission.one_zone || j->submission.zone[0];
 }
 
-void rr_sim_reset(rr_core *c) {
+void rr_reset_free_resources(rr_core *c) {
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->free = rr_res_add(rr_machine_cap(c, m), m->used, -1);
+        m->free = rr_resources_add(rr_machine_cap(c, m), m->used, -1);
         /* What is known to be over takes no room any more, though its record waits for others. */
-        for (guint k = 0; k < m->places->len; k++) {
-            const rr_placement *p = &g_array_index(m->places, rr_placement, k);
-            m->free = p->over_at > 0 ? rr_res_add(m->free, p->job->request, 1) : m->free;
+        for (guint k = 0; k < m->placements->len; k++) {
+            const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
+            m->free =
+                p->terminated_at > 0 ? rr_resources_add(m->free, p->job->request, 1) : m->free;
         }
-        m->booked_image = -1;
+        m->reserved_image = -1;
     }
 }
 
@@ -63,14 +64,14 @@
                               uint32_t *by_zone) {
     uint32_t all = 0;
     (void)c;
-    for (guint n = 0; j->runs && n < j->runs->len; n++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
-        for (guint i = 0; r && i < r->items->len; i++) {
-            const rr_placement_record *it = &g_array_index(r->items, rr_placement_record, i);
-            const rr_placement *p = rr_placement_find(it->m, it->attempt, j, it->task);
-            if (it->m->zone >= 0 && !it->m->gone && !(p && p->over_at > 0) &&
+    for (guint n = 0; j->records && n < j->records->len; n++) {
+        const rr_ledger_record *r = g_ptr_array_index(j->records, n);
+        for (guint i = 0; r && i < r->placements->len; i++) {
+            const rr_placement_record *it = &g_array_index(r->placements, rr_placement_record, i);
+            const rr_placement *p = rr_placement_find(it->machine, it->attempt, j, it->task);
+            if (it->machine->zone >= 0 && !it->machine->gone && !(p && p->terminated_at > 0) &&
                 !(except && it->attempt == except->attempt)) {
-                by_zone[it->m->zone]++;
+                by_zone[it->machine->zone]++;
                 all++;
             }
         }
@@ -108,14 +109,14 @@
 }
 
 bool rr_machine_has_task(const rr_machine *m, const rr_job *j) {
-    for (guint k = 0; k < m->places->len; k++) {
-        const rr_placement *p = &g_array_index(m->places, rr_placement, k);
-        if (p->job == j && p->over_at <= 0) {
+    for (guint k = 0; k < m->placements->len; k++) {
+        const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
+        if (p->job == j && p->terminated_at <= 0) {
             return true;
         }
     }
-    for (guint k = 0; m->booked && k < m->booked->len; k++) {
-        if (g_array_index(m->booked, rr_job *, k) == j) {
+    for (guint k = 0; m->reserved_jobs && k < m->reserved_jobs->len; k++) {
+        if (g_array_index(m->reserved_jobs, rr_job *, k) == j) {
             return true;
         }
     }
@@ -131,7 +132,7 @@
     return false;
 }
 
-double rr_fetch_time(const rr_core *c, const rr_job *j, const rr_machine *m) {
+double rr_image_fetch_s(const rr_core *c, const rr_job *j, const rr_machine *m) {
     const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
     if (rr_machine_has_image(m, j->image)) {
         return 0;
@@ -154,12 +155,12 @@
 };
 
 static bool image_coming(const rr_machine *m, int image) {
-    for (guint k = 0; k < m->places->len; k++) {
-        if (g_array_index(m->places, rr_placement, k).job->image == image) {
+    for (guint k = 0; k < m->placements->len; k++) {
+        if (g_array_index(m->placements, rr_placement, k).job->image == image) {
             return true;
         }
     }
-    return m->booked_image == image;
+    return m->reserved_image == image;
 }
 
 /* The same for all controllers, as machines' indices are not. */
@@ -167,48 +168,48 @@
     return g_str_hash(m->name);
 }
 
-void rr_candidates(rr_core *c, const rr_job *j, const struct rr_choice *how, double now,
-                   GArray *out) {
+void rr_list_candidates(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
+                        double now, GArray *out) {
     bool urgent = rr_objective_for(c, "wait", j->submission.job_class) != NULL;
     g_array_set_size(out, 0);
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         c->visits++;
-        if (m->zone < 0 || !how->zones[m->zone] || !rr_res_fits(j->request, m->free) ||
+        if (m->zone < 0 || !how->zones[m->zone] || !rr_resources_fit(j->request, m->free) ||
             !rr_job_allows(c, j, m->machine_type, m->zone, m->spot) || !how->filter(c, m, now)) {
             continue;
         }
-        double fetch = rr_fetch_time(c, j, m);
+        double fetch = rr_image_fetch_s(c, j, m);
         if ((how->need_image && fetch > 0) ||
-            (how->separate && m != how->home && rr_machine_has_task(m, j))) {
+            (how->distinct_machines && m != how->current && rr_machine_has_task(m, j))) {
             continue;
         }
-        rr_cand k = {.m = m, .cap = rr_machine_cap(c, m), .fetch = fetch};
-        k.trouble = failed_here(m, j) ? 2 : rr_machine_failed_recently(m, now) ? 1 : 0;
+        rr_candidate k = {.machine = m, .capacity = rr_machine_cap(c, m), .fetch = fetch};
+        k.failures = failed_here(m, j) ? 2 : rr_machine_failed_recently(m, now) ? 1 : 0;
         k.image = urgent && fetch > 0;
-        k.price = rr_zone_bound(j) ? 1 : rr_machine_price(c, m);
-        if (!urgent && j->submission.runtime_estimate_s > 0 && !rr_zone_bound(j)) {
+        k.price = rr_job_zone_bound(j) ? 1 : rr_machine_price(c, m);
+        if (!urgent && j->submission.runtime_estimate_s > 0 && !rr_job_zone_bound(j)) {
             k.price *= 1 + fetch / j->submission.runtime_estimate_s;
         }
         /* A replica that is planned anew settles where it is, if it can. */
-        k.foreign = !how->home && c->parts > 1 && part_of(m) % c->parts != c->part;
-        if (k.foreign && c->pressure > SHORT) {
-            k.trouble += 0.5;
+        k.foreign_shard = !how->current && c->parts > 1 && part_of(m) % c->parts != c->part;
+        if (k.foreign_shard && c->pressure > SHORT) {
+            k.failures += 0.5;
         }
-        k.coming = fetch > 0 && image_coming(m, j->image);
+        k.booting = fetch > 0 && image_coming(m, j->image);
         g_array_append_val(out, k);
     }
 }
 
-static struct rank rank_of(const struct rr_choice *how, const rr_cand *k) {
-    double room = rr_res_room(k->m->free, k->cap);
-    struct rank r = {.trouble = k->trouble,
+static struct rank rank_of(const struct rr_placement_constraints *how, const rr_candidate *k) {
+    double room = rr_resources_free_share(k->machine->free, k->capacity);
+    struct rank r = {.trouble = k->failures,
                      .image = k->image,
                      .cost = k->price * room,
                      .fetch = k->fetch,
-                     .foreign = k->foreign,
-                     .coming = k->coming,
-                     .room = room - (k->m == how->home)}; /* between equals a task stays */
+                     .foreign = k->foreign_shard,
+                     .coming = k->booting,
+                     .room = room - (k->machine == how->current)}; /* between equals a task stays */
     return r;
 }
 
@@ -234,24 +235,25 @@
     return a->room < b->room - 1e-9;
 }
 
-rr_machine *rr_choose_from(rr_core *c, const rr_job *j, const struct rr_choice *how,
-                           GArray *cands) {
+rr_machine *rr_bin_pack_from(rr_core *c, const rr_job *j,
+                             const struct rr_placement_constraints *how, GArray *cands) {
     rr_machine *best = NULL;
     struct rank best_rank = {0};
     for (guint i = 0; i < cands->len;) {
-        const rr_cand *k = &g_array_index(cands, rr_cand, i);
+        const rr_candidate *k = &g_array_index(cands, rr_candidate, i);
         c->visits++;
-        if (!rr_res_fits(j->request, k->m->free) ||
-            (how->separate && k->m != how->home && k->m->booked && rr_machine_has_task(k->m, j))) {
+        if (!rr_resources_fit(j->request, k->machine->free) ||
+            (how->distinct_machines && k->machine != how->current && k->machine->reserved_jobs &&
+             rr_machine_has_task(k->machine, j))) {
             g_array_remove_index_fast(cands, i);
             continue;
         }
         struct rank r = rank_of(how, k);
         /* Between equals the older machine, whatever the order of the list has become. */
-        bool wins =
-            !best || better(&r, &best_rank) || (!better(&best_rank, &r) && k->m->id < best->id);
-        if (how->zones[k->m->zone] && wins) {
-            best = k->m;
+        bool wins = !best || better(&r, &best_rank) ||
+                    (!better(&best_rank, &r) && k->machine->id < best->id);
+        if (how->zones[k->machine->zone] && wins) {
+            best = k->machine;
             best_rank = r;
         }
         i++;
@@ -259,18 +261,19 @@
     return best;
 }
 
-rr_machine *rr_choose(rr_core *c, const rr_job *j, const struct rr_choice *how, double now) {
-    GArray *cands = g_array_new(FALSE, FALSE, sizeof(rr_cand));
-    rr_candidates(c, j, how, now, cands);
-    rr_machine *m = rr_choose_from(c, j, how, cands);
+rr_machine *rr_bin_pack(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
+                        double now) {
+    GArray *cands = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
+    rr_list_candidates(c, j, how, now, cands);
+    rr_machine *m = rr_bin_pack_from(c, j, how, cands);
     g_array_free(cands, TRUE);
     return m;
 }
 
-uint32_t rr_tasks_in(rr_res need, rr_res room, uint32_t most) {
+uint32_t rr_tasks_fitting(rr_resources need, rr_resources room, uint32_t most) {
     uint32_t n = 0;
-    while (n < most && rr_res_fits(need, room)) {
-        room = rr_res_add(room, need, -1);
+    while (n < most && rr_resources_fit(need, room)) {
+        room = rr_resources_add(room, need, -1);
         n++;
     }
     return n;
@@ -278,7 +281,7 @@
 
 /* What a zone has for the tasks of a job that wait. */
 struct zone_room {
-    rr_res free, capacity;
+    rr_resources free, capacity;
     uint32_t fitting; /* tasks, up to those that wait */
     uint32_t warm;    /* likewise, on machines that have the image; counted for gangs */
 };
@@ -292,7 +295,7 @@
 
 /* The share of the zone that is free on its scarcest resource, as the paper scores clusters. */
 static double free_share(const struct zone_room *zone) {
-    return zone->capacity.cpus > 0 ? rr_res_room(zone->free, zone->capacity) : -1;
+    return zone->capacity.cpus > 0 ? rr_resources_free_share(zone->free, zone->capacity) : -1;
 }
 
 /* A gang starts with its last image: of the zones that take all of it the one goes first in which
@@ -310,16 +313,16 @@
 
 static void add_machine(const rr_core *c, const rr_job *j, const rr_machine *m, uint32_t wanted,
                         struct zone_room *zone) {
-    zone->free = rr_res_add(zone->free, m->free, 1);
-    zone->capacity = rr_res_add(zone->capacity, rr_machine_cap(c, m), 1);
-    uint32_t fitting = rr_tasks_in(j->request, m->free, wanted);
+    zone->free = rr_resources_add(zone->free, m->free, 1);
+    zone->capacity = rr_resources_add(zone->capacity, rr_machine_cap(c, m), 1);
+    uint32_t fitting = rr_tasks_fitting(j->request, m->free, wanted);
     zone->fitting = MIN(zone->fitting + fitting, wanted);
     if (j->submission.kind == RR_JOB_GANG && rr_machine_has_image(m, j->image)) {
         zone->warm = MIN(zone->warm + fitting, wanted);
     }
 }
 
-int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *zones, double now) {
+int rr_zone_with_most_room(rr_core *c, const rr_job *j, const bool *zones, double now) {
     guint n = c->zones.names->len;
     struct zone_room rooms[n + 1];
     uint32_t wanted =
--- a/src/core/cancel_hints.c
+++ b/src/core/cancel_hints.c
@@ -19,7 +19,7 @@
         return;
     }
     double *until = g_new(double, 1);
-    *until = now + c->cfg->cancel_s;
+    *until = now + c->config->cancel_s;
     g_hash_table_replace(c->cancel_hints, g_strdup(job_id), until);
 }
 
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -38,23 +38,23 @@
 
 /* The operators' own settings (HCL-like file), with defaults and ranges in src/app/settings.c. */
 struct rr_tuning {
-    double round_period_s; /* pause between re-orchestration rounds */
-    int round_moves;       /* moves a round at most, */
-    double round_share;    /* or this share of the machines, if that is more */
-    bool rounds;           /* false: no re-orchestration */
-    double session_share;  /* session time as a share of cancel_s - lease_s */
-    double answer_share;   /* how long reports are answered by a mirror that stands still, as a
-                              share of what cancellations allow */
-    double silent_reports; /* reports missed before a machine takes no new work */
-    double dead_reports;   /* reports missed before a lone silent machine is given up */
-    double idle_return_s;  /* idle time before a rented machine goes back */
-    double headroom;       /* factor on arrivals expected during a boot */
-    double boot_patience;  /* boots longer than this many startup_s are not counted on */
-    double cloud_list_s;   /* pause between machine lists */
-    int senders;           /* threads that carry commands to workers */
-    int max_connections;   /* HTTP connections at most */
-    int max_threads;       /* of the process; a connection takes one */
-    double plan_pause_ms;  /* least pause between two plans */
+    double rebalance_period_s; /* pause between re-orchestration rounds */
+    int rebalance_moves;       /* moves a round at most, */
+    double rebalance_share;    /* or this share of the machines, if that is more */
+    bool rebalance;            /* false: no re-orchestration */
+    double session_share;      /* session time as a share of cancel_s - lease_s */
+    double answer_share;       /* how long reports are answered by a mirror that stands still, as a
+                                  share of what cancellations allow */
+    double silent_reports;     /* reports missed before a machine takes no new work */
+    double dead_reports;       /* reports missed before a lone silent machine is given up */
+    double idle_return_s;      /* idle time before a rented machine goes back */
+    double headroom;           /* factor on arrivals expected during a boot */
+    double boot_patience;      /* boots longer than this many startup_s are not counted on */
+    double cloud_list_s;       /* pause between machine lists */
+    int senders;               /* threads that carry commands to workers */
+    int max_connections;       /* HTTP connections at most */
+    int max_threads;           /* of the process; a connection takes one */
+    double plan_pause_ms;      /* least pause between two plans */
 };
 
 struct rr_config {
@@ -62,13 +62,13 @@
     char zone[RR_NAME];
     struct rr_endpoint bind, peer_listen, cloud, state;
     struct rr_peer_config peers[RR_MAX_NODES];
-    size_t npeers;
+    size_t peer_count;
     struct rr_team_config teams[RR_MAX_TEAMS];
-    size_t nteams;
+    size_t team_count;
     struct rr_objective objectives[RR_MAX_OBJECTIVES];
-    size_t nobjectives;
+    size_t objective_count;
     double clock_off_s;
-    double report_s, lease_s, cancel_s;
+    double heartbeat_interval_s, lease_s, cancel_s;
     double gang_wait_s; /* a gang's task gives up after waiting so long for the others */
     double gang_peer_s; /* within this the others notice that one is gone, or is told to stop */
     double state_rps, state_write_rps, value_kb;
@@ -82,12 +82,12 @@
     int max_sockets;
     bool admission; /* fair admission is switched on here */
     bool cells;     /* work may spill over to other cells, and theirs to this one */
-    struct rr_tuning tune;
+    struct rr_tuning tuning;
 };
 
 /* The index of a team in the settings; -1: there is none of this name. */
 static inline int rr_config_team(const struct rr_config *c, const char *name) {
-    for (size_t i = 0; i < c->nteams; i++) {
+    for (size_t i = 0; i < c->team_count; i++) {
         if (strcmp(c->teams[i].name, name) == 0) {
             return (int)i;
         }
@@ -112,7 +112,7 @@
 /* The lease of a session: short, so that another takes over soon from one that has lost the state
  * service; longer than an ordinary restart takes. */
 static inline double rr_session_lease_s(const struct rr_config *c) {
-    return c->tune.session_share * (c->cancel_s - c->lease_s);
+    return c->tuning.session_share * (c->cancel_s - c->lease_s);
 }
 
 /* How long reports are answered by a mirror that learns of no cancellation, from the last moment up
@@ -121,7 +121,7 @@
  * the drift of two clocks and the stop itself. */
 static inline double rr_heartbeat_reply_s(const struct rr_config *c) {
     double room = c->cancel_s - c->lease_s;
-    return c->tune.answer_share * (room - (room < 5 ? 0.2 * room : 1) - 0.002 * c->cancel_s);
+    return c->tuning.answer_share * (room - (room < 5 ? 0.2 * room : 1) - 0.002 * c->cancel_s);
 }
 
 #endif
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -126,12 +126,12 @@
 
 /* ---- planning (team owner) ---- */
 typedef struct {
-    char machine[RR_ID], addr[RR_ID];
+    char machine[RR_ID], address[RR_ID];
     uint64_t fencing_token, worker_epoch;
-    GArray *commands; /* rr_command; empty: only ask for the machine's status */
-    int via;          /* peer to go through, -1: direct */
-    int fallback;     /* peer to try if nothing could be sent directly, -1: none */
-    bool doubtful;    /* it may well not answer: not before others' commands */
+    GArray *commands;  /* rr_command; empty: only ask for the machine's status */
+    int via;           /* peer to go through, -1: direct */
+    int fallback;      /* peer to try if nothing could be sent directly, -1: none */
+    bool may_time_out; /* it may well not answer: not before others' commands */
 } rr_command_batch;
 
 typedef struct {
--- a/src/core/fair_room.c
+++ b/src/core/fair_room.c
@@ -6,8 +6,8 @@
 
 void rr_core_set_fair_room(rr_core *c, const double *rooms, double cpu, double gpu, double mem) {
     c->fair = rooms != NULL;
-    c->all_room = (rr_res){cpu, gpu, mem};
-    for (size_t i = 0; rooms && i < c->cfg->nteams; i++) {
+    c->all_room = (rr_resources){cpu, gpu, mem};
+    for (size_t i = 0; rooms && i < c->config->team_count; i++) {
         c->fair_room[i] = rooms[i];
     }
 }
@@ -16,7 +16,7 @@
     return all > 0 ? used / all : 0;
 }
 
-static double dominant_part(const rr_core *c, rr_res used) {
+static double dominant_part(const rr_core *c, rr_resources used) {
     double cpu = part_of(used.cpus, c->all_room.cpus), gpu = part_of(used.gpus, c->all_room.gpus);
     return fmax(fmax(cpu, gpu), part_of(used.mem_gb, c->all_room.mem_gb));
 }
@@ -27,37 +27,38 @@
 #define FAIR_WAIT_S 60.0
 
 bool rr_within_fair_room(const struct rr_planner *planner, const rr_job *job) {
-    const rr_core *c = planner->c;
+    const rr_core *c = planner->core;
     if (!c->fair || job->submission.priority == RR_PRIORITY_PROD ||
         planner->wall - job->accepted_at > FAIR_WAIT_S || rr_within_guarantee(planner, job, 1)) {
         return true;
     }
-    rr_res used = rr_res_add(rr_team_used_in_plan(planner, job->team), job->request, 1);
+    rr_resources used =
+        rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, 1);
     return dominant_part(c, used) <= c->fair_room[job->team] + RR_EPS;
 }
 
 /* What every class of every team uses: by team, then by class. */
-static rr_res *count_classes(const rr_core *c, guint classes) {
-    rr_res *used = g_new0(rr_res, c->cfg->nteams * classes + 1);
+static rr_resources *count_classes(const rr_core *c, guint classes) {
+    rr_resources *used = g_new0(rr_resources, c->config->team_count * classes + 1);
     for (guint i = 0; i < c->open->len; i++) {
         const rr_job *job = g_ptr_array_index(c->open, i);
-        if (job->team >= 0 && (size_t)job->team < c->cfg->nteams && job->job_class >= 0) {
-            rr_res *of_class = &used[(guint)job->team * classes + (guint)job->job_class];
-            *of_class = rr_res_add(*of_class, job->request, job->placed_count);
+        if (job->team >= 0 && (size_t)job->team < c->config->team_count && job->job_class >= 0) {
+            rr_resources *of_class = &used[(guint)job->team * classes + (guint)job->job_class];
+            *of_class = rr_resources_add(*of_class, job->request, job->placed_count);
         }
     }
     return used;
 }
 
 void rr_set_fair_turns(const struct rr_planner *planner, GPtrArray *waiting) {
-    const rr_core *c = planner->c;
+    const rr_core *c = planner->core;
     guint classes = c->job_classes.names->len;
-    rr_res *used = c->fair ? count_classes(c, classes) : NULL;
+    rr_resources *used = c->fair ? count_classes(c, classes) : NULL;
     for (guint i = 0; i < waiting->len; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
         job->team_fill = job->class_fill = 0;
         if (used && job->job_class >= 0) {
-            rr_res team = rr_team_used(c, job->team);
+            rr_resources team = rr_team_usage(c, job->team);
             double room = c->fair_room[job->team];
             job->team_fill = room > 0 ? dominant_part(c, team) / room : 1;
             job->class_fill =
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -39,9 +39,9 @@
     c->catalog_known = true;
 }
 
-rr_res rr_machine_cap(const rr_core *c, const rr_machine *m) {
+rr_resources rr_machine_cap(const rr_core *c, const rr_machine *m) {
     const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    return b ? (rr_res){b->cpus, b->gpus, b->mem_gb} : (rr_res){0, 0, 0};
+    return b ? (rr_resources){b->cpus, b->gpus, b->mem_gb} : (rr_resources){0, 0, 0};
 }
 
 /* Machines that stood there before the service did are the paper's private cluster: they cost
@@ -61,7 +61,7 @@
 #define FLAG_RET 4
 
 size_t rr_machine_page_entry_bytes(const rr_core *c, const rr_machine *m) {
-    return 44 + strlen(m->name) + strlen(m->addr) +
+    return 44 + strlen(m->name) + strlen(m->address) +
            strlen(rr_name_index_at(&c->machine_types, m->machine_type)) +
            strlen(rr_name_index_at(&c->zones, m->zone));
 }
@@ -74,7 +74,7 @@
         const rr_machine *m = g_ptr_array_index(machines, i);
         rr_encode_array(o, 6);
         rr_encode_text(o, m->name);
-        rr_encode_text(o, m->addr);
+        rr_encode_text(o, m->address);
         rr_encode_text(o, rr_name_index_at(&c->machine_types, m->machine_type));
         rr_encode_text(o, rr_name_index_at(&c->zones, m->zone));
         rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->operator_owned ? FLAG_OWN : 0) |
@@ -91,10 +91,10 @@
     g_hash_table_replace(c->gone, g_strdup(m->name), at);
     m->recorded = m->to_record = false;
     m->gone = true;
-    if (m->places->len == 0) {
+    if (m->placements->len == 0) {
         rr_machine_forget(c, m);
     } else {
-        rr_touch(c, m);
+        rr_mark_dirty(c, m);
     }
 }
 
@@ -111,7 +111,7 @@
     if (!m->recorded) {
         m->known_at = m->idle_since = now;
         m->recorded_while_watching = !c->rereading && !m->heartbeat_seen;
-        rr_touch(c, m);
+        rr_mark_dirty(c, m);
     }
     bool ret = flags & FLAG_RET;
     m->scaling_in_at = ret && !m->scaling_in ? now : m->scaling_in_at;
@@ -126,7 +126,7 @@
     c->ever_rented = c->ever_rented || !m->operator_owned;
     rr_object_number(&f[5], &m->created_at);
     if (!m->heartbeat_seen && addr[0]) {
-        g_strlcpy(m->addr, addr, sizeof m->addr);
+        g_strlcpy(m->address, addr, sizeof m->address);
     }
 }
 
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -8,12 +8,12 @@
 
 /* Its tasks are of one chunk, so that one change records them all as done, and one transaction
  * books or ends it, now and under the limits to come: its records, and its final one at the end. */
-uint32_t rr_gang_most(const rr_core *c) {
+uint32_t rr_gang_tasks_max(const rr_core *c) {
     uint32_t in_record = c->chunk;
     while (in_record > 1 && !rr_ledger_record_fits(c, in_record)) {
         in_record--;
     }
-    uint32_t records = (uint32_t)MAX(rr_transaction_changes_max(c->cfg) - 1, 1);
+    uint32_t records = (uint32_t)MAX(rr_transaction_changes_max(c->config) - 1, 1);
     return MIN(c->chunk, in_record * records);
 }
 
@@ -30,13 +30,14 @@
         return r->exit_reason == RR_EXIT_DONE ? DONE : LOST;
     }
     if (m->gone || !m->recorded ||
-        (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch) || pl->over_at > 0) {
+        (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch) ||
+        pl->terminated_at > 0) {
         return LOST;
     }
     if (!r) {
-        return now - pl->seen_at > SHOWN_SHARE * c->cfg->gang_wait_s ? LOST : ABSENT;
+        return now - pl->seen_at > SHOWN_SHARE * c->config->gang_wait_s ? LOST : ABSENT;
     }
-    if (m->heartbeat.spot_notice_s >= 0 || pl->evict || r->state == RR_TASK_SAVING) {
+    if (m->heartbeat.spot_notice_s >= 0 || pl->preempt || r->state == RR_TASK_SAVING) {
         return LEAVES;
     }
     return r->state == RR_TASK_RUNNING ? RUNS : SHOWN;
@@ -50,15 +51,15 @@
 
 static void count_record(const rr_core *c, const rr_job *j, const rr_ledger_record *run, double now,
                          struct count *n) {
-    for (guint i = 0; run && i < run->items->len; i++) {
-        const rr_placement_record *it = &g_array_index(run->items, rr_placement_record, i);
-        const rr_placement *pl = rr_placement_find(it->m, it->attempt, j, it->task);
+    for (guint i = 0; run && i < run->placements->len; i++) {
+        const rr_placement_record *it = &g_array_index(run->placements, rr_placement_record, i);
+        const rr_placement *pl = rr_placement_find(it->machine, it->attempt, j, it->task);
         if (pl) {
             n->all++;
-            n->by[state_of(c, it->m, pl, now)]++;
-            n->at_once = n->at_once || pl->evict == RR_EVICT_AT_ONCE;
-            n->told = n->told && rr_machine_heartbeat_recent(c, it->m, now) &&
-                      !rr_machine_commands_unanswered(it->m);
+            n->by[state_of(c, it->machine, pl, now)]++;
+            n->at_once = n->at_once || pl->preempt == RR_PREEMPT_AT_ONCE;
+            n->told = n->told && rr_machine_heartbeat_recent(c, it->machine, now) &&
+                      !rr_machine_commands_unanswered(it->machine);
         }
     }
 }
@@ -66,8 +67,8 @@
 static void count_states(const rr_core *c, const rr_job *j, double now, struct count *n) {
     memset(n, 0, sizeof *n);
     n->told = true;
-    for (guint k = 0; j->runs && k < j->runs->len; k++) {
-        count_record(c, j, g_ptr_array_index(j->runs, k), now, n);
+    for (guint k = 0; j->records && k < j->records->len; k++) {
+        count_record(c, j, g_ptr_array_index(j->records, k), now, n);
     }
 }
 
@@ -82,7 +83,7 @@
         return RR_GANG_STOPPING;
     }
     if (n->by[ABSENT] == n->all) {
-        return RR_GANG_BOOKED;
+        return RR_GANG_RESERVED;
     }
     return n->by[RUNS] == n->all ? RR_GANG_RUNNING : RR_GANG_WAITING;
 }
--- a/src/core/holds.c
+++ b/src/core/holds.c
@@ -40,10 +40,10 @@
         hold->until = 0;
         hold->revoked = true;
     }
-    for (guint n = 0; job && job->runs && n < job->runs->len; n++) {
-        const rr_ledger_record *run = g_ptr_array_index(job->runs, n);
-        for (guint i = 0; run && i < run->items->len; i++) {
-            rr_touch(c, g_array_index(run->items, rr_placement_record, i).m);
+    for (guint n = 0; job && job->records && n < job->records->len; n++) {
+        const rr_ledger_record *run = g_ptr_array_index(job->records, n);
+        for (guint i = 0; run && i < run->placements->len; i++) {
+            rr_mark_dirty(c, g_array_index(run->placements, rr_placement_record, i).machine);
         }
     }
 }
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -22,7 +22,8 @@
     if (j->done) {
         return true;
     }
-    return j->bits && task < j->submission.task_count && (j->bits[task / 8] >> (task % 8) & 1);
+    return j->done_bits && task < j->submission.task_count &&
+           (j->done_bits[task / 8] >> (task % 8) & 1);
 }
 
 void rr_job_open(rr_core *c, rr_job *j) {
@@ -33,8 +34,8 @@
     if (!j->placed) {
         j->placed = g_malloc0(j->submission.task_count);
     }
-    if (!j->bits && !j->done) {
-        j->bits = g_malloc0((j->submission.task_count + 7) / 8);
+    if (!j->done_bits && !j->done) {
+        j->done_bits = g_malloc0((j->submission.task_count + 7) / 8);
     }
 }
 
@@ -45,11 +46,11 @@
     }
     j->open = false;
     g_ptr_array_remove_fast(c->open, j);
-    g_clear_pointer(&j->bits, g_free);
+    g_clear_pointer(&j->done_bits, g_free);
     g_clear_pointer(&j->placed, g_free);
     /* What is left of its ledger says nothing any more. */
-    for (guint i = 0; j->runs && i < j->runs->len; i++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->runs, i);
+    for (guint i = 0; j->records && i < j->records->len; i++) {
+        const rr_ledger_record *r = g_ptr_array_index(j->records, i);
         if (r && r->version) {
             char key[RR_ID + 64];
             rr_ledger_record_key(j->submission.job_id, r->chunk, key, sizeof key);
@@ -66,7 +67,7 @@
         j->submission.task_count = 0;
         j->team = j->job_class = j->image = j->zone = -1;
         j->first_seen = now;
-        j->per = c->chunk;
+        j->tasks_per_record = c->chunk;
         g_hash_table_insert(c->jobs, j->submission.job_id, j);
     }
     return j;
@@ -76,7 +77,7 @@
     j->team = rr_name_index_add(&c->teams, j->submission.team);
     j->job_class = rr_name_index_add(&c->job_classes, j->submission.job_class);
     j->image = rr_name_index_add(&c->images, j->submission.image);
-    j->request = (rr_res){j->submission.cpus, j->submission.gpus, j->submission.mem_gb};
+    j->request = (rr_resources){j->submission.cpus, j->submission.gpus, j->submission.mem_gb};
 }
 
 /* Recent arrivals of each class, for the headroom. */
@@ -115,12 +116,12 @@
 /* A ledger record that came before its job's (pages of a reread are of different moments) was
  * counted without sizes: out with it before they are known, in again after. */
 static void recount(rr_core *c, rr_job *j, int sign) {
-    for (guint n = 0; j->runs && n < j->runs->len; n++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
-        for (guint i = 0; r && i < r->items->len; i++) {
-            const rr_placement_record *it = &g_array_index(r->items, rr_placement_record, i);
+    for (guint n = 0; j->records && n < j->records->len; n++) {
+        const rr_ledger_record *r = g_ptr_array_index(j->records, n);
+        for (guint i = 0; r && i < r->placements->len; i++) {
+            const rr_placement_record *it = &g_array_index(r->placements, rr_placement_record, i);
             rr_placement p = {.job = j, .task = it->task};
-            rr_placement_count(c, it->m, &p, sign);
+            rr_placement_count(c, it->machine, &p, sign);
         }
     }
 }
@@ -214,15 +215,16 @@
 
 /* A final job whose ledger is gone needs no place for it either: jobs are kept for good. */
 void rr_job_trim(const rr_core *c, rr_job *j) {
-    for (guint i = 0; j->runs && i < j->runs->len; i++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->runs, i);
-        if (r && (r->version || r->edit || r->items->len || r->deleted_at_revision > c->epoch)) {
+    for (guint i = 0; j->records && i < j->records->len; i++) {
+        const rr_ledger_record *r = g_ptr_array_index(j->records, i);
+        if (r &&
+            (r->version || r->edit || r->placements->len || r->deleted_at_revision > c->epoch)) {
             return;
         }
     }
-    if (j->runs && !j->open) {
-        g_ptr_array_free(j->runs, TRUE);
-        j->runs = NULL;
+    if (j->records && !j->open) {
+        g_ptr_array_free(j->records, TRUE);
+        j->records = NULL;
     }
 }
 
@@ -274,7 +276,7 @@
         return false;
     }
     rr_job_trim(c, j);
-    return j->runs == NULL;
+    return j->records == NULL;
 }
 
 /* A whole job takes 0.8 KB: at two a second a day's would fill a controller's memory. Two looks in
@@ -287,9 +289,9 @@
     g_hash_table_iter_init(&it, c->jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         rr_job *j = v;
-        bool rested = j->resting;
-        j->resting = rests(c, j) && !g_hash_table_contains(pinned, j);
-        if (rested && j->resting) {
+        bool rested = j->idle;
+        j->idle = rests(c, j) && !g_hash_table_contains(pinned, j);
+        if (rested && j->idle) {
             gsize line = (gsize)j->done_count * 2 + (j->done ? 1 : 0);
             g_hash_table_replace(c->finals, g_strdup(j->submission.job_id), GSIZE_TO_POINTER(line));
             g_hash_table_iter_remove(&it);
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -4,48 +4,49 @@
 #include <string.h>
 
 rr_ledger_record *rr_job_ledger_record(rr_job *j, uint32_t chunk) {
-    if (!j->runs) {
-        j->runs = g_ptr_array_new_with_free_func(rr_ledger_record_free);
+    if (!j->records) {
+        j->records = g_ptr_array_new_with_free_func(rr_ledger_record_free);
     }
-    if (chunk >= j->runs->len) {
-        g_ptr_array_set_size(j->runs, (gint)chunk + 1);
+    if (chunk >= j->records->len) {
+        g_ptr_array_set_size(j->records, (gint)chunk + 1);
     }
-    rr_ledger_record *r = g_ptr_array_index(j->runs, chunk);
+    rr_ledger_record *r = g_ptr_array_index(j->records, chunk);
     if (!r) {
         r = g_new0(rr_ledger_record, 1);
         r->chunk = chunk;
-        r->items = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
-        j->runs->pdata[chunk] = r;
+        r->placements = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
+        j->records->pdata[chunk] = r;
     }
     return r;
 }
 
 uint32_t rr_job_chunks(const rr_job *j) {
-    return (j->submission.task_count + j->per - 1) / j->per;
+    return (j->submission.task_count + j->tasks_per_record - 1) / j->tasks_per_record;
 }
 
 bool rr_job_overflows(const rr_job *j) {
-    return j->runs && j->runs->len > rr_job_chunks(j);
+    return j->records && j->records->len > rr_job_chunks(j);
 }
 
 /* Completions of one chunk, as hexadecimal digits (nothing binary in the store). */
 static void put_bits(rr_job *j, uint32_t chunk, const char *hex) {
     size_t n = strlen(hex);
     for (uint32_t i = 0; i < n * 4; i++) {
-        uint32_t task = chunk * j->per + i;
+        uint32_t task = chunk * j->tasks_per_record + i;
         int d = g_ascii_xdigit_value(hex[i / 4]);
         if (d >= 0 && (d >> (i % 4) & 1) && task < j->submission.task_count &&
             !rr_job_task_done(j, task)) {
-            j->bits[task / 8] |= (guint8)(1 << (task % 8));
+            j->done_bits[task / 8] |= (guint8)(1 << (task % 8));
             j->done_count++;
         }
     }
 }
 
 static void chunk_hex(const rr_job *j, uint32_t chunk, const GArray *extra, char *hex) {
-    uint32_t first = chunk * j->per;
-    uint32_t n =
-        first >= j->submission.task_count ? 0 : MIN(j->submission.task_count - first, j->per);
+    uint32_t first = chunk * j->tasks_per_record;
+    uint32_t n = first >= j->submission.task_count
+                     ? 0
+                     : MIN(j->submission.task_count - first, j->tasks_per_record);
     int d[RR_CHUNK_MAX / 4] = {0};
     for (uint32_t i = 0; i < n; i++) {
         if (rr_job_task_done(j, first + i)) {
@@ -83,10 +84,10 @@
         const rr_placement_record *it = &g_array_index(items, rr_placement_record, i);
         rr_encode_array(o, 5);
         rr_encode_u64(o, it->task);
-        rr_encode_text(o, it->m->name);
+        rr_encode_text(o, it->machine->name);
         rr_encode_u64(o, it->attempt);
         rr_encode_u64(o, it->worker_epoch);
-        rr_encode_u64(o, (uint64_t)it->evict);
+        rr_encode_u64(o, (uint64_t)it->preempt);
     }
 }
 
@@ -94,7 +95,7 @@
 static bool placement_decode(rr_core *c, const msgpack_object *o, rr_placement_record *it,
                              double now) {
     char name[RR_ID];
-    uint64_t task, evict = RR_KEEP;
+    uint64_t task, evict = RR_PREEMPT_NONE;
     memset(it, 0, sizeof *it);
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size < 5) {
         return false;
@@ -106,9 +107,9 @@
         return false;
     }
     rr_object_u64(&f[4], &evict);
-    it->evict = evict > RR_EVICT_AT_ONCE ? RR_EVICT_SAVING : (int)evict;
+    it->preempt = evict > RR_PREEMPT_AT_ONCE ? RR_PREEMPT_SAVING : (int)evict;
     it->task = (uint32_t)task;
-    it->m = rr_machine_get(c, name, now);
+    it->machine = rr_machine_get(c, name, now);
     return true;
 }
 
@@ -119,31 +120,31 @@
                       .chunk = chunk,
                       .attempt = it->attempt,
                       .worker_epoch = it->worker_epoch,
-                      .evict = it->evict,
+                      .preempt = it->preempt,
                       .seen_at = now};
-    g_array_append_val(it->m->places, p);
-    rr_placement_count(c, it->m, &p, 1);
+    g_array_append_val(it->machine->placements, p);
+    rr_placement_count(c, it->machine, &p, 1);
 }
 
 static void placement_remove(rr_core *c, rr_job *j, const rr_placement_record *it, double now) {
-    rr_machine *m = it->m;
-    for (guint i = 0; i < m->places->len; i++) {
-        rr_placement *p = &g_array_index(m->places, rr_placement, i);
+    rr_machine *m = it->machine;
+    for (guint i = 0; i < m->placements->len; i++) {
+        rr_placement *p = &g_array_index(m->placements, rr_placement, i);
         if (p->attempt == it->attempt && p->job == j && p->task == it->task) {
             rr_placement old = *p;
-            g_array_remove_index(m->places, i);
+            g_array_remove_index(m->placements, i);
             rr_placement_count(c, m, &old, -1);
             break;
         }
     }
-    if (m->places->len == 0) {
-        m->used = (rr_res){0, 0, 0}; /* no residue of sums */
+    if (m->placements->len == 0) {
+        m->used = (rr_resources){0, 0, 0}; /* no residue of sums */
         m->idle_since = now;
     }
 }
 
 static bool same_placement(const rr_placement_record *a, const rr_placement_record *b) {
-    return a->attempt == b->attempt && a->task == b->task && a->m == b->m;
+    return a->attempt == b->attempt && a->task == b->task && a->machine == b->machine;
 }
 
 /* Both lists keep their order, so that the search mostly ends where it begins. */
@@ -162,19 +163,19 @@
 /* Takes over a record's placements: what is new is added, what has gone is dropped, the rest keeps
  * what this process remembers of it. */
 static void set_placements(rr_core *c, rr_job *j, rr_ledger_record *r, GArray *fresh, double now) {
-    GArray *old = r->items;
+    GArray *old = r->placements;
     guint from = 0;
-    r->items = fresh;
+    r->placements = fresh;
     for (guint i = 0; i < fresh->len; i++) {
         const rr_placement_record *it = &g_array_index(fresh, rr_placement_record, i);
         if (!find_placement(old, it, &from)) {
             placement_add(c, j, r->chunk, it, now);
             continue;
         }
-        rr_placement *p = rr_placement_find(it->m, it->attempt, j, it->task);
-        if (p && p->evict != it->evict) {
-            p->evict = it->evict;
-            rr_touch(c, it->m);
+        rr_placement *p = rr_placement_find(it->machine, it->attempt, j, it->task);
+        if (p && p->preempt != it->preempt) {
+            p->preempt = it->preempt;
+            rr_mark_dirty(c, it->machine);
         }
     }
     from = 0;
@@ -209,7 +210,7 @@
     if (j->submission.task_count && (some || !(j->done || j->cancelled))) {
         rr_job_open(c, j);
     }
-    if (j->bits && rr_map_get_text(v, "bits", hex, sizeof hex)) {
+    if (j->done_bits && rr_map_get_text(v, "bits", hex, sizeof hex)) {
         put_bits(j, chunk, hex);
     }
     if (rr_map_get_text(v, "zone", zone, sizeof zone)) {
@@ -240,7 +241,7 @@
     if (job) {
         *job = j;
     }
-    return j && j->runs && chunk < j->runs->len ? g_ptr_array_index(j->runs, chunk) : NULL;
+    return j && j->records && chunk < j->records->len ? g_ptr_array_index(j->records, chunk) : NULL;
 }
 
 void rr_ledger_record_remove(rr_core *c, rr_job *j, rr_ledger_record *r, uint64_t mark,
@@ -257,7 +258,7 @@
                     ? g_hash_table_lookup(c->jobs, ref)
                     : NULL;
     rr_ledger_record *r =
-        j && j->runs && chunk < j->runs->len ? g_ptr_array_index(j->runs, chunk) : NULL;
+        j && j->records && chunk < j->records->len ? g_ptr_array_index(j->records, chunk) : NULL;
     if (r && mark >= r->version) {
         rr_ledger_record_remove(c, j, r, mark, now);
         rr_job_trim(c, j);
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -27,7 +27,7 @@
 void rr_ledger_record_free(gpointer p) {
     rr_ledger_record *r = p;
     if (r) {
-        g_array_free(r->items, TRUE);
+        g_array_free(r->placements, TRUE);
         g_free(r);
     }
 }
@@ -35,26 +35,26 @@
 static void job_free(gpointer p) {
     rr_job *j = p;
     rr_submission_clear(&j->submission);
-    g_free(j->bits);
+    g_free(j->done_bits);
     g_free(j->placed);
     if (j->failed_machines) {
         g_array_free(j->failed_machines, TRUE);
     }
-    if (j->runs) {
-        g_ptr_array_free(j->runs, TRUE);
+    if (j->records) {
+        g_ptr_array_free(j->records, TRUE);
     }
     g_free(j);
 }
 
 static void machine_free(gpointer p) {
     rr_machine *m = p;
-    g_array_free(m->places, TRUE);
+    g_array_free(m->placements, TRUE);
     rr_heartbeat_clear(&m->heartbeat);
     g_array_free(m->images, TRUE);
     g_array_free(m->failed_jobs, TRUE);
     g_hash_table_destroy(m->unanswered_starts);
-    if (m->booked) {
-        g_array_free(m->booked, TRUE);
+    if (m->reserved_jobs) {
+        g_array_free(m->reserved_jobs, TRUE);
     }
     g_free(m);
 }
@@ -71,25 +71,25 @@
     g_free(h);
 }
 
-static void build_clear(gpointer p) {
+static void machine_type_clear(gpointer p) {
     rr_machine_type_clear(p);
 }
 
 static GArray *machine_types_new(void) {
     GArray *a = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
-    g_array_set_clear_func(a, build_clear);
+    g_array_set_clear_func(a, machine_type_clear);
     return a;
 }
 
 rr_core *rr_core_create(const struct rr_config *cfg) {
     rr_core *c = g_new0(rr_core, 1);
-    c->cfg = cfg;
+    c->config = cfg;
     rr_name_index_init(&c->teams);
     rr_name_index_init(&c->zones);
     rr_name_index_init(&c->machine_types);
     rr_name_index_init(&c->job_classes);
     rr_name_index_init(&c->images);
-    for (size_t i = 0; i < cfg->nteams; i++) {
+    for (size_t i = 0; i < cfg->team_count; i++) {
         rr_name_index_add(&c->teams, cfg->teams[i].name);
     }
     c->build_info = machine_types_new();
@@ -101,8 +101,8 @@
     c->machine_list = g_ptr_array_new();
     c->dirty = g_ptr_array_new();
     c->garbage = g_ptr_array_new_with_free_func(g_free);
-    c->team_used = g_array_new(FALSE, TRUE, sizeof(rr_res));
-    c->team_booked = g_array_new(FALSE, TRUE, sizeof(rr_res));
+    c->team_used = g_array_new(FALSE, TRUE, sizeof(rr_resources));
+    c->team_booked = g_array_new(FALSE, TRUE, sizeof(rr_resources));
     c->owners = g_array_new(FALSE, TRUE, sizeof(int));
     c->autoscaler = c->place = -1;
     /* The same on every controller: from the settings alone. */
@@ -134,7 +134,7 @@
     if (!c) {
         return;
     }
-    for (guint i = 0; i < c->nwatches; i++) {
+    for (guint i = 0; i < c->record_watch_count; i++) {
         g_free(c->watches[i].prefix);
     }
     g_hash_table_destroy(c->holds);
@@ -195,8 +195,8 @@
 
 const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind,
                                             const char *job_class) {
-    for (size_t i = 0; i < c->cfg->nobjectives; i++) {
-        const struct rr_objective *o = &c->cfg->objectives[i];
+    for (size_t i = 0; i < c->config->objective_count; i++) {
+        const struct rr_objective *o = &c->config->objectives[i];
         if (strcmp(o->kind, kind) == 0 && strcmp(o->job_class, job_class) == 0) {
             return o;
         }
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -13,10 +13,10 @@
 
 typedef struct {
     double cpus, gpus, mem_gb;
-} rr_res;
+} rr_resources;
 
 /* In the ledger: how a placement is to make room. */
-enum rr_evict { RR_KEEP, RR_EVICT_SAVING, RR_EVICT_AT_ONCE };
+enum rr_preempt_mode { RR_PREEMPT_NONE, RR_PREEMPT_SAVING, RR_PREEMPT_AT_ONCE };
 
 typedef struct rr_job rr_job;
 typedef struct rr_machine rr_machine;
@@ -28,22 +28,22 @@
     uint32_t task;
     uint32_t chunk; /* of the record that holds it */
     uint64_t attempt, worker_epoch;
-    int evict; /* enum rr_evict: to be stopped for work of higher rank, or moved away */
+    int preempt; /* enum rr_preempt_mode: to be stopped for work of higher rank, or moved away */
     /* volatile */
-    double seen_at;    /* when the mirror first showed it */
-    double start_at;   /* last start sent, 0: none */
-    double stop_at;    /* last stop sent, 0: none */
-    double stop_leave; /* the time it left */
-    double over_at;    /* since when it is known to be over, 0: it is not */
-    bool leaving;      /* a plan under construction stops it */
+    double seen_at;       /* when the mirror first showed it */
+    double start_at;      /* last start sent, 0: none */
+    double stop_at;       /* last stop sent, 0: none */
+    double stop_grace_s;  /* the time it left */
+    double terminated_at; /* since when it is known to be over, 0: it is not */
+    bool leaving;         /* a plan under construction stops it */
 } rr_placement;
 
 /* The same placement as its record holds it. */
 typedef struct {
-    rr_machine *m;
+    rr_machine *machine;
     uint32_t task;
     uint64_t attempt, worker_epoch;
-    int evict;
+    int preempt;
 } rr_placement_record;
 
 /* One record of the ledger: the placements of a chunk of a job's tasks, and which are done. One
@@ -55,7 +55,7 @@
     uint32_t chunk;
     uint64_t version;             /* 0: not in the store */
     uint64_t deleted_at_revision; /* revision of its end: what is not newer says nothing */
-    GArray *items;                /* rr_placement_record */
+    GArray *placements;           /* rr_placement_record */
     bool seen_in_reload;          /* seen in the reread that is under way */
     void *edit;                   /* scratch of one plan */
     guint first_terminated; /* likewise: 1 + the index of the first placement known to be over, 0:
@@ -80,33 +80,35 @@
 struct rr_job {
     rr_submission submission;
     int team, job_class, image;
-    rr_res request;
+    rr_resources request;
     uint64_t version;     /* of the record that tells of it */
     uint64_t own_version; /* of its own record, 0 while it is known from a batch only */
     double accepted_at;   /* wall, when accepted */
     bool cancelled, done, open;
-    guint8 *bits;   /* done tasks, one bit each; NULL once final */
-    guint8 *placed; /* placements a task has in the ledger */
-    uint32_t done_count, placed_count, hint;
-    uint32_t per;    /* tasks in a record of its ledger */
-    GPtrArray *runs; /* rr_ledger_record* by chunk, NULL where there is none; NULL: none at all */
-    uint32_t over, finishing; /* scratch of one plan: tasks known to be over, to be recorded */
-    double failed_at;         /* steady; no room was found for it then */
-    bool listed, ending;      /* scratch of one plan */
-    bool resting;             /* final and out of use since the last look */
-    uint32_t missing;         /* likewise: tasks that one change would bring back, 0: no matter */
-    double team_fill;         /* likewise, under overload: how full its team's fair room is, */
-    double class_fill;        /* and what its class fills of all room */
-    uint32_t lost_count;      /* scratch of one simulation: placements on machines that are gone */
-    int zone;                 /* of completed tasks of a one-zone job, -1 */
-    GArray *failed_machines;  /* rr_machine ids (int) where a task failed */
-    double backoff_until;     /* steady; placed no sooner */
-    double first_seen;        /* steady */
+    guint8 *done_bits; /* done tasks, one bit each; NULL once final */
+    guint8 *placed;    /* placements a task has in the ledger */
+    uint32_t done_count, placed_count, next_task_hint;
+    uint32_t tasks_per_record; /* tasks in a record of its ledger */
+    GPtrArray
+        *records; /* rr_ledger_record* by chunk, NULL where there is none; NULL: none at all */
+    uint32_t terminated_count,
+        completing_count;       /* scratch of one plan: tasks known to be over, to be recorded */
+    double failed_at;           /* steady; no room was found for it then */
+    bool guarded, ending;       /* scratch of one plan */
+    bool idle;                  /* final and out of use since the last look */
+    uint32_t replaceable_count; /* likewise: tasks that one change would bring back, 0: no matter */
+    double team_fill;           /* likewise, under overload: how full its team's fair room is, */
+    double class_fill;          /* and what its class fills of all room */
+    uint32_t lost_count;     /* scratch of one simulation: placements on machines that are gone */
+    int zone;                /* of completed tasks of a one-zone job, -1 */
+    GArray *failed_machines; /* rr_machine ids (int) where a task failed */
+    double backoff_until;    /* steady; placed no sooner */
+    double first_seen;       /* steady */
 };
 
 struct rr_machine {
     int id; /* dense, never reused */
-    char name[RR_ID], addr[RR_ID];
+    char name[RR_ID], address[RR_ID];
     int machine_type, zone;
     bool spot;
     /* ledger */
@@ -117,8 +119,8 @@
     double created_at; /* wall */
     uint32_t page;
     double scaling_in_at; /* when the mirror first showed ret */
-    GArray *places;       /* rr_placement */
-    rr_res used;
+    GArray *placements;   /* rr_placement */
+    rr_resources used;
     /* observed */
     bool heartbeat_seen;
     bool recorded_while_watching; /* recorded while this process watched */
@@ -145,24 +147,24 @@
         *unanswered_starts; /* attempts with an unanswered start under lost_token/lost_tenure */
     uint64_t unanswered_starts_token, unanswered_starts_epoch;
     double next_command_at;
-    double reap_at; /* an exited task has waited since then to be reaped, 0: none */
-    void *plan_do;  /* scratch of one plan: rr_command_batch */
+    double reap_at;      /* an exited task has waited since then to be reaped, 0: none */
+    void *plan_commands; /* scratch of one plan: rr_command_batch */
     /* provisioner */
     bool listed, list_failed, to_record, rented, to_release, declared_dead, releasing;
     bool surplus;
     int probe_fails;
     double listed_at, idle_since, probed_at;
     /* scratch of one plan or simulation */
-    rr_res free;
-    int booked_image; /* image of the last task booked here in this plan, -1 */
+    rr_resources free;
+    int reserved_image; /* image of the last task booked here in this plan, -1 */
     bool emptied;
-    GArray *booked; /* rr_job*: booked here in this plan; NULL: none */
+    GArray *reserved_jobs; /* rr_job*: booked here in this plan; NULL: none */
     guint leaving, arriving;
 };
 
 typedef struct {
     char *prefix;
-    rr_core_record_fn fn;
+    rr_core_record_fn callback;
     void *user;
 } rr_record_watch;
 
@@ -209,7 +211,7 @@
 /* The rules rest on what is stored, and on observations only where they prove something; scratch is
  * of one plan or simulation and says nothing after it. */
 struct rr_core {
-    const struct rr_config *cfg;
+    const struct rr_config *config;
     rr_core_log_fn log;
     int log_level;
     uint32_t chunk; /* tasks in one record of the ledger */
@@ -229,7 +231,7 @@
     GHashTable *sessions; /* node name -> rr_session */
     GHashTable *rentals;  /* name -> rr_rental */
     GPtrArray *garbage;   /* char*: keys of ledger records whose jobs are final */
-    GArray *team_used;    /* rr_res by team: all placements in the ledger */
+    GArray *team_used;    /* rr_resources by team: all placements in the ledger */
     rr_term term;
     uint64_t epoch;
     uint64_t settle; /* revision at which the last reread is one consistent state */
@@ -287,18 +289,18 @@
 
     /* Given by packages beside the core. */
     rr_record_watch watches[RR_RECORD_WATCHES];
-    guint nwatches;
+    guint record_watch_count;
     GHashTable *holds;              /* job id -> rr_hold (holds.c) */
     bool fair;                      /* the next two hold */
     double fair_room[RR_MAX_TEAMS]; /* part of all room, by team of the settings */
-    rr_res all_room;
+    rr_resources all_room;
 
     /* Counters, for the log and the tests of growth. */
     unsigned visits; /* machines looked at */
     unsigned moves_made, probing, rented, given_up, leases_lost, notices;
 
     /* Scratch of one plan. */
-    GArray *team_booked; /* rr_res by team */
+    GArray *team_booked; /* rr_resources by team */
 };
 
 /* Formats nothing that is not printed. */
@@ -314,15 +316,16 @@
 #define RR_LOG_DEBUG 2
 
 /* resources */
-static inline rr_res rr_res_add(rr_res a, rr_res b, double sign) {
-    return (rr_res){a.cpus + sign * b.cpus, a.gpus + sign * b.gpus, a.mem_gb + sign * b.mem_gb};
+static inline rr_resources rr_resources_add(rr_resources a, rr_resources b, double sign) {
+    return (rr_resources){a.cpus + sign * b.cpus, a.gpus + sign * b.gpus,
+                          a.mem_gb + sign * b.mem_gb};
 }
-static inline bool rr_res_fits(rr_res need, rr_res room) {
+static inline bool rr_resources_fit(rr_resources need, rr_resources room) {
     return need.cpus <= room.cpus + RR_EPS && need.gpus <= room.gpus + RR_EPS &&
            need.mem_gb <= room.mem_gb + RR_EPS;
 }
 /* Free room on the scarcest resource, as a share of the machine. */
-double rr_res_room(rr_res room, rr_res cap);
+double rr_resources_free_share(rr_resources room, rr_resources cap);
 
 /* fleet.c */
 void rr_machine_type_put(rr_core *c, const msgpack_object *v);
@@ -332,7 +335,7 @@
 /* Its record has gone, and so has it. */
 void rr_machine_drop(rr_core *c, rr_machine *m, double now);
 const rr_machine_type *rr_machine_type_at(const rr_core *c, int build);
-rr_res rr_machine_cap(const rr_core *c, const rr_machine *m);
+rr_resources rr_machine_cap(const rr_core *c, const rr_machine *m);
 double rr_machine_price(const rr_core *c, const rr_machine *m);
 size_t rr_machine_page_entry_bytes(const rr_core *c, const rr_machine *m);
 /* The record of a page, its machines as the flags in them say now. */
@@ -342,7 +345,7 @@
 /* model.c */
 rr_machine *rr_machine_get(rr_core *c, const char *name, double now);
 void rr_machine_forget(rr_core *c, rr_machine *m);
-void rr_touch(rr_core *c, rr_machine *m); /* it is to be reconciled */
+void rr_mark_dirty(rr_core *c, rr_machine *m); /* it is to be reconciled */
 void rr_machine_page_key(uint32_t page, char *out, size_t size);
 bool rr_job_task_done(const rr_job *j, uint32_t task);
 void rr_arrivals_trim(rr_core *c, double wall); /* those that count no more go */
@@ -359,8 +362,8 @@
 void rr_ledger_record_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
                              const GArray *items, const GArray *done, int zone);
 size_t rr_ledger_record_bytes(guint items);
-rr_res rr_team_used(const rr_core *c, int team);
-void rr_team_recount(rr_core *c); /* sums anew: what is added and taken off for ever drifts */
+rr_resources rr_team_usage(const rr_core *c, int team);
+void rr_recount_team_usage(rr_core *c); /* sums anew: what is added and taken off for ever drifts */
 /* The record that the i-th key of garbage names, and its job; NULL: not in the mirror. */
 rr_ledger_record *rr_garbage_record(const rr_core *c, guint i, rr_job **job);
 rr_placement *rr_placement_find(const rr_machine *m, uint64_t attempt, const rr_job *j,
@@ -414,7 +417,7 @@
 /* gang.c */
 enum rr_gang_phase {
     RR_GANG_QUEUED,   /* no task is on a machine or booked */
-    RR_GANG_BOOKED,   /* all are booked; none is shown yet */
+    RR_GANG_RESERVED, /* all are booked; none is shown yet */
     RR_GANG_WAITING,  /* some are shown; not all run */
     RR_GANG_RUNNING,  /* all run */
     RR_GANG_STOPPING, /* one is lost or has to go: all go, and come back together */
@@ -424,7 +427,7 @@
 enum rr_gang_phase rr_gang_phase(const rr_core *c, const rr_job *j, double now);
 /* Every task of it is to be stopped. *saving: all of them can be told to save first. */
 bool rr_gang_stops(const rr_core *c, const rr_job *j, double now, bool *saving);
-uint32_t rr_gang_most(const rr_core *c); /* tasks of one gang at most */
+uint32_t rr_gang_tasks_max(const rr_core *c); /* tasks of one gang at most */
 
 /* cancel_hints.c */
 bool rr_cancel_hinted(const rr_core *c, const char *job_id, double now);
@@ -451,36 +454,38 @@
 void rr_job_zones_from(const rr_core *c, const rr_job *j, const uint32_t *by_zone, uint32_t all,
                        bool *allowed);
 /* Estimated time to fetch the job's image there; 0: it has it. */
-double rr_fetch_time(const rr_core *c, const rr_job *j, const rr_machine *m);
-struct rr_choice {
-    const bool *zones;      /* allowed zones */
-    bool separate;          /* no machine that has a task of this job */
-    const rr_machine *home; /* where it runs now: never refused for its own sake */
-    bool need_image;        /* only machines that have the image */
+double rr_image_fetch_s(const rr_core *c, const rr_job *j, const rr_machine *m);
+struct rr_placement_constraints {
+    const bool *zones;         /* allowed zones */
+    bool distinct_machines;    /* no machine that has a task of this job */
+    const rr_machine *current; /* where it runs now: never refused for its own sake */
+    bool need_image;           /* only machines that have the image */
     bool (*filter)(const rr_core *c, const rr_machine *m, double now);
 };
 /* The machines that may take a task of the job, each with the part of its rank that placing does
  * not change: one walk over all machines serves many tasks. */
 typedef struct {
-    rr_machine *m;
-    rr_res cap;
-    double trouble, image, price, fetch, foreign;
-    bool coming;
-} rr_cand;
-void rr_candidates(rr_core *c, const rr_job *j, const struct rr_choice *how, double now,
-                   GArray *out /* rr_cand */);
+    rr_machine *machine;
+    rr_resources capacity;
+    double failures, image, price, fetch, foreign_shard;
+    bool booting;
+} rr_candidate;
+void rr_list_candidates(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
+                        double now, GArray *out /* rr_candidate */);
 /* The paper's choice among them: the fitting machine of least price x free room. room: by m->sim.
  * how->zones and how->separate are looked at anew; candidates without room go. */
-rr_machine *rr_choose_from(rr_core *c, const rr_job *j, const struct rr_choice *how, GArray *cands);
-rr_machine *rr_choose(rr_core *c, const rr_job *j, const struct rr_choice *how, double now);
+rr_machine *rr_bin_pack_from(rr_core *c, const rr_job *j,
+                             const struct rr_placement_constraints *how, GArray *cands);
+rr_machine *rr_bin_pack(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
+                        double now);
 /* How many tasks of this need fit into this room, up to most. */
-uint32_t rr_tasks_in(rr_res need, rr_res room, uint32_t most);
-int rr_zone_most_room(rr_core *c, const rr_job *j, const bool *zones, double now);
-void rr_sim_reset(rr_core *c);
-bool rr_zone_bound(const rr_job *j);
+uint32_t rr_tasks_fitting(rr_resources need, rr_resources room, uint32_t most);
+int rr_zone_with_most_room(rr_core *c, const rr_job *j, const bool *zones, double now);
+void rr_reset_free_resources(rr_core *c);
+bool rr_job_zone_bound(const rr_job *j);
 
 /* rounds.c */
-bool rr_round_due(rr_core *c, double now);
-void rr_round(rr_core *c, double now);
+bool rr_rebalance_due(rr_core *c, double now);
+void rr_rebalance(rr_core *c, double now);
 
 #endif
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -4,20 +4,20 @@
 #include <string.h>
 
 void rr_core_watch_records(rr_core *c, const char *prefix, rr_core_record_fn fn, void *user) {
-    if (c->nwatches == RR_RECORD_WATCHES) {
+    if (c->record_watch_count == RR_RECORD_WATCHES) {
         return;
     }
-    c->watches[c->nwatches++] = (rr_record_watch){g_strdup(prefix), fn, user};
+    c->watches[c->record_watch_count++] = (rr_record_watch){g_strdup(prefix), fn, user};
 }
 
 /* True: a package's record. */
 bool rr_watched_record(const rr_core *c, const char *key, const msgpack_object *value,
                        uint64_t version) {
-    for (guint i = 0; i < c->nwatches; i++) {
+    for (guint i = 0; i < c->record_watch_count; i++) {
         const rr_record_watch *watch = &c->watches[i];
         size_t len = strlen(watch->prefix);
         if (strncmp(key, watch->prefix, len) == 0) {
-            watch->fn(watch->user, key + len, value, version);
+            watch->callback(watch->user, key + len, value, version);
             return true;
         }
     }
@@ -78,7 +78,7 @@
 }
 
 const char *rr_core_team_owner(const rr_core *c, const char *team) {
-    int index = rr_config_team(c->cfg, team);
+    int index = rr_config_team(c->config, team);
     int place =
         index >= 0 && (guint)index < c->owners->len ? g_array_index(c->owners, int, index) : -1;
     bool known = place >= 0 && (guint)place < c->term.members->len;
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -19,12 +19,12 @@
 /* Where a class has an aim on its start: a free machine that can make it, else the room of lower
  * work where the image is, else any free machine, else any room of lower work. */
 static bool place_urgent(struct rr_planner *p, rr_job *j, uint32_t task,
-                         const struct rr_choice *how) {
-    rr_core *c = p->c;
+                         const struct rr_placement_constraints *how) {
+    rr_core *c = p->core;
     double within = rr_objective_for(c, "wait", j->submission.job_class)->within_s;
-    rr_machine *m = rr_choose_from(c, j, how, p->cands);
-    if (m && rr_fetch_time(c, j, m) + 1 <= within) {
-        return rr_book(p, m, j, task);
+    rr_machine *m = rr_bin_pack_from(c, j, how, p->candidates);
+    if (m && rr_image_fetch_s(c, j, m) + 1 <= within) {
+        return rr_reserve(p, m, j, task);
     }
     /* While changes are short a free machine is better: a victim costs three changes more, and
      * those that wait behind it their starts. In a burst of four times as many services a fifth of
@@ -33,24 +33,26 @@
     if ((worth || !m) && rr_may_preempt(c, j) && rr_preempt_for_task(p, j, task, how, true)) {
         return true;
     }
-    return m ? rr_book(p, m, j, task)
+    return m ? rr_reserve(p, m, j, task)
              : rr_may_preempt(c, j) && rr_preempt_for_task(p, j, task, how, false);
 }
 
-static bool place_task(struct rr_planner *p, rr_job *j, uint32_t task, struct rr_choice *how) {
-    if (rr_objective_for(p->c, "wait", j->submission.job_class) && place_urgent(p, j, task, how)) {
+static bool place_task(struct rr_planner *p, rr_job *j, uint32_t task,
+                       struct rr_placement_constraints *how) {
+    if (rr_objective_for(p->core, "wait", j->submission.job_class) &&
+        place_urgent(p, j, task, how)) {
         return true;
     }
-    rr_machine *m = rr_choose_from(p->c, j, how, p->cands);
-    if (!m && how->separate && j->placed_count) {
-        how->separate = false; /* better two on one machine than one not at all */
-        rr_candidates(p->c, j, how, p->now, p->cands);
-        m = rr_choose_from(p->c, j, how, p->cands);
+    rr_machine *m = rr_bin_pack_from(p->core, j, how, p->candidates);
+    if (!m && how->distinct_machines && j->placed_count) {
+        how->distinct_machines = false; /* better two on one machine than one not at all */
+        rr_list_candidates(p->core, j, how, p->now, p->candidates);
+        m = rr_bin_pack_from(p->core, j, how, p->candidates);
     }
     if (!m && rr_within_guarantee(p, j, 1)) {
         return rr_preempt_for_task(p, j, task, how, false);
     }
-    return m && rr_book(p, m, j, task);
+    return m && rr_reserve(p, m, j, task);
 }
 
 /* ---- jobs ---- */
@@ -60,9 +62,9 @@
 }
 
 static void place_job(struct rr_planner *p, rr_job *j, int *left) {
-    rr_core *c = p->c;
+    rr_core *c = p->core;
     if (j->submission.kind == RR_JOB_GANG) {
-        rr_place_gang(p, j, left);
+        rr_gang_place(p, j, left);
         return;
     }
     guint n = c->zones.names->len;
@@ -74,33 +76,34 @@
     z.all = z.counted ? rr_job_count_by_zone(c, j, NULL, by_zone) : 0;
     rr_job_zones_update(p, j, &z);
     uint64_t mask = rr_zone_mask(c, zones);
-    if (rr_search_hopeless(p, j, mask)) {
+    if (rr_search_failed_before(p, j, mask)) {
         j->failed_at = p->now;
         return;
     }
-    struct rr_choice how = {.zones = zones,
-                            .separate = j->submission.kind == RR_JOB_SERVICE,
-                            .filter = rr_machine_schedulable};
+    struct rr_placement_constraints how = {.zones = zones,
+                                           .distinct_machines =
+                                               j->submission.kind == RR_JOB_SERVICE,
+                                           .filter = rr_machine_schedulable};
     /* All zones that the job may use, so that one walk serves all its tasks. */
     bool any[n + 1];
-    memset(any, z.counted && !rr_zone_bound(j), sizeof any);
-    struct rr_choice walk = how;
-    walk.zones = z.counted && !rr_zone_bound(j) ? any : zones;
-    rr_candidates(c, j, &walk, p->now, p->cands);
-    uint32_t task = j->hint;
+    memset(any, z.counted && !rr_job_zone_bound(j), sizeof any);
+    struct rr_placement_constraints walk = how;
+    walk.zones = z.counted && !rr_job_zone_bound(j) ? any : zones;
+    rr_list_candidates(c, j, &walk, p->now, p->candidates);
+    uint32_t task = j->next_task_hint;
     bool first = true;
     for (; !p->full && *left > 0 && next_task(j, &task); task++) {
         if (first) {
-            j->hint = task;
+            j->next_task_hint = task;
             first = false;
         }
         /* What the ledger can't take yet is no want of room: taken for that, it kept every job that
          * asked for as much waiting, for minutes, while machines went back. */
-        enum rr_bookable bookable = rr_bookable(p, j, task);
+        enum rr_reservable bookable = rr_reservable(p, j, task);
         if (bookable == RR_CHUNK_BLOCKED) {
-            task = task - task % j->per + j->per - 1;
+            task = task - task % j->tasks_per_record + j->tasks_per_record - 1;
         }
-        if (bookable != RR_BOOKABLE) {
+        if (bookable != RR_RESERVABLE) {
             continue;
         }
         if (!may_take_more(p, j)) {
@@ -108,13 +111,13 @@
         }
         if (!place_task(p, j, task, &how)) {
             if (!p->full) {
-                rr_note_failed_search(p, j, rr_zone_mask(c, zones));
+                rr_record_failed_search(p, j, rr_zone_mask(c, zones));
             }
             return;
         }
         (*left)--;
         if (z.counted) {
-            z.placements[p->booked->zone]++;
+            z.placements[p->last_machine->zone]++;
             z.all++;
             rr_job_zones_update(p, j, &z);
         }
@@ -134,8 +137,8 @@
     if (x->submission.priority != y->submission.priority) {
         return x->submission.priority > y->submission.priority ? -1 : 1;
     }
-    if (x->missing != y->missing) {
-        return x->missing > y->missing ? -1 : 1;
+    if (x->replaceable_count != y->replaceable_count) {
+        return x->replaceable_count > y->replaceable_count ? -1 : 1;
     }
     if (x->team_fill != y->team_fill) {
         return x->team_fill < y->team_fill ? -1 : 1;
@@ -152,7 +155,7 @@
 
 static bool waits(const rr_core *c, const rr_job *j, double now) {
     return j->version && !j->cancelled && !j->done && j->team >= 0 &&
-           (size_t)j->team < c->cfg->nteams &&
+           (size_t)j->team < c->config->team_count &&
            j->done_count + j->placed_count < j->submission.task_count && now >= j->backoff_until &&
            rr_owns_team(c, j->team) && !rr_job_held(c, j, now);
 }
@@ -167,20 +170,20 @@
     }
 }
 
-bool rr_any_waits(const struct rr_planner *p) {
-    for (guint i = 0; i < p->c->open->len; i++) {
-        if (waits(p->c, g_ptr_array_index(p->c->open, i), p->now)) {
+bool rr_any_job_waiting(const struct rr_planner *p) {
+    for (guint i = 0; i < p->core->open->len; i++) {
+        if (waits(p->core, g_ptr_array_index(p->core->open, i), p->now)) {
             return true;
         }
     }
     return false;
 }
 
-GPtrArray *rr_waiting_jobs(const struct rr_planner *p) {
+GPtrArray *rr_list_waiting_jobs(const struct rr_planner *p) {
     GPtrArray *wait = g_ptr_array_new();
-    for (guint i = 0; i < p->c->open->len; i++) {
-        rr_job *j = g_ptr_array_index(p->c->open, i);
-        if (waits(p->c, j, p->now)) {
+    for (guint i = 0; i < p->core->open->len; i++) {
+        rr_job *j = g_ptr_array_index(p->core->open, i);
+        if (waits(p->core, j, p->now)) {
             g_ptr_array_add(wait, j);
         }
     }
@@ -212,7 +215,7 @@
 
 static rr_job *overdue(const struct rr_planner *p, const GPtrArray *wait) {
     rr_job *best = NULL;
-    bool any = p->c->plans % OLDEST_EVERY == 0;
+    bool any = p->core->plans % OLDEST_EVERY == 0;
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
         bool unbegun =
@@ -229,9 +232,10 @@
 static void set_missing(const struct rr_planner *p, const GPtrArray *wait) {
     for (guint i = 0; i < wait->len; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
-        bool counts = p->c->pressure > 0.9 && j->submission.priority == RR_PRIORITY_PROD &&
+        bool counts = p->core->pressure > 0.9 && j->submission.priority == RR_PRIORITY_PROD &&
                       j->submission.kind == RR_JOB_SERVICE;
-        j->missing = counts ? j->submission.task_count - j->done_count - j->placed_count : 0;
+        j->replaceable_count =
+            counts ? j->submission.task_count - j->done_count - j->placed_count : 0;
     }
 }
 
@@ -245,11 +249,11 @@
                                 int *left) {
     rr_job *gang = overdue_gang(p, wait);
     struct early early = {.gang = gang};
-    if (!(gang && p->now - gang->failed_at >= retry && rr_place_gang(p, gang, left))) {
+    if (!(gang && p->now - gang->failed_at >= retry && rr_gang_place(p, gang, left))) {
         early.reserve = gang;
     }
     if (early.reserve && p->wall - gang->accepted_at > RESERVE_FIRST_S) {
-        rr_reserve_for_gang(p, gang);
+        rr_gang_reserve_room(p, gang);
         early.reserve = NULL;
     }
     int head = HEAD_START;
@@ -264,7 +268,7 @@
 void rr_place_waiting(struct rr_planner *p, GPtrArray *wait) {
     int left = PLACE_MAX;
     double retry = fmin(0.25 + 0.02 * wait->len, RETRY_MAX_S);
-    p->c->plans++;
+    p->core->plans++;
     struct early early = place_early(p, wait, retry, &left);
     set_missing(p, wait);
     rr_set_fair_turns(p, wait);
@@ -272,7 +276,7 @@
     for (guint i = 0; i < wait->len && !p->full && left > 0; i++) {
         rr_job *j = g_ptr_array_index(wait, i);
         if (early.reserve && j->submission.priority <= early.reserve->submission.priority) {
-            rr_reserve_for_gang(p, early.reserve);
+            rr_gang_reserve_room(p, early.reserve);
             early.reserve = NULL;
         }
         if (p->now - j->failed_at >= retry && j != early.gang && j != early.job &&
@@ -284,14 +288,14 @@
 
 /* ---- moves of a round's plan ---- */
 
-void rr_make_moves(struct rr_planner *p) {
-    rr_core *c = p->c;
-    while (c->plan_moves->len > 0 && c->round_left > 0 && p->ops + 1 <= p->limit) {
+void rr_start_due_moves(struct rr_planner *p) {
+    rr_core *c = p->core;
+    while (c->plan_moves->len > 0 && c->round_left > 0 && p->change_count + 1 <= p->change_limit) {
         rr_move mv = g_array_index(c->plan_moves, rr_move, 0);
         rr_placement *old = NULL;
-        for (guint k = 0; k < mv.from->places->len; k++) {
-            rr_placement *q = &g_array_index(mv.from->places, rr_placement, k);
-            if (q->job == mv.job && q->task == mv.task && !q->evict) {
+        for (guint k = 0; k < mv.from->placements->len; k++) {
+            rr_placement *q = &g_array_index(mv.from->placements, rr_placement, k);
+            if (q->job == mv.job && q->task == mv.task && !q->preempt) {
                 old = q;
             }
         }
@@ -301,17 +305,17 @@
         rr_job_zones(c, mv.job, zones, old);
         if (!old || mv.job->cancelled || rr_job_held(c, mv.job, p->now) ||
             !rr_machine_schedulable(c, mv.to, p->now) ||
-            !rr_res_fits(mv.job->request, mv.to->free) || !zones[mv.to->zone] ||
-            !rr_within_limit(p, mv.job, 1) || !rr_edit_of(p, mv.job, old->chunk) ||
-            !rr_book(p, mv.to, mv.job, mv.task)) {
+            !rr_resources_fit(mv.job->request, mv.to->free) || !zones[mv.to->zone] ||
+            !rr_within_limit(p, mv.job, 1) || !rr_plan_edit_record(p, mv.job, old->chunk) ||
+            !rr_reserve(p, mv.to, mv.job, mv.task)) {
             /* A move that fails ends the plan. */
             g_array_set_size(c->plan_moves, 0);
             return;
         }
-        const struct rr_plan_edit *e = rr_edit_of(p, mv.job, old->chunk);
-        rr_placement_record *it = e ? rr_edit_item(e, old->attempt, mv.task) : NULL;
+        const struct rr_plan_edit *e = rr_plan_edit_record(p, mv.job, old->chunk);
+        rr_placement_record *it = e ? rr_plan_edit_find(e, old->attempt, mv.task) : NULL;
         if (it) {
-            it->evict = RR_EVICT_SAVING;
+            it->preempt = RR_PREEMPT_SAVING;
         }
         c->moves_made++;
         rr_log_at(c, RR_LOG_DEBUG, "move %s/%u from %s to %s", mv.job->submission.job_id, mv.task,
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -8,23 +8,23 @@
 #define SHORT_OF_CHANGES 0.9
 
 static void unbook_last(struct rr_planner *planner, const rr_job *job, GArray *items) {
-    rr_machine *machine = g_array_index(items, rr_placement_record, items->len - 1).m;
-    rr_res *booked = &g_array_index(planner->c->team_booked, rr_res, job->team);
+    rr_machine *machine = g_array_index(items, rr_placement_record, items->len - 1).machine;
+    rr_resources *booked = &g_array_index(planner->core->team_booked, rr_resources, job->team);
     g_array_set_size(items, items->len - 1);
-    g_array_set_size(machine->booked, machine->booked->len - 1);
-    machine->free = rr_res_add(machine->free, job->request, 1);
-    *booked = rr_res_add(*booked, job->request, -1);
+    g_array_set_size(machine->reserved_jobs, machine->reserved_jobs->len - 1);
+    machine->free = rr_resources_add(machine->free, job->request, 1);
+    *booked = rr_resources_add(*booked, job->request, -1);
 }
 
 /* Takes this plan's bookings of the gang under this attempt back. */
 static void unbook(struct rr_planner *planner, const rr_job *job, uint64_t attempt) {
-    for (guint chunk = 0; chunk < job->runs->len; chunk++) {
-        const rr_ledger_record *run = g_ptr_array_index(job->runs, chunk);
+    for (guint chunk = 0; chunk < job->records->len; chunk++) {
+        const rr_ledger_record *run = g_ptr_array_index(job->records, chunk);
         const struct rr_plan_edit *edit = run ? run->edit : NULL;
-        while (edit && edit->items->len > 0 &&
-               g_array_index(edit->items, rr_placement_record, edit->items->len - 1).attempt ==
-                   attempt) {
-            unbook_last(planner, job, edit->items);
+        while (edit && edit->placements->len > 0 &&
+               g_array_index(edit->placements, rr_placement_record, edit->placements->len - 1)
+                       .attempt == attempt) {
+            unbook_last(planner, job, edit->placements);
         }
     }
 }
@@ -32,22 +32,25 @@
 /* The plan's candidates have free room for all tasks. */
 static bool fits_whole(const struct rr_planner *planner, const rr_job *job) {
     uint32_t fitting = 0;
-    for (guint i = 0; i < planner->cands->len && fitting < job->submission.task_count; i++) {
-        const rr_machine *machine = g_array_index(planner->cands, rr_cand, i).m;
-        fitting += rr_tasks_in(job->request, machine->free, job->submission.task_count - fitting);
+    for (guint i = 0; i < planner->candidates->len && fitting < job->submission.task_count; i++) {
+        const rr_machine *machine = g_array_index(planner->candidates, rr_candidate, i).machine;
+        fitting +=
+            rr_tasks_fitting(job->request, machine->free, job->submission.task_count - fitting);
     }
     return fitting >= job->submission.task_count;
 }
 
 /* Books all tasks on free room, or none. */
-static bool book_on_free_room(struct rr_planner *planner, rr_job *job, struct rr_job_zones *zones) {
-    rr_core *core = planner->c;
-    struct rr_choice choice = {.zones = zones->allowed, .filter = rr_machine_schedulable};
+static bool reserve_on_free_room(struct rr_planner *planner, rr_job *job,
+                                 struct rr_job_zones *zones) {
+    rr_core *core = planner->core;
+    struct rr_placement_constraints choice = {.zones = zones->allowed,
+                                              .filter = rr_machine_schedulable};
     uint64_t attempt = rr_next_attempt(core);
     uint32_t task = 0;
     for (; task < job->submission.task_count; task++) {
-        rr_machine *machine = rr_choose_from(core, job, &choice, planner->cands);
-        if (!machine || !rr_book_attempt(planner, machine, job, task, attempt)) {
+        rr_machine *machine = rr_bin_pack_from(core, job, &choice, planner->candidates);
+        if (!machine || !rr_reserve_attempt(planner, machine, job, task, attempt)) {
             break;
         }
         zones->placements[machine->zone]++;
@@ -65,12 +68,12 @@
 
 /* Fills the plan's candidates: one walk serves all tasks, in whatever zones they may come to be. */
 static void find_candidates(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
-    guint zone_count = planner->c->zones.names->len;
+    guint zone_count = planner->core->zones.names->len;
     bool all_zones[zone_count + 1];
     memset(all_zones, true, sizeof all_zones);
-    struct rr_choice choice = {.zones = rr_zone_bound(job) ? allowed : all_zones,
-                               .filter = rr_machine_schedulable};
-    rr_candidates(planner->c, job, &choice, planner->now, planner->cands);
+    struct rr_placement_constraints choice = {.zones = rr_job_zone_bound(job) ? allowed : all_zones,
+                                              .filter = rr_machine_schedulable};
+    rr_list_candidates(planner->core, job, &choice, planner->now, planner->candidates);
 }
 
 /* ---- making room ---- */
@@ -107,8 +110,8 @@
 /* Adds the machine's seats; returns whether any of them needs victims. */
 static bool add_seats(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                       struct rr_preemption *found, GArray *seats) {
-    double fetch = rr_fetch_time(planner->c, job, machine);
-    uint32_t free_seats = rr_tasks_in(job->request, machine->free, job->submission.task_count);
+    double fetch = rr_image_fetch_s(planner->core, job, machine);
+    uint32_t free_seats = rr_tasks_fitting(job->request, machine->free, job->submission.task_count);
     bool victims = false;
     for (uint32_t tasks = 1; tasks <= job->submission.task_count; tasks++) {
         struct seat seat = {machine, tasks, fetch};
@@ -126,7 +129,7 @@
 
 /* The seats in these zones, least loss first. */
 static GArray *find_seats(struct rr_planner *planner, const rr_job *job, const bool *zones) {
-    rr_core *core = planner->c;
+    rr_core *core = planner->core;
     GArray *seats = g_array_new(FALSE, FALSE, sizeof(struct seat));
     guint compared = 0;
     struct rr_preemption found;
@@ -148,7 +151,7 @@
  * ones, as they lose no less. */
 static bool choose_seats(const struct rr_planner *planner, const rr_job *job, GArray *seats,
                          double *loss) {
-    guint zone_count = planner->c->zones.names->len, kept = 0;
+    guint zone_count = planner->core->zones.names->len, kept = 0;
     uint32_t in_zone[zone_count + 1];
     uint32_t most =
         job->submission.spread ? (job->submission.task_count + 1) / 2 : job->submission.task_count;
@@ -168,7 +171,7 @@
 
 /* The seats for the whole gang where least is lost; NULL: there is no such room. */
 static GArray *best_seats(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
-    const rr_core *core = planner->c;
+    const rr_core *core = planner->core;
     bool zones[core->zones.names->len + 1];
     GArray *best = NULL;
     double least = 0, loss;
@@ -202,7 +205,7 @@
     for (guint i = 0; i < seats->len && marked; i++) {
         rr_machine *machine = g_array_index(seats, struct seat, i).machine;
         uint32_t tasks = seats_on(seats, machine);
-        if (rr_tasks_in(job->request, machine->free, tasks) < tasks) {
+        if (rr_tasks_fitting(job->request, machine->free, tasks) < tasks) {
             marked = rr_preemption_find(planner, machine, job, tasks, &found) &&
                      rr_preemption_mark(planner, machine, job, &found);
         }
@@ -213,7 +216,7 @@
 
 /* The class has an aim on its start, or the team is owed the room for all of the gang. */
 static bool may_make_room(const struct rr_planner *planner, const rr_job *job) {
-    const rr_core *core = planner->c;
+    const rr_core *core = planner->core;
     bool urgent = job->submission.priority > RR_PRIORITY_LOW &&
                   rr_objective_for(core, "wait", job->submission.job_class);
     return (urgent && core->pressure < SHORT_OF_CHANGES) ||
@@ -222,17 +225,18 @@
 
 /* Has lower work stopped where least is lost, and books all tasks there; they start when the
  * machines show room. */
-static bool book_on_made_room(struct rr_planner *planner, rr_job *job, const bool *allowed) {
+static bool reserve_on_preempted_room(struct rr_planner *planner, rr_job *job,
+                                      const bool *allowed) {
     GArray *seats = may_make_room(planner, job) ? best_seats(planner, job, allowed) : NULL;
     if (!seats) {
         return false;
     }
-    uint64_t attempt = rr_next_attempt(planner->c);
+    uint64_t attempt = rr_next_attempt(planner->core);
     uint32_t task = 0;
     if (mark_victims(planner, job, seats)) {
         while (task < job->submission.task_count &&
-               rr_book_attempt(planner, g_array_index(seats, struct seat, task).machine, job, task,
-                               attempt)) {
+               rr_reserve_attempt(planner, g_array_index(seats, struct seat, task).machine, job,
+                                  task, attempt)) {
             task++;
         }
     }
@@ -246,8 +250,8 @@
 /* ---- one gang ---- */
 
 /* While a gang waits for room it holds none, so that no two of them hold a half each. */
-bool rr_place_gang(struct rr_planner *planner, rr_job *job, int *left) {
-    rr_core *core = planner->c;
+bool rr_gang_place(struct rr_planner *planner, rr_job *job, int *left) {
+    rr_core *core = planner->core;
     guint zone_count = core->zones.names->len;
     bool allowed[zone_count + 1];
     uint32_t placements[zone_count + 1];
@@ -263,20 +267,20 @@
     rr_job_zones_from(core, job, placements, 0, any_allowed);
     rr_job_zones_update(planner, job, &zones);
     uint64_t zone_mask = rr_zone_mask(core, allowed);
-    if (rr_search_hopeless(planner, job, zone_mask)) {
+    if (rr_search_failed_before(planner, job, zone_mask)) {
         job->failed_at = planner->now;
         return false;
     }
     find_candidates(planner, job, allowed);
     /* One that can't fit takes nothing of the transaction. */
     bool fits = fits_whole(planner, job);
-    if ((fits && book_on_free_room(planner, job, &zones)) ||
-        (!planner->full && book_on_made_room(planner, job, any_allowed))) {
+    if ((fits && reserve_on_free_room(planner, job, &zones)) ||
+        (!planner->full && reserve_on_preempted_room(planner, job, any_allowed))) {
         *left -= (int)job->submission.task_count;
         return true;
     }
     if (!planner->full) {
-        rr_note_failed_search(planner, job, zone_mask);
+        rr_record_failed_search(planner, job, zone_mask);
     }
     return false;
 }
--- a/src/core/place_gang.h
+++ b/src/core/place_gang.h
@@ -6,7 +6,7 @@
 
 /* Books all tasks of the gang under one attempt, or none. True: booked. *left: tasks that this plan
  * may still book. */
-bool rr_place_gang(struct rr_planner *planner, rr_job *job, int *left);
+bool rr_gang_place(struct rr_planner *planner, rr_job *job, int *left);
 
 /* The zones of one search for a gang that may run in the allowed ones: a single one if the job asks
  * for a common zone, and there is a search for each; else all of them, in a single search. */
@@ -19,6 +19,6 @@
  * machines where all of it will fit soonest nothing else is placed, and nothing of its team where
  * the team's limit leaves the gang none. Tasks that end one by one would otherwise be replaced one
  * by one, and the gang would never find room for all of its tasks at once. */
-void rr_reserve_for_gang(struct rr_planner *planner, const rr_job *job);
+void rr_gang_reserve_room(struct rr_planner *planner, const rr_job *job);
 
 #endif
