--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -28,10 +28,10 @@
 
 static void edit_free(gpointer p) {
     struct rr_plan_edit *e = p;
-    e->run->edit = NULL;
-    e->job->over = e->job->finishing = 0;
+    e->record->edit = NULL;
+    e->job->terminated_count = e->job->completing_count = 0;
     e->job->ending = false;
-    g_array_free(e->items, TRUE);
+    g_array_free(e->placements, TRUE);
     g_array_free(e->done, TRUE);
     g_free(e);
 }
@@ -40,11 +40,11 @@
 
 /* Whether a record with this many placements keeps to the store's size of a value. */
 bool rr_ledger_record_fits(const rr_core *c, guint items) {
-    return (double)rr_ledger_record_bytes(items) <= rr_value_kb_max(c->cfg) * 1024;
+    return (double)rr_ledger_record_bytes(items) <= rr_value_kb_max(c->config) * 1024;
 }
 
 static bool has_room(const struct rr_planner *p, int ops, size_t bytes) {
-    return p->ops + ops <= p->limit && p->bytes + bytes <= TXN_BYTES;
+    return p->change_count + ops <= p->change_limit && p->bytes + bytes <= TXN_BYTES;
 }
 
 static bool transaction_room(struct rr_planner *p, int ops, size_t bytes) {
@@ -52,12 +52,12 @@
     return has_room(p, ops, bytes);
 }
 
-static void take_overs(struct rr_planner *p, struct rr_plan_edit *e);
+static void take_all_terminated(struct rr_planner *p, struct rr_plan_edit *e);
 
-guint rr_plan_overs(const struct rr_planner *p, const rr_ledger_record *r) {
+guint rr_plan_terminated_count(const struct rr_planner *p, const rr_ledger_record *r) {
     guint over = 0;
     for (guint n = r->first_terminated; n > 0; over++) {
-        n = g_array_index(p->terminated, struct rr_plan_over, n - 1).next;
+        n = g_array_index(p->terminated, struct rr_terminated_placement, n - 1).next;
     }
     return over;
 }
@@ -66,17 +66,18 @@
  * can't be written again until enough of its placements are over, which one change then takes out.
  * Until the lower limits are seen to hold it may, as long as it does not grow. */
 bool rr_plan_writable(const struct rr_planner *p, const rr_ledger_record *r) {
-    if (!p->c->lowered || rr_ledger_record_fits(p->c, r->items->len)) {
+    if (!p->core->lowered || rr_ledger_record_fits(p->core, r->placements->len)) {
         return true;
     }
-    return rr_ledger_record_fits(p->c, r->items->len - MIN(rr_plan_overs(p, r), r->items->len));
+    return rr_ledger_record_fits(
+        p->core, r->placements->len - MIN(rr_plan_terminated_count(p, r), r->placements->len));
 }
 
 /* Every placement of the job is known to be over. */
-static bool all_over(const struct rr_planner *p, const rr_job *j) {
-    for (guint n = 0; j->runs && n < j->runs->len; n++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
-        if (r && rr_plan_overs(p, r) < r->items->len) {
+static bool all_terminated(const struct rr_planner *p, const rr_job *j) {
+    for (guint n = 0; j->records && n < j->records->len; n++) {
+        const rr_ledger_record *r = g_ptr_array_index(j->records, n);
+        if (r && rr_plan_terminated_count(p, r) < r->placements->len) {
             return false;
         }
     }
@@ -87,17 +88,17 @@
  * placed anew beside an old one, and what was seen of the first loss stays to be seen. Once it is
  * done or cancelled each goes by itself. */
 static bool gang_goes(const struct rr_planner *p, const rr_job *j) {
-    return j->submission.kind != RR_JOB_GANG || j->cancelled || j->done || j->over > 0 ||
-           all_over(p, j);
+    return j->submission.kind != RR_JOB_GANG || j->cancelled || j->done ||
+           j->terminated_count > 0 || all_terminated(p, j);
 }
 
-struct rr_plan_edit *rr_edit_of(struct rr_planner *p, rr_job *j, uint32_t chunk) {
+struct rr_plan_edit *rr_plan_edit_record(struct rr_planner *p, rr_job *j, uint32_t chunk) {
     rr_ledger_record *r = rr_job_ledger_record(j, chunk);
     if (r->edit) {
         return r->edit;
     }
-    size_t bytes = rr_ledger_record_bytes(r->items->len + 1) + 120;
-    if (!rr_plan_writable(p, r) || (rr_plan_overs(p, r) > 0 && !gang_goes(p, j))) {
+    size_t bytes = rr_ledger_record_bytes(r->placements->len + 1) + 120;
+    if (!rr_plan_writable(p, r) || (rr_plan_terminated_count(p, r) > 0 && !gang_goes(p, j))) {
         return NULL;
     }
     if (!transaction_room(p, 1, bytes)) {
@@ -105,21 +106,22 @@
     }
     struct rr_plan_edit *e = g_new0(struct rr_plan_edit, 1);
     e->job = j;
-    e->run = r;
-    e->items = g_array_copy(r->items);
+    e->record = r;
+    e->placements = g_array_copy(r->placements);
     e->done = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     e->zone = -1;
     r->edit = e;
-    p->ops++;
+    p->change_count++;
     p->bytes += bytes;
     g_ptr_array_add(p->edits, e);
-    take_overs(p, e);
+    take_all_terminated(p, e);
     return e;
 }
 
-rr_placement_record *rr_edit_item(const struct rr_plan_edit *e, uint64_t attempt, uint32_t task) {
-    for (guint i = 0; i < e->items->len; i++) {
-        rr_placement_record *it = &g_array_index(e->items, rr_placement_record, i);
+rr_placement_record *rr_plan_edit_find(const struct rr_plan_edit *e, uint64_t attempt,
+                                       uint32_t task) {
+    for (guint i = 0; i < e->placements->len; i++) {
+        rr_placement_record *it = &g_array_index(e->placements, rr_placement_record, i);
         if (it->attempt == attempt && it->task == task) {
             return it;
         }
@@ -137,36 +139,36 @@
 }
 
 void rr_plan_guard(struct rr_planner *p, rr_job *j) {
-    if (!j->listed) {
-        j->listed = true;
+    if (!j->guarded) {
+        j->guarded = true;
         g_ptr_array_add(p->guards, j);
     }
 }
 
 /* A machine whose scratch is to be cleared after the plan. */
-void rr_plan_use(struct rr_planner *p, rr_machine *m) {
-    if (!m->booked) {
-        m->booked = g_array_new(FALSE, FALSE, sizeof(rr_job *));
+void rr_plan_use_machine(struct rr_planner *p, rr_machine *m) {
+    if (!m->reserved_jobs) {
+        m->reserved_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
         g_ptr_array_add(p->machines, m);
     }
 }
 
 /* A task whose placement is over may be placed anew in the same change. */
-static void reopen(struct rr_planner *p, rr_job *j, uint32_t task) {
-    struct rr_plan_reopened r = {j, task};
+static void requeue(struct rr_planner *p, rr_job *j, uint32_t task) {
+    struct rr_plan_requeued r = {j, task};
     if (j->placed && task < j->submission.task_count && j->placed[task] == 1 && !j->cancelled &&
         !rr_job_task_done(j, task)) {
         j->placed[task] = 0;
         j->placed_count--;
-        j->hint = MIN(j->hint, task);
-        g_array_append_val(p->reopened, r);
+        j->next_task_hint = MIN(j->next_task_hint, task);
+        g_array_append_val(p->requeued, r);
     }
 }
 
 /* The mirror counts placements as the store has them. */
-static void close_again(struct rr_planner *p) {
-    for (guint i = 0; i < p->reopened->len; i++) {
-        const struct rr_plan_reopened *r = &g_array_index(p->reopened, struct rr_plan_reopened, i);
+static void restore_requeued(struct rr_planner *p) {
+    for (guint i = 0; i < p->requeued->len; i++) {
+        const struct rr_plan_requeued *r = &g_array_index(p->requeued, struct rr_plan_requeued, i);
         r->job->placed[r->task] = 1;
         r->job->placed_count++;
     }
@@ -176,7 +178,7 @@
 
 /* One task of a gang is done, and so are all: its tasks are of one chunk. */
 static void gang_done(struct rr_plan_edit *home, rr_job *j) {
-    j->finishing = j->submission.task_count;
+    j->completing_count = j->submission.task_count;
     for (uint32_t t = 0; t < j->submission.task_count; t++) {
         g_array_append_val(home->done, t);
     }
@@ -185,94 +187,98 @@
 /* Records a completion where it belongs, in the record of the task's chunk. False: the transaction
  * has no room for it. */
 static bool record_done(struct rr_planner *p, struct rr_plan_edit *e,
-                        const struct rr_plan_over *o) {
+                        const struct rr_terminated_placement *o) {
     rr_job *j = o->job;
     bool gang = j->submission.kind == RR_JOB_GANG;
-    uint32_t chunk = o->task / j->per;
-    struct rr_plan_edit *home = e->run->chunk == chunk ? e : rr_edit_of(p, j, chunk);
+    uint32_t chunk = o->task / j->tasks_per_record;
+    struct rr_plan_edit *home = e->record->chunk == chunk ? e : rr_plan_edit_record(p, j, chunk);
     if (!home) {
         return false;
     }
-    if ((gang && j->finishing > 0) || done_in(home, o->task)) {
+    if ((gang && j->completing_count > 0) || done_in(home, o->task)) {
         return true;
     }
     /* The last one ends the job: a change more. */
-    bool last = gang || j->done_count + j->finishing + 1 >= j->submission.task_count;
+    bool last = gang || j->done_count + j->completing_count + 1 >= j->submission.task_count;
     if (last && !has_room(p, 1, FINAL_BYTES)) {
         return false;
     }
-    p->ops += last;
-    home->zone = o->m->zone;
+    p->change_count += last;
+    home->zone = o->machine->zone;
     if (gang) {
         gang_done(home, j);
     } else {
-        j->finishing++;
+        j->completing_count++;
         g_array_append_val(home->done, o->task);
     }
     return true;
 }
 
 /* Takes a placement out of its record, with its completion if there is one to record. */
-static void take_over(struct rr_planner *p, struct rr_plan_edit *e, const struct rr_plan_over *o) {
+static void take_terminated(struct rr_planner *p, struct rr_plan_edit *e,
+                            const struct rr_terminated_placement *o) {
     rr_job *j = o->job;
     if (o->done && !j->cancelled && !rr_job_task_done(j, o->task) && !record_done(p, e, o)) {
         return;
     }
-    rr_placement_record *it = rr_edit_item(e, o->attempt, o->task);
+    rr_placement_record *it = rr_plan_edit_find(e, o->attempt, o->task);
     if (it) {
-        g_array_remove_index(e->items, (guint)(it - (rr_placement_record *)(void *)e->items->data));
+        g_array_remove_index(e->placements,
+                             (guint)(it - (rr_placement_record *)(void *)e->placements->data));
     }
 }
 
 /* A record that changes anyway loses all that is known to be over in it. */
-static void take_overs(struct rr_planner *p, struct rr_plan_edit *e) {
-    for (guint n = e->run->first_terminated; n > 0;) {
-        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, n - 1);
-        take_over(p, e, o);
+static void take_all_terminated(struct rr_planner *p, struct rr_plan_edit *e) {
+    for (guint n = e->record->first_terminated; n > 0;) {
+        const struct rr_terminated_placement *o =
+            &g_array_index(p->terminated, struct rr_terminated_placement, n - 1);
+        take_terminated(p, e, o);
         n = o->next;
     }
 }
 
-void rr_plan_over(struct rr_planner *p, rr_machine *m, rr_placement *pl, bool done,
-                  const char *why) {
+void rr_plan_terminated(struct rr_planner *p, rr_machine *m, rr_placement *pl, bool done,
+                        const char *why) {
     rr_job *j = pl->job;
-    if (pl->over_at <= 0 && !done) {
-        rr_log_at(p->c, RR_LOG_DEBUG, "over %s/%u on %s: %s", j->submission.job_id, pl->task,
+    if (pl->terminated_at <= 0 && !done) {
+        rr_log_at(p->core, RR_LOG_DEBUG, "over %s/%u on %s: %s", j->submission.job_id, pl->task,
                   m->name, why);
     }
     rr_ledger_record *r = rr_job_ledger_record(j, pl->chunk);
-    struct rr_plan_over o = {.m = m,
-                             .job = j,
-                             .task = pl->task,
-                             .chunk = pl->chunk,
-                             .attempt = pl->attempt,
-                             .done = done,
-                             .evicted = pl->evict != RR_KEEP,
-                             .next = r->first_terminated};
-    pl->over_at = pl->over_at > 0 ? pl->over_at : p->now;
-    o.wait = p->now - pl->over_at < GATHER_S * p->c->pressure;
+    struct rr_terminated_placement o = {.machine = m,
+                                        .job = j,
+                                        .task = pl->task,
+                                        .chunk = pl->chunk,
+                                        .attempt = pl->attempt,
+                                        .done = done,
+                                        .preempted = pl->preempt != RR_PREEMPT_NONE,
+                                        .next = r->first_terminated};
+    pl->terminated_at = pl->terminated_at > 0 ? pl->terminated_at : p->now;
+    o.may_wait = p->now - pl->terminated_at < GATHER_S * p->core->pressure;
     if (done && !rr_job_task_done(j, pl->task)) {
-        j->over = j->submission.kind == RR_JOB_GANG ? j->submission.task_count : j->over + 1;
+        j->terminated_count =
+            j->submission.kind == RR_JOB_GANG ? j->submission.task_count : j->terminated_count + 1;
     }
     g_array_append_val(p->terminated, o);
     r->first_terminated = p->terminated->len;
 }
 
 static bool finishes(const rr_job *j) {
-    return !j->cancelled && j->done_count + j->over >= j->submission.task_count;
+    return !j->cancelled && j->done_count + j->terminated_count >= j->submission.task_count;
 }
 
 #define TOGETHER_S 1.0 /* a gang's tasks complete together; their reports come within this */
 
 /* The end of a gang waits for the reports of its other tasks, a little, and is one change then. */
-static bool waits_for_gang(const struct rr_planner *p, const struct rr_plan_over *o) {
+static bool waits_for_gang(const struct rr_planner *p, const struct rr_terminated_placement *o) {
     const rr_job *j = o->job;
-    const rr_placement *pl = rr_placement_find(o->m, o->attempt, j, o->task);
+    const rr_placement *pl = rr_placement_find(o->machine, o->attempt, j, o->task);
     return j->submission.kind == RR_JOB_GANG && o->done && pl &&
-           p->now - pl->over_at < TOGETHER_S && !all_over(p, j);
+           p->now - pl->terminated_at < TOGETHER_S && !all_terminated(p, j);
 }
 
-static bool lost(const struct rr_plan_over *o) {
+static bool lost(const struct rr_terminated_placement *o) {
     return !o->done && !o->job->cancelled;
 }
 
@@ -281,14 +287,16 @@
  * a place, and is taken out in the change that books it anew: when a zone of four hundred machines
  * had lost its leases, records of arrays were cleared first, a change each, and services came back
  * after them, 35 s later. */
-static void record_overs(struct rr_planner *p) {
+static void record_terminated(struct rr_planner *p) {
     for (guint i = 0; i < p->terminated->len; i++) {
-        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, i);
+        const struct rr_terminated_placement *o =
+            &g_array_index(p->terminated, struct rr_terminated_placement, i);
         if (lost(o) && gang_goes(p, o->job)) {
-            reopen(p, o->job, o->task);
+            requeue(p, o->job, o->task);
         }
-        if (!waits_for_gang(p, o) && (o->evicted || (!lost(o) && (!o->wait || finishes(o->job))))) {
-            rr_edit_of(p, o->job, o->chunk);
+        if (!waits_for_gang(p, o) &&
+            (o->preempted || (!lost(o) && (!o->may_wait || finishes(o->job))))) {
+            rr_plan_edit_record(p, o->job, o->chunk);
         }
     }
 }
@@ -296,9 +304,10 @@
 /* Lost places for whose tasks there was no room: their records are cleared as changes allow. */
 static void record_lost(struct rr_planner *p) {
     for (guint i = 0; i < p->terminated->len && !p->full; i++) {
-        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, i);
-        if (lost(o) && !o->wait) {
-            rr_edit_of(p, o->job, o->chunk);
+        const struct rr_terminated_placement *o =
+            &g_array_index(p->terminated, struct rr_terminated_placement, i);
+        if (lost(o) && !o->may_wait) {
+            rr_plan_edit_record(p, o->job, o->chunk);
         }
     }
 }
@@ -317,7 +326,7 @@
     g_hash_table_foreach_remove(c->gone, gone_old, &now);
     for (guint i = c->machine_list->len; i > 0; i--) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
-        if (!m->recorded && !m->to_record && !m->command_inflight && m->places->len == 0 &&
+        if (!m->recorded && !m->to_record && !m->command_inflight && m->placements->len == 0 &&
             (m->gone || rr_heartbeat_age(m, now) > STRANGER_S)) {
             rr_machine_forget(c, m);
         }
@@ -327,30 +336,32 @@
 /* ---- putting it together ---- */
 
 static void put_final(struct rr_planner *p, const rr_job *j) {
-    rr_job_final_record(j, &p->out->transaction);
-    rr_log_at(p->c, RR_LOG_DEBUG,
+    rr_job_final_record(j, &p->plan->transaction);
+    rr_log_at(p->core, RR_LOG_DEBUG,
               "job %s is done, %u tasks, %.0f s after it came, due after %.0f, guess %.0f",
               j->submission.job_id, j->submission.task_count, p->wall - j->accepted_at,
               j->submission.deadline_s, j->submission.runtime_estimate_s);
 }
 
 static void put_edit(struct rr_planner *p, const struct rr_plan_edit *e) {
-    rr_transaction *t = &p->out->transaction;
+    rr_transaction *t = &p->plan->transaction;
     rr_job *j = e->job;
     char key[RR_ID + 64];
-    rr_ledger_record_key(j->submission.job_id, e->run->chunk, key, sizeof key);
-    bool ends = j->finishing > 0 && j->done_count + j->finishing >= j->submission.task_count;
+    rr_ledger_record_key(j->submission.job_id, e->record->chunk, key, sizeof key);
+    bool ends =
+        j->completing_count > 0 && j->done_count + j->completing_count >= j->submission.task_count;
     bool over = ends || j->cancelled || j->done;
-    if ((over || j->submission.kind == RR_JOB_GANG) && e->items->len == 0 && e->run->version == 0) {
+    if ((over || j->submission.kind == RR_JOB_GANG) && e->placements->len == 0 &&
+        e->record->version == 0) {
         return; /* nothing to delete; or a gang that found no room after all */
     }
-    rr_transaction_guard(t, key, e->run->version);
-    if (over && e->items->len == 0) {
+    rr_transaction_guard(t, key, e->record->version);
+    if (over && e->placements->len == 0) {
         rr_transaction_delete(t, key);
     } else {
         rr_encoder o;
         rr_encoder_init(&o);
-        rr_ledger_record_encode(p->c, &o, j, e->run->chunk, e->items, e->done,
+        rr_ledger_record_encode(p->core, &o, j, e->record->chunk, e->placements, e->done,
                                 j->submission.one_zone ? (e->zone >= 0 ? e->zone : j->zone) : -1);
         rr_transaction_put(t, key, &o, 0);
     }
@@ -365,17 +376,18 @@
 
 /* Records of final jobs go when changes are plentiful. */
 static void put_garbage(struct rr_planner *p) {
-    rr_core *c = p->c;
-    for (guint i = c->garbage->len; i > 0 && c->pressure < 0.5 && p->ops < p->limit; i--) {
+    rr_core *c = p->core;
+    for (guint i = c->garbage->len; i > 0 && c->pressure < 0.5 && p->change_count < p->change_limit;
+         i--) {
         const char *key = g_ptr_array_index(c->garbage, i - 1);
         rr_job *j;
         const rr_ledger_record *r = rr_garbage_record(c, i - 1, &j);
         if (!r || !r->version) {
             g_ptr_array_remove_index_fast(c->garbage, i - 1);
         } else if (!j->open && !r->edit && j->team >= 0 && rr_owns_team(c, j->team)) {
-            rr_transaction_guard(&p->out->transaction, key, r->version);
-            rr_transaction_delete(&p->out->transaction, key);
-            p->ops++;
+            rr_transaction_guard(&p->plan->transaction, key, r->version);
+            rr_transaction_delete(&p->plan->transaction, key);
+            p->change_count++;
         }
     }
 }
@@ -386,23 +398,23 @@
     for (guint i = 0; i < p->edits->len; i++) {
         const struct rr_plan_edit *e = g_ptr_array_index(p->edits, i);
         guint new = 0;
-        for (guint k = 0; k < e->items->len; k++) {
-            const rr_placement_record *it = &g_array_index(e->items, rr_placement_record, k);
-            new += rr_placement_find(it->m, it->attempt, e->job, it->task) == NULL;
+        for (guint k = 0; k < e->placements->len; k++) {
+            const rr_placement_record *it = &g_array_index(e->placements, rr_placement_record, k);
+            new += rr_placement_find(it->machine, it->attempt, e->job, it->task) == NULL;
         }
         booked += new > 0;
         done += new == 0 && e->done->len > 0;
         freed += new == 0 && e->done->len == 0;
     }
-    rr_log_at(p->c, RR_LOG_DEBUG,
+    rr_log_at(p->core, RR_LOG_DEBUG,
               "plan: %u changes: %u records book, %u end tasks, %u others; %u known over; "
               "pressure %.2f",
-              p->out->transaction.changes->len, booked, done, freed, p->terminated->len,
-              p->c->pressure);
+              p->plan->transaction.changes->len, booked, done, freed, p->terminated->len,
+              p->core->pressure);
 }
 
 /* A batch says nothing any more once all its jobs have records of their own. */
-static bool batch_over(const rr_job_batch *b) {
+static bool batch_terminated(const rr_job_batch *b) {
     for (guint i = 0; i < b->jobs->len; i++) {
         if (((const rr_job *)g_ptr_array_index(b->jobs, i))->own_version == 0) {
             return false;
@@ -412,7 +424,7 @@
 }
 
 static void put_old_batches(struct rr_planner *p) {
-    rr_core *c = p->c;
+    rr_core *c = p->core;
     GHashTableIter it;
     gpointer k, v;
     if (c->pressure > 0.3 || p->now - c->batches_at < 2 || !rr_core_is_autoscaler(c, p->now)) {
@@ -420,19 +432,19 @@
     }
     c->batches_at = p->now;
     g_hash_table_iter_init(&it, c->batches);
-    while (p->ops < p->limit && g_hash_table_iter_next(&it, &k, &v)) {
-        if (batch_over(v)) {
-            rr_transaction_guard(&p->out->transaction, k, ((rr_job_batch *)v)->version);
-            rr_transaction_delete(&p->out->transaction, k);
-            p->ops++;
+    while (p->change_count < p->change_limit && g_hash_table_iter_next(&it, &k, &v)) {
+        if (batch_terminated(v)) {
+            rr_transaction_guard(&p->plan->transaction, k, ((rr_job_batch *)v)->version);
+            rr_transaction_delete(&p->plan->transaction, k);
+            p->change_count++;
         }
     }
 }
 
 static void build_transaction(struct rr_planner *p) {
-    rr_transaction *t = &p->out->transaction;
+    rr_transaction *t = &p->plan->transaction;
     char key[RR_ID + 64];
-    rr_transaction_guard(t, RR_ROOT "term", p->c->term.version);
+    rr_transaction_guard(t, RR_ROOT "term", p->core->term.version);
     for (guint i = 0; i < p->edits->len; i++) {
         put_edit(p, g_ptr_array_index(p->edits, i));
     }
@@ -448,18 +460,18 @@
         put_garbage(p);
         put_old_batches(p);
     }
-    p->out->has_transaction = t->changes->len > 0;
-    if (p->out->has_transaction && p->c->log_level >= RR_LOG_DEBUG) {
+    p->plan->has_transaction = t->changes->len > 0;
+    if (p->plan->has_transaction && p->core->log_level >= RR_LOG_DEBUG) {
         log_plan(p);
     }
 }
 
 static void finish_command_batches(struct rr_planner *p) {
-    for (guint i = 0; i < p->out->command_batches->len; i++) {
-        const rr_command_batch *d = g_ptr_array_index(p->out->command_batches, i);
-        rr_machine *m = g_hash_table_lookup(p->c->machines, d->machine);
+    for (guint i = 0; i < p->plan->command_batches->len; i++) {
+        const rr_command_batch *d = g_ptr_array_index(p->plan->command_batches, i);
+        rr_machine *m = g_hash_table_lookup(p->core->machines, d->machine);
         m->command_inflight = true;
-        m->plan_do = NULL;
+        m->plan_commands = NULL;
         m->reap_at = 0;
     }
 }
@@ -467,35 +479,36 @@
 static void planner_clear(struct rr_planner *p) {
     for (guint i = 0; i < p->machines->len; i++) {
         rr_machine *m = g_ptr_array_index(p->machines, i);
-        g_array_free(m->booked, TRUE);
-        m->booked = NULL;
-        for (guint k = 0; k < m->places->len; k++) {
-            g_array_index(m->places, rr_placement, k).leaving = false;
+        g_array_free(m->reserved_jobs, TRUE);
+        m->reserved_jobs = NULL;
+        for (guint k = 0; k < m->placements->len; k++) {
+            g_array_index(m->placements, rr_placement, k).leaving = false;
         }
     }
     for (guint i = 0; i < p->guards->len; i++) {
-        ((rr_job *)g_ptr_array_index(p->guards, i))->listed = false;
+        ((rr_job *)g_ptr_array_index(p->guards, i))->guarded = false;
     }
     g_ptr_array_free(p->machines, TRUE);
     g_ptr_array_free(p->guards, TRUE);
     g_ptr_array_free(p->edits, TRUE);
-    close_again(p);
+    restore_requeued(p);
     for (guint i = 0; i < p->terminated->len; i++) {
-        const struct rr_plan_over *o = &g_array_index(p->terminated, struct rr_plan_over, i);
-        o->job->over = 0;
+        const struct rr_terminated_placement *o =
+            &g_array_index(p->terminated, struct rr_terminated_placement, i);
+        o->job->terminated_count = 0;
         rr_job_ledger_record(o->job, o->chunk)->first_terminated = 0;
     }
-    g_array_free(p->reopened, TRUE);
+    g_array_free(p->requeued, TRUE);
     g_array_free(p->terminated, TRUE);
     g_array_free(p->failures, TRUE);
-    g_array_free(p->cands, TRUE);
+    g_array_free(p->candidates, TRUE);
 }
 
 /* Whether changes were what bounded the plan, not the transaction. Between two plans some gather,
  * so that their number alone never looked short while hundreds of bookings waited for them. */
 static void note_short(struct rr_planner *p) {
-    if (p->full && p->c->changes < rr_transaction_changes_max(p->c->cfg)) {
-        p->c->short_at = p->now;
+    if (p->full && p->core->changes < rr_transaction_changes_max(p->core->config)) {
+        p->core->short_at = p->now;
     }
     p->full = false;
 }
@@ -510,34 +523,35 @@
     if (!rr_core_lease_valid(c, now) || !rr_core_cache_consistent(c) || c->anew) {
         return;
     }
-    struct rr_planner p = {.c = c, .now = now, .wall = wall, .out = out};
+    struct rr_planner p = {.core = c, .now = now, .wall = wall, .plan = out};
     c->pressure = pressure_now(c, now);
     p.edits = g_ptr_array_new_with_free_func(edit_free);
-    p.terminated = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_over));
-    p.reopened = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_reopened));
+    p.terminated = g_array_new(FALSE, FALSE, sizeof(struct rr_terminated_placement));
+    p.requeued = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_requeued));
     p.machines = g_ptr_array_new();
     p.guards = g_ptr_array_new();
     p.failures = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_failure));
-    p.cands = g_array_new(FALSE, FALSE, sizeof(rr_cand));
+    p.candidates = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
     g_array_set_size(c->team_booked, 0);
-    g_array_set_size(c->team_booked, (guint)c->cfg->nteams);
+    g_array_set_size(c->team_booked, (guint)c->config->team_count);
     /* What is over leaves part of the transaction to what waits for its start. */
-    int ops = MIN(rr_transaction_changes_max(c->cfg), c->changes);
-    p.limit = rr_any_waits(&p) ? ops - ops / 2 : ops;
+    int ops = MIN(rr_transaction_changes_max(c->config), c->changes);
+    p.change_limit = rr_any_job_waiting(&p) ? ops - ops / 2 : ops;
     rr_reconcile(&p);
-    record_overs(&p);
+    record_terminated(&p);
     finish_command_batches(&p);
-    GPtrArray *wait = rr_waiting_jobs(&p); /* with those whose tasks have just lost their places */
-    p.limit = ops;
+    GPtrArray *wait =
+        rr_list_waiting_jobs(&p); /* with those whose tasks have just lost their places */
+    p.change_limit = ops;
     note_short(&p);
-    bool round = rr_round_due(c, now);
+    bool round = rr_rebalance_due(c, now);
     if (ops > 0 && (wait->len || round || c->plan_moves->len)) {
-        rr_sim_reset(c);
+        rr_reset_free_resources(c);
         if (round) {
-            rr_round(c, now); /* leaves every sum of free room as the ledger has it */
+            rr_rebalance(c, now); /* leaves every sum of free room as the ledger has it */
         }
         rr_place_waiting(&p, wait);
-        rr_make_moves(&p);
+        rr_start_due_moves(&p);
     }
     record_lost(&p);
     note_short(&p);
@@ -547,7 +561,7 @@
     for (guint i = first; i < out->command_batches->len; i++) {
         rr_machine *m = g_hash_table_lookup(
             c->machines, ((rr_command_batch *)g_ptr_array_index(out->command_batches, i))->machine);
-        m->plan_do = NULL;
+        m->plan_commands = NULL;
     }
     if (now - c->strangers_at > 1) {
         c->strangers_at = now;
@@ -555,7 +569,7 @@
     }
     if (now - c->recount_at > RECOUNT_S) {
         c->recount_at = now;
-        rr_team_recount(c);
+        rr_recount_team_usage(c);
     }
     g_ptr_array_free(wait, TRUE);
     planner_clear(&p);
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -41,15 +41,16 @@
 }
 
 struct victim {
-    rr_placement *place;
+    rr_placement *placement;
     double slack;
 };
 
 /* Lowest priority first, then most time to spare. */
 static gint by_priority_and_slack(gconstpointer a, gconstpointer b) {
     const struct victim *x = a, *y = b;
-    if (x->place->job->submission.priority != y->place->job->submission.priority) {
-        return x->place->job->submission.priority < y->place->job->submission.priority ? -1 : 1;
+    if (x->placement->job->submission.priority != y->placement->job->submission.priority) {
+        return x->placement->job->submission.priority < y->placement->job->submission.priority ? -1
+                                                                                               : 1;
     }
     return x->slack > y->slack ? -1 : x->slack < y->slack;
 }
@@ -58,11 +59,11 @@
  * its own guarantee where this team is owed the room. `returned` is what victims so far give back.
  * Replicas are stopped on the second ground alone. */
 static bool may_stop(const struct rr_planner *planner, const rr_job *job, const rr_placement *place,
-                     bool owed, rr_res returned) {
+                     bool owed, rr_resources returned) {
     const rr_job *victim = place->job;
     if (victim->submission.priority < job->submission.priority &&
         victim->submission.kind != RR_JOB_SERVICE &&
-        rr_objective_for(planner->c, "wait", job->submission.job_class)) {
+        rr_objective_for(planner->core, "wait", job->submission.job_class)) {
         return true;
     }
     return owed && victim->team >= 0 && victim->team != job->team &&
@@ -72,18 +73,18 @@
 /* The machine's placements that may be stopped for the job, in the order in which they would be.
  * Adds to *room what is being stopped already. */
 static GArray *possible_victims(const struct rr_planner *planner, const rr_machine *machine,
-                                const rr_job *job, bool owed, rr_res *room) {
-    const rr_res nothing = {0, 0, 0};
+                                const rr_job *job, bool owed, rr_resources *room) {
+    const rr_resources nothing = {0, 0, 0};
     GArray *possible = g_array_new(FALSE, FALSE, sizeof(struct victim));
-    for (guint i = 0; i < machine->places->len; i++) {
-        rr_placement *place = &g_array_index(machine->places, rr_placement, i);
+    for (guint i = 0; i < machine->placements->len; i++) {
+        rr_placement *place = &g_array_index(machine->placements, rr_placement, i);
         /* Free room has what is over, and what this plan stops, already: counted once more, the
          * same victim made room for two. */
-        if (place->leaving || place->over_at > 0) {
+        if (place->leaving || place->terminated_at > 0) {
             continue;
         }
-        if (place->evict) {
-            *room = rr_res_add(*room, place->job->request, 1);
+        if (place->preempt) {
+            *room = rr_resources_add(*room, place->job->request, 1);
         } else if (may_stop(planner, job, place, owed, nothing)) {
             struct victim victim = {place, slack_of(place, planner->now, planner->wall)};
             g_array_append_val(possible, victim);
@@ -94,13 +95,13 @@
 }
 
 static double loss_of(const struct rr_planner *planner, const struct victim *victim, bool at_once) {
-    const rr_job *job = victim->place->job;
+    const rr_job *job = victim->placement->job;
     bool saves = job->submission.checkpoint_interval_s > 0 && !at_once;
     double loss = VICTIM_LOSS_S;
-    loss += saves ? job->submission.save_s : unsaved_work(victim->place, planner->now);
+    loss += saves ? job->submission.save_s : unsaved_work(victim->placement, planner->now);
     loss += victim->slack < TIGHT_S ? TIGHT_S - victim->slack : 0;
     loss += job->done_count + job->placed_count < job->submission.task_count ? 0 : INTACT_JOB_S;
-    loss += rr_owns_team(planner->c, job->team) ? 0 : FOREIGN_OWNER_S;
+    loss += rr_owns_team(planner->core, job->team) ? 0 : FOREIGN_OWNER_S;
     /* A gang stops whole, and starts anew only when room for all of it is found again. */
     return job->submission.kind == RR_JOB_GANG ? loss * job->submission.task_count : loss;
 }
@@ -115,14 +116,15 @@
 }
 
 /* Adds a victim; of a gang, all that the machine has of it. What they give back goes to *room. */
-static void choose(const GArray *possible, const struct victim *victim, GArray *victims,
-                   rr_res *room) {
-    const rr_job *job = victim->place->job;
+static void choose_victims(const GArray *possible, const struct victim *victim, GArray *victims,
+                           rr_resources *room) {
+    const rr_job *job = victim->placement->job;
     for (guint i = 0; i < possible->len; i++) {
-        rr_placement *place = g_array_index(possible, struct victim, i).place;
-        if (place == victim->place || (job->submission.kind == RR_JOB_GANG && place->job == job)) {
+        rr_placement *place = g_array_index(possible, struct victim, i).placement;
+        if (place == victim->placement ||
+            (job->submission.kind == RR_JOB_GANG && place->job == job)) {
             g_array_append_val(victims, place);
-            *room = rr_res_add(*room, place->job->request, 1);
+            *room = rr_resources_add(*room, place->job->request, 1);
         }
     }
 }
@@ -138,13 +140,13 @@
 static bool must_stop_at_once(const struct rr_planner *planner, const rr_job *job,
                               const rr_machine *machine) {
     const struct rr_objective *aim =
-        rr_objective_for(planner->c, "wait", job->submission.job_class);
+        rr_objective_for(planner->core, "wait", job->submission.job_class);
     if (!aim) {
         return false;
     }
     double left = aim->within_s - (planner->wall - job->accepted_at);
-    for (guint i = 0; i < machine->places->len; i++) {
-        const rr_job *other = g_array_index(machine->places, rr_placement, i).job;
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const rr_job *other = g_array_index(machine->placements, rr_placement, i).job;
         if (other->submission.priority < job->submission.priority &&
             other->submission.save_s + STOP_ROUND_TRIP_S > left) {
             return true;
@@ -158,27 +160,28 @@
     bool gang = job->submission.kind == RR_JOB_GANG;
     bool owed = rr_within_guarantee(planner, job, gang ? job->submission.task_count : tasks);
     bool at_once = must_stop_at_once(planner, job, machine);
-    rr_res room = machine->free, returned = {0, 0, 0};
+    rr_resources room = machine->free, returned = {0, 0, 0};
     GArray *possible = possible_victims(planner, machine, job, owed, &room);
     g_array_set_size(out->victims, 0);
     out->loss = 0;
-    for (guint i = 0; i < possible->len && rr_tasks_in(job->request, room, tasks) < tasks; i++) {
+    for (guint i = 0; i < possible->len && rr_tasks_fitting(job->request, room, tasks) < tasks;
+         i++) {
         const struct victim *victim = &g_array_index(possible, struct victim, i);
-        rr_placement *place = victim->place;
+        rr_placement *place = victim->placement;
         /* Those before it may have brought its team back within its guarantee. */
         if (is_chosen(out->victims, place) || !may_stop(planner, job, place, owed, returned)) {
             continue;
         }
-        returned = rr_res_add(returned, place->job->request, 1);
+        returned = rr_resources_add(returned, place->job->request, 1);
         out->loss += loss_of(planner, victim, at_once);
-        choose(possible, victim, out->victims, &room);
+        choose_victims(possible, victim, out->victims, &room);
     }
     g_array_free(possible, TRUE);
-    return rr_tasks_in(job->request, room, tasks) >= tasks;
+    return rr_tasks_fitting(job->request, room, tasks) >= tasks;
 }
 
 static struct rr_plan_edit *edit_of_victim(struct rr_planner *planner, const rr_placement *victim) {
-    return rr_edit_of(planner, victim->job, victim->chunk);
+    return rr_plan_edit_record(planner, victim->job, victim->chunk);
 }
 
 bool rr_preemption_mark(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
@@ -193,14 +196,14 @@
     for (guint i = 0; i < victims->len; i++) {
         rr_placement *place = g_array_index(victims, rr_placement *, i);
         rr_placement_record *item =
-            rr_edit_item(edit_of_victim(planner, place), place->attempt, place->task);
+            rr_plan_edit_find(edit_of_victim(planner, place), place->attempt, place->task);
         if (item) {
-            item->evict = at_once ? RR_EVICT_AT_ONCE : RR_EVICT_SAVING;
+            item->preempt = at_once ? RR_PREEMPT_AT_ONCE : RR_PREEMPT_SAVING;
         }
         place->leaving = true;
-        rr_plan_use(planner, machine);
-        machine->free = rr_res_add(machine->free, place->job->request, 1);
-        rr_log_at(planner->c, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s",
+        rr_plan_use_machine(planner, machine);
+        machine->free = rr_resources_add(machine->free, place->job->request, 1);
+        rr_log_at(planner->core, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s",
                   place->job->submission.job_id, place->task, machine->name, job->submission.job_id,
                   at_once ? ", unsaved" : "");
     }
@@ -210,15 +213,16 @@
 bool rr_machine_may_take(const struct rr_planner *planner, const rr_machine *machine,
                          const rr_job *job, const bool *allowed) {
     return machine->zone >= 0 && allowed[machine->zone] &&
-           rr_job_allows(planner->c, job, machine->machine_type, machine->zone, machine->spot) &&
-           rr_machine_schedulable(planner->c, machine, planner->now);
+           rr_job_allows(planner->core, job, machine->machine_type, machine->zone, machine->spot) &&
+           rr_machine_schedulable(planner->core, machine, planner->now);
 }
 
 static bool may_take(const struct rr_planner *planner, const rr_machine *machine, const rr_job *job,
-                     const struct rr_choice *choice, bool warm_only) {
-    return machine->places->len > 0 && rr_machine_may_take(planner, machine, job, choice->zones) &&
+                     const struct rr_placement_constraints *choice, bool warm_only) {
+    return machine->placements->len > 0 &&
+           rr_machine_may_take(planner, machine, job, choice->zones) &&
            (!warm_only || rr_machine_has_image(machine, job->image)) &&
-           !(choice->separate && rr_machine_has_task(machine, job));
+           !(choice->distinct_machines && rr_machine_has_task(machine, job));
 }
 
 /* Where a search over machines begins: not always with the same ones. */
@@ -227,8 +231,8 @@
 }
 
 bool rr_preempt_for_task(struct rr_planner *planner, rr_job *job, uint32_t task,
-                         const struct rr_choice *choice, bool warm_only) {
-    rr_core *core = planner->c;
+                         const struct rr_placement_constraints *choice, bool warm_only) {
+    rr_core *core = planner->core;
     rr_machine *best = NULL;
     double least = 0;
     guint count = core->machine_list->len, first = first_compared(core, count), compared = 0;
@@ -248,9 +252,9 @@
         }
     }
     bool booked = best && rr_preemption_find(planner, best, job, 1, &found) &&
-                  rr_booking_record(planner, job, task) &&
+                  rr_reservation_record(planner, job, task) &&
                   rr_preemption_mark(planner, best, job, &found) &&
-                  rr_book(planner, best, job, task);
+                  rr_reserve(planner, best, job, task);
     rr_preemption_clear(&found);
     return booked;
 }
--- a/src/core/preempt.h
+++ b/src/core/preempt.h
@@ -32,6 +32,6 @@
 /* Makes room for one task on the machine where least is lost, and books it there. It starts when
  * the machine shows room. warm_only: only machines that have the job's image. */
 bool rr_preempt_for_task(struct rr_planner *planner, rr_job *job, uint32_t task,
-                         const struct rr_choice *choice, bool warm_only);
+                         const struct rr_placement_constraints *choice, bool warm_only);
 
 #endif
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -20,8 +20,8 @@
  * never sent another command and left the machine out for good. */
 static bool concerns_us(const rr_core *c, const rr_machine *m, bool provisioner) {
     provisioner = provisioner || rr_machine_commands_unanswered(m);
-    for (guint i = 0; !provisioner && i < m->places->len; i++) {
-        const rr_job *j = g_array_index(m->places, rr_placement, i).job;
+    for (guint i = 0; !provisioner && i < m->placements->len; i++) {
+        const rr_job *j = g_array_index(m->placements, rr_placement, i).job;
         if (j->team >= 0 && rr_owns_team(c, j->team)) {
             return true;
         }
@@ -30,12 +30,12 @@
 }
 
 static bool wants_probe(const rr_core *c, const rr_machine *m, double now, bool provisioner) {
-    if (m->scaling_in || !m->addr[0] || m->command_inflight ||
+    if (m->scaling_in || !m->address[0] || m->command_inflight ||
         now - m->probed_at <= PROBE_EVERY_S) {
         return false;
     }
-    bool late =
-        rr_heartbeat_age(m, now) > 1.3 * c->cfg->report_s && (m->heartbeat_seen || m->places->len);
+    bool late = rr_heartbeat_age(m, now) > 1.3 * c->config->heartbeat_interval_s &&
+                (m->heartbeat_seen || m->placements->len);
     bool doubted = m->unanswered >= 2 || now < m->suspect_until;
     /* A report about an unknown machine may be a late copy: a live exchange has to vouch for it. */
     bool stranger = !m->recorded && m->heartbeat_seen && !m->verified && !m->gone;
@@ -47,7 +47,7 @@
  * carries the present token, so that a worker that a deposed controller holds on to learns of it.
  * Those asked longest ago come first. */
 void rr_probe_overdue_machines(struct rr_planner *p) {
-    rr_core *c = p->c;
+    rr_core *c = p->core;
     if (p->now - c->probe_at < PROBE_LOOK_S) {
         return;
     }
@@ -66,15 +66,15 @@
     g_ptr_array_sort(late, by_probed);
     for (guint i = 0; i < late->len && c->probing < PROBES_MAX; i++) {
         rr_machine *m = g_ptr_array_index(late, i);
-        if (m->plan_do || (m->zone >= 0 && rr_zone_partitioned(c, m->zone) &&
-                           in_cut[m->zone]++ >= PROBES_IN_CUT)) {
+        if (m->plan_commands || (m->zone >= 0 && rr_zone_partitioned(c, m->zone) &&
+                                 in_cut[m->zone]++ >= PROBES_IN_CUT)) {
             continue;
         }
         m->probed_at = p->now;
         m->command_inflight = true;
         rr_command_batch *d = rr_plan_command_batch(p, m);
-        d->doubtful = true;
-        m->plan_do = NULL;
+        d->may_time_out = true;
+        m->plan_commands = NULL;
         c->probing++;
     }
     g_ptr_array_free(late, TRUE);
@@ -95,7 +95,7 @@
 void rr_core_suspect(rr_core *c, const char *machine, double now) {
     rr_machine *m = g_hash_table_lookup(c->machines, machine);
     if (m) {
-        m->suspect_until = now + 2 * c->cfg->report_s;
+        m->suspect_until = now + 2 * c->config->heartbeat_interval_s;
     }
 }
 
@@ -103,7 +103,8 @@
 void rr_core_list_suspects(rr_core *c, double now, GPtrArray *out) {
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        if (m->unanswered >= 2 && m->recorded && now - m->heartbeat_at < 2 * c->cfg->report_s) {
+        if (m->unanswered >= 2 && m->recorded &&
+            now - m->heartbeat_at < 2 * c->config->heartbeat_interval_s) {
             g_ptr_array_add(out, g_strdup(m->name));
         }
     }
@@ -137,7 +138,7 @@
         return;
     }
     m->command_inflight = false;
-    rr_touch(c, m);
+    rr_mark_dirty(c, m);
     if (probe) {
         probe_result(c, m, now, outcome == RR_COMMAND_ANSWERED);
         return;
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -43,7 +43,7 @@
 bool rr_recently_gone(const rr_core *c, const char *name, double now) {
     const double *at = g_hash_table_lookup(c->gone, name);
     /* Lists lag up to twice their usual lag and a dead machine stays listed for half a minute. */
-    return at && now - *at < 3 * c->cfg->list_lag_s + 40;
+    return at && now - *at < 3 * c->config->list_lag_s + 40;
 }
 
 static void see_listed(rr_core *c, const rr_listed_machine *s, double asked_at, double now,
@@ -70,8 +70,8 @@
         m->zone = rr_name_index_add(&c->zones, s->zone);
         m->spot = s->spot;
     }
-    if (!m->addr[0]) {
-        g_strlcpy(m->addr, s->addr, sizeof m->addr);
+    if (!m->address[0]) {
+        g_strlcpy(m->address, s->address, sizeof m->address);
     }
     if (!m->listed) {
         m->listed = true;
@@ -83,7 +83,7 @@
 /* Missing from a list taken more than twice the lag after it was first listed (three times, if it
  * never was): gone. A machine listed once stays listed until it is gone. */
 static bool missing_is_gone(const rr_core *c, const rr_machine *m, double asked_at) {
-    double lag = c->cfg->list_lag_s;
+    double lag = c->config->list_lag_s;
     return m->listed ? asked_at > m->listed_at + 2 * lag + 1
                      : asked_at > fmax(m->known_at, c->provisioner_since) + 3 * lag + 10;
 }
@@ -175,7 +175,7 @@
             m->list_failed = true; /* gone with everything on it: the record may go */
             rr_log_at(c, RR_LOG_DEBUG, "machine %s is returned after %.0f s", id,
                       now - m->known_at);
-        } else if (m && m->places->len == 0) {
+        } else if (m && m->placements->len == 0) {
             /* With places it stays as a name until the ledger has none: a provisioner ended when a
              * machine was listed as failed, lost its record and was then released as a stray. */
             rr_machine_forget(c, m);
@@ -201,7 +201,7 @@
                 over = over && ((m && m->recorded) || rr_recently_gone(c, id, now));
             }
         }
-        if (over && (int)out->transaction.changes->len < rr_transaction_changes_max(c->cfg)) {
+        if (over && (int)out->transaction.changes->len < rr_transaction_changes_max(c->config)) {
             rr_rental_key(h->name, key, sizeof key);
             rr_transaction_guard(&out->transaction, key, h->version);
             rr_transaction_delete(&out->transaction, key);
@@ -225,7 +225,7 @@
 static bool record_machine_types(rr_core *c, rr_autoscaler_step *out) {
     for (guint i = 0; i < c->fresh_builds->len; i++) {
         const rr_machine_type *b = &g_array_index(c->fresh_builds, rr_machine_type, i);
-        if ((int)out->transaction.changes->len < rr_transaction_changes_max(c->cfg) &&
+        if ((int)out->transaction.changes->len < rr_transaction_changes_max(c->config) &&
             !same_machine_type(
                 rr_machine_type_at(c, rr_name_index_find(&c->machine_types, b->name)), b)) {
             char key[RR_ID + 32];
@@ -258,7 +258,7 @@
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         /* What an owner booked there meanwhile is not thrown away; a dead machine goes as it is. */
-        bool empty = m->places->len == 0 && now - m->scaling_in_at > RETURN_WAIT_S;
+        bool empty = m->placements->len == 0 && now - m->scaling_in_at > RETURN_WAIT_S;
         if (m->recorded && m->scaling_in && m->to_release && !m->list_failed &&
             (empty || m->declared_dead) && out->machines->len < 100) {
             g_ptr_array_add(out->machines, g_strdup(m->name));
@@ -298,7 +298,7 @@
 static const char *trouble_of(rr_core *c, const rr_machine *m, double now, double wall) {
     const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
     double boot = b && b->startup_s > 0 ? b->startup_s : 60;
-    bool empty = m->places->len == 0;
+    bool empty = m->placements->len == 0;
     if (rr_machine_dead(c, m, now)) {
         return "dead or hung";
     }
@@ -327,21 +327,21 @@
         return;
     }
     const char *why = trouble_of(c, m, now, wall);
-    bool empty = m->places->len == 0;
+    bool empty = m->placements->len == 0;
     if (m->to_release && !why && !empty && rr_machine_heartbeat_recent(c, m, now) &&
         !m->releasing) {
         m->to_release = m->declared_dead = false; /* it speaks again, or was idle, and has work */
         return;
     }
     bool idle = m->surplus && empty && !m->operator_owned &&
-                now - m->idle_since > c->cfg->tune.idle_return_s && wall - m->created_at > 60;
+                now - m->idle_since > c->config->tuning.idle_return_s && wall - m->created_at > 60;
     if (m->to_release || m->scaling_in || !(why || idle)) {
         return;
     }
     m->to_release = true;
     m->declared_dead = why && !empty;
     c->given_up++;
-    rr_log_at(c, RR_LOG_DEBUG, "give up %s (%u tasks): %s", m->name, m->places->len,
+    rr_log_at(c, RR_LOG_DEBUG, "give up %s (%u tasks): %s", m->name, m->placements->len,
               why ? why : "idle");
 }
 void rr_review_machines(rr_core *c, double now, double wall) {
@@ -362,7 +362,7 @@
         m->to_release =
             m->scaling_in; /* what was to go back goes, unless it is judged to have work */
         m->declared_dead =
-            m->scaling_in && m->places->len > 0 && !rr_machine_heartbeat_recent(c, m, now);
+            m->scaling_in && m->placements->len > 0 && !rr_machine_heartbeat_recent(c, m, now);
         m->probe_fails = 0;
         m->failed_suspect_probes = 0;
     }
@@ -395,7 +395,7 @@
         out->kind = RR_AUTOSCALER_SCALE_OUT;
     } else if (step_release(c, now, out)) {
         out->kind = RR_AUTOSCALER_SCALE_IN;
-    } else if (c->list_at == 0 || now - c->list_at > c->cfg->tune.cloud_list_s) {
+    } else if (c->list_at == 0 || now - c->list_at > c->config->tuning.cloud_list_s) {
         c->list_at = now;
         out->kind = RR_AUTOSCALER_LIST;
     }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -10,11 +10,11 @@
 #define WANTED_MAX 5000    /* tasks of one job for which room is looked for at a time */
 #define START_STOCK_S 20.0 /* jobs that came so soon after the first term were there before */
 
-struct rent {
+struct planned_rental {
     int machine_type, zone;
     bool spot;
     int count;
-    rr_res room; /* of the newest */
+    rr_resources room; /* of the newest */
 };
 
 static bool is_refused(rr_core *c, const char *build, const char *zone, bool spot, double now) {
@@ -31,7 +31,7 @@
         return false;
     }
     if (!m->heartbeat_seen) {
-        return now - m->known_at < c->cfg->tune.boot_patience * b->startup_s + 5;
+        return now - m->known_at < c->config->tuning.boot_patience * b->startup_s + 5;
     }
     return rr_machine_schedulable(c, m, now) ||
            (rr_machine_heartbeat_recent(c, m, now) && m->heartbeat.spot_notice_s < 0 &&
@@ -40,24 +40,26 @@
 
 /* One simulation: what waits is put on paper onto the machines there are, then onto machines to
  * rent. */
-struct sim {
-    rr_core *c;
+struct demand_simulation {
+    rr_core *core;
     double now, wall;
-    GArray *rents;    /* struct rent */
+    GArray *rentals;  /* struct rent */
     GPtrArray *roomy; /* rr_machine*: with room left, cheapest and fullest first */
     guint *in_zone;   /* machines by zone, with those to rent */
 };
 
 static bool roomy(const rr_core *c, const rr_machine *m) {
-    return rr_res_room(m->free, rr_machine_cap(c, m)) > RR_EPS;
+    return rr_resources_free_share(m->free, rr_machine_cap(c, m)) > RR_EPS;
 }
 
 static const rr_core *sort_core; /* qsort has no argument; the core is one call at a time */
 
 static gint by_cost(gconstpointer a, gconstpointer b) {
     const rr_machine *x = *(rr_machine *const *)a, *y = *(rr_machine *const *)b;
-    double cx = rr_machine_price(sort_core, x) * rr_res_room(x->free, rr_machine_cap(sort_core, x));
-    double cy = rr_machine_price(sort_core, y) * rr_res_room(y->free, rr_machine_cap(sort_core, y));
+    double cx = rr_machine_price(sort_core, x) *
+                rr_resources_free_share(x->free, rr_machine_cap(sort_core, x));
+    double cy = rr_machine_price(sort_core, y) *
+                rr_resources_free_share(y->free, rr_machine_cap(sort_core, y));
     if (fabs(cx - cy) > 1e-9) {
         return cx < cy ? -1 : 1;
     }
@@ -65,8 +67,8 @@
 }
 
 /* The machines that have room on paper, as the paper's choice would take them. */
-static void sort_roomy(struct sim *s) {
-    rr_core *c = s->c;
+static void sort_roomy(struct demand_simulation *s) {
+    rr_core *c = s->core;
     g_ptr_array_set_size(s->roomy, 0);
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
@@ -81,9 +83,9 @@
 
 /* Puts up to n tasks of the job on machines there are, so many on each at most; returns how many
  * found no room. */
-static uint32_t fill_machines(struct sim *s, const rr_job *j, const bool *zones, uint32_t n,
-                              uint32_t each) {
-    rr_core *c = s->c;
+static uint32_t fill_machines(struct demand_simulation *s, const rr_job *j, const bool *zones,
+                              uint32_t n, uint32_t each) {
+    rr_core *c = s->core;
     guint kept = 0;
     guint i = 0;
     for (; i < s->roomy->len && n > 0; i++) {
@@ -91,8 +93,8 @@
         c->visits++;
         if (m->zone >= 0 && zones[m->zone] &&
             rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
-            uint32_t k = rr_tasks_in(j->request, m->free, MIN(n, each));
-            m->free = rr_res_add(m->free, j->request, -(double)k);
+            uint32_t k = rr_tasks_fitting(j->request, m->free, MIN(n, each));
+            m->free = rr_resources_add(m->free, j->request, -(double)k);
             m->surplus = m->surplus && k == 0;
             n -= k;
         }
@@ -109,28 +111,28 @@
 
 /* A place where a machine could be rented for a task. */
 struct offer {
-    struct rent rent;
+    struct planned_rental rental;
     double price;  /* of the task's share of the machine */
     guint in_zone; /* machines of the zone, with those to rent */
 };
 
 static bool better_offer(const struct offer *a, const struct offer *b) {
-    if (b->rent.machine_type < 0 || a->price < b->price - 1e-9) {
+    if (b->rental.machine_type < 0 || a->price < b->price - 1e-9) {
         return true;
     }
     return a->price < b->price + 1e-9 && a->in_zone < b->in_zone;
 }
 
 /* The machine type's cheapest offer for the task, if it is better than *best. */
-static void consider_machine_type(const struct sim *s, const rr_job *j, const bool *zones,
-                                  int build, struct offer *best) {
-    rr_core *c = s->c;
+static void consider_machine_type(const struct demand_simulation *s, const rr_job *j,
+                                  const bool *zones, int build, struct offer *best) {
+    rr_core *c = s->core;
     const rr_machine_type *b = rr_machine_type_at(c, build);
-    rr_res cap = b ? (rr_res){b->cpus, b->gpus, b->mem_gb} : (rr_res){0, 0, 0};
-    if (!b || !rr_res_fits(j->request, cap)) {
+    rr_resources cap = b ? (rr_resources){b->cpus, b->gpus, b->mem_gb} : (rr_resources){0, 0, 0};
+    if (!b || !rr_resources_fit(j->request, cap)) {
         return;
     }
-    double share = 1 - rr_res_room(rr_res_add(cap, j->request, -1), cap);
+    double share = 1 - rr_resources_free_share(rr_resources_add(cap, j->request, -1), cap);
     for (guint i = 0; i < 2 * b->zones->len; i++) {
         int w = rr_name_index_find(&c->zones, g_ptr_array_index(b->zones, i / 2));
         bool spot = i % 2 == 1;
@@ -147,9 +149,10 @@
 }
 
 /* One machine more of this type, zone and kind is to be rented. */
-static struct rent *add_rental(struct sim *s, const struct rent *rent) {
-    for (guint i = 0; i < s->rents->len; i++) {
-        struct rent *r = &g_array_index(s->rents, struct rent, i);
+static struct planned_rental *add_rental(struct demand_simulation *s,
+                                         const struct planned_rental *rent) {
+    for (guint i = 0; i < s->rentals->len; i++) {
+        struct planned_rental *r = &g_array_index(s->rentals, struct planned_rental, i);
         if (r->machine_type == rent->machine_type && r->zone == rent->zone &&
             r->spot == rent->spot) {
             r->count++;
@@ -157,32 +160,34 @@
             return r;
         }
     }
-    g_array_append_val(s->rents, *rent);
-    struct rent *added = &g_array_index(s->rents, struct rent, s->rents->len - 1);
+    g_array_append_val(s->rentals, *rent);
+    struct planned_rental *added =
+        &g_array_index(s->rentals, struct planned_rental, s->rentals->len - 1);
     added->count = 1;
     return added;
 }
 
 /* The cheapest place that would take the task, per task that fits; between equals the zone with
  * fewest machines. */
-static struct rent *plan_rental_for(struct sim *s, const rr_job *j, const bool *zones) {
-    struct offer best = {.rent = {.machine_type = -1}};
-    for (guint build = 0; build < s->c->build_info->len; build++) {
+static struct planned_rental *plan_rental_for(struct demand_simulation *s, const rr_job *j,
+                                              const bool *zones) {
+    struct offer best = {.rental = {.machine_type = -1}};
+    for (guint build = 0; build < s->core->build_info->len; build++) {
         consider_machine_type(s, j, zones, (int)build, &best);
     }
-    if (best.rent.machine_type < 0) {
+    if (best.rental.machine_type < 0) {
         return NULL;
     }
-    s->in_zone[best.rent.zone]++;
-    return add_rental(s, &best.rent);
+    s->in_zone[best.rental.zone]++;
+    return add_rental(s, &best.rental);
 }
 
-static bool fill_planned_rentals(struct sim *s, const rr_job *j, const bool *zones) {
-    for (guint i = 0; i < s->rents->len; i++) {
-        struct rent *r = &g_array_index(s->rents, struct rent, i);
-        if (zones[r->zone] && rr_job_allows(s->c, j, r->machine_type, r->zone, r->spot) &&
-            rr_res_fits(j->request, r->room)) {
-            r->room = rr_res_add(r->room, j->request, -1);
+static bool fill_planned_rentals(struct demand_simulation *s, const rr_job *j, const bool *zones) {
+    for (guint i = 0; i < s->rentals->len; i++) {
+        struct planned_rental *r = &g_array_index(s->rentals, struct planned_rental, i);
+        if (zones[r->zone] && rr_job_allows(s->core, j, r->machine_type, r->zone, r->spot) &&
+            rr_resources_fit(j->request, r->room)) {
+            r->room = rr_resources_add(r->room, j->request, -1);
             return true;
         }
     }
@@ -191,18 +196,18 @@
 
 /* Finds room for n more tasks: on machines there are, or on machines to rent. A job spread over
  * zones rents in turn where it may still go. */
-static void demand(struct sim *s, const rr_job *j, bool *zones, uint32_t n, uint32_t each,
-                   bool may_rent) {
+static void demand(struct demand_simulation *s, const rr_job *j, bool *zones, uint32_t n,
+                   uint32_t each, bool may_rent) {
     n = fill_machines(s, j, zones, n, each);
     for (; may_rent && n > 0; n--) {
         if (fill_planned_rentals(s, j, zones)) {
             continue;
         }
-        struct rent *r = plan_rental_for(s, j, zones);
+        struct planned_rental *r = plan_rental_for(s, j, zones);
         if (!r) {
             return;
         }
-        r->room = rr_res_add(r->room, j->request, -1);
+        r->room = rr_resources_add(r->room, j->request, -1);
     }
 }
 
@@ -233,9 +238,9 @@
     }
     for (guint i = 0; i < c->machine_list->len; i++) {
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        for (guint k = 0; k < m->places->len && (m->gone || (m->to_release && m->declared_dead));
-             k++) {
-            const rr_placement *p = &g_array_index(m->places, rr_placement, k);
+        for (guint k = 0;
+             k < m->placements->len && (m->gone || (m->to_release && m->declared_dead)); k++) {
+            const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
             p->job->lost_count += !rr_job_task_done(p->job, p->task);
         }
     }
@@ -243,9 +248,9 @@
 
 /* Room for a gang in one zone is of no use in pieces over several: the zone in which most of it
  * fits now, or else any one of those allowed. */
-static void one_zone(struct sim *s, const rr_job *j, bool *zones) {
-    rr_core *c = s->c;
-    int best = rr_zone_most_room(c, j, zones, s->now);
+static void one_zone(struct demand_simulation *s, const rr_job *j, bool *zones) {
+    rr_core *c = s->core;
+    int best = rr_zone_with_most_room(c, j, zones, s->now);
     for (guint w = 0; w < c->zones.names->len; w++) {
         best = best < 0 && zones[w] ? (int)w : best;
         zones[w] = (int)w == best;
@@ -256,10 +261,10 @@
  * than can be rented soon. */
 static uint32_t wanted_tasks(const rr_core *c, const rr_job *j) {
     if (!j->version || j->cancelled || j->done || rr_job_away(c, j) ||
-        rr_job_of_another_cell(c, j) || j->team < 0 || (size_t)j->team >= c->cfg->nteams) {
+        rr_job_of_another_cell(c, j) || j->team < 0 || (size_t)j->team >= c->config->team_count) {
         return 0;
     }
-    const struct rr_team_config *t = &c->cfg->teams[j->team];
+    const struct rr_team_config *t = &c->config->teams[j->team];
     uint32_t n = MIN(j->submission.task_count - j->done_count - j->placed_count + j->lost_count,
                      j->submission.task_count - j->done_count);
     n = MIN(n, WANTED_MAX);
@@ -272,8 +277,8 @@
     return n;
 }
 
-static void demand_waiting(struct sim *s) {
-    const rr_core *c = s->c;
+static void demand_waiting(struct demand_simulation *s) {
+    const rr_core *c = s->core;
     count_lost(c);
     for (guint i = 0; i < c->open->len; i++) {
         const rr_job *j = g_ptr_array_index(c->open, i);
@@ -296,14 +301,14 @@
 static void credit_preemptible(rr_core *c, const rr_job *j, double within_s, double now) {
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        for (guint k = 0; k < m->places->len && counts(c, m, now); k++) {
-            const rr_placement *p = &g_array_index(m->places, rr_placement, k);
+        for (guint k = 0; k < m->placements->len && counts(c, m, now); k++) {
+            const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
             const rr_submission *v = &p->job->submission;
             if (v->kind == RR_JOB_ARRAY && v->priority < j->submission.priority &&
                 j->submission.priority > RR_PRIORITY_STANDARD && v->checkpoint_interval_s > 0 &&
                 v->save_s + 1 <= within_s &&
                 rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
-                m->free = rr_res_add(m->free, p->job->request, 1);
+                m->free = rr_resources_add(m->free, p->job->request, 1);
             }
         }
     }
@@ -336,12 +341,12 @@
 }
 
 /* Room kept for a class with an aim on its start: what arrives while a machine boots. */
-static void demand_headroom(struct sim *s) {
-    rr_core *c = s->c;
+static void demand_headroom(struct demand_simulation *s) {
+    rr_core *c = s->core;
     rr_arrivals_trim(c, s->wall);
     double span = fmin(RR_ARRIVALS_S, fmax(60, s->wall - c->term.first_term_at));
-    for (size_t i = 0; i < c->cfg->nobjectives; i++) {
-        const struct rr_objective *o = &c->cfg->objectives[i];
+    for (size_t i = 0; i < c->config->objective_count; i++) {
+        const struct rr_objective *o = &c->config->objectives[i];
         const rr_job *last;
         if (strcmp(o->kind, "wait") != 0) {
             continue;
@@ -351,7 +356,7 @@
             continue;
         }
         double mean = tasks / span * (1.2 * longest_boot(c) + 10);
-        int n = (int)ceil(c->cfg->tune.headroom * (mean + sqrt(mean)));
+        int n = (int)ceil(c->config->tuning.headroom * (mean + sqrt(mean)));
         bool zones[c->zones.names->len + 1];
         for (guint w = 0; w < c->zones.names->len; w++) {
             zones[w] = !last->submission.zone[0] ||
@@ -364,7 +369,7 @@
 }
 
 /* Machines asked for and not yet recorded, of this type, zone and kind. */
-static int pending_for(const rr_core *c, const struct rent *r) {
+static int pending_for(const rr_core *c, const struct planned_rental *r) {
     GHashTableIter it;
     gpointer v;
     int n = 0;
@@ -379,7 +384,7 @@
     return n;
 }
 
-static void put_intent(rr_core *c, const struct rent *r, int n, rr_autoscaler_step *out) {
+static void put_intent(rr_core *c, const struct planned_rental *r, int n, rr_autoscaler_step *out) {
     char name[RR_ID], key[RR_ID + 32];
     rr_encoder o;
     /* A request's name is never used again: token, counter. */
@@ -399,10 +404,10 @@
 /* Intents for what is to be rented, less what is under way. */
 static void put_intents(rr_core *c, const GArray *rents, rr_autoscaler_step *out) {
     for (guint i = 0; i < rents->len; i++) {
-        const struct rent *r = &g_array_index(rents, struct rent, i);
+        const struct planned_rental *r = &g_array_index(rents, struct planned_rental, i);
         int left = r->count - pending_for(c, r);
         while (left > 0 &&
-               (int)out->transaction.changes->len < rr_transaction_changes_max(c->cfg) &&
+               (int)out->transaction.changes->len < rr_transaction_changes_max(c->config) &&
                g_hash_table_size(c->rentals) + out->transaction.changes->len < RENTALS_MAX) {
             int n = MIN(left, RENTAL_MAX);
             put_intent(c, r, n, out);
@@ -418,9 +423,13 @@
     c->sim_at = now;
     guint in_zone[c->zones.names->len + 1];
     memset(in_zone, 0, sizeof in_zone);
-    struct sim s = {
-        c, now, wall, g_array_new(FALSE, FALSE, sizeof(struct rent)), g_ptr_array_new(), in_zone};
-    rr_sim_reset(c);
+    struct demand_simulation s = {c,
+                                  now,
+                                  wall,
+                                  g_array_new(FALSE, FALSE, sizeof(struct planned_rental)),
+                                  g_ptr_array_new(),
+                                  in_zone};
+    rr_reset_free_resources(c);
     for (guint i = 0; i < c->machine_list->len; i++) {
         rr_machine *m = g_ptr_array_index(c->machine_list, i);
         m->surplus = true;
@@ -430,8 +439,8 @@
     demand_waiting(&s);
     demand_headroom(&s);
     rr_review_machines(c, now, wall);
-    put_intents(c, s.rents, out);
-    g_array_free(s.rents, TRUE);
+    put_intents(c, s.rentals, out);
+    g_array_free(s.rentals, TRUE);
     g_ptr_array_free(s.roomy, TRUE);
     return out->transaction.changes->len > 0;
 }
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -8,7 +8,7 @@
 
 /* Pages that change in this step: id -> GPtrArray of the machines they will have. */
 struct pages {
-    rr_core *c;
+    rr_core *core;
     GHashTable *changed;
     int room; /* pages that the transaction takes yet */
 };
@@ -21,8 +21,8 @@
     return n;
 }
 
-static double page_most(const rr_core *c) {
-    return rr_value_kb_max(c->cfg) * 1024 - 128;
+static double page_bytes_max(const rr_core *c) {
+    return rr_value_kb_max(c->config) * 1024 - 128;
 }
 
 /* NULL: not in this step, or not before the page is parted. */
@@ -32,16 +32,16 @@
         return list;
     }
     list = g_ptr_array_new();
-    for (guint i = 0; i < p->c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(p->c->machine_list, i);
+    for (guint i = 0; i < p->core->machine_list->len; i++) {
+        rr_machine *m = g_ptr_array_index(p->core->machine_list, i);
         if (m->recorded && m->page == id) {
             g_ptr_array_add(list, m);
         }
     }
     /* Only where it will be parted. A page grows a little as addresses come to be known: where no
      * lower limit is to come it was left alone for good, and none of its machines went back. */
-    if (rr_value_kb_max(p->c->cfg) < p->c->cfg->value_kb &&
-        (double)page_bytes(p->c, list) > page_most(p->c)) {
+    if (rr_value_kb_max(p->core->config) < p->core->config->value_kb &&
+        (double)page_bytes(p->core, list) > page_bytes_max(p->core)) {
         g_ptr_array_free(list, TRUE);
         return NULL;
     }
@@ -54,14 +54,14 @@
  * written to a new page first; once the mirror shows them there the old one is written without
  * them. No reader, of whatever version, sees any of them in no page, which would say that it has
  * gone; and a full read, in the order of the keys, finds them in the new one last. */
-static void part_page(struct pages *p, uint32_t id) {
+static void split_page(struct pages *p, uint32_t id) {
     GPtrArray *moved = g_ptr_array_new();
     size_t left = 64, taken = 64;
-    for (guint i = 0; i < p->c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(p->c->machine_list, i);
-        size_t bytes = m->recorded && m->page == id ? rr_machine_page_entry_bytes(p->c, m) : 0;
-        if (bytes > 0 && (double)(left + bytes) > 0.75 * page_most(p->c)) {
-            if ((double)(taken + bytes) <= page_most(p->c)) {
+    for (guint i = 0; i < p->core->machine_list->len; i++) {
+        rr_machine *m = g_ptr_array_index(p->core->machine_list, i);
+        size_t bytes = m->recorded && m->page == id ? rr_machine_page_entry_bytes(p->core, m) : 0;
+        if (bytes > 0 && (double)(left + bytes) > 0.75 * page_bytes_max(p->core)) {
+            if ((double)(taken + bytes) <= page_bytes_max(p->core)) {
                 g_ptr_array_add(moved, m);
                 taken += bytes;
             }
@@ -69,19 +69,19 @@
             left += bytes;
         }
     }
-    g_hash_table_insert(p->changed, GUINT_TO_POINTER(p->c->next_page++), moved);
+    g_hash_table_insert(p->changed, GUINT_TO_POINTER(p->core->next_page++), moved);
     p->room--;
 }
 
 struct page_count {
-    guint n;
+    guint count;
     size_t bytes;
 };
 
 /* Pages too large to be written again are parted; those that still name machines which are in
  * another page by now are written anew. */
 static void part_pages(struct pages *p) {
-    const rr_core *c = p->c;
+    const rr_core *c = p->core;
     GHashTable *counts = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     GHashTableIter it;
     gpointer k, v;
@@ -94,16 +94,16 @@
             g_hash_table_insert(counts, GUINT_TO_POINTER(m->page), n);
         }
         if (m->recorded) {
-            n->n++;
+            n->count++;
             n->bytes += rr_machine_page_entry_bytes(c, m);
         }
     }
     g_hash_table_iter_init(&it, c->pages);
     while (p->room > 0 && g_hash_table_iter_next(&it, &k, &v)) {
         const struct page_count *n = g_hash_table_lookup(counts, k);
-        if (n && (double)n->bytes > page_most(c)) {
-            part_page(p, GPOINTER_TO_UINT(k));
-        } else if (((const rr_machine_page *)v)->entry_count > (n ? n->n : 0)) {
+        if (n && (double)n->bytes > page_bytes_max(c)) {
+            split_page(p, GPOINTER_TO_UINT(k));
+        } else if (((const rr_machine_page *)v)->entry_count > (n ? n->count : 0)) {
             change_page(p, GPOINTER_TO_UINT(k));
         }
     }
@@ -115,24 +115,24 @@
 /* The page that takes one machine more: one that changes anyway, else any with room, else a new
  * one. NULL: not in this step. */
 static GPtrArray *page_with_room(struct pages *p, const rr_machine *m) {
-    double most = page_most(p->c);
-    size_t need = rr_machine_page_entry_bytes(p->c, m);
+    double most = page_bytes_max(p->core);
+    size_t need = rr_machine_page_entry_bytes(p->core, m);
     GHashTableIter it;
     gpointer k, v;
     g_hash_table_iter_init(&it, p->changed);
     while (g_hash_table_iter_next(&it, &k, &v)) {
-        if ((double)(page_bytes(p->c, v) + need) <= most) {
+        if ((double)(page_bytes(p->core, v) + need) <= most) {
             return v;
         }
     }
-    g_hash_table_iter_init(&it, p->c->pages);
+    g_hash_table_iter_init(&it, p->core->pages);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         if (!g_hash_table_contains(p->changed, k) &&
             (double)(64 + ((rr_machine_page *)v)->bytes + need) <= most) {
             return change_page(p, GPOINTER_TO_UINT(k));
         }
     }
-    return change_page(p, p->c->next_page++);
+    return change_page(p, p->core->next_page++);
 }
 
 static bool to_record(const rr_core *c, const rr_machine *m, double now) {
@@ -141,9 +141,9 @@
     }
     /* One that only reports have told of: a late copy of a report creates nothing, so it has to
      * answer us first. */
-    return m->to_record ||
-           (m->heartbeat_seen && m->verified && c->list_read &&
-            now - m->heartbeat_at < 2 * c->cfg->report_s && !rr_recently_gone(c, m->name, now));
+    return m->to_record || (m->heartbeat_seen && m->verified && c->list_read &&
+                            now - m->heartbeat_at < 2 * c->config->heartbeat_interval_s &&
+                            !rr_recently_gone(c, m->name, now));
 }
 
 static void record_machine(struct pages *p, rr_machine *m, double now, double wall) {
@@ -154,10 +154,10 @@
         }
     } else if (m->recorded && m->to_release != m->scaling_in) {
         change_page(p, m->page); /* written with the new flag; the mirror follows */
-    } else if (to_record(p->c, m, now) && (list = page_with_room(p, m))) {
+    } else if (to_record(p->core, m, now) && (list = page_with_room(p, m))) {
         m->created_at = m->created_at > 0 ? m->created_at : wall;
         g_ptr_array_add(list, m);
-        rr_log_at(p->c, RR_LOG_DEBUG, "record %s (%s)", m->name,
+        rr_log_at(p->core, RR_LOG_DEBUG, "record %s (%s)", m->name,
                   m->operator_owned ? "standing" : "rented");
     }
 }
@@ -168,12 +168,12 @@
     char key[RR_ID];
     GHashTableIter it;
     gpointer k, v;
-    int most = (int)(TXN_KB / rr_value_kb_max(c->cfg));
-    most = most < 1                                    ? 1
-           : most > rr_transaction_changes_max(c->cfg) ? rr_transaction_changes_max(c->cfg)
-                                                       : most;
+    int most = (int)(TXN_KB / rr_value_kb_max(c->config));
+    most = most < 1                                       ? 1
+           : most > rr_transaction_changes_max(c->config) ? rr_transaction_changes_max(c->config)
+                                                          : most;
     struct pages p = {c, g_hash_table_new(NULL, NULL), most < PAGES_MAX ? most : PAGES_MAX};
-    if (rr_value_kb_max(c->cfg) < c->cfg->value_kb && now - c->parted_at > PART_EVERY_S) {
+    if (rr_value_kb_max(c->config) < c->config->value_kb && now - c->parted_at > PART_EVERY_S) {
         c->parted_at = now;
         part_pages(&p);
     }
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -11,25 +11,26 @@
 /* ---- orders ---- */
 
 rr_command_batch *rr_plan_command_batch(struct rr_planner *p, rr_machine *m) {
-    if (m->plan_do) {
-        return m->plan_do;
+    if (m->plan_commands) {
+        return m->plan_commands;
     }
     rr_command_batch *d = g_new0(rr_command_batch, 1);
     g_strlcpy(d->machine, m->name, sizeof d->machine);
-    g_strlcpy(d->addr, m->addr, sizeof d->addr);
-    d->fencing_token = p->c->term.token;
+    g_strlcpy(d->address, m->address, sizeof d->address);
+    d->fencing_token = p->core->term.token;
     d->worker_epoch = m->heartbeat.worker_epoch;
     d->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
     d->fallback = m->heard_via;
     d->via = m->heard_via >= 0 && p->now < m->direct_path_bad_until ? m->heard_via : -1;
-    d->doubtful = m->unanswered > 0 || rr_heartbeat_age(m, p->now) > 1.3 * p->c->cfg->report_s;
-    m->plan_do = d;
-    g_ptr_array_add(p->out->command_batches, d);
+    d->may_time_out = m->unanswered > 0 ||
+                      rr_heartbeat_age(m, p->now) > 1.3 * p->core->config->heartbeat_interval_s;
+    m->plan_commands = d;
+    g_ptr_array_add(p->plan->command_batches, d);
     return d;
 }
 
-static void order(struct rr_planner *p, rr_machine *m, enum rr_command_kind verb, const char *ref,
-                  uint32_t task, uint64_t attempt, double grace_s) {
+static void add_command(struct rr_planner *p, rr_machine *m, enum rr_command_kind verb,
+                        const char *ref, uint32_t task, uint64_t attempt, double grace_s) {
     rr_command o = {.kind = verb, .task = task, .attempt = attempt, .grace_s = grace_s};
     g_strlcpy(o.job_id, ref, sizeof o.job_id);
     g_array_append_val(rr_plan_command_batch(p, m)->commands, o);
@@ -52,8 +53,8 @@
 /* ---- what a placement needs ---- */
 
 static bool older_in(const rr_ledger_record *r, const rr_placement *pl) {
-    for (guint i = 0; i < r->items->len; i++) {
-        const rr_placement_record *it = &g_array_index(r->items, rr_placement_record, i);
+    for (guint i = 0; i < r->placements->len; i++) {
+        const rr_placement_record *it = &g_array_index(r->placements, rr_placement_record, i);
         if (it->task == pl->task && it->attempt < pl->attempt) {
             return true;
         }
@@ -68,11 +69,11 @@
     if (!j->placed || pl->task >= j->submission.task_count || j->placed[pl->task] < 2) {
         return false;
     }
-    if (older_in(rr_job_ledger_record(j, pl->task / j->per), pl)) {
+    if (older_in(rr_job_ledger_record(j, pl->task / j->tasks_per_record), pl)) {
         return true;
     }
-    for (guint n = rr_job_chunks(j); n < j->runs->len; n++) { /* overflow records */
-        const rr_ledger_record *r = g_ptr_array_index(j->runs, n);
+    for (guint n = rr_job_chunks(j); n < j->records->len; n++) { /* overflow records */
+        const rr_ledger_record *r = g_ptr_array_index(j->records, n);
         if (r && older_in(r, pl)) {
             return true;
         }
@@ -82,26 +83,27 @@
 
 static bool unwanted(const struct rr_planner *p, const rr_machine *m, const rr_placement *pl) {
     bool saving;
-    if (pl->job->submission.kind == RR_JOB_GANG && rr_gang_stops(p->c, pl->job, p->now, &saving)) {
+    if (pl->job->submission.kind == RR_JOB_GANG &&
+        rr_gang_stops(p->core, pl->job, p->now, &saving)) {
         return true;
     }
-    return pl->job->cancelled || rr_job_revoked(p->c, pl->job) ||
-           rr_job_task_done(pl->job, pl->task) || pl->evict || m->heartbeat.spot_notice_s >= 0;
+    return pl->job->cancelled || rr_job_revoked(p->core, pl->job) ||
+           rr_job_task_done(pl->job, pl->task) || pl->preempt || m->heartbeat.spot_notice_s >= 0;
 }
 
 /* Time to save: what the aim of the work that waits, or the notice, leaves. */
 static double leave_for(const struct rr_planner *p, const rr_machine *m, const rr_placement *pl) {
     bool saving = true;
-    if (pl->job->cancelled || pl->job->done || rr_job_revoked(p->c, pl->job) ||
+    if (pl->job->cancelled || pl->job->done || rr_job_revoked(p->core, pl->job) ||
         pl->job->submission.checkpoint_interval_s <= 0) {
         return 0;
     }
     /* A gang saves whole: who has saved waits for those that were told last. */
     if (pl->job->submission.kind == RR_JOB_GANG) {
-        rr_gang_stops(p->c, pl->job, p->now, &saving);
-        return saving ? pl->job->submission.save_s + p->c->cfg->gang_peer_s : 0;
+        rr_gang_stops(p->core, pl->job, p->now, &saving);
+        return saving ? pl->job->submission.save_s + p->core->config->gang_peer_s : 0;
     }
-    if (pl->evict == RR_EVICT_AT_ONCE) {
+    if (pl->preempt == RR_PREEMPT_AT_ONCE) {
         return 0;
     }
     double leave = pl->job->submission.save_s + 2;
@@ -111,8 +113,8 @@
     return leave;
 }
 
-static void stop_place(struct rr_planner *p, rr_machine *m, rr_placement *pl,
-                       const rr_task_status *r) {
+static void stop_placement(struct rr_planner *p, rr_machine *m, rr_placement *pl,
+                           const rr_task_status *r) {
     double leave = leave_for(p, m, pl);
     /* A task that is saving is left to it, unless its user has cancelled the job. */
     if (pl->stop_at > 0 && p->now - pl->stop_at < RESEND_S) {
@@ -123,63 +125,65 @@
     }
     /* Told to save, a gang is left to it for as long as that takes: another stop without grace, as
      * one exits and the gang counts as lost, would undo what the others save. */
-    if (pl->job->submission.kind == RR_JOB_GANG && pl->stop_leave > 0 && !pl->job->cancelled &&
-        p->now - pl->stop_at < pl->stop_leave) {
+    if (pl->job->submission.kind == RR_JOB_GANG && pl->stop_grace_s > 0 && !pl->job->cancelled &&
+        p->now - pl->stop_at < pl->stop_grace_s) {
         return;
     }
-    if (!r && !start_lost(p->c, m, pl->attempt)) {
+    if (!r && !start_lost(p->core, m, pl->attempt)) {
         return;
     }
     if (!r) {
         /* An unanswered start may come late. Started and stopped under one token, the attempt
          * stays on the machine as exited and blocks the late copy. */
-        order(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
+        add_command(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
         leave = 0;
     }
-    order(p, m, RR_COMMAND_STOP, pl->job->submission.job_id, pl->task, pl->attempt, leave);
+    add_command(p, m, RR_COMMAND_STOP, pl->job->submission.job_id, pl->task, pl->attempt, leave);
     pl->stop_at = p->now;
-    pl->stop_leave = leave;
+    pl->stop_grace_s = leave;
 }
 
 /* Booked over others that are to go first: the machine would refuse it now. Where nothing is to go,
  * two owners booked the same room, and the worker decides between them. */
 static bool room_coming(const rr_core *c, const rr_machine *m) {
     bool leaving = false;
-    rr_res used = m->used;
-    for (guint i = 0; i < m->places->len; i++) {
-        const rr_placement *q = &g_array_index(m->places, rr_placement, i);
-        bool over = q->over_at > 0;
-        used = over ? rr_res_add(used, q->job->request, -1) : used;
-        leaving = leaving || (!over && (q->evict || q->job->cancelled));
-    }
-    return leaving && !rr_res_fits(used, rr_machine_cap(c, m));
+    rr_resources used = m->used;
+    for (guint i = 0; i < m->placements->len; i++) {
+        const rr_placement *q = &g_array_index(m->placements, rr_placement, i);
+        bool over = q->terminated_at > 0;
+        used = over ? rr_resources_add(used, q->job->request, -1) : used;
+        leaving = leaving || (!over && (q->preempt || q->job->cancelled));
+    }
+    return leaving && !rr_resources_fit(used, rr_machine_cap(c, m));
 }
 
-static void start_place(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
+static void start_placement(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
     if (pl->start_at > 0 && p->now - pl->start_at < RESEND_S) {
         return;
     }
-    if (room_coming(p->c, m) || has_older(pl) || m->scaling_in) {
+    if (room_coming(p->core, m) || has_older(pl) || m->scaling_in) {
         return;
     }
-    order(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
+    add_command(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
     pl->start_at = p->now;
 }
 
 /* True: it is to be looked at again before the machine reports anything new. */
-static bool reconcile_place(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
-    const rr_core *c = p->c;
+static bool reconcile_placement(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
+    const rr_core *c = p->core;
     const rr_task_status *r = rr_task_status_find(m, pl);
     if (m->heartbeat.worker_epoch > pl->worker_epoch) {
         /* The worker killed and forgot everything of the earlier worker_epoch, and commands for it
          * are refused. */
-        rr_plan_over(p, m, pl, r && r->state == RR_TASK_ENDED && r->exit_reason == RR_EXIT_DONE,
-                     "later worker epoch");
+        rr_plan_terminated(p, m, pl,
+                           r && r->state == RR_TASK_ENDED && r->exit_reason == RR_EXIT_DONE,
+                           "later worker epoch");
         return true;
     }
     if (r && r->state == RR_TASK_ENDED) {
         /* Shown as exited it can't start again before it is reaped, and that comes after this. */
-        rr_plan_over(p, m, pl, r->exit_reason == RR_EXIT_DONE, exit_reason_name(r->exit_reason));
+        rr_plan_terminated(p, m, pl, r->exit_reason == RR_EXIT_DONE,
+                           exit_reason_name(r->exit_reason));
         return true;
     }
     bool stop = unwanted(p, m, pl);
@@ -191,15 +195,15 @@
         return true;
     }
     if (!stop) {
-        start_place(p, m, pl);
+        start_placement(p, m, pl);
         return true;
     }
     /* Absent in a report that knows the present token, with no start of this term under way: it
      * never will be there. */
     if (!r && m->heartbeat.fencing_token == c->term.token && !start_lost(c, m, pl->attempt)) {
-        rr_plan_over(p, m, pl, false, "absent");
+        rr_plan_terminated(p, m, pl, false, "absent");
     } else {
-        stop_place(p, m, pl, r);
+        stop_placement(p, m, pl, r);
     }
     return true;
 }
@@ -210,11 +214,12 @@
  * good waits: a task that is to run again may be refused where an earlier attempt of it is still
  * shown. */
 static bool reap_may_wait(const struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
-    if (m->plan_do || r->exit_reason != RR_EXIT_DONE || m->heartbeat.tasks->len > REAP_PIECES) {
+    if (m->plan_commands || r->exit_reason != RR_EXIT_DONE ||
+        m->heartbeat.tasks->len > REAP_PIECES) {
         return false;
     }
     m->reap_at = m->reap_at > 0 ? m->reap_at : p->now;
-    return p->now - m->reap_at < p->c->cfg->report_s;
+    return p->now - m->reap_at < p->core->config->heartbeat_interval_s;
 }
 
 /* Of a job kept as a line the team is not known any more. The provisioner stops what still runs,
@@ -230,7 +235,7 @@
 
 /* Tasks on the machine that the ledger does not know: exited ones are reaped, others stopped. */
 static bool reconcile_stray(struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
-    const rr_core *c = p->c;
+    const rr_core *c = p->core;
     rr_job *j = g_hash_table_lookup(c->jobs, r->job_id);
     bool ours = j ? j->team >= 0 && rr_owns_team(c, j->team)
                   : rr_job_final(c, r->job_id, NULL, NULL) && clears_line(c, r, p->now);
@@ -238,7 +243,7 @@
         return false;
     }
     if (r->state != RR_TASK_ENDED) {
-        order(p, m, RR_COMMAND_STOP, r->job_id, r->task, r->attempt, 0);
+        add_command(p, m, RR_COMMAND_STOP, r->job_id, r->task, r->attempt, 0);
         return true;
     }
     /* While a copy of its start may come late, the exited attempt stays and blocks it. */
@@ -248,22 +253,23 @@
     if (reap_may_wait(p, m, r)) {
         return true;
     }
-    order(p, m, RR_COMMAND_REAP, r->job_id, r->task, r->attempt, 0);
+    add_command(p, m, RR_COMMAND_REAP, r->job_id, r->task, r->attempt, 0);
     return true;
 }
 
 /* Another owner's task: that it is over makes room, long before its owner records it. */
-static void see_over(const struct rr_planner *p, const rr_machine *m, rr_placement *pl) {
+static void see_terminated(const struct rr_planner *p, const rr_machine *m, rr_placement *pl) {
     const rr_task_status *r = rr_task_status_find(m, pl);
-    if (pl->over_at <= 0 && ((r && r->state == RR_TASK_ENDED) ||
-                             (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch))) {
-        pl->over_at = p->now;
+    if (pl->terminated_at <= 0 &&
+        ((r && r->state == RR_TASK_ENDED) ||
+         (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch))) {
+        pl->terminated_at = p->now;
     }
 }
 
 /* True: to be looked at again with the next plan. */
 static bool reconcile(struct rr_planner *p, rr_machine *m) {
-    rr_core *c = p->c;
+    rr_core *c = p->core;
     bool again = false;
     c->visits++;
     /* A booking is made on a recorded machine only; one whose record has gone is proven gone. */
@@ -271,17 +277,17 @@
     if (!gone && (!m->heartbeat_seen || m->heartbeat.fencing_token > c->term.token)) {
         return false; /* a report or the next term brings it back */
     }
-    for (guint i = 0; i < m->places->len; i++) {
-        rr_placement *pl = &g_array_index(m->places, rr_placement, i);
+    for (guint i = 0; i < m->placements->len; i++) {
+        rr_placement *pl = &g_array_index(m->placements, rr_placement, i);
         if (pl->job->team < 0 || !rr_owns_team(c, pl->job->team)) {
-            see_over(p, m, pl);
+            see_terminated(p, m, pl);
             continue;
         }
         if (gone) {
-            rr_plan_over(p, m, pl, false, "machine gone"); /* proven by its record's end */
+            rr_plan_terminated(p, m, pl, false, "machine gone"); /* proven by its record's end */
             again = true;
         } else {
-            again = reconcile_place(p, m, pl) || again;
+            again = reconcile_placement(p, m, pl) || again;
         }
     }
     if (gone || m->command_inflight || p->now < m->next_command_at ||
@@ -297,20 +303,20 @@
 
 /* Gangs of ours with a task on a machine that something happened to. */
 static void note_gangs(const struct rr_planner *p, const rr_machine *m, GPtrArray *gangs) {
-    for (guint i = 0; i < m->places->len; i++) {
-        rr_job *j = g_array_index(m->places, rr_placement, i).job;
-        if (j->submission.kind == RR_JOB_GANG && j->team >= 0 && rr_owns_team(p->c, j->team) &&
+    for (guint i = 0; i < m->placements->len; i++) {
+        rr_job *j = g_array_index(m->placements, rr_placement, i).job;
+        if (j->submission.kind == RR_JOB_GANG && j->team >= 0 && rr_owns_team(p->core, j->team) &&
             !g_ptr_array_find(gangs, j, NULL)) {
             g_ptr_array_add(gangs, j);
         }
     }
 }
 
-static void reconcile_run(struct rr_planner *p, const rr_ledger_record *run) {
-    for (guint k = 0; run && k < run->items->len; k++) {
-        rr_machine *m = g_array_index(run->items, rr_placement_record, k).m;
+static void reconcile_running(struct rr_planner *p, const rr_ledger_record *run) {
+    for (guint k = 0; run && k < run->placements->len; k++) {
+        rr_machine *m = g_array_index(run->placements, rr_placement_record, k).machine;
         if (!m->dirty && reconcile(p, m)) {
-            rr_touch(p->c, m);
+            rr_mark_dirty(p->core, m);
         }
     }
 }
@@ -321,21 +327,21 @@
     bool saving;
     for (guint i = 0; i < gangs->len; i++) {
         rr_job *j = g_ptr_array_index(gangs, i);
-        if (!rr_gang_stops(p->c, j, p->now, &saving)) {
+        if (!rr_gang_stops(p->core, j, p->now, &saving)) {
             continue;
         }
-        for (guint n = 0; n < j->runs->len; n++) {
-            reconcile_run(p, g_ptr_array_index(j->runs, n));
+        for (guint n = 0; n < j->records->len; n++) {
+            reconcile_running(p, g_ptr_array_index(j->records, n));
         }
     }
 }
 
 void rr_reconcile(struct rr_planner *p) {
-    rr_core *c = p->c;
+    rr_core *c = p->core;
     if (c->all_dirty_token != c->term.token) {
         c->all_dirty_token = c->term.token;
         for (guint i = 0; i < c->machine_list->len; i++) {
-            rr_touch(c, g_ptr_array_index(c->machine_list, i));
+            rr_mark_dirty(c, g_ptr_array_index(c->machine_list, i));
         }
     }
     guint n = c->dirty->len, kept = 0;
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -92,7 +92,7 @@
 /* Whether a report says anything that the one before did not. */
 static bool same_content(const rr_machine *m, const rr_heartbeat *r, uint64_t hash) {
     return m->heartbeat_seen && m->heartbeat.worker_epoch == r->worker_epoch &&
-           m->heartbeat_hash == hash && strcmp(m->heartbeat.addr, r->addr) == 0;
+           m->heartbeat_hash == hash && strcmp(m->heartbeat.address, r->address) == 0;
 }
 
 #define SECOND_S 0.3 /* copies of one moment come together */
@@ -150,7 +150,7 @@
     bool changed = !same_content(m, r, hash);
     if (changed) {
         record_news(c, m, r, now);
-        g_strlcpy(m->addr, r->addr, sizeof m->addr);
+        g_strlcpy(m->address, r->address, sizeof m->address);
         note_failures(c, m, r, now);
         if (c->log_level >= RR_LOG_DEBUG) {
             log_starts(c, m, r, now);
@@ -170,7 +170,7 @@
     }
     if (changed) {
         note_images(c, m);
-        rr_touch(c, m);
+        rr_mark_dirty(c, m);
     }
     return changed ? RR_HEARTBEAT_CHANGED : RR_HEARTBEAT_UNCHANGED;
 }
@@ -210,7 +210,7 @@
     if (m) {
         m->reported_at = reported;
     }
-    return now - reported < ITSELF_REPORTS * c->cfg->report_s;
+    return now - reported < ITSELF_REPORTS * c->config->heartbeat_interval_s;
 }
 
 bool rr_machine_name_reused(const rr_machine *m, double now) {
@@ -252,8 +252,8 @@
     uint32_t peers = 0;
     *now_and_then = 0;
     want(c, c->autoscaler, &peers);
-    for (guint i = 0; m && i < m->places->len; i++) {
-        want_owner(c, g_array_index(m->places, rr_placement, i).job, &peers);
+    for (guint i = 0; m && i < m->placements->len; i++) {
+        want_owner(c, g_array_index(m->placements, rr_placement, i).job, &peers);
     }
     for (guint i = 0; m && m->heartbeat_seen && i < m->heartbeat.tasks->len; i++) {
         const char *ref = g_array_index(m->heartbeat.tasks, rr_task_status, i).job_id;
@@ -271,7 +271,7 @@
     guint first = n ? (guint)(r->sequence % n) : 0;
     for (guint i = 0; i < n; i++) {
         const rr_session *s = &g_array_index(c->term.members, rr_session, (first + i) % n);
-        if (strcmp(s->name, c->cfg->node_name) != 0) {
+        if (strcmp(s->name, c->config->node_name) != 0) {
             return s->name;
         }
     }
@@ -289,7 +289,7 @@
 void rr_core_reply_to_heartbeat(rr_core *c, double now, const rr_heartbeat *r,
                                 struct rr_heartbeat_reply *out) {
     memset(out, 0, sizeof *out);
-    if (!rr_is_member(c) || now >= c->fresh_at + rr_heartbeat_reply_s(c->cfg) ||
+    if (!rr_is_member(c) || now >= c->fresh_at + rr_heartbeat_reply_s(c->config) ||
         r->fencing_token > c->term.token) {
         out->peer = other_node(c, r);
         out->status = out->peer ? 421 : 503;
--- a/src/core/reserve_gang.c
+++ b/src/core/reserve_gang.c
@@ -23,22 +23,22 @@
  * are counted as staying. */
 static uint32_t seats_in_time(const rr_core *core, const rr_machine *machine, const rr_job *job,
                               bool gangs_stay) {
-    rr_res room = rr_machine_cap(core, machine);
-    for (guint i = 0; i < machine->places->len; i++) {
-        const rr_job *other = g_array_index(machine->places, rr_placement, i).job;
+    rr_resources room = rr_machine_cap(core, machine);
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const rr_job *other = g_array_index(machine->placements, rr_placement, i).job;
         bool stays = other->submission.kind == RR_JOB_SERVICE ||
                      (gangs_stay && other->submission.kind == RR_JOB_GANG);
         if (stays && !other->cancelled) {
-            room = rr_res_add(room, other->request, -1);
+            room = rr_resources_add(room, other->request, -1);
         }
     }
-    return rr_tasks_in(job->request, room, job->submission.task_count);
+    return rr_tasks_fitting(job->request, room, job->submission.task_count);
 }
 
 /* All machines of these zones that may ever take tasks of the gang, the emptiest first. */
 static GArray *all_prospects(const struct rr_planner *planner, const rr_job *job, const bool *zones,
                              bool gangs_stay) {
-    rr_core *core = planner->c;
+    rr_core *core = planner->core;
     GArray *prospects = g_array_new(FALSE, FALSE, sizeof(struct prospect));
     for (guint i = 0; i < core->machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->machine_list, i);
@@ -46,10 +46,10 @@
         if (!rr_machine_may_take(planner, machine, job, zones)) {
             continue;
         }
-        struct prospect prospect = {.machine = machine,
-                                    .free_share =
-                                        rr_res_room(machine->free, rr_machine_cap(core, machine)),
-                                    .seats = seats_in_time(core, machine, job, gangs_stay)};
+        struct prospect prospect = {
+            .machine = machine,
+            .free_share = rr_resources_free_share(machine->free, rr_machine_cap(core, machine)),
+            .seats = seats_in_time(core, machine, job, gangs_stay)};
         if (prospect.seats > 0) {
             g_array_append_val(prospects, prospect);
         }
@@ -78,7 +78,7 @@
         const struct prospect *prospect = &g_array_index(prospects, struct prospect, needed);
         seats += prospect->seats;
         progress->free_seats +=
-            rr_tasks_in(job->request, prospect->machine->free, job->submission.task_count);
+            rr_tasks_fitting(job->request, prospect->machine->free, job->submission.task_count);
         progress->free_share += prospect->free_share;
     }
     g_array_set_size(prospects, needed);
@@ -89,7 +89,7 @@
  * What is kept fills up no more, so that the next plan finds the same ones emptier still. */
 static GArray *best_prospects(const struct rr_planner *planner, const rr_job *job,
                               const bool *allowed, bool gangs_stay) {
-    const rr_core *core = planner->c;
+    const rr_core *core = planner->core;
     bool zones[core->zones.names->len + 1];
     struct progress progress, most = {0, 0};
     GArray *best = NULL;
@@ -107,14 +107,14 @@
 }
 
 static void reserve_machines(const GArray *prospects) {
-    const rr_res none = {0, 0, 0};
+    const rr_resources none = {0, 0, 0};
     for (guint i = 0; i < prospects->len; i++) {
         g_array_index(prospects, struct prospect, i).machine->free = none;
     }
 }
 
-void rr_reserve_for_gang(struct rr_planner *planner, const rr_job *job) {
-    rr_core *core = planner->c;
+void rr_gang_reserve_room(struct rr_planner *planner, const rr_job *job) {
+    rr_core *core = planner->core;
     guint zone_count = core->zones.names->len;
     bool allowed[zone_count + 1];
     uint32_t none_placed[zone_count + 1];
@@ -129,7 +129,7 @@
         g_array_unref(prospects);
     }
     if (!rr_within_limit(planner, job, job->submission.task_count)) {
-        rr_res *booked = &g_array_index(core->team_booked, rr_res, job->team);
-        *booked = rr_res_add(*booked, job->request, job->submission.task_count);
+        rr_resources *booked = &g_array_index(core->team_booked, rr_resources, job->team);
+        *booked = rr_resources_add(*booked, job->request, job->submission.task_count);
     }
 }
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -131,8 +131,8 @@
     }
     for (guint i = 0; i < c->open->len; i++) {
         const rr_job *j = g_ptr_array_index(c->open, i);
-        for (guint n = 0; j->runs && n < j->runs->len; n++) {
-            rr_ledger_record *r = g_ptr_array_index(j->runs, n);
+        for (guint n = 0; j->records && n < j->records->len; n++) {
+            rr_ledger_record *r = g_ptr_array_index(j->records, n);
             if (r) {
                 r->seen_in_reload = false;
             }
@@ -162,8 +162,8 @@
     }
     for (guint i = c->open->len; i > 0; i--) {
         rr_job *j = g_ptr_array_index(c->open, i - 1);
-        for (guint n = 0; j->runs && n < j->runs->len; n++) {
-            rr_ledger_record *r = g_ptr_array_index(j->runs, n);
+        for (guint n = 0; j->records && n < j->records->len; n++) {
+            rr_ledger_record *r = g_ptr_array_index(j->records, n);
             if (r && r->version && r->version <= first && !r->seen_in_reload) {
                 rr_ledger_record_remove(c, j, r, r->version, now);
             }
@@ -185,7 +185,7 @@
             rr_core_cache_delete(c, ch->key, epoch, now);
             continue;
         }
-        if (rr_document_parse(&d, ch->value, ch->len) == 0) {
+        if (rr_document_parse(&d, ch->value, ch->length) == 0) {
             rr_core_cache_put(c, ch->key, d.root, epoch, now);
         }
         rr_document_clear(&d);
@@ -230,7 +230,7 @@
         const rr_machine *m = g_ptr_array_index(c->machine_list, i);
         out->machines += m->recorded;
         out->booting += m->recorded && !m->heartbeat_seen;
-        out->tasks_placed += m->places->len;
+        out->tasks_placed += m->placements->len;
         out->priced += m->recorded ? rr_machine_price(c, m) : 0;
     }
     for (guint i = 0; i < c->open->len; i++) {
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -13,7 +13,7 @@
 }
 
 bool rr_core_session_seen(const rr_core *c, uint64_t tether) {
-    const rr_session *s = g_hash_table_lookup(c->sessions, c->cfg->node_name);
+    const rr_session *s = g_hash_table_lookup(c->sessions, c->config->node_name);
     return c->rereading || (s && s->lease_id == tether); /* a reread has not come to it yet */
 }
 
@@ -72,7 +72,7 @@
 }
 
 bool rr_is_member(const rr_core *c) {
-    const rr_session *s = term_node(c, c->cfg->node_name);
+    const rr_session *s = term_node(c, c->config->node_name);
     return c->loaded && c->lease_id && s && s->lease_id == c->lease_id;
 }
 
@@ -168,12 +168,12 @@
     g_array_set_size(c->owners, 0);
     c->place = -1;
     for (guint i = 0; i < c->term.members->len; i++) {
-        if (strcmp(g_array_index(c->term.members, rr_session, i).name, c->cfg->node_name) == 0) {
+        if (strcmp(g_array_index(c->term.members, rr_session, i).name, c->config->node_name) == 0) {
             c->place = (int)i;
         }
     }
-    for (size_t i = 0; i < c->cfg->nteams; i++) {
-        int place = owner_member(c, c->cfg->teams[i].name);
+    for (size_t i = 0; i < c->config->team_count; i++) {
+        int place = owner_member(c, c->config->teams[i].name);
         g_array_append_val(c->owners, place);
     }
     c->autoscaler = autoscaler_member(c);
@@ -184,9 +184,9 @@
     }
     for (guint i = 0; i < c->term.members->len && i < RR_MAX_NODES; i++) {
         c->peer_at[i] = -1;
-        for (size_t k = 0; k < c->cfg->npeers; k++) {
-            if (strcmp(c->cfg->peers[k].name, g_array_index(c->term.members, rr_session, i).name) ==
-                0) {
+        for (size_t k = 0; k < c->config->peer_count; k++) {
+            if (strcmp(c->config->peers[k].name,
+                       g_array_index(c->term.members, rr_session, i).name) == 0) {
                 c->peer_at[i] = (int)k;
             }
         }
@@ -203,7 +203,8 @@
 }
 
 void rr_core_budget_shares(const rr_core *c, struct rr_budget_shares *out) {
-    double live = c->term.members->len, teams = c->cfg->nteams ? (double)c->cfg->nteams : 1;
+    double live = c->term.members->len,
+           teams = c->config->team_count ? (double)c->config->team_count : 1;
     if (!rr_is_member(c)) {
         *out = (struct rr_budget_shares){1 / (live + 1), 0.3 / (live + 1), 0, 0};
         return;
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -16,12 +16,12 @@
 #define REPORTS_ON_S 6.5
 
 bool rr_machine_heartbeat_overdue(const rr_core *c, const rr_machine *m, double now) {
-    return rr_heartbeat_age(m, now) > fmax(1.3 * c->cfg->report_s, REPORTS_ON_S);
+    return rr_heartbeat_age(m, now) > fmax(1.3 * c->config->heartbeat_interval_s, REPORTS_ON_S);
 }
 
 bool rr_machine_heartbeat_recent(const rr_core *c, const rr_machine *m, double now) {
-    return m->heartbeat_seen &&
-           now - m->heartbeat_at <= c->cfg->tune.silent_reports * c->cfg->report_s;
+    return m->heartbeat_seen && now - m->heartbeat_at <= c->config->tuning.silent_reports *
+                                                             c->config->heartbeat_interval_s;
 }
 
 #define MUTE_REPORTS 2.5
@@ -30,14 +30,14 @@
  * whatever starts there is lost within one. Only said while every controller of the term has been
  * heard for as long: otherwise it may well report to one that we don't hear. */
 bool rr_machine_heartbeats_lost(const rr_core *c, const rr_machine *m, double now) {
-    double limit = MUTE_REPORTS * c->cfg->report_s;
+    double limit = MUTE_REPORTS * c->config->heartbeat_interval_s;
     return m->heartbeat_seen && now - m->reported_at > limit &&
            rr_peers_connected_for(c, now, limit);
 }
 
 /* DESIGN's risk: a cut zone keeps stale reports, so only a fresh one makes room count. */
 bool rr_machine_schedulable(const rr_core *c, const rr_machine *m, double now) {
-    return m->recorded && !m->scaling_in && m->addr[0] && m->verified &&
+    return m->recorded && !m->scaling_in && m->address[0] && m->verified &&
            rr_machine_heartbeat_recent(c, m, now) && m->heartbeat.spot_notice_s < 0 &&
            now >= m->full_until && !rr_machine_quarantined(m, now) && !m->to_release &&
            !rr_machine_commands_unanswered(m) && !rr_machine_heartbeats_lost(c, m, now);
@@ -108,7 +108,7 @@
 static bool was_up(const rr_machine *m) {
     /* Work in the ledger shows it, even if this process never heard the machine: a provisioner that
      * restarts into a cut must not take the few it hears for the whole zone. */
-    return m->recorded && (m->heartbeat_seen || m->places->len > 0);
+    return m->recorded && (m->heartbeat_seen || m->placements->len > 0);
 }
 
 /* When a cut begins its machines have been heard at different times, so that the first of them are
@@ -119,7 +119,7 @@
 #define RECENT_SHARE 0.3
 
 static bool heartbeat_within(const rr_core *c, const rr_machine *m, double now) {
-    return m->heartbeat_seen && now - m->heartbeat_at <= RECENT * c->cfg->report_s;
+    return m->heartbeat_seen && now - m->heartbeat_at <= RECENT * c->config->heartbeat_interval_s;
 }
 
 /* One walk for all zones. */
@@ -194,14 +194,14 @@
  */
 static bool zone_reached(const rr_core *c, int zone, double now) {
     const char *name = rr_name_index_at(&c->zones, zone);
-    double seconds = c->cfg->tune.dead_reports * c->cfg->report_s;
+    double seconds = c->config->tuning.dead_reports * c->config->heartbeat_interval_s;
     if (now - c->woke_at < seconds) {
         return false;
     }
-    bool reached = strcmp(c->cfg->zone, name) == 0 && lasting(&c->direct, now, seconds);
-    for (size_t i = 0; i < c->cfg->npeers; i++) {
-        reached = reached ||
-                  (strcmp(c->cfg->peers[i].zone, name) == 0 && lasting(&c->peers[i], now, seconds));
+    bool reached = strcmp(c->config->zone, name) == 0 && lasting(&c->direct, now, seconds);
+    for (size_t i = 0; i < c->config->peer_count; i++) {
+        reached = reached || (strcmp(c->config->peers[i].zone, name) == 0 &&
+                              lasting(&c->peers[i], now, seconds));
     }
     return reached;
 }
@@ -229,7 +229,7 @@
 }
 
 bool rr_machine_dead(const rr_core *c, const rr_machine *m, double now) {
-    double limit = c->cfg->tune.dead_reports * c->cfg->report_s;
+    double limit = c->config->tuning.dead_reports * c->config->heartbeat_interval_s;
     if (!was_up(m) || m->zone < 0 || rr_heartbeat_age(m, now) < limit || m->probe_fails < 2) {
         return false;
     }
@@ -241,7 +241,7 @@
      * controllers, too. Where one of them is heard, whoever has been silent for longer than a lease
      * has nothing left to lose: machines that hung for good in the greater part of a zone kept
      * their tasks booked for ever. */
-    if (rr_heartbeat_age(m, now) > 1.2 * c->cfg->lease_s && zone_reached(c, m->zone, now)) {
+    if (rr_heartbeat_age(m, now) > 1.2 * c->config->lease_s && zone_reached(c, m->zone, now)) {
         return true;
     }
     /* When a cut heals, the first machines speak again before the others: those get as long as
--- a/src/core/txn.c
+++ b/src/core/txn.c
@@ -71,7 +71,7 @@
         rr_encode_map(o, c->lease_id ? 3 : 2);
         rr_encode_key_text(o, "put", c->key);
         rr_encode_text(o, "v");
-        msgpack_sbuffer_write(&o->buffer, c->value, c->len);
+        msgpack_sbuffer_write(&o->buffer, c->value, c->length);
         if (c->lease_id) {
             rr_encode_key_u64(o, "tether", c->lease_id);
         }
--- a/src/core/txn.h
+++ b/src/core/txn.h
@@ -13,7 +13,7 @@
 typedef struct {
     char *key;
     void *value; /* NULL: delete */
-    size_t len;
+    size_t length;
     uint64_t lease_id; /* 0: none */
 } rr_change;
 
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -22,11 +22,11 @@
 }
 
 static bool fits_some_machine_type(const rr_core *c, const rr_submission *s) {
-    rr_res need = {s->cpus, s->gpus, s->mem_gb};
+    rr_resources need = {s->cpus, s->gpus, s->mem_gb};
     for (guint i = 0; i < c->build_info->len; i++) {
         const rr_machine_type *b = rr_machine_type_at(c, (int)i);
         if (b && machine_type_allowed(s, b) && zone_offered(b, s->zone) &&
-            rr_res_fits(need, (rr_res){b->cpus, b->gpus, b->mem_gb})) {
+            rr_resources_fit(need, (rr_resources){b->cpus, b->gpus, b->mem_gb})) {
             return true;
         }
     }
@@ -34,8 +34,8 @@
 }
 
 enum rr_admit rr_core_admit(const rr_core *c, const rr_submission *s, const char **why) {
-    int team = rr_config_team(c->cfg, s->team);
-    const struct rr_team_config *t = team >= 0 ? &c->cfg->teams[team] : NULL;
+    int team = rr_config_team(c->config, s->team);
+    const struct rr_team_config *t = team >= 0 ? &c->config->teams[team] : NULL;
     const rr_job *known = g_hash_table_lookup(c->jobs, s->job_id);
     if ((known && known->version) || rr_job_final(c, s->job_id, NULL, NULL)) {
         return RR_ADMIT_KNOWN;
@@ -58,7 +58,7 @@
         *why = "fits no allowed machine type";
         return RR_ADMIT_NEVER;
     }
-    if (s->kind == RR_JOB_GANG && s->task_count > rr_gang_most(c)) {
+    if (s->kind == RR_JOB_GANG && s->task_count > rr_gang_tasks_max(c)) {
         *why = "more linked tasks than one transaction books";
         return RR_ADMIT_NEVER;
     }
@@ -75,14 +75,15 @@
 
 static uint32_t count_running(const rr_core *c, const rr_job *j, double now) {
     uint32_t n = 0;
-    for (guint k = 0; j->runs && k < j->runs->len; k++) {
-        const rr_ledger_record *run = g_ptr_array_index(j->runs, k);
-        for (guint i = 0; run && i < run->items->len; i++) {
-            const rr_placement_record *it = &g_array_index(run->items, rr_placement_record, i);
-            const rr_placement *p = rr_placement_find(it->m, it->attempt, j, it->task);
-            const rr_task_status *r = p ? rr_task_status_find(it->m, p) : NULL;
+    for (guint k = 0; j->records && k < j->records->len; k++) {
+        const rr_ledger_record *run = g_ptr_array_index(j->records, k);
+        for (guint i = 0; run && i < run->placements->len; i++) {
+            const rr_placement_record *it = &g_array_index(run->placements, rr_placement_record, i);
+            const rr_placement *p = rr_placement_find(it->machine, it->attempt, j, it->task);
+            const rr_task_status *r = p ? rr_task_status_find(it->machine, p) : NULL;
             n += r ? r->state == RR_TASK_RUNNING
-                   : p && !it->m->gone && !rr_owns_team(c, j->team) && now - p->seen_at > SURELY_S;
+                   : p && !it->machine->gone && !rr_owns_team(c, j->team) &&
+                         now - p->seen_at > SURELY_S;
         }
     }
     return n;
--- a/src/http/door.c
+++ b/src/http/door.c
@@ -33,7 +33,7 @@
 
 struct rr_door {
     struct listener listeners[LISTENERS_MAX];
-    atomic_uint nlisteners;
+    atomic_uint listener_count;
     int fd; /* all listeners' */
     int most;
     atomic_int open; /* connections; each has a thread */
@@ -41,7 +41,7 @@
     pthread_t watcher;
     bool watched;
     void (*accepted)(void *user);
-    rr_handler_fn fn;
+    rr_handler_fn callback;
     void *user;
 };
 
@@ -50,7 +50,7 @@
     bool too_large;
 };
 
-static enum MHD_Result send_response(struct MHD_Connection *conn, struct rr_response *rs,
+static enum MHD_Result send_response(struct MHD_Connection *conn, struct rr_http_response *rs,
                                      bool close) {
     struct MHD_Response *r = MHD_create_response_from_buffer(
         rs->body.buffer.size, rs->body.buffer.data, MHD_RESPMEM_MUST_COPY);
@@ -105,13 +105,13 @@
         return MHD_YES;
     }
     struct rr_request rq = {method, url, up->body->data, up->body->len};
-    struct rr_response rs = {.status = 413};
+    struct rr_http_response rs = {.status = 413};
     rr_encoder_init(&rs.body);
     if (atomic_load(&d->stop)) {
         return MHD_NO;
     }
     if (!up->too_large) {
-        d->fn(d->user, &rq, &rs);
+        d->callback(d->user, &rq, &rs);
     }
     /* All workers may be here when the other controllers are gone, more than there are threads:
      * those that come now are served and make room, so that users and health checks get in. */
@@ -155,10 +155,10 @@
  * whole process: what the rest of it needs comes off first. */
 int rr_door_limit(const struct rr_config *cfg, int other_threads, int other_sockets) {
     double by_memory = MEMORY_SHARE * cfg->ram_mb * 1024 / RR_CONNECTION_KB;
-    int most = cfg->tune.max_threads - other_threads;
+    int most = cfg->tuning.max_threads - other_threads;
     most = MIN(most, cfg->max_sockets - other_sockets);
     most = MIN(most, by_memory < 1e6 ? (int)by_memory : 1000000);
-    return MIN(most, cfg->tune.max_connections);
+    return MIN(most, cfg->tuning.max_connections);
 }
 
 int rr_door_open(const rr_door *d) {
@@ -166,12 +166,12 @@
 }
 
 unsigned rr_door_listeners(const rr_door *d) {
-    return atomic_load(&d->nlisteners);
+    return atomic_load(&d->listener_count);
 }
 
 /* Takes the descriptor over. */
 static bool add_listener(rr_door *d, int fd, int most) {
-    unsigned n = atomic_load(&d->nlisteners);
+    unsigned n = atomic_load(&d->listener_count);
     if (fd < 0 || n == LISTENERS_MAX) {
         return false;
     }
@@ -183,20 +183,20 @@
         MHD_OPTION_CONNECTION_LIMIT, (unsigned)most, MHD_OPTION_CONNECTION_TIMEOUT, 90u,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, CONNECTION_MEMORY, MHD_OPTION_NOTIFY_COMPLETED,
         on_completed, NULL, MHD_OPTION_NOTIFY_CONNECTION, on_connection, l, MHD_OPTION_END);
-    atomic_fetch_add(&d->nlisteners, l->daemon != NULL);
+    atomic_fetch_add(&d->listener_count, l->daemon != NULL);
     return l->daemon != NULL;
 }
 
 static unsigned taken(const rr_door *d) {
     unsigned sum = 0;
-    for (unsigned i = 0; i < atomic_load(&d->nlisteners); i++) {
+    for (unsigned i = 0; i < atomic_load(&d->listener_count); i++) {
         sum += atomic_load(&d->listeners[i].taken);
     }
     return sum;
 }
 
 static void replace_still(rr_door *d) {
-    for (unsigned i = 0; i < atomic_load(&d->nlisteners); i++) {
+    for (unsigned i = 0; i < atomic_load(&d->listener_count); i++) {
         struct listener *l = &d->listeners[i];
         l->still = true;
         l->still_at = atomic_load(&l->taken);
@@ -234,7 +234,7 @@
 rr_door *rr_door_create(const struct rr_config *cfg, int most, rr_handler_fn fn,
                         void (*accepted)(void *user), void *user) {
     rr_door *d = g_new0(rr_door, 1);
-    d->fn = fn;
+    d->callback = fn;
     d->user = user;
     d->accepted = accepted;
     d->most = most;
@@ -268,10 +268,10 @@
     if (d->watched) {
         pthread_join(d->watcher, NULL);
     }
-    if (atomic_load(&d->nlisteners) == 0) {
+    if (atomic_load(&d->listener_count) == 0) {
         close(d->fd);
     }
-    for (unsigned i = atomic_load(&d->nlisteners); i > 0; i--) {
+    for (unsigned i = atomic_load(&d->listener_count); i > 0; i--) {
         struct listener *l = &d->listeners[i - 1];
         if (l->still && l->still_at == atomic_load(&l->taken)) {
             leave = true;
--- a/src/http/door.h
+++ b/src/http/door.h
@@ -12,7 +12,7 @@
     size_t len;
 };
 
-struct rr_response {
+struct rr_http_response {
     int status;
     rr_encoder body;   /* initialised by the door; empty: no body */
     int retry_after_s; /* 0: none */
@@ -20,7 +20,7 @@
     bool yields;       /* the connection makes room for others when there are many */
 };
 
-typedef void (*rr_handler_fn)(void *user, const struct rr_request *rq, struct rr_response *rs);
+typedef void (*rr_handler_fn)(void *user, const struct rr_request *rq, struct rr_http_response *rs);
 
 typedef struct rr_door rr_door;
 /* What a connection is held to take: its touched stack, its buffers, and what it makes the rest
--- a/src/peer/ask.c
+++ b/src/peer/ask.c
@@ -7,7 +7,7 @@
 
 /* A connection of its own to the peer, greeted; -errno if it can't be reached. */
 static int dial_peer(rr_peers *p, int peer, GByteArray *f) {
-    int fd = rr_peer_dial(NULL, &p->cfg->peers[peer].endpoint, 1.0);
+    int fd = rr_peer_dial(NULL, &p->config->peers[peer].endpoint, 1.0);
     if (fd < 0) {
         return fd;
     }
@@ -30,7 +30,7 @@
         rr_frame_end(f, at);
         if (rr_peer_send(fd, f->data, f->len) == 0 &&
             rr_peer_receive(p->stop, &in, &type, &u, 2.0) == 0 && type == RR_FRAME_ANSWER) {
-            yes = rr_unpack_u8(&u) == 0 && !u.bad;
+            yes = rr_unpack_u8(&u) == 0 && !u.malformed;
         }
         close(fd);
     }
@@ -66,7 +66,7 @@
     out->status = rr_unpack_u16(&u);
     uint32_t n;
     const uint8_t *b = rr_unpack_bytes(&u, &n);
-    if (u.bad) {
+    if (u.malformed) {
         goto end;
     }
     rc = how == 0 ? 0 : how == 1 ? -ENOTCONN : -EIO;
--- a/src/peer/cancellations.c
+++ b/src/peer/cancellations.c
@@ -8,7 +8,7 @@
 struct cancellation {
     char job_id[RR_ID];
     double until;
-    bool told;
+    bool announced;
     unsigned connection; /* over which it was told */
 };
 
@@ -41,7 +41,7 @@
 }
 
 static bool is_pending(const struct cancellation *cancellation, unsigned connection) {
-    return !cancellation->told || cancellation->connection != connection;
+    return !cancellation->announced || cancellation->connection != connection;
 }
 
 bool rr_cancellations_pending(rr_cancellations *list, unsigned connection, double now) {
@@ -66,7 +66,7 @@
         struct cancellation *cancellation = node->data;
         if (is_pending(cancellation, connection)) {
             rr_frame_text(out, cancellation->job_id);
-            cancellation->told = true;
+            cancellation->announced = true;
             cancellation->connection = connection;
         }
     }
--- a/src/peer/frame.c
+++ b/src/peer/frame.c
@@ -61,13 +61,13 @@
 }
 
 static const uint8_t *take(rr_unpack *u, size_t n) {
-    if (u->bad || u->left < n) {
-        u->bad = true;
+    if (u->malformed || u->bytes_left < n) {
+        u->malformed = true;
         return NULL;
     }
-    const uint8_t *p = u->p;
-    u->p += n;
-    u->left -= n;
+    const uint8_t *p = u->next;
+    u->next += n;
+    u->bytes_left -= n;
     return p;
 }
 
@@ -104,7 +104,7 @@
     uint32_t n;
     const uint8_t *p = rr_unpack_bytes(u, &n);
     if (!p || n >= size || memchr(p, 0, n)) {
-        u->bad = true;
+        u->malformed = true;
         return false;
     }
     memcpy(out, p, n);
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -44,9 +44,9 @@
 int rr_frame_head(const uint8_t head[RR_FRAME_HEAD], uint8_t *type, uint32_t *len);
 
 typedef struct {
-    const uint8_t *p;
-    size_t left;
-    bool bad;
+    const uint8_t *next;
+    size_t bytes_left;
+    bool malformed;
 } rr_unpack;
 uint8_t rr_unpack_u8(rr_unpack *u);
 uint16_t rr_unpack_u16(rr_unpack *u);
--- a/src/peer/internal.h
+++ b/src/peer/internal.h
@@ -25,19 +25,19 @@
     GHashTable *digests[2]; /* machine -> rr_heartbeat_digest, by hops */
     GPtrArray *suspects;    /* char* */
     rr_cancellations *cancelled;
-    GBytes *demand;  /* to be told, NULL: none */
-    unsigned life;   /* counts losses: what was sent before may not have arrived */
-    double up_at;    /* since when our connection to it stands */
-    double patience; /* how long it may stand without a sign that it works */
+    GBytes *demand;      /* to be told, NULL: none */
+    unsigned losses;     /* counts losses: what was sent before may not have arrived */
+    double connected_at; /* since when our connection to it stands */
+    double patience;     /* how long it may stand without a sign that it works */
     /* What the peer last said of whom it hears, by index of ours. */
     double peer_digest_at; /* when it last said so: on its link to us, nothing else shows that that
                               works */
-    bool hears[RR_MAX_NODES], hears_us;
+    bool peer_hears[RR_MAX_NODES], peer_hears_us;
 };
 
 struct rr_peers {
-    const struct rr_config *cfg;
-    struct rr_peer_events ev;
+    const struct rr_config *config;
+    struct rr_peer_events events;
     const atomic_bool *stop;
     pthread_mutex_t lock;
     pthread_cond_t wake; /* connections end */
@@ -47,7 +47,7 @@
     int listener;
     pthread_t acceptor;
     bool accepting;
-    int conns; /* running connection threads, under lock */
+    int connection_count; /* running connection threads, under lock */
 };
 
 void rr_peer_put_hello(const rr_peers *p, GByteArray *b);
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -13,7 +13,7 @@
 
 static bool has_news(struct link *l) {
     return !g_queue_is_empty(&l->queue) || l->suspects->len > 0 || l->demand ||
-           rr_cancellations_pending(l->cancelled, l->life, rr_now());
+           rr_cancellations_pending(l->cancelled, l->losses, rr_now());
 }
 
 void wait_until(pthread_cond_t *c, pthread_mutex_t *m, double until) {
@@ -32,13 +32,13 @@
     guint at = rr_frame_begin(out, RR_FRAME_HEARTBEAT_DIGESTS);
     uint16_t hears = 0, n = 0;
     rr_frame_u8(out, (uint8_t)hops);
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         hears += rr_link_heard_lately(&p->links[i], now);
     }
     rr_frame_u16(out, hears);
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         if (rr_link_heard_lately(&p->links[i], now)) {
-            rr_frame_text(out, p->cfg->peers[i].name);
+            rr_frame_text(out, p->config->peers[i].name);
         }
     }
     guint count_at = out->len;
@@ -96,7 +96,7 @@
     bool news = has_news(l);
     pthread_mutex_unlock(&p->lock);
     if (news) {
-        rr_sleep(GATHER_SHARE * p->cfg->report_s);
+        rr_sleep(GATHER_SHARE * p->config->heartbeat_interval_s);
     }
     pthread_mutex_lock(&p->lock);
     GBytes *b;
@@ -125,8 +125,8 @@
     if (l->demand) {
         put_demand(l, out);
     }
-    if (rr_cancellations_pending(l->cancelled, l->life, now)) {
-        rr_cancellations_put(l->cancelled, l->life, out);
+    if (rr_cancellations_pending(l->cancelled, l->losses, now)) {
+        rr_cancellations_put(l->cancelled, l->losses, out);
     }
     pthread_mutex_unlock(&p->lock);
     return !atomic_load(p->stop);
@@ -141,7 +141,7 @@
     g_hash_table_remove_all(l->digests[1]);
     g_ptr_array_set_size(l->suspects, 0);
     g_clear_pointer(&l->demand, g_bytes_unref);
-    l->life++;
+    l->losses++;
     pthread_mutex_unlock(&l->owner->lock);
 }
 
@@ -153,8 +153,8 @@
 static bool is_dead(struct link *l, double now) {
     rr_peers *p = l->owner;
     pthread_mutex_lock(&p->lock);
-    bool works = rr_link_heard_lately(l, now) && l->hears_us;
-    bool dead = !works && now - l->up_at > l->patience;
+    bool works = rr_link_heard_lately(l, now) && l->peer_hears_us;
+    bool dead = !works && now - l->connected_at > l->patience;
     l->patience = works  ? RR_PEER_HEARS_S
                   : dead ? MIN(2 * l->patience, PATIENCE_MAX_S)
                          : l->patience;
@@ -163,14 +163,14 @@
 }
 
 static int link_send(struct link *l, int *fd, const GByteArray *frames) {
-    const struct rr_peer_config *peer = &l->owner->cfg->peers[l->index];
+    const struct rr_peer_config *peer = &l->owner->config->peers[l->index];
     if (*fd < 0) {
         *fd = rr_peer_dial(NULL, &peer->endpoint, 1.0);
         if (*fd < 0) {
             return -EIO;
         }
         pthread_mutex_lock(&l->owner->lock);
-        l->up_at = rr_now();
+        l->connected_at = rr_now();
         pthread_mutex_unlock(&l->owner->lock);
         GByteArray *hello = g_byte_array_new();
         rr_peer_put_hello(l->owner, hello);
@@ -194,7 +194,7 @@
         if (dead || link_send(l, &fd, frames) != 0) {
             if (fd >= 0) {
                 close(fd);
-                rr_log(RR_INFO_LEVEL, "link to %s lost%s", l->owner->cfg->peers[l->index].name,
+                rr_log(RR_INFO_LEVEL, "link to %s lost%s", l->owner->config->peers[l->index].name,
                        dead ? ": it does not say that it hears us" : "");
             }
             fd = -1;
--- a/src/peer/listener.c
+++ b/src/peer/listener.c
@@ -13,15 +13,15 @@
 
 #define IDLE_S 20
 
-struct conn {
+struct connection {
     rr_peers *owner;
     int fd, peer; /* -1: not greeted yet */
     bool late;    /* what comes now was sent long ago */
 };
 
 static int peer_index(const rr_peers *p, const char *name) {
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
-        if (strcmp(p->cfg->peers[i].name, name) == 0) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
+        if (strcmp(p->config->peers[i].name, name) == 0) {
             return (int)i;
         }
     }
@@ -36,7 +36,7 @@
     }
     uint32_t ms = rr_unpack_u32(u);
     const uint8_t *body = rr_unpack_bytes(u, &n);
-    if (u->bad || ms > 10000) {
+    if (u->malformed || ms > 10000) {
         return -EBADMSG;
     }
     rr_reply reply = {0};
@@ -55,12 +55,12 @@
 static int serve_resign(rr_peers *p, int fd, rr_unpack *u) {
     bool end = rr_unpack_u8(u) != 0;
     uint64_t tether = rr_unpack_u64(u);
-    if (u->bad) {
+    if (u->malformed) {
         return -EBADMSG;
     }
     GByteArray *out = g_byte_array_new();
     guint at = rr_frame_begin(out, RR_FRAME_ANSWER);
-    rr_frame_u8(out, p->ev.resign(p->ev.user, tether, end) ? 0 : 1);
+    rr_frame_u8(out, p->events.resign(p->events.user, tether, end) ? 0 : 1);
     rr_frame_end(out, at);
     int rc = rr_peer_send(fd, out->data, out->len);
     g_byte_array_free(out, TRUE);
@@ -79,38 +79,38 @@
         if (k >= 0) {
             hears[k] = true;
         }
-        hears_us = hears_us || strcmp(name, p->cfg->node_name) == 0;
+        hears_us = hears_us || strcmp(name, p->config->node_name) == 0;
     }
     uint16_t n = rr_unpack_u16(u);
-    if (u->bad || n > RR_PEER_LIST_MAX || hops > 1) {
+    if (u->malformed || n > RR_PEER_LIST_MAX || hops > 1) {
         return -EBADMSG;
     }
     rr_heartbeat_digest *list = g_new0(rr_heartbeat_digest, n + 1);
-    for (uint16_t i = 0; i < n && !u->bad; i++) {
+    for (uint16_t i = 0; i < n && !u->malformed; i++) {
         rr_unpack_text(u, list[i].machine, sizeof list[i].machine);
         list[i].worker_epoch = rr_unpack_u64(u);
         list[i].sequence = rr_unpack_u64(u);
         list[i].hash = rr_unpack_u64(u);
     }
-    if (!u->bad) {
+    if (!u->malformed) {
         pthread_mutex_lock(&p->lock);
-        memcpy(l->hears, hears, sizeof hears);
-        l->hears_us = hears_us;
+        memcpy(l->peer_hears, hears, sizeof hears);
+        l->peer_hears_us = hears_us;
         l->peer_digest_at = rr_now();
         pthread_mutex_unlock(&p->lock);
-        p->ev.heartbeat_digests(p->ev.user, peer, hops, list, n);
+        p->events.heartbeat_digests(p->events.user, peer, hops, list, n);
     }
     g_free(list);
-    return u->bad ? -EBADMSG : 0;
+    return u->malformed ? -EBADMSG : 0;
 }
 
 static int serve_suspects(rr_peers *p, rr_unpack *u) {
     char machine[RR_ID];
     uint16_t n = rr_unpack_u16(u);
     for (uint16_t i = 0; i < n && rr_unpack_text(u, machine, sizeof machine); i++) {
-        p->ev.suspect(p->ev.user, machine);
+        p->events.suspect(p->events.user, machine);
     }
-    return u->bad ? -EBADMSG : 0;
+    return u->malformed ? -EBADMSG : 0;
 }
 
 /* However late it comes: stopping a cancelled job's tasks is right at any time. */
@@ -119,20 +119,20 @@
     uint16_t n = rr_unpack_u16(u);
     for (uint16_t i = 0; i < n && rr_unpack_text(u, job_id, sizeof job_id); i++) {
         if (rr_job_id_valid(job_id)) {
-            p->ev.cancelled(p->ev.user, job_id);
+            p->events.cancelled(p->events.user, job_id);
         }
     }
-    return u->bad ? -EBADMSG : 0;
+    return u->malformed ? -EBADMSG : 0;
 }
 
 /* Held up by a cut, or unread while this process stood still: a machine heard then may be dead now,
  * and would seem alive for as long again. The time of day tells, within its bound. */
 static bool sent_long_ago(const rr_peers *p, rr_unpack *u) {
     double sent = (double)rr_unpack_u64(u) / 1000;
-    return rr_wall() - sent > p->cfg->report_s + 2 * p->cfg->clock_off_s;
+    return rr_wall() - sent > p->config->heartbeat_interval_s + 2 * p->config->clock_off_s;
 }
 
-static int serve(struct conn *c, rr_client *client, uint8_t type, rr_unpack *u) {
+static int serve(struct connection *c, rr_client *client, uint8_t type, rr_unpack *u) {
     rr_peers *p = c->owner;
     char name[RR_NAME];
     if (type == RR_FRAME_HELLO) {
@@ -145,13 +145,14 @@
     switch (type) {
     case RR_FRAME_SENT_AT:
         c->late = sent_long_ago(p, u);
-        return u->bad ? -EBADMSG : 0;
+        return u->malformed ? -EBADMSG : 0;
     case RR_FRAME_HEARTBEAT:
-        if (u->left < 2) {
+        if (u->bytes_left < 2) {
             return -EBADMSG;
         }
         if (!c->late) {
-            p->ev.report(p->ev.user, c->peer, u->p[0], u->p + 1, u->left - 1);
+            p->events.heartbeat(p->events.user, c->peer, u->next[0], u->next + 1,
+                                u->bytes_left - 1);
         }
         return 0;
     case RR_FRAME_HEARTBEAT_DIGESTS:
@@ -163,7 +164,7 @@
     case RR_FRAME_DEMAND:
         /* Malformed or not, the link's other frames are good: the hearer drops and counts it. */
         if (!c->late && c->peer >= 0) {
-            p->ev.demand(p->ev.user, c->peer, u->p, u->left);
+            p->events.demand(p->events.user, c->peer, u->next, u->bytes_left);
         }
         return 0;
     case RR_FRAME_RELAY:
@@ -176,7 +177,7 @@
 }
 
 static void *conn_main(void *arg) {
-    struct conn *c = arg;
+    struct connection *c = arg;
     rr_peers *p = c->owner;
     rr_client *client = rr_client_create(p->stop);
     struct inbox in;
@@ -193,7 +194,7 @@
     rr_client_destroy(client);
     rr_usage_leave();
     pthread_mutex_lock(&p->lock);
-    p->conns--;
+    p->connection_count--;
     pthread_cond_broadcast(&p->wake);
     pthread_mutex_unlock(&p->lock);
     g_free(c);
@@ -201,20 +202,20 @@
 }
 
 static void take_conn(rr_peers *p, int fd) {
-    struct conn *c = g_new0(struct conn, 1);
+    struct connection *c = g_new0(struct connection, 1);
     c->owner = p;
     c->fd = fd;
     c->peer = -1;
     pthread_mutex_lock(&p->lock);
-    bool ok = p->conns < RR_PEER_CONNS;
-    p->conns += ok;
+    bool ok = p->connection_count < RR_PEER_CONNS;
+    p->connection_count += ok;
     pthread_mutex_unlock(&p->lock);
     if (ok && rr_thread_start(NULL, conn_main, c, true) == 0) {
         return;
     }
     if (ok) {
         pthread_mutex_lock(&p->lock);
-        p->conns--;
+        p->connection_count--;
         pthread_mutex_unlock(&p->lock);
     }
     close(fd);
--- a/src/peer/outbox.c
+++ b/src/peer/outbox.c
@@ -22,7 +22,7 @@
 static void queue_whole(struct link *l, GBytes *b) {
     if (g_queue_get_length(&l->queue) >= QUEUE_MAX) {
         g_bytes_unref(g_queue_pop_head(&l->queue));
-        l->life++; /* what was dropped is not there */
+        l->losses++; /* what was dropped is not there */
     }
     if (g_queue_is_empty(&l->queue)) {
         pthread_cond_signal(&l->wake);
@@ -63,16 +63,16 @@
 
 void rr_peers_send_heartbeat(rr_peers *p, uint32_t wanted, uint32_t rare,
                              const rr_heartbeat_digest *h, const void *body, size_t len) {
-    if (p->cfg->npeers == 0 || len + RR_FRAME_HEAD + 1 > RR_FRAME_MAX / 2) {
+    if (p->config->peer_count == 0 || len + RR_FRAME_HEAD + 1 > RR_FRAME_MAX / 2) {
         return;
     }
     GBytes *whole = NULL;
     pthread_mutex_lock(&p->lock);
     double now = rr_now();
     struct sent *s = sent_of(p, h->machine, now);
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         struct link *l = &p->links[i];
-        bool has = s->to[i].at > 0 && s->to[i].life == l->life &&
+        bool has = s->to[i].at > 0 && s->to[i].life == l->losses &&
                    s->to[i].worker_epoch == h->worker_epoch && s->to[i].hash == h->hash;
         double since = s->to[i].at > 0 ? now - s->to[i].at : 1e9;
         bool want = (wanted >> i & 1) ? !has || since > REFRESH_S
@@ -85,7 +85,7 @@
         queue_whole(l, whole);
         s->to[i].worker_epoch = h->worker_epoch;
         s->to[i].hash = h->hash;
-        s->to[i].life = l->life;
+        s->to[i].life = l->losses;
         s->to[i].at = now;
     }
     pthread_mutex_unlock(&p->lock);
@@ -102,9 +102,9 @@
     }
     pthread_mutex_lock(&p->lock);
     double now = rr_now();
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         struct link *l = &p->links[i];
-        bool lacks = (int)i != from && rr_link_heard_lately(l, now) && !l->hears[from];
+        bool lacks = (int)i != from && rr_link_heard_lately(l, now) && !l->peer_hears[from];
         if (lacks && body) {
             whole = whole ? whole : payload_of(1, body, len);
             queue_whole(l, whole);
@@ -121,7 +121,7 @@
 
 void rr_peers_demand(rr_peers *p, const void *view, size_t len) {
     pthread_mutex_lock(&p->lock);
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         struct link *l = &p->links[i];
         g_clear_pointer(&l->demand, g_bytes_unref);
         l->demand = g_bytes_new(view, len);
@@ -135,7 +135,7 @@
         return;
     }
     pthread_mutex_lock(&p->lock);
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         struct link *l = &p->links[i];
         for (guint k = 0; k < names->len && l->suspects->len < RR_PEER_LIST_MAX; k++) {
             g_ptr_array_add(l->suspects, g_strdup(g_ptr_array_index(names, k)));
@@ -147,7 +147,7 @@
 
 void rr_peers_cancelled(rr_peers *p, const char *job_id, double until) {
     pthread_mutex_lock(&p->lock);
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         rr_cancellations_add(p->links[i].cancelled, job_id, until);
         pthread_cond_signal(&p->links[i].wake);
     }
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -12,8 +12,8 @@
 rr_peers *rr_peers_create(const struct rr_config *cfg, const struct rr_peer_events *ev,
                           const atomic_bool *stop) {
     rr_peers *p = g_new0(rr_peers, 1);
-    p->cfg = cfg;
-    p->ev = *ev;
+    p->config = cfg;
+    p->events = *ev;
     p->stop = stop;
     p->listener = -1;
     pthread_mutex_init(&p->lock, NULL);
@@ -39,18 +39,18 @@
 
 void rr_peer_put_hello(const rr_peers *p, GByteArray *b) {
     guint at = rr_frame_begin(b, RR_FRAME_HELLO);
-    rr_frame_text(b, p->cfg->node_name);
+    rr_frame_text(b, p->config->node_name);
     rr_frame_end(b, at);
 }
 
 int rr_peers_start(rr_peers *p) {
-    int fd = rr_socket_listen(&p->cfg->peer_listen, BACKLOG);
+    int fd = rr_socket_listen(&p->config->peer_listen, BACKLOG);
     if (fd < 0) {
         return fd;
     }
     p->listener = fd;
     p->accepting = rr_thread_start(&p->acceptor, rr_peer_listen_main, p, false) == 0;
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         p->links[i].started =
             rr_thread_start(&p->links[i].thread, rr_link_main, &p->links[i], false) == 0;
     }
@@ -59,20 +59,20 @@
 
 void rr_peers_stop(rr_peers *p) {
     pthread_mutex_lock(&p->lock);
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         pthread_cond_signal(&p->links[i].wake);
     }
     pthread_mutex_unlock(&p->lock);
     if (p->accepting) {
         pthread_join(p->acceptor, NULL);
     }
-    for (size_t i = 0; i < p->cfg->npeers; i++) {
+    for (size_t i = 0; i < p->config->peer_count; i++) {
         if (p->links[i].started) {
             pthread_join(p->links[i].thread, NULL);
         }
     }
     pthread_mutex_lock(&p->lock);
-    while (p->conns > 0) {
+    while (p->connection_count > 0) {
         pthread_cond_wait(&p->wake, &p->lock);
     }
     pthread_mutex_unlock(&p->lock);
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -17,7 +17,7 @@
     void *user;
     /* A peer heard this report, itself (hops 0) or from another peer (1). Called on a connection's
      * thread; body is borrowed. */
-    void (*report)(void *user, int peer, unsigned hops, const void *body, size_t len);
+    void (*heartbeat)(void *user, int peer, unsigned hops, const void *body, size_t len);
     /* Machines that a peer heard again, with nothing to say that it has not sent before. */
     void (*heartbeat_digests)(void *user, int peer, unsigned hops, const rr_heartbeat_digest *list,
                               size_t n);
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -20,7 +20,7 @@
     pthread_mutex_t lock;
     double rps, write_rps;           /* the service's limits */
     double next_rps, next_write_rps; /* those that it will have from some moment on */
-    bool lowered;
+    bool next_limits_in_force;
     unsigned refusals; /* since refused_at */
     double refused_at;
     struct rr_budget_shares shares;
@@ -61,7 +61,7 @@
 }
 
 static void lower(rr_budget *b) {
-    b->lowered = true;
+    b->next_limits_in_force = true;
     b->rps = b->next_rps;
     b->write_rps = b->next_write_rps;
     set_shares(b, &b->shares);
@@ -81,7 +81,7 @@
     double now = rr_now();
     b->refusals = now - b->refused_at < REFUSED_S ? b->refusals + 1 : 1;
     b->refused_at = b->refusals == 1 ? now : b->refused_at;
-    if (!b->lowered && b->refusals >= REFUSALS) {
+    if (!b->next_limits_in_force && b->refusals >= REFUSALS) {
         lower(b);
     }
     pthread_mutex_unlock(&b->lock);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -148,7 +148,7 @@
     char path[512];
     rr_reply reply;
     g_snprintf(path, sizeof path, "/store?starts=%s%s%s&limit=1000", prefix,
-               cursor->from[0] ? "&from=" : "", cursor->from);
+               cursor->from_key[0] ? "&from=" : "", cursor->from_key);
     if (call(s, RR_REQUEST_SESSION, 0, "GET", path, NULL, 5, &reply) != 0 || reply.status != 200) {
         return -EAGAIN;
     }
@@ -173,9 +173,9 @@
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
         const msgpack_object *row = &rows->via.array.ptr[i];
         uint64_t mark;
-        if (rr_map_get_text(row, "path", cursor->from, sizeof cursor->from) &&
+        if (rr_map_get_text(row, "path", cursor->from_key, sizeof cursor->from_key) &&
             rr_map_get_u64(row, "mark", &mark) && rr_map_get(row, "v")) {
-            fn(user, cursor->from, rr_map_get(row, "v"), mark);
+            fn(user, cursor->from_key, rr_map_get(row, "v"), mark);
         }
     }
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -58,7 +58,7 @@
 /* A prefix in full, page by page. */
 typedef struct {
     bool more; /* true at first */
-    char from[256];
+    char from_key[256];
     uint64_t revision; /* of the last page */
 } rr_store_cursor;
 /* 0 with the page in *doc, to be handed to rr_store_each_row() and cleared; -EAGAIN. */
--- a/src/wire/doc.c
+++ b/src/wire/doc.c
@@ -9,24 +9,24 @@
  * five-byte body could ask for gigabytes. This scan only follows the format's length bytes: every
  * element takes at least one byte, hence a declared count above what is left is false. */
 struct scan {
-    const uint8_t *p, *end;
+    const uint8_t *next, *end;
 };
 
 static bool skip_bytes(struct scan *s, uint64_t n) {
-    if ((uint64_t)(s->end - s->p) < n) {
+    if ((uint64_t)(s->end - s->next) < n) {
         return false;
     }
-    s->p += n;
+    s->next += n;
     return true;
 }
 
 static bool read_be(struct scan *s, int bytes, uint64_t *out) {
     *out = 0;
-    if (s->end - s->p < bytes) {
+    if (s->end - s->next < bytes) {
         return false;
     }
     for (int i = 0; i < bytes; i++) {
-        *out = *out << 8 | *s->p++;
+        *out = *out << 8 | *s->next++;
     }
     return true;
 }
@@ -34,7 +34,7 @@
 static bool scan_value(struct scan *s, int depth);
 
 static bool scan_items(struct scan *s, uint64_t n, int depth) {
-    if (n > (uint64_t)(s->end - s->p) || depth <= 0) {
+    if (n > (uint64_t)(s->end - s->next) || depth <= 0) {
         return false;
     }
     for (uint64_t i = 0; i < n; i++) {
@@ -88,10 +88,10 @@
 }
 
 static bool scan_value(struct scan *s, int depth) {
-    if (s->p >= s->end) {
+    if (s->next >= s->end) {
         return false;
     }
-    uint8_t b = *s->p++;
+    uint8_t b = *s->next++;
     if (b < 0x80 || b >= 0xe0) {
         return true;
     }
@@ -112,7 +112,7 @@
     msgpack_unpacked_init(&doc->unpacked);
     doc->root = NULL;
     doc->copy = NULL;
-    if (len == 0 || !scan_value(&s, RR_DEPTH_MAX) || s.p != s.end) {
+    if (len == 0 || !scan_value(&s, RR_DEPTH_MAX) || s.next != s.end) {
         return -EBADMSG;
     }
     size_t off = 0;
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -232,7 +232,7 @@
     r->spot_notice_s = -1;
     const msgpack_object *list = rr_map_get(o, "pieces");
     if (!rr_map_get_text(o, "stone", r->machine, sizeof r->machine) || !r->machine[0] ||
-        !rr_map_get_text(o, "addr", r->addr, sizeof r->addr) ||
+        !rr_map_get_text(o, "addr", r->address, sizeof r->address) ||
         !rr_map_get_text(o, "build", r->machine_type, sizeof r->machine_type) ||
         !rr_map_get_text(o, "ward", r->zone, sizeof r->zone) ||
         !rr_map_get_bool(o, "loaners", &r->spot) ||
@@ -337,7 +337,7 @@
 int rr_listed_machine_decode(const msgpack_object *o, rr_listed_machine *s) {
     memset(s, 0, sizeof *s);
     const msgpack_object *st = rr_map_get(o, "standing");
-    rr_map_get_text(o, "addr", s->addr, sizeof s->addr);
+    rr_map_get_text(o, "addr", s->address, sizeof s->address);
     if (!rr_map_get_text(o, "ref", s->id, sizeof s->id) ||
         !rr_map_get_text(o, "build", s->machine_type, sizeof s->machine_type) ||
         !rr_map_get_text(o, "ward", s->zone, sizeof s->zone) ||
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -112,7 +112,7 @@
 } rr_task_status;
 
 typedef struct {
-    char machine[RR_ID], addr[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
+    char machine[RR_ID], address[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
     bool spot;
     uint64_t worker_epoch, sequence, fencing_token;
     double spot_notice_s; /* <0: no notice */
@@ -159,7 +159,7 @@
 
 enum rr_listed_state { RR_LISTED_STARTING, RR_LISTED_RUNNING, RR_LISTED_FAILED };
 typedef struct {
-    char id[RR_ID], addr[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
+    char id[RR_ID], address[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
     bool spot;
     enum rr_listed_state state;
     double age_s;
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -64,9 +64,9 @@
     model->admission = true;
     struct rr_config *config = &model->config;
     for (; *teams; teams++) {
-        g_strlcpy(config->teams[config->nteams++].name, *teams, RR_NAME);
+        g_strlcpy(config->teams[config->team_count++].name, *teams, RR_NAME);
     }
-    config->npeers = MODEL_CONTROLLERS - 1;
+    config->peer_count = MODEL_CONTROLLERS - 1;
     config->clock_off_s = 0.1;
     config->value_kb = 4;
     config->transaction_changes_max = 8;
@@ -127,7 +127,7 @@
             g_byte_array_free(record->value, TRUE);
         }
         record->value = g_byte_array_new();
-        g_byte_array_append(record->value, change->value, (guint)change->len);
+        g_byte_array_append(record->value, change->value, (guint)change->length);
         record->version = state->revision;
     }
     model->tables_written++;
@@ -450,7 +450,7 @@
 /* Each team has an owner of its own, and nobody orders what they do: they race for room. Without
  * admission one order of arrival stands for a lucky day. */
 static struct job *next_to_place(struct model *model, const double *used) {
-    guint teams = (guint)model->config.nteams;
+    guint teams = (guint)model->config.team_count;
     guint first = (guint)g_rand_int_range(model->state->random, 0, (gint)teams);
     struct job *job = model->admission ? NULL : next_job(model, NULL, used);
     for (guint i = 0; model->admission && !job && i < teams; i++) {
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -8,7 +8,7 @@
 }
 
 static void neighbour_init(rr_cells_settings *settings, const char *name, const char *zone) {
-    rr_cell *cell = &settings->neighbours[settings->nneighbours++];
+    rr_cell *cell = &settings->neighbours[settings->neighbour_count++];
     g_strlcpy(cell->name, name, sizeof cell->name);
     cell->networks = rr_networks_create();
     cell->zones = g_ptr_array_new_with_free_func(g_free);
@@ -20,7 +20,7 @@
     cell->store = fx_store_create();
     fx_build(cell->store, "m1", 16, 4, 64, 10, 4);
     fx_node_init(&cell->node, cell->store, "n0");
-    cell->node.cfg.cells = true;
+    cell->node.config.cells = true;
     cell->settings = (rr_cells_settings){.on = true,
                                          .lease_s = 10,
                                          .stop_s = 5,
@@ -34,7 +34,7 @@
     cell->process = 100;
     cell->session = 7;
     cell->transfers =
-        rr_transfers_create(&cell->settings, &cell->node.cfg, cell->node.core, cell->process);
+        rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core, cell->process);
     rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
     fx_join(&cell->node, cell->session);
 }
@@ -71,11 +71,11 @@
         rr_transfers_destroy(cell->transfers);
         fx_node_clear(&cell->node);
         fx_node_init(&cell->node, cell->store, "n0");
-        cell->node.cfg.cells = true;
+        cell->node.config.cells = true;
         cell->node.now = now;
         cell->process++;
-        cell->transfers =
-            rr_transfers_create(&cell->settings, &cell->node.cfg, cell->node.core, cell->process);
+        cell->transfers = rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core,
+                                              cell->process);
         rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
         fx_reread(cell->store, cell->node.core, now);
     }
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -97,7 +97,7 @@
     }
     for (guint i = 0; s->value_max && i < t->changes->len; i++) {
         const rr_change *c = &g_array_index(t->changes, rr_change, i);
-        if (c->value && json_size(c->value, c->len) > s->value_max) {
+        if (c->value && json_size(c->value, c->length) > s->value_max) {
             return false;
         }
     }
@@ -122,10 +122,10 @@
         log->version = s->epoch;
         if (c->value) {
             struct fx_value *v = g_new0(struct fx_value, 1);
-            v->data = g_memdup2(c->value, c->len);
-            v->len = log->len = c->len;
+            v->data = g_memdup2(c->value, c->length);
+            v->len = log->len = c->length;
             v->version = s->epoch;
-            log->data = g_memdup2(c->value, c->len);
+            log->data = g_memdup2(c->value, c->length);
             g_hash_table_replace(s->kv, g_strdup(c->key), v);
         } else {
             g_hash_table_remove(s->kv, c->key);
@@ -211,17 +211,17 @@
     g_strlcpy(c->zone, "a", RR_NAME);
     for (int i = 0; i < 3; i++) {
         if (strcmp(names[i], name) != 0) {
-            g_strlcpy(c->peers[c->npeers++].name, names[i], RR_NAME);
+            g_strlcpy(c->peers[c->peer_count++].name, names[i], RR_NAME);
         }
     }
-    c->nteams = 2;
+    c->team_count = 2;
     g_strlcpy(c->teams[0].name, "red", RR_NAME);
     g_strlcpy(c->teams[1].name, "blue", RR_NAME);
-    c->nobjectives = 1;
+    c->objective_count = 1;
     g_strlcpy(c->objectives[0].kind, "wait", sizeof c->objectives[0].kind);
     g_strlcpy(c->objectives[0].job_class, "live", RR_NAME);
     c->objectives[0].within_s = 5;
-    c->report_s = 3;
+    c->heartbeat_interval_s = 3;
     c->lease_s = 30;
     c->cancel_s = 60;
     c->gang_wait_s = 40;
@@ -232,24 +232,24 @@
     c->transaction_changes_max = 8;
     c->cloud_rps = 5;
     c->list_lag_s = 5;
-    c->tune = (struct rr_tuning){.round_period_s = 30,
-                                 .round_moves = 4,
-                                 .rounds = true,
-                                 .session_share = 0.35,
-                                 .answer_share = 1,
-                                 .silent_reports = 2,
-                                 .dead_reports = 3.5,
-                                 .idle_return_s = 20,
-                                 .headroom = 0,
-                                 .boot_patience = 2,
-                                 .cloud_list_s = 4};
+    c->tuning = (struct rr_tuning){.rebalance_period_s = 30,
+                                   .rebalance_moves = 4,
+                                   .rebalance = true,
+                                   .session_share = 0.35,
+                                   .answer_share = 1,
+                                   .silent_reports = 2,
+                                   .dead_reports = 3.5,
+                                   .idle_return_s = 20,
+                                   .headroom = 0,
+                                   .boot_patience = 2,
+                                   .cloud_list_s = 4};
 }
 
 void fx_node_init(fx_node *n, fx_store *s, const char *name) {
     memset(n, 0, sizeof *n);
-    fx_config(&n->cfg, name);
+    fx_config(&n->config, name);
     n->store = s;
-    n->core = rr_core_create(&n->cfg);
+    n->core = rr_core_create(&n->config);
     n->now = 1000;
     n->spot_notice_s = -1;
 }
@@ -270,7 +270,7 @@
 }
 
 static void node_key(const fx_node *n, char *out, size_t size) {
-    g_snprintf(out, size, RR_ROOT "node/%s", n->cfg.node_name);
+    g_snprintf(out, size, RR_ROOT "node/%s", n->config.node_name);
 }
 
 void fx_join(fx_node *n, uint64_t tether) {
@@ -278,7 +278,7 @@
     rr_encoder o;
     node_key(n, key, sizeof key);
     rr_encoder_init(&o);
-    rr_core_encode_session(&n->cfg, &o, tether);
+    rr_core_encode_session(&n->config, &o, tether);
     fx_put(n->store, key, &o);
     rr_core_set_session(n->core, tether, n->now + 1e6);
     fx_term(n);
@@ -471,7 +471,7 @@
     va_list ap;
     const char *text;
     g_strlcpy(r.machine, id, sizeof r.machine);
-    g_snprintf(r.addr, sizeof r.addr, "127.0.0.1:%d", 1000 + atoi(id + 3));
+    g_snprintf(r.address, sizeof r.address, "127.0.0.1:%d", 1000 + atoi(id + 3));
     g_strlcpy(r.machine_type, "m1", sizeof r.machine_type);
     g_strlcpy(r.zone, zone, sizeof r.zone);
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
@@ -659,7 +659,7 @@
     g_strlcpy(machine.id, id, sizeof machine.id);
     g_strlcpy(machine.machine_type, "m1", sizeof machine.machine_type);
     g_strlcpy(machine.zone, zone, sizeof machine.zone);
-    g_strlcpy(machine.addr, "127.0.0.1:1", sizeof machine.addr);
+    g_strlcpy(machine.address, "127.0.0.1:1", sizeof machine.address);
     g_array_append_val(list, machine);
 }
 
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -42,7 +42,7 @@
 unsigned fx_placed(const fx_store *s, const char *ref);   /* bookings of a job in the ledger */
 
 typedef struct {
-    struct rr_config cfg;
+    struct rr_config config;
     fx_store *store;
     rr_core *core;
     double now;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -731,7 +731,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     assert_false(rr_core_all_admission_capable(n->core));
-    n->cfg.admission = true;
+    n->config.admission = true;
     fx_leave(n);
     fx_join(n, 12);
     assert_true(rr_core_all_admission_capable(n->core));
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -43,7 +43,7 @@
  * served nearly as much, and each class half as much at least: users give up after a minute here,
  * and never in the fair cluster. */
 static void assert_fair(const struct model *model) {
-    for (size_t i = 0; i < model->config.nteams; i++) {
+    for (size_t i = 0; i < model->config.team_count; i++) {
         const char *team = model->config.teams[i].name;
         assert_true(model_team_ratio(model, team) <= 2);
         assert_true(served_part(model, team) >= 0.8);
@@ -214,7 +214,7 @@
     model.streams[0].estimate_factor = model.streams[1].estimate_factor = 0.25;
     model.streams[4].estimate_factor = 4;
     model_run(&model);
-    for (size_t i = 0; i < model.config.nteams; i++) {
+    for (size_t i = 0; i < model.config.team_count; i++) {
         assert_true(model_team_ratio(&model, model.config.teams[i].name) <= 2.5);
     }
     const rr_admission_table *table = rr_admission_newest(model.controllers[0]);
@@ -332,7 +332,7 @@
             model.admission = on;
             model_run(&model);
             model_print(&model, on ? "with admission" : "without");
-            for (size_t team = 0; team < model.config.nteams; team++) {
+            for (size_t team = 0; team < model.config.team_count; team++) {
                 const char *name = model.config.teams[team].name;
                 printf("  %-6s all: ratio %.2f\n", name, model_team_ratio(&model, name));
             }
--- a/tests/test_batch.c
+++ b/tests/test_batch.c
@@ -13,7 +13,7 @@
     rr_encoder_init(&u->value);
     rr_encode_map(&u->value, 1);
     rr_encode_key_text(&u->value, "ref", body);
-    u->accepts = accepts;
+    u->is_submission = accepts;
     u->version = mark;
     g_free(body);
 }
@@ -88,7 +88,7 @@
         assert_true(t.changes->len <= (guint)rr_transaction_changes_max(&cfg));
         assert_true(t.guards->len <= 4 * (guint)rr_transaction_changes_max(&cfg));
         for (guint i = 0; i < t.changes->len; i++) {
-            size_t len = g_array_index(t.changes, rr_change, i).len;
+            size_t len = g_array_index(t.changes, rr_change, i).length;
             assert_true((double)len <= rr_value_kb_max(&cfg) * 1024);
         }
         rr_transaction_clear(&t);
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -598,7 +598,7 @@
     spill(pair);
     cell_submit(&pair->home, &(struct fx_job){.job_id = "req-2", .cpus = 4});
     cell_pair_home_dies(pair);
-    return (struct dead_home){pair, rr_absent_create(&pair->guest.node.cfg, "g")};
+    return (struct dead_home){pair, rr_absent_create(&pair->guest.node.config, "g")};
 }
 
 static void watch_home(const struct dead_home *dead, double seconds) {
@@ -702,7 +702,7 @@
     unsigned made = 0;
     struct dead_home dead = kill_home(pair);
     GPtrArray *writes = ready_to_claim(&dead);
-    rr_absent *other = rr_absent_create(&pair->guest.node.cfg, "other");
+    rr_absent *other = rr_absent_create(&pair->guest.node.config, "other");
     rr_transfer_write theirs = {.ends_claim = false};
     rr_transaction_init(&theirs.transaction);
     cell_pair_read_home(pair, other, writes);
@@ -737,7 +737,7 @@
     rr_core_job job;
     spill(pair);
     pair->cut = true;
-    struct dead_home dead = {pair, rr_absent_create(&pair->guest.node.cfg, "g")};
+    struct dead_home dead = {pair, rr_absent_create(&pair->guest.node.config, "g")};
     watch_home(&dead, 12);
     assert_true(cell_job(&pair->guest, cell_pair_local(pair, JOB, 1), &job) && job.cancelled);
     rr_absent_destroy(dead.absent);
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -46,7 +46,7 @@
 }
 
 static void add_cell(rr_cells_settings *settings, const char *name, const char *network) {
-    rr_cell *cell = &settings->neighbours[settings->nneighbours++];
+    rr_cell *cell = &settings->neighbours[settings->neighbour_count++];
     g_strlcpy(cell->name, name, sizeof cell->name);
     cell->networks = rr_networks_create();
     cell->zones = g_ptr_array_new();
@@ -92,7 +92,7 @@
     g_strlcpy(settings->listen.host, from, sizeof settings->listen.host);
     add_cell(settings, "b", "127.0.2.0/24");
     rr_cell *cell = &settings->neighbours[0];
-    cell->ncontrollers = 2;
+    cell->controller_count = 2;
     for (int i = 0; i < 2; i++) {
         g_snprintf(cell->controllers[i].name, RR_NAME, "b%d", i);
         cell->controllers[i].endpoint = servers[i].settings.listen;
@@ -133,7 +133,7 @@
 static void wait_strangers(uint64_t expected) {
     rr_cells_links_stats stats = {0};
     double until = rr_now() + 5;
-    while (stats.strangers != expected) {
+    while (stats.unknown_peers != expected) {
         assert_true(rr_now() < until);
         rr_sleep(0.01);
         rr_cells_links_get_stats(servers[0].links, &stats);
@@ -232,7 +232,7 @@
         rr_frame_end(frame, at);
         assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
         assert_int_equal(rr_peer_receive(&stop, &in, &type, &payload, 5), 0);
-        assert_int_equal(rr_cells_reply_unpack(payload.p, payload.left, &reply), 0);
+        assert_int_equal(rr_cells_reply_unpack(payload.next, payload.bytes_left, &reply), 0);
         assert_int_equal(reply.status, expected[i]);
         rr_cells_reply_clear(&reply);
         g_byte_array_free(frame, TRUE);
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -247,8 +247,8 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_plan p;
-    n->cfg.teams[0].cpus = 8; /* red */
-    n->cfg.teams[1].cpus = 4; /* blue */
+    n->config.teams[0].cpus = 8; /* red */
+    n->config.teams[1].cpus = 4; /* blue */
     fx_machine(w->store, "vm-1", "a", false, false);
     empty_report(n, "vm-1", "a", false, 1);
     const char *const refs[] = {"req-1", "req-2", "req-3", "req-4"};
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -161,7 +161,7 @@
         show(n, m, "req-1", shown_in[before], 1, 20);
         break;
     case ABSENT:
-        n->now += n->cfg.gang_wait_s * 0.6;
+        n->now += n->config.gang_wait_s * 0.6;
         show_all(n, "req-1", shown_in[before]);
         show(n, m, "req-1", NULL, 1, -1);
         break;
@@ -175,20 +175,20 @@
  * nothing yet: booked tasks are not started then. */
 static enum rr_gang_phase phase_after(enum event event, enum rr_gang_phase before) {
     static const enum rr_gang_phase after_booked[EVENTS] = {
-        RR_GANG_BOOKED,   RR_GANG_STOPPING, RR_GANG_ENDING,   RR_GANG_STOPPING,
-        RR_GANG_STOPPING, RR_GANG_BOOKED,   RR_GANG_STOPPING, RR_GANG_ENDING};
+        RR_GANG_RESERVED, RR_GANG_STOPPING, RR_GANG_ENDING,   RR_GANG_STOPPING,
+        RR_GANG_STOPPING, RR_GANG_RESERVED, RR_GANG_STOPPING, RR_GANG_ENDING};
     static const enum rr_gang_phase after_shown[EVENTS] = {
         RR_GANG_QUEUED,   RR_GANG_STOPPING, RR_GANG_ENDING,   RR_GANG_STOPPING,
         RR_GANG_STOPPING, RR_GANG_STOPPING, RR_GANG_STOPPING, RR_GANG_ENDING};
     if (event == NOTHING) {
         return before;
     }
-    return before == RR_GANG_BOOKED ? after_booked[event] : after_shown[event];
+    return before == RR_GANG_RESERVED ? after_booked[event] : after_shown[event];
 }
 
 /* Tasks that are told to stop: all that are shown, but the one that is gone. */
 static unsigned stops_after(enum event event, enum rr_gang_phase before) {
-    if (before == RR_GANG_BOOKED || event == NOTHING) {
+    if (before == RR_GANG_RESERVED || event == NOTHING) {
         return 0;
     }
     return event == NOTICE || event == CANCEL ? 3 : 2;
@@ -200,7 +200,7 @@
 static void every_event_in_every_phase(void **state) {
     (void)state;
     for (int row = 0; row < 3 * EVENTS; row++) {
-        enum rr_gang_phase before = (enum rr_gang_phase)(RR_GANG_BOOKED + row / EVENTS);
+        enum rr_gang_phase before = (enum rr_gang_phase)(RR_GANG_RESERVED + row / EVENTS);
         enum event event = (enum event)(row % EVENTS);
         fx_world *w;
         uint64_t at;
@@ -208,8 +208,8 @@
         setup((void **)&w);
         fx_node *n = &w->n;
         start(w, &gang);
-        assert_int_equal(phase(n, "req-1"), RR_GANG_BOOKED);
-        if (before != RR_GANG_BOOKED) {
+        assert_int_equal(phase(n, "req-1"), RR_GANG_RESERVED);
+        if (before != RR_GANG_RESERVED) {
             show_all(n, "req-1", shown_in[before]);
         }
         assert_int_equal(phase(n, "req-1"), before);
@@ -326,7 +326,7 @@
     int m = machine_of(w, 0, &at);
     show(n, m, "req-1", "running", 1, 20);
     assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", &leave), 3);
-    assert_true(leave >= 3 && leave <= 3 + n->cfg.gang_peer_s);
+    assert_true(leave >= 3 && leave <= 3 + n->config.gang_peer_s);
     n->now += 1.6;
     show_all(n, "req-1", "flushing");
     assert_int_equal(plan(n, RR_COMMAND_STOP, "req-1", NULL), 0);
@@ -358,7 +358,7 @@
     n->now += 0.1;
     plan(n, RR_COMMAND_START, "req-3", NULL);
     assert_int_equal(fx_placed(w->store, "req-3"), 4); /* over both zones */
-    n->cfg.teams[0].cpus_max = 90;
+    n->config.teams[0].cpus_max = 90;
     struct fx_job over = gang;
     over.job_id = "req-4";
     over.one_zone = false;
@@ -587,7 +587,7 @@
     fx_node *n = &w->n;
     struct fx_job owed = gang, beyond = gang;
     const char *const others[] = {"req-5"};
-    n->cfg.teams[1].cpus = 20; /* blue */
+    n->config.teams[1].cpus = 20; /* blue */
     show_all(n, "req-1", NULL);
     fx_submit(
         w->store,
@@ -691,7 +691,7 @@
     fx_node *n = &w->n;
     static char names[SMALL_JOBS][16];
     const char *small[SMALL_JOBS];
-    n->cfg.teams[0].cpus_max = 32;
+    n->config.teams[0].cpus_max = 32;
     show_all(n, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
@@ -721,8 +721,8 @@
     struct fx_job wide = gang;
     const char *const wide_ref[] = {"req-1"};
     rr_job_view v;
-    n->cfg.next_value_kb = 2;
-    n->cfg.next_transaction_changes_max = 4;
+    n->config.next_value_kb = 2;
+    n->config.next_transaction_changes_max = 4;
     w->store->value_max = (size_t)2 * 1024;
     w->store->ops_max = 4;
     wide.cpus = wide.mem_gb = 1;
@@ -759,11 +759,11 @@
     struct fx_job j = gang;
     fx_submission(&s, &j);
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
-    n->cfg.teams[0].cpus_max = 25;
+    n->config.teams[0].cpus_max = 25;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
-    n->cfg.teams[0].cpus_max = 30;
+    n->config.teams[0].cpus_max = 30;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
-    n->cfg.teams[0].cpus_max = 0;
+    n->config.teams[0].cpus_max = 0;
     s.task_count = 5000;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
     s.task_count = 3;
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -382,8 +382,8 @@
 static void a_flooding_team(void **state) {
     fx_world *w = *state;
     fx_node *n = &w->n;
-    n->cfg.teams[0].cpus_max = 48;
-    n->cfg.teams[1].cpus = 16;
+    n->config.teams[0].cpus_max = 48;
+    n->config.teams[1].cpus = 16;
     fx_fleet(n, 1, 4, "a");
     submit_many(n, 1, 300, &(struct fx_job){.team = "red", .cpus = 4, .deadline_s = 10});
     settle(n);
@@ -620,8 +620,8 @@
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     int rented = 0;
     unsigned steps = 0;
-    w->store->value_max = (size_t)(n->cfg.value_kb * 1024);
-    w->store->ops_max = (guint)n->cfg.transaction_changes_max;
+    w->store->value_max = (size_t)(n->config.value_kb * 1024);
+    w->store->ops_max = (guint)n->config.transaction_changes_max;
     submit_many(n, 1, FLEET / 100, &(struct fx_job){.pieces = 100, .cpus = 16});
     for (; rented < FLEET && steps < 4000; steps++) {
         rr_autoscaler_step s;
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -103,7 +103,7 @@
     other.now = last + 0.001;
     fx_sync(w->store, other.core, other.now);
     fx_cancel(&other, j.job_id); /* confirmed, at `other.now` at the earliest */
-    double answers = rr_heartbeat_reply_s(&leader->cfg), tick = 0.001;
+    double answers = rr_heartbeat_reply_s(&leader->config), tick = 0.001;
     rr_core_set_session(leader->core, 7, last + 1e6); /* a renewal says nothing of cancellations */
     assert_int_equal(answer_at(leader, last + answers - tick, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 0);
@@ -121,8 +121,8 @@
     assert_int_not_equal(answer_at(leader, last + answers + tick, j.job_id, at, &stops), 200);
     /* The worker answered last: its lease counts from the sending of its report, at the latest from
      * the answer, on a clock that may run slow, and the leader's may, too. */
-    double drift = 1.0005, gone = (answers + leader->cfg.lease_s * drift) * drift;
-    assert_true(gone < leader->cfg.cancel_s);
+    double drift = 1.0005, gone = (answers + leader->config.lease_s * drift) * drift;
+    assert_true(gone < leader->config.cancel_s);
     /* Who confirmed it stops it with every answer, entitled to plan or not. */
     assert_int_equal(answer_at(&other, other.now + answers - tick, j.job_id, at, &stops), 200);
     assert_int_equal(stops, 1);
@@ -164,7 +164,7 @@
     rr_core_job_view(leader->core, j.job_id, now, &after);
     assert_memory_equal(&before, &after, sizeof before);
     assert_int_equal(fx_placed(w->store, j.job_id), 1);
-    double lapsed = now + leader->cfg.cancel_s + 0.001;
+    double lapsed = now + leader->config.cancel_s + 0.001;
     rr_core_set_session(leader->core, 7, lapsed + 100);
     rr_core_set_cache_current(leader->core, lapsed);
     assert_int_equal(answer_at(leader, lapsed, j.job_id, at, &stops), 200);
@@ -261,7 +261,7 @@
     fx_node *n = &w->n;
     struct fx_job j1 = {.job_id = "req-1", .gpus = 2}, j2 = {.job_id = "req-2", .gpus = 2};
     uint64_t at, at2;
-    n->cfg.teams[0].gpus_max = 2;
+    n->config.teams[0].gpus_max = 2;
     const char *m = run_job(w, &j1, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
     uint64_t old = rr_core_fencing_token(n->core);
     fx_submit(w->store, &j2, n->now);
@@ -341,12 +341,12 @@
                               .fencing_token = rr_core_fencing_token(n->core),
                               .spot_notice_s = -1,
                               .machine = "vm-1",
-                              .addr = "127.0.0.1:1001",
+                              .address = "127.0.0.1:1001",
                               .machine_type = "m1",
                               .zone = "a"};
             r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
             bool shared = rr_core_take_command_reply(n->core, n->now, &r, -1);
-            assert_true(shared == (i + 1 < 1.5 * n->cfg.report_s));
+            assert_true(shared == (i + 1 < 1.5 * n->config.heartbeat_interval_s));
             rr_heartbeat_clear(&r);
         }
         fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = "blue", .zone = "a"}, n->now);
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -193,7 +193,7 @@
         fx_provisioner_step(n, machines, &s);
         if (s.kind == RR_AUTOSCALER_SCALE_IN) {
             asked = true;
-            assert_true(i > n->cfg.tune.dead_reports * n->cfg.report_s);
+            assert_true(i > n->config.tuning.dead_reports * n->config.heartbeat_interval_s);
             assert_int_equal(s.machines->len, 1);
             assert_string_equal(s.machines->pdata[0], "vm-3");
             assert_true(fx_recorded(w->store, "vm-3"));
@@ -211,7 +211,7 @@
     fx_node *n = &w->n;
     rr_autoscaler_step s;
     char id[16];
-    n->cfg.tune.dead_reports = 1.9;
+    n->config.tuning.dead_reports = 1.9;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     for (int i = 1; i <= 12; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
@@ -261,7 +261,7 @@
     rr_plan_clear(&p);
     fx_node again;
     fx_node_init(&again, w->store, "n0");
-    g_strlcpy(again.cfg.zone, "b", RR_NAME); /* it is outside of the cut */
+    g_strlcpy(again.config.zone, "b", RR_NAME); /* it is outside of the cut */
     again.now = n->now;
     fx_sync(w->store, again.core, again.now);
     fx_join(&again, 8);
@@ -431,7 +431,7 @@
     rr_autoscaler_step_clear(&s);
     n->now += still;
     for (int t = 0; t < 60; t++) {
-        n->now += n->cfg.report_s / 12;
+        n->now += n->config.heartbeat_interval_s / 12;
         if (t < many) {
             report_each(n, t + 1, t + 1, 2);
         }
@@ -487,13 +487,17 @@
     uint64_t sequence = 1;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     three_machines(w, machines);
-    assert_int_equal(released_while(w, (int)(1.5 * n->cfg.lease_s), &sequence, machines, true), 0);
+    assert_int_equal(released_while(w, (int)(1.5 * n->config.lease_s), &sequence, machines, true),
+                     0);
     assert_true(rr_core_timers_late(n->core, n->now, 1));
     /* Its report is read at last, and it stays: */
     fx_report(n, "vm-3", "a", false, 1, ++sequence, 1, NULL);
-    assert_int_equal(released_while(w, (int)n->cfg.report_s, &sequence, machines, false), 0);
+    assert_int_equal(
+        released_while(w, (int)n->config.heartbeat_interval_s, &sequence, machines, false), 0);
     /* until it is silent for long enough to a controller that keeps up. */
-    assert_int_equal(released_while(w, (int)(5 * n->cfg.report_s), &sequence, machines, false), 1);
+    assert_int_equal(
+        released_while(w, (int)(5 * n->config.heartbeat_interval_s), &sequence, machines, false),
+        1);
     g_array_free(machines, TRUE);
 }
 
@@ -505,12 +509,12 @@
     const int many = 10, hung = 8;
     unsigned asked = 0;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    n->cfg.npeers = 1;
-    g_strlcpy(n->cfg.zone, "b", RR_NAME);
-    g_strlcpy(n->cfg.peers[0].name, "n1", RR_NAME);
-    g_strlcpy(n->cfg.peers[0].zone, "a", RR_NAME);
+    n->config.peer_count = 1;
+    g_strlcpy(n->config.zone, "b", RR_NAME);
+    g_strlcpy(n->config.peers[0].name, "n1", RR_NAME);
+    g_strlcpy(n->config.peers[0].zone, "a", RR_NAME);
     standing_fleet(w, many, machines);
-    for (int t = 0; t < 3 * n->cfg.lease_s; t++) {
+    for (int t = 0; t < 3 * n->config.lease_s; t++) {
         n->now += 1;
         report_each(n, 1, t == 0 ? many : many - hung, (uint64_t)t + 1);
         if (controller_heard) {
@@ -520,7 +524,7 @@
         for (int k = 0; k < 3; k++) {
             fx_provisioner_step(n, machines, &s);
             if (s.kind == RR_AUTOSCALER_SCALE_IN && asked == 0) {
-                assert_true(t > n->cfg.lease_s);
+                assert_true(t > n->config.lease_s);
                 asked = s.machines->len;
             }
             rr_autoscaler_step_clear(&s);
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -116,7 +116,7 @@
     fx_plan(n, &p);
     assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
     rr_plan_clear(&p);
-    n->now += n->cfg.report_s;
+    n->now += n->config.heartbeat_interval_s;
     fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), ended, NULL);
     fx_plan(n, &p);
     assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
@@ -358,7 +358,7 @@
     struct fx_job j = {.job_id = "req-000011", .pieces = 3, .cpus = 1, .gpus = 1};
     uint64_t at;
     rr_plan p;
-    n->cfg.teams[0].gpus_max = 2;
+    n->config.teams[0].gpus_max = 2;
     book_one(w, &j, &at);
     unsigned booked = 0;
     for (uint32_t t = 0; t < 3; t++) {
@@ -540,7 +540,7 @@
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_KNOWN);
     fx_submission(
         &s, &(struct fx_job){.job_id = "req-000016", .service = true, .pieces = 3, .gpus = 1});
-    n->cfg.teams[0].gpus_max = 2;
+    n->config.teams[0].gpus_max = 2;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_NEVER);
     s.kind = RR_JOB_ARRAY;
     assert_int_equal(rr_core_admit(n->core, &s, &why), RR_ADMIT_OK);
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -279,7 +279,7 @@
                       .spot_notice_s = -1};
     struct rr_heartbeat_reply ans;
     r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    double answers = rr_heartbeat_reply_s(&alone.cfg);
+    double answers = rr_heartbeat_reply_s(&alone.config);
     rr_core_reply_to_heartbeat(alone.core, alone.now + answers - 0.1, &r, &ans);
     assert_int_equal(ans.status, 200);
     g_array_free(ans.commands, TRUE);
@@ -292,8 +292,8 @@
     assert_int_not_equal(ans.status, 200);
     /* The worker answered last ends by its lease, in time for a cancellation made just after the
      * last moment that this mirror knows. */
-    assert_true(answers + 1.001 * alone.cfg.lease_s < alone.cfg.cancel_s - 0.9);
-    assert_true(answers > 0.9 * (alone.cfg.cancel_s - alone.cfg.lease_s));
+    assert_true(answers + 1.001 * alone.config.lease_s < alone.config.cancel_s - 0.9);
+    assert_true(answers > 0.9 * (alone.config.cancel_s - alone.config.lease_s));
     rr_heartbeat_clear(&r);
     /* Its session ends; the others make a term without it. */
     fx_leave(&alone);
@@ -331,7 +331,7 @@
         fx_sync(w->store, peer.core, peer.now);
         rr_encoder o;
         rr_encoder_init(&o);
-        rr_core_encode_session(&n->cfg, &o, 9);
+        rr_core_encode_session(&n->config, &o, 9);
         fx_put(w->store, RR_ROOT "node/n1", &o);
         rr_core_set_session(peer.core, 9, 1e6);
         /* The old incarnation has seen the new node and prepares the next term, then dies. */
@@ -343,7 +343,7 @@
         }
         fx_node_init(&again, w->store, "n0");
         rr_encoder_init(&o);
-        rr_core_encode_session(&n->cfg, &o, 77);
+        rr_core_encode_session(&n->config, &o, 77);
         fx_put(w->store, RR_ROOT "node/n0", &o);
         rr_core_set_session(again.core, 77, 1e6);
         fx_sync(w->store, again.core, again.now);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -124,8 +124,8 @@
 static int setup(void **state) {
     fx_world_setup(state);
     fx_world *w = *state;
-    w->n.cfg.next_value_kb = NEXT_KB;
-    w->n.cfg.next_transaction_changes_max = NEXT_OPS;
+    w->n.config.next_value_kb = NEXT_KB;
+    w->n.config.next_transaction_changes_max = NEXT_OPS;
     return 0;
 }
 
@@ -289,8 +289,8 @@
         assert_one_place(w->store, t, first);
     }
     fx_node_init(&next, w->store, "n1");
-    next.cfg.next_value_kb = NEXT_KB;
-    next.cfg.next_transaction_changes_max = NEXT_OPS;
+    next.config.next_value_kb = NEXT_KB;
+    next.config.next_transaction_changes_max = NEXT_OPS;
     next.now = n->now;
     fx_reread(w->store, next.core, next.now);
     fx_leave(n);
@@ -527,9 +527,9 @@
     fx_node *n = &w->n;
     rr_autoscaler_step s;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    n->cfg.next_value_kb = n->cfg.next_transaction_changes_max = 0;
+    n->config.next_value_kb = n->config.next_transaction_changes_max = 0;
     fx_fleet(n, 1, 40, "a");
-    n->cfg.value_kb = (double)fx_value_size(w->store, RR_ROOT "fleet/00000001") / 1024;
+    n->config.value_kb = (double)fx_value_size(w->store, RR_ROOT "fleet/00000001") / 1024;
     for (int i = 2; i <= 40; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", i);
--- a/tests/test_door.c
+++ b/tests/test_door.c
@@ -16,7 +16,7 @@
 
 #define MOST 8
 
-static void answer(void *user, const struct rr_request *rq, struct rr_response *rs) {
+static void answer(void *user, const struct rr_request *rq, struct rr_http_response *rs) {
     (void)user;
     rs->status = 200;
     rs->yields = strcmp(rq->path, "/hello") == 0;
@@ -24,7 +24,7 @@
 }
 
 struct fixture {
-    struct rr_config cfg;
+    struct rr_config config;
     rr_door *door;
     atomic_bool stands; /* the thread that takes connections is to stand still */
     sem_t go_on;
@@ -39,14 +39,14 @@
 
 static int setup(void **state) {
     struct fixture *f = g_new0(struct fixture, 1);
-    fx_config(&f->cfg, "n0");
-    g_strlcpy(f->cfg.bind.host, "127.0.0.1", sizeof f->cfg.bind.host);
-    f->cfg.bind.port = world_free_port();
+    fx_config(&f->config, "n0");
+    g_strlcpy(f->config.bind.host, "127.0.0.1", sizeof f->config.bind.host);
+    f->config.bind.port = world_free_port();
     sem_init(&f->go_on, 0, 0);
-    f->door = rr_door_create(&f->cfg, MOST, answer, accepted, f);
+    f->door = rr_door_create(&f->config, MOST, answer, accepted, f);
     assert_non_null(f->door);
     int early = socket(AF_INET, SOCK_STREAM, 0);
-    struct sockaddr_in to = {.sin_family = AF_INET, .sin_port = htons(f->cfg.bind.port)};
+    struct sockaddr_in to = {.sin_family = AF_INET, .sin_port = htons(f->config.bind.port)};
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     assert_int_equal(connect(early, (struct sockaddr *)&to, sizeof to), -1);
     assert_int_equal(errno, ECONNREFUSED);
@@ -64,7 +64,7 @@
 }
 
 static int dial(const struct fixture *f) {
-    int fd = world_dial(&f->cfg.bind);
+    int fd = world_dial(&f->config.bind);
     assert_true(fd >= 0);
     return fd;
 }
@@ -176,8 +176,8 @@
     fx_config(&c, "n0");
     c.ram_mb = 188;
     c.max_sockets = 4064;
-    c.tune.max_threads = 2000;
-    c.tune.max_connections = 100000;
+    c.tuning.max_threads = 2000;
+    c.tuning.max_connections = 100000;
     int most = rr_door_limit(&c, 140, 280);
     assert_int_equal(most, 2000 - 140);
     c.max_sockets = 1000;
@@ -185,7 +185,7 @@
     c.max_sockets = 100000;
     c.ram_mb = 94;
     assert_int_equal(rr_door_limit(&c, 140, 280), (int)(0.65 * 94 * 1024 / RR_CONNECTION_KB));
-    c.tune.max_connections = 50;
+    c.tuning.max_connections = 50;
     assert_int_equal(rr_door_limit(&c, 140, 280), 50);
     c.max_sockets = 100;
     assert_true(rr_door_limit(&c, 140, 280) < RR_CONNECTIONS_LEAST);
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -30,8 +30,8 @@
     assert_int_equal(rr_unpack_u8(&u), 7);
     assert_non_null(rr_unpack_bytes(&u, &n));
     assert_int_equal(n, 0);
-    assert_false(u.bad);
-    assert_int_equal(u.left, 0);
+    assert_false(u.malformed);
+    assert_int_equal(u.bytes_left, 0);
     g_byte_array_free(b, TRUE);
 }
 
@@ -67,7 +67,7 @@
         const uint8_t *p = rr_unpack_bytes(&u, &len);
         assert_true(p ? len <= n : len == 0);
         rr_unpack_u16(&u);
-        assert_true(u.left <= n);
+        assert_true(u.bytes_left <= n);
         g_free(data);
     }
     g_rand_free(rnd);
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -25,7 +25,7 @@
 
 struct user {
     pthread_t thread;
-    const struct rr_config *cfg;
+    const struct rr_config *config;
     unsigned first, refused, asked;
     bool failed;
 };
@@ -62,18 +62,18 @@
     for (unsigned n = u->first; n < jobs; n += USERS) {
         ref_of(n, ref, sizeof ref);
         int status;
-        while ((status = submit(u->cfg, ref)) != 201 && status != 200 && rr_now() < until) {
+        while ((status = submit(u->config, ref)) != 201 && status != 200 && rr_now() < until) {
             u->refused++;
             rr_sleep(0.05);
         }
     }
     for (unsigned n = u->first; n < jobs; n += USERS) {
         ref_of(n, ref, sizeof ref);
-        while (!is_done(u->cfg, ref) && rr_now() < until) {
+        while (!is_done(u->config, ref) && rr_now() < until) {
             u->asked++;
             rr_sleep(0.05);
         }
-        u->failed = u->failed || !is_done(u->cfg, ref);
+        u->failed = u->failed || !is_done(u->config, ref);
     }
     return NULL;
 }
@@ -93,7 +93,7 @@
 static void start_ready(struct rr_app *a) {
     double until = rr_now() + 60;
     assert_int_equal(rr_app_start(a), 0);
-    while (world_call(&a->cfg, "GET", "/ready", NULL, 0, NULL) != 200) {
+    while (world_call(&a->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_now() < until);
         rr_sleep(0.02);
     }
@@ -104,13 +104,13 @@
     world *w = world_start();
     struct rr_app *a = g_new0(struct rr_app, 1);
     struct user users[USERS];
-    world_config(w, &a->cfg, "n0");
-    a->cfg.state_rps = a->cfg.state_write_rps = 1000;
+    world_config(w, &a->config, "n0");
+    a->config.state_rps = a->config.state_write_rps = 1000;
     start_ready(a);
     double began = rr_now();
     long before = resident_kb();
     for (unsigned i = 0; i < USERS; i++) {
-        users[i] = (struct user){.cfg = &a->cfg, .first = i};
+        users[i] = (struct user){.config = &a->config, .first = i};
         assert_int_equal(pthread_create(&users[i].thread, NULL, user_main, &users[i]), 0);
     }
     unsigned refused = 0;
@@ -201,15 +201,15 @@
     world *w = world_start();
     struct rr_app *a = g_new0(struct rr_app, 1);
     int *fds = g_new0(int, workers);
-    world_config(w, &a->cfg, "n0");
-    a->cfg.max_sockets = 100000;
-    a->cfg.tune.max_connections = (int)workers / 3;
+    world_config(w, &a->config, "n0");
+    a->config.max_sockets = 100000;
+    a->config.tuning.max_connections = (int)workers / 3;
     start_ready(a);
     double until = rr_now() + 60;
     long before = resident_kb();
     unsigned again = 0;
     for (unsigned i = 0; i < workers; i++) {
-        while ((fds[i] = world_dial(&a->cfg.bind)) < 0 || hello(fds[i], i, 1, 0, "") != 200) {
+        while ((fds[i] = world_dial(&a->config.bind)) < 0 || hello(fds[i], i, 1, 0, "") != 200) {
             assert_true(rr_now() < until);
             if (fds[i] >= 0) {
                 close(fds[i]);
@@ -218,19 +218,19 @@
             rr_sleep(0.01);
         }
     }
-    int open = rr_door_open(a->door);
+    int open = rr_door_open(a->http_server);
     printf("%u workers, %d connections kept, %u tries more, %.0f KB a connection\n", workers, open,
            again, (double)(resident_kb() - before) / (open ? open : 1));
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
     /* The bound of connections counts on it. Each worker's machine in the model is in here, too. */
     assert_true(resident_kb() - before <= (long)open * RR_CONNECTION_KB + (long)workers * 2);
 #endif
-    assert_true(open <= a->cfg.tune.max_connections);
-    assert_true(open >= a->cfg.tune.max_connections / 2);
-    assert_int_equal(world_call(&a->cfg, "GET", "/ready", NULL, 0, NULL), 200);
+    assert_true(open <= a->config.tuning.max_connections);
+    assert_true(open >= a->config.tuning.max_connections / 2);
+    assert_int_equal(world_call(&a->config, "GET", "/ready", NULL, 0, NULL), 200);
     int status = 0;
     until = rr_now() + 60;
-    while ((status = submit(&a->cfg, "req-190001")) != 201 && status != 200) {
+    while ((status = submit(&a->config, "req-190001")) != 201 && status != 200) {
         assert_true(rr_now() < until);
         rr_sleep(0.05);
     }
@@ -286,15 +286,15 @@
     struct rr_app *a = g_new0(struct rr_app, 1);
     unsigned n = workers < 300 ? workers : 300, rounds = rounds_of_mix;
     int *fds = g_new(int, n);
-    world_config(w, &a->cfg, "n0");
-    a->cfg.max_sockets = 100000;
+    world_config(w, &a->config, "n0");
+    a->config.max_sockets = 100000;
     start_ready(a);
-    assert_int_equal(submit(&a->cfg, "req-170000"), 201);
-    assert_int_equal(submit(&a->cfg, "req-170001"), 201);
-    assert_int_equal(world_call(&a->cfg, "POST", "/submissions/req-170000/cancel", NULL, 0, NULL),
-                     200);
+    assert_int_equal(submit(&a->config, "req-170000"), 201);
+    assert_int_equal(submit(&a->config, "req-170001"), 201);
+    assert_int_equal(
+        world_call(&a->config, "POST", "/submissions/req-170000/cancel", NULL, 0, NULL), 200);
     for (unsigned i = 0; i < n; i++) {
-        fds[i] = world_dial(&a->cfg.bind);
+        fds[i] = world_dial(&a->config.bind);
         assert_true(fds[i] >= 0);
     }
     for (int k = 0; k < KINDS; k++) {
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -15,7 +15,7 @@
 #include <unistd.h>
 
 struct fixture {
-    struct rr_config cfg;
+    struct rr_config config;
     struct rr_peers *peers;
     atomic_bool stop;
     atomic_uint reports, lines, cancelled, views;
@@ -71,7 +71,7 @@
 
 static int setup(void **state) {
     struct fixture *f = g_new0(struct fixture, 1);
-    fx_config(&f->cfg, "n0");
+    fx_config(&f->config, "n0");
     f->listener = socket(AF_INET, SOCK_STREAM, 0);
     struct sockaddr_in a = {.sin_family = AF_INET, .sin_addr = {htonl(INADDR_LOOPBACK)}};
     socklen_t len = sizeof a;
@@ -80,17 +80,18 @@
     assert_int_equal(bind(f->listener, (struct sockaddr *)&a, sizeof a), 0);
     assert_int_equal(listen(f->listener, 8), 0);
     assert_int_equal(getsockname(f->listener, (struct sockaddr *)&a, &len), 0);
-    f->cfg.npeers = 1;
-    g_strlcpy(f->cfg.peers[0].name, "n1", RR_NAME);
-    g_strlcpy(f->cfg.peers[0].endpoint.host, "127.0.0.1", sizeof f->cfg.peers[0].endpoint.host);
-    f->cfg.peers[0].endpoint.port = ntohs(a.sin_port);
-    f->cfg.peer_listen = f->cfg.peers[0].endpoint;
-    f->cfg.peer_listen.port = world_free_port();
+    f->config.peer_count = 1;
+    g_strlcpy(f->config.peers[0].name, "n1", RR_NAME);
+    g_strlcpy(f->config.peers[0].endpoint.host, "127.0.0.1",
+              sizeof f->config.peers[0].endpoint.host);
+    f->config.peers[0].endpoint.port = ntohs(a.sin_port);
+    f->config.peer_listen = f->config.peers[0].endpoint;
+    f->config.peer_listen.port = world_free_port();
     struct rr_peer_events ev = {f,         on_report, on_heard, on_suspect, on_cancelled,
                                 on_resign, on_demand};
-    f->peers = rr_peers_create(&f->cfg, &ev, &f->stop);
+    f->peers = rr_peers_create(&f->config, &ev, &f->stop);
     assert_int_equal(rr_peers_start(f->peers), 0);
-    f->to = world_dial(&f->cfg.peer_listen);
+    f->to = world_dial(&f->config.peer_listen);
     assert_true(f->to >= 0);
     GByteArray *b = g_byte_array_new();
     guint at = rr_frame_begin(b, RR_FRAME_HELLO);
@@ -223,7 +224,7 @@
 /* What a cut held up, or what waited unread while this process stood still, says nothing of now. */
 static void late_frames_are_dropped(void **state) {
     struct fixture *f = *state;
-    beat(f, true, f->cfg.report_s + 2 * f->cfg.clock_off_s + 5);
+    beat(f, true, f->config.heartbeat_interval_s + 2 * f->config.clock_off_s + 5);
     beat(f, true, 0);
     double until = rr_now() + 20;
     while (atomic_load(&f->reports) == 0) {
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -18,7 +18,7 @@
 
 static struct rr_app *start_app(world *w, const char *name) {
     struct rr_app *a = g_new0(struct rr_app, 1);
-    world_config(w, &a->cfg, name);
+    world_config(w, &a->config, name);
     assert_int_equal(rr_app_start(a), 0);
     return a;
 }
@@ -30,7 +30,7 @@
 
 static void wait_ready(const struct rr_app *a) {
     double until = rr_now() + 30;
-    while (world_call(&a->cfg, "GET", "/ready", NULL, 0, NULL) != 200) {
+    while (world_call(&a->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_now() < until);
         rr_sleep(0.02);
     }
@@ -57,7 +57,7 @@
     rr_submission sub;
     fx_submission(&sub,
                   &(struct fx_job){.job_id = ref, .pieces = pieces, .cpus = 1, .service = service});
-    return world_submit(&a->cfg, &sub);
+    return world_submit(&a->config, &sub);
 }
 
 /* The standing that a poll tells, or "" with any other answer than 200. */
@@ -66,7 +66,7 @@
     rr_document d;
     g_snprintf(path, sizeof path, "/submissions/%s", ref);
     out[0] = 0;
-    int status = world_call(&a->cfg, "GET", path, NULL, 0, &d);
+    int status = world_call(&a->config, "GET", path, NULL, 0, &d);
     if (status > 0) {
         if (status == 200) {
             rr_map_get_text(d.root, "standing", out, size);
@@ -88,7 +88,7 @@
 static int cancel(const struct rr_app *a, const char *ref) {
     char path[96];
     g_snprintf(path, sizeof path, "/submissions/%s/cancel", ref);
-    return world_call(&a->cfg, "POST", path, "", 0, NULL);
+    return world_call(&a->config, "POST", path, "", 0, NULL);
 }
 
 static void runs_an_array_and_cancels_a_service(void **state) {
@@ -114,7 +114,7 @@
 
 static void bad_requests(void **state) {
     struct service *s = *state;
-    const struct rr_config *c = &s->app->cfg;
+    const struct rr_config *c = &s->app->config;
     static char large[RR_BODY_MAX + 1];
     uint8_t deep[2000];
     memset(deep, 0x91, sizeof deep);
@@ -258,7 +258,7 @@
             rr_encode_key_bool(&o, flags[i], false);
         }
     }
-    int status = world_call(&a->cfg, "POST", "/submissions", o.buffer.data, o.buffer.size, NULL);
+    int status = world_call(&a->config, "POST", "/submissions", o.buffer.data, o.buffer.size, NULL);
     rr_encoder_clear(&o);
     return status;
 }
@@ -355,7 +355,7 @@
     stop_app(s->app);
     s->app = start_app(s->w, "n0");
     /* Nobody is let in before there is anything to tell, for a session's time. */
-    assert_int_equal(world_call(&s->app->cfg, "GET", "/ready", NULL, 0, NULL), -1);
+    assert_int_equal(world_call(&s->app->config, "GET", "/ready", NULL, 0, NULL), -1);
     assert_string_equal(poll_standing(s->app, "req-170000", got, sizeof got), "");
     world_store_down(s->w, false);
     double until = rr_now() + 75;
@@ -384,7 +384,7 @@
     assert_true(rr_now() - began < 1);
     atomic_store(&s->app->lag_ms, 1000000);
     assert_string_equal(poll_standing(s->app, "req-500040", got, sizeof got), "running");
-    assert_int_equal(world_call(&s->app->cfg, "GET", "/ready", NULL, 0, NULL), 200);
+    assert_int_equal(world_call(&s->app->config, "GET", "/ready", NULL, 0, NULL), 200);
     atomic_store(&s->app->lag_ms, 1000000);
     assert_int_equal(cancel(s->app, "req-500040"), 200);
     double until = rr_now() + 60;
@@ -437,7 +437,7 @@
     world_freeze_watches(s->w, true);
     assert_int_equal(submit(s->app, "req-500010", 1, true), 201);
     for (int i = 0; i < WAITERS; i++) {
-        fds[i] = world_dial(&s->app->cfg.bind);
+        fds[i] = world_dial(&s->app->config.bind);
         assert_true(fds[i] >= 0);
         assert_int_equal(send(fds[i], ask, sizeof ask - 1, MSG_NOSIGNAL), sizeof ask - 1);
     }
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -56,7 +56,7 @@
     assert_int_equal(load(base, NULL, &c, err, sizeof err), 0);
     assert_string_equal(c.node_name, "n0");
     assert_int_equal(c.bind.port, 8080);
-    assert_int_equal(c.npeers, 1);
+    assert_int_equal(c.peer_count, 1);
     assert_true(c.teams[0].gpus_max == 3);
     assert_true(c.lease_s == 36);
     assert_true(rr_session_lease_s(&c) + c.lease_s < c.cancel_s);
@@ -132,10 +132,10 @@
     assert_int_equal(
         load(base, "round_period_s = 12.5\nround_moves = 2\nrounds = false\n", &c, err, sizeof err),
         0);
-    assert_true(c.tune.round_period_s == 12.5);
-    assert_int_equal(c.tune.round_moves, 2);
-    assert_false(c.tune.rounds);
-    assert_true(c.tune.silent_reports > 1); /* a default */
+    assert_true(c.tuning.rebalance_period_s == 12.5);
+    assert_int_equal(c.tuning.rebalance_moves, 2);
+    assert_false(c.tuning.rebalance);
+    assert_true(c.tuning.silent_reports > 1); /* a default */
     static const char *const bad[][2] = {{"no_such = 1\n", "no_such"},
                                          {"round_moves = 0\n", "round_moves"},
                                          {"session_share = 0.95\n", "session_share"},
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -376,7 +376,7 @@
 void trace_cells_play(unsigned seed, GString *out) {
     struct cells_trace trace = {.pair = cell_pair_create(), .random = g_rand_new_with_seed(seed)};
     cell_pair *pair = trace.pair;
-    trace.absent = rr_absent_create(&pair->guest.node.cfg, "g");
+    trace.absent = rr_absent_create(&pair->guest.node.config, "g");
     trace_hash_init(&trace.hash);
     watch(&pair->home, &trace.hash);
     watch(&pair->guest, &trace.hash);
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -63,7 +63,7 @@
                                                             : RR_LISTED_STARTING,
                                    .age_s = world->now - machine->made_at};
         g_strlcpy(entry.id, machine->id, sizeof entry.id);
-        g_strlcpy(entry.addr, machine->addr, sizeof entry.addr);
+        g_strlcpy(entry.address, machine->address, sizeof entry.address);
         g_strlcpy(entry.machine_type, machine->type, sizeof entry.machine_type);
         g_strlcpy(entry.zone, machine->zone, sizeof entry.zone);
         g_array_append_val(list, entry);
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -52,7 +52,7 @@
 /* ---- settings and processes ---- */
 
 static void set_teams(const struct trace_scenario *scenario, struct rr_config *config) {
-    config->nteams = (size_t)scenario->teams;
+    config->team_count = (size_t)scenario->teams;
     for (int i = 0; i < scenario->teams; i++) {
         struct rr_team_config *team = &config->teams[i];
         g_strlcpy(team->name, team_names[i], sizeof team->name);
@@ -78,11 +78,11 @@
     config->transaction_changes_max = scenario->lowered_limits ? 8 : 16;
     config->cells = scenario->holds;
     config->admission = scenario->fair_room;
-    config->tune.rounds = scenario->rounds;
-    config->tune.round_period_s = 8;
-    config->tune.round_moves = scenario->holds ? 1 : 4;
-    config->tune.round_share = scenario->holds ? 0 : 0.05;
-    config->tune.headroom = scenario->cloud_machines > 30 ? 1 : 0;
+    config->tuning.rebalance = scenario->rounds;
+    config->tuning.rebalance_period_s = 8;
+    config->tuning.rebalance_moves = scenario->holds ? 1 : 4;
+    config->tuning.rebalance_share = scenario->holds ? 0 : 0.05;
+    config->tuning.headroom = scenario->cloud_machines > 30 ? 1 : 0;
     if (world->announced) {
         config->next_value_kb = 1;
         config->next_transaction_changes_max = 6;
@@ -98,17 +98,17 @@
     char key[RR_NAME + 16];
     rr_encoder out;
     controller->session = ++world->sessions;
-    controller->session_until = world->now + rr_session_lease_s(&controller->node.cfg);
+    controller->session_until = world->now + rr_session_lease_s(&controller->node.config);
     controller->joined = true;
     rr_encoder_init(&out);
     if (world->scenario.odd_records && trace_chance(world, 0.1)) {
         rr_encode_map(&out, 1); /* a version that knows no gangs */
         rr_encode_key_u64(&out, "tether", controller->session);
     } else {
-        rr_core_encode_session(&controller->node.cfg, &out, controller->session);
+        rr_core_encode_session(&controller->node.config, &out, controller->session);
     }
     trace_bytes(&world->hash, out.buffer.data, out.buffer.size);
-    g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.cfg.node_name);
+    g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.config.node_name);
     fx_put(world->store, key, &out);
     rr_core_set_session(controller->node.core, controller->session, controller->session_until);
 }
@@ -116,7 +116,7 @@
 static void leave(struct trace_world *world, struct trace_controller *controller) {
     char key[RR_NAME + 16];
     rr_transaction txn;
-    g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.cfg.node_name);
+    g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.config.node_name);
     rr_transaction_init(&txn);
     rr_transaction_delete(&txn, key);
     fx_commit(world->store, &txn);
@@ -133,9 +133,9 @@
         fx_node_clear(node);
     }
     memset(node, 0, sizeof *node);
-    configure(world, index, &node->cfg);
+    configure(world, index, &node->config);
     node->store = world->store;
-    node->core = rr_core_create(&node->cfg);
+    node->core = rr_core_create(&node->config);
     node->spot_notice_s = -1;
     node->now = world->now;
     rr_core_set_log(node->core, drop_line, world->scenario.log_level);
@@ -204,7 +204,7 @@
         leave(world, controller);
     }
     if (has_store(world, controller) && controller->joined) {
-        controller->session_until = world->now + rr_session_lease_s(&controller->node.cfg);
+        controller->session_until = world->now + rr_session_lease_s(&controller->node.config);
         rr_core_set_session(controller->node.core, controller->session,
                             controller->session_until - 0.5);
     } else if (has_store(world, controller)) {
@@ -386,7 +386,7 @@
 }
 
 static void set_pressure(struct trace_world *world, struct trace_controller *controller) {
-    int all = rr_transaction_changes_max(&controller->node.cfg);
+    int all = rr_transaction_changes_max(&controller->node.config);
     if (world->scenario.short_of_changes) {
         rr_core_set_pressure(controller->node.core, trace_between(world, 0, 1),
                              trace_roll(world, all + 1));
@@ -525,7 +525,7 @@
     trace_answer(&world->hash, &given);
     if (given.status == 200 && given.fencing_token >= machine->fencing_token) {
         machine->fencing_token = given.fencing_token;
-        machine->lease_until = world->now + controller->node.cfg.lease_s;
+        machine->lease_until = world->now + controller->node.config.lease_s;
         trace_execute_orders(world, machine, given.commands);
     } else {
         machine->controller = trace_roll(world, world->scenario.controllers);
