--- a/tests/trace_core.c
+++ b/tests/trace_core.c
@@ -267,7 +267,7 @@
 /* The settings come to name the limits with a restart, at once or after larger records have been
  * written; later the limits hold. */
 static void lower_limits(struct trace_world *world) {
-    const struct rr_config *config = &world->controllers[0].node.cfg;
+    const struct rr_config *config = &world->controllers[0].node.config;
     if (world->steps == TRACE_STEPS / 4 && !world->announced) {
         world->announced = true;
         for (int i = 0; i < world->scenario.controllers; i++) {
@@ -355,8 +355,8 @@
     }
     /* To see that they are kept takes time. */
     if (world->scenario.lowered_limits || seed % 4 == 0) {
-        world->store->value_max = (size_t)(world->controllers[0].node.cfg.value_kb * 1024);
-        world->store->ops_max = (guint)world->controllers[0].node.cfg.transaction_changes_max;
+        world->store->value_max = (size_t)(world->controllers[0].node.config.value_kb * 1024);
+        world->store->ops_max = (guint)world->controllers[0].node.config.transaction_changes_max;
     }
 }
 
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -62,13 +62,13 @@
 
 void trace_command(trace_hash *hash, const rr_command_batch *command) {
     trace_text(hash, command->machine);
-    trace_text(hash, command->addr);
+    trace_text(hash, command->address);
     trace_int(hash, command->fencing_token);
     trace_int(hash, command->worker_epoch);
     trace_orders(hash, command->commands);
     trace_int(hash, (uint64_t)(int64_t)command->via);
     trace_int(hash, (uint64_t)(int64_t)command->fallback);
-    trace_int(hash, command->doubtful);
+    trace_int(hash, command->may_time_out);
 }
 
 void trace_plan(trace_hash *hash, const rr_plan *plan) {
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -14,7 +14,7 @@
                                         const char *zone, bool spot) {
     struct trace_machine *machine = g_new0(struct trace_machine, 1);
     g_snprintf(machine->id, sizeof machine->id, "vm-%d", number);
-    g_snprintf(machine->addr, sizeof machine->addr, "127.0.0.1:%d", 1000 + number);
+    g_snprintf(machine->address, sizeof machine->address, "127.0.0.1:%d", 1000 + number);
     machine->type = type;
     machine->zone = zone;
     machine->spot = spot;
@@ -256,7 +256,7 @@
 void trace_report_of(struct trace_world *world, struct trace_machine *machine, rr_heartbeat *out) {
     memset(out, 0, sizeof *out);
     g_strlcpy(out->machine, machine->id, sizeof out->machine);
-    g_strlcpy(out->addr, machine->addr, sizeof out->addr);
+    g_strlcpy(out->address, machine->address, sizeof out->address);
     g_strlcpy(out->machine_type, machine->type, sizeof out->machine_type);
     g_strlcpy(out->zone, machine->zone, sizeof out->zone);
     out->spot = machine->spot;
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -53,7 +53,7 @@
 };
 
 struct trace_machine {
-    char id[RR_ID], addr[RR_ID];
+    char id[RR_ID], address[RR_ID];
     const char *type, *zone;
     bool spot;
     bool listed, failed; /* by the cloud */
--- a/tests/world.c
+++ b/tests/world.c
@@ -828,9 +828,9 @@
     c->bind.port = world_free_port();
     c->peer_listen.port = world_free_port();
     c->cloud.port = c->state.port = w->port;
-    c->nteams = 1;
+    c->team_count = 1;
     g_strlcpy(c->teams[0].name, "red", RR_NAME);
-    c->report_s = 0.5;
+    c->heartbeat_interval_s = 0.5;
     c->lease_s = 10;
     c->cancel_s = 40;
     c->state_rps = 2000;
@@ -841,8 +841,8 @@
     c->list_lag_s = 0.5;
     c->max_sockets = 500;
     c->ram_mb = 200;
-    rr_settings_defaults(&c->tune);
-    c->tune.idle_return_s = 1000;
+    rr_settings_defaults(&c->tuning);
+    c->tuning.idle_return_s = 1000;
     pthread_mutex_lock(&w->lock);
     w->reports_to = c->bind;
     w->next = w->controllers->len;
