--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -29,9 +29,9 @@
 }
 
 static void wait_ready(const struct rr_app *a) {
-    double until = rr_now() + 30;
+    double until = rr_steady_clock_s() + 30;
     while (world_call(&a->config, "GET", "/ready", NULL, 0, NULL) != 200) {
-        assert_true(rr_now() < until);
+        assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.02);
     }
 }
@@ -77,10 +77,10 @@
 }
 
 static void wait_standing(const struct rr_app *a, const char *ref, const char *want) {
-    double until = rr_now() + 40;
+    double until = rr_steady_clock_s() + 40;
     char got[32];
     while (strcmp(poll_standing(a, ref, got, sizeof got), want) != 0) {
-        assert_true(rr_now() < until);
+        assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
 }
@@ -100,9 +100,9 @@
     wait_standing(s->app, "req-500001", "running");
     assert_int_equal(cancel(s->app, "req-500001"), 200);
     assert_int_equal(cancel(s->app, "req-500001"), 200);
-    double until = rr_now() + 20;
+    double until = rr_steady_clock_s() + 20;
     while (world_tasks(s->w) > 0) {
-        assert_true(rr_now() < until);
+        assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
     wait_standing(s->app, "req-500001", "aborted");
@@ -216,9 +216,9 @@
         world_drop_next_answer(s->w);
         int status = cancel(i % 2 ? b : s->app, ref);
         assert_true(status == 200 || status == 503);
-        double until = rr_now() + 10;
+        double until = rr_steady_clock_s() + 10;
         while (cancel(b, ref) != 200) {
-            assert_true(rr_now() < until);
+            assert_true(rr_steady_clock_s() < until);
         }
         assert_true(told(poll_standing(s->app, ref, got, sizeof got), "aborted"));
         assert_true(told(poll_standing(b, ref, got, sizeof got), "aborted"));
@@ -305,11 +305,11 @@
     assert_string_equal(poll_standing(s->app, "req-100003", got, sizeof got), "done");
     assert_string_equal(poll_standing(s->app, "req-100004", got, sizeof got), "");
     world_store_down(s->w, false);
-    double until = rr_now() + 30;
+    double until = rr_steady_clock_s() + 30;
     int status;
     while ((status = submit(s->app, "req-100004", 1, false)) != 201 && status != 200) {
         assert_int_equal(status, 503);
-        assert_true(rr_now() < until);
+        assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
     wait_standing(s->app, "req-100004", "done");
@@ -358,11 +358,11 @@
     assert_int_equal(world_call(&s->app->config, "GET", "/ready", NULL, 0, NULL), -1);
     assert_string_equal(poll_standing(s->app, "req-170000", got, sizeof got), "");
     world_store_down(s->w, false);
-    double until = rr_now() + 75;
+    double until = rr_steady_clock_s() + 75;
     for (int i = 0; i < 24; i++) {
         ref_of(i, ref, sizeof ref);
         while (!*poll_standing(s->app, ref, got, sizeof got)) {
-            assert_true(rr_now() < until);
+            assert_true(rr_steady_clock_s() < until);
             rr_sleep(0.02);
         }
         assert_true(i % 3 == 0   ? strcmp(got, "done") == 0
@@ -379,17 +379,17 @@
     assert_int_equal(submit(s->app, "req-500040", 1, true), 201);
     wait_standing(s->app, "req-500040", "running");
     atomic_store(&s->app->lag_ms, 1000000);
-    double began = rr_now();
+    double began = rr_steady_clock_s();
     assert_int_equal(submit(s->app, "req-500041", 1, true), 503);
-    assert_true(rr_now() - began < 1);
+    assert_true(rr_steady_clock_s() - began < 1);
     atomic_store(&s->app->lag_ms, 1000000);
     assert_string_equal(poll_standing(s->app, "req-500040", got, sizeof got), "running");
     assert_int_equal(world_call(&s->app->config, "GET", "/ready", NULL, 0, NULL), 200);
     atomic_store(&s->app->lag_ms, 1000000);
     assert_int_equal(cancel(s->app, "req-500040"), 200);
-    double until = rr_now() + 60;
+    double until = rr_steady_clock_s() + 60;
     while (submit(s->app, "req-500041", 1, true) == 503) {
-        assert_true(rr_now() < until);
+        assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
     wait_standing(s->app, "req-500041", "running");
@@ -441,8 +441,8 @@
         assert_true(fds[i] >= 0);
         assert_int_equal(send(fds[i], ask, sizeof ask - 1, MSG_NOSIGNAL), sizeof ask - 1);
     }
-    double until = rr_now() + 20;
-    while (waiting_polls(s->app) < WAITERS && rr_now() < until) {
+    double until = rr_steady_clock_s() + 20;
+    while (waiting_polls(s->app) < WAITERS && rr_steady_clock_s() < until) {
         rr_sleep(0.001);
     }
     GHashTable *first = sleeps();
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -60,7 +60,7 @@
     GByteArray *view = g_byte_array_new();
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_admission_stats stats;
-    trace_int(hash, rr_admission_tell(admission, 1, view));
+    trace_int(hash, rr_admission_announce(admission, 1, view));
     trace_bytes(hash, view->data, view->len);
     rr_admission_demand(admission, now, demand);
     trace_int(hash, demand->len);
@@ -90,10 +90,10 @@
                                     .mem_gb = 1,
                                     .kind = (enum rr_job_kind)g_rand_int_range(random, 0, 3),
                                     .runtime_estimate_s = stream->runtime_s};
-        rr_admission_standing standing = {.lease_valid = g_rand_int_range(random, 0, 20) > 0,
-                                          .all_capable = g_rand_int_range(random, 0, 20) > 0,
-                                          .cache_age_s = g_rand_double_range(random, 0, 3),
-                                          .controllers = MODEL_CONTROLLERS};
+        rr_admission_context standing = {.lease_valid = g_rand_int_range(random, 0, 20) > 0,
+                                         .all_capable = g_rand_int_range(random, 0, 20) > 0,
+                                         .cache_age_s = g_rand_double_range(random, 0, 3),
+                                         .controllers = MODEL_CONTROLLERS};
         g_snprintf(submission.job_id, sizeof submission.job_id, "req-9%07u",
                    ++admission_trace.asked);
         g_strlcpy(submission.team, stream->team, sizeof submission.team);
@@ -342,7 +342,7 @@
         size_t neighbour = 0;
         g_snprintf(id, sizeof id, "req-%u", number);
         trace_int(&trace->hash,
-                  rr_transfers_away(home->transfers, id, &neighbour, local, sizeof local));
+                  rr_transfers_transferred(home->transfers, id, &neighbour, local, sizeof local));
         trace_text(&trace->hash, local);
     }
     trace_int(&trace->hash, rr_transfers_speaks_for(home->transfers, "red", home->node.now));
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -100,15 +100,16 @@
     double runtime_s = world->scenario.runtime_s * trace_between(world, 0.2, 2);
     const char *why = NULL;
     any_submission(world, submission, runtime_s);
-    enum rr_admit admit = rr_core_admit(controller->node.core, submission, &why);
+    enum rr_submission_check admit =
+        rr_core_check_submission(controller->node.core, submission, &why);
     trace_int(&world->hash, admit);
     trace_text(&world->hash, why);
-    if (admit == RR_ADMIT_OK) {
+    if (admit == RR_SUBMISSION_NEW) {
         remember_job(world, submission, runtime_s);
     } else {
         rr_submission_clear(submission);
     }
-    return admit == RR_ADMIT_OK;
+    return admit == RR_SUBMISSION_NEW;
 }
 
 static void write_one(struct trace_world *world, struct trace_controller *controller,
@@ -179,7 +180,7 @@
     for (int i = 0; i < world->scenario.controllers; i++) {
         struct trace_controller *peer = &world->controllers[i];
         if (peer != from && peer->running && trace_chance(world, 0.8)) {
-            rr_core_cancel_hint(peer->node.core, job_id, world->now);
+            rr_core_add_cancel_hint(peer->node.core, job_id, world->now);
         }
     }
 }
@@ -192,7 +193,7 @@
         rr_submission submission = {.task_count = job->tasks, .cpus = 1};
         const char *why = NULL;
         g_strlcpy(submission.job_id, job->id, sizeof submission.job_id);
-        trace_int(&world->hash, rr_core_admit(controller->node.core, &submission, &why));
+        trace_int(&world->hash, rr_core_check_submission(controller->node.core, &submission, &why));
         trace_text(&world->hash, why);
     }
 }
@@ -202,7 +203,7 @@
     for (int i = 0; i < 4200; i++) {
         char id[RR_ID];
         g_snprintf(id, sizeof id, "req-8%06d", i);
-        rr_core_cancel_hint(controller->node.core, id, world->now);
+        rr_core_add_cancel_hint(controller->node.core, id, world->now);
     }
 }
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -200,7 +200,7 @@
 }
 
 static void wait_moved(world *w, double seconds) {
-    double until = rr_now() + seconds;
+    double until = rr_steady_clock_s() + seconds;
     struct timespec ts = {(time_t)until, (long)((until - (double)(time_t)until) * 1e9)};
     pthread_cond_timedwait(&w->moved, &w->lock, &ts);
 }
@@ -211,9 +211,10 @@
 
 static int watch(const struct door *door, uint64_t from, double hold_s, rr_encoder *out) {
     world *w = door->w;
-    double until = rr_now() + hold_s;
-    while (!w->stopping && (shows_nothing(door) || w->epoch <= from) && rr_now() < until) {
-        wait_moved(w, until - rr_now());
+    double until = rr_steady_clock_s() + hold_s;
+    while (!w->stopping && (shows_nothing(door) || w->epoch <= from) &&
+           rr_steady_clock_s() < until) {
+        wait_moved(w, until - rr_steady_clock_s());
     }
     guint n = 0;
     bool show = !shows_nothing(door);
@@ -279,7 +280,7 @@
 static void expire_leases(world *w) {
     GHashTableIter iterator;
     gpointer key, value;
-    double now = rr_now();
+    double now = rr_steady_clock_s();
     g_hash_table_iter_init(&iterator, w->leases);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         struct lease *lease = value;
@@ -297,7 +298,7 @@
     uint64_t *key = g_new(uint64_t, 1);
     rr_map_get_number(o, "life_ms", &life_ms);
     *key = ++w->holds;
-    *lease = (struct lease){life_ms / 1000, rr_now() + life_ms / 1000};
+    *lease = (struct lease){life_ms / 1000, rr_steady_clock_s() + life_ms / 1000};
     g_hash_table_insert(w->leases, key, lease);
     rr_encode_map(out, 1);
     rr_encode_key_u64(out, "tether", *key);
@@ -307,7 +308,7 @@
 static int renew_lease(world *w, uint64_t number) {
     struct lease *lease = g_hash_table_lookup(w->leases, &number);
     if (lease) {
-        lease->ends_at = rr_now() + lease->life_s;
+        lease->ends_at = rr_steady_clock_s() + lease->life_s;
     }
     return lease ? 200 : 404;
 }
@@ -375,7 +376,7 @@
         return;
     }
     double *at = g_new(double, 1);
-    *at = rr_now();
+    *at = rr_steady_clock_s();
     g_hash_table_insert(w->started, g_strdup(piece), at);
 }
 
@@ -388,12 +389,12 @@
 
 /* As a worker that has no answer: its own lease ends what runs. */
 static void end_without_lease(world *w) {
-    bool lapsed = w->lease_s > 0 && rr_now() - w->answered_at > w->lease_s;
+    bool lapsed = w->lease_s > 0 && rr_steady_clock_s() - w->answered_at > w->lease_s;
     for (guint i = 0; lapsed && i < w->tasks->len; i++) {
         struct task *t = &g_array_index(w->tasks, struct task, i);
         if (t->standing == 1) {
-            bool over = t->ends_at > 0 && rr_now() > t->ends_at;
-            end_task(w, t, over ? 2 : 3, over ? t->ends_at : rr_now());
+            bool over = t->ends_at > 0 && rr_steady_clock_s() > t->ends_at;
+            end_task(w, t, over ? 2 : 3, over ? t->ends_at : rr_steady_clock_s());
         }
     }
 }
@@ -416,15 +417,15 @@
         struct task fresh = {.attempt = attempt, .standing = 1};
         g_strlcpy(fresh.piece, piece, sizeof fresh.piece);
         /* Jobs numbered from 5 are services. */
-        fresh.ends_at = piece[4] == '5' ? 0 : rr_now() + w->task_s;
+        fresh.ends_at = piece[4] == '5' ? 0 : rr_steady_clock_s() + w->task_s;
         fresh.run = w->runs->len;
-        world_run run = {.started_at = rr_now()};
+        world_run run = {.started_at = rr_steady_clock_s()};
         g_strlcpy(run.piece, piece, sizeof run.piece);
         g_array_append_val(w->runs, run);
         g_array_append_val(w->tasks, fresh);
         note_start(w, piece);
     } else if (rr_object_text_equals(rr_map_get(o, "verb"), "stop") && known && t->standing == 1) {
-        end_task(w, t, 3, rr_now());
+        end_task(w, t, 3, rr_steady_clock_s());
     } else if (rr_object_text_equals(rr_map_get(o, "verb"), "reap") && known && t->standing > 1) {
         g_array_remove_index(w->tasks, at);
     }
@@ -448,7 +449,7 @@
     rr_encode_array(out, w->tasks->len);
     for (guint i = 0; i < w->tasks->len; i++) {
         struct task *t = &g_array_index(w->tasks, struct task, i);
-        if (t->standing == 1 && t->ends_at > 0 && rr_now() > t->ends_at) {
+        if (t->standing == 1 && t->ends_at > 0 && rr_steady_clock_s() > t->ends_at) {
             end_task(w, t, 2, t->ends_at);
         }
         rr_encode_map(out, t->standing > 1 ? 4 : 3);
@@ -468,7 +469,7 @@
         return false;
     }
     w->fencing_token = fencing_token;
-    w->answered_at = rr_now();
+    w->answered_at = rr_steady_clock_s();
     for (uint32_t i = 0; orders && i < orders->via.array.size; i++) {
         do_order(w, &orders->via.array.ptr[i]);
     }
@@ -674,7 +675,7 @@
     w->tasks = g_array_new(FALSE, TRUE, sizeof(struct task));
     w->task_s = 0.1;
     w->runs = g_array_new(FALSE, TRUE, sizeof(world_run));
-    w->answered_at = rr_now();
+    w->answered_at = rr_steady_clock_s();
     g_strlcpy(w->zone, "a", sizeof w->zone);
     w->started = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     w->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
@@ -730,7 +731,7 @@
     for (guint i = 0; i < w->tasks->len; i++) {
         struct task *t = &g_array_index(w->tasks, struct task, i);
         if (t->standing == 1) {
-            end_task(w, t, 3, rr_now());
+            end_task(w, t, 3, rr_steady_clock_s());
         }
     }
     g_array_set_size(w->tasks, 0);
