--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define VIEW_BYTES_MAX (RR_FRAME_MAX - 1024) /* of a view in a frame */
+#define VIEW_BYTES_MAX (RR_FRAME_BYTES_MAX - 1024) /* of a view in a frame */
 #define VIEW_KEPT 6 /* intervals for which a silent controller's view counts */
 
 struct peer_view {
@@ -22,9 +22,9 @@
     bool whole[2]; /* the slot's table is complete */
     rr_demand *demand;
     double counted_from; /* wall: the interval that is being counted */
-    struct peer_view peers[RR_MAX_NODES];
+    struct peer_view peers[RR_CONTROLLERS_MAX];
     /* What was admitted without a table that could be relied on, in this interval. */
-    rr_work conservative[RR_MAX_TEAMS];
+    rr_work conservative[RR_TEAMS_MAX];
     rr_admission_stats stats;
 };
 
@@ -44,7 +44,7 @@
     if (!admission) {
         return;
     }
-    for (size_t i = 0; i < RR_MAX_NODES; i++) {
+    for (size_t i = 0; i < RR_CONTROLLERS_MAX; i++) {
         rr_demand_view_clear(&admission->peers[i].view);
     }
     rr_admission_table_clear(&admission->slots[0].table);
@@ -217,7 +217,7 @@
 int rr_admission_take_demand(rr_admission *admission, size_t peer, uint64_t fencing_token,
                              const void *data, size_t len, double now) {
     rr_demand_view view;
-    int rc = peer < RR_MAX_NODES ? rr_demand_view_unpack(data, len, &view) : -EBADMSG;
+    int rc = peer < RR_CONTROLLERS_MAX ? rr_demand_view_unpack(data, len, &view) : -EBADMSG;
     if (rc == 0 && view.fencing_token < fencing_token) {
         rr_demand_view_clear(&view);
         rc = -ESTALE;
@@ -233,8 +233,8 @@
 }
 
 void rr_admission_demand(const rr_admission *admission, double now, GArray *out) {
-    const rr_demand_view *views[RR_MAX_NODES + 1];
-    unsigned ages[RR_MAX_NODES + 1];
+    const rr_demand_view *views[RR_CONTROLLERS_MAX + 1];
+    unsigned ages[RR_CONTROLLERS_MAX + 1];
     guint count = 0;
     rr_demand_view own;
     rr_demand_view_of(admission->demand, 0, &own);
--- a/src/admission/demand.c
+++ b/src/admission/demand.c
@@ -26,7 +26,7 @@
 
 struct waiting {
     uint64_t hash, key_id;
-    char job_id[RR_ID];
+    char job_id[RR_ID_SIZE];
     double until; /* then its user has given up */
 };
 
--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -44,7 +44,7 @@
 /* Types that do not fit make the key one of any type: its share is then reckoned too high, and the
  * backlog corrects it. */
 static void set_types(const rr_submission *submission, rr_admission_key *out) {
-    const char *types[RR_BUILDS_MAX];
+    const char *types[RR_MACHINE_TYPES_MAX];
     int count = submission->machine_type_count;
     for (int i = 0; i < count; i++) {
         types[i] = submission->machine_types[i];
--- a/src/admission/key.h
+++ b/src/admission/key.h
@@ -11,8 +11,8 @@
 
 typedef struct {
     uint64_t id; /* hash of the rest */
-    char team[RR_NAME], job_class[RR_TEXT];
-    char zone[RR_TEXT];             /* empty: any */
+    char team[RR_NAME_SIZE], job_class[RR_TEXT_SIZE];
+    char zone[RR_TEXT_SIZE];        /* empty: any */
     char types[RR_ADMISSION_TYPES]; /* sorted, each followed by a comma; empty: any */
     unsigned band;
 } rr_admission_key;
--- a/src/admission/load.c
+++ b/src/admission/load.c
@@ -94,7 +94,7 @@
 
 void rr_offered_load_add_job(rr_offered_load *load, const rr_submission *submission, int team,
                              uint32_t waiting, uint32_t placed, uint32_t done) {
-    if (team < 0 || team >= RR_MAX_TEAMS) {
+    if (team < 0 || team >= RR_TEAMS_MAX) {
         return;
     }
     rr_load_team *of_team = &load->teams[team];
--- a/src/admission/load.h
+++ b/src/admission/load.h
@@ -12,7 +12,7 @@
 
 /* Machines of one type in one zone, together. */
 typedef struct {
-    char type[RR_ID], zone[RR_TEXT];
+    char type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     rr_amount amount;
 } rr_load_pool;
 
@@ -33,7 +33,7 @@
     const rr_admission_settings *settings;
     GArray *pools;    /* rr_load_pool */
     GHashTable *keys; /* id -> rr_load_key */
-    rr_load_team teams[RR_MAX_TEAMS];
+    rr_load_team teams[RR_TEAMS_MAX];
     GHashTable *done, *done_before; /* job hash -> tasks done, at this visit and the last one */
     unsigned visits;
 } rr_offered_load;
--- a/src/admission/settings.c
+++ b/src/admission/settings.c
@@ -22,13 +22,13 @@
     rr_conf_set_standards(numbers, G_N_ELEMENTS(numbers), settings);
     settings->band_limits[0] = (uint32_t)standard_bands[0];
     settings->band_limits[1] = (uint32_t)standard_bands[1];
-    for (size_t i = 0; i < RR_MAX_TEAMS; i++) {
+    for (size_t i = 0; i < RR_TEAMS_MAX; i++) {
         settings->teams[i].weight = 1;
     }
 }
 
 void rr_admission_settings_clear(rr_admission_settings *settings) {
-    for (size_t i = 0; i < RR_MAX_TEAMS; i++) {
+    for (size_t i = 0; i < RR_TEAMS_MAX; i++) {
         if (settings->teams[i].class_weights) {
             g_hash_table_destroy(settings->teams[i].class_weights);
         }
--- a/src/admission/settings.h
+++ b/src/admission/settings.h
@@ -24,7 +24,7 @@
     double patience_s; /* how long users go on asking */
     double solver_s;   /* what the linear programs of one interval may take */
     uint32_t band_limits[2];
-    rr_admission_team_settings teams[RR_MAX_TEAMS]; /* by the platform's list of teams */
+    rr_admission_team_settings teams[RR_TEAMS_MAX]; /* by the platform's list of teams */
 } rr_admission_settings;
 
 void rr_admission_settings_init(rr_admission_settings *settings);
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -9,7 +9,7 @@
 
 #include "core/core.h"
 
-#define RR_ADMISSION_PREFIX RR_ROOT "admission/"
+#define RR_ADMISSION_PREFIX RR_KEY_ROOT "admission/"
 #define RR_ADMISSION_VERSION 1
 #define RR_ADMISSION_PARTS_MAX 16
 /* Shares and positions on the circle are parts of this. */
@@ -22,7 +22,7 @@
 } rr_admission_row;
 
 typedef struct {
-    char name[RR_NAME];
+    char name[RR_NAME_SIZE];
     double room;       /* fair part of all room, by its scarcest resource */
     double correction; /* what its tasks take, as a multiple of its estimates */
 } rr_admission_team;
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -19,8 +19,8 @@
     rr_amount capacity;
     double visited_at;                             /* steady, 0: never */
     unsigned calm;                                 /* tables in a row without overload */
-    double used[RR_MAX_TEAMS], done[RR_MAX_TEAMS]; /* lately, in dominant share times time */
-    double correction[RR_MAX_TEAMS];
+    double used[RR_TEAMS_MAX], done[RR_TEAMS_MAX]; /* lately, in dominant share times time */
+    double correction[RR_TEAMS_MAX];
     rr_admission_writer_stats stats;
 };
 
@@ -183,7 +183,7 @@
     GHashTable *classes = count_keys(entries);
     rr_share_row *rows = g_new0(rr_share_row, entries->len + 1);
     rr_share_pool *pools = g_new0(rr_share_pool, load->pools->len + 1);
-    rr_share_team teams[RR_MAX_TEAMS];
+    rr_share_team teams[RR_TEAMS_MAX];
     for (guint i = 0; i < entries->len; i++) {
         const rr_admission_entry *entry = &g_array_index(entries, rr_admission_entry, i);
         rows[i] = (rr_share_row){.team = entry->team,
@@ -234,7 +234,7 @@
  * with another key in each table: a team that writes a new class into every job gains nothing. */
 static void admit_first_jobs(const GArray *entries, const double *allocations, uint64_t sequence,
                              double *shares) {
-    double left[RR_MAX_TEAMS] = {0};
+    double left[RR_TEAMS_MAX] = {0};
     for (guint i = 0; i < entries->len; i++) {
         const rr_admission_entry *entry = &g_array_index(entries, rr_admission_entry, i);
         left[entry->team] += allocations[i] - entry->backlog;
@@ -292,7 +292,7 @@
 /* The part of all room that each team may fill while others wait. */
 static void fair_rooms(const rr_admission_writer *writer, const rr_offered_load *load,
                        double *rooms) {
-    double demands[RR_MAX_TEAMS] = {0}, weights[RR_MAX_TEAMS] = {0}, least[RR_MAX_TEAMS] = {0};
+    double demands[RR_TEAMS_MAX] = {0}, weights[RR_TEAMS_MAX] = {0}, least[RR_TEAMS_MAX] = {0};
     guint count = (guint)writer->config->team_count;
     for (guint i = 0; i < count; i++) {
         const rr_load_team *team = &load->teams[i];
@@ -313,7 +313,7 @@
  * leave it their part of the queue, but it does not get done sooner for that. */
 static void bound_by_rooms(const rr_admission_writer *writer, const GArray *entries,
                            const double *rooms, double *allocations) {
-    double all[RR_MAX_TEAMS] = {0};
+    double all[RR_TEAMS_MAX] = {0};
     for (guint i = 0; i < entries->len; i++) {
         all[g_array_index(entries, rr_admission_entry, i).team] += allocations[i];
     }
@@ -338,7 +338,7 @@
                        rr_admission_table *out) {
     double *shares = g_new0(double, entries->len + 1);
     double *allocations = g_new0(double, entries->len + 1);
-    double rooms[RR_MAX_TEAMS] = {0};
+    double rooms[RR_TEAMS_MAX] = {0};
     fair_rooms(writer, load, rooms);
     solve(writer, load, entries, allocations);
     bound_by_rooms(writer, entries, rooms, allocations);
--- a/src/app/admission_duty.c
+++ b/src/app/admission_duty.c
@@ -276,7 +276,7 @@
 
 /* Under both locks. */
 static void announce_rooms(struct rr_app *a, const rr_admission_table *table) {
-    double rooms[RR_MAX_TEAMS];
+    double rooms[RR_TEAMS_MAX];
     for (size_t i = 0; i < a->config.team_count; i++) {
         const rr_admission_team *team = rr_admission_table_team(table, a->config.teams[i].name);
         rooms[i] = team ? team->room : 1;
--- a/src/app/app.c
+++ b/src/app/app.c
@@ -118,7 +118,7 @@
 
 int rr_app_connections(const struct rr_config *cfg) {
     int threads = 4 + (int)G_N_ELEMENTS(duties) + cfg->admission + cells_threads(cfg) +
-                  cfg->tuning.senders + 1 + (int)cfg->peer_count + RR_PEER_CONNS + SPARE;
+                  cfg->tuning.senders + 1 + (int)cfg->peer_count + RR_PEER_CONNECTIONS_MAX + SPARE;
     return rr_http_server_connections_max(cfg, threads, 2 * threads);
 }
 
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -67,8 +67,8 @@
     bool startup_running;
 };
 
-#define RR_ACCEPT_S 1.5 /* a new job waits for its transaction this long at most */
-#define RR_BATCH_MAX 96 /* users' changes in one transaction */
+#define RR_SUBMISSION_WAIT_S 1.5 /* a new job waits for its transaction this long at most */
+#define RR_USER_BATCH_MAX 96     /* users' changes in one transaction */
 
 /* A user's change waiting for its transaction. */
 struct rr_user_commit {
--- a/src/app/batch.c
+++ b/src/app/batch.c
@@ -28,7 +28,7 @@
     bool joins = u->is_submission && b->open > 0 && b->open + size <= most;
     guint records = b->records + !joins;
     guint guards = b->n + 1 + records + b->more_guards + (u->also_key[0] != 0);
-    if (b->n == RR_BATCH_MAX || batch_contains(b, u->key) ||
+    if (b->n == RR_USER_BATCH_MAX || batch_contains(b, u->key) ||
         records > (guint)rr_transaction_changes_max(cfg) || b->bytes + size > BATCH_BYTES ||
         guards > 4 * (guint)rr_transaction_changes_max(cfg)) {
         return b->n == 0;
@@ -72,7 +72,7 @@
  * fails the transaction, and the others go again without it. */
 void rr_user_batch_transaction(const struct rr_user_batch *b, uint64_t tether, uint64_t *batches,
                                rr_transaction *t) {
-    struct rr_user_commit *group[RR_BATCH_MAX];
+    struct rr_user_commit *group[RR_USER_BATCH_MAX];
     guint n = 0;
     for (guint i = 0; i < b->n; i++) {
         struct rr_user_commit *u = b->entries[i];
--- a/src/app/batch.h
+++ b/src/app/batch.h
@@ -8,11 +8,11 @@
 /* What one transaction takes of the queue: changes, guards (one a job, one a batch, four for each
  * change at most) and bytes are bounded. New jobs share records. */
 struct rr_user_batch {
-    struct rr_user_commit *entries[RR_BATCH_MAX];
-    bool joins[RR_BATCH_MAX]; /* goes into the record of the new job before it */
-    guint n, records;         /* entries; changes that they make */
-    guint more_guards;        /* beyond one an entry */
-    size_t bytes, open;       /* of all; of the record being filled, 0: none */
+    struct rr_user_commit *entries[RR_USER_BATCH_MAX];
+    bool joins[RR_USER_BATCH_MAX]; /* goes into the record of the new job before it */
+    guint n, records;              /* entries; changes that they make */
+    guint more_guards;             /* beyond one an entry */
+    size_t bytes, open;            /* of all; of the record being filled, 0: none */
 };
 
 /* False: it does not fit any more, and goes with a later one. */
--- a/src/app/cells_duty.c
+++ b/src/app/cells_duty.c
@@ -137,7 +137,7 @@
                           uint64_t version) {
     (void)value;
     (void)version;
-    *(unsigned *)user += g_str_has_prefix(key, RR_ROOT "node/");
+    *(unsigned *)user += g_str_has_prefix(key, RR_KEY_ROOT "node/");
 }
 
 static void put_record(void *user, const char *key, const msgpack_object *value, uint64_t version) {
@@ -163,14 +163,14 @@
 static bool read_absent(struct rr_app *a, struct absent_reader *reader) {
     unsigned sessions = 0;
     reader->asked_at = rr_steady_clock_s();
-    int rc = read_all(a, reader, RR_ROOT "node/", count_session, &sessions);
+    int rc = read_all(a, reader, RR_KEY_ROOT "node/", count_session, &sessions);
     if (rc == 0 && sessions == 0) {
         rr_absent_begin(reader->absent);
-        rc = read_all(a, reader, RR_ROOT, put_record, reader->absent);
+        rc = read_all(a, reader, RR_KEY_ROOT, put_record, reader->absent);
         rr_absent_end(reader->absent, rr_steady_clock_s());
     }
     if (rc == 0 && sessions == 0) {
-        rc = read_all(a, reader, RR_ROOT "node/", count_session, &sessions);
+        rc = read_all(a, reader, RR_KEY_ROOT "node/", count_session, &sessions);
     }
     rr_absent_confirm(reader->absent, rc == 0 && sessions == 0, rr_steady_clock_s());
     return rc == 0 && sessions == 0;
@@ -420,7 +420,7 @@
 static bool read_final(struct rr_app *a, size_t neighbour, const char *job_id,
                        struct rr_http_response *response) {
     const rr_cell *cell = &a->cells_settings.neighbours[neighbour];
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     uint64_t version, lease, tasks = 0;
     bool cancelled = false;
     rr_document doc;
--- a/src/app/handlers.c
+++ b/src/app/handlers.c
@@ -59,7 +59,7 @@
 
 /* Seconds until so many changes are served at the pace of the last transaction. */
 static double wait_of(const struct rr_app *a, guint n) {
-    return n < RR_BATCH_MAX || a->commit_rate <= 0 ? 0 : n / a->commit_rate;
+    return n < RR_USER_BATCH_MAX || a->commit_rate <= 0 ? 0 : n / a->commit_rate;
 }
 
 /* False if too many wait already, more than are served before the first of them would be given up:
@@ -67,7 +67,7 @@
 static bool commit_for_user(struct rr_app *a, struct rr_user_commit *u) {
     pthread_mutex_lock(&a->user_lock);
     guint n = g_queue_get_length(&a->commits);
-    bool room = !atomic_load(&a->stop) && n < QUEUE_MAX && wait_of(a, n) < RR_ACCEPT_S;
+    bool room = !atomic_load(&a->stop) && n < QUEUE_MAX && wait_of(a, n) < RR_SUBMISSION_WAIT_S;
     if (room) {
         rr_app_cond_init(&u->done);
         g_queue_push_tail(&a->commits, u);
@@ -98,7 +98,7 @@
 }
 
 static void accept_job(struct rr_app *a, const rr_submission *s, struct rr_http_response *rs) {
-    struct rr_user_commit u = {.deadline = rr_steady_clock_s() + RR_ACCEPT_S,
+    struct rr_user_commit u = {.deadline = rr_steady_clock_s() + RR_SUBMISSION_WAIT_S,
                                .is_submission = true};
     pthread_mutex_lock(&a->lock);
     /* Known to be down: answered at once, with the time to come back. The session's renewals tell
@@ -131,7 +131,7 @@
     rr_document doc;
     rr_submission s = {0};
     const char *why = "not MessagePack";
-    char ref[RR_ID] = "";
+    char ref[RR_ID_SIZE] = "";
     int rc = rr_document_parse(&doc, rq->body, rq->len);
     if (rc == 0) {
         rr_map_get_text(doc.root, "ref", ref, sizeof ref);
@@ -263,7 +263,7 @@
 
 /* Whether no other cell can have the job any more; if one has it, it is taken back. */
 static bool is_here(struct rr_app *a, const char *ref, int *retry_after_s) {
-    struct rr_user_commit u = {.deadline = rr_steady_clock_s() + RR_ACCEPT_S};
+    struct rr_user_commit u = {.deadline = rr_steady_clock_s() + RR_SUBMISSION_WAIT_S};
     rr_encoder_init(&u.value);
     enum rr_cancel_first first = rr_app_cells_cancel(a, ref, &u, retry_after_s);
     if (first == RR_CANCEL_WITHDRAW) {
@@ -401,7 +401,7 @@
 
 static void route_job(struct rr_app *a, const struct rr_http_request *rq,
                       struct rr_http_response *rs, const char *rest) {
-    char ref[RR_ID];
+    char ref[RR_ID_SIZE];
     const char *slash = strchr(rest, '/');
     size_t n = slash ? (size_t)(slash - rest) : strlen(rest);
     if (n >= sizeof ref || (slash && strcmp(slash, "/cancel") != 0)) {
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -131,7 +131,7 @@
     if (load_settings(&o, app, err, sizeof err) != 0) {
         fprintf(stderr, "ringrock: %s\n", err);
         rc = 2;
-    } else if (rr_app_connections(&app->config) < RR_CONNECTIONS_LEAST) {
+    } else if (rr_app_connections(&app->config) < RR_CONNECTIONS_MIN) {
         fprintf(stderr,
                 "ringrock: %s: deployment.limits, max_threads and senders leave no room for "
                 "connections\n",
--- a/src/app/mirror_duty.c
+++ b/src/app/mirror_duty.c
@@ -45,7 +45,7 @@
     pthread_mutex_unlock(&a->lock);
     while (cursor.more && rc == 0 && !rr_app_stopping(a)) {
         rr_document d;
-        rc = rr_store_next_page(s, RR_ROOT, &cursor, &d);
+        rc = rr_store_next_page(s, RR_KEY_ROOT, &cursor, &d);
         if (rc != 0) {
             break;
         }
@@ -144,7 +144,7 @@
         rr_app_pause(a,
                      opened + 4.0 * (live ? live : 1) / a->config.state_rps - rr_steady_clock_s());
         opened = rr_steady_clock_s();
-        int rc = rr_store_watch(s, RR_ROOT, from, WATCH_MS, &d);
+        int rc = rr_store_watch(s, RR_KEY_ROOT, from, WATCH_MS, &d);
         if (rc == 0) {
             rc = apply_log(a, &d, opened);
             rr_document_clear(&d);
--- a/src/app/session_duty.c
+++ b/src/app/session_duty.c
@@ -23,13 +23,13 @@
 /* Takes over from our own last incarnation in one change, so that an ordinary restart costs one
  * term; its lease is ended after. */
 static int take_session(struct rr_app *a, rr_store *s, uint64_t *tether) {
-    char key[RR_NAME + 16];
+    char key[RR_NAME_SIZE + 16];
     uint64_t mark = 0, old = 0, epoch;
     double life = rr_session_lease_s(&a->config);
     rr_document doc;
     rr_transaction t;
     rr_encoder o;
-    g_snprintf(key, sizeof key, RR_ROOT "node/%s", a->config.node_name);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", a->config.node_name);
     int rc = rr_store_get(s, key, &doc, &mark, &old);
     if (rc == 0) {
         rr_document_clear(&doc);
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -94,12 +94,12 @@
 
 static void load_peers(struct load *l, struct rr_config *c) {
     char path[96];
-    c->peer_count = count(l, "seeds", RR_MAX_NODES - 1);
+    c->peer_count = count(l, "seeds", RR_CONTROLLERS_MAX - 1);
     for (size_t i = 0; i < c->peer_count && !l->failed; i++) {
         snprintf(path, sizeof path, "seeds[%zu].node_name", i);
-        need_text(l, path, c->peers[i].name, RR_NAME);
+        need_text(l, path, c->peers[i].name, RR_NAME_SIZE);
         snprintf(path, sizeof path, "seeds[%zu].zone", i);
-        need_text(l, path, c->peers[i].zone, RR_NAME);
+        need_text(l, path, c->peers[i].zone, RR_NAME_SIZE);
         snprintf(path, sizeof path, "seeds[%zu].endpoint", i);
         need_endpoint(l, path, &c->peers[i].endpoint);
     }
@@ -108,12 +108,12 @@
 static void load_teams(struct load *l, struct rr_config *c) {
     static const char *const fields[] = {"cpus", "cpus_max", "gpus", "gpus_max"};
     char path[96];
-    c->team_count = count(l, "deployment.teams", RR_MAX_TEAMS);
+    c->team_count = count(l, "deployment.teams", RR_TEAMS_MAX);
     for (size_t i = 0; i < c->team_count && !l->failed; i++) {
         double *into[] = {&c->teams[i].cpus, &c->teams[i].cpus_max, &c->teams[i].gpus,
                           &c->teams[i].gpus_max};
         snprintf(path, sizeof path, "deployment.teams[%zu].name", i);
-        need_text(l, path, c->teams[i].name, RR_NAME);
+        need_text(l, path, c->teams[i].name, RR_NAME_SIZE);
         for (int k = 0; k < 4; k++) {
             snprintf(path, sizeof path, "deployment.teams[%zu].%s", i, fields[k]);
             opt_num(l, path, 0, 1e9, 0, into[k]);
@@ -123,7 +123,7 @@
 
 static void load_objectives(struct load *l, struct rr_config *c) {
     char path[96];
-    c->objective_count = count(l, "deployment.objectives", RR_MAX_OBJECTIVES);
+    c->objective_count = count(l, "deployment.objectives", RR_OBJECTIVES_MAX);
     for (size_t i = 0; i < c->objective_count && !l->failed; i++) {
         struct rr_objective *o = &c->objectives[i];
         snprintf(path, sizeof path, "deployment.objectives[%zu].kind", i);
@@ -139,8 +139,8 @@
 
 static void load_platform(struct load *l, struct rr_config *c) {
     double n;
-    need_text(l, "node_name", c->node_name, RR_NAME);
-    need_text(l, "zone", c->zone, RR_NAME);
+    need_text(l, "node_name", c->node_name, RR_NAME_SIZE);
+    need_text(l, "zone", c->zone, RR_NAME_SIZE);
     need_endpoint(l, "bind", &c->bind);
     need_endpoint(l, "peer_listen", &c->peer_listen);
     need_endpoint(l, "services.cloud", &c->cloud);
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -60,7 +60,7 @@
 
 static void begin_write(rr_transfers *transfers, const rr_incoming *entry,
                         rr_transfer_write *write) {
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     memset(write, 0, sizeof *write);
     g_strlcpy(write->id, entry->local_id, sizeof write->id);
     rr_transaction_init(&write->transaction);
@@ -73,7 +73,7 @@
 static void make_write(rr_transfers *transfers, const rr_incoming *entry,
                        rr_transfer_write *write) {
     const rr_guest_record *next = &entry->guest.writing;
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     begin_write(transfers, entry, write);
     rr_cells_in_key(entry->local_id, key, sizeof key);
     if (next->state == RR_GUEST_NONE) {
@@ -263,7 +263,7 @@
 
 void rr_incoming_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *asked,
                          const rr_transfer_message *reply) {
-    char local_id[RR_ID];
+    char local_id[RR_ID_SIZE];
     rr_cells_local_id(transfers->settings->neighbours[neighbour].name, asked->job_id,
                       asked->message.claim, local_id, sizeof local_id);
     rr_incoming *entry = g_hash_table_lookup(transfers->incoming, local_id);
@@ -344,7 +344,7 @@
 /* The record of the claim and the copy come with one change. */
 static void write_copy(rr_transfers *transfers, rr_incoming *entry, const rr_submission *submission,
                        double at, rr_transfer_write *write) {
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     rr_encoder packed;
     make_write(transfers, entry, write);
     rr_encoder_init(&packed);
@@ -401,7 +401,7 @@
 bool rr_incoming_offered(rr_transfers *transfers, size_t neighbour, const rr_cells_request *request,
                          const rr_cells_item *item, double now, double wall,
                          rr_transfer_message *reply, rr_transfer_write *write) {
-    char local_id[RR_ID];
+    char local_id[RR_ID_SIZE];
     rr_cells_local_id(transfers->settings->neighbours[neighbour].name, item->job_id,
                       item->message.claim, local_id, sizeof local_id);
     if (g_hash_table_contains(transfers->incoming, local_id)) {
--- a/src/cells/internal.h
+++ b/src/cells/internal.h
@@ -11,7 +11,7 @@
 #define RR_CELLS_REPEAT_S 1.0 /* between two tries to say something that needs no haste */
 
 typedef struct {
-    char job_id[RR_ID];
+    char job_id[RR_ID_SIZE];
     rr_out_record record;
     uint64_t version; /* of the record, 0: there is none yet */
     rr_home home;
@@ -23,7 +23,7 @@
 } rr_outgoing;
 
 typedef struct {
-    char local_id[RR_ID];
+    char local_id[RR_ID_SIZE];
     rr_in_record record;
     uint64_t version;
     rr_guest guest;
--- a/src/cells/links.c
+++ b/src/cells/links.c
@@ -251,9 +251,9 @@
     const rr_cell *cell;
     const struct rr_endpoint *own; /* its address is where neighbours expect connections from */
     const atomic_bool *stop;
-    struct line lines[RR_MAX_NODES]; /* by controller */
-    GHashTable *planners;            /* team -> index of the controller that plans it, + 1 */
-    size_t next;                     /* the one to ask where that is not known */
+    struct line lines[RR_CONTROLLERS_MAX]; /* by controller */
+    GHashTable *planners;                  /* team -> index of the controller that plans it, + 1 */
+    size_t next;                           /* the one to ask where that is not known */
 };
 
 rr_cells_client *rr_cells_client_create(const rr_cells_settings *settings, size_t neighbour,
--- a/src/cells/messages.h
+++ b/src/cells/messages.h
@@ -18,7 +18,7 @@
 };
 
 typedef struct {
-    char job_id[RR_ID]; /* as its home calls it */
+    char job_id[RR_ID_SIZE]; /* as its home calls it */
     rr_transfer_message message;
     GByteArray *submission; /* with an offer: packed as in its record; else NULL */
 } rr_cells_item;
@@ -27,10 +27,10 @@
     uint8_t version;
     enum rr_cells_request_kind kind;
     char from[RR_CELL_NAME], to[RR_CELL_NAME];
-    double lease_s, rest_s; /* the sender's, for offers */
-    char team[RR_TEXT];     /* TRANSFERS */
-    GArray *items;          /* TRANSFERS: rr_cells_item */
-    char job_id[RR_ID];     /* POLL and CANCEL */
+    double lease_s, rest_s;  /* the sender's, for offers */
+    char team[RR_TEXT_SIZE]; /* TRANSFERS */
+    GArray *items;           /* TRANSFERS: rr_cells_item */
+    char job_id[RR_ID_SIZE]; /* POLL and CANCEL */
 } rr_cells_request;
 
 /* Free room that a cell would give to others' jobs now. */
@@ -50,7 +50,7 @@
 
 typedef struct {
     enum rr_cells_status status;
-    char owner[RR_NAME];
+    char owner[RR_NAME_SIZE];
     GArray *items; /* rr_cells_item, in the order of the request's; kind NOTHING: no reply to it */
     rr_cells_room room;
     int http_status, retry_after_s; /* POLL and CANCEL: what to tell the user, */
--- a/src/cells/records.c
+++ b/src/cells/records.c
@@ -47,7 +47,7 @@
 
 void rr_cells_out_write(rr_transaction *txn, const char *job_id, uint64_t version,
                         const rr_out_record *record) {
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     rr_cells_out_key(job_id, key, sizeof key);
     rr_transaction_guard(txn, key, version);
     if (!record) {
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -13,7 +13,7 @@
 #define RR_CELLS_IN "in/"
 
 typedef struct {
-    char team[RR_TEXT];
+    char team[RR_TEXT_SIZE];
     char guest[RR_CELL_NAME];
     enum rr_home_state state;
     uint32_t claim;
@@ -21,9 +21,9 @@
 } rr_out_record;
 
 typedef struct {
-    char team[RR_TEXT];
+    char team[RR_TEXT_SIZE];
     char home[RR_CELL_NAME];
-    char job_id[RR_ID]; /* as its home calls it; here it has the name of rr_cells_local_id() */
+    char job_id[RR_ID_SIZE]; /* as its home calls it; here it has the name of rr_cells_local_id() */
     enum rr_guest_state state;
     uint32_t claim;
     enum rr_job_answer answer;
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -108,7 +108,7 @@
     for (size_t i = 0; i < platform->peer_count; i++) {
         own = own || strcmp(platform->peers[i].zone, name) == 0;
     }
-    if (!plain_name(name, RR_NAME) || own) {
+    if (!plain_name(name, RR_NAME_SIZE) || own) {
         cfg_error(cfg, "zones: \"%s\" is %s", name, own ? "this cell's own" : "no zone's name");
         return -1;
     }
@@ -137,13 +137,13 @@
 
 static const char *read_controllers(cfg_t *section, rr_cell *cell) {
     cell->controller_count = cfg_size(section, "controller");
-    if (cell->controller_count == 0 || cell->controller_count > RR_MAX_NODES) {
+    if (cell->controller_count == 0 || cell->controller_count > RR_CONTROLLERS_MAX) {
         return "names no controller, or more than 32";
     }
     for (unsigned i = 0; i < cell->controller_count; i++) {
         cfg_t *controller = cfg_getnsec(section, "controller", i);
         const char *endpoint = cfg_getstr(controller, "endpoint");
-        g_strlcpy(cell->controllers[i].name, cfg_title(controller), RR_NAME);
+        g_strlcpy(cell->controllers[i].name, cfg_title(controller), RR_NAME_SIZE);
         if (!endpoint || rr_endpoint_parse(endpoint, &cell->controllers[i].endpoint) != 0) {
             return "has a controller without an endpoint";
         }
--- a/src/cells/settings.h
+++ b/src/cells/settings.h
@@ -13,13 +13,13 @@
 #define RR_CELL_NAME 64
 
 typedef struct {
-    char name[RR_NAME]; /* node name of the controller */
+    char name[RR_NAME_SIZE]; /* node name of the controller */
     struct rr_endpoint endpoint;
 } rr_cell_controller;
 
 typedef struct {
     char name[RR_CELL_NAME];
-    rr_cell_controller controllers[RR_MAX_NODES];
+    rr_cell_controller controllers[RR_CONTROLLERS_MAX];
     size_t controller_count;
     rr_networks *networks;    /* its controllers connect from there */
     GPtrArray *zones;         /* char*: where it has machines */
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -28,8 +28,8 @@
 /* What is to be written for one transfer. */
 typedef struct {
     bool outgoing;
-    char id[RR_ID];  /* the job's, as this cell calls it */
-    bool ends_copy;  /* cancels the copy of another cell's job: peers are to be told */
+    char id[RR_ID_SIZE]; /* the job's, as this cell calls it */
+    bool ends_copy;      /* cancels the copy of another cell's job: peers are to be told */
     bool ends_claim; /* at a cell without controllers: its record of the claim is over with it */
     rr_transaction transaction;
 } rr_transfer_write;
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -109,7 +109,7 @@
 
 /* Whole or not at all: a machine missing from half a list proves nothing. */
 int rr_cloud_list(rr_cloud *c, GArray *machines) {
-    char from[RR_ID] = "";
+    char from[RR_ID_SIZE] = "";
     bool more = true;
     int rc = 0;
     for (int page = 0; more && rc == 0; page++) {
@@ -146,7 +146,7 @@
     const msgpack_object *list = rr_map_get(doc.root, "stones");
     for (uint32_t i = 0; list && list->type == MSGPACK_OBJECT_ARRAY && i < list->via.array.size;
          i++) {
-        char id[RR_ID];
+        char id[RR_ID_SIZE];
         if (rr_object_text(&list->via.array.ptr[i], id, sizeof id)) {
             g_ptr_array_add(ids, g_strdup(id));
         }
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -18,8 +18,8 @@
     const struct rr_team_config *team = &planner->core->config->teams[job->team];
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, tasks);
-    return (team->cpus_max <= 0 || used.cpus <= team->cpus_max + RR_EPS) &&
-           (team->gpus_max <= 0 || used.gpus <= team->gpus_max + RR_EPS);
+    return (team->cpus_max <= 0 || used.cpus <= team->cpus_max + RR_RESOURCE_EPSILON) &&
+           (team->gpus_max <= 0 || used.gpus <= team->gpus_max + RR_RESOURCE_EPSILON);
 }
 
 /* In a resource of which the team is guaranteed none: 0. */
@@ -34,13 +34,15 @@
     rr_resources guarantee = guarantee_of(planner->core, job->team);
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, tasks);
-    return used.cpus <= guarantee.cpus + RR_EPS && used.gpus <= guarantee.gpus + RR_EPS;
+    return used.cpus <= guarantee.cpus + RR_RESOURCE_EPSILON &&
+           used.gpus <= guarantee.gpus + RR_RESOURCE_EPSILON;
 }
 
 bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_resources returned) {
     rr_resources guarantee = guarantee_of(planner->core, team);
     rr_resources used = rr_resources_add(rr_team_usage_in_plan(planner, team), returned, -1);
-    return used.cpus > guarantee.cpus + RR_EPS || used.gpus > guarantee.gpus + RR_EPS;
+    return used.cpus > guarantee.cpus + RR_RESOURCE_EPSILON ||
+           used.gpus > guarantee.gpus + RR_RESOURCE_EPSILON;
 }
 
 /* Whether the record takes one placement more, once what is known to be over has left it. */
@@ -66,7 +68,7 @@
     if (has_room(planner, rr_job_ledger_record(job, home))) {
         return home;
     }
-    uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX, RR_PIECES_MAX / planner->core->chunk + 1);
+    uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX, RR_TASKS_MAX / planner->core->chunk + 1);
     for (uint32_t chunk = first; rr_all_gang_capable(planner->core) && chunk < end; chunk++) {
         if (has_room(planner, record_at(job, chunk))) {
             return chunk;
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -8,10 +8,10 @@
 #include <stdint.h>
 #include <string.h>
 
-#define RR_MAX_NODES 32
-#define RR_MAX_TEAMS 256
-#define RR_MAX_OBJECTIVES 64
-#define RR_NAME 128
+#define RR_CONTROLLERS_MAX 32
+#define RR_TEAMS_MAX 256
+#define RR_OBJECTIVES_MAX 64
+#define RR_NAME_SIZE 128
 
 struct rr_endpoint {
     char host[64];
@@ -19,19 +19,19 @@
 };
 
 struct rr_peer_config {
-    char name[RR_NAME];
-    char zone[RR_NAME];
+    char name[RR_NAME_SIZE];
+    char zone[RR_NAME_SIZE];
     struct rr_endpoint endpoint;
 };
 
 struct rr_team_config {
-    char name[RR_NAME];
+    char name[RR_NAME_SIZE];
     double cpus, cpus_max, gpus, gpus_max; /* 0: none */
 };
 
 struct rr_objective {
     char kind[32];
-    char job_class[RR_NAME];
+    char job_class[RR_NAME_SIZE];
     double within_s;
     double share;
 };
@@ -58,14 +58,14 @@
 };
 
 struct rr_config {
-    char node_name[RR_NAME];
-    char zone[RR_NAME];
+    char node_name[RR_NAME_SIZE];
+    char zone[RR_NAME_SIZE];
     struct rr_endpoint bind, peer_listen, cloud, state;
-    struct rr_peer_config peers[RR_MAX_NODES];
+    struct rr_peer_config peers[RR_CONTROLLERS_MAX];
     size_t peer_count;
-    struct rr_team_config teams[RR_MAX_TEAMS];
+    struct rr_team_config teams[RR_TEAMS_MAX];
     size_t team_count;
-    struct rr_objective objectives[RR_MAX_OBJECTIVES];
+    struct rr_objective objectives[RR_OBJECTIVES_MAX];
     size_t objective_count;
     double clock_off_s;
     double heartbeat_interval_s, lease_s, cancel_s;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -9,7 +9,7 @@
 #include "core/txn.h"
 #include "wire/wire.h"
 
-#define RR_ROOT "rr/"
+#define RR_KEY_ROOT "rr/"
 
 typedef struct rr_core rr_core;
 
@@ -132,7 +132,7 @@
 
 /* ---- planning (team owner) ---- */
 typedef struct {
-    char machine[RR_ID], address[RR_ID];
+    char machine[RR_ID_SIZE], address[RR_ID_SIZE];
     uint64_t fencing_token, worker_epoch;
     GArray *commands;  /* rr_command; empty: only ask for the machine's status */
     int via;           /* peer to go through, -1: direct */
@@ -172,8 +172,8 @@
 };
 typedef struct {
     enum rr_autoscaler_step_kind kind;
-    rr_transaction transaction;                             /* TXN */
-    char rental[RR_ID], machine_type[RR_ID], zone[RR_TEXT]; /* HIRE */
+    rr_transaction transaction;                                            /* TXN */
+    char rental[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE]; /* HIRE */
     bool spot;
     int count;
     GPtrArray *machines; /* RELEASE: char* */
--- a/src/core/fair_room.c
+++ b/src/core/fair_room.c
@@ -34,7 +34,7 @@
     }
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, 1);
-    return dominant_part(c, used) <= c->fair_room[job->team] + RR_EPS;
+    return dominant_part(c, used) <= c->fair_room[job->team] + RR_RESOURCE_EPSILON;
 }
 
 /* What every class of every team uses: by team, then by class. */
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -57,8 +57,8 @@
 /* ---- the fleet ---- */
 
 #define FLAG_SPOT 1
-#define FLAG_OWN 2
-#define FLAG_RET 4
+#define FLAG_OPERATOR_OWNED 2
+#define FLAG_SCALING_IN 4
 
 size_t rr_machine_page_entry_bytes(const rr_core *c, const rr_machine *m) {
     return 44 + strlen(m->name) + strlen(m->address) +
@@ -77,8 +77,9 @@
         rr_encode_text(o, m->address);
         rr_encode_text(o, rr_name_index_at(&c->machine_types, m->machine_type));
         rr_encode_text(o, rr_name_index_at(&c->zones, m->zone));
-        rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) | (m->operator_owned ? FLAG_OWN : 0) |
-                                    (m->to_release ? FLAG_RET : 0)));
+        rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) |
+                                    (m->operator_owned ? FLAG_OPERATOR_OWNED : 0) |
+                                    (m->to_release ? FLAG_SCALING_IN : 0)));
         rr_encode_u64(o, m->created_at > 0 ? (uint64_t)m->created_at : 0);
     }
 }
@@ -99,7 +100,7 @@
 }
 
 static void page_entry(rr_core *c, const msgpack_object *o, uint32_t page, double now) {
-    char name[RR_ID], addr[RR_ID], build[RR_ID], zone[RR_TEXT];
+    char name[RR_ID_SIZE], addr[RR_ID_SIZE], build[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     uint64_t flags;
     const msgpack_object *f = o->type == MSGPACK_OBJECT_ARRAY ? o->via.array.ptr : NULL;
     if (!f || o->via.array.size < 6 || !rr_object_text(&f[0], name, sizeof name) || !name[0] ||
@@ -113,7 +114,7 @@
         m->recorded_while_watching = !c->rereading && !m->heartbeat_seen;
         rr_mark_dirty(c, m);
     }
-    bool ret = flags & FLAG_RET;
+    bool ret = flags & FLAG_SCALING_IN;
     m->scaling_in_at = ret && !m->scaling_in ? now : m->scaling_in_at;
     m->scaling_in = ret;
     m->recorded = m->seen_in_reload = true;
@@ -122,7 +123,7 @@
     m->machine_type = machine_type_index(c, build);
     m->zone = rr_name_index_add(&c->zones, zone);
     m->spot = flags & FLAG_SPOT;
-    m->operator_owned = flags & FLAG_OWN;
+    m->operator_owned = flags & FLAG_OPERATOR_OWNED;
     c->ever_rented = c->ever_rented || !m->operator_owned;
     rr_object_number(&f[5], &m->created_at);
     if (!m->heartbeat_seen && addr[0]) {
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -52,7 +52,7 @@
     for (guint i = 0; j->records && i < j->records->len; i++) {
         const rr_ledger_record *r = g_ptr_array_index(j->records, i);
         if (r && r->version) {
-            char key[RR_ID + 64];
+            char key[RR_ID_SIZE + 64];
             rr_ledger_record_key(j->submission.job_id, r->chunk, key, sizeof key);
             g_ptr_array_add(c->garbage, g_strdup(key));
         }
@@ -94,7 +94,7 @@
 void rr_arrivals_trim(rr_core *c, double wall) {
     guint n = 0;
     while (n < c->arrivals->len &&
-           wall - g_array_index(c->arrivals, rr_job *, n)->accepted_at > RR_ARRIVALS_S) {
+           wall - g_array_index(c->arrivals, rr_job *, n)->accepted_at > RR_ARRIVAL_WINDOW_S) {
         n++;
     }
     if (n > 0) {
@@ -188,7 +188,7 @@
     for (uint32_t i = 0; list && list->type == MSGPACK_OBJECT_ARRAY && i < list->via.array.size;
          i++) {
         const msgpack_object *o = &list->via.array.ptr[i];
-        char ref[RR_ID];
+        char ref[RR_ID_SIZE];
         if (!rr_map_get_text(o, "ref", ref, sizeof ref) || !rr_job_id_valid(ref) ||
             rr_job_final(c, ref, NULL, NULL)) {
             continue;
@@ -210,7 +210,7 @@
 }
 
 void rr_core_batch_key(uint64_t tether, uint64_t n, char *out, size_t size) {
-    g_snprintf(out, size, RR_ROOT "batch/%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, tether, n);
+    g_snprintf(out, size, RR_KEY_ROOT "batch/%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, tether, n);
 }
 
 /* A final job whose ledger is gone needs no place for it either: jobs are kept for good. */
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -47,7 +47,7 @@
     uint32_t n = first >= j->submission.task_count
                      ? 0
                      : MIN(j->submission.task_count - first, j->tasks_per_record);
-    int d[RR_CHUNK_MAX / 4] = {0};
+    int d[RR_TASKS_PER_RECORD_MAX / 4] = {0};
     for (uint32_t i = 0; i < n; i++) {
         if (rr_job_task_done(j, first + i)) {
             d[i / 4] |= 1 << (i % 4);
@@ -71,7 +71,7 @@
 
 void rr_ledger_record_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
                              const GArray *items, const GArray *done, int zone) {
-    char hex[RR_CHUNK_MAX / 4 + 1];
+    char hex[RR_TASKS_PER_RECORD_MAX / 4 + 1];
     chunk_hex(j, chunk, done, hex);
     rr_encode_map(o, zone >= 0 ? 3 : 2);
     rr_encode_key_text(o, "bits", hex);
@@ -94,14 +94,14 @@
 /* One placement: [task, machine, attempt, worker_epoch, evict]. */
 static bool placement_decode(rr_core *c, const msgpack_object *o, rr_placement_record *it,
                              double now) {
-    char name[RR_ID];
+    char name[RR_ID_SIZE];
     uint64_t task, evict = RR_PREEMPT_NONE;
     memset(it, 0, sizeof *it);
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size < 5) {
         return false;
     }
     const msgpack_object *f = o->via.array.ptr;
-    if (!rr_object_u64(&f[0], &task) || task >= RR_PIECES_MAX ||
+    if (!rr_object_u64(&f[0], &task) || task >= RR_TASKS_MAX ||
         !rr_object_text(&f[1], name, sizeof name) || !name[0] ||
         !rr_object_u64(&f[2], &it->attempt) || !rr_object_u64(&f[3], &it->worker_epoch)) {
         return false;
@@ -190,9 +190,9 @@
 
 void rr_ledger_record_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark,
                           double now) {
-    char ref[RR_ID], hex[RR_CHUNK_MAX / 4 + 1], zone[RR_TEXT];
+    char ref[RR_ID_SIZE], hex[RR_TASKS_PER_RECORD_MAX / 4 + 1], zone[RR_TEXT_SIZE];
     uint32_t chunk;
-    if (!rr_task_name_parse(rest, ref, sizeof ref, &chunk) || chunk > RR_PIECES_MAX / c->chunk ||
+    if (!rr_task_name_parse(rest, ref, sizeof ref, &chunk) || chunk > RR_TASKS_MAX / c->chunk ||
         rr_job_final(c, ref, NULL, NULL)) {
         return;
     }
@@ -225,7 +225,7 @@
     }
     set_placements(c, j, r, fresh, now);
     if (!j->open && j->version && (j->done || j->cancelled)) {
-        char key[RR_ID + 64];
+        char key[RR_ID_SIZE + 64];
         rr_ledger_record_key(ref, chunk, key, sizeof key);
         g_ptr_array_add(c->garbage, g_strdup(key));
     }
@@ -233,9 +233,9 @@
 
 rr_ledger_record *rr_garbage_record(const rr_core *c, guint i, rr_job **job) {
     const char *key = g_ptr_array_index(c->garbage, i);
-    char ref[RR_ID];
+    char ref[RR_ID_SIZE];
     uint32_t chunk;
-    rr_job *j = rr_task_name_parse(key + strlen(RR_ROOT "run/"), ref, sizeof ref, &chunk)
+    rr_job *j = rr_task_name_parse(key + strlen(RR_KEY_ROOT "run/"), ref, sizeof ref, &chunk)
                     ? g_hash_table_lookup(c->jobs, ref)
                     : NULL;
     if (job) {
@@ -252,7 +252,7 @@
 }
 
 void rr_ledger_record_delete(rr_core *c, const char *rest, uint64_t mark, double now) {
-    char ref[RR_ID];
+    char ref[RR_ID_SIZE];
     uint32_t chunk;
     rr_job *j = rr_task_name_parse(rest, ref, sizeof ref, &chunk)
                     ? g_hash_table_lookup(c->jobs, ref)
--- a/src/core/model.c
+++ b/src/core/model.c
@@ -106,8 +106,8 @@
     c->owners = g_array_new(FALSE, TRUE, sizeof(int));
     c->autoscaler = c->place = -1;
     /* The same on every controller: from the settings alone. */
-    c->chunk = RR_CHUNK_MIN;
-    while (c->chunk < RR_CHUNK_MAX &&
+    c->chunk = RR_TASKS_PER_RECORD_MIN;
+    while (c->chunk < RR_TASKS_PER_RECORD_MAX &&
            (double)rr_ledger_record_bytes(2 * c->chunk) < cfg->value_kb * 1024) {
         c->chunk *= 2;
     }
@@ -176,19 +176,19 @@
  * machines (fleet) of builds, runs of jobs and machines. */
 
 void rr_core_job_key(const char *ref, char *out, size_t size) {
-    g_snprintf(out, size, RR_ROOT "job/%s", ref);
+    g_snprintf(out, size, RR_KEY_ROOT "job/%s", ref);
 }
 
 void rr_machine_page_key(uint32_t page, char *out, size_t size) {
-    g_snprintf(out, size, RR_ROOT "fleet/%08u", page);
+    g_snprintf(out, size, RR_KEY_ROOT "fleet/%08u", page);
 }
 
 void rr_rental_key(const char *name, char *out, size_t size) {
-    g_snprintf(out, size, RR_ROOT "hire/%s", name);
+    g_snprintf(out, size, RR_KEY_ROOT "hire/%s", name);
 }
 
 void rr_ledger_record_key(const char *ref, uint32_t chunk, char *out, size_t size) {
-    g_snprintf(out, size, RR_ROOT "run/%s/%u", ref, chunk);
+    g_snprintf(out, size, RR_KEY_ROOT "run/%s/%u", ref, chunk);
 }
 
 /* ---- objectives ---- */
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -5,11 +5,13 @@
 #include "core/core.h"
 #include "core/names.h"
 
-#define RR_CHUNK_MIN 16 /* tasks in one record of the ledger: what a value of the store holds */
-#define RR_CHUNK_MAX 256
-#define RR_EPS 1e-6
-#define RR_ARRIVALS_S 120.0 /* arrivals count for headroom this long */
-#define RR_LATE_S 2.0 /* after a late timer silences and failed probes say nothing this long */
+#define RR_TASKS_PER_RECORD_MIN                                                                    \
+    16 /* tasks in one record of the ledger: what a value of the store holds */
+#define RR_TASKS_PER_RECORD_MAX 256
+#define RR_RESOURCE_EPSILON 1e-6
+#define RR_ARRIVAL_WINDOW_S 120.0 /* arrivals count for headroom this long */
+#define RR_LATE_TIMER_GRACE_S                                                                      \
+    2.0 /* after a late timer silences and failed probes say nothing this long */
 
 typedef struct {
     double cpus, gpus, mem_gb;
@@ -108,7 +110,7 @@
 
 struct rr_machine {
     int id; /* dense, never reused */
-    char name[RR_ID], address[RR_ID];
+    char name[RR_ID_SIZE], address[RR_ID_SIZE];
     int machine_type, zone;
     bool spot;
     /* ledger */
@@ -169,7 +171,7 @@
 } rr_record_watch;
 
 typedef struct {
-    char name[RR_NAME];
+    char name[RR_NAME_SIZE];
     uint64_t lease_id;
     bool keeps_holds;      /* keeps holds of other cells' jobs */
     uint64_t capabilities; /* 0: a version that knows no gangs; not kept in terms */
@@ -182,7 +184,7 @@
 } rr_term;
 
 typedef struct {
-    char name[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
+    char name[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     bool spot;
     int count;
     uint64_t version;
@@ -246,25 +248,26 @@
     /* Membership: this controller's session, and what follows from the term. */
     uint64_t lease_id;
     double entitled_until;
-    uint64_t counter;          /* for attempts and request names, with the token */
-    uint64_t all_dirty_token;  /* the term for which all machines were looked at */
-    GArray *owners;            /* int by configured team: place in the term of its owner */
-    guint parts, part;         /* owners of teams in this term; which of them this controller is */
-    int autoscaler;            /* place in the term, -1 */
-    int place;                 /* this controller's, -1 */
-    int peer_at[RR_MAX_NODES]; /* by place in the term: index of the peer, -1: this controller */
+    uint64_t counter;         /* for attempts and request names, with the token */
+    uint64_t all_dirty_token; /* the term for which all machines were looked at */
+    GArray *owners;           /* int by configured team: place in the term of its owner */
+    guint parts, part;        /* owners of teams in this term; which of them this controller is */
+    int autoscaler;           /* place in the term, -1 */
+    int place;                /* this controller's, -1 */
+    int peer_at[RR_CONTROLLERS_MAX]; /* by place in the term: index of the peer, -1: this controller
+                                      */
 
     /* Observed by this process. */
-    GPtrArray *dirty;               /* rr_machine*: something about them is to be looked at */
-    GHashTable *gone;               /* name -> double*: when its record went */
-    GHashTable *cancel_hints;       /* job id -> double*: until when */
-    GArray *cut_at;                 /* double by zone: when most of it was last silent */
-    GArray *zone_counts;            /* rr_zone_heartbeats by zone, as of the last look */
-    rr_contact peers[RR_MAX_NODES]; /* by index: their links to us */
-    rr_contact direct;              /* workers' reports to this controller itself */
-    GArray *arrivals;               /* rr_job*: lately */
-    double looked_at, woke_at;      /* the last look at zones; the first after a pause of our own */
-    double late_at;                 /* our timers last fired late, 0: never */
+    GPtrArray *dirty;                     /* rr_machine*: something about them is to be looked at */
+    GHashTable *gone;                     /* name -> double*: when its record went */
+    GHashTable *cancel_hints;             /* job id -> double*: until when */
+    GArray *cut_at;                       /* double by zone: when most of it was last silent */
+    GArray *zone_counts;                  /* rr_zone_heartbeats by zone, as of the last look */
+    rr_contact peers[RR_CONTROLLERS_MAX]; /* by index: their links to us */
+    rr_contact direct;                    /* workers' reports to this controller itself */
+    GArray *arrivals;                     /* rr_job*: lately */
+    double looked_at, woke_at; /* the last look at zones; the first after a pause of our own */
+    double late_at;            /* our timers last fired late, 0: never */
     double pressure; /* 0: changes at the store are plentiful; 1: there are none to spare */
     double short_at; /* a plan was last cut short by the changes it might make */
 
@@ -292,7 +295,7 @@
     guint record_watch_count;
     GHashTable *holds;              /* job id -> rr_hold (holds.c) */
     bool fair;                      /* the next two hold */
-    double fair_room[RR_MAX_TEAMS]; /* part of all room, by team of the settings */
+    double fair_room[RR_TEAMS_MAX]; /* part of all room, by team of the settings */
     rr_resources all_room;
 
     /* Counters, for the log and the tests of growth. */
@@ -321,8 +324,9 @@
                           a.mem_gb + sign * b.mem_gb};
 }
 static inline bool rr_resources_fit(rr_resources need, rr_resources room) {
-    return need.cpus <= room.cpus + RR_EPS && need.gpus <= room.gpus + RR_EPS &&
-           need.mem_gb <= room.mem_gb + RR_EPS;
+    return need.cpus <= room.cpus + RR_RESOURCE_EPSILON &&
+           need.gpus <= room.gpus + RR_RESOURCE_EPSILON &&
+           need.mem_gb <= room.mem_gb + RR_RESOURCE_EPSILON;
 }
 /* Free room on the scarcest resource, as a share of the machine. */
 double rr_resources_free_share(rr_resources room, rr_resources cap);
@@ -381,8 +385,8 @@
 /* Every controller of the term knows gangs. One that comes back in an older version ends that. */
 bool rr_all_gang_capable(const rr_core *c);
 /* So does each of them, and takes part in fair admission. */
-#define RR_ABLE_GANGS 1
-#define RR_ABLE_ADMISSION 2
+#define RR_CAPABILITY_GANGS 1
+#define RR_CAPABILITY_ADMISSION 2
 bool rr_all_capable(const rr_core *c, uint64_t able);
 /* A number that no other attempt has, of whatever controller and term; later ones are higher within
  * a team. */
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -56,11 +56,11 @@
 }
 
 void rr_core_guard_term(const rr_core *c, rr_transaction *t) {
-    rr_transaction_guard(t, RR_ROOT "term", c->term.version);
+    rr_transaction_guard(t, RR_KEY_ROOT "term", c->term.version);
 }
 
 bool rr_core_all_admission_capable(const rr_core *c) {
-    return rr_all_capable(c, RR_ABLE_ADMISSION);
+    return rr_all_capable(c, RR_CAPABILITY_ADMISSION);
 }
 
 double rr_core_cache_age(const rr_core *c, double now) {
@@ -86,7 +86,7 @@
 }
 
 void rr_job_final_record(const rr_job *job, rr_transaction *t) {
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     rr_encoder o;
     rr_encoder_init(&o);
     rr_encode_map(&o, 4);
@@ -117,7 +117,7 @@
 bool rr_core_guard_job(const rr_core *c, const char *job_id, rr_transaction *t) {
     const rr_job *job = open_job(c, job_id);
     if (job) {
-        char key[RR_ID + 64];
+        char key[RR_ID_SIZE + 64];
         rr_core_job_key(job_id, key, sizeof key);
         rr_transaction_guard(t, key, job->own_version);
     }
@@ -125,7 +125,7 @@
 }
 
 bool rr_core_abandon_job(const rr_core *c, const char *job_id, rr_transaction *t) {
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     uint64_t mark;
     rr_encoder o;
     if (!open_job(c, job_id)) {
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -346,7 +346,7 @@
 static void put_edit(struct rr_planner *p, const struct rr_plan_edit *e) {
     rr_transaction *t = &p->plan->transaction;
     rr_job *j = e->job;
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     rr_ledger_record_key(j->submission.job_id, e->record->chunk, key, sizeof key);
     bool ends =
         j->completing_count > 0 && j->done_count + j->completing_count >= j->submission.task_count;
@@ -443,8 +443,8 @@
 
 static void build_transaction(struct rr_planner *p) {
     rr_transaction *t = &p->plan->transaction;
-    char key[RR_ID + 64];
-    rr_transaction_guard(t, RR_ROOT "term", p->core->term.version);
+    char key[RR_ID_SIZE + 64];
+    rr_transaction_guard(t, RR_KEY_ROOT "term", p->core->term.version);
     for (guint i = 0; i < p->edits->len; i++) {
         put_edit(p, g_ptr_array_index(p->edits, i));
     }
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -83,7 +83,7 @@
 /* Commands to it go unanswered: the others are told, since the provisioner may not have sent any.
  */
 static void suspect(rr_core *c, rr_machine *m, double now) {
-    if (rr_core_timers_late(c, now, RR_LATE_S)) {
+    if (rr_core_timers_late(c, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* the answer may be waiting to be read */
     }
     m->unanswered_at = m->unanswered++ == 0 ? now : m->unanswered_at;
@@ -117,7 +117,7 @@
         m->suspect_until = 0;
         return;
     }
-    if (rr_core_timers_late(c, now, RR_LATE_S)) {
+    if (rr_core_timers_late(c, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* its answer may be waiting to be read */
     }
     m->probe_fails++;
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -188,7 +188,7 @@
 static bool step_rentals_done(rr_core *c, double now, rr_autoscaler_step *out) {
     GHashTableIter it;
     gpointer v;
-    char key[RR_ID + 32];
+    char key[RR_ID_SIZE + 32];
     g_hash_table_iter_init(&it, c->rentals);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         rr_rental *h = v;
@@ -228,11 +228,11 @@
         if ((int)out->transaction.changes->len < rr_transaction_changes_max(c->config) &&
             !same_machine_type(
                 rr_machine_type_at(c, rr_name_index_find(&c->machine_types, b->name)), b)) {
-            char key[RR_ID + 32];
+            char key[RR_ID_SIZE + 32];
             rr_encoder o;
             rr_encoder_init(&o);
             rr_machine_type_encode(&o, b);
-            g_snprintf(key, sizeof key, RR_ROOT "build/%s", b->name);
+            g_snprintf(key, sizeof key, RR_KEY_ROOT "build/%s", b->name);
             rr_transaction_put(&out->transaction, key, &o, 0);
         }
     }
@@ -400,6 +400,6 @@
         out->kind = RR_AUTOSCALER_LIST;
     }
     if (out->kind == RR_AUTOSCALER_COMMIT) {
-        rr_transaction_guard(&out->transaction, RR_ROOT "term", c->term.version);
+        rr_transaction_guard(&out->transaction, RR_KEY_ROOT "term", c->term.version);
     }
 }
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -49,7 +49,7 @@
 };
 
 static bool roomy(const rr_core *c, const rr_machine *m) {
-    return rr_resources_free_share(m->free, rr_machine_capacity(c, m)) > RR_EPS;
+    return rr_resources_free_share(m->free, rr_machine_capacity(c, m)) > RR_RESOURCE_EPSILON;
 }
 
 static const rr_core *sort_core; /* qsort has no argument; the core is one call at a time */
@@ -344,7 +344,7 @@
 static void demand_headroom(struct demand_simulation *s) {
     rr_core *c = s->core;
     rr_arrivals_trim(c, s->wall);
-    double span = fmin(RR_ARRIVALS_S, fmax(60, s->wall - c->term.first_term_at));
+    double span = fmin(RR_ARRIVAL_WINDOW_S, fmax(60, s->wall - c->term.first_term_at));
     for (size_t i = 0; i < c->config->objective_count; i++) {
         const struct rr_objective *o = &c->config->objectives[i];
         const rr_job *last;
@@ -385,7 +385,7 @@
 }
 
 static void put_intent(rr_core *c, const struct planned_rental *r, int n, rr_autoscaler_step *out) {
-    char name[RR_ID], key[RR_ID + 32];
+    char name[RR_ID_SIZE], key[RR_ID_SIZE + 32];
     rr_encoder o;
     /* A request's name is never used again: token, counter. */
     g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, c->term.token,
--- a/src/core/provisioner_records.c
+++ b/src/core/provisioner_records.c
@@ -165,7 +165,7 @@
 /* Machines that came, are to go back or are gone, many in a change. */
 bool rr_autoscaler_step_records(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
     rr_transaction *t = &out->transaction;
-    char key[RR_ID];
+    char key[RR_ID_SIZE];
     GHashTableIter it;
     gpointer k, v;
     int most = (int)(TXN_KB / rr_value_kb_max(c->config));
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define RESEND_S 1.5
-#define REAP_PIECES 32 /* tasks shown by a machine beyond which none waits to be reaped */
+#define REAP_TASKS 32 /* tasks shown by a machine beyond which none waits to be reaped */
 
 /* ---- orders ---- */
 
@@ -215,7 +215,7 @@
  * shown. */
 static bool reap_may_wait(const struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
     if (m->plan_commands || r->exit_reason != RR_EXIT_DONE ||
-        m->heartbeat.tasks->len > REAP_PIECES) {
+        m->heartbeat.tasks->len > REAP_TASKS) {
         return false;
     }
     m->reap_at = m->reap_at > 0 ? m->reap_at : p->now;
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -234,7 +234,7 @@
 }
 
 static void want(const rr_core *c, int place, uint32_t *peers) {
-    if (place >= 0 && (guint)place < c->term.members->len && place < RR_MAX_NODES &&
+    if (place >= 0 && (guint)place < c->term.members->len && place < RR_CONTROLLERS_MAX &&
         c->peer_at[place] >= 0) {
         *peers |= 1u << c->peer_at[place];
     }
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -40,7 +40,7 @@
             bad += !rr_machine_heartbeat_recent(c, m, now) || m->heartbeat.spot_notice_s >= 0;
         }
     }
-    bool quiet = bad * 50 <= up && !rr_core_timers_late(c, now, RR_LATE_S);
+    bool quiet = bad * 50 <= up && !rr_core_timers_late(c, now, RR_LATE_TIMER_GRACE_S);
     if (c->round_token != c->term.token) {
         c->round_token = c->term.token;
         quiet = false;
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -5,7 +5,7 @@
 
 static void put_session(rr_core *c, const char *name, const msgpack_object *v) {
     uint64_t tether;
-    if (!rr_map_get_u64(v, "tether", &tether) || strlen(name) >= RR_NAME) {
+    if (!rr_map_get_u64(v, "tether", &tether) || strlen(name) >= RR_NAME_SIZE) {
         return;
     }
     rr_session *s = g_new0(rr_session, 1);
@@ -73,21 +73,21 @@
 void rr_core_cache_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark,
                        double now) {
     const char *rest;
-    if ((rest = after(key, RR_ROOT "fleet/"))) {
+    if ((rest = after(key, RR_KEY_ROOT "fleet/"))) {
         rr_machine_page_put(c, rest, v, mark, now);
-    } else if ((rest = after(key, RR_ROOT "job/"))) {
+    } else if ((rest = after(key, RR_KEY_ROOT "job/"))) {
         rr_job_put(c, rest, v, mark, now);
-    } else if ((rest = after(key, RR_ROOT "run/"))) {
+    } else if ((rest = after(key, RR_KEY_ROOT "run/"))) {
         rr_ledger_record_put(c, rest, v, mark, now);
-    } else if ((rest = after(key, RR_ROOT "node/"))) {
+    } else if ((rest = after(key, RR_KEY_ROOT "node/"))) {
         put_session(c, rest, v);
-    } else if (strcmp(key, RR_ROOT "term") == 0) {
+    } else if (strcmp(key, RR_KEY_ROOT "term") == 0) {
         put_term(c, v, mark);
-    } else if ((rest = after(key, RR_ROOT "hire/"))) {
+    } else if ((rest = after(key, RR_KEY_ROOT "hire/"))) {
         put_rental(c, rest, v, mark);
-    } else if (after(key, RR_ROOT "build/")) {
+    } else if (after(key, RR_KEY_ROOT "build/")) {
         rr_machine_type_put(c, v);
-    } else if (after(key, RR_ROOT "batch/")) {
+    } else if (after(key, RR_KEY_ROOT "batch/")) {
         rr_job_batch_put(c, key, v, mark, now);
     } else if (!rr_watched_record(c, key, v, mark)) {
         /* An earlier version's ledger (by machine) and whatever else: passed over. */
@@ -97,15 +97,15 @@
 
 void rr_core_cache_delete(rr_core *c, const char *key, uint64_t mark, double now) {
     const char *rest;
-    if ((rest = after(key, RR_ROOT "fleet/"))) {
+    if ((rest = after(key, RR_KEY_ROOT "fleet/"))) {
         rr_machine_page_delete(c, rest, mark, now);
-    } else if ((rest = after(key, RR_ROOT "run/"))) {
+    } else if ((rest = after(key, RR_KEY_ROOT "run/"))) {
         rr_ledger_record_delete(c, rest, mark, now);
-    } else if ((rest = after(key, RR_ROOT "node/"))) {
+    } else if ((rest = after(key, RR_KEY_ROOT "node/"))) {
         g_hash_table_remove(c->sessions, rest);
-    } else if ((rest = after(key, RR_ROOT "hire/"))) {
+    } else if ((rest = after(key, RR_KEY_ROOT "hire/"))) {
         g_hash_table_remove(c->rentals, rest);
-    } else if (after(key, RR_ROOT "batch/")) {
+    } else if (after(key, RR_KEY_ROOT "batch/")) {
         g_hash_table_remove(c->batches, key);
     } else {
         rr_watched_record(c, key, NULL, mark);
--- a/src/core/term.c
+++ b/src/core/term.c
@@ -25,7 +25,7 @@
     if (cfg->cells) {
         rr_encode_key_bool(o, "holds", true);
     }
-    rr_encode_key_u64(o, "able", cfg->admission ? RR_ABLE_ADMISSION : RR_ABLE_GANGS);
+    rr_encode_key_u64(o, "able", cfg->admission ? RR_CAPABILITY_ADMISSION : RR_CAPABILITY_GANGS);
 }
 
 bool rr_core_all_gang_capable(const rr_core *c) {
@@ -33,7 +33,7 @@
 }
 
 bool rr_all_gang_capable(const rr_core *c) {
-    return rr_all_capable(c, RR_ABLE_GANGS);
+    return rr_all_capable(c, RR_CAPABILITY_GANGS);
 }
 
 /* The record of a controller of the term, by its present session; NULL: it has none. */
@@ -182,7 +182,7 @@
         c->part = i == rr_member_index(c) ? c->parts : c->part;
         c->parts += teams_at(c, (int)i) > 0;
     }
-    for (guint i = 0; i < c->term.members->len && i < RR_MAX_NODES; i++) {
+    for (guint i = 0; i < c->term.members->len && i < RR_CONTROLLERS_MAX; i++) {
         c->peer_at[i] = -1;
         for (size_t k = 0; k < c->config->peer_count; k++) {
             if (strcmp(c->config->peers[k].name,
@@ -276,8 +276,8 @@
             rr_encode_text(&o, s->name);
             rr_encode_u64(&o, s->lease_id);
         }
-        rr_transaction_guard(out, RR_ROOT "term", c->term.version);
-        rr_transaction_put(out, RR_ROOT "term", &o, 0);
+        rr_transaction_guard(out, RR_KEY_ROOT "term", c->term.version);
+        rr_transaction_put(out, RR_KEY_ROOT "term", &o, 0);
     }
     g_ptr_array_free(live, TRUE);
     return change;
--- a/src/core/troubles.c
+++ b/src/core/troubles.c
@@ -172,7 +172,7 @@
 }
 
 void rr_core_peer_contacted(rr_core *c, double now, int peer) {
-    if (peer >= 0 && peer < RR_MAX_NODES) {
+    if (peer >= 0 && peer < RR_CONTROLLERS_MAX) {
         rr_contact_record(&c->peers[peer], now);
     }
 }
@@ -183,7 +183,7 @@
 
 bool rr_peers_connected_for(const rr_core *c, double now, double seconds) {
     bool all = now - c->woke_at >= seconds;
-    for (guint i = 0; i < c->term.members->len && i < RR_MAX_NODES; i++) {
+    for (guint i = 0; i < c->term.members->len && i < RR_CONTROLLERS_MAX; i++) {
         all = all && (c->peer_at[i] < 0 || lasting(&c->peers[c->peer_at[i]], now, seconds));
     }
     return all;
@@ -234,7 +234,7 @@
         return false;
     }
     /* Who is behind has reports in its sockets that it has not read. */
-    if (rr_core_timers_late(c, now, RR_LATE_S)) {
+    if (rr_core_timers_late(c, now, RR_LATE_TIMER_GRACE_S)) {
         return false;
     }
     /* Most of a zone may be dead or hung, and looks like a cut; but a cut silences the zone's
--- a/src/core/users.c
+++ b/src/core/users.c
@@ -46,8 +46,8 @@
         return RR_SUBMISSION_UNSATISFIABLE;
     }
     double n = s->kind == RR_JOB_ARRAY ? 1 : s->task_count;
-    if ((t->cpus_max > 0 && n * s->cpus > t->cpus_max + RR_EPS) ||
-        (t->gpus_max > 0 && n * s->gpus > t->gpus_max + RR_EPS)) {
+    if ((t->cpus_max > 0 && n * s->cpus > t->cpus_max + RR_RESOURCE_EPSILON) ||
+        (t->gpus_max > 0 && n * s->gpus > t->gpus_max + RR_RESOURCE_EPSILON)) {
         *why = "over the team's limit";
         return RR_SUBMISSION_UNSATISFIABLE;
     }
--- a/src/http/door.c
+++ b/src/http/door.c
@@ -78,7 +78,7 @@
 
 static bool declared_too_large(struct MHD_Connection *conn) {
     const char *n = MHD_lookup_connection_value(conn, MHD_HEADER_KIND, "Content-Length");
-    return n && g_ascii_strtoull(n, NULL, 10) > RR_BODY_MAX;
+    return n && g_ascii_strtoull(n, NULL, 10) > RR_BODY_BYTES_MAX;
 }
 
 static enum MHD_Result on_request(void *cls, struct MHD_Connection *conn, const char *url,
@@ -96,7 +96,7 @@
             return MHD_YES;
         }
     } else if (*len > 0) {
-        if (!up->too_large && up->body->len + *len <= RR_BODY_MAX) {
+        if (!up->too_large && up->body->len + *len <= RR_BODY_BYTES_MAX) {
             g_byte_array_append(up->body, (const guint8 *)data, (guint)*len);
         } else {
             up->too_large = true;
@@ -180,10 +180,11 @@
     l->owner = d;
     l->daemon = MHD_start_daemon(
         MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_THREAD_PER_CONNECTION | MHD_USE_POLL, 0, NULL,
-        NULL, on_request, d, MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_THREAD_STACK_SIZE, RR_STACK,
-        MHD_OPTION_CONNECTION_LIMIT, (unsigned)most, MHD_OPTION_CONNECTION_TIMEOUT, 90u,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, CONNECTION_MEMORY, MHD_OPTION_NOTIFY_COMPLETED,
-        on_completed, NULL, MHD_OPTION_NOTIFY_CONNECTION, on_connection, l, MHD_OPTION_END);
+        NULL, on_request, d, MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_THREAD_STACK_SIZE,
+        RR_THREAD_STACK_BYTES, MHD_OPTION_CONNECTION_LIMIT, (unsigned)most,
+        MHD_OPTION_CONNECTION_TIMEOUT, 90u, MHD_OPTION_CONNECTION_MEMORY_LIMIT, CONNECTION_MEMORY,
+        MHD_OPTION_NOTIFY_COMPLETED, on_completed, NULL, MHD_OPTION_NOTIFY_CONNECTION,
+        on_connection, l, MHD_OPTION_END);
     atomic_fetch_add(&d->listener_count, l->daemon != NULL);
     return l->daemon != NULL;
 }
--- a/src/http/door.h
+++ b/src/http/door.h
@@ -27,7 +27,7 @@
 /* What a connection is held to take: its touched stack, its buffers, and what it makes the rest
  * hold. tests/test_load.c measures it, and fails if it grows past this. */
 #define RR_CONNECTION_KB 48
-#define RR_CONNECTIONS_LEAST 8
+#define RR_CONNECTIONS_MIN 8
 /* How many connections there may be, given what the rest of the process needs of its limits; fewer
  * than the least: it can't run. */
 int rr_http_server_connections_max(const struct rr_config *cfg, int other_threads,
--- a/src/peer/cancellations.c
+++ b/src/peer/cancellations.c
@@ -6,7 +6,7 @@
 #define KEPT_MAX 512u /* far below what fills a frame */
 
 struct cancellation {
-    char job_id[RR_ID];
+    char job_id[RR_ID_SIZE];
     double until;
     bool announced;
     unsigned connection; /* over which it was told */
--- a/src/peer/frame.c
+++ b/src/peer/frame.c
@@ -44,20 +44,20 @@
 }
 
 void rr_frame_end(GByteArray *b, guint at) {
-    uint32_t n = b->len - at - RR_FRAME_HEAD;
+    uint32_t n = b->len - at - RR_FRAME_HEADER_BYTES;
     b->data[at + 4] = (uint8_t)(n >> 24);
     b->data[at + 5] = (uint8_t)(n >> 16);
     b->data[at + 6] = (uint8_t)(n >> 8);
     b->data[at + 7] = (uint8_t)n;
 }
 
-int rr_frame_head(const uint8_t head[RR_FRAME_HEAD], uint8_t *type, uint32_t *len) {
+int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *len) {
     if (head[0] != 'R' || head[1] != 'r' || head[2] != RR_FRAME_VERSION) {
         return -EBADMSG;
     }
     *type = head[3];
     *len = (uint32_t)head[4] << 24 | (uint32_t)head[5] << 16 | (uint32_t)head[6] << 8 | head[7];
-    return *len > RR_FRAME_MAX ? -EBADMSG : 0;
+    return *len > RR_FRAME_BYTES_MAX ? -EBADMSG : 0;
 }
 
 static const uint8_t *take(rr_frame_reader *u, size_t n) {
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -8,8 +8,8 @@
 #include <stdint.h>
 
 #define RR_FRAME_VERSION 3
-#define RR_FRAME_HEAD 8
-#define RR_FRAME_MAX (256 * 1024)
+#define RR_FRAME_HEADER_BYTES 8
+#define RR_FRAME_BYTES_MAX (256 * 1024)
 
 enum rr_frame_type {
     RR_FRAME_HELLO = 1,     /* node name */
@@ -41,7 +41,7 @@
 void rr_frame_put_bytes(GByteArray *b, const void *data, uint32_t len);
 
 /* 0 and the payload's length, or -EBADMSG. */
-int rr_frame_head(const uint8_t head[RR_FRAME_HEAD], uint8_t *type, uint32_t *len);
+int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *len);
 
 typedef struct {
     const uint8_t *next;
--- a/src/peer/internal.h
+++ b/src/peer/internal.h
@@ -12,7 +12,7 @@
 
 #include <pthread.h>
 
-#define RR_PEER_HEARS_S 4.0  /* a peer heard not longer ago is heard */
+#define RR_PEER_HEARD_S 4.0  /* a peer heard not longer ago is heard */
 #define RR_PEER_LIST_MAX 512 /* machines in a frame */
 
 struct link {
@@ -32,7 +32,7 @@
     /* What the peer last said of whom it hears, by index of ours. */
     double peer_digest_at; /* when it last said so: on its link to us, nothing else shows that that
                               works */
-    bool peer_hears[RR_MAX_NODES], peer_hears_us;
+    bool peer_hears[RR_CONTROLLERS_MAX], peer_hears_us;
 };
 
 struct rr_peers {
@@ -43,7 +43,7 @@
     pthread_cond_t wake; /* connections end */
     GHashTable *sent;    /* machine -> struct sent */
     double swept_at;
-    struct link links[RR_MAX_NODES];
+    struct link links[RR_CONTROLLERS_MAX];
     int listener;
     pthread_t acceptor;
     bool accepting;
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -22,7 +22,7 @@
 }
 
 bool rr_link_heard_lately(const struct link *l, double now) {
-    return l->peer_digest_at > 0 && now - l->peer_digest_at < RR_PEER_HEARS_S;
+    return l->peer_digest_at > 0 && now - l->peer_digest_at < RR_PEER_HEARD_S;
 }
 
 static void put_list(struct link *l, unsigned hops, GByteArray *out, double now) {
@@ -103,7 +103,7 @@
     guint head = rr_frame_begin(out, RR_FRAME_SENT_AT);
     rr_frame_put_u64(out, (uint64_t)(rr_wall_clock_s() * 1000));
     rr_frame_end(out, head);
-    while (out->len < RR_FRAME_MAX && (b = g_queue_pop_head(&l->queue))) {
+    while (out->len < RR_FRAME_BYTES_MAX && (b = g_queue_pop_head(&l->queue))) {
         gsize n;
         const void *data = g_bytes_get_data(b, &n);
         guint at = rr_frame_begin(out, RR_FRAME_HEARTBEAT);
@@ -155,7 +155,7 @@
     pthread_mutex_lock(&p->lock);
     bool works = rr_link_heard_lately(l, now) && l->peer_hears_us;
     bool dead = !works && now - l->connected_at > l->patience;
-    l->patience = works  ? RR_PEER_HEARS_S
+    l->patience = works  ? RR_PEER_HEARD_S
                   : dead ? MIN(2 * l->patience, PATIENCE_MAX_S)
                          : l->patience;
     pthread_mutex_unlock(&p->lock);
--- a/src/peer/listener.c
+++ b/src/peer/listener.c
@@ -70,8 +70,8 @@
 /* The nodes that the peer hears, then the machines. */
 static int serve_heartbeat_digests(rr_peers *p, int peer, rr_frame_reader *u) {
     struct link *l = &p->links[peer];
-    bool hears[RR_MAX_NODES] = {false}, hears_us = false;
-    char name[RR_NAME];
+    bool hears[RR_CONTROLLERS_MAX] = {false}, hears_us = false;
+    char name[RR_NAME_SIZE];
     unsigned hops = rr_frame_read_u8(u);
     uint16_t nodes = rr_frame_read_u16(u);
     for (uint16_t i = 0; i < nodes && rr_frame_read_text(u, name, sizeof name); i++) {
@@ -105,7 +105,7 @@
 }
 
 static int serve_suspects(rr_peers *p, rr_frame_reader *u) {
-    char machine[RR_ID];
+    char machine[RR_ID_SIZE];
     uint16_t n = rr_frame_read_u16(u);
     for (uint16_t i = 0; i < n && rr_frame_read_text(u, machine, sizeof machine); i++) {
         p->events.suspect(p->events.user, machine);
@@ -115,7 +115,7 @@
 
 /* However late it comes: stopping a cancelled job's tasks is right at any time. */
 static int serve_cancelled(rr_peers *p, rr_frame_reader *u) {
-    char job_id[RR_ID];
+    char job_id[RR_ID_SIZE];
     uint16_t n = rr_frame_read_u16(u);
     for (uint16_t i = 0; i < n && rr_frame_read_text(u, job_id, sizeof job_id); i++) {
         if (rr_job_id_valid(job_id)) {
@@ -134,7 +134,7 @@
 
 static int serve(struct connection *c, rr_client *client, uint8_t type, rr_frame_reader *u) {
     rr_peers *p = c->owner;
-    char name[RR_NAME];
+    char name[RR_NAME_SIZE];
     if (type == RR_FRAME_HELLO) {
         c->peer = rr_frame_read_text(u, name, sizeof name) ? peer_index(p, name) : -1;
         return c->peer >= 0 ? 0 : -EBADMSG;
@@ -207,7 +207,7 @@
     c->fd = fd;
     c->peer = -1;
     pthread_mutex_lock(&p->lock);
-    bool ok = p->connection_count < RR_PEER_CONNS;
+    bool ok = p->connection_count < RR_PEER_CONNECTIONS_MAX;
     p->connection_count += ok;
     pthread_mutex_unlock(&p->lock);
     if (ok && rr_thread_start(NULL, connection_main, c, true) == 0) {
--- a/src/peer/outbox.c
+++ b/src/peer/outbox.c
@@ -15,7 +15,7 @@
         uint64_t worker_epoch, hash;
         unsigned life;
         double at; /* 0: never */
-    } to[RR_MAX_NODES];
+    } to[RR_CONTROLLERS_MAX];
     double used_at;
 };
 
@@ -63,7 +63,7 @@
 
 void rr_peers_send_heartbeat(rr_peers *p, uint32_t wanted, uint32_t rare,
                              const rr_heartbeat_digest *h, const void *body, size_t len) {
-    if (p->config->peer_count == 0 || len + RR_FRAME_HEAD + 1 > RR_FRAME_MAX / 2) {
+    if (p->config->peer_count == 0 || len + RR_FRAME_HEADER_BYTES + 1 > RR_FRAME_BYTES_MAX / 2) {
         return;
     }
     GBytes *whole = NULL;
@@ -97,7 +97,7 @@
 void rr_peers_forward_heartbeats(rr_peers *p, int from, const rr_heartbeat_digest *list, size_t n,
                                  const void *body, size_t len) {
     GBytes *whole = NULL;
-    if (from < 0 || len + RR_FRAME_HEAD + 1 > RR_FRAME_MAX / 2) {
+    if (from < 0 || len + RR_FRAME_HEADER_BYTES + 1 > RR_FRAME_BYTES_MAX / 2) {
         return;
     }
     pthread_mutex_lock(&p->lock);
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -22,7 +22,7 @@
     pthread_condattr_t steady;
     pthread_condattr_init(&steady);
     pthread_condattr_setclock(&steady, CLOCK_MONOTONIC);
-    for (int i = 0; i < RR_MAX_NODES; i++) {
+    for (int i = 0; i < RR_CONTROLLERS_MAX; i++) {
         g_queue_init(&p->links[i].queue);
         pthread_cond_init(&p->links[i].wake, &steady);
         p->links[i].digests[0] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -30,7 +30,7 @@
         p->links[i].suspects = g_ptr_array_new_with_free_func(g_free);
         p->links[i].cancelled = rr_cancellations_create();
         p->links[i].owner = p;
-        p->links[i].patience = RR_PEER_HEARS_S;
+        p->links[i].patience = RR_PEER_HEARD_S;
         p->links[i].index = i;
     }
     pthread_condattr_destroy(&steady);
@@ -85,7 +85,7 @@
     if (p->listener >= 0) {
         close(p->listener);
     }
-    for (int i = 0; i < RR_MAX_NODES; i++) {
+    for (int i = 0; i < RR_CONTROLLERS_MAX; i++) {
         g_queue_clear_full(&p->links[i].queue, (GDestroyNotify)g_bytes_unref);
         g_hash_table_destroy(p->links[i].digests[0]);
         g_hash_table_destroy(p->links[i].digests[1]);
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -33,7 +33,7 @@
 };
 
 typedef struct rr_peers rr_peers;
-#define RR_PEER_CONNS 64 /* taken from peers at a time; one more is closed at once */
+#define RR_PEER_CONNECTIONS_MAX 64 /* taken from peers at a time; one more is closed at once */
 rr_peers *rr_peers_create(const struct rr_config *cfg, const struct rr_peer_events *ev,
                           const atomic_bool *stop);
 int rr_peers_start(rr_peers *p); /* -errno if the address can't be bound */
--- a/src/peer/stream.c
+++ b/src/peer/stream.c
@@ -96,16 +96,16 @@
 int rr_peer_receive(const atomic_bool *stop, struct inbox *in, uint8_t *type, rr_frame_reader *u,
                     double timeout_s) {
     uint32_t len = 0;
-    int rc = inbox_fill(stop, in, RR_FRAME_HEAD, timeout_s);
+    int rc = inbox_fill(stop, in, RR_FRAME_HEADER_BYTES, timeout_s);
     if (rc == 0) {
         rc = rr_frame_head(in->buffer->data + in->offset, type, &len);
     }
     if (rc == 0) {
-        rc = inbox_fill(stop, in, RR_FRAME_HEAD + len, timeout_s);
+        rc = inbox_fill(stop, in, RR_FRAME_HEADER_BYTES + len, timeout_s);
     }
     if (rc == 0) {
-        *u = (rr_frame_reader){in->buffer->data + in->offset + RR_FRAME_HEAD, len, false};
-        in->offset += RR_FRAME_HEAD + len;
+        *u = (rr_frame_reader){in->buffer->data + in->offset + RR_FRAME_HEADER_BYTES, len, false};
+        in->offset += RR_FRAME_HEADER_BYTES + len;
     }
     return rc;
 }
--- a/src/wire/doc.c
+++ b/src/wire/doc.c
@@ -112,7 +112,7 @@
     msgpack_unpacked_init(&doc->unpacked);
     doc->root = NULL;
     doc->copy = NULL;
-    if (len == 0 || !scan_value(&s, RR_DEPTH_MAX) || s.next != s.end) {
+    if (len == 0 || !scan_value(&s, RR_NESTING_DEPTH_MAX) || s.next != s.end) {
         return -EBADMSG;
     }
     size_t off = 0;
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -57,12 +57,13 @@
         return true;
     }
     if (b->type != MSGPACK_OBJECT_ARRAY || b->via.array.size == 0 ||
-        b->via.array.size > RR_BUILDS_MAX) {
+        b->via.array.size > RR_MACHINE_TYPES_MAX) {
         return false;
     }
     s->machine_types = g_malloc0(b->via.array.size * sizeof *s->machine_types);
     for (uint32_t i = 0; i < b->via.array.size; i++) {
-        if (!rr_object_text(&b->via.array.ptr[i], s->machine_types[s->machine_type_count], RR_ID)) {
+        if (!rr_object_text(&b->via.array.ptr[i], s->machine_types[s->machine_type_count],
+                            RR_ID_SIZE)) {
             rr_submission_clear(s);
             return false;
         }
@@ -79,7 +80,7 @@
 
 static bool get_tasks(const msgpack_object *o, uint32_t *out) {
     uint64_t n;
-    if (!rr_map_get_u64(o, "pieces", &n) || n == 0 || n > RR_PIECES_MAX) {
+    if (!rr_map_get_u64(o, "pieces", &n) || n == 0 || n > RR_TASKS_MAX) {
         return false;
     }
     *out = (uint32_t)n;
@@ -194,7 +195,7 @@
     }
     char *end;
     unsigned long n = strtoul(slash + 1, &end, 10);
-    if (!isdigit((unsigned char)slash[1]) || *end || n >= RR_PIECES_MAX) {
+    if (!isdigit((unsigned char)slash[1]) || *end || n >= RR_TASKS_MAX) {
         return false;
     }
     memcpy(ref, text, (size_t)(slash - text));
@@ -212,7 +213,7 @@
 
 static bool task_status_decode(const msgpack_object *o, rr_task_status *p) {
     static const char *const names[] = {"fetching", "running", "flushing", "ended", "waiting"};
-    char text[2 * RR_ID];
+    char text[2 * RR_ID_SIZE];
     int standing = index_of(rr_map_get(o, "standing"), names, G_N_ELEMENTS(names));
     if (!rr_map_get_text(o, "piece", text, sizeof text) ||
         !rr_task_name_parse(text, p->job_id, sizeof p->job_id, &p->task) ||
@@ -272,7 +273,7 @@
     rr_encode_array(o, orders ? orders->len : 0);
     for (guint i = 0; orders && i < orders->len; i++) {
         const rr_command *c = &g_array_index(orders, rr_command, i);
-        char piece[2 * RR_ID];
+        char piece[2 * RR_ID_SIZE];
         g_snprintf(piece, sizeof piece, "%s/%u", c->job_id, c->task);
         rr_encode_map(o, c->kind == RR_COMMAND_STOP ? 4 : 3);
         rr_encode_key_text(o, "verb", verbs[c->kind]);
@@ -300,7 +301,7 @@
     rr_map_get_number(o, "pull_gb_per_s", &b->pull_rate);
     rr_map_get_number(o, "startup_s", &b->startup_s);
     for (uint32_t i = 0; i < w->via.array.size; i++) {
-        char zone[RR_TEXT];
+        char zone[RR_TEXT_SIZE];
         if (!rr_object_text(&w->via.array.ptr[i], zone, sizeof zone)) {
             return -EBADMSG;
         }
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -8,12 +8,12 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RR_BODY_MAX ((size_t)64 * 1024)
-#define RR_PIECES_MAX 100000
-#define RR_ID 64
-#define RR_TEXT 128
-#define RR_BUILDS_MAX 32
-#define RR_DEPTH_MAX 16
+#define RR_BODY_BYTES_MAX ((size_t)64 * 1024)
+#define RR_TASKS_MAX 100000
+#define RR_ID_SIZE 64
+#define RR_TEXT_SIZE 128
+#define RR_MACHINE_TYPES_MAX 32
+#define RR_NESTING_DEPTH_MAX 16
 
 /* ---- documents ---- */
 typedef struct {
@@ -63,9 +63,10 @@
 enum rr_priority { RR_PRIORITY_LOW, RR_PRIORITY_STANDARD, RR_PRIORITY_HIGH, RR_PRIORITY_PROD };
 
 typedef struct {
-    char job_id[RR_ID], job_class[RR_TEXT], team[RR_TEXT], image[RR_TEXT], zone[RR_TEXT];
-    char (*machine_types)[RR_ID]; /* owned; jobs are kept for good, and few name any */
-    int machine_type_count;       /* 0: any */
+    char job_id[RR_ID_SIZE], job_class[RR_TEXT_SIZE], team[RR_TEXT_SIZE], image[RR_TEXT_SIZE],
+        zone[RR_TEXT_SIZE];
+    char (*machine_types)[RR_ID_SIZE]; /* owned; jobs are kept for good, and few name any */
+    int machine_type_count;            /* 0: any */
     enum rr_job_kind kind;
     enum rr_priority priority;
     uint32_t task_count;
@@ -104,7 +105,7 @@
 };
 
 typedef struct {
-    char job_id[RR_ID];
+    char job_id[RR_ID_SIZE];
     uint32_t task;
     uint64_t attempt;
     enum rr_task_state state;
@@ -112,7 +113,7 @@
 } rr_task_status;
 
 typedef struct {
-    char machine[RR_ID], address[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
+    char machine[RR_ID_SIZE], address[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     bool spot;
     uint64_t worker_epoch, sequence, fencing_token;
     double spot_notice_s; /* <0: no notice */
@@ -128,7 +129,7 @@
 
 /* A sign of life, for those who need no more: the report with this sequence had this hash. */
 typedef struct {
-    char machine[RR_ID];
+    char machine[RR_ID_SIZE];
     uint64_t worker_epoch, sequence, hash;
 } rr_heartbeat_digest;
 bool rr_task_name_parse(const char *text, char *ref, size_t size, uint32_t *task);
@@ -136,7 +137,7 @@
 enum rr_command_kind { RR_COMMAND_START, RR_COMMAND_STOP, RR_COMMAND_REAP };
 typedef struct {
     enum rr_command_kind kind;
-    char job_id[RR_ID];
+    char job_id[RR_ID_SIZE];
     uint32_t task;
     uint64_t attempt;
     double grace_s;
@@ -148,7 +149,7 @@
 
 /* ---- cloud ---- */
 typedef struct {
-    char name[RR_ID];
+    char name[RR_ID_SIZE];
     double cpus, gpus, mem_gb, cache_gb, pull_rate, price, spot_price, startup_s;
     GPtrArray *zones; /* char* */
 } rr_machine_type;
@@ -159,7 +160,7 @@
 
 enum rr_listed_state { RR_LISTED_STARTING, RR_LISTED_RUNNING, RR_LISTED_FAILED };
 typedef struct {
-    char id[RR_ID], address[RR_ID], machine_type[RR_ID], zone[RR_TEXT];
+    char id[RR_ID_SIZE], address[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     bool spot;
     enum rr_listed_state state;
     double age_s;
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -17,6 +17,6 @@
                            .len = len,
                            .timeout_s = timeout_s,
                            .fresh = true,
-                           .answer_max = 4 * RR_BODY_MAX};
+                           .answer_max = 4 * RR_BODY_BYTES_MAX};
     return rr_client_call(c, &call, out);
 }
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -64,7 +64,7 @@
     model->admission = true;
     struct rr_config *config = &model->config;
     for (; *teams; teams++) {
-        g_strlcpy(config->teams[config->team_count++].name, *teams, RR_NAME);
+        g_strlcpy(config->teams[config->team_count++].name, *teams, RR_NAME_SIZE);
     }
     config->peer_count = MODEL_CONTROLLERS - 1;
     config->clock_off_s = 0.1;
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -141,7 +141,7 @@
 }
 
 const char *cell_pair_local(const cell_pair *pair, const char *job_id, uint32_t claim) {
-    static char id[RR_ID];
+    static char id[RR_ID_SIZE];
     rr_cells_local_id(pair->home.settings.name, job_id, claim, id, sizeof id);
     return id;
 }
--- a/tests/fakes.c
+++ b/tests/fakes.c
@@ -207,19 +207,19 @@
 void fx_config(struct rr_config *c, const char *name) {
     static const char *const names[] = {"n0", "n1", "n2"};
     memset(c, 0, sizeof *c);
-    g_strlcpy(c->node_name, name, RR_NAME);
-    g_strlcpy(c->zone, "a", RR_NAME);
+    g_strlcpy(c->node_name, name, RR_NAME_SIZE);
+    g_strlcpy(c->zone, "a", RR_NAME_SIZE);
     for (int i = 0; i < 3; i++) {
         if (strcmp(names[i], name) != 0) {
-            g_strlcpy(c->peers[c->peer_count++].name, names[i], RR_NAME);
+            g_strlcpy(c->peers[c->peer_count++].name, names[i], RR_NAME_SIZE);
         }
     }
     c->team_count = 2;
-    g_strlcpy(c->teams[0].name, "red", RR_NAME);
-    g_strlcpy(c->teams[1].name, "blue", RR_NAME);
+    g_strlcpy(c->teams[0].name, "red", RR_NAME_SIZE);
+    g_strlcpy(c->teams[1].name, "blue", RR_NAME_SIZE);
     c->objective_count = 1;
     g_strlcpy(c->objectives[0].kind, "wait", sizeof c->objectives[0].kind);
-    g_strlcpy(c->objectives[0].job_class, "live", RR_NAME);
+    g_strlcpy(c->objectives[0].job_class, "live", RR_NAME_SIZE);
     c->objectives[0].within_s = 5;
     c->heartbeat_interval_s = 3;
     c->lease_s = 30;
@@ -270,11 +270,11 @@
 }
 
 static void node_key(const fx_node *n, char *out, size_t size) {
-    g_snprintf(out, size, RR_ROOT "node/%s", n->config.node_name);
+    g_snprintf(out, size, RR_KEY_ROOT "node/%s", n->config.node_name);
 }
 
 void fx_join(fx_node *n, uint64_t tether) {
-    char key[RR_NAME + 16];
+    char key[RR_NAME_SIZE + 16];
     rr_encoder o;
     node_key(n, key, sizeof key);
     rr_encoder_init(&o);
@@ -285,7 +285,7 @@
 }
 
 void fx_leave(fx_node *n) {
-    char key[RR_NAME + 16];
+    char key[RR_NAME_SIZE + 16];
     rr_transaction t;
     node_key(n, key, sizeof key);
     rr_transaction_init(&t);
@@ -299,14 +299,14 @@
     rr_encoder_init(&o);
     rr_encode_map(&o, 1);
     rr_encode_key_u64(&o, "tether", 44);
-    fx_put(n->store, RR_ROOT "node/n1", &o);
+    fx_put(n->store, RR_KEY_ROOT "node/n1", &o);
     fx_term(n);
 }
 
 void fx_leave_old_version(fx_node *n) {
     rr_transaction t;
     rr_transaction_init(&t);
-    rr_transaction_delete(&t, RR_ROOT "node/n1");
+    rr_transaction_delete(&t, RR_KEY_ROOT "node/n1");
     assert_int_equal(fx_commit(n->store, &t), 0);
     rr_transaction_clear(&t);
     fx_term(n);
@@ -330,7 +330,7 @@
     g_ptr_array_add(b.zones, g_strdup("b"));
     rr_encoder_init(&o);
     rr_machine_type_encode(&o, &b);
-    g_snprintf(key, sizeof key, RR_ROOT "build/%s", sku);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "build/%s", sku);
     fx_put(s, key, &o);
     rr_machine_type_clear(&b);
 }
@@ -403,7 +403,7 @@
     rr_encode_text(&o, zone);
     rr_encode_u64(&o, (spot ? 1 : 0) | (own ? 2 : 0));
     rr_encode_number(&o, 0);
-    g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", atoi(id + 3) + 100000);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d", atoi(id + 3) + 100000);
     fx_put(s, key, &o);
 }
 
@@ -414,7 +414,7 @@
     rr_encode_map(&o, 1);
     rr_encode_text(&o, "stones");
     rr_encode_array(&o, 0);
-    g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", atoi(id + 3) + 100000);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d", atoi(id + 3) + 100000);
     fx_put(s, key, &o);
 }
 
@@ -427,7 +427,7 @@
     while (g_hash_table_iter_next(&it, &k, &v)) {
         const struct fx_value *val = v;
         rr_document d;
-        if (!g_str_has_prefix(k, RR_ROOT "fleet/")) {
+        if (!g_str_has_prefix(k, RR_KEY_ROOT "fleet/")) {
             continue;
         }
         assert_int_equal(rr_document_parse(&d, val->data, val->len), 0);
@@ -517,7 +517,7 @@
     uint64_t found = 0;
     for (uint32_t chunk = task / CHUNK_TASKS; found == 0; chunk++) {
         char key[128];
-        g_snprintf(key, sizeof key, RR_ROOT "run/%s/%u", ref, chunk);
+        g_snprintf(key, sizeof key, RR_KEY_ROOT "run/%s/%u", ref, chunk);
         const struct fx_value *v = g_hash_table_lookup(s->kv, key);
         if (!v) {
             break;
@@ -618,7 +618,7 @@
         rr_encode_u64(&o, own ? 2 : 0);
         rr_encode_number(&o, 0);
     }
-    g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", first);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d", first);
     fx_put(s, key, &o);
 }
 
@@ -639,7 +639,7 @@
     gpointer k, v;
     unsigned n = 0;
     char prefix[64];
-    g_snprintf(prefix, sizeof prefix, RR_ROOT "run/%s/", ref);
+    g_snprintf(prefix, sizeof prefix, RR_KEY_ROOT "run/%s/", ref);
     g_hash_table_iter_init(&it, s->kv);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         const struct fx_value *val = v;
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -84,7 +84,7 @@
     n->now += 50;
     fx_plan(n, &p);
     rr_plan_clear(&p);
-    for (int i = 0; i < 20 && fx_count(w->store, RR_ROOT "hire/") == 0; i++) {
+    for (int i = 0; i < 20 && fx_count(w->store, RR_KEY_ROOT "hire/") == 0; i++) {
         fx_provisioner_step(n, none, &s);
         rr_autoscaler_step_clear(&s);
         n->now += 1;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -34,7 +34,7 @@
 
 static void keys(void **state) {
     (void)state;
-    char types[2][RR_ID] = {"g8", "a4"}, swapped[2][RR_ID] = {"a4", "g8"};
+    char types[2][RR_ID_SIZE] = {"g8", "a4"}, swapped[2][RR_ID_SIZE] = {"a4", "g8"};
     rr_submission one = job_of("red", "x", "req-1", 7), other = job_of("red", "x", "req-2", 1);
     rr_admission_key a, b;
     one.machine_types = types;
@@ -454,8 +454,9 @@
         assert_int_equal(rr_admission_take_demand(admission, 0, 4, good->data, len, 1), -EBADMSG);
     }
     assert_int_equal(rr_admission_take_demand(admission, 0, 5, good->data, good->len, 1), -ESTALE);
-    assert_int_equal(rr_admission_take_demand(admission, RR_MAX_NODES, 4, good->data, good->len, 1),
-                     -EBADMSG);
+    assert_int_equal(
+        rr_admission_take_demand(admission, RR_CONTROLLERS_MAX, 4, good->data, good->len, 1),
+        -EBADMSG);
     assert_int_equal(rr_admission_take_demand(admission, 0, 4, good->data, good->len, 1), 0);
     guint8 more = 0;
     g_byte_array_append(good, &more, 1);
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -299,7 +299,7 @@
 /* A service goes as well, and is known by the guest's name for it while it is there. */
 static void services_go(void **state) {
     cell_pair *pair = *state;
-    char local[RR_ID];
+    char local[RR_ID_SIZE];
     size_t neighbour = 9;
     wait_at_home(pair, &(struct fx_job){.job_id = JOB, .service = true, .cpus = 1});
     assert_false(
@@ -616,7 +616,7 @@
     cell_pair *pair = *state;
     rr_core_job job;
     struct dead_home dead = kill_home(pair);
-    char local[RR_ID];
+    char local[RR_ID_SIZE];
     g_strlcpy(local, cell_pair_local(pair, JOB, 1), sizeof local);
     watch_home(&dead, 60);
     assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
@@ -635,7 +635,7 @@
     cell_pair *pair = *state;
     rr_core_job job;
     struct dead_home dead = kill_home(pair);
-    char local[RR_ID];
+    char local[RR_ID_SIZE];
     rr_cells_local_id("h", "req-2", 1, local, sizeof local);
     watch_home(&dead, 78);
     assert_int_equal(fx_count(pair->home.store, "rr/cells/out/"), 1);
@@ -675,7 +675,7 @@
     cell_pair *pair = *state;
     unsigned made = 0;
     rr_core_job job;
-    char local[RR_ID];
+    char local[RR_ID_SIZE];
     struct dead_home dead = kill_home(pair);
     GPtrArray *writes = ready_to_claim(&dead);
     cell_pair_commit_there(pair, writes, &made);
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -19,7 +19,7 @@
 struct served {
     rr_cells_settings settings;
     rr_cells_links *links;
-    char planner[RR_NAME]; /* what it answers with NOT_OWNER; empty: it plans all */
+    char planner[RR_NAME_SIZE]; /* what it answers with NOT_OWNER; empty: it plans all */
     unsigned requests;
 };
 
@@ -94,7 +94,7 @@
     rr_cell *cell = &settings->neighbours[0];
     cell->controller_count = 2;
     for (int i = 0; i < 2; i++) {
-        g_snprintf(cell->controllers[i].name, RR_NAME, "b%d", i);
+        g_snprintf(cell->controllers[i].name, RR_NAME_SIZE, "b%d", i);
         cell->controllers[i].endpoint = servers[i].settings.listen;
     }
 }
@@ -265,7 +265,7 @@
     rr_cells_settings settings;
     rr_cells_reply reply;
     (void)state;
-    g_strlcpy(servers[0].planner, "b1", RR_NAME);
+    g_strlcpy(servers[0].planner, "b1", RR_NAME_SIZE);
     asker(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
     assert_int_equal(ask(client, "a", "b", &reply), 0);
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -362,7 +362,7 @@
     GArray *spans = g_array_new(FALSE, TRUE, sizeof(struct span));
     for (int cell = 0; cell < CELLS; cell++) {
         for (uint32_t claim = 0; claim <= CLAIMS; claim++) {
-            char id[RR_ID], piece[80];
+            char id[RR_ID_SIZE], piece[80];
             bool home = cell == job->home;
             if (home != (claim == 0)) {
                 continue;
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -142,8 +142,9 @@
     (void)state;
     make_request(&sent);
     rr_cells_request_pack(&sent, frame);
-    assert_int_equal(
-        rr_cells_request_unpack(frame->data + RR_FRAME_HEAD, frame->len - RR_FRAME_HEAD, &got), 0);
+    assert_int_equal(rr_cells_request_unpack(frame->data + RR_FRAME_HEADER_BYTES,
+                                             frame->len - RR_FRAME_HEADER_BYTES, &got),
+                     0);
     assert_string_equal(got.from, "a");
     assert_string_equal(got.team, "red");
     assert_true(got.lease_s == 12 && got.rest_s == 80);
@@ -166,15 +167,15 @@
     (void)state;
     make_request(&sent);
     rr_cells_request_pack(&sent, frame);
-    guint len = frame->len - RR_FRAME_HEAD;
+    guint len = frame->len - RR_FRAME_HEADER_BYTES;
     for (guint cut = 0; cut < len; cut++) {
-        guint8 *copy = g_memdup2(frame->data + RR_FRAME_HEAD, cut ? cut : 1);
+        guint8 *copy = g_memdup2(frame->data + RR_FRAME_HEADER_BYTES, cut ? cut : 1);
         assert_int_not_equal(rr_cells_request_unpack(copy, cut, &got), 0);
         rr_cells_request_clear(&got);
         g_free(copy);
     }
     for (int i = 0; i < 20000; i++) {
-        guint8 *copy = g_memdup2(frame->data + RR_FRAME_HEAD, len);
+        guint8 *copy = g_memdup2(frame->data + RR_FRAME_HEADER_BYTES, len);
         copy[g_rand_int_range(random, 0, (gint32)len)] = (guint8)g_rand_int(random);
         rr_cells_request_unpack(copy, len, &got);
         assert_true(got.items->len <= RR_CELLS_ITEMS_MAX);
@@ -195,19 +196,20 @@
     sent.version = 9;
     rr_cells_request_pack(&sent, frame);
     g_byte_array_append(frame, (const guint8 *)"more", 4);
-    assert_int_equal(
-        rr_cells_request_unpack(frame->data + RR_FRAME_HEAD, frame->len - RR_FRAME_HEAD, &got), 0);
+    assert_int_equal(rr_cells_request_unpack(frame->data + RR_FRAME_HEADER_BYTES,
+                                             frame->len - RR_FRAME_HEADER_BYTES, &got),
+                     0);
     rr_cells_request_clear(&got);
-    frame->data[RR_FRAME_HEAD] = 0;
-    assert_int_equal(
-        rr_cells_request_unpack(frame->data + RR_FRAME_HEAD, frame->len - RR_FRAME_HEAD, &got),
-        -EPROTO);
+    frame->data[RR_FRAME_HEADER_BYTES] = 0;
+    assert_int_equal(rr_cells_request_unpack(frame->data + RR_FRAME_HEADER_BYTES,
+                                             frame->len - RR_FRAME_HEADER_BYTES, &got),
+                     -EPROTO);
     rr_cells_request_clear(&got);
-    frame->data[RR_FRAME_HEAD] = 1;
-    frame->data[RR_FRAME_HEAD + 1] = 77;
-    assert_int_equal(
-        rr_cells_request_unpack(frame->data + RR_FRAME_HEAD, frame->len - RR_FRAME_HEAD, &got),
-        -EPROTO);
+    frame->data[RR_FRAME_HEADER_BYTES] = 1;
+    frame->data[RR_FRAME_HEADER_BYTES + 1] = 77;
+    assert_int_equal(rr_cells_request_unpack(frame->data + RR_FRAME_HEADER_BYTES,
+                                             frame->len - RR_FRAME_HEADER_BYTES, &got),
+                     -EPROTO);
     rr_cells_request_clear(&got);
     rr_cells_request_clear(&sent);
     g_byte_array_free(frame, TRUE);
@@ -227,8 +229,8 @@
     g_byte_array_append(sent.body, (const guint8 *)"abc", 3);
     rr_cells_add_item(sent.items, "req-1", &message);
     rr_cells_reply_pack(&sent, frame);
-    const uint8_t *payload = frame->data + RR_FRAME_HEAD;
-    guint len = frame->len - RR_FRAME_HEAD;
+    const uint8_t *payload = frame->data + RR_FRAME_HEADER_BYTES;
+    guint len = frame->len - RR_FRAME_HEADER_BYTES;
     assert_int_equal(rr_cells_reply_unpack(payload, len, &got), 0);
     assert_int_equal(got.status, RR_CELLS_NOT_OWNER);
     assert_string_equal(got.owner, "m1");
@@ -248,7 +250,7 @@
 
 /* Each claim has a name of its own, which every version gives alike. */
 static void local_names(void **state) {
-    char one[RR_ID], other[RR_ID];
+    char one[RR_ID_SIZE], other[RR_ID_SIZE];
     (void)state;
     rr_cells_local_id("a", "req-1", 1, one, sizeof one);
     assert_true(rr_job_id_valid(one));
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -735,7 +735,7 @@
     plan(n, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
     assert_int_equal(w->store->epoch, before + 1);
-    assert_true(fx_count(w->store, RR_ROOT "run/req-1/") == 2);
+    assert_true(fx_count(w->store, RR_KEY_ROOT "run/req-1/") == 2);
     shared_attempt(w, 60);
     show_jobs(n, wide_ref, 1, 60, runs);
     assert_int_equal(phase(n, "req-1"), RR_GANG_RUNNING);
@@ -782,7 +782,7 @@
     rr_encode_key_text(&o, "ref", "req-1");
     rr_encode_key_text(&o, "shape", "batch");
     rr_encode_key_bool(&o, "cancelled", true);
-    fx_put(w->store, RR_ROOT "job/req-1", &o);
+    fx_put(w->store, RR_KEY_ROOT "job/req-1", &o);
     fx_sync(w->store, n->core, n->now);
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_true(v.cancelled);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -193,7 +193,7 @@
     rr_plan_clear(&p);
     rr_core_job_view(n->core, "req-000001", n->now, &v);
     assert_true(v.done);
-    assert_int_equal(fx_count(w->store, RR_ROOT "run/"), 0);
+    assert_int_equal(fx_count(w->store, RR_KEY_ROOT "run/"), 0);
 }
 
 /* While changes are short completions wait for others of their job, and their room does not; a
@@ -516,7 +516,7 @@
         settle(n);
     }
     assert_int_equal(whole(n), 0);
-    fx_put(w->store, RR_ROOT "run/req-000001/0", &late);
+    fx_put(w->store, RR_KEY_ROOT "run/req-000001/0", &late);
     fx_sync(w->store, n->core, n->now);
     fx_reread(w->store, n->core, n->now);
     assert_int_equal(whole(n), 0);
@@ -587,7 +587,7 @@
         &(struct fx_job){.pieces = 8, .cpus = 4, .service = true, .spread = true, .rank = "prod"});
     submit_many(&w->n, 201, 40, &(struct fx_job){.pieces = 60, .cpus = 4, .rank = "low"});
     settle(&w->n);
-    unsigned records = fx_count(w->store, RR_ROOT "run/");
+    unsigned records = fx_count(w->store, RR_KEY_ROOT "run/");
     fx_node_init(&again, w->store, "n0");
     again.now = w->n.now;
     fx_reread(w->store, again.core, again.now);
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_meetings.c
@@ -115,7 +115,7 @@
     rr_transaction_init(&own);
     rr_encoder_init(&o);
     rr_encode_map(&o, 0);
-    rr_transaction_put(&own, RR_ROOT "hire/none", &o, 0);
+    rr_transaction_put(&own, RR_KEY_ROOT "hire/none", &o, 0);
     rr_core_apply(leader->core, &own, w->store->epoch + 1, leader->now);
     rr_transaction_clear(&own);
     assert_int_not_equal(answer_at(leader, last + answers + tick, j.job_id, at, &stops), 200);
@@ -204,7 +204,7 @@
         plan_with(n, RR_COMMAND_ANSWERED);
         assert_int_not_equal(fx_commit(w->store, &late.transaction), 0);
     }
-    assert_int_equal(fx_count(w->store, RR_ROOT "run/"), 0);
+    assert_int_equal(fx_count(w->store, RR_KEY_ROOT "run/"), 0);
     assert_int_not_equal(fx_commit(w->store, &late.transaction), 0);
     rr_plan_clear(&late);
     g_free(ended);
@@ -234,8 +234,8 @@
         rr_encoder_init(&o);
         assert_true(rr_core_cancel_record(n->core, j.job_id, &o, &mark));
         rr_transaction_init(&cancel);
-        rr_transaction_guard(&cancel, RR_ROOT "job/req-1", mark);
-        rr_transaction_put(&cancel, RR_ROOT "job/req-1", &o, 0);
+        rr_transaction_guard(&cancel, RR_KEY_ROOT "job/req-1", mark);
+        rr_transaction_put(&cancel, RR_KEY_ROOT "job/req-1", &o, 0);
         assert_int_equal(fx_commit(w->store, cancel_first ? &cancel : &end.transaction), 0);
         assert_int_not_equal(fx_commit(w->store, cancel_first ? &end.transaction : &cancel), 0);
         fx_sync(w->store, n->core, n->now);
@@ -694,7 +694,7 @@
         n->now += 0.3;
         plan_with(n, RR_COMMAND_ANSWERED);
     }
-    assert_int_equal(fx_count(w->store, RR_ROOT "run/"), 0);
+    assert_int_equal(fx_count(w->store, RR_KEY_ROOT "run/"), 0);
     /* Accepted, booked, ended with its ledger record gone; a cancelled one no more than that. */
     assert_true(changes_since(w->store, before) <= 4 * (unsigned)jobs);
     for (int i = 0; i < 6; i++) {
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_provisioner.c
@@ -64,11 +64,11 @@
     fx_world *w = *state;
     fx_node *n = &w->n, b;
     rr_autoscaler_step s;
-    char first[RR_ID];
+    char first[RR_ID_SIZE];
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
     assert_true(step_until(w, RR_AUTOSCALER_SCALE_OUT, NULL, &s));
-    assert_int_equal(fx_count(w->store, RR_ROOT "hire/"), 1);
+    assert_int_equal(fx_count(w->store, RR_KEY_ROOT "hire/"), 1);
     g_strlcpy(first, s.rental, sizeof first);
     rr_autoscaler_step_clear(&s); /* the answer never comes: this controller dies */
     fx_leave(n);
@@ -88,7 +88,7 @@
         rr_autoscaler_step_clear(&s);
     }
     assert_true(fx_recorded(w->store, "vm-9"));
-    assert_int_equal(fx_count(w->store, RR_ROOT "hire/"), 0);
+    assert_int_equal(fx_count(w->store, RR_KEY_ROOT "hire/"), 0);
     g_ptr_array_free(ids, TRUE);
     fx_node_clear(&w2.n);
 }
@@ -98,7 +98,7 @@
     fx_world *w = *state;
     fx_node *n = &w->n;
     rr_autoscaler_step s;
-    char first[RR_ID];
+    char first[RR_ID_SIZE];
     GPtrArray *none = g_ptr_array_new();
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1"}, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -261,7 +261,7 @@
     rr_plan_clear(&p);
     fx_node again;
     fx_node_init(&again, w->store, "n0");
-    g_strlcpy(again.config.zone, "b", RR_NAME); /* it is outside of the cut */
+    g_strlcpy(again.config.zone, "b", RR_NAME_SIZE); /* it is outside of the cut */
     again.now = n->now;
     fx_sync(w->store, again.core, again.now);
     fx_join(&again, 8);
@@ -510,9 +510,9 @@
     unsigned asked = 0;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     n->config.peer_count = 1;
-    g_strlcpy(n->config.zone, "b", RR_NAME);
-    g_strlcpy(n->config.peers[0].name, "n1", RR_NAME);
-    g_strlcpy(n->config.peers[0].zone, "a", RR_NAME);
+    g_strlcpy(n->config.zone, "b", RR_NAME_SIZE);
+    g_strlcpy(n->config.peers[0].name, "n1", RR_NAME_SIZE);
+    g_strlcpy(n->config.peers[0].zone, "a", RR_NAME_SIZE);
     standing_fleet(w, many, machines);
     for (int t = 0; t < 3 * n->config.lease_s; t++) {
         n->now += 1;
@@ -567,7 +567,7 @@
     rr_autoscaler_step_clear(&s); /* voided by a change of term, say */
     step_until(w, RR_AUTOSCALER_NONE, NULL, &s);
     rr_autoscaler_step_clear(&s);
-    assert_true(fx_mark(w->store, RR_ROOT "build/m2") != 0);
+    assert_true(fx_mark(w->store, RR_KEY_ROOT "build/m2") != 0);
     rr_machine_type_clear(&b);
     g_array_free(builds, TRUE);
 }
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_troubles.c
@@ -332,7 +332,7 @@
         rr_encoder o;
         rr_encoder_init(&o);
         rr_core_encode_session(&n->config, &o, 9);
-        fx_put(w->store, RR_ROOT "node/n1", &o);
+        fx_put(w->store, RR_KEY_ROOT "node/n1", &o);
         rr_core_set_session(peer.core, 9, 1e6);
         /* The old incarnation has seen the new node and prepares the next term, then dies. */
         fx_sync(w->store, n->core, n->now);
@@ -344,7 +344,7 @@
         fx_node_init(&again, w->store, "n0");
         rr_encoder_init(&o);
         rr_core_encode_session(&n->config, &o, 77);
-        fx_put(w->store, RR_ROOT "node/n0", &o);
+        fx_put(w->store, RR_KEY_ROOT "node/n0", &o);
         rr_core_set_session(again.core, 77, 1e6);
         fx_sync(w->store, again.core, again.now);
         if (late == 1) { /* applied while the new incarnation's own is under way */
@@ -400,14 +400,14 @@
     rr_job_view v;
     rr_plan p;
     hear(n, "vm-1", 1);
-    put_batch(w, RR_ROOT "batch/7-1", jobs, 2);
+    put_batch(w, RR_KEY_ROOT "batch/7-1", jobs, 2);
     plan_with_deaf(n, NULL);
     assert_non_null(place_of(w, "req-1"));
     assert_non_null(place_of(w, "req-2"));
     /* A booking planned before the cancellation is void after it, as with a job of its own record.
      */
     struct fx_job more[] = {{.job_id = "req-3"}, {.job_id = "req-4"}};
-    put_batch(w, RR_ROOT "batch/7-2", more, 2);
+    put_batch(w, RR_KEY_ROOT "batch/7-2", more, 2);
     rr_plan_init(&p);
     rr_core_plan(n->core, n->now, n->now, &p);
     assert_true(p.has_transaction);
@@ -421,7 +421,7 @@
     assert_true(v.known && v.cancelled);
     rr_core_job_view(again.core, "req-4", again.now, &v);
     assert_true(v.known && !v.cancelled);
-    put_batch(w, RR_ROOT "batch/7-1", jobs, 2); /* once more, later */
+    put_batch(w, RR_KEY_ROOT "batch/7-1", jobs, 2); /* once more, later */
     rr_core_job_view(n->core, "req-1", n->now, &v);
     assert_true(v.cancelled);
     fx_node_clear(&again);
@@ -434,7 +434,7 @@
     fx_node *n = &w->n;
     struct fx_job j = {.job_id = "req-1", .service = true};
     rr_plan p;
-    char key[64] = RR_ROOT "run/req-1/0";
+    char key[64] = RR_KEY_ROOT "run/req-1/0";
     hear(n, "vm-1", 1);
     fx_submit(w->store, &j, n->now);
     fx_sync(w->store, n->core, n->now);
@@ -551,7 +551,7 @@
         rr_encoder o;
         rr_document d;
         rr_encoder_init(&o);
-        g_snprintf(key, sizeof key, RR_ROOT "%s",
+        g_snprintf(key, sizeof key, RR_KEY_ROOT "%s",
                    keys[g_rand_int_range(rnd, 0, G_N_ELEMENTS(keys))]);
         int many = g_rand_int_range(rnd, 0, 3);
         rr_encode_map(&o, (size_t)many);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -14,7 +14,7 @@
 
 /* The line of the session's record goes out of `text` and comes back. */
 static char *take_session(GString *text) {
-    const char *line = strstr(text->str, RR_ROOT "node/n0 ");
+    const char *line = strstr(text->str, RR_KEY_ROOT "node/n0 ");
     gssize at = line - text->str, len = strchr(line, '\n') - line;
     char *out = g_strndup(line, (gsize)len);
     g_string_erase(text, at, len + 1);
@@ -66,10 +66,10 @@
     for (int i = 0; i < 4; i++) {
         uint8_t type;
         uint32_t n;
-        assert_true(at + RR_FRAME_HEAD <= len);
+        assert_true(at + RR_FRAME_HEADER_BYTES <= len);
         assert_int_equal(rr_frame_head(data + at, &type, &n), 0);
         assert_int_equal(type, types[i]);
-        at += RR_FRAME_HEAD + n;
+        at += RR_FRAME_HEADER_BYTES + n;
     }
     assert_int_equal(at, len);
 }
@@ -158,7 +158,7 @@
 static void assert_small(const fx_store *s, const char *ref) {
     for (int chunk = 0; chunk < 8; chunk++) {
         char key[64];
-        g_snprintf(key, sizeof key, RR_ROOT "run/%s/%d", ref, chunk);
+        g_snprintf(key, sizeof key, RR_KEY_ROOT "run/%s/%d", ref, chunk);
         assert_true(fx_value_size(s, key) <= s->value_max);
     }
 }
@@ -181,7 +181,7 @@
     }
     unsigned placed = fx_placed(w->store, "req-1");
     assert_true(placed >= 30 && placed < 60); /* the rest of the record's tasks wait for others */
-    assert_int_equal(fx_count(w->store, RR_ROOT "run/req-1/"), 1);
+    assert_int_equal(fx_count(w->store, RR_KEY_ROOT "run/req-1/"), 1);
     fx_leave_old_version(n);
     for (int m = 1; m <= 20; m++) {
         char id[16];
@@ -193,7 +193,7 @@
         assert_int_not_equal(plan(n), -EINVAL);
     }
     assert_int_equal(fx_placed(w->store, "req-1"), 60);
-    assert_true(fx_count(w->store, RR_ROOT "run/req-1/") > 1);
+    assert_true(fx_count(w->store, RR_KEY_ROOT "run/req-1/") > 1);
     assert_small(w->store, "req-1");
     fx_cancel(n, "req-1");
     for (int m = 1; m <= 20; m++) {
@@ -329,7 +329,7 @@
         rr_encode_u64(&o, 1);
         rr_encode_u64(&o, 0);
     }
-    g_snprintf(key, sizeof key, RR_ROOT "run/%s/%d", ref, chunk);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "run/%s/%d", ref, chunk);
     fx_put(w->store, key, &o);
     fx_sync(w->store, w->n.core, w->n.now);
 }
@@ -438,7 +438,7 @@
     fx_fleet(n, 1, 20, "a");
     fx_submit(w->store, &(struct fx_job){.job_id = "req-1", .pieces = 60, .cpus = 1}, n->now);
     put_old_record(w, "req-1", tasks);
-    assert_true(fx_value_size(w->store, RR_ROOT "run/req-1/0") > (size_t)(NEXT_KB * 1024));
+    assert_true(fx_value_size(w->store, RR_KEY_ROOT "run/req-1/0") > (size_t)(NEXT_KB * 1024));
     /* Not lowered yet: it may be written again while it does not grow. */
     show_tasks(n, "req-1", tasks, 2, 1, 2);
     n->now += 1;
@@ -490,7 +490,7 @@
         g_snprintf(id, sizeof id, "vm-%d", i);
         fx_listed(machines, id, "a", RR_LISTED_RUNNING, 500);
     }
-    assert_true(fx_value_size(w->store, RR_ROOT "fleet/00000001") > (size_t)(NEXT_KB * 1024));
+    assert_true(fx_value_size(w->store, RR_KEY_ROOT "fleet/00000001") > (size_t)(NEXT_KB * 1024));
     lower(w->store);
     for (int i = 0; i < 20; i++) {
         fx_provisioner_step(n, machines, &s);
@@ -509,10 +509,10 @@
         assert_int_equal(st.booting, 0); /* what was heard of them is kept */
         fx_node_clear(&fresh);
     }
-    assert_true(fx_count(w->store, RR_ROOT "fleet/") >= 2);
-    for (int i = 1; i <= (int)fx_count(w->store, RR_ROOT "fleet/"); i++) {
+    assert_true(fx_count(w->store, RR_KEY_ROOT "fleet/") >= 2);
+    for (int i = 1; i <= (int)fx_count(w->store, RR_KEY_ROOT "fleet/"); i++) {
         char key[64];
-        g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d", i);
+        g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d", i);
         assert_true(fx_value_size(w->store, key) <= w->store->value_max);
     }
     g_array_free(machines, TRUE);
@@ -529,7 +529,7 @@
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     n->config.next_value_kb = n->config.next_transaction_changes_max = 0;
     fx_fleet(n, 1, 40, "a");
-    n->config.value_kb = (double)fx_value_size(w->store, RR_ROOT "fleet/00000001") / 1024;
+    n->config.value_kb = (double)fx_value_size(w->store, RR_KEY_ROOT "fleet/00000001") / 1024;
     for (int i = 2; i <= 40; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", i);
--- a/tests/test_door.c
+++ b/tests/test_door.c
@@ -189,7 +189,7 @@
     c.tuning.max_connections = 50;
     assert_int_equal(rr_http_server_connections_max(&c, 140, 280), 50);
     c.max_sockets = 100;
-    assert_true(rr_http_server_connections_max(&c, 140, 280) < RR_CONNECTIONS_LEAST);
+    assert_true(rr_http_server_connections_max(&c, 140, 280) < RR_CONNECTIONS_MIN);
 }
 
 int main(void) {
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -21,8 +21,8 @@
     rr_frame_end(b, at);
     assert_int_equal(rr_frame_head(b->data, &type, &len), 0);
     assert_int_equal(type, RR_FRAME_RELAY);
-    assert_int_equal(len, b->len - RR_FRAME_HEAD);
-    rr_frame_reader u = {b->data + RR_FRAME_HEAD, len, false};
+    assert_int_equal(len, b->len - RR_FRAME_HEADER_BYTES);
+    rr_frame_reader u = {b->data + RR_FRAME_HEADER_BYTES, len, false};
     assert_true(rr_frame_read_text(&u, text, sizeof text));
     assert_string_equal(text, "10.0.0.1:1");
     assert_int_equal(rr_frame_read_u32(&u), 0xdeadbeef);
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -81,7 +81,7 @@
     assert_int_equal(listen(f->listener, 8), 0);
     assert_int_equal(getsockname(f->listener, (struct sockaddr *)&a, &len), 0);
     f->config.peer_count = 1;
-    g_strlcpy(f->config.peers[0].name, "n1", RR_NAME);
+    g_strlcpy(f->config.peers[0].name, "n1", RR_NAME_SIZE);
     g_strlcpy(f->config.peers[0].endpoint.host, "127.0.0.1",
               sizeof f->config.peers[0].endpoint.host);
     f->config.peers[0].endpoint.port = ntohs(a.sin_port);
@@ -144,7 +144,7 @@
 
 /* The next frame's type on a connection of ours; its payload is passed over. */
 static uint8_t next_frame(int fd) {
-    uint8_t head[RR_FRAME_HEAD], type, *rest;
+    uint8_t head[RR_FRAME_HEADER_BYTES], type, *rest;
     uint32_t len;
     read_all(fd, head, sizeof head);
     assert_int_equal(rr_frame_head(head, &type, &len), 0);
@@ -159,9 +159,9 @@
 /* How many machines the next list names; other frames are passed over. */
 static uint16_t next_list(int fd) {
     for (;;) {
-        uint8_t head[RR_FRAME_HEAD], type;
+        uint8_t head[RR_FRAME_HEADER_BYTES], type;
         uint32_t len;
-        char name[RR_NAME];
+        char name[RR_NAME_SIZE];
         read_all(fd, head, sizeof head);
         assert_int_equal(rr_frame_head(head, &type, &len), 0);
         uint8_t *payload = g_malloc(len + 1);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -115,7 +115,7 @@
 static void bad_requests(void **state) {
     struct service *s = *state;
     const struct rr_config *c = &s->app->config;
-    static char large[RR_BODY_MAX + 1];
+    static char large[RR_BODY_BYTES_MAX + 1];
     uint8_t deep[2000];
     memset(deep, 0x91, sizeof deep);
     assert_int_equal(world_call(c, "POST", "/submissions", "junk!", 5, NULL), 400);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -27,7 +27,7 @@
 
 static void deep_nesting_is_refused(void **state) {
     (void)state;
-    uint8_t deep[RR_BODY_MAX];
+    uint8_t deep[RR_BODY_BYTES_MAX];
     memset(deep, 0x91, sizeof deep);
     assert_int_equal(parse(deep, sizeof deep), -EBADMSG);
     uint8_t fine[] = {0x91, 0x91, 0x91, 0x01};
@@ -173,7 +173,7 @@
     assert_false(rr_job_id_valid("req-00a"));
     assert_false(rr_job_id_valid("job-000412"));
     assert_false(rr_job_id_valid("req-1/../2"));
-    char ref[RR_ID];
+    char ref[RR_ID_SIZE];
     uint32_t task;
     assert_true(rr_task_name_parse("req-000412/3", ref, sizeof ref, &task));
     assert_int_equal(task, 3);
@@ -243,7 +243,7 @@
             rr_listed_machine st;
             const char *field;
             if (rr_submission_decode(d.root, &s, &field) == 0) {
-                assert_true(s.task_count >= 1 && s.task_count <= RR_PIECES_MAX);
+                assert_true(s.task_count >= 1 && s.task_count <= RR_TASKS_MAX);
                 assert_true(s.cpus >= 0 && isfinite(s.cpus));
                 assert_true(rr_job_id_valid(s.job_id));
             }
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -98,7 +98,7 @@
                    ++admission_trace.asked);
         g_strlcpy(submission.team, stream->team, sizeof submission.team);
         g_strlcpy(submission.job_class, stream->job_class, sizeof submission.job_class);
-        char builds[2][RR_ID] = {"m2", "m1"};
+        char builds[2][RR_ID_SIZE] = {"m2", "m1"};
         submission.machine_types = builds;
         submission.machine_type_count = g_rand_int_range(random, 0, 3);
         if (model->settings[0].solver_s <= 0) { /* more keys than a table takes */
@@ -225,7 +225,7 @@
 }
 
 static void submit_at_home(struct cells_trace *trace) {
-    char id[RR_ID];
+    char id[RR_ID_SIZE];
     g_snprintf(id, sizeof id, "req-%u", ++trace->jobs);
     struct fx_job job = {.job_id = id,
                          .team = roll(trace, 2) ? "red" : "blue",
@@ -238,7 +238,7 @@
 
 /* Every task of the job, wherever it is, is shown in this state. */
 static void show_job(struct cells_trace *trace, unsigned number, const char *state) {
-    char id[RR_ID];
+    char id[RR_ID_SIZE];
     g_snprintf(id, sizeof id, "req-%u", number);
     trace_int(&trace->hash, cell_plan_with(&trace->pair->home, id, state));
     for (uint32_t claim = 1; claim <= 3; claim++) {
@@ -249,7 +249,7 @@
 
 static void cancel_at_home(struct cells_trace *trace, unsigned number) {
     struct test_cell *home = &trace->pair->home;
-    char id[RR_ID];
+    char id[RR_ID_SIZE];
     rr_core_job job;
     rr_out_record withdrawn;
     uint64_t version = 0;
@@ -338,7 +338,7 @@
 static void hash_where_jobs_are(struct cells_trace *trace) {
     const struct test_cell *home = &trace->pair->home;
     for (unsigned number = 1; number <= trace->jobs; number++) {
-        char id[RR_ID], local[RR_ID] = "";
+        char id[RR_ID_SIZE], local[RR_ID_SIZE] = "";
         size_t neighbour = 0;
         g_snprintf(id, sizeof id, "req-%u", number);
         trace_int(&trace->hash,
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -71,7 +71,7 @@
     g_strlcpy(config->zone, trace_zone_names[index], sizeof config->zone);
     for (int i = 0, peer = 0; i < TRACE_CONTROLLERS; i++) {
         if (i != index) {
-            g_strlcpy(config->peers[peer++].zone, trace_zone_names[i], RR_NAME);
+            g_strlcpy(config->peers[peer++].zone, trace_zone_names[i], RR_NAME_SIZE);
         }
     }
     set_teams(scenario, config);
@@ -95,7 +95,7 @@
 }
 
 static void join(struct trace_world *world, struct trace_controller *controller) {
-    char key[RR_NAME + 16];
+    char key[RR_NAME_SIZE + 16];
     rr_encoder out;
     controller->session = ++world->sessions;
     controller->session_until = world->now + rr_session_lease_s(&controller->node.config);
@@ -108,15 +108,15 @@
         rr_core_encode_session(&controller->node.config, &out, controller->session);
     }
     trace_bytes(&world->hash, out.buffer.data, out.buffer.size);
-    g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.config.node_name);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->node.config.node_name);
     fx_put(world->store, key, &out);
     rr_core_set_session(controller->node.core, controller->session, controller->session_until);
 }
 
 static void leave(struct trace_world *world, struct trace_controller *controller) {
-    char key[RR_NAME + 16];
+    char key[RR_NAME_SIZE + 16];
     rr_transaction txn;
-    g_snprintf(key, sizeof key, RR_ROOT "node/%s", controller->node.config.node_name);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->node.config.node_name);
     rr_transaction_init(&txn);
     rr_transaction_delete(&txn, key);
     fx_commit(world->store, &txn);
@@ -396,7 +396,7 @@
 }
 
 static void set_fair_room(struct trace_world *world, struct trace_controller *controller) {
-    double rooms[RR_MAX_TEAMS] = {0};
+    double rooms[RR_TEAMS_MAX] = {0};
     double machines = world->scenario.own_machines + world->scenario.cloud_machines;
     if (!world->scenario.fair_room || !trace_chance(world, 0.2)) {
         return;
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -29,8 +29,8 @@
 static void set_builds(struct trace_world *world, rr_submission *submission) {
     submission->machine_type_count = 2;
     submission->machine_types = g_malloc0_n(2, sizeof *submission->machine_types);
-    g_strlcpy(submission->machine_types[0], trace_chance(world, 0.9) ? "m1" : "m9", RR_ID);
-    g_strlcpy(submission->machine_types[1], "m2", RR_ID);
+    g_strlcpy(submission->machine_types[0], trace_chance(world, 0.9) ? "m1" : "m9", RR_ID_SIZE);
+    g_strlcpy(submission->machine_types[1], "m2", RR_ID_SIZE);
 }
 
 static void set_needs(struct trace_world *world, rr_submission *submission) {
@@ -114,7 +114,7 @@
 
 static void write_one(struct trace_world *world, struct trace_controller *controller,
                       const rr_submission *submission) {
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     rr_encoder out;
     rr_transaction txn;
     rr_transaction_init(&txn);
@@ -132,7 +132,7 @@
 /* Several jobs in one record. */
 static void write_batch(struct trace_world *world, struct trace_controller *controller,
                         const rr_submission *submissions, size_t count) {
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     rr_encoder out;
     rr_transaction txn;
     rr_transaction_init(&txn);
@@ -201,7 +201,7 @@
 /* More than a core keeps. */
 static void hint_many(struct trace_world *world, struct trace_controller *controller) {
     for (int i = 0; i < 4200; i++) {
-        char id[RR_ID];
+        char id[RR_ID_SIZE];
         g_snprintf(id, sizeof id, "req-8%06d", i);
         rr_core_add_cancel_hint(controller->node.core, id, world->now);
     }
@@ -210,7 +210,7 @@
 static void cancel_any(struct trace_world *world) {
     struct trace_controller *controller = trace_any_controller(world);
     struct trace_job *job = any_job(world);
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     uint64_t mark = 0;
     rr_encoder out;
     rr_transaction txn;
@@ -319,7 +319,7 @@
 /* An earlier version cancels a job of a kind that it does not know. */
 static void cancel_by_earlier_version(struct trace_world *world) {
     const struct trace_job *job = any_job(world);
-    char key[RR_ID + 64];
+    char key[RR_ID_SIZE + 64];
     rr_encoder out;
     if (!job) {
         return;
@@ -338,7 +338,7 @@
 static void delete_page(struct trace_world *world) {
     char key[64];
     rr_transaction txn;
-    g_snprintf(key, sizeof key, RR_ROOT "fleet/%08d",
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d",
                100001 + trace_roll(world, world->scenario.own_machines));
     rr_transaction_init(&txn);
     if (fx_mark(world->store, key) != 0) {
@@ -351,16 +351,16 @@
 void trace_odd_record(struct trace_world *world) {
     switch (trace_roll(world, 6)) {
     case 0:
-        put_unreadable(world, RR_ROOT "machine/vm-1", "tasks", "none");
+        put_unreadable(world, RR_KEY_ROOT "machine/vm-1", "tasks", "none");
         break;
     case 1:
-        put_unreadable(world, RR_ROOT "build/m9", "sku", "m9");
+        put_unreadable(world, RR_KEY_ROOT "build/m9", "sku", "m9");
         break;
     case 2:
-        put_unreadable(world, RR_ROOT "fleet/00190000", "stones", "none");
+        put_unreadable(world, RR_KEY_ROOT "fleet/00190000", "stones", "none");
         break;
     case 3:
-        put_unreadable(world, RR_ROOT "node/n9", "name", "n9");
+        put_unreadable(world, RR_KEY_ROOT "node/n9", "name", "n9");
         break;
     case 4:
         cancel_by_earlier_version(world);
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -35,7 +35,7 @@
 };
 
 struct trace_job {
-    char id[RR_ID];
+    char id[RR_ID_SIZE];
     enum rr_job_kind shape;
     uint32_t tasks;
     double runtime_s;
@@ -53,7 +53,7 @@
 };
 
 struct trace_machine {
-    char id[RR_ID], address[RR_ID];
+    char id[RR_ID_SIZE], address[RR_ID_SIZE];
     const char *type, *zone;
     bool spot;
     bool listed, failed; /* by the cloud */
--- a/tests/world.c
+++ b/tests/world.c
@@ -63,7 +63,7 @@
     GHashTable *started; /* piece -> double*: when its first attempt started */
     unsigned restarted;  /* starts of pieces that had run or ran */
     GArray *runs;        /* world_run */
-    char zone[RR_NAME];
+    char zone[RR_NAME_SIZE];
     double lease_s;     /* without an answer for so long the worker ends its tasks; 0: never */
     double answered_at; /* a report was last answered, or a command taken */
     struct rr_endpoint reports_to;
@@ -823,14 +823,14 @@
 void world_config(world *w, struct rr_config *c, const char *name) {
     memset(c, 0, sizeof *c);
     struct rr_endpoint local = {.host = "127.0.0.1"};
-    g_strlcpy(c->node_name, name, RR_NAME);
-    g_strlcpy(c->zone, "a", RR_NAME);
+    g_strlcpy(c->node_name, name, RR_NAME_SIZE);
+    g_strlcpy(c->zone, "a", RR_NAME_SIZE);
     c->bind = c->peer_listen = c->cloud = c->state = local;
     c->bind.port = world_free_port();
     c->peer_listen.port = world_free_port();
     c->cloud.port = c->state.port = w->port;
     c->team_count = 1;
-    g_strlcpy(c->teams[0].name, "red", RR_NAME);
+    g_strlcpy(c->teams[0].name, "red", RR_NAME_SIZE);
     c->heartbeat_interval_s = 0.5;
     c->lease_s = 10;
     c->cancel_s = 40;
