--- a/src/core/allocation.c
+++ b/src/core/allocation.c
@@ -6,52 +6,53 @@
 #include <math.h>
 #include <string.h>
 
-double rr_resources_free_share(rr_resources room, rr_resources cap) {
-    double r = 1;
-    if (cap.cpus > 0) {
-        r = fmin(r, room.cpus / cap.cpus);
+double rr_resources_free_share(rr_resources room, rr_resources capacity) {
+    double free_share = 1;
+    if (capacity.cpus > 0) {
+        free_share = fmin(free_share, room.cpus / capacity.cpus);
     }
-    if (cap.gpus > 0) {
-        r = fmin(r, room.gpus / cap.gpus);
+    if (capacity.gpus > 0) {
+        free_share = fmin(free_share, room.gpus / capacity.gpus);
     }
-    if (cap.mem_gb > 0) {
-        r = fmin(r, room.mem_gb / cap.mem_gb);
+    if (capacity.mem_gb > 0) {
+        free_share = fmin(free_share, room.mem_gb / capacity.mem_gb);
     }
-    return r < 0 ? 0 : r;
+    return free_share < 0 ? 0 : free_share;
 }
 
-bool rr_job_zone_bound(const rr_job *j) {
-    return j->submission.one_zone || j->submission.zone[0];
+bool rr_job_zone_bound(const rr_job *job) {
+    return job->submission.one_zone || job->submission.zone[0];
 }
 
-void rr_reset_free_resources(rr_core *c) {
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->free = rr_resources_add(rr_machine_capacity(c, m), m->used, -1);
+void rr_reset_free_resources(rr_core *core) {
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        machine->free = rr_resources_add(rr_machine_capacity(core, machine), machine->used, -1);
         /* What is known to be over takes no room any more, though its record waits for others. */
-        for (guint k = 0; k < m->placements->len; k++) {
-            const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
-            m->free =
-                p->terminated_at > 0 ? rr_resources_add(m->free, p->job->request, 1) : m->free;
+        for (guint k = 0; k < machine->placements->len; k++) {
+            const rr_placement *placement = &g_array_index(machine->placements, rr_placement, k);
+            machine->free = placement->terminated_at > 0
+                                ? rr_resources_add(machine->free, placement->job->request, 1)
+                                : machine->free;
         }
-        m->reserved_image = -1;
+        machine->reserved_image = -1;
     }
 }
 
-bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool spot) {
-    if (spot && !j->submission.spot) {
+bool rr_job_allows(const rr_core *core, const rr_job *job, int machine_type, int zone, bool spot) {
+    if (spot && !job->submission.spot) {
         return false;
     }
-    if (j->submission.zone[0] &&
-        strcmp(j->submission.zone, rr_name_index_at(&c->zones, zone)) != 0) {
+    if (job->submission.zone[0] &&
+        strcmp(job->submission.zone, rr_name_index_at(&core->zones, zone)) != 0) {
         return false;
     }
-    if (j->submission.machine_type_count == 0) {
+    if (job->submission.machine_type_count == 0) {
         return true;
     }
-    for (int i = 0; i < j->submission.machine_type_count; i++) {
-        if (strcmp(j->submission.machine_types[i], rr_name_index_at(&c->machine_types, build)) ==
-            0) {
+    for (int i = 0; i < job->submission.machine_type_count; i++) {
+        if (strcmp(job->submission.machine_types[i],
+                   rr_name_index_at(&core->machine_types, machine_type)) == 0) {
             return true;
         }
     }
@@ -60,18 +61,21 @@
 
 /* Placements of the job by zone, but those known to be over; a task being moved counts where it is
  * and where it goes. */
-uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_placement *except,
+uint32_t rr_job_count_by_zone(const rr_core *core, const rr_job *job, const rr_placement *except,
                               uint32_t *by_zone) {
     uint32_t all = 0;
-    (void)c;
-    for (guint n = 0; j->records && n < j->records->len; n++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->records, n);
-        for (guint i = 0; r && i < r->placements->len; i++) {
-            const rr_placement_record *it = &g_array_index(r->placements, rr_placement_record, i);
-            const rr_placement *p = rr_placement_find(it->machine, it->attempt, j, it->task);
-            if (it->machine->zone >= 0 && !it->machine->gone && !(p && p->terminated_at > 0) &&
-                !(except && it->attempt == except->attempt)) {
-                by_zone[it->machine->zone]++;
+    (void)core;
+    for (guint index = 0; job->records && index < job->records->len; index++) {
+        const rr_ledger_record *record = g_ptr_array_index(job->records, index);
+        for (guint i = 0; record && i < record->placements->len; i++) {
+            const rr_placement_record *item =
+                &g_array_index(record->placements, rr_placement_record, i);
+            const rr_placement *placement =
+                rr_placement_find(item->machine, item->attempt, job, item->task);
+            if (item->machine->zone >= 0 && !item->machine->gone &&
+                !(placement && placement->terminated_at > 0) &&
+                !(except && item->attempt == except->attempt)) {
+                by_zone[item->machine->zone]++;
                 all++;
             }
         }
@@ -79,65 +83,66 @@
     return all;
 }
 
-void rr_job_zones_from(const rr_core *c, const rr_job *j, const uint32_t *by_zone, uint32_t all,
-                       bool *allowed) {
-    uint32_t half = (j->submission.task_count + 1) / 2;
-    for (guint w = 0; w < c->zones.names->len; w++) {
-        allowed[w] = true;
-        if (j->submission.zone[0] &&
-            strcmp(j->submission.zone, rr_name_index_at(&c->zones, (int)w)) != 0) {
-            allowed[w] = false;
+void rr_job_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
+                       uint32_t all, bool *allowed) {
+    uint32_t half = (job->submission.task_count + 1) / 2;
+    for (guint zone = 0; zone < core->zones.names->len; zone++) {
+        allowed[zone] = true;
+        if (job->submission.zone[0] &&
+            strcmp(job->submission.zone, rr_name_index_at(&core->zones, (int)zone)) != 0) {
+            allowed[zone] = false;
         }
-        if (j->submission.spread && by_zone[w] >= half) {
-            allowed[w] = false;
+        if (job->submission.spread && by_zone[zone] >= half) {
+            allowed[zone] = false;
         }
-        if (j->submission.one_zone &&
-            ((all && !by_zone[w]) || (!all && j->zone >= 0 && j->zone != (int)w))) {
-            allowed[w] = false;
+        if (job->submission.one_zone &&
+            ((all && !by_zone[zone]) || (!all && job->zone >= 0 && job->zone != (int)zone))) {
+            allowed[zone] = false;
         }
     }
 }
 
-void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_placement *except) {
-    guint n = c->zones.names->len;
-    uint32_t by_zone[n + 1];
+void rr_job_zones(const rr_core *core, const rr_job *job, bool *allowed,
+                  const rr_placement *except) {
+    guint count = core->zones.names->len;
+    uint32_t by_zone[count + 1];
     memset(by_zone, 0, sizeof by_zone);
-    uint32_t all = j->submission.one_zone || j->submission.spread
-                       ? rr_job_count_by_zone(c, j, except, by_zone)
+    uint32_t all = job->submission.one_zone || job->submission.spread
+                       ? rr_job_count_by_zone(core, job, except, by_zone)
                        : 0;
-    rr_job_zones_from(c, j, by_zone, all, allowed);
+    rr_job_zones_from(core, job, by_zone, all, allowed);
 }
 
-bool rr_machine_has_task(const rr_machine *m, const rr_job *j) {
-    for (guint k = 0; k < m->placements->len; k++) {
-        const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
-        if (p->job == j && p->terminated_at <= 0) {
+bool rr_machine_has_task(const rr_machine *machine, const rr_job *job) {
+    for (guint k = 0; k < machine->placements->len; k++) {
+        const rr_placement *placement = &g_array_index(machine->placements, rr_placement, k);
+        if (placement->job == job && placement->terminated_at <= 0) {
             return true;
         }
     }
-    for (guint k = 0; m->reserved_jobs && k < m->reserved_jobs->len; k++) {
-        if (g_array_index(m->reserved_jobs, rr_job *, k) == j) {
+    for (guint k = 0; machine->reserved_jobs && k < machine->reserved_jobs->len; k++) {
+        if (g_array_index(machine->reserved_jobs, rr_job *, k) == job) {
             return true;
         }
     }
     return false;
 }
 
-static bool failed_here(const rr_machine *m, const rr_job *j) {
-    for (guint k = 0; j->failed_machines && k < j->failed_machines->len; k++) {
-        if (g_array_index(j->failed_machines, int, k) == m->id) {
+static bool failed_here(const rr_machine *machine, const rr_job *job) {
+    for (guint k = 0; job->failed_machines && k < job->failed_machines->len; k++) {
+        if (g_array_index(job->failed_machines, int, k) == machine->id) {
             return true;
         }
     }
     return false;
 }
 
-double rr_image_fetch_s(const rr_core *c, const rr_job *j, const rr_machine *m) {
-    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    if (rr_machine_has_image(m, j->image)) {
+double rr_image_fetch_s(const rr_core *core, const rr_job *job, const rr_machine *machine) {
+    const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
+    if (rr_machine_has_image(machine, job->image)) {
         return 0;
     }
-    return b && b->pull_rate > 0 ? j->submission.image_size_gb / b->pull_rate : 5;
+    return type && type->pull_rate > 0 ? job->submission.image_size_gb / type->pull_rate : 5;
 }
 
 /* Sort key, least first. An image that is already there comes before price where the class has an
@@ -154,129 +159,137 @@
     double trouble, image, cost, fetch, foreign, coming, room;
 };
 
-static bool image_coming(const rr_machine *m, int image) {
-    for (guint k = 0; k < m->placements->len; k++) {
-        if (g_array_index(m->placements, rr_placement, k).job->image == image) {
+static bool image_coming(const rr_machine *machine, int image) {
+    for (guint k = 0; k < machine->placements->len; k++) {
+        if (g_array_index(machine->placements, rr_placement, k).job->image == image) {
             return true;
         }
     }
-    return m->reserved_image == image;
+    return machine->reserved_image == image;
 }
 
 /* The same for all controllers, as machines' indices are not. */
-static guint part_of(const rr_machine *m) {
-    return g_str_hash(m->name);
+static guint part_of(const rr_machine *machine) {
+    return g_str_hash(machine->name);
 }
 
-void rr_list_candidates(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
-                        double now, GArray *out) {
-    bool urgent = rr_objective_for(c, "wait", j->submission.job_class) != NULL;
+void rr_list_candidates(rr_core *core, const rr_job *job,
+                        const struct rr_placement_constraints *how, double now, GArray *out) {
+    bool urgent = rr_objective_for(core, "wait", job->submission.job_class) != NULL;
     g_array_set_size(out, 0);
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        c->visits++;
-        if (m->zone < 0 || !how->zones[m->zone] || !rr_resources_fit(j->request, m->free) ||
-            !rr_job_allows(c, j, m->machine_type, m->zone, m->spot) || !how->filter(c, m, now)) {
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        core->visits++;
+        if (machine->zone < 0 || !how->zones[machine->zone] ||
+            !rr_resources_fit(job->request, machine->free) ||
+            !rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot) ||
+            !how->filter(core, machine, now)) {
             continue;
         }
-        double fetch = rr_image_fetch_s(c, j, m);
-        if ((how->need_image && fetch > 0) ||
-            (how->distinct_machines && m != how->current && rr_machine_has_task(m, j))) {
+        double fetch = rr_image_fetch_s(core, job, machine);
+        if ((how->need_image && fetch > 0) || (how->distinct_machines && machine != how->current &&
+                                               rr_machine_has_task(machine, job))) {
             continue;
         }
-        rr_candidate k = {.machine = m, .capacity = rr_machine_capacity(c, m), .fetch = fetch};
-        k.failures = failed_here(m, j) ? 2 : rr_machine_failed_recently(m, now) ? 1 : 0;
-        k.image = urgent && fetch > 0;
-        k.price = rr_job_zone_bound(j) ? 1 : rr_machine_price(c, m);
-        if (!urgent && j->submission.runtime_estimate_s > 0 && !rr_job_zone_bound(j)) {
-            k.price *= 1 + fetch / j->submission.runtime_estimate_s;
+        rr_candidate candidate = {
+            .machine = machine, .capacity = rr_machine_capacity(core, machine), .fetch = fetch};
+        candidate.failures = failed_here(machine, job)                  ? 2
+                             : rr_machine_failed_recently(machine, now) ? 1
+                                                                        : 0;
+        candidate.image = urgent && fetch > 0;
+        candidate.price = rr_job_zone_bound(job) ? 1 : rr_machine_price(core, machine);
+        if (!urgent && job->submission.runtime_estimate_s > 0 && !rr_job_zone_bound(job)) {
+            candidate.price *= 1 + fetch / job->submission.runtime_estimate_s;
         }
         /* A replica that is planned anew settles where it is, if it can. */
-        k.foreign_shard = !how->current && c->parts > 1 && part_of(m) % c->parts != c->part;
-        if (k.foreign_shard && c->pressure > SHORT) {
-            k.failures += 0.5;
+        candidate.foreign_shard =
+            !how->current && core->parts > 1 && part_of(machine) % core->parts != core->part;
+        if (candidate.foreign_shard && core->pressure > SHORT) {
+            candidate.failures += 0.5;
         }
-        k.booting = fetch > 0 && image_coming(m, j->image);
-        g_array_append_val(out, k);
+        candidate.booting = fetch > 0 && image_coming(machine, job->image);
+        g_array_append_val(out, candidate);
     }
 }
 
-static struct rank rank_of(const struct rr_placement_constraints *how, const rr_candidate *k) {
-    double room = rr_resources_free_share(k->machine->free, k->capacity);
-    struct rank r = {.trouble = k->failures,
-                     .image = k->image,
-                     .cost = k->price * room,
-                     .fetch = k->fetch,
-                     .foreign = k->foreign_shard,
-                     .coming = k->booting,
-                     .room = room - (k->machine == how->current)}; /* between equals a task stays */
-    return r;
+static struct rank rank_of(const struct rr_placement_constraints *how,
+                           const rr_candidate *candidate) {
+    double room = rr_resources_free_share(candidate->machine->free, candidate->capacity);
+    struct rank rank = {
+        .trouble = candidate->failures,
+        .image = candidate->image,
+        .cost = candidate->price * room,
+        .fetch = candidate->fetch,
+        .foreign = candidate->foreign_shard,
+        .coming = candidate->booting,
+        .room = room - (candidate->machine == how->current)}; /* between equals a task stays */
+    return rank;
 }
 
-static bool better(const struct rank *a, const struct rank *b) {
-    if (a->trouble != b->trouble) {
-        return a->trouble < b->trouble;
+static bool better(const struct rank *left, const struct rank *right) {
+    if (left->trouble != right->trouble) {
+        return left->trouble < right->trouble;
     }
-    if (a->image != b->image) {
-        return a->image < b->image;
+    if (left->image != right->image) {
+        return left->image < right->image;
     }
-    if (fabs(a->cost - b->cost) > 1e-9) {
-        return a->cost < b->cost;
+    if (fabs(left->cost - right->cost) > 1e-9) {
+        return left->cost < right->cost;
     }
-    if (fabs(a->fetch - b->fetch) > 1e-9) {
-        return a->fetch < b->fetch;
+    if (fabs(left->fetch - right->fetch) > 1e-9) {
+        return left->fetch < right->fetch;
     }
-    if (a->foreign != b->foreign) {
-        return a->foreign < b->foreign;
+    if (left->foreign != right->foreign) {
+        return left->foreign < right->foreign;
     }
-    if (a->coming != b->coming) {
-        return a->coming < b->coming;
+    if (left->coming != right->coming) {
+        return left->coming < right->coming;
     }
-    return a->room < b->room - 1e-9;
+    return left->room < right->room - 1e-9;
 }
 
-rr_machine *rr_bin_pack_from(rr_core *c, const rr_job *j,
-                             const struct rr_placement_constraints *how, GArray *cands) {
+rr_machine *rr_bin_pack_from(rr_core *core, const rr_job *job,
+                             const struct rr_placement_constraints *how, GArray *candidates) {
     rr_machine *best = NULL;
     struct rank best_rank = {0};
-    for (guint i = 0; i < cands->len;) {
-        const rr_candidate *k = &g_array_index(cands, rr_candidate, i);
-        c->visits++;
-        if (!rr_resources_fit(j->request, k->machine->free) ||
-            (how->distinct_machines && k->machine != how->current && k->machine->reserved_jobs &&
-             rr_machine_has_task(k->machine, j))) {
-            g_array_remove_index_fast(cands, i);
+    for (guint i = 0; i < candidates->len;) {
+        const rr_candidate *candidate = &g_array_index(candidates, rr_candidate, i);
+        core->visits++;
+        if (!rr_resources_fit(job->request, candidate->machine->free) ||
+            (how->distinct_machines && candidate->machine != how->current &&
+             candidate->machine->reserved_jobs && rr_machine_has_task(candidate->machine, job))) {
+            g_array_remove_index_fast(candidates, i);
             continue;
         }
-        struct rank r = rank_of(how, k);
+        struct rank rank = rank_of(how, candidate);
         /* Between equals the older machine, whatever the order of the list has become. */
-        bool wins = !best || better(&r, &best_rank) ||
-                    (!better(&best_rank, &r) && k->machine->id < best->id);
-        if (how->zones[k->machine->zone] && wins) {
-            best = k->machine;
-            best_rank = r;
+        bool wins = !best || better(&rank, &best_rank) ||
+                    (!better(&best_rank, &rank) && candidate->machine->id < best->id);
+        if (how->zones[candidate->machine->zone] && wins) {
+            best = candidate->machine;
+            best_rank = rank;
         }
         i++;
     }
     return best;
 }
 
-rr_machine *rr_bin_pack(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
-                        double now) {
-    GArray *cands = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
-    rr_list_candidates(c, j, how, now, cands);
-    rr_machine *m = rr_bin_pack_from(c, j, how, cands);
-    g_array_free(cands, TRUE);
-    return m;
+rr_machine *rr_bin_pack(rr_core *core, const rr_job *job,
+                        const struct rr_placement_constraints *how, double now) {
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
+    rr_list_candidates(core, job, how, now, candidates);
+    rr_machine *machine = rr_bin_pack_from(core, job, how, candidates);
+    g_array_free(candidates, TRUE);
+    return machine;
 }
 
 uint32_t rr_tasks_fitting(rr_resources need, rr_resources room, uint32_t most) {
-    uint32_t n = 0;
-    while (n < most && rr_resources_fit(need, room)) {
+    uint32_t count = 0;
+    while (count < most && rr_resources_fit(need, room)) {
         room = rr_resources_add(room, need, -1);
-        n++;
+        count++;
     }
-    return n;
+    return count;
 }
 
 /* What a zone has for the tasks of a job that wait. */
@@ -300,45 +313,46 @@
 
 /* A gang starts with its last image: of the zones that take all of it the one goes first in which
  * most of it finds its image. What it has to fetch there is found by the next. */
-static bool better_zone(const struct zone_room *a, const struct zone_room *b, uint32_t wanted) {
-    int class_a = fit_class(a, wanted), class_b = fit_class(b, wanted);
+static bool better_zone(const struct zone_room *left, const struct zone_room *right,
+                        uint32_t wanted) {
+    int class_a = fit_class(left, wanted), class_b = fit_class(right, wanted);
     if (class_a != class_b) {
         return class_a > class_b;
     }
-    if (a->warm != b->warm) {
-        return a->warm > b->warm;
+    if (left->warm != right->warm) {
+        return left->warm > right->warm;
     }
-    return free_share(a) > free_share(b);
+    return free_share(left) > free_share(right);
 }
 
-static void add_machine(const rr_core *c, const rr_job *j, const rr_machine *m, uint32_t wanted,
-                        struct zone_room *zone) {
-    zone->free = rr_resources_add(zone->free, m->free, 1);
-    zone->capacity = rr_resources_add(zone->capacity, rr_machine_capacity(c, m), 1);
-    uint32_t fitting = rr_tasks_fitting(j->request, m->free, wanted);
+static void add_machine(const rr_core *core, const rr_job *job, const rr_machine *machine,
+                        uint32_t wanted, struct zone_room *zone) {
+    zone->free = rr_resources_add(zone->free, machine->free, 1);
+    zone->capacity = rr_resources_add(zone->capacity, rr_machine_capacity(core, machine), 1);
+    uint32_t fitting = rr_tasks_fitting(job->request, machine->free, wanted);
     zone->fitting = MIN(zone->fitting + fitting, wanted);
-    if (j->submission.kind == RR_JOB_GANG && rr_machine_has_image(m, j->image)) {
+    if (job->submission.kind == RR_JOB_GANG && rr_machine_has_image(machine, job->image)) {
         zone->warm = MIN(zone->warm + fitting, wanted);
     }
 }
 
-int rr_zone_with_most_room(rr_core *c, const rr_job *j, const bool *zones, double now) {
-    guint n = c->zones.names->len;
-    struct zone_room rooms[n + 1];
-    uint32_t wanted =
-        j->submission.task_count - MIN(j->submission.task_count, j->done_count + j->placed_count);
+int rr_zone_with_most_room(rr_core *core, const rr_job *job, const bool *zones, double now) {
+    guint count = core->zones.names->len;
+    struct zone_room rooms[count + 1];
+    uint32_t wanted = job->submission.task_count -
+                      MIN(job->submission.task_count, job->done_count + job->placed_count);
     memset(rooms, 0, sizeof rooms);
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        c->visits++;
-        if (m->zone >= 0 && zones[m->zone] &&
-            rr_job_allows(c, j, m->machine_type, m->zone, m->spot) &&
-            rr_machine_schedulable(c, m, now)) {
-            add_machine(c, j, m, wanted, &rooms[m->zone]);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        core->visits++;
+        if (machine->zone >= 0 && zones[machine->zone] &&
+            rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot) &&
+            rr_machine_schedulable(core, machine, now)) {
+            add_machine(core, job, machine, wanted, &rooms[machine->zone]);
         }
     }
     int best = -1;
-    for (guint zone = 0; zone < n; zone++) {
+    for (guint zone = 0; zone < count; zone++) {
         bool usable = free_share(&rooms[zone]) >= 0;
         if (usable && (best < 0 || better_zone(&rooms[zone], &rooms[best], wanted))) {
             best = (int)zone;
--- a/src/core/booking.c
+++ b/src/core/booking.c
@@ -146,8 +146,8 @@
     g_array_append_val(machine->reserved_jobs, job);
     machine->free = rr_resources_add(machine->free, job->request, -1);
     machine->reserved_image = job->image;
-    rr_resources *booked = &g_array_index(core->team_booked, rr_resources, job->team);
-    *booked = rr_resources_add(*booked, job->request, 1);
+    rr_resources *reserved = &g_array_index(core->team_booked, rr_resources, job->team);
+    *reserved = rr_resources_add(*reserved, job->request, 1);
     rr_plan_guard(planner, job);
     planner->last_machine = machine;
     rr_log_at(core, RR_LOG_DEBUG, "place %s/%u attempt %" G_GUINT64_FORMAT " on %s",
@@ -184,18 +184,19 @@
     return mask;
 }
 
-static bool same_machine_types(const rr_submission *a, const rr_submission *b) {
-    size_t bytes = (size_t)a->machine_type_count * sizeof *a->machine_types;
-    return a->machine_type_count == b->machine_type_count &&
-           (bytes == 0 || memcmp(a->machine_types, b->machine_types, bytes) == 0);
+static bool same_machine_types(const rr_submission *left, const rr_submission *right) {
+    size_t bytes = (size_t)left->machine_type_count * sizeof *left->machine_types;
+    return left->machine_type_count == right->machine_type_count &&
+           (bytes == 0 || memcmp(left->machine_types, right->machine_types, bytes) == 0);
 }
 
-static bool same_demands(const rr_job *a, const rr_job *b) {
-    return a->team == b->team && a->job_class == b->job_class &&
-           a->submission.priority == b->submission.priority &&
-           a->submission.spot == b->submission.spot && a->submission.kind == b->submission.kind &&
-           strcmp(a->submission.zone, b->submission.zone) == 0 &&
-           same_machine_types(&a->submission, &b->submission);
+static bool same_demands(const rr_job *left, const rr_job *right) {
+    return left->team == right->team && left->job_class == right->job_class &&
+           left->submission.priority == right->submission.priority &&
+           left->submission.spot == right->submission.spot &&
+           left->submission.kind == right->submission.kind &&
+           strcmp(left->submission.zone, right->submission.zone) == 0 &&
+           same_machine_types(&left->submission, &right->submission);
 }
 
 bool rr_search_failed_before(const struct rr_planner *planner, const rr_job *job,
--- a/src/core/cancel_hints.c
+++ b/src/core/cancel_hints.c
@@ -11,19 +11,19 @@
     return *(const double *)until < *(const double *)now;
 }
 
-void rr_core_add_cancel_hint(rr_core *c, const char *job_id, double now) {
-    if (g_hash_table_size(c->cancel_hints) >= HINTS_MAX) {
-        g_hash_table_foreach_remove(c->cancel_hints, is_old, &now);
+void rr_core_add_cancel_hint(rr_core *core, const char *job_id, double now) {
+    if (g_hash_table_size(core->cancel_hints) >= HINTS_MAX) {
+        g_hash_table_foreach_remove(core->cancel_hints, is_old, &now);
     }
-    if (g_hash_table_size(c->cancel_hints) >= HINTS_MAX) {
+    if (g_hash_table_size(core->cancel_hints) >= HINTS_MAX) {
         return;
     }
     double *until = g_new(double, 1);
-    *until = now + c->config->cancel_s;
-    g_hash_table_replace(c->cancel_hints, g_strdup(job_id), until);
+    *until = now + core->config->cancel_s;
+    g_hash_table_replace(core->cancel_hints, g_strdup(job_id), until);
 }
 
-bool rr_has_cancel_hint(const rr_core *c, const char *job_id, double now) {
-    const double *until = g_hash_table_lookup(c->cancel_hints, job_id);
+bool rr_has_cancel_hint(const rr_core *core, const char *job_id, double now) {
+    const double *until = g_hash_table_lookup(core->cancel_hints, job_id);
     return until && now <= *until;
 }
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -86,9 +86,9 @@
 };
 
 /* The index of a team in the settings; -1: there is none of this name. */
-static inline int rr_config_team(const struct rr_config *c, const char *name) {
-    for (size_t i = 0; i < c->team_count; i++) {
-        if (strcmp(c->teams[i].name, name) == 0) {
+static inline int rr_config_team(const struct rr_config *config, const char *name) {
+    for (size_t i = 0; i < config->team_count; i++) {
+        if (strcmp(config->teams[i].name, name) == 0) {
             return (int)i;
         }
     }
@@ -98,30 +98,33 @@
 /* What is written obeys the smaller of the state service's limits from the first write on: what is
  * larger could not be written again once they are lowered. How a job's tasks are parted over the
  * records of its ledger follows the present limit, in every version alike. */
-static inline double rr_value_kb_max(const struct rr_config *c) {
-    return c->next_value_kb > 0 && c->next_value_kb < c->value_kb ? c->next_value_kb : c->value_kb;
+static inline double rr_value_kb_max(const struct rr_config *config) {
+    return config->next_value_kb > 0 && config->next_value_kb < config->value_kb
+               ? config->next_value_kb
+               : config->value_kb;
 }
 
-static inline int rr_transaction_changes_max(const struct rr_config *c) {
-    return c->next_transaction_changes_max > 0 &&
-                   c->next_transaction_changes_max < c->transaction_changes_max
-               ? c->next_transaction_changes_max
-               : c->transaction_changes_max;
+static inline int rr_transaction_changes_max(const struct rr_config *config) {
+    return config->next_transaction_changes_max > 0 &&
+                   config->next_transaction_changes_max < config->transaction_changes_max
+               ? config->next_transaction_changes_max
+               : config->transaction_changes_max;
 }
 
 /* The lease of a session: short, so that another takes over soon from one that has lost the state
  * service; longer than an ordinary restart takes. */
-static inline double rr_session_lease_s(const struct rr_config *c) {
-    return c->tuning.session_share * (c->cancel_s - c->lease_s);
+static inline double rr_session_lease_s(const struct rr_config *config) {
+    return config->tuning.session_share * (config->cancel_s - config->lease_s);
 }
 
 /* How long reports are answered by a mirror that learns of no cancellation, from the last moment up
  * to which it knows them all. A worker answered last at the end of this time ends by its lease, and
  * that must be within cancel_s of any cancellation that this controller can't know: the rest is for
  * the drift of two clocks and the stop itself. */
-static inline double rr_heartbeat_reply_s(const struct rr_config *c) {
-    double room = c->cancel_s - c->lease_s;
-    return c->tuning.answer_share * (room - (room < 5 ? 0.2 * room : 1) - 0.002 * c->cancel_s);
+static inline double rr_heartbeat_reply_s(const struct rr_config *config) {
+    double room = config->cancel_s - config->lease_s;
+    return config->tuning.answer_share *
+           (room - (room < 5 ? 0.2 * room : 1) - 0.002 * config->cancel_s);
 }
 
 #endif
--- a/src/core/fair_room.c
+++ b/src/core/fair_room.c
@@ -4,11 +4,11 @@
 
 #include <math.h>
 
-void rr_core_set_fair_room(rr_core *c, const double *rooms, double cpu, double gpu, double mem) {
-    c->fair = rooms != NULL;
-    c->all_room = (rr_resources){cpu, gpu, mem};
-    for (size_t i = 0; rooms && i < c->config->team_count; i++) {
-        c->fair_room[i] = rooms[i];
+void rr_core_set_fair_room(rr_core *core, const double *rooms, double cpu, double gpu, double mem) {
+    core->fair = rooms != NULL;
+    core->all_room = (rr_resources){cpu, gpu, mem};
+    for (size_t i = 0; rooms && i < core->config->team_count; i++) {
+        core->fair_room[i] = rooms[i];
     }
 }
 
@@ -16,9 +16,10 @@
     return all > 0 ? used / all : 0;
 }
 
-static double dominant_part(const rr_core *c, rr_resources used) {
-    double cpu = part_of(used.cpus, c->all_room.cpus), gpu = part_of(used.gpus, c->all_room.gpus);
-    return fmax(fmax(cpu, gpu), part_of(used.mem_gb, c->all_room.mem_gb));
+static double dominant_part(const rr_core *core, rr_resources used) {
+    double cpu = part_of(used.cpus, core->all_room.cpus),
+           gpu = part_of(used.gpus, core->all_room.gpus);
+    return fmax(fmax(cpu, gpu), part_of(used.mem_gb, core->all_room.mem_gb));
 }
 
 /* A team at its fair part of all room leaves what is free to others: an owner sees only its own
@@ -27,22 +28,22 @@
 #define FAIR_WAIT_S 60.0
 
 bool rr_within_fair_room(const struct rr_planner *planner, const rr_job *job) {
-    const rr_core *c = planner->core;
-    if (!c->fair || job->submission.priority == RR_PRIORITY_PROD ||
+    const rr_core *core = planner->core;
+    if (!core->fair || job->submission.priority == RR_PRIORITY_PROD ||
         planner->wall - job->accepted_at > FAIR_WAIT_S || rr_within_guarantee(planner, job, 1)) {
         return true;
     }
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, 1);
-    return dominant_part(c, used) <= c->fair_room[job->team] + RR_RESOURCE_EPSILON;
+    return dominant_part(core, used) <= core->fair_room[job->team] + RR_RESOURCE_EPSILON;
 }
 
 /* What every class of every team uses: by team, then by class. */
-static rr_resources *count_classes(const rr_core *c, guint classes) {
-    rr_resources *used = g_new0(rr_resources, c->config->team_count * classes + 1);
-    for (guint i = 0; i < c->open->len; i++) {
-        const rr_job *job = g_ptr_array_index(c->open, i);
-        if (job->team >= 0 && (size_t)job->team < c->config->team_count && job->job_class >= 0) {
+static rr_resources *count_classes(const rr_core *core, guint classes) {
+    rr_resources *used = g_new0(rr_resources, core->config->team_count * classes + 1);
+    for (guint i = 0; i < core->open->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->open, i);
+        if (job->team >= 0 && (size_t)job->team < core->config->team_count && job->job_class >= 0) {
             rr_resources *of_class = &used[(guint)job->team * classes + (guint)job->job_class];
             *of_class = rr_resources_add(*of_class, job->request, job->placed_count);
         }
@@ -51,18 +52,18 @@
 }
 
 void rr_set_fair_turns(const struct rr_planner *planner, GPtrArray *waiting) {
-    const rr_core *c = planner->core;
-    guint classes = c->job_classes.names->len;
-    rr_resources *used = c->fair ? count_classes(c, classes) : NULL;
+    const rr_core *core = planner->core;
+    guint classes = core->job_classes.names->len;
+    rr_resources *used = core->fair ? count_classes(core, classes) : NULL;
     for (guint i = 0; i < waiting->len; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
         job->team_fill = job->class_fill = 0;
         if (used && job->job_class >= 0) {
-            rr_resources team = rr_team_usage(c, job->team);
-            double room = c->fair_room[job->team];
-            job->team_fill = room > 0 ? dominant_part(c, team) / room : 1;
+            rr_resources team = rr_team_usage(core, job->team);
+            double room = core->fair_room[job->team];
+            job->team_fill = room > 0 ? dominant_part(core, team) / room : 1;
             job->class_fill =
-                dominant_part(c, used[(guint)job->team * classes + (guint)job->job_class]);
+                dominant_part(core, used[(guint)job->team * classes + (guint)job->job_class]);
         }
     }
     g_free(used);
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -7,51 +7,51 @@
 
 /* ---- builds ---- */
 
-const rr_machine_type *rr_machine_type_at(const rr_core *c, int build) {
-    if (build < 0 || (guint)build >= c->build_info->len) {
+const rr_machine_type *rr_machine_type_at(const rr_core *core, int machine_type) {
+    if (machine_type < 0 || (guint)machine_type >= core->build_info->len) {
         return NULL;
     }
-    const rr_machine_type *b = &g_array_index(c->build_info, rr_machine_type, build);
-    return b->name[0] ? b : NULL;
+    const rr_machine_type *type = &g_array_index(core->build_info, rr_machine_type, machine_type);
+    return type->name[0] ? type : NULL;
 }
 
-static int machine_type_index(rr_core *c, const char *sku) {
-    int i = rr_name_index_add(&c->machine_types, sku);
-    if ((guint)i >= c->build_info->len) {
-        g_array_set_size(c->build_info, (guint)i + 1);
+static int machine_type_index(rr_core *core, const char *type_name) {
+    int i = rr_name_index_add(&core->machine_types, type_name);
+    if ((guint)i >= core->build_info->len) {
+        g_array_set_size(core->build_info, (guint)i + 1);
     }
     return i;
 }
 
-void rr_machine_type_put(rr_core *c, const msgpack_object *v) {
-    rr_machine_type b;
-    if (rr_machine_type_decode(v, &b) != 0) {
-        rr_machine_type_clear(&b);
+void rr_machine_type_put(rr_core *core, const msgpack_object *value) {
+    rr_machine_type type;
+    if (rr_machine_type_decode(value, &type) != 0) {
+        rr_machine_type_clear(&type);
         return;
     }
-    int index = machine_type_index(c, b.name); /* may move the array */
-    rr_machine_type *slot = &g_array_index(c->build_info, rr_machine_type, index);
+    int index = machine_type_index(core, type.name); /* may move the array */
+    rr_machine_type *slot = &g_array_index(core->build_info, rr_machine_type, index);
     rr_machine_type_clear(slot);
-    *slot = b;
-    for (guint i = 0; i < b.zones->len; i++) {
-        rr_name_index_add(&c->zones, g_ptr_array_index(b.zones, i));
+    *slot = type;
+    for (guint i = 0; i < type.zones->len; i++) {
+        rr_name_index_add(&core->zones, g_ptr_array_index(type.zones, i));
     }
-    c->catalog_known = true;
+    core->catalog_known = true;
 }
 
-rr_resources rr_machine_capacity(const rr_core *c, const rr_machine *m) {
-    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    return b ? (rr_resources){b->cpus, b->gpus, b->mem_gb} : (rr_resources){0, 0, 0};
+rr_resources rr_machine_capacity(const rr_core *core, const rr_machine *machine) {
+    const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
+    return type ? (rr_resources){type->cpus, type->gpus, type->mem_gb} : (rr_resources){0, 0, 0};
 }
 
 /* Machines that stood there before the service did are the paper's private cluster: they cost
  * nothing more by being used and are never returned. */
-double rr_machine_price(const rr_core *c, const rr_machine *m) {
-    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    if (m->operator_owned || !b) {
+double rr_machine_price(const rr_core *core, const rr_machine *machine) {
+    const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
+    if (machine->operator_owned || !type) {
         return 0;
     }
-    return m->spot ? b->spot_price : b->price;
+    return machine->spot ? type->spot_price : type->price;
 }
 
 /* ---- the fleet ---- */
@@ -60,131 +60,134 @@
 #define FLAG_OPERATOR_OWNED 2
 #define FLAG_SCALING_IN 4
 
-size_t rr_machine_page_entry_bytes(const rr_core *c, const rr_machine *m) {
-    return 44 + strlen(m->name) + strlen(m->address) +
-           strlen(rr_name_index_at(&c->machine_types, m->machine_type)) +
-           strlen(rr_name_index_at(&c->zones, m->zone));
+size_t rr_machine_page_entry_bytes(const rr_core *core, const rr_machine *machine) {
+    return 44 + strlen(machine->name) + strlen(machine->address) +
+           strlen(rr_name_index_at(&core->machine_types, machine->machine_type)) +
+           strlen(rr_name_index_at(&core->zones, machine->zone));
 }
 
-void rr_machine_page_encode(const rr_core *c, rr_encoder *o, const GPtrArray *machines) {
-    rr_encode_map(o, 1);
-    rr_encode_text(o, "stones");
-    rr_encode_array(o, machines->len);
+void rr_machine_page_encode(const rr_core *core, rr_encoder *encoder, const GPtrArray *machines) {
+    rr_encode_map(encoder, 1);
+    rr_encode_text(encoder, "stones");
+    rr_encode_array(encoder, machines->len);
     for (guint i = 0; i < machines->len; i++) {
-        const rr_machine *m = g_ptr_array_index(machines, i);
-        rr_encode_array(o, 6);
-        rr_encode_text(o, m->name);
-        rr_encode_text(o, m->address);
-        rr_encode_text(o, rr_name_index_at(&c->machine_types, m->machine_type));
-        rr_encode_text(o, rr_name_index_at(&c->zones, m->zone));
-        rr_encode_u64(o, (uint64_t)((m->spot ? FLAG_SPOT : 0) |
-                                    (m->operator_owned ? FLAG_OPERATOR_OWNED : 0) |
-                                    (m->to_release ? FLAG_SCALING_IN : 0)));
-        rr_encode_u64(o, m->created_at > 0 ? (uint64_t)m->created_at : 0);
+        const rr_machine *machine = g_ptr_array_index(machines, i);
+        rr_encode_array(encoder, 6);
+        rr_encode_text(encoder, machine->name);
+        rr_encode_text(encoder, machine->address);
+        rr_encode_text(encoder, rr_name_index_at(&core->machine_types, machine->machine_type));
+        rr_encode_text(encoder, rr_name_index_at(&core->zones, machine->zone));
+        rr_encode_u64(encoder, (uint64_t)((machine->spot ? FLAG_SPOT : 0) |
+                                          (machine->operator_owned ? FLAG_OPERATOR_OWNED : 0) |
+                                          (machine->to_release ? FLAG_SCALING_IN : 0)));
+        rr_encode_u64(encoder, machine->created_at > 0 ? (uint64_t)machine->created_at : 0);
     }
 }
 
 /* Its record no longer has it: it is gone: so is all that was on it. What the ledger has there goes
  * with its owners' next plans; until then the machine stays as a name. */
-void rr_machine_record_removed(rr_core *c, rr_machine *m, double now) {
-    double *at = g_new(double, 1);
-    *at = now;
-    g_hash_table_replace(c->gone, g_strdup(m->name), at);
-    m->recorded = m->to_record = false;
-    m->gone = true;
-    if (m->placements->len == 0) {
-        rr_machine_forget(c, m);
+void rr_machine_record_removed(rr_core *core, rr_machine *machine, double now) {
+    double *when = g_new(double, 1);
+    *when = now;
+    g_hash_table_replace(core->gone, g_strdup(machine->name), when);
+    machine->recorded = machine->to_record = false;
+    machine->gone = true;
+    if (machine->placements->len == 0) {
+        rr_machine_forget(core, machine);
     } else {
-        rr_mark_dirty(c, m);
+        rr_mark_dirty(core, machine);
     }
 }
 
-static void page_entry(rr_core *c, const msgpack_object *o, uint32_t page, double now) {
-    char name[RR_ID_SIZE], addr[RR_ID_SIZE], build[RR_ID_SIZE], zone[RR_TEXT_SIZE];
+static void page_entry(rr_core *core, const msgpack_object *object, uint32_t page, double now) {
+    char name[RR_ID_SIZE], address[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     uint64_t flags;
-    const msgpack_object *f = o->type == MSGPACK_OBJECT_ARRAY ? o->via.array.ptr : NULL;
-    if (!f || o->via.array.size < 6 || !rr_object_text(&f[0], name, sizeof name) || !name[0] ||
-        !rr_object_text(&f[1], addr, sizeof addr) || !rr_object_text(&f[2], build, sizeof build) ||
-        !rr_object_text(&f[3], zone, sizeof zone) || !rr_object_u64(&f[4], &flags)) {
+    const msgpack_object *fields =
+        object->type == MSGPACK_OBJECT_ARRAY ? object->via.array.ptr : NULL;
+    if (!fields || object->via.array.size < 6 || !rr_object_text(&fields[0], name, sizeof name) ||
+        !name[0] || !rr_object_text(&fields[1], address, sizeof address) ||
+        !rr_object_text(&fields[2], machine_type, sizeof machine_type) ||
+        !rr_object_text(&fields[3], zone, sizeof zone) || !rr_object_u64(&fields[4], &flags)) {
         return;
     }
-    rr_machine *m = rr_machine_get(c, name, now);
-    if (!m->recorded) {
-        m->known_at = m->idle_since = now;
-        m->recorded_while_watching = !c->rereading && !m->heartbeat_seen;
-        rr_mark_dirty(c, m);
+    rr_machine *machine = rr_machine_get(core, name, now);
+    if (!machine->recorded) {
+        machine->known_at = machine->idle_since = now;
+        machine->recorded_while_watching = !core->rereading && !machine->heartbeat_seen;
+        rr_mark_dirty(core, machine);
     }
     bool ret = flags & FLAG_SCALING_IN;
-    m->scaling_in_at = ret && !m->scaling_in ? now : m->scaling_in_at;
-    m->scaling_in = ret;
-    m->recorded = m->seen_in_reload = true;
-    m->gone = m->to_record = false;
-    m->page = page;
-    m->machine_type = machine_type_index(c, build);
-    m->zone = rr_name_index_add(&c->zones, zone);
-    m->spot = flags & FLAG_SPOT;
-    m->operator_owned = flags & FLAG_OPERATOR_OWNED;
-    c->ever_rented = c->ever_rented || !m->operator_owned;
-    rr_object_number(&f[5], &m->created_at);
-    if (!m->heartbeat_seen && addr[0]) {
-        g_strlcpy(m->address, addr, sizeof m->address);
+    machine->scaling_in_at = ret && !machine->scaling_in ? now : machine->scaling_in_at;
+    machine->scaling_in = ret;
+    machine->recorded = machine->seen_in_reload = true;
+    machine->gone = machine->to_record = false;
+    machine->page = page;
+    machine->machine_type = machine_type_index(core, machine_type);
+    machine->zone = rr_name_index_add(&core->zones, zone);
+    machine->spot = flags & FLAG_SPOT;
+    machine->operator_owned = flags & FLAG_OPERATOR_OWNED;
+    core->ever_rented = core->ever_rented || !machine->operator_owned;
+    rr_object_number(&fields[5], &machine->created_at);
+    if (!machine->heartbeat_seen && address[0]) {
+        g_strlcpy(machine->address, address, sizeof machine->address);
     }
 }
 
 /* Machines of the page that its record no longer has. */
-static void drop_unkept(rr_core *c, uint32_t page, double now) {
-    for (guint i = c->machine_list->len; i > 0; i--) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
-        if (m->recorded && m->page == page && !m->seen_in_reload) {
-            rr_machine_record_removed(c, m, now);
+static void drop_unkept(rr_core *core, uint32_t page, double now) {
+    for (guint i = core->machine_list->len; i > 0; i--) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i - 1);
+        if (machine->recorded && machine->page == page && !machine->seen_in_reload) {
+            rr_machine_record_removed(core, machine, now);
         }
     }
 }
 
-void rr_machine_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark,
-                         double now) {
+void rr_machine_page_put(rr_core *core, const char *rest, const msgpack_object *value,
+                         uint64_t version, double now) {
     uint32_t id = (uint32_t)g_ascii_strtoull(rest, NULL, 10);
-    rr_machine_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(id));
-    const msgpack_object *list = rr_map_get(v, "stones");
-    if (id == 0 || !list || list->type != MSGPACK_OBJECT_ARRAY || (p && mark < p->version)) {
+    rr_machine_page *page = g_hash_table_lookup(core->pages, GUINT_TO_POINTER(id));
+    const msgpack_object *list = rr_map_get(value, "stones");
+    if (id == 0 || !list || list->type != MSGPACK_OBJECT_ARRAY ||
+        (page && version < page->version)) {
         return;
     }
-    if (!p) {
-        p = g_new0(rr_machine_page, 1);
-        p->id = id;
-        g_hash_table_insert(c->pages, GUINT_TO_POINTER(id), p);
+    if (!page) {
+        page = g_new0(rr_machine_page, 1);
+        page->id = id;
+        g_hash_table_insert(core->pages, GUINT_TO_POINTER(id), page);
     }
-    p->version = mark;
-    p->seen_in_reload = true;
-    p->entry_count = list->via.array.size;
-    c->next_page = id >= c->next_page ? id + 1 : c->next_page;
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->seen_in_reload = m->seen_in_reload && m->page != id;
+    page->version = version;
+    page->seen_in_reload = true;
+    page->entry_count = list->via.array.size;
+    core->next_page = id >= core->next_page ? id + 1 : core->next_page;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        machine->seen_in_reload = machine->seen_in_reload && machine->page != id;
     }
-    p->bytes = 0;
+    page->bytes = 0;
     for (uint32_t i = 0; i < list->via.array.size; i++) {
-        page_entry(c, &list->via.array.ptr[i], id, now);
+        page_entry(core, &list->via.array.ptr[i], id, now);
     }
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        p->bytes += m->recorded && m->page == id && m->seen_in_reload
-                        ? rr_machine_page_entry_bytes(c, m)
-                        : 0;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        page->bytes += machine->recorded && machine->page == id && machine->seen_in_reload
+                           ? rr_machine_page_entry_bytes(core, machine)
+                           : 0;
     }
-    drop_unkept(c, id, now);
+    drop_unkept(core, id, now);
 }
 
-void rr_machine_page_delete(rr_core *c, const char *rest, uint64_t mark, double now) {
+void rr_machine_page_delete(rr_core *core, const char *rest, uint64_t version, double now) {
     uint32_t id = (uint32_t)g_ascii_strtoull(rest, NULL, 10);
-    const rr_machine_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(id));
-    if (!p || mark < p->version) {
+    const rr_machine_page *page = g_hash_table_lookup(core->pages, GUINT_TO_POINTER(id));
+    if (!page || version < page->version) {
         return;
     }
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->seen_in_reload = m->seen_in_reload && m->page != id;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        machine->seen_in_reload = machine->seen_in_reload && machine->page != id;
     }
-    drop_unkept(c, id, now);
-    g_hash_table_remove(c->pages, GUINT_TO_POINTER(id));
+    drop_unkept(core, id, now);
+    g_hash_table_remove(core->pages, GUINT_TO_POINTER(id));
 }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -8,13 +8,13 @@
 
 /* Its tasks are of one chunk, so that one change records them all as done, and one transaction
  * books or ends it, now and under the limits to come: its records, and its final one at the end. */
-uint32_t rr_gang_tasks_max(const rr_core *c) {
-    uint32_t in_record = c->chunk;
-    while (in_record > 1 && !rr_ledger_record_fits(c, in_record)) {
+uint32_t rr_gang_tasks_max(const rr_core *core) {
+    uint32_t in_record = core->chunk;
+    while (in_record > 1 && !rr_ledger_record_fits(core, in_record)) {
         in_record--;
     }
-    uint32_t records = (uint32_t)MAX(rr_transaction_changes_max(c->config) - 1, 1);
-    return MIN(c->chunk, in_record * records);
+    uint32_t records = (uint32_t)MAX(rr_transaction_changes_max(core->config) - 1, 1);
+    return MIN(core->chunk, in_record * records);
 }
 
 /* A machine that has not shown its task for this part of gang_wait_s will not in time. */
@@ -23,24 +23,25 @@
 enum state { ABSENT, SHOWN, RUNS, LEAVES, LOST, DONE };
 
 /* One placement. LOST: over, or never to come in time. LEAVES: its machine goes soon. */
-static enum state state_of(const rr_core *c, const rr_machine *m, const rr_placement *pl,
-                           double now) {
-    const rr_task_status *r = rr_task_status_find(m, pl);
-    if (r && r->state == RR_TASK_ENDED) {
-        return r->exit_reason == RR_EXIT_DONE ? DONE : LOST;
+static enum state state_of(const rr_core *core, const rr_machine *machine,
+                           const rr_placement *placement, double now) {
+    const rr_task_status *task = rr_task_status_find(machine, placement);
+    if (task && task->state == RR_TASK_ENDED) {
+        return task->exit_reason == RR_EXIT_DONE ? DONE : LOST;
     }
-    if (m->gone || !m->recorded ||
-        (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch) ||
-        pl->terminated_at > 0) {
+    if (machine->gone || !machine->recorded ||
+        (machine->heartbeat_seen && machine->heartbeat.worker_epoch > placement->worker_epoch) ||
+        placement->terminated_at > 0) {
         return LOST;
     }
-    if (!r) {
-        return now - pl->seen_at > SHOWN_SHARE * c->config->gang_wait_s ? LOST : ABSENT;
+    if (!task) {
+        return now - placement->seen_at > SHOWN_SHARE * core->config->gang_wait_s ? LOST : ABSENT;
     }
-    if (m->heartbeat.spot_notice_s >= 0 || pl->preempt || r->state == RR_TASK_SAVING) {
+    if (machine->heartbeat.spot_notice_s >= 0 || placement->preempt ||
+        task->state == RR_TASK_SAVING) {
         return LEAVES;
     }
-    return r->state == RR_TASK_RUNNING ? RUNS : SHOWN;
+    return task->state == RR_TASK_RUNNING ? RUNS : SHOWN;
 }
 
 struct count {
@@ -49,59 +50,60 @@
     bool at_once; /* it has to make room without delay */
 };
 
-static void count_record(const rr_core *c, const rr_job *j, const rr_ledger_record *run, double now,
-                         struct count *n) {
+static void count_record(const rr_core *core, const rr_job *job, const rr_ledger_record *run,
+                         double now, struct count *counts) {
     for (guint i = 0; run && i < run->placements->len; i++) {
-        const rr_placement_record *it = &g_array_index(run->placements, rr_placement_record, i);
-        const rr_placement *pl = rr_placement_find(it->machine, it->attempt, j, it->task);
-        if (pl) {
-            n->all++;
-            n->by[state_of(c, it->machine, pl, now)]++;
-            n->at_once = n->at_once || pl->preempt == RR_PREEMPT_AT_ONCE;
-            n->told = n->told && rr_machine_heartbeat_recent(c, it->machine, now) &&
-                      !rr_machine_commands_unanswered(it->machine);
+        const rr_placement_record *item = &g_array_index(run->placements, rr_placement_record, i);
+        const rr_placement *placement =
+            rr_placement_find(item->machine, item->attempt, job, item->task);
+        if (placement) {
+            counts->all++;
+            counts->by[state_of(core, item->machine, placement, now)]++;
+            counts->at_once = counts->at_once || placement->preempt == RR_PREEMPT_AT_ONCE;
+            counts->told = counts->told && rr_machine_heartbeat_recent(core, item->machine, now) &&
+                           !rr_machine_commands_unanswered(item->machine);
         }
     }
 }
 
-static void count_states(const rr_core *c, const rr_job *j, double now, struct count *n) {
-    memset(n, 0, sizeof *n);
-    n->told = true;
-    for (guint k = 0; j->records && k < j->records->len; k++) {
-        count_record(c, j, g_ptr_array_index(j->records, k), now, n);
+static void count_states(const rr_core *core, const rr_job *job, double now, struct count *counts) {
+    memset(counts, 0, sizeof *counts);
+    counts->told = true;
+    for (guint k = 0; job->records && k < job->records->len; k++) {
+        count_record(core, job, g_ptr_array_index(job->records, k), now, counts);
     }
 }
 
-static enum rr_gang_phase phase_of(const rr_job *j, const struct count *n) {
-    if (j->done || j->cancelled || n->by[DONE] > 0) {
+static enum rr_gang_phase phase_of(const rr_job *job, const struct count *counts) {
+    if (job->done || job->cancelled || counts->by[DONE] > 0) {
         return RR_GANG_ENDING;
     }
-    if (n->all == 0) {
+    if (counts->all == 0) {
         return RR_GANG_QUEUED;
     }
-    if (n->by[LOST] + n->by[LEAVES] > 0 || n->all < j->submission.task_count) {
+    if (counts->by[LOST] + counts->by[LEAVES] > 0 || counts->all < job->submission.task_count) {
         return RR_GANG_STOPPING;
     }
-    if (n->by[ABSENT] == n->all) {
+    if (counts->by[ABSENT] == counts->all) {
         return RR_GANG_RESERVED;
     }
-    return n->by[RUNS] == n->all ? RR_GANG_RUNNING : RR_GANG_WAITING;
+    return counts->by[RUNS] == counts->all ? RR_GANG_RUNNING : RR_GANG_WAITING;
 }
 
-enum rr_gang_phase rr_gang_phase(const rr_core *c, const rr_job *j, double now) {
-    struct count n;
-    count_states(c, j, now, &n);
-    return phase_of(j, &n);
+enum rr_gang_phase rr_gang_phase(const rr_core *core, const rr_job *job, double now) {
+    struct count counts;
+    count_states(core, job, now, &counts);
+    return phase_of(job, &counts);
 }
 
-bool rr_gang_stops(const rr_core *c, const rr_job *j, double now, bool *saving) {
-    struct count n;
-    count_states(c, j, now, &n);
-    enum rr_gang_phase phase = phase_of(j, &n);
+bool rr_gang_stops(const rr_core *core, const rr_job *job, double now, bool *saving) {
+    struct count counts;
+    count_states(core, job, now, &counts);
+    enum rr_gang_phase phase = phase_of(job, &counts);
     /* Only a gang that has lost nothing can save, and only if all are told in time. Where the work
      * that takes its room can't wait for that, it does not. */
-    *saving = phase == RR_GANG_STOPPING && n.by[LOST] == 0 && n.by[ABSENT] == 0 &&
-              n.all == j->submission.task_count && n.told && !n.at_once &&
-              j->submission.checkpoint_interval_s > 0;
+    *saving = phase == RR_GANG_STOPPING && counts.by[LOST] == 0 && counts.by[ABSENT] == 0 &&
+              counts.all == job->submission.task_count && counts.told && !counts.at_once &&
+              job->submission.checkpoint_interval_s > 0;
     return phase == RR_GANG_STOPPING || phase == RR_GANG_ENDING;
 }
--- a/src/core/holds.c
+++ b/src/core/holds.c
@@ -9,11 +9,11 @@
     bool revoked;   /* what runs is to be stopped */
 } rr_hold;
 
-void rr_core_hold_job(rr_core *c, const char *job_id, enum rr_hold_kind kind) {
-    rr_hold *hold = g_hash_table_lookup(c->holds, job_id);
+void rr_core_hold_job(rr_core *core, const char *job_id, enum rr_hold_kind kind) {
+    rr_hold *hold = g_hash_table_lookup(core->holds, job_id);
     if (!hold) {
         hold = g_new0(rr_hold, 1);
-        g_hash_table_insert(c->holds, g_strdup(job_id), hold);
+        g_hash_table_insert(core->holds, g_strdup(job_id), hold);
     }
     if (hold->kind != kind) {
         hold->until = 0;
@@ -21,54 +21,54 @@
     hold->kind = kind;
 }
 
-void rr_core_unhold_job(rr_core *c, const char *job_id) {
-    g_hash_table_remove(c->holds, job_id);
+void rr_core_unhold_job(rr_core *core, const char *job_id) {
+    g_hash_table_remove(core->holds, job_id);
 }
 
-void rr_core_release_job(rr_core *c, const char *job_id, double until) {
-    rr_hold *hold = g_hash_table_lookup(c->holds, job_id);
+void rr_core_release_job(rr_core *core, const char *job_id, double until) {
+    rr_hold *hold = g_hash_table_lookup(core->holds, job_id);
     if (hold) {
-        hold->token = c->term.token;
+        hold->token = core->term.token;
         hold->until = until;
     }
 }
 
-void rr_core_revoke_job(rr_core *c, const char *job_id) {
-    rr_hold *hold = g_hash_table_lookup(c->holds, job_id);
-    const rr_job *job = g_hash_table_lookup(c->jobs, job_id);
+void rr_core_revoke_job(rr_core *core, const char *job_id) {
+    rr_hold *hold = g_hash_table_lookup(core->holds, job_id);
+    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
     if (hold) {
         hold->until = 0;
         hold->revoked = true;
     }
-    for (guint n = 0; job && job->records && n < job->records->len; n++) {
-        const rr_ledger_record *run = g_ptr_array_index(job->records, n);
+    for (guint index = 0; job && job->records && index < job->records->len; index++) {
+        const rr_ledger_record *run = g_ptr_array_index(job->records, index);
         for (guint i = 0; run && i < run->placements->len; i++) {
-            rr_mark_dirty(c, g_array_index(run->placements, rr_placement_record, i).machine);
+            rr_mark_dirty(core, g_array_index(run->placements, rr_placement_record, i).machine);
         }
     }
 }
 
-static const rr_hold *hold_of(const rr_core *c, const rr_job *job) {
-    return g_hash_table_size(c->holds) ? g_hash_table_lookup(c->holds, job->submission.job_id)
-                                       : NULL;
+static const rr_hold *hold_of(const rr_core *core, const rr_job *job) {
+    return g_hash_table_size(core->holds) ? g_hash_table_lookup(core->holds, job->submission.job_id)
+                                          : NULL;
 }
 
-bool rr_job_held(const rr_core *c, const rr_job *job, double now) {
-    const rr_hold *hold = hold_of(c, job);
-    return hold && (hold->token != c->term.token || now >= hold->until);
+bool rr_job_held(const rr_core *core, const rr_job *job, double now) {
+    const rr_hold *hold = hold_of(core, job);
+    return hold && (hold->token != core->term.token || now >= hold->until);
 }
 
-bool rr_job_revoked(const rr_core *c, const rr_job *job) {
-    const rr_hold *hold = hold_of(c, job);
+bool rr_job_revoked(const rr_core *core, const rr_job *job) {
+    const rr_hold *hold = hold_of(core, job);
     return hold && hold->revoked;
 }
 
-bool rr_job_transferred(const rr_core *c, const rr_job *job) {
-    const rr_hold *hold = hold_of(c, job);
+bool rr_job_transferred(const rr_core *core, const rr_job *job) {
+    const rr_hold *hold = hold_of(core, job);
     return hold && hold->kind == RR_HOLD_TRANSFERRED;
 }
 
-bool rr_job_of_another_cell(const rr_core *c, const rr_job *job) {
-    const rr_hold *hold = hold_of(c, job);
+bool rr_job_of_another_cell(const rr_core *core, const rr_job *job) {
+    const rr_hold *hold = hold_of(core, job);
     return hold && hold->kind == RR_HOLD_GUEST;
 }
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -1,243 +1,251 @@
 /* Jobs as the store cache has them: accepted, cancelled, done, and final ones as lines. */
 #include "core/records.h"
 
-void rr_core_job_encode(rr_encoder *o, const rr_submission *s, double at, bool cancelled) {
-    rr_encode_map(o, rr_submission_field_count(s) + 2);
-    rr_submission_encode_fields(o, s);
-    rr_encode_key_number(o, "at", at);
-    rr_encode_key_bool(o, "cancelled", cancelled);
+void rr_core_job_encode(rr_encoder *encoder, const rr_submission *submission, double when,
+                        bool cancelled) {
+    rr_encode_map(encoder, rr_submission_field_count(submission) + 2);
+    rr_submission_encode_fields(encoder, submission);
+    rr_encode_key_number(encoder, "at", when);
+    rr_encode_key_bool(encoder, "cancelled", cancelled);
 }
 
-bool rr_core_cancel_record(const rr_core *c, const char *ref, rr_encoder *o, uint64_t *mark) {
-    const rr_job *j = g_hash_table_lookup(c->jobs, ref);
-    if (!j || j->done || j->cancelled) {
+bool rr_core_cancel_record(const rr_core *core, const char *job_id, rr_encoder *encoder,
+                           uint64_t *version) {
+    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    if (!job || job->done || job->cancelled) {
         return false;
     }
-    rr_core_job_encode(o, &j->submission, j->accepted_at, true);
-    *mark = j->own_version;
+    rr_core_job_encode(encoder, &job->submission, job->accepted_at, true);
+    *version = job->own_version;
     return true;
 }
 
-bool rr_job_task_done(const rr_job *j, uint32_t task) {
-    if (j->done) {
+bool rr_job_task_done(const rr_job *job, uint32_t task) {
+    if (job->done) {
         return true;
     }
-    return j->done_bits && task < j->submission.task_count &&
-           (j->done_bits[task / 8] >> (task % 8) & 1);
+    return job->done_bits && task < job->submission.task_count &&
+           (job->done_bits[task / 8] >> (task % 8) & 1);
 }
 
-void rr_job_open(rr_core *c, rr_job *j) {
-    if (!j->open) {
-        j->open = true;
-        g_ptr_array_add(c->open, j);
+void rr_job_open(rr_core *core, rr_job *job) {
+    if (!job->open) {
+        job->open = true;
+        g_ptr_array_add(core->open, job);
     }
-    if (!j->placed) {
-        j->placed = g_malloc0(j->submission.task_count);
+    if (!job->placed) {
+        job->placed = g_malloc0(job->submission.task_count);
     }
-    if (!j->done_bits && !j->done) {
-        j->done_bits = g_malloc0((j->submission.task_count + 7) / 8);
+    if (!job->done_bits && !job->done) {
+        job->done_bits = g_malloc0((job->submission.task_count + 7) / 8);
     }
 }
 
 /* A final job without placements needs no task tables any more. */
-void rr_job_close_if_final(rr_core *c, rr_job *j) {
-    if (!j->open || !(j->done || j->cancelled) || j->placed_count) {
+void rr_job_close_if_final(rr_core *core, rr_job *job) {
+    if (!job->open || !(job->done || job->cancelled) || job->placed_count) {
         return;
     }
-    j->open = false;
-    g_ptr_array_remove_fast(c->open, j);
-    g_clear_pointer(&j->done_bits, g_free);
-    g_clear_pointer(&j->placed, g_free);
+    job->open = false;
+    g_ptr_array_remove_fast(core->open, job);
+    g_clear_pointer(&job->done_bits, g_free);
+    g_clear_pointer(&job->placed, g_free);
     /* What is left of its ledger says nothing any more. */
-    for (guint i = 0; j->records && i < j->records->len; i++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->records, i);
-        if (r && r->version) {
+    for (guint i = 0; job->records && i < job->records->len; i++) {
+        const rr_ledger_record *record = g_ptr_array_index(job->records, i);
+        if (record && record->version) {
             char key[RR_ID_SIZE + 64];
-            rr_ledger_record_key(j->submission.job_id, r->chunk, key, sizeof key);
-            g_ptr_array_add(c->garbage, g_strdup(key));
+            rr_ledger_record_key(job->submission.job_id, record->chunk, key, sizeof key);
+            g_ptr_array_add(core->garbage, g_strdup(key));
         }
     }
 }
 
-rr_job *rr_job_get(rr_core *c, const char *ref, double now) {
-    rr_job *j = g_hash_table_lookup(c->jobs, ref);
-    if (!j) {
-        j = g_new0(rr_job, 1);
-        g_strlcpy(j->submission.job_id, ref, sizeof j->submission.job_id);
-        j->submission.task_count = 0;
-        j->team = j->job_class = j->image = j->zone = -1;
-        j->first_seen = now;
-        j->tasks_per_record = c->chunk;
-        g_hash_table_insert(c->jobs, j->submission.job_id, j);
-    }
-    return j;
+rr_job *rr_job_get(rr_core *core, const char *job_id, double now) {
+    rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    if (!job) {
+        job = g_new0(rr_job, 1);
+        g_strlcpy(job->submission.job_id, job_id, sizeof job->submission.job_id);
+        job->submission.task_count = 0;
+        job->team = job->job_class = job->image = job->zone = -1;
+        job->first_seen = now;
+        job->tasks_per_record = core->chunk;
+        g_hash_table_insert(core->jobs, job->submission.job_id, job);
+    }
+    return job;
 }
 
-static void job_index(rr_core *c, rr_job *j) {
-    j->team = rr_name_index_add(&c->teams, j->submission.team);
-    j->job_class = rr_name_index_add(&c->job_classes, j->submission.job_class);
-    j->image = rr_name_index_add(&c->images, j->submission.image);
-    j->request = (rr_resources){j->submission.cpus, j->submission.gpus, j->submission.mem_gb};
+static void job_index(rr_core *core, rr_job *job) {
+    job->team = rr_name_index_add(&core->teams, job->submission.team);
+    job->job_class = rr_name_index_add(&core->job_classes, job->submission.job_class);
+    job->image = rr_name_index_add(&core->images, job->submission.image);
+    job->request =
+        (rr_resources){job->submission.cpus, job->submission.gpus, job->submission.mem_gb};
 }
 
 /* Recent arrivals of each class, for the headroom. */
-static void note_arrival(rr_core *c, rr_job *j) {
-    if (c->rereading && c->term.token == 0) {
+static void note_arrival(rr_core *core, rr_job *job) {
+    if (core->rereading && core->term.token == 0) {
         return;
     }
-    g_array_append_val(c->arrivals, j);
-    if (c->arrivals->len > 4096) {
-        g_array_remove_range(c->arrivals, 0, 1024);
+    g_array_append_val(core->arrivals, job);
+    if (core->arrivals->len > 4096) {
+        g_array_remove_range(core->arrivals, 0, 1024);
     }
 }
 
-void rr_arrivals_trim(rr_core *c, double wall) {
-    guint n = 0;
-    while (n < c->arrivals->len &&
-           wall - g_array_index(c->arrivals, rr_job *, n)->accepted_at > RR_ARRIVAL_WINDOW_S) {
-        n++;
+void rr_arrivals_trim(rr_core *core, double wall) {
+    guint count = 0;
+    while (count < core->arrivals->len &&
+           wall - g_array_index(core->arrivals, rr_job *, count)->accepted_at >
+               RR_ARRIVAL_WINDOW_S) {
+        count++;
     }
-    if (n > 0) {
-        g_array_remove_range(c->arrivals, 0, n);
+    if (count > 0) {
+        g_array_remove_range(core->arrivals, 0, count);
     }
 }
 
-static void put_final(rr_job *j, const msgpack_object *v) {
-    uint64_t pieces = 0;
-    rr_map_get_u64(v, "pieces", &pieces);
-    if (j->submission.task_count == 0) {
-        j->submission.task_count = (uint32_t)pieces;
-    }
-    rr_map_get_text(v, "crew", j->submission.team, sizeof j->submission.team);
-    j->done = true;
-    j->done_count = j->submission.task_count;
+static void put_final(rr_job *job, const msgpack_object *value) {
+    uint64_t task_count = 0;
+    rr_map_get_u64(value, "pieces", &task_count);
+    if (job->submission.task_count == 0) {
+        job->submission.task_count = (uint32_t)task_count;
+    }
+    rr_map_get_text(value, "crew", job->submission.team, sizeof job->submission.team);
+    job->done = true;
+    job->done_count = job->submission.task_count;
 }
 
 /* A ledger record that came before its job's (pages of a reread are of different moments) was
  * counted without sizes: out with it before they are known, in again after. */
-static void recount(rr_core *c, rr_job *j, int sign) {
-    for (guint n = 0; j->records && n < j->records->len; n++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->records, n);
-        for (guint i = 0; r && i < r->placements->len; i++) {
-            const rr_placement_record *it = &g_array_index(r->placements, rr_placement_record, i);
-            rr_placement p = {.job = j, .task = it->task};
-            rr_placement_count(c, it->machine, &p, sign);
+static void recount(rr_core *core, rr_job *job, int sign) {
+    for (guint index = 0; job->records && index < job->records->len; index++) {
+        const rr_ledger_record *record = g_ptr_array_index(job->records, index);
+        for (guint i = 0; record && i < record->placements->len; i++) {
+            const rr_placement_record *item =
+                &g_array_index(record->placements, rr_placement_record, i);
+            rr_placement placement = {.job = job, .task = item->task};
+            rr_placement_count(core, item->machine, &placement, sign);
         }
     }
 }
 
 /* Takes over what a job's record, its own or a batch's, says of the submission. */
-static void put_body(rr_core *c, rr_job *j, const msgpack_object *v, bool is_new) {
-    rr_submission s;
+static void put_body(rr_core *core, rr_job *job, const msgpack_object *value, bool is_new) {
+    rr_submission submission;
     const char *field;
-    if (rr_submission_decode(v, &s, &field) != 0) {
-        rr_log_at(c, RR_LOG_ERROR, "job %s: record unreadable at %s", j->submission.job_id, field);
+    if (rr_submission_decode(value, &submission, &field) != 0) {
+        rr_log_at(core, RR_LOG_ERROR, "job %s: record unreadable at %s", job->submission.job_id,
+                  field);
         /* A version that did not know the job's shape writes its cancellation without the rest. */
-        rr_map_get_bool(v, "cancelled", &j->cancelled);
-        recount(c, j, -1);
-        recount(c, j, 1); /* its machines are looked at */
+        rr_map_get_bool(value, "cancelled", &job->cancelled);
+        recount(core, job, -1);
+        recount(core, job, 1); /* its machines are looked at */
         return;
     }
-    if (j->submission.task_count && j->submission.task_count != s.task_count) {
-        rr_log_at(c, RR_LOG_ERROR, "job %s: record of another size passed over",
-                  j->submission.job_id);
-        rr_submission_clear(&s);
+    if (job->submission.task_count && job->submission.task_count != submission.task_count) {
+        rr_log_at(core, RR_LOG_ERROR, "job %s: record of another size passed over",
+                  job->submission.job_id);
+        rr_submission_clear(&submission);
         return;
     }
-    recount(c, j, -1);
-    rr_submission_clear(&j->submission);
-    j->submission = s;
-    rr_map_get_number(v, "at", &j->accepted_at);
-    rr_map_get_bool(v, "cancelled", &j->cancelled);
-    job_index(c, j);
-    rr_job_open(c, j);
-    recount(c, j, 1);
+    recount(core, job, -1);
+    rr_submission_clear(&job->submission);
+    job->submission = submission;
+    rr_map_get_number(value, "at", &job->accepted_at);
+    rr_map_get_bool(value, "cancelled", &job->cancelled);
+    job_index(core, job);
+    rr_job_open(core, job);
+    recount(core, job, 1);
     if (is_new) {
-        note_arrival(c, j);
+        note_arrival(core, job);
     }
 }
 
-void rr_job_put(rr_core *c, const char *ref, const msgpack_object *v, uint64_t mark, double now) {
-    if (rr_job_final(c, ref, NULL, NULL)) {
+void rr_job_put(rr_core *core, const char *job_id, const msgpack_object *value, uint64_t version,
+                double now) {
+    if (rr_job_final(core, job_id, NULL, NULL)) {
         return; /* it can't change any more */
     }
-    rr_job *j = rr_job_get(c, ref, now);
-    bool is_new = j->version == 0;
-    if (mark < j->own_version) {
+    rr_job *job = rr_job_get(core, job_id, now);
+    bool is_new = job->version == 0;
+    if (version < job->own_version) {
         return;
     }
-    j->version = j->own_version = mark;
-    if (rr_map_get(v, "final")) {
-        put_final(j, v);
-        j->team = rr_name_index_add(&c->teams, j->submission.team);
+    job->version = job->own_version = version;
+    if (rr_map_get(value, "final")) {
+        put_final(job, value);
+        job->team = rr_name_index_add(&core->teams, job->submission.team);
     } else {
-        put_body(c, j, v, is_new);
+        put_body(core, job, value, is_new);
     }
-    rr_job_close_if_final(c, j);
+    rr_job_close_if_final(core, job);
 }
 
 /* Jobs accepted together. A job's own record, written by its cancellation or its end, says more,
  * whichever comes first; of two batches that name a job (a user's retry elsewhere) the first. */
-void rr_job_batch_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark,
+void rr_job_batch_put(rr_core *core, const char *key, const msgpack_object *value, uint64_t version,
                       double now) {
-    const msgpack_object *list = rr_map_get(v, "jobs");
-    rr_job_batch *b = g_new0(rr_job_batch, 1);
-    b->version = mark;
-    b->jobs = g_ptr_array_new();
-    g_hash_table_replace(c->batches, g_strdup(key), b);
+    const msgpack_object *list = rr_map_get(value, "jobs");
+    rr_job_batch *batch = g_new0(rr_job_batch, 1);
+    batch->version = version;
+    batch->jobs = g_ptr_array_new();
+    g_hash_table_replace(core->batches, g_strdup(key), batch);
     for (uint32_t i = 0; list && list->type == MSGPACK_OBJECT_ARRAY && i < list->via.array.size;
          i++) {
-        const msgpack_object *o = &list->via.array.ptr[i];
-        char ref[RR_ID_SIZE];
-        if (!rr_map_get_text(o, "ref", ref, sizeof ref) || !rr_job_id_valid(ref) ||
-            rr_job_final(c, ref, NULL, NULL)) {
+        const msgpack_object *object = &list->via.array.ptr[i];
+        char job_id[RR_ID_SIZE];
+        if (!rr_map_get_text(object, "ref", job_id, sizeof job_id) || !rr_job_id_valid(job_id) ||
+            rr_job_final(core, job_id, NULL, NULL)) {
             continue;
         }
-        rr_job *j = rr_job_get(c, ref, now);
-        g_ptr_array_add(b->jobs, j);
-        if (j->own_version == 0 && (j->version == 0 || mark < j->version)) {
-            bool is_new = j->version == 0;
-            j->version = mark;
-            put_body(c, j, o, is_new);
+        rr_job *job = rr_job_get(core, job_id, now);
+        g_ptr_array_add(batch->jobs, job);
+        if (job->own_version == 0 && (job->version == 0 || version < job->version)) {
+            bool is_new = job->version == 0;
+            job->version = version;
+            put_body(core, job, object, is_new);
         }
     }
 }
 
-void rr_core_batch_begin(rr_encoder *o, size_t n) {
-    rr_encode_map(o, 1);
-    rr_encode_text(o, "jobs");
-    rr_encode_array(o, n);
+void rr_core_batch_begin(rr_encoder *encoder, size_t count) {
+    rr_encode_map(encoder, 1);
+    rr_encode_text(encoder, "jobs");
+    rr_encode_array(encoder, count);
 }
 
-void rr_core_batch_key(uint64_t tether, uint64_t n, char *out, size_t size) {
-    g_snprintf(out, size, RR_KEY_ROOT "batch/%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, tether, n);
+void rr_core_batch_key(uint64_t lease_id, uint64_t number, char *out, size_t size) {
+    g_snprintf(out, size, RR_KEY_ROOT "batch/%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, lease_id,
+               number);
 }
 
 /* A final job whose ledger is gone needs no place for it either: jobs are kept for good. */
-void rr_job_trim(const rr_core *c, rr_job *j) {
-    for (guint i = 0; j->records && i < j->records->len; i++) {
-        const rr_ledger_record *r = g_ptr_array_index(j->records, i);
-        if (r &&
-            (r->version || r->edit || r->placements->len || r->deleted_at_revision > c->epoch)) {
+void rr_job_trim(const rr_core *core, rr_job *job) {
+    for (guint i = 0; job->records && i < job->records->len; i++) {
+        const rr_ledger_record *record = g_ptr_array_index(job->records, i);
+        if (record && (record->version || record->edit || record->placements->len ||
+                       record->deleted_at_revision > core->epoch)) {
             return;
         }
     }
-    if (j->records && !j->open) {
-        g_ptr_array_free(j->records, TRUE);
-        j->records = NULL;
+    if (job->records && !job->open) {
+        g_ptr_array_free(job->records, TRUE);
+        job->records = NULL;
     }
 }
 
-bool rr_job_final(const rr_core *c, const char *ref, bool *done, uint32_t *ndone) {
-    gpointer v;
-    if (!g_hash_table_lookup_extended(c->finals, ref, NULL, &v)) {
+bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *ndone) {
+    gpointer value;
+    if (!g_hash_table_lookup_extended(core->finals, job_id, NULL, &value)) {
         return false;
     }
     if (done) {
-        *done = GPOINTER_TO_SIZE(v) & 1;
+        *done = GPOINTER_TO_SIZE(value) & 1;
     }
     if (ndone) {
-        *ndone = (uint32_t)(GPOINTER_TO_SIZE(v) >> 1);
+        *ndone = (uint32_t)(GPOINTER_TO_SIZE(value) >> 1);
     }
     return true;
 }
@@ -249,20 +257,20 @@
 }
 
 /* Jobs that something else of the mirror points to. */
-static GHashTable *pinned_jobs(const rr_core *c) {
+static GHashTable *pinned_jobs(const rr_core *core) {
     GHashTable *pinned = g_hash_table_new(NULL, NULL);
-    GHashTableIter it;
-    gpointer v;
-    pin(pinned, c->arrivals);
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        pin(pinned, ((rr_machine *)g_ptr_array_index(c->machine_list, i))->failed_jobs);
-    }
-    for (guint i = 0; i < c->plan_moves->len; i++) {
-        g_hash_table_add(pinned, g_array_index(c->plan_moves, rr_move, i).job);
-    }
-    g_hash_table_iter_init(&it, c->batches);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const GPtrArray *jobs = ((rr_job_batch *)v)->jobs;
+    GHashTableIter iter;
+    gpointer value;
+    pin(pinned, core->arrivals);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        pin(pinned, ((rr_machine *)g_ptr_array_index(core->machine_list, i))->failed_jobs);
+    }
+    for (guint i = 0; i < core->plan_moves->len; i++) {
+        g_hash_table_add(pinned, g_array_index(core->plan_moves, rr_move, i).job);
+    }
+    g_hash_table_iter_init(&iter, core->batches);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const GPtrArray *jobs = ((rr_job_batch *)value)->jobs;
         for (guint i = 0; i < jobs->len; i++) {
             g_hash_table_add(pinned, g_ptr_array_index(jobs, i));
         }
@@ -271,30 +279,32 @@
 }
 
 /* Known from its own record, over, and the watch past all that may still be said of it. */
-static bool rests(const rr_core *c, rr_job *j) {
-    if (!(j->done || j->cancelled) || j->open || j->own_version == 0 || j->own_version > c->epoch) {
+static bool rests(const rr_core *core, rr_job *job) {
+    if (!(job->done || job->cancelled) || job->open || job->own_version == 0 ||
+        job->own_version > core->epoch) {
         return false;
     }
-    rr_job_trim(c, j);
-    return j->records == NULL;
+    rr_job_trim(core, job);
+    return job->records == NULL;
 }
 
 /* A whole job takes 0.8 KB: at two a second a day's would fill a controller's memory. Two looks in
  * a row, a minute apart, so that nothing late finds a job forgotten that it could wake. */
-void rr_jobs_shrink(rr_core *c, double wall) {
-    GHashTableIter it;
-    gpointer v;
-    rr_arrivals_trim(c, wall);
-    GHashTable *pinned = pinned_jobs(c);
-    g_hash_table_iter_init(&it, c->jobs);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        rr_job *j = v;
-        bool rested = j->idle;
-        j->idle = rests(c, j) && !g_hash_table_contains(pinned, j);
-        if (rested && j->idle) {
-            gsize line = (gsize)j->done_count * 2 + (j->done ? 1 : 0);
-            g_hash_table_replace(c->finals, g_strdup(j->submission.job_id), GSIZE_TO_POINTER(line));
-            g_hash_table_iter_remove(&it);
+void rr_jobs_shrink(rr_core *core, double wall) {
+    GHashTableIter iter;
+    gpointer value;
+    rr_arrivals_trim(core, wall);
+    GHashTable *pinned = pinned_jobs(core);
+    g_hash_table_iter_init(&iter, core->jobs);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        rr_job *job = value;
+        bool rested = job->idle;
+        job->idle = rests(core, job) && !g_hash_table_contains(pinned, job);
+        if (rested && job->idle) {
+            gsize line = (gsize)job->done_count * 2 + (job->done ? 1 : 0);
+            g_hash_table_replace(core->finals, g_strdup(job->submission.job_id),
+                                 GSIZE_TO_POINTER(line));
+            g_hash_table_iter_remove(&iter);
         }
     }
     g_hash_table_destroy(pinned);
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -313,15 +313,15 @@
             rr_log_line_at(c, level, __VA_ARGS__);                                                 \
         }                                                                                          \
     } while (0)
-void rr_log_line_at(const rr_core *c, int level, const char *fmt, ...) G_GNUC_PRINTF(3, 4);
+void rr_log_line_at(const rr_core *core, int level, const char *fmt, ...) G_GNUC_PRINTF(3, 4);
 #define RR_LOG_ERROR 0
 #define RR_LOG_INFO 1
 #define RR_LOG_DEBUG 2
 
 /* resources */
-static inline rr_resources rr_resources_add(rr_resources a, rr_resources b, double sign) {
-    return (rr_resources){a.cpus + sign * b.cpus, a.gpus + sign * b.gpus,
-                          a.mem_gb + sign * b.mem_gb};
+static inline rr_resources rr_resources_add(rr_resources left, rr_resources right, double sign) {
+    return (rr_resources){left.cpus + sign * right.cpus, left.gpus + sign * right.gpus,
+                          left.mem_gb + sign * right.mem_gb};
 }
 static inline bool rr_resources_fit(rr_resources need, rr_resources room) {
     return need.cpus <= room.cpus + RR_RESOURCE_EPSILON &&
@@ -329,94 +329,97 @@
            need.mem_gb <= room.mem_gb + RR_RESOURCE_EPSILON;
 }
 /* Free room on the scarcest resource, as a share of the machine. */
-double rr_resources_free_share(rr_resources room, rr_resources cap);
+double rr_resources_free_share(rr_resources room, rr_resources capacity);
 
 /* fleet.c */
-void rr_machine_type_put(rr_core *c, const msgpack_object *v);
-void rr_machine_page_put(rr_core *c, const char *rest, const msgpack_object *v, uint64_t mark,
-                         double now);
-void rr_machine_page_delete(rr_core *c, const char *rest, uint64_t mark, double now);
+void rr_machine_type_put(rr_core *core, const msgpack_object *value);
+void rr_machine_page_put(rr_core *core, const char *rest, const msgpack_object *value,
+                         uint64_t version, double now);
+void rr_machine_page_delete(rr_core *core, const char *rest, uint64_t version, double now);
 /* Its record has gone, and so has it. */
-void rr_machine_record_removed(rr_core *c, rr_machine *m, double now);
-const rr_machine_type *rr_machine_type_at(const rr_core *c, int build);
-rr_resources rr_machine_capacity(const rr_core *c, const rr_machine *m);
-double rr_machine_price(const rr_core *c, const rr_machine *m);
-size_t rr_machine_page_entry_bytes(const rr_core *c, const rr_machine *m);
+void rr_machine_record_removed(rr_core *core, rr_machine *machine, double now);
+const rr_machine_type *rr_machine_type_at(const rr_core *core, int machine_type);
+rr_resources rr_machine_capacity(const rr_core *core, const rr_machine *machine);
+double rr_machine_price(const rr_core *core, const rr_machine *machine);
+size_t rr_machine_page_entry_bytes(const rr_core *core, const rr_machine *machine);
 /* The record of a page, its machines as the flags in them say now. */
-void rr_machine_page_encode(const rr_core *c, rr_encoder *o,
+void rr_machine_page_encode(const rr_core *core, rr_encoder *encoder,
                             const GPtrArray *machines /* rr_machine* */);
 
 /* model.c */
-rr_machine *rr_machine_get(rr_core *c, const char *name, double now);
-void rr_machine_forget(rr_core *c, rr_machine *m);
-void rr_mark_dirty(rr_core *c, rr_machine *m); /* it is to be reconciled */
+rr_machine *rr_machine_get(rr_core *core, const char *name, double now);
+void rr_machine_forget(rr_core *core, rr_machine *machine);
+void rr_mark_dirty(rr_core *core, rr_machine *machine); /* it is to be reconciled */
 void rr_machine_page_key(uint32_t page, char *out, size_t size);
-bool rr_job_task_done(const rr_job *j, uint32_t task);
-void rr_arrivals_trim(rr_core *c, double wall); /* those that count no more go */
+bool rr_job_task_done(const rr_job *job, uint32_t task);
+void rr_arrivals_trim(rr_core *core, double wall); /* those that count no more go */
 /* A final job that is kept as a line only; *done and *ndone may be NULL. */
-bool rr_job_final(const rr_core *c, const char *ref, bool *done, uint32_t *ndone);
+bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *ndone);
 /* Jobs are known for good, but final ones out of use shrink to a line. */
-void rr_jobs_shrink(rr_core *c, double wall);
-rr_ledger_record *rr_job_ledger_record(rr_job *j, uint32_t chunk); /* makes it if need be */
-uint32_t rr_job_chunks(const rr_job *j); /* the first overflow record has this number */
-bool rr_job_overflows(const rr_job *j);  /* it has overflow records */
-void rr_ledger_record_key(const char *ref, uint32_t chunk, char *out, size_t size);
+void rr_jobs_shrink(rr_core *core, double wall);
+rr_ledger_record *rr_job_ledger_record(rr_job *job, uint32_t chunk); /* makes it if need be */
+uint32_t rr_job_chunks(const rr_job *job); /* the first overflow record has this number */
+bool rr_job_overflows(const rr_job *job);  /* it has overflow records */
+void rr_ledger_record_key(const char *job_id, uint32_t chunk, char *out, size_t size);
 /* The record of a chunk with these placements; done: tasks (uint32_t) completed beside those known.
  */
-void rr_ledger_record_encode(const rr_core *c, rr_encoder *o, const rr_job *j, uint32_t chunk,
-                             const GArray *items, const GArray *done, int zone);
+void rr_ledger_record_encode(const rr_core *core, rr_encoder *encoder, const rr_job *job,
+                             uint32_t chunk, const GArray *items, const GArray *done, int zone);
 size_t rr_ledger_record_bytes(guint items);
-rr_resources rr_team_usage(const rr_core *c, int team);
-void rr_recount_team_usage(rr_core *c); /* sums anew: what is added and taken off for ever drifts */
+rr_resources rr_team_usage(const rr_core *core, int team);
+void rr_recount_team_usage(
+    rr_core *core); /* sums anew: what is added and taken off for ever drifts */
 /* The record that the i-th key of garbage names, and its job; NULL: not in the mirror. */
-rr_ledger_record *rr_garbage_record(const rr_core *c, guint i, rr_job **job);
-rr_placement *rr_placement_find(const rr_machine *m, uint64_t attempt, const rr_job *j,
+rr_ledger_record *rr_garbage_record(const rr_core *core, guint i, rr_job **job);
+rr_placement *rr_placement_find(const rr_machine *machine, uint64_t attempt, const rr_job *job,
                                 uint32_t task);
-const rr_task_status *rr_task_status_find(const rr_machine *m, const rr_placement *p);
-bool rr_machine_has_image(const rr_machine *m, int image);
+const rr_task_status *rr_task_status_find(const rr_machine *machine, const rr_placement *placement);
+bool rr_machine_has_image(const rr_machine *machine, int image);
 /* Counts what the plan under construction has booked, too. */
-bool rr_machine_has_task(const rr_machine *m, const rr_job *j);
-const struct rr_objective *rr_objective_for(const rr_core *c, const char *kind,
+bool rr_machine_has_task(const rr_machine *machine, const rr_job *job);
+const struct rr_objective *rr_objective_for(const rr_core *core, const char *kind,
                                             const char *job_class);
 void rr_rental_key(const char *name, char *out, size_t size);
 
 /* term.c */
-bool rr_is_member(const rr_core *c);
+bool rr_is_member(const rr_core *core);
 /* Every controller of the term knows gangs. One that comes back in an older version ends that. */
-bool rr_all_gang_capable(const rr_core *c);
+bool rr_all_gang_capable(const rr_core *core);
 /* So does each of them, and takes part in fair admission. */
 #define RR_CAPABILITY_GANGS 1
 #define RR_CAPABILITY_ADMISSION 2
-bool rr_all_capable(const rr_core *c, uint64_t able);
+bool rr_all_capable(const rr_core *core, uint64_t capable);
 /* A number that no other attempt has, of whatever controller and term; later ones are higher within
  * a team. */
-uint64_t rr_next_attempt(rr_core *c);
+uint64_t rr_next_attempt(rr_core *core);
 uint64_t rr_attempt_token(uint64_t attempt); /* of the term in which it was booked */
 guint rr_attempt_member(uint64_t attempt);   /* and the place there of who booked it */
-guint rr_member_index(const rr_core *c);     /* this controller's place in the term */
-bool rr_owns_team(const rr_core *c, int team);
-void rr_assign_shards(rr_core *c); /* finds owners and provisioner of a new term */
+guint rr_member_index(const rr_core *core);  /* this controller's place in the term */
+bool rr_owns_team(const rr_core *core, int team);
+void rr_assign_shards(rr_core *core); /* finds owners and provisioner of a new term */
 
 /* troubles.c */
-bool rr_machine_heartbeat_overdue(const rr_core *c, const rr_machine *m,
+bool rr_machine_heartbeat_overdue(const rr_core *core, const rr_machine *machine,
                                   double now); /* does not report on */
-bool rr_machine_heartbeat_recent(const rr_core *c, const rr_machine *m, double now);
-bool rr_machine_schedulable(const rr_core *c, const rr_machine *m, double now);
-bool rr_machine_name_reused(const rr_machine *m, double now); /* another one under its name */
-bool rr_machine_quarantined(const rr_machine *m, double now);
-bool rr_machine_heartbeats_lost(const rr_core *c, const rr_machine *m, double now);
-bool rr_machine_failed_recently(const rr_machine *m, double now); /* failed a task not long ago */
-void rr_record_task_failure(rr_core *c, rr_machine *m, rr_job *j, double now);
+bool rr_machine_heartbeat_recent(const rr_core *core, const rr_machine *machine, double now);
+bool rr_machine_schedulable(const rr_core *core, const rr_machine *machine, double now);
+bool rr_machine_name_reused(const rr_machine *machine, double now); /* another one under its name */
+bool rr_machine_quarantined(const rr_machine *machine, double now);
+bool rr_machine_heartbeats_lost(const rr_core *core, const rr_machine *machine, double now);
+bool rr_machine_failed_recently(const rr_machine *machine,
+                                double now); /* failed a task not long ago */
+void rr_record_task_failure(rr_core *core, rr_machine *machine, rr_job *job, double now);
 /* To be called before machines are judged: counts who is heard in each zone and keeps when each was
  * last cut off. */
-void rr_detect_partitions(rr_core *c, double now);
-bool rr_zone_partitioned(const rr_core *c, int zone); /* most of it, at the last count */
-void rr_contact_record(rr_contact *k, double now);
+void rr_detect_partitions(rr_core *core, double now);
+bool rr_zone_partitioned(const rr_core *core, int zone); /* most of it, at the last count */
+void rr_contact_record(rr_contact *contact, double now);
 /* Every other controller of the term has been heard without a pause for so long. */
-bool rr_peers_connected_for(const rr_core *c, double now, double seconds);
-bool rr_machine_commands_unanswered(const rr_machine *m); /* reports, but commands get no answer */
-bool rr_machine_dead(const rr_core *c, const rr_machine *m, double now);
-double rr_heartbeat_age(const rr_machine *m, double now);
+bool rr_peers_connected_for(const rr_core *core, double now, double seconds);
+bool rr_machine_commands_unanswered(
+    const rr_machine *machine); /* reports, but commands get no answer */
+bool rr_machine_dead(const rr_core *core, const rr_machine *machine, double now);
+double rr_heartbeat_age(const rr_machine *machine, double now);
 
 /* gang.c */
 enum rr_gang_phase {
@@ -428,43 +431,45 @@
     RR_GANG_ENDING    /* done or cancelled: what is left goes */
 };
 /* From the ledger and the reports alone, so that a new owner reaches the same. */
-enum rr_gang_phase rr_gang_phase(const rr_core *c, const rr_job *j, double now);
+enum rr_gang_phase rr_gang_phase(const rr_core *core, const rr_job *job, double now);
 /* Every task of it is to be stopped. *saving: all of them can be told to save first. */
-bool rr_gang_stops(const rr_core *c, const rr_job *j, double now, bool *saving);
-uint32_t rr_gang_tasks_max(const rr_core *c); /* tasks of one gang at most */
+bool rr_gang_stops(const rr_core *core, const rr_job *job, double now, bool *saving);
+uint32_t rr_gang_tasks_max(const rr_core *core); /* tasks of one gang at most */
 
 /* cancel_hints.c */
-bool rr_has_cancel_hint(const rr_core *c, const char *job_id, double now);
+bool rr_has_cancel_hint(const rr_core *core, const char *job_id, double now);
 
 /* holds.c */
-bool rr_job_held(const rr_core *c, const rr_job *job, double now); /* none of its tasks is placed */
-bool rr_job_revoked(const rr_core *c, const rr_job *job);          /* and those that run go */
-bool rr_job_transferred(const rr_core *c, const rr_job *job);
-bool rr_job_of_another_cell(const rr_core *c, const rr_job *job);
+bool rr_job_held(const rr_core *core, const rr_job *job,
+                 double now);                                /* none of its tasks is placed */
+bool rr_job_revoked(const rr_core *core, const rr_job *job); /* and those that run go */
+bool rr_job_transferred(const rr_core *core, const rr_job *job);
+bool rr_job_of_another_cell(const rr_core *core, const rr_job *job);
 
 /* observe.c */
-bool rr_watched_record(const rr_core *c, const char *key, const msgpack_object *value,
+bool rr_watched_record(const rr_core *core, const char *key, const msgpack_object *value,
                        uint64_t version);
-void rr_job_final_record(const rr_job *job, rr_transaction *t); /* done */
+void rr_job_final_record(const rr_job *job, rr_transaction *transaction); /* done */
 
 /* allocation.c */
-bool rr_job_allows(const rr_core *c, const rr_job *j, int build, int zone, bool spot);
+bool rr_job_allows(const rr_core *core, const rr_job *job, int machine_type, int zone, bool spot);
 /* The zones in which one more task of the job may start, given its placements (and, while moving,
  * not counting `except`): fills allowed[zone]. */
-void rr_job_zones(const rr_core *c, const rr_job *j, bool *allowed, const rr_placement *except);
+void rr_job_zones(const rr_core *core, const rr_job *job, bool *allowed,
+                  const rr_placement *except);
 /* The same from counts that the caller keeps while it books: placements by zone. */
-uint32_t rr_job_count_by_zone(const rr_core *c, const rr_job *j, const rr_placement *except,
+uint32_t rr_job_count_by_zone(const rr_core *core, const rr_job *job, const rr_placement *except,
                               uint32_t *by_zone);
-void rr_job_zones_from(const rr_core *c, const rr_job *j, const uint32_t *by_zone, uint32_t all,
-                       bool *allowed);
+void rr_job_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
+                       uint32_t all, bool *allowed);
 /* Estimated time to fetch the job's image there; 0: it has it. */
-double rr_image_fetch_s(const rr_core *c, const rr_job *j, const rr_machine *m);
+double rr_image_fetch_s(const rr_core *core, const rr_job *job, const rr_machine *machine);
 struct rr_placement_constraints {
     const bool *zones;         /* allowed zones */
     bool distinct_machines;    /* no machine that has a task of this job */
     const rr_machine *current; /* where it runs now: never refused for its own sake */
     bool need_image;           /* only machines that have the image */
-    bool (*filter)(const rr_core *c, const rr_machine *m, double now);
+    bool (*filter)(const rr_core *core, const rr_machine *machine, double now);
 };
 /* The machines that may take a task of the job, each with the part of its rank that placing does
  * not change: one walk over all machines serves many tasks. */
@@ -474,22 +479,23 @@
     double failures, image, price, fetch, foreign_shard;
     bool booting;
 } rr_candidate;
-void rr_list_candidates(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
-                        double now, GArray *out /* rr_candidate */);
+void rr_list_candidates(rr_core *core, const rr_job *job,
+                        const struct rr_placement_constraints *how, double now,
+                        GArray *out /* rr_candidate */);
 /* The paper's choice among them: the fitting machine of least price x free room. room: by m->sim.
  * how->zones and how->separate are looked at anew; candidates without room go. */
-rr_machine *rr_bin_pack_from(rr_core *c, const rr_job *j,
-                             const struct rr_placement_constraints *how, GArray *cands);
-rr_machine *rr_bin_pack(rr_core *c, const rr_job *j, const struct rr_placement_constraints *how,
-                        double now);
+rr_machine *rr_bin_pack_from(rr_core *core, const rr_job *job,
+                             const struct rr_placement_constraints *how, GArray *candidates);
+rr_machine *rr_bin_pack(rr_core *core, const rr_job *job,
+                        const struct rr_placement_constraints *how, double now);
 /* How many tasks of this need fit into this room, up to most. */
 uint32_t rr_tasks_fitting(rr_resources need, rr_resources room, uint32_t most);
-int rr_zone_with_most_room(rr_core *c, const rr_job *j, const bool *zones, double now);
-void rr_reset_free_resources(rr_core *c);
-bool rr_job_zone_bound(const rr_job *j);
+int rr_zone_with_most_room(rr_core *core, const rr_job *job, const bool *zones, double now);
+void rr_reset_free_resources(rr_core *core);
+bool rr_job_zone_bound(const rr_job *job);
 
 /* rounds.c */
-bool rr_rebalance_due(rr_core *c, double now);
-void rr_rebalance(rr_core *c, double now);
+bool rr_rebalance_due(rr_core *core, double now);
+void rr_rebalance(rr_core *core, double now);
 
 #endif
--- a/src/core/names.h
+++ b/src/core/names.h
@@ -9,10 +9,10 @@
     GPtrArray *names;
 } rr_name_index;
 
-void rr_name_index_init(rr_name_index *n);
-void rr_name_index_clear(rr_name_index *n);
-int rr_name_index_add(rr_name_index *n, const char *name);        /* the index, old or new */
-int rr_name_index_find(const rr_name_index *n, const char *name); /* -1: unknown */
-const char *rr_name_index_at(const rr_name_index *n, int i);
+void rr_name_index_init(rr_name_index *names);
+void rr_name_index_clear(rr_name_index *names);
+int rr_name_index_add(rr_name_index *names, const char *name);        /* the index, old or new */
+int rr_name_index_find(const rr_name_index *names, const char *name); /* -1: unknown */
+const char *rr_name_index_at(const rr_name_index *names, int i);
 
 #endif
--- a/src/core/observe.c
+++ b/src/core/observe.c
@@ -3,72 +3,74 @@
 
 #include <string.h>
 
-void rr_core_watch_records(rr_core *c, const char *prefix, rr_core_record_fn fn, void *user) {
-    if (c->record_watch_count == RR_RECORD_WATCHES) {
+void rr_core_watch_records(rr_core *core, const char *prefix, rr_core_record_fn callback,
+                           void *user) {
+    if (core->record_watch_count == RR_RECORD_WATCHES) {
         return;
     }
-    c->watches[c->record_watch_count++] = (rr_record_watch){g_strdup(prefix), fn, user};
+    core->watches[core->record_watch_count++] = (rr_record_watch){g_strdup(prefix), callback, user};
 }
 
 /* True: a package's record. */
-bool rr_watched_record(const rr_core *c, const char *key, const msgpack_object *value,
+bool rr_watched_record(const rr_core *core, const char *key, const msgpack_object *value,
                        uint64_t version) {
-    for (guint i = 0; i < c->record_watch_count; i++) {
-        const rr_record_watch *watch = &c->watches[i];
-        size_t len = strlen(watch->prefix);
-        if (strncmp(key, watch->prefix, len) == 0) {
-            watch->callback(watch->user, key + len, value, version);
+    for (guint i = 0; i < core->record_watch_count; i++) {
+        const rr_record_watch *watch = &core->watches[i];
+        size_t length = strlen(watch->prefix);
+        if (strncmp(key, watch->prefix, length) == 0) {
+            watch->callback(watch->user, key + length, value, version);
             return true;
         }
     }
     return false;
 }
 
-void rr_core_each_machine(const rr_core *c, rr_core_machine_fn fn, void *user) {
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(c->machine_list, i);
-        const rr_machine_type *type = rr_machine_type_at(c, machine->machine_type);
+void rr_core_each_machine(const rr_core *core, rr_core_machine_fn callback, void *user) {
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
         if (type && machine->recorded && !machine->scaling_in && machine->zone >= 0) {
-            fn(user, type->name, rr_name_index_at(&c->zones, machine->zone), type->cpus, type->gpus,
-               type->mem_gb);
+            callback(user, type->name, rr_name_index_at(&core->zones, machine->zone), type->cpus,
+                     type->gpus, type->mem_gb);
         }
     }
 }
 
-void rr_core_each_job(const rr_core *c, rr_core_job_fn fn, void *user) {
+void rr_core_each_job(const rr_core *core, rr_core_job_fn callback, void *user) {
     GHashTableIter iterator;
     gpointer value;
-    g_hash_table_iter_init(&iterator, c->jobs);
+    g_hash_table_iter_init(&iterator, core->jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const rr_job *job = value;
-        bool open = job->version && !job->cancelled && !job->done && !rr_job_transferred(c, job);
+        bool open = job->version && !job->cancelled && !job->done && !rr_job_transferred(core, job);
         uint32_t waiting =
             open ? job->submission.task_count - job->done_count - job->placed_count : 0;
         if (job->version) {
-            fn(user, &job->submission, job->team, waiting, job->placed_count, job->done_count);
+            callback(user, &job->submission, job->team, waiting, job->placed_count,
+                     job->done_count);
         }
     }
 }
 
-bool rr_core_job_known(const rr_core *c, const char *job_id) {
-    const rr_job *job = g_hash_table_lookup(c->jobs, job_id);
-    return (job && job->version) || rr_job_final(c, job_id, NULL, NULL);
+bool rr_core_job_known(const rr_core *core, const char *job_id) {
+    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    return (job && job->version) || rr_job_final(core, job_id, NULL, NULL);
 }
 
-void rr_core_guard_term(const rr_core *c, rr_transaction *t) {
-    rr_transaction_guard(t, RR_KEY_ROOT "term", c->term.version);
+void rr_core_guard_term(const rr_core *core, rr_transaction *transaction) {
+    rr_transaction_guard(transaction, RR_KEY_ROOT "term", core->term.version);
 }
 
-bool rr_core_all_admission_capable(const rr_core *c) {
-    return rr_all_capable(c, RR_CAPABILITY_ADMISSION);
+bool rr_core_all_admission_capable(const rr_core *core) {
+    return rr_all_capable(core, RR_CAPABILITY_ADMISSION);
 }
 
-double rr_core_cache_age(const rr_core *c, double now) {
-    return now - c->fresh_at;
+double rr_core_cache_age(const rr_core *core, double now) {
+    return now - core->fresh_at;
 }
 
-bool rr_core_find_job(const rr_core *c, const char *job_id, rr_core_job *out) {
-    const rr_job *job = g_hash_table_lookup(c->jobs, job_id);
+bool rr_core_find_job(const rr_core *core, const char *job_id, rr_core_job *out) {
+    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
     if (!job || !job->version) {
         return false;
     }
@@ -77,71 +79,72 @@
     return true;
 }
 
-const char *rr_core_team_owner(const rr_core *c, const char *team) {
-    int index = rr_config_team(c->config, team);
-    int place =
-        index >= 0 && (guint)index < c->owners->len ? g_array_index(c->owners, int, index) : -1;
-    bool known = place >= 0 && (guint)place < c->term.members->len;
-    return known ? g_array_index(c->term.members, rr_session, place).name : NULL;
+const char *rr_core_team_owner(const rr_core *core, const char *team) {
+    int index = rr_config_team(core->config, team);
+    int place = index >= 0 && (guint)index < core->owners->len
+                    ? g_array_index(core->owners, int, index)
+                    : -1;
+    bool known = place >= 0 && (guint)place < core->term.members->len;
+    return known ? g_array_index(core->term.members, rr_session, place).name : NULL;
 }
 
-void rr_job_final_record(const rr_job *job, rr_transaction *t) {
+void rr_job_final_record(const rr_job *job, rr_transaction *transaction) {
     char key[RR_ID_SIZE + 64];
-    rr_encoder o;
-    rr_encoder_init(&o);
-    rr_encode_map(&o, 4);
-    rr_encode_key_text(&o, "ref", job->submission.job_id);
-    rr_encode_key_text(&o, "final", "done");
-    rr_encode_key_text(&o, "crew", job->submission.team);
-    rr_encode_key_u64(&o, "pieces", job->submission.task_count);
+    rr_encoder encoder;
+    rr_encoder_init(&encoder);
+    rr_encode_map(&encoder, 4);
+    rr_encode_key_text(&encoder, "ref", job->submission.job_id);
+    rr_encode_key_text(&encoder, "final", "done");
+    rr_encode_key_text(&encoder, "crew", job->submission.team);
+    rr_encode_key_u64(&encoder, "pieces", job->submission.task_count);
     rr_core_job_key(job->submission.job_id, key, sizeof key);
-    rr_transaction_guard(t, key, job->own_version);
-    rr_transaction_put(t, key, &o, 0);
+    rr_transaction_guard(transaction, key, job->own_version);
+    rr_transaction_put(transaction, key, &encoder, 0);
 }
 
-static rr_job *open_job(const rr_core *c, const char *job_id) {
-    rr_job *job = g_hash_table_lookup(c->jobs, job_id);
+static rr_job *open_job(const rr_core *core, const char *job_id) {
+    rr_job *job = g_hash_table_lookup(core->jobs, job_id);
     return job && job->version && !job->done && !job->cancelled ? job : NULL;
 }
 
-bool rr_core_finish_job(const rr_core *c, const char *job_id, bool placed_are_gone,
-                        rr_transaction *t) {
-    const rr_job *job = open_job(c, job_id);
+bool rr_core_finish_job(const rr_core *core, const char *job_id, bool placed_are_gone,
+                        rr_transaction *transaction) {
+    const rr_job *job = open_job(core, job_id);
     bool may_end = job && (job->placed_count == 0 || placed_are_gone);
     if (may_end) {
-        rr_job_final_record(job, t);
+        rr_job_final_record(job, transaction);
     }
     return may_end;
 }
 
-bool rr_core_guard_job(const rr_core *c, const char *job_id, rr_transaction *t) {
-    const rr_job *job = open_job(c, job_id);
+bool rr_core_guard_job(const rr_core *core, const char *job_id, rr_transaction *transaction) {
+    const rr_job *job = open_job(core, job_id);
     if (job) {
         char key[RR_ID_SIZE + 64];
         rr_core_job_key(job_id, key, sizeof key);
-        rr_transaction_guard(t, key, job->own_version);
+        rr_transaction_guard(transaction, key, job->own_version);
     }
     return job != NULL;
 }
 
-bool rr_core_abandon_job(const rr_core *c, const char *job_id, rr_transaction *t) {
+bool rr_core_abandon_job(const rr_core *core, const char *job_id, rr_transaction *transaction) {
     char key[RR_ID_SIZE + 64];
-    uint64_t mark;
-    rr_encoder o;
-    if (!open_job(c, job_id)) {
+    uint64_t version;
+    rr_encoder encoder;
+    if (!open_job(core, job_id)) {
         return false;
     }
-    rr_encoder_init(&o);
-    rr_core_cancel_record(c, job_id, &o, &mark);
+    rr_encoder_init(&encoder);
+    rr_core_cancel_record(core, job_id, &encoder, &version);
     rr_core_job_key(job_id, key, sizeof key);
-    rr_transaction_guard(t, key, mark);
-    rr_transaction_put(t, key, &o, 0);
+    rr_transaction_guard(transaction, key, version);
+    rr_transaction_put(transaction, key, &encoder, 0);
     return true;
 }
 
-bool rr_core_job_cancelled(const rr_core *c, const char *job_id, double now) {
-    const rr_job *job = g_hash_table_lookup(c->jobs, job_id);
+bool rr_core_job_cancelled(const rr_core *core, const char *job_id, double now) {
+    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
     bool done = false;
-    bool final = rr_job_final(c, job_id, &done, NULL);
-    return (job && job->cancelled) || (final && !done) || rr_has_cancel_hint(c, job_id, now);
+    bool final = rr_job_final(core, job_id, &done, NULL);
+    return (job && job->cancelled) || (final && !done) || rr_has_cancel_hint(core, job_id, now);
 }
--- a/src/core/place_gang.c
+++ b/src/core/place_gang.c
@@ -9,11 +9,11 @@
 
 static void unbook_last(struct rr_planner *planner, const rr_job *job, GArray *items) {
     rr_machine *machine = g_array_index(items, rr_placement_record, items->len - 1).machine;
-    rr_resources *booked = &g_array_index(planner->core->team_booked, rr_resources, job->team);
+    rr_resources *reserved = &g_array_index(planner->core->team_booked, rr_resources, job->team);
     g_array_set_size(items, items->len - 1);
     g_array_set_size(machine->reserved_jobs, machine->reserved_jobs->len - 1);
     machine->free = rr_resources_add(machine->free, job->request, 1);
-    *booked = rr_resources_add(*booked, job->request, -1);
+    *reserved = rr_resources_add(*reserved, job->request, -1);
 }
 
 /* Takes this plan's bookings of the gang under this attempt back. */
@@ -96,15 +96,15 @@
     double loss;    /* what stopping work for all these loses, and the time of the image's fetch */
 };
 
-static gint by_loss(gconstpointer a, gconstpointer b) {
-    const struct seat *x = a, *y = b;
-    if (x->loss != y->loss) {
-        return x->loss < y->loss ? -1 : 1;
+static gint by_loss(gconstpointer left_item, gconstpointer right_item) {
+    const struct seat *left = left_item, *right = right_item;
+    if (left->loss != right->loss) {
+        return left->loss < right->loss ? -1 : 1;
     }
-    if (x->machine != y->machine) {
-        return x->machine->id - y->machine->id;
+    if (left->machine != right->machine) {
+        return left->machine->id - right->machine->id;
     }
-    return x->tasks < y->tasks ? -1 : 1;
+    return left->tasks < right->tasks ? -1 : 1;
 }
 
 /* Adds the machine's seats; returns whether any of them needs victims. */
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -56,33 +56,33 @@
 };
 
 /* plan.c: the transaction */
-bool rr_ledger_record_fits(const rr_core *c, guint items);
+bool rr_ledger_record_fits(const rr_core *core, guint items);
 /* The record's changes in this plan, begun if need be; NULL: the transaction takes no more. */
-struct rr_plan_edit *rr_plan_edit_record(struct rr_planner *p, rr_job *j, uint32_t chunk);
-rr_placement_record *rr_plan_edit_find(const struct rr_plan_edit *e, uint64_t attempt,
+struct rr_plan_edit *rr_plan_edit_record(struct rr_planner *planner, rr_job *job, uint32_t chunk);
+rr_placement_record *rr_plan_edit_find(const struct rr_plan_edit *edit, uint64_t attempt,
                                        uint32_t task);
-guint rr_plan_terminated_count(const struct rr_planner *p,
-                               const rr_ledger_record *r); /* known to be over in it */
+guint rr_plan_terminated_count(const struct rr_planner *planner,
+                               const rr_ledger_record *record); /* known to be over in it */
 /* The state service takes the record as this plan may write it. */
-bool rr_plan_writable(const struct rr_planner *p, const rr_ledger_record *r);
-void rr_plan_guard(struct rr_planner *p, rr_job *j);
-void rr_plan_use_machine(struct rr_planner *p, rr_machine *m);
+bool rr_plan_writable(const struct rr_planner *planner, const rr_ledger_record *record);
+void rr_plan_guard(struct rr_planner *planner, rr_job *job);
+void rr_plan_use_machine(struct rr_planner *planner, rr_machine *machine);
 /* A placement is known to be over. */
-void rr_plan_terminated(struct rr_planner *p, rr_machine *m, rr_placement *pl, bool done,
-                        const char *why);
+void rr_plan_terminated(struct rr_planner *planner, rr_machine *machine, rr_placement *placement,
+                        bool done, const char *why);
 
 /* reconcile.c */
-rr_command_batch *rr_plan_command_batch(struct rr_planner *p,
-                                        rr_machine *m); /* this plan's command to the machine */
-void rr_reconcile(struct rr_planner *p);                /* machines that something happened to */
+rr_command_batch *rr_plan_command_batch(
+    struct rr_planner *planner, rr_machine *machine); /* this plan's command to the machine */
+void rr_reconcile(struct rr_planner *planner);        /* machines that something happened to */
 
 /* place.c */
-bool rr_any_job_waiting(const struct rr_planner *p);
-GPtrArray *rr_list_waiting_jobs(const struct rr_planner *p); /* rr_job*; the caller's */
-void rr_place_waiting(struct rr_planner *p, GPtrArray *wait);
-void rr_start_due_moves(struct rr_planner *p); /* those of a round's plan that are due */
+bool rr_any_job_waiting(const struct rr_planner *planner);
+GPtrArray *rr_list_waiting_jobs(const struct rr_planner *planner); /* rr_job*; the caller's */
+void rr_place_waiting(struct rr_planner *planner, GPtrArray *wait);
+void rr_start_due_moves(struct rr_planner *planner); /* those of a round's plan that are due */
 
 /* probes.c */
-void rr_probe_overdue_machines(struct rr_planner *p);
+void rr_probe_overdue_machines(struct rr_planner *planner);
 
 #endif
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -46,13 +46,15 @@
 };
 
 /* Lowest priority first, then most time to spare. */
-static gint by_priority_and_slack(gconstpointer a, gconstpointer b) {
-    const struct victim *x = a, *y = b;
-    if (x->placement->job->submission.priority != y->placement->job->submission.priority) {
-        return x->placement->job->submission.priority < y->placement->job->submission.priority ? -1
-                                                                                               : 1;
+static gint by_priority_and_slack(gconstpointer left_item, gconstpointer right_item) {
+    const struct victim *left = left_item, *right = right_item;
+    if (left->placement->job->submission.priority != right->placement->job->submission.priority) {
+        return left->placement->job->submission.priority <
+                       right->placement->job->submission.priority
+                   ? -1
+                   : 1;
     }
-    return x->slack > y->slack ? -1 : x->slack < y->slack;
+    return left->slack > right->slack ? -1 : left->slack < right->slack;
 }
 
 /* The protocol's two grounds: lower priority, or work of any priority that another team runs beyond
@@ -251,10 +253,10 @@
             least = found.loss;
         }
     }
-    bool booked = best && rr_preemption_find(planner, best, job, 1, &found) &&
-                  rr_reservation_record(planner, job, task) &&
-                  rr_preemption_mark(planner, best, job, &found) &&
-                  rr_reserve(planner, best, job, task);
+    bool reserved = best && rr_preemption_find(planner, best, job, 1, &found) &&
+                    rr_reservation_record(planner, job, task) &&
+                    rr_preemption_mark(planner, best, job, &found) &&
+                    rr_reserve(planner, best, job, task);
     rr_preemption_clear(&found);
-    return booked;
+    return reserved;
 }
--- a/src/core/provisioner.c
+++ b/src/core/provisioner.c
@@ -13,281 +13,288 @@
 #define DEAF_S 4.0        /* probes of a machine that still reports fail for this long */
 #define RETURN_WAIT_S 0.8 /* a booking made just before a return was announced shows by then */
 
-void rr_autoscaler_step_init(rr_autoscaler_step *s) {
-    memset(s, 0, sizeof *s);
-    rr_transaction_init(&s->transaction);
-    s->machines = g_ptr_array_new_with_free_func(g_free);
+void rr_autoscaler_step_init(rr_autoscaler_step *step) {
+    memset(step, 0, sizeof *step);
+    rr_transaction_init(&step->transaction);
+    step->machines = g_ptr_array_new_with_free_func(g_free);
 }
 
-void rr_autoscaler_step_clear(rr_autoscaler_step *s) {
-    rr_transaction_clear(&s->transaction);
-    g_ptr_array_free(s->machines, TRUE);
+void rr_autoscaler_step_clear(rr_autoscaler_step *step) {
+    rr_transaction_clear(&step->transaction);
+    g_ptr_array_free(step->machines, TRUE);
 }
 
 /* ---- what the cloud said ---- */
 
-void rr_core_catalog_read(rr_core *c, double now, const GArray *builds) {
-    c->catalog_at = now;
-    g_array_set_size(c->fresh_builds, 0);
-    for (guint i = 0; i < builds->len; i++) {
-        const rr_machine_type *b = &g_array_index(builds, rr_machine_type, i);
-        rr_machine_type copy = *b;
+void rr_core_catalog_read(rr_core *core, double now, const GArray *machine_types) {
+    core->catalog_at = now;
+    g_array_set_size(core->fresh_builds, 0);
+    for (guint i = 0; i < machine_types->len; i++) {
+        const rr_machine_type *type = &g_array_index(machine_types, rr_machine_type, i);
+        rr_machine_type copy = *type;
         copy.zones = g_ptr_array_new_with_free_func(g_free);
-        for (guint k = 0; k < b->zones->len; k++) {
-            g_ptr_array_add(copy.zones, g_strdup(g_ptr_array_index(b->zones, k)));
+        for (guint k = 0; k < type->zones->len; k++) {
+            g_ptr_array_add(copy.zones, g_strdup(g_ptr_array_index(type->zones, k)));
         }
-        g_array_append_val(c->fresh_builds, copy);
+        g_array_append_val(core->fresh_builds, copy);
     }
 }
 
-bool rr_recently_gone(const rr_core *c, const char *name, double now) {
-    const double *at = g_hash_table_lookup(c->gone, name);
+bool rr_recently_gone(const rr_core *core, const char *name, double now) {
+    const double *when = g_hash_table_lookup(core->gone, name);
     /* Lists lag up to twice their usual lag and a dead machine stays listed for half a minute. */
-    return at && now - *at < 3 * c->config->list_lag_s + 40;
+    return when && now - *when < 3 * core->config->list_lag_s + 40;
 }
 
-static void see_listed(rr_core *c, const rr_listed_machine *s, double asked_at, double now,
+static void see_listed(rr_core *core, const rr_listed_machine *listed, double asked_at, double now,
                        double wall) {
-    rr_machine *m = g_hash_table_lookup(c->machines, s->id);
-    if (!m || !m->recorded) {
-        if (s->state == RR_LISTED_FAILED) {
-            g_hash_table_add(c->stray_failed, g_strdup(s->id));
+    rr_machine *machine = g_hash_table_lookup(core->machines, listed->id);
+    if (!machine || !machine->recorded) {
+        if (listed->state == RR_LISTED_FAILED) {
+            g_hash_table_add(core->stray_failed, g_strdup(listed->id));
             return;
         }
-        if (rr_recently_gone(c, s->id, now)) {
+        if (rr_recently_gone(core, listed->id, now)) {
             return;
         }
-        m = rr_machine_get(c, s->id, now);
-        m->to_record = true;
-        m->created_at = wall - s->age_s;
+        machine = rr_machine_get(core, listed->id, now);
+        machine->to_record = true;
+        machine->created_at = wall - listed->age_s;
         /* There before the service's first term, or before it first rented anything: the operators'
          * own machines. (A list may give them no age when all start together.) */
-        m->operator_owned =
-            !m->rented && (m->created_at < c->term.first_term_at - 5 || !c->ever_rented);
+        machine->operator_owned =
+            !machine->rented &&
+            (machine->created_at < core->term.first_term_at - 5 || !core->ever_rented);
     }
-    if (m->machine_type < 0) {
-        m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
-        m->zone = rr_name_index_add(&c->zones, s->zone);
-        m->spot = s->spot;
+    if (machine->machine_type < 0) {
+        machine->machine_type = rr_name_index_add(&core->machine_types, listed->machine_type);
+        machine->zone = rr_name_index_add(&core->zones, listed->zone);
+        machine->spot = listed->spot;
     }
-    if (!m->address[0]) {
-        g_strlcpy(m->address, s->address, sizeof m->address);
+    if (!machine->address[0]) {
+        g_strlcpy(machine->address, listed->address, sizeof machine->address);
     }
-    if (!m->listed) {
-        m->listed = true;
-        m->listed_at = asked_at;
+    if (!machine->listed) {
+        machine->listed = true;
+        machine->listed_at = asked_at;
     }
-    m->list_failed = s->state == RR_LISTED_FAILED;
+    machine->list_failed = listed->state == RR_LISTED_FAILED;
 }
 
 /* Missing from a list taken more than twice the lag after it was first listed (three times, if it
  * never was): gone. A machine listed once stays listed until it is gone. */
-static bool missing_is_gone(const rr_core *c, const rr_machine *m, double asked_at) {
-    double lag = c->config->list_lag_s;
-    return m->listed ? asked_at > m->listed_at + 2 * lag + 1
-                     : asked_at > fmax(m->known_at, c->provisioner_since) + 3 * lag + 10;
+static bool missing_is_gone(const rr_core *core, const rr_machine *machine, double asked_at) {
+    double lag = core->config->list_lag_s;
+    return machine->listed
+               ? asked_at > machine->listed_at + 2 * lag + 1
+               : asked_at > fmax(machine->known_at, core->provisioner_since) + 3 * lag + 10;
 }
 
-void rr_core_machines_listed(rr_core *c, double asked_at, double now, double wall,
+void rr_core_machines_listed(rr_core *core, double asked_at, double now, double wall,
                              const GArray *machines) {
     GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
-    c->list_at = now;
-    c->list_read = true;
-    g_hash_table_remove_all(c->stray_failed);
+    core->list_at = now;
+    core->list_read = true;
+    g_hash_table_remove_all(core->stray_failed);
     for (guint i = 0; i < machines->len; i++) {
-        const rr_listed_machine *s = &g_array_index(machines, rr_listed_machine, i);
-        g_hash_table_add(seen, (gpointer)s->id);
-        see_listed(c, s, asked_at, now, wall);
+        const rr_listed_machine *listed = &g_array_index(machines, rr_listed_machine, i);
+        g_hash_table_add(seen, (gpointer)listed->id);
+        see_listed(core, listed, asked_at, now, wall);
     }
-    for (guint i = c->machine_list->len; i > 0; i--) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
-        if (g_hash_table_contains(seen, m->name)) {
+    for (guint i = core->machine_list->len; i > 0; i--) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i - 1);
+        if (g_hash_table_contains(seen, machine->name)) {
             continue;
         }
-        m->to_record = m->to_record && m->rented;
-        if (m->recorded && missing_is_gone(c, m, asked_at)) {
-            m->list_failed = true;
+        machine->to_record = machine->to_record && machine->rented;
+        if (machine->recorded && missing_is_gone(core, machine, asked_at)) {
+            machine->list_failed = true;
         }
     }
     g_hash_table_destroy(seen);
 }
 
-char *rr_refusal_key(const char *build, const char *zone, bool spot) {
-    return g_strdup_printf("%s|%s|%d", build, zone, spot);
+char *rr_refusal_key(const char *machine_type, const char *zone, bool spot) {
+    return g_strdup_printf("%s|%s|%d", machine_type, zone, spot);
 }
 
 /* The cloud has no more of this type, zone and kind for a while. */
-static void note_refusal(rr_core *c, double now, const rr_autoscaler_step *s) {
+static void note_refusal(rr_core *core, double now, const rr_autoscaler_step *step) {
     double *until = g_new(double, 1);
     *until = now + REFUSED_S;
-    g_hash_table_replace(c->refused, rr_refusal_key(s->machine_type, s->zone, s->spot), until);
+    g_hash_table_replace(core->refused, rr_refusal_key(step->machine_type, step->zone, step->spot),
+                         until);
 }
 
-static void note_rented(rr_core *c, double now, const rr_autoscaler_step *s, const char *id) {
-    if (rr_recently_gone(c, id, now)) {
+static void note_rented(rr_core *core, double now, const rr_autoscaler_step *step, const char *id) {
+    if (rr_recently_gone(core, id, now)) {
         return;
     }
-    rr_machine *m = rr_machine_get(c, id, now);
-    m->rented = true;
-    m->operator_owned = false;
-    if (!m->recorded) {
-        m->to_record = true;
-        m->created_at = m->created_at > 0 ? m->created_at : c->rented_at;
-        m->machine_type = rr_name_index_add(&c->machine_types, s->machine_type);
-        m->zone = rr_name_index_add(&c->zones, s->zone);
-        m->spot = s->spot;
+    rr_machine *machine = rr_machine_get(core, id, now);
+    machine->rented = true;
+    machine->operator_owned = false;
+    if (!machine->recorded) {
+        machine->to_record = true;
+        machine->created_at = machine->created_at > 0 ? machine->created_at : core->rented_at;
+        machine->machine_type = rr_name_index_add(&core->machine_types, step->machine_type);
+        machine->zone = rr_name_index_add(&core->zones, step->zone);
+        machine->spot = step->spot;
     }
 }
 
-void rr_core_scale_out_result(rr_core *c, double now, const rr_autoscaler_step *s, int status,
+void rr_core_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step, int status,
                               const GPtrArray *ids) {
-    rr_rental *h = g_hash_table_lookup(c->rentals, s->rental);
-    const char *kind = s->spot ? "spot" : "ordinary";
-    if (h && status == 503) {
-        h->refused = true;
-        note_refusal(c, now, s);
-        rr_log_at(c, RR_LOG_INFO, "rental %s: no capacity for %s %s in %s", s->rental,
-                  s->machine_type, kind, s->zone);
-    }
-    if (!h || status != 200) {
+    rr_rental *rental = g_hash_table_lookup(core->rentals, step->rental);
+    const char *kind = step->spot ? "spot" : "ordinary";
+    if (rental && status == 503) {
+        rental->refused = true;
+        note_refusal(core, now, step);
+        rr_log_at(core, RR_LOG_INFO, "rental %s: no capacity for %s %s in %s", step->rental,
+                  step->machine_type, kind, step->zone);
+    }
+    if (!rental || status != 200) {
         return;
     }
-    if ((int)ids->len < h->count) {
-        note_refusal(c, now, s);
+    if ((int)ids->len < rental->count) {
+        note_refusal(core, now, step);
     }
-    h->answered = true;
+    rental->answered = true;
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
-        g_ptr_array_add(h->machine_ids, g_strdup(id));
-        note_rented(c, now, s, id);
+        g_ptr_array_add(rental->machine_ids, g_strdup(id));
+        note_rented(core, now, step, id);
     }
-    c->rented += ids->len;
-    rr_log_at(c, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", s->rental, ids->len, h->count,
-              s->machine_type, kind, s->zone);
+    core->rented += ids->len;
+    rr_log_at(core, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", step->rental, ids->len,
+              rental->count, step->machine_type, kind, step->zone);
 }
 
-void rr_core_scale_in_result(rr_core *c, double now, const GPtrArray *ids) {
+void rr_core_scale_in_result(rr_core *core, double now, const GPtrArray *ids) {
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
-        rr_machine *m = g_hash_table_lookup(c->machines, id);
-        g_hash_table_remove(c->stray_failed, id);
-        if (m && m->recorded) {
-            m->list_failed = true; /* gone with everything on it: the record may go */
-            rr_log_at(c, RR_LOG_DEBUG, "machine %s is returned after %.0f s", id,
-                      now - m->known_at);
-        } else if (m && m->placements->len == 0) {
+        rr_machine *machine = g_hash_table_lookup(core->machines, id);
+        g_hash_table_remove(core->stray_failed, id);
+        if (machine && machine->recorded) {
+            machine->list_failed = true; /* gone with everything on it: the record may go */
+            rr_log_at(core, RR_LOG_DEBUG, "machine %s is returned after %.0f s", id,
+                      now - machine->known_at);
+        } else if (machine && machine->placements->len == 0) {
             /* With places it stays as a name until the ledger has none: a provisioner ended when a
              * machine was listed as failed, lost its record and was then released as a stray. */
-            rr_machine_forget(c, m);
+            rr_machine_forget(core, machine);
         }
     }
 }
 
 /* ---- steps ---- */
 
-static bool step_rentals_done(rr_core *c, double now, rr_autoscaler_step *out) {
-    GHashTableIter it;
-    gpointer v;
+static bool step_rentals_done(rr_core *core, double now, rr_autoscaler_step *out) {
+    GHashTableIter iter;
+    gpointer value;
     char key[RR_ID_SIZE + 32];
-    g_hash_table_iter_init(&it, c->rentals);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        rr_rental *h = v;
-        bool over = h->refused;
-        if (h->answered) {
+    g_hash_table_iter_init(&iter, core->rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        rr_rental *rental = value;
+        bool over = rental->refused;
+        if (rental->answered) {
             over = true;
-            for (guint i = 0; i < h->machine_ids->len; i++) {
-                const char *id = g_ptr_array_index(h->machine_ids, i);
-                const rr_machine *m = g_hash_table_lookup(c->machines, id);
-                over = over && ((m && m->recorded) || rr_recently_gone(c, id, now));
+            for (guint i = 0; i < rental->machine_ids->len; i++) {
+                const char *id = g_ptr_array_index(rental->machine_ids, i);
+                const rr_machine *machine = g_hash_table_lookup(core->machines, id);
+                over = over && ((machine && machine->recorded) || rr_recently_gone(core, id, now));
             }
         }
-        if (over && (int)out->transaction.changes->len < rr_transaction_changes_max(c->config)) {
-            rr_rental_key(h->name, key, sizeof key);
-            rr_transaction_guard(&out->transaction, key, h->version);
+        if (over && (int)out->transaction.changes->len < rr_transaction_changes_max(core->config)) {
+            rr_rental_key(rental->name, key, sizeof key);
+            rr_transaction_guard(&out->transaction, key, rental->version);
             rr_transaction_delete(&out->transaction, key);
         }
     }
     return out->transaction.changes->len > 0;
 }
 
-static bool same_machine_type(const rr_machine_type *a, const rr_machine_type *b) {
-    bool same = a && a->cpus == b->cpus && a->gpus == b->gpus && a->mem_gb == b->mem_gb &&
-                a->cache_gb == b->cache_gb && a->pull_rate == b->pull_rate &&
-                a->price == b->price && a->spot_price == b->spot_price &&
-                a->startup_s == b->startup_s && a->zones->len == b->zones->len;
-    for (guint i = 0; same && i < a->zones->len; i++) {
-        same = strcmp(a->zones->pdata[i], b->zones->pdata[i]) == 0;
+static bool same_machine_type(const rr_machine_type *left, const rr_machine_type *type) {
+    bool same = left && left->cpus == type->cpus && left->gpus == type->gpus &&
+                left->mem_gb == type->mem_gb && left->cache_gb == type->cache_gb &&
+                left->pull_rate == type->pull_rate && left->price == type->price &&
+                left->spot_price == type->spot_price && left->startup_s == type->startup_s &&
+                left->zones->len == type->zones->len;
+    for (guint i = 0; same && i < left->zones->len; i++) {
+        same = strcmp(left->zones->pdata[i], type->zones->pdata[i]) == 0;
     }
     return same;
 }
 
 /* What was read is written until the mirror shows it: a change of term may void a transaction. */
-static bool record_machine_types(rr_core *c, rr_autoscaler_step *out) {
-    for (guint i = 0; i < c->fresh_builds->len; i++) {
-        const rr_machine_type *b = &g_array_index(c->fresh_builds, rr_machine_type, i);
-        if ((int)out->transaction.changes->len < rr_transaction_changes_max(c->config) &&
+static bool record_machine_types(rr_core *core, rr_autoscaler_step *out) {
+    for (guint i = 0; i < core->fresh_builds->len; i++) {
+        const rr_machine_type *type = &g_array_index(core->fresh_builds, rr_machine_type, i);
+        if ((int)out->transaction.changes->len < rr_transaction_changes_max(core->config) &&
             !same_machine_type(
-                rr_machine_type_at(c, rr_name_index_find(&c->machine_types, b->name)), b)) {
+                rr_machine_type_at(core, rr_name_index_find(&core->machine_types, type->name)),
+                type)) {
             char key[RR_ID_SIZE + 32];
-            rr_encoder o;
-            rr_encoder_init(&o);
-            rr_machine_type_encode(&o, b);
-            g_snprintf(key, sizeof key, RR_KEY_ROOT "build/%s", b->name);
-            rr_transaction_put(&out->transaction, key, &o, 0);
+            rr_encoder encoder;
+            rr_encoder_init(&encoder);
+            rr_machine_type_encode(&encoder, type);
+            g_snprintf(key, sizeof key, RR_KEY_ROOT "build/%s", type->name);
+            rr_transaction_put(&out->transaction, key, &encoder, 0);
         }
     }
     return out->transaction.changes->len > 0;
 }
 
-static bool step_catalog(rr_core *c, double now, rr_autoscaler_step *out) {
-    if (record_machine_types(c, out)) {
+static bool step_catalog(rr_core *core, double now, rr_autoscaler_step *out) {
+    if (record_machine_types(core, out)) {
         out->kind = RR_AUTOSCALER_COMMIT;
         return true;
     }
-    if (c->catalog_at == 0 || now - c->catalog_at > CATALOG_S) {
-        c->catalog_at = now - CATALOG_S + 2; /* not again at once if it fails */
+    if (core->catalog_at == 0 || now - core->catalog_at > CATALOG_S) {
+        core->catalog_at = now - CATALOG_S + 2; /* not again at once if it fails */
         out->kind = RR_AUTOSCALER_CATALOG;
         return true;
     }
     return false;
 }
 
-static bool step_release(rr_core *c, double now, rr_autoscaler_step *out) {
-    GHashTableIter it;
-    gpointer k;
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
+static bool step_release(rr_core *core, double now, rr_autoscaler_step *out) {
+    GHashTableIter iter;
+    gpointer key;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
         /* What an owner booked there meanwhile is not thrown away; a dead machine goes as it is. */
-        bool empty = m->placements->len == 0 && now - m->scaling_in_at > RETURN_WAIT_S;
-        if (m->recorded && m->scaling_in && m->to_release && !m->list_failed &&
-            (empty || m->declared_dead) && out->machines->len < 100) {
-            g_ptr_array_add(out->machines, g_strdup(m->name));
-            m->releasing = true;
+        bool empty = machine->placements->len == 0 && now - machine->scaling_in_at > RETURN_WAIT_S;
+        if (machine->recorded && machine->scaling_in && machine->to_release &&
+            !machine->list_failed && (empty || machine->declared_dead) &&
+            out->machines->len < 100) {
+            g_ptr_array_add(out->machines, g_strdup(machine->name));
+            machine->releasing = true;
         }
     }
-    g_hash_table_iter_init(&it, c->stray_failed);
-    while (g_hash_table_iter_next(&it, &k, NULL) && out->machines->len < 100) {
-        g_ptr_array_add(out->machines, g_strdup(k));
+    g_hash_table_iter_init(&iter, core->stray_failed);
+    while (g_hash_table_iter_next(&iter, &key, NULL) && out->machines->len < 100) {
+        g_ptr_array_add(out->machines, g_strdup(key));
     }
     return out->machines->len > 0;
 }
 
-static bool step_rental(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
-    GHashTableIter it;
-    gpointer v;
-    g_hash_table_iter_init(&it, c->rentals);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        rr_rental *h = v;
-        if (h->answered || h->refused || (h->tried_at > 0 && now - h->tried_at < RENTAL_RETRY_S)) {
+static bool step_rental(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
+    GHashTableIter iter;
+    gpointer value;
+    g_hash_table_iter_init(&iter, core->rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        rr_rental *rental = value;
+        if (rental->answered || rental->refused ||
+            (rental->tried_at > 0 && now - rental->tried_at < RENTAL_RETRY_S)) {
             continue;
         }
-        h->tried_at = now;
-        c->rented_at = wall;
-        g_strlcpy(out->rental, h->name, sizeof out->rental);
-        g_strlcpy(out->machine_type, h->machine_type, sizeof out->machine_type);
-        g_strlcpy(out->zone, h->zone, sizeof out->zone);
-        out->spot = h->spot;
-        out->count = h->count;
+        rental->tried_at = now;
+        core->rented_at = wall;
+        g_strlcpy(out->rental, rental->name, sizeof out->rental);
+        g_strlcpy(out->machine_type, rental->machine_type, sizeof out->machine_type);
+        g_strlcpy(out->zone, rental->zone, sizeof out->zone);
+        out->spot = rental->spot;
+        out->count = rental->count;
         return true;
     }
     return false;
@@ -295,111 +302,115 @@
 
 /* ---- troubles ---- */
 
-static const char *trouble_of(rr_core *c, const rr_machine *m, double now, double wall) {
-    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    double boot = b && b->startup_s > 0 ? b->startup_s : 60;
-    bool empty = m->placements->len == 0;
-    if (rr_machine_dead(c, m, now)) {
+static const char *trouble_of(rr_core *core, const rr_machine *machine, double now, double wall) {
+    const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
+    double boot = type && type->startup_s > 0 ? type->startup_s : 60;
+    bool empty = machine->placements->len == 0;
+    if (rr_machine_dead(core, machine, now)) {
         return "dead or hung";
     }
     /* It goes on reporting, so that it is not silent; but no command reaches it, ours and an
      * owner's neither directly nor through whoever hears it, and its lease will run out. */
-    if (m->heartbeat_seen && m->failed_suspect_probes >= 3 &&
-        now - m->suspect_probes_failed_at > DEAF_S && !rr_machine_heartbeat_overdue(c, m, now)) {
+    if (machine->heartbeat_seen && machine->failed_suspect_probes >= 3 &&
+        now - machine->suspect_probes_failed_at > DEAF_S &&
+        !rr_machine_heartbeat_overdue(core, machine, now)) {
         return "reports, but hears nothing";
     }
-    if (rr_machine_name_reused(m, now)) {
+    if (rr_machine_name_reused(machine, now)) {
         return "back under its name with its counts begun anew";
     }
-    if (!m->heartbeat_seen && wall - m->created_at > 4 * boot + 30 && empty &&
-        now - c->provisioner_since > 2 * boot) {
+    if (!machine->heartbeat_seen && wall - machine->created_at > 4 * boot + 30 && empty &&
+        now - core->provisioner_since > 2 * boot) {
         return "never came up";
     }
-    if (rr_machine_quarantined(m, now) && empty) {
+    if (rr_machine_quarantined(machine, now) && empty) {
         return "sick: tasks of several jobs failed";
     }
     return NULL;
 }
 
 /* Decides about one machine; the record's change and the release follow from give_up. */
-static void judge(rr_core *c, rr_machine *m, double now, double wall) {
-    if (!m->recorded) {
+static void judge(rr_core *core, rr_machine *machine, double now, double wall) {
+    if (!machine->recorded) {
         return;
     }
-    const char *why = trouble_of(c, m, now, wall);
-    bool empty = m->placements->len == 0;
-    if (m->to_release && !why && !empty && rr_machine_heartbeat_recent(c, m, now) &&
-        !m->releasing) {
-        m->to_release = m->declared_dead = false; /* it speaks again, or was idle, and has work */
+    const char *why = trouble_of(core, machine, now, wall);
+    bool empty = machine->placements->len == 0;
+    if (machine->to_release && !why && !empty && rr_machine_heartbeat_recent(core, machine, now) &&
+        !machine->releasing) {
+        machine->to_release = machine->declared_dead =
+            false; /* it speaks again, or was idle, and has work */
         return;
     }
-    bool idle = m->surplus && empty && !m->operator_owned &&
-                now - m->idle_since > c->config->tuning.idle_return_s && wall - m->created_at > 60;
-    if (m->to_release || m->scaling_in || !(why || idle)) {
+    bool idle = machine->surplus && empty && !machine->operator_owned &&
+                now - machine->idle_since > core->config->tuning.idle_return_s &&
+                wall - machine->created_at > 60;
+    if (machine->to_release || machine->scaling_in || !(why || idle)) {
         return;
     }
-    m->to_release = true;
-    m->declared_dead = why && !empty;
-    c->given_up++;
-    rr_log_at(c, RR_LOG_DEBUG, "give up %s (%u tasks): %s", m->name, m->placements->len,
-              why ? why : "idle");
+    machine->to_release = true;
+    machine->declared_dead = why && !empty;
+    core->given_up++;
+    rr_log_at(core, RR_LOG_DEBUG, "give up %s (%u tasks): %s", machine->name,
+              machine->placements->len, why ? why : "idle");
 }
-void rr_review_machines(rr_core *c, double now, double wall) {
-    rr_detect_partitions(c, now);
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        judge(c, g_ptr_array_index(c->machine_list, i), now, wall);
+void rr_review_machines(rr_core *core, double now, double wall) {
+    rr_detect_partitions(core, now);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        judge(core, g_ptr_array_index(core->machine_list, i), now, wall);
     }
 }
 
-static void begin_provisioning(rr_core *c, double now) {
-    c->provisioner_token = c->term.token;
-    c->provisioner_since = now;
-    c->list_at = c->sim_at = 0;
-    c->list_read = false;
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->list_failed = m->listed = m->surplus = m->declared_dead = m->releasing = false;
-        m->to_release =
-            m->scaling_in; /* what was to go back goes, unless it is judged to have work */
-        m->declared_dead =
-            m->scaling_in && m->placements->len > 0 && !rr_machine_heartbeat_recent(c, m, now);
-        m->probe_fails = 0;
-        m->failed_suspect_probes = 0;
-    }
-    GHashTableIter it;
-    gpointer v;
-    g_hash_table_iter_init(&it, c->rentals);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        rr_rental *h = v;
-        h->answered = h->refused = false;
-        h->tried_at = 0;
-        g_ptr_array_set_size(h->machine_ids, 0);
-    }
-    rr_log_at(c, RR_LOG_INFO, "provisioner of term %" G_GUINT64_FORMAT, c->term.token);
+static void begin_provisioning(rr_core *core, double now) {
+    core->provisioner_token = core->term.token;
+    core->provisioner_since = now;
+    core->list_at = core->sim_at = 0;
+    core->list_read = false;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        machine->list_failed = machine->listed = machine->surplus = machine->declared_dead =
+            machine->releasing = false;
+        machine->to_release =
+            machine->scaling_in; /* what was to go back goes, unless it is judged to have work */
+        machine->declared_dead = machine->scaling_in && machine->placements->len > 0 &&
+                                 !rr_machine_heartbeat_recent(core, machine, now);
+        machine->probe_fails = 0;
+        machine->failed_suspect_probes = 0;
+    }
+    GHashTableIter iter;
+    gpointer value;
+    g_hash_table_iter_init(&iter, core->rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        rr_rental *rental = value;
+        rental->answered = rental->refused = false;
+        rental->tried_at = 0;
+        g_ptr_array_set_size(rental->machine_ids, 0);
+    }
+    rr_log_at(core, RR_LOG_INFO, "provisioner of term %" G_GUINT64_FORMAT, core->term.token);
 }
 
-void rr_core_autoscaler_step(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
+void rr_core_autoscaler_step(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
     out->kind = RR_AUTOSCALER_NONE;
-    if (!rr_core_is_autoscaler(c, now) || !rr_core_cache_consistent(c) || c->anew) {
+    if (!rr_core_is_autoscaler(core, now) || !rr_core_cache_consistent(core) || core->anew) {
         return;
     }
-    if (c->provisioner_token != c->term.token) {
-        begin_provisioning(c, now);
+    if (core->provisioner_token != core->term.token) {
+        begin_provisioning(core, now);
     }
-    if (rr_autoscaler_step_records(c, now, wall, out) || step_rentals_done(c, now, out) ||
-        step_catalog(c, now, out) || rr_autoscaler_step_demand(c, now, wall, out)) {
+    if (rr_autoscaler_step_records(core, now, wall, out) || step_rentals_done(core, now, out) ||
+        step_catalog(core, now, out) || rr_autoscaler_step_demand(core, now, wall, out)) {
         if (out->kind == RR_AUTOSCALER_NONE) {
             out->kind = RR_AUTOSCALER_COMMIT;
         }
-    } else if (step_rental(c, now, wall, out)) {
+    } else if (step_rental(core, now, wall, out)) {
         out->kind = RR_AUTOSCALER_SCALE_OUT;
-    } else if (step_release(c, now, out)) {
+    } else if (step_release(core, now, out)) {
         out->kind = RR_AUTOSCALER_SCALE_IN;
-    } else if (c->list_at == 0 || now - c->list_at > c->config->tuning.cloud_list_s) {
-        c->list_at = now;
+    } else if (core->list_at == 0 || now - core->list_at > core->config->tuning.cloud_list_s) {
+        core->list_at = now;
         out->kind = RR_AUTOSCALER_LIST;
     }
     if (out->kind == RR_AUTOSCALER_COMMIT) {
-        rr_transaction_guard(&out->transaction, RR_KEY_ROOT "term", c->term.version);
+        rr_transaction_guard(&out->transaction, RR_KEY_ROOT "term", core->term.version);
     }
 }
--- a/src/core/provisioner.h
+++ b/src/core/provisioner.h
@@ -10,7 +10,7 @@
 /* Its record went not long ago: lists that lag and late reports may still name it. */
 bool rr_recently_gone(const rr_core *core, const char *name, double now);
 /* The key of a type, zone and kind among the cloud's refusals; the caller's to free. */
-char *rr_refusal_key(const char *build, const char *zone, bool spot);
+char *rr_refusal_key(const char *machine_type, const char *zone, bool spot);
 /* Decides which machines are given up or go back; those that the demand left as surplus may. */
 void rr_review_machines(rr_core *core, double now, double wall);
 
--- a/src/core/provisioner_demand.c
+++ b/src/core/provisioner_demand.c
@@ -17,25 +17,27 @@
     rr_resources room; /* of the newest */
 };
 
-static bool is_refused(rr_core *c, const char *build, const char *zone, bool spot, double now) {
-    char *key = rr_refusal_key(build, zone, spot);
-    const double *until = g_hash_table_lookup(c->refused, key);
+static bool is_refused(rr_core *core, const char *machine_type, const char *zone, bool spot,
+                       double now) {
+    char *key = rr_refusal_key(machine_type, zone, spot);
+    const double *until = g_hash_table_lookup(core->refused, key);
     g_free(key);
     return until && now < *until;
 }
 
 /* A machine that new work can count on: usable now, or booting within patience. */
-static bool counts(const rr_core *c, const rr_machine *m, double now) {
-    const rr_machine_type *b = rr_machine_type_at(c, m->machine_type);
-    if (!m->recorded || m->scaling_in || m->to_release || !b) {
+static bool counts(const rr_core *core, const rr_machine *machine, double now) {
+    const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
+    if (!machine->recorded || machine->scaling_in || machine->to_release || !type) {
         return false;
     }
-    if (!m->heartbeat_seen) {
-        return now - m->known_at < c->config->tuning.boot_patience * b->startup_s + 5;
+    if (!machine->heartbeat_seen) {
+        return now - machine->known_at < core->config->tuning.boot_patience * type->startup_s + 5;
     }
-    return rr_machine_schedulable(c, m, now) ||
-           (rr_machine_heartbeat_recent(c, m, now) && m->heartbeat.spot_notice_s < 0 &&
-            !rr_machine_quarantined(m, now) && !rr_machine_heartbeats_lost(c, m, now));
+    return rr_machine_schedulable(core, machine, now) ||
+           (rr_machine_heartbeat_recent(core, machine, now) &&
+            machine->heartbeat.spot_notice_s < 0 && !rr_machine_quarantined(machine, now) &&
+            !rr_machine_heartbeats_lost(core, machine, now));
 }
 
 /* One simulation: what waits is put on paper onto the machines there are, then onto machines to
@@ -48,65 +50,67 @@
     guint *in_zone;   /* machines by zone, with those to rent */
 };
 
-static bool roomy(const rr_core *c, const rr_machine *m) {
-    return rr_resources_free_share(m->free, rr_machine_capacity(c, m)) > RR_RESOURCE_EPSILON;
+static bool roomy(const rr_core *core, const rr_machine *machine) {
+    return rr_resources_free_share(machine->free, rr_machine_capacity(core, machine)) >
+           RR_RESOURCE_EPSILON;
 }
 
 static const rr_core *sort_core; /* qsort has no argument; the core is one call at a time */
 
-static gint by_cost(gconstpointer a, gconstpointer b) {
-    const rr_machine *x = *(rr_machine *const *)a, *y = *(rr_machine *const *)b;
-    double cx = rr_machine_price(sort_core, x) *
-                rr_resources_free_share(x->free, rr_machine_capacity(sort_core, x));
-    double cy = rr_machine_price(sort_core, y) *
-                rr_resources_free_share(y->free, rr_machine_capacity(sort_core, y));
-    if (fabs(cx - cy) > 1e-9) {
-        return cx < cy ? -1 : 1;
+static gint by_cost(gconstpointer left_item, gconstpointer right_item) {
+    const rr_machine *left = *(rr_machine *const *)left_item,
+                     *right = *(rr_machine *const *)right_item;
+    double left_cost = rr_machine_price(sort_core, left) *
+                       rr_resources_free_share(left->free, rr_machine_capacity(sort_core, left));
+    double right_cost = rr_machine_price(sort_core, right) *
+                        rr_resources_free_share(right->free, rr_machine_capacity(sort_core, right));
+    if (fabs(left_cost - right_cost) > 1e-9) {
+        return left_cost < right_cost ? -1 : 1;
     }
-    return x->id - y->id;
+    return left->id - right->id;
 }
 
 /* The machines that have room on paper, as the paper's choice would take them. */
-static void sort_roomy(struct demand_simulation *s) {
-    rr_core *c = s->core;
-    g_ptr_array_set_size(s->roomy, 0);
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        c->visits++;
-        if (counts(c, m, s->now) && roomy(c, m)) {
-            g_ptr_array_add(s->roomy, m);
+static void sort_roomy(struct demand_simulation *sim) {
+    rr_core *core = sim->core;
+    g_ptr_array_set_size(sim->roomy, 0);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        core->visits++;
+        if (counts(core, machine, sim->now) && roomy(core, machine)) {
+            g_ptr_array_add(sim->roomy, machine);
         }
     }
-    sort_core = c;
-    g_ptr_array_sort(s->roomy, by_cost);
+    sort_core = core;
+    g_ptr_array_sort(sim->roomy, by_cost);
 }
 
 /* Puts up to n tasks of the job on machines there are, so many on each at most; returns how many
  * found no room. */
-static uint32_t fill_machines(struct demand_simulation *s, const rr_job *j, const bool *zones,
-                              uint32_t n, uint32_t each) {
-    rr_core *c = s->core;
+static uint32_t fill_machines(struct demand_simulation *sim, const rr_job *job, const bool *zones,
+                              uint32_t count, uint32_t each) {
+    rr_core *core = sim->core;
     guint kept = 0;
     guint i = 0;
-    for (; i < s->roomy->len && n > 0; i++) {
-        rr_machine *m = g_ptr_array_index(s->roomy, i);
-        c->visits++;
-        if (m->zone >= 0 && zones[m->zone] &&
-            rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
-            uint32_t k = rr_tasks_fitting(j->request, m->free, MIN(n, each));
-            m->free = rr_resources_add(m->free, j->request, -(double)k);
-            m->surplus = m->surplus && k == 0;
-            n -= k;
+    for (; i < sim->roomy->len && count > 0; i++) {
+        rr_machine *machine = g_ptr_array_index(sim->roomy, i);
+        core->visits++;
+        if (machine->zone >= 0 && zones[machine->zone] &&
+            rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot)) {
+            uint32_t k = rr_tasks_fitting(job->request, machine->free, MIN(count, each));
+            machine->free = rr_resources_add(machine->free, job->request, -(double)k);
+            machine->surplus = machine->surplus && k == 0;
+            count -= k;
         }
-        if (roomy(c, m)) {
-            s->roomy->pdata[kept++] = m;
+        if (roomy(core, machine)) {
+            sim->roomy->pdata[kept++] = machine;
         }
     }
-    for (; i < s->roomy->len; i++) {
-        s->roomy->pdata[kept++] = s->roomy->pdata[i];
+    for (; i < sim->roomy->len; i++) {
+        sim->roomy->pdata[kept++] = sim->roomy->pdata[i];
     }
-    g_ptr_array_set_size(s->roomy, (gint)kept);
-    return n;
+    g_ptr_array_set_size(sim->roomy, (gint)kept);
+    return count;
 }
 
 /* A place where a machine could be rented for a task. */
@@ -116,32 +120,35 @@
     guint in_zone; /* machines of the zone, with those to rent */
 };
 
-static bool better_offer(const struct offer *a, const struct offer *b) {
-    if (b->rental.machine_type < 0 || a->price < b->price - 1e-9) {
+static bool better_offer(const struct offer *left, const struct offer *right) {
+    if (right->rental.machine_type < 0 || left->price < right->price - 1e-9) {
         return true;
     }
-    return a->price < b->price + 1e-9 && a->in_zone < b->in_zone;
+    return left->price < right->price + 1e-9 && left->in_zone < right->in_zone;
 }
 
 /* The machine type's cheapest offer for the task, if it is better than *best. */
-static void consider_machine_type(const struct demand_simulation *s, const rr_job *j,
-                                  const bool *zones, int build, struct offer *best) {
-    rr_core *c = s->core;
-    const rr_machine_type *b = rr_machine_type_at(c, build);
-    rr_resources cap = b ? (rr_resources){b->cpus, b->gpus, b->mem_gb} : (rr_resources){0, 0, 0};
-    if (!b || !rr_resources_fit(j->request, cap)) {
+static void consider_machine_type(const struct demand_simulation *sim, const rr_job *job,
+                                  const bool *zones, int machine_type, struct offer *best) {
+    rr_core *core = sim->core;
+    const rr_machine_type *type = rr_machine_type_at(core, machine_type);
+    rr_resources capacity =
+        type ? (rr_resources){type->cpus, type->gpus, type->mem_gb} : (rr_resources){0, 0, 0};
+    if (!type || !rr_resources_fit(job->request, capacity)) {
         return;
     }
-    double share = 1 - rr_resources_free_share(rr_resources_add(cap, j->request, -1), cap);
-    for (guint i = 0; i < 2 * b->zones->len; i++) {
-        int w = rr_name_index_find(&c->zones, g_ptr_array_index(b->zones, i / 2));
+    double share =
+        1 - rr_resources_free_share(rr_resources_add(capacity, job->request, -1), capacity);
+    for (guint i = 0; i < 2 * type->zones->len; i++) {
+        int zone = rr_name_index_find(&core->zones, g_ptr_array_index(type->zones, i / 2));
         bool spot = i % 2 == 1;
-        if (w < 0 || !zones[w] || !rr_job_allows(c, j, build, w, spot) ||
-            is_refused(c, b->name, rr_name_index_at(&c->zones, w), spot, s->now)) {
+        if (zone < 0 || !zones[zone] || !rr_job_allows(core, job, machine_type, zone, spot) ||
+            is_refused(core, type->name, rr_name_index_at(&core->zones, zone), spot, sim->now)) {
             continue;
         }
-        struct offer offer = {
-            {build, w, spot, 0, cap}, (spot ? b->spot_price : b->price) * share, s->in_zone[w]};
+        struct offer offer = {{machine_type, zone, spot, 0, capacity},
+                              (spot ? type->spot_price : type->price) * share,
+                              sim->in_zone[zone]};
         if (better_offer(&offer, best)) {
             *best = offer;
         }
@@ -149,45 +156,47 @@
 }
 
 /* One machine more of this type, zone and kind is to be rented. */
-static struct planned_rental *add_rental(struct demand_simulation *s,
+static struct planned_rental *add_rental(struct demand_simulation *sim,
                                          const struct planned_rental *rent) {
-    for (guint i = 0; i < s->rentals->len; i++) {
-        struct planned_rental *r = &g_array_index(s->rentals, struct planned_rental, i);
-        if (r->machine_type == rent->machine_type && r->zone == rent->zone &&
-            r->spot == rent->spot) {
-            r->count++;
-            r->room = rent->room;
-            return r;
+    for (guint i = 0; i < sim->rentals->len; i++) {
+        struct planned_rental *existing = &g_array_index(sim->rentals, struct planned_rental, i);
+        if (existing->machine_type == rent->machine_type && existing->zone == rent->zone &&
+            existing->spot == rent->spot) {
+            existing->count++;
+            existing->room = rent->room;
+            return existing;
         }
     }
-    g_array_append_val(s->rentals, *rent);
+    g_array_append_val(sim->rentals, *rent);
     struct planned_rental *added =
-        &g_array_index(s->rentals, struct planned_rental, s->rentals->len - 1);
+        &g_array_index(sim->rentals, struct planned_rental, sim->rentals->len - 1);
     added->count = 1;
     return added;
 }
 
 /* The cheapest place that would take the task, per task that fits; between equals the zone with
  * fewest machines. */
-static struct planned_rental *plan_rental_for(struct demand_simulation *s, const rr_job *j,
+static struct planned_rental *plan_rental_for(struct demand_simulation *sim, const rr_job *job,
                                               const bool *zones) {
     struct offer best = {.rental = {.machine_type = -1}};
-    for (guint build = 0; build < s->core->build_info->len; build++) {
-        consider_machine_type(s, j, zones, (int)build, &best);
+    for (guint machine_type = 0; machine_type < sim->core->build_info->len; machine_type++) {
+        consider_machine_type(sim, job, zones, (int)machine_type, &best);
     }
     if (best.rental.machine_type < 0) {
         return NULL;
     }
-    s->in_zone[best.rental.zone]++;
-    return add_rental(s, &best.rental);
+    sim->in_zone[best.rental.zone]++;
+    return add_rental(sim, &best.rental);
 }
 
-static bool fill_planned_rentals(struct demand_simulation *s, const rr_job *j, const bool *zones) {
-    for (guint i = 0; i < s->rentals->len; i++) {
-        struct planned_rental *r = &g_array_index(s->rentals, struct planned_rental, i);
-        if (zones[r->zone] && rr_job_allows(s->core, j, r->machine_type, r->zone, r->spot) &&
-            rr_resources_fit(j->request, r->room)) {
-            r->room = rr_resources_add(r->room, j->request, -1);
+static bool fill_planned_rentals(struct demand_simulation *sim, const rr_job *job,
+                                 const bool *zones) {
+    for (guint i = 0; i < sim->rentals->len; i++) {
+        struct planned_rental *rent = &g_array_index(sim->rentals, struct planned_rental, i);
+        if (zones[rent->zone] &&
+            rr_job_allows(sim->core, job, rent->machine_type, rent->zone, rent->spot) &&
+            rr_resources_fit(job->request, rent->room)) {
+            rent->room = rr_resources_add(rent->room, job->request, -1);
             return true;
         }
     }
@@ -196,119 +205,124 @@
 
 /* Finds room for n more tasks: on machines there are, or on machines to rent. A job spread over
  * zones rents in turn where it may still go. */
-static void demand(struct demand_simulation *s, const rr_job *j, bool *zones, uint32_t n,
+static void demand(struct demand_simulation *sim, const rr_job *job, bool *zones, uint32_t count,
                    uint32_t each, bool may_rent) {
-    n = fill_machines(s, j, zones, n, each);
-    for (; may_rent && n > 0; n--) {
-        if (fill_planned_rentals(s, j, zones)) {
+    count = fill_machines(sim, job, zones, count, each);
+    for (; may_rent && count > 0; count--) {
+        if (fill_planned_rentals(sim, job, zones)) {
             continue;
         }
-        struct planned_rental *r = plan_rental_for(s, j, zones);
-        if (!r) {
+        struct planned_rental *rent = plan_rental_for(sim, job, zones);
+        if (!rent) {
             return;
         }
-        r->room = rr_resources_add(r->room, j->request, -1);
+        rent->room = rr_resources_add(rent->room, job->request, -1);
     }
 }
 
 /* Deadline work waits for room to come free while it can still make it on a new machine. */
-static bool must_scale_out(const rr_core *c, const rr_job *j, double wall) {
-    if (j->submission.deadline_s < 0) {
+static bool must_scale_out(const rr_core *core, const rr_job *job, double wall) {
+    if (job->submission.deadline_s < 0) {
         return true;
     }
     double boot = 0, pull = 0;
-    for (guint i = 0; i < c->build_info->len; i++) {
-        const rr_machine_type *b = rr_machine_type_at(c, (int)i);
-        if (b) {
-            boot = fmax(boot, b->startup_s);
-            pull = fmax(pull, b->pull_rate > 0 ? j->submission.image_size_gb / b->pull_rate : 0);
+    for (guint i = 0; i < core->build_info->len; i++) {
+        const rr_machine_type *type = rr_machine_type_at(core, (int)i);
+        if (type) {
+            boot = fmax(boot, type->startup_s);
+            pull = fmax(pull,
+                        type->pull_rate > 0 ? job->submission.image_size_gb / type->pull_rate : 0);
         }
     }
-    double slack = j->accepted_at + j->submission.deadline_s - wall -
-                   1.3 * j->submission.runtime_estimate_s - 1.3 * boot - pull;
+    double slack = job->accepted_at + job->submission.deadline_s - wall -
+                   1.3 * job->submission.runtime_estimate_s - 1.3 * boot - pull;
     return slack < 40;
 }
 
 /* Placements on machines that are gone or given up as dead. Their owners clear the ledger as
  * changes allow: waiting for that, the provisioner rented for 1,200 lost tasks over a minute and a
  * half. */
-static void count_lost(const rr_core *c) {
-    for (guint i = 0; i < c->open->len; i++) {
-        ((rr_job *)g_ptr_array_index(c->open, i))->lost_count = 0;
+static void count_lost(const rr_core *core) {
+    for (guint i = 0; i < core->open->len; i++) {
+        ((rr_job *)g_ptr_array_index(core->open, i))->lost_count = 0;
     }
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        for (guint k = 0;
-             k < m->placements->len && (m->gone || (m->to_release && m->declared_dead)); k++) {
-            const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
-            p->job->lost_count += !rr_job_task_done(p->job, p->task);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        for (guint k = 0; k < machine->placements->len &&
+                          (machine->gone || (machine->to_release && machine->declared_dead));
+             k++) {
+            const rr_placement *placement = &g_array_index(machine->placements, rr_placement, k);
+            placement->job->lost_count += !rr_job_task_done(placement->job, placement->task);
         }
     }
 }
 
 /* Room for a gang in one zone is of no use in pieces over several: the zone in which most of it
  * fits now, or else any one of those allowed. */
-static void one_zone(struct demand_simulation *s, const rr_job *j, bool *zones) {
-    rr_core *c = s->core;
-    int best = rr_zone_with_most_room(c, j, zones, s->now);
-    for (guint w = 0; w < c->zones.names->len; w++) {
-        best = best < 0 && zones[w] ? (int)w : best;
-        zones[w] = (int)w == best;
+static void one_zone(struct demand_simulation *sim, const rr_job *job, bool *zones) {
+    rr_core *core = sim->core;
+    int best = rr_zone_with_most_room(core, job, zones, sim->now);
+    for (guint zone = 0; zone < core->zones.names->len; zone++) {
+        best = best < 0 && zones[zone] ? (int)zone : best;
+        zones[zone] = (int)zone == best;
     }
 }
 
 /* Tasks of the job for which room is wanted: no more than the team's limit lets run at a time, and
  * than can be rented soon. */
-static uint32_t wanted_tasks(const rr_core *c, const rr_job *j) {
-    if (!j->version || j->cancelled || j->done || rr_job_transferred(c, j) ||
-        rr_job_of_another_cell(c, j) || j->team < 0 || (size_t)j->team >= c->config->team_count) {
+static uint32_t wanted_tasks(const rr_core *core, const rr_job *job) {
+    if (!job->version || job->cancelled || job->done || rr_job_transferred(core, job) ||
+        rr_job_of_another_cell(core, job) || job->team < 0 ||
+        (size_t)job->team >= core->config->team_count) {
         return 0;
     }
-    const struct rr_team_config *t = &c->config->teams[j->team];
-    uint32_t n = MIN(j->submission.task_count - j->done_count - j->placed_count + j->lost_count,
-                     j->submission.task_count - j->done_count);
-    n = MIN(n, WANTED_MAX);
-    if (t->cpus_max > 0 && j->request.cpus > 0) {
-        n = MIN(n, (uint32_t)(t->cpus_max / j->request.cpus + 1));
+    const struct rr_team_config *team = &core->config->teams[job->team];
+    uint32_t count =
+        MIN(job->submission.task_count - job->done_count - job->placed_count + job->lost_count,
+            job->submission.task_count - job->done_count);
+    count = MIN(count, WANTED_MAX);
+    if (team->cpus_max > 0 && job->request.cpus > 0) {
+        count = MIN(count, (uint32_t)(team->cpus_max / job->request.cpus + 1));
     }
-    if (t->gpus_max > 0 && j->request.gpus > 0) {
-        n = MIN(n, (uint32_t)(t->gpus_max / j->request.gpus + 1));
+    if (team->gpus_max > 0 && job->request.gpus > 0) {
+        count = MIN(count, (uint32_t)(team->gpus_max / job->request.gpus + 1));
     }
-    return n;
+    return count;
 }
 
-static void demand_waiting(struct demand_simulation *s) {
-    const rr_core *c = s->core;
-    count_lost(c);
-    for (guint i = 0; i < c->open->len; i++) {
-        const rr_job *j = g_ptr_array_index(c->open, i);
-        uint32_t n = wanted_tasks(c, j);
-        bool zones[c->zones.names->len + 1];
-        if (n == 0) {
+static void demand_waiting(struct demand_simulation *sim) {
+    const rr_core *core = sim->core;
+    count_lost(core);
+    for (guint i = 0; i < core->open->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->open, i);
+        uint32_t count = wanted_tasks(core, job);
+        bool zones[core->zones.names->len + 1];
+        if (count == 0) {
             continue;
         }
-        rr_job_zones(c, j, zones, NULL);
-        if (j->submission.kind == RR_JOB_GANG && j->submission.one_zone) {
-            one_zone(s, j, zones);
+        rr_job_zones(core, job, zones, NULL);
+        if (job->submission.kind == RR_JOB_GANG && job->submission.one_zone) {
+            one_zone(sim, job, zones);
         }
         /* A service's replicas keep separate machines. */
-        demand(s, j, zones, n, j->submission.kind == RR_JOB_SERVICE ? 1 : n,
-               must_scale_out(c, j, s->wall));
+        demand(sim, job, zones, count, job->submission.kind == RR_JOB_SERVICE ? 1 : count,
+               must_scale_out(core, job, sim->wall));
     }
 }
 
 /* Work that would make room for the class and can save within its aim is as good as free room. */
-static void credit_preemptible(rr_core *c, const rr_job *j, double within_s, double now) {
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        for (guint k = 0; k < m->placements->len && counts(c, m, now); k++) {
-            const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
-            const rr_submission *v = &p->job->submission;
-            if (v->kind == RR_JOB_ARRAY && v->priority < j->submission.priority &&
-                j->submission.priority > RR_PRIORITY_STANDARD && v->checkpoint_interval_s > 0 &&
-                v->save_s + 1 <= within_s &&
-                rr_job_allows(c, j, m->machine_type, m->zone, m->spot)) {
-                m->free = rr_resources_add(m->free, p->job->request, 1);
+static void credit_preemptible(rr_core *core, const rr_job *job, double within_s, double now) {
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        for (guint k = 0; k < machine->placements->len && counts(core, machine, now); k++) {
+            const rr_placement *placement = &g_array_index(machine->placements, rr_placement, k);
+            const rr_submission *submission = &placement->job->submission;
+            if (submission->kind == RR_JOB_ARRAY &&
+                submission->priority < job->submission.priority &&
+                job->submission.priority > RR_PRIORITY_STANDARD &&
+                submission->checkpoint_interval_s > 0 && submission->save_s + 1 <= within_s &&
+                rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot)) {
+                machine->free = rr_resources_add(machine->free, placement->job->request, 1);
             }
         }
     }
@@ -316,131 +330,137 @@
 
 /* Tasks of the class that have arrived lately, and the last of their jobs. What came at the very
  * start was a stock, not a rate. */
-static double arrived_tasks(const rr_core *c, const char *job_class, const rr_job **last) {
+static double arrived_tasks(const rr_core *core, const char *job_class, const rr_job **last) {
     double tasks = 0;
     *last = NULL;
-    for (guint k = 0; k < c->arrivals->len; k++) {
-        const rr_job *j = g_array_index(c->arrivals, rr_job *, k);
-        if (strcmp(j->submission.job_class, job_class) == 0) {
-            *last = j;
-            tasks += j->accepted_at > c->term.first_term_at + START_STOCK_S
-                         ? j->submission.task_count
+    for (guint k = 0; k < core->arrivals->len; k++) {
+        const rr_job *job = g_array_index(core->arrivals, rr_job *, k);
+        if (strcmp(job->submission.job_class, job_class) == 0) {
+            *last = job;
+            tasks += job->accepted_at > core->term.first_term_at + START_STOCK_S
+                         ? job->submission.task_count
                          : 0;
         }
     }
     return tasks;
 }
 
-static double longest_boot(const rr_core *c) {
+static double longest_boot(const rr_core *core) {
     double boot = 0;
-    for (guint i = 0; i < c->build_info->len; i++) {
-        const rr_machine_type *b = rr_machine_type_at(c, (int)i);
-        boot = b ? fmax(boot, b->startup_s) : boot;
+    for (guint i = 0; i < core->build_info->len; i++) {
+        const rr_machine_type *type = rr_machine_type_at(core, (int)i);
+        boot = type ? fmax(boot, type->startup_s) : boot;
     }
     return boot;
 }
 
 /* Room kept for a class with an aim on its start: what arrives while a machine boots. */
-static void demand_headroom(struct demand_simulation *s) {
-    rr_core *c = s->core;
-    rr_arrivals_trim(c, s->wall);
-    double span = fmin(RR_ARRIVAL_WINDOW_S, fmax(60, s->wall - c->term.first_term_at));
-    for (size_t i = 0; i < c->config->objective_count; i++) {
-        const struct rr_objective *o = &c->config->objectives[i];
+static void demand_headroom(struct demand_simulation *sim) {
+    rr_core *core = sim->core;
+    rr_arrivals_trim(core, sim->wall);
+    double span = fmin(RR_ARRIVAL_WINDOW_S, fmax(60, sim->wall - core->term.first_term_at));
+    for (size_t i = 0; i < core->config->objective_count; i++) {
+        const struct rr_objective *objective = &core->config->objectives[i];
         const rr_job *last;
-        if (strcmp(o->kind, "wait") != 0) {
+        if (strcmp(objective->kind, "wait") != 0) {
             continue;
         }
-        double tasks = arrived_tasks(c, o->job_class, &last);
+        double tasks = arrived_tasks(core, objective->job_class, &last);
         if (!last) {
             continue;
         }
-        double mean = tasks / span * (1.2 * longest_boot(c) + 10);
-        int n = (int)ceil(c->config->tuning.headroom * (mean + sqrt(mean)));
-        bool zones[c->zones.names->len + 1];
-        for (guint w = 0; w < c->zones.names->len; w++) {
-            zones[w] = !last->submission.zone[0] ||
-                       strcmp(last->submission.zone, rr_name_index_at(&c->zones, (int)w)) == 0;
+        double mean = tasks / span * (1.2 * longest_boot(core) + 10);
+        int count = (int)ceil(core->config->tuning.headroom * (mean + sqrt(mean)));
+        bool zones[core->zones.names->len + 1];
+        for (guint zone = 0; zone < core->zones.names->len; zone++) {
+            zones[zone] =
+                !last->submission.zone[0] ||
+                strcmp(last->submission.zone, rr_name_index_at(&core->zones, (int)zone)) == 0;
         }
-        credit_preemptible(c, last, o->within_s, s->now);
-        sort_roomy(s);
-        demand(s, last, zones, (uint32_t)MAX(n, 0), (uint32_t)MAX(n, 0), true);
+        credit_preemptible(core, last, objective->within_s, sim->now);
+        sort_roomy(sim);
+        demand(sim, last, zones, (uint32_t)MAX(count, 0), (uint32_t)MAX(count, 0), true);
     }
 }
 
 /* Machines asked for and not yet recorded, of this type, zone and kind. */
-static int pending_for(const rr_core *c, const struct planned_rental *r) {
-    GHashTableIter it;
-    gpointer v;
-    int n = 0;
-    g_hash_table_iter_init(&it, c->rentals);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const rr_rental *h = v;
-        if (strcmp(h->machine_type, rr_name_index_at(&c->machine_types, r->machine_type)) == 0 &&
-            strcmp(h->zone, rr_name_index_at(&c->zones, r->zone)) == 0 && h->spot == r->spot) {
-            n += h->count;
+static int pending_for(const rr_core *core, const struct planned_rental *rent) {
+    GHashTableIter iter;
+    gpointer value;
+    int count = 0;
+    g_hash_table_iter_init(&iter, core->rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const rr_rental *rental = value;
+        if (strcmp(rental->machine_type,
+                   rr_name_index_at(&core->machine_types, rent->machine_type)) == 0 &&
+            strcmp(rental->zone, rr_name_index_at(&core->zones, rent->zone)) == 0 &&
+            rental->spot == rent->spot) {
+            count += rental->count;
         }
     }
-    return n;
+    return count;
 }
 
-static void put_intent(rr_core *c, const struct planned_rental *r, int n, rr_autoscaler_step *out) {
+static void put_intent(rr_core *core, const struct planned_rental *rent, int count,
+                       rr_autoscaler_step *out) {
     char name[RR_ID_SIZE], key[RR_ID_SIZE + 32];
-    rr_encoder o;
+    rr_encoder encoder;
     /* A request's name is never used again: token, counter. */
-    g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, c->term.token,
-               ++c->counter);
+    g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, core->term.token,
+               ++core->counter);
     rr_rental_key(name, key, sizeof key);
-    rr_encoder_init(&o);
-    rr_encode_map(&o, 4);
-    rr_encode_key_text(&o, "build", rr_name_index_at(&c->machine_types, r->machine_type));
-    rr_encode_key_text(&o, "ward", rr_name_index_at(&c->zones, r->zone));
-    rr_encode_key_bool(&o, "loaners", r->spot);
-    rr_encode_key_u64(&o, "n", (uint64_t)n);
+    rr_encoder_init(&encoder);
+    rr_encode_map(&encoder, 4);
+    rr_encode_key_text(&encoder, "build",
+                       rr_name_index_at(&core->machine_types, rent->machine_type));
+    rr_encode_key_text(&encoder, "ward", rr_name_index_at(&core->zones, rent->zone));
+    rr_encode_key_bool(&encoder, "loaners", rent->spot);
+    rr_encode_key_u64(&encoder, "n", (uint64_t)count);
     rr_transaction_guard(&out->transaction, key, 0);
-    rr_transaction_put(&out->transaction, key, &o, 0);
+    rr_transaction_put(&out->transaction, key, &encoder, 0);
 }
 
 /* Intents for what is to be rented, less what is under way. */
-static void put_intents(rr_core *c, const GArray *rents, rr_autoscaler_step *out) {
+static void put_intents(rr_core *core, const GArray *rents, rr_autoscaler_step *out) {
     for (guint i = 0; i < rents->len; i++) {
-        const struct planned_rental *r = &g_array_index(rents, struct planned_rental, i);
-        int left = r->count - pending_for(c, r);
+        const struct planned_rental *rent = &g_array_index(rents, struct planned_rental, i);
+        int left = rent->count - pending_for(core, rent);
         while (left > 0 &&
-               (int)out->transaction.changes->len < rr_transaction_changes_max(c->config) &&
-               g_hash_table_size(c->rentals) + out->transaction.changes->len < RENTALS_MAX) {
-            int n = MIN(left, RENTAL_MAX);
-            put_intent(c, r, n, out);
-            left -= n;
+               (int)out->transaction.changes->len < rr_transaction_changes_max(core->config) &&
+               g_hash_table_size(core->rentals) + out->transaction.changes->len < RENTALS_MAX) {
+            int count = MIN(left, RENTAL_MAX);
+            put_intent(core, rent, count, out);
+            left -= count;
         }
     }
 }
 
-bool rr_autoscaler_step_demand(rr_core *c, double now, double wall, rr_autoscaler_step *out) {
-    if (now - c->sim_at < 1 || !c->list_read || !c->catalog_known) {
+bool rr_autoscaler_step_demand(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
+    if (now - core->sim_at < 1 || !core->list_read || !core->catalog_known) {
         return false;
     }
-    c->sim_at = now;
-    guint in_zone[c->zones.names->len + 1];
+    core->sim_at = now;
+    guint in_zone[core->zones.names->len + 1];
     memset(in_zone, 0, sizeof in_zone);
-    struct demand_simulation s = {c,
-                                  now,
-                                  wall,
-                                  g_array_new(FALSE, FALSE, sizeof(struct planned_rental)),
-                                  g_ptr_array_new(),
-                                  in_zone};
-    rr_reset_free_resources(c);
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->surplus = true;
-        in_zone[m->zone >= 0 && m->recorded ? (guint)m->zone : c->zones.names->len]++;
+    struct demand_simulation sim = {core,
+                                    now,
+                                    wall,
+                                    g_array_new(FALSE, FALSE, sizeof(struct planned_rental)),
+                                    g_ptr_array_new(),
+                                    in_zone};
+    rr_reset_free_resources(core);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        machine->surplus = true;
+        in_zone[machine->zone >= 0 && machine->recorded ? (guint)machine->zone
+                                                        : core->zones.names->len]++;
     }
-    sort_roomy(&s);
-    demand_waiting(&s);
-    demand_headroom(&s);
-    rr_review_machines(c, now, wall);
-    put_intents(c, s.rentals, out);
-    g_array_free(s.rentals, TRUE);
-    g_ptr_array_free(s.roomy, TRUE);
+    sort_roomy(&sim);
+    demand_waiting(&sim);
+    demand_headroom(&sim);
+    rr_review_machines(core, now, wall);
+    put_intents(core, sim.rentals, out);
+    g_array_free(sim.rentals, TRUE);
+    g_ptr_array_free(sim.roomy, TRUE);
     return out->transaction.changes->len > 0;
 }
