--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -10,52 +10,58 @@
 
 /* ---- orders ---- */
 
-rr_command_batch *rr_plan_command_batch(struct rr_planner *p, rr_machine *m) {
-    if (m->plan_commands) {
-        return m->plan_commands;
-    }
-    rr_command_batch *d = g_new0(rr_command_batch, 1);
-    g_strlcpy(d->machine, m->name, sizeof d->machine);
-    g_strlcpy(d->address, m->address, sizeof d->address);
-    d->fencing_token = p->core->term.token;
-    d->worker_epoch = m->heartbeat.worker_epoch;
-    d->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
-    d->fallback = m->heard_via;
-    d->via = m->heard_via >= 0 && p->now < m->direct_path_bad_until ? m->heard_via : -1;
-    d->may_time_out = m->unanswered > 0 ||
-                      rr_heartbeat_age(m, p->now) > 1.3 * p->core->config->heartbeat_interval_s;
-    m->plan_commands = d;
-    g_ptr_array_add(p->plan->command_batches, d);
-    return d;
+rr_command_batch *rr_plan_command_batch(struct rr_planner *planner, rr_machine *machine) {
+    if (machine->plan_commands) {
+        return machine->plan_commands;
+    }
+    rr_command_batch *batch = g_new0(rr_command_batch, 1);
+    g_strlcpy(batch->machine, machine->name, sizeof batch->machine);
+    g_strlcpy(batch->address, machine->address, sizeof batch->address);
+    batch->fencing_token = planner->core->term.token;
+    batch->worker_epoch = machine->heartbeat.worker_epoch;
+    batch->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
+    batch->fallback = machine->heard_via;
+    batch->via = machine->heard_via >= 0 && planner->now < machine->direct_path_bad_until
+                     ? machine->heard_via
+                     : -1;
+    batch->may_time_out =
+        machine->unanswered > 0 ||
+        rr_heartbeat_age(machine, planner->now) > 1.3 * planner->core->config->heartbeat_interval_s;
+    machine->plan_commands = batch;
+    g_ptr_array_add(planner->plan->command_batches, batch);
+    return batch;
 }
 
-static void add_command(struct rr_planner *p, rr_machine *m, enum rr_command_kind verb,
-                        const char *ref, uint32_t task, uint64_t attempt, double grace_s) {
-    rr_command o = {.kind = verb, .task = task, .attempt = attempt, .grace_s = grace_s};
-    g_strlcpy(o.job_id, ref, sizeof o.job_id);
-    g_array_append_val(rr_plan_command_batch(p, m)->commands, o);
+static void add_command(struct rr_planner *planner, rr_machine *machine,
+                        enum rr_command_kind command_kind, const char *job_id, uint32_t task,
+                        uint64_t attempt, double grace_s) {
+    rr_command command = {
+        .kind = command_kind, .task = task, .attempt = attempt, .grace_s = grace_s};
+    g_strlcpy(command.job_id, job_id, sizeof command.job_id);
+    g_array_append_val(rr_plan_command_batch(planner, machine)->commands, command);
 }
 
 /* An attempt's start may be under way still: it went unanswered under this token and worker_epoch.
  */
-static bool start_lost(const rr_core *c, const rr_machine *m, uint64_t attempt) {
-    return m->unanswered_starts_token == c->term.token &&
-           m->unanswered_starts_epoch == m->heartbeat.worker_epoch &&
-           g_hash_table_contains(m->unanswered_starts, &attempt);
+static bool start_lost(const rr_core *core, const rr_machine *machine, uint64_t attempt) {
+    return machine->unanswered_starts_token == core->term.token &&
+           machine->unanswered_starts_epoch == machine->heartbeat.worker_epoch &&
+           g_hash_table_contains(machine->unanswered_starts, &attempt);
 }
 
-static const char *exit_reason_name(enum rr_exit_reason cause) {
+static const char *exit_reason_name(enum rr_exit_reason exit_reason) {
     static const char *const names[] = {"ended",  "done",    "halted", "error",      "full",
                                         "in use", "no such", "peers",  "incomplete", "ended"};
-    return names[cause];
+    return names[exit_reason];
 }
 
 /* ---- what a placement needs ---- */
 
-static bool older_in(const rr_ledger_record *r, const rr_placement *pl) {
-    for (guint i = 0; i < r->placements->len; i++) {
-        const rr_placement_record *it = &g_array_index(r->placements, rr_placement_record, i);
-        if (it->task == pl->task && it->attempt < pl->attempt) {
+static bool older_in(const rr_ledger_record *record, const rr_placement *placement) {
+    for (guint i = 0; i < record->placements->len; i++) {
+        const rr_placement_record *item =
+            &g_array_index(record->placements, rr_placement_record, i);
+        if (item->task == placement->task && item->attempt < placement->attempt) {
             return true;
         }
     }
@@ -64,146 +70,158 @@
 
 /* The older placement of a task is the live one; a newer one waits for its end (moves: the
  * destination is booked first). */
-static bool has_older(const rr_placement *pl) {
-    rr_job *j = pl->job;
-    if (!j->placed || pl->task >= j->submission.task_count || j->placed[pl->task] < 2) {
+static bool has_older(const rr_placement *placement) {
+    rr_job *job = placement->job;
+    if (!job->placed || placement->task >= job->submission.task_count ||
+        job->placed[placement->task] < 2) {
         return false;
     }
-    if (older_in(rr_job_ledger_record(j, pl->task / j->tasks_per_record), pl)) {
+    if (older_in(rr_job_ledger_record(job, placement->task / job->tasks_per_record), placement)) {
         return true;
     }
-    for (guint n = rr_job_chunks(j); n < j->records->len; n++) { /* overflow records */
-        const rr_ledger_record *r = g_ptr_array_index(j->records, n);
-        if (r && older_in(r, pl)) {
+    for (guint i = rr_job_chunks(job); i < job->records->len; i++) { /* overflow records */
+        const rr_ledger_record *record = g_ptr_array_index(job->records, i);
+        if (record && older_in(record, placement)) {
             return true;
         }
     }
     return false;
 }
 
-static bool unwanted(const struct rr_planner *p, const rr_machine *m, const rr_placement *pl) {
+static bool unwanted(const struct rr_planner *planner, const rr_machine *machine,
+                     const rr_placement *placement) {
     bool saving;
-    if (pl->job->submission.kind == RR_JOB_GANG &&
-        rr_gang_stops(p->core, pl->job, p->now, &saving)) {
+    if (placement->job->submission.kind == RR_JOB_GANG &&
+        rr_gang_stops(planner->core, placement->job, planner->now, &saving)) {
         return true;
     }
-    return pl->job->cancelled || rr_job_revoked(p->core, pl->job) ||
-           rr_job_task_done(pl->job, pl->task) || pl->preempt || m->heartbeat.spot_notice_s >= 0;
+    return placement->job->cancelled || rr_job_revoked(planner->core, placement->job) ||
+           rr_job_task_done(placement->job, placement->task) || placement->preempt ||
+           machine->heartbeat.spot_notice_s >= 0;
 }
 
 /* Time to save: what the aim of the work that waits, or the notice, leaves. */
-static double leave_for(const struct rr_planner *p, const rr_machine *m, const rr_placement *pl) {
+static double leave_for(const struct rr_planner *planner, const rr_machine *machine,
+                        const rr_placement *placement) {
     bool saving = true;
-    if (pl->job->cancelled || pl->job->done || rr_job_revoked(p->core, pl->job) ||
-        pl->job->submission.checkpoint_interval_s <= 0) {
+    if (placement->job->cancelled || placement->job->done ||
+        rr_job_revoked(planner->core, placement->job) ||
+        placement->job->submission.checkpoint_interval_s <= 0) {
         return 0;
     }
     /* A gang saves whole: who has saved waits for those that were told last. */
-    if (pl->job->submission.kind == RR_JOB_GANG) {
-        rr_gang_stops(p->core, pl->job, p->now, &saving);
-        return saving ? pl->job->submission.save_s + p->core->config->gang_peer_s : 0;
+    if (placement->job->submission.kind == RR_JOB_GANG) {
+        rr_gang_stops(planner->core, placement->job, planner->now, &saving);
+        return saving ? placement->job->submission.save_s + planner->core->config->gang_peer_s : 0;
     }
-    if (pl->preempt == RR_PREEMPT_AT_ONCE) {
+    if (placement->preempt == RR_PREEMPT_AT_ONCE) {
         return 0;
     }
-    double leave = pl->job->submission.save_s + 2;
-    if (m->heartbeat.spot_notice_s >= 0 && m->heartbeat.spot_notice_s < leave) {
-        leave = fmax(m->heartbeat.spot_notice_s, 0);
+    double leave = placement->job->submission.save_s + 2;
+    if (machine->heartbeat.spot_notice_s >= 0 && machine->heartbeat.spot_notice_s < leave) {
+        leave = fmax(machine->heartbeat.spot_notice_s, 0);
     }
     return leave;
 }
 
-static void stop_placement(struct rr_planner *p, rr_machine *m, rr_placement *pl,
-                           const rr_task_status *r) {
-    double leave = leave_for(p, m, pl);
+static void stop_placement(struct rr_planner *planner, rr_machine *machine, rr_placement *placement,
+                           const rr_task_status *task) {
+    double leave = leave_for(planner, machine, placement);
     /* A task that is saving is left to it, unless its user has cancelled the job. */
-    if (pl->stop_at > 0 && p->now - pl->stop_at < RESEND_S) {
+    if (placement->stop_at > 0 && planner->now - placement->stop_at < RESEND_S) {
         return;
     }
-    if (r && r->state == RR_TASK_SAVING && leave > 0) {
+    if (task && task->state == RR_TASK_SAVING && leave > 0) {
         return;
     }
     /* Told to save, a gang is left to it for as long as that takes: another stop without grace, as
      * one exits and the gang counts as lost, would undo what the others save. */
-    if (pl->job->submission.kind == RR_JOB_GANG && pl->stop_grace_s > 0 && !pl->job->cancelled &&
-        p->now - pl->stop_at < pl->stop_grace_s) {
+    if (placement->job->submission.kind == RR_JOB_GANG && placement->stop_grace_s > 0 &&
+        !placement->job->cancelled && planner->now - placement->stop_at < placement->stop_grace_s) {
         return;
     }
-    if (!r && !start_lost(p->core, m, pl->attempt)) {
+    if (!task && !start_lost(planner->core, machine, placement->attempt)) {
         return;
     }
-    if (!r) {
+    if (!task) {
         /* An unanswered start may come late. Started and stopped under one token, the attempt
          * stays on the machine as exited and blocks the late copy. */
-        add_command(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
+        add_command(planner, machine, RR_COMMAND_START, placement->job->submission.job_id,
+                    placement->task, placement->attempt, 0);
         leave = 0;
     }
-    add_command(p, m, RR_COMMAND_STOP, pl->job->submission.job_id, pl->task, pl->attempt, leave);
-    pl->stop_at = p->now;
-    pl->stop_grace_s = leave;
+    add_command(planner, machine, RR_COMMAND_STOP, placement->job->submission.job_id,
+                placement->task, placement->attempt, leave);
+    placement->stop_at = planner->now;
+    placement->stop_grace_s = leave;
 }
 
 /* Booked over others that are to go first: the machine would refuse it now. Where nothing is to go,
  * two owners booked the same room, and the worker decides between them. */
-static bool room_coming(const rr_core *c, const rr_machine *m) {
+static bool room_coming(const rr_core *core, const rr_machine *machine) {
     bool leaving = false;
-    rr_resources used = m->used;
-    for (guint i = 0; i < m->placements->len; i++) {
-        const rr_placement *q = &g_array_index(m->placements, rr_placement, i);
-        bool over = q->terminated_at > 0;
-        used = over ? rr_resources_add(used, q->job->request, -1) : used;
-        leaving = leaving || (!over && (q->preempt || q->job->cancelled));
-    }
-    return leaving && !rr_resources_fit(used, rr_machine_capacity(c, m));
+    rr_resources used = machine->used;
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const rr_placement *other = &g_array_index(machine->placements, rr_placement, i);
+        bool over = other->terminated_at > 0;
+        used = over ? rr_resources_add(used, other->job->request, -1) : used;
+        leaving = leaving || (!over && (other->preempt || other->job->cancelled));
+    }
+    return leaving && !rr_resources_fit(used, rr_machine_capacity(core, machine));
 }
 
-static void start_placement(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
-    if (pl->start_at > 0 && p->now - pl->start_at < RESEND_S) {
+static void start_placement(struct rr_planner *planner, rr_machine *machine,
+                            rr_placement *placement) {
+    if (placement->start_at > 0 && planner->now - placement->start_at < RESEND_S) {
         return;
     }
-    if (room_coming(p->core, m) || has_older(pl) || m->scaling_in) {
+    if (room_coming(planner->core, machine) || has_older(placement) || machine->scaling_in) {
         return;
     }
-    add_command(p, m, RR_COMMAND_START, pl->job->submission.job_id, pl->task, pl->attempt, 0);
-    pl->start_at = p->now;
+    add_command(planner, machine, RR_COMMAND_START, placement->job->submission.job_id,
+                placement->task, placement->attempt, 0);
+    placement->start_at = planner->now;
 }
 
 /* True: it is to be looked at again before the machine reports anything new. */
-static bool reconcile_placement(struct rr_planner *p, rr_machine *m, rr_placement *pl) {
-    const rr_core *c = p->core;
-    const rr_task_status *r = rr_task_status_find(m, pl);
-    if (m->heartbeat.worker_epoch > pl->worker_epoch) {
+static bool reconcile_placement(struct rr_planner *planner, rr_machine *machine,
+                                rr_placement *placement) {
+    const rr_core *core = planner->core;
+    const rr_task_status *task = rr_task_status_find(machine, placement);
+    if (machine->heartbeat.worker_epoch > placement->worker_epoch) {
         /* The worker killed and forgot everything of the earlier worker_epoch, and commands for it
          * are refused. */
-        rr_plan_terminated(p, m, pl,
-                           r && r->state == RR_TASK_ENDED && r->exit_reason == RR_EXIT_DONE,
+        rr_plan_terminated(planner, machine, placement,
+                           task && task->state == RR_TASK_ENDED &&
+                               task->exit_reason == RR_EXIT_DONE,
                            "later worker epoch");
         return true;
     }
-    if (r && r->state == RR_TASK_ENDED) {
+    if (task && task->state == RR_TASK_ENDED) {
         /* Shown as exited it can't start again before it is reaped, and that comes after this. */
-        rr_plan_terminated(p, m, pl, r->exit_reason == RR_EXIT_DONE,
-                           exit_reason_name(r->exit_reason));
+        rr_plan_terminated(planner, machine, placement, task->exit_reason == RR_EXIT_DONE,
+                           exit_reason_name(task->exit_reason));
         return true;
     }
-    bool stop = unwanted(p, m, pl);
-    if (r && !stop) {
+    bool stop = unwanted(planner, machine, placement);
+    if (task && !stop) {
         return false;
     }
-    if (m->command_inflight || p->now < m->next_command_at ||
-        !rr_machine_heartbeat_recent(c, m, p->now)) {
+    if (machine->command_inflight || planner->now < machine->next_command_at ||
+        !rr_machine_heartbeat_recent(core, machine, planner->now)) {
         return true;
     }
     if (!stop) {
-        start_placement(p, m, pl);
+        start_placement(planner, machine, placement);
         return true;
     }
     /* Absent in a report that knows the present token, with no start of this term under way: it
      * never will be there. */
-    if (!r && m->heartbeat.fencing_token == c->term.token && !start_lost(c, m, pl->attempt)) {
-        rr_plan_terminated(p, m, pl, false, "absent");
+    if (!task && machine->heartbeat.fencing_token == core->term.token &&
+        !start_lost(core, machine, placement->attempt)) {
+        rr_plan_terminated(planner, machine, placement, false, "absent");
     } else {
-        stop_placement(p, m, pl, r);
+        stop_placement(planner, machine, placement, task);
     }
     return true;
 }
@@ -213,148 +231,156 @@
  * connection, and one more report with news that every owner has to hear. Only what is done for
  * good waits: a task that is to run again may be refused where an earlier attempt of it is still
  * shown. */
-static bool reap_may_wait(const struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
-    if (m->plan_commands || r->exit_reason != RR_EXIT_DONE ||
-        m->heartbeat.tasks->len > REAP_TASKS) {
+static bool reap_may_wait(const struct rr_planner *planner, rr_machine *machine,
+                          const rr_task_status *task) {
+    if (machine->plan_commands || task->exit_reason != RR_EXIT_DONE ||
+        machine->heartbeat.tasks->len > REAP_TASKS) {
         return false;
     }
-    m->reap_at = m->reap_at > 0 ? m->reap_at : p->now;
-    return p->now - m->reap_at < p->core->config->heartbeat_interval_s;
+    machine->reap_at = machine->reap_at > 0 ? machine->reap_at : planner->now;
+    return planner->now - machine->reap_at < planner->core->config->heartbeat_interval_s;
 }
 
 /* Of a job kept as a line the team is not known any more. The provisioner stops what still runs,
  * and clears what an earlier term started: the command's token voids any start of it that comes
  * late. An exited attempt of this term is left to the controller that made it, which alone knows
  * whether a copy of its start may still be on its way and has to find the attempt there. */
-static bool clears_line(const rr_core *c, const rr_task_status *r, double now) {
-    if (r->state == RR_TASK_ENDED && rr_attempt_token(r->attempt) == c->term.token) {
-        return rr_attempt_member(r->attempt) == rr_member_index(c);
+static bool clears_line(const rr_core *core, const rr_task_status *task, double now) {
+    if (task->state == RR_TASK_ENDED && rr_attempt_token(task->attempt) == core->term.token) {
+        return rr_attempt_member(task->attempt) == rr_member_index(core);
     }
-    return rr_core_is_autoscaler(c, now);
+    return rr_core_is_autoscaler(core, now);
 }
 
 /* Tasks on the machine that the ledger does not know: exited ones are reaped, others stopped. */
-static bool reconcile_stray(struct rr_planner *p, rr_machine *m, const rr_task_status *r) {
-    const rr_core *c = p->core;
-    rr_job *j = g_hash_table_lookup(c->jobs, r->job_id);
-    bool ours = j ? j->team >= 0 && rr_owns_team(c, j->team)
-                  : rr_job_final(c, r->job_id, NULL, NULL) && clears_line(c, r, p->now);
-    if (!ours || (j && rr_placement_find(m, r->attempt, j, r->task))) {
+static bool reconcile_stray(struct rr_planner *planner, rr_machine *machine,
+                            const rr_task_status *task) {
+    const rr_core *core = planner->core;
+    rr_job *job = g_hash_table_lookup(core->jobs, task->job_id);
+    bool ours =
+        job ? job->team >= 0 && rr_owns_team(core, job->team)
+            : rr_job_final(core, task->job_id, NULL, NULL) && clears_line(core, task, planner->now);
+    if (!ours || (job && rr_placement_find(machine, task->attempt, job, task->task))) {
         return false;
     }
-    if (r->state != RR_TASK_ENDED) {
-        add_command(p, m, RR_COMMAND_STOP, r->job_id, r->task, r->attempt, 0);
+    if (task->state != RR_TASK_ENDED) {
+        add_command(planner, machine, RR_COMMAND_STOP, task->job_id, task->task, task->attempt, 0);
         return true;
     }
     /* While a copy of its start may come late, the exited attempt stays and blocks it. */
-    if (start_lost(c, m, r->attempt)) {
+    if (start_lost(core, machine, task->attempt)) {
         return false;
     }
-    if (reap_may_wait(p, m, r)) {
+    if (reap_may_wait(planner, machine, task)) {
         return true;
     }
-    add_command(p, m, RR_COMMAND_REAP, r->job_id, r->task, r->attempt, 0);
+    add_command(planner, machine, RR_COMMAND_REAP, task->job_id, task->task, task->attempt, 0);
     return true;
 }
 
 /* Another owner's task: that it is over makes room, long before its owner records it. */
-static void see_terminated(const struct rr_planner *p, const rr_machine *m, rr_placement *pl) {
-    const rr_task_status *r = rr_task_status_find(m, pl);
-    if (pl->terminated_at <= 0 &&
-        ((r && r->state == RR_TASK_ENDED) ||
-         (m->heartbeat_seen && m->heartbeat.worker_epoch > pl->worker_epoch))) {
-        pl->terminated_at = p->now;
+static void see_terminated(const struct rr_planner *planner, const rr_machine *machine,
+                           rr_placement *placement) {
+    const rr_task_status *task = rr_task_status_find(machine, placement);
+    if (placement->terminated_at <= 0 &&
+        ((task && task->state == RR_TASK_ENDED) ||
+         (machine->heartbeat_seen && machine->heartbeat.worker_epoch > placement->worker_epoch))) {
+        placement->terminated_at = planner->now;
     }
 }
 
 /* True: to be looked at again with the next plan. */
-static bool reconcile(struct rr_planner *p, rr_machine *m) {
-    rr_core *c = p->core;
+static bool reconcile(struct rr_planner *planner, rr_machine *machine) {
+    rr_core *core = planner->core;
     bool again = false;
-    c->visits++;
+    core->visits++;
     /* A booking is made on a recorded machine only; one whose record has gone is proven gone. */
-    bool gone = !m->recorded;
-    if (!gone && (!m->heartbeat_seen || m->heartbeat.fencing_token > c->term.token)) {
+    bool gone = !machine->recorded;
+    if (!gone &&
+        (!machine->heartbeat_seen || machine->heartbeat.fencing_token > core->term.token)) {
         return false; /* a report or the next term brings it back */
     }
-    for (guint i = 0; i < m->placements->len; i++) {
-        rr_placement *pl = &g_array_index(m->placements, rr_placement, i);
-        if (pl->job->team < 0 || !rr_owns_team(c, pl->job->team)) {
-            see_terminated(p, m, pl);
+    for (guint i = 0; i < machine->placements->len; i++) {
+        rr_placement *placement = &g_array_index(machine->placements, rr_placement, i);
+        if (placement->job->team < 0 || !rr_owns_team(core, placement->job->team)) {
+            see_terminated(planner, machine, placement);
             continue;
         }
         if (gone) {
-            rr_plan_terminated(p, m, pl, false, "machine gone"); /* proven by its record's end */
+            rr_plan_terminated(planner, machine, placement, false,
+                               "machine gone"); /* proven by its record's end */
             again = true;
         } else {
-            again = reconcile_placement(p, m, pl) || again;
+            again = reconcile_placement(planner, machine, placement) || again;
         }
     }
-    if (gone || m->command_inflight || p->now < m->next_command_at ||
-        !rr_machine_heartbeat_recent(c, m, p->now)) {
-        return again || m->command_inflight || p->now < m->next_command_at;
+    if (gone || machine->command_inflight || planner->now < machine->next_command_at ||
+        !rr_machine_heartbeat_recent(core, machine, planner->now)) {
+        return again || machine->command_inflight || planner->now < machine->next_command_at;
     }
-    for (guint i = 0; i < m->heartbeat.tasks->len; i++) {
-        again =
-            reconcile_stray(p, m, &g_array_index(m->heartbeat.tasks, rr_task_status, i)) || again;
+    for (guint i = 0; i < machine->heartbeat.tasks->len; i++) {
+        again = reconcile_stray(planner, machine,
+                                &g_array_index(machine->heartbeat.tasks, rr_task_status, i)) ||
+                again;
     }
     return again;
 }
 
 /* Gangs of ours with a task on a machine that something happened to. */
-static void note_gangs(const struct rr_planner *p, const rr_machine *m, GPtrArray *gangs) {
-    for (guint i = 0; i < m->placements->len; i++) {
-        rr_job *j = g_array_index(m->placements, rr_placement, i).job;
-        if (j->submission.kind == RR_JOB_GANG && j->team >= 0 && rr_owns_team(p->core, j->team) &&
-            !g_ptr_array_find(gangs, j, NULL)) {
-            g_ptr_array_add(gangs, j);
+static void note_gangs(const struct rr_planner *planner, const rr_machine *machine,
+                       GPtrArray *gangs) {
+    for (guint i = 0; i < machine->placements->len; i++) {
+        rr_job *job = g_array_index(machine->placements, rr_placement, i).job;
+        if (job->submission.kind == RR_JOB_GANG && job->team >= 0 &&
+            rr_owns_team(planner->core, job->team) && !g_ptr_array_find(gangs, job, NULL)) {
+            g_ptr_array_add(gangs, job);
         }
     }
 }
 
-static void reconcile_running(struct rr_planner *p, const rr_ledger_record *run) {
+static void reconcile_running(struct rr_planner *planner, const rr_ledger_record *run) {
     for (guint k = 0; run && k < run->placements->len; k++) {
-        rr_machine *m = g_array_index(run->placements, rr_placement_record, k).machine;
-        if (!m->dirty && reconcile(p, m)) {
-            rr_mark_dirty(p->core, m);
+        rr_machine *machine = g_array_index(run->placements, rr_placement_record, k).machine;
+        if (!machine->dirty && reconcile(planner, machine)) {
+            rr_mark_dirty(planner->core, machine);
         }
     }
 }
 
 /* What happened to one task of a gang is to be seen on the machines of all, and now: they stop in
  * the same moment. */
-static void reconcile_gangs(struct rr_planner *p, const GPtrArray *gangs) {
+static void reconcile_gangs(struct rr_planner *planner, const GPtrArray *gangs) {
     bool saving;
     for (guint i = 0; i < gangs->len; i++) {
-        rr_job *j = g_ptr_array_index(gangs, i);
-        if (!rr_gang_stops(p->core, j, p->now, &saving)) {
+        rr_job *job = g_ptr_array_index(gangs, i);
+        if (!rr_gang_stops(planner->core, job, planner->now, &saving)) {
             continue;
         }
-        for (guint n = 0; n < j->records->len; n++) {
-            reconcile_running(p, g_ptr_array_index(j->records, n));
+        for (guint index = 0; index < job->records->len; index++) {
+            reconcile_running(planner, g_ptr_array_index(job->records, index));
         }
     }
 }
 
-void rr_reconcile(struct rr_planner *p) {
-    rr_core *c = p->core;
-    if (c->all_dirty_token != c->term.token) {
-        c->all_dirty_token = c->term.token;
-        for (guint i = 0; i < c->machine_list->len; i++) {
-            rr_mark_dirty(c, g_ptr_array_index(c->machine_list, i));
+void rr_reconcile(struct rr_planner *planner) {
+    rr_core *core = planner->core;
+    if (core->all_dirty_token != core->term.token) {
+        core->all_dirty_token = core->term.token;
+        for (guint i = 0; i < core->machine_list->len; i++) {
+            rr_mark_dirty(core, g_ptr_array_index(core->machine_list, i));
         }
     }
-    guint n = c->dirty->len, kept = 0;
+    guint count = core->dirty->len, kept = 0;
     GPtrArray *gangs = g_ptr_array_new(); /* rr_job* */
-    for (guint i = 0; i < n; i++) {
-        rr_machine *m = g_ptr_array_index(c->dirty, i);
-        note_gangs(p, m, gangs);
-        m->dirty = reconcile(p, m);
-        if (m->dirty) {
-            c->dirty->pdata[kept++] = m;
+    for (guint i = 0; i < count; i++) {
+        rr_machine *machine = g_ptr_array_index(core->dirty, i);
+        note_gangs(planner, machine, gangs);
+        machine->dirty = reconcile(planner, machine);
+        if (machine->dirty) {
+            core->dirty->pdata[kept++] = machine;
         }
     }
-    g_ptr_array_set_size(c->dirty, (gint)kept);
-    reconcile_gangs(p, gangs);
+    g_ptr_array_set_size(core->dirty, (gint)kept);
+    reconcile_gangs(planner, gangs);
     g_ptr_array_free(gangs, TRUE);
 }
--- a/src/core/reserve_gang.c
+++ b/src/core/reserve_gang.c
@@ -11,12 +11,12 @@
     uint32_t seats;
 };
 
-static gint by_free_share(gconstpointer a, gconstpointer b) {
-    const struct prospect *x = a, *y = b;
-    if (x->free_share != y->free_share) {
-        return x->free_share > y->free_share ? -1 : 1;
+static gint by_free_share(gconstpointer left_item, gconstpointer right_item) {
+    const struct prospect *left = left_item, *right = right_item;
+    if (left->free_share != right->free_share) {
+        return left->free_share > right->free_share ? -1 : 1;
     }
-    return x->machine->id - y->machine->id;
+    return left->machine->id - right->machine->id;
 }
 
 /* Tasks of the job that the machine takes when only replicas are left there, and gangs where those
@@ -64,9 +64,9 @@
     double free_share;   /* their free room, in machines */
 };
 
-static bool is_nearer(const struct progress *a, const struct progress *b) {
-    return a->free_seats != b->free_seats ? a->free_seats > b->free_seats
-                                          : a->free_share > b->free_share;
+static bool is_nearer(const struct progress *left, const struct progress *right) {
+    return left->free_seats != right->free_seats ? left->free_seats > right->free_seats
+                                                 : left->free_share > right->free_share;
 }
 
 /* Keeps the fewest of them that will take the whole gang; false: they never will. */
@@ -129,7 +129,7 @@
         g_array_unref(prospects);
     }
     if (!rr_within_limit(planner, job, job->submission.task_count)) {
-        rr_resources *booked = &g_array_index(core->team_booked, rr_resources, job->team);
-        *booked = rr_resources_add(*booked, job->request, job->submission.task_count);
+        rr_resources *reserved = &g_array_index(core->team_booked, rr_resources, job->team);
+        *reserved = rr_resources_add(*reserved, job->request, job->submission.task_count);
     }
 }
--- a/src/core/rounds.c
+++ b/src/core/rounds.c
@@ -16,72 +16,75 @@
     bool taken;
 };
 
-static bool movable(const rr_core *c, const rr_machine *m, const rr_placement *p, double now) {
-    const rr_job *j = p->job;
-    if (j->submission.kind != RR_JOB_SERVICE || j->cancelled || j->done || p->preempt ||
-        !j->placed || p->task >= j->submission.task_count || j->placed[p->task] != 1 ||
-        j->team < 0 || !rr_owns_team(c, j->team) || !rr_machine_schedulable(c, m, now) ||
-        rr_job_held(c, j, now)) {
+static bool movable(const rr_core *core, const rr_machine *machine, const rr_placement *placement,
+                    double now) {
+    const rr_job *job = placement->job;
+    if (job->submission.kind != RR_JOB_SERVICE || job->cancelled || job->done ||
+        placement->preempt || !job->placed || placement->task >= job->submission.task_count ||
+        job->placed[placement->task] != 1 || job->team < 0 || !rr_owns_team(core, job->team) ||
+        !rr_machine_schedulable(core, machine, now) || rr_job_held(core, job, now)) {
         return false;
     }
-    const rr_task_status *r = rr_task_status_find(m, p);
-    return r && r->state == RR_TASK_RUNNING;
+    const rr_task_status *task = rr_task_status_find(machine, placement);
+    return task && task->state == RR_TASK_RUNNING;
 }
 
 /* No replica moves while a trouble is on: recorded machines silent, notices, a young term, or this
  * controller behind with its work, of which rounds are the last in order. In a
  * large fleet one machine or another always is in trouble: up to one in fifty says nothing. */
-static bool calm(rr_core *c, double now) {
-    guint up = 0, bad = 0;
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        if (m->recorded && m->heartbeat_seen) {
-            up++;
-            bad += !rr_machine_heartbeat_recent(c, m, now) || m->heartbeat.spot_notice_s >= 0;
+static bool calm(rr_core *core, double now) {
+    guint up_count = 0, bad = 0;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        if (machine->recorded && machine->heartbeat_seen) {
+            up_count++;
+            bad += !rr_machine_heartbeat_recent(core, machine, now) ||
+                   machine->heartbeat.spot_notice_s >= 0;
         }
     }
-    bool quiet = bad * 50 <= up && !rr_core_timers_late(c, now, RR_LATE_TIMER_GRACE_S);
-    if (c->round_token != c->term.token) {
-        c->round_token = c->term.token;
+    bool quiet = bad * 50 <= up_count && !rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S);
+    if (core->round_token != core->term.token) {
+        core->round_token = core->term.token;
         quiet = false;
     }
     if (!quiet) {
-        c->calm_since = now;
+        core->calm_since = now;
     }
-    return now - c->calm_since >= 3 * c->config->heartbeat_interval_s;
+    return now - core->calm_since >= 3 * core->config->heartbeat_interval_s;
 }
 
-static double size_of(const rr_core *c, const rr_machine *m, const rr_job *j) {
-    return 1 - rr_resources_free_share(rr_resources_add(rr_machine_capacity(c, m), j->request, -1),
-                                       rr_machine_capacity(c, m));
+static double size_of(const rr_core *core, const rr_machine *machine, const rr_job *job) {
+    return 1 - rr_resources_free_share(
+                   rr_resources_add(rr_machine_capacity(core, machine), job->request, -1),
+                   rr_machine_capacity(core, machine));
 }
 
-static gint by_group_and_size(gconstpointer a, gconstpointer b) {
-    const struct movable_task *x = a, *y = b;
-    bool gx = rr_job_zone_bound(x->job), gy = rr_job_zone_bound(y->job);
-    if (gx != gy) {
-        return gx ? -1 : 1;
+static gint by_group_and_size(gconstpointer left_item, gconstpointer right_item) {
+    const struct movable_task *left = left_item, *right = right_item;
+    bool left_bound = rr_job_zone_bound(left->job), right_bound = rr_job_zone_bound(right->job);
+    if (left_bound != right_bound) {
+        return left_bound ? -1 : 1;
     }
-    if (gx && x->job != y->job) {
-        return strcmp(x->job->submission.job_id, y->job->submission.job_id);
+    if (left_bound && left->job != right->job) {
+        return strcmp(left->job->submission.job_id, right->job->submission.job_id);
     }
-    if (fabs(x->size - y->size) > 1e-9) {
-        return x->size > y->size ? -1 : 1;
+    if (fabs(left->size - right->size) > 1e-9) {
+        return left->size > right->size ? -1 : 1;
     }
     /* Between equals, those on the fullest machines: they settle where they are, and what is left
      * on emptier ones fills up with its like. In any other order a plan shifts replicas between
      * full machines, and its moves wait for each other. */
-    if (fabs(x->room - y->room) > 1e-9) {
-        return x->room < y->room ? -1 : 1;
+    if (fabs(left->room - right->room) > 1e-9) {
+        return left->room < right->room ? -1 : 1;
     }
-    return x->home->id - y->home->id;
+    return left->home->id - right->home->id;
 }
 
 /* A machine with anything that must stay can't be emptied: its replicas stay too, and do not take
  * room on paper that real moves need. */
-static bool can_be_emptied(const rr_core *c, const rr_machine *m, double now) {
-    for (guint k = 0; k < m->placements->len; k++) {
-        if (!movable(c, m, &g_array_index(m->placements, rr_placement, k), now)) {
+static bool can_be_emptied(const rr_core *core, const rr_machine *machine, double now) {
+    for (guint k = 0; k < machine->placements->len; k++) {
+        if (!movable(core, machine, &g_array_index(machine->placements, rr_placement, k), now)) {
             return false;
         }
     }
@@ -98,34 +101,41 @@
     double room;
 };
 
-static gint by_room(gconstpointer a, gconstpointer b) {
-    const struct machine_room *x = a, *y = b;
-    if (fabs(x->room - y->room) > 1e-9) {
-        return x->room > y->room ? -1 : 1;
+static gint by_room(gconstpointer left_item, gconstpointer right_item) {
+    const struct machine_room *left = left_item, *right = right_item;
+    if (fabs(left->room - right->room) > 1e-9) {
+        return left->room > right->room ? -1 : 1;
     }
-    return x->machine->id - y->machine->id;
+    return left->machine->id - right->machine->id;
 }
 
-static GArray *collect(rr_core *c, double now) {
+static GArray *collect(rr_core *core, double now) {
     GArray *items = g_array_new(FALSE, TRUE, sizeof(struct movable_task));
     GArray *lots = g_array_new(FALSE, FALSE, sizeof(struct machine_room));
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        rr_resources cap = rr_machine_capacity(c, m);
-        struct machine_room l = {m,
-                                 rr_resources_free_share(rr_resources_add(cap, m->used, -1), cap)};
-        if (m->placements->len > 0 && can_be_emptied(c, m, now)) {
-            g_array_append_val(lots, l);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        rr_resources capacity = rr_machine_capacity(core, machine);
+        struct machine_room lot = {
+            machine,
+            rr_resources_free_share(rr_resources_add(capacity, machine->used, -1), capacity)};
+        if (machine->placements->len > 0 && can_be_emptied(core, machine, now)) {
+            g_array_append_val(lots, lot);
         }
     }
     g_array_sort(lots, by_room);
     for (guint i = 0; i < lots->len && i < LOOK_AT; i++) {
-        rr_machine *m = g_array_index(lots, struct machine_room, i).machine;
+        rr_machine *machine = g_array_index(lots, struct machine_room, i).machine;
         double room = g_array_index(lots, struct machine_room, i).room;
-        for (guint k = 0; k < m->placements->len; k++) {
-            const rr_placement *p = &g_array_index(m->placements, rr_placement, k);
-            struct movable_task it = {p->job, p->task, m, NULL, size_of(c, m, p->job), room, false};
-            g_array_append_val(items, it);
+        for (guint k = 0; k < machine->placements->len; k++) {
+            const rr_placement *placement = &g_array_index(machine->placements, rr_placement, k);
+            struct movable_task item = {placement->job,
+                                        placement->task,
+                                        machine,
+                                        NULL,
+                                        size_of(core, machine, placement->job),
+                                        room,
+                                        false};
+            g_array_append_val(items, item);
         }
     }
     g_array_free(lots, TRUE);
@@ -133,10 +143,11 @@
     return items;
 }
 
-static bool job_planned_on(const GArray *items, guint upto, const rr_job *j, const rr_machine *m) {
+static bool job_planned_on(const GArray *items, guint upto, const rr_job *job,
+                           const rr_machine *machine) {
     for (guint i = 0; i < upto; i++) {
-        const struct movable_task *it = &g_array_index(items, struct movable_task, i);
-        if (it->job == j && it->to == m) {
+        const struct movable_task *item = &g_array_index(items, struct movable_task, i);
+        if (item->job == job && item->to == machine) {
             return true;
         }
     }
@@ -144,162 +155,168 @@
 }
 
 /* A job of several replicas keeps its zones; a single one may go wherever its job allows. */
-static void allowed_zones(rr_core *c, const struct movable_task *it, bool *zones, double now) {
-    rr_job *j = it->job;
-    guint n = c->zones.names->len;
-    bool fixed = j->submission.task_count > 1 && (j->submission.spread || j->submission.one_zone);
-    for (guint w = 0; w < n; w++) {
-        zones[w] = fixed ? (int)w == it->home->zone
-                         : !j->submission.zone[0] ||
-                               strcmp(j->submission.zone, rr_name_index_at(&c->zones, (int)w)) == 0;
+static void allowed_zones(rr_core *core, const struct movable_task *item, bool *zones, double now) {
+    rr_job *job = item->job;
+    guint count = core->zones.names->len;
+    bool fixed =
+        job->submission.task_count > 1 && (job->submission.spread || job->submission.one_zone);
+    for (guint other_zone = 0; other_zone < count; other_zone++) {
+        zones[other_zone] = fixed
+                                ? (int)other_zone == item->home->zone
+                                : !job->submission.zone[0] ||
+                                      strcmp(job->submission.zone,
+                                             rr_name_index_at(&core->zones, (int)other_zone)) == 0;
     }
-    if (!fixed && rr_job_zone_bound(j)) {
-        int z = rr_zone_with_most_room(c, j, zones, now);
-        for (guint w = 0; w < n; w++) {
-            zones[w] = (int)w == z;
+    if (!fixed && rr_job_zone_bound(job)) {
+        int zone = rr_zone_with_most_room(core, job, zones, now);
+        for (guint other_zone = 0; other_zone < count; other_zone++) {
+            zones[other_zone] = (int)other_zone == zone;
         }
     }
 }
 
-static void allocate(rr_core *c, GArray *items, double now) {
-    rr_reset_free_resources(c);
+static void allocate(rr_core *core, GArray *items, double now) {
+    rr_reset_free_resources(core);
     for (guint i = 0; i < items->len; i++) {
-        struct movable_task *it = &g_array_index(items, struct movable_task, i);
-        it->home->free = rr_resources_add(it->home->free, it->job->request, 1);
+        struct movable_task *item = &g_array_index(items, struct movable_task, i);
+        item->home->free = rr_resources_add(item->home->free, item->job->request, 1);
     }
     for (guint i = 0; i < items->len; i++) {
-        struct movable_task *it = &g_array_index(items, struct movable_task, i);
-        bool zones[c->zones.names->len + 1];
-        allowed_zones(c, it, zones, now);
+        struct movable_task *item = &g_array_index(items, struct movable_task, i);
+        bool zones[core->zones.names->len + 1];
+        allowed_zones(core, item, zones, now);
         /* An image still to be fetched would keep the replica down for the fetch. */
         struct rr_placement_constraints how = {.zones = zones,
                                                .distinct_machines =
-                                                   it->job->submission.task_count > 1,
-                                               .current = it->home,
+                                                   item->job->submission.task_count > 1,
+                                               .current = item->home,
                                                .need_image = true,
                                                .filter = rr_machine_schedulable};
-        rr_machine *to = rr_bin_pack(c, it->job, &how, now);
-        if (!to || (to != it->home && job_planned_on(items, i, it->job, to))) {
-            to = it->home;
+        rr_machine *target = rr_bin_pack(core, item->job, &how, now);
+        if (!target || (target != item->home && job_planned_on(items, i, item->job, target))) {
+            target = item->home;
         }
-        it->to = to;
-        to->free = rr_resources_add(to->free, it->job->request, -1);
+        item->to = target;
+        target->free = rr_resources_add(target->free, item->job->request, -1);
     }
 }
 
 /* Priced machines that the plan leaves empty. */
-static guint mark_emptied(rr_core *c, const GArray *items) {
-    guint n = 0;
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->leaving = m->arriving = 0;
+static guint mark_emptied(rr_core *core, const GArray *items) {
+    guint count = 0;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        machine->leaving = machine->arriving = 0;
     }
     for (guint k = 0; k < items->len; k++) {
-        const struct movable_task *it = &g_array_index(items, struct movable_task, k);
-        it->home->leaving += it->home != it->to;
-        it->to->arriving += it->home != it->to;
+        const struct movable_task *item = &g_array_index(items, struct movable_task, k);
+        item->home->leaving += item->home != item->to;
+        item->to->arriving += item->home != item->to;
     }
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        m->emptied = m->recorded && !m->scaling_in && rr_machine_price(c, m) > 0 &&
-                     m->placements->len > 0 && m->leaving == m->placements->len && m->arriving == 0;
-        n += m->emptied;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        machine->emptied = machine->recorded && !machine->scaling_in &&
+                           rr_machine_price(core, machine) > 0 && machine->placements->len > 0 &&
+                           machine->leaving == machine->placements->len && machine->arriving == 0;
+        count += machine->emptied;
     }
-    return n;
+    return count;
 }
 
 /* The fitting move of least request over free room at its destination, or NULL. */
-static struct movable_task *next_move(rr_core *c, GArray *items) {
+static struct movable_task *next_move(rr_core *core, GArray *items) {
     struct movable_task *best = NULL;
     double least = 0;
     for (guint i = 0; i < items->len; i++) {
-        struct movable_task *it = &g_array_index(items, struct movable_task, i);
-        if (it->taken || !it->home->emptied || it->to == it->home || it->to->emptied ||
-            !rr_resources_fit(it->job->request, it->to->free)) {
+        struct movable_task *item = &g_array_index(items, struct movable_task, i);
+        if (item->taken || !item->home->emptied || item->to == item->home || item->to->emptied ||
+            !rr_resources_fit(item->job->request, item->to->free)) {
             continue;
         }
-        double room = rr_resources_free_share(it->to->free, rr_machine_capacity(c, it->to));
-        double score = room > 0 ? it->size / room : INFINITY;
+        double room = rr_resources_free_share(item->to->free, rr_machine_capacity(core, item->to));
+        double score = room > 0 ? item->size / room : INFINITY;
         if (!best || score < least) {
-            best = it;
+            best = item;
             least = score;
         }
     }
     return best;
 }
 
-static void order_moves(rr_core *c, GArray *items) {
+static void order_moves(rr_core *core, GArray *items) {
     GArray *moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
-    rr_reset_free_resources(c);
-    struct movable_task *it;
-    while ((it = next_move(c, items))) {
-        rr_move mv = {it->job, it->task, it->home, it->to};
-        g_array_append_val(moves, mv);
-        it->taken = true;
-        it->to->free = rr_resources_add(it->to->free, it->job->request, -1);
-        it->home->free = rr_resources_add(it->home->free, it->job->request, 1);
+    rr_reset_free_resources(core);
+    struct movable_task *item;
+    while ((item = next_move(core, items))) {
+        rr_move move = {item->job, item->task, item->home, item->to};
+        g_array_append_val(moves, move);
+        item->taken = true;
+        item->to->free = rr_resources_add(item->to->free, item->job->request, -1);
+        item->home->free = rr_resources_add(item->home->free, item->job->request, 1);
     }
     /* A machine that can't be emptied whole is left alone: half-made plans only cost. */
     for (guint i = 0; i < moves->len; i++) {
-        rr_move *mv = &g_array_index(moves, rr_move, i);
-        guint n = 0;
+        rr_move *move = &g_array_index(moves, rr_move, i);
+        guint count = 0;
         for (guint k = 0; k < moves->len; k++) {
-            n += g_array_index(moves, rr_move, k).from == mv->from;
+            count += g_array_index(moves, rr_move, k).from == move->from;
         }
-        if (n == mv->from->placements->len) {
-            g_array_append_val(c->plan_moves, *mv);
+        if (count == move->from->placements->len) {
+            g_array_append_val(core->plan_moves, *move);
         }
     }
     g_array_free(moves, TRUE);
 }
 
 /* A fleet frees half-empty machines in proportion to its size: so many a round it may move. */
-static int moves_allowed(const rr_core *c) {
-    guint n = 0;
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        n += ((const rr_machine *)g_ptr_array_index(c->machine_list, i))->recorded;
+static int moves_allowed(const rr_core *core) {
+    guint count = 0;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        count += ((const rr_machine *)g_ptr_array_index(core->machine_list, i))->recorded;
     }
-    int share = (int)(c->config->tuning.rebalance_share * n);
-    return share > c->config->tuning.rebalance_moves ? share : c->config->tuning.rebalance_moves;
+    int share = (int)(core->config->tuning.rebalance_share * count);
+    return share > core->config->tuning.rebalance_moves ? share
+                                                        : core->config->tuning.rebalance_moves;
 }
 
 /* Whether a round begins now. */
-bool rr_rebalance_due(rr_core *c, double now) {
-    const struct rr_tuning *t = &c->config->tuning;
-    if (!t->rebalance || now - c->round_at < t->rebalance_period_s) {
+bool rr_rebalance_due(rr_core *core, double now) {
+    const struct rr_tuning *tuning = &core->config->tuning;
+    if (!tuning->rebalance || now - core->round_at < tuning->rebalance_period_s) {
         /* A trouble ends a plan under way at once. */
-        if (c->plan_moves->len > 0 && !calm(c, now)) {
-            g_array_set_size(c->plan_moves, 0);
+        if (core->plan_moves->len > 0 && !calm(core, now)) {
+            g_array_set_size(core->plan_moves, 0);
         }
         return false;
     }
-    if (!calm(c, now)) {
-        g_array_set_size(c->plan_moves, 0);
-        c->round_at =
-            now - t->rebalance_period_s + fmin(1, t->rebalance_period_s); /* looked at again soon */
+    if (!calm(core, now)) {
+        g_array_set_size(core->plan_moves, 0);
+        core->round_at = now - tuning->rebalance_period_s +
+                         fmin(1, tuning->rebalance_period_s); /* looked at again soon */
         return false;
     }
     return true;
 }
 
-void rr_rebalance(rr_core *c, double now) {
-    c->round_at = now;
-    c->round_left = moves_allowed(c);
-    if (c->plan_moves->len > 0) {
+void rr_rebalance(rr_core *core, double now) {
+    core->round_at = now;
+    core->round_left = moves_allowed(core);
+    if (core->plan_moves->len > 0) {
         return; /* the plan is kept until it is done */
     }
-    GArray *items = collect(c, now);
+    GArray *items = collect(core, now);
     if (items->len > 0) {
-        allocate(c, items, now);
-        guint n = mark_emptied(c, items);
-        if (n > 0) {
-            order_moves(c, items);
+        allocate(core, items, now);
+        guint count = mark_emptied(core, items);
+        if (count > 0) {
+            order_moves(core, items);
         }
-        if (c->plan_moves->len > 0) {
-            rr_log_at(c, RR_LOG_INFO, "round: %u movable replicas, %u machines to empty, %u moves",
-                      items->len, n, c->plan_moves->len);
+        if (core->plan_moves->len > 0) {
+            rr_log_at(core, RR_LOG_INFO,
+                      "round: %u movable replicas, %u machines to empty, %u moves", items->len,
+                      count, core->plan_moves->len);
         }
-        rr_reset_free_resources(c);
+        rr_reset_free_resources(core);
     }
     g_array_free(items, TRUE);
 }
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -3,248 +3,251 @@
 
 #include <string.h>
 
-static void put_session(rr_core *c, const char *name, const msgpack_object *v) {
-    uint64_t tether;
-    if (!rr_map_get_u64(v, "tether", &tether) || strlen(name) >= RR_NAME_SIZE) {
+static void put_session(rr_core *core, const char *name, const msgpack_object *value) {
+    uint64_t lease_id;
+    if (!rr_map_get_u64(value, "tether", &lease_id) || strlen(name) >= RR_NAME_SIZE) {
         return;
     }
-    rr_session *s = g_new0(rr_session, 1);
-    g_strlcpy(s->name, name, sizeof s->name);
-    s->lease_id = tether;
-    rr_map_get_u64(v, "able", &s->capabilities);
-    rr_map_get_bool(v, "holds", &s->keeps_holds);
-    g_hash_table_replace(c->sessions, s->name, s);
+    rr_session *session = g_new0(rr_session, 1);
+    g_strlcpy(session->name, name, sizeof session->name);
+    session->lease_id = lease_id;
+    rr_map_get_u64(value, "able", &session->capabilities);
+    rr_map_get_bool(value, "holds", &session->keeps_holds);
+    g_hash_table_replace(core->sessions, session->name, session);
 }
 
-static void put_term(rr_core *c, const msgpack_object *v, uint64_t mark) {
+static void put_term(rr_core *core, const msgpack_object *value, uint64_t version) {
     uint64_t token;
-    const msgpack_object *nodes = rr_map_get(v, "nodes");
-    if (mark < c->term.version || !rr_map_get_u64(v, "token", &token) || !nodes ||
+    const msgpack_object *nodes = rr_map_get(value, "nodes");
+    if (version < core->term.version || !rr_map_get_u64(value, "token", &token) || !nodes ||
         nodes->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
-    c->term.version = mark;
-    if (token != c->term.token) {
-        c->counter = 0;
-        c->anew = false;
+    core->term.version = version;
+    if (token != core->term.token) {
+        core->counter = 0;
+        core->anew = false;
     }
-    c->term.token = token;
-    rr_map_get_number(v, "born", &c->term.first_term_at);
-    g_array_set_size(c->term.members, 0);
+    core->term.token = token;
+    rr_map_get_number(value, "born", &core->term.first_term_at);
+    g_array_set_size(core->term.members, 0);
     for (uint32_t i = 0; i < nodes->via.array.size; i++) {
-        const msgpack_object *n = &nodes->via.array.ptr[i];
-        rr_session s = {0};
-        if (n->type == MSGPACK_OBJECT_ARRAY && n->via.array.size == 2 &&
-            rr_object_text(&n->via.array.ptr[0], s.name, sizeof s.name) &&
-            rr_object_u64(&n->via.array.ptr[1], &s.lease_id)) {
-            g_array_append_val(c->term.members, s);
+        const msgpack_object *node = &nodes->via.array.ptr[i];
+        rr_session session = {0};
+        if (node->type == MSGPACK_OBJECT_ARRAY && node->via.array.size == 2 &&
+            rr_object_text(&node->via.array.ptr[0], session.name, sizeof session.name) &&
+            rr_object_u64(&node->via.array.ptr[1], &session.lease_id)) {
+            g_array_append_val(core->term.members, session);
         }
     }
-    rr_assign_shards(c);
-    g_array_set_size(c->plan_moves, 0); /* teams may have moved */
+    rr_assign_shards(core);
+    g_array_set_size(core->plan_moves, 0); /* teams may have moved */
 }
 
-static void put_rental(rr_core *c, const char *name, const msgpack_object *v, uint64_t mark) {
-    rr_rental *h = g_hash_table_lookup(c->rentals, name);
-    uint64_t n = 0;
-    if (!h) {
-        h = g_new0(rr_rental, 1);
-        h->machine_ids = g_ptr_array_new_with_free_func(g_free);
-        g_strlcpy(h->name, name, sizeof h->name);
-        g_hash_table_insert(c->rentals, h->name, h);
+static void put_rental(rr_core *core, const char *name, const msgpack_object *value,
+                       uint64_t version) {
+    rr_rental *rental = g_hash_table_lookup(core->rentals, name);
+    uint64_t node = 0;
+    if (!rental) {
+        rental = g_new0(rr_rental, 1);
+        rental->machine_ids = g_ptr_array_new_with_free_func(g_free);
+        g_strlcpy(rental->name, name, sizeof rental->name);
+        g_hash_table_insert(core->rentals, rental->name, rental);
     }
-    c->ever_rented = true;
-    h->version = mark;
-    h->seen_in_reload = true;
-    rr_map_get_text(v, "build", h->machine_type, sizeof h->machine_type);
-    rr_map_get_text(v, "ward", h->zone, sizeof h->zone);
-    rr_map_get_bool(v, "loaners", &h->spot);
-    rr_map_get_u64(v, "n", &n);
-    h->count = (int)n;
+    core->ever_rented = true;
+    rental->version = version;
+    rental->seen_in_reload = true;
+    rr_map_get_text(value, "build", rental->machine_type, sizeof rental->machine_type);
+    rr_map_get_text(value, "ward", rental->zone, sizeof rental->zone);
+    rr_map_get_bool(value, "loaners", &rental->spot);
+    rr_map_get_u64(value, "n", &node);
+    rental->count = (int)node;
 }
 
 /* ---- the mirror's door ---- */
 
 static const char *after(const char *key, const char *prefix) {
-    size_t n = strlen(prefix);
-    return strncmp(key, prefix, n) == 0 ? key + n : NULL;
+    size_t node = strlen(prefix);
+    return strncmp(key, prefix, node) == 0 ? key + node : NULL;
 }
 
-void rr_core_cache_put(rr_core *c, const char *key, const msgpack_object *v, uint64_t mark,
-                       double now) {
+void rr_core_cache_put(rr_core *core, const char *key, const msgpack_object *value,
+                       uint64_t version, double now) {
     const char *rest;
     if ((rest = after(key, RR_KEY_ROOT "fleet/"))) {
-        rr_machine_page_put(c, rest, v, mark, now);
+        rr_machine_page_put(core, rest, value, version, now);
     } else if ((rest = after(key, RR_KEY_ROOT "job/"))) {
-        rr_job_put(c, rest, v, mark, now);
+        rr_job_put(core, rest, value, version, now);
     } else if ((rest = after(key, RR_KEY_ROOT "run/"))) {
-        rr_ledger_record_put(c, rest, v, mark, now);
+        rr_ledger_record_put(core, rest, value, version, now);
     } else if ((rest = after(key, RR_KEY_ROOT "node/"))) {
-        put_session(c, rest, v);
+        put_session(core, rest, value);
     } else if (strcmp(key, RR_KEY_ROOT "term") == 0) {
-        put_term(c, v, mark);
+        put_term(core, value, version);
     } else if ((rest = after(key, RR_KEY_ROOT "hire/"))) {
-        put_rental(c, rest, v, mark);
+        put_rental(core, rest, value, version);
     } else if (after(key, RR_KEY_ROOT "build/")) {
-        rr_machine_type_put(c, v);
+        rr_machine_type_put(core, value);
     } else if (after(key, RR_KEY_ROOT "batch/")) {
-        rr_job_batch_put(c, key, v, mark, now);
-    } else if (!rr_watched_record(c, key, v, mark)) {
+        rr_job_batch_put(core, key, value, version, now);
+    } else if (!rr_watched_record(core, key, value, version)) {
         /* An earlier version's ledger (by machine) and whatever else: passed over. */
-        rr_log_at(c, RR_LOG_DEBUG, "record %s is of no known form", key);
+        rr_log_at(core, RR_LOG_DEBUG, "record %s is of no known form", key);
     }
 }
 
-void rr_core_cache_delete(rr_core *c, const char *key, uint64_t mark, double now) {
+void rr_core_cache_delete(rr_core *core, const char *key, uint64_t version, double now) {
     const char *rest;
     if ((rest = after(key, RR_KEY_ROOT "fleet/"))) {
-        rr_machine_page_delete(c, rest, mark, now);
+        rr_machine_page_delete(core, rest, version, now);
     } else if ((rest = after(key, RR_KEY_ROOT "run/"))) {
-        rr_ledger_record_delete(c, rest, mark, now);
+        rr_ledger_record_delete(core, rest, version, now);
     } else if ((rest = after(key, RR_KEY_ROOT "node/"))) {
-        g_hash_table_remove(c->sessions, rest);
+        g_hash_table_remove(core->sessions, rest);
     } else if ((rest = after(key, RR_KEY_ROOT "hire/"))) {
-        g_hash_table_remove(c->rentals, rest);
+        g_hash_table_remove(core->rentals, rest);
     } else if (after(key, RR_KEY_ROOT "batch/")) {
-        g_hash_table_remove(c->batches, key);
+        g_hash_table_remove(core->batches, key);
     } else {
-        rr_watched_record(c, key, NULL, mark);
+        rr_watched_record(core, key, NULL, version);
     }
 }
 
-void rr_core_cache_begin_reload(rr_core *c) {
-    GHashTableIter it;
-    gpointer k, v;
-    c->rereading = true;
-    g_hash_table_remove_all(c->sessions);
-    g_hash_table_remove_all(c->batches);
-    g_hash_table_iter_init(&it, c->rentals);
-    while (g_hash_table_iter_next(&it, &k, &v)) {
-        ((rr_rental *)v)->seen_in_reload = false;
+void rr_core_cache_begin_reload(rr_core *core) {
+    GHashTableIter iter;
+    gpointer key, value;
+    core->rereading = true;
+    g_hash_table_remove_all(core->sessions);
+    g_hash_table_remove_all(core->batches);
+    g_hash_table_iter_init(&iter, core->rentals);
+    while (g_hash_table_iter_next(&iter, &key, &value)) {
+        ((rr_rental *)value)->seen_in_reload = false;
     }
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        ((rr_machine *)g_ptr_array_index(c->machine_list, i))->seen_in_reload = false;
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        ((rr_machine *)g_ptr_array_index(core->machine_list, i))->seen_in_reload = false;
     }
-    g_hash_table_iter_init(&it, c->pages);
-    while (g_hash_table_iter_next(&it, &k, &v)) {
-        ((rr_machine_page *)v)->seen_in_reload = false;
+    g_hash_table_iter_init(&iter, core->pages);
+    while (g_hash_table_iter_next(&iter, &key, &value)) {
+        ((rr_machine_page *)value)->seen_in_reload = false;
     }
-    for (guint i = 0; i < c->open->len; i++) {
-        const rr_job *j = g_ptr_array_index(c->open, i);
-        for (guint n = 0; j->records && n < j->records->len; n++) {
-            rr_ledger_record *r = g_ptr_array_index(j->records, n);
-            if (r) {
-                r->seen_in_reload = false;
+    for (guint i = 0; i < core->open->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->open, i);
+        for (guint node = 0; job->records && node < job->records->len; node++) {
+            rr_ledger_record *record = g_ptr_array_index(job->records, node);
+            if (record) {
+                record->seen_in_reload = false;
             }
         }
     }
-    for (guint i = 0; i < c->garbage->len; i++) {
-        rr_ledger_record *r = rr_garbage_record(c, i, NULL);
-        if (r) {
-            r->seen_in_reload = false;
+    for (guint i = 0; i < core->garbage->len; i++) {
+        rr_ledger_record *record = rr_garbage_record(core, i, NULL);
+        if (record) {
+            record->seen_in_reload = false;
         }
     }
 }
 
-static gboolean page_stale(gpointer k, gpointer v, gpointer first) {
-    const rr_machine_page *p = v;
-    (void)k;
-    return !p->seen_in_reload && p->version <= *(uint64_t *)first;
+static gboolean page_stale(gpointer key, gpointer value, gpointer first) {
+    const rr_machine_page *page = value;
+    (void)key;
+    return !page->seen_in_reload && page->version <= *(uint64_t *)first;
 }
 
 /* A record written after the reread began may not be on its pages: only an older one is gone. */
-static void drop_stale_records(rr_core *c, uint64_t first, double now) {
-    for (guint i = 0; i < c->garbage->len; i++) {
-        rr_ledger_record *r = rr_garbage_record(c, i, NULL);
-        if (r && !r->seen_in_reload && r->version <= first) {
-            r->version = 0;
+static void drop_stale_records(rr_core *core, uint64_t first, double now) {
+    for (guint i = 0; i < core->garbage->len; i++) {
+        rr_ledger_record *record = rr_garbage_record(core, i, NULL);
+        if (record && !record->seen_in_reload && record->version <= first) {
+            record->version = 0;
         }
     }
-    for (guint i = c->open->len; i > 0; i--) {
-        rr_job *j = g_ptr_array_index(c->open, i - 1);
-        for (guint n = 0; j->records && n < j->records->len; n++) {
-            rr_ledger_record *r = g_ptr_array_index(j->records, n);
-            if (r && r->version && r->version <= first && !r->seen_in_reload) {
-                rr_ledger_record_remove(c, j, r, r->version, now);
+    for (guint i = core->open->len; i > 0; i--) {
+        rr_job *job = g_ptr_array_index(core->open, i - 1);
+        for (guint node = 0; job->records && node < job->records->len; node++) {
+            rr_ledger_record *record = g_ptr_array_index(job->records, node);
+            if (record && record->version && record->version <= first && !record->seen_in_reload) {
+                rr_ledger_record_remove(core, job, record, record->version, now);
             }
         }
     }
 }
 
-static gboolean rental_stale(gpointer k, gpointer v, gpointer user) {
-    (void)k;
+static gboolean rental_stale(gpointer key, gpointer value, gpointer user) {
+    (void)key;
     (void)user;
-    return !((rr_rental *)v)->seen_in_reload;
+    return !((rr_rental *)value)->seen_in_reload;
 }
 
-void rr_core_apply(rr_core *c, const rr_transaction *t, uint64_t epoch, double now) {
-    for (guint i = 0; i < t->changes->len; i++) {
-        const rr_change *ch = &g_array_index(t->changes, rr_change, i);
-        rr_document d;
-        if (!ch->value) {
-            rr_core_cache_delete(c, ch->key, epoch, now);
+void rr_core_apply(rr_core *core, const rr_transaction *transaction, uint64_t revision,
+                   double now) {
+    for (guint i = 0; i < transaction->changes->len; i++) {
+        const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
+        rr_document document;
+        if (!change->value) {
+            rr_core_cache_delete(core, change->key, revision, now);
             continue;
         }
-        if (rr_document_parse(&d, ch->value, ch->length) == 0) {
-            rr_core_cache_put(c, ch->key, d.root, epoch, now);
+        if (rr_document_parse(&document, change->value, change->length) == 0) {
+            rr_core_cache_put(core, change->key, document.root, revision, now);
         }
-        rr_document_clear(&d);
+        rr_document_clear(&document);
     }
 }
 
-bool rr_core_cache_consistent(const rr_core *c) {
-    return c->loaded && !c->rereading && c->epoch >= c->settle;
+bool rr_core_cache_consistent(const rr_core *core) {
+    return core->loaded && !core->rereading && core->epoch >= core->settle;
 }
 
-void rr_core_cache_end_reload(rr_core *c, uint64_t first, uint64_t last, double now) {
-    c->settle = last;
-    for (guint i = c->machine_list->len; i > 0; i--) {
-        rr_machine *m = g_ptr_array_index(c->machine_list, i - 1);
-        const rr_machine_page *p = g_hash_table_lookup(c->pages, GUINT_TO_POINTER(m->page));
-        if (m->recorded && !m->seen_in_reload && !(p && p->version > first)) {
-            rr_machine_record_removed(c, m, now);
+void rr_core_cache_end_reload(rr_core *core, uint64_t first, uint64_t last, double now) {
+    core->settle = last;
+    for (guint i = core->machine_list->len; i > 0; i--) {
+        rr_machine *machine = g_ptr_array_index(core->machine_list, i - 1);
+        const rr_machine_page *page =
+            g_hash_table_lookup(core->pages, GUINT_TO_POINTER(machine->page));
+        if (machine->recorded && !machine->seen_in_reload && !(page && page->version > first)) {
+            rr_machine_record_removed(core, machine, now);
         }
     }
-    g_hash_table_foreach_remove(c->rentals, rental_stale, NULL);
-    g_hash_table_foreach_remove(c->pages, page_stale, &first);
-    drop_stale_records(c, first, now);
-    c->rereading = false;
-    c->loaded = true;
+    g_hash_table_foreach_remove(core->rentals, rental_stale, NULL);
+    g_hash_table_foreach_remove(core->pages, page_stale, &first);
+    drop_stale_records(core, first, now);
+    core->rereading = false;
+    core->loaded = true;
 }
 
-void rr_core_set_revision(rr_core *c, uint64_t epoch) {
-    c->epoch = epoch > c->epoch ? epoch : c->epoch;
+void rr_core_set_revision(rr_core *core, uint64_t revision) {
+    core->epoch = revision > core->epoch ? revision : core->epoch;
 }
 
-uint64_t rr_core_revision(const rr_core *c) {
-    return c->epoch;
+uint64_t rr_core_revision(const rr_core *core) {
+    return core->epoch;
 }
 
-bool rr_core_cache_loaded(const rr_core *c) {
-    return c->loaded;
+bool rr_core_cache_loaded(const rr_core *core) {
+    return core->loaded;
 }
 
-void rr_core_get_stats(const rr_core *c, rr_core_stats *out) {
+void rr_core_get_stats(const rr_core *core, rr_core_stats *out) {
     memset(out, 0, sizeof *out);
-    for (guint i = 0; i < c->machine_list->len; i++) {
-        const rr_machine *m = g_ptr_array_index(c->machine_list, i);
-        out->machines += m->recorded;
-        out->booting += m->recorded && !m->heartbeat_seen;
-        out->tasks_placed += m->placements->len;
-        out->priced += m->recorded ? rr_machine_price(c, m) : 0;
-    }
-    for (guint i = 0; i < c->open->len; i++) {
-        const rr_job *j = g_ptr_array_index(c->open, i);
+    for (guint i = 0; i < core->machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+        out->machines += machine->recorded;
+        out->booting += machine->recorded && !machine->heartbeat_seen;
+        out->tasks_placed += machine->placements->len;
+        out->priced += machine->recorded ? rr_machine_price(core, machine) : 0;
+    }
+    for (guint i = 0; i < core->open->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->open, i);
         out->jobs_open++;
-        if (!j->cancelled && !j->done) {
-            out->tasks_waiting += j->submission.task_count - j->done_count - j->placed_count;
+        if (!job->cancelled && !job->done) {
+            out->tasks_waiting += job->submission.task_count - job->done_count - job->placed_count;
         }
     }
-    out->moves = c->moves_made;
-    out->rented = c->rented;
-    out->given_up = c->given_up;
-    out->leases_lost = c->leases_lost;
-    out->notices = c->notices;
-    out->visits = c->visits;
-    out->jobs_whole = g_hash_table_size(c->jobs);
+    out->moves = core->moves_made;
+    out->rented = core->rented;
+    out->given_up = core->given_up;
+    out->leases_lost = core->leases_lost;
+    out->notices = core->notices;
+    out->visits = core->visits;
+    out->jobs_whole = g_hash_table_size(core->jobs);
 }
--- a/src/core/txn.c
+++ b/src/core/txn.c
@@ -2,78 +2,79 @@
 
 #include <string.h>
 
-static void guard_free(gpointer p) {
-    g_free(((rr_guard *)p)->key);
+static void guard_free(gpointer data) {
+    g_free(((rr_guard *)data)->key);
 }
 
-static void change_free(gpointer p) {
-    rr_change *c = p;
-    g_free(c->key);
-    g_free(c->value);
+static void change_free(gpointer data) {
+    rr_change *change = data;
+    g_free(change->key);
+    g_free(change->value);
 }
 
-void rr_transaction_init(rr_transaction *t) {
-    t->guards = g_array_new(FALSE, FALSE, sizeof(rr_guard));
-    t->changes = g_array_new(FALSE, FALSE, sizeof(rr_change));
-    g_array_set_clear_func(t->guards, guard_free);
-    g_array_set_clear_func(t->changes, change_free);
+void rr_transaction_init(rr_transaction *transaction) {
+    transaction->guards = g_array_new(FALSE, FALSE, sizeof(rr_guard));
+    transaction->changes = g_array_new(FALSE, FALSE, sizeof(rr_change));
+    g_array_set_clear_func(transaction->guards, guard_free);
+    g_array_set_clear_func(transaction->changes, change_free);
 }
 
-void rr_transaction_clear(rr_transaction *t) {
-    if (t->guards) {
-        g_array_free(t->guards, TRUE);
-        g_array_free(t->changes, TRUE);
+void rr_transaction_clear(rr_transaction *transaction) {
+    if (transaction->guards) {
+        g_array_free(transaction->guards, TRUE);
+        g_array_free(transaction->changes, TRUE);
     }
-    t->guards = t->changes = NULL;
+    transaction->guards = transaction->changes = NULL;
 }
 
-void rr_transaction_guard(rr_transaction *t, const char *key, uint64_t mark) {
-    for (guint i = 0; i < t->guards->len; i++) {
-        if (strcmp(g_array_index(t->guards, rr_guard, i).key, key) == 0) {
+void rr_transaction_guard(rr_transaction *transaction, const char *key, uint64_t version) {
+    for (guint i = 0; i < transaction->guards->len; i++) {
+        if (strcmp(g_array_index(transaction->guards, rr_guard, i).key, key) == 0) {
             return;
         }
     }
-    rr_guard g = {g_strdup(key), mark};
-    g_array_append_val(t->guards, g);
+    rr_guard guard = {g_strdup(key), version};
+    g_array_append_val(transaction->guards, guard);
 }
 
-void rr_transaction_put(rr_transaction *t, const char *key, rr_encoder *value, uint64_t tether) {
-    rr_change c = {g_strdup(key), g_memdup2(value->buffer.data, value->buffer.size),
-                   value->buffer.size, tether};
-    g_array_append_val(t->changes, c);
+void rr_transaction_put(rr_transaction *transaction, const char *key, rr_encoder *value,
+                        uint64_t lease_id) {
+    rr_change change = {g_strdup(key), g_memdup2(value->buffer.data, value->buffer.size),
+                        value->buffer.size, lease_id};
+    g_array_append_val(transaction->changes, change);
     rr_encoder_clear(value);
 }
 
-void rr_transaction_delete(rr_transaction *t, const char *key) {
-    rr_change c = {g_strdup(key), NULL, 0, 0};
-    g_array_append_val(t->changes, c);
+void rr_transaction_delete(rr_transaction *transaction, const char *key) {
+    rr_change change = {g_strdup(key), NULL, 0, 0};
+    g_array_append_val(transaction->changes, change);
 }
 
-void rr_transaction_encode(const rr_transaction *t, rr_encoder *o) {
-    rr_encode_map(o, 2);
-    rr_encode_text(o, "guards");
-    rr_encode_array(o, t->guards->len);
-    for (guint i = 0; i < t->guards->len; i++) {
-        const rr_guard *g = &g_array_index(t->guards, rr_guard, i);
-        rr_encode_map(o, 2);
-        rr_encode_key_text(o, "path", g->key);
-        rr_encode_key_u64(o, "mark", g->version);
+void rr_transaction_encode(const rr_transaction *transaction, rr_encoder *encoder) {
+    rr_encode_map(encoder, 2);
+    rr_encode_text(encoder, "guards");
+    rr_encode_array(encoder, transaction->guards->len);
+    for (guint i = 0; i < transaction->guards->len; i++) {
+        const rr_guard *guard = &g_array_index(transaction->guards, rr_guard, i);
+        rr_encode_map(encoder, 2);
+        rr_encode_key_text(encoder, "path", guard->key);
+        rr_encode_key_u64(encoder, "mark", guard->version);
     }
-    rr_encode_text(o, "apply");
-    rr_encode_array(o, t->changes->len);
-    for (guint i = 0; i < t->changes->len; i++) {
-        const rr_change *c = &g_array_index(t->changes, rr_change, i);
-        if (!c->value) {
-            rr_encode_map(o, 1);
-            rr_encode_key_text(o, "delete", c->key);
+    rr_encode_text(encoder, "apply");
+    rr_encode_array(encoder, transaction->changes->len);
+    for (guint i = 0; i < transaction->changes->len; i++) {
+        const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
+        if (!change->value) {
+            rr_encode_map(encoder, 1);
+            rr_encode_key_text(encoder, "delete", change->key);
             continue;
         }
-        rr_encode_map(o, c->lease_id ? 3 : 2);
-        rr_encode_key_text(o, "put", c->key);
-        rr_encode_text(o, "v");
-        msgpack_sbuffer_write(&o->buffer, c->value, c->length);
-        if (c->lease_id) {
-            rr_encode_key_u64(o, "tether", c->lease_id);
+        rr_encode_map(encoder, change->lease_id ? 3 : 2);
+        rr_encode_key_text(encoder, "put", change->key);
+        rr_encode_text(encoder, "v");
+        msgpack_sbuffer_write(&encoder->buffer, change->value, change->length);
+        if (change->lease_id) {
+            rr_encode_key_u64(encoder, "tether", change->lease_id);
         }
     }
 }
--- a/src/core/txn.h
+++ b/src/core/txn.h
@@ -22,13 +22,13 @@
     GArray *changes; /* rr_change */
 } rr_transaction;
 
-void rr_transaction_init(rr_transaction *t);
-void rr_transaction_clear(rr_transaction *t);
-void rr_transaction_guard(rr_transaction *t, const char *key,
-                          uint64_t mark); /* the first guard on a key stays */
-void rr_transaction_put(rr_transaction *t, const char *key, rr_encoder *value,
-                        uint64_t tether); /* empties value */
-void rr_transaction_delete(rr_transaction *t, const char *key);
-void rr_transaction_encode(const rr_transaction *t, rr_encoder *o);
+void rr_transaction_init(rr_transaction *transaction);
+void rr_transaction_clear(rr_transaction *transaction);
+void rr_transaction_guard(rr_transaction *transaction, const char *key,
+                          uint64_t version); /* the first guard on a key stays */
+void rr_transaction_put(rr_transaction *transaction, const char *key, rr_encoder *value,
+                        uint64_t lease_id); /* empties value */
+void rr_transaction_delete(rr_transaction *transaction, const char *key);
+void rr_transaction_encode(const rr_transaction *transaction, rr_encoder *encoder);
 
 #endif
