--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -61,14 +61,14 @@
 /* ---- tables ---- */
 
 void rr_admission_put(rr_admission *admission, const char *rest, const msgpack_object *value,
-                      uint64_t mark) {
+                      uint64_t version) {
     char *end;
     unsigned long slot = strtoul(rest, &end, 10);
     unsigned long part = *end == '/' ? strtoul(end + 1, &end, 10) : RR_ADMISSION_PARTS_MAX;
     int rc = -EPROTO;
     if (*end == 0 && slot < 2 && part < RR_ADMISSION_PARTS_MAX) {
         uint64_t before = admission->slots[slot].table.sequence;
-        rc = rr_admission_slot_put(&admission->slots[slot], (guint)part, value, mark);
+        rc = rr_admission_slot_put(&admission->slots[slot], (guint)part, value, version);
         bool newer = admission->slots[slot].table.sequence != before;
         admission->whole[slot] = rc == 1 || (admission->whole[slot] && !newer);
     }
@@ -151,24 +151,23 @@
 }
 
 rr_admission_verdict rr_admission_ask(rr_admission *admission, const rr_submission *submission,
-                                      const rr_admission_context *standing, double wall,
-                                      double now) {
+                                      const rr_admission_context *state, double wall, double now) {
     rr_admission_tables tables = tables_of(admission);
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     rr_admission_key key;
     rr_admission_key_of(submission, admission->settings->band_limits, &key);
-    if (!standing->all_capable) {
+    if (!state->all_capable) {
         return verdict;
     }
-    bool stale = !standing->lease_valid ||
-                 standing->cache_age_s > rr_admission_counts_s(admission->settings->interval_s);
+    bool stale = !state->lease_valid ||
+                 state->cache_age_s > rr_admission_counts_s(admission->settings->interval_s);
     if (!stale) {
         verdict = rr_admission_decide(&tables, wall, admission->config->clock_off_s, &key,
                                       submission->job_id);
         stale = verdict.kind == RR_ADMISSION_STALE;
     }
     if (stale) {
-        verdict = conservative(admission, submission, standing->controllers);
+        verdict = conservative(admission, submission, state->controllers);
         admission->stats.refused_stale += verdict.kind != RR_ADMISSION_ADMIT;
     }
     if (verdict.kind != RR_ADMISSION_ADMIT) {
@@ -215,9 +214,9 @@
 }
 
 int rr_admission_take_demand(rr_admission *admission, size_t peer, uint64_t fencing_token,
-                             const void *data, size_t len, double now) {
+                             const void *data, size_t length, double now) {
     rr_demand_view view;
-    int rc = peer < RR_CONTROLLERS_MAX ? rr_demand_view_unpack(data, len, &view) : -EBADMSG;
+    int rc = peer < RR_CONTROLLERS_MAX ? rr_demand_view_unpack(data, length, &view) : -EBADMSG;
     if (rc == 0 && view.fencing_token < fencing_token) {
         rr_demand_view_clear(&view);
         rc = -ESTALE;
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -16,7 +16,7 @@
 /* ---- tables, as the state service has them ---- */
 /* A record under RR_ADMISSION_PREFIX; rest: its key after that. */
 void rr_admission_put(rr_admission *admission, const char *rest, const msgpack_object *value,
-                      uint64_t mark);
+                      uint64_t version);
 const rr_admission_table *rr_admission_newest(const rr_admission *admission);
 const rr_admission_table *rr_admission_table_at(const rr_admission *admission, double wall);
 /* The transaction that writes the table; the term's guard is the caller's. False: it does not fit.
@@ -35,8 +35,7 @@
 
 /* The verdict on a submission that is valid and not known. */
 rr_admission_verdict rr_admission_ask(rr_admission *admission, const rr_submission *submission,
-                                      const rr_admission_context *standing, double wall,
-                                      double now);
+                                      const rr_admission_context *state, double wall, double now);
 /* It was admitted, and its acceptance has been committed. */
 void rr_admission_accepted(rr_admission *admission, const rr_submission *submission);
 
@@ -49,7 +48,7 @@
 bool rr_admission_announce(const rr_admission *admission, uint64_t fencing_token, GByteArray *out);
 /* A peer's view. -EBADMSG: dropped and counted. -ESTALE: of an earlier term, likewise. */
 int rr_admission_take_demand(rr_admission *admission, size_t peer, uint64_t fencing_token,
-                             const void *data, size_t len, double now);
+                             const void *data, size_t length, double now);
 /* The demand of all, for the writer. */
 void rr_admission_demand(const rr_admission *admission, double now,
                          GArray *out /* rr_demand_total */);
--- a/src/admission/demand.c
+++ b/src/admission/demand.c
@@ -194,9 +194,9 @@
     memset(view, 0, sizeof *view);
 }
 
-static gint by_hash(gconstpointer a, gconstpointer b) {
-    uint64_t x = *(const uint64_t *)a, y = *(const uint64_t *)b;
-    return x < y ? -1 : x > y;
+static gint by_hash(gconstpointer left_item, gconstpointer right_item) {
+    uint64_t left = *(const uint64_t *)left_item, right = *(const uint64_t *)right_item;
+    return left < right ? -1 : left > right;
 }
 
 /* The smallest hashes, up to `most`; what is left out lies at or above the bound. */
@@ -286,12 +286,12 @@
         sum->entries = g_array_new(FALSE, FALSE, sizeof(struct aged_entry));
         g_hash_table_insert(sums, &sum->total.key.id, sum);
     }
-    guint at = 0;
-    while (at < sum->entries->len && entry_at(sum->entries, at)->age <= age) {
-        at++;
+    guint start = 0;
+    while (start < sum->entries->len && entry_at(sum->entries, start)->age <= age) {
+        start++;
     }
     struct aged_entry aged = {entry, age};
-    g_array_insert_val(sum->entries, at, aged);
+    g_array_insert_val(sum->entries, start, aged);
     double known = (double)entry->admitted + entry->sample->len;
     sum->total.mean = rr_work_add(sum->total.mean, entry->mean, known);
     sum->weight += known;
@@ -312,9 +312,9 @@
     return sum->total;
 }
 
-static gint by_key(gconstpointer a, gconstpointer b) {
-    const rr_demand_total *x = a, *y = b;
-    return x->key.id < y->key.id ? -1 : x->key.id > y->key.id;
+static gint by_key(gconstpointer left_item, gconstpointer right_item) {
+    const rr_demand_total *left = left_item, *right = right_item;
+    return left->key.id < right->key.id ? -1 : left->key.id > right->key.id;
 }
 
 void rr_demand_merge(const rr_demand_view *const *views, const unsigned *ages, guint count,
--- a/src/admission/demand.h
+++ b/src/admission/demand.h
@@ -16,9 +16,9 @@
     double cpu_s, gpu_s, mem_s;
 } rr_work;
 
-static inline rr_work rr_work_add(rr_work a, rr_work b, double factor) {
-    return (rr_work){a.cpu_s + factor * b.cpu_s, a.gpu_s + factor * b.gpu_s,
-                     a.mem_s + factor * b.mem_s};
+static inline rr_work rr_work_add(rr_work left, rr_work right, double factor) {
+    return (rr_work){left.cpu_s + factor * right.cpu_s, left.gpu_s + factor * right.gpu_s,
+                     left.mem_s + factor * right.mem_s};
 }
 
 static inline rr_work rr_work_scale(rr_work work, double factor) {
@@ -70,7 +70,7 @@
 /* Packs a view into at most max_bytes. What does not fit is left out of all teams in turn. */
 void rr_demand_view_pack(const rr_demand_view *view, GByteArray *out, size_t max_bytes);
 /* 0, or -EBADMSG: malformed, too long or of an unknown version. */
-int rr_demand_view_unpack(const void *data, size_t len, rr_demand_view *out);
+int rr_demand_view_unpack(const void *data, size_t length, rr_demand_view *out);
 
 /* ---- all views together ---- */
 typedef struct {
--- a/src/admission/demand_frame.c
+++ b/src/admission/demand_frame.c
@@ -39,13 +39,14 @@
 }
 
 /* A team's entries in the order in which they are left out last: large jobs, then most demand. */
-static gint by_team(gconstpointer a, gconstpointer b) {
-    const rr_demand_entry *x = *(const rr_demand_entry *const *)a;
-    const rr_demand_entry *y = *(const rr_demand_entry *const *)b;
-    uint64_t jobs_x = x->sample->len + x->admitted, jobs_y = y->sample->len + y->admitted;
-    int teams = strcmp(x->key.team, y->key.team);
-    if (teams != 0 || x->key.band != y->key.band) {
-        return teams != 0 ? teams : x->key.band > y->key.band ? -1 : 1;
+static gint by_team(gconstpointer left_item, gconstpointer right_item) {
+    const rr_demand_entry *left = *(const rr_demand_entry *const *)left_item;
+    const rr_demand_entry *right = *(const rr_demand_entry *const *)right_item;
+    uint64_t jobs_x = left->sample->len + left->admitted,
+             jobs_y = right->sample->len + right->admitted;
+    int teams = strcmp(left->key.team, right->key.team);
+    if (teams != 0 || left->key.band != right->key.band) {
+        return teams != 0 ? teams : left->key.band > right->key.band ? -1 : 1;
     }
     return jobs_x > jobs_y ? -1 : jobs_x < jobs_y;
 }
@@ -55,9 +56,9 @@
     guint rank; /* within its team */
 };
 
-static gint by_rank(gconstpointer a, gconstpointer b) {
-    const struct ranked *x = a, *y = b;
-    return x->rank < y->rank ? -1 : x->rank > y->rank;
+static gint by_rank(gconstpointer left_item, gconstpointer right_item) {
+    const struct ranked *left = left_item, *right = right_item;
+    return left->rank < right->rank ? -1 : left->rank > right->rank;
 }
 
 /* One entry of each team, then a second one, and so on: a team with very many classes crowds out
@@ -103,48 +104,48 @@
     g_array_free(order, TRUE);
 }
 
-static double get_work(rr_frame_reader *in) {
-    return (double)rr_frame_read_u64(in) / WORK_UNIT;
+static double get_work(rr_frame_reader *reader) {
+    return (double)rr_frame_read_u64(reader) / WORK_UNIT;
 }
 
-static bool get_entry(rr_frame_reader *in, rr_demand_entry *entry) {
-    bool texts = rr_frame_read_text(in, entry->key.team, sizeof entry->key.team) &&
-                 rr_frame_read_text(in, entry->key.job_class, sizeof entry->key.job_class) &&
-                 rr_frame_read_text(in, entry->key.zone, sizeof entry->key.zone) &&
-                 rr_frame_read_text(in, entry->key.types, sizeof entry->key.types);
+static bool get_entry(rr_frame_reader *reader, rr_demand_entry *entry) {
+    bool texts = rr_frame_read_text(reader, entry->key.team, sizeof entry->key.team) &&
+                 rr_frame_read_text(reader, entry->key.job_class, sizeof entry->key.job_class) &&
+                 rr_frame_read_text(reader, entry->key.zone, sizeof entry->key.zone) &&
+                 rr_frame_read_text(reader, entry->key.types, sizeof entry->key.types);
     size_t length = strlen(entry->key.types);
-    entry->key.band = rr_frame_read_u8(in);
-    entry->admitted = rr_frame_read_u64(in);
-    entry->mean.cpu_s = get_work(in);
-    entry->mean.gpu_s = get_work(in);
-    entry->mean.mem_s = get_work(in);
-    entry->bound = rr_frame_read_u64(in);
-    uint16_t samples = rr_frame_read_u16(in);
-    if (!texts || in->malformed || entry->key.band >= RR_ADMISSION_BANDS ||
+    entry->key.band = rr_frame_read_u8(reader);
+    entry->admitted = rr_frame_read_u64(reader);
+    entry->mean.cpu_s = get_work(reader);
+    entry->mean.gpu_s = get_work(reader);
+    entry->mean.mem_s = get_work(reader);
+    entry->bound = rr_frame_read_u64(reader);
+    uint16_t samples = rr_frame_read_u16(reader);
+    if (!texts || reader->malformed || entry->key.band >= RR_ADMISSION_BANDS ||
         (length > 0 && entry->key.types[length - 1] != ',') ||
-        samples * sizeof(uint64_t) > in->bytes_left || entry->bound == 0) {
+        samples * sizeof(uint64_t) > reader->bytes_left || entry->bound == 0) {
         return false;
     }
     for (uint16_t i = 0; i < samples; i++) {
-        uint64_t hash = rr_frame_read_u64(in);
+        uint64_t hash = rr_frame_read_u64(reader);
         g_array_append_val(entry->sample, hash);
     }
     rr_admission_key_hash(&entry->key);
-    return !in->malformed;
+    return !reader->malformed;
 }
 
-int rr_demand_view_unpack(const void *data, size_t len, rr_demand_view *out) {
-    rr_frame_reader in = {data, len, false};
+int rr_demand_view_unpack(const void *data, size_t length, rr_demand_view *out) {
+    rr_frame_reader reader = {data, length, false};
     rr_demand_view_init(out);
-    bool good = rr_frame_read_u8(&in) == RR_DEMAND_VERSION;
-    out->fencing_token = rr_frame_read_u64(&in);
-    uint16_t count = rr_frame_read_u16(&in);
-    for (uint16_t i = 0; good && !in.malformed && i < count; i++) {
+    bool good = rr_frame_read_u8(&reader) == RR_DEMAND_VERSION;
+    out->fencing_token = rr_frame_read_u64(&reader);
+    uint16_t count = rr_frame_read_u16(&reader);
+    for (uint16_t i = 0; good && !reader.malformed && i < count; i++) {
         rr_demand_entry entry = {.sample = g_array_new(FALSE, FALSE, sizeof(uint64_t))};
-        good = get_entry(&in, &entry);
+        good = get_entry(&reader, &entry);
         g_array_append_val(out->entries, entry);
     }
-    if (!good || in.malformed || in.bytes_left > 0) {
+    if (!good || reader.malformed || reader.bytes_left > 0) {
         rr_demand_view_clear(out);
         return -EBADMSG;
     }
--- a/src/admission/entries.c
+++ b/src/admission/entries.c
@@ -16,20 +16,20 @@
     return entry;
 }
 
-static gint by_group_and_size(gconstpointer a, gconstpointer b) {
-    const rr_admission_entry *x = *(const rr_admission_entry *const *)a,
-                             *y = *(const rr_admission_entry *const *)b;
-    if (x->team != y->team) {
-        return x->team < y->team ? -1 : 1;
+static gint by_group_and_size(gconstpointer left_item, gconstpointer right_item) {
+    const rr_admission_entry *left = *(const rr_admission_entry *const *)left_item,
+                             *right = *(const rr_admission_entry *const *)right_item;
+    if (left->team != right->team) {
+        return left->team < right->team ? -1 : 1;
     }
-    if (x->band != y->band) {
-        return x->band < y->band ? -1 : 1;
+    if (left->band != right->band) {
+        return left->band < right->band ? -1 : 1;
     }
-    double size_x = x->backlog + x->asked, size_y = y->backlog + y->asked;
+    double size_x = left->backlog + left->asked, size_y = right->backlog + right->asked;
     if (size_x != size_y) {
         return size_x > size_y ? -1 : 1;
     }
-    return x->id < y->id ? -1 : x->id > y->id;
+    return left->id < right->id ? -1 : left->id > right->id;
 }
 
 static void merge_entry(rr_admission_entry *into, const rr_admission_entry *entry) {
@@ -39,8 +39,8 @@
     into->asked += entry->asked;
 }
 
-bool rr_admission_same_group(const rr_admission_entry *a, const rr_admission_entry *b) {
-    return a && a->team == b->team && a->band == b->band;
+bool rr_admission_same_group(const rr_admission_entry *left, const rr_admission_entry *right) {
+    return left && left->team == right->team && left->band == right->band;
 }
 
 /* The largest entries of each team's band, and one for the rest of it, so that the keys of one
--- a/src/admission/entries.h
+++ b/src/admission/entries.h
@@ -21,6 +21,6 @@
 GArray *rr_admission_entries(const struct rr_config *config, const rr_offered_load *load,
                              const GArray *demand /* rr_demand_total */, const double *correction);
 /* Of one team and band; false if a is NULL. */
-bool rr_admission_same_group(const rr_admission_entry *a, const rr_admission_entry *b);
+bool rr_admission_same_group(const rr_admission_entry *left, const rr_admission_entry *right);
 
 #endif
--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -37,8 +37,8 @@
     key->id = mix((hash ^ key->band) * FNV_PRIME);
 }
 
-static int by_text(const void *a, const void *b) {
-    return strcmp(*(const char *const *)a, *(const char *const *)b);
+static int by_text(const void *left, const void *right) {
+    return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
 /* Types that do not fit make the key one of any type: its share is then reckoned too high, and the
@@ -78,8 +78,8 @@
         return false;
     }
     size_t length = strlen(type);
-    for (const char *at = key->types; *at; at = strchr(at, ',') + 1) {
-        if (strncmp(at, type, length) == 0 && at[length] == ',') {
+    for (const char *cursor = key->types; *cursor; cursor = strchr(cursor, ',') + 1) {
+        if (strncmp(cursor, type, length) == 0 && cursor[length] == ',') {
             return true;
         }
     }
--- a/src/admission/load.c
+++ b/src/admission/load.c
@@ -37,9 +37,9 @@
     load->visits++;
 }
 
-static rr_amount amount_add(rr_amount a, rr_amount b, double factor) {
-    return (rr_amount){a.cpus + factor * b.cpus, a.gpus + factor * b.gpus,
-                       a.mem_gb + factor * b.mem_gb};
+static rr_amount amount_add(rr_amount left, rr_amount right, double factor) {
+    return (rr_amount){left.cpus + factor * right.cpus, left.gpus + factor * right.gpus,
+                       left.mem_gb + factor * right.mem_gb};
 }
 
 void rr_offered_load_add_machine(rr_offered_load *load, const char *type, const char *zone,
--- a/src/admission/settings.c
+++ b/src/admission/settings.c
@@ -47,35 +47,35 @@
 static const struct rr_config
     *platform; /* whose names are checked; read before any thread starts */
 
-static int check_weight(cfg_t *cfg, cfg_opt_t *option) {
+static int check_weight(cfg_t *config, cfg_opt_t *option) {
     double value = cfg_opt_getnfloat(option, cfg_opt_size(option) - 1);
     if (!(value > 0 && value <= WEIGHT_MAX)) {
-        cfg_error(cfg, "weight: must be above 0 and at most %g", WEIGHT_MAX);
+        cfg_error(config, "weight: must be above 0 and at most %g", WEIGHT_MAX);
         return -1;
     }
     return 0;
 }
 
-static int check_least(cfg_t *cfg, cfg_opt_t *option) {
+static int check_least(cfg_t *config, cfg_opt_t *option) {
     double value = cfg_opt_getnfloat(option, cfg_opt_size(option) - 1);
     if (!(value >= 0 && value <= 1)) {
-        cfg_error(cfg, "least_share: must be between 0 and 1");
+        cfg_error(config, "least_share: must be between 0 and 1");
         return -1;
     }
     return 0;
 }
 
-static int check_team(cfg_t *cfg, cfg_opt_t *option) {
+static int check_team(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
     if (rr_config_team(platform, name) < 0) {
-        cfg_error(cfg, "team \"%s\": the platform's settings have no such team", name);
+        cfg_error(config, "team \"%s\": the platform's settings have no such team", name);
         return -1;
     }
     return 0;
 }
 
 /* Classes are what users write; where the platform's settings name some, others are mistakes. */
-static int check_class(cfg_t *cfg, cfg_opt_t *option) {
+static int check_class(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
     bool known = false, any = false;
     for (size_t i = 0; i < platform->objective_count; i++) {
@@ -83,7 +83,7 @@
         known = known || strcmp(platform->objectives[i].job_class, name) == 0;
     }
     if (any && !known) {
-        cfg_error(cfg, "class \"%s\": no objective names such a class", name);
+        cfg_error(config, "class \"%s\": no objective names such a class", name);
         return -1;
     }
     return 0;
@@ -103,11 +103,11 @@
     }
 }
 
-static const char *read_bands(cfg_t *cfg, rr_admission_settings *out) {
-    if (cfg_size(cfg, "bands") != 2) {
+static const char *read_bands(cfg_t *config, rr_admission_settings *out) {
+    if (cfg_size(config, "bands") != 2) {
         return "bands: must be two numbers of tasks";
     }
-    long second = cfg_getnint(cfg, "bands", 0), third = cfg_getnint(cfg, "bands", 1);
+    long second = cfg_getnint(config, "bands", 0), third = cfg_getnint(config, "bands", 1);
     if (second < 2 || third <= second || third > RR_ADMISSION_TASKS_MAX) {
         return "bands: must rise, from 2 to 100000";
     }
@@ -117,11 +117,11 @@
 }
 
 /* What no single value shows. NULL: all is well. */
-static const char *read_values(cfg_t *cfg, rr_admission_settings *out) {
+static const char *read_values(cfg_t *config, rr_admission_settings *out) {
     double least = 0;
-    rr_conf_read_numbers(cfg, numbers, G_N_ELEMENTS(numbers), out);
-    for (unsigned i = 0; i < cfg_size(cfg, "team"); i++) {
-        cfg_t *section = cfg_getnsec(cfg, "team", i);
+    rr_conf_read_numbers(config, numbers, G_N_ELEMENTS(numbers), out);
+    for (unsigned i = 0; i < cfg_size(config, "team"); i++) {
+        cfg_t *section = cfg_getnsec(config, "team", i);
         rr_admission_team_settings *team =
             &out->teams[rr_config_team(platform, cfg_title(section))];
         read_team(section, team);
@@ -136,7 +136,7 @@
     if (out->interval_s <= 8 * platform->clock_off_s) {
         return "interval_s: must be above eight times the platform's clock_off_ms";
     }
-    return read_bands(cfg, out);
+    return read_bands(config, out);
 }
 
 int rr_admission_settings_load(const char *file, const struct rr_config *config,
@@ -151,26 +151,26 @@
     rr_conf_list_numbers(numbers, G_N_ELEMENTS(numbers), options);
     options[G_N_ELEMENTS(numbers)] = bands;
     options[G_N_ELEMENTS(numbers) + 1] = teams;
-    cfg_opt_t mark = CFG_BOOL(RR_CONF_END_MARK, cfg_false, CFGF_NONE);
-    options[G_N_ELEMENTS(numbers) + 2] = mark;
+    cfg_opt_t version = CFG_BOOL(RR_CONF_END_MARK, cfg_false, CFGF_NONE);
+    options[G_N_ELEMENTS(numbers) + 2] = version;
     options[G_N_ELEMENTS(numbers) + 3] = end;
     rr_admission_settings_init(out);
     platform = config;
-    cfg_t *cfg = cfg_init(options, CFGF_NONE);
-    rr_conf_begin(cfg, file, numbers, G_N_ELEMENTS(numbers));
-    cfg_set_validate_func(cfg, "team", check_team);
-    cfg_set_validate_func(cfg, "team|weight", check_weight);
-    cfg_set_validate_func(cfg, "team|least_share", check_least);
-    cfg_set_validate_func(cfg, "team|class", check_class);
-    cfg_set_validate_func(cfg, "team|class|weight", check_weight);
-    bool parsed = rr_conf_parse(cfg);
-    const char *wrong = parsed ? read_values(cfg, out) : NULL;
+    cfg_t *parser = cfg_init(options, CFGF_NONE);
+    rr_conf_begin(parser, file, numbers, G_N_ELEMENTS(numbers));
+    cfg_set_validate_func(parser, "team", check_team);
+    cfg_set_validate_func(parser, "team|weight", check_weight);
+    cfg_set_validate_func(parser, "team|least_share", check_least);
+    cfg_set_validate_func(parser, "team|class", check_class);
+    cfg_set_validate_func(parser, "team|class|weight", check_weight);
+    bool parsed = rr_conf_parse(parser);
+    const char *wrong = parsed ? read_values(parser, out) : NULL;
     out->on = parsed && !wrong;
     if (!parsed) {
         snprintf(error, size, "%s", rr_conf_error());
     } else if (wrong) {
         snprintf(error, size, "%s: %s", file, wrong);
     }
-    cfg_free(cfg);
+    cfg_free(parser);
     return out->on ? 0 : -EINVAL;
 }
--- a/src/admission/shares_fill.c
+++ b/src/admission/shares_fill.c
@@ -64,9 +64,9 @@
 /* How much more of the row the pool takes. */
 static double room_for(const rr_share_row *row, const double *room) {
     double most = INFINITY;
-    for (guint r = 0; r < RR_SHARE_RESOURCES; r++) {
-        if (row->use[r] > EPSILON) {
-            most = fmin(most, room[r] / row->use[r]);
+    for (guint record_index = 0; record_index < RR_SHARE_RESOURCES; record_index++) {
+        if (row->use[record_index] > EPSILON) {
+            most = fmin(most, room[record_index] / row->use[record_index]);
         }
     }
     return fmax(most, 0);
@@ -78,19 +78,20 @@
     while (left > EPSILON) {
         guint best = problem->pool_count;
         double most = EPSILON;
-        for (guint p = 0; p < problem->pool_count; p++) {
-            double free = row->pools[p] ? room_for(row, &room[(size_t)p * RR_SHARE_RESOURCES]) : 0;
+        for (guint pool = 0; pool < problem->pool_count; pool++) {
+            double free =
+                row->pools[pool] ? room_for(row, &room[(size_t)pool * RR_SHARE_RESOURCES]) : 0;
             if (free > most) {
                 most = free;
-                best = p;
+                best = pool;
             }
         }
         if (best == problem->pool_count) {
             break;
         }
         double part = fmin(left, most);
-        for (guint r = 0; r < RR_SHARE_RESOURCES; r++) {
-            room[(size_t)best * RR_SHARE_RESOURCES + r] -= part * row->use[r];
+        for (guint record_index = 0; record_index < RR_SHARE_RESOURCES; record_index++) {
+            room[(size_t)best * RR_SHARE_RESOURCES + record_index] -= part * row->use[record_index];
         }
         row->allocation += part;
         left -= part;
@@ -159,10 +160,11 @@
 /* Fills the room of each pool; returns the time there is of the most plentiful resource. */
 static double init_room(const rr_share_problem *problem, double *room) {
     double all[RR_SHARE_RESOURCES] = {0};
-    for (guint p = 0; p < problem->pool_count; p++) {
-        for (guint r = 0; r < RR_SHARE_RESOURCES; r++) {
-            room[(size_t)p * RR_SHARE_RESOURCES + r] = problem->pools[p].capacity[r];
-            all[r] += problem->pools[p].capacity[r];
+    for (guint pool = 0; pool < problem->pool_count; pool++) {
+        for (guint record_index = 0; record_index < RR_SHARE_RESOURCES; record_index++) {
+            room[(size_t)pool * RR_SHARE_RESOURCES + record_index] =
+                problem->pools[pool].capacity[record_index];
+            all[record_index] += problem->pools[pool].capacity[record_index];
         }
     }
     return fmax(all[0], fmax(all[1], all[2]));
--- a/src/admission/shares_program.c
+++ b/src/admission/shares_program.c
@@ -52,8 +52,8 @@
 
 static void put_row_columns(const struct stage *stage, struct program *program, guint row,
                             int lp_row, double value) {
-    for (guint p = 0; p < stage->problem->pool_count; p++) {
-        int column = column_at(stage, program, row, p);
+    for (guint pool = 0; pool < stage->problem->pool_count; pool++) {
+        int column = column_at(stage, program, row, pool);
         if (column) {
             put_value(program, lp_row, column, value);
         }
@@ -63,11 +63,11 @@
 static void add_columns(const struct stage *stage, struct program *program) {
     const rr_share_problem *problem = stage->problem;
     for (guint i = 0; i < problem->row_count; i++) {
-        for (guint p = 0; p < problem->pool_count; p++) {
-            if (problem->rows[i].pools[p]) {
+        for (guint pool = 0; pool < problem->pool_count; pool++) {
+            if (problem->rows[i].pools[pool]) {
                 int column = glp_add_cols(program->lp, 1);
                 glp_set_col_bnds(program->lp, column, GLP_LO, 0, 0);
-                program->columns[i * problem->pool_count + p] = column;
+                program->columns[i * problem->pool_count + pool] = column;
             }
         }
     }
@@ -75,13 +75,13 @@
 
 static void add_capacities(const struct stage *stage, struct program *program) {
     const rr_share_problem *problem = stage->problem;
-    for (guint p = 0; p < problem->pool_count; p++) {
-        for (guint r = 0; r < RR_SHARE_RESOURCES; r++) {
-            int row = add_row(program, GLP_UP, 0, problem->pools[p].capacity[r]);
+    for (guint pool = 0; pool < problem->pool_count; pool++) {
+        for (guint record_index = 0; record_index < RR_SHARE_RESOURCES; record_index++) {
+            int row = add_row(program, GLP_UP, 0, problem->pools[pool].capacity[record_index]);
             for (guint i = 0; i < problem->row_count; i++) {
-                int column = column_at(stage, program, i, p);
-                if (column && problem->rows[i].use[r] > 0) {
-                    put_value(program, row, column, problem->rows[i].use[r]);
+                int column = column_at(stage, program, i, pool);
+                if (column && problem->rows[i].use[record_index] > 0) {
+                    put_value(program, row, column, problem->rows[i].use[record_index]);
                 }
             }
         }
@@ -106,23 +106,23 @@
 /* One row an entity: what it has, less the level times its weight while it grows. */
 static void add_entities(const struct stage *stage, struct program *program) {
     program->first_entity = glp_get_num_rows(program->lp) + 1;
-    for (guint e = 0; e < stage->entity_count; e++) {
-        bool grows = stage->fixed[e] < 0;
-        int row = add_row(program, GLP_LO, grows ? 0 : stage->fixed[e] * (1 - EPSILON), 0);
+    for (guint entity = 0; entity < stage->entity_count; entity++) {
+        bool grows = stage->fixed[entity] < 0;
+        int row = add_row(program, GLP_LO, grows ? 0 : stage->fixed[entity] * (1 - EPSILON), 0);
         if (grows) {
-            put_value(program, row, program->level, -stage->weight[e]);
+            put_value(program, row, program->level, -stage->weight[entity]);
         }
     }
     for (guint i = 0; i < stage->problem->row_count; i++) {
         put_row_columns(stage, program, i, program->first_entity + (int)stage->entity_of[i], 1);
     }
-    for (guint e = 0; e < stage->entity_count; e++) {
-        if (stage->least[e] <= 0) {
+    for (guint entity = 0; entity < stage->entity_count; entity++) {
+        if (stage->least[entity] <= 0) {
             continue;
         }
-        int row = add_row(program, GLP_LO, fmin(stage->least[e], stage->demand[e]), 0);
+        int row = add_row(program, GLP_LO, fmin(stage->least[entity], stage->demand[entity]), 0);
         for (guint i = 0; i < stage->problem->row_count; i++) {
-            if (stage->entity_of[i] == e) {
+            if (stage->entity_of[i] == entity) {
                 put_row_columns(stage, program, i, row, 1);
             }
         }
@@ -176,9 +176,9 @@
 /* Where the next one of those who grow has all that it asks for. */
 static double next_saturation(const struct stage *stage) {
     double level = INFINITY;
-    for (guint e = 0; e < stage->entity_count; e++) {
-        if (stage->fixed[e] < 0) {
-            level = fmin(level, stage->demand[e] / stage->weight[e]);
+    for (guint entity = 0; entity < stage->entity_count; entity++) {
+        if (stage->fixed[entity] < 0) {
+            level = fmin(level, stage->demand[entity] / stage->weight[entity]);
         }
     }
     return level;
@@ -189,19 +189,22 @@
 static guint fix_entities(struct stage *stage, const struct program *program, double level) {
     guint growing = 0, fixed = 0;
     bool priced = false;
-    for (guint e = 0; e < stage->entity_count; e++) {
-        priced = priced ||
-                 (stage->fixed[e] < 0 &&
-                  fabs(glp_get_row_dual(program->lp, program->first_entity + (int)e)) > EPSILON);
+    for (guint entity = 0; entity < stage->entity_count; entity++) {
+        priced =
+            priced ||
+            (stage->fixed[entity] < 0 &&
+             fabs(glp_get_row_dual(program->lp, program->first_entity + (int)entity)) > EPSILON);
     }
-    for (guint e = 0; e < stage->entity_count; e++) {
-        if (stage->fixed[e] >= 0) {
+    for (guint entity = 0; entity < stage->entity_count; entity++) {
+        if (stage->fixed[entity] >= 0) {
             continue;
         }
-        bool sated = stage->demand[e] <= level * stage->weight[e] * (1 + EPSILON) + EPSILON;
-        bool bound = fabs(glp_get_row_dual(program->lp, program->first_entity + (int)e)) > EPSILON;
+        bool sated =
+            stage->demand[entity] <= level * stage->weight[entity] * (1 + EPSILON) + EPSILON;
+        bool bound =
+            fabs(glp_get_row_dual(program->lp, program->first_entity + (int)entity)) > EPSILON;
         if (sated || bound || !priced) {
-            stage->fixed[e] = fmin(stage->demand[e], level * stage->weight[e]);
+            stage->fixed[entity] = fmin(stage->demand[entity], level * stage->weight[entity]);
             fixed++;
         }
         growing++;
@@ -213,8 +216,8 @@
     for (guint i = 0; i < stage->problem->row_count; i++) {
         rr_share_row *row = &stage->problem->rows[i];
         row->allocation = 0;
-        for (guint p = 0; p < stage->problem->pool_count; p++) {
-            int column = column_at(stage, program, i, p);
+        for (guint pool = 0; pool < stage->problem->pool_count; pool++) {
+            int column = column_at(stage, program, i, pool);
             row->allocation += column ? glp_get_col_prim(program->lp, column) : 0;
         }
     }
@@ -223,9 +226,9 @@
 /* Level after level. False: no time, or no solution. */
 static bool solve_stage(struct stage *stage) {
     guint growing = 0;
-    for (guint e = 0; e < stage->entity_count; e++) {
-        bool asks = stage->demand[e] > EPSILON;
-        stage->fixed[e] = asks ? -1 : 0;
+    for (guint entity = 0; entity < stage->entity_count; entity++) {
+        bool asks = stage->demand[entity] > EPSILON;
+        stage->fixed[entity] = asks ? -1 : 0;
         growing += asks;
     }
     for (guint level = 0; growing > 0; level++) {
--- a/src/admission/table.c
+++ b/src/admission/table.c
@@ -22,9 +22,9 @@
     memset(table, 0, sizeof *table);
 }
 
-static gint by_id(gconstpointer a, gconstpointer b) {
-    const rr_admission_row *x = a, *y = b;
-    return x->id < y->id ? -1 : x->id > y->id;
+static gint by_id(gconstpointer left_item, gconstpointer right_item) {
+    const rr_admission_row *left = left_item, *right = right_item;
+    return left->id < right->id ? -1 : left->id > right->id;
 }
 
 void rr_admission_table_sort(rr_admission_table *table) {
@@ -65,12 +65,12 @@
 
 /* ---- encoding ---- */
 
-static gint by_share(gconstpointer a, gconstpointer b) {
-    const rr_admission_row *x = a, *y = b;
-    if (x->share != y->share) {
-        return x->share < y->share ? -1 : 1;
+static gint by_share(gconstpointer left_item, gconstpointer right_item) {
+    const rr_admission_row *left = left_item, *right = right_item;
+    if (left->share != right->share) {
+        return left->share < right->share ? -1 : 1;
     }
-    return x->id < y->id ? -1 : x->id > y->id;
+    return left->id < right->id ? -1 : left->id > right->id;
 }
 
 static void put_row(rr_encoder *out, const rr_admission_row *row) {
@@ -173,15 +173,15 @@
 
 /* ---- decoding ---- */
 
-static bool triple(const msgpack_object *o) {
-    return o->type == MSGPACK_OBJECT_ARRAY && o->via.array.size == 3;
+static bool triple(const msgpack_object *object) {
+    return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == 3;
 }
 
-static bool get_row(const msgpack_object *o, rr_admission_row *row) {
+static bool get_row(const msgpack_object *object, rr_admission_row *row) {
     uint64_t phase;
-    if (!triple(o) || !rr_object_u64(&o->via.array.ptr[0], &row->id) ||
-        !rr_object_u64(&o->via.array.ptr[1], &phase) ||
-        !rr_object_u64(&o->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
+    if (!triple(object) || !rr_object_u64(&object->via.array.ptr[0], &row->id) ||
+        !rr_object_u64(&object->via.array.ptr[1], &phase) ||
+        !rr_object_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
         row->share > RR_ADMISSION_FULL) {
         return false;
     }
@@ -189,11 +189,12 @@
     return true;
 }
 
-static bool get_team(const msgpack_object *o, rr_admission_team *team) {
+static bool get_team(const msgpack_object *object, rr_admission_team *team) {
     uint64_t room, correction;
-    if (!triple(o) || !rr_object_text(&o->via.array.ptr[0], team->name, sizeof team->name) ||
-        !rr_object_u64(&o->via.array.ptr[1], &room) ||
-        !rr_object_u64(&o->via.array.ptr[2], &correction)) {
+    if (!triple(object) ||
+        !rr_object_text(&object->via.array.ptr[0], team->name, sizeof team->name) ||
+        !rr_object_u64(&object->via.array.ptr[1], &room) ||
+        !rr_object_u64(&object->via.array.ptr[2], &correction)) {
         return false;
     }
     team->room = (double)room / ROOM_UNIT;
@@ -202,8 +203,8 @@
 }
 
 static const msgpack_object_array *list_of(const msgpack_object *map, const char *key) {
-    const msgpack_object *o = rr_map_get(map, key);
-    return o && o->type == MSGPACK_OBJECT_ARRAY ? &o->via.array : NULL;
+    const msgpack_object *object = rr_map_get(map, key);
+    return object && object->type == MSGPACK_OBJECT_ARRAY ? &object->via.array : NULL;
 }
 
 /* Reads a record into an empty table. */
@@ -254,14 +255,14 @@
 }
 
 int rr_admission_slot_put(rr_admission_slot *slot, guint part, const msgpack_object *value,
-                          uint64_t mark) {
+                          uint64_t version) {
     rr_admission_table read;
     uint64_t parts = 0;
     if (part >= RR_ADMISSION_PARTS_MAX) {
         return -EPROTO;
     }
-    bool known = slot->versions[part] == mark && slot->have >> part & 1;
-    slot->versions[part] = mark;
+    bool known = slot->versions[part] == version && slot->have >> part & 1;
+    slot->versions[part] = version;
     rr_admission_table_init(&read);
     int rc = -EPROTO;
     if (read_record(value, &read, &parts) && part < parts) {
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -59,6 +59,6 @@
 
 /* 1: the slot holds a whole table; 0: not yet; -EPROTO: of an unknown version or not readable. */
 int rr_admission_slot_put(rr_admission_slot *slot, guint part, const msgpack_object *value,
-                          uint64_t mark);
+                          uint64_t version);
 
 #endif
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -102,8 +102,10 @@
     const double work[] = {entry->work.cpu_s, entry->work.gpu_s, entry->work.mem_s};
     const double capacity[] = {writer->capacity.cpus, writer->capacity.gpus,
                                writer->capacity.mem_gb};
-    for (guint r = 0; r < RR_SHARE_RESOURCES; r++) {
-        row->use[r] = all > EPSILON && capacity[r] > 0 ? work[r] / capacity[r] / all : 0;
+    for (guint record_index = 0; record_index < RR_SHARE_RESOURCES; record_index++) {
+        row->use[record_index] = all > EPSILON && capacity[record_index] > 0
+                                     ? work[record_index] / capacity[record_index] / all
+                                     : 0;
     }
 }
 
@@ -158,9 +160,9 @@
     bool *allowed = g_new0(bool, (size_t)entries->len * load->pools->len + 1);
     for (guint i = 0; i < entries->len; i++) {
         const rr_admission_entry *entry = &g_array_index(entries, rr_admission_entry, i);
-        for (guint p = 0; p < load->pools->len; p++) {
-            const rr_load_pool *pool = &g_array_index(load->pools, rr_load_pool, p);
-            allowed[i * load->pools->len + p] =
+        for (guint pool_index = 0; pool_index < load->pools->len; pool_index++) {
+            const rr_load_pool *pool = &g_array_index(load->pools, rr_load_pool, pool_index);
+            allowed[i * load->pools->len + pool_index] =
                 !entry->key || rr_admission_key_allows(entry->key, pool->type, pool->zone);
         }
     }
@@ -192,11 +194,11 @@
                                  .pools = &allowed[(size_t)i * load->pools->len]};
         set_use(writer, entry, &rows[i]);
     }
-    for (guint p = 0; p < load->pools->len; p++) {
-        rr_amount amount = g_array_index(load->pools, rr_load_pool, p).amount;
-        pools[p].capacity[0] = part_of(amount.cpus, writer->capacity.cpus) * horizon;
-        pools[p].capacity[1] = part_of(amount.gpus, writer->capacity.gpus) * horizon;
-        pools[p].capacity[2] = part_of(amount.mem_gb, writer->capacity.mem_gb) * horizon;
+    for (guint pool = 0; pool < load->pools->len; pool++) {
+        rr_amount amount = g_array_index(load->pools, rr_load_pool, pool).amount;
+        pools[pool].capacity[0] = part_of(amount.cpus, writer->capacity.cpus) * horizon;
+        pools[pool].capacity[1] = part_of(amount.gpus, writer->capacity.gpus) * horizon;
+        pools[pool].capacity[2] = part_of(amount.mem_gb, writer->capacity.mem_gb) * horizon;
     }
     for (size_t i = 0; i < writer->config->team_count; i++) {
         teams[i] = (rr_share_team){writer->settings->teams[i].weight,
--- a/src/app/admission_duty.c
+++ b/src/app/admission_duty.c
@@ -47,78 +47,78 @@
     }
 }
 
-int rr_app_admission_start(struct rr_app *a) {
-    if (!a->config.admission) {
+int rr_app_admission_start(struct rr_app *app) {
+    if (!app->config.admission) {
         return 0;
     }
     struct rr_app_admission *state = g_new0(struct rr_app_admission, 1);
     pthread_mutex_init(&state->lock, NULL);
-    state->admission = rr_admission_create(&a->config, &a->admission_settings);
-    state->writer = rr_admission_writer_create(&a->config, &a->admission_settings);
-    rr_offered_load_init(&state->load, &a->admission_settings);
-    rr_core_watch_records(a->core, RR_ADMISSION_PREFIX, on_record, state);
-    a->admission = state;
+    state->admission = rr_admission_create(&app->config, &app->admission_settings);
+    state->writer = rr_admission_writer_create(&app->config, &app->admission_settings);
+    rr_offered_load_init(&state->load, &app->admission_settings);
+    rr_core_watch_records(app->core, RR_ADMISSION_PREFIX, on_record, state);
+    app->admission = state;
     return 0;
 }
 
-void rr_app_admission_stop(struct rr_app *a) {
-    struct rr_app_admission *state = a->admission;
+void rr_app_admission_stop(struct rr_app *app) {
+    struct rr_app_admission *state = app->admission;
     if (state) {
         rr_offered_load_clear(&state->load);
         rr_admission_writer_destroy(state->writer);
         rr_admission_destroy(state->admission);
         pthread_mutex_destroy(&state->lock);
         g_free(state);
-        a->admission = NULL;
+        app->admission = NULL;
     }
-    rr_admission_settings_clear(&a->admission_settings);
+    rr_admission_settings_clear(&app->admission_settings);
 }
 
 /* ---- questions ---- */
 
-static rr_admission_context admission_context_of(struct rr_app *a) {
+static rr_admission_context admission_context_of(struct rr_app *app) {
     double now = rr_steady_clock_s();
-    pthread_mutex_lock(&a->lock);
-    rr_admission_context standing = {.lease_valid = rr_core_lease_valid(a->core, now),
-                                     .all_capable = rr_core_all_admission_capable(a->core),
-                                     .cache_age_s = rr_core_cache_age(a->core, now),
-                                     .controllers = rr_core_live_controllers(a->core)};
-    pthread_mutex_unlock(&a->lock);
-    return standing;
+    pthread_mutex_lock(&app->lock);
+    rr_admission_context state = {.lease_valid = rr_core_lease_valid(app->core, now),
+                                  .all_capable = rr_core_all_admission_capable(app->core),
+                                  .cache_age_s = rr_core_cache_age(app->core, now),
+                                  .controllers = rr_core_live_controllers(app->core)};
+    pthread_mutex_unlock(&app->lock);
+    return state;
 }
 
-bool rr_app_admission_ask(struct rr_app *a, const rr_submission *s, int *retry_after_s) {
-    struct rr_app_admission *state = a->admission;
+bool rr_app_admission_ask(struct rr_app *app, const rr_submission *submission, int *retry_after_s) {
+    struct rr_app_admission *state = app->admission;
     if (!state) {
         return true;
     }
-    rr_admission_context standing = admission_context_of(a);
+    rr_admission_context standing_here = admission_context_of(app);
     pthread_mutex_lock(&state->lock);
-    rr_admission_verdict verdict =
-        rr_admission_ask(state->admission, s, &standing, rr_wall_clock_s(), rr_steady_clock_s());
+    rr_admission_verdict verdict = rr_admission_ask(state->admission, submission, &standing_here,
+                                                    rr_wall_clock_s(), rr_steady_clock_s());
     pthread_mutex_unlock(&state->lock);
     *retry_after_s = verdict.retry_after_s;
     return verdict.kind == RR_ADMISSION_ADMIT;
 }
 
-void rr_app_admission_accepted(struct rr_app *a, const rr_submission *s) {
-    if (a->admission) {
-        pthread_mutex_lock(&a->admission->lock);
-        rr_admission_accepted(a->admission->admission, s);
-        pthread_mutex_unlock(&a->admission->lock);
+void rr_app_admission_accepted(struct rr_app *app, const rr_submission *submission) {
+    if (app->admission) {
+        pthread_mutex_lock(&app->admission->lock);
+        rr_admission_accepted(app->admission->admission, submission);
+        pthread_mutex_unlock(&app->admission->lock);
     }
 }
 
-void rr_app_admission_take_demand(struct rr_app *a, int peer, const void *data, size_t len) {
-    struct rr_app_admission *state = a->admission;
+void rr_app_admission_take_demand(struct rr_app *app, int peer, const void *data, size_t length) {
+    struct rr_app_admission *state = app->admission;
     if (!state) {
         return;
     }
-    pthread_mutex_lock(&a->lock);
-    uint64_t token = rr_core_fencing_token(a->core);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_lock(&app->lock);
+    uint64_t token = rr_core_fencing_token(app->core);
+    pthread_mutex_unlock(&app->lock);
     pthread_mutex_lock(&state->lock);
-    int rc = rr_admission_take_demand(state->admission, (size_t)peer, token, data, len,
+    int rc = rr_admission_take_demand(state->admission, (size_t)peer, token, data, length,
                                       rr_steady_clock_s());
     pthread_mutex_unlock(&state->lock);
     if (rc == -EBADMSG) {
@@ -126,8 +126,8 @@
     }
 }
 
-void rr_app_admission_log(struct rr_app *a) {
-    struct rr_app_admission *state = a->admission;
+void rr_app_admission_log(struct rr_app *app) {
+    struct rr_app_admission *state = app->admission;
     rr_admission_stats stats;
     if (!state) {
         return;
@@ -152,38 +152,38 @@
 
 /* Under the core's lock. */
 static bool job_known(void *user, const char *job_id) {
-    const struct rr_app *a = user;
-    return rr_core_job_known(a->core, job_id);
+    const struct rr_app *app = user;
+    return rr_core_job_known(app->core, job_id);
 }
 
-static void settle(struct rr_app *a) {
-    struct rr_app_admission *state = a->admission;
-    pthread_mutex_lock(&a->lock);
+static void settle(struct rr_app *app) {
+    struct rr_app_admission *state = app->admission;
+    pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
-    rr_admission_settle(state->admission, job_known, a);
+    rr_admission_settle(state->admission, job_known, app);
     pthread_mutex_unlock(&state->lock);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
 }
 
 /* Once an interval, and only while every controller reads it. */
-static void announce_demand(struct rr_app *a, double wall) {
-    struct rr_app_admission *state = a->admission;
-    double length = a->admission_settings.interval_s, edge = floor(wall / length) * length;
+static void announce_demand(struct rr_app *app, double wall) {
+    struct rr_app_admission *state = app->admission;
+    double length = app->admission_settings.interval_s, edge = floor(wall / length) * length;
     if (edge == state->announced_for || wall - edge < TELL_AT * length) {
         return;
     }
     state->announced_for = edge;
-    settle(a);
-    pthread_mutex_lock(&a->lock);
-    bool able = rr_core_all_admission_capable(a->core);
-    uint64_t token = rr_core_fencing_token(a->core);
-    pthread_mutex_unlock(&a->lock);
+    settle(app);
+    pthread_mutex_lock(&app->lock);
+    bool capable = rr_core_all_admission_capable(app->core);
+    uint64_t token = rr_core_fencing_token(app->core);
+    pthread_mutex_unlock(&app->lock);
     GByteArray *view = g_byte_array_new();
     pthread_mutex_lock(&state->lock);
-    bool told = able && rr_admission_announce(state->admission, token, view);
+    bool announced = capable && rr_admission_announce(state->admission, token, view);
     pthread_mutex_unlock(&state->lock);
-    if (told) {
-        rr_peers_send_demand(a->peers, view->data, view->len);
+    if (announced) {
+        rr_peers_send_demand(app->peers, view->data, view->len);
     }
     g_byte_array_free(view, TRUE);
 }
@@ -199,18 +199,18 @@
 }
 
 /* What the table is made of, from one moment. False: this controller is not to write one now. */
-static bool gather(struct rr_app *a, GArray *demand, rr_admission_table *newest,
-                   rr_transaction *txn) {
-    struct rr_app_admission *state = a->admission;
+static bool gather(struct rr_app *app, GArray *demand, rr_admission_table *newest,
+                   rr_transaction *transaction) {
+    struct rr_app_admission *state = app->admission;
     double now = rr_steady_clock_s();
-    pthread_mutex_lock(&a->lock);
-    bool writes = rr_core_cache_consistent(a->core) && rr_core_is_autoscaler(a->core, now) &&
-                  rr_core_all_admission_capable(a->core);
+    pthread_mutex_lock(&app->lock);
+    bool writes = rr_core_cache_consistent(app->core) && rr_core_is_autoscaler(app->core, now) &&
+                  rr_core_all_admission_capable(app->core);
     if (writes) {
         rr_offered_load_begin(&state->load);
-        rr_core_each_machine(a->core, visit_machine, &state->load);
-        rr_core_each_job(a->core, visit_job, &state->load);
-        rr_core_guard_term(a->core, txn);
+        rr_core_each_machine(app->core, visit_machine, &state->load);
+        rr_core_each_job(app->core, visit_job, &state->load);
+        rr_core_guard_term(app->core, transaction);
         pthread_mutex_lock(&state->lock);
         const rr_admission_table *table = rr_admission_newest(state->admission);
         *newest = *table;
@@ -219,25 +219,25 @@
         rr_admission_demand(state->admission, now, demand);
         pthread_mutex_unlock(&state->lock);
     }
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
     return writes;
 }
 
-static bool commit_table(struct rr_app *a, rr_store *store, const rr_admission_table *table,
-                         rr_transaction *txn) {
-    struct rr_app_admission *state = a->admission;
+static bool commit_table(struct rr_app *app, rr_store *store, const rr_admission_table *table,
+                         rr_transaction *transaction) {
+    struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&state->lock);
-    bool fits = rr_admission_write(state->admission, table, txn);
+    bool fits = rr_admission_write(state->admission, table, transaction);
     pthread_mutex_unlock(&state->lock);
     uint64_t revision = 0;
     enum rr_commit_status rc = RR_COMMIT_INVALID;
     if (fits) {
-        rc = rr_store_commit(store, RR_REQUEST_AUTOSCALER, txn, COMMIT_S, &revision, NULL);
+        rc = rr_store_commit(store, RR_REQUEST_AUTOSCALER, transaction, COMMIT_S, &revision, NULL);
     }
     if (rc == RR_COMMIT_DONE) {
-        pthread_mutex_lock(&a->lock);
-        rr_core_apply(a->core, txn, revision, rr_steady_clock_s());
-        pthread_mutex_unlock(&a->lock);
+        pthread_mutex_lock(&app->lock);
+        rr_core_apply(app->core, transaction, revision, rr_steady_clock_s());
+        pthread_mutex_unlock(&app->lock);
     } else {
         rr_log(RR_INFO_LEVEL, "admission: table %" G_GUINT64_FORMAT " was not written (%d)",
                table->sequence, (int)rc);
@@ -246,18 +246,18 @@
 }
 
 /* A try that fails is repeated with what is known then: in doubt the records' guards decide. */
-static void write_table(struct rr_app *a, rr_store *store, double edge) {
-    struct rr_app_admission *state = a->admission;
+static void write_table(struct rr_app *app, rr_store *store, double edge) {
+    struct rr_app_admission *state = app->admission;
     rr_admission_table newest, table;
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
-    rr_transaction txn;
-    rr_transaction_init(&txn);
-    if (gather(a, demand, &newest, &txn)) {
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
+    if (gather(app, demand, &newest, &transaction)) {
         bool wanted = rr_admission_writer_next(state->writer, &state->load, demand, &newest,
                                                rr_wall_clock_s(), rr_steady_clock_s(), &table);
         rr_log(RR_DEBUG_LEVEL, "admission: table %" G_GUINT64_FORMAT ", %u rows%s", table.sequence,
                table.rows->len, wanted ? "" : ", not needed");
-        bool settled = !wanted || commit_table(a, store, &table, &txn);
+        bool settled = !wanted || commit_table(app, store, &table, &transaction);
         if (settled) {
             state->settled_for = edge;
         }
@@ -270,37 +270,37 @@
         rr_admission_table_clear(&table);
         rr_admission_table_clear(&newest);
     }
-    rr_transaction_clear(&txn);
+    rr_transaction_clear(&transaction);
     g_array_free(demand, TRUE);
 }
 
 /* Under both locks. */
-static void announce_rooms(struct rr_app *a, const rr_admission_table *table) {
+static void announce_rooms(struct rr_app *app, const rr_admission_table *table) {
     double rooms[RR_TEAMS_MAX];
-    for (size_t i = 0; i < a->config.team_count; i++) {
-        const rr_admission_team *team = rr_admission_table_team(table, a->config.teams[i].name);
+    for (size_t i = 0; i < app->config.team_count; i++) {
+        const rr_admission_team *team = rr_admission_table_team(table, app->config.teams[i].name);
         rooms[i] = team ? team->room : 1;
     }
-    rr_core_set_fair_room(a->core, rooms, table->cpus, table->gpus, table->mem_gb);
+    rr_core_set_fair_room(app->core, rooms, table->cpus, table->gpus, table->mem_gb);
 }
 
 /* The rooms of the table in force, for this controller's own plans; told once for each table. */
-static void set_fair_room(struct rr_app *a, double wall) {
-    struct rr_app_admission *state = a->admission;
-    pthread_mutex_lock(&a->lock);
+static void set_fair_room(struct rr_app *app, double wall) {
+    struct rr_app_admission *state = app->admission;
+    pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
     const rr_admission_table *table = rr_admission_table_at(state->admission, wall);
-    bool fresh = table && table->active && rr_core_all_admission_capable(a->core) &&
+    bool fresh = table && table->active && rr_core_all_admission_capable(app->core) &&
                  wall < table->starts_at + rr_admission_counts_s(table->length_s);
     uint64_t rooms_of = fresh ? table->sequence : 0;
     if (fresh && rooms_of != state->rooms_of) {
-        announce_rooms(a, table);
+        announce_rooms(app, table);
     } else if (!fresh && state->rooms_of != 0) {
-        rr_core_set_fair_room(a->core, NULL, 0, 0, 0);
+        rr_core_set_fair_room(app->core, NULL, 0, 0, 0);
     }
     state->rooms_of = rooms_of;
     pthread_mutex_unlock(&state->lock);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
 }
 
 static bool table_due(struct rr_app_admission *state, double wall, double edge) {
@@ -313,25 +313,25 @@
     return due;
 }
 
-void *rr_admission_thread(void *app) {
-    struct rr_app *a = app;
-    struct rr_app_admission *state = a->admission;
+void *rr_admission_thread(void *argument) {
+    struct rr_app *app = argument;
+    struct rr_app_admission *state = app->admission;
     rr_usage_enter(RR_USAGE_ADMISSION);
-    rr_store *store = rr_store_create(&a->config.state, a->budget, &a->stop);
-    double length = a->admission_settings.interval_s, tried_at = 0;
-    while (!atomic_load(&a->stop)) {
+    rr_store *store = rr_store_create(&app->config.state, app->budget, &app->stop);
+    double length = app->admission_settings.interval_s, tried_at = 0;
+    while (!atomic_load(&app->stop)) {
         rr_sleep(fmin(length / LOOKS, LOOK_MAX_S));
         double wall = rr_wall_clock_s();
         pthread_mutex_lock(&state->lock);
         rr_admission_tick(state->admission, wall, rr_steady_clock_s());
         pthread_mutex_unlock(&state->lock);
-        announce_demand(a, wall);
+        announce_demand(app, wall);
         double edge = floor(wall / length) * length;
         if (table_due(state, wall, edge) && rr_steady_clock_s() - tried_at > RETRY * length) {
             tried_at = rr_steady_clock_s();
-            write_table(a, store, edge);
+            write_table(app, store, edge);
         }
-        set_fair_room(a, wall);
+        set_fair_room(app, wall);
     }
     rr_store_destroy(store);
     rr_usage_leave();
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -89,64 +89,69 @@
 /* Many threads, little memory: few arenas, and freed pages go back. Before any thread starts. */
 void rr_app_memory(void);
 /* How many connections the settings leave room for. */
-int rr_app_connections(const struct rr_config *cfg);
+int rr_app_connections(const struct rr_config *config);
 /* 0; -errno if something could not be started (then nothing runs). */
-int rr_app_start(struct rr_app *a);
-void rr_app_stop(struct rr_app *a);
+int rr_app_start(struct rr_app *app);
+void rr_app_stop(struct rr_app *app);
 
 /* Wakes planner and provisioner; caller holds `lock`. */
-void rr_app_wake(struct rr_app *a);
+void rr_app_wake(struct rr_app *app);
 /* Waits until the mirror has reached epoch. Caller holds `lock`. */
-bool rr_app_wait_revision(struct rr_app *a, uint64_t epoch, double until);
-void rr_app_wait(struct rr_app *a, pthread_cond_t *c, pthread_mutex_t *m, double seconds);
-void rr_app_cond_init(pthread_cond_t *c); /* by the steady clock */
+bool rr_app_wait_revision(struct rr_app *app, uint64_t revision, double until);
+void rr_app_wait(struct rr_app *app, pthread_cond_t *condition, pthread_mutex_t *mutex,
+                 double seconds);
+void rr_app_cond_init(pthread_cond_t *condition); /* by the steady clock */
 /* Repeats a transaction until its outcome is certain; see duty.c. */
-enum rr_commit_status rr_app_commit(struct rr_app *a, rr_store *s, enum rr_request_priority prio,
-                                    const rr_transaction *t, uint64_t *epoch);
+enum rr_commit_status rr_app_commit(struct rr_app *app, rr_store *store,
+                                    enum rr_request_priority prio,
+                                    const rr_transaction *transaction, uint64_t *revision);
 /* A report that a peer has passed on. */
-void rr_app_take_heartbeat(struct rr_app *a, const void *body, size_t len, int via, unsigned hops);
+void rr_app_take_heartbeat(struct rr_app *app, const void *body, size_t length, int via,
+                           unsigned hops);
 
 /* admission_duty.c. All do nothing where admission is switched off. */
-int rr_app_admission_start(struct rr_app *a); /* before the threads; 0 or -errno */
-void rr_app_admission_stop(struct rr_app *a); /* after they have ended */
+int rr_app_admission_start(struct rr_app *app); /* before the threads; 0 or -errno */
+void rr_app_admission_stop(struct rr_app *app); /* after they have ended */
 /* Whether a valid submission of an unknown job is admitted; if not, when to come back. */
-bool rr_app_admission_ask(struct rr_app *a, const rr_submission *s, int *retry_after_s);
-void rr_app_admission_accepted(struct rr_app *a, const rr_submission *s);
+bool rr_app_admission_ask(struct rr_app *app, const rr_submission *submission, int *retry_after_s);
+void rr_app_admission_accepted(struct rr_app *app, const rr_submission *submission);
 /* A peer's view of the demand. */
-void rr_app_admission_take_demand(struct rr_app *a, int peer, const void *data, size_t len);
-void rr_app_admission_log(struct rr_app *a);
+void rr_app_admission_take_demand(struct rr_app *app, int peer, const void *data, size_t length);
+void rr_app_admission_log(struct rr_app *app);
 void *rr_admission_thread(void *app);
 
 /* cells_duty.c. All do nothing where cells are switched off. */
-int rr_app_cells_start(struct rr_app *a); /* before the threads that read records; 0 or -errno */
-void rr_app_cells_join(struct rr_app *a); /* after the stop: its threads end */
-void rr_app_cells_stop(struct rr_app *a); /* after the core's end */
-void rr_app_cells_log(struct rr_app *a);
+int rr_app_cells_start(struct rr_app *app); /* before the threads that read records; 0 or -errno */
+void rr_app_cells_join(struct rr_app *app); /* after the stop: its threads end */
+void rr_app_cells_stop(struct rr_app *app); /* after the core's end */
+void rr_app_cells_log(struct rr_app *app);
 /* A job that is not known here: what the other cells say. False: none of them knows it. */
-bool rr_app_cells_relay(struct rr_app *a, bool cancel, const char *job_id,
+bool rr_app_cells_relay(struct rr_app *app, bool cancel, const char *job_id,
                         struct rr_http_response *response);
 /* What a neighbour says of a job of ours that it holds, added to the view. False: it can't be
  * asked.
  */
-bool rr_app_cells_view_transferred(struct rr_app *a, const char *job_id, rr_job_view *view);
+bool rr_app_cells_view_transferred(struct rr_app *app, const char *job_id, rr_job_view *view);
 /* What stands between a cancellation and its record. Not FREE: when to come back; WITHDRAW: *u is
  * to be committed, which takes the job back. */
-enum rr_cancel_first rr_app_cells_cancel(struct rr_app *a, const char *job_id,
-                                         struct rr_user_commit *u, int *retry_after_s);
+enum rr_cancel_first rr_app_cells_cancel(struct rr_app *app, const char *job_id,
+                                         struct rr_user_commit *commit, int *retry_after_s);
 
 /* Guards a cancellation by the job's transfer. False: it is away, or was a moment ago. The core's
  * lock is held. */
-bool rr_app_cells_guard_cancel(const struct rr_app *a, const char *job_id,
-                               struct rr_user_commit *u);
+bool rr_app_cells_guard_cancel(const struct rr_app *app, const char *job_id,
+                               struct rr_user_commit *commit);
 
 /* handlers.c */
-void rr_app_handle(void *user, const struct rr_http_request *rq, struct rr_http_response *rs);
+void rr_app_handle(void *user, const struct rr_http_request *request,
+                   struct rr_http_response *response);
 /* A cancellation that is confirmed: the other controllers stop the job's tasks in their answers. */
-void rr_app_announce_cancellation(struct rr_app *a, const char *ref);
-void rr_app_refuse(struct rr_http_response *rs, int status, const char *why, int retry_after_s);
+void rr_app_announce_cancellation(struct rr_app *app, const char *job_id);
+void rr_app_refuse(struct rr_http_response *response, int status, const char *why,
+                   int retry_after_s);
 /* A user's requests for a job, answered by what this cell alone knows. */
-void rr_app_poll_here(struct rr_app *a, const char *ref, struct rr_http_response *rs);
-void rr_app_cancel_here(struct rr_app *a, const char *ref, struct rr_http_response *rs);
+void rr_app_poll_here(struct rr_app *app, const char *job_id, struct rr_http_response *response);
+void rr_app_cancel_here(struct rr_app *app, const char *job_id, struct rr_http_response *response);
 
 /* duties: one thread each */
 void *rr_session_thread(void *app);
--- a/src/app/cells_duty.c
+++ b/src/app/cells_duty.c
@@ -57,32 +57,32 @@
 /* ---- changes ---- */
 
 /* All controllers stop the tasks of a copy in their answers. */
-static void announce_end_of_copy(struct rr_app *a, const char *local_id) {
-    pthread_mutex_lock(&a->lock);
-    rr_core_add_cancel_hint(a->core, local_id, rr_steady_clock_s());
-    pthread_mutex_unlock(&a->lock);
-    rr_app_announce_cancellation(a, local_id);
+static void announce_end_of_copy(struct rr_app *app, const char *local_id) {
+    pthread_mutex_lock(&app->lock);
+    rr_core_add_cancel_hint(app->core, local_id, rr_steady_clock_s());
+    pthread_mutex_unlock(&app->lock);
+    rr_app_announce_cancellation(app, local_id);
 }
 
-static rr_transfer_message commit_write(struct rr_app *a, rr_store *store,
+static rr_transfer_message commit_write(struct rr_app *app, rr_store *store,
                                         const rr_transfer_write *write) {
     uint64_t revision = 0;
     if (write->ends_copy) {
-        announce_end_of_copy(a, write->id);
+        announce_end_of_copy(app, write->id);
     }
     enum rr_commit_status rc =
-        rr_app_commit(a, store, RR_REQUEST_USER, &write->transaction, &revision);
-    pthread_mutex_lock(&a->lock);
+        rr_app_commit(app, store, RR_REQUEST_USER, &write->transaction, &revision);
+    pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
     if (rc == RR_COMMIT_DONE) {
-        rr_core_apply(a->core, &write->transaction, revision, now);
+        rr_core_apply(app->core, &write->transaction, revision, now);
     } else if (rc == RR_COMMIT_CONFLICT) {
-        rr_app_wait_revision(a, revision, now + 1);
+        rr_app_wait_revision(app, revision, now + 1);
     }
     rr_transfer_message message =
-        rr_transfers_written(a->cells->transfers, write, rc == RR_COMMIT_DONE);
-    rr_app_wake(a);
-    pthread_mutex_unlock(&a->lock);
+        rr_transfers_written(app->cells->transfers, write, rc == RR_COMMIT_DONE);
+    rr_app_wake(app);
+    pthread_mutex_unlock(&app->lock);
     if (rc != RR_COMMIT_DONE) {
         rr_log(RR_DEBUG_LEVEL, "cells: a change of %s was not made (%d)", write->id, (int)rc);
     }
@@ -91,40 +91,40 @@
 
 /* ---- replies ---- */
 
-static void take_replies(struct rr_app *a, rr_store *store, size_t neighbour,
+static void take_replies(struct rr_app *app, rr_store *store, size_t neighbour,
                          const rr_cells_request *request, const rr_cells_reply *reply) {
     for (guint i = 0; i < request->items->len; i++) {
         rr_transfer_write write;
-        pthread_mutex_lock(&a->lock);
-        bool writes = rr_transfers_replied(a->cells->transfers, neighbour,
+        pthread_mutex_lock(&app->lock);
+        bool writes = rr_transfers_replied(app->cells->transfers, neighbour,
                                            &g_array_index(request->items, rr_cells_item, i),
                                            &g_array_index(reply->items, rr_cells_item, i).message,
                                            rr_steady_clock_s(), rr_wall_clock_s(), &write);
-        pthread_mutex_unlock(&a->lock);
+        pthread_mutex_unlock(&app->lock);
         if (writes) {
-            commit_write(a, store, &write);
+            commit_write(app, store, &write);
             rr_transfer_write_clear(&write);
         }
     }
 }
 
-static void note_answer(struct rr_app *a, size_t neighbour, bool answered) {
-    pthread_mutex_lock(&a->lock);
-    a->cells->down_until[neighbour] = answered ? 0 : rr_steady_clock_s() + DOWN_S;
+static void note_answer(struct rr_app *app, size_t neighbour, bool answered) {
+    pthread_mutex_lock(&app->lock);
+    app->cells->down_until[neighbour] = answered ? 0 : rr_steady_clock_s() + DOWN_S;
     if (!answered) {
-        rr_transfers_unanswered(a->cells->transfers, neighbour, rr_steady_clock_s());
+        rr_transfers_unanswered(app->cells->transfers, neighbour, rr_steady_clock_s());
     }
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
 }
 
 /* ---- a neighbour without controllers ---- */
 
-static void reader_init(struct rr_app *a, size_t neighbour, struct absent_reader *reader) {
-    const rr_cell *cell = &a->cells_settings.neighbours[neighbour];
+static void reader_init(struct rr_app *app, size_t neighbour, struct absent_reader *reader) {
+    const rr_cell *cell = &app->cells_settings.neighbours[neighbour];
     memset(reader, 0, sizeof *reader);
     if (cell->claimable) {
-        reader->store = rr_store_create(&cell->state, a->cells->budgets[neighbour], &a->stop);
-        reader->absent = rr_absent_create(&a->config, a->cells_settings.name);
+        reader->store = rr_store_create(&cell->state, app->cells->budgets[neighbour], &app->stop);
+        reader->absent = rr_absent_create(&app->config, app->cells_settings.name);
     }
 }
 
@@ -144,33 +144,33 @@
     rr_absent_put(user, key, value, version, rr_steady_clock_s());
 }
 
-static int read_all(struct rr_app *a, struct absent_reader *reader, const char *prefix,
-                    rr_store_row_fn fn, void *user) {
+static int read_all(struct rr_app *app, struct absent_reader *reader, const char *prefix,
+                    rr_store_row_fn callback, void *user) {
     rr_store_cursor cursor = {.more = true};
     int rc = 0;
-    while (rc == 0 && cursor.more && !rr_app_stopping(a)) {
-        rr_document doc;
-        rc = rr_store_next_page(reader->store, prefix, &cursor, &doc);
+    while (rc == 0 && cursor.more && !rr_app_stopping(app)) {
+        rr_document document;
+        rc = rr_store_next_page(reader->store, prefix, &cursor, &document);
         if (rc == 0) {
-            rr_store_each_row(&doc, &cursor, fn, user);
-            rr_document_clear(&doc);
+            rr_store_each_row(&document, &cursor, callback, user);
+            rr_document_clear(&document);
         }
     }
-    return rr_app_stopping(a) ? -ECANCELED : rc;
+    return rr_app_stopping(app) ? -ECANCELED : rc;
 }
 
 /* Sessions, all records, sessions again. False: it could not be read. */
-static bool read_absent(struct rr_app *a, struct absent_reader *reader) {
+static bool read_absent(struct rr_app *app, struct absent_reader *reader) {
     unsigned sessions = 0;
     reader->asked_at = rr_steady_clock_s();
-    int rc = read_all(a, reader, RR_KEY_ROOT "node/", count_session, &sessions);
+    int rc = read_all(app, reader, RR_KEY_ROOT "node/", count_session, &sessions);
     if (rc == 0 && sessions == 0) {
         rr_absent_begin(reader->absent);
-        rc = read_all(a, reader, RR_KEY_ROOT, put_record, reader->absent);
+        rc = read_all(app, reader, RR_KEY_ROOT, put_record, reader->absent);
         rr_absent_end(reader->absent, rr_steady_clock_s());
     }
     if (rc == 0 && sessions == 0) {
-        rc = read_all(a, reader, RR_KEY_ROOT "node/", count_session, &sessions);
+        rc = read_all(app, reader, RR_KEY_ROOT "node/", count_session, &sessions);
     }
     rr_absent_confirm(reader->absent, rc == 0 && sessions == 0, rr_steady_clock_s());
     return rc == 0 && sessions == 0;
@@ -178,42 +178,42 @@
 
 /* One change to the neighbour's own state service. One whose outcome is not known is read next
  * time, and its guards keep it from being made twice. */
-static void commit_there(struct rr_app *a, struct absent_reader *reader,
+static void commit_there(struct rr_app *app, struct absent_reader *reader,
                          const rr_transfer_write *write) {
     uint64_t revision;
     enum rr_commit_status rc = rr_store_commit(reader->store, RR_REQUEST_USER, &write->transaction,
                                                THERE_S, &revision, NULL);
     if (rc == RR_COMMIT_DONE) {
-        pthread_mutex_lock(&a->lock);
-        rr_transfers_absent_written(a->cells->transfers, write);
-        pthread_mutex_unlock(&a->lock);
+        pthread_mutex_lock(&app->lock);
+        rr_transfers_absent_written(app->cells->transfers, write);
+        pthread_mutex_unlock(&app->lock);
     }
 }
 
-static void look_absent(struct rr_app *a, rr_store *store, struct absent_reader *reader,
+static void look_absent(struct rr_app *app, rr_store *store, struct absent_reader *reader,
                         size_t neighbour) {
-    double pause = a->cells_settings.lease_s / READINGS;
+    double pause = app->cells_settings.lease_s / READINGS;
     if (!reader->store || reader->unanswered_since <= 0 ||
-        rr_steady_clock_s() - reader->unanswered_since < a->cells_settings.lease_s / 2 ||
+        rr_steady_clock_s() - reader->unanswered_since < app->cells_settings.lease_s / 2 ||
         rr_steady_clock_s() - reader->read_at < pause) {
         return;
     }
     reader->read_at = rr_steady_clock_s();
-    if (!read_absent(a, reader)) {
+    if (!read_absent(app, reader)) {
         return;
     }
     rr_transfers_plan here;
     GPtrArray *there = g_ptr_array_new();
     rr_transfers_plan_init(&here);
-    pthread_mutex_lock(&a->lock);
-    rr_transfers_look_absent(a->cells->transfers, neighbour, reader->absent, reader->asked_at,
+    pthread_mutex_lock(&app->lock);
+    rr_transfers_look_absent(app->cells->transfers, neighbour, reader->absent, reader->asked_at,
                              rr_steady_clock_s(), rr_wall_clock_s(), &here, there);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
     for (guint i = 0; i < here.writes->len; i++) {
-        commit_write(a, store, g_ptr_array_index(here.writes, i));
+        commit_write(app, store, g_ptr_array_index(here.writes, i));
     }
-    for (guint i = 0; i < there->len && !rr_app_stopping(a); i++) {
-        commit_there(a, reader, g_ptr_array_index(there, i));
+    for (guint i = 0; i < there->len && !rr_app_stopping(app); i++) {
+        commit_there(app, reader, g_ptr_array_index(there, i));
     }
     g_ptr_array_free(there, TRUE);
     rr_transfers_plan_clear(&here);
@@ -222,17 +222,17 @@
 /* ---- the duty ---- */
 
 /* False: there was no answer. */
-static bool send_request(struct rr_app *a, rr_store *store, rr_cells_client *client,
+static bool send_request(struct rr_app *app, rr_store *store, rr_cells_client *client,
                          size_t neighbour, const rr_cells_request *request) {
     rr_cells_reply reply;
     int rc = rr_cells_ask(client, request, &reply);
-    note_answer(a, neighbour, rc == 0);
+    note_answer(app, neighbour, rc == 0);
     if (rc == 0 && reply.status == RR_CELLS_OK && reply.items->len == request->items->len) {
-        pthread_mutex_lock(&a->lock);
-        rr_transfers_room_announced(a->cells->transfers, neighbour, &reply.room,
+        pthread_mutex_lock(&app->lock);
+        rr_transfers_room_announced(app->cells->transfers, neighbour, &reply.room,
                                     rr_steady_clock_s());
-        pthread_mutex_unlock(&a->lock);
-        take_replies(a, store, neighbour, request, &reply);
+        pthread_mutex_unlock(&app->lock);
+        take_replies(app, store, neighbour, request, &reply);
     } else if (rc == 0) {
         rr_log(RR_DEBUG_LEVEL, "cells: %s answers: %s", request->to,
                rr_cells_status_name(reply.status));
@@ -242,34 +242,34 @@
 }
 
 /* Where jobs may be claimed, it must be known whether the neighbour answers. */
-static void add_heartbeat(struct rr_app *a, size_t neighbour, rr_transfers_plan *plan) {
+static void add_heartbeat(struct rr_app *app, size_t neighbour, rr_transfers_plan *plan) {
     rr_cells_request *request = g_new0(rr_cells_request, 1);
     rr_cells_request_init(request, RR_CELLS_TRANSFERS);
-    rr_cells_request_address(request, &a->cells_settings, neighbour);
-    g_strlcpy(request->team, a->config.teams[0].name, sizeof request->team);
+    rr_cells_request_address(request, &app->cells_settings, neighbour);
+    g_strlcpy(request->team, app->config.teams[0].name, sizeof request->team);
     g_ptr_array_add(plan->requests, request);
 }
 
-static void look(struct rr_app *a, rr_store *store, rr_cells_client *client,
+static void look(struct rr_app *app, rr_store *store, rr_cells_client *client,
                  struct absent_reader *reader, size_t neighbour) {
     rr_transfers_plan plan;
     rr_transfers_plan_init(&plan);
-    pthread_mutex_lock(&a->lock);
-    rr_transfers_look(a->cells->transfers, neighbour, !a->planning, rr_steady_clock_s(),
+    pthread_mutex_lock(&app->lock);
+    rr_transfers_look(app->cells->transfers, neighbour, !app->planning, rr_steady_clock_s(),
                       rr_wall_clock_s(), &plan);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
     for (guint i = 0; i < plan.writes->len; i++) {
-        commit_write(a, store, g_ptr_array_index(plan.writes, i));
+        commit_write(app, store, g_ptr_array_index(plan.writes, i));
     }
     bool heartbeat =
         reader->store && plan.requests->len == 0 &&
-        rr_steady_clock_s() - reader->heartbeat_at >= a->cells_settings.lease_s / READINGS;
+        rr_steady_clock_s() - reader->heartbeat_at >= app->cells_settings.lease_s / READINGS;
     if (heartbeat) {
-        add_heartbeat(a, neighbour, &plan);
+        add_heartbeat(app, neighbour, &plan);
     }
     bool answers = true, asked = plan.requests->len > 0;
-    for (guint i = 0; i < plan.requests->len && answers && !rr_app_stopping(a); i++) {
-        answers = send_request(a, store, client, neighbour, g_ptr_array_index(plan.requests, i));
+    for (guint i = 0; i < plan.requests->len && answers && !rr_app_stopping(app); i++) {
+        answers = send_request(app, store, client, neighbour, g_ptr_array_index(plan.requests, i));
     }
     if (asked) {
         reader->heartbeat_at = rr_steady_clock_s();
@@ -282,17 +282,18 @@
 
 static void *neighbour_main(void *argument) {
     const struct neighbour_thread *duty = argument;
-    struct rr_app *a = duty->app;
+    struct rr_app *app = duty->app;
     rr_usage_enter(RR_USAGE_CELLS);
-    rr_store *store = rr_app_open_store(a);
-    rr_cells_client *client = rr_cells_client_create(&a->cells_settings, duty->neighbour, &a->stop);
-    double pause = fmin(a->cells_settings.lease_s / LOOKS, LOOK_MAX_S);
+    rr_store *store = rr_app_open_store(app);
+    rr_cells_client *client =
+        rr_cells_client_create(&app->cells_settings, duty->neighbour, &app->stop);
+    double pause = fmin(app->cells_settings.lease_s / LOOKS, LOOK_MAX_S);
     struct absent_reader reader;
-    reader_init(a, duty->neighbour, &reader);
-    while (!rr_app_stopping(a)) {
-        look(a, store, client, &reader, duty->neighbour);
-        look_absent(a, store, &reader, duty->neighbour);
-        rr_app_pause(a, pause);
+    reader_init(app, duty->neighbour, &reader);
+    while (!rr_app_stopping(app)) {
+        look(app, store, client, &reader, duty->neighbour);
+        look_absent(app, store, &reader, duty->neighbour);
+        rr_app_pause(app, pause);
     }
     reader_clear(&reader);
     rr_cells_client_destroy(client);
@@ -303,33 +304,34 @@
 
 /* ---- requests of neighbours ---- */
 
-static void serve_item(struct rr_app *a, void **context, size_t neighbour,
+static void serve_item(struct rr_app *app, void **context, size_t neighbour,
                        const rr_cells_request *request, const rr_cells_item *item,
                        rr_transfer_message *reply) {
     rr_transfer_write write;
-    pthread_mutex_lock(&a->lock);
+    pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
-    bool speaks = rr_transfers_speaks_for(a->cells->transfers, request->team, now);
-    bool writes = speaks && rr_transfers_receive(a->cells->transfers, neighbour, request, item, now,
-                                                 rr_wall_clock_s(), reply, &write);
-    pthread_mutex_unlock(&a->lock);
+    bool speaks = rr_transfers_speaks_for(app->cells->transfers, request->team, now);
+    bool writes = speaks && rr_transfers_receive(app->cells->transfers, neighbour, request, item,
+                                                 now, rr_wall_clock_s(), reply, &write);
+    pthread_mutex_unlock(&app->lock);
     if (writes) {
         if (!*context) {
-            *context = rr_app_open_store(a);
+            *context = rr_app_open_store(app);
         }
-        *reply = commit_write(a, *context, &write);
+        *reply = commit_write(app, *context, &write);
         rr_transfer_write_clear(&write);
     }
 }
 
-static void serve_transfers(struct rr_app *a, void **context, size_t neighbour,
+static void serve_transfers(struct rr_app *app, void **context, size_t neighbour,
                             const rr_cells_request *request, rr_cells_reply *reply) {
-    pthread_mutex_lock(&a->lock);
-    bool speaks = rr_transfers_speaks_for(a->cells->transfers, request->team, rr_steady_clock_s());
-    const char *owner = rr_core_team_owner(a->core, request->team);
-    g_strlcpy(reply->owner, owner && strcmp(owner, a->config.node_name) != 0 ? owner : "",
+    pthread_mutex_lock(&app->lock);
+    bool speaks =
+        rr_transfers_speaks_for(app->cells->transfers, request->team, rr_steady_clock_s());
+    const char *owner = rr_core_team_owner(app->core, request->team);
+    g_strlcpy(reply->owner, owner && strcmp(owner, app->config.node_name) != 0 ? owner : "",
               sizeof reply->owner);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
     if (!speaks) {
         reply->status = RR_CELLS_NOT_OWNER;
         return;
@@ -337,22 +339,22 @@
     for (guint i = 0; i < request->items->len; i++) {
         const rr_cells_item *item = &g_array_index(request->items, rr_cells_item, i);
         rr_transfer_message message = {.kind = RR_TRANSFER_NOTHING};
-        serve_item(a, context, neighbour, request, item, &message);
+        serve_item(app, context, neighbour, request, item, &message);
         rr_cells_add_item(reply->items, item->job_id, &message);
     }
-    pthread_mutex_lock(&a->lock);
-    reply->room = rr_transfers_room(a->cells->transfers, rr_steady_clock_s());
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_lock(&app->lock);
+    reply->room = rr_transfers_room(app->cells->transfers, rr_steady_clock_s());
+    pthread_mutex_unlock(&app->lock);
 }
 
 /* Another cell's user asks here, for a job that this cell may have accepted. */
-static void serve_user(struct rr_app *a, const rr_cells_request *request, rr_cells_reply *reply) {
+static void serve_user(struct rr_app *app, const rr_cells_request *request, rr_cells_reply *reply) {
     struct rr_http_response response = {0};
     rr_encoder_init(&response.body);
     if (request->kind == RR_CELLS_POLL) {
-        rr_app_poll_here(a, request->job_id, &response);
+        rr_app_poll_here(app, request->job_id, &response);
     } else {
-        rr_app_cancel_here(a, request->job_id, &response);
+        rr_app_cancel_here(app, request->job_id, &response);
     }
     reply->http_status = response.status;
     reply->retry_after_s = response.retry_after_s;
@@ -376,33 +378,33 @@
 
 /* ---- users' requests for other cells' jobs ---- */
 
-static bool reachable(struct rr_app *a, size_t neighbour) {
-    pthread_mutex_lock(&a->lock);
-    bool up = rr_steady_clock_s() >= a->cells->down_until[neighbour];
-    pthread_mutex_unlock(&a->lock);
-    return up;
+static bool reachable(struct rr_app *app, size_t neighbour) {
+    pthread_mutex_lock(&app->lock);
+    bool is_up = rr_steady_clock_s() >= app->cells->down_until[neighbour];
+    pthread_mutex_unlock(&app->lock);
+    return is_up;
 }
 
 /* One question, on a connection of its own. *reply is to be cleared in any case. */
-static int ask_once(struct rr_app *a, size_t neighbour, const rr_cells_request *request,
+static int ask_once(struct rr_app *app, size_t neighbour, const rr_cells_request *request,
                     rr_cells_reply *reply) {
-    rr_cells_client *client = rr_cells_client_create(&a->cells_settings, neighbour, &a->stop);
+    rr_cells_client *client = rr_cells_client_create(&app->cells_settings, neighbour, &app->stop);
     int rc = rr_cells_ask(client, request, reply);
     rr_cells_client_destroy(client);
     return rc;
 }
 
 /* True: the cell has answered, and knows the job or not. */
-static bool relay_to(struct rr_app *a, size_t neighbour, const rr_cells_request *request,
+static bool relay_to(struct rr_app *app, size_t neighbour, const rr_cells_request *request,
                      struct rr_http_response *response) {
     rr_cells_reply reply;
-    if (!reachable(a, neighbour)) {
+    if (!reachable(app, neighbour)) {
         return false;
     }
-    int rc = ask_once(a, neighbour, request, &reply);
+    int rc = ask_once(app, neighbour, request, &reply);
     bool answered = rc == 0 && reply.status == RR_CELLS_OK && reply.http_status > 0;
     if (rc != 0) {
-        note_answer(a, neighbour, false);
+        note_answer(app, neighbour, false);
     }
     if (answered) {
         response->status = reply.http_status;
@@ -417,21 +419,21 @@
 
 /* A final state that stands in the cell's state service can't change any more: it may be told while
  * nobody there answers. */
-static bool read_final(struct rr_app *a, size_t neighbour, const char *job_id,
+static bool read_final(struct rr_app *app, size_t neighbour, const char *job_id,
                        struct rr_http_response *response) {
-    const rr_cell *cell = &a->cells_settings.neighbours[neighbour];
+    const rr_cell *cell = &app->cells_settings.neighbours[neighbour];
     char key[RR_ID_SIZE + 64];
     uint64_t version, lease, tasks = 0;
     bool cancelled = false;
-    rr_document doc;
+    rr_document document;
     if (!cell->claimable) {
         return false;
     }
-    rr_store *store = rr_store_create(&cell->state, a->cells->budgets[neighbour], &a->stop);
+    rr_store *store = rr_store_create(&cell->state, app->cells->budgets[neighbour], &app->stop);
     rr_core_job_key(job_id, key, sizeof key);
-    bool found = rr_store_get(store, key, &doc, &version, &lease) == 0;
+    bool found = rr_store_get(store, key, &document, &version, &lease) == 0;
     if (found) {
-        const msgpack_object *value = rr_map_get(doc.root, "v");
+        const msgpack_object *value = rr_map_get(document.root, "v");
         bool done = rr_map_get(value, "final") != NULL;
         rr_map_get_u64(value, "pieces", &tasks);
         rr_map_get_bool(value, "cancelled", &cancelled);
@@ -445,26 +447,26 @@
             rr_encode_key_u64(&response->body, "done", done ? tasks : 0);
             rr_encode_key_u64(&response->body, "running", 0);
         }
-        rr_document_clear(&doc);
+        rr_document_clear(&document);
     }
     rr_store_destroy(store);
     return found;
 }
 
 /* One that knows the job answers; that none does is said only when every one was asked. */
-bool rr_app_cells_relay(struct rr_app *a, bool cancel, const char *job_id,
+bool rr_app_cells_relay(struct rr_app *app, bool cancel, const char *job_id,
                         struct rr_http_response *response) {
     rr_cells_request request;
     bool all = true, known = false;
-    if (!a->cells) {
+    if (!app->cells) {
         return false;
     }
     rr_cells_request_init(&request, cancel ? RR_CELLS_CANCEL : RR_CELLS_POLL);
     g_strlcpy(request.job_id, job_id, sizeof request.job_id);
-    for (size_t i = 0; i < a->cells_settings.neighbour_count && !known; i++) {
-        rr_cells_request_address(&request, &a->cells_settings, i);
-        bool answered = relay_to(a, i, &request, response);
-        known = answered ? response->status != 404 : read_final(a, i, job_id, response);
+    for (size_t i = 0; i < app->cells_settings.neighbour_count && !known; i++) {
+        rr_cells_request_address(&request, &app->cells_settings, i);
+        bool answered = relay_to(app, i, &request, response);
+        known = answered ? response->status != 404 : read_final(app, i, job_id, response);
         all = all && answered;
     }
     rr_cells_request_clear(&request);
@@ -479,148 +481,149 @@
 /* What the guest says of its copy, as far as it may change: tasks that are done there count only
  * when the home has recorded the end. */
 static bool read_transferred(const rr_cells_reply *reply, rr_job_view *view) {
-    rr_document doc;
-    char standing[32] = "";
+    rr_document document;
+    char state[32] = "";
     uint64_t running = 0;
     if (reply->status != RR_CELLS_OK || reply->http_status != 200 ||
-        rr_document_parse(&doc, reply->body->data, reply->body->len) != 0) {
+        rr_document_parse(&document, reply->body->data, reply->body->len) != 0) {
         return reply->status == RR_CELLS_OK && reply->http_status == 404; /* not taken yet */
     }
-    rr_map_get_text(doc.root, "standing", standing, sizeof standing);
-    rr_map_get_u64(doc.root, "running", &running);
-    if (strcmp(standing, "running") == 0) {
+    rr_map_get_text(document.root, "standing", state, sizeof state);
+    rr_map_get_u64(document.root, "running", &running);
+    if (strcmp(state, "running") == 0) {
         view->state = "running";
         view->running_count = (uint32_t)running;
     }
-    rr_document_clear(&doc);
+    rr_document_clear(&document);
     return true;
 }
 
-bool rr_app_cells_view_transferred(struct rr_app *a, const char *job_id, rr_job_view *view) {
+bool rr_app_cells_view_transferred(struct rr_app *app, const char *job_id, rr_job_view *view) {
     rr_cells_request request;
     rr_cells_reply reply;
     size_t neighbour = 0;
-    if (!a->cells) {
+    if (!app->cells) {
         return true;
     }
     rr_cells_request_init(&request, RR_CELLS_POLL);
-    pthread_mutex_lock(&a->lock);
-    bool away = rr_transfers_transferred(a->cells->transfers, job_id, &neighbour, request.job_id,
-                                         sizeof request.job_id);
-    pthread_mutex_unlock(&a->lock);
-    bool told = !away;
-    if (away && reachable(a, neighbour)) {
-        rr_cells_request_address(&request, &a->cells_settings, neighbour);
-        told = ask_once(a, neighbour, &request, &reply) == 0 && read_transferred(&reply, view);
+    pthread_mutex_lock(&app->lock);
+    bool transferred = rr_transfers_transferred(app->cells->transfers, job_id, &neighbour,
+                                                request.job_id, sizeof request.job_id);
+    pthread_mutex_unlock(&app->lock);
+    bool announced = !transferred;
+    if (transferred && reachable(app, neighbour)) {
+        rr_cells_request_address(&request, &app->cells_settings, neighbour);
+        announced =
+            ask_once(app, neighbour, &request, &reply) == 0 && read_transferred(&reply, view);
         rr_cells_reply_clear(&reply);
     }
     rr_cells_request_clear(&request);
-    return told;
+    return announced;
 }
 
-enum rr_cancel_first rr_app_cells_cancel(struct rr_app *a, const char *job_id,
-                                         struct rr_user_commit *u, int *retry_after_s) {
+enum rr_cancel_first rr_app_cells_cancel(struct rr_app *app, const char *job_id,
+                                         struct rr_user_commit *commit, int *retry_after_s) {
     rr_out_record withdrawn;
     double wait_s = 0;
-    if (!a->cells) {
+    if (!app->cells) {
         return RR_CANCEL_FREE;
     }
-    pthread_mutex_lock(&a->lock);
-    enum rr_cancel_first first = rr_transfers_cancel(a->cells->transfers, job_id, rr_wall_clock_s(),
-                                                     &wait_s, &withdrawn, &u->version);
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_lock(&app->lock);
+    enum rr_cancel_first first = rr_transfers_cancel(
+        app->cells->transfers, job_id, rr_wall_clock_s(), &wait_s, &withdrawn, &commit->version);
+    pthread_mutex_unlock(&app->lock);
     if (first == RR_CANCEL_WITHDRAW) {
-        rr_cells_out_key(job_id, u->key, sizeof u->key);
-        rr_cells_out_encode(&withdrawn, &u->value);
+        rr_cells_out_key(job_id, commit->key, sizeof commit->key);
+        rr_cells_out_encode(&withdrawn, &commit->value);
     }
     *retry_after_s = (int)fmax(1, fmin(ceil(wait_s), RR_RETRY_AFTER_MAX_S));
     return first;
 }
 
-bool rr_app_cells_guard_cancel(const struct rr_app *a, const char *job_id,
-                               struct rr_user_commit *u) {
-    if (!a->cells) {
+bool rr_app_cells_guard_cancel(const struct rr_app *app, const char *job_id,
+                               struct rr_user_commit *commit) {
+    if (!app->cells) {
         return true;
     }
-    rr_cells_out_key(job_id, u->also_key, sizeof u->also_key);
-    return rr_transfers_may_cancel(a->cells->transfers, job_id, rr_wall_clock_s(),
-                                   &u->also_version);
+    rr_cells_out_key(job_id, commit->also_key, sizeof commit->also_key);
+    return rr_transfers_may_cancel(app->cells->transfers, job_id, rr_wall_clock_s(),
+                                   &commit->also_version);
 }
 
 /* ---- life ---- */
 
-static rr_budget *neighbour_budget(const struct rr_app *a, size_t neighbour) {
+static rr_budget *neighbour_budget(const struct rr_app *app, size_t neighbour) {
     struct rr_budget_shares all = {1, 1, 1, 1};
-    if (!a->cells_settings.neighbours[neighbour].claimable) {
+    if (!app->cells_settings.neighbours[neighbour].claimable) {
         return NULL;
     }
-    rr_budget *budget =
-        rr_budget_create(READ_SHARE * a->config.state_rps, READ_SHARE * a->config.state_write_rps);
+    rr_budget *budget = rr_budget_create(READ_SHARE * app->config.state_rps,
+                                         READ_SHARE * app->config.state_write_rps);
     rr_budget_set_shares(budget, &all);
     return budget;
 }
 
-int rr_app_cells_start(struct rr_app *a) {
-    if (!a->config.cells) {
+int rr_app_cells_start(struct rr_app *app) {
+    if (!app->config.cells) {
         return 0;
     }
     struct rr_app_cells *state = g_new0(struct rr_app_cells, 1);
     uint64_t process = (uint64_t)g_random_int() << 32 | g_random_int();
-    state->transfers = rr_transfers_create(&a->cells_settings, &a->config, a->core, process);
-    rr_core_watch_records(a->core, RR_CELLS_PREFIX, on_record, state);
-    a->cells = state;
-    for (size_t i = 0; i < a->cells_settings.neighbour_count; i++) {
-        state->budgets[i] = neighbour_budget(a, i);
-    }
-    int rc =
-        rr_cells_links_start(&a->cells_settings, &a->stop, serve, end_context, a, &state->links);
-    for (size_t i = 0; rc == 0 && i < a->cells_settings.neighbour_count; i++) {
+    state->transfers = rr_transfers_create(&app->cells_settings, &app->config, app->core, process);
+    rr_core_watch_records(app->core, RR_CELLS_PREFIX, on_record, state);
+    app->cells = state;
+    for (size_t i = 0; i < app->cells_settings.neighbour_count; i++) {
+        state->budgets[i] = neighbour_budget(app, i);
+    }
+    int rc = rr_cells_links_start(&app->cells_settings, &app->stop, serve, end_context, app,
+                                  &state->links);
+    for (size_t i = 0; rc == 0 && i < app->cells_settings.neighbour_count; i++) {
         struct neighbour_thread *duty = &state->neighbour_threads[i];
-        *duty = (struct neighbour_thread){.app = a, .neighbour = i};
+        *duty = (struct neighbour_thread){.app = app, .neighbour = i};
         rc = rr_thread_start(&duty->thread, neighbour_main, duty, false);
         duty->started = rc == 0;
     }
     if (rc != 0) {
-        rr_log(RR_ERROR_LEVEL, "cells: %s:%u: %s", a->cells_settings.listen.host,
-               a->cells_settings.listen.port, strerror(-rc));
+        rr_log(RR_ERROR_LEVEL, "cells: %s:%u: %s", app->cells_settings.listen.host,
+               app->cells_settings.listen.port, strerror(-rc));
     }
     return rc;
 }
 
-void rr_app_cells_join(struct rr_app *a) {
-    for (size_t i = 0; a->cells && i < RR_CELLS_MAX; i++) {
-        if (a->cells->neighbour_threads[i].started) {
-            pthread_join(a->cells->neighbour_threads[i].thread, NULL);
+void rr_app_cells_join(struct rr_app *app) {
+    for (size_t i = 0; app->cells && i < RR_CELLS_MAX; i++) {
+        if (app->cells->neighbour_threads[i].started) {
+            pthread_join(app->cells->neighbour_threads[i].thread, NULL);
         }
     }
-    if (a->cells) {
-        rr_cells_links_destroy(a->cells->links);
-        a->cells->links = NULL;
+    if (app->cells) {
+        rr_cells_links_destroy(app->cells->links);
+        app->cells->links = NULL;
     }
 }
 
-void rr_app_cells_stop(struct rr_app *a) {
-    if (a->cells) {
-        rr_transfers_destroy(a->cells->transfers);
-        for (size_t i = 0; i < a->cells_settings.neighbour_count; i++) {
-            rr_budget_destroy(a->cells->budgets[i]);
+void rr_app_cells_stop(struct rr_app *app) {
+    if (app->cells) {
+        rr_transfers_destroy(app->cells->transfers);
+        for (size_t i = 0; i < app->cells_settings.neighbour_count; i++) {
+            rr_budget_destroy(app->cells->budgets[i]);
         }
-        g_free(a->cells);
-        a->cells = NULL;
+        g_free(app->cells);
+        app->cells = NULL;
     }
-    rr_cells_settings_clear(&a->cells_settings);
+    rr_cells_settings_clear(&app->cells_settings);
 }
 
-void rr_app_cells_log(struct rr_app *a) {
+void rr_app_cells_log(struct rr_app *app) {
     rr_transfers_stats stats;
     rr_cells_links_stats links;
-    if (!a->cells) {
+    if (!app->cells) {
         return;
     }
-    pthread_mutex_lock(&a->lock);
-    rr_transfers_get_stats(a->cells->transfers, &stats);
-    pthread_mutex_unlock(&a->lock);
-    rr_cells_links_get_stats(a->cells->links, &links);
+    pthread_mutex_lock(&app->lock);
+    rr_transfers_get_stats(app->cells->transfers, &stats);
+    pthread_mutex_unlock(&app->lock);
+    rr_cells_links_get_stats(app->cells->links, &links);
     rr_log(RR_INFO_LEVEL,
            "cells: %s, %u of our jobs away or back, %u of others here; so far offered "
            "%" G_GUINT64_FORMAT ", taken %" G_GUINT64_FORMAT ", refused %" G_GUINT64_FORMAT
--- a/src/app/clock.c
+++ b/src/app/clock.c
@@ -3,9 +3,9 @@
 #include <time.h>
 
 static double read_clock(clockid_t id) {
-    struct timespec ts;
-    clock_gettime(id, &ts);
-    return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
+    struct timespec time;
+    clock_gettime(id, &time);
+    return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
 double rr_steady_clock_s(void) {
@@ -20,6 +20,6 @@
     if (seconds <= 0) {
         return;
     }
-    struct timespec ts = {(time_t)seconds, (long)((seconds - (double)(time_t)seconds) * 1e9)};
-    nanosleep(&ts, NULL);
+    struct timespec time = {(time_t)seconds, (long)((seconds - (double)(time_t)seconds) * 1e9)};
+    nanosleep(&time, NULL);
 }
--- a/src/app/door_duty.c
+++ b/src/app/door_duty.c
@@ -11,19 +11,19 @@
  * reading of the mirror waited for the processor beside them. A refused connection costs nothing,
  * and sends users and workers to the next controller all the same. In an outage of the state
  * service users are to be told, so that the door opens after a session's time at the latest. */
-void *rr_startup_thread(void *app) {
-    struct rr_app *a = app;
-    double until = rr_steady_clock_s() + rr_session_lease_s(&a->config);
-    pthread_mutex_lock(&a->lock);
-    while (!rr_app_stopping(a) && !rr_core_lease_valid(a->core, rr_steady_clock_s()) &&
+void *rr_startup_thread(void *argument) {
+    struct rr_app *app = argument;
+    double until = rr_steady_clock_s() + rr_session_lease_s(&app->config);
+    pthread_mutex_lock(&app->lock);
+    while (!rr_app_stopping(app) && !rr_core_lease_valid(app->core, rr_steady_clock_s()) &&
            rr_steady_clock_s() < until) {
-        rr_app_wait(a, &a->cache_advanced, &a->lock, until - rr_steady_clock_s());
+        rr_app_wait(app, &app->cache_advanced, &app->lock, until - rr_steady_clock_s());
     }
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
     int rc;
-    while (!rr_app_stopping(a) && (rc = rr_http_server_listen(a->http_server)) != 0) {
+    while (!rr_app_stopping(app) && (rc = rr_http_server_listen(app->http_server)) != 0) {
         rr_log(RR_ERROR_LEVEL, "bind: can't listen: %s", strerror(-rc));
-        rr_app_pause(a, 1);
+        rr_app_pause(app, 1);
     }
     return NULL;
 }
--- a/src/app/log.c
+++ b/src/app/log.c
@@ -35,20 +35,21 @@
         return;
     }
     char line[640];
-    va_list ap;
-    va_start(ap, fmt);
-    vsnprintf(line, sizeof line, fmt, ap);
-    va_end(ap);
+    va_list args;
+    va_start(args, fmt);
+    vsnprintf(line, sizeof line, fmt, args);
+    va_end(args);
     double wall = rr_wall_clock_s();
-    time_t t = (time_t)wall;
-    struct tm tm;
-    gmtime_r(&t, &tm);
+    time_t seconds = (time_t)wall;
+    struct tm local_time;
+    gmtime_r(&seconds, &local_time);
     char out[768];
-    int n = snprintf(out, sizeof out, "%02d:%02d:%02d.%03d %s %s %s\n", tm.tm_hour, tm.tm_min,
-                     tm.tm_sec, (int)((wall - (double)t) * 1000), node, names[level], line);
+    int count = snprintf(out, sizeof out, "%02d:%02d:%02d.%03d %s %s %s\n", local_time.tm_hour,
+                         local_time.tm_min, local_time.tm_sec,
+                         (int)((wall - (double)seconds) * 1000), node, names[level], line);
     /* One write a line, so that threads do not mix theirs. */
-    size_t len = n < (int)sizeof out ? (size_t)n : sizeof out - 1;
-    if (write(STDERR_FILENO, out, len) < 0) {
+    size_t length = count < (int)sizeof out ? (size_t)count : sizeof out - 1;
+    if (write(STDERR_FILENO, out, length) < 0) {
         return;
     }
 }
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -40,36 +40,38 @@
 }
 
 /* 0: go on; 1: done, exit 0; 2: bad use. */
-static int read_options(int *argc, char ***argv, struct options *o) {
+static int read_options(int *argc, char ***argv, struct options *options) {
     GOptionEntry entries[] = {
-        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &o->config, "The platform's settings (TOML)",
-         "FILE"},
-        {"settings", 's', 0, G_OPTION_ARG_FILENAME, &o->settings,
+        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config,
+         "The platform's settings (TOML)", "FILE"},
+        {"settings", 's', 0, G_OPTION_ARG_FILENAME, &options->settings,
          "The operators' own settings; or RINGROCK_SETTINGS in the environment", "FILE"},
-        {"admission", 'a', 0, G_OPTION_ARG_FILENAME, &o->admission,
+        {"admission", 'a', 0, G_OPTION_ARG_FILENAME, &options->admission,
          "Switches fair admission on; or RINGROCK_ADMISSION in the environment", "FILE"},
-        {"cells", 0, 0, G_OPTION_ARG_FILENAME, &o->cells,
+        {"cells", 0, 0, G_OPTION_ARG_FILENAME, &options->cells,
          "Lets work spill over between cells; or RINGROCK_CELLS in the environment", "FILE"},
-        {"check-config", 0, 0, G_OPTION_ARG_NONE, &o->check, "Check the settings and exit", NULL},
-        {"version", 'V', 0, G_OPTION_ARG_NONE, &o->version, "Print the version and exit", NULL},
+        {"check-config", 0, 0, G_OPTION_ARG_NONE, &options->check, "Check the settings and exit",
+         NULL},
+        {"version", 'V', 0, G_OPTION_ARG_NONE, &options->version, "Print the version and exit",
+         NULL},
         {0}};
     GError *err = NULL;
     GOptionContext *ctx = g_option_context_new("- a controller of the ringrock cluster scheduler");
     g_option_context_add_main_entries(ctx, entries, NULL);
     g_option_context_set_description(
         ctx, "LOG_LEVEL in the environment is error, info (default) or debug.\n");
-    gboolean ok = g_option_context_parse(ctx, argc, argv, &err);
+    gboolean succeeded = g_option_context_parse(ctx, argc, argv, &err);
     g_option_context_free(ctx);
     int rc = 0;
-    if (!ok) {
+    if (!succeeded) {
         rc = usage_error(err->message);
         g_error_free(err);
-    } else if (o->version) {
+    } else if (options->version) {
         printf("ringrock %s\n", RINGROCK_VERSION);
         rc = 1;
     } else if (*argc > 1) {
         rc = usage_error("unexpected argument");
-    } else if (!o->config) {
+    } else if (!options->config) {
         rc = usage_error("--config FILE is required");
     } else if (rr_log_set_level(getenv("LOG_LEVEL")) != 0) {
         rc = usage_error("LOG_LEVEL must be error, info or debug");
@@ -78,10 +80,10 @@
 }
 
 static int serve(struct rr_app *app) {
-    struct sigaction sa = {.sa_handler = on_signal}, ignore = {.sa_handler = SIG_IGN};
+    struct sigaction action = {.sa_handler = on_signal}, ignore = {.sa_handler = SIG_IGN};
     sem_init(&quit, 0, 0);
-    sigaction(SIGTERM, &sa, NULL);
-    sigaction(SIGINT, &sa, NULL);
+    sigaction(SIGTERM, &action, NULL);
+    sigaction(SIGINT, &action, NULL);
     sigaction(SIGPIPE, &ignore, NULL);
     if (rr_net_init() != 0 || rr_app_start(app) != 0) {
         return 1;
@@ -95,49 +97,50 @@
     return 0;
 }
 
-static int load_settings(const struct options *o, struct rr_app *app, char *err, size_t size) {
-    int rc = rr_settings_load(o->config, o->settings, &app->config, err, size);
-    if (rc == 0 && o->admission) {
-        rc = rr_admission_settings_load(o->admission, &app->config, &app->admission_settings, err,
-                                        size);
+static int load_settings(const struct options *options, struct rr_app *app, char *err,
+                         size_t size) {
+    int rc = rr_settings_load(options->config, options->settings, &app->config, err, size);
+    if (rc == 0 && options->admission) {
+        rc = rr_admission_settings_load(options->admission, &app->config, &app->admission_settings,
+                                        err, size);
         app->config.admission = rc == 0;
     }
-    if (rc == 0 && o->cells) {
-        rc = rr_cells_settings_load(o->cells, &app->config, &app->cells_settings, err, size);
+    if (rc == 0 && options->cells) {
+        rc = rr_cells_settings_load(options->cells, &app->config, &app->cells_settings, err, size);
         app->config.cells = rc == 0;
     }
     return rc;
 }
 
 int main(int argc, char **argv) {
-    struct options o = {0};
+    struct options options = {0};
     char err[512] = "";
     rr_app_memory();
-    int rc = read_options(&argc, &argv, &o);
+    int rc = read_options(&argc, &argv, &options);
     if (rc != 0) {
         rc = rc == 1 ? 0 : rc;
         goto end;
     }
     struct rr_app *app = g_new0(struct rr_app, 1);
-    if (!o.settings) {
-        o.settings = g_strdup(getenv("RINGROCK_SETTINGS"));
+    if (!options.settings) {
+        options.settings = g_strdup(getenv("RINGROCK_SETTINGS"));
     }
-    if (!o.admission) {
-        o.admission = g_strdup(getenv("RINGROCK_ADMISSION"));
+    if (!options.admission) {
+        options.admission = g_strdup(getenv("RINGROCK_ADMISSION"));
     }
-    if (!o.cells) {
-        o.cells = g_strdup(getenv("RINGROCK_CELLS"));
+    if (!options.cells) {
+        options.cells = g_strdup(getenv("RINGROCK_CELLS"));
     }
-    if (load_settings(&o, app, err, sizeof err) != 0) {
+    if (load_settings(&options, app, err, sizeof err) != 0) {
         fprintf(stderr, "ringrock: %s\n", err);
         rc = 2;
     } else if (rr_app_connections(&app->config) < RR_CONNECTIONS_MIN) {
         fprintf(stderr,
                 "ringrock: %s: deployment.limits, max_threads and senders leave no room for "
                 "connections\n",
-                o.config);
+                options.config);
         rc = 2;
-    } else if (o.check) {
+    } else if (options.check) {
         printf("settings are fine\n");
     } else {
         rr_log_node(app->config.node_name);
@@ -147,9 +150,9 @@
     rr_cells_settings_clear(&app->cells_settings);
     g_free(app);
 end:
-    g_free(o.config);
-    g_free(o.settings);
-    g_free(o.admission);
-    g_free(o.cells);
+    g_free(options.config);
+    g_free(options.settings);
+    g_free(options.admission);
+    g_free(options.cells);
     return rc;
 }
--- a/src/app/mirror_duty.c
+++ b/src/app/mirror_duty.c
@@ -12,14 +12,14 @@
     uint64_t version;
 };
 
-static gint by_version(gconstpointer a, gconstpointer b) {
-    const struct row *x = a, *y = b;
-    return x->version < y->version ? -1 : x->version > y->version;
+static gint by_version(gconstpointer left_item, gconstpointer right_item) {
+    const struct row *left = left_item, *right = right_item;
+    return left->version < right->version ? -1 : left->version > right->version;
 }
 
-static bool row_of(const msgpack_object *o, const char *name, char *key, size_t size,
-                   uint64_t *mark) {
-    return rr_map_get_text(o, name, key, size) && rr_map_get_u64(o, "mark", mark);
+static bool row_of(const msgpack_object *object, const char *name, char *key, size_t size,
+                   uint64_t *version) {
+    return rr_map_get_text(object, name, key, size) && rr_map_get_u64(object, "mark", version);
 }
 
 struct page_put {
@@ -27,90 +27,91 @@
     double now;
 };
 
-static void put_row(void *user, const char *key, const msgpack_object *value, uint64_t mark) {
+static void put_row(void *user, const char *key, const msgpack_object *value, uint64_t version) {
     const struct page_put *page = user;
-    rr_core_cache_put(page->core, key, value, mark, page->now);
+    rr_core_cache_put(page->core, key, value, version, page->now);
 }
 
 /* Page by page, so that a mirror of any size is never held twice. Nobody is shown half a state:
  * until the end nothing is decided, and answers wait for the revision. The changes since the first
  * page come with the watch; older marks never undo newer ones. */
-static int reread(struct rr_app *a, rr_store *s) {
+static int reread(struct rr_app *app, rr_store *store) {
     double began = rr_steady_clock_s();
     rr_store_cursor cursor = {.more = true};
     uint64_t first = 0, last = 0;
     int rc = 0;
-    pthread_mutex_lock(&a->lock);
-    rr_core_cache_begin_reload(a->core);
-    pthread_mutex_unlock(&a->lock);
-    while (cursor.more && rc == 0 && !rr_app_stopping(a)) {
-        rr_document d;
-        rc = rr_store_next_page(s, RR_KEY_ROOT, &cursor, &d);
+    pthread_mutex_lock(&app->lock);
+    rr_core_cache_begin_reload(app->core);
+    pthread_mutex_unlock(&app->lock);
+    while (cursor.more && rc == 0 && !rr_app_stopping(app)) {
+        rr_document document;
+        rc = rr_store_next_page(store, RR_KEY_ROOT, &cursor, &document);
         if (rc != 0) {
             break;
         }
-        pthread_mutex_lock(&a->lock);
-        struct page_put page = {a->core, rr_steady_clock_s()};
-        rr_store_each_row(&d, &cursor, put_row, &page);
-        pthread_mutex_unlock(&a->lock);
-        rr_document_clear(&d);
+        pthread_mutex_lock(&app->lock);
+        struct page_put page = {app->core, rr_steady_clock_s()};
+        rr_store_each_row(&document, &cursor, put_row, &page);
+        pthread_mutex_unlock(&app->lock);
+        rr_document_clear(&document);
         first = first ? first : cursor.revision;
         last = cursor.revision > last ? cursor.revision : last;
     }
-    pthread_mutex_lock(&a->lock);
-    if (rc == 0 && !rr_app_stopping(a)) {
-        rr_core_cache_end_reload(a->core, first, last, rr_steady_clock_s());
-        rr_core_set_revision(a->core, first);
-        rr_core_set_cache_current(a->core, began);
-        pthread_cond_broadcast(&a->cache_advanced);
-        rr_app_wake(a);
+    pthread_mutex_lock(&app->lock);
+    if (rc == 0 && !rr_app_stopping(app)) {
+        rr_core_cache_end_reload(app->core, first, last, rr_steady_clock_s());
+        rr_core_set_revision(app->core, first);
+        rr_core_set_cache_current(app->core, began);
+        pthread_cond_broadcast(&app->cache_advanced);
+        rr_app_wake(app);
     }
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
     return rc;
 }
 
 /* The log comes in no promised order; a record may speak of an older one, so by mark. It answers a
  * request sent at `asked` and has every change made before. */
-static int apply_log(struct rr_app *a, const rr_document *d, double asked) {
-    const msgpack_object *log = rr_map_get(d->root, "log");
-    uint64_t epoch;
-    if (!rr_map_get_u64(d->root, "epoch", &epoch) || (log && log->type != MSGPACK_OBJECT_ARRAY)) {
+static int apply_log(struct rr_app *app, const rr_document *document, double asked) {
+    const msgpack_object *log = rr_map_get(document->root, "log");
+    uint64_t revision;
+    if (!rr_map_get_u64(document->root, "epoch", &revision) ||
+        (log && log->type != MSGPACK_OBJECT_ARRAY)) {
         return -EBADMSG;
     }
-    uint32_t n = log ? log->via.array.size : 0;
+    uint32_t count = log ? log->via.array.size : 0;
     GArray *rows = g_array_new(FALSE, FALSE, sizeof(struct row));
     GStringChunk *keys = g_string_chunk_new(1024);
-    for (uint32_t i = 0; i < n; i++) {
-        const msgpack_object *o = &log->via.array.ptr[i];
+    for (uint32_t i = 0; i < count; i++) {
+        const msgpack_object *object = &log->via.array.ptr[i];
         char key[256];
-        struct row r = {0};
-        bool put = rr_map_get(o, "put") != NULL;
-        if (row_of(o, put ? "put" : "delete", key, sizeof key, &r.version) &&
-            (!put || rr_map_get(o, "v"))) {
-            r.key = g_string_chunk_insert(keys, key);
-            r.value = put ? rr_map_get(o, "v") : NULL;
-            g_array_append_val(rows, r);
+        struct row row = {0};
+        bool put = rr_map_get(object, "put") != NULL;
+        if (row_of(object, put ? "put" : "delete", key, sizeof key, &row.version) &&
+            (!put || rr_map_get(object, "v"))) {
+            row.key = g_string_chunk_insert(keys, key);
+            row.value = put ? rr_map_get(object, "v") : NULL;
+            g_array_append_val(rows, row);
         }
     }
     g_array_sort(rows, by_version);
-    pthread_mutex_lock(&a->lock);
+    pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
     for (guint i = 0; i < rows->len; i++) {
-        const struct row *r = &g_array_index(rows, struct row, i);
-        if (r->value) {
-            rr_core_cache_put(a->core, r->key, r->value, r->version, now);
+        const struct row *row = &g_array_index(rows, struct row, i);
+        if (row->value) {
+            rr_core_cache_put(app->core, row->key, row->value, row->version, now);
         } else {
-            rr_core_cache_delete(a->core, r->key, r->version, now);
+            rr_core_cache_delete(app->core, row->key, row->version, now);
         }
     }
-    rr_core_set_revision(a->core, epoch);
-    rr_core_set_cache_current(a->core, asked);
-    a->store_ok_at = now;
-    pthread_cond_broadcast(&a->cache_advanced);
+    rr_core_set_revision(app->core, revision);
+    rr_core_set_cache_current(app->core, asked);
+    app->store_ok_at = now;
+    pthread_cond_broadcast(&app->cache_advanced);
     if (rows->len) {
-        rr_app_wake(a);
+        rr_app_wake(app);
     }
-    pthread_mutex_unlock(&a->lock);
+    pthread_mutex_unlock(&app->lock);
     g_array_free(rows, TRUE);
     g_string_chunk_free(keys);
     return 0;
@@ -120,43 +121,43 @@
  * are bounded by how old the mirror may be. */
 #define WATCH_MS 2000
 
-void *rr_watch_thread(void *app) {
-    struct rr_app *a = app;
+void *rr_watch_thread(void *argument) {
+    struct rr_app *app = argument;
     rr_usage_enter(RR_USAGE_STORE_CACHE);
-    rr_store *s = rr_app_open_store(a);
+    rr_store *store = rr_app_open_store(app);
     bool loaded = false;
     double opened = 0;
-    while (!rr_app_stopping(a)) {
-        rr_document d;
+    while (!rr_app_stopping(app)) {
+        rr_document document;
         if (!loaded) {
-            loaded = reread(a, s) == 0;
+            loaded = reread(app, store) == 0;
             if (!loaded) {
-                rr_app_pause(a, 0.3);
+                rr_app_pause(app, 0.3);
             }
             continue;
         }
-        pthread_mutex_lock(&a->lock);
-        uint64_t from = rr_core_revision(a->core);
-        unsigned live = rr_core_live_controllers(a->core);
-        pthread_mutex_unlock(&a->lock);
+        pthread_mutex_lock(&app->lock);
+        uint64_t from = rr_core_revision(app->core);
+        unsigned live = rr_core_live_controllers(app->core);
+        pthread_mutex_unlock(&app->lock);
         /* A watch ends with the first change, and the next one is a request: under load changes
          * gather, so that watches take a quarter of the limit of requests at most. */
-        rr_app_pause(a,
-                     opened + 4.0 * (live ? live : 1) / a->config.state_rps - rr_steady_clock_s());
+        rr_app_pause(app, opened + 4.0 * (live ? live : 1) / app->config.state_rps -
+                              rr_steady_clock_s());
         opened = rr_steady_clock_s();
-        int rc = rr_store_watch(s, RR_KEY_ROOT, from, WATCH_MS, &d);
+        int rc = rr_store_watch(store, RR_KEY_ROOT, from, WATCH_MS, &document);
         if (rc == 0) {
-            rc = apply_log(a, &d, opened);
-            rr_document_clear(&d);
+            rc = apply_log(app, &document, opened);
+            rr_document_clear(&document);
         }
         if (rc == -ESTALE) {
             rr_log(RR_INFO_LEVEL, "mirror too old: reading all again");
             loaded = false;
         } else if (rc != 0) {
-            rr_app_pause(a, 0.25);
+            rr_app_pause(app, 0.25);
         }
     }
-    rr_store_destroy(s);
+    rr_store_destroy(store);
     rr_usage_leave();
     return NULL;
 }
--- a/src/app/stats.c
+++ b/src/app/stats.c
@@ -14,49 +14,50 @@
 };
 
 rr_stats *rr_stats_create(void) {
-    rr_stats *s = g_new0(rr_stats, 1);
-    pthread_mutex_init(&s->lock, NULL);
-    s->took = gsl_histogram_alloc(BINS);
-    gsl_histogram_set_ranges_uniform(s->took, -4, 2);
-    return s;
+    rr_stats *stats = g_new0(rr_stats, 1);
+    pthread_mutex_init(&stats->lock, NULL);
+    stats->took = gsl_histogram_alloc(BINS);
+    gsl_histogram_set_ranges_uniform(stats->took, -4, 2);
+    return stats;
 }
 
-void rr_stats_destroy(rr_stats *s) {
-    if (s) {
-        gsl_histogram_free(s->took);
-        pthread_mutex_destroy(&s->lock);
-        g_free(s);
+void rr_stats_destroy(rr_stats *stats) {
+    if (stats) {
+        gsl_histogram_free(stats->took);
+        pthread_mutex_destroy(&stats->lock);
+        g_free(stats);
     }
 }
 
-void rr_stats_submission(rr_stats *s, int status, double seconds) {
-    double x = log10(seconds > 1e-4 ? seconds : 1.01e-4);
-    pthread_mutex_lock(&s->lock);
-    s->answered++;
-    s->refused += status >= 500;
-    gsl_histogram_increment(s->took, x < 1.99 ? x : 1.99);
-    pthread_mutex_unlock(&s->lock);
+void rr_stats_submission(rr_stats *stats, int status, double seconds) {
+    double bound = log10(seconds > 1e-4 ? seconds : 1.01e-4);
+    pthread_mutex_lock(&stats->lock);
+    stats->answered++;
+    stats->refused += status >= 500;
+    gsl_histogram_increment(stats->took, bound < 1.99 ? bound : 1.99);
+    pthread_mutex_unlock(&stats->lock);
 }
 
-static double quantile_ms(const gsl_histogram *h, double q) {
-    double sum = 0, all = gsl_histogram_sum(h), lo = 0, hi = 0;
-    for (size_t i = 0; i < BINS && sum < q * all; i++) {
-        sum += gsl_histogram_get(h, i);
-        gsl_histogram_get_range(h, i, &lo, &hi);
+static double quantile_ms(const gsl_histogram *histogram, double quantile) {
+    double sum = 0, all = gsl_histogram_sum(histogram), low = 0, high = 0;
+    for (size_t i = 0; i < BINS && sum < quantile * all; i++) {
+        sum += gsl_histogram_get(histogram, i);
+        gsl_histogram_get_range(histogram, i, &low, &high);
     }
-    return 1000 * pow(10, hi);
+    return 1000 * pow(10, high);
 }
 
-void rr_stats_line(rr_stats *s, char *out, size_t size) {
-    pthread_mutex_lock(&s->lock);
-    if (s->answered) {
+void rr_stats_line(rr_stats *stats, char *out, size_t size) {
+    pthread_mutex_lock(&stats->lock);
+    if (stats->answered) {
         g_snprintf(out, size,
                    "%u submissions (%u refused), half within %.0f ms, 95%% within %.0f ms",
-                   s->answered, s->refused, quantile_ms(s->took, 0.5), quantile_ms(s->took, 0.95));
+                   stats->answered, stats->refused, quantile_ms(stats->took, 0.5),
+                   quantile_ms(stats->took, 0.95));
     } else {
         g_snprintf(out, size, "no submissions");
     }
-    gsl_histogram_reset(s->took);
-    s->answered = s->refused = 0;
-    pthread_mutex_unlock(&s->lock);
+    gsl_histogram_reset(stats->took);
+    stats->answered = stats->refused = 0;
+    pthread_mutex_unlock(&stats->lock);
 }
--- a/src/app/stats.h
+++ b/src/app/stats.h
@@ -6,10 +6,10 @@
 
 typedef struct rr_stats rr_stats;
 rr_stats *rr_stats_create(void);
-void rr_stats_destroy(rr_stats *s);
+void rr_stats_destroy(rr_stats *stats);
 /* A submission was answered with this status after this long. */
-void rr_stats_submission(rr_stats *s, int status, double seconds);
+void rr_stats_submission(rr_stats *stats, int status, double seconds);
 /* Writes the figures since the last call and starts anew. */
-void rr_stats_line(rr_stats *s, char *out, size_t size);
+void rr_stats_line(rr_stats *stats, char *out, size_t size);
 
 #endif
--- a/src/app/thread.c
+++ b/src/app/thread.c
@@ -1,12 +1,13 @@
 #include "app/thread.h"
 
-int rr_thread_start(pthread_t *t, void *(*fn)(void *), void *arg, bool detached) {
-    pthread_attr_t a;
+int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *arg, bool detached) {
+    pthread_attr_t attributes;
     pthread_t local;
-    pthread_attr_init(&a);
-    pthread_attr_setstacksize(&a, RR_THREAD_STACK_BYTES);
-    pthread_attr_setdetachstate(&a, detached ? PTHREAD_CREATE_DETACHED : PTHREAD_CREATE_JOINABLE);
-    int rc = pthread_create(t ? t : &local, &a, fn, arg);
-    pthread_attr_destroy(&a);
+    pthread_attr_init(&attributes);
+    pthread_attr_setstacksize(&attributes, RR_THREAD_STACK_BYTES);
+    pthread_attr_setdetachstate(&attributes,
+                                detached ? PTHREAD_CREATE_DETACHED : PTHREAD_CREATE_JOINABLE);
+    int rc = pthread_create(thread ? thread : &local, &attributes, entry, arg);
+    pthread_attr_destroy(&attributes);
     return -rc;
 }
--- a/src/app/thread.h
+++ b/src/app/thread.h
@@ -8,6 +8,6 @@
 #define RR_THREAD_STACK_BYTES ((size_t)256 * 1024)
 
 /* 0 or -errno. A detached one needs no *t. */
-int rr_thread_start(pthread_t *t, void *(*fn)(void *), void *arg, bool detached);
+int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *arg, bool detached);
 
 #endif
--- a/src/app/usage.c
+++ b/src/app/usage.c
@@ -17,11 +17,12 @@
 } threads[THREADS_MAX];
 static size_t nthreads;
 static double ended[RR_USAGE_KINDS]; /* seconds of threads that have left */
-static double told[RR_USAGE_KINDS + 1];
+static double announced[RR_USAGE_KINDS + 1];
 
 static double read_ms(clockid_t id) {
-    struct timespec ts;
-    return clock_gettime(id, &ts) == 0 ? (double)ts.tv_sec * 1e3 + (double)ts.tv_nsec / 1e6 : 0;
+    struct timespec time;
+    return clock_gettime(id, &time) == 0 ? (double)time.tv_sec * 1e3 + (double)time.tv_nsec / 1e6
+                                         : 0;
 }
 
 void rr_usage_enter(enum rr_usage_kind use) {
@@ -47,34 +48,35 @@
 }
 
 /* Under the lock no thread leaves, so that each one's clock is there. */
-static void sum_up(double ms[RR_USAGE_KINDS + 1]) {
+static void sum_up(double milliseconds[RR_USAGE_KINDS + 1]) {
     clockid_t id;
     pthread_mutex_lock(&lock);
-    for (int u = 0; u < RR_USAGE_KINDS; u++) {
-        ms[u] = ended[u];
+    for (int kind = 0; kind < RR_USAGE_KINDS; kind++) {
+        milliseconds[kind] = ended[kind];
     }
     for (size_t i = 0; i < nthreads; i++) {
         if (pthread_getcpuclockid(threads[i].thread, &id) == 0) {
-            ms[threads[i].use] += read_ms(id);
+            milliseconds[threads[i].use] += read_ms(id);
         }
     }
     pthread_mutex_unlock(&lock);
-    ms[RR_USAGE_KINDS] = read_ms(CLOCK_PROCESS_CPUTIME_ID);
+    milliseconds[RR_USAGE_KINDS] = read_ms(CLOCK_PROCESS_CPUTIME_ID);
 }
 
 void rr_usage_line(char *out, size_t size) {
-    double ms[RR_USAGE_KINDS + 1], sum = 0;
-    sum_up(ms);
-    GString *s = g_string_new(NULL);
-    for (int u = 0; u < RR_USAGE_KINDS; u++) {
-        g_string_append_printf(s, "%s%s %.0f", u ? ", " : "", names[u], ms[u] - told[u]);
-        sum += ms[u] - told[u];
-        told[u] = ms[u];
+    double milliseconds[RR_USAGE_KINDS + 1], sum = 0;
+    sum_up(milliseconds);
+    GString *text = g_string_new(NULL);
+    for (int kind = 0; kind < RR_USAGE_KINDS; kind++) {
+        g_string_append_printf(text, "%s%s %.0f", kind ? ", " : "", names[kind],
+                               milliseconds[kind] - announced[kind]);
+        sum += milliseconds[kind] - announced[kind];
+        announced[kind] = milliseconds[kind];
     }
-    double all = ms[RR_USAGE_KINDS] - told[RR_USAGE_KINDS];
-    told[RR_USAGE_KINDS] = ms[RR_USAGE_KINDS];
-    g_string_append_printf(s, ", the rest %.0f ms", all > sum ? all - sum : 0);
+    double all = milliseconds[RR_USAGE_KINDS] - announced[RR_USAGE_KINDS];
+    announced[RR_USAGE_KINDS] = milliseconds[RR_USAGE_KINDS];
+    g_string_append_printf(text, ", the rest %.0f ms", all > sum ? all - sum : 0);
     /* Some systems answer these clocks with other times: then nothing is said. */
-    g_strlcpy(out, all > 0 && sum <= all * 1.01 + 1 ? s->str : "not known", size);
-    g_string_free(s, TRUE);
+    g_strlcpy(out, all > 0 && sum <= all * 1.01 + 1 ? text->str : "not known", size);
+    g_string_free(text, TRUE);
 }
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -104,8 +104,8 @@
     }
 }
 
-void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn fn, void *user) {
-    struct visit visit = {absent, fn, user};
+void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn callback, void *user) {
+    struct visit visit = {absent, callback, user};
     rr_core_each_job(absent->cache, visit_job, &visit);
 }
 
--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -37,10 +37,10 @@
 /* Whether the record says that this cell holds the job under this claim. */
 bool rr_absent_holds(const rr_absent *absent, const char *job_id, uint32_t claim);
 
-typedef void (*rr_absent_job_fn)(void *user, const rr_submission *submission, double at,
+typedef void (*rr_absent_job_fn)(void *user, const rr_submission *submission, double when,
                                  const rr_absent_out *out);
 /* Jobs that are open there. */
-void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn fn, void *user);
+void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn callback, void *user);
 
 /* Changes to its state service, guarded by its term and the records that were read. False: there is
  * nothing to change. */
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -23,10 +23,10 @@
 
 /* Takes the transaction over. */
 static void add_there(struct look *look, const char *id, bool ends_claim,
-                      const rr_transaction *txn) {
+                      const rr_transaction *transaction) {
     rr_transfer_write *write = g_new0(rr_transfer_write, 1);
     write->ends_claim = ends_claim;
-    write->transaction = *txn;
+    write->transaction = *transaction;
     g_strlcpy(write->id, id, sizeof write->id);
     g_ptr_array_set_free_func(look->there, free_write);
     g_ptr_array_add(look->there, write);
@@ -43,23 +43,23 @@
 }
 
 static void announce_answer(struct look *look, const rr_incoming *entry) {
-    rr_transaction txn;
-    rr_transaction_init(&txn);
-    if (rr_absent_finish(look->absent, entry->record.job_id, &txn)) {
-        add_there(look, entry->local_id, true, &txn);
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
+    if (rr_absent_finish(look->absent, entry->record.job_id, &transaction)) {
+        add_there(look, entry->local_id, true, &transaction);
     } else {
-        rr_transaction_clear(&txn);
+        rr_transaction_clear(&transaction);
     }
 }
 
 /* The copy has gone: its record there says so. */
 static void give_back(struct look *look, const rr_incoming *entry) {
-    rr_transaction txn;
-    rr_transaction_init(&txn);
-    if (rr_absent_give_back(look->absent, entry->record.job_id, look->wall, &txn)) {
-        add_there(look, entry->local_id, true, &txn);
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
+    if (rr_absent_give_back(look->absent, entry->record.job_id, look->wall, &transaction)) {
+        add_there(look, entry->local_id, true, &transaction);
     } else {
-        rr_transaction_clear(&txn);
+        rr_transaction_clear(&transaction);
     }
 }
 
@@ -90,7 +90,7 @@
 /* ---- what it may claim ---- */
 
 /* Offered to this cell by the record, and not taken yet: as if the offer had come by a link. */
-static void take_offered(struct look *look, const rr_submission *submission, double at,
+static void take_offered(struct look *look, const rr_submission *submission, double when,
                          const rr_absent_out *out) {
     rr_cells_request request;
     rr_transfer_message reply, offer = {.kind = RR_TRANSFER_OFFER, .claim = out->record.claim};
@@ -99,7 +99,7 @@
     g_strlcpy(request.team, submission->team, sizeof request.team);
     request.lease_s = look->transfers->settings->times.lease_s;
     request.rest_s = look->transfers->settings->times.rest_s;
-    rr_cells_add_offer(request.items, &offer, submission, at);
+    rr_cells_add_offer(request.items, &offer, submission, when);
     const rr_cells_item *item = &g_array_index(request.items, rr_cells_item, 0);
     if (rr_transfers_receive(look->transfers, look->neighbour, &request, item, look->now,
                              look->wall, &reply, &write)) {
@@ -119,27 +119,27 @@
            rr_core_check_submission(transfers->core, submission, &why) == RR_SUBMISSION_NEW;
 }
 
-static void look_at_job(void *user, const rr_submission *submission, double at,
+static void look_at_job(void *user, const rr_submission *submission, double when,
                         const rr_absent_out *out) {
     struct look *look = user;
-    rr_transaction txn;
+    rr_transaction transaction;
     if (!rr_transfers_owns(look->transfers, submission->team, look->now)) {
         return;
     }
     if (out && rr_absent_holds(look->absent, submission->job_id, out->record.claim)) {
-        take_offered(look, submission, at, out);
+        take_offered(look, submission, when, out);
         return;
     }
     if (!may_claim(look, submission)) {
         return;
     }
-    rr_transaction_init(&txn);
-    if (rr_absent_claim(look->absent, submission->job_id, submission->team, &txn)) {
+    rr_transaction_init(&transaction);
+    if (rr_absent_claim(look->absent, submission->job_id, submission->team, &transaction)) {
         rr_room_take(&look->transfers->room, submission);
         look->claims++;
-        add_there(look, submission->job_id, false, &txn);
+        add_there(look, submission->job_id, false, &transaction);
     } else {
-        rr_transaction_clear(&txn);
+        rr_transaction_clear(&transaction);
     }
 }
 
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -343,12 +343,12 @@
 
 /* The record of the claim and the copy come with one change. */
 static void write_copy(rr_transfers *transfers, rr_incoming *entry, const rr_submission *submission,
-                       double at, rr_transfer_write *write) {
+                       double when, rr_transfer_write *write) {
     char key[RR_ID_SIZE + 64];
     rr_encoder packed;
     make_write(transfers, entry, write);
     rr_encoder_init(&packed);
-    rr_core_job_encode(&packed, submission, at, false);
+    rr_core_job_encode(&packed, submission, when, false);
     rr_core_job_key(entry->local_id, key, sizeof key);
     rr_transaction_guard(&write->transaction, key, 0);
     rr_transaction_put(&write->transaction, key, &packed, 0);
@@ -370,17 +370,17 @@
 static bool take(rr_transfers *transfers, size_t neighbour, const rr_cells_request *request,
                  const rr_cells_item *item, const char *local_id, double now, double wall,
                  rr_transfer_message *reply, rr_transfer_write *write) {
-    rr_document doc;
+    rr_document document;
     rr_submission submission = {0};
     const char *field;
-    double at = wall;
+    double when = wall;
     rr_guest none = {.process = transfers->process};
-    bool readable = item->submission &&
-                    rr_document_parse(&doc, item->submission->data, item->submission->len) == 0;
+    bool readable = item->submission && rr_document_parse(&document, item->submission->data,
+                                                          item->submission->len) == 0;
     if (readable) {
-        readable = rr_submission_decode(doc.root, &submission, &field) == 0;
-        rr_map_get_number(doc.root, "at", &at);
-        rr_document_clear(&doc);
+        readable = rr_submission_decode(document.root, &submission, &field) == 0;
+        rr_map_get_number(document.root, "at", &when);
+        rr_document_clear(&document);
     }
     if (readable) {
         g_strlcpy(submission.job_id, local_id, sizeof submission.job_id);
@@ -392,7 +392,7 @@
         rr_incoming *entry = get(transfers, local_id);
         entry->guest = none;
         fill_record(transfers, entry, neighbour, item, request->team, now);
-        write_copy(transfers, entry, &submission, at, write);
+        write_copy(transfers, entry, &submission, when, write);
     }
     rr_submission_clear(&submission);
     return step.action == RR_GUEST_WRITE;
--- a/src/cells/links.c
+++ b/src/cells/links.c
@@ -95,18 +95,18 @@
 static void *connection_main(void *argument) {
     struct connection *connection = argument;
     rr_cells_links *links = connection->links;
-    struct inbox in;
+    struct inbox inbox;
     rr_frame_reader payload;
     uint8_t type;
     void *context = NULL;
     rr_usage_enter(RR_USAGE_CELLS);
-    rr_inbox_init(&in, connection->fd);
+    rr_inbox_init(&inbox, connection->fd);
     rr_peer_set_timeouts(connection->fd, SEND_S);
-    while (rr_peer_receive(links->stop, &in, &type, &payload, IDLE_S) == 0 &&
+    while (rr_peer_receive(links->stop, &inbox, &type, &payload, IDLE_S) == 0 &&
            serve_one(connection, &context, type, &payload)) {
     }
     close(connection->fd);
-    rr_inbox_clear(&in);
+    rr_inbox_clear(&inbox);
     if (context) {
         links->end(context);
     }
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -55,12 +55,12 @@
 }
 
 void rr_cells_add_offer(GArray *items, const rr_transfer_message *offer,
-                        const rr_submission *submission, double at) {
+                        const rr_submission *submission, double when) {
     rr_encoder packed;
     rr_cells_add_item(items, submission->job_id, offer);
     rr_cells_item *item = &g_array_index(items, rr_cells_item, items->len - 1);
     rr_encoder_init(&packed);
-    rr_core_job_encode(&packed, submission, at, false);
+    rr_core_job_encode(&packed, submission, when, false);
     item->submission = g_byte_array_new();
     g_byte_array_append(item->submission, (const guint8 *)packed.buffer.data,
                         (guint)packed.buffer.size);
@@ -97,7 +97,7 @@
 }
 
 void rr_cells_request_pack(const rr_cells_request *request, GByteArray *out) {
-    guint at = rr_frame_begin(out, RR_FRAME_CELLS);
+    guint start = rr_frame_begin(out, RR_FRAME_CELLS);
     rr_frame_put_u8(out, request->version);
     rr_frame_put_u8(out, (uint8_t)request->kind);
     rr_frame_put_text(out, request->from);
@@ -110,7 +110,7 @@
     } else {
         rr_frame_put_text(out, request->job_id);
     }
-    rr_frame_end(out, at);
+    rr_frame_end(out, start);
 }
 
 static void pack_amount(double amount, GByteArray *out) {
@@ -118,7 +118,7 @@
 }
 
 void rr_cells_reply_pack(const rr_cells_reply *reply, GByteArray *out) {
-    guint at = rr_frame_begin(out, RR_FRAME_CELLS_REPLY);
+    guint start = rr_frame_begin(out, RR_FRAME_CELLS_REPLY);
     rr_frame_put_u8(out, RR_CELLS_VERSION);
     rr_frame_put_u8(out, (uint8_t)reply->status);
     rr_frame_put_text(out, reply->owner);
@@ -129,7 +129,7 @@
     pack_amount(reply->room.cpus, out);
     pack_amount(reply->room.gpus, out);
     pack_amount(reply->room.mem_gb, out);
-    rr_frame_end(out, at);
+    rr_frame_end(out, start);
 }
 
 /* ---- unpacking ---- */
@@ -139,23 +139,23 @@
 }
 
 static GByteArray *unpack_bytes(rr_frame_reader *from, uint32_t most) {
-    uint32_t len;
-    const uint8_t *data = rr_frame_read_bytes(from, &len);
-    if (from->malformed || len > most) {
+    uint32_t length;
+    const uint8_t *data = rr_frame_read_bytes(from, &length);
+    if (from->malformed || length > most) {
         from->malformed = true;
         return NULL;
     }
     GByteArray *out = g_byte_array_new();
-    if (len) {
-        g_byte_array_append(out, data, len);
+    if (length) {
+        g_byte_array_append(out, data, length);
     }
     return out;
 }
 
 static bool unpack_item(rr_frame_reader *from, rr_cells_item *item) {
-    uint32_t len;
-    const uint8_t *data = rr_frame_read_bytes(from, &len);
-    rr_frame_reader fields = {data, len, from->malformed};
+    uint32_t length;
+    const uint8_t *data = rr_frame_read_bytes(from, &length);
+    rr_frame_reader fields = {data, length, from->malformed};
     uint8_t kind = rr_frame_read_u8(&fields);
     rr_frame_read_text(&fields, item->job_id, sizeof item->job_id);
     item->message.claim = rr_frame_read_u32(&fields);
@@ -181,8 +181,8 @@
     return good;
 }
 
-int rr_cells_request_unpack(const void *data, size_t len, rr_cells_request *out) {
-    rr_frame_reader from = {data, len, false};
+int rr_cells_request_unpack(const void *data, size_t length, rr_cells_request *out) {
+    rr_frame_reader from = {data, length, false};
     rr_cells_request_init(out, RR_CELLS_TRANSFERS);
     out->version = rr_frame_read_u8(&from);
     uint8_t kind = rr_frame_read_u8(&from);
@@ -208,8 +208,8 @@
     return good && !from.malformed ? 0 : -EBADMSG;
 }
 
-int rr_cells_reply_unpack(const void *data, size_t len, rr_cells_reply *out) {
-    rr_frame_reader from = {data, len, false};
+int rr_cells_reply_unpack(const void *data, size_t length, rr_cells_reply *out) {
+    rr_frame_reader from = {data, length, false};
     rr_cells_reply_init(out);
     uint8_t version = rr_frame_read_u8(&from), status = rr_frame_read_u8(&from);
     if (!from.malformed && (version < RR_CELLS_VERSION || status >= RR_CELLS_STATUSES)) {
--- a/src/cells/messages.h
+++ b/src/cells/messages.h
@@ -64,7 +64,7 @@
 void rr_cells_add_item(GArray *items, const char *job_id, const rr_transfer_message *message);
 /* An offer carries the job; at: wall, when its home accepted it. */
 void rr_cells_add_offer(GArray *items, const rr_transfer_message *offer,
-                        const rr_submission *submission, double at);
+                        const rr_submission *submission, double when);
 /* From this cell to a neighbour. */
 void rr_cells_request_address(rr_cells_request *request, const rr_cells_settings *settings,
                               size_t neighbour);
@@ -74,8 +74,8 @@
 void rr_cells_reply_pack(const rr_cells_reply *reply, GByteArray *out);
 /* A frame's payload. 0; -EPROTO: a version that this one can't read; -EBADMSG. The target is to be
  * cleared in any case. */
-int rr_cells_request_unpack(const void *data, size_t len, rr_cells_request *out);
-int rr_cells_reply_unpack(const void *data, size_t len, rr_cells_reply *out);
+int rr_cells_request_unpack(const void *data, size_t length, rr_cells_request *out);
+int rr_cells_reply_unpack(const void *data, size_t length, rr_cells_reply *out);
 const char *rr_cells_status_name(enum rr_cells_status status);
 
 #endif
--- a/src/cells/networks.c
+++ b/src/cells/networks.c
@@ -27,8 +27,8 @@
 }
 
 /* One of two prefixes that overlap contains the other. */
-static bool overlap(const CIDR *a, const CIDR *b) {
-    return cidr_contains(a, b) == 0 || cidr_contains(b, a) == 0;
+static bool overlap(const CIDR *left, const CIDR *right) {
+    return cidr_contains(left, right) == 0 || cidr_contains(right, left) == 0;
 }
 
 static bool overlaps_any(const rr_networks *networks, const CIDR *prefix) {
@@ -58,12 +58,12 @@
 
 static CIDR *parse(const char *prefix) {
     char padded[BEFORE + PREFIX_MAX];
-    size_t len = strlen(prefix);
-    if (len >= PREFIX_MAX || !strchr(prefix, '/')) {
+    size_t length = strlen(prefix);
+    if (length >= PREFIX_MAX || !strchr(prefix, '/')) {
         return NULL;
     }
     memset(padded, ' ', BEFORE);
-    memcpy(padded + BEFORE, prefix, len + 1);
+    memcpy(padded + BEFORE, prefix, length + 1);
     return cidr_from_str(padded + BEFORE);
 }
 
@@ -82,9 +82,9 @@
     return rc;
 }
 
-bool rr_networks_overlap(const rr_networks *a, const rr_networks *b) {
-    for (guint i = 0; i < a->prefixes->len; i++) {
-        if (overlaps_any(b, g_ptr_array_index(a->prefixes, i))) {
+bool rr_networks_overlap(const rr_networks *left, const rr_networks *right) {
+    for (guint i = 0; i < left->prefixes->len; i++) {
+        if (overlaps_any(right, g_ptr_array_index(left->prefixes, i))) {
             return true;
         }
     }
--- a/src/cells/networks.h
+++ b/src/cells/networks.h
@@ -12,7 +12,7 @@
 /* 0; -EINVAL: no CIDR prefix, or one with bits set beyond it; -EEXIST: it overlaps with one that is
  * in the set. */
 int rr_networks_add(rr_networks *networks, const char *prefix);
-bool rr_networks_overlap(const rr_networks *a, const rr_networks *b);
+bool rr_networks_overlap(const rr_networks *left, const rr_networks *right);
 bool rr_networks_contain(const rr_networks *networks, const struct in_addr *address);
 
 #endif
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -264,10 +264,10 @@
     return entry && (entry->record.claim >= CLAIMS_MAX || entry->home.writes);
 }
 
-static void consider(void *user, const rr_submission *submission, double at) {
+static void consider(void *user, const rr_submission *submission, double when) {
     struct choice *choice = user;
     const rr_cells_settings *settings = choice->transfers->settings;
-    double wait_s = choice->wall - at;
+    double wait_s = choice->wall - when;
     if (!some_cell_takes(settings, submission) ||
         was_away_often(choice->transfers, submission->job_id)) {
         return;
--- a/src/cells/records.c
+++ b/src/cells/records.c
@@ -45,19 +45,19 @@
     rr_encode_key_text(out, "answer", answers[record->answer]);
 }
 
-void rr_cells_out_write(rr_transaction *txn, const char *job_id, uint64_t version,
+void rr_cells_out_write(rr_transaction *transaction, const char *job_id, uint64_t version,
                         const rr_out_record *record) {
     char key[RR_ID_SIZE + 64];
     rr_cells_out_key(job_id, key, sizeof key);
-    rr_transaction_guard(txn, key, version);
+    rr_transaction_guard(transaction, key, version);
     if (!record) {
-        rr_transaction_delete(txn, key);
+        rr_transaction_delete(transaction, key);
         return;
     }
     rr_encoder packed;
     rr_encoder_init(&packed);
     rr_cells_out_encode(record, &packed);
-    rr_transaction_put(txn, key, &packed, 0);
+    rr_transaction_put(transaction, key, &packed, 0);
 }
 
 rr_out_record rr_cells_out_withdrawn(const rr_out_record *record, double wall) {
@@ -102,10 +102,10 @@
     char *whole = g_strdup_printf("%s/%s/%u", home, job_id, claim);
     GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
     guint8 digest[32];
-    gsize len = sizeof digest;
+    gsize length = sizeof digest;
     uint64_t first = 0;
     g_checksum_update(sum, (const guchar *)whole, -1);
-    g_checksum_get_digest(sum, digest, &len);
+    g_checksum_get_digest(sum, digest, &length);
     memcpy(&first, digest, sizeof first);
     /* Users' names are "req-" and digits, and so is this, with as many as a number may have. */
     g_snprintf(out, size, "req-8%020" G_GUINT64_FORMAT, GUINT64_FROM_BE(first));
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -34,7 +34,7 @@
 void rr_cells_out_encode(const rr_out_record *record, rr_encoder *out);
 void rr_cells_in_encode(const rr_in_record *record, rr_encoder *out);
 /* Changes the record that has this version (0: there is none); record NULL: deletes it. */
-void rr_cells_out_write(rr_transaction *txn, const char *job_id, uint64_t version,
+void rr_cells_out_write(rr_transaction *transaction, const char *job_id, uint64_t version,
                         const rr_out_record *record);
 /* The job taken back: what the record says after. */
 rr_out_record rr_cells_out_withdrawn(const rr_out_record *record, double wall);
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -55,46 +55,46 @@
 
 static bool plain_name(const char *name, size_t size) {
     bool plain = name[0] && strlen(name) < size;
-    for (const char *c = name; *c; c++) {
-        plain = plain && (g_ascii_isalnum(*c) || strchr("-_.", *c));
+    for (const char *text = name; *text; text++) {
+        plain = plain && (g_ascii_isalnum(*text) || strchr("-_.", *text));
     }
     return plain;
 }
 
-static int check_neighbour(cfg_t *cfg, cfg_opt_t *option) {
+static int check_neighbour(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
-    const char *own = cfg_getstr(cfg, "cell");
+    const char *own = cfg_getstr(config, "cell");
     if (!plain_name(name, RR_CELL_NAME)) {
-        cfg_error(cfg, "neighbour \"%s\": letters, digits, -, _ and . only", name);
+        cfg_error(config, "neighbour \"%s\": letters, digits, -, _ and . only", name);
         return -1;
     }
     if (own && strcmp(own, name) == 0) {
-        cfg_error(cfg, "neighbour \"%s\": is this cell itself", name);
+        cfg_error(config, "neighbour \"%s\": is this cell itself", name);
         return -1;
     }
     if (cfg_opt_size(option) > RR_CELLS_MAX) {
-        cfg_error(cfg, "neighbour \"%s\": at most %d", name, RR_CELLS_MAX);
+        cfg_error(config, "neighbour \"%s\": at most %d", name, RR_CELLS_MAX);
         return -1;
     }
     return 0;
 }
 
-static int check_prefix(cfg_t *cfg, cfg_opt_t *option) {
+static int check_prefix(cfg_t *config, cfg_opt_t *option) {
     const char *prefix = cfg_opt_getnstr(option, cfg_opt_size(option) - 1);
     rr_networks *alone = rr_networks_create();
     int rc = rr_networks_add(alone, prefix);
     rr_networks_destroy(alone);
     if (rc != 0) {
-        cfg_error(cfg, "networks: \"%s\" is no CIDR prefix", prefix);
+        cfg_error(config, "networks: \"%s\" is no CIDR prefix", prefix);
         return -1;
     }
     return 0;
 }
 
-static int check_team(cfg_t *cfg, cfg_opt_t *option) {
+static int check_team(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_opt_getnstr(option, cfg_opt_size(option) - 1);
     if (rr_config_team(platform, name) < 0) {
-        cfg_error(cfg, "teams: the platform's settings have no team \"%s\"", name);
+        cfg_error(config, "teams: the platform's settings have no team \"%s\"", name);
         return -1;
     }
     return 0;
@@ -102,24 +102,25 @@
 
 /* Zones are the clouds' to name: that a neighbour's are others than this cell's is all that the
  * platform's settings can tell. */
-static int check_zone(cfg_t *cfg, cfg_opt_t *option) {
+static int check_zone(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_opt_getnstr(option, cfg_opt_size(option) - 1);
     bool own = strcmp(platform->zone, name) == 0;
     for (size_t i = 0; i < platform->peer_count; i++) {
         own = own || strcmp(platform->peers[i].zone, name) == 0;
     }
     if (!plain_name(name, RR_NAME_SIZE) || own) {
-        cfg_error(cfg, "zones: \"%s\" is %s", name, own ? "this cell's own" : "no zone's name");
+        cfg_error(config, "zones: \"%s\" is %s", name, own ? "this cell's own" : "no zone's name");
         return -1;
     }
     return 0;
 }
 
-static int check_endpoint(cfg_t *cfg, cfg_opt_t *option) {
+static int check_endpoint(cfg_t *config, cfg_opt_t *option) {
     struct rr_endpoint endpoint;
     const char *text = cfg_opt_getnstr(option, cfg_opt_size(option) - 1);
     if (!text || rr_endpoint_parse(text, &endpoint) != 0) {
-        cfg_error(cfg, "%s: \"%s\" is no address and port", cfg_opt_name(option), text ? text : "");
+        cfg_error(config, "%s: \"%s\" is no address and port", cfg_opt_name(option),
+                  text ? text : "");
         return -1;
     }
     return 0;
@@ -177,8 +178,8 @@
     const char *wrong = read_controllers(section, cell);
     wrong = wrong ? wrong : read_networks(section, out, cell);
     for (size_t i = 0; !wrong && i + 1 < out->neighbour_count; i++) {
-        for (guint z = 0; z < cell->zones->len; z++) {
-            if (named_in(out->neighbours[i].zones, g_ptr_array_index(cell->zones, z))) {
+        for (guint zone = 0; zone < cell->zones->len; zone++) {
+            if (named_in(out->neighbours[i].zones, g_ptr_array_index(cell->zones, zone))) {
                 wrong = "has a zone that another cell has too";
             }
         }
@@ -186,14 +187,14 @@
     return wrong;
 }
 
-static const char *read_own(cfg_t *cfg, rr_cells_settings *out) {
-    const char *name = cfg_getstr(cfg, "cell");
+static const char *read_own(cfg_t *config, rr_cells_settings *out) {
+    const char *name = cfg_getstr(config, "cell");
     if (!name || !plain_name(name, sizeof out->name)) {
         return "cell: a name of letters, digits, -, _ and . is needed";
     }
     g_strlcpy(out->name, name, sizeof out->name);
-    for (unsigned i = 0; i < cfg_size(cfg, "controller"); i++) {
-        cfg_t *controller = cfg_getnsec(cfg, "controller", i);
+    for (unsigned i = 0; i < cfg_size(config, "controller"); i++) {
+        cfg_t *controller = cfg_getnsec(config, "controller", i);
         const char *endpoint = cfg_getstr(controller, "endpoint");
         if (strcmp(cfg_title(controller), platform->node_name) == 0) {
             return endpoint && rr_endpoint_parse(endpoint, &out->listen) == 0
@@ -222,15 +223,15 @@
 }
 
 /* What no single value shows. false: `wrong` says what, at `line` if that is known. */
-static bool read_values(cfg_t *cfg, rr_cells_settings *out, GString *wrong, int *line) {
-    const char *reason = read_own(cfg, out);
-    rr_conf_read_numbers(cfg, numbers, G_N_ELEMENTS(numbers), out);
+static bool read_values(cfg_t *config, rr_cells_settings *out, GString *wrong, int *line) {
+    const char *reason = read_own(config, out);
+    rr_conf_read_numbers(config, numbers, G_N_ELEMENTS(numbers), out);
     reason = reason ? reason : work_out_times(out);
     if (reason) {
         g_string_assign(wrong, reason);
     }
-    for (unsigned i = 0; !reason && i < cfg_size(cfg, "neighbour"); i++) {
-        cfg_t *section = cfg_getnsec(cfg, "neighbour", i);
+    for (unsigned i = 0; !reason && i < cfg_size(config, "neighbour"); i++) {
+        cfg_t *section = cfg_getnsec(config, "neighbour", i);
         reason = read_neighbour(section, out);
         if (reason) {
             g_string_printf(wrong, "neighbour \"%s\": %s", cfg_title(section), reason);
@@ -256,14 +257,14 @@
     memcpy(&options[G_N_ELEMENTS(numbers)], more, sizeof more);
 }
 
-static void set_checks(cfg_t *cfg) {
-    cfg_set_validate_func(cfg, "controller|endpoint", check_endpoint);
-    cfg_set_validate_func(cfg, "neighbour", check_neighbour);
-    cfg_set_validate_func(cfg, "neighbour|controller|endpoint", check_endpoint);
-    cfg_set_validate_func(cfg, "neighbour|state", check_endpoint);
-    cfg_set_validate_func(cfg, "neighbour|networks", check_prefix);
-    cfg_set_validate_func(cfg, "neighbour|zones", check_zone);
-    cfg_set_validate_func(cfg, "neighbour|teams", check_team);
+static void set_checks(cfg_t *config) {
+    cfg_set_validate_func(config, "controller|endpoint", check_endpoint);
+    cfg_set_validate_func(config, "neighbour", check_neighbour);
+    cfg_set_validate_func(config, "neighbour|controller|endpoint", check_endpoint);
+    cfg_set_validate_func(config, "neighbour|state", check_endpoint);
+    cfg_set_validate_func(config, "neighbour|networks", check_prefix);
+    cfg_set_validate_func(config, "neighbour|zones", check_zone);
+    cfg_set_validate_func(config, "neighbour|teams", check_team);
 }
 
 int rr_cells_settings_load(const char *file, const struct rr_config *config, rr_cells_settings *out,
@@ -280,13 +281,13 @@
     list_options(options, controller, neighbour);
     memset(out, 0, sizeof *out);
     platform = config;
-    cfg_t *cfg = cfg_init(options, CFGF_NONE);
-    rr_conf_begin(cfg, file, numbers, G_N_ELEMENTS(numbers));
-    set_checks(cfg);
+    cfg_t *parser = cfg_init(options, CFGF_NONE);
+    rr_conf_begin(parser, file, numbers, G_N_ELEMENTS(numbers));
+    set_checks(parser);
     GString *wrong = g_string_new(NULL);
     int line = 0;
-    bool parsed = rr_conf_parse(cfg);
-    out->on = parsed && read_values(cfg, out, wrong, &line);
+    bool parsed = rr_conf_parse(parser);
+    out->on = parsed && read_values(parser, out, wrong, &line);
     if (!parsed) {
         snprintf(error, size, "%s", rr_conf_error());
     } else if (!out->on && line > 0) {
@@ -295,7 +296,7 @@
         snprintf(error, size, "%s: %s", file, wrong->str);
     }
     g_string_free(wrong, TRUE);
-    cfg_free(cfg);
+    cfg_free(parser);
     if (!out->on) {
         rr_cells_settings_clear(out);
     }
--- a/src/conf/conf.c
+++ b/src/conf/conf.c
@@ -9,22 +9,22 @@
 static const rr_conf_number *checked;
 static size_t checked_count;
 
-static void on_error(cfg_t *cfg, const char *format, va_list arguments) {
+static void on_error(cfg_t *config, const char *format, va_list arguments) {
     char what[200];
     vsnprintf(what, sizeof what, format, arguments);
     if (!first_error[0]) {
-        snprintf(first_error, sizeof first_error, "%s:%d: %s", file_name, cfg ? cfg->line : 0,
+        snprintf(first_error, sizeof first_error, "%s:%d: %s", file_name, config ? config->line : 0,
                  strstr(what, RR_CONF_END_MARK) ? "a section is not closed" : what);
     }
 }
 
-static int check_number(cfg_t *cfg, cfg_opt_t *option) {
+static int check_number(cfg_t *config, cfg_opt_t *option) {
     double value = cfg_opt_getnfloat(option, cfg_opt_size(option) - 1);
     for (size_t i = 0; i < checked_count; i++) {
         const rr_conf_number *number = &checked[i];
         if (strcmp(number->name, cfg_opt_name(option)) == 0 &&
             !(value >= number->least && value <= number->most)) {
-            cfg_error(cfg, "%s: must be between %g and %g", number->name, number->least,
+            cfg_error(config, "%s: must be between %g and %g", number->name, number->least,
                       number->most);
             return -1;
         }
@@ -51,20 +51,20 @@
     }
 }
 
-void rr_conf_read_numbers(cfg_t *cfg, const rr_conf_number *numbers, size_t count, void *out) {
+void rr_conf_read_numbers(cfg_t *config, const rr_conf_number *numbers, size_t count, void *out) {
     for (size_t i = 0; i < count; i++) {
-        *target(&numbers[i], out) = cfg_getfloat(cfg, numbers[i].name);
+        *target(&numbers[i], out) = cfg_getfloat(config, numbers[i].name);
     }
 }
 
-void rr_conf_begin(cfg_t *cfg, const char *file, const rr_conf_number *numbers, size_t count) {
+void rr_conf_begin(cfg_t *config, const char *file, const rr_conf_number *numbers, size_t count) {
     file_name = file;
     checked = numbers;
     checked_count = count;
     first_error[0] = 0;
-    cfg_set_error_function(cfg, on_error);
+    cfg_set_error_function(config, on_error);
     for (size_t i = 0; i < count; i++) {
-        cfg_set_validate_func(cfg, numbers[i].name, check_number);
+        cfg_set_validate_func(config, numbers[i].name, check_number);
     }
 }
 
@@ -73,27 +73,27 @@
 static void blank_comments(char *text) {
     char quote = 0;
     bool comment = false;
-    for (char *c = text; *c; c++) {
-        if (*c == '\n') {
+    for (char *cursor = text; *cursor; cursor++) {
+        if (*cursor == '\n') {
             comment = false;
         } else if (comment) {
-            *c = ' ';
+            *cursor = ' ';
         } else if (quote) {
-            bool escaped = *c == '\\' && c[1] && c[1] != '\n';
-            if (*c == quote) {
+            bool escaped = *cursor == '\\' && cursor[1] && cursor[1] != '\n';
+            if (*cursor == quote) {
                 quote = 0;
             }
-            c += escaped;
-        } else if (*c == '"' || *c == '\'') {
-            quote = *c;
-        } else if (*c == '#' || (*c == '/' && c[1] == '/')) {
+            cursor += escaped;
+        } else if (*cursor == '"' || *cursor == '\'') {
+            quote = *cursor;
+        } else if (*cursor == '#' || (*cursor == '/' && cursor[1] == '/')) {
             comment = true;
-            *c = ' ';
+            *cursor = ' ';
         }
     }
 }
 
-bool rr_conf_parse(cfg_t *cfg) {
+bool rr_conf_parse(cfg_t *config) {
     char *text = NULL;
     GError *error = NULL;
     if (!g_file_get_contents(file_name, &text, NULL, &error)) {
@@ -104,7 +104,7 @@
     }
     blank_comments(text);
     char *marked = g_strconcat(text, "\n" RR_CONF_END_MARK " = true\n", NULL);
-    int parsed = cfg_parse_buf(cfg, marked);
+    int parsed = cfg_parse_buf(config, marked);
     g_free(marked);
     g_free(text);
     return parsed == CFG_SUCCESS;
--- a/src/conf/conf.h
+++ b/src/conf/conf.h
@@ -26,12 +26,12 @@
 /* Fills the options of these numbers. */
 void rr_conf_list_numbers(const rr_conf_number *numbers, size_t count, cfg_opt_t *options);
 void rr_conf_set_standards(const rr_conf_number *numbers, size_t count, void *out);
-void rr_conf_read_numbers(cfg_t *cfg, const rr_conf_number *numbers, size_t count, void *out);
+void rr_conf_read_numbers(cfg_t *config, const rr_conf_number *numbers, size_t count, void *out);
 
 /* Before parsing: errors are kept, and these numbers checked. */
-void rr_conf_begin(cfg_t *cfg, const char *file, const rr_conf_number *numbers, size_t count);
+void rr_conf_begin(cfg_t *config, const char *file, const rr_conf_number *numbers, size_t count);
 /* False: rr_conf_error() has one line that names file, line and reason. */
-bool rr_conf_parse(cfg_t *cfg);
+bool rr_conf_parse(cfg_t *config);
 const char *rr_conf_error(void);
 
 #endif
--- a/src/http/door.h
+++ b/src/http/door.h
@@ -20,8 +20,8 @@
     bool yields;       /* the connection makes room for others when there are many */
 };
 
-typedef void (*rr_http_handler_fn)(void *user, const struct rr_http_request *rq,
-                                   struct rr_http_response *rs);
+typedef void (*rr_http_handler_fn)(void *user, const struct rr_http_request *request,
+                                   struct rr_http_response *response);
 
 typedef struct rr_http_server rr_http_server;
 /* What a connection is held to take: its touched stack, its buffers, and what it makes the rest
@@ -30,18 +30,19 @@
 #define RR_CONNECTIONS_MIN 8
 /* How many connections there may be, given what the rest of the process needs of its limits; fewer
  * than the least: it can't run. */
-int rr_http_server_connections_max(const struct rr_config *cfg, int other_threads,
+int rr_http_server_connections_max(const struct rr_config *config, int other_threads,
                                    int other_sockets);
 /* most: connections; one more is closed at once. accepted: called for each new connection by the
  * thread that takes it, may be NULL. */
-rr_http_server *rr_http_server_create(const struct rr_config *cfg, int most, rr_http_handler_fn fn,
-                                      void (*accepted)(void *user), void *user);
+rr_http_server *rr_http_server_create(const struct rr_config *config, int most,
+                                      rr_http_handler_fn handler, void (*accepted)(void *user),
+                                      void *user);
 /* The address is taken from the start; until this call connections to it are refused. 0 or -errno.
  */
-int rr_http_server_listen(rr_http_server *d);
+int rr_http_server_listen(rr_http_server *server);
 unsigned rr_http_server_listeners(
-    const rr_http_server *d); /* 1, and one more for each that stood still */
-int rr_http_server_connections(const rr_http_server *d); /* connections now */
-void rr_http_server_stop(rr_http_server *d);
+    const rr_http_server *server); /* 1, and one more for each that stood still */
+int rr_http_server_connections(const rr_http_server *server); /* connections now */
+void rr_http_server_stop(rr_http_server *server);
 
 #endif
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -19,7 +19,7 @@
 int rr_net_init(void);
 /* stop (may be NULL) ends running calls soon after it becomes true. */
 rr_client *rr_client_create(const atomic_bool *stop);
-void rr_client_destroy(rr_client *c);
+void rr_client_destroy(rr_client *client);
 
 struct rr_call {
     const char *method;
@@ -34,6 +34,6 @@
 
 /* 0 with a reply; -ENOTCONN: surely not sent; -EIO or -ETIMEDOUT: may have been carried out or may
  * still be; -ECANCELED: stopped (the same doubt). */
-int rr_client_call(rr_client *c, const struct rr_call *call, rr_reply *out);
+int rr_client_call(rr_client *client, const struct rr_call *call, rr_reply *out);
 
 #endif
--- a/src/peer/cancellations.c
+++ b/src/peer/cancellations.c
@@ -60,7 +60,7 @@
     for (const GList *node = list->queue.head; node; node = node->next) {
         count += is_pending(node->data, connection);
     }
-    guint at = rr_frame_begin(out, RR_FRAME_CANCELLED);
+    guint start = rr_frame_begin(out, RR_FRAME_CANCELLED);
     rr_frame_put_u16(out, count);
     for (const GList *node = list->queue.head; node; node = node->next) {
         struct cancellation *cancellation = node->data;
@@ -70,5 +70,5 @@
             cancellation->connection = connection;
         }
     }
-    rr_frame_end(out, at);
+    rr_frame_end(out, start);
 }
--- a/src/peer/frame.c
+++ b/src/peer/frame.c
@@ -3,111 +3,114 @@
 #include <errno.h>
 #include <string.h>
 
-void rr_frame_put_u8(GByteArray *b, uint8_t v) {
-    g_byte_array_append(b, &v, 1);
+void rr_frame_put_u8(GByteArray *buffer, uint8_t value) {
+    g_byte_array_append(buffer, &value, 1);
 }
 
-void rr_frame_put_u16(GByteArray *b, uint16_t v) {
-    uint8_t x[2] = {(uint8_t)(v >> 8), (uint8_t)v};
-    g_byte_array_append(b, x, 2);
+void rr_frame_put_u16(GByteArray *buffer, uint16_t value) {
+    uint8_t octets[2] = {(uint8_t)(value >> 8), (uint8_t)value};
+    g_byte_array_append(buffer, octets, 2);
 }
 
-void rr_frame_put_u32(GByteArray *b, uint32_t v) {
-    uint8_t x[4] = {(uint8_t)(v >> 24), (uint8_t)(v >> 16), (uint8_t)(v >> 8), (uint8_t)v};
-    g_byte_array_append(b, x, 4);
+void rr_frame_put_u32(GByteArray *buffer, uint32_t value) {
+    uint8_t octets[4] = {(uint8_t)(value >> 24), (uint8_t)(value >> 16), (uint8_t)(value >> 8),
+                         (uint8_t)value};
+    g_byte_array_append(buffer, octets, 4);
 }
 
-void rr_frame_put_bytes(GByteArray *b, const void *data, uint32_t len) {
-    rr_frame_put_u32(b, len);
-    if (len) {
-        g_byte_array_append(b, data, len);
+void rr_frame_put_bytes(GByteArray *buffer, const void *data, uint32_t length) {
+    rr_frame_put_u32(buffer, length);
+    if (length) {
+        g_byte_array_append(buffer, data, length);
     }
 }
 
-void rr_frame_put_u64(GByteArray *b, uint64_t v) {
-    rr_frame_put_u32(b, (uint32_t)(v >> 32));
-    rr_frame_put_u32(b, (uint32_t)v);
+void rr_frame_put_u64(GByteArray *buffer, uint64_t value) {
+    rr_frame_put_u32(buffer, (uint32_t)(value >> 32));
+    rr_frame_put_u32(buffer, (uint32_t)value);
 }
 
-void rr_frame_put_text(GByteArray *b, const char *s) {
-    rr_frame_put_bytes(b, s, (uint32_t)strlen(s));
+void rr_frame_put_text(GByteArray *buffer, const char *text) {
+    rr_frame_put_bytes(buffer, text, (uint32_t)strlen(text));
 }
 
-guint rr_frame_begin(GByteArray *b, enum rr_frame_type type) {
-    guint at = b->len;
-    rr_frame_put_u8(b, 'R');
-    rr_frame_put_u8(b, 'r');
-    rr_frame_put_u8(b, RR_FRAME_VERSION);
-    rr_frame_put_u8(b, (uint8_t)type);
-    rr_frame_put_u32(b, 0);
-    return at;
+guint rr_frame_begin(GByteArray *buffer, enum rr_frame_type type) {
+    guint start = buffer->len;
+    rr_frame_put_u8(buffer, 'R');
+    rr_frame_put_u8(buffer, 'r');
+    rr_frame_put_u8(buffer, RR_FRAME_VERSION);
+    rr_frame_put_u8(buffer, (uint8_t)type);
+    rr_frame_put_u32(buffer, 0);
+    return start;
 }
 
-void rr_frame_end(GByteArray *b, guint at) {
-    uint32_t n = b->len - at - RR_FRAME_HEADER_BYTES;
-    b->data[at + 4] = (uint8_t)(n >> 24);
-    b->data[at + 5] = (uint8_t)(n >> 16);
-    b->data[at + 6] = (uint8_t)(n >> 8);
-    b->data[at + 7] = (uint8_t)n;
+void rr_frame_end(GByteArray *buffer, guint start) {
+    uint32_t count = buffer->len - start - RR_FRAME_HEADER_BYTES;
+    buffer->data[start + 4] = (uint8_t)(count >> 24);
+    buffer->data[start + 5] = (uint8_t)(count >> 16);
+    buffer->data[start + 6] = (uint8_t)(count >> 8);
+    buffer->data[start + 7] = (uint8_t)count;
 }
 
-int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *len) {
+int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *length) {
     if (head[0] != 'R' || head[1] != 'r' || head[2] != RR_FRAME_VERSION) {
         return -EBADMSG;
     }
     *type = head[3];
-    *len = (uint32_t)head[4] << 24 | (uint32_t)head[5] << 16 | (uint32_t)head[6] << 8 | head[7];
-    return *len > RR_FRAME_BYTES_MAX ? -EBADMSG : 0;
+    *length = (uint32_t)head[4] << 24 | (uint32_t)head[5] << 16 | (uint32_t)head[6] << 8 | head[7];
+    return *length > RR_FRAME_BYTES_MAX ? -EBADMSG : 0;
 }
 
-static const uint8_t *take(rr_frame_reader *u, size_t n) {
-    if (u->malformed || u->bytes_left < n) {
-        u->malformed = true;
+static const uint8_t *take(rr_frame_reader *reader, size_t count) {
+    if (reader->malformed || reader->bytes_left < count) {
+        reader->malformed = true;
         return NULL;
     }
-    const uint8_t *p = u->next;
-    u->next += n;
-    u->bytes_left -= n;
-    return p;
+    const uint8_t *bytes = reader->next;
+    reader->next += count;
+    reader->bytes_left -= count;
+    return bytes;
 }
 
-uint8_t rr_frame_read_u8(rr_frame_reader *u) {
-    const uint8_t *p = take(u, 1);
-    return p ? p[0] : 0;
+uint8_t rr_frame_read_u8(rr_frame_reader *reader) {
+    const uint8_t *bytes = take(reader, 1);
+    return bytes ? bytes[0] : 0;
 }
 
-uint16_t rr_frame_read_u16(rr_frame_reader *u) {
-    const uint8_t *p = take(u, 2);
-    return p ? (uint16_t)(p[0] << 8 | p[1]) : 0;
+uint16_t rr_frame_read_u16(rr_frame_reader *reader) {
+    const uint8_t *bytes = take(reader, 2);
+    return bytes ? (uint16_t)(bytes[0] << 8 | bytes[1]) : 0;
 }
 
-uint32_t rr_frame_read_u32(rr_frame_reader *u) {
-    const uint8_t *p = take(u, 4);
-    return p ? (uint32_t)p[0] << 24 | (uint32_t)p[1] << 16 | (uint32_t)p[2] << 8 | p[3] : 0;
+uint32_t rr_frame_read_u32(rr_frame_reader *reader) {
+    const uint8_t *bytes = take(reader, 4);
+    return bytes ? (uint32_t)bytes[0] << 24 | (uint32_t)bytes[1] << 16 | (uint32_t)bytes[2] << 8 |
+                       bytes[3]
+                 : 0;
 }
 
-uint64_t rr_frame_read_u64(rr_frame_reader *u) {
-    uint64_t high = rr_frame_read_u32(u);
-    return high << 32 | rr_frame_read_u32(u);
+uint64_t rr_frame_read_u64(rr_frame_reader *reader) {
+    uint64_t high = rr_frame_read_u32(reader);
+    return high << 32 | rr_frame_read_u32(reader);
 }
 
-const uint8_t *rr_frame_read_bytes(rr_frame_reader *u, uint32_t *len) {
-    *len = rr_frame_read_u32(u);
-    const uint8_t *p = take(u, *len);
-    if (!p) {
-        *len = 0;
+const uint8_t *rr_frame_read_bytes(rr_frame_reader *reader, uint32_t *length) {
+    *length = rr_frame_read_u32(reader);
+    const uint8_t *bytes = take(reader, *length);
+    if (!bytes) {
+        *length = 0;
     }
-    return p;
+    return bytes;
 }
 
-bool rr_frame_read_text(rr_frame_reader *u, char *out, size_t size) {
-    uint32_t n;
-    const uint8_t *p = rr_frame_read_bytes(u, &n);
-    if (!p || n >= size || memchr(p, 0, n)) {
-        u->malformed = true;
+bool rr_frame_read_text(rr_frame_reader *reader, char *out, size_t size) {
+    uint32_t count;
+    const uint8_t *bytes = rr_frame_read_bytes(reader, &count);
+    if (!bytes || count >= size || memchr(bytes, 0, count)) {
+        reader->malformed = true;
         return false;
     }
-    memcpy(out, p, n);
-    out[n] = 0;
+    memcpy(out, bytes, count);
+    out[count] = 0;
     return true;
 }
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -31,28 +31,28 @@
 
 /* Frames may follow one another in one buffer: begin() appends and tells where, end() sets the
  * length of the one that began there. */
-guint rr_frame_begin(GByteArray *b, enum rr_frame_type type);
-void rr_frame_end(GByteArray *b, guint at);
-void rr_frame_put_u8(GByteArray *b, uint8_t v);
-void rr_frame_put_u16(GByteArray *b, uint16_t v);
-void rr_frame_put_u32(GByteArray *b, uint32_t v);
-void rr_frame_put_u64(GByteArray *b, uint64_t v);
-void rr_frame_put_text(GByteArray *b, const char *s);
-void rr_frame_put_bytes(GByteArray *b, const void *data, uint32_t len);
+guint rr_frame_begin(GByteArray *buffer, enum rr_frame_type type);
+void rr_frame_end(GByteArray *buffer, guint start);
+void rr_frame_put_u8(GByteArray *buffer, uint8_t value);
+void rr_frame_put_u16(GByteArray *buffer, uint16_t value);
+void rr_frame_put_u32(GByteArray *buffer, uint32_t value);
+void rr_frame_put_u64(GByteArray *buffer, uint64_t value);
+void rr_frame_put_text(GByteArray *buffer, const char *text);
+void rr_frame_put_bytes(GByteArray *buffer, const void *data, uint32_t length);
 
 /* 0 and the payload's length, or -EBADMSG. */
-int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *len);
+int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *length);
 
 typedef struct {
     const uint8_t *next;
     size_t bytes_left;
     bool malformed;
 } rr_frame_reader;
-uint8_t rr_frame_read_u8(rr_frame_reader *u);
-uint16_t rr_frame_read_u16(rr_frame_reader *u);
-uint32_t rr_frame_read_u32(rr_frame_reader *u);
-uint64_t rr_frame_read_u64(rr_frame_reader *u);
-const uint8_t *rr_frame_read_bytes(rr_frame_reader *u, uint32_t *len);
-bool rr_frame_read_text(rr_frame_reader *u, char *out, size_t size);
+uint8_t rr_frame_read_u8(rr_frame_reader *reader);
+uint16_t rr_frame_read_u16(rr_frame_reader *reader);
+uint32_t rr_frame_read_u32(rr_frame_reader *reader);
+uint64_t rr_frame_read_u64(rr_frame_reader *reader);
+const uint8_t *rr_frame_read_bytes(rr_frame_reader *reader, uint32_t *length);
+bool rr_frame_read_text(rr_frame_reader *reader, char *out, size_t size);
 
 #endif
--- a/src/peer/internal.h
+++ b/src/peer/internal.h
@@ -50,13 +50,13 @@
     int connection_count; /* running connection threads, under lock */
 };
 
-void rr_peer_put_hello(const rr_peers *p, GByteArray *b);
+void rr_peer_put_hello(const rr_peers *peers, GByteArray *buffer);
 
 /* ---- threads ---- */
 void *rr_link_main(void *link);           /* link.c: one for each peer */
 void *rr_peer_listener_main(void *peers); /* listener.c */
 
 /* The peer has lately said something on its link to us. Caller holds the lock. */
-bool rr_link_heard_lately(const struct link *l, double now);
+bool rr_link_heard_lately(const struct link *link, double now);
 
 #endif
--- a/src/peer/stream.h
+++ b/src/peer/stream.h
@@ -15,15 +15,16 @@
     guint offset;
 };
 
-void rr_inbox_init(struct inbox *in, int fd);
-void rr_inbox_clear(struct inbox *in);
+void rr_inbox_init(struct inbox *inbox, int fd);
+void rr_inbox_clear(struct inbox *inbox);
 /* The next frame's payload, in the inbox until the next call. 0; -EIO at the end of the stream, of
  * the time, or at the stop; -EBADMSG. */
-int rr_peer_receive(const atomic_bool *stop, struct inbox *in, uint8_t *type, rr_frame_reader *u,
-                    double timeout_s);
+int rr_peer_receive(const atomic_bool *stop, struct inbox *inbox, uint8_t *type,
+                    rr_frame_reader *reader, double timeout_s);
 void rr_peer_set_timeouts(int fd, double seconds);
 /* A socket, or -errno. from: the local address, its port any; NULL: the system's choice. */
-int rr_peer_dial(const struct rr_endpoint *from, const struct rr_endpoint *to, double timeout_s);
-int rr_peer_send(int fd, const void *data, size_t len); /* all of it, or -EIO */
+int rr_peer_dial(const struct rr_endpoint *from, const struct rr_endpoint *endpoint,
+                 double timeout_s);
+int rr_peer_send(int fd, const void *data, size_t length); /* all of it, or -EIO */
 
 #endif
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -32,89 +32,90 @@
 
 #define SAFE 0.9 /* of a limit that others count against too */
 
-static void set_shares(rr_budget *b, const struct rr_budget_shares *s) {
-    b->shares = *s;
-    b->rate = fmax(SAFE * b->rps * s->requests, 0.5);
-    b->writes[USERS].rate = fmax(SAFE * b->write_rps * s->users, 0.2);
-    b->writes[PLANS].rate = fmax(SAFE * b->write_rps * s->plans, 0.05);
-    b->writes[STEWARD].rate = fmax(SAFE * b->write_rps * s->autoscaler, 0.05);
+static void set_shares(rr_budget *budget, const struct rr_budget_shares *shares) {
+    budget->shares = *shares;
+    budget->rate = fmax(SAFE * budget->rps * shares->requests, 0.5);
+    budget->writes[USERS].rate = fmax(SAFE * budget->write_rps * shares->users, 0.2);
+    budget->writes[PLANS].rate = fmax(SAFE * budget->write_rps * shares->plans, 0.05);
+    budget->writes[STEWARD].rate = fmax(SAFE * budget->write_rps * shares->autoscaler, 0.05);
 }
 
 rr_budget *rr_budget_create(double rps, double write_rps) {
     static const struct rr_budget_shares all = {1, 0.4, 0.4, 0.2};
-    rr_budget *b = g_new0(rr_budget, 1);
-    pthread_mutex_init(&b->lock, NULL);
-    b->rps = rps;
-    b->write_rps = write_rps;
-    b->next_rps = rps;
-    b->next_write_rps = write_rps;
-    b->at = rr_steady_clock_s();
-    set_shares(b, &all);
-    return b;
+    rr_budget *budget = g_new0(rr_budget, 1);
+    pthread_mutex_init(&budget->lock, NULL);
+    budget->rps = rps;
+    budget->write_rps = write_rps;
+    budget->next_rps = rps;
+    budget->next_write_rps = write_rps;
+    budget->at = rr_steady_clock_s();
+    set_shares(budget, &all);
+    return budget;
 }
 
-void rr_budget_set_next_limits(rr_budget *b, double rps, double write_rps) {
-    pthread_mutex_lock(&b->lock);
-    b->next_rps = rps > 0 ? fmin(rps, b->rps) : b->rps;
-    b->next_write_rps = write_rps > 0 ? fmin(write_rps, b->write_rps) : b->write_rps;
-    pthread_mutex_unlock(&b->lock);
+void rr_budget_set_next_limits(rr_budget *budget, double rps, double write_rps) {
+    pthread_mutex_lock(&budget->lock);
+    budget->next_rps = rps > 0 ? fmin(rps, budget->rps) : budget->rps;
+    budget->next_write_rps = write_rps > 0 ? fmin(write_rps, budget->write_rps) : budget->write_rps;
+    pthread_mutex_unlock(&budget->lock);
 }
 
-static void lower(rr_budget *b) {
-    b->next_limits_in_force = true;
-    b->rps = b->next_rps;
-    b->write_rps = b->next_write_rps;
-    set_shares(b, &b->shares);
+static void lower(rr_budget *budget) {
+    budget->next_limits_in_force = true;
+    budget->rps = budget->next_rps;
+    budget->write_rps = budget->next_write_rps;
+    set_shares(budget, &budget->shares);
 }
 
-void rr_budget_next_limits_hold(rr_budget *b) {
-    pthread_mutex_lock(&b->lock);
-    lower(b);
-    pthread_mutex_unlock(&b->lock);
+void rr_budget_next_limits_hold(rr_budget *budget) {
+    pthread_mutex_lock(&budget->lock);
+    lower(budget);
+    pthread_mutex_unlock(&budget->lock);
 }
 
 #define REFUSALS 3 /* within REFUSED_S: what a burst of several controllers brings is fewer */
 #define REFUSED_S 5.0
 
-void rr_budget_request_refused(rr_budget *b) {
-    pthread_mutex_lock(&b->lock);
+void rr_budget_request_refused(rr_budget *budget) {
+    pthread_mutex_lock(&budget->lock);
     double now = rr_steady_clock_s();
-    b->refusals = now - b->refused_at < REFUSED_S ? b->refusals + 1 : 1;
-    b->refused_at = b->refusals == 1 ? now : b->refused_at;
-    if (!b->next_limits_in_force && b->refusals >= REFUSALS) {
-        lower(b);
+    budget->refusals = now - budget->refused_at < REFUSED_S ? budget->refusals + 1 : 1;
+    budget->refused_at = budget->refusals == 1 ? now : budget->refused_at;
+    if (!budget->next_limits_in_force && budget->refusals >= REFUSALS) {
+        lower(budget);
     }
-    pthread_mutex_unlock(&b->lock);
+    pthread_mutex_unlock(&budget->lock);
 }
 
-void rr_budget_destroy(rr_budget *b) {
-    if (b) {
-        pthread_mutex_destroy(&b->lock);
-        g_free(b);
+void rr_budget_destroy(rr_budget *budget) {
+    if (budget) {
+        pthread_mutex_destroy(&budget->lock);
+        g_free(budget);
     }
 }
 
-void rr_budget_set_shares(rr_budget *b, const struct rr_budget_shares *s) {
-    pthread_mutex_lock(&b->lock);
-    set_shares(b, s);
-    pthread_mutex_unlock(&b->lock);
+void rr_budget_set_shares(rr_budget *budget, const struct rr_budget_shares *shares) {
+    pthread_mutex_lock(&budget->lock);
+    set_shares(budget, shares);
+    pthread_mutex_unlock(&budget->lock);
 }
 
-static double all_writes(const rr_budget *b) {
-    return b->writes[USERS].rate + b->writes[PLANS].rate + b->writes[STEWARD].rate;
+static double all_writes(const rr_budget *budget) {
+    return budget->writes[USERS].rate + budget->writes[PLANS].rate + budget->writes[STEWARD].rate;
 }
 
-static void refill(rr_budget *b) {
-    double now = rr_steady_clock_s(), dt = now > b->at ? now - b->at : 0, spare = 0;
-    b->at = now;
-    b->tokens = fmin(b->tokens + b->rate * dt, b->rate);
+static void refill(rr_budget *budget) {
+    double now = rr_steady_clock_s(), elapsed_s = now > budget->at ? now - budget->at : 0,
+           spare = 0;
+    budget->at = now;
+    budget->tokens = fmin(budget->tokens + budget->rate * elapsed_s, budget->rate);
     for (int k = 0; k < KINDS; k++) {
-        struct bucket *w = &b->writes[k];
-        double t = w->tokens + w->rate * dt;
-        spare += fmax(t - w->rate, 0);
-        w->tokens = fmin(t, w->rate);
+        struct bucket *bucket = &budget->writes[k];
+        double tokens = bucket->tokens + bucket->rate * elapsed_s;
+        spare += fmax(tokens - bucket->rate, 0);
+        bucket->tokens = fmin(tokens, bucket->rate);
     }
-    b->pool = fmin(b->pool + spare, all_writes(b));
+    budget->pool = fmin(budget->pool + spare, all_writes(budget));
 }
 
 static enum kind kind_of(enum rr_request_priority prio) {
@@ -126,69 +127,71 @@
  * may run up a second's debt at once, which the service's own burst covers. Ten submissions of a
  * burst that reached one controller waited for up to 0.6 s while the average was half of the rate.
  */
-static double writes_wait(const rr_budget *b, const struct bucket *w, int writes) {
-    double rate = fmax(w->rate, 0.2), need = fmin(writes, fmax(rate, 1));
-    double have = w->tokens + b->pool + (w == &b->writes[USERS] ? rate : 0);
+static double writes_wait(const rr_budget *budget, const struct bucket *bucket, int writes) {
+    double rate = fmax(bucket->rate, 0.2), need = fmin(writes, fmax(rate, 1));
+    double have = bucket->tokens + budget->pool + (bucket == &budget->writes[USERS] ? rate : 0);
     return have >= need - 1e-9 ? 0 : (need - have) / rate;
 }
 
-static void take_writes(rr_budget *b, struct bucket *w, int writes) {
-    double own = fmin(fmax(w->tokens, 0), writes), rest = writes - own;
-    double pooled = fmin(b->pool, rest);
-    w->tokens -= own + rest - pooled;
-    b->pool -= pooled;
+static void take_writes(rr_budget *budget, struct bucket *bucket, int writes) {
+    double own = fmin(fmax(bucket->tokens, 0), writes), rest = writes - own;
+    double pooled = fmin(budget->pool, rest);
+    bucket->tokens -= own + rest - pooled;
+    budget->pool -= pooled;
     /* What others leave of their parts covers a small overdraft; the store says so if it does not.
      */
-    w->tokens = fmax(w->tokens, -2 * fmax(w->rate, 1));
+    bucket->tokens = fmax(bucket->tokens, -2 * fmax(bucket->rate, 1));
 }
 
 /* Seconds until the request may go; 0: taken. */
-static double try_take(rr_budget *b, enum rr_request_priority prio, int writes) {
+static double try_take(rr_budget *budget, enum rr_request_priority prio, int writes) {
     static const double reserve[] = {0, 0.1, 0.1, 0.2, 0.2};
-    struct bucket *w = &b->writes[kind_of(prio)];
-    refill(b);
-    double need = fmin(1 + reserve[prio] * b->rate, fmax(b->rate, 1));
-    double w1 = b->tokens >= need - 1e-9 ? 0 : (need - b->tokens) / b->rate;
-    double w2 = writes && prio != RR_REQUEST_SESSION ? writes_wait(b, w, writes) : 0;
-    if (w1 <= 0 && w2 <= 0) {
-        b->tokens -= 1;
+    struct bucket *bucket = &budget->writes[kind_of(prio)];
+    refill(budget);
+    double need = fmin(1 + reserve[prio] * budget->rate, fmax(budget->rate, 1));
+    double request_wait_s =
+        budget->tokens >= need - 1e-9 ? 0 : (need - budget->tokens) / budget->rate;
+    double write_wait_s =
+        writes && prio != RR_REQUEST_SESSION ? writes_wait(budget, bucket, writes) : 0;
+    if (request_wait_s <= 0 && write_wait_s <= 0) {
+        budget->tokens -= 1;
         if (writes) {
-            take_writes(b, w, writes);
+            take_writes(budget, bucket, writes);
         }
         return 0;
     }
-    return fmax(fmax(w1, w2), 0.002);
+    return fmax(fmax(request_wait_s, write_wait_s), 0.002);
 }
 
-double rr_budget_pressure(rr_budget *b) {
-    pthread_mutex_lock(&b->lock);
-    refill(b);
-    const struct bucket *w = &b->writes[PLANS];
-    double p = 1 - (w->tokens + b->pool) / fmax(w->rate, 1);
-    pthread_mutex_unlock(&b->lock);
-    return fmin(fmax(p, 0), 1);
+double rr_budget_pressure(rr_budget *budget) {
+    pthread_mutex_lock(&budget->lock);
+    refill(budget);
+    const struct bucket *bucket = &budget->writes[PLANS];
+    double pressure = 1 - (bucket->tokens + budget->pool) / fmax(bucket->rate, 1);
+    pthread_mutex_unlock(&budget->lock);
+    return fmin(fmax(pressure, 0), 1);
 }
 
-int rr_budget_changes(rr_budget *b) {
-    pthread_mutex_lock(&b->lock);
-    refill(b);
-    double n = b->writes[PLANS].tokens + b->pool;
-    pthread_mutex_unlock(&b->lock);
-    return n > 0 ? (int)n : 0;
+int rr_budget_changes(rr_budget *budget) {
+    pthread_mutex_lock(&budget->lock);
+    refill(budget);
+    double number = budget->writes[PLANS].tokens + budget->pool;
+    pthread_mutex_unlock(&budget->lock);
+    return number > 0 ? (int)number : 0;
 }
 
-int rr_budget_take(rr_budget *b, enum rr_request_priority prio, int writes, double wait_s) {
+int rr_budget_take(rr_budget *budget, enum rr_request_priority prio, int writes, double wait_s) {
     double until = rr_steady_clock_s() + wait_s;
     for (;;) {
-        pthread_mutex_lock(&b->lock);
-        double w = try_take(b, prio, writes);
-        pthread_mutex_unlock(&b->lock);
-        if (w <= 0) {
+        pthread_mutex_lock(&budget->lock);
+        double delay_s = try_take(budget, prio, writes);
+        pthread_mutex_unlock(&budget->lock);
+        if (delay_s <= 0) {
             return 0;
         }
-        if (rr_steady_clock_s() + w > until) {
+        if (rr_steady_clock_s() + delay_s > until) {
             return -EAGAIN;
         }
-        rr_sleep(w);
+        rr_sleep(delay_s);
     }
 }
--- a/src/wire/doc.c
+++ b/src/wire/doc.c
@@ -12,48 +12,48 @@
     const uint8_t *next, *end;
 };
 
-static bool skip_bytes(struct scan *s, uint64_t n) {
-    if ((uint64_t)(s->end - s->next) < n) {
+static bool skip_bytes(struct scan *scan, uint64_t number) {
+    if ((uint64_t)(scan->end - scan->next) < number) {
         return false;
     }
-    s->next += n;
+    scan->next += number;
     return true;
 }
 
-static bool read_be(struct scan *s, int bytes, uint64_t *out) {
+static bool read_be(struct scan *scan, int bytes, uint64_t *out) {
     *out = 0;
-    if (s->end - s->next < bytes) {
+    if (scan->end - scan->next < bytes) {
         return false;
     }
     for (int i = 0; i < bytes; i++) {
-        *out = *out << 8 | *s->next++;
+        *out = *out << 8 | *scan->next++;
     }
     return true;
 }
 
-static bool scan_value(struct scan *s, int depth);
+static bool scan_value(struct scan *scan, int depth);
 
-static bool scan_items(struct scan *s, uint64_t n, int depth) {
-    if (n > (uint64_t)(s->end - s->next) || depth <= 0) {
+static bool scan_items(struct scan *scan, uint64_t number, int depth) {
+    if (number > (uint64_t)(scan->end - scan->next) || depth <= 0) {
         return false;
     }
-    for (uint64_t i = 0; i < n; i++) {
-        if (!scan_value(s, depth - 1)) {
+    for (uint64_t i = 0; i < number; i++) {
+        if (!scan_value(scan, depth - 1)) {
             return false;
         }
     }
     return true;
 }
 
-static bool scan_sized(struct scan *s, int len_bytes, int extra) {
-    uint64_t n;
-    return read_be(s, len_bytes, &n) && skip_bytes(s, n + (uint64_t)extra);
+static bool scan_sized(struct scan *scan, int len_bytes, int extra) {
+    uint64_t number;
+    return read_be(scan, len_bytes, &number) && skip_bytes(scan, number + (uint64_t)extra);
 }
 
-static bool scan_wide(struct scan *s, uint8_t b, int depth) {
+static bool scan_wide(struct scan *scan, uint8_t byte, int depth) {
     static const uint8_t fixed[] = {4, 8, 1, 2, 4, 8, 1, 2, 4, 8}; /* 0xca..0xd3 */
-    uint64_t n;
-    switch (b) {
+    uint64_t number;
+    switch (byte) {
     case 0xc0:
     case 0xc2:
     case 0xc3:
@@ -61,84 +61,85 @@
     case 0xc4:
     case 0xc5:
     case 0xc6:
-        return scan_sized(s, 1 << (b - 0xc4), 0);
+        return scan_sized(scan, 1 << (byte - 0xc4), 0);
     case 0xc7:
     case 0xc8:
     case 0xc9:
-        return scan_sized(s, 1 << (b - 0xc7), 1);
+        return scan_sized(scan, 1 << (byte - 0xc7), 1);
     case 0xd9:
     case 0xda:
     case 0xdb:
-        return scan_sized(s, 1 << (b - 0xd9), 0);
+        return scan_sized(scan, 1 << (byte - 0xd9), 0);
     case 0xdc:
     case 0xdd:
-        return read_be(s, b == 0xdc ? 2 : 4, &n) && scan_items(s, n, depth);
+        return read_be(scan, byte == 0xdc ? 2 : 4, &number) && scan_items(scan, number, depth);
     case 0xde:
     case 0xdf:
-        return read_be(s, b == 0xde ? 2 : 4, &n) && scan_items(s, n * 2, depth);
+        return read_be(scan, byte == 0xde ? 2 : 4, &number) && scan_items(scan, number * 2, depth);
     default:
-        if (b >= 0xca && b <= 0xd3) {
-            return skip_bytes(s, fixed[b - 0xca]);
+        if (byte >= 0xca && byte <= 0xd3) {
+            return skip_bytes(scan, fixed[byte - 0xca]);
         }
-        if (b >= 0xd4 && b <= 0xd8) {
-            return skip_bytes(s, (1u << (b - 0xd4)) + 1);
+        if (byte >= 0xd4 && byte <= 0xd8) {
+            return skip_bytes(scan, (1u << (byte - 0xd4)) + 1);
         }
         return false;
     }
 }
 
-static bool scan_value(struct scan *s, int depth) {
-    if (s->next >= s->end) {
+static bool scan_value(struct scan *scan, int depth) {
+    if (scan->next >= scan->end) {
         return false;
     }
-    uint8_t b = *s->next++;
-    if (b < 0x80 || b >= 0xe0) {
+    uint8_t byte = *scan->next++;
+    if (byte < 0x80 || byte >= 0xe0) {
         return true;
     }
-    if (b < 0x90) {
-        return scan_items(s, (uint64_t)(b & 0x0f) * 2, depth);
+    if (byte < 0x90) {
+        return scan_items(scan, (uint64_t)(byte & 0x0f) * 2, depth);
     }
-    if (b < 0xa0) {
-        return scan_items(s, b & 0x0f, depth);
+    if (byte < 0xa0) {
+        return scan_items(scan, byte & 0x0f, depth);
     }
-    if (b < 0xc0) {
-        return skip_bytes(s, b & 0x1f);
+    if (byte < 0xc0) {
+        return skip_bytes(scan, byte & 0x1f);
     }
-    return scan_wide(s, b, depth);
+    return scan_wide(scan, byte, depth);
 }
 
-int rr_document_parse(rr_document *doc, const void *data, size_t len) {
-    struct scan s = {data, (const uint8_t *)data + len};
-    msgpack_unpacked_init(&doc->unpacked);
-    doc->root = NULL;
-    doc->copy = NULL;
-    if (len == 0 || !scan_value(&s, RR_NESTING_DEPTH_MAX) || s.next != s.end) {
+int rr_document_parse(rr_document *document, const void *data, size_t length) {
+    struct scan scan = {data, (const uint8_t *)data + length};
+    msgpack_unpacked_init(&document->unpacked);
+    document->root = NULL;
+    document->copy = NULL;
+    if (length == 0 || !scan_value(&scan, RR_NESTING_DEPTH_MAX) || scan.next != scan.end) {
         return -EBADMSG;
     }
     size_t off = 0;
-    doc->copy = g_memdup2(data, len);
-    if (msgpack_unpack_next(&doc->unpacked, doc->copy, len, &off) != MSGPACK_UNPACK_SUCCESS ||
-        off != len) {
+    document->copy = g_memdup2(data, length);
+    if (msgpack_unpack_next(&document->unpacked, document->copy, length, &off) !=
+            MSGPACK_UNPACK_SUCCESS ||
+        off != length) {
         return -EBADMSG;
     }
-    doc->root = &doc->unpacked.data;
+    document->root = &document->unpacked.data;
     return 0;
 }
 
-void rr_document_clear(rr_document *doc) {
-    msgpack_unpacked_destroy(&doc->unpacked);
-    g_free(doc->copy);
-    doc->copy = NULL;
-    doc->root = NULL;
+void rr_document_clear(rr_document *document) {
+    msgpack_unpacked_destroy(&document->unpacked);
+    g_free(document->copy);
+    document->copy = NULL;
+    document->root = NULL;
 }
 
-bool rr_object_is_map(const msgpack_object *o) {
-    return o && o->type == MSGPACK_OBJECT_MAP;
+bool rr_object_is_map(const msgpack_object *object) {
+    return object && object->type == MSGPACK_OBJECT_MAP;
 }
 
-bool rr_object_text_equals(const msgpack_object *o, const char *text) {
-    return o && o->type == MSGPACK_OBJECT_STR && o->via.str.size == strlen(text) &&
-           memcmp(o->via.str.ptr, text, o->via.str.size) == 0;
+bool rr_object_text_equals(const msgpack_object *object, const char *text) {
+    return object && object->type == MSGPACK_OBJECT_STR && object->via.str.size == strlen(text) &&
+           memcmp(object->via.str.ptr, text, object->via.str.size) == 0;
 }
 
 const msgpack_object *rr_map_get(const msgpack_object *map, const char *key) {
@@ -146,51 +147,51 @@
         return NULL;
     }
     for (uint32_t i = 0; i < map->via.map.size; i++) {
-        const msgpack_object_kv *kv = &map->via.map.ptr[i];
-        if (rr_object_text_equals(&kv->key, key)) {
-            return kv->val.type == MSGPACK_OBJECT_NIL ? NULL : &kv->val;
+        const msgpack_object_kv *entry = &map->via.map.ptr[i];
+        if (rr_object_text_equals(&entry->key, key)) {
+            return entry->val.type == MSGPACK_OBJECT_NIL ? NULL : &entry->val;
         }
     }
     return NULL;
 }
 
-bool rr_object_u64(const msgpack_object *o, uint64_t *out) {
-    if (!o || o->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
+bool rr_object_u64(const msgpack_object *object, uint64_t *out) {
+    if (!object || object->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return false;
     }
-    *out = o->via.u64;
+    *out = object->via.u64;
     return true;
 }
 
-bool rr_object_number(const msgpack_object *o, double *out) {
-    if (!o) {
+bool rr_object_number(const msgpack_object *object, double *out) {
+    if (!object) {
         return false;
     }
-    switch (o->type) {
+    switch (object->type) {
     case MSGPACK_OBJECT_POSITIVE_INTEGER:
-        *out = (double)o->via.u64;
+        *out = (double)object->via.u64;
         return true;
     case MSGPACK_OBJECT_NEGATIVE_INTEGER:
-        *out = (double)o->via.i64;
+        *out = (double)object->via.i64;
         return true;
     case MSGPACK_OBJECT_FLOAT32:
     case MSGPACK_OBJECT_FLOAT64:
-        *out = o->via.f64;
+        *out = object->via.f64;
         return isfinite(*out);
     default:
         return false;
     }
 }
 
-bool rr_object_text(const msgpack_object *o, char *out, size_t size) {
-    if (!o || o->type != MSGPACK_OBJECT_STR || o->via.str.size >= size ||
-        (o->via.str.size && memchr(o->via.str.ptr, 0, o->via.str.size))) {
+bool rr_object_text(const msgpack_object *object, char *out, size_t size) {
+    if (!object || object->type != MSGPACK_OBJECT_STR || object->via.str.size >= size ||
+        (object->via.str.size && memchr(object->via.str.ptr, 0, object->via.str.size))) {
         return false;
     }
-    if (o->via.str.size) {
-        memcpy(out, o->via.str.ptr, o->via.str.size);
+    if (object->via.str.size) {
+        memcpy(out, object->via.str.ptr, object->via.str.size);
     }
-    out[o->via.str.size] = 0;
+    out[object->via.str.size] = 0;
     return true;
 }
 
@@ -207,69 +208,69 @@
 }
 
 bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out) {
-    const msgpack_object *o = rr_map_get(map, key);
-    if (!o || o->type != MSGPACK_OBJECT_BOOLEAN) {
+    const msgpack_object *object = rr_map_get(map, key);
+    if (!object || object->type != MSGPACK_OBJECT_BOOLEAN) {
         return false;
     }
-    *out = o->via.boolean;
+    *out = object->via.boolean;
     return true;
 }
 
-void rr_encoder_init(rr_encoder *o) {
-    msgpack_sbuffer_init(&o->buffer);
-    msgpack_packer_init(&o->packer, &o->buffer, msgpack_sbuffer_write);
+void rr_encoder_init(rr_encoder *encoder) {
+    msgpack_sbuffer_init(&encoder->buffer);
+    msgpack_packer_init(&encoder->packer, &encoder->buffer, msgpack_sbuffer_write);
 }
 
-void rr_encoder_clear(rr_encoder *o) {
-    msgpack_sbuffer_destroy(&o->buffer);
+void rr_encoder_clear(rr_encoder *encoder) {
+    msgpack_sbuffer_destroy(&encoder->buffer);
 }
 
-void rr_encode_map(rr_encoder *o, size_t n) {
-    msgpack_pack_map(&o->packer, n);
+void rr_encode_map(rr_encoder *encoder, size_t count) {
+    msgpack_pack_map(&encoder->packer, count);
 }
 
-void rr_encode_array(rr_encoder *o, size_t n) {
-    msgpack_pack_array(&o->packer, n);
+void rr_encode_array(rr_encoder *encoder, size_t count) {
+    msgpack_pack_array(&encoder->packer, count);
 }
 
-void rr_encode_text(rr_encoder *o, const char *s) {
-    size_t n = strlen(s);
-    msgpack_pack_str(&o->packer, n);
-    msgpack_pack_str_body(&o->packer, s, n);
+void rr_encode_text(rr_encoder *encoder, const char *text) {
+    size_t count = strlen(text);
+    msgpack_pack_str(&encoder->packer, count);
+    msgpack_pack_str_body(&encoder->packer, text, count);
 }
 
-void rr_encode_u64(rr_encoder *o, uint64_t v) {
-    msgpack_pack_uint64(&o->packer, v);
+void rr_encode_u64(rr_encoder *encoder, uint64_t value) {
+    msgpack_pack_uint64(&encoder->packer, value);
 }
 
-void rr_encode_number(rr_encoder *o, double v) {
-    msgpack_pack_double(&o->packer, v);
+void rr_encode_number(rr_encoder *encoder, double value) {
+    msgpack_pack_double(&encoder->packer, value);
 }
 
-void rr_encode_bool(rr_encoder *o, bool v) {
-    if (v) {
-        msgpack_pack_true(&o->packer);
+void rr_encode_bool(rr_encoder *encoder, bool value) {
+    if (value) {
+        msgpack_pack_true(&encoder->packer);
     } else {
-        msgpack_pack_false(&o->packer);
+        msgpack_pack_false(&encoder->packer);
     }
 }
 
-void rr_encode_key_text(rr_encoder *o, const char *k, const char *v) {
-    rr_encode_text(o, k);
-    rr_encode_text(o, v);
+void rr_encode_key_text(rr_encoder *encoder, const char *key, const char *value) {
+    rr_encode_text(encoder, key);
+    rr_encode_text(encoder, value);
 }
 
-void rr_encode_key_u64(rr_encoder *o, const char *k, uint64_t v) {
-    rr_encode_text(o, k);
-    rr_encode_u64(o, v);
+void rr_encode_key_u64(rr_encoder *encoder, const char *key, uint64_t value) {
+    rr_encode_text(encoder, key);
+    rr_encode_u64(encoder, value);
 }
 
-void rr_encode_key_number(rr_encoder *o, const char *k, double v) {
-    rr_encode_text(o, k);
-    rr_encode_number(o, v);
+void rr_encode_key_number(rr_encoder *encoder, const char *key, double value) {
+    rr_encode_text(encoder, key);
+    rr_encode_number(encoder, value);
 }
 
-void rr_encode_key_bool(rr_encoder *o, const char *k, bool v) {
-    rr_encode_text(o, k);
-    rr_encode_bool(o, v);
+void rr_encode_key_bool(rr_encoder *encoder, const char *key, bool value) {
+    rr_encode_text(encoder, key);
+    rr_encode_bool(encoder, value);
 }
