--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -24,38 +24,38 @@
 
 /* Checks declared lengths and depth before anything is allocated, then decodes one value that must
  * fill the buffer. 0, or -EBADMSG. rr_document_clear() is safe after a failure too. */
-int rr_document_parse(rr_document *doc, const void *data, size_t len);
-void rr_document_clear(rr_document *doc);
+int rr_document_parse(rr_document *document, const void *data, size_t length);
+void rr_document_clear(rr_document *document);
 
 /* Map access: a missing key and null are the same: NULL. */
 const msgpack_object *rr_map_get(const msgpack_object *map, const char *key);
-bool rr_object_is_map(const msgpack_object *o);
-bool rr_object_u64(const msgpack_object *o, uint64_t *out);
-bool rr_object_number(const msgpack_object *o, double *out); /* integer or decimal, finite */
-bool rr_object_text(const msgpack_object *o, char *out, size_t size);
+bool rr_object_is_map(const msgpack_object *object);
+bool rr_object_u64(const msgpack_object *object, uint64_t *out);
+bool rr_object_number(const msgpack_object *object, double *out); /* integer or decimal, finite */
+bool rr_object_text(const msgpack_object *object, char *out, size_t size);
 bool rr_map_get_u64(const msgpack_object *map, const char *key, uint64_t *out);
 bool rr_map_get_number(const msgpack_object *map, const char *key, double *out);
 bool rr_map_get_text(const msgpack_object *map, const char *key, char *out, size_t size);
 bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out);
-bool rr_object_text_equals(const msgpack_object *o, const char *text);
+bool rr_object_text_equals(const msgpack_object *object, const char *text);
 
 /* ---- encoding ---- */
 typedef struct {
     msgpack_sbuffer buffer;
     msgpack_packer packer;
 } rr_encoder;
-void rr_encoder_init(rr_encoder *o);
-void rr_encoder_clear(rr_encoder *o);
-void rr_encode_map(rr_encoder *o, size_t n);
-void rr_encode_array(rr_encoder *o, size_t n);
-void rr_encode_text(rr_encoder *o, const char *s);
-void rr_encode_u64(rr_encoder *o, uint64_t v);
-void rr_encode_number(rr_encoder *o, double v);
-void rr_encode_bool(rr_encoder *o, bool v);
-void rr_encode_key_text(rr_encoder *o, const char *k, const char *v);
-void rr_encode_key_u64(rr_encoder *o, const char *k, uint64_t v);
-void rr_encode_key_number(rr_encoder *o, const char *k, double v);
-void rr_encode_key_bool(rr_encoder *o, const char *k, bool v);
+void rr_encoder_init(rr_encoder *encoder);
+void rr_encoder_clear(rr_encoder *encoder);
+void rr_encode_map(rr_encoder *encoder, size_t count);
+void rr_encode_array(rr_encoder *encoder, size_t count);
+void rr_encode_text(rr_encoder *encoder, const char *text);
+void rr_encode_u64(rr_encoder *encoder, uint64_t value);
+void rr_encode_number(rr_encoder *encoder, double value);
+void rr_encode_bool(rr_encoder *encoder, bool value);
+void rr_encode_key_text(rr_encoder *encoder, const char *key, const char *value);
+void rr_encode_key_u64(rr_encoder *encoder, const char *key, uint64_t value);
+void rr_encode_key_number(rr_encoder *encoder, const char *key, double value);
+void rr_encode_key_bool(rr_encoder *encoder, const char *key, bool value);
 
 /* ---- users ---- */
 /* Of a gang ("group" in messages) all tasks run at the same time, or none does. */
@@ -76,12 +76,12 @@
 } rr_submission;
 
 /* 0, or -EINVAL with the field at fault in *field. rr_submission_clear() after success. */
-int rr_submission_decode(const msgpack_object *o, rr_submission *out, const char **field);
+int rr_submission_decode(const msgpack_object *object, rr_submission *out, const char **field);
 /* Writes the fields of a submission into an open map. */
-void rr_submission_encode_fields(rr_encoder *o, const rr_submission *s);
-size_t rr_submission_field_count(const rr_submission *s);
-void rr_submission_clear(rr_submission *s);
-bool rr_job_id_valid(const char *ref);
+void rr_submission_encode_fields(rr_encoder *encoder, const rr_submission *submission);
+size_t rr_submission_field_count(const rr_submission *submission);
+void rr_submission_clear(rr_submission *submission);
+bool rr_job_id_valid(const char *job_id);
 
 /* ---- workers ---- */
 enum rr_task_state {
@@ -120,19 +120,19 @@
     GArray *tasks;        /* rr_task_status */
 } rr_heartbeat;
 
-int rr_heartbeat_decode(const msgpack_object *o, rr_heartbeat *out);
-void rr_heartbeat_clear(rr_heartbeat *r);
+int rr_heartbeat_decode(const msgpack_object *object, rr_heartbeat *out);
+void rr_heartbeat_clear(rr_heartbeat *heartbeat);
 /* Of what it says beside who and when: two reports of one worker_epoch with the same hash say the
  * same.
  */
-uint64_t rr_heartbeat_hash(const rr_heartbeat *r);
+uint64_t rr_heartbeat_hash(const rr_heartbeat *heartbeat);
 
 /* A sign of life, for those who need no more: the report with this sequence had this hash. */
 typedef struct {
     char machine[RR_ID_SIZE];
     uint64_t worker_epoch, sequence, hash;
 } rr_heartbeat_digest;
-bool rr_task_name_parse(const char *text, char *ref, size_t size, uint32_t *task);
+bool rr_task_name_parse(const char *text, char *job_id, size_t size, uint32_t *task);
 
 enum rr_command_kind { RR_COMMAND_START, RR_COMMAND_STOP, RR_COMMAND_REAP };
 typedef struct {
@@ -144,8 +144,8 @@
 } rr_command;
 
 /* Body of /do (worker_epoch > 0) or of an answer to /hello (worker_epoch 0). */
-void rr_commands_encode(rr_encoder *o, uint64_t fencing_token, uint64_t worker_epoch,
-                        const GArray *orders);
+void rr_commands_encode(rr_encoder *encoder, uint64_t fencing_token, uint64_t worker_epoch,
+                        const GArray *commands);
 
 /* ---- cloud ---- */
 typedef struct {
@@ -154,9 +154,9 @@
     GPtrArray *zones; /* char* */
 } rr_machine_type;
 
-int rr_machine_type_decode(const msgpack_object *o, rr_machine_type *out);
-void rr_machine_type_encode(rr_encoder *o, const rr_machine_type *b);
-void rr_machine_type_clear(rr_machine_type *b);
+int rr_machine_type_decode(const msgpack_object *object, rr_machine_type *out);
+void rr_machine_type_encode(rr_encoder *encoder, const rr_machine_type *type);
+void rr_machine_type_clear(rr_machine_type *type);
 
 enum rr_listed_state { RR_LISTED_STARTING, RR_LISTED_RUNNING, RR_LISTED_FAILED };
 typedef struct {
@@ -165,6 +165,6 @@
     enum rr_listed_state state;
     double age_s;
 } rr_listed_machine;
-int rr_listed_machine_decode(const msgpack_object *o, rr_listed_machine *out);
+int rr_listed_machine_decode(const msgpack_object *object, rr_listed_machine *out);
 
 #endif
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -6,7 +6,7 @@
 
 /* POST /do with body, or GET /status without. As rr_client_call(); a connection of its own each
  * time, so that a held-up copy can't be followed by a hidden second one. */
-int rr_worker_call(rr_client *c, const char *addr, const void *body, size_t len, double timeout_s,
-                   rr_reply *out);
+int rr_worker_call(rr_client *client, const char *address, const void *body, size_t length,
+                   double timeout_s, rr_reply *out);
 
 #endif
