--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -79,10 +79,12 @@
 /* ---- the state service ---- */
 
 static void deliver(struct model *model, int controller, const struct record *record) {
-    rr_document doc;
-    if (record->value && rr_document_parse(&doc, record->value->data, record->value->len) == 0) {
-        rr_admission_put(model->controllers[controller], record->rest, doc.root, record->version);
-        rr_document_clear(&doc);
+    rr_document document;
+    if (record->value &&
+        rr_document_parse(&document, record->value->data, record->value->len) == 0) {
+        rr_admission_put(model->controllers[controller], record->rest, document.root,
+                         record->version);
+        rr_document_clear(&document);
     }
 }
 
@@ -104,9 +106,9 @@
     return record;
 }
 
-static bool guards_hold(struct model_state *state, const rr_transaction *txn) {
-    for (guint i = 0; i < txn->guards->len; i++) {
-        const rr_guard *guard = &g_array_index(txn->guards, rr_guard, i);
+static bool guards_hold(struct model_state *state, const rr_transaction *transaction) {
+    for (guint i = 0; i < transaction->guards->len; i++) {
+        const rr_guard *guard = &g_array_index(transaction->guards, rr_guard, i);
         if (record_at(state, guard->key)->version != guard->version) {
             return false;
         }
@@ -114,14 +116,14 @@
     return true;
 }
 
-static bool commit(struct model *model, const rr_transaction *txn) {
+static bool commit(struct model *model, const rr_transaction *transaction) {
     struct model_state *state = model->state;
-    if (!guards_hold(state, txn)) {
+    if (!guards_hold(state, transaction)) {
         return false;
     }
     state->revision++;
-    for (guint i = 0; i < txn->changes->len; i++) {
-        const rr_change *change = &g_array_index(txn->changes, rr_change, i);
+    for (guint i = 0; i < transaction->changes->len; i++) {
+        const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
         struct record *record = record_at(state, change->key);
         if (record->value) {
             g_byte_array_free(record->value, TRUE);
@@ -166,11 +168,12 @@
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         GByteArray *view = g_byte_array_new();
         rr_admission_settle(model->controllers[i], is_known, model);
-        bool told = rr_admission_announce(model->controllers[i], 1, view) && !model->deaf_peers;
-        for (int to = 0; told && to < MODEL_CONTROLLERS; to++) {
-            if (to != i) {
-                rr_admission_take_demand(model->controllers[to], (size_t)(i < to ? i : i - 1), 1,
-                                         view->data, view->len, model->state->now);
+        bool announced =
+            rr_admission_announce(model->controllers[i], 1, view) && !model->deaf_peers;
+        for (int until = 0; announced && until < MODEL_CONTROLLERS; until++) {
+            if (until != i) {
+                rr_admission_take_demand(model->controllers[until], (size_t)(i < until ? i : i - 1),
+                                         1, view->data, view->len, model->state->now);
             }
         }
         g_byte_array_free(view, TRUE);
@@ -193,13 +196,14 @@
     g_hash_table_iter_init(&iterator, state->accepted);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct job *job = value;
-        uint32_t on = GPOINTER_TO_UINT(g_hash_table_lookup(live, job));
+        uint32_t position = GPOINTER_TO_UINT(g_hash_table_lookup(live, job));
         int team = 0;
         while (strcmp(model->config.teams[team].name, job->submission.team) != 0) {
             team++;
         }
         rr_offered_load_add_job(load, &job->submission, team,
-                                job->submission.task_count - job->placed, on, job->placed - on);
+                                job->submission.task_count - job->placed, position,
+                                job->placed - position);
     }
     g_hash_table_destroy(live);
 }
@@ -210,14 +214,14 @@
     const rr_admission_table *newest = rr_admission_newest(admission);
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_admission_table table;
-    rr_transaction txn;
-    rr_transaction_init(&txn);
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
     gather_load(model, &state->loads[i]);
     rr_admission_demand(admission, state->now, demand);
     bool wanted = rr_admission_writer_next(state->writers[i], &state->loads[i], demand, newest,
                                            wall_at(model, i), state->now, &table);
-    bool fits = wanted && rr_admission_write(admission, &table, &txn);
-    if (fits && !commit(model, &txn)) {
+    bool fits = wanted && rr_admission_write(admission, &table, &transaction);
+    if (fits && !commit(model, &transaction)) {
         model->conflicts++;
     }
     if (fits && model->lose_answer) {
@@ -225,10 +229,10 @@
          * this.
          */
         model->lost_answers++;
-        assert_false(commit(model, &txn));
+        assert_false(commit(model, &transaction));
     }
     rr_admission_table_clear(&table);
-    rr_transaction_clear(&txn);
+    rr_transaction_clear(&transaction);
     g_array_free(demand, TRUE);
 }
 
@@ -287,9 +291,9 @@
     struct model_state *state = model->state;
     for (unsigned i = 0; i < model->stream_count; i++) {
         const struct model_stream *stream = &model->streams[i];
-        double to = stream->to_s > 0 ? stream->to_s : model->seconds;
+        double until = stream->to_s > 0 ? stream->to_s : model->seconds;
         double expected = stream->jobs_per_s * STEP_S;
-        bool comes = state->now >= stream->from_s && state->now < to;
+        bool comes = state->now >= stream->from_s && state->now < until;
         while (comes && g_rand_double(state->random) < expected) {
             new_job(model, i);
             expected -= 1;
@@ -299,11 +303,11 @@
 
 static rr_admission_verdict ask(struct model *model, int controller, const struct job *job) {
     struct model_state *state = model->state;
-    rr_admission_context standing = {.lease_valid = true,
-                                     .all_capable = true,
-                                     .cache_age_s = state->now - state->fresh_at[controller],
-                                     .controllers = MODEL_CONTROLLERS};
-    return rr_admission_ask(model->controllers[controller], &job->submission, &standing,
+    rr_admission_context standing_here = {.lease_valid = true,
+                                          .all_capable = true,
+                                          .cache_age_s = state->now - state->fresh_at[controller],
+                                          .controllers = MODEL_CONTROLLERS};
+    return rr_admission_ask(model->controllers[controller], &job->submission, &standing_here,
                             wall_at(model, controller), state->now);
 }
 
@@ -565,16 +569,18 @@
     printf("%s, seed %u, %.0f s, %u tables\n", title, model->seed, model->seconds,
            model->tables_written);
     for (unsigned i = 0; i < model->stream_count; i++) {
-        const struct model_result *r = &model->results[i];
+        const struct model_result *result = &model->results[i];
         printf("  %-6s %-6s %5u tasks: offered %6u accepted %6u given up %6u begun %6u; asked mean "
                "%5.1f s, wait mean "
                "%6.1f s longest %6.1f s, fair %7.1f s, ratio %5.2f; served %9.0f of fair %9.0f; "
                "waits <1 %u <5 %u <15 %u <30 %u <60 %u <120 %u <240 %u more %u\n",
                model->streams[i].team, model->streams[i].job_class, model->streams[i].tasks,
-               r->offered, r->accepted, r->given_up, r->begun,
-               r->accepted ? r->asked_s / r->accepted : 0, r->begun ? r->wait_s / r->begun : 0,
-               r->longest_s, r->fair.begun ? r->fair.wait_s / r->fair.begun : 0,
-               model_wait_ratio(model, i), r->served, r->fair.served, r->waits[0], r->waits[1],
-               r->waits[2], r->waits[3], r->waits[4], r->waits[5], r->waits[6], r->waits[7]);
+               result->offered, result->accepted, result->given_up, result->begun,
+               result->accepted ? result->asked_s / result->accepted : 0,
+               result->begun ? result->wait_s / result->begun : 0, result->longest_s,
+               result->fair.begun ? result->fair.wait_s / result->fair.begun : 0,
+               model_wait_ratio(model, i), result->served, result->fair.served, result->waits[0],
+               result->waits[1], result->waits[2], result->waits[3], result->waits[4],
+               result->waits[5], result->waits[6], result->waits[7]);
     }
 }
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -17,9 +17,9 @@
 }
 
 static void cell_init(struct test_cell *cell, const char *name, const char *neighbour) {
-    cell->store = fx_store_create();
-    fx_build(cell->store, "m1", 16, 4, 64, 10, 4);
-    fx_node_init(&cell->node, cell->store, "n0");
+    cell->store = fake_store_create();
+    fake_store_put_machine_type(cell->store, "m1", 16, 4, 64, 10, 4);
+    test_controller_init(&cell->node, cell->store, "n0");
     cell->node.config.cells = true;
     cell->settings = (rr_cells_settings){.on = true,
                                          .lease_s = 10,
@@ -36,14 +36,14 @@
     cell->transfers =
         rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core, cell->process);
     rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
-    fx_join(&cell->node, cell->session);
+    test_controller_join(&cell->node, cell->session);
 }
 
 static void cell_clear(struct test_cell *cell) {
     rr_transfers_destroy(cell->transfers);
     rr_cells_settings_clear(&cell->settings);
-    fx_node_clear(&cell->node);
-    fx_store_destroy(cell->store);
+    test_controller_clear(&cell->node);
+    fake_store_destroy(cell->store);
 }
 
 cell_pair *cell_pair_create(void) {
@@ -65,34 +65,34 @@
 }
 
 void cell_restart(struct test_cell *cell, bool new_process) {
-    fx_leave(&cell->node);
+    test_controller_leave(&cell->node);
     if (new_process) {
         double now = cell->node.now;
         rr_transfers_destroy(cell->transfers);
-        fx_node_clear(&cell->node);
-        fx_node_init(&cell->node, cell->store, "n0");
+        test_controller_clear(&cell->node);
+        test_controller_init(&cell->node, cell->store, "n0");
         cell->node.config.cells = true;
         cell->node.now = now;
         cell->process++;
         cell->transfers = rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core,
                                               cell->process);
         rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
-        fx_reread(cell->store, cell->node.core, now);
+        fake_store_reload(cell->store, cell->node.core, now);
     }
-    fx_join(&cell->node, ++cell->session);
+    test_controller_join(&cell->node, ++cell->session);
 }
 
 void cell_fleet(struct test_cell *cell, int machines) {
     cell->machines = machines;
-    fx_fleet(&cell->node, 1, machines, "a");
+    test_controller_add_machines(&cell->node, 1, machines, "a");
 }
 
 static const char *shown_state;
 
-static const char *state_of(int machine, const char *ref, uint32_t task, int shown,
+static const char *state_of(int machine, const char *job_id, uint32_t task, int shown,
                             uint64_t sequence) {
     (void)machine;
-    (void)ref;
+    (void)job_id;
     (void)task;
     (void)shown;
     (void)sequence;
@@ -101,24 +101,25 @@
 
 unsigned cell_plan_with(struct test_cell *cell, const char *job_id, const char *task_state) {
     rr_plan plan;
-    struct fx_show show = {.first = 1,
-                           .last = cell->machines,
-                           .last_in_a = cell->machines,
-                           .refs = &job_id,
-                           .jobs = 1,
-                           .tasks = 9,
-                           .most = FX_SHOWN_MAX,
-                           .worker_epoch = 1,
-                           .sequence = 10 + ++cell->sequence,
-                           .state = state_of};
+    struct shown_machines show = {.first = 1,
+                                  .last = cell->machines,
+                                  .last_in_a = cell->machines,
+                                  .refs = &job_id,
+                                  .jobs = 1,
+                                  .tasks = 9,
+                                  .most = SHOWN_TASKS_MAX,
+                                  .worker_epoch = 1,
+                                  .sequence = 10 + ++cell->sequence,
+                                  .state = state_of};
     shown_state = task_state;
-    fx_show_jobs(&cell->node, &show);
+    test_controller_show_machines(&cell->node, &show);
     unsigned stops = 0;
-    fx_plan(&cell->node, &plan);
+    test_controller_plan(&cell->node, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *command = g_ptr_array_index(plan.command_batches, i);
         for (uint32_t task = 0; task < show.tasks; task++) {
-            stops += fx_order(&plan, command->machine, RR_COMMAND_STOP, job_id, task) != NULL;
+            stops +=
+                plan_find_command(&plan, command->machine, RR_COMMAND_STOP, job_id, task) != NULL;
         }
         rr_core_command_result(cell->node.core, cell->node.now, command, RR_COMMAND_ANSWERED, true);
     }
@@ -130,9 +131,9 @@
     cell_plan_with(cell, job_id, "running");
 }
 
-void cell_submit(struct test_cell *cell, const struct fx_job *job) {
-    fx_submit(cell->store, job, cell->node.now);
-    fx_sync(cell->store, cell->node.core, cell->node.now);
+void cell_submit(struct test_cell *cell, const struct test_job *job) {
+    fake_store_submit(cell->store, job, cell->node.now);
+    fake_store_sync(cell->store, cell->node.core, cell->node.now);
 }
 
 bool cell_job(const struct test_cell *cell, const char *job_id, rr_core_job *out) {
@@ -153,13 +154,13 @@
     if (cell->on_write) {
         cell->on_write(cell->watcher, write);
     }
-    bool done = !refuse && fx_commit(cell->store, &write->transaction) == 0;
-    fx_sync(cell->store, cell->node.core, cell->node.now);
+    bool done = !refuse && fake_store_commit(cell->store, &write->transaction) == 0;
+    fake_store_sync(cell->store, cell->node.core, cell->node.now);
     return rr_transfers_written(cell->transfers, write, done);
 }
 
 /* The request goes over the wire as bytes. */
-static void carry(cell_pair *pair, struct test_cell *from, struct test_cell *to,
+static void carry(cell_pair *pair, struct test_cell *from, struct test_cell *target,
                   const rr_cells_request *sent) {
     GByteArray *frame = g_byte_array_new();
     rr_cells_request request;
@@ -168,19 +169,19 @@
         from->on_request(from->watcher, frame);
     }
     assert_int_equal(rr_cells_request_unpack(frame->data + 8, frame->len - 8, &request), 0);
-    bool refuse = pair->refuse_commit && to == &pair->guest;
+    bool refuse = pair->refuse_commit && target == &pair->guest;
     for (guint i = 0; i < request.items->len; i++) {
         const rr_cells_item *item = &g_array_index(request.items, rr_cells_item, i);
         rr_transfer_message reply;
         rr_transfer_write write;
-        double now = to->node.now;
+        double now = target->node.now;
         pair->offers += item->message.kind == RR_TRANSFER_OFFER;
-        if (rr_transfers_receive(to->transfers, 0, &request, item, now, now, &reply, &write)) {
-            reply = commit(to, &write, refuse);
+        if (rr_transfers_receive(target->transfers, 0, &request, item, now, now, &reply, &write)) {
+            reply = commit(target, &write, refuse);
             rr_transfer_write_clear(&write);
         }
-        if (to->on_reply) {
-            to->on_reply(to->watcher, &reply);
+        if (target->on_reply) {
+            target->on_reply(target->watcher, &reply);
         }
         if (!pair->lose_replies && rr_transfers_replied(from->transfers, 0, item, &reply,
                                                         from->node.now, from->node.now, &write)) {
@@ -188,7 +189,7 @@
             rr_transfer_write_clear(&write);
         }
     }
-    rr_cells_room room = rr_transfers_room(to->transfers, to->node.now);
+    rr_cells_room room = rr_transfers_room(target->transfers, target->node.now);
     if (!pair->lose_replies) {
         rr_transfers_room_announced(from->transfers, 0, &room, from->node.now);
     }
@@ -222,7 +223,7 @@
 }
 
 void cell_pair_home_dies(cell_pair *pair) {
-    fx_leave(&pair->home.node);
+    test_controller_leave(&pair->home.node);
     pair->home_dead = pair->cut = true;
 }
 
@@ -231,15 +232,16 @@
     double now;
 };
 
-static void read_record(void *user, const char *key, const msgpack_object *value, uint64_t mark) {
+static void read_record(void *user, const char *key, const msgpack_object *value,
+                        uint64_t version) {
     const struct reading *reading = user;
-    rr_absent_put(reading->absent, key, value, mark, reading->now);
+    rr_absent_put(reading->absent, key, value, version, reading->now);
 }
 
 void cell_pair_commit_there(cell_pair *pair, GPtrArray *writes, unsigned *made) {
     for (guint i = 0; i < writes->len; i++) {
         const rr_transfer_write *write = g_ptr_array_index(writes, i);
-        bool done = fx_commit(pair->home.store, &write->transaction) == 0;
+        bool done = fake_store_commit(pair->home.store, &write->transaction) == 0;
         *made += done;
         if (done) {
             rr_transfers_absent_written(pair->guest.transfers, write);
@@ -253,9 +255,9 @@
     rr_transfers_plan here;
     unsigned made = 0;
     GPtrArray *there = hold_back ? hold_back : g_ptr_array_new();
-    bool none = fx_count(pair->home.store, "rr/node/") == 0;
+    bool none = fake_store_count(pair->home.store, "rr/node/") == 0;
     rr_absent_begin(absent);
-    fx_each(pair->home.store, read_record, &reading);
+    fake_store_each(pair->home.store, read_record, &reading);
     rr_absent_end(absent, now);
     rr_absent_confirm(absent, none, now);
     rr_transfers_plan_init(&here);
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -9,8 +9,8 @@
 #include "cells/transfers.h"
 
 struct test_cell {
-    fx_store *store;
-    fx_node node;
+    fake_store *store;
+    test_controller node;
     rr_cells_settings settings;
     rr_transfers *transfers;
     uint64_t process, session;
@@ -54,7 +54,7 @@
  * its commands are carried out. How many tasks of the job it stops. */
 unsigned cell_plan_with(struct test_cell *cell, const char *job_id, const char *task_state);
 void cell_plan(struct test_cell *cell, const char *job_id); /* the same: they run */
-void cell_submit(struct test_cell *cell, const struct fx_job *job);
+void cell_submit(struct test_cell *cell, const struct test_job *job);
 bool cell_job(const struct test_cell *cell, const char *job_id, rr_core_job *out);
 /* The guest's name for the job under this claim. */
 const char *cell_pair_local(const cell_pair *pair, const char *job_id, uint32_t claim);
--- a/tests/fair_cluster.c
+++ b/tests/fair_cluster.c
@@ -76,9 +76,9 @@
 /* What a stream could take in this step, no more than all processors would give. */
 static double demand_of(fair_cluster *cluster, unsigned stream, double seconds) {
     double demand = 0;
-    for (GList *at = cluster->jobs[stream].head; at && demand < cluster->processors;
-         at = at->next) {
-        demand += ((struct fair_job *)at->data)->left / seconds;
+    for (GList *position = cluster->jobs[stream].head; position && demand < cluster->processors;
+         position = position->next) {
+        demand += ((struct fair_job *)position->data)->left / seconds;
     }
     return demand;
 }
--- a/tests/processes.c
+++ b/tests/processes.c
@@ -17,30 +17,32 @@
 static void write_seeds(GString *text, const struct controller_process *controllers, int count,
                         int own) {
     for (int i = 0; i < count; i++) {
-        const struct rr_config *c = &controllers[i].config;
+        const struct rr_config *config = &controllers[i].config;
         if (i != own) {
             g_string_append_printf(
                 text, "[[seeds]]\nnode_name = \"%s\"\nzone = \"%s\"\nendpoint = \"127.0.0.1:%u\"\n",
-                c->node_name, c->zone, c->peer_listen.port);
+                config->node_name, config->zone, config->peer_listen.port);
         }
     }
 }
 
 static void write_file(const struct controller_process *controllers, int count, int own,
                        const struct platform *platform) {
-    const struct rr_config *c = &controllers[own].config;
+    const struct rr_config *config = &controllers[own].config;
     GString *text = g_string_new(NULL);
     g_string_append_printf(text,
                            "node_name = \"%s\"\nzone = \"%s\"\nbind = \"127.0.0.1:%u\"\n"
                            "peer_listen = \"127.0.0.1:%u\"\n",
-                           c->node_name, c->zone, c->bind.port, c->peer_listen.port);
+                           config->node_name, config->zone, config->bind.port,
+                           config->peer_listen.port);
     write_seeds(text, controllers, count, own);
     g_string_append_printf(text,
                            "[services]\ncloud = \"127.0.0.1:%u\"\nstate = \"127.0.0.1:%u\"\n"
                            "[deployment]\nclock_off_ms = 10.0\n",
-                           c->cloud.port, c->state.port);
-    for (unsigned t = 0; t < platform->team_count; t++) {
-        g_string_append_printf(text, "[[deployment.teams]]\nname = \"%s\"\n", platform->teams[t]);
+                           config->cloud.port, config->state.port);
+    for (unsigned thread = 0; thread < platform->team_count; thread++) {
+        g_string_append_printf(text, "[[deployment.teams]]\nname = \"%s\"\n",
+                               platform->teams[thread]);
     }
     g_string_append_printf(
         text, "[deployment.workers]\nreport_s = %.2f\nlease_s = %.2f\ncancel_s = %.2f\n",
@@ -52,16 +54,16 @@
     g_string_free(text, TRUE);
 }
 
-void processes_configure(world *w, const char *folder, const char *prefix, const char *zone,
-                         const struct platform *platform, struct controller_process *controllers,
-                         int count) {
+void processes_configure(fake_services *cluster, const char *folder, const char *prefix,
+                         const char *zone, const struct platform *platform,
+                         struct controller_process *controllers, int count) {
     for (int i = 0; i < count; i++) {
         struct controller_process *own = &controllers[i];
         char name[64];
         g_snprintf(name, sizeof name, "%s%d", prefix, i);
-        world_config(w, &own->config, name);
+        fake_services_config(cluster, &own->config, name);
         g_strlcpy(own->config.zone, zone, sizeof own->config.zone);
-        own->config.state.port = world_add_door(w);
+        own->config.state.port = fake_services_add_endpoint(cluster);
         g_snprintf(own->file, sizeof own->file, "%s/%s.toml", folder, name);
         g_snprintf(own->log, sizeof own->log, "%s/%s.log", folder, name);
     }
@@ -101,7 +103,7 @@
 
 void process_wait_ready(const struct controller_process *own) {
     double until = rr_steady_clock_s() + READY_WITHIN_S;
-    while (world_call(&own->config, "GET", "/ready", NULL, 0, NULL) != 200) {
+    while (fake_services_call(&own->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
--- a/tests/processes.h
+++ b/tests/processes.h
@@ -21,9 +21,9 @@
 
 /* Gives count controllers of this world their ports and names (prefix and number), each by a door
  * of its own, and writes their files into the folder. */
-void processes_configure(world *w, const char *folder, const char *prefix, const char *zone,
-                         const struct platform *platform, struct controller_process *controllers,
-                         int count);
+void processes_configure(fake_services *cluster, const char *folder, const char *prefix,
+                         const char *zone, const struct platform *platform,
+                         struct controller_process *controllers, int count);
 /* arguments: what follows "--config FILE", ended by NULL. */
 void process_start(struct controller_process *own, const char *program,
                    const char *const *arguments);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -36,24 +36,24 @@
     (void)state;
     char types[2][RR_ID_SIZE] = {"g8", "a4"}, swapped[2][RR_ID_SIZE] = {"a4", "g8"};
     rr_submission one = job_of("red", "x", "req-1", 7), other = job_of("red", "x", "req-2", 1);
-    rr_admission_key a, b;
+    rr_admission_key left, right;
     one.machine_types = types;
     other.machine_types = swapped;
     one.machine_type_count = other.machine_type_count = 2;
-    rr_admission_key_of(&one, bands, &a);
-    rr_admission_key_of(&other, bands, &b);
-    assert_true(a.id == b.id);
-    assert_true(rr_admission_key_allows(&a, "g8", "z"));
-    assert_false(rr_admission_key_allows(&a, "g", "z"));
+    rr_admission_key_of(&one, bands, &left);
+    rr_admission_key_of(&other, bands, &right);
+    assert_true(left.id == right.id);
+    assert_true(rr_admission_key_allows(&left, "g8", "z"));
+    assert_false(rr_admission_key_allows(&left, "g", "z"));
     assert_int_equal(key_of("red", "x", 7).band, 0);
     assert_int_equal(key_of("red", "x", 8).band, 1);
     assert_int_equal(key_of("red", "x", 64).band, 2);
     assert_true(key_of("red", "x", 1).id != key_of("red", "x", 8).id);
     assert_true(key_of("red", "x", 1).id != key_of("redx", "", 1).id);
     g_strlcpy(other.zone, "a", sizeof other.zone);
-    rr_admission_key_of(&other, bands, &b);
-    assert_true(a.id != b.id);
-    assert_false(rr_admission_key_allows(&b, "a4", "z"));
+    rr_admission_key_of(&other, bands, &right);
+    assert_true(left.id != right.id);
+    assert_false(rr_admission_key_allows(&right, "a4", "z"));
 }
 
 /* ---- tables ---- */
@@ -81,13 +81,13 @@
 /* Puts the records in one by one; the slot must be whole with the last one and not before. */
 static void put_records(rr_admission_slot *slot, rr_encoder *records, guint count) {
     for (guint i = 0; i < count; i++) {
-        rr_document doc;
-        assert_int_equal(rr_document_parse(&doc, records[i].buffer.data, records[i].buffer.size),
-                         0);
+        rr_document document;
+        assert_int_equal(
+            rr_document_parse(&document, records[i].buffer.data, records[i].buffer.size), 0);
         int rc = rr_admission_slot_put(slot, count - 1 - i, NULL, 1);
         assert_int_equal(rc, -EPROTO);
-        assert_int_equal(rr_admission_slot_put(slot, i, doc.root, 7), i + 1 == count);
-        rr_document_clear(&doc);
+        assert_int_equal(rr_admission_slot_put(slot, i, document.root, 7), i + 1 == count);
+        rr_document_clear(&document);
         rr_encoder_clear(&records[i]);
     }
 }
@@ -129,7 +129,7 @@
     (void)state;
     rr_admission_table table;
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
-    fx_store *store = fx_store_create();
+    fake_store *store = fake_store_create();
     fill_table(&table, 5, 1e9, 900);
     for (guint i = 0; i < table.teams->len; i++) {
         rr_admission_team *team = &g_array_index(table.teams, rr_admission_team, i);
@@ -137,11 +137,11 @@
     }
     guint count = rr_admission_table_encode(&table, 2048, 16, records);
     for (guint i = 0; i < count; i++) {
-        fx_put(store, "rr/admission/1/0", &records[i]);
-        assert_true(fx_value_size(store, "rr/admission/1/0") <= 2048);
+        fake_store_put(store, "rr/admission/1/0", &records[i]);
+        assert_true(fake_store_value_size(store, "rr/admission/1/0") <= 2048);
     }
     rr_admission_table_clear(&table);
-    fx_store_destroy(store);
+    fake_store_destroy(store);
 }
 
 /* A record of a later version, or garbage, is counted and changes nothing. */
@@ -150,20 +150,20 @@
     struct rr_config config;
     rr_admission_settings settings;
     rr_admission_stats stats;
-    fx_config(&config, "n0");
+    test_config(&config, "n0");
     rr_admission_settings_init(&settings);
     rr_admission *admission = rr_admission_create(&config, &settings);
     static const char *const rests[] = {"0/0", "0/99", "7/0", "x", "0", "0/0/0", ""};
     for (guint i = 0; i < G_N_ELEMENTS(rests); i++) {
         rr_encoder out;
-        rr_document doc;
+        rr_document document;
         rr_encoder_init(&out);
         rr_encode_map(&out, 2);
         rr_encode_key_u64(&out, "v", RR_ADMISSION_VERSION + 1);
         rr_encode_key_u64(&out, "sequence", 9);
-        assert_int_equal(rr_document_parse(&doc, out.buffer.data, out.buffer.size), 0);
-        rr_admission_put(admission, rests[i], doc.root, 3);
-        rr_document_clear(&doc);
+        assert_int_equal(rr_document_parse(&document, out.buffer.data, out.buffer.size), 0);
+        rr_admission_put(admission, rests[i], document.root, 3);
+        rr_document_clear(&document);
         rr_encoder_clear(&out);
     }
     rr_admission_get_stats(admission, &stats);
@@ -290,8 +290,8 @@
 
 static enum rr_admission_kind ask(rr_admission *admission, const rr_submission *job, bool entitled,
                                   bool all_able, double cache_age_s) {
-    rr_admission_context standing = {entitled, all_able, cache_age_s, 3};
-    return rr_admission_ask(admission, job, &standing, START, 50).kind;
+    rr_admission_context state = {entitled, all_able, cache_age_s, 3};
+    return rr_admission_ask(admission, job, &state, START, 50).kind;
 }
 
 /* Whether there is overload or not: a controller that can't know admits its part of the guarantees,
@@ -301,7 +301,7 @@
     struct rr_config config;
     rr_admission_settings settings;
     rr_submission red = job_of("red", "x", "req-1", 1), blue = job_of("blue", "x", "req-2", 1);
-    fx_config(&config, "n0");
+    test_config(&config, "n0");
     config.teams[0].cpus = 6; /* a third of it for 10 s: two jobs of 10 processor seconds */
     rr_admission_settings_init(&settings);
     rr_admission *admission = rr_admission_create(&config, &settings);
@@ -331,13 +331,13 @@
     }
 }
 
-static double count_of(const rr_demand *const *demands, const unsigned *ages, guint n,
+static double count_of(const rr_demand *const *demands, const unsigned *ages, guint expected,
                        const rr_admission_key *key) {
     rr_demand_view views[4];
     const rr_demand_view *pointers[4];
     GArray *totals = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     double count = 0;
-    for (guint i = 0; i < n; i++) {
+    for (guint i = 0; i < expected; i++) {
         GByteArray *packed = g_byte_array_new();
         rr_demand_view view;
         rr_demand_view_of(demands[i], 3, &view);
@@ -347,12 +347,12 @@
         pointers[i] = &views[i];
         g_byte_array_free(packed, TRUE);
     }
-    rr_demand_merge(pointers, ages, n, totals);
+    rr_demand_merge(pointers, ages, expected, totals);
     for (guint i = 0; i < totals->len; i++) {
         const rr_demand_total *total = &g_array_index(totals, rr_demand_total, i);
         count = total->key.id == key->id ? total->count : count;
     }
-    for (guint i = 0; i < n; i++) {
+    for (guint i = 0; i < expected; i++) {
         rr_demand_view_clear(&views[i]);
     }
     g_array_free(totals, TRUE);
@@ -364,12 +364,12 @@
 static void demand_of_all(void **state) {
     (void)state;
     rr_admission_key flood = key_of("red", "flood", 1), large = key_of("blue", "large", 99);
-    rr_demand *a = rr_demand_create(60), *b = rr_demand_create(60);
-    const rr_demand *both[] = {a, b};
+    rr_demand *left = rr_demand_create(60), *right = rr_demand_create(60);
+    const rr_demand *both[] = {left, right};
     unsigned fresh[] = {0, 0}, old[] = {0, 2};
-    refuse_jobs(a, &flood, 0, 6000);
-    refuse_jobs(b, &flood, 3000, 6000);
-    refuse_jobs(b, &large, 0, 1);
+    refuse_jobs(left, &flood, 0, 6000);
+    refuse_jobs(right, &flood, 3000, 6000);
+    refuse_jobs(right, &large, 0, 1);
     double count = count_of(both, fresh, 2, &flood);
     assert_true(count > 7000 && count < 11000);
     assert_true(count_of(both, fresh, 2, &large) == 1);
@@ -377,12 +377,12 @@
     count = count_of(both, old, 2, &flood);
     assert_true(count > 5000 && count < 8500);
     /* Who gave up is gone after the patience. */
-    rr_demand_next_interval(b, 1059);
-    assert_int_equal(rr_demand_waiting(b), 6001);
-    rr_demand_next_interval(b, 1061);
-    assert_int_equal(rr_demand_waiting(b), 0);
-    rr_demand_destroy(a);
-    rr_demand_destroy(b);
+    rr_demand_next_interval(right, 1059);
+    assert_int_equal(rr_demand_waiting(right), 6001);
+    rr_demand_next_interval(right, 1061);
+    assert_int_equal(rr_demand_waiting(right), 0);
+    rr_demand_destroy(left);
+    rr_demand_destroy(right);
 }
 
 static bool even_number(void *user, const char *job_id) {
@@ -444,14 +444,15 @@
     rr_admission_key key = key_of("red", "x", 1);
     rr_demand_view view;
     GByteArray *good = g_byte_array_new();
-    fx_config(&config, "n0");
+    test_config(&config, "n0");
     rr_admission_settings_init(&settings);
     rr_admission *admission = rr_admission_create(&config, &settings);
     refuse_jobs(demand, &key, 0, 3);
     rr_demand_view_of(demand, 4, &view);
     rr_demand_view_pack(&view, good, 5000);
-    for (guint len = 0; len < good->len; len++) {
-        assert_int_equal(rr_admission_take_demand(admission, 0, 4, good->data, len, 1), -EBADMSG);
+    for (guint length = 0; length < good->len; length++) {
+        assert_int_equal(rr_admission_take_demand(admission, 0, 4, good->data, length, 1),
+                         -EBADMSG);
     }
     assert_int_equal(rr_admission_take_demand(admission, 0, 5, good->data, good->len, 1), -ESTALE);
     assert_int_equal(
@@ -484,22 +485,22 @@
 
 /* Two pools; team 0 may use both and asks for more than there is, team 1 has one key tied to the
  * second pool and one that takes memory only. */
-static rr_share_problem two_teams(struct shares *s) {
-    *s = (struct shares){.any = {true, true}, .second = {false, true}};
-    s->pools[0] = (rr_share_pool){{6, 0, 6}};
-    s->pools[1] = (rr_share_pool){{4, 0, 4}};
-    s->teams[0] = s->teams[1] = (rr_share_team){1, 0};
-    s->rows[0] = (rr_share_row){0, 1, 50, {1, 0, 0.5}, s->any, 0};
-    s->rows[1] = (rr_share_row){1, 1, 9, {1, 0, 0.1}, s->second, 0};
-    s->rows[2] = (rr_share_row){1, 1, 1, {0, 0, 1}, s->any, 0};
-    return (rr_share_problem){s->rows, 3, s->pools, 2, s->teams, 2};
+static rr_share_problem two_teams(struct shares *shares) {
+    *shares = (struct shares){.any = {true, true}, .second = {false, true}};
+    shares->pools[0] = (rr_share_pool){{6, 0, 6}};
+    shares->pools[1] = (rr_share_pool){{4, 0, 4}};
+    shares->teams[0] = shares->teams[1] = (rr_share_team){1, 0};
+    shares->rows[0] = (rr_share_row){0, 1, 50, {1, 0, 0.5}, shares->any, 0};
+    shares->rows[1] = (rr_share_row){1, 1, 9, {1, 0, 0.1}, shares->second, 0};
+    shares->rows[2] = (rr_share_row){1, 1, 1, {0, 0, 1}, shares->any, 0};
+    return (rr_share_problem){shares->rows, 3, shares->pools, 2, shares->teams, 2};
 }
 
 static void shares(void **state) {
     (void)state;
-    struct shares s;
+    struct shares shares;
     for (int by_filling = 0; by_filling < 2; by_filling++) {
-        rr_share_problem problem = two_teams(&s);
+        rr_share_problem problem = two_teams(&shares);
         double slack = by_filling ? 0.3 : 1e-3;
         if (by_filling) {
             rr_share_fill(&problem);
@@ -507,29 +508,30 @@
             assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
         }
         /* Team 1 gets all of the second pool's processors and its memory; team 0 the rest. */
-        assert_true(fabs(s.rows[0].allocation - 6) <= slack);
-        assert_true(fabs(s.rows[1].allocation - 4) <= slack);
-        assert_true(fabs(s.rows[2].allocation - 1) <= slack);
+        assert_true(fabs(shares.rows[0].allocation - 6) <= slack);
+        assert_true(fabs(shares.rows[1].allocation - 4) <= slack);
+        assert_true(fabs(shares.rows[2].allocation - 1) <= slack);
     }
     /* Weights, and a least share for a team of next to no weight. */
-    rr_share_problem problem = two_teams(&s);
-    s.rows[1].pools = s.any;
-    s.teams[0].weight = 3;
+    rr_share_problem problem = two_teams(&shares);
+    shares.rows[1].pools = shares.any;
+    shares.teams[0].weight = 3;
     assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
-    assert_true(fabs(s.rows[0].allocation - 3 * (s.rows[1].allocation + s.rows[2].allocation)) <
-                0.05);
-    s.teams[1] = (rr_share_team){1e-3, 5};
+    assert_true(fabs(shares.rows[0].allocation -
+                     3 * (shares.rows[1].allocation + shares.rows[2].allocation)) < 0.05);
+    shares.teams[1] = (rr_share_team){1e-3, 5};
     assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
-    assert_true(s.rows[1].allocation + s.rows[2].allocation >= 5 - 1e-3);
+    assert_true(shares.rows[1].allocation + shares.rows[2].allocation >= 5 - 1e-3);
 }
 
 /* No time for a program: the fallback is said, and its result is as good within a step. */
 static void no_time_for_programs(void **state) {
     (void)state;
-    struct shares s;
-    rr_share_problem problem = two_teams(&s);
+    struct shares shares;
+    rr_share_problem problem = two_teams(&shares);
     assert_int_equal(rr_share_solve(&problem, 0), RR_SHARE_BY_FILLING);
-    assert_true(fabs(s.rows[0].allocation - 6) < 0.3 && fabs(s.rows[1].allocation - 4) < 0.3);
+    assert_true(fabs(shares.rows[0].allocation - 6) < 0.3 &&
+                fabs(shares.rows[1].allocation - 4) < 0.3);
 }
 
 /* Many rows and pools, as a fleet of 4,500 machines of several types in several zones might have:
@@ -543,16 +545,16 @@
     rr_share_team teams[TEAMS];
     GRand *random = g_rand_new_with_seed(7);
     double by_team[2][TEAMS] = {{0}};
-    for (int p = 0; p < POOLS; p++) {
-        pools[p] = (rr_share_pool){{40.0 / POOLS, 40.0 / POOLS, 40.0 / POOLS}};
+    for (int position = 0; position < POOLS; position++) {
+        pools[position] = (rr_share_pool){{40.0 / POOLS, 40.0 / POOLS, 40.0 / POOLS}};
     }
-    for (int t = 0; t < TEAMS; t++) {
-        teams[t] = (rr_share_team){1, 0};
+    for (int team = 0; team < TEAMS; team++) {
+        teams[team] = (rr_share_team){1, 0};
     }
     for (int i = 0; i < ROWS; i++) {
         bool tied = g_rand_int_range(random, 0, 4) == 0;
-        for (int p = 0; p < POOLS; p++) {
-            allowed[i][p] = !tied || p == i % POOLS;
+        for (int position = 0; position < POOLS; position++) {
+            allowed[i][position] = !tied || position == i % POOLS;
         }
         rows[i] = (rr_share_row){(guint)(i % TEAMS),
                                  1,
@@ -576,8 +578,8 @@
         }
         assert_true(sum <= 40 + 1e-6);
     }
-    for (int t = 0; t < TEAMS; t++) {
-        assert_true(fabs(by_team[0][t] - by_team[1][t]) < 0.8);
+    for (int team = 0; team < TEAMS; team++) {
+        assert_true(fabs(by_team[0][team] - by_team[1][team]) < 0.8);
     }
     g_rand_free(random);
 }
@@ -594,90 +596,90 @@
 };
 
 /* 100 processors, overload, and a flood of the first team's. */
-static void writing_init(struct writing *w) {
-    memset(w, 0, sizeof *w);
-    fx_config(&w->config, "n0");
-    rr_admission_settings_init(&w->settings);
-    w->writer = rr_admission_writer_create(&w->config, &w->settings);
-    rr_offered_load_init(&w->load, &w->settings);
-    rr_offered_load_begin(&w->load);
-    rr_offered_load_add_machine(&w->load, "m1", "a", (rr_amount){100, 0, 400});
+static void writing_init(struct writing *writing) {
+    memset(writing, 0, sizeof *writing);
+    test_config(&writing->config, "n0");
+    rr_admission_settings_init(&writing->settings);
+    writing->writer = rr_admission_writer_create(&writing->config, &writing->settings);
+    rr_offered_load_init(&writing->load, &writing->settings);
+    rr_offered_load_begin(&writing->load);
+    rr_offered_load_add_machine(&writing->load, "m1", "a", (rr_amount){100, 0, 400});
     rr_submission flood = job_of("red", "flood", "req-1", 1);
-    rr_offered_load_add_job(&w->load, &flood, 0, 2000, 100, 0);
-    w->demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
+    rr_offered_load_add_job(&writing->load, &flood, 0, 2000, 100, 0);
+    writing->demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_demand_total total = {key_of("red", "flood", 1), 5000, {10, 0, 10}};
-    g_array_append_val(w->demand, total);
-    rr_admission_table_init(&w->newest);
-    w->newest.sequence = 1;
-    w->newest.active = true;
-    w->newest.length_s = 10;
+    g_array_append_val(writing->demand, total);
+    rr_admission_table_init(&writing->newest);
+    writing->newest.sequence = 1;
+    writing->newest.active = true;
+    writing->newest.length_s = 10;
 }
 
-static const rr_admission_table *write_table(struct writing *w) {
-    assert_true(
-        rr_admission_writer_next(w->writer, &w->load, w->demand, &w->newest, 995, 995, &w->made));
-    assert_true(w->made.active);
-    assert_true(w->made.starts_at == 1000);
-    return &w->made;
+static const rr_admission_table *write_table(struct writing *writing) {
+    assert_true(rr_admission_writer_next(writing->writer, &writing->load, writing->demand,
+                                         &writing->newest, 995, 995, &writing->made));
+    assert_true(writing->made.active);
+    assert_true(writing->made.starts_at == 1000);
+    return &writing->made;
 }
 
-static void writing_clear(struct writing *w) {
-    rr_admission_table_clear(&w->newest);
-    rr_admission_table_clear(&w->made);
-    g_array_free(w->demand, TRUE);
-    rr_offered_load_clear(&w->load);
-    rr_admission_writer_destroy(w->writer);
-    rr_admission_settings_clear(&w->settings);
+static void writing_clear(struct writing *writing) {
+    rr_admission_table_clear(&writing->newest);
+    rr_admission_table_clear(&writing->made);
+    g_array_free(writing->demand, TRUE);
+    rr_offered_load_clear(&writing->load);
+    rr_admission_writer_destroy(writing->writer);
+    rr_admission_settings_clear(&writing->settings);
 }
 
 /* A job larger than all that its team may have waiting is admitted where nothing of its key waits;
  * many such jobs, each in a class of its own, are not. */
 static void a_job_larger_than_its_share(void **state) {
     (void)state;
-    struct writing w;
-    writing_init(&w);
+    struct writing writing;
+    writing_init(&writing);
     rr_demand_total large = {key_of("blue", "large", 99), 1, {50000, 0, 50000}};
-    g_array_append_val(w.demand, large);
-    const rr_admission_table *table = write_table(&w);
+    g_array_append_val(writing.demand, large);
+    const rr_admission_table *table = write_table(&writing);
     assert_true(rr_admission_table_row(table, large.key.id)->share >= RR_ADMISSION_FULL - 1);
     assert_true(rr_admission_table_row(table, key_of("red", "flood", 1).id)->share <
                 RR_ADMISSION_FULL / 50);
-    writing_clear(&w);
-    writing_init(&w);
+    writing_clear(&writing);
+    writing_init(&writing);
     for (int i = 0; i < 30; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "c%d", i);
         large.key = key_of("blue", name, 99);
-        g_array_append_val(w.demand, large);
+        g_array_append_val(writing.demand, large);
     }
-    table = write_table(&w);
+    table = write_table(&writing);
     unsigned full = 0;
     for (guint i = 0; i < table->rows->len; i++) {
         full += g_array_index(table->rows, rr_admission_row, i).share >= RR_ADMISSION_FULL - 1;
     }
     assert_int_equal(full, 1);
-    writing_clear(&w);
+    writing_clear(&writing);
 }
 
 /* A controller that was not the provisioner for an hour does not take that hour for what its teams'
  * tasks have used since its last table: estimates that are right stay so. */
 static void a_provisioner_after_a_pause(void **state) {
     (void)state;
-    struct writing w;
+    struct writing writing;
     rr_submission job = job_of("red", "flood", "req-1", 4000);
-    writing_init(&w);
-    rr_offered_load_add_job(&w.load, &job, 0, 0, 100, 10);
-    write_table(&w);
-    rr_offered_load_begin(&w.load);
-    rr_offered_load_add_machine(&w.load, "m1", "a", (rr_amount){100, 0, 400});
-    rr_offered_load_add_job(&w.load, &job, 0, 2000, 100, 60);
-    rr_admission_table before = w.made;
-    assert_true(
-        rr_admission_writer_next(w.writer, &w.load, w.demand, &before, 4595, 4595, &w.made));
-    double correction = rr_admission_table_team(&w.made, "red")->correction;
+    writing_init(&writing);
+    rr_offered_load_add_job(&writing.load, &job, 0, 0, 100, 10);
+    write_table(&writing);
+    rr_offered_load_begin(&writing.load);
+    rr_offered_load_add_machine(&writing.load, "m1", "a", (rr_amount){100, 0, 400});
+    rr_offered_load_add_job(&writing.load, &job, 0, 2000, 100, 60);
+    rr_admission_table before = writing.made;
+    assert_true(rr_admission_writer_next(writing.writer, &writing.load, writing.demand, &before,
+                                         4595, 4595, &writing.made));
+    double correction = rr_admission_table_team(&writing.made, "red")->correction;
     assert_true(correction > 0.9 && correction < 1.1);
     rr_admission_table_clear(&before);
-    writing_clear(&w);
+    writing_clear(&writing);
 }
 
 /* ---- settings ---- */
@@ -690,7 +692,7 @@
     assert_true(fd >= 0);
     assert_int_equal(write(fd, text, strlen(text)), strlen(text));
     close(fd);
-    fx_config(&config, "n0");
+    test_config(&config, "n0");
     config.clock_off_s = 0.1;
     int rc = rr_admission_settings_load(path, &config, &settings, got, sizeof got);
     unlink(path);
@@ -730,65 +732,67 @@
 /* Takes part only while every controller of the term says so, and what the ones before read of its
  * session's record is as before. */
 static void versions_side_by_side(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    assert_false(rr_core_all_admission_capable(n->core));
-    n->config.admission = true;
-    fx_leave(n);
-    fx_join(n, 12);
-    assert_true(rr_core_all_admission_capable(n->core));
-    assert_true(rr_core_all_gang_capable(n->core));
-    fx_join_old_version(n);
-    assert_false(rr_core_all_admission_capable(n->core));
-    fx_leave_old_version(n);
-    assert_true(rr_core_all_admission_capable(n->core));
-}
-
-static guint placed_after_plan(fx_node *n, const char *id) {
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    assert_false(rr_core_all_admission_capable(node->core));
+    node->config.admission = true;
+    test_controller_leave(node);
+    test_controller_join(node, 12);
+    assert_true(rr_core_all_admission_capable(node->core));
+    assert_true(rr_core_all_gang_capable(node->core));
+    test_controller_join_old_version(node);
+    assert_false(rr_core_all_admission_capable(node->core));
+    test_controller_leave_old_version(node);
+    assert_true(rr_core_all_admission_capable(node->core));
+}
+
+static guint placed_after_plan(test_controller *node, const char *id) {
     rr_plan plan;
-    fx_plan(n, &plan);
+    test_controller_plan(node, &plan);
     rr_plan_clear(&plan);
-    return fx_placed(n->store, id);
+    return fake_store_placed_count(node->store, id);
 }
 
 /* Under overload an owner leaves what is beyond its team's fair room to others: not for its prod
  * replicas, and not for ever. */
 static void fair_room(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
     const double rooms[] = {0.25, 1};
-    fx_fleet(n, 1, 4, "a");
-    fx_submit(
-        w->store,
-        &(struct fx_job){.job_id = "req-1", .team = "red", .pieces = 64, .cpus = 1, .mem_gb = 1},
-        n->now);
-    fx_sync(w->store, n->core, n->now);
-    rr_core_set_fair_room(n->core, rooms, 64, 16, 256);
-    assert_int_equal(placed_after_plan(n, "req-1"), 16);
-    fx_submit(w->store,
-              &(struct fx_job){.job_id = "req-2", .team = "red", .service = true, .rank = "prod"},
-              n->now);
-    fx_submit(
-        w->store,
-        &(struct fx_job){.job_id = "req-3", .team = "blue", .pieces = 8, .cpus = 1, .mem_gb = 1},
-        n->now);
-    fx_sync(w->store, n->core, n->now);
-    n->now += 3;
-    assert_int_equal(placed_after_plan(n, "req-2"), 1);
-    assert_int_equal(fx_placed(w->store, "req-3"), 8);
-    assert_int_equal(fx_placed(w->store, "req-1"), 16);
+    test_controller_add_machines(node, 1, 4, "a");
+    fake_store_submit(
+        fixture->store,
+        &(struct test_job){.job_id = "req-1", .team = "red", .pieces = 64, .cpus = 1, .mem_gb = 1},
+        node->now);
+    fake_store_sync(fixture->store, node->core, node->now);
+    rr_core_set_fair_room(node->core, rooms, 64, 16, 256);
+    assert_int_equal(placed_after_plan(node, "req-1"), 16);
+    fake_store_submit(
+        fixture->store,
+        &(struct test_job){.job_id = "req-2", .team = "red", .service = true, .rank = "prod"},
+        node->now);
+    fake_store_submit(
+        fixture->store,
+        &(struct test_job){.job_id = "req-3", .team = "blue", .pieces = 8, .cpus = 1, .mem_gb = 1},
+        node->now);
+    fake_store_sync(fixture->store, node->core, node->now);
+    node->now += 3;
+    assert_int_equal(placed_after_plan(node, "req-2"), 1);
+    assert_int_equal(fake_store_placed_count(fixture->store, "req-3"), 8);
+    assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 16);
     /* Rooms only last while a table is in force. */
-    rr_core_set_fair_room(n->core, NULL, 0, 0, 0);
-    for (int m = 1; m <= 4; m++) {
+    rr_core_set_fair_room(node->core, NULL, 0, 0, 0);
+    for (int machine = 1; machine <= 4; machine++) {
         char id[16];
-        g_snprintf(id, sizeof id, "vm-%d", m);
-        fx_report(n, id, "a", false, 1, 9, rr_core_fencing_token(n->core), NULL);
+        g_snprintf(id, sizeof id, "vm-%d", machine);
+        test_controller_heartbeat(node, id, "a", false, 1, 9, rr_core_fencing_token(node->core),
+                                  NULL);
     }
-    n->now += 3;
-    assert_true(placed_after_plan(n, "req-1") > 16);
+    node->now += 3;
+    assert_true(placed_after_plan(node, "req-1") > 16);
 }
 
-#define W(f) cmocka_unit_test_setup_teardown(f, fx_world_setup, fx_world_teardown)
+#define W(f) cmocka_unit_test_setup_teardown(f, core_fixture_setup, core_fixture_teardown)
 
 int main(void) {
     const struct CMUnitTest tests[] = {
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -325,13 +325,13 @@
 
 static void print_hours(int argc, char **argv) {
     for (int i = 1; i < argc; i++) {
-        for (int on = 0; on < 2; on++) {
+        for (int enabled = 0; enabled < 2; enabled++) {
             struct model model;
             skewed(&model);
             model.seed = (unsigned)strtoul(argv[i], NULL, 10);
-            model.admission = on;
+            model.admission = enabled;
             model_run(&model);
-            model_print(&model, on ? "with admission" : "without");
+            model_print(&model, enabled ? "with admission" : "without");
             for (size_t team = 0; team < model.config.team_count; team++) {
                 const char *name = model.config.teams[team].name;
                 printf("  %-6s all: ratio %.2f\n", name, model_team_ratio(&model, name));
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -57,7 +57,7 @@
 };
 
 struct run {
-    world *w;
+    fake_services *w;
     char folder[64], admission[128];
     struct process controllers[CONTROLLERS];
     GRand *random;
@@ -75,8 +75,8 @@
 
 static void start_process(struct run *run, int i) {
     const char *with[] = {"--admission", run->admission, NULL}, *without[] = {NULL};
-    bool on = admission && !run->controllers[i].without;
-    process_start(&run->controllers[i].controller, program, on ? with : without);
+    bool enabled = admission && !run->controllers[i].without;
+    process_start(&run->controllers[i].controller, program, enabled ? with : without);
 }
 
 static void start_all(struct run *run) {
@@ -105,26 +105,26 @@
 
 /* ---- users ---- */
 
-static int submit(const struct process *to, const struct job *job) {
+static int submit(const struct process *target, const struct job *job) {
     rr_submission submission;
-    fx_submission(&submission, &(struct fx_job){.job_id = job->id,
-                                                .team = streams[job->stream].team,
-                                                .job_class = streams[job->stream].job_class,
-                                                .pieces = streams[job->stream].tasks,
-                                                .cpus = 1,
-                                                .mem_gb = 1});
+    test_submission(&submission, &(struct test_job){.job_id = job->id,
+                                                    .team = streams[job->stream].team,
+                                                    .job_class = streams[job->stream].job_class,
+                                                    .pieces = streams[job->stream].tasks,
+                                                    .cpus = 1,
+                                                    .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
-    return world_submit(&to->controller.config, &submission);
+    return fake_services_submit(&target->controller.config, &submission);
 }
 
 /* True: this user asks no more. Retries come a second after a refusal; the stand-in's caller does
  * not see Retry-After, which is in whole seconds and so most often just that here. */
 static bool try_job(struct run *run, struct job *job) {
     int only = streams[job->stream].controller;
-    int to = only >= 0 ? only : g_rand_int_range(run->random, 0, CONTROLLERS);
-    int status = submit(&run->controllers[to], job);
-    run->controllers[to].accepted += status == 201;
-    run->controllers[to].refused += status == 503;
+    int target = only >= 0 ? only : g_rand_int_range(run->random, 0, CONTROLLERS);
+    int status = submit(&run->controllers[target], job);
+    run->controllers[target].accepted += status == 201;
+    run->controllers[target].refused += status == 503;
     if (status == 201 || status == 200) {
         g_ptr_array_add(run->accepted, job);
         return true;
@@ -186,9 +186,9 @@
     struct outcome outcome = {0};
     for (guint i = 0; i < run->accepted->len; i++) {
         const struct job *job = g_ptr_array_index(run->accepted, i);
-        char piece[48];
-        g_snprintf(piece, sizeof piece, "%s/0", job->id);
-        double started = world_started(run->w, piece);
+        char task_name[48];
+        g_snprintf(task_name, sizeof task_name, "%s/0", job->id);
+        double started = fake_services_started(run->w, task_name);
         if (job->stream == stream) {
             outcome.accepted++;
             outcome.begun += started > 0;
@@ -227,9 +227,9 @@
         assert_true(!admission || served >= 0.5 * fair.served);
     }
     printf("refusals %u, starts beyond a task's first %u; logs in %s\n", run->refused,
-           world_restarted(run->w), run->folder);
+           fake_services_restart_count(run->w), run->folder);
     assert_true(!admission || run->refused > 0);
-    assert_int_equal(world_restarted(run->w), 0);
+    assert_int_equal(fake_services_restart_count(run->w), 0);
 }
 
 /* One at a time; not on a test's stack, which a failed one leaves. */
@@ -248,7 +248,7 @@
 static void run_begin(struct run *run) {
     const char *teams[STREAMS];
     memset(run, 0, sizeof *run);
-    run->w = world_start();
+    run->w = fake_services_start();
     run->random = g_rand_new_with_seed(1);
     for (unsigned i = 0; i < stream_count; i++) {
         teams[i] = streams[i].team;
@@ -256,7 +256,7 @@
     run->asking = g_ptr_array_new();
     run->accepted = g_ptr_array_new_with_free_func(g_free);
     run->fair = fair_cluster_create(SLOTS, teams, stream_count);
-    world_task_seconds(run->w, TASK_S);
+    fake_services_task_seconds(run->w, TASK_S);
 }
 
 /* Only where all went well; else the logs stay. */
@@ -280,7 +280,7 @@
     g_ptr_array_free(run->accepted, TRUE);
     fair_cluster_destroy(run->fair);
     g_rand_free(run->random);
-    world_stop(run->w);
+    fake_services_stop(run->w);
 }
 
 static void play_for(struct run *run, double seconds) {
@@ -343,7 +343,7 @@
     run_begin(&current);
     start_all(&current);
     play_until_limited(&current);
-    world_freeze_door(current.w, (unsigned)controller + 1, true);
+    fake_services_freeze_endpoint(current.w, (unsigned)controller + 1, true);
     play_for(&current, TABLE_ENDS_S);
     unsigned own = current.controllers[controller].accepted;
     unsigned elsewhere[CONTROLLERS] = {0};
@@ -356,13 +356,13 @@
     for (int i = 0; i < CONTROLLERS; i++) {
         assert_true(i == controller || elsewhere[i] > 0);
     }
-    world_freeze_door(current.w, (unsigned)controller + 1, false);
+    fake_services_freeze_endpoint(current.w, (unsigned)controller + 1, false);
     double until = rr_steady_clock_s() + BACK_WITHIN_S;
     while (probe(&current, controller) != 201) {
         assert_true(rr_steady_clock_s() < until);
         play_for(&current, 0.5);
     }
-    assert_int_equal(world_restarted(current.w), 0);
+    assert_int_equal(fake_services_restart_count(current.w), 0);
     run_end(&current);
 }
 
--- a/tests/test_batch.c
+++ b/tests/test_batch.c
@@ -5,21 +5,21 @@
 
 #include <string.h>
 
-static void entry(struct rr_user_commit *u, const char *ref, bool accepts, uint64_t mark,
+static void entry(struct rr_user_commit *commit, const char *job_id, bool accepts, uint64_t version,
                   size_t bytes) {
     char *body = g_strnfill(bytes, 'x');
-    memset(u, 0, sizeof *u);
-    rr_core_job_key(ref, u->key, sizeof u->key);
-    rr_encoder_init(&u->value);
-    rr_encode_map(&u->value, 1);
-    rr_encode_key_text(&u->value, "ref", body);
-    u->is_submission = accepts;
-    u->version = mark;
+    memset(commit, 0, sizeof *commit);
+    rr_core_job_key(job_id, commit->key, sizeof commit->key);
+    rr_encoder_init(&commit->value);
+    rr_encode_map(&commit->value, 1);
+    rr_encode_key_text(&commit->value, "ref", body);
+    commit->is_submission = accepts;
+    commit->version = version;
     g_free(body);
 }
 
-static void config(struct rr_config *c) {
-    fx_config(c, "n0");
+static void config(struct rr_config *settings) {
+    test_config(settings, "n0");
 }
 
 /* An acceptance was carried out together with others and its answer lost, so that it goes again,
@@ -29,30 +29,31 @@
  * second waits for the next transaction, where its guard tells what has come first. */
 static void a_key_is_written_once(void **state) {
     (void)state;
-    struct rr_config cfg;
-    config(&cfg);
+    struct rr_config settings;
+    config(&settings);
     for (int cancel_first = 0; cancel_first < 2; cancel_first++) {
-        struct rr_user_commit u[3];
-        struct rr_user_batch b;
+        struct rr_user_commit commits[3];
+        struct rr_user_batch batch;
         uint64_t batches = 0;
-        rr_transaction t;
-        memset(&b, 0, sizeof b);
-        entry(&u[0], "req-1", !cancel_first, 0, 100);
-        entry(&u[1], "req-1", cancel_first, 0, 100);
-        entry(&u[2], "req-2", true, 0, 100);
-        assert_true(rr_user_batch_add(&cfg, &b, &u[0]));
-        assert_false(rr_user_batch_add(&cfg, &b, &u[1]));
-        assert_true(rr_user_batch_add(&cfg, &b, &u[2]));
-        rr_transaction_init(&t);
-        rr_user_batch_transaction(&b, 7, &batches, &t);
+        rr_transaction transaction;
+        memset(&batch, 0, sizeof batch);
+        entry(&commits[0], "req-1", !cancel_first, 0, 100);
+        entry(&commits[1], "req-1", cancel_first, 0, 100);
+        entry(&commits[2], "req-2", true, 0, 100);
+        assert_true(rr_user_batch_add(&settings, &batch, &commits[0]));
+        assert_false(rr_user_batch_add(&settings, &batch, &commits[1]));
+        assert_true(rr_user_batch_add(&settings, &batch, &commits[2]));
+        rr_transaction_init(&transaction);
+        rr_user_batch_transaction(&batch, 7, &batches, &transaction);
         unsigned puts = 0;
-        for (guint i = 0; i < t.changes->len; i++) {
-            puts += strcmp(g_array_index(t.changes, rr_change, i).key, u[0].key) == 0;
+        for (guint i = 0; i < transaction.changes->len; i++) {
+            puts +=
+                strcmp(g_array_index(transaction.changes, rr_change, i).key, commits[0].key) == 0;
         }
         assert_true(puts <= 1);
-        rr_transaction_clear(&t);
+        rr_transaction_clear(&transaction);
         for (int i = 0; i < 3; i++) {
-            rr_encoder_clear(&u[i].value);
+            rr_encoder_clear(&commits[i].value);
         }
     }
 }
@@ -60,65 +61,66 @@
 /* Sizes and operations keep to the smaller of the present limits and those to come. */
 static void within_the_limits(void **state) {
     (void)state;
-    struct rr_config cfg;
-    config(&cfg);
+    struct rr_config settings;
+    config(&settings);
     for (int next = 0; next < 2; next++) {
-        static struct rr_user_commit u[64];
-        struct rr_user_batch b;
+        static struct rr_user_commit commits[64];
+        struct rr_user_batch batch;
         uint64_t batches = 0;
-        char ref[32];
-        rr_transaction t;
-        guint n = 0;
-        cfg.next_value_kb = next ? 2 : 0;
-        cfg.next_transaction_changes_max = next ? 4 : 0;
-        memset(&b, 0, sizeof b);
+        char job_id[32];
+        rr_transaction transaction;
+        guint count = 0;
+        settings.next_value_kb = next ? 2 : 0;
+        settings.next_transaction_changes_max = next ? 4 : 0;
+        memset(&batch, 0, sizeof batch);
         for (int i = 0; i < 64; i++) {
-            g_snprintf(ref, sizeof ref, "req-%d", i + 1);
-            entry(&u[i], ref, i % 4 != 0, 0, 400);
+            g_snprintf(job_id, sizeof job_id, "req-%d", i + 1);
+            entry(&commits[i], job_id, i % 4 != 0, 0, 400);
             if (i % 4 == 0) {
-                g_snprintf(u[i].also_key, sizeof u[i].also_key, "rr/cells/out/%s", ref);
+                g_snprintf(commits[i].also_key, sizeof commits[i].also_key, "rr/cells/out/%s",
+                           job_id);
             }
         }
-        while (n < 64 && rr_user_batch_add(&cfg, &b, &u[n])) {
-            n++;
+        while (count < 64 && rr_user_batch_add(&settings, &batch, &commits[count])) {
+            count++;
         }
-        rr_transaction_init(&t);
-        rr_user_batch_transaction(&b, 7, &batches, &t);
-        assert_true(n > 2 && n < 64);
-        assert_true(t.changes->len <= (guint)rr_transaction_changes_max(&cfg));
-        assert_true(t.guards->len <= 4 * (guint)rr_transaction_changes_max(&cfg));
-        for (guint i = 0; i < t.changes->len; i++) {
-            size_t len = g_array_index(t.changes, rr_change, i).length;
-            assert_true((double)len <= rr_value_kb_max(&cfg) * 1024);
+        rr_transaction_init(&transaction);
+        rr_user_batch_transaction(&batch, 7, &batches, &transaction);
+        assert_true(count > 2 && count < 64);
+        assert_true(transaction.changes->len <= (guint)rr_transaction_changes_max(&settings));
+        assert_true(transaction.guards->len <= 4 * (guint)rr_transaction_changes_max(&settings));
+        for (guint i = 0; i < transaction.changes->len; i++) {
+            size_t length = g_array_index(transaction.changes, rr_change, i).length;
+            assert_true((double)length <= rr_value_kb_max(&settings) * 1024);
         }
-        rr_transaction_clear(&t);
+        rr_transaction_clear(&transaction);
         for (int i = 0; i < 64; i++) {
-            rr_encoder_clear(&u[i].value);
+            rr_encoder_clear(&commits[i].value);
         }
     }
 }
 
 /* A cancellation is refused if the job was offered to another cell meanwhile. */
 static void a_second_guard(void **state) {
-    struct rr_user_commit u = {0};
-    struct rr_user_batch b;
-    struct rr_config cfg;
+    struct rr_user_commit commit = {0};
+    struct rr_user_batch batch;
+    struct rr_config settings;
     uint64_t batches = 0;
-    rr_transaction t;
+    rr_transaction transaction;
     (void)state;
-    config(&cfg);
-    memset(&b, 0, sizeof b);
-    entry(&u, "req-1", false, 4, 100);
-    g_strlcpy(u.also_key, "rr/cells/out/req-1", sizeof u.also_key);
-    u.also_version = 9;
-    assert_true(rr_user_batch_add(&cfg, &b, &u));
-    rr_transaction_init(&t);
-    rr_user_batch_transaction(&b, 7, &batches, &t);
-    assert_int_equal(t.guards->len, 2);
-    assert_string_equal(g_array_index(t.guards, rr_guard, 1).key, "rr/cells/out/req-1");
-    assert_int_equal(g_array_index(t.guards, rr_guard, 1).version, 9);
-    rr_transaction_clear(&t);
-    rr_encoder_clear(&u.value);
+    config(&settings);
+    memset(&batch, 0, sizeof batch);
+    entry(&commit, "req-1", false, 4, 100);
+    g_strlcpy(commit.also_key, "rr/cells/out/req-1", sizeof commit.also_key);
+    commit.also_version = 9;
+    assert_true(rr_user_batch_add(&settings, &batch, &commit));
+    rr_transaction_init(&transaction);
+    rr_user_batch_transaction(&batch, 7, &batches, &transaction);
+    assert_int_equal(transaction.guards->len, 2);
+    assert_string_equal(g_array_index(transaction.guards, rr_guard, 1).key, "rr/cells/out/req-1");
+    assert_int_equal(g_array_index(transaction.guards, rr_guard, 1).version, 9);
+    rr_transaction_clear(&transaction);
+    rr_encoder_clear(&commit.value);
 }
 
 int main(void) {
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define JOB "req-1"
-static const struct fx_job waiting = {.job_id = JOB, .pieces = 2, .cpus = 4};
+static const struct test_job waiting = {.job_id = JOB, .pieces = 2, .cpus = 4};
 
 static int setup(void **state) {
     *state = cell_pair_create();
@@ -21,14 +21,14 @@
 }
 
 /* The home has no machine and the guest two; the job waits for longer than begin_wait_s. */
-static void wait_at_home(cell_pair *pair, const struct fx_job *job) {
+static void wait_at_home(cell_pair *pair, const struct test_job *job) {
     cell_fleet(&pair->guest, 2);
     cell_submit(&pair->home, job);
     cell_pair_advance(pair, 31);
 }
 
 static unsigned placed(const struct test_cell *cell, const char *job_id) {
-    return fx_placed(cell->store, job_id);
+    return fake_store_placed_count(cell->store, job_id);
 }
 
 /* Offered, taken and granted. */
@@ -51,13 +51,13 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = spill(pair);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/out/"), 1);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/in/"), 1);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 1);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 1);
     end_at_guest(pair, local);
     cell_pair_play(pair, 5);
     assert_true(cell_job(&pair->home, JOB, &job) && job.done);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/"), 0);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
 }
 
 /* The home gets a machine while the job is away: it stays away. */
@@ -82,7 +82,7 @@
         cell_pair_play(pair, 1);
         cell_plan(&pair->guest, cell_pair_local(pair, JOB, 1));
     }
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/in/"), 1);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 1);
     assert_int_equal(placed(&pair->guest, cell_pair_local(pair, JOB, 1)), 0);
     pair->lose_replies = false;
     cell_pair_play(pair, 2);
@@ -202,7 +202,7 @@
 static void release_ends_with_its_term(void **state) {
     cell_pair *pair = *state;
     rr_cells_room plenty = {100, 10, 1000};
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpus = 4});
+    wait_at_home(pair, &(struct test_job){.job_id = JOB, .pieces = 9, .cpus = 4});
     rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
     for (int i = 0; i < 3; i++) {
         cell_pair_step(pair); /* offered, refused, released */
@@ -215,10 +215,10 @@
 
 static void no_room_no_offer(void **state) {
     cell_pair *pair = *state;
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpus = 4});
+    wait_at_home(pair, &(struct test_job){.job_id = JOB, .pieces = 9, .cpus = 4});
     cell_pair_play(pair, 20);
     assert_int_equal(pair->offers, 0);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
 
 /* It fills up after telling its room: the offer is refused, and the job free at home at once. */
@@ -226,7 +226,7 @@
     cell_pair *pair = *state;
     cell_fleet(&pair->home, 1);
     rr_cells_room plenty = {100, 10, 1000};
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .pieces = 9, .cpus = 4});
+    wait_at_home(pair, &(struct test_job){.job_id = JOB, .pieces = 9, .cpus = 4});
     rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
     cell_pair_step(pair); /* writes it down */
     cell_pair_step(pair);
@@ -234,7 +234,7 @@
     assert_int_equal(pair->offers, 1);
     cell_plan(&pair->home, JOB);
     assert_int_equal(placed(&pair->home, JOB), 4);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
 }
 
 /* It takes the job and can't begin it: another took the room. Then it goes back. */
@@ -247,7 +247,7 @@
     assert_true(cell_job(&pair->guest, local, &job));
     cell_pair_play(pair, 65); /* the guest never plans */
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
     rr_transfers_stats stats;
     rr_transfers_get_stats(pair->home.transfers, &stats);
     assert_int_equal(stats.withdrawn, 1);
@@ -272,7 +272,7 @@
 static void waiting_cell_takes_nothing(void **state) {
     cell_pair *pair = *state;
     wait_at_home(pair, &waiting);
-    cell_submit(&pair->guest, &(struct fx_job){.job_id = "req-2", .cpus = 1, .zone = "far"});
+    cell_submit(&pair->guest, &(struct test_job){.job_id = "req-2", .cpus = 1, .zone = "far"});
     cell_pair_advance(pair, 11); /* longer than end_wait_s; there is room beside it */
     pair->cut = true;
     cell_pair_step(pair); /* it has looked at its own */
@@ -285,12 +285,12 @@
     cell_pair *pair = *state;
     cell_fleet(&pair->guest, 2);
     g_ptr_array_add(pair->home.settings.neighbours[0].teams, g_strdup("blue"));
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-1", .cpus = 1, .zone = "a"});
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-2", .cpus = 1});
+    cell_submit(&pair->home, &(struct test_job){.job_id = "req-1", .cpus = 1, .zone = "a"});
+    cell_submit(&pair->home, &(struct test_job){.job_id = "req-2", .cpus = 1});
     cell_pair_advance(pair, 31);
     cell_pair_play(pair, 10);
     assert_int_equal(pair->offers, 0);
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-3", .cpus = 1, .team = "blue"});
+    cell_submit(&pair->home, &(struct test_job){.job_id = "req-3", .cpus = 1, .team = "blue"});
     cell_pair_advance(pair, 31);
     cell_pair_play(pair, 3);
     assert_int_equal(pair->offers, 1);
@@ -301,7 +301,7 @@
     cell_pair *pair = *state;
     char local[RR_ID_SIZE];
     size_t neighbour = 9;
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .service = true, .cpus = 1});
+    wait_at_home(pair, &(struct test_job){.job_id = JOB, .service = true, .cpus = 1});
     assert_false(
         rr_transfers_transferred(pair->home.transfers, JOB, &neighbour, local, sizeof local));
     cell_pair_play(pair, 3);
@@ -315,7 +315,7 @@
 /* A gang goes whole, and is placed whole. */
 static void gangs_go_whole(void **state) {
     cell_pair *pair = *state;
-    wait_at_home(pair, &(struct fx_job){.job_id = JOB, .gang = true, .pieces = 3, .cpus = 8});
+    wait_at_home(pair, &(struct test_job){.job_id = JOB, .gang = true, .pieces = 3, .cpus = 8});
     cell_pair_play(pair, 3);
     cell_plan(&pair->guest, cell_pair_local(pair, JOB, 1));
     assert_int_equal(placed(&pair->guest, cell_pair_local(pair, JOB, 1)), 3);
@@ -337,16 +337,16 @@
 static void older_version_in_the_cell(void **state) {
     cell_pair *pair = *state;
     wait_at_home(pair, &waiting);
-    fx_join_old_version(&pair->home.node);
+    test_controller_join_old_version(&pair->home.node);
     cell_pair_play(pair, 10);
     assert_int_equal(pair->offers, 0);
-    fx_leave_old_version(&pair->home.node);
-    fx_join_old_version(&pair->guest.node);
+    test_controller_leave_old_version(&pair->home.node);
+    test_controller_join_old_version(&pair->guest.node);
     cell_pair_play(pair, 10);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 0);
-    fx_leave_old_version(&pair->guest.node);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
+    test_controller_leave_old_version(&pair->guest.node);
     cell_pair_play(pair, 45);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 1);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 1);
 }
 
 /* The guest's workers could go on for longer than the home waits. */
@@ -358,7 +358,7 @@
     rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
     cell_pair_play(pair, 5);
     assert_true(pair->offers > 0);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
 }
 
 /* The claim's record is not written: nothing is taken; the repeated offer is as new. */
@@ -367,10 +367,10 @@
     wait_at_home(pair, &waiting);
     pair->refuse_commit = true;
     cell_pair_play(pair, 2);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
     pair->refuse_commit = false;
     cell_pair_play(pair, 2);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/"), 1);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 1);
 }
 
 /* The home's replies are lost while the answer is told: it is written once. */
@@ -383,10 +383,10 @@
     pair->lose_replies = true;
     cell_pair_play(pair, 5);
     assert_true(cell_job(&pair->home, JOB, &job) && job.done);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/in/"), 1);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 1);
     pair->lose_replies = false;
     cell_pair_play(pair, 5);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/in/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 0);
     rr_transfers_get_stats(pair->home.transfers, &stats);
     assert_int_equal(stats.finished, 1);
 }
@@ -402,22 +402,22 @@
     pair->cut = false;
     cell_pair_play(pair, 5);
     assert_true(cell_job(&pair->home, JOB, &job) && !job.done);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/in/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 0);
 }
 
 static enum rr_cancel_first ask_to_cancel(cell_pair *pair, double *wait_s) {
-    fx_node *home = &pair->home.node;
+    test_controller *home = &pair->home.node;
     rr_out_record withdrawn;
     uint64_t version;
     enum rr_cancel_first first =
         rr_transfers_cancel(pair->home.transfers, JOB, home->now, wait_s, &withdrawn, &version);
     if (first == RR_CANCEL_WITHDRAW) {
-        rr_transaction txn;
-        rr_transaction_init(&txn);
-        rr_cells_out_write(&txn, JOB, version, &withdrawn);
-        assert_int_equal(fx_commit(home->store, &txn), 0);
-        rr_transaction_clear(&txn);
-        fx_sync(home->store, home->core, home->now);
+        rr_transaction transaction;
+        rr_transaction_init(&transaction);
+        rr_cells_out_write(&transaction, JOB, version, &withdrawn);
+        assert_int_equal(fake_store_commit(home->store, &transaction), 0);
+        rr_transaction_clear(&transaction);
+        fake_store_sync(home->store, home->core, home->now);
     }
     return first;
 }
@@ -438,25 +438,25 @@
     }
     assert_true(pair->home.node.now - asked_at <= 16);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
-    fx_cancel(&pair->home.node, JOB);
+    test_controller_cancel(&pair->home.node, JOB);
     pair->cut = false;
     cell_pair_play(pair, 5);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
 
 /* A cancellation that this controller's mirror has not seen yet: the offer is not made. */
 static void cancelled_before_the_offer(void **state) {
     cell_pair *pair = *state;
     rr_encoder out;
-    uint64_t mark;
+    uint64_t version;
     wait_at_home(pair, &waiting);
     cell_pair_step(pair); /* asks for room */
     rr_encoder_init(&out);
-    assert_true(rr_core_cancel_record(pair->home.node.core, JOB, &out, &mark));
-    fx_put(pair->home.store, "rr/job/" JOB, &out);
+    assert_true(rr_core_cancel_record(pair->home.node.core, JOB, &out, &version));
+    fake_store_put(pair->home.store, "rr/job/" JOB, &out);
     cell_pair_advance(pair, 0.5);
     cell_pair_step(pair);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
     cell_pair_play(pair, 5);
     assert_int_equal(pair->offers, 0);
 }
@@ -471,7 +471,7 @@
     assert_int_equal(before, 0);
     cell_pair_play(pair, 3);
     assert_false(rr_transfers_may_cancel(pair->home.transfers, JOB, now, &after));
-    assert_int_equal(after, fx_mark(pair->home.store, "rr/cells/out/" JOB));
+    assert_int_equal(after, fake_store_version(pair->home.store, "rr/cells/out/" JOB));
 }
 
 static void cancelled_while_here(void **state) {
@@ -486,10 +486,10 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = spill(pair);
-    fx_cancel(&pair->home.node, JOB);
+    test_controller_cancel(&pair->home.node, JOB);
     cell_pair_play(pair, 4);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/"), 0);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
 
 /* The neighbour is in the settings no more, on either side: the job comes back. */
@@ -530,7 +530,7 @@
     request.rest_s = 80;
     rr_transfer_message offer = {.kind = RR_TRANSFER_OFFER, .claim = 1};
     rr_submission submission;
-    fx_submission(&submission, &waiting);
+    test_submission(&submission, &waiting);
     rr_cells_add_offer(request.items, &offer, &submission, 1000);
     rr_submission_clear(&submission);
     double now = pair->guest.node.now;
@@ -598,7 +598,7 @@
 /* Two jobs, one of which is at the guest already; then nobody is there. */
 static struct dead_home kill_home(cell_pair *pair) {
     spill(pair);
-    cell_submit(&pair->home, &(struct fx_job){.job_id = "req-2", .cpus = 4});
+    cell_submit(&pair->home, &(struct test_job){.job_id = "req-2", .cpus = 4});
     cell_pair_home_dies(pair);
     return (struct dead_home){pair, rr_absent_create(&pair->guest.node.config, "g")};
 }
@@ -623,8 +623,8 @@
     assert_int_equal(placed(&pair->guest, local), 2);
     end_at_guest(pair, local);
     watch_home(&dead, 10);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/in/"), 0);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/out/"), 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 0);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 0);
     cell_restart(&pair->home, true);
     assert_true(cell_job(&pair->home, JOB, &job) && job.done);
     rr_absent_destroy(dead.absent);
@@ -638,9 +638,9 @@
     char local[RR_ID_SIZE];
     rr_cells_local_id("h", "req-2", 1, local, sizeof local);
     watch_home(&dead, 78);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/out/"), 1);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 1);
     watch_home(&dead, 14);
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/out/"), 2);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 2);
     assert_true(cell_job(&pair->guest, local, &job));
     assert_int_equal(placed(&pair->guest, local), 1);
     rr_absent_destroy(dead.absent);
@@ -665,7 +665,7 @@
     cell_pair_commit_there(pair, writes, &made);
     assert_int_equal(made, 0);
     cell_pair_read_home(pair, dead.absent, NULL); /* there is a session: nothing more is done */
-    assert_int_equal(fx_count(pair->home.store, "rr/cells/out/"), 1);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 1);
     g_ptr_array_free(writes, TRUE);
     rr_absent_destroy(dead.absent);
 }
@@ -709,11 +709,11 @@
     rr_transaction_init(&theirs.transaction);
     cell_pair_read_home(pair, other, writes);
     assert_true(rr_absent_claim(other, "req-2", "red", &theirs.transaction));
-    assert_int_equal(fx_commit(pair->home.store, &theirs.transaction), 0);
+    assert_int_equal(fake_store_commit(pair->home.store, &theirs.transaction), 0);
     cell_pair_commit_there(pair, writes, &made);
     assert_int_equal(made, 0);
     watch_home(&dead, 10);
-    assert_int_equal(fx_count(pair->guest.store, "rr/cells/in/"), 1);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 1);
     rr_transfer_write_clear(&theirs);
     g_ptr_array_free(writes, TRUE);
     rr_absent_destroy(other);
@@ -726,7 +726,7 @@
     unsigned made = 0;
     struct dead_home dead = kill_home(pair);
     GPtrArray *writes = ready_to_claim(&dead);
-    fx_cancel(&pair->home.node, "req-2");
+    test_controller_cancel(&pair->home.node, "req-2");
     cell_pair_commit_there(pair, writes, &made);
     assert_int_equal(made, 0);
     g_ptr_array_free(writes, TRUE);
@@ -764,9 +764,9 @@
         rr_encoder_init(&out);
         rr_encode_map(&out, 1);
         rr_encode_key_text(&out, "state", "unheard of");
-        fx_put(pair->home.store, keys[i], &out);
+        fake_store_put(pair->home.store, keys[i], &out);
     }
-    fx_sync(pair->home.store, pair->home.node.core, pair->home.node.now);
+    fake_store_sync(pair->home.store, pair->home.node.core, pair->home.node.now);
     rr_transfers_get_stats(pair->home.transfers, &stats);
     assert_int_equal(stats.records_unread, 3);
     assert_int_equal(stats.outgoing + stats.incoming, 0);
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -56,7 +56,7 @@
 
 static void listen_at(rr_cells_settings *settings, const char *address) {
     g_strlcpy(settings->listen.host, address, sizeof settings->listen.host);
-    settings->listen.port = world_free_port();
+    settings->listen.port = fake_services_free_port();
 }
 
 /* Cell b with two controllers, whose neighbour a is at 127.0.1.x. */
@@ -99,12 +99,13 @@
     }
 }
 
-static int ask(rr_cells_client *client, const char *from, const char *to, rr_cells_reply *reply) {
+static int ask(rr_cells_client *client, const char *from, const char *target,
+               rr_cells_reply *reply) {
     rr_cells_request request;
     rr_transfer_message renew = {.kind = RR_TRANSFER_RENEW, .claim = 3};
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     g_strlcpy(request.from, from, sizeof request.from);
-    g_strlcpy(request.to, to, sizeof request.to);
+    g_strlcpy(request.to, target, sizeof request.to);
     g_strlcpy(request.team, "red", sizeof request.team);
     rr_cells_add_item(request.items, "req-1", &renew);
     int rc = rr_cells_ask(client, &request, reply);
@@ -200,9 +201,9 @@
     GByteArray *frame = g_byte_array_new();
     char byte;
     (void)state;
-    guint at = rr_frame_begin(frame, RR_FRAME_HELLO);
+    guint start = rr_frame_begin(frame, RR_FRAME_HELLO);
     rr_frame_put_text(frame, "n1");
-    rr_frame_end(frame, at);
+    rr_frame_end(frame, start);
     int fd = dial();
     assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
     assert_true(recv(fd, &byte, 1, 0) <= 0);
@@ -216,7 +217,7 @@
 /* A malformed request, or one of an unknown version, gets a typed refusal, and the connection goes
  * on. */
 static void typed_refusals(void **state) {
-    struct inbox in;
+    struct inbox inbox;
     rr_frame_reader payload;
     uint8_t type;
     rr_cells_reply reply;
@@ -224,21 +225,21 @@
     static const enum rr_cells_status expected[] = {RR_CELLS_MALFORMED, RR_CELLS_MALFORMED};
     (void)state;
     int fd = dial();
-    rr_inbox_init(&in, fd);
+    rr_inbox_init(&inbox, fd);
     for (int i = 0; i < 2; i++) {
         GByteArray *frame = g_byte_array_new();
-        guint at = rr_frame_begin(frame, RR_FRAME_CELLS);
+        guint start = rr_frame_begin(frame, RR_FRAME_CELLS);
         g_byte_array_append(frame, payloads[i], 6);
-        rr_frame_end(frame, at);
+        rr_frame_end(frame, start);
         assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
-        assert_int_equal(rr_peer_receive(&stop, &in, &type, &payload, 5), 0);
+        assert_int_equal(rr_peer_receive(&stop, &inbox, &type, &payload, 5), 0);
         assert_int_equal(rr_cells_reply_unpack(payload.next, payload.bytes_left, &reply), 0);
         assert_int_equal(reply.status, expected[i]);
         rr_cells_reply_clear(&reply);
         g_byte_array_free(frame, TRUE);
     }
     close(fd);
-    rr_inbox_clear(&in);
+    rr_inbox_clear(&inbox);
 }
 
 static void older_version_is_refused_by_name(void **state) {
@@ -278,7 +279,8 @@
     }
     assert_int_equal(servers[0].requests, 1);
     assert_int_equal(servers[1].requests, 2);
-    settings.neighbours[0].controllers[1].endpoint.port = world_free_port(); /* nobody there */
+    settings.neighbours[0].controllers[1].endpoint.port =
+        fake_services_free_port(); /* nobody there */
     rr_cells_client *next = rr_cells_client_create(&settings, 0, &stop);
     servers[0].planner[0] = 0;
     assert_int_equal(ask(next, "a", "b", &reply), 0);
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -38,7 +38,7 @@
 static const double offered[CELLS] = {11, 10, 1, 1};
 
 struct cell {
-    world *w;
+    fake_services *w;
     struct controller_process controllers[CONTROLLERS];
     uint16_t ports[CONTROLLERS];
     char file[256];
@@ -83,7 +83,7 @@
         g_string_append_printf(text, "  zones = {\"%s\"}\n", names[i]);
         if (claims_on) {
             g_string_append_printf(text, "  state = \"127.0.0.1:%u\"\n",
-                                   world_port(run.cells[i].w));
+                                   fake_services_port(run.cells[i].w));
         }
         for (int k = 0; k < CONTROLLERS; k++) {
             g_string_append_printf(text, "  controller \"%s%d\" { endpoint = \"127.0.%d.1:%u\" }\n",
@@ -110,15 +110,15 @@
     run.jobs = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; i < CELLS; i++) {
         struct cell *cell = &run.cells[i];
-        cell->w = world_start();
-        world_zone(cell->w, names[i]);
-        world_task_seconds(cell->w, TASK_S);
-        world_worker_lease(cell->w, WORKER_LEASE_S);
+        cell->w = fake_services_start();
+        fake_services_zone(cell->w, names[i]);
+        fake_services_task_seconds(cell->w, TASK_S);
+        fake_services_worker_lease(cell->w, WORKER_LEASE_S);
         processes_configure(cell->w, run.folder, names[i], names[i], &platform, cell->controllers,
                             CONTROLLERS);
         g_snprintf(cell->file, sizeof cell->file, "%s/%s.conf", run.folder, names[i]);
         for (int k = 0; k < CONTROLLERS; k++) {
-            cell->ports[k] = world_free_port();
+            cell->ports[k] = fake_services_free_port();
         }
     }
     for (int i = 0; i < CELLS; i++) {
@@ -153,7 +153,7 @@
             process_remove_files(&cell->controllers[k]);
         }
         unlink(cell->file);
-        world_stop(cell->w);
+        fake_services_stop(cell->w);
     }
     rmdir(run.folder);
     g_ptr_array_free(run.jobs, TRUE);
@@ -177,16 +177,16 @@
     struct job *job = g_new0(struct job, 1);
     rr_submission submission;
     g_snprintf(job->id, sizeof job->id, "req-1%d%06u", home, run.next_id++);
-    fx_submission(&submission, &(struct fx_job){.job_id = job->id,
-                                                .team = "red",
-                                                .job_class = "small",
-                                                .pieces = 2,
-                                                .cpus = 1,
-                                                .mem_gb = 1});
+    test_submission(&submission, &(struct test_job){.job_id = job->id,
+                                                    .team = "red",
+                                                    .job_class = "small",
+                                                    .pieces = 2,
+                                                    .cpus = 1,
+                                                    .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
     job->home = home;
     job->came_at = rr_steady_clock_s();
-    int status = world_submit(some_controller(home), &submission);
+    int status = fake_services_submit(some_controller(home), &submission);
     if (status == 201) {
         job->accepted_at = rr_steady_clock_s();
         job->wants_cancel = g_rand_double(run.random) < 0.05;
@@ -212,54 +212,54 @@
     }
 }
 
-static int ask(int cell, const char *method, const char *id, const char *what, char *standing,
+static int ask(int cell, const char *method, const char *id, const char *what, char *state,
                uint64_t *done) {
     char path[96];
-    rr_document doc = {0};
+    rr_document document = {0};
     g_snprintf(path, sizeof path, "/submissions/%s%s", id, what);
-    int status = world_call(some_controller(cell), method, path, NULL, 0, &doc);
-    standing[0] = 0;
-    if (status > 0 && doc.root) {
-        rr_map_get_text(doc.root, "standing", standing, 32);
+    int status = fake_services_call(some_controller(cell), method, path, NULL, 0, &document);
+    state[0] = 0;
+    if (status > 0 && document.root) {
+        rr_map_get_text(document.root, "standing", state, 32);
         if (done) {
-            rr_map_get_u64(doc.root, "done", done);
+            rr_map_get_u64(document.root, "done", done);
         }
     }
     if (status > 0) {
-        rr_document_clear(&doc);
+        rr_document_clear(&document);
     }
     return status;
 }
 
 static bool world_started_here(const struct job *job) {
-    char piece[48];
+    char task_name[48];
     bool started = false;
     for (unsigned task = 0; task < 2; task++) {
-        g_snprintf(piece, sizeof piece, "%s/%u", job->id, task);
-        started = started || world_started(run.cells[job->home].w, piece) > 0;
+        g_snprintf(task_name, sizeof task_name, "%s/%u", job->id, task);
+        started = started || fake_services_started(run.cells[job->home].w, task_name) > 0;
     }
     return started;
 }
 
 /* What a user was told never turns older: done tasks do not become fewer, a final answer stays. */
 static void poll_at(struct job *job, int cell) {
-    char standing[32];
+    char state[32];
     uint64_t done = 0;
-    int status = ask(cell, "GET", job->id, "", standing, &done);
+    int status = ask(cell, "GET", job->id, "", state, &done);
     assert_true(status == 200 || status == 503 || status == -1);
     if (status != 200) {
         return;
     }
-    bool is_done = strcmp(standing, "done") == 0, aborted = strcmp(standing, "aborted") == 0;
+    bool is_done = strcmp(state, "done") == 0, aborted = strcmp(state, "aborted") == 0;
     bool older = done < job->told_done || (job->done && !is_done) || (job->aborted && !aborted);
     if (older) {
-        printf("%s: told %s with %u done after %s\n", job->id, standing, (unsigned)done,
+        printf("%s: told %s with %u done after %s\n", job->id, state, (unsigned)done,
                job->done      ? "done"
                : job->aborted ? "aborted"
                               : "fewer");
     }
     run.went_back += older;
-    bool elsewhere = strcmp(standing, "running") == 0 && !world_started_here(job);
+    bool elsewhere = strcmp(state, "running") == 0 && !world_started_here(job);
     run.told_running_away += elsewhere;
     job->told_done = MAX(job->told_done, done);
     if ((is_done || aborted) && !job->done && !job->aborted) {
@@ -271,16 +271,16 @@
 
 /* A user who cancels asks again until it is confirmed; at any cell, where there are several. */
 static void try_cancel(struct job *job) {
-    char standing[32];
+    char state[32];
     int cell = cells_on ? g_rand_int_range(run.random, 0, CELLS) : job->home;
     if (run.cells[cell].dead) {
         return;
     }
-    int status = ask(cell, "POST", job->id, "/cancel", standing, NULL);
+    int status = ask(cell, "POST", job->id, "/cancel", state, NULL);
     assert_true(status == 200 || status == 503 || status == -1);
     if (status == 200) {
         job->wants_cancel = false;
-        bool aborted = strcmp(standing, "aborted") == 0;
+        bool aborted = strcmp(state, "aborted") == 0;
         job->cancelled_at = aborted ? rr_steady_clock_s() : 0;
         job->aborted = job->aborted || aborted;
         job->settled_at = aborted ? rr_steady_clock_s() : job->settled_at;
@@ -324,11 +324,10 @@
         const struct job *job = g_ptr_array_index(run.jobs, i);
         if (!settled(job)) {
             for (int cell = 0; cell < CELLS; cell++) {
-                char standing[32];
-                int status =
-                    run.cells[cell].dead ? 0 : ask(cell, "GET", job->id, "", standing, NULL);
+                char state[32];
+                int status = run.cells[cell].dead ? 0 : ask(cell, "GET", job->id, "", state, NULL);
                 printf("%s of %s, in %s: %d %s\n", job->id, names[job->home], names[cell], status,
-                       status == 200 ? standing : "");
+                       status == 200 ? state : "");
             }
         }
     }
@@ -362,18 +361,18 @@
     GArray *spans = g_array_new(FALSE, TRUE, sizeof(struct span));
     for (int cell = 0; cell < CELLS; cell++) {
         for (uint32_t claim = 0; claim <= CLAIMS; claim++) {
-            char id[RR_ID_SIZE], piece[80];
+            char id[RR_ID_SIZE], task_name[80];
             bool home = cell == job->home;
             if (home != (claim == 0)) {
                 continue;
             }
             rr_cells_local_id(names[job->home], job->id, claim, id, sizeof id);
-            g_snprintf(piece, sizeof piece, "%s/%u", home ? job->id : id, task);
+            g_snprintf(task_name, sizeof task_name, "%s/%u", home ? job->id : id, task);
             for (guint i = 0; i < runs[cell]->len; i++) {
-                const world_run *at = &g_array_index(runs[cell], world_run, i);
-                if (strcmp(at->piece, piece) == 0) {
-                    struct span span = {at->started_at, at->ended_at > 0 ? at->ended_at : INFINITY,
-                                        cell};
+                const fake_services_run *entry = &g_array_index(runs[cell], fake_services_run, i);
+                if (strcmp(entry->piece, task_name) == 0) {
+                    struct span span = {entry->started_at,
+                                        entry->ended_at > 0 ? entry->ended_at : INFINITY, cell};
                     g_array_append_val(spans, span);
                 }
             }
@@ -409,20 +408,20 @@
 
 static void check_job(GArray *const *runs, const struct job *job, struct findings *out) {
     double begun = INFINITY;
-    bool away = false;
+    bool transferred = false;
     for (unsigned task = 0; task < 2; task++) {
         GArray *spans = spans_of(runs, job, task);
         check_task(job, spans, out);
         for (guint i = 0; i < spans->len; i++) {
             begun = fmin(begun, g_array_index(spans, struct span, i).from);
-            away = away || g_array_index(spans, struct span, i).cell != job->home;
+            transferred = transferred || g_array_index(spans, struct span, i).cell != job->home;
         }
         g_array_free(spans, TRUE);
     }
     out->jobs++;
     out->done += job->done;
     out->aborted += job->aborted;
-    out->away += away;
+    out->away += transferred;
     out->begun_in_time += begun - job->came_at <= BEGIN_IN_TIME_S;
 }
 
@@ -430,7 +429,7 @@
     struct findings found = {0};
     GArray *runs[CELLS];
     for (int i = 0; i < CELLS; i++) {
-        runs[i] = world_runs(run.cells[i].w);
+        runs[i] = fake_services_runs(run.cells[i].w);
     }
     for (guint i = 0; i < run.jobs->len; i++) {
         check_job(runs, g_ptr_array_index(run.jobs, i), &found);
@@ -458,19 +457,19 @@
 
 /* At a cell that knows nothing of the job. */
 static void cancel_elsewhere(void) {
-    char standing[32];
+    char state[32];
     double until = rr_steady_clock_s() + 20;
     submit(0);
     struct job *job = g_ptr_array_index(run.jobs, run.jobs->len - 1);
     job->wants_cancel = false;
-    while (ask(2, "POST", job->id, "/cancel", standing, NULL) != 200) {
+    while (ask(2, "POST", job->id, "/cancel", state, NULL) != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.2);
     }
     poll_at(job, 0);
     assert_true(job->aborted || job->done);
     job->cancelled_at = job->aborted ? rr_steady_clock_s() : 0;
-    assert_int_equal(ask(2, "POST", "req-777", "/cancel", standing, NULL), 404);
+    assert_int_equal(ask(2, "POST", "req-777", "/cancel", state, NULL), 404);
 }
 
 static void four_cells(void **state) {
@@ -499,8 +498,8 @@
         submit_for(submissions_s * 2 / 3);
         kill_controllers(3);
         if (seed % 2 == 0) {
-            world_store_down(run.cells[3].w, true);
-            world_lose_worker(run.cells[3].w);
+            fake_services_store_down(run.cells[3].w, true);
+            fake_services_lose_worker(run.cells[3].w);
         }
         submit_for(submissions_s / 3);
         double settle_s = ask_until_settled();
@@ -525,10 +524,10 @@
         const struct job *job = g_ptr_array_index(run.jobs, i);
         lost = job->home == 0 && !job->done ? job : NULL;
     }
-    char standing[32];
+    char job_state[32];
     assert_non_null(lost);
-    assert_int_equal(ask(2, "GET", lost->id, "", standing, NULL), 503);
-    assert_int_equal(ask(2, "POST", lost->id, "/cancel", standing, NULL), 503);
+    assert_int_equal(ask(2, "GET", lost->id, "", job_state, NULL), 503);
+    assert_int_equal(ask(2, "POST", lost->id, "/cancel", job_state, NULL), 503);
     double until = rr_steady_clock_s() + 5;
     while (rr_steady_clock_s() < until) {
         ask_all();
@@ -583,14 +582,14 @@
     if (!cells_on) {
         skip();
     }
-    char standing[32];
+    char job_state[32];
     run_begin(first_seed);
-    assert_int_equal(ask(0, "GET", "req-777", "", standing, NULL), 404);
+    assert_int_equal(ask(0, "GET", "req-777", "", job_state, NULL), 404);
     for (int i = 1; i < CELLS; i++) {
         kill_controllers(i);
     }
     submit_for(3);
-    assert_int_equal(ask(0, "GET", "req-777", "", standing, NULL), 503);
+    assert_int_equal(ask(0, "GET", "req-777", "", job_state, NULL), 503);
     double settle_s = ask_until_settled();
     struct findings found = check_all();
     report("neighbours down", first_seed, &found, settle_s);
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -22,7 +22,7 @@
     struct rr_config config;
     char name[] = "/tmp/cells-settings-XXXXXX";
     int fd = mkstemp(name);
-    fx_config(&config, "n0");
+    test_config(&config, "n0");
     assert_true(fd >= 0);
     close(fd);
     assert_true(g_file_set_contents(name, text, -1, NULL));
@@ -167,17 +167,17 @@
     (void)state;
     make_request(&sent);
     rr_cells_request_pack(&sent, frame);
-    guint len = frame->len - RR_FRAME_HEADER_BYTES;
-    for (guint cut = 0; cut < len; cut++) {
+    guint length = frame->len - RR_FRAME_HEADER_BYTES;
+    for (guint cut = 0; cut < length; cut++) {
         guint8 *copy = g_memdup2(frame->data + RR_FRAME_HEADER_BYTES, cut ? cut : 1);
         assert_int_not_equal(rr_cells_request_unpack(copy, cut, &got), 0);
         rr_cells_request_clear(&got);
         g_free(copy);
     }
     for (int i = 0; i < 20000; i++) {
-        guint8 *copy = g_memdup2(frame->data + RR_FRAME_HEADER_BYTES, len);
-        copy[g_rand_int_range(random, 0, (gint32)len)] = (guint8)g_rand_int(random);
-        rr_cells_request_unpack(copy, len, &got);
+        guint8 *copy = g_memdup2(frame->data + RR_FRAME_HEADER_BYTES, length);
+        copy[g_rand_int_range(random, 0, (gint32)length)] = (guint8)g_rand_int(random);
+        rr_cells_request_unpack(copy, length, &got);
         assert_true(got.items->len <= RR_CELLS_ITEMS_MAX);
         rr_cells_request_clear(&got);
         g_free(copy);
@@ -230,15 +230,15 @@
     rr_cells_add_item(sent.items, "req-1", &message);
     rr_cells_reply_pack(&sent, frame);
     const uint8_t *payload = frame->data + RR_FRAME_HEADER_BYTES;
-    guint len = frame->len - RR_FRAME_HEADER_BYTES;
-    assert_int_equal(rr_cells_reply_unpack(payload, len, &got), 0);
+    guint length = frame->len - RR_FRAME_HEADER_BYTES;
+    assert_int_equal(rr_cells_reply_unpack(payload, length, &got), 0);
     assert_int_equal(got.status, RR_CELLS_NOT_OWNER);
     assert_string_equal(got.owner, "m1");
     assert_int_equal(got.http_status, 503);
     assert_int_equal(got.body->len, 3);
     assert_true(got.room.cpus == 1.5 && got.room.mem_gb == 64);
     rr_cells_reply_clear(&got);
-    for (guint cut = 0; cut < len; cut++) {
+    for (guint cut = 0; cut < length; cut++) {
         guint8 *copy = g_memdup2(payload, cut ? cut : 1);
         assert_int_not_equal(rr_cells_reply_unpack(copy, cut, &got), 0);
         rr_cells_reply_clear(&got);
--- a/tests/test_cells_transfer.c
+++ b/tests/test_cells_transfer.c
@@ -98,138 +98,141 @@
 
 /* ---- the world round the two machines ---- */
 
-static void send(struct state *s, bool to_home, uint32_t guest,
+static void send(struct state *state, bool to_home, uint32_t guest,
                  const rr_transfer_message *content) {
     for (int i = 0; content->kind != RR_TRANSFER_NOTHING && i < MESSAGES; i++) {
-        if (!s->messages[i].used) {
-            s->messages[i].used = true;
-            s->messages[i].to_home = to_home;
-            s->messages[i].guest = guest;
-            s->messages[i].content = *content;
+        if (!state->messages[i].used) {
+            state->messages[i].used = true;
+            state->messages[i].to_home = to_home;
+            state->messages[i].guest = guest;
+            state->messages[i].content = *content;
             return;
         }
     }
 }
 
-static double guest_now(const struct state *s, uint32_t g) {
-    return s->now + s->clock[g];
+static double guest_now(const struct state *state, uint32_t chunk) {
+    return state->now + state->clock[chunk];
 }
 
-static void home_step(struct state *s, uint32_t to, rr_home_step step) {
-    send(s, false, to, &step.message);
+static void home_step(struct state *state, uint32_t until, rr_home_step step) {
+    send(state, false, until, &step.message);
 }
 
-static void guest_step(struct state *s, uint32_t g, rr_guest_step step) {
-    send(s, true, g, &step.message);
+static void guest_step(struct state *state, uint32_t chunk, rr_guest_step step) {
+    send(state, true, chunk, &step.message);
 }
 
-static void start(struct state *s, bool *running) {
+static void start(struct state *state, bool *running) {
     *running = true;
-    s->runs_begun++;
+    state->runs_begun++;
 }
 
-static void home_write(struct state *s, bool applied, bool crash) {
+static void home_write(struct state *state, bool applied, bool crash) {
     if (applied) {
-        s->home_stored = s->home.writing;
+        state->home_stored = state->home.writing;
     }
-    uint32_t to = s->home.writing.guest;
+    uint32_t until = state->home.writing.guest;
     if (crash) {
-        rr_home_load(&s->home, &s->home_stored, s->home.running, s->now, &times);
+        rr_home_load(&state->home, &state->home_stored, state->home.running, state->now, &times);
     } else {
-        home_step(s, to, rr_home_written(&s->home, applied));
+        home_step(state, until, rr_home_written(&state->home, applied));
     }
-    if (s->home.record.state == RR_HOME_FINAL) {
-        s->told = s->home.record.answer;
-        s->home.running = false; /* what is final is stopped; here at once */
+    if (state->home.record.state == RR_HOME_FINAL) {
+        state->told = state->home.record.answer;
+        state->home.running = false; /* what is final is stopped; here at once */
     }
 }
 
-static void guest_crash(struct state *s, uint32_t g) {
-    uint64_t process = s->guests[g].process + 1;
-    s->clock[g] += CLOCK_STEP;
-    rr_guest_load(&s->guests[g], &s->guest_stored[g], s->guests[g].running, process);
+static void guest_crash(struct state *state, uint32_t chunk) {
+    uint64_t process = state->guests[chunk].process + 1;
+    state->clock[chunk] += CLOCK_STEP;
+    rr_guest_load(&state->guests[chunk], &state->guest_stored[chunk], state->guests[chunk].running,
+                  process);
 }
 
-static void guest_write(struct state *s, uint32_t g, bool applied, bool crash) {
+static void guest_write(struct state *state, uint32_t chunk, bool applied, bool crash) {
     if (applied) {
-        s->guest_stored[g] = s->guests[g].writing;
+        state->guest_stored[chunk] = state->guests[chunk].writing;
     }
     if (crash) {
-        guest_crash(s, g);
+        guest_crash(state, chunk);
     } else {
-        guest_step(s, g, rr_guest_written(&s->guests[g], applied));
+        guest_step(state, chunk, rr_guest_written(&state->guests[chunk], applied));
     }
 }
 
-static void deliver(struct state *s, int i, bool room) {
-    struct message m = s->messages[i];
-    memset(&s->messages[i], 0, sizeof s->messages[i]);
-    rr_guest *guest = &s->guests[m.guest];
-    if (m.to_home) {
-        home_step(s, m.guest, rr_home_receive(&s->home, m.guest, &m.content, s->now, &times));
+static void deliver(struct state *state, int i, bool room) {
+    struct message message = state->messages[i];
+    memset(&state->messages[i], 0, sizeof state->messages[i]);
+    rr_guest *guest = &state->guests[message.guest];
+    if (message.to_home) {
+        home_step(
+            state, message.guest,
+            rr_home_receive(&state->home, message.guest, &message.content, state->now, &times));
         return;
     }
-    guest_step(s, m.guest, rr_guest_receive(guest, &m.content, room, &times));
+    guest_step(state, message.guest, rr_guest_receive(guest, &message.content, room, &times));
     if (guest->granted_until > 0) {
-        s->ends_at[m.guest] = guest->granted_until - s->clock[m.guest];
+        state->ends_at[message.guest] = guest->granted_until - state->clock[message.guest];
     }
 }
 
 /* The workers' lease: what a guest does not stop is gone a while after its grant ends. */
-static void tick(struct state *s) {
-    s->now++;
-    for (uint32_t g = 0; g < GUESTS; g++) {
-        if (s->now >= s->ends_at[g] + times.rest_s) {
-            s->guests[g].running = false;
+static void tick(struct state *state) {
+    state->now++;
+    for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
+        if (state->now >= state->ends_at[chunk] + times.rest_s) {
+            state->guests[chunk].running = false;
         }
     }
 }
 
-static void home_event(struct state *s, enum event_kind kind, uint32_t g) {
-    rr_home *home = &s->home;
+static void home_event(struct state *state, enum event_kind kind, uint32_t chunk) {
+    rr_home *home = &state->home;
     switch (kind) {
     case HOME_OFFERS:
-        home_step(s, g, rr_home_offer(home, g, s->now));
+        home_step(state, chunk, rr_home_offer(home, chunk, state->now));
         break;
     case HOME_WITHDRAWS:
-        home_step(s, g, rr_home_withdraw(home));
+        home_step(state, chunk, rr_home_withdraw(home));
         break;
     case HOME_STARTS:
-        if (!home->running && rr_home_may_run(home, s->now)) {
-            start(s, &home->running);
+        if (!home->running && rr_home_may_run(home, state->now)) {
+            start(state, &home->running);
         }
         break;
     case HOME_ENDS:
         if (home->running && !home->writes) {
-            s->runs_done++;
-            home_step(s, 0, rr_home_end(home, RR_ANSWER_DONE));
+            state->runs_done++;
+            home_step(state, 0, rr_home_end(home, RR_ANSWER_DONE));
         }
         break;
     case HOME_CANCELS:
-        home_step(s, 0, rr_home_end(home, RR_ANSWER_CANCELLED));
+        home_step(state, 0, rr_home_end(home, RR_ANSWER_CANCELLED));
         break;
     case HOME_WRITTEN:
     case HOME_NOT_WRITTEN:
     case HOME_CRASHES_AFTER_WRITE:
         if (home->writes) {
-            home_write(s, kind != HOME_NOT_WRITTEN, kind == HOME_CRASHES_AFTER_WRITE);
+            home_write(state, kind != HOME_NOT_WRITTEN, kind == HOME_CRASHES_AFTER_WRITE);
         }
         break;
     case HOME_CRASHES:
-        rr_home_load(home, &s->home_stored, home->running, s->now, &times);
+        rr_home_load(home, &state->home_stored, home->running, state->now, &times);
         break;
     default:
-        home_step(s, home->record.guest, rr_home_repeat(home));
+        home_step(state, home->record.guest, rr_home_repeat(home));
     }
 }
 
-static void guest_event(struct state *s, enum event_kind kind, uint32_t g) {
-    rr_guest *guest = &s->guests[g];
-    bool may = rr_guest_may_run(guest, guest_now(s, g));
+static void guest_event(struct state *state, enum event_kind kind, uint32_t chunk) {
+    rr_guest *guest = &state->guests[chunk];
+    bool may = rr_guest_may_run(guest, guest_now(state, chunk));
     switch (kind) {
     case GUEST_STARTS:
         if (!guest->running && may) {
-            start(s, &guest->running);
+            start(state, &guest->running);
         }
         break;
     case GUEST_STOPS:
@@ -238,105 +241,105 @@
     case GUEST_ENDS:
         if (guest->running && may) {
             guest->running = false;
-            s->runs_done++;
-            guest_step(s, g, rr_guest_end(guest, RR_ANSWER_DONE));
+            state->runs_done++;
+            guest_step(state, chunk, rr_guest_end(guest, RR_ANSWER_DONE));
         }
         break;
     case GUEST_WRITTEN:
     case GUEST_NOT_WRITTEN:
     case GUEST_CRASHES_AFTER_WRITE:
         if (guest->writes) {
-            guest_write(s, g, kind != GUEST_NOT_WRITTEN, kind == GUEST_CRASHES_AFTER_WRITE);
+            guest_write(state, chunk, kind != GUEST_NOT_WRITTEN, kind == GUEST_CRASHES_AFTER_WRITE);
         }
         break;
     case GUEST_CRASHES:
-        guest_crash(s, g);
+        guest_crash(state, chunk);
         break;
     default:
-        guest_step(s, g, rr_guest_repeat(guest, guest_now(s, g)));
+        guest_step(state, chunk, rr_guest_repeat(guest, guest_now(state, chunk)));
     }
 }
 
-static bool message_event(struct state *s, enum event_kind kind, unsigned i) {
-    if (!s->messages[i].used) {
+static bool message_event(struct state *state, enum event_kind kind, unsigned i) {
+    if (!state->messages[i].used) {
         return false;
     }
     if (kind == LOSE) {
-        memset(&s->messages[i], 0, sizeof s->messages[i]);
+        memset(&state->messages[i], 0, sizeof state->messages[i]);
         return true;
     }
-    struct message copy = s->messages[i];
+    struct message copy = state->messages[i];
     if (kind == DELIVER_WITHOUT_ROOM && copy.content.kind != RR_TRANSFER_OFFER) {
         return false;
     }
-    deliver(s, (int)i, kind != DELIVER_WITHOUT_ROOM);
+    deliver(state, (int)i, kind != DELIVER_WITHOUT_ROOM);
     if (kind == DELIVER_TWICE) {
-        send(s, copy.to_home, copy.guest, &copy.content);
+        send(state, copy.to_home, copy.guest, &copy.content);
     }
     return true;
 }
 
 /* False: there is no such message. An event that is not possible changes nothing. */
-static bool apply(struct state *s, enum event_kind kind, unsigned choice) {
+static bool apply(struct state *state, enum event_kind kind, unsigned choice) {
     if (kind == TICK) {
-        tick(s);
+        tick(state);
         return true;
     }
     if (kind > GUEST_REPEATS) {
-        return message_event(s, kind, choice);
+        return message_event(state, kind, choice);
     }
     if (kind > HOME_REPEATS) {
-        guest_event(s, kind, choice);
+        guest_event(state, kind, choice);
     } else {
-        home_event(s, kind, choice);
+        home_event(state, kind, choice);
     }
     return true;
 }
 
 /* ---- invariants ---- */
 
-static const char *broken(const struct state *before, const struct state *s) {
-    unsigned running = s->home.running;
-    for (uint32_t g = 0; g < GUESTS; g++) {
-        running += s->guests[g].running;
-        if (s->guest_stored[g].claim < before->guest_stored[g].claim) {
+static const char *broken(const struct state *before, const struct state *state) {
+    unsigned running = state->home.running;
+    for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
+        running += state->guests[chunk].running;
+        if (state->guest_stored[chunk].claim < before->guest_stored[chunk].claim) {
             return "a guest's claim went back";
         }
     }
     if (running > 1) {
         return "it runs in two cells";
     }
-    if (s->home_stored.claim < before->home_stored.claim) {
+    if (state->home_stored.claim < before->home_stored.claim) {
         return "a claim number was used again";
     }
-    if (before->told != RR_ANSWER_NONE && s->told != before->told) {
+    if (before->told != RR_ANSWER_NONE && state->told != before->told) {
         return "a final answer changed";
     }
-    if (s->told == RR_ANSWER_DONE && s->runs_done == 0) {
+    if (state->told == RR_ANSWER_DONE && state->runs_done == 0) {
         return "done, but no run has ended";
     }
     return NULL;
 }
 
 static struct state first_state(void) {
-    struct state s;
-    memset(&s, 0, sizeof s);
-    rr_home_load(&s.home, &s.home_stored, false, 0, &times);
-    for (uint32_t g = 0; g < GUESTS; g++) {
-        s.clock[g] = 100 * (g + 1);
-        s.ends_at[g] = -100;
-        rr_guest_load(&s.guests[g], &s.guest_stored[g], false, 1);
+    struct state state;
+    memset(&state, 0, sizeof state);
+    rr_home_load(&state.home, &state.home_stored, false, 0, &times);
+    for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
+        state.clock[chunk] = 100 * (chunk + 1);
+        state.ends_at[chunk] = -100;
+        rr_guest_load(&state.guests[chunk], &state.guest_stored[chunk], false, 1);
     }
-    return s;
+    return state;
 }
 
 /* ---- every order, to a depth ---- */
 
-static guint64 *digest(const struct state *s) {
+static guint64 *digest(const struct state *state) {
     guint64 *hash = g_new(guint64, 1);
-    const unsigned char *bytes = (const unsigned char *)s;
+    const unsigned char *bytes = (const unsigned char *)state;
     *hash = 1469598103934665603ULL;
-    for (size_t i = 0; i < sizeof *s; i++) {
+    for (size_t i = 0; i < sizeof *state; i++) {
         *hash = (*hash ^ bytes[i]) * 1099511628211ULL;
     }
     return hash;
@@ -345,16 +348,16 @@
 static void expand(const struct state *from, GHashTable *seen, GArray *next) {
     for (int kind = 0; kind < EVENT_KINDS; kind++) {
         for (unsigned choice = 0; choice < choices[kind]; choice++) {
-            struct state s = *from;
-            if (!apply(&s, (enum event_kind)kind, choice)) {
+            struct state state = *from;
+            if (!apply(&state, (enum event_kind)kind, choice)) {
                 continue;
             }
-            const char *why = broken(from, &s);
+            const char *why = broken(from, &state);
             if (why) {
                 fail_msg("%s, after event %d %u", why, kind, choice);
             }
-            if (g_hash_table_add(seen, digest(&s))) {
-                g_array_append_val(next, s);
+            if (g_hash_table_add(seen, digest(&state))) {
+                g_array_append_val(next, state);
             }
         }
     }
@@ -364,21 +367,21 @@
 static struct state guest_runs_it(void) {
     static const enum event_kind events[] = {HOME_OFFERS,   HOME_WRITTEN, DELIVER, GUEST_WRITTEN,
                                              GUEST_REPEATS, DELIVER,      DELIVER, GUEST_STARTS};
-    struct state s = first_state();
+    struct state state = first_state();
     for (size_t i = 0; i < G_N_ELEMENTS(events); i++) {
-        assert_true(apply(&s, events[i], 0));
+        assert_true(apply(&state, events[i], 0));
     }
-    assert_true(s.guests[0].running);
-    return s;
+    assert_true(state.guests[0].running);
+    return state;
 }
 
 /* The home has taken the job back, and the guest does not know. */
 static struct state taken_back(void) {
-    struct state s = guest_runs_it();
-    assert_true(apply(&s, HOME_WITHDRAWS, 0));
-    assert_true(apply(&s, HOME_WRITTEN, 0));
-    assert_true(apply(&s, LOSE, 0));
-    return s;
+    struct state state = guest_runs_it();
+    assert_true(apply(&state, HOME_WITHDRAWS, 0));
+    assert_true(apply(&state, HOME_WRITTEN, 0));
+    assert_true(apply(&state, LOSE, 0));
+    return state;
 }
 
 static void walk_all(struct state first, const char *from) {
@@ -411,24 +414,24 @@
 #define RARE 40 /* what ends a walk soon, or undoes much, comes so much less often */
 
 /* Writes succeed, messages arrive, nobody crashes; a guest that may run does, and is done. */
-static void play_on(struct state *s) {
-    for (unsigned round = 0; round < 200 && s->told == RR_ANSWER_NONE; round++) {
-        apply(s, HOME_WRITTEN, 0);
-        apply(s, HOME_STARTS, 0);
-        apply(s, HOME_ENDS, 0);
-        for (uint32_t g = 0; g < GUESTS; g++) {
-            apply(s, GUEST_WRITTEN, g);
-            apply(s, GUEST_STARTS, g);
-            apply(s, GUEST_ENDS, g);
-            apply(s, GUEST_STOPS, g);
-            apply(s, GUEST_REPEATS, g);
+static void play_on(struct state *state) {
+    for (unsigned round = 0; round < 200 && state->told == RR_ANSWER_NONE; round++) {
+        apply(state, HOME_WRITTEN, 0);
+        apply(state, HOME_STARTS, 0);
+        apply(state, HOME_ENDS, 0);
+        for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
+            apply(state, GUEST_WRITTEN, chunk);
+            apply(state, GUEST_STARTS, chunk);
+            apply(state, GUEST_ENDS, chunk);
+            apply(state, GUEST_STOPS, chunk);
+            apply(state, GUEST_REPEATS, chunk);
         }
         for (unsigned i = 0; i < MESSAGES; i++) {
-            apply(s, DELIVER, i);
+            apply(state, DELIVER, i);
         }
-        apply(s, HOME_REPEATS, 0);
+        apply(state, HOME_REPEATS, 0);
         if (round % 3 == 2) {
-            apply(s, TICK, 0);
+            apply(state, TICK, 0);
         }
     }
 }
@@ -438,26 +441,26 @@
     GRand *random = g_rand_new_with_seed(seed);
     unsigned guest_runs = 0;
     for (unsigned walk = 0; walk < walks; walk++) {
-        struct state s = first_state();
+        struct state model = first_state();
         for (unsigned step = 0; step < WALK; step++) {
-            struct state before = s;
+            struct state before = model;
             enum event_kind kind = (enum event_kind)g_rand_int_range(random, 0, EVENT_KINDS);
             bool rare = kind == HOME_CANCELS || kind == HOME_WITHDRAWS || kind == HOME_CRASHES ||
                         kind == HOME_STARTS || kind == HOME_ENDS || kind == GUEST_CRASHES ||
                         kind == GUEST_ENDS;
             unsigned choice = (unsigned)g_rand_int_range(random, 0, (gint)choices[kind]);
-            if ((rare && g_rand_int_range(random, 0, RARE) > 0) || !apply(&s, kind, choice)) {
+            if ((rare && g_rand_int_range(random, 0, RARE) > 0) || !apply(&model, kind, choice)) {
                 continue;
             }
-            guest_runs += (s.guests[0].running && !before.guests[0].running) ||
-                          (s.guests[1].running && !before.guests[1].running);
-            const char *why = broken(&before, &s);
+            guest_runs += (model.guests[0].running && !before.guests[0].running) ||
+                          (model.guests[1].running && !before.guests[1].running);
+            const char *why = broken(&before, &model);
             if (why) {
                 fail_msg("%s: seed %u, walk %u, step %u", why, seed, walk, step);
             }
         }
-        play_on(&s);
-        if (s.told == RR_ANSWER_NONE) {
+        play_on(&model);
+        if (model.told == RR_ANSWER_NONE) {
             fail_msg("no answer: seed %u, walk %u", seed, walk);
         }
     }
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -5,30 +5,32 @@
 
 /* The fixture, with a machine in each zone. */
 static int setup(void **state) {
-    fx_world_setup(state);
-    fx_world *w = *state;
-    fx_machine(w->store, "vm-1", "a", false, false);
-    fx_machine(w->store, "vm-2", "b", false, false);
-    fx_sync(w->store, w->n.core, w->n.now);
+    core_fixture_setup(state);
+    core_fixture *fixture = *state;
+    fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
+    fake_store_put_machine(fixture->store, "vm-2", "b", false, false);
+    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
     return 0;
 }
 
 /* Both machines report empty; the job is booked on one of them, whose id comes back. */
-static const char *book_one(fx_world *w, const struct fx_job *j, uint64_t *attempt) {
-    rr_plan p;
-    fx_report(&w->n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(w->n.core), NULL);
-    fx_report(&w->n, "vm-2", "b", false, 1, 1, rr_core_fencing_token(w->n.core), NULL);
-    fx_submit(w->store, j, w->n.now);
-    fx_sync(w->store, w->n.core, w->n.now);
-    assert_int_equal(fx_plan(&w->n, &p), 1);
+static const char *book_one(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
+    rr_plan plan;
+    test_controller_heartbeat(&fixture->n, "vm-1", "a", false, 1, 1,
+                              rr_core_fencing_token(fixture->n.core), NULL);
+    test_controller_heartbeat(&fixture->n, "vm-2", "b", false, 1, 1,
+                              rr_core_fencing_token(fixture->n.core), NULL);
+    fake_store_submit(fixture->store, job, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    assert_int_equal(test_controller_plan(&fixture->n, &plan), 1);
     /* Nothing is started before the booking is recorded. */
-    assert_int_equal(p.command_batches->len, 0);
-    rr_plan_clear(&p);
-    *attempt = fx_booked(w->store, "vm-1", j->job_id, 0);
+    assert_int_equal(plan.command_batches->len, 0);
+    rr_plan_clear(&plan);
+    *attempt = fake_store_attempt(fixture->store, "vm-1", job->job_id, 0);
     if (*attempt) {
         return "vm-1";
     }
-    *attempt = fx_booked(w->store, "vm-2", j->job_id, 0);
+    *attempt = fake_store_attempt(fixture->store, "vm-2", job->job_id, 0);
     assert_true(*attempt != 0);
     return "vm-2";
 }
@@ -37,559 +39,594 @@
     return strcmp(id, "vm-1") == 0 ? "a" : "b";
 }
 
-static char *shown(const char *ref, uint64_t attempt, const char *standing) {
-    return g_strdup_printf("%s 0 %" G_GUINT64_FORMAT " %s", ref, attempt, standing);
+static char *shown(const char *job_id, uint64_t attempt, const char *state) {
+    return g_strdup_printf("%s 0 %" G_GUINT64_FORMAT " %s", job_id, attempt, state);
 }
 
 /* A start went unanswered: its copy may come minutes late. Absence from a report then proves
  * nothing; the task is started and stopped under the same token, so that an exited attempt blocks
  * the late copy, and that attempt is not reaped before the next term. */
 static void late_start_after_reassignment(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000001", .service = true};
-    uint64_t at;
-    rr_plan p;
-    const char *m = book_one(w, &j, &at);
-    fx_plan(n, &p);
-    rr_command_batch *d = fx_do(&p, m);
-    assert_non_null(fx_order(&p, m, RR_COMMAND_START, j.job_id, 0));
-    rr_core_command_result(n->core, n->now, d, RR_COMMAND_OUTCOME_UNKNOWN, false);
-    rr_plan_clear(&p);
-    fx_cancel(n, j.job_id);
-    n->now += 3;
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
-    const rr_command *start = fx_order(&p, m, RR_COMMAND_START, j.job_id, 0);
-    const rr_command *stop = fx_order(&p, m, RR_COMMAND_STOP, j.job_id, 0);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000001", .service = true};
+    uint64_t attempt;
+    rr_plan plan;
+    const char *machine = book_one(fixture, &job, &attempt);
+    test_controller_plan(node, &plan);
+    rr_command_batch *batch_index = plan_find_batch(&plan, machine);
+    assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_START, job.job_id, 0));
+    rr_core_command_result(node->core, node->now, batch_index, RR_COMMAND_OUTCOME_UNKNOWN, false);
+    rr_plan_clear(&plan);
+    test_controller_cancel(node, job.job_id);
+    node->now += 3;
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 2,
+                              rr_core_fencing_token(node->core), NULL);
+    test_controller_plan(node, &plan);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    const rr_command *start = plan_find_command(&plan, machine, RR_COMMAND_START, job.job_id, 0);
+    const rr_command *stop = plan_find_command(&plan, machine, RR_COMMAND_STOP, job.job_id, 0);
     assert_non_null(start);
     assert_non_null(stop);
     assert_true(start < stop);
-    rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_ANSWERED, true);
-    rr_plan_clear(&p);
+    rr_core_command_result(node->core, node->now, plan_find_batch(&plan, machine),
+                           RR_COMMAND_ANSWERED, true);
+    rr_plan_clear(&plan);
     /* Exited now: the booking may go, the attempt must stay as a block. */
-    char *ended = shown(j.job_id, at, "ended:halted");
-    n->now += 1;
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), ended, NULL);
-    assert_int_equal(fx_plan(n, &p), 1);
-    rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
-    fx_plan(n, &p);
-    assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
-    rr_plan_clear(&p);
+    char *ended = shown(job.job_id, attempt, "ended:halted");
+    node->now += 1;
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 3,
+                              rr_core_fencing_token(node->core), ended, NULL);
+    assert_int_equal(test_controller_plan(node, &plan), 1);
+    rr_plan_clear(&plan);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == 0);
+    test_controller_plan(node, &plan);
+    assert_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
+    rr_plan_clear(&plan);
     /* The next term voids the late copy: now it is reaped. */
-    fx_join(n, 8);
-    n->now += 1;
-    fx_report(n, m, zone_of(m), false, 1, 4, rr_core_fencing_token(n->core), ended, NULL);
-    fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
-    rr_plan_clear(&p);
+    test_controller_join(node, 8);
+    node->now += 1;
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 4,
+                              rr_core_fencing_token(node->core), ended, NULL);
+    test_controller_plan(node, &plan);
+    assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
+    rr_plan_clear(&plan);
     g_free(ended);
 }
 
 /* A task's completion is recorded, in one transaction with the end of its booking, before the
  * worker is told to forget it: a crash in between finds it in the report again. */
 static void done_is_recorded_before_reap(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000002"};
-    uint64_t at;
-    rr_plan p;
-    rr_job_view v;
-    const char *m = book_one(w, &j, &at);
-    char *ended = shown(j.job_id, at, "ended:done");
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), ended, NULL);
-    rr_plan_init(&p);
-    rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_transaction);
-    assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
-    rr_plan_clear(&p); /* the controller dies here: nothing is lost */
-    rr_core_job_view(n->core, j.job_id, n->now, &v);
-    assert_false(v.done);
-    assert_int_equal(fx_plan(n, &p), 1);
-    rr_plan_clear(&p);
-    rr_core_job_view(n->core, j.job_id, n->now, &v);
-    assert_true(v.done);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000002"};
+    uint64_t attempt;
+    rr_plan plan;
+    rr_job_view view;
+    const char *machine = book_one(fixture, &job, &attempt);
+    char *ended = shown(job.job_id, attempt, "ended:done");
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 2,
+                              rr_core_fencing_token(node->core), ended, NULL);
+    rr_plan_init(&plan);
+    rr_core_plan(node->core, node->now, node->now, &plan);
+    assert_true(plan.has_transaction);
+    assert_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
+    rr_plan_clear(&plan); /* the controller dies here: nothing is lost */
+    rr_core_job_view(node->core, job.job_id, node->now, &view);
+    assert_false(view.done);
+    assert_int_equal(test_controller_plan(node, &plan), 1);
+    rr_plan_clear(&plan);
+    rr_core_job_view(node->core, job.job_id, node->now, &view);
+    assert_true(view.done);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == 0);
     /* The reap waits for another command to go with, but not for ever. */
-    fx_plan(n, &p);
-    assert_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
-    rr_plan_clear(&p);
-    n->now += n->config.heartbeat_interval_s;
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), ended, NULL);
-    fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
-    rr_plan_clear(&p);
+    test_controller_plan(node, &plan);
+    assert_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
+    rr_plan_clear(&plan);
+    node->now += node->config.heartbeat_interval_s;
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 3,
+                              rr_core_fencing_token(node->core), ended, NULL);
+    test_controller_plan(node, &plan);
+    assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
+    rr_plan_clear(&plan);
     g_free(ended);
 }
 
 /* The reap of what is done goes with the start of what takes its place. */
 static void reap_goes_with_the_next_start(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000002"}, next = {.job_id = "req-000003"};
-    uint64_t at;
-    rr_plan p;
-    const char *m = book_one(w, &j, &at);
-    const char *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
-    char *ended = shown(j.job_id, at, "ended:done");
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), ended, NULL);
-    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_fencing_token(n->core), NULL);
-    assert_int_equal(fx_plan(n, &p), 1);
-    rr_plan_clear(&p);
-    next.zone = zone_of(m);
-    fx_submit(w->store, &next, n->now);
-    fx_sync(w->store, n->core, n->now);
-    assert_int_equal(fx_plan(n, &p), 1);
-    rr_plan_clear(&p);
-    fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_COMMAND_START, next.job_id, 0));
-    assert_non_null(fx_order(&p, m, RR_COMMAND_REAP, j.job_id, 0));
-    assert_int_equal(p.command_batches->len, 1);
-    rr_plan_clear(&p);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000002"}, next = {.job_id = "req-000003"};
+    uint64_t attempt;
+    rr_plan plan;
+    const char *machine = book_one(fixture, &job, &attempt);
+    const char *other = strcmp(machine, "vm-1") == 0 ? "vm-2" : "vm-1";
+    char *ended = shown(job.job_id, attempt, "ended:done");
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 2,
+                              rr_core_fencing_token(node->core), ended, NULL);
+    test_controller_heartbeat(node, other, zone_of(other), false, 1, 2,
+                              rr_core_fencing_token(node->core), NULL);
+    assert_int_equal(test_controller_plan(node, &plan), 1);
+    rr_plan_clear(&plan);
+    next.zone = zone_of(machine);
+    fake_store_submit(fixture->store, &next, node->now);
+    fake_store_sync(fixture->store, node->core, node->now);
+    assert_int_equal(test_controller_plan(node, &plan), 1);
+    rr_plan_clear(&plan);
+    test_controller_plan(node, &plan);
+    assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_START, next.job_id, 0));
+    assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
+    assert_int_equal(plan.command_batches->len, 1);
+    rr_plan_clear(&plan);
     g_free(ended);
 }
 
 /* A job of several tasks is not done before its last one. */
 static void not_done_before_all_tasks(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000003", .pieces = 2, .cpus = 1};
-    uint64_t at;
-    rr_plan p;
-    rr_job_view v;
-    const char *m = book_one(w, &j, &at);
-    char *ended = shown(j.job_id, at, "ended:done");
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), ended, NULL);
-    fx_plan(n, &p);
-    rr_plan_clear(&p);
-    rr_core_job_view(n->core, j.job_id, n->now, &v);
-    assert_false(v.done);
-    assert_int_equal(v.done_count, 1);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000003", .pieces = 2, .cpus = 1};
+    uint64_t attempt;
+    rr_plan plan;
+    rr_job_view view;
+    const char *machine = book_one(fixture, &job, &attempt);
+    char *ended = shown(job.job_id, attempt, "ended:done");
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 2,
+                              rr_core_fencing_token(node->core), ended, NULL);
+    test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+    rr_core_job_view(node->core, job.job_id, node->now, &view);
+    assert_false(view.done);
+    assert_int_equal(view.done_count, 1);
     g_free(ended);
 }
 
 /* A transaction planned under the old term changes nothing once there is a new one, however late it
  * is applied. */
 static void old_owner_changes_nothing(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n, b;
-    struct fx_job j = {.job_id = "req-000004"};
-    rr_plan p;
-    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(n->core), NULL);
-    fx_submit(w->store, &j, n->now);
-    fx_sync(w->store, n->core, n->now);
-    rr_plan_init(&p);
-    rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_transaction);
-    fx_node_init(&b, w->store, "n1");
-    fx_sync(w->store, b.core, b.now);
-    fx_join(&b, 9);
-    assert_true(fx_commit(w->store, &p.transaction) != 0);
-    assert_true(fx_booked(w->store, "vm-1", j.job_id, 0) == 0);
-    rr_plan_clear(&p);
-    fx_node_clear(&b);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n, other;
+    struct test_job job = {.job_id = "req-000004"};
+    rr_plan plan;
+    test_controller_heartbeat(node, "vm-1", "a", false, 1, 1, rr_core_fencing_token(node->core),
+                              NULL);
+    fake_store_submit(fixture->store, &job, node->now);
+    fake_store_sync(fixture->store, node->core, node->now);
+    rr_plan_init(&plan);
+    rr_core_plan(node->core, node->now, node->now, &plan);
+    assert_true(plan.has_transaction);
+    test_controller_init(&other, fixture->store, "n1");
+    fake_store_sync(fixture->store, other.core, other.now);
+    test_controller_join(&other, 9);
+    assert_true(fake_store_commit(fixture->store, &plan.transaction) != 0);
+    assert_true(fake_store_attempt(fixture->store, "vm-1", job.job_id, 0) == 0);
+    rr_plan_clear(&plan);
+    test_controller_clear(&other);
 }
 
 /* Commands were in flight when the term changed. The new owner takes no absence as proof until the
  * worker has shown the new token, since only that voids them. */
 static void term_change_with_commands_in_flight(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000005", .service = true};
-    uint64_t at, old = rr_core_fencing_token(n->core);
-    rr_plan p;
-    const char *m = book_one(w, &j, &at);
-    fx_plan(n, &p); /* the start is on its way */
-    rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_OUTCOME_UNKNOWN, false);
-    rr_plan_clear(&p);
-    fx_join(n, 8); /* a new incarnation, a new term */
-    assert_true(rr_core_fencing_token(n->core) > old);
-    fx_cancel(n, j.job_id);
-    n->now += 2;
-    fx_report(n, m, zone_of(m), false, 1, 2, old, NULL);
-    fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
-    rr_plan_clear(&p);
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == 0);
-    rr_plan_clear(&p);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000005", .service = true};
+    uint64_t attempt, old = rr_core_fencing_token(node->core);
+    rr_plan plan;
+    const char *machine = book_one(fixture, &job, &attempt);
+    test_controller_plan(node, &plan); /* the start is on its way */
+    rr_core_command_result(node->core, node->now, plan_find_batch(&plan, machine),
+                           RR_COMMAND_OUTCOME_UNKNOWN, false);
+    rr_plan_clear(&plan);
+    test_controller_join(node, 8); /* a new incarnation, a new term */
+    assert_true(rr_core_fencing_token(node->core) > old);
+    test_controller_cancel(node, job.job_id);
+    node->now += 2;
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 2, old, NULL);
+    test_controller_plan(node, &plan);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    rr_plan_clear(&plan);
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 3,
+                              rr_core_fencing_token(node->core), NULL);
+    test_controller_plan(node, &plan);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == 0);
+    rr_plan_clear(&plan);
 }
 
 /* A machine that only fell silent keeps its tasks in the ledger; they are placed anew once its
  * record is gone. */
 static void silence_proves_nothing(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000006", .service = true};
-    uint64_t at;
-    rr_plan p;
-    const char *m = book_one(w, &j, &at), *other = strcmp(m, "vm-1") == 0 ? "vm-2" : "vm-1";
-    n->now += 600;
-    fx_report(n, other, zone_of(other), false, 1, 2, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &p);
-    rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
-    assert_true(fx_booked(w->store, other, j.job_id, 0) == 0);
-    fx_machine_gone(w->store, m);
-    fx_sync(w->store, n->core, n->now);
-    fx_plan(n, &p); /* the booking goes */
-    rr_plan_clear(&p);
-    fx_plan(n, &p);
-    rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, other, j.job_id, 0) > at);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000006", .service = true};
+    uint64_t attempt;
+    rr_plan plan;
+    const char *machine = book_one(fixture, &job, &attempt),
+               *other = strcmp(machine, "vm-1") == 0 ? "vm-2" : "vm-1";
+    node->now += 600;
+    test_controller_heartbeat(node, other, zone_of(other), false, 1, 2,
+                              rr_core_fencing_token(node->core), NULL);
+    test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    assert_true(fake_store_attempt(fixture->store, other, job.job_id, 0) == 0);
+    fake_store_delete_machine(fixture->store, machine);
+    fake_store_sync(fixture->store, node->core, node->now);
+    test_controller_plan(node, &plan); /* the booking goes */
+    rr_plan_clear(&plan);
+    test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+    assert_true(fake_store_attempt(fixture->store, other, job.job_id, 0) > attempt);
 }
 
 /* A worker whose lease ran out forgot its tasks: the booking of the earlier worker_epoch goes. */
 static void later_worker_epoch_ends_the_booking(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000007", .service = true};
-    uint64_t at;
-    rr_plan p;
-    const char *m = book_one(w, &j, &at);
-    n->now += 40;
-    fx_report(n, m, zone_of(m), false, 2, 9, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &p);
-    rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) != at);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000007", .service = true};
+    uint64_t attempt;
+    rr_plan plan;
+    const char *machine = book_one(fixture, &job, &attempt);
+    node->now += 40;
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 2, 9,
+                              rr_core_fencing_token(node->core), NULL);
+    test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) != attempt);
 }
 
 /* A report that was held up on the way is older than what is known and proves nothing. */
 static void late_report_is_dropped(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000008", .service = true};
-    uint64_t at;
-    rr_plan p;
-    const char *m = book_one(w, &j, &at);
-    char *running = shown(j.job_id, at, "running");
-    fx_report(n, m, zone_of(m), false, 1, 20, rr_core_fencing_token(n->core), running, NULL);
-    fx_cancel(n, j.job_id);
-    fx_report(n, m, zone_of(m), false, 1, 5, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &p);
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
-    assert_non_null(fx_order(&p, m, RR_COMMAND_STOP, j.job_id, 0));
-    rr_plan_clear(&p);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000008", .service = true};
+    uint64_t attempt;
+    rr_plan plan;
+    const char *machine = book_one(fixture, &job, &attempt);
+    char *running = shown(job.job_id, attempt, "running");
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 20,
+                              rr_core_fencing_token(node->core), running, NULL);
+    test_controller_cancel(node, job.job_id);
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 5,
+                              rr_core_fencing_token(node->core), NULL);
+    test_controller_plan(node, &plan);
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_STOP, job.job_id, 0));
+    rr_plan_clear(&plan);
     g_free(running);
 }
 
 /* Cancelled with its start in flight: no new start, and the booking stands until the answer. */
 static void cancel_with_start_in_flight(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000009", .service = true};
-    uint64_t at;
-    rr_plan p, q;
-    const char *m = book_one(w, &j, &at);
-    fx_plan(n, &p);
-    assert_non_null(fx_order(&p, m, RR_COMMAND_START, j.job_id, 0));
-    fx_cancel(n, j.job_id);
-    n->now += 2;
-    fx_report(n, m, zone_of(m), false, 1, 2, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &q);
-    assert_null(fx_do(&q, m));
-    assert_true(fx_booked(w->store, m, j.job_id, 0) == at);
-    rr_plan_clear(&q);
-    char *running = shown(j.job_id, at, "running");
-    fx_report(n, m, zone_of(m), false, 1, 3, rr_core_fencing_token(n->core), running, NULL);
-    rr_core_command_result(n->core, n->now, fx_do(&p, m), RR_COMMAND_ANSWERED, true);
-    fx_plan(n, &q);
-    const rr_command *stop = fx_order(&q, m, RR_COMMAND_STOP, j.job_id, 0);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000009", .service = true};
+    uint64_t attempt;
+    rr_plan plan, quiet;
+    const char *machine = book_one(fixture, &job, &attempt);
+    test_controller_plan(node, &plan);
+    assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_START, job.job_id, 0));
+    test_controller_cancel(node, job.job_id);
+    node->now += 2;
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 2,
+                              rr_core_fencing_token(node->core), NULL);
+    test_controller_plan(node, &quiet);
+    assert_null(plan_find_batch(&quiet, machine));
+    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    rr_plan_clear(&quiet);
+    char *running = shown(job.job_id, attempt, "running");
+    test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 3,
+                              rr_core_fencing_token(node->core), running, NULL);
+    rr_core_command_result(node->core, node->now, plan_find_batch(&plan, machine),
+                           RR_COMMAND_ANSWERED, true);
+    test_controller_plan(node, &quiet);
+    const rr_command *stop = plan_find_command(&quiet, machine, RR_COMMAND_STOP, job.job_id, 0);
     assert_non_null(stop);
     assert_true(stop->grace_s == 0);
-    rr_plan_clear(&p);
-    rr_plan_clear(&q);
+    rr_plan_clear(&plan);
+    rr_plan_clear(&quiet);
     g_free(running);
 }
 
 /* Any controller that is asked adds the stops of cancelled jobs to its answer. */
 static void every_answer_stops_cancelled_tasks(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000010", .service = true};
-    uint64_t at;
-    book_one(w, &j, &at);
-    fx_cancel(n, j.job_id);
-    rr_heartbeat r = {.worker_epoch = 1,
-                      .sequence = 3,
-                      .fencing_token = rr_core_fencing_token(n->core),
-                      .spot_notice_s = -1};
-    rr_task_status piece = {.attempt = at, .state = RR_TASK_RUNNING};
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000010", .service = true};
+    uint64_t attempt;
+    book_one(fixture, &job, &attempt);
+    test_controller_cancel(node, job.job_id);
+    rr_heartbeat heartbeat = {.worker_epoch = 1,
+                              .sequence = 3,
+                              .fencing_token = rr_core_fencing_token(node->core),
+                              .spot_notice_s = -1};
+    rr_task_status task = {.attempt = attempt, .state = RR_TASK_RUNNING};
     struct rr_heartbeat_reply ans;
-    g_strlcpy(piece.job_id, j.job_id, sizeof piece.job_id);
-    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    g_array_append_val(r.tasks, piece);
-    rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
+    g_strlcpy(task.job_id, job.job_id, sizeof task.job_id);
+    heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
+    g_array_append_val(heartbeat.tasks, task);
+    rr_core_reply_to_heartbeat(node->core, node->now, &heartbeat, &ans);
     assert_int_equal(ans.status, 200);
     assert_int_equal(ans.commands->len, 1);
     assert_int_equal(g_array_index(ans.commands, rr_command, 0).kind, RR_COMMAND_STOP);
     g_array_free(ans.commands, TRUE);
-    rr_heartbeat_clear(&r);
+    rr_heartbeat_clear(&heartbeat);
 }
 
 /* A 200 with a lower token would be dropped by the worker, which would then stay here until its
  * lease runs out; and a node whose session has lapsed may not answer at all. */
 static void no_answer_that_would_be_dropped(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    rr_heartbeat r = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    rr_heartbeat heartbeat = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
     struct rr_heartbeat_reply ans;
-    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    r.fencing_token = rr_core_fencing_token(n->core) + 1;
-    rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
+    heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
+    heartbeat.fencing_token = rr_core_fencing_token(node->core) + 1;
+    rr_core_reply_to_heartbeat(node->core, node->now, &heartbeat, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
     assert_null(ans.commands);
-    r.fencing_token = 0;
-    rr_core_set_session(n->core, 0, 0);
-    rr_core_reply_to_heartbeat(n->core, n->now, &r, &ans);
+    heartbeat.fencing_token = 0;
+    rr_core_set_session(node->core, 0, 0);
+    rr_core_reply_to_heartbeat(node->core, node->now, &heartbeat, &ans);
     assert_true(ans.status == 421 || ans.status == 503);
-    assert_false(rr_core_lease_valid(n->core, n->now));
-    rr_heartbeat_clear(&r);
+    assert_false(rr_core_lease_valid(node->core, node->now));
+    rr_heartbeat_clear(&heartbeat);
 }
 
 /* The limit holds across a change of owner: what the old owner booked counts, proven gone or not.
  */
 static void quota_across_an_owner_change(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000011", .pieces = 3, .cpus = 1, .gpus = 1};
-    uint64_t at;
-    rr_plan p;
-    n->config.teams[0].gpus_max = 2;
-    book_one(w, &j, &at);
-    unsigned booked = 0;
-    for (uint32_t t = 0; t < 3; t++) {
-        booked += fx_booked(w->store, "vm-1", j.job_id, t) != 0;
-        booked += fx_booked(w->store, "vm-2", j.job_id, t) != 0;
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000011", .pieces = 3, .cpus = 1, .gpus = 1};
+    uint64_t attempt;
+    rr_plan plan;
+    node->config.teams[0].gpus_max = 2;
+    book_one(fixture, &job, &attempt);
+    unsigned reserved = 0;
+    for (uint32_t task = 0; task < 3; task++) {
+        reserved += fake_store_attempt(fixture->store, "vm-1", job.job_id, task) != 0;
+        reserved += fake_store_attempt(fixture->store, "vm-2", job.job_id, task) != 0;
     }
-    assert_int_equal(booked, 2);
-    fx_join(n, 8);
-    fx_report(n, "vm-1", "a", false, 1, 5, rr_core_fencing_token(n->core), NULL);
-    fx_report(n, "vm-2", "b", false, 1, 5, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &p);
-    rr_plan_clear(&p);
-    for (uint32_t t = 0; t < 3; t++) {
-        booked -= fx_booked(w->store, "vm-1", j.job_id, t) != 0;
-        booked -= fx_booked(w->store, "vm-2", j.job_id, t) != 0;
+    assert_int_equal(reserved, 2);
+    test_controller_join(node, 8);
+    test_controller_heartbeat(node, "vm-1", "a", false, 1, 5, rr_core_fencing_token(node->core),
+                              NULL);
+    test_controller_heartbeat(node, "vm-2", "b", false, 1, 5, rr_core_fencing_token(node->core),
+                              NULL);
+    test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+    for (uint32_t task = 0; task < 3; task++) {
+        reserved -= fake_store_attempt(fixture->store, "vm-1", job.job_id, task) != 0;
+        reserved -= fake_store_attempt(fixture->store, "vm-2", job.job_id, task) != 0;
     }
-    assert_int_equal(booked, 0);
+    assert_int_equal(reserved, 0);
 }
 
 /* Both owners plan from the same state, and only then is either's transaction carried out. */
-static void plan_side_by_side(fx_node *const nodes[2], fx_store *s) {
+static void plan_side_by_side(test_controller *const nodes[2], fake_store *store) {
     rr_plan plans[2];
     for (int i = 0; i < 2; i++) {
-        fx_sync(s, nodes[i]->core, nodes[i]->now);
-        fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_fencing_token(nodes[0]->core), NULL);
+        fake_store_sync(store, nodes[i]->core, nodes[i]->now);
+        test_controller_heartbeat(nodes[i], "vm-1", "a", false, 1, 1,
+                                  rr_core_fencing_token(nodes[0]->core), NULL);
         rr_plan_init(&plans[i]);
         rr_core_plan(nodes[i]->core, nodes[i]->now, nodes[i]->now, &plans[i]);
     }
     for (int i = 0; i < 2; i++) {
-        assert_int_equal(fx_commit(s, &plans[i].transaction), 0);
+        assert_int_equal(fake_store_commit(store, &plans[i].transaction), 0);
         rr_plan_clear(&plans[i]);
     }
     for (int i = 0; i < 2; i++) {
-        fx_sync(s, nodes[i]->core, nodes[i]->now);
+        fake_store_sync(store, nodes[i]->core, nodes[i]->now);
     }
 }
 
 /* Plans once, answers the commands, and notes for which of the two jobs a start was among them. */
-static int count_starts(fx_node *n, const char *const refs[2], int node, int owner[2]) {
-    rr_plan p;
+static int count_starts(test_controller *count, const char *const refs[2], int node, int owner[2]) {
+    rr_plan plan;
     int started = 0;
-    rr_plan_init(&p);
-    rr_core_plan(n->core, n->now, n->now, &p);
-    for (int q = 0; q < 2; q++) {
-        if (fx_order(&p, "vm-1", RR_COMMAND_START, refs[q], 0)) {
-            owner[q] = node;
+    rr_plan_init(&plan);
+    rr_core_plan(count->core, count->now, count->now, &plan);
+    for (int quiet = 0; quiet < 2; quiet++) {
+        if (plan_find_command(&plan, "vm-1", RR_COMMAND_START, refs[quiet], 0)) {
+            owner[quiet] = node;
             started++;
         }
     }
-    for (guint d = 0; d < p.command_batches->len; d++) {
-        rr_core_command_result(n->core, n->now, g_ptr_array_index(p.command_batches, d),
+    for (guint batch_index = 0; batch_index < plan.command_batches->len; batch_index++) {
+        rr_core_command_result(count->core, count->now,
+                               g_ptr_array_index(plan.command_batches, batch_index),
                                RR_COMMAND_ANSWERED, true);
     }
-    rr_plan_clear(&p);
+    rr_plan_clear(&plan);
     return started;
 }
 
 /* Two owners may book the same room, since each writes its own jobs' records. The worker decides:
  * it refuses one start, and that booking goes. Neither waits for the other to leave. */
 static void two_owners_one_room(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n, b;
-    struct fx_job j1 = {.job_id = "req-000012", .team = "red", .cpus = 16};
-    struct fx_job j2 = {.job_id = "req-000013", .team = "blue", .cpus = 16};
-    const char *refs[2] = {j1.job_id, j2.job_id};
-    rr_plan p;
-    fx_machine_gone(w->store, "vm-2");
-    fx_node_init(&b, w->store, "n1");
-    fx_sync(w->store, b.core, b.now);
-    fx_join(&b, 9);
-    fx_term(n);
-    fx_submit(w->store, &j1, n->now);
-    fx_submit(w->store, &j2, n->now);
-    fx_node *const nodes[2] = {n, &b};
-    uint64_t at[2];
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n, other;
+    struct test_job first_job = {.job_id = "req-000012", .team = "red", .cpus = 16};
+    struct test_job second_job = {.job_id = "req-000013", .team = "blue", .cpus = 16};
+    const char *refs[2] = {first_job.job_id, second_job.job_id};
+    rr_plan plan;
+    fake_store_delete_machine(fixture->store, "vm-2");
+    test_controller_init(&other, fixture->store, "n1");
+    fake_store_sync(fixture->store, other.core, other.now);
+    test_controller_join(&other, 9);
+    test_controller_next_term(node);
+    fake_store_submit(fixture->store, &first_job, node->now);
+    fake_store_submit(fixture->store, &second_job, node->now);
+    test_controller *const nodes[2] = {node, &other};
+    uint64_t attempts[2];
     int owner[2] = {-1, -1}, started = 0;
-    plan_side_by_side(nodes, w->store);
+    plan_side_by_side(nodes, fixture->store);
     for (int k = 0; k < 2; k++) {
-        at[k] = fx_booked(w->store, "vm-1", refs[k], 0);
-        assert_true(at[k] != 0);
+        attempts[k] = fake_store_attempt(fixture->store, "vm-1", refs[k], 0);
+        assert_true(attempts[k] != 0);
         for (int i = 0; i < 2; i++) {
             started += count_starts(nodes[i], refs, i, owner);
         }
     }
     assert_int_equal(started, 2);
-    char *runs = shown(refs[0], at[0], "running"), *full = shown(refs[1], at[1], "ended:full");
+    char *runs = shown(refs[0], attempts[0], "running"),
+         *full = shown(refs[1], attempts[1], "ended:full");
     for (int i = 0; i < 2; i++) {
-        fx_report(nodes[i], "vm-1", "a", false, 1, 9, rr_core_fencing_token(n->core), runs, full,
-                  NULL);
+        test_controller_heartbeat(nodes[i], "vm-1", "a", false, 1, 9,
+                                  rr_core_fencing_token(node->core), runs, full, NULL);
     }
-    fx_plan(nodes[owner[1]], &p);
-    rr_plan_clear(&p);
-    assert_true(fx_booked(w->store, "vm-1", refs[0], 0) == at[0]);
-    assert_true(fx_booked(w->store, "vm-1", refs[1], 0) != at[1]);
+    test_controller_plan(nodes[owner[1]], &plan);
+    rr_plan_clear(&plan);
+    assert_true(fake_store_attempt(fixture->store, "vm-1", refs[0], 0) == attempts[0]);
+    assert_true(fake_store_attempt(fixture->store, "vm-1", refs[1], 0) != attempts[1]);
     g_free(runs);
     g_free(full);
-    fx_node_clear(&b);
+    test_controller_clear(&other);
 }
 
 /* Attempts of two owners in one term never share a number: a replica was once stopped as the victim
  * of a preemption because another team's batch task had the same one. */
 static void attempts_differ_between_owners(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n, b;
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n, other;
     const char *const teams[] = {"red", "blue"};
     uint64_t seen[2] = {0, 0};
-    rr_plan p;
-    fx_node_init(&b, w->store, "n1");
-    fx_sync(w->store, b.core, b.now);
-    fx_join(&b, 9);
-    fx_term(n);
-    fx_node *nodes[2] = {n, &b};
-    for (int t = 0; t < 2; t++) {
-        char ref[16];
-        g_snprintf(ref, sizeof ref, "req-10000%d", t);
-        fx_submit(w->store, &(struct fx_job){.job_id = ref, .team = teams[t], .cpus = 1}, n->now);
-        for (int i = 0; i < 2 && !seen[t]; i++) {
-            fx_sync(w->store, nodes[i]->core, nodes[i]->now);
-            fx_report(nodes[i], "vm-1", "a", false, 1, 1, rr_core_fencing_token(nodes[i]->core),
-                      NULL);
-            fx_plan(nodes[i], &p);
-            rr_plan_clear(&p);
-            seen[t] = fx_booked(w->store, "vm-1", ref, 0);
+    rr_plan plan;
+    test_controller_init(&other, fixture->store, "n1");
+    fake_store_sync(fixture->store, other.core, other.now);
+    test_controller_join(&other, 9);
+    test_controller_next_term(node);
+    test_controller *nodes[2] = {node, &other};
+    for (int team = 0; team < 2; team++) {
+        char job_id[16];
+        g_snprintf(job_id, sizeof job_id, "req-10000%d", team);
+        fake_store_submit(fixture->store,
+                          &(struct test_job){.job_id = job_id, .team = teams[team], .cpus = 1},
+                          node->now);
+        for (int i = 0; i < 2 && !seen[team]; i++) {
+            fake_store_sync(fixture->store, nodes[i]->core, nodes[i]->now);
+            test_controller_heartbeat(nodes[i], "vm-1", "a", false, 1, 1,
+                                      rr_core_fencing_token(nodes[i]->core), NULL);
+            test_controller_plan(nodes[i], &plan);
+            rr_plan_clear(&plan);
+            seen[team] = fake_store_attempt(fixture->store, "vm-1", job_id, 0);
         }
-        assert_true(seen[t] != 0);
+        assert_true(seen[team] != 0);
     }
     assert_true(seen[0] != seen[1]);
-    fx_node_clear(&b);
+    test_controller_clear(&other);
 }
 
 /* A placement guards its job too: a cancellation committed in between voids it. */
 static void cancel_voids_a_planned_start(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000014"};
-    rr_plan p;
-    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(n->core), NULL);
-    fx_submit(w->store, &j, n->now);
-    fx_sync(w->store, n->core, n->now);
-    rr_plan_init(&p);
-    rr_core_plan(n->core, n->now, n->now, &p);
-    assert_true(p.has_transaction);
-    fx_cancel(n, j.job_id);
-    assert_true(fx_commit(w->store, &p.transaction) != 0);
-    rr_plan_clear(&p);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000014"};
+    rr_plan plan;
+    test_controller_heartbeat(node, "vm-1", "a", false, 1, 1, rr_core_fencing_token(node->core),
+                              NULL);
+    fake_store_submit(fixture->store, &job, node->now);
+    fake_store_sync(fixture->store, node->core, node->now);
+    rr_plan_init(&plan);
+    rr_core_plan(node->core, node->now, node->now, &plan);
+    assert_true(plan.has_transaction);
+    test_controller_cancel(node, job.job_id);
+    assert_true(fake_store_commit(fixture->store, &plan.transaction) != 0);
+    rr_plan_clear(&plan);
 }
 
 /* A job that waited long goes first and in its turn: once each, or its tasks were booked twice. */
 static void an_overdue_job_is_placed_once(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000018", .pieces = 4, .cpus = 1};
-    rr_plan p;
-    fx_submit(w->store, &j, n->now);
-    n->now += 100;
-    fx_sync(w->store, n->core, n->now);
-    fx_report(n, "vm-1", "a", false, 1, 1, rr_core_fencing_token(n->core), NULL);
-    fx_report(n, "vm-2", "b", false, 1, 1, rr_core_fencing_token(n->core), NULL);
-    fx_plan(n, &p);
-    rr_plan_clear(&p);
-    assert_int_equal(fx_placed(w->store, j.job_id), 4);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000018", .pieces = 4, .cpus = 1};
+    rr_plan plan;
+    fake_store_submit(fixture->store, &job, node->now);
+    node->now += 100;
+    fake_store_sync(fixture->store, node->core, node->now);
+    test_controller_heartbeat(node, "vm-1", "a", false, 1, 1, rr_core_fencing_token(node->core),
+                              NULL);
+    test_controller_heartbeat(node, "vm-2", "b", false, 1, 1, rr_core_fencing_token(node->core),
+                              NULL);
+    test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+    assert_int_equal(fake_store_placed_count(fixture->store, job.job_id), 4);
 }
 
 /* A known job is known, whatever a repeat of it says; unknown crews and sizes are refused. */
 static void admission(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    struct fx_job j = {.job_id = "req-000015"};
-    rr_submission s;
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct test_job job = {.job_id = "req-000015"};
+    rr_submission submission;
     const char *why = NULL;
-    fx_submission(&s, &j);
-    assert_int_equal(rr_core_check_submission(n->core, &s, &why), RR_SUBMISSION_NEW);
-    s.cpus = 17;
-    assert_int_equal(rr_core_check_submission(n->core, &s, &why), RR_SUBMISSION_UNSATISFIABLE);
-    g_strlcpy(s.team, "nobody", sizeof s.team);
-    assert_int_equal(rr_core_check_submission(n->core, &s, &why), RR_SUBMISSION_UNSATISFIABLE);
-    fx_submit(w->store, &j, n->now);
-    fx_sync(w->store, n->core, n->now);
-    assert_int_equal(rr_core_check_submission(n->core, &s, &why), RR_SUBMISSION_KNOWN);
-    fx_submission(
-        &s, &(struct fx_job){.job_id = "req-000016", .service = true, .pieces = 3, .gpus = 1});
-    n->config.teams[0].gpus_max = 2;
-    assert_int_equal(rr_core_check_submission(n->core, &s, &why), RR_SUBMISSION_UNSATISFIABLE);
-    s.kind = RR_JOB_ARRAY;
-    assert_int_equal(rr_core_check_submission(n->core, &s, &why), RR_SUBMISSION_NEW);
+    test_submission(&submission, &job);
+    assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_NEW);
+    submission.cpus = 17;
+    assert_int_equal(rr_core_check_submission(node->core, &submission, &why),
+                     RR_SUBMISSION_UNSATISFIABLE);
+    g_strlcpy(submission.team, "nobody", sizeof submission.team);
+    assert_int_equal(rr_core_check_submission(node->core, &submission, &why),
+                     RR_SUBMISSION_UNSATISFIABLE);
+    fake_store_submit(fixture->store, &job, node->now);
+    fake_store_sync(fixture->store, node->core, node->now);
+    assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_KNOWN);
+    test_submission(
+        &submission,
+        &(struct test_job){.job_id = "req-000016", .service = true, .pieces = 3, .gpus = 1});
+    node->config.teams[0].gpus_max = 2;
+    assert_int_equal(rr_core_check_submission(node->core, &submission, &why),
+                     RR_SUBMISSION_UNSATISFIABLE);
+    submission.kind = RR_JOB_ARRAY;
+    assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_NEW);
 }
 
 /* A report held up by a cut may come after its machine's record went; the machine it brings back is
  * forgotten again, or a long run would gather them. */
 static void strangers_are_forgotten(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n;
-    rr_core_stats st;
-    rr_plan p;
-    rr_job_view v;
-    struct fx_job j = {.job_id = "req-000017"};
-    fx_submit(w->store, &j, n->now);
-    fx_sync(w->store, n->core, n->now);
-    fx_report(n, "vm-77", "a", false, 1, 5, 1, "req-000017 0 3 running", NULL);
-    n->now += 200;
-    fx_plan(n, &p);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    rr_core_stats stats;
+    rr_plan plan;
+    rr_job_view view;
+    struct test_job job = {.job_id = "req-000017"};
+    fake_store_submit(fixture->store, &job, node->now);
+    fake_store_sync(fixture->store, node->core, node->now);
+    test_controller_heartbeat(node, "vm-77", "a", false, 1, 5, 1, "req-000017 0 3 running", NULL);
+    node->now += 200;
+    test_controller_plan(node, &plan);
     /* Not recorded, it takes no work, and no command goes there. */
-    assert_null(fx_do(&p, "vm-77"));
-    rr_plan_clear(&p);
-    rr_core_get_stats(n->core, &st);
-    assert_int_equal(st.machines, 2);
-    rr_core_job_view(n->core, j.job_id, n->now, &v);
-    assert_int_equal(v.running_count, 0);
+    assert_null(plan_find_batch(&plan, "vm-77"));
+    rr_plan_clear(&plan);
+    rr_core_get_stats(node->core, &stats);
+    assert_int_equal(stats.machines, 2);
+    rr_core_job_view(node->core, job.job_id, node->now, &view);
+    assert_int_equal(view.running_count, 0);
     /* Once forgotten, an old report is news again: it is taken as that of a machine never heard. */
-    rr_heartbeat r = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
-    g_strlcpy(r.machine, "vm-77", sizeof r.machine);
-    r.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    assert_true(rr_core_take_heartbeat(n->core, n->now, &r, -1) != RR_HEARTBEAT_IGNORED);
+    rr_heartbeat heartbeat = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
+    g_strlcpy(heartbeat.machine, "vm-77", sizeof heartbeat.machine);
+    heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
+    assert_true(rr_core_take_heartbeat(node->core, node->now, &heartbeat, -1) !=
+                RR_HEARTBEAT_IGNORED);
 }
 
 /* A restarted controller of the same name is not the one the term names. */
 static void a_new_incarnation_waits_for_its_term(void **state) {
-    fx_world *w = *state;
-    fx_node *n = &w->n, again;
-    fx_node_init(&again, w->store, "n0");
-    fx_sync(w->store, again.core, again.now);
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n, again;
+    test_controller_init(&again, fixture->store, "n0");
+    fake_store_sync(fixture->store, again.core, again.now);
     rr_core_set_session(again.core, 77, again.now + 100);
     assert_false(rr_core_lease_valid(again.core, again.now));
-    fx_join(&again, 77);
+    test_controller_join(&again, 77);
     assert_true(rr_core_lease_valid(again.core, again.now));
-    fx_sync(w->store, n->core, n->now);
-    assert_false(rr_core_lease_valid(n->core, n->now));
-    fx_node_clear(&again);
+    fake_store_sync(fixture->store, node->core, node->now);
+    assert_false(rr_core_lease_valid(node->core, node->now));
+    test_controller_clear(&again);
 }
 
-#define T(f) cmocka_unit_test_setup_teardown(f, setup, fx_world_teardown)
+#define T(f) cmocka_unit_test_setup_teardown(f, setup, core_fixture_teardown)
 
 int main(void) {
     const struct CMUnitTest tests[] = {T(late_start_after_reassignment),
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -8,42 +8,42 @@
 
 static void round_trip(void **state) {
     (void)state;
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     uint8_t type;
-    uint32_t len, n;
+    uint32_t length, count;
     char text[16];
-    guint at = rr_frame_begin(b, RR_FRAME_RELAY);
-    rr_frame_put_bytes(b, "10.0.0.1:1", 10);
-    rr_frame_put_u32(b, 0xdeadbeef);
-    rr_frame_put_u16(b, 0x1234);
-    rr_frame_put_u8(b, 7);
-    rr_frame_put_bytes(b, NULL, 0);
-    rr_frame_end(b, at);
-    assert_int_equal(rr_frame_head(b->data, &type, &len), 0);
+    guint start = rr_frame_begin(buffer, RR_FRAME_RELAY);
+    rr_frame_put_bytes(buffer, "10.0.0.1:1", 10);
+    rr_frame_put_u32(buffer, 0xdeadbeef);
+    rr_frame_put_u16(buffer, 0x1234);
+    rr_frame_put_u8(buffer, 7);
+    rr_frame_put_bytes(buffer, NULL, 0);
+    rr_frame_end(buffer, start);
+    assert_int_equal(rr_frame_head(buffer->data, &type, &length), 0);
     assert_int_equal(type, RR_FRAME_RELAY);
-    assert_int_equal(len, b->len - RR_FRAME_HEADER_BYTES);
-    rr_frame_reader u = {b->data + RR_FRAME_HEADER_BYTES, len, false};
-    assert_true(rr_frame_read_text(&u, text, sizeof text));
+    assert_int_equal(length, buffer->len - RR_FRAME_HEADER_BYTES);
+    rr_frame_reader reader = {buffer->data + RR_FRAME_HEADER_BYTES, length, false};
+    assert_true(rr_frame_read_text(&reader, text, sizeof text));
     assert_string_equal(text, "10.0.0.1:1");
-    assert_int_equal(rr_frame_read_u32(&u), 0xdeadbeef);
-    assert_int_equal(rr_frame_read_u16(&u), 0x1234);
-    assert_int_equal(rr_frame_read_u8(&u), 7);
-    assert_non_null(rr_frame_read_bytes(&u, &n));
-    assert_int_equal(n, 0);
-    assert_false(u.malformed);
-    assert_int_equal(u.bytes_left, 0);
-    g_byte_array_free(b, TRUE);
+    assert_int_equal(rr_frame_read_u32(&reader), 0xdeadbeef);
+    assert_int_equal(rr_frame_read_u16(&reader), 0x1234);
+    assert_int_equal(rr_frame_read_u8(&reader), 7);
+    assert_non_null(rr_frame_read_bytes(&reader, &count));
+    assert_int_equal(count, 0);
+    assert_false(reader.malformed);
+    assert_int_equal(reader.bytes_left, 0);
+    g_byte_array_free(buffer, TRUE);
 }
 
 static void bad_heads(void **state) {
     (void)state;
     uint8_t type;
-    uint32_t len;
+    uint32_t length;
     uint8_t magic[8] = {'X', 'r', RR_FRAME_VERSION, 1}, version[8] = {'R', 'r', 99, 1};
     uint8_t large[8] = {'R', 'r', RR_FRAME_VERSION, 1, 0xff, 0xff, 0xff, 0xff};
-    assert_int_equal(rr_frame_head(magic, &type, &len), -EBADMSG);
-    assert_int_equal(rr_frame_head(version, &type, &len), -EBADMSG);
-    assert_int_equal(rr_frame_head(large, &type, &len), -EBADMSG);
+    assert_int_equal(rr_frame_head(magic, &type, &length), -EBADMSG);
+    assert_int_equal(rr_frame_head(version, &type, &length), -EBADMSG);
+    assert_int_equal(rr_frame_head(large, &type, &length), -EBADMSG);
 }
 
 /* Lengths that point past the end, text too long or with zeros: marked bad, never read. */
@@ -51,23 +51,23 @@
     (void)state;
     GRand *rnd = g_rand_new_with_seed(7);
     for (int i = 0; i < 50000; i++) {
-        size_t n = (size_t)g_rand_int_range(rnd, 0, 48);
-        uint8_t *data = g_malloc(n ? n : 1); /* exact size: an overrun is seen */
-        for (size_t k = 0; k < n; k++) {
+        size_t count = (size_t)g_rand_int_range(rnd, 0, 48);
+        uint8_t *data = g_malloc(count ? count : 1); /* exact size: an overrun is seen */
+        for (size_t k = 0; k < count; k++) {
             data[k] = (uint8_t)(g_rand_int_range(rnd, 0, 3) ? g_rand_int_range(rnd, 0, 12)
                                                             : g_rand_int_range(rnd, 0, 256));
         }
-        rr_frame_reader u = {data, n, false};
+        rr_frame_reader reader = {data, count, false};
         char text[8];
-        uint32_t len;
-        if (rr_frame_read_text(&u, text, sizeof text)) {
+        uint32_t length;
+        if (rr_frame_read_text(&reader, text, sizeof text)) {
             assert_true(strlen(text) < sizeof text);
         }
-        rr_frame_read_u32(&u);
-        const uint8_t *p = rr_frame_read_bytes(&u, &len);
-        assert_true(p ? len <= n : len == 0);
-        rr_frame_read_u16(&u);
-        assert_true(u.bytes_left <= n);
+        rr_frame_read_u32(&reader);
+        const uint8_t *bytes = rr_frame_read_bytes(&reader, &length);
+        assert_true(bytes ? length <= count : length == 0);
+        rr_frame_read_u16(&reader);
+        assert_true(reader.bytes_left <= count);
         g_free(data);
     }
     g_rand_free(rnd);
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -30,71 +30,71 @@
     bool failed;
 };
 
-static int submit(const struct rr_config *cfg, const char *ref) {
-    rr_submission s;
-    fx_submission(&s, &(struct fx_job){.job_id = ref, .cpus = 1, .mem_gb = 1});
-    return world_submit(cfg, &s);
+static int submit(const struct rr_config *config, const char *job_id) {
+    rr_submission submission;
+    test_submission(&submission, &(struct test_job){.job_id = job_id, .cpus = 1, .mem_gb = 1});
+    return fake_services_submit(config, &submission);
 }
 
-static bool is_done(const struct rr_config *cfg, const char *ref) {
-    char path[64], standing[32] = "";
-    rr_document d;
-    g_snprintf(path, sizeof path, "/submissions/%s", ref);
-    int status = world_call(cfg, "GET", path, NULL, 0, &d);
+static bool is_done(const struct rr_config *config, const char *job_id) {
+    char path[64], state[32] = "";
+    rr_document document;
+    g_snprintf(path, sizeof path, "/submissions/%s", job_id);
+    int status = fake_services_call(config, "GET", path, NULL, 0, &document);
     if (status > 0) {
         if (status == 200) {
-            rr_map_get_text(d.root, "standing", standing, sizeof standing);
+            rr_map_get_text(document.root, "standing", state, sizeof state);
         }
-        rr_document_clear(&d);
+        rr_document_clear(&document);
     }
-    return strcmp(standing, "done") == 0;
+    return strcmp(state, "done") == 0;
 }
 
-static void ref_of(unsigned n, char *out, size_t size) {
-    g_snprintf(out, size, "req-%06u", 200000 + n);
+static void ref_of(unsigned count, char *out, size_t size) {
+    g_snprintf(out, size, "req-%06u", 200000 + count);
 }
 
 /* Every refusal is answered at once and tried again; every job is polled until it is done. */
 static void *user_main(void *arg) {
-    struct user *u = arg;
+    struct user *user = arg;
     double until = rr_steady_clock_s() + 120;
-    char ref[32];
-    for (unsigned n = u->first; n < jobs; n += USERS) {
-        ref_of(n, ref, sizeof ref);
+    char job_id[32];
+    for (unsigned i = user->first; i < jobs; i += USERS) {
+        ref_of(i, job_id, sizeof job_id);
         int status;
-        while ((status = submit(u->config, ref)) != 201 && status != 200 &&
+        while ((status = submit(user->config, job_id)) != 201 && status != 200 &&
                rr_steady_clock_s() < until) {
-            u->refused++;
+            user->refused++;
             rr_sleep(0.05);
         }
     }
-    for (unsigned n = u->first; n < jobs; n += USERS) {
-        ref_of(n, ref, sizeof ref);
-        while (!is_done(u->config, ref) && rr_steady_clock_s() < until) {
-            u->asked++;
+    for (unsigned i = user->first; i < jobs; i += USERS) {
+        ref_of(i, job_id, sizeof job_id);
+        while (!is_done(user->config, job_id) && rr_steady_clock_s() < until) {
+            user->asked++;
             rr_sleep(0.05);
         }
-        u->failed = u->failed || !is_done(u->config, ref);
+        user->failed = user->failed || !is_done(user->config, job_id);
     }
     return NULL;
 }
 
 static long resident_kb(void) {
     long pages = 0, all;
-    FILE *f = fopen("/proc/self/statm", "r");
-    if (f) {
-        if (fscanf(f, "%ld %ld", &all, &pages) != 2) {
+    FILE *file = fopen("/proc/self/statm", "r");
+    if (file) {
+        if (fscanf(file, "%ld %ld", &all, &pages) != 2) {
             pages = 0;
         }
-        fclose(f);
+        fclose(file);
     }
     return pages * (sysconf(_SC_PAGESIZE) / 1024);
 }
 
-static void start_ready(struct rr_app *a) {
+static void start_ready(struct rr_app *app) {
     double until = rr_steady_clock_s() + 60;
-    assert_int_equal(rr_app_start(a), 0);
-    while (world_call(&a->config, "GET", "/ready", NULL, 0, NULL) != 200) {
+    assert_int_equal(rr_app_start(app), 0);
+    while (fake_services_call(&app->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.02);
     }
@@ -102,16 +102,16 @@
 
 static void many_jobs_to_their_end(void **state) {
     (void)state;
-    world *w = world_start();
-    struct rr_app *a = g_new0(struct rr_app, 1);
+    fake_services *cluster = fake_services_start();
+    struct rr_app *app = g_new0(struct rr_app, 1);
     struct user users[USERS];
-    world_config(w, &a->config, "n0");
-    a->config.state_rps = a->config.state_write_rps = 1000;
-    start_ready(a);
+    fake_services_config(cluster, &app->config, "n0");
+    app->config.state_rps = app->config.state_write_rps = 1000;
+    start_ready(app);
     double began = rr_steady_clock_s();
     long before = resident_kb();
     for (unsigned i = 0; i < USERS; i++) {
-        users[i] = (struct user){.config = &a->config, .first = i};
+        users[i] = (struct user){.config = &app->config, .first = i};
         assert_int_equal(pthread_create(&users[i].thread, NULL, user_main, &users[i]), 0);
     }
     unsigned refused = 0;
@@ -126,15 +126,15 @@
            jobs / took, refused, (double)(resident_kb() - before) / jobs);
     assert_false(failed);
     /* What is over leaves nothing open behind. */
-    rr_core_stats st;
-    pthread_mutex_lock(&a->lock);
-    rr_core_get_stats(a->core, &st);
-    pthread_mutex_unlock(&a->lock);
-    assert_int_equal(st.jobs_open, 0);
-    assert_int_equal(st.tasks_placed, 0);
-    rr_app_stop(a);
-    g_free(a);
-    world_stop(w);
+    rr_core_stats stats;
+    pthread_mutex_lock(&app->lock);
+    rr_core_get_stats(app->core, &stats);
+    pthread_mutex_unlock(&app->lock);
+    assert_int_equal(stats.jobs_open, 0);
+    assert_int_equal(stats.tasks_placed, 0);
+    rr_app_stop(app);
+    g_free(app);
+    fake_services_stop(cluster);
 }
 
 /* One request on a connection, which stays open if the controller leaves it so. Its status, 0:
@@ -142,22 +142,22 @@
 static int talk(int fd, const char *method, const char *path, const rr_encoder *body) {
     char text[4096];
     size_t size = body ? body->buffer.size : 0, got = 0, whole = 0;
-    int len =
+    int used =
         g_snprintf(text, sizeof text, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n",
                    method, path, size);
-    if (size && (size_t)len + size <= sizeof text) {
-        memcpy(text + len, body->buffer.data, size);
-        len += (int)size;
+    if (size && (size_t)used + size <= sizeof text) {
+        memcpy(text + used, body->buffer.data, size);
+        used += (int)size;
     }
-    if (send(fd, text, (size_t)len, MSG_NOSIGNAL) != len) {
+    if (send(fd, text, (size_t)used, MSG_NOSIGNAL) != used) {
         return 0;
     }
     while (got < sizeof text - 1 && (whole == 0 || got < whole)) {
-        ssize_t n = recv(fd, text + got, sizeof text - 1 - got, 0);
-        if (n <= 0) {
+        ssize_t received = recv(fd, text + got, sizeof text - 1 - got, 0);
+        if (received <= 0) {
             return 0;
         }
-        got += (size_t)n;
+        got += (size_t)received;
         text[got] = 0;
         const char *end = strstr(text, "\r\n\r\n");
         const char *length = end ? g_strstr_len(text, end - text, "Content-Length: ") : NULL;
@@ -167,31 +167,31 @@
 }
 
 /* A report of worker n: that many tasks, the first of them in this standing. */
-static int hello(int fd, unsigned n, uint64_t sequence, unsigned tasks, const char *standing) {
-    char name[32], piece[32];
-    rr_encoder o;
-    g_snprintf(name, sizeof name, "vm-%06u", 500000 + n);
-    rr_encoder_init(&o);
-    rr_encode_map(&o, 9);
-    rr_encode_key_text(&o, "stone", name);
-    rr_encode_key_text(&o, "addr", "127.0.0.1:9");
-    rr_encode_key_text(&o, "build", "m1");
-    rr_encode_key_text(&o, "ward", "a");
-    rr_encode_key_bool(&o, "loaners", false);
-    rr_encode_key_u64(&o, "tenure", 1);
-    rr_encode_key_u64(&o, "tally", sequence);
-    rr_encode_key_u64(&o, "warrant", 0);
-    rr_encode_text(&o, "pieces");
-    rr_encode_array(&o, tasks);
+static int hello(int fd, unsigned count, uint64_t sequence, unsigned tasks, const char *state) {
+    char name[32], task_name[32];
+    rr_encoder encoder;
+    g_snprintf(name, sizeof name, "vm-%06u", 500000 + count);
+    rr_encoder_init(&encoder);
+    rr_encode_map(&encoder, 9);
+    rr_encode_key_text(&encoder, "stone", name);
+    rr_encode_key_text(&encoder, "addr", "127.0.0.1:9");
+    rr_encode_key_text(&encoder, "build", "m1");
+    rr_encode_key_text(&encoder, "ward", "a");
+    rr_encode_key_bool(&encoder, "loaners", false);
+    rr_encode_key_u64(&encoder, "tenure", 1);
+    rr_encode_key_u64(&encoder, "tally", sequence);
+    rr_encode_key_u64(&encoder, "warrant", 0);
+    rr_encode_text(&encoder, "pieces");
+    rr_encode_array(&encoder, tasks);
     for (unsigned i = 0; i < tasks; i++) {
-        g_snprintf(piece, sizeof piece, "req-%06u/%u", 180000 + n, i);
-        rr_encode_map(&o, 3);
-        rr_encode_key_text(&o, "piece", piece);
-        rr_encode_key_u64(&o, "try", 4294967296 + i);
-        rr_encode_key_text(&o, "standing", i ? "running" : standing);
+        g_snprintf(task_name, sizeof task_name, "req-%06u/%u", 180000 + count, i);
+        rr_encode_map(&encoder, 3);
+        rr_encode_key_text(&encoder, "piece", task_name);
+        rr_encode_key_u64(&encoder, "try", 4294967296 + i);
+        rr_encode_key_text(&encoder, "standing", i ? "running" : state);
     }
-    int status = talk(fd, "POST", "/hello", &o);
-    rr_encoder_clear(&o);
+    int status = talk(fd, "POST", "/hello", &encoder);
+    rr_encoder_clear(&encoder);
     return status;
 }
 
@@ -199,18 +199,19 @@
  * answered, as nobody keeps a place that others need, and users and health checks get in. */
 static void more_workers_than_connections(void **state) {
     (void)state;
-    world *w = world_start();
-    struct rr_app *a = g_new0(struct rr_app, 1);
+    fake_services *cluster = fake_services_start();
+    struct rr_app *app = g_new0(struct rr_app, 1);
     int *fds = g_new0(int, workers);
-    world_config(w, &a->config, "n0");
-    a->config.max_sockets = 100000;
-    a->config.tuning.max_connections = (int)workers / 3;
-    start_ready(a);
+    fake_services_config(cluster, &app->config, "n0");
+    app->config.max_sockets = 100000;
+    app->config.tuning.max_connections = (int)workers / 3;
+    start_ready(app);
     double until = rr_steady_clock_s() + 60;
     long before = resident_kb();
     unsigned again = 0;
     for (unsigned i = 0; i < workers; i++) {
-        while ((fds[i] = world_dial(&a->config.bind)) < 0 || hello(fds[i], i, 1, 0, "") != 200) {
+        while ((fds[i] = fake_services_dial(&app->config.bind)) < 0 ||
+               hello(fds[i], i, 1, 0, "") != 200) {
             assert_true(rr_steady_clock_s() < until);
             if (fds[i] >= 0) {
                 close(fds[i]);
@@ -219,19 +220,19 @@
             rr_sleep(0.01);
         }
     }
-    int open = rr_http_server_connections(a->http_server);
+    int open = rr_http_server_connections(app->http_server);
     printf("%u workers, %d connections kept, %u tries more, %.0f KB a connection\n", workers, open,
            again, (double)(resident_kb() - before) / (open ? open : 1));
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
     /* The bound of connections counts on it. Each worker's machine in the model is in here, too. */
     assert_true(resident_kb() - before <= (long)open * RR_CONNECTION_KB + (long)workers * 2);
 #endif
-    assert_true(open <= a->config.tuning.max_connections);
-    assert_true(open >= a->config.tuning.max_connections / 2);
-    assert_int_equal(world_call(&a->config, "GET", "/ready", NULL, 0, NULL), 200);
+    assert_true(open <= app->config.tuning.max_connections);
+    assert_true(open >= app->config.tuning.max_connections / 2);
+    assert_int_equal(fake_services_call(&app->config, "GET", "/ready", NULL, 0, NULL), 200);
     int status = 0;
     until = rr_steady_clock_s() + 60;
-    while ((status = submit(&a->config, "req-190001")) != 201 && status != 200) {
+    while ((status = submit(&app->config, "req-190001")) != 201 && status != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
@@ -239,9 +240,9 @@
         close(fds[i]);
     }
     g_free(fds);
-    rr_app_stop(a);
-    g_free(a);
-    world_stop(w);
+    rr_app_stop(app);
+    g_free(app);
+    fake_services_stop(cluster);
 }
 
 /* Processor time of the process but for the calling thread, which plays the others. */
@@ -249,12 +250,12 @@
     struct rusage all, own;
     getrusage(RUSAGE_SELF, &all);
     getrusage(RUSAGE_THREAD, &own);
-    const struct timeval t[] = {all.ru_utime, all.ru_stime, own.ru_utime, own.ru_stime};
-    double ms[4];
+    const struct timeval timeouts[] = {all.ru_utime, all.ru_stime, own.ru_utime, own.ru_stime};
+    double milliseconds[4];
     for (int i = 0; i < 4; i++) {
-        ms[i] = (double)t[i].tv_sec * 1e3 + (double)t[i].tv_usec / 1e3;
+        milliseconds[i] = (double)timeouts[i].tv_sec * 1e3 + (double)timeouts[i].tv_usec / 1e3;
     }
-    return ms[0] + ms[1] - ms[2] - ms[3];
+    return milliseconds[0] + milliseconds[1] - milliseconds[2] - milliseconds[3];
 }
 
 enum kind { QUIET_REPORT, NEWS_REPORT, FINAL_POLL, OPEN_POLL, READY, KINDS };
@@ -283,48 +284,49 @@
                                         "poll of a final job", "poll of an open job",
                                         "health check"};
     (void)state;
-    world *w = world_start();
-    struct rr_app *a = g_new0(struct rr_app, 1);
-    unsigned n = workers < 300 ? workers : 300, rounds = rounds_of_mix;
-    int *fds = g_new(int, n);
-    world_config(w, &a->config, "n0");
-    a->config.max_sockets = 100000;
-    start_ready(a);
-    assert_int_equal(submit(&a->config, "req-170000"), 201);
-    assert_int_equal(submit(&a->config, "req-170001"), 201);
+    fake_services *cluster = fake_services_start();
+    struct rr_app *app = g_new0(struct rr_app, 1);
+    unsigned count = workers < 300 ? workers : 300, rounds = rounds_of_mix;
+    int *fds = g_new(int, count);
+    fake_services_config(cluster, &app->config, "n0");
+    app->config.max_sockets = 100000;
+    start_ready(app);
+    assert_int_equal(submit(&app->config, "req-170000"), 201);
+    assert_int_equal(submit(&app->config, "req-170001"), 201);
     assert_int_equal(
-        world_call(&a->config, "POST", "/submissions/req-170000/cancel", NULL, 0, NULL), 200);
-    for (unsigned i = 0; i < n; i++) {
-        fds[i] = world_dial(&a->config.bind);
+        fake_services_call(&app->config, "POST", "/submissions/req-170000/cancel", NULL, 0, NULL),
+        200);
+    for (unsigned i = 0; i < count; i++) {
+        fds[i] = fake_services_dial(&app->config.bind);
         assert_true(fds[i] >= 0);
     }
     for (int k = 0; k < KINDS; k++) {
         double before = server_ms();
-        unsigned all = k == OPEN_POLL ? n : n * rounds; /* these wait for their barrier */
+        unsigned all = k == OPEN_POLL ? count : count * rounds; /* these wait for their barrier */
         for (unsigned i = 0; i < all; i++) {
-            assert_int_equal(ask(k, fds[i % n], i % n, 1 + i / n), 200);
+            assert_int_equal(ask(k, fds[i % count], i % count, 1 + i / count), 200);
         }
         printf("%-20s %7u requests, %6.1f us each\n", names[k], all,
                (server_ms() - before) * 1e3 / all);
     }
-    for (unsigned i = 0; i < n; i++) {
+    for (unsigned i = 0; i < count; i++) {
         close(fds[i]);
     }
     g_free(fds);
-    rr_app_stop(a);
-    g_free(a);
-    world_stop(w);
+    rr_app_stop(app);
+    g_free(app);
+    fake_services_stop(cluster);
 }
 
 int main(int argc, char **argv) {
     if (argc > 2) {
-        unsigned long n = strtoul(argv[2], NULL, 10);
-        workers = n >= 30 && n <= WORKERS_MAX ? (unsigned)n : workers;
+        unsigned long number = strtoul(argv[2], NULL, 10);
+        workers = number >= 30 && number <= WORKERS_MAX ? (unsigned)number : workers;
         rounds_of_mix = 60;
     }
     if (argc > 1) {
-        unsigned long n = strtoul(argv[1], NULL, 10);
-        jobs = n > 0 && n <= JOBS_MAX ? (unsigned)n : jobs;
+        unsigned long number = strtoul(argv[1], NULL, 10);
+        jobs = number > 0 && number <= JOBS_MAX ? (unsigned)number : jobs;
     }
     const struct CMUnitTest tests[] = {cmocka_unit_test(many_jobs_to_their_end),
                                        cmocka_unit_test(more_workers_than_connections),
