--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -12,154 +12,161 @@
 #include <unistd.h>
 
 struct service {
-    world *w;
+    fake_services *w;
     struct rr_app *app;
 };
 
-static struct rr_app *start_app(world *w, const char *name) {
-    struct rr_app *a = g_new0(struct rr_app, 1);
-    world_config(w, &a->config, name);
-    assert_int_equal(rr_app_start(a), 0);
-    return a;
+static struct rr_app *start_app(fake_services *cluster, const char *name) {
+    struct rr_app *app = g_new0(struct rr_app, 1);
+    fake_services_config(cluster, &app->config, name);
+    assert_int_equal(rr_app_start(app), 0);
+    return app;
 }
 
-static void stop_app(struct rr_app *a) {
-    rr_app_stop(a);
-    g_free(a);
+static void stop_app(struct rr_app *app) {
+    rr_app_stop(app);
+    g_free(app);
 }
 
-static void wait_ready(const struct rr_app *a) {
+static void wait_ready(const struct rr_app *app) {
     double until = rr_steady_clock_s() + 30;
-    while (world_call(&a->config, "GET", "/ready", NULL, 0, NULL) != 200) {
+    while (fake_services_call(&app->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.02);
     }
 }
 
 static int setup(void **state) {
-    struct service *s = g_new0(struct service, 1);
-    s->w = world_start();
-    s->app = start_app(s->w, "n0");
-    wait_ready(s->app);
-    *state = s;
+    struct service *service = g_new0(struct service, 1);
+    service->w = fake_services_start();
+    service->app = start_app(service->w, "n0");
+    wait_ready(service->app);
+    *state = service;
     return 0;
 }
 
 static int teardown(void **state) {
-    struct service *s = *state;
-    stop_app(s->app);
-    world_stop(s->w);
-    g_free(s);
+    struct service *service = *state;
+    stop_app(service->app);
+    fake_services_stop(service->w);
+    g_free(service);
     return 0;
 }
 
-static int submit(const struct rr_app *a, const char *ref, uint32_t pieces, bool service) {
+static int submit(const struct rr_app *app, const char *job_id, uint32_t task_count, bool service) {
     rr_submission sub;
-    fx_submission(&sub,
-                  &(struct fx_job){.job_id = ref, .pieces = pieces, .cpus = 1, .service = service});
-    return world_submit(&a->config, &sub);
+    test_submission(
+        &sub,
+        &(struct test_job){.job_id = job_id, .pieces = task_count, .cpus = 1, .service = service});
+    return fake_services_submit(&app->config, &sub);
 }
 
 /* The standing that a poll tells, or "" with any other answer than 200. */
-static const char *poll_standing(const struct rr_app *a, const char *ref, char *out, size_t size) {
+static const char *poll_standing(const struct rr_app *app, const char *job_id, char *out,
+                                 size_t size) {
     char path[96];
-    rr_document d;
-    g_snprintf(path, sizeof path, "/submissions/%s", ref);
+    rr_document document;
+    g_snprintf(path, sizeof path, "/submissions/%s", job_id);
     out[0] = 0;
-    int status = world_call(&a->config, "GET", path, NULL, 0, &d);
+    int status = fake_services_call(&app->config, "GET", path, NULL, 0, &document);
     if (status > 0) {
         if (status == 200) {
-            rr_map_get_text(d.root, "standing", out, size);
+            rr_map_get_text(document.root, "standing", out, size);
         }
-        rr_document_clear(&d);
+        rr_document_clear(&document);
     }
     return out;
 }
 
-static void wait_standing(const struct rr_app *a, const char *ref, const char *want) {
+static void wait_standing(const struct rr_app *app, const char *job_id, const char *want) {
     double until = rr_steady_clock_s() + 40;
     char got[32];
-    while (strcmp(poll_standing(a, ref, got, sizeof got), want) != 0) {
+    while (strcmp(poll_standing(app, job_id, got, sizeof got), want) != 0) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
 }
 
-static int cancel(const struct rr_app *a, const char *ref) {
+static int cancel(const struct rr_app *app, const char *job_id) {
     char path[96];
-    g_snprintf(path, sizeof path, "/submissions/%s/cancel", ref);
-    return world_call(&a->config, "POST", path, "", 0, NULL);
+    g_snprintf(path, sizeof path, "/submissions/%s/cancel", job_id);
+    return fake_services_call(&app->config, "POST", path, "", 0, NULL);
 }
 
 static void runs_an_array_and_cancels_a_service(void **state) {
-    struct service *s = *state;
-    assert_int_equal(submit(s->app, "req-100001", 5, false), 201);
-    assert_int_equal(submit(s->app, "req-100001", 5, false), 200);
-    assert_int_equal(submit(s->app, "req-500001", 2, true), 201);
-    wait_standing(s->app, "req-100001", "done");
-    wait_standing(s->app, "req-500001", "running");
-    assert_int_equal(cancel(s->app, "req-500001"), 200);
-    assert_int_equal(cancel(s->app, "req-500001"), 200);
+    struct service *service = *state;
+    assert_int_equal(submit(service->app, "req-100001", 5, false), 201);
+    assert_int_equal(submit(service->app, "req-100001", 5, false), 200);
+    assert_int_equal(submit(service->app, "req-500001", 2, true), 201);
+    wait_standing(service->app, "req-100001", "done");
+    wait_standing(service->app, "req-500001", "running");
+    assert_int_equal(cancel(service->app, "req-500001"), 200);
+    assert_int_equal(cancel(service->app, "req-500001"), 200);
     double until = rr_steady_clock_s() + 20;
-    while (world_tasks(s->w) > 0) {
+    while (fake_services_running_tasks(service->w) > 0) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
-    wait_standing(s->app, "req-500001", "aborted");
+    wait_standing(service->app, "req-500001", "aborted");
     /* Done stays done, whatever is asked of it. */
-    assert_int_equal(cancel(s->app, "req-100001"), 200);
-    wait_standing(s->app, "req-100001", "done");
-    assert_int_equal(world_rented(s->w), 1);
+    assert_int_equal(cancel(service->app, "req-100001"), 200);
+    wait_standing(service->app, "req-100001", "done");
+    assert_int_equal(fake_services_rented_count(service->w), 1);
 }
 
 static void bad_requests(void **state) {
-    struct service *s = *state;
-    const struct rr_config *c = &s->app->config;
+    struct service *service = *state;
+    const struct rr_config *config = &service->app->config;
     static char large[RR_BODY_BYTES_MAX + 1];
     uint8_t deep[2000];
     memset(deep, 0x91, sizeof deep);
-    assert_int_equal(world_call(c, "POST", "/submissions", "junk!", 5, NULL), 400);
-    assert_int_equal(world_call(c, "POST", "/submissions", deep, sizeof deep, NULL), 400);
-    assert_int_equal(world_call(c, "POST", "/submissions", "\xdd\xff\xff\xff\xff", 5, NULL), 400);
-    assert_int_equal(world_call(c, "POST", "/submissions", large, sizeof large, NULL), 413);
-    assert_int_equal(world_call(c, "GET", "/submissions", NULL, 0, NULL), 405);
-    assert_int_equal(world_call(c, "POST", "/ready", "", 0, NULL), 405);
-    assert_int_equal(world_call(c, "GET", "/nothing", NULL, 0, NULL), 404);
-    assert_int_equal(world_call(c, "GET", "/submissions/req-999999", NULL, 0, NULL), 404);
-    assert_int_equal(world_call(c, "GET", "/submissions/nonsense", NULL, 0, NULL), 404);
-    assert_int_equal(cancel(s->app, "req-999999"), 404);
-    assert_int_equal(world_call(c, "POST", "/hello", "\x80", 1, NULL), 400);
-    assert_int_equal(world_call(c, "GET", "/ready", NULL, 0, NULL), 200);
+    assert_int_equal(fake_services_call(config, "POST", "/submissions", "junk!", 5, NULL), 400);
+    assert_int_equal(fake_services_call(config, "POST", "/submissions", deep, sizeof deep, NULL),
+                     400);
+    assert_int_equal(
+        fake_services_call(config, "POST", "/submissions", "\xdd\xff\xff\xff\xff", 5, NULL), 400);
+    assert_int_equal(fake_services_call(config, "POST", "/submissions", large, sizeof large, NULL),
+                     413);
+    assert_int_equal(fake_services_call(config, "GET", "/submissions", NULL, 0, NULL), 405);
+    assert_int_equal(fake_services_call(config, "POST", "/ready", "", 0, NULL), 405);
+    assert_int_equal(fake_services_call(config, "GET", "/nothing", NULL, 0, NULL), 404);
+    assert_int_equal(fake_services_call(config, "GET", "/submissions/req-999999", NULL, 0, NULL),
+                     404);
+    assert_int_equal(fake_services_call(config, "GET", "/submissions/nonsense", NULL, 0, NULL),
+                     404);
+    assert_int_equal(cancel(service->app, "req-999999"), 404);
+    assert_int_equal(fake_services_call(config, "POST", "/hello", "\x80", 1, NULL), 400);
+    assert_int_equal(fake_services_call(config, "GET", "/ready", NULL, 0, NULL), 200);
 }
 
 /* The store carried the acceptance out, but its answer was lost: the job is accepted once, and the
  * user is told so or asked to come back, never anything else. */
 static void an_unanswered_commit(void **state) {
-    struct service *s = *state;
-    world_drop_next_answer(s->w);
-    int status = submit(s->app, "req-100002", 1, false);
+    struct service *service = *state;
+    fake_services_drop_next_answer(service->w);
+    int status = submit(service->app, "req-100002", 1, false);
     assert_true(status == 200 || status == 201 || status == 503);
-    assert_int_equal(submit(s->app, "req-100002", 1, false), 200);
-    wait_standing(s->app, "req-100002", "done");
+    assert_int_equal(submit(service->app, "req-100002", 1, false), 200);
+    wait_standing(service->app, "req-100002", "done");
 }
 
 /* A second controller whose mirror stands still must not tell an older state than the first has
  * told: it says that it can't tell. */
 static void no_older_answer_elsewhere(void **state) {
-    struct service *s = *state;
+    struct service *service = *state;
     char got[32];
-    struct rr_app *b = start_app(s->w, "n1");
-    wait_ready(b);
-    assert_int_equal(submit(s->app, "req-500002", 1, true), 201);
-    wait_standing(b, "req-500002", "queued");
-    world_freeze_watches(s->w, true);
-    assert_int_equal(cancel(s->app, "req-500002"), 200);
-    assert_string_equal(poll_standing(b, "req-500002", got, sizeof got), "");
-    assert_int_equal(submit(b, "req-500002", 1, true), 503);
-    world_freeze_watches(s->w, false);
-    wait_standing(b, "req-500002", "aborted");
-    assert_int_equal(submit(b, "req-500002", 1, true), 200);
-    stop_app(b);
+    struct rr_app *app = start_app(service->w, "n1");
+    wait_ready(app);
+    assert_int_equal(submit(service->app, "req-500002", 1, true), 201);
+    wait_standing(app, "req-500002", "queued");
+    fake_services_freeze_watches(service->w, true);
+    assert_int_equal(cancel(service->app, "req-500002"), 200);
+    assert_string_equal(poll_standing(app, "req-500002", got, sizeof got), "");
+    assert_int_equal(submit(app, "req-500002", 1, true), 503);
+    fake_services_freeze_watches(service->w, false);
+    wait_standing(app, "req-500002", "aborted");
+    assert_int_equal(submit(app, "req-500002", 1, true), 200);
+    stop_app(app);
 }
 
 static bool told(const char *got, const char *want) {
@@ -169,97 +176,98 @@
 /* Users ask at all nodes, again and again within milliseconds, and submit once more, right after a
  * job was accepted, cancelled or done: nobody answers something older than was told. */
 static void close_looks(void **state) {
-    struct service *s = *state;
-    char ref[32], got[32];
+    struct service *service = *state;
+    char job_id[32], got[32];
     /* The worker reports to one controller, and these two have no link: what is to run, runs first.
      */
-    assert_int_equal(submit(s->app, "req-600100", 1, false), 201);
-    wait_standing(s->app, "req-600100", "done");
-    struct rr_app *b = start_app(s->w, "n1"), *apps[2] = {s->app, b};
-    wait_ready(b);
+    assert_int_equal(submit(service->app, "req-600100", 1, false), 201);
+    wait_standing(service->app, "req-600100", "done");
+    struct rr_app *app = start_app(service->w, "n1"), *apps[2] = {service->app, app};
+    wait_ready(app);
     for (int i = 0; i < 12; i++) {
-        struct rr_app *to = apps[i % 2], *elsewhere = apps[(i + 1) % 2];
-        g_snprintf(ref, sizeof ref, "req-%06d", 600001 + i);
-        assert_int_equal(submit(to, ref, 2, true), 201);
+        struct rr_app *target = apps[i % 2], *elsewhere = apps[(i + 1) % 2];
+        g_snprintf(job_id, sizeof job_id, "req-%06d", 600001 + i);
+        assert_int_equal(submit(target, job_id, 2, true), 201);
         for (int k = 0; k < 4; k++) {
-            poll_standing(apps[k % 2 == 0 ? (i + 1) % 2 : i % 2], ref, got, sizeof got);
+            poll_standing(apps[k % 2 == 0 ? (i + 1) % 2 : i % 2], job_id, got, sizeof got);
             assert_true(told(got, "queued") || told(got, "running"));
         }
-        int again = submit(elsewhere, ref, 2, true);
+        int again = submit(elsewhere, job_id, 2, true);
         assert_true(again == 200 || again == 201 || again == 503);
-        assert_int_equal(cancel(elsewhere, ref), 200);
+        assert_int_equal(cancel(elsewhere, job_id), 200);
         for (int k = 0; k < 4; k++) {
-            assert_true(told(poll_standing(apps[k % 2], ref, got, sizeof got), "aborted"));
+            assert_true(told(poll_standing(apps[k % 2], job_id, got, sizeof got), "aborted"));
         }
-        again = submit(to, ref, 2, true);
+        again = submit(target, job_id, 2, true);
         assert_true(again == 200 || again == 503);
-        assert_true(told(poll_standing(to, ref, got, sizeof got), "aborted"));
+        assert_true(told(poll_standing(target, job_id, got, sizeof got), "aborted"));
     }
     for (int k = 0; k < 4; k++) {
         assert_true(told(poll_standing(apps[k % 2], "req-600100", got, sizeof got), "done"));
         assert_int_equal(cancel(apps[k % 2], "req-600100"), 200);
     }
-    stop_app(b);
+    stop_app(app);
 }
 
 /* A cancellation is carried out at once and only its answer is lost, while the other node reads
  * what it wrote and tells its user: from then on the first one says the same, or that it can't
  * tell. */
 static void a_lost_answer_while_others_read(void **state) {
-    struct service *s = *state;
-    struct rr_app *b = start_app(s->w, "n1");
-    char ref[32], got[32];
-    wait_ready(b);
+    struct service *service = *state;
+    struct rr_app *app = start_app(service->w, "n1");
+    char job_id[32], got[32];
+    wait_ready(app);
     for (int i = 0; i < 4; i++) {
-        g_snprintf(ref, sizeof ref, "req-%06d", 610001 + i);
-        assert_int_equal(submit(b, ref, 1, true), 201);
-        world_drop_next_answer(s->w);
-        int status = cancel(i % 2 ? b : s->app, ref);
+        g_snprintf(job_id, sizeof job_id, "req-%06d", 610001 + i);
+        assert_int_equal(submit(app, job_id, 1, true), 201);
+        fake_services_drop_next_answer(service->w);
+        int status = cancel(i % 2 ? app : service->app, job_id);
         assert_true(status == 200 || status == 503);
         double until = rr_steady_clock_s() + 10;
-        while (cancel(b, ref) != 200) {
+        while (cancel(app, job_id) != 200) {
             assert_true(rr_steady_clock_s() < until);
         }
-        assert_true(told(poll_standing(s->app, ref, got, sizeof got), "aborted"));
-        assert_true(told(poll_standing(b, ref, got, sizeof got), "aborted"));
+        assert_true(told(poll_standing(service->app, job_id, got, sizeof got), "aborted"));
+        assert_true(told(poll_standing(app, job_id, got, sizeof got), "aborted"));
     }
-    stop_app(b);
+    stop_app(app);
 }
 
 /* A submission with one field left out. */
-static int submit_without(const struct rr_app *a, const char *ref, const char *left_out,
+static int submit_without(const struct rr_app *app, const char *job_id, const char *left_out,
                           double cards) {
     static const char *const nums[] = {"vcpus",   "cards",   "mem_gb", "pull_gb",
                                        "guess_s", "cairn_s", "stash_s"};
     static const char *const texts[][2] = {
         {"lane", "plain"}, {"crew", "red"}, {"cast", "img-1"}, {"shape", "batch"}, {"rank", "low"}};
     static const char *const flags[] = {"one_zone", "apart", "loaners"};
-    rr_encoder o;
-    rr_encoder_init(&o);
-    rr_encode_map(&o, 17 - (left_out != NULL));
+    rr_encoder encoder;
+    rr_encoder_init(&encoder);
+    rr_encode_map(&encoder, 17 - (left_out != NULL));
     if (!left_out || strcmp(left_out, "ref") != 0) {
-        rr_encode_key_text(&o, "ref", ref);
+        rr_encode_key_text(&encoder, "ref", job_id);
     }
     if (!left_out || strcmp(left_out, "pieces") != 0) {
-        rr_encode_key_u64(&o, "pieces", 1);
+        rr_encode_key_u64(&encoder, "pieces", 1);
     }
     for (int i = 0; i < 7; i++) {
         if (!left_out || strcmp(left_out, nums[i]) != 0) {
-            rr_encode_key_number(&o, nums[i], strcmp(nums[i], "cards") == 0 ? cards : 1);
+            rr_encode_key_number(&encoder, nums[i], strcmp(nums[i], "cards") == 0 ? cards : 1);
         }
     }
     for (int i = 0; i < 5; i++) {
         if (!left_out || strcmp(left_out, texts[i][0]) != 0) {
-            rr_encode_key_text(&o, texts[i][0], texts[i][1]);
+            rr_encode_key_text(&encoder, texts[i][0], texts[i][1]);
         }
     }
     for (int i = 0; i < 3; i++) {
         if (!left_out || strcmp(left_out, flags[i]) != 0) {
-            rr_encode_key_bool(&o, flags[i], false);
+            rr_encode_key_bool(&encoder, flags[i], false);
         }
     }
-    int status = world_call(&a->config, "POST", "/submissions", o.buffer.data, o.buffer.size, NULL);
-    rr_encoder_clear(&o);
+    int status = fake_services_call(&app->config, "POST", "/submissions", encoder.buffer.data,
+                                    encoder.buffer.size, NULL);
+    rr_encoder_clear(&encoder);
     return status;
 }
 
@@ -267,66 +275,66 @@
  * what nobody submitted; jobs that fit no machine or lack a field, each of them. While the state
  * service is away 400 is said where nothing depends on it, and the rest is 503. */
 static void odd_requests(void **state) {
-    struct service *s = *state;
+    struct service *service = *state;
     static const char *const fields[] = {"lane",    "crew",    "cast",     "shape",  "rank",
                                          "pieces",  "vcpus",   "cards",    "mem_gb", "pull_gb",
                                          "guess_s", "cairn_s", "one_zone", "apart",  "loaners",
                                          "stash_s", "ref"};
-    assert_int_equal(submit(s->app, "req-620001", 1, true), 201);
-    assert_int_equal(submit(s->app, "req-620001", 1, true), 200);
-    assert_int_equal(submit_without(s->app, "req-620001", "rank", 0), 200);
-    assert_int_equal(submit_without(s->app, "req-620001", NULL, 1e6), 200);
-    assert_int_equal(submit_without(s->app, "req-620002", NULL, 1e6), 422);
+    assert_int_equal(submit(service->app, "req-620001", 1, true), 201);
+    assert_int_equal(submit(service->app, "req-620001", 1, true), 200);
+    assert_int_equal(submit_without(service->app, "req-620001", "rank", 0), 200);
+    assert_int_equal(submit_without(service->app, "req-620001", NULL, 1e6), 200);
+    assert_int_equal(submit_without(service->app, "req-620002", NULL, 1e6), 422);
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
-        assert_int_equal(submit_without(s->app, "req-620003", fields[i], 0), 400);
+        assert_int_equal(submit_without(service->app, "req-620003", fields[i], 0), 400);
     }
-    assert_int_equal(cancel(s->app, "req-620003"), 404);
-    assert_int_equal(submit_without(s->app, "req-620004", NULL, 0), 201);
-    wait_standing(s->app, "req-620004", "done");
-    assert_int_equal(cancel(s->app, "req-620004"), 200);
-    wait_standing(s->app, "req-620004", "done");
-    world_store_down(s->w, true);
-    assert_int_equal(submit_without(s->app, "req-620003", "ref", 0), 400);
-    assert_int_equal(submit_without(s->app, "req-620003", "rank", 0), 503);
-    assert_int_equal(submit_without(s->app, "req-620004", "rank", 0), 200);
-    assert_int_equal(cancel(s->app, "req-620003"), 503);
-    world_store_down(s->w, false);
+    assert_int_equal(cancel(service->app, "req-620003"), 404);
+    assert_int_equal(submit_without(service->app, "req-620004", NULL, 0), 201);
+    wait_standing(service->app, "req-620004", "done");
+    assert_int_equal(cancel(service->app, "req-620004"), 200);
+    wait_standing(service->app, "req-620004", "done");
+    fake_services_store_down(service->w, true);
+    assert_int_equal(submit_without(service->app, "req-620003", "ref", 0), 400);
+    assert_int_equal(submit_without(service->app, "req-620003", "rank", 0), 503);
+    assert_int_equal(submit_without(service->app, "req-620004", "rank", 0), 200);
+    assert_int_equal(cancel(service->app, "req-620003"), 503);
+    fake_services_store_down(service->w, false);
 }
 
 /* While the state service is down nothing is promised, and what was final is still told. */
 static void an_outage(void **state) {
-    struct service *s = *state;
+    struct service *service = *state;
     char got[32];
-    assert_int_equal(submit(s->app, "req-100003", 1, false), 201);
-    wait_standing(s->app, "req-100003", "done");
-    world_store_down(s->w, true);
-    assert_int_equal(submit(s->app, "req-100004", 1, false), 503);
-    assert_int_equal(cancel(s->app, "req-100003"), 200);
-    assert_string_equal(poll_standing(s->app, "req-100003", got, sizeof got), "done");
-    assert_string_equal(poll_standing(s->app, "req-100004", got, sizeof got), "");
-    world_store_down(s->w, false);
+    assert_int_equal(submit(service->app, "req-100003", 1, false), 201);
+    wait_standing(service->app, "req-100003", "done");
+    fake_services_store_down(service->w, true);
+    assert_int_equal(submit(service->app, "req-100004", 1, false), 503);
+    assert_int_equal(cancel(service->app, "req-100003"), 200);
+    assert_string_equal(poll_standing(service->app, "req-100003", got, sizeof got), "done");
+    assert_string_equal(poll_standing(service->app, "req-100004", got, sizeof got), "");
+    fake_services_store_down(service->w, false);
     double until = rr_steady_clock_s() + 30;
     int status;
-    while ((status = submit(s->app, "req-100004", 1, false)) != 201 && status != 200) {
+    while ((status = submit(service->app, "req-100004", 1, false)) != 201 && status != 200) {
         assert_int_equal(status, 503);
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
-    wait_standing(s->app, "req-100004", "done");
+    wait_standing(service->app, "req-100004", "done");
 }
 
 /* Stopped and started again it takes its own session over and goes on. */
 static void a_restart_goes_on(void **state) {
-    struct service *s = *state;
-    assert_int_equal(submit(s->app, "req-500003", 1, true), 201);
-    wait_standing(s->app, "req-500003", "running");
-    stop_app(s->app);
-    s->app = start_app(s->w, "n0");
-    wait_ready(s->app);
-    wait_standing(s->app, "req-500003", "running");
-    assert_int_equal(world_tasks(s->w), 1);
-    assert_int_equal(cancel(s->app, "req-500003"), 200);
-    assert_int_equal(world_rented(s->w), 1);
+    struct service *service = *state;
+    assert_int_equal(submit(service->app, "req-500003", 1, true), 201);
+    wait_standing(service->app, "req-500003", "running");
+    stop_app(service->app);
+    service->app = start_app(service->w, "n0");
+    wait_ready(service->app);
+    wait_standing(service->app, "req-500003", "running");
+    assert_int_equal(fake_services_running_tasks(service->w), 1);
+    assert_int_equal(cancel(service->app, "req-500003"), 200);
+    assert_int_equal(fake_services_rented_count(service->w), 1);
 }
 
 static void ref_of(int i, char *out, size_t size) {
@@ -338,30 +346,30 @@
  * answered for, open, done or cancelled, well within the time after which it would count as
  * forgotten; also while the restarted controller still reads its mirror. */
 static void every_job_is_known_after_the_troubles(void **state) {
-    struct service *s = *state;
-    char ref[32], got[32];
+    struct service *service = *state;
+    char job_id[32], got[32];
     for (int i = 0; i < 24; i++) {
-        ref_of(i, ref, sizeof ref);
-        assert_int_equal(submit(s->app, ref, 1, i % 3 != 0), 201);
+        ref_of(i, job_id, sizeof job_id);
+        assert_int_equal(submit(service->app, job_id, 1, i % 3 != 0), 201);
         if (i % 3 == 2) {
-            assert_int_equal(cancel(s->app, ref), 200);
+            assert_int_equal(cancel(service->app, job_id), 200);
         }
     }
     for (int i = 0; i < 24; i += 3) {
-        ref_of(i, ref, sizeof ref);
-        wait_standing(s->app, ref, "done");
+        ref_of(i, job_id, sizeof job_id);
+        wait_standing(service->app, job_id, "done");
     }
-    world_store_down(s->w, true);
-    stop_app(s->app);
-    s->app = start_app(s->w, "n0");
+    fake_services_store_down(service->w, true);
+    stop_app(service->app);
+    service->app = start_app(service->w, "n0");
     /* Nobody is let in before there is anything to tell, for a session's time. */
-    assert_int_equal(world_call(&s->app->config, "GET", "/ready", NULL, 0, NULL), -1);
-    assert_string_equal(poll_standing(s->app, "req-170000", got, sizeof got), "");
-    world_store_down(s->w, false);
+    assert_int_equal(fake_services_call(&service->app->config, "GET", "/ready", NULL, 0, NULL), -1);
+    assert_string_equal(poll_standing(service->app, "req-170000", got, sizeof got), "");
+    fake_services_store_down(service->w, false);
     double until = rr_steady_clock_s() + 75;
     for (int i = 0; i < 24; i++) {
-        ref_of(i, ref, sizeof ref);
-        while (!*poll_standing(s->app, ref, got, sizeof got)) {
+        ref_of(i, job_id, sizeof job_id);
+        while (!*poll_standing(service->app, job_id, got, sizeof got)) {
             assert_true(rr_steady_clock_s() < until);
             rr_sleep(0.02);
         }
@@ -374,32 +382,33 @@
 /* Far behind with its work a controller refuses new jobs at once, and nothing else: what was
  * accepted is told and cancelled, and health checks are answered. Then it catches up by itself. */
 static void behind_it_sheds_new_work_first(void **state) {
-    struct service *s = *state;
+    struct service *service = *state;
     char got[32];
-    assert_int_equal(submit(s->app, "req-500040", 1, true), 201);
-    wait_standing(s->app, "req-500040", "running");
-    atomic_store(&s->app->lag_ms, 1000000);
+    assert_int_equal(submit(service->app, "req-500040", 1, true), 201);
+    wait_standing(service->app, "req-500040", "running");
+    atomic_store(&service->app->lag_ms, 1000000);
     double began = rr_steady_clock_s();
-    assert_int_equal(submit(s->app, "req-500041", 1, true), 503);
+    assert_int_equal(submit(service->app, "req-500041", 1, true), 503);
     assert_true(rr_steady_clock_s() - began < 1);
-    atomic_store(&s->app->lag_ms, 1000000);
-    assert_string_equal(poll_standing(s->app, "req-500040", got, sizeof got), "running");
-    assert_int_equal(world_call(&s->app->config, "GET", "/ready", NULL, 0, NULL), 200);
-    atomic_store(&s->app->lag_ms, 1000000);
-    assert_int_equal(cancel(s->app, "req-500040"), 200);
+    atomic_store(&service->app->lag_ms, 1000000);
+    assert_string_equal(poll_standing(service->app, "req-500040", got, sizeof got), "running");
+    assert_int_equal(fake_services_call(&service->app->config, "GET", "/ready", NULL, 0, NULL),
+                     200);
+    atomic_store(&service->app->lag_ms, 1000000);
+    assert_int_equal(cancel(service->app, "req-500040"), 200);
     double until = rr_steady_clock_s() + 60;
-    while (submit(s->app, "req-500041", 1, true) == 503) {
+    while (submit(service->app, "req-500041", 1, true) == 503) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
-    wait_standing(s->app, "req-500041", "running");
+    wait_standing(service->app, "req-500041", "running");
 }
 
 #define WAITERS 24
 
 /* How often each of the process's threads has gone to sleep so far, by its number in the system. */
 static GHashTable *sleeps(void) {
-    GHashTable *n = g_hash_table_new(NULL, NULL);
+    GHashTable *names = g_hash_table_new(NULL, NULL);
     GDir *dir = g_dir_open("/proc/self/task", 0, NULL);
     const char *id;
     assert_non_null(dir);
@@ -408,59 +417,60 @@
         if (g_file_get_contents(path, &text, NULL, NULL)) {
             const char *line = strstr(text, "\nvoluntary_ctxt_switches:");
             unsigned long k = line ? strtoul(line + 25, NULL, 10) : 0;
-            g_hash_table_insert(n, GSIZE_TO_POINTER(strtoul(id, NULL, 10)), GSIZE_TO_POINTER(k));
+            g_hash_table_insert(names, GSIZE_TO_POINTER(strtoul(id, NULL, 10)),
+                                GSIZE_TO_POINTER(k));
         }
         g_free(text);
         g_free(path);
     }
     g_dir_close(dir);
-    return n;
+    return names;
 }
 
-static unsigned waiting_polls(struct rr_app *a) {
-    pthread_mutex_lock(&a->user_lock);
-    unsigned n = a->barrier[0].waiting + a->barrier[1].waiting;
-    pthread_mutex_unlock(&a->user_lock);
-    return n;
+static unsigned waiting_polls(struct rr_app *app) {
+    pthread_mutex_lock(&app->user_lock);
+    unsigned names = app->barrier[0].waiting + app->barrier[1].waiting;
+    pthread_mutex_unlock(&app->user_lock);
+    return names;
 }
 
 /* Users who wait for their answer are woken for their own turn only: each commit and each change
  * once woke everybody, and took the lock for each. */
 static void waiting_users_are_left_alone(void **state) {
-    struct service *s = *state;
+    struct service *service = *state;
     const char ask[] = "GET /submissions/req-500010 HTTP/1.1\r\nHost: x\r\n\r\n";
     int fds[WAITERS];
     char byte;
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer id, before;
     /* The mirror stands still behind the store, so that polls wait. */
-    world_freeze_watches(s->w, true);
-    assert_int_equal(submit(s->app, "req-500010", 1, true), 201);
+    fake_services_freeze_watches(service->w, true);
+    assert_int_equal(submit(service->app, "req-500010", 1, true), 201);
     for (int i = 0; i < WAITERS; i++) {
-        fds[i] = world_dial(&s->app->config.bind);
+        fds[i] = fake_services_dial(&service->app->config.bind);
         assert_true(fds[i] >= 0);
         assert_int_equal(send(fds[i], ask, sizeof ask - 1, MSG_NOSIGNAL), sizeof ask - 1);
     }
     double until = rr_steady_clock_s() + 20;
-    while (waiting_polls(s->app) < WAITERS && rr_steady_clock_s() < until) {
+    while (waiting_polls(service->app) < WAITERS && rr_steady_clock_s() < until) {
         rr_sleep(0.001);
     }
     GHashTable *first = sleeps();
     for (int i = 0; i < 12; i++) {
-        char ref[32];
-        g_snprintf(ref, sizeof ref, "req-5000%d", 20 + i);
-        assert_int_equal(submit(s->app, ref, 1, true), 201);
+        char job_id[32];
+        g_snprintf(job_id, sizeof job_id, "req-5000%d", 20 + i);
+        assert_int_equal(submit(service->app, job_id, 1, true), 201);
     }
     GHashTable *last = sleeps();
     unsigned woken = 0;
-    g_hash_table_iter_init(&it, first);
-    while (g_hash_table_iter_next(&it, &id, &before)) {
+    g_hash_table_iter_init(&iter, first);
+    while (g_hash_table_iter_next(&iter, &id, &before)) {
         gsize now = GPOINTER_TO_SIZE(g_hash_table_lookup(last, id));
         woken += now >= GPOINTER_TO_SIZE(before) + 8;
     }
     /* The duties and the stand-in were busy; two in three of the users were not. */
     assert_true(woken <= WAITERS / 3);
-    world_freeze_watches(s->w, false);
+    fake_services_freeze_watches(service->w, false);
     for (int i = 0; i < WAITERS; i++) {
         assert_int_equal(recv(fds[i], &byte, 1, 0), 1);
         close(fds[i]);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -30,52 +30,52 @@
     return path;
 }
 
-static int load(const char *platform, const char *own, struct rr_config *c, char *err,
+static int load(const char *platform, const char *own, struct rr_config *config, char *err,
                 size_t size) {
-    char *p = write_temp(platform), *o = own ? write_temp(own) : NULL;
-    int rc = rr_settings_load(p, o, c, err, size);
-    unlink(p);
-    if (o) {
-        unlink(o);
+    char *cursor = write_temp(platform), *text = own ? write_temp(own) : NULL;
+    int rc = rr_settings_load(cursor, text, config, err, size);
+    unlink(cursor);
+    if (text) {
+        unlink(text);
     }
-    g_free(p);
-    g_free(o);
+    g_free(cursor);
+    g_free(text);
     return rc;
 }
 
-static char *replaced(const char *from, const char *to) {
-    GString *s = g_string_new(base);
-    assert_int_equal(g_string_replace(s, from, to, 1), 1);
-    return g_string_free(s, FALSE);
+static char *replaced(const char *from, const char *target) {
+    GString *text = g_string_new(base);
+    assert_int_equal(g_string_replace(text, from, target, 1), 1);
+    return g_string_free(text, FALSE);
 }
 
 static void good_settings(void **state) {
     (void)state;
-    struct rr_config c;
+    struct rr_config config;
     char err[256] = "";
-    assert_int_equal(load(base, NULL, &c, err, sizeof err), 0);
-    assert_string_equal(c.node_name, "n0");
-    assert_int_equal(c.bind.port, 8080);
-    assert_int_equal(c.peer_count, 1);
-    assert_true(c.teams[0].gpus_max == 3);
-    assert_true(c.lease_s == 36);
-    assert_true(rr_session_lease_s(&c) + c.lease_s < c.cancel_s);
+    assert_int_equal(load(base, NULL, &config, err, sizeof err), 0);
+    assert_string_equal(config.node_name, "n0");
+    assert_int_equal(config.bind.port, 8080);
+    assert_int_equal(config.peer_count, 1);
+    assert_true(config.teams[0].gpus_max == 3);
+    assert_true(config.lease_s == 36);
+    assert_true(rr_session_lease_s(&config) + config.lease_s < config.cancel_s);
 }
 
 /* The limits that are to come: what is not named stays as it is, and a larger one changes nothing.
  */
 static void limits_to_come(void **state) {
     (void)state;
-    struct rr_config c;
+    struct rr_config config;
     char err[256] = "";
-    assert_int_equal(load(base, NULL, &c, err, sizeof err), 0);
-    assert_true(rr_value_kb_max(&c) == 8 && rr_transaction_changes_max(&c) == 32 &&
-                c.next_write_rps == 100);
+    assert_int_equal(load(base, NULL, &config, err, sizeof err), 0);
+    assert_true(rr_value_kb_max(&config) == 8 && rr_transaction_changes_max(&config) == 32 &&
+                config.next_write_rps == 100);
     char *text = replaced("txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\n"
                                             "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
-    assert_int_equal(load(text, NULL, &c, err, sizeof err), 0);
-    assert_true(rr_value_kb_max(&c) == 2 && rr_transaction_changes_max(&c) == 32);
-    assert_true(c.next_write_rps == 24 && c.next_rps == c.state_rps);
+    assert_int_equal(load(text, NULL, &config, err, sizeof err), 0);
+    assert_true(rr_value_kb_max(&config) == 2 && rr_transaction_changes_max(&config) == 32);
+    assert_true(config.next_write_rps == 24 && config.next_rps == config.state_rps);
     g_free(text);
 }
 
@@ -104,10 +104,10 @@
         {"gpus_max = 3", "gpus_max = []", "deployment.teams[0].gpus_max"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct rr_config c;
+        struct rr_config config;
         char err[256] = "";
         char *text = replaced(cases[i][0], cases[i][1]);
-        assert_int_equal(load(text, NULL, &c, err, sizeof err), -EINVAL);
+        assert_int_equal(load(text, NULL, &config, err, sizeof err), -EINVAL);
         assert_non_null(strstr(err, cases[i][2]));
         assert_null(strchr(err, '\n'));
         g_free(text);
@@ -116,26 +116,27 @@
 
 static void syntax_error_and_missing_file(void **state) {
     (void)state;
-    struct rr_config c;
+    struct rr_config config;
     char err[256] = "";
-    assert_int_equal(load("node_name = ", NULL, &c, err, sizeof err), -EINVAL);
+    assert_int_equal(load("node_name = ", NULL, &config, err, sizeof err), -EINVAL);
     assert_non_null(strstr(err, ":1:"));
-    assert_int_equal(rr_settings_load("/nonexistent/x.toml", NULL, &c, err, sizeof err), -EINVAL);
+    assert_int_equal(rr_settings_load("/nonexistent/x.toml", NULL, &config, err, sizeof err),
+                     -EINVAL);
     assert_non_null(strstr(err, "/nonexistent/x.toml"));
-    assert_int_equal(load(base, NULL, &c, err, sizeof err), 0);
+    assert_int_equal(load(base, NULL, &config, err, sizeof err), 0);
 }
 
 static void operators_settings(void **state) {
     (void)state;
-    struct rr_config c;
+    struct rr_config config;
     char err[256] = "";
-    assert_int_equal(
-        load(base, "round_period_s = 12.5\nround_moves = 2\nrounds = false\n", &c, err, sizeof err),
-        0);
-    assert_true(c.tuning.rebalance_period_s == 12.5);
-    assert_int_equal(c.tuning.rebalance_moves, 2);
-    assert_false(c.tuning.rebalance);
-    assert_true(c.tuning.silent_reports > 1); /* a default */
+    assert_int_equal(load(base, "round_period_s = 12.5\nround_moves = 2\nrounds = false\n", &config,
+                          err, sizeof err),
+                     0);
+    assert_true(config.tuning.rebalance_period_s == 12.5);
+    assert_int_equal(config.tuning.rebalance_moves, 2);
+    assert_false(config.tuning.rebalance);
+    assert_true(config.tuning.silent_reports > 1); /* a default */
     static const char *const bad[][2] = {{"no_such = 1\n", "no_such"},
                                          {"round_moves = 0\n", "round_moves"},
                                          {"session_share = 0.95\n", "session_share"},
@@ -143,7 +144,7 @@
                                          {"round_moves = \n", ":"}};
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
         err[0] = 0;
-        assert_int_equal(load(base, bad[i][0], &c, err, sizeof err), -EINVAL);
+        assert_int_equal(load(base, bad[i][0], &config, err, sizeof err), -EINVAL);
         assert_non_null(strstr(err, bad[i][1]));
         assert_null(strchr(err, '\n'));
     }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -5,10 +5,10 @@
 #include <math.h>
 #include <string.h>
 
-static int parse(const void *data, size_t len) {
-    rr_document d;
-    int rc = rr_document_parse(&d, data, len);
-    rr_document_clear(&d);
+static int parse(const void *data, size_t length) {
+    rr_document document;
+    int rc = rr_document_parse(&document, data, length);
+    rr_document_clear(&document);
     return rc;
 }
 
@@ -38,15 +38,15 @@
  * pages while the client's buffer was used for the next one. */
 static void a_document_keeps_its_text(void **state) {
     (void)state;
-    char buf[] = "\x81\xa1k\xa3"
-                 "abc",
+    char buffer[] = "\x81\xa1k\xa3"
+                    "abc",
          out[8];
-    rr_document d;
-    assert_int_equal(rr_document_parse(&d, buf, sizeof buf - 1), 0);
-    memset(buf, 'x', sizeof buf);
-    assert_true(rr_map_get_text(d.root, "k", out, sizeof out));
+    rr_document document;
+    assert_int_equal(rr_document_parse(&document, buffer, sizeof buffer - 1), 0);
+    memset(buffer, 'x', sizeof buffer);
+    assert_true(rr_map_get_text(document.root, "k", out, sizeof out));
     assert_string_equal(out, "abc");
-    rr_document_clear(&d);
+    rr_document_clear(&document);
 }
 
 static void one_whole_value_only(void **state) {
@@ -57,82 +57,83 @@
     assert_int_equal(parse("", 0), -EBADMSG);
 }
 
-static void encode_job(rr_encoder *o) {
-    rr_submission s;
-    fx_submission(&s, &(struct fx_job){.job_id = "req-000001", .deadline_s = 90, .zone = "a"});
-    rr_encoder_init(o);
-    rr_encode_map(o, rr_submission_field_count(&s));
-    rr_submission_encode_fields(o, &s);
+static void encode_job(rr_encoder *encoder) {
+    rr_submission submission;
+    test_submission(&submission,
+                    &(struct test_job){.job_id = "req-000001", .deadline_s = 90, .zone = "a"});
+    rr_encoder_init(encoder);
+    rr_encode_map(encoder, rr_submission_field_count(&submission));
+    rr_submission_encode_fields(encoder, &submission);
 }
 
 static void submission_round_trip(void **state) {
     (void)state;
-    rr_encoder o;
-    rr_document d;
-    rr_submission s;
+    rr_encoder encoder;
+    rr_document document;
+    rr_submission submission;
     const char *field = NULL;
-    encode_job(&o);
-    assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
-    assert_int_equal(rr_submission_decode(d.root, &s, &field), 0);
-    assert_string_equal(s.job_id, "req-000001");
-    assert_true(s.deadline_s == 90);
-    assert_string_equal(s.zone, "a");
-    rr_document_clear(&d);
-    rr_encoder_clear(&o);
+    encode_job(&encoder);
+    assert_int_equal(rr_document_parse(&document, encoder.buffer.data, encoder.buffer.size), 0);
+    assert_int_equal(rr_submission_decode(document.root, &submission, &field), 0);
+    assert_string_equal(submission.job_id, "req-000001");
+    assert_true(submission.deadline_s == 90);
+    assert_string_equal(submission.zone, "a");
+    rr_document_clear(&document);
+    rr_encoder_clear(&encoder);
 }
 
 /* Encodes a submission by hand with one field replaced, and expects it to be refused there. */
 enum kind { MISSING, NIL, TEXT, NEGATIVE, NOT_FINITE, INTEGER, TOO_MANY };
 
-static void put_odd(rr_encoder *o, enum kind kind) {
+static void put_odd(rr_encoder *encoder, enum kind kind) {
     switch (kind) {
     case NIL:
-        msgpack_pack_nil(&o->packer);
+        msgpack_pack_nil(&encoder->packer);
         break;
     case TEXT:
-        rr_encode_text(o, "what");
+        rr_encode_text(encoder, "what");
         break;
     case NEGATIVE:
-        rr_encode_number(o, -1);
+        rr_encode_number(encoder, -1);
         break;
     case NOT_FINITE:
-        rr_encode_number(o, INFINITY);
+        rr_encode_number(encoder, INFINITY);
         break;
     case INTEGER:
-        rr_encode_u64(o, 4);
+        rr_encode_u64(encoder, 4);
         break;
     default:
-        rr_encode_u64(o, 100001);
+        rr_encode_u64(encoder, 100001);
     }
 }
 
 static int decode_with(const char *name, enum kind kind, const char **field) {
-    rr_encoder o, odd;
-    rr_document d, whole;
-    rr_submission s;
-    encode_job(&o);
-    assert_int_equal(rr_document_parse(&whole, o.buffer.data, o.buffer.size), 0);
-    const msgpack_object_map *m = &whole.root->via.map;
+    rr_encoder encoder, odd;
+    rr_document document, whole;
+    rr_submission submission;
+    encode_job(&encoder);
+    assert_int_equal(rr_document_parse(&whole, encoder.buffer.data, encoder.buffer.size), 0);
+    const msgpack_object_map *map = &whole.root->via.map;
     rr_encoder_init(&odd);
-    rr_encode_map(&odd, kind == MISSING ? m->size - 1 : m->size);
-    for (uint32_t i = 0; i < m->size; i++) {
-        bool hit = rr_object_text_equals(&m->ptr[i].key, name);
+    rr_encode_map(&odd, kind == MISSING ? map->size - 1 : map->size);
+    for (uint32_t i = 0; i < map->size; i++) {
+        bool hit = rr_object_text_equals(&map->ptr[i].key, name);
         if (hit && kind == MISSING) {
             continue;
         }
-        msgpack_pack_object(&odd.packer, m->ptr[i].key);
+        msgpack_pack_object(&odd.packer, map->ptr[i].key);
         if (hit) {
             put_odd(&odd, kind);
         } else {
-            msgpack_pack_object(&odd.packer, m->ptr[i].val);
+            msgpack_pack_object(&odd.packer, map->ptr[i].val);
         }
     }
-    assert_int_equal(rr_document_parse(&d, odd.buffer.data, odd.buffer.size), 0);
-    int rc = rr_submission_decode(d.root, &s, field);
-    rr_submission_clear(&s);
-    rr_document_clear(&d);
+    assert_int_equal(rr_document_parse(&document, odd.buffer.data, odd.buffer.size), 0);
+    int rc = rr_submission_decode(document.root, &submission, field);
+    rr_submission_clear(&submission);
+    rr_document_clear(&document);
     rr_document_clear(&whole);
-    rr_encoder_clear(&o);
+    rr_encoder_clear(&encoder);
     rr_encoder_clear(&odd);
     return rc;
 }
@@ -173,43 +174,43 @@
     assert_false(rr_job_id_valid("req-00a"));
     assert_false(rr_job_id_valid("job-000412"));
     assert_false(rr_job_id_valid("req-1/../2"));
-    char ref[RR_ID_SIZE];
+    char job_id[RR_ID_SIZE];
     uint32_t task;
-    assert_true(rr_task_name_parse("req-000412/3", ref, sizeof ref, &task));
+    assert_true(rr_task_name_parse("req-000412/3", job_id, sizeof job_id, &task));
     assert_int_equal(task, 3);
-    assert_false(rr_task_name_parse("req-000412/", ref, sizeof ref, &task));
-    assert_false(rr_task_name_parse("req-000412/-1", ref, sizeof ref, &task));
-    assert_false(rr_task_name_parse("/3", ref, sizeof ref, &task));
+    assert_false(rr_task_name_parse("req-000412/", job_id, sizeof job_id, &task));
+    assert_false(rr_task_name_parse("req-000412/-1", job_id, sizeof job_id, &task));
+    assert_false(rr_task_name_parse("/3", job_id, sizeof job_id, &task));
 }
 
 /* A task list that can't be read whole proves nothing about what is absent from it. */
 static void a_report_counts_whole_or_not_at_all(void **state) {
     (void)state;
-    rr_encoder o;
-    rr_document d;
-    rr_heartbeat r;
+    rr_encoder encoder;
+    rr_document document;
+    rr_heartbeat heartbeat;
     for (int bad = 0; bad < 2; bad++) {
-        rr_encoder_init(&o);
-        rr_encode_map(&o, 9);
-        rr_encode_key_text(&o, "stone", "vm-1");
-        rr_encode_key_text(&o, "addr", "10.0.0.1:9000");
-        rr_encode_key_text(&o, "build", "m1");
-        rr_encode_key_text(&o, "ward", "a");
-        rr_encode_key_bool(&o, "loaners", false);
-        rr_encode_key_u64(&o, "tenure", 1);
-        rr_encode_key_u64(&o, "tally", 2);
-        rr_encode_key_u64(&o, "warrant", 3);
-        rr_encode_text(&o, "pieces");
-        rr_encode_array(&o, 1);
-        rr_encode_map(&o, 3);
-        rr_encode_key_text(&o, "piece", bad ? "nonsense" : "req-1/0");
-        rr_encode_key_u64(&o, "try", 2);
-        rr_encode_key_text(&o, "standing", "running");
-        assert_int_equal(rr_document_parse(&d, o.buffer.data, o.buffer.size), 0);
-        assert_int_equal(rr_heartbeat_decode(d.root, &r), bad ? -EBADMSG : 0);
-        rr_heartbeat_clear(&r);
-        rr_document_clear(&d);
-        rr_encoder_clear(&o);
+        rr_encoder_init(&encoder);
+        rr_encode_map(&encoder, 9);
+        rr_encode_key_text(&encoder, "stone", "vm-1");
+        rr_encode_key_text(&encoder, "addr", "10.0.0.1:9000");
+        rr_encode_key_text(&encoder, "build", "m1");
+        rr_encode_key_text(&encoder, "ward", "a");
+        rr_encode_key_bool(&encoder, "loaners", false);
+        rr_encode_key_u64(&encoder, "tenure", 1);
+        rr_encode_key_u64(&encoder, "tally", 2);
+        rr_encode_key_u64(&encoder, "warrant", 3);
+        rr_encode_text(&encoder, "pieces");
+        rr_encode_array(&encoder, 1);
+        rr_encode_map(&encoder, 3);
+        rr_encode_key_text(&encoder, "piece", bad ? "nonsense" : "req-1/0");
+        rr_encode_key_u64(&encoder, "try", 2);
+        rr_encode_key_text(&encoder, "standing", "running");
+        assert_int_equal(rr_document_parse(&document, encoder.buffer.data, encoder.buffer.size), 0);
+        assert_int_equal(rr_heartbeat_decode(document.root, &heartbeat), bad ? -EBADMSG : 0);
+        rr_heartbeat_clear(&heartbeat);
+        rr_document_clear(&document);
+        rr_encoder_clear(&encoder);
     }
 }
 
@@ -218,43 +219,43 @@
 static void fuzz_decoders(void **state) {
     (void)state;
     GRand *rnd = g_rand_new_with_seed(20);
-    uint8_t buf[512] = {0};
+    uint8_t buffer[512] = {0};
     rr_encoder job;
     encode_job(&job);
     for (int i = 0; i < 40000; i++) {
-        size_t n = (size_t)g_rand_int_range(rnd, 1, sizeof buf);
+        size_t count = (size_t)g_rand_int_range(rnd, 1, sizeof buffer);
         if (i % 2) {
-            n = job.buffer.size < sizeof buf ? job.buffer.size : sizeof buf;
-            memcpy(buf, job.buffer.data, n);
+            count = job.buffer.size < sizeof buffer ? job.buffer.size : sizeof buffer;
+            memcpy(buffer, job.buffer.data, count);
             for (int k = g_rand_int_range(rnd, 1, 6); k > 0; k--) {
-                buf[g_rand_int_range(rnd, 0, (gint)n)] = (uint8_t)g_rand_int(rnd);
+                buffer[g_rand_int_range(rnd, 0, (gint)count)] = (uint8_t)g_rand_int(rnd);
             }
         } else {
-            for (size_t k = 0; k < n; k++) {
-                buf[k] = (uint8_t)g_rand_int(rnd);
+            for (size_t k = 0; k < count; k++) {
+                buffer[k] = (uint8_t)g_rand_int(rnd);
             }
-            buf[0] = (uint8_t)(0x80 | (buf[0] & 0x0f));
+            buffer[0] = (uint8_t)(0x80 | (buffer[0] & 0x0f));
         }
-        rr_document d;
-        if (rr_document_parse(&d, buf, n) == 0) {
-            rr_submission s;
-            rr_heartbeat r;
-            rr_machine_type b;
-            rr_listed_machine st;
+        rr_document document;
+        if (rr_document_parse(&document, buffer, count) == 0) {
+            rr_submission submission;
+            rr_heartbeat heartbeat;
+            rr_machine_type type;
+            rr_listed_machine listed;
             const char *field;
-            if (rr_submission_decode(d.root, &s, &field) == 0) {
-                assert_true(s.task_count >= 1 && s.task_count <= RR_TASKS_MAX);
-                assert_true(s.cpus >= 0 && isfinite(s.cpus));
-                assert_true(rr_job_id_valid(s.job_id));
+            if (rr_submission_decode(document.root, &submission, &field) == 0) {
+                assert_true(submission.task_count >= 1 && submission.task_count <= RR_TASKS_MAX);
+                assert_true(submission.cpus >= 0 && isfinite(submission.cpus));
+                assert_true(rr_job_id_valid(submission.job_id));
             }
-            rr_submission_clear(&s);
-            rr_heartbeat_decode(d.root, &r);
-            rr_heartbeat_clear(&r);
-            rr_machine_type_decode(d.root, &b);
-            rr_machine_type_clear(&b);
-            rr_listed_machine_decode(d.root, &st);
+            rr_submission_clear(&submission);
+            rr_heartbeat_decode(document.root, &heartbeat);
+            rr_heartbeat_clear(&heartbeat);
+            rr_machine_type_decode(document.root, &type);
+            rr_machine_type_clear(&type);
+            rr_listed_machine_decode(document.root, &listed);
         }
-        rr_document_clear(&d);
+        rr_document_clear(&document);
     }
     rr_encoder_clear(&job);
     g_rand_free(rnd);
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -47,11 +47,11 @@
         trace_bytes(hash, records[i].buffer.data, records[i].buffer.size);
         rr_encoder_clear(&records[i]);
     }
-    rr_transaction txn;
-    rr_transaction_init(&txn);
-    trace_int(hash, rr_admission_write(admission, table, &txn));
-    trace_txn(hash, &txn);
-    rr_transaction_clear(&txn);
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
+    trace_int(hash, rr_admission_write(admission, table, &transaction));
+    trace_txn(hash, &transaction);
+    rr_transaction_clear(&transaction);
 }
 
 static void hash_demand_of(const struct model *model, int controller, double now) {
@@ -90,23 +90,23 @@
                                     .mem_gb = 1,
                                     .kind = (enum rr_job_kind)g_rand_int_range(random, 0, 3),
                                     .runtime_estimate_s = stream->runtime_s};
-        rr_admission_context standing = {.lease_valid = g_rand_int_range(random, 0, 20) > 0,
-                                         .all_capable = g_rand_int_range(random, 0, 20) > 0,
-                                         .cache_age_s = g_rand_double_range(random, 0, 3),
-                                         .controllers = MODEL_CONTROLLERS};
+        rr_admission_context state = {.lease_valid = g_rand_int_range(random, 0, 20) > 0,
+                                      .all_capable = g_rand_int_range(random, 0, 20) > 0,
+                                      .cache_age_s = g_rand_double_range(random, 0, 3),
+                                      .controllers = MODEL_CONTROLLERS};
         g_snprintf(submission.job_id, sizeof submission.job_id, "req-9%07u",
                    ++admission_trace.asked);
         g_strlcpy(submission.team, stream->team, sizeof submission.team);
         g_strlcpy(submission.job_class, stream->job_class, sizeof submission.job_class);
-        char builds[2][RR_ID_SIZE] = {"m2", "m1"};
-        submission.machine_types = builds;
+        char machine_types[2][RR_ID_SIZE] = {"m2", "m1"};
+        submission.machine_types = machine_types;
         submission.machine_type_count = g_rand_int_range(random, 0, 3);
         if (model->settings[0].solver_s <= 0) { /* more keys than a table takes */
             g_snprintf(submission.job_class, sizeof submission.job_class, "class-%d",
                        g_rand_int_range(random, 0, 300));
         }
         rr_admission_verdict verdict = rr_admission_ask(model->controllers[controller], &submission,
-                                                        &standing, TRACE_WALL + now, now);
+                                                        &state, TRACE_WALL + now, now);
         trace_int(&admission_trace.hash, verdict.kind);
         trace_int(&admission_trace.hash, (uint64_t)verdict.retry_after_s);
     }
@@ -227,12 +227,12 @@
 static void submit_at_home(struct cells_trace *trace) {
     char id[RR_ID_SIZE];
     g_snprintf(id, sizeof id, "req-%u", ++trace->jobs);
-    struct fx_job job = {.job_id = id,
-                         .team = roll(trace, 2) ? "red" : "blue",
-                         .service = roll(trace, 4) == 0,
-                         .pieces = (uint32_t)(1 + roll(trace, 4)),
-                         .cpus = 2 + 2 * roll(trace, 7),
-                         .rank = roll(trace, 4) == 0 ? "prod" : "standard"};
+    struct test_job job = {.job_id = id,
+                           .team = roll(trace, 2) ? "red" : "blue",
+                           .service = roll(trace, 4) == 0,
+                           .pieces = (uint32_t)(1 + roll(trace, 4)),
+                           .cpus = 2 + 2 * roll(trace, 7),
+                           .rank = roll(trace, 4) == 0 ? "prod" : "standard"};
     cell_submit(&trace->pair->home, &job);
 }
 
@@ -264,7 +264,7 @@
     trace_decimal(&trace->hash, first == RR_CANCEL_WAIT ? wait_s : 0);
     trace_int(&trace->hash, rr_transfers_may_cancel(home->transfers, id, home->node.now, &version));
     if (first == RR_CANCEL_FREE) {
-        fx_cancel(&home->node, id);
+        test_controller_cancel(&home->node, id);
     }
 }
 
@@ -349,7 +349,7 @@
 }
 
 static void hash_cell(trace_hash *hash, const struct test_cell *cell) {
-    GString *dump = fx_dump(cell->store);
+    GString *dump = fake_store_dump(cell->store);
     rr_transfers_stats stats;
     trace_text(hash, dump->str);
     trace_int(hash, cell->store->epoch);
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -22,30 +22,30 @@
 }
 
 static void answer_catalogue(struct trace_world *world, struct trace_controller *controller) {
-    GArray *builds = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
+    GArray *machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     for (size_t i = 0; i < G_N_ELEMENTS(types); i++) {
-        rr_machine_type build = {.cpus = types[i].cpus,
-                                 .gpus = types[i].gpus,
-                                 .mem_gb = types[i].mem_gb,
-                                 .cache_gb = i == 2 ? 0 : 100,
-                                 .pull_rate = 1,
-                                 .price = types[i].price,
-                                 .spot_price = types[i].spot_price,
-                                 .startup_s = types[i].boot_s};
-        g_strlcpy(build.name, types[i].name, sizeof build.name);
-        build.zones = g_ptr_array_new_with_free_func(g_free);
+        rr_machine_type type = {.cpus = types[i].cpus,
+                                .gpus = types[i].gpus,
+                                .mem_gb = types[i].mem_gb,
+                                .cache_gb = i == 2 ? 0 : 100,
+                                .pull_rate = 1,
+                                .price = types[i].price,
+                                .spot_price = types[i].spot_price,
+                                .startup_s = types[i].boot_s};
+        g_strlcpy(type.name, types[i].name, sizeof type.name);
+        type.zones = g_ptr_array_new_with_free_func(g_free);
         for (unsigned zone = 0; zone < TRACE_ZONES; zone++) {
             if (types[i].zones & 1u << zone) {
-                g_ptr_array_add(build.zones, g_strdup(trace_zone_names[zone]));
+                g_ptr_array_add(type.zones, g_strdup(trace_zone_names[zone]));
             }
         }
-        g_array_append_val(builds, build);
+        g_array_append_val(machine_types, type);
     }
-    rr_core_catalog_read(controller->node.core, world->now, builds);
-    for (guint i = 0; i < builds->len; i++) {
-        rr_machine_type_clear(&g_array_index(builds, rr_machine_type, i));
+    rr_core_catalog_read(controller->node.core, world->now, machine_types);
+    for (guint i = 0; i < machine_types->len; i++) {
+        rr_machine_type_clear(&g_array_index(machine_types, rr_machine_type, i));
     }
-    g_array_free(builds, TRUE);
+    g_array_free(machine_types, TRUE);
 }
 
 /* ---- lists ---- */
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -67,7 +67,7 @@
 
 static void configure(const struct trace_world *world, int index, struct rr_config *config) {
     const struct trace_scenario *scenario = &world->scenario;
-    fx_config(config, node_names[index]);
+    test_config(config, node_names[index]);
     g_strlcpy(config->zone, trace_zone_names[index], sizeof config->zone);
     for (int i = 0, peer = 0; i < TRACE_CONTROLLERS; i++) {
         if (i != index) {
@@ -109,28 +109,28 @@
     }
     trace_bytes(&world->hash, out.buffer.data, out.buffer.size);
     g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->node.config.node_name);
-    fx_put(world->store, key, &out);
+    fake_store_put(world->store, key, &out);
     rr_core_set_session(controller->node.core, controller->session, controller->session_until);
 }
 
 static void leave(struct trace_world *world, struct trace_controller *controller) {
     char key[RR_NAME_SIZE + 16];
-    rr_transaction txn;
+    rr_transaction transaction;
     g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->node.config.node_name);
-    rr_transaction_init(&txn);
-    rr_transaction_delete(&txn, key);
-    fx_commit(world->store, &txn);
-    rr_transaction_clear(&txn);
+    rr_transaction_init(&transaction);
+    rr_transaction_delete(&transaction, key);
+    fake_store_commit(world->store, &transaction);
+    rr_transaction_clear(&transaction);
     controller->joined = false;
 }
 
 void trace_controller_start(struct trace_world *world, int index) {
     struct trace_controller *controller = &world->controllers[index];
-    fx_node *node = &controller->node;
+    test_controller *node = &controller->node;
     bool first = node->core == NULL;
     controller->index = index;
     if (!first) {
-        fx_node_clear(node);
+        test_controller_clear(node);
     }
     memset(node, 0, sizeof *node);
     configure(world, index, &node->config);
@@ -143,7 +143,7 @@
     controller->wedged = false;
     controller->need = 0;
     if (!first) {
-        fx_reread(world->store, node->core, world->now);
+        fake_store_reload(world->store, node->core, world->now);
         trace_questions(world, controller);
     }
     join(world, controller);
@@ -161,20 +161,20 @@
 
 void trace_controller_reread(struct trace_world *world, struct trace_controller *controller) {
     if (has_store(world, controller)) {
-        fx_reread(world->store, controller->node.core, world->now);
+        fake_store_reload(world->store, controller->node.core, world->now);
     }
 }
 
 /* ---- transactions ---- */
 
 bool trace_commit(struct trace_world *world, struct trace_controller *controller,
-                  const rr_transaction *txn) {
+                  const rr_transaction *transaction) {
     rr_core *core = controller->node.core;
-    trace_txn(&world->hash, txn);
+    trace_txn(&world->hash, transaction);
     if (!has_store(world, controller)) {
         return false;
     }
-    int rc = fx_commit(world->store, txn);
+    int rc = fake_store_commit(world->store, transaction);
     trace_int(&world->hash, (uint64_t)(int64_t)rc);
     if (rc == -EINVAL) {
         assert_true(world->lowered);
@@ -182,7 +182,7 @@
         return false;
     }
     if (rc == 0 && !trace_chance(world, world->scenario.lost_answers)) {
-        rr_core_apply(core, txn, world->store->epoch, world->now);
+        rr_core_apply(core, transaction, world->store->epoch, world->now);
     } else {
         controller->need = world->store->epoch;
     }
@@ -215,18 +215,18 @@
 static void catch_up(struct trace_world *world, struct trace_controller *controller) {
     controller->node.now = world->now;
     if (has_store(world, controller) && trace_chance(world, 0.85)) {
-        fx_sync(world->store, controller->node.core, world->now);
+        fake_store_sync(world->store, controller->node.core, world->now);
     }
 }
 
 static void next_term(struct trace_world *world, struct trace_controller *controller) {
-    rr_transaction txn;
-    rr_transaction_init(&txn);
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
     if (has_store(world, controller) &&
-        rr_core_next_term(controller->node.core, world->now, trace_wall(world), &txn)) {
-        trace_commit(world, controller, &txn);
+        rr_core_next_term(controller->node.core, world->now, trace_wall(world), &transaction)) {
+        trace_commit(world, controller, &transaction);
     }
-    rr_transaction_clear(&txn);
+    rr_transaction_clear(&transaction);
 }
 
 static void hear_peers(struct trace_world *world, struct trace_controller *controller) {
@@ -297,19 +297,19 @@
     g_ptr_array_add(world->flights, flight);
 }
 
-static rr_heartbeat copy_report(const rr_heartbeat *report) {
-    rr_heartbeat copy = *report;
-    copy.tasks = g_array_copy(report->tasks);
+static rr_heartbeat copy_report(const rr_heartbeat *heartbeat) {
+    rr_heartbeat copy = *heartbeat;
+    copy.tasks = g_array_copy(heartbeat->tasks);
     return copy;
 }
 
 /* The machine's answer shows it as a report does, and others may take it for one. */
 static void take_answer(struct trace_world *world, const struct trace_controller *controller,
                         struct trace_machine *machine, int via) {
-    rr_heartbeat report;
-    trace_report_of(world, machine, &report);
-    rr_heartbeat copy = copy_report(&report);
-    bool others = rr_core_take_command_reply(controller->node.core, world->now, &report, via);
+    rr_heartbeat heartbeat;
+    trace_report_of(world, machine, &heartbeat);
+    rr_heartbeat copy = copy_report(&heartbeat);
+    bool others = rr_core_take_command_reply(controller->node.core, world->now, &heartbeat, via);
     trace_int(&world->hash, others);
     for (int i = 0; others && i < world->scenario.controllers; i++) {
         struct trace_controller *peer = &world->controllers[i];
@@ -322,7 +322,7 @@
         }
     }
     rr_heartbeat_clear(&copy);
-    rr_heartbeat_clear(&report);
+    rr_heartbeat_clear(&heartbeat);
 }
 
 static void arrive(struct trace_world *world, struct trace_flight *flight) {
@@ -462,9 +462,9 @@
 
 #define COPIES_MAX 64
 
-static void keep_copy(struct trace_world *world, const rr_heartbeat *report) {
+static void keep_copy(struct trace_world *world, const rr_heartbeat *heartbeat) {
     struct trace_copy *copy = g_new0(struct trace_copy, 1);
-    copy->report = copy_report(report);
+    copy->report = copy_report(heartbeat);
     copy->via = trace_roll(world, 3) - 1;
     g_ptr_array_add(world->copies, copy);
     if (world->copies->len > COPIES_MAX) {
@@ -479,22 +479,22 @@
     }
     const struct trace_copy *copy =
         g_ptr_array_index(world->copies, (guint)trace_roll(world, (int)world->copies->len));
-    rr_heartbeat report = copy_report(&copy->report);
+    rr_heartbeat heartbeat = copy_report(&copy->report);
     trace_int(&world->hash,
-              rr_core_take_heartbeat(controller->node.core, world->now, &report, copy->via));
-    rr_heartbeat_clear(&report);
+              rr_core_take_heartbeat(controller->node.core, world->now, &heartbeat, copy->via));
+    rr_heartbeat_clear(&heartbeat);
 }
 
 /* What one controller has heard goes to the others: whole, or as a sign of life. */
 static void pass_on(struct trace_world *world, const struct trace_controller *from,
-                    const rr_heartbeat *report, enum rr_heartbeat_news news) {
+                    const rr_heartbeat *heartbeat, enum rr_heartbeat_news news) {
     uint32_t now_and_then = 0;
     uint32_t wanted =
-        rr_core_heartbeat_subscribers(from->node.core, report->machine, &now_and_then);
-    rr_heartbeat_digest heard = {.worker_epoch = report->worker_epoch,
-                                 .sequence = report->sequence,
-                                 .hash = rr_heartbeat_hash(report)};
-    g_strlcpy(heard.machine, report->machine, sizeof heard.machine);
+        rr_core_heartbeat_subscribers(from->node.core, heartbeat->machine, &now_and_then);
+    rr_heartbeat_digest heard = {.worker_epoch = heartbeat->worker_epoch,
+                                 .sequence = heartbeat->sequence,
+                                 .hash = rr_heartbeat_hash(heartbeat)};
+    g_strlcpy(heard.machine, heartbeat->machine, sizeof heard.machine);
     trace_int(&world->hash, wanted);
     trace_int(&world->hash, now_and_then);
     trace_int(&world->hash, heard.hash);
@@ -507,7 +507,7 @@
         int via = trace_peer_index(peer, from);
         if ((news == RR_HEARTBEAT_CHANGED && (wanted & bit)) ||
             ((now_and_then & bit) && trace_chance(world, 0.2))) {
-            rr_heartbeat copy = copy_report(report);
+            rr_heartbeat copy = copy_report(heartbeat);
             trace_int(&world->hash,
                       rr_core_take_heartbeat(peer->node.core, world->now, &copy, via));
             rr_heartbeat_clear(&copy);
@@ -519,9 +519,9 @@
 }
 
 static void answer(struct trace_world *world, const struct trace_controller *controller,
-                   struct trace_machine *machine, const rr_heartbeat *report) {
+                   struct trace_machine *machine, const rr_heartbeat *heartbeat) {
     struct rr_heartbeat_reply given;
-    rr_core_reply_to_heartbeat(controller->node.core, world->now, report, &given);
+    rr_core_reply_to_heartbeat(controller->node.core, world->now, heartbeat, &given);
     trace_answer(&world->hash, &given);
     if (given.status == 200 && given.fencing_token >= machine->fencing_token) {
         machine->fencing_token = given.fencing_token;
@@ -537,25 +537,25 @@
 
 static void report_once(struct trace_world *world, struct trace_machine *machine) {
     const struct trace_controller *controller = &world->controllers[machine->controller];
-    rr_heartbeat report;
+    rr_heartbeat heartbeat;
     machine->report_at = world->now + 3 * trace_between(world, 0.85, 1.15);
     if (machine->mute_until > world->now || !controller->running ||
         !reaches(world, zone_of(controller), machine->zone)) {
         machine->controller = trace_roll(world, world->scenario.controllers);
         return;
     }
-    trace_report_of(world, machine, &report);
-    rr_heartbeat copy = copy_report(&report);
+    trace_report_of(world, machine, &heartbeat);
+    rr_heartbeat copy = copy_report(&heartbeat);
     enum rr_heartbeat_news news =
         rr_core_take_heartbeat(controller->node.core, world->now, &copy, -1);
     trace_int(&world->hash, news);
-    pass_on(world, controller, &report, news);
-    answer(world, controller, machine, &report);
+    pass_on(world, controller, &heartbeat, news);
+    answer(world, controller, machine, &heartbeat);
     if (trace_chance(world, 0.03)) {
-        keep_copy(world, &report);
+        keep_copy(world, &heartbeat);
     }
     rr_heartbeat_clear(&copy);
-    rr_heartbeat_clear(&report);
+    rr_heartbeat_clear(&heartbeat);
 }
 
 void trace_reports(struct trace_world *world) {
--- a/tests/trace_core.c
+++ b/tests/trace_core.c
@@ -321,7 +321,7 @@
         machine->made_at = world->now - 100;
         machine->up_at = world->now;
         if (trace_chance(world, 0.05)) {
-            fx_machine(world->store, machine->id, machine->zone, false, true);
+            fake_store_put_machine(world->store, machine->id, machine->zone, false, true);
             machine->type = "m1";
         }
     }
@@ -340,7 +340,7 @@
         world->step_max_s = 3.5;
         world->scenario.jobs_per_s *= 0.25;
     }
-    world->store = fx_store_create();
+    world->store = fake_store_create();
     world->machines = g_ptr_array_new_with_free_func(trace_machine_free);
     world->machine_by_id = g_hash_table_new(g_str_hash, g_str_equal);
     world->jobs = g_ptr_array_new_with_free_func(g_free);
@@ -362,7 +362,7 @@
 
 static void world_clear(struct trace_world *world) {
     for (int i = 0; i < world->scenario.controllers; i++) {
-        fx_node_clear(&world->controllers[i].node);
+        test_controller_clear(&world->controllers[i].node);
     }
     g_hash_table_destroy(world->rentals);
     g_ptr_array_free(world->copies, TRUE);
@@ -371,7 +371,7 @@
     g_ptr_array_free(world->jobs, TRUE);
     g_hash_table_destroy(world->machine_by_id);
     g_ptr_array_free(world->machines, TRUE);
-    fx_store_destroy(world->store);
+    fake_store_destroy(world->store);
     g_rand_free(world->random);
 }
 
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -39,19 +39,19 @@
 }
 
 /* As it goes to the state service: guards, changes and their bytes. */
-void trace_txn(trace_hash *hash, const rr_transaction *txn) {
+void trace_txn(trace_hash *hash, const rr_transaction *transaction) {
     rr_encoder out;
     rr_encoder_init(&out);
-    rr_transaction_encode(txn, &out);
+    rr_transaction_encode(transaction, &out);
     trace_int(hash, out.buffer.size);
     trace_bytes(hash, out.buffer.data, out.buffer.size);
     rr_encoder_clear(&out);
 }
 
-static void trace_orders(trace_hash *hash, const GArray *orders) {
-    trace_int(hash, orders->len);
-    for (guint i = 0; i < orders->len; i++) {
-        const rr_command *order = &g_array_index(orders, rr_command, i);
+static void trace_orders(trace_hash *hash, const GArray *commands) {
+    trace_int(hash, commands->len);
+    for (guint i = 0; i < commands->len; i++) {
+        const rr_command *order = &g_array_index(commands, rr_command, i);
         trace_int(hash, order->kind);
         trace_text(hash, order->job_id);
         trace_int(hash, order->task);
--- a/tests/trace_hash.h
+++ b/tests/trace_hash.h
@@ -17,7 +17,7 @@
 void trace_decimal(trace_hash *hash, double number);
 
 /* ---- what the core gives out ---- */
-void trace_txn(trace_hash *hash, const rr_transaction *txn);
+void trace_txn(trace_hash *hash, const rr_transaction *transaction);
 void trace_command(trace_hash *hash, const rr_command_batch *command);
 void trace_plan(trace_hash *hash, const rr_plan *plan);
 void trace_step(trace_hash *hash, const rr_autoscaler_step *step);
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -16,11 +16,11 @@
     return roll < scenario->arrays + scenario->services ? RR_JOB_SERVICE : RR_JOB_GANG;
 }
 
-static uint32_t any_tasks(struct trace_world *world, enum rr_job_kind shape) {
-    if (shape == RR_JOB_GANG) {
+static uint32_t any_tasks(struct trace_world *world, enum rr_job_kind kind) {
+    if (kind == RR_JOB_GANG) {
         return trace_chance(world, 0.02) ? 500 : (uint32_t)(2 + trace_roll(world, 7));
     }
-    if (shape == RR_JOB_SERVICE) {
+    if (kind == RR_JOB_SERVICE) {
         return (uint32_t)(1 + trace_roll(world, 5));
     }
     return (uint32_t)(1 + trace_roll(world, trace_chance(world, 0.15) ? 200 : 12));
@@ -116,15 +116,15 @@
                       const rr_submission *submission) {
     char key[RR_ID_SIZE + 64];
     rr_encoder out;
-    rr_transaction txn;
-    rr_transaction_init(&txn);
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
     rr_encoder_init(&out);
     rr_core_job_encode(&out, submission, trace_wall(world), trace_chance(world, 0.02));
     rr_core_job_key(submission->job_id, key, sizeof key);
-    rr_transaction_guard(&txn, key, 0);
-    rr_transaction_put(&txn, key, &out, 0);
-    trace_commit(world, controller, &txn);
-    rr_transaction_clear(&txn);
+    rr_transaction_guard(&transaction, key, 0);
+    rr_transaction_put(&transaction, key, &out, 0);
+    trace_commit(world, controller, &transaction);
+    rr_transaction_clear(&transaction);
 }
 
 #define BATCH_MAX 4
@@ -134,18 +134,18 @@
                         const rr_submission *submissions, size_t count) {
     char key[RR_ID_SIZE + 64];
     rr_encoder out;
-    rr_transaction txn;
-    rr_transaction_init(&txn);
+    rr_transaction transaction;
+    rr_transaction_init(&transaction);
     rr_encoder_init(&out);
     rr_core_batch_begin(&out, count);
     for (size_t i = 0; i < count; i++) {
         rr_core_job_encode(&out, &submissions[i], trace_wall(world), false);
     }
     rr_core_batch_key(controller->session, ++controller->batches, key, sizeof key);
-    rr_transaction_guard(&txn, key, 0);
-    rr_transaction_put(&txn, key, &out, 0);
-    trace_commit(world, controller, &txn);
-    rr_transaction_clear(&txn);
+    rr_transaction_guard(&transaction, key, 0);
+    rr_transaction_put(&transaction, key, &out, 0);
+    trace_commit(world, controller, &transaction);
+    rr_transaction_clear(&transaction);
 }
 
 void trace_submit(struct trace_world *world) {
@@ -211,28 +211,28 @@
     struct trace_controller *controller = trace_any_controller(world);
     struct trace_job *job = any_job(world);
     char key[RR_ID_SIZE + 64];
-    uint64_t mark = 0;
+    uint64_t version = 0;
     rr_encoder out;
-    rr_transaction txn;
+    rr_transaction transaction;
     if (!controller || !job) {
         return;
     }
-    rr_transaction_init(&txn);
+    rr_transaction_init(&transaction);
     rr_encoder_init(&out);
-    bool possible = rr_core_cancel_record(controller->node.core, job->id, &out, &mark);
+    bool possible = rr_core_cancel_record(controller->node.core, job->id, &out, &version);
     trace_int(&world->hash, possible);
     if (possible) {
         rr_core_job_key(job->id, key, sizeof key);
-        rr_transaction_guard(&txn, key, mark);
-        rr_transaction_put(&txn, key, &out, 0);
-        if (trace_commit(world, controller, &txn)) {
+        rr_transaction_guard(&transaction, key, version);
+        rr_transaction_put(&transaction, key, &out, 0);
+        if (trace_commit(world, controller, &transaction)) {
             job->cancelled = true;
             hint_peers(world, controller, job->id);
         }
     } else {
         rr_encoder_clear(&out);
     }
-    rr_transaction_clear(&txn);
+    rr_transaction_clear(&transaction);
 }
 
 /* ---- jobs that another cell has a say in ---- */
@@ -263,24 +263,25 @@
 static void finish_elsewhere(struct trace_world *world) {
     struct trace_controller *controller = trace_any_controller(world);
     const struct trace_job *job = any_job(world);
-    rr_transaction txn;
+    rr_transaction transaction;
     if (!controller || !job) {
         return;
     }
     rr_core *core = controller->node.core;
-    rr_transaction_init(&txn);
+    rr_transaction_init(&transaction);
     bool finishes = trace_chance(world, 0.3);
-    bool changes = finishes ? rr_core_finish_job(core, job->id, trace_chance(world, 0.2), &txn)
-                            : rr_core_abandon_job(core, job->id, &txn);
+    bool changes = finishes
+                       ? rr_core_finish_job(core, job->id, trace_chance(world, 0.2), &transaction)
+                       : rr_core_abandon_job(core, job->id, &transaction);
     trace_int(&world->hash, changes);
     if (changes) {
-        rr_core_guard_term(core, &txn);
-        trace_commit(world, controller, &txn);
+        rr_core_guard_term(core, &transaction);
+        trace_commit(world, controller, &transaction);
     } else {
-        trace_int(&world->hash, rr_core_guard_job(core, job->id, &txn));
-        trace_txn(&world->hash, &txn);
+        trace_int(&world->hash, rr_core_guard_job(core, job->id, &transaction));
+        trace_txn(&world->hash, &transaction);
     }
-    rr_transaction_clear(&txn);
+    rr_transaction_clear(&transaction);
 }
 
 void trace_users(struct trace_world *world, double seconds) {
@@ -313,7 +314,7 @@
     rr_encoder_init(&out);
     rr_encode_map(&out, 1);
     rr_encode_key_text(&out, field, text);
-    fx_put(world->store, key, &out);
+    fake_store_put(world->store, key, &out);
 }
 
 /* An earlier version cancels a job of a kind that it does not know. */
@@ -325,27 +326,27 @@
         return;
     }
     rr_core_job_key(job->id, key, sizeof key);
-    if (fx_mark(world->store, key) == 0) {
+    if (fake_store_version(world->store, key) == 0) {
         return;
     }
     rr_encoder_init(&out);
     rr_encode_map(&out, 2);
     rr_encode_key_text(&out, "ref", job->id);
     rr_encode_key_bool(&out, "cancelled", true);
-    fx_put(world->store, key, &out);
+    fake_store_put(world->store, key, &out);
 }
 
 static void delete_page(struct trace_world *world) {
     char key[64];
-    rr_transaction txn;
+    rr_transaction transaction;
     g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d",
                100001 + trace_roll(world, world->scenario.own_machines));
-    rr_transaction_init(&txn);
-    if (fx_mark(world->store, key) != 0) {
-        rr_transaction_delete(&txn, key);
-        fx_commit(world->store, &txn);
+    rr_transaction_init(&transaction);
+    if (fake_store_version(world->store, key) != 0) {
+        rr_transaction_delete(&transaction, key);
+        fake_store_commit(world->store, &transaction);
     }
-    rr_transaction_clear(&txn);
+    rr_transaction_clear(&transaction);
 }
 
 void trace_odd_record(struct trace_world *world) {
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -81,16 +81,16 @@
 }
 
 static void enter(const struct trace_world *world, struct trace_task *task,
-                  enum rr_task_state standing, double seconds) {
-    task->standing = standing;
+                  enum rr_task_state state, double seconds) {
+    task->standing = state;
     task->since = world->now;
     task->until = world->now + seconds;
 }
 
 static void end_task(const struct trace_world *world, struct trace_task *task,
-                     enum rr_exit_reason cause) {
+                     enum rr_exit_reason exit_reason) {
     enter(world, task, RR_TASK_ENDED, NEVER_S);
-    task->cause = cause;
+    task->cause = exit_reason;
 }
 
 /* What a worker may refuse a start with. */
@@ -105,10 +105,10 @@
     struct trace_task task = {.job = g_hash_table_lookup(world->job_by_id, order->job_id),
                               .task = order->task,
                               .attempt = order->attempt};
-    enum rr_exit_reason cause = refusal(world);
+    enum rr_exit_reason exit_reason = refusal(world);
     enter(world, &task, RR_TASK_FETCHING, trace_between(world, 0, 2));
-    if (cause != RR_EXIT_NONE) {
-        end_task(world, &task, cause);
+    if (exit_reason != RR_EXIT_NONE) {
+        end_task(world, &task, exit_reason);
     }
     g_array_append_val(machine->tasks, task);
 }
@@ -125,9 +125,9 @@
 }
 
 void trace_execute_orders(struct trace_world *world, struct trace_machine *machine,
-                          const GArray *orders) {
-    for (guint i = 0; i < orders->len; i++) {
-        const rr_command *order = &g_array_index(orders, rr_command, i);
+                          const GArray *commands) {
+    for (guint i = 0; i < commands->len; i++) {
+        const rr_command *order = &g_array_index(commands, rr_command, i);
         struct trace_task *task = find_task(machine, order);
         if (order->kind == RR_COMMAND_START && !task) {
             start_task(world, machine, order);
@@ -267,11 +267,11 @@
     out->tasks = g_array_new(FALSE, TRUE, sizeof(rr_task_status));
     for (guint i = 0; i < machine->tasks->len; i++) {
         const struct trace_task *task = task_at(machine, i);
-        rr_task_status piece = {.task = task->task,
-                                .attempt = task->attempt,
-                                .state = task->standing,
-                                .exit_reason = task->cause};
-        g_strlcpy(piece.job_id, task->job->id, sizeof piece.job_id);
-        g_array_append_val(out->tasks, piece);
+        rr_task_status status = {.task = task->task,
+                                 .attempt = task->attempt,
+                                 .state = task->standing,
+                                 .exit_reason = task->cause};
+        g_strlcpy(status.job_id, task->job->id, sizeof status.job_id);
+        g_array_append_val(out->tasks, status);
     }
 }
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -67,7 +67,7 @@
 };
 
 struct trace_controller {
-    fx_node node;
+    test_controller node;
     int index;
     bool running;     /* the process */
     bool wedged;      /* it has lost the state service */
@@ -100,7 +100,7 @@
     struct trace_scenario scenario;
     GRand *random;
     trace_hash hash;
-    fx_store *store;
+    fake_store *store;
     double now;
     double step_max_s;
     unsigned steps;
@@ -137,7 +137,7 @@
 bool trace_execute(struct trace_world *world, struct trace_machine *machine,
                    const rr_command_batch *command);
 void trace_execute_orders(struct trace_world *world, struct trace_machine *machine,
-                          const GArray *orders);
+                          const GArray *commands);
 /* The machine is gone, or another one stands under its name. */
 void trace_machine_dies(struct trace_machine *machine);
 void trace_machine_reborn(struct trace_world *world, struct trace_machine *machine);
@@ -169,7 +169,7 @@
 void trace_flights(struct trace_world *world);
 /* Commits what a core asked for; the core may learn of it at once or with the next watch. */
 bool trace_commit(struct trace_world *world, struct trace_controller *controller,
-                  const rr_transaction *txn);
+                  const rr_transaction *transaction);
 void trace_reports(struct trace_world *world);
 /* The peer's index in the owner's settings. */
 int trace_peer_index(const struct trace_controller *owner, const struct trace_controller *peer);
--- a/tests/world.h
+++ b/tests/world.h
@@ -7,51 +7,54 @@
 
 #include <stdint.h>
 
-typedef struct world world;
+typedef struct fake_services fake_services;
 
-world *world_start(void);
-void world_stop(world *w);
-uint16_t world_port(const world *w);
+fake_services *fake_services_start(void);
+void fake_services_stop(fake_services *cluster);
+uint16_t fake_services_port(const fake_services *cluster);
 /* The next commit is carried out, but its answer never comes. */
-void world_drop_next_answer(world *w);
+void fake_services_drop_next_answer(fake_services *cluster);
 /* While frozen, open watches wait and show nothing new. */
-void world_freeze_watches(world *w, bool frozen);
+void fake_services_freeze_watches(fake_services *cluster, bool frozen);
 /* Another way in to everything; returns its port. Doors are counted from 1, the first being the one
  * that world_config() names. */
-uint16_t world_add_door(world *w);
+uint16_t fake_services_add_endpoint(fake_services *cluster);
 /* The state service refuses who comes through this door, or shows it nothing new. */
-void world_refuse(world *w, unsigned door, bool refused);
-void world_freeze_door(world *w, unsigned door, bool frozen);
+void fake_services_refuse(fake_services *cluster, unsigned door, bool refused);
+void fake_services_freeze_endpoint(fake_services *cluster, unsigned door, bool frozen);
 /* While down, every request to the store gets 503. */
-void world_store_down(world *w, bool down);
-void world_task_seconds(world *w, double seconds); /* what a task takes; 0.1 at first */
-unsigned world_tasks(world *w);                    /* on the worker, not exited */
-double world_started(world *w, const char *piece); /* when it first was, 0: never */
-unsigned world_restarted(world *w);                /* starts beyond each piece's first */
-unsigned world_rented(world *w);
+void fake_services_store_down(fake_services *cluster, bool down);
+void fake_services_task_seconds(fake_services *cluster,
+                                double seconds);              /* what a task takes; 0.1 at first */
+unsigned fake_services_running_tasks(fake_services *cluster); /* on the worker, not exited */
+double fake_services_started(fake_services *cluster,
+                             const char *task_name);          /* when it first was, 0: never */
+unsigned fake_services_restart_count(fake_services *cluster); /* starts beyond each piece's first */
+unsigned fake_services_rented_count(fake_services *cluster);
 
 /* Without an answer for so long the worker ends what runs; 0 at first: never. */
-void world_worker_lease(world *w, double seconds);
-void world_zone(world *w, const char *zone); /* of its machine; "a" at first */
+void fake_services_worker_lease(fake_services *cluster, double seconds);
+void fake_services_zone(fake_services *cluster,
+                        const char *zone); /* of its machine; "a" at first */
 /* The machine is gone, with all that ran. */
-void world_lose_worker(world *w);
+void fake_services_lose_worker(fake_services *cluster);
 /* Every run of a task on the worker, in the order of their starts. */
 typedef struct {
     char piece[80];
     double started_at, ended_at; /* steady; ended_at 0: it runs */
     bool done;
-} world_run;
-GArray *world_runs(world *w); /* a copy: world_run */
+} fake_services_run;
+GArray *fake_services_runs(fake_services *cluster); /* a copy: world_run */
 
-uint16_t world_free_port(void);
+uint16_t fake_services_free_port(void);
 /* A connection of the test's own, whose reads end after 20 s; -1 if it is refused. */
-int world_dial(const struct rr_endpoint *to);
+int fake_services_dial(const struct rr_endpoint *endpoint);
 /* Settings of a controller in this world; ports are free ones. */
-void world_config(world *w, struct rr_config *c, const char *name);
+void fake_services_config(fake_services *cluster, struct rr_config *config, const char *name);
 /* One request to a controller; -1 if there was no answer. *doc may be NULL. */
-int world_call(const struct rr_config *c, const char *method, const char *path, const void *body,
-               size_t len, rr_document *doc);
+int fake_services_call(const struct rr_config *config, const char *method, const char *path,
+                       const void *body, size_t length, rr_document *document);
 /* Submits a job; the status as above. */
-int world_submit(const struct rr_config *c, const rr_submission *submission);
+int fake_services_submit(const struct rr_config *config, const rr_submission *submission);
 
 #endif
