--- a/src/admission/entries.h
+++ b/src/admission/entries.h
@@ -2,7 +2,7 @@
 #ifndef RR_ADMISSION_ENTRIES_H
 #define RR_ADMISSION_ENTRIES_H
 
-#include "admission/load.h"
+#include "admission/offered_load.h"
 
 /* One key under consideration. */
 typedef struct {
--- a/src/admission/key.h
+++ b/src/admission/key.h
@@ -3,7 +3,7 @@
 #ifndef RR_ADMISSION_KEY_H
 #define RR_ADMISSION_KEY_H
 
-#include "core/config.h"
+#include "conf/config.h"
 #include "wire/wire.h"
 
 #define RR_ADMISSION_BANDS 3 /* small, medium and large jobs */
--- a/src/admission/load.c
+++ b/src/admission/offered_load.c
@@ -1,4 +1,4 @@
-#include "admission/load.h"
+#include "admission/offered_load.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/admission/settings.h
+++ b/src/admission/settings.h
@@ -2,7 +2,7 @@
 #ifndef RR_ADMISSION_SETTINGS_H
 #define RR_ADMISSION_SETTINGS_H
 
-#include "core/config.h"
+#include "conf/config.h"
 
 #include <glib.h>
 
--- a/src/admission/writer.h
+++ b/src/admission/writer.h
@@ -3,7 +3,7 @@
 #ifndef RR_ADMISSION_WRITER_H
 #define RR_ADMISSION_WRITER_H
 
-#include "admission/load.h"
+#include "admission/offered_load.h"
 #include "admission/table.h"
 
 typedef struct rr_admission_writer rr_admission_writer;
--- a/src/app/admission_duty.c
+++ b/src/app/admission_thread.c
@@ -4,9 +4,9 @@
  * Lock order: the core's lock, then this one. The linear programs run under neither. */
 #include "admission/admission.h"
 #include "app/app.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 
 #include <errno.h>
 #include <math.h>
--- a/src/app/app.c
+++ b/src/app/app.c
@@ -1,7 +1,7 @@
 #include "app/app.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/thread.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/thread.h"
 #include "cells/links.h"
 
 #include <errno.h>
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -6,7 +6,7 @@
 #include "cells/settings.h"
 #include "cells/transfers.h"
 #include "core/core.h"
-#include "http/door.h"
+#include "http/server.h"
 #include "peer/peer.h"
 #include "app/stats.h"
 #include "store/store.h"
@@ -101,7 +101,7 @@
 void rr_app_wait(struct rr_app *app, pthread_cond_t *condition, pthread_mutex_t *mutex,
                  double seconds);
 void rr_app_cond_init(pthread_cond_t *condition); /* by the steady clock */
-/* Repeats a transaction until its outcome is certain; see duty.c. */
+/* Repeats a transaction until its outcome is certain; see thread_loop.c. */
 enum rr_commit_status rr_app_commit(struct rr_app *app, rr_store *store,
                                     enum rr_request_priority prio,
                                     const rr_transaction *transaction, uint64_t *revision);
@@ -109,7 +109,7 @@
 void rr_app_take_heartbeat(struct rr_app *app, const void *body, size_t length, int via,
                            unsigned hops);
 
-/* admission_duty.c. All do nothing where admission is switched off. */
+/* admission_thread.c. All do nothing where admission is switched off. */
 int rr_app_admission_start(struct rr_app *app); /* before the threads; 0 or -errno */
 void rr_app_admission_stop(struct rr_app *app); /* after they have ended */
 /* Whether a valid submission of an unknown job is admitted; if not, when to come back. */
@@ -120,7 +120,7 @@
 void rr_app_admission_log(struct rr_app *app);
 void *rr_admission_thread(void *app);
 
-/* cells_duty.c. All do nothing where cells are switched off. */
+/* cells_thread.c. All do nothing where cells are switched off. */
 int rr_app_cells_start(struct rr_app *app); /* before the threads that read records; 0 or -errno */
 void rr_app_cells_join(struct rr_app *app); /* after the stop: its threads end */
 void rr_app_cells_stop(struct rr_app *app); /* after the core's end */
@@ -142,7 +142,7 @@
 bool rr_app_cells_guard_cancel(const struct rr_app *app, const char *job_id,
                                struct rr_user_commit *commit);
 
-/* handlers.c */
+/* request_handlers.c */
 void rr_app_handle(void *user, const struct rr_http_request *request,
                    struct rr_http_response *response);
 /* A cancellation that is confirmed: the other controllers stop the job's tasks in their answers. */
--- a/src/app/provisioner_duty.c
+++ b/src/app/autoscaler_thread.c
@@ -1,8 +1,8 @@
 /* Carries out the provisioner's steps: lists, records, rentals, returns. */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 #include "cloud/cloud.h"
 
 #include <errno.h>
--- a/src/app/cells_duty.c
+++ b/src/app/cells_thread.c
@@ -2,12 +2,12 @@
  * neighbours are answered, and users' requests for jobs of other cells are carried there.
  *
  * The transfers are under the core's lock. Requests, replies and changes go on without it. */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 #include "admission/verdict.h"
-#include "app/thread.h"
+#include "common/thread.h"
 #include "cells/links.h"
 #include "cells/transfers.h"
 
--- a/src/app/sender_duty.c
+++ b/src/app/command_thread.c
@@ -1,8 +1,8 @@
 /* Carries commands to workers, directly or through a peer. */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 #include "worker/worker.h"
 
 #include <errno.h>
--- a/src/app/users_duty.c
+++ b/src/app/commit_thread.c
@@ -1,8 +1,8 @@
 /* Users' changes, which share transactions, and the read barrier that polls wait for. */
-#include "app/duty.h"
-#include "app/batch.h"
-#include "app/clock.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "app/user_batch.h"
+#include "common/clock.h"
+#include "common/usage.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -1,7 +1,7 @@
 /* The command line, and the life of the process. */
 #include "app/app.h"
-#include "app/clock.h"
-#include "app/log.h"
+#include "common/clock.h"
+#include "common/log.h"
 #include "app/settings.h"
 
 #include <errno.h>
--- a/src/app/term_duty.c
+++ b/src/app/membership_thread.c
@@ -1,8 +1,8 @@
 /* Terms, which follow the sessions, and the log line of each minute. */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 
 #include <malloc.h>
 
--- a/src/app/planner_duty.c
+++ b/src/app/planner_thread.c
@@ -1,8 +1,8 @@
 /* The owner's plans: made, committed, and their commands handed to the senders. */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 
 #include <math.h>
 
--- a/src/app/handlers.c
+++ b/src/app/request_handlers.c
@@ -1,7 +1,7 @@
 /* What each request of users, workers and health checks gets. */
 #include "app/app.h"
-#include "app/clock.h"
-#include "app/log.h"
+#include "common/clock.h"
+#include "common/log.h"
 
 #include <string.h>
 
--- a/src/app/session_duty.c
+++ b/src/app/session_thread.c
@@ -1,9 +1,9 @@
 /* The session with the state service: taken, renewed, and resigned where it is refused here alone.
  */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 
 #include <errno.h>
 
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -1,9 +1,8 @@
 #include "app/settings.h"
 #include "app/toml.h"
+#include "conf/endpoint.h"
 
-#include <arpa/inet.h>
 #include <confuse.h>
-#include <ctype.h>
 #include <errno.h>
 #include <glib.h>
 #include <stdio.h>
@@ -25,23 +24,6 @@
     }
 }
 
-int rr_endpoint_parse(const char *text, struct rr_endpoint *out) {
-    const char *colon = strrchr(text, ':');
-    struct in_addr address;
-    if (!colon || (size_t)(colon - text) >= sizeof out->host || !isdigit((unsigned char)colon[1])) {
-        return -EINVAL;
-    }
-    memcpy(out->host, text, (size_t)(colon - text));
-    out->host[colon - text] = 0;
-    char *end;
-    unsigned long port = strtoul(colon + 1, &end, 10);
-    if (*end || port == 0 || port > 65535 || inet_pton(AF_INET, out->host, &address) != 1) {
-        return -EINVAL;
-    }
-    out->port = (uint16_t)port;
-    return 0;
-}
-
 static void need_text(struct load *load, const char *path, char *out, size_t size) {
     int rc = rr_toml_text(load->table, path, out, size);
     if (rc != 0) {
--- a/src/app/door_duty.c
+++ b/src/app/startup_thread.c
@@ -1,7 +1,7 @@
 /* Opens the HTTP server once there is something to tell. */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
 
 #include <string.h>
 
--- a/src/app/duty.c
+++ b/src/app/thread_loop.c
@@ -1,7 +1,7 @@
 /* What the duties have in common: pauses that notice when they end late, the store client of a
  * thread, and transactions whose outcome must be certain. */
-#include "app/duty.h"
-#include "app/clock.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
 
 bool rr_app_stopping(const struct rr_app *app) {
     return atomic_load(&app->stop);
--- a/src/app/batch.c
+++ b/src/app/user_batch.c
@@ -1,4 +1,4 @@
-#include "app/batch.h"
+#include "app/user_batch.h"
 
 #include <string.h>
 
--- a/src/app/batch.h
+++ b/src/app/user_batch.h
@@ -1,7 +1,7 @@
 /* Users' changes that share a transaction: what goes together, and the transaction that comes of
  * it. Plain data of the committer's thread. */
-#ifndef RR_APP_BATCH_H
-#define RR_APP_BATCH_H
+#ifndef RR_APP_USER_BATCH_H
+#define RR_APP_USER_BATCH_H
 
 #include "app/app.h"
 
--- a/src/app/mirror_duty.c
+++ b/src/app/watch_thread.c
@@ -1,8 +1,8 @@
 /* The store cache: read in full once, then kept by a watch. */
-#include "app/duty.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 
 #include <errno.h>
 
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -1,6 +1,6 @@
 /* Jobs of a neighbour that has no controllers: those that this cell holds are granted by the record
  * itself, their answers are written there, and others are claimed. */
-#include "cells/internal.h"
+#include "cells/transfers_internal.h"
 
 #include <string.h>
 
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -1,6 +1,6 @@
 /* Other cells' jobs here: taken when there is room, run while their home grants it, and given back
  * when it does not, or when they can't begin. */
-#include "cells/internal.h"
+#include "cells/transfers_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/cells/links.c
+++ b/src/cells/links.c
@@ -1,8 +1,8 @@
 #include "cells/links.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/thread.h"
-#include "app/usage.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/thread.h"
+#include "common/usage.h"
 #include "net/socket.h"
 #include "peer/stream.h"
 
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -1,6 +1,6 @@
 /* This cell's jobs at others: offered when they wait too long, granted while they are there, and
  * taken back when their guest is not heard. */
-#include "cells/internal.h"
+#include "cells/transfers_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -5,7 +5,7 @@
 
 #include "cells/settings.h"
 #include "cells/transfer.h"
-#include "core/txn.h"
+#include "core/state/transaction.h"
 #include "wire/wire.h"
 
 #define RR_CELLS_PREFIX "rr/cells/"
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -1,5 +1,5 @@
 #include "cells/settings.h"
-#include "app/settings.h"
+#include "conf/endpoint.h"
 #include "conf/conf.h"
 
 #include <errno.h>
--- a/src/cells/settings.h
+++ b/src/cells/settings.h
@@ -5,7 +5,7 @@
 
 #include "cells/networks.h"
 #include "cells/transfer.h"
-#include "core/config.h"
+#include "conf/config.h"
 
 #include <glib.h>
 
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -1,4 +1,4 @@
-#include "cells/internal.h"
+#include "cells/transfers_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/cells/internal.h
+++ b/src/cells/transfers_internal.h
@@ -1,7 +1,7 @@
 /* Inside the package only: the tables that its files share. transfers.c keeps them, outgoing.c
  * drives this cell's jobs at others, incoming.c the others' here. */
-#ifndef RR_CELLS_INTERNAL_H
-#define RR_CELLS_INTERNAL_H
+#ifndef RR_CELLS_TRANSFERS_INTERNAL_H
+#define RR_CELLS_TRANSFERS_INTERNAL_H
 
 #include "cells/spill.h"
 #include "cells/transfers.h"
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -1,5 +1,5 @@
 #include "cloud/cloud.h"
-#include "app/clock.h"
+#include "common/clock.h"
 
 #include <errno.h>
 #include <string.h>
--- a/src/app/clock.c
+++ b/src/common/clock.c
@@ -1,4 +1,4 @@
-#include "app/clock.h"
+#include "common/clock.h"
 
 #include <time.h>
 
--- a/src/app/log.c
+++ b/src/common/log.c
@@ -1,5 +1,5 @@
-#include "app/log.h"
-#include "app/clock.h"
+#include "common/log.h"
+#include "common/clock.h"
 
 #include <errno.h>
 #include <stdarg.h>
--- a/src/app/log.h
+++ b/src/common/log.h
@@ -1,6 +1,6 @@
 /* Levelled log lines on standard error; LOG_LEVEL is error, info or debug. */
-#ifndef RR_APP_LOG_H
-#define RR_APP_LOG_H
+#ifndef RR_COMMON_LOG_H
+#define RR_COMMON_LOG_H
 
 #include <glib.h>
 
--- a/src/app/thread.c
+++ b/src/common/thread.c
@@ -1,4 +1,4 @@
-#include "app/thread.h"
+#include "common/thread.h"
 
 int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *arg, bool detached) {
     pthread_attr_t attributes;
--- a/src/app/thread.h
+++ b/src/common/thread.h
@@ -1,6 +1,6 @@
 /* Threads as this process makes them: with small stacks, since there are many. */
-#ifndef RR_APP_THREAD_H
-#define RR_APP_THREAD_H
+#ifndef RR_COMMON_THREAD_H
+#define RR_COMMON_THREAD_H
 
 #include <pthread.h>
 #include <stdbool.h>
--- a/src/app/usage.c
+++ b/src/common/usage.c
@@ -1,4 +1,4 @@
-#include "app/usage.h"
+#include "common/usage.h"
 
 #include <glib.h>
 #include <pthread.h>
--- a/src/app/usage.h
+++ b/src/common/usage.h
@@ -1,8 +1,8 @@
 /* What the process spends its processor time on, for the minute's line: each long-lived thread says
  * once which duty it works for, and its clock is read by whoever asks. What no such thread used is
  * the door's: connections come and go too often to be listed. Locks itself. */
-#ifndef RR_APP_USAGE_H
-#define RR_APP_USAGE_H
+#ifndef RR_COMMON_USAGE_H
+#define RR_COMMON_USAGE_H
 
 #include <stddef.h>
 
--- a/src/core/config.h
+++ b/src/conf/config.h
@@ -1,7 +1,7 @@
 /* Settings as the core and the shell see them. Plain data, filled once by src/app/settings.c before
  * any thread starts, and read-only from then on. */
-#ifndef RR_CORE_CONFIG_H
-#define RR_CORE_CONFIG_H
+#ifndef RR_CONF_CONFIG_H
+#define RR_CONF_CONFIG_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/core/provisioner.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -2,7 +2,7 @@
  * the machine records in step with the cloud. One step at a time; the shell carries it out and
  * reports.
  */
-#include "core/provisioner.h"
+#include "core/autoscaling/autoscaler.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/provisioner_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -1,6 +1,6 @@
 /* What the provisioner rents: waiting work and headroom are put on paper onto the machines there
  * are, then onto machines to rent. */
-#include "core/provisioner.h"
+#include "core/autoscaling/autoscaler.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/provisioner_records.c
+++ b/src/core/autoscaling/machine_records.c
@@ -1,5 +1,5 @@
 /* The provisioner's records of machines: pages of the fleet, many machines in each. */
-#include "core/provisioner.h"
+#include "core/autoscaling/autoscaler.h"
 
 #include <string.h>
 
--- a/src/core/model.c
+++ b/src/core/core.c
@@ -1,5 +1,5 @@
 /* The life of the core's model, its keys and its objectives. */
-#include "core/records.h"
+#include "core/state/record_handlers.h"
 
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -5,8 +5,8 @@
 #ifndef RR_CORE_CORE_H
 #define RR_CORE_CORE_H
 
-#include "core/config.h"
-#include "core/txn.h"
+#include "conf/config.h"
+#include "core/state/transaction.h"
 #include "wire/wire.h"
 
 #define RR_KEY_ROOT "rr/"
@@ -195,7 +195,7 @@
                               const GPtrArray *ids);
 void rr_core_scale_in_result(rr_core *core, double now, const GPtrArray *ids);
 
-/* ---- for packages beside the core (observe.c) ---- */
+/* ---- for packages beside the core (package_views.c) ---- */
 /* Hands every record under this prefix to fn, with the rest of its key, whenever the mirror takes
  * it; value NULL: it is deleted. At most RR_RECORD_WATCHES prefixes, before the first record comes.
  */
@@ -252,7 +252,7 @@
 /* The job's cancellation is confirmed, by its record or a peer's word. */
 bool rr_core_job_cancelled(const rr_core *core, const char *job_id, double now);
 
-/* ---- jobs that another cell has a say in (holds.c) ---- */
+/* ---- jobs that another cell has a say in (transfer_holds.c) ---- */
 enum rr_hold_kind {
     RR_HOLD_TRANSFERRED, /* offered to another cell: not placed here */
     RR_HOLD_RETURNED,    /* it was: placed only in a term whose owner knows that it is over there */
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -3,7 +3,7 @@
 #define RR_CORE_MODEL_H
 
 #include "core/core.h"
-#include "core/names.h"
+#include "core/state/name_index.h"
 
 #define RR_TASKS_PER_RECORD_MIN                                                                    \
     16 /* tasks in one record of the ledger: what a value of the store holds */
@@ -293,7 +293,7 @@
     /* Given by packages beside the core. */
     rr_record_watch watches[RR_RECORD_WATCHES];
     guint record_watch_count;
-    GHashTable *holds;              /* job id -> rr_hold (holds.c) */
+    GHashTable *holds;              /* job id -> rr_hold (transfer_holds.c) */
     bool fair;                      /* the next two hold */
     double fair_room[RR_TEAMS_MAX]; /* part of all room, by team of the settings */
     rr_resources all_room;
@@ -331,7 +331,7 @@
 /* Free room on the scarcest resource, as a share of the machine. */
 double rr_resources_free_share(rr_resources room, rr_resources capacity);
 
-/* fleet.c */
+/* machine_pages.c */
 void rr_machine_type_put(rr_core *core, const msgpack_object *value);
 void rr_machine_page_put(rr_core *core, const char *rest, const msgpack_object *value,
                          uint64_t version, double now);
@@ -346,7 +346,7 @@
 void rr_machine_page_encode(const rr_core *core, rr_encoder *encoder,
                             const GPtrArray *machines /* rr_machine* */);
 
-/* model.c */
+/* core.c */
 rr_machine *rr_machine_get(rr_core *core, const char *name, double now);
 void rr_machine_forget(rr_core *core, rr_machine *machine);
 void rr_mark_dirty(rr_core *core, rr_machine *machine); /* it is to be reconciled */
@@ -398,7 +398,7 @@
 bool rr_owns_team(const rr_core *core, int team);
 void rr_assign_shards(rr_core *core); /* finds owners and provisioner of a new term */
 
-/* troubles.c */
+/* failure_detector.c */
 bool rr_machine_heartbeat_overdue(const rr_core *core, const rr_machine *machine,
                                   double now); /* does not report on */
 bool rr_machine_heartbeat_recent(const rr_core *core, const rr_machine *machine, double now);
@@ -421,7 +421,7 @@
 bool rr_machine_dead(const rr_core *core, const rr_machine *machine, double now);
 double rr_heartbeat_age(const rr_machine *machine, double now);
 
-/* gang.c */
+/* gang_phase.c */
 enum rr_gang_phase {
     RR_GANG_QUEUED,   /* no task is on a machine or booked */
     RR_GANG_RESERVED, /* all are booked; none is shown yet */
@@ -439,19 +439,19 @@
 /* cancel_hints.c */
 bool rr_has_cancel_hint(const rr_core *core, const char *job_id, double now);
 
-/* holds.c */
+/* transfer_holds.c */
 bool rr_job_held(const rr_core *core, const rr_job *job,
                  double now);                                /* none of its tasks is placed */
 bool rr_job_revoked(const rr_core *core, const rr_job *job); /* and those that run go */
 bool rr_job_transferred(const rr_core *core, const rr_job *job);
 bool rr_job_of_another_cell(const rr_core *core, const rr_job *job);
 
-/* observe.c */
+/* package_views.c */
 bool rr_watched_record(const rr_core *core, const char *key, const msgpack_object *value,
                        uint64_t version);
 void rr_job_final_record(const rr_job *job, rr_transaction *transaction); /* done */
 
-/* allocation.c */
+/* bin_packing.c */
 bool rr_job_allows(const rr_core *core, const rr_job *job, int machine_type, int zone, bool spot);
 /* The zones in which one more task of the job may start, given its placements (and, while moving,
  * not counting `except`): fills allowed[zone]. */
@@ -494,7 +494,7 @@
 void rr_reset_free_resources(rr_core *core);
 bool rr_job_zone_bound(const rr_job *job);
 
-/* rounds.c */
+/* rebalancing.c */
 bool rr_rebalance_due(rr_core *core, double now);
 void rr_rebalance(rr_core *core, double now);
 
--- a/src/core/fair_room.c
+++ b/src/core/scheduling/fair_share.c
@@ -1,6 +1,6 @@
 /* Fair room: while admission limits, what it grants a team also bounds and orders what its owner
  * places. */
-#include "core/booking.h"
+#include "core/scheduling/reservation.h"
 
 #include <math.h>
 
--- a/src/core/gang.c
+++ b/src/core/scheduling/gang_phase.c
@@ -2,7 +2,7 @@
  * and one change, under one attempt; it stops whole, and is booked anew, under a new attempt, once
  * every placement of the old one is proven over. Which of its phases it is in is derived from the
  * ledger and the reports each time: nothing of it is remembered. */
-#include "core/plan.h"
+#include "core/scheduling/plan.h"
 
 #include <string.h>
 
--- a/src/core/place_gang.c
+++ b/src/core/scheduling/gang_placement.c
@@ -1,6 +1,6 @@
-#include "core/place_gang.h"
+#include "core/scheduling/gang_placement.h"
 
-#include "core/preempt.h"
+#include "core/scheduling/preemption.h"
 
 #include <string.h>
 
--- a/src/core/place_gang.h
+++ b/src/core/scheduling/gang_placement.h
@@ -1,8 +1,8 @@
 /* Inside the core only: placing gangs, whose tasks run together or not at all. */
-#ifndef RR_CORE_PLACE_GANG_H
-#define RR_CORE_PLACE_GANG_H
+#ifndef RR_CORE_SCHEDULING_GANG_PLACEMENT_H
+#define RR_CORE_SCHEDULING_GANG_PLACEMENT_H
 
-#include "core/plan.h"
+#include "core/scheduling/plan.h"
 
 /* Books all tasks of the gang under one attempt, or none. True: booked. *left: tasks that this plan
  * may still book. */
@@ -14,7 +14,7 @@
 void rr_gang_search_zones(const rr_core *core, const rr_job *job, const bool *allowed, guint search,
                           bool *zones);
 
-/* reserve_gang.c */
+/* gang_reservation.c */
 /* Keeps room for a gang that has waited for long, within the plan under construction: on the
  * machines where all of it will fit soonest nothing else is placed, and nothing of its team where
  * the team's limit leaves the gang none. Tasks that end one by one would otherwise be replaced one
--- a/src/core/place.c
+++ b/src/core/scheduling/placement.c
@@ -1,7 +1,7 @@
 /* Places waiting tasks after the chosen design, and books the moves of a round. What is booked
  * stands in the plan's transaction only. */
-#include "core/place_gang.h"
-#include "core/preempt.h"
+#include "core/scheduling/gang_placement.h"
+#include "core/scheduling/preemption.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/plan.c
+++ b/src/core/scheduling/plan.c
@@ -1,7 +1,7 @@
 /* What a team owner does next. One plan makes at most one transaction; here it is begun, put
  * together and cleared. It costs what changed since the last one: only machines that something
  * happened to are reconciled, and one change books or ends many tasks of a job. */
-#include "core/plan.h"
+#include "core/scheduling/plan.h"
 
 #include <string.h>
 
--- a/src/core/plan.h
+++ b/src/core/scheduling/plan.h
@@ -1,8 +1,8 @@
-/* Inside the core only: one plan under construction, which plan.c begins and ends, reconcile.c
+/* Inside the core only: one plan under construction, which plan.c begins and ends, reconciliation.c
  * (what placements need), place.c (what waits) and probes.c add to. It lives for one call of
  * rr_core_plan() and owns its arrays; what it points to is the model's. */
-#ifndef RR_CORE_PLAN_H
-#define RR_CORE_PLAN_H
+#ifndef RR_CORE_SCHEDULING_PLAN_H
+#define RR_CORE_SCHEDULING_PLAN_H
 
 #include "core/model.h"
 
@@ -71,7 +71,7 @@
 void rr_plan_terminated(struct rr_planner *planner, rr_machine *machine, rr_placement *placement,
                         bool done, const char *why);
 
-/* reconcile.c */
+/* reconciliation.c */
 rr_command_batch *rr_plan_command_batch(
     struct rr_planner *planner, rr_machine *machine); /* this plan's command to the machine */
 void rr_reconcile(struct rr_planner *planner);        /* machines that something happened to */
--- a/src/core/preempt.c
+++ b/src/core/scheduling/preemption.c
@@ -1,4 +1,4 @@
-#include "core/preempt.h"
+#include "core/scheduling/preemption.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/preempt.h
+++ b/src/core/scheduling/preemption.h
@@ -1,8 +1,8 @@
 /* Inside the core only: stopping placements so that others find room. */
-#ifndef RR_CORE_PREEMPT_H
-#define RR_CORE_PREEMPT_H
+#ifndef RR_CORE_SCHEDULING_PREEMPTION_H
+#define RR_CORE_SCHEDULING_PREEMPTION_H
 
-#include "core/booking.h"
+#include "core/scheduling/reservation.h"
 
 #define RR_PREEMPT_COMPARED_MAX 160 /* machines with victims, in one search */
 
--- a/src/core/probes.c
+++ b/src/core/scheduling/probes.c
@@ -1,5 +1,5 @@
 /* Probes of machines that are silent or in doubt, and what the answers to commands show. */
-#include "core/plan.h"
+#include "core/scheduling/plan.h"
 
 #include <string.h>
 
--- a/src/core/reconcile.c
+++ b/src/core/scheduling/reconciliation.c
@@ -1,6 +1,6 @@
 /* What each placement of this owner needs: proof that it is over, a start, a stop or a reap, and
  * what machines have that the ledger does not know. Commands go out with the plan. */
-#include "core/plan.h"
+#include "core/scheduling/plan.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/booking.c
+++ b/src/core/scheduling/reservation.c
@@ -1,4 +1,4 @@
-#include "core/booking.h"
+#include "core/scheduling/reservation.h"
 
 #include <string.h>
 
--- a/src/core/booking.h
+++ b/src/core/scheduling/reservation.h
@@ -1,10 +1,10 @@
 /* Inside the core only: what placing tasks has in common, whatever the kind of the job. Team limits
  * and guarantees, allowed zones, searches that failed, and the bookings of the plan under
  * construction. */
-#ifndef RR_CORE_BOOKING_H
-#define RR_CORE_BOOKING_H
+#ifndef RR_CORE_SCHEDULING_RESERVATION_H
+#define RR_CORE_SCHEDULING_RESERVATION_H
 
-#include "core/plan.h"
+#include "core/scheduling/plan.h"
 
 /* ---- limits and guarantees of teams ---- */
 
--- a/src/core/jobs.c
+++ b/src/core/state/jobs.c
@@ -1,5 +1,5 @@
 /* Jobs as the store cache has them: accepted, cancelled, done, and final ones as lines. */
-#include "core/records.h"
+#include "core/state/record_handlers.h"
 
 void rr_core_job_encode(rr_encoder *encoder, const rr_submission *submission, double when,
                         bool cancelled) {
--- a/src/core/ledger.c
+++ b/src/core/state/ledger.c
@@ -1,5 +1,5 @@
 /* The ledger: records of placements by job, and which tasks are done. */
-#include "core/records.h"
+#include "core/state/record_handlers.h"
 
 #include <string.h>
 
--- a/src/core/machines.c
+++ b/src/core/state/machines.c
@@ -1,5 +1,5 @@
 /* Machines, their placements, and the sums that follow them. */
-#include "core/records.h"
+#include "core/state/record_handlers.h"
 
 #include <string.h>
 
--- a/src/core/names.c
+++ b/src/core/state/name_index.c
@@ -1,4 +1,4 @@
-#include "core/names.h"
+#include "core/state/name_index.h"
 
 void rr_name_index_init(rr_name_index *names) {
     names->index = g_hash_table_new(g_str_hash, g_str_equal);
--- a/src/core/names.h
+++ b/src/core/state/name_index.h
@@ -1,6 +1,6 @@
 /* Names to dense indices, once at the door; the core works with indices. */
-#ifndef RR_CORE_NAMES_H
-#define RR_CORE_NAMES_H
+#ifndef RR_CORE_STATE_NAME_INDEX_H
+#define RR_CORE_STATE_NAME_INDEX_H
 
 #include <glib.h>
 
--- a/src/core/records.h
+++ b/src/core/state/record_handlers.h
@@ -1,7 +1,7 @@
 /* Inside the core only: how the store cache (store_cache.c) hands records to the files that keep
  * them, and what those (jobs.c, machines.c, ledger.c) ask of each other. */
-#ifndef RR_CORE_RECORDS_H
-#define RR_CORE_RECORDS_H
+#ifndef RR_CORE_STATE_RECORD_HANDLERS_H
+#define RR_CORE_STATE_RECORD_HANDLERS_H
 
 #include "core/model.h"
 
--- a/src/core/txn.c
+++ b/src/core/state/transaction.c
@@ -1,4 +1,4 @@
-#include "core/txn.h"
+#include "core/state/transaction.h"
 
 #include <string.h>
 
--- a/src/core/txn.h
+++ b/src/core/state/transaction.h
@@ -1,7 +1,7 @@
 /* A transaction on the state service, as the core asks for it: guards and changes, values already
  * packed. */
-#ifndef RR_CORE_TXN_H
-#define RR_CORE_TXN_H
+#ifndef RR_CORE_STATE_TRANSACTION_H
+#define RR_CORE_STATE_TRANSACTION_H
 
 #include "wire/wire.h"
 
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -1,5 +1,5 @@
 /* The store cache: records of the state service as they come by reread, watch or own commit. */
-#include "core/records.h"
+#include "core/state/record_handlers.h"
 
 #include <string.h>
 
--- a/src/http/door.c
+++ b/src/http/server.c
@@ -1,7 +1,7 @@
-#include "http/door.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/thread.h"
+#include "http/server.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/thread.h"
 #include "net/socket.h"
 
 #include <errno.h>
--- a/src/http/door.h
+++ b/src/http/server.h
@@ -1,9 +1,9 @@
 /* The HTTP door for users, workers and health checks, on libmicrohttpd with a thread a connection.
  * It reads and answers; what a request means is the handler's. */
-#ifndef RR_HTTP_DOOR_H
-#define RR_HTTP_DOOR_H
+#ifndef RR_HTTP_SERVER_H
+#define RR_HTTP_SERVER_H
 
-#include "core/config.h"
+#include "conf/config.h"
 #include "wire/wire.h"
 
 struct rr_http_request {
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -3,7 +3,7 @@
 #ifndef RR_NET_CLIENT_H
 #define RR_NET_CLIENT_H
 
-#include "core/config.h"
+#include "conf/config.h"
 
 #include <glib.h>
 #include <stdatomic.h>
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -2,7 +2,7 @@
 #ifndef RR_NET_SOCKET_H
 #define RR_NET_SOCKET_H
 
-#include "core/config.h"
+#include "conf/config.h"
 
 #include <netinet/in.h>
 
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -1,9 +1,9 @@
 /* The outgoing link to a peer: what has gathered for it goes out as frames, over a connection that
  * is made anew when it brings nothing across. */
-#include "peer/internal.h"
-#include "app/clock.h"
-#include "app/log.h"
-#include "app/usage.h"
+#include "peer/peers_internal.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "common/usage.h"
 
 #include <unistd.h>
 
--- a/src/peer/listener.c
+++ b/src/peer/listener.c
@@ -1,8 +1,8 @@
 /* Incoming connections: what peers say on them, a thread each. */
-#include "peer/internal.h"
-#include "app/clock.h"
-#include "app/thread.h"
-#include "app/usage.h"
+#include "peer/peers_internal.h"
+#include "common/clock.h"
+#include "common/thread.h"
+#include "common/usage.h"
 #include "worker/worker.h"
 
 #include <errno.h>
--- a/src/peer/outbox.c
+++ b/src/peer/outbox.c
@@ -1,6 +1,6 @@
 /* What goes to which peer: reports whole or as lines, suspects, cancellations, the demand. */
-#include "peer/internal.h"
-#include "app/clock.h"
+#include "peer/peers_internal.h"
+#include "common/clock.h"
 
 #include <string.h>
 
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -1,6 +1,6 @@
 /* The life of the links between controllers. */
-#include "peer/internal.h"
-#include "app/thread.h"
+#include "peer/peers_internal.h"
+#include "common/thread.h"
 #include "net/socket.h"
 
 #include <errno.h>
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -7,7 +7,7 @@
 #ifndef RR_PEER_PEER_H
 #define RR_PEER_PEER_H
 
-#include "core/config.h"
+#include "conf/config.h"
 #include "wire/wire.h"
 
 #include <glib.h>
--- a/src/peer/internal.h
+++ b/src/peer/peers_internal.h
@@ -1,8 +1,8 @@
 /* Inside the package only: the state that its files share. peer.c begins and ends it, link.c says
- * what gathers for a peer, outbox.c gathers it, listener.c takes what peers say, ask.c asks one of
- * them, stream.c moves frames over sockets. */
-#ifndef RR_PEER_INTERNAL_H
-#define RR_PEER_INTERNAL_H
+ * what gathers for a peer, outbox.c gathers it, listener.c takes what peers say, relay.c asks one
+ * of them, stream.c moves frames over sockets. */
+#ifndef RR_PEER_PEERS_INTERNAL_H
+#define RR_PEER_PEERS_INTERNAL_H
 
 #include "net/client.h"
 #include "peer/cancellations.h"
--- a/src/peer/ask.c
+++ b/src/peer/relay.c
@@ -1,6 +1,6 @@
 /* Questions to one peer, over a connection of their own: to end a lease, to carry a call to a
  * worker. */
-#include "peer/internal.h"
+#include "peer/peers_internal.h"
 
 #include <errno.h>
 #include <unistd.h>
--- a/src/peer/stream.c
+++ b/src/peer/stream.c
@@ -1,5 +1,5 @@
 #include "peer/stream.h"
-#include "app/clock.h"
+#include "common/clock.h"
 #include "net/socket.h"
 
 #include <errno.h>
--- a/src/peer/stream.h
+++ b/src/peer/stream.h
@@ -3,7 +3,7 @@
 #ifndef RR_PEER_STREAM_H
 #define RR_PEER_STREAM_H
 
-#include "core/config.h"
+#include "conf/config.h"
 #include "peer/frame.h"
 
 #include <stdatomic.h>
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -3,7 +3,7 @@
  * users' small commits took every token before the provisioner's large ones found enough, and
  * nothing was placed. What a kind leaves unused goes to a common pool. A lower priority leaves a
  * reserve of requests to the higher ones, so that renewals never wait behind plans. */
-#include "app/clock.h"
+#include "common/clock.h"
 #include "store/store.h"
 
 #include <errno.h>
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -1,5 +1,5 @@
 #include "worker/worker.h"
-#include "app/settings.h"
+#include "conf/endpoint.h"
 #include "wire/wire.h"
 
 #include <errno.h>
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -4,7 +4,7 @@
 #ifndef RR_TESTS_CELL_PAIR_H
 #define RR_TESTS_CELL_PAIR_H
 
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "cells/transfers.h"
 
--- a/tests/fakes.c
+++ b/tests/core_fixture.c
@@ -1,4 +1,4 @@
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/tests/fakes.h
+++ b/tests/core_fixture.h
@@ -1,7 +1,7 @@
 /* Stand-ins for the core's tests: a scripted state service whose changes reach any number of cores,
  * and short ways to make jobs, machines and reports. Time is a number that the test sets. */
-#ifndef RR_TESTS_FAKES_H
-#define RR_TESTS_FAKES_H
+#ifndef RR_TESTS_CORE_FIXTURE_H
+#define RR_TESTS_CORE_FIXTURE_H
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/core_purity.sh
+++ b/tests/core_purity.sh
@@ -7,7 +7,7 @@
 library="$2"
 failed=0
 
-allowed_headers='core/[a-z_]+\.h|wire/[a-z_]+\.h|(errno|math|stdarg|stdbool|stddef|stdint|stdio|stdlib|string|glib)\.h'
+allowed_headers='core/([a-z_]+/)?[a-z_]+\.h|conf/config\.h|wire/[a-z_]+\.h|(errno|math|stdarg|stdbool|stddef|stdint|stdio|stdlib|string|glib)\.h'
 while IFS= read -r line; do
   header="$(sed -E 's/.*#include [<"]([^">]+)[">].*/\1/' <<<"$line")"
   if ! grep -Eqx "$allowed_headers" <<<"$header"; then
@@ -19,7 +19,7 @@
 work="$(mktemp -d)"
 trap 'rm -rf "$work"' EXIT
 members() { # object names of a source folder, as a pattern
-  (cd "$source_dir/src/$1" && printf '%s.o\n' *.c) | paste -sd'|' | sed 's/\./\\./g'
+  (cd "$source_dir/src/$1" && find . -name '*.c' -printf '%f.o\n') | paste -sd'|' | sed 's/\./\\./g'
 }
 nm -A "$library" 2>/dev/null >"$work/symbols"
 own="$(members core)|$(members wire)"
--- a/tests/world.c
+++ b/tests/fake_services.c
@@ -1,6 +1,6 @@
-#include "world.h"
+#include "fake_services.h"
 
-#include "app/clock.h"
+#include "common/clock.h"
 #include "app/settings.h"
 #include "worker/worker.h"
 
--- a/tests/world.h
+++ b/tests/fake_services.h
@@ -1,7 +1,7 @@
 /* A stand-in world on loopback for the shell's tests: state service, cloud and one worker behind
  * one HTTP server, with switches for the failures that the tests script. */
-#ifndef RR_TESTS_WORLD_H
-#define RR_TESTS_WORLD_H
+#ifndef RR_TESTS_FAKE_SERVICES_H
+#define RR_TESTS_FAKE_SERVICES_H
 
 #include "app/app.h"
 
--- a/tests/processes.c
+++ b/tests/processes.c
@@ -1,7 +1,7 @@
 #include "processes.h"
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
+#include "common/clock.h"
 
 #include <fcntl.h>
 #include <signal.h>
--- a/tests/processes.h
+++ b/tests/processes.h
@@ -2,7 +2,7 @@
 #ifndef RR_TESTS_PROCESSES_H
 #define RR_TESTS_PROCESSES_H
 
-#include "world.h"
+#include "fake_services.h"
 
 #include <sys/types.h>
 
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -4,7 +4,7 @@
 #ifndef RR_TESTS_SCENE_H
 #define RR_TESTS_SCENE_H
 
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "peer/frame.h"
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,6 +1,6 @@
 /* Fair admission by parts: keys, tables and their records, verdicts, the demand and its frames,
  * shares, and what bad input does to each. The whole of it: test_admission_hour.c. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "admission/admission.h"
 #include "admission/shares.h"
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -5,9 +5,9 @@
  *
  * Arguments: the program; seconds of submissions (24 if not given: an hour is 360); "off" to start
  * the controllers without admission, for comparison: then nothing is checked, only printed. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
+#include "common/clock.h"
 #include "fair_cluster.h"
 #include "processes.h"
 
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -1,5 +1,5 @@
 /* The parts of the state service's limits; times only pass here as the calls themselves take. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "store/store.h"
 
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -1,8 +1,8 @@
 /* Links between cells over real sockets on loopback: who is served, who is closed, what a broken
  * frame does, and how a client finds the controller that plans a team. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
+#include "common/clock.h"
 #include "cells/links.h"
 #include "peer/frame.h"
 #include "peer/stream.h"
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -5,9 +5,9 @@
  * Times are small: leases of 2 s, cancel_s of 8. Arguments: the program; seconds of submissions
  * (9 if not given); the first seed (1) and their number (1); "off" to start the controllers
  * without cells, for comparison, when nothing can run elsewhere; a pattern of tests. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
+#include "common/clock.h"
 #include "cells/records.h"
 #include "processes.h"
 
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -1,5 +1,5 @@
 /* Settings, networks and messages of cells: what is taken, and what is refused with its line. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "cells/messages.h"
 #include "cells/networks.h"
--- a/tests/test_core_provisioner.c
+++ b/tests/test_core_autoscaler.c
@@ -1,5 +1,5 @@
 /* Renting and returning: nothing rented twice, nothing lost, nobody judged by silence alone. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -1,6 +1,6 @@
 /* The design's ordinary path on small cases worked out by hand: where new tasks go, and the paper's
  * two phases in a round. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_troubles.c
+++ b/tests/test_core_failure_detection.c
@@ -1,6 +1,6 @@
 /* Troubles beyond silence: machines that hear nothing, late copies of reports, controllers left
  * alone or back at once, and the order in which records reach a mirror. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_meetings.c
+++ b/tests/test_core_fault_combinations.c
@@ -1,7 +1,7 @@
 /* Two troubles at once: each test names two facts that must not be combined, brings them together
  * in both orders where there are two, and shows which guard parts them. docs/meetings.md lists the
  * meetings and the tests, here and elsewhere, that bring them about. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -1,5 +1,5 @@
 /* Gangs: all tasks run at the same time or none does, through every phase and every loss. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "core/model.h"
 
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -1,7 +1,7 @@
 /* With many times the machines and jobs, work must follow what happens and not the fleet. Counts,
  * not times: machines looked at, records changed, commands sent. A walk over all machines for each
  * event fails these on any machine. Then that no one's work waits for ever behind another's. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <malloc.h>
 #include <stdio.h>
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -1,5 +1,5 @@
 /* The rules that must hold under every failure, each test tied to one way of breaking them. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -1,5 +1,5 @@
 /* Packed frames between controllers. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "peer/frame.h"
 
--- a/tests/test_door.c
+++ b/tests/test_http_server.c
@@ -1,9 +1,9 @@
 /* The door's limits, with a handler and clients of the test's own on loopback sockets. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
-#include "http/door.h"
-#include "world.h"
+#include "common/clock.h"
+#include "http/server.h"
+#include "fake_services.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -2,12 +2,12 @@
  * in the stand-in world, poll each to its end and ask again; then many more workers than it has
  * connections for report to it. For profiling, `test_load JOBS [WORKERS]` takes more of both than
  * the test does, and prints rates and memory. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
-#include "app/log.h"
+#include "common/clock.h"
+#include "common/log.h"
 #include "net/client.h"
-#include "world.h"
+#include "fake_services.h"
 
 #include <pthread.h>
 #include <stdio.h>
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -1,13 +1,13 @@
 /* Links between controllers against a scripted peer on loopback sockets. Waits are for conditions,
  * bounded well above what they take. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
-#include "app/log.h"
+#include "common/clock.h"
+#include "common/log.h"
 #include "net/client.h"
 #include "peer/frame.h"
 #include "peer/peer.h"
-#include "world.h"
+#include "fake_services.h"
 
 #include <arpa/inet.h>
 #include <string.h>
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -1,10 +1,10 @@
 /* The whole process against the stand-in world on loopback: threads, sockets and all. Waits are for
  * conditions, bounded well above what they take. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/clock.h"
-#include "app/log.h"
-#include "world.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "fake_services.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,5 +1,5 @@
 /* Both settings files: what is wrong is named with file and field. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include "app/settings.h"
 
--- a/tests/test_batch.c
+++ b/tests/test_user_batch.c
@@ -1,7 +1,7 @@
 /* Which of the users' changes share a transaction, and what it guards and writes. */
-#include "fakes.h"
+#include "core_fixture.h"
 
-#include "app/batch.h"
+#include "app/user_batch.h"
 
 #include <string.h>
 
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,5 +1,5 @@
 /* Messages from outside: limits, validation, and a bounded run of random bytes. */
-#include "fakes.h"
+#include "core_fixture.h"
 
 #include <errno.h>
 #include <math.h>
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -8,7 +8,7 @@
 #ifndef RR_TESTS_TRACE_WORLD_H
 #define RR_TESTS_TRACE_WORLD_H
 
-#include "fakes.h"
+#include "core_fixture.h"
 #include "trace_hash.h"
 
 #define TRACE_CONTROLLERS 3
