--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -1,5 +1,6 @@
 #include "admission/admission.h"
 #include "peer/frame.h"
+#include "core/state/transaction.h"
 
 #include <errno.h>
 #include <math.h>
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -7,6 +7,7 @@
 
 #include "admission/verdict.h"
 #include "admission/writer.h"
+#include "core/state/transaction.h"
 
 typedef struct rr_admission rr_admission;
 rr_admission *rr_admission_create(const struct rr_config *config,
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -7,6 +7,10 @@
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
+#include "core/cache_feed.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
+#include "core/state/transaction.h"
 
 #include <errno.h>
 #include <math.h>
--- a/src/app/app.c
+++ b/src/app/app.c
@@ -3,6 +3,9 @@
 #include "common/log.h"
 #include "common/thread.h"
 #include "cells/links.h"
+#include "core/cache_feed.h"
+#include "core/heartbeats.h"
+#include "core/planning.h"
 
 #include <errno.h>
 #include <malloc.h>
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -6,6 +6,8 @@
 #include "cells/settings.h"
 #include "cells/transfers.h"
 #include "core/core.h"
+#include "core/state/transaction.h"
+#include "core/submissions.h"
 #include "http/server.h"
 #include "peer/peer.h"
 #include "app/stats.h"
--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -4,6 +4,7 @@
 #include "common/log.h"
 #include "common/usage.h"
 #include "cloud/cloud.h"
+#include "core/scaling.h"
 
 #include <errno.h>
 #include <string.h>
--- a/src/app/cells_thread.c
+++ b/src/app/cells_thread.c
@@ -10,6 +10,11 @@
 #include "common/thread.h"
 #include "cells/links.h"
 #include "cells/transfers.h"
+#include "core/cache_feed.h"
+#include "core/extensions.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/submissions.h"
 
 #include <errno.h>
 #include <math.h>
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -4,6 +4,8 @@
 #include "common/log.h"
 #include "common/usage.h"
 #include "worker/worker.h"
+#include "core/heartbeats.h"
+#include "core/planning.h"
 
 #include <errno.h>
 
--- a/src/app/commit_thread.c
+++ b/src/app/commit_thread.c
@@ -3,6 +3,9 @@
 #include "app/user_batch.h"
 #include "common/clock.h"
 #include "common/usage.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
+#include "core/state/transaction.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -3,6 +3,9 @@
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
+#include "core/leadership.h"
+#include "core/state/transaction.h"
+#include "core/stats.h"
 
 #include <malloc.h>
 
--- a/src/app/planner_thread.c
+++ b/src/app/planner_thread.c
@@ -3,6 +3,9 @@
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
+#include "core/cache_feed.h"
+#include "core/planning.h"
+#include "core/state/transaction.h"
 
 #include <math.h>
 
--- a/src/app/request_handlers.c
+++ b/src/app/request_handlers.c
@@ -2,6 +2,9 @@
 #include "app/app.h"
 #include "common/clock.h"
 #include "common/log.h"
+#include "core/cache_feed.h"
+#include "core/heartbeats.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
--- a/src/app/session_thread.c
+++ b/src/app/session_thread.c
@@ -4,6 +4,9 @@
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
+#include "core/state/transaction.h"
 
 #include <errno.h>
 
--- a/src/app/startup_thread.c
+++ b/src/app/startup_thread.c
@@ -2,6 +2,7 @@
 #include "app/thread_loop.h"
 #include "common/clock.h"
 #include "common/log.h"
+#include "core/leadership.h"
 
 #include <string.h>
 
--- a/src/app/thread_loop.c
+++ b/src/app/thread_loop.c
@@ -2,6 +2,9 @@
  * thread, and transactions whose outcome must be certain. */
 #include "app/thread_loop.h"
 #include "common/clock.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
+#include "core/state/transaction.h"
 
 bool rr_app_stopping(const struct rr_app *app) {
     return atomic_load(&app->stop);
--- a/src/app/user_batch.c
+++ b/src/app/user_batch.c
@@ -1,4 +1,6 @@
 #include "app/user_batch.h"
+#include "core/state/transaction.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
--- a/src/app/user_batch.h
+++ b/src/app/user_batch.h
@@ -4,6 +4,7 @@
 #define RR_APP_USER_BATCH_H
 
 #include "app/app.h"
+#include "core/state/transaction.h"
 
 /* What one transaction takes of the queue: changes, guards (one a job, one a batch, four for each
  * change at most) and bytes are bounded. New jobs share records. */
--- a/src/app/watch_thread.c
+++ b/src/app/watch_thread.c
@@ -3,6 +3,8 @@
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
 
 #include <errno.h>
 
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -1,4 +1,8 @@
 #include "cells/absent.h"
+#include "core/cache_feed.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
+#include "core/state/transaction.h"
 
 #include <string.h>
 
--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -8,7 +8,7 @@
 #define RR_CELLS_ABSENT_H
 
 #include "cells/records.h"
-#include "core/core.h"
+#include "core/state/transaction.h"
 
 typedef struct rr_absent rr_absent;
 
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -1,6 +1,9 @@
 /* Jobs of a neighbour that has no controllers: those that this cell holds are granted by the record
  * itself, their answers are written there, and others are claimed. */
 #include "cells/transfers_internal.h"
+#include "core/cache_feed.h"
+#include "core/state/transaction.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -1,6 +1,9 @@
 /* Other cells' jobs here: taken when there is room, run while their home grants it, and given back
  * when it does not, or when they can't begin. */
 #include "cells/transfers_internal.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
+#include "core/submissions.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -1,5 +1,5 @@
 #include "cells/messages.h"
-#include "core/core.h"
+#include "core/submissions.h"
 #include "peer/frame.h"
 
 #include <errno.h>
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -1,6 +1,8 @@
 /* This cell's jobs at others: offered when they wait too long, granted while they are there, and
  * taken back when their guest is not heard. */
 #include "cells/transfers_internal.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -1,4 +1,7 @@
 #include "cells/transfers_internal.h"
+#include "core/cache_feed.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -12,6 +12,7 @@
 #include "cells/messages.h"
 #include "cells/records.h"
 #include "core/core.h"
+#include "core/state/transaction.h"
 
 typedef struct rr_transfers rr_transfers;
 
--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -3,6 +3,16 @@
  * reports.
  */
 #include "core/autoscaling/autoscaler.h"
+#include "core/autoscaling/autoscaling_state.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/state/transaction.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
+#include "core/scaling.h"
 
 #include <math.h>
 #include <string.h>
@@ -27,8 +37,8 @@
 /* ---- what the cloud said ---- */
 
 void rr_core_catalog_read(rr_core *core, double now, const GArray *machine_types) {
-    core->catalog_at = now;
-    g_array_set_size(core->fresh_builds, 0);
+    core->autoscaling.catalog_at = now;
+    g_array_set_size(core->autoscaling.catalog_types, 0);
     for (guint i = 0; i < machine_types->len; i++) {
         const rr_machine_type *type = &g_array_index(machine_types, rr_machine_type, i);
         rr_machine_type copy = *type;
@@ -36,22 +46,22 @@
         for (guint k = 0; k < type->zones->len; k++) {
             g_ptr_array_add(copy.zones, g_strdup(g_ptr_array_index(type->zones, k)));
         }
-        g_array_append_val(core->fresh_builds, copy);
+        g_array_append_val(core->autoscaling.catalog_types, copy);
     }
 }
 
 bool rr_recently_gone(const rr_core *core, const char *name, double now) {
-    const double *when = g_hash_table_lookup(core->gone, name);
+    const double *when = g_hash_table_lookup(core->stored.gone_machines, name);
     /* Lists lag up to twice their usual lag and a dead machine stays listed for half a minute. */
     return when && now - *when < 3 * core->config->list_lag_s + 40;
 }
 
 static void see_listed(rr_core *core, const rr_listed_machine *listed, double asked_at, double now,
                        double wall) {
-    rr_machine *machine = g_hash_table_lookup(core->machines, listed->id);
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, listed->id);
     if (!machine || !machine->recorded) {
         if (listed->state == RR_LISTED_FAILED) {
-            g_hash_table_add(core->stray_failed, g_strdup(listed->id));
+            g_hash_table_add(core->autoscaling.stray_failed, g_strdup(listed->id));
             return;
         }
         if (rr_recently_gone(core, listed->id, now)) {
@@ -63,12 +73,13 @@
         /* There before the service's first term, or before it first rented anything: the operators'
          * own machines. (A list may give them no age when all start together.) */
         machine->operator_owned =
-            !machine->rented &&
-            (machine->created_at < core->term.first_term_at - 5 || !core->ever_rented);
+            !machine->rented && (machine->created_at < core->membership.term.first_term_at - 5 ||
+                                 !core->autoscaling.ever_rented);
     }
     if (machine->machine_type < 0) {
-        machine->machine_type = rr_name_index_add(&core->machine_types, listed->machine_type);
-        machine->zone = rr_name_index_add(&core->zones, listed->zone);
+        machine->machine_type =
+            rr_name_index_add(&core->stored.machine_type_names, listed->machine_type);
+        machine->zone = rr_name_index_add(&core->stored.zones, listed->zone);
         machine->spot = listed->spot;
     }
     if (!machine->address[0]) {
@@ -87,22 +98,22 @@
     double lag = core->config->list_lag_s;
     return machine->listed
                ? asked_at > machine->listed_at + 2 * lag + 1
-               : asked_at > fmax(machine->known_at, core->provisioner_since) + 3 * lag + 10;
+               : asked_at > fmax(machine->known_at, core->autoscaling.since) + 3 * lag + 10;
 }
 
 void rr_core_machines_listed(rr_core *core, double asked_at, double now, double wall,
                              const GArray *machines) {
     GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
-    core->list_at = now;
-    core->list_read = true;
-    g_hash_table_remove_all(core->stray_failed);
+    core->autoscaling.list_at = now;
+    core->autoscaling.list_read = true;
+    g_hash_table_remove_all(core->autoscaling.stray_failed);
     for (guint i = 0; i < machines->len; i++) {
         const rr_listed_machine *listed = &g_array_index(machines, rr_listed_machine, i);
         g_hash_table_add(seen, (gpointer)listed->id);
         see_listed(core, listed, asked_at, now, wall);
     }
-    for (guint i = core->machine_list->len; i > 0; i--) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i - 1);
+    for (guint i = core->stored.machine_list->len; i > 0; i--) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         if (g_hash_table_contains(seen, machine->name)) {
             continue;
         }
@@ -122,8 +133,8 @@
 static void note_refusal(rr_core *core, double now, const rr_autoscaler_step *step) {
     double *until = g_new(double, 1);
     *until = now + REFUSED_S;
-    g_hash_table_replace(core->refused, rr_refusal_key(step->machine_type, step->zone, step->spot),
-                         until);
+    g_hash_table_replace(core->autoscaling.refused_capacity,
+                         rr_refusal_key(step->machine_type, step->zone, step->spot), until);
 }
 
 static void note_rented(rr_core *core, double now, const rr_autoscaler_step *step, const char *id) {
@@ -135,16 +146,18 @@
     machine->operator_owned = false;
     if (!machine->recorded) {
         machine->to_record = true;
-        machine->created_at = machine->created_at > 0 ? machine->created_at : core->rented_at;
-        machine->machine_type = rr_name_index_add(&core->machine_types, step->machine_type);
-        machine->zone = rr_name_index_add(&core->zones, step->zone);
+        machine->created_at =
+            machine->created_at > 0 ? machine->created_at : core->autoscaling.rented_at;
+        machine->machine_type =
+            rr_name_index_add(&core->stored.machine_type_names, step->machine_type);
+        machine->zone = rr_name_index_add(&core->stored.zones, step->zone);
         machine->spot = step->spot;
     }
 }
 
 void rr_core_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step, int status,
                               const GPtrArray *ids) {
-    rr_rental *rental = g_hash_table_lookup(core->rentals, step->rental);
+    rr_rental *rental = g_hash_table_lookup(core->autoscaling.rentals, step->rental);
     const char *kind = step->spot ? "spot" : "ordinary";
     if (rental && status == 503) {
         rental->refused = true;
@@ -164,7 +177,7 @@
         g_ptr_array_add(rental->machine_ids, g_strdup(id));
         note_rented(core, now, step, id);
     }
-    core->rented += ids->len;
+    core->counters.rented += ids->len;
     rr_log_at(core, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", step->rental, ids->len,
               rental->count, step->machine_type, kind, step->zone);
 }
@@ -172,8 +185,8 @@
 void rr_core_scale_in_result(rr_core *core, double now, const GPtrArray *ids) {
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
-        rr_machine *machine = g_hash_table_lookup(core->machines, id);
-        g_hash_table_remove(core->stray_failed, id);
+        rr_machine *machine = g_hash_table_lookup(core->stored.machines, id);
+        g_hash_table_remove(core->autoscaling.stray_failed, id);
         if (machine && machine->recorded) {
             machine->list_failed = true; /* gone with everything on it: the record may go */
             rr_log_at(core, RR_LOG_DEBUG, "machine %s is returned after %.0f s", id,
@@ -192,7 +205,7 @@
     GHashTableIter iter;
     gpointer value;
     char key[RR_ID_SIZE + 32];
-    g_hash_table_iter_init(&iter, core->rentals);
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         rr_rental *rental = value;
         bool over = rental->refused;
@@ -200,7 +213,7 @@
             over = true;
             for (guint i = 0; i < rental->machine_ids->len; i++) {
                 const char *id = g_ptr_array_index(rental->machine_ids, i);
-                const rr_machine *machine = g_hash_table_lookup(core->machines, id);
+                const rr_machine *machine = g_hash_table_lookup(core->stored.machines, id);
                 over = over && ((machine && machine->recorded) || rr_recently_gone(core, id, now));
             }
         }
@@ -227,11 +240,13 @@
 
 /* What was read is written until the mirror shows it: a change of term may void a transaction. */
 static bool record_machine_types(rr_core *core, rr_autoscaler_step *out) {
-    for (guint i = 0; i < core->fresh_builds->len; i++) {
-        const rr_machine_type *type = &g_array_index(core->fresh_builds, rr_machine_type, i);
+    for (guint i = 0; i < core->autoscaling.catalog_types->len; i++) {
+        const rr_machine_type *type =
+            &g_array_index(core->autoscaling.catalog_types, rr_machine_type, i);
         if ((int)out->transaction.changes->len < rr_transaction_changes_max(core->config) &&
             !same_machine_type(
-                rr_machine_type_at(core, rr_name_index_find(&core->machine_types, type->name)),
+                rr_machine_type_at(
+                    core, rr_name_index_find(&core->stored.machine_type_names, type->name)),
                 type)) {
             char key[RR_ID_SIZE + 32];
             rr_encoder encoder;
@@ -249,8 +264,8 @@
         out->kind = RR_AUTOSCALER_COMMIT;
         return true;
     }
-    if (core->catalog_at == 0 || now - core->catalog_at > CATALOG_S) {
-        core->catalog_at = now - CATALOG_S + 2; /* not again at once if it fails */
+    if (core->autoscaling.catalog_at == 0 || now - core->autoscaling.catalog_at > CATALOG_S) {
+        core->autoscaling.catalog_at = now - CATALOG_S + 2; /* not again at once if it fails */
         out->kind = RR_AUTOSCALER_CATALOG;
         return true;
     }
@@ -260,8 +275,8 @@
 static bool step_release(rr_core *core, double now, rr_autoscaler_step *out) {
     GHashTableIter iter;
     gpointer key;
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         /* What an owner booked there meanwhile is not thrown away; a dead machine goes as it is. */
         bool empty = machine->placements->len == 0 && now - machine->scaling_in_at > RETURN_WAIT_S;
         if (machine->recorded && machine->scaling_in && machine->to_release &&
@@ -271,7 +286,7 @@
             machine->releasing = true;
         }
     }
-    g_hash_table_iter_init(&iter, core->stray_failed);
+    g_hash_table_iter_init(&iter, core->autoscaling.stray_failed);
     while (g_hash_table_iter_next(&iter, &key, NULL) && out->machines->len < 100) {
         g_ptr_array_add(out->machines, g_strdup(key));
     }
@@ -281,7 +296,7 @@
 static bool step_rental(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, core->rentals);
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         rr_rental *rental = value;
         if (rental->answered || rental->refused ||
@@ -289,7 +304,7 @@
             continue;
         }
         rental->tried_at = now;
-        core->rented_at = wall;
+        core->autoscaling.rented_at = wall;
         g_strlcpy(out->rental, rental->name, sizeof out->rental);
         g_strlcpy(out->machine_type, rental->machine_type, sizeof out->machine_type);
         g_strlcpy(out->zone, rental->zone, sizeof out->zone);
@@ -320,7 +335,7 @@
         return "back under its name with its counts begun anew";
     }
     if (!machine->heartbeat_seen && wall - machine->created_at > 4 * boot + 30 && empty &&
-        now - core->provisioner_since > 2 * boot) {
+        now - core->autoscaling.since > 2 * boot) {
         return "never came up";
     }
     if (rr_machine_quarantined(machine, now) && empty) {
@@ -350,24 +365,24 @@
     }
     machine->to_release = true;
     machine->declared_dead = why && !empty;
-    core->given_up++;
+    core->counters.machines_terminated++;
     rr_log_at(core, RR_LOG_DEBUG, "give up %s (%u tasks): %s", machine->name,
               machine->placements->len, why ? why : "idle");
 }
 void rr_review_machines(rr_core *core, double now, double wall) {
     rr_detect_partitions(core, now);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        judge(core, g_ptr_array_index(core->machine_list, i), now, wall);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        judge(core, g_ptr_array_index(core->stored.machine_list, i), now, wall);
     }
 }
 
 static void begin_provisioning(rr_core *core, double now) {
-    core->provisioner_token = core->term.token;
-    core->provisioner_since = now;
-    core->list_at = core->sim_at = 0;
-    core->list_read = false;
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    core->autoscaling.term_token = core->membership.term.token;
+    core->autoscaling.since = now;
+    core->autoscaling.list_at = core->autoscaling.demand_at = 0;
+    core->autoscaling.list_read = false;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->list_failed = machine->listed = machine->surplus = machine->declared_dead =
             machine->releasing = false;
         machine->to_release =
@@ -379,22 +394,24 @@
     }
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, core->rentals);
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         rr_rental *rental = value;
         rental->answered = rental->refused = false;
         rental->tried_at = 0;
         g_ptr_array_set_size(rental->machine_ids, 0);
     }
-    rr_log_at(core, RR_LOG_INFO, "provisioner of term %" G_GUINT64_FORMAT, core->term.token);
+    rr_log_at(core, RR_LOG_INFO, "provisioner of term %" G_GUINT64_FORMAT,
+              core->membership.term.token);
 }
 
 void rr_core_autoscaler_step(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
     out->kind = RR_AUTOSCALER_NONE;
-    if (!rr_core_is_autoscaler(core, now) || !rr_core_cache_consistent(core) || core->anew) {
+    if (!rr_core_is_autoscaler(core, now) || !rr_core_cache_consistent(core) ||
+        core->membership.new_term_wanted) {
         return;
     }
-    if (core->provisioner_token != core->term.token) {
+    if (core->autoscaling.term_token != core->membership.term.token) {
         begin_provisioning(core, now);
     }
     if (rr_autoscaler_step_records(core, now, wall, out) || step_rentals_done(core, now, out) ||
@@ -406,11 +423,12 @@
         out->kind = RR_AUTOSCALER_SCALE_OUT;
     } else if (step_release(core, now, out)) {
         out->kind = RR_AUTOSCALER_SCALE_IN;
-    } else if (core->list_at == 0 || now - core->list_at > core->config->tuning.cloud_list_s) {
-        core->list_at = now;
+    } else if (core->autoscaling.list_at == 0 ||
+               now - core->autoscaling.list_at > core->config->tuning.cloud_list_s) {
+        core->autoscaling.list_at = now;
         out->kind = RR_AUTOSCALER_LIST;
     }
     if (out->kind == RR_AUTOSCALER_COMMIT) {
-        rr_transaction_guard(&out->transaction, RR_KEY_ROOT "term", core->term.version);
+        rr_transaction_guard(&out->transaction, RR_KEY_ROOT "term", core->membership.term.version);
     }
 }
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -4,7 +4,8 @@
 #ifndef RR_CORE_AUTOSCALING_AUTOSCALER_H
 #define RR_CORE_AUTOSCALING_AUTOSCALER_H
 
-#include "core/model.h"
+#include "core/core_internal.h"
+#include "core/scaling.h"
 
 /* autoscaler.c */
 /* Its record went not long ago: lists that lag and late reports may still name it. */
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -1,6 +1,20 @@
 /* What the provisioner rents: waiting work and headroom are put on paper onto the machines there
  * are, then onto machines to rent. */
 #include "core/autoscaling/autoscaler.h"
+#include "core/autoscaling/autoscaling_state.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/scheduling/reservation.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/state/resources.h"
+#include "core/state/transaction.h"
+#include "core/state/transfer_holds.h"
+#include "core/scaling.h"
 
 #include <math.h>
 #include <string.h>
@@ -20,7 +34,7 @@
 static bool is_refused(rr_core *core, const char *machine_type, const char *zone, bool spot,
                        double now) {
     char *key = rr_refusal_key(machine_type, zone, spot);
-    const double *until = g_hash_table_lookup(core->refused, key);
+    const double *until = g_hash_table_lookup(core->autoscaling.refused_capacity, key);
     g_free(key);
     return until && now < *until;
 }
@@ -74,9 +88,9 @@
 static void sort_roomy(struct demand_simulation *sim) {
     rr_core *core = sim->core;
     g_ptr_array_set_size(sim->roomy, 0);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
-        core->visits++;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        core->counters.machines_visited++;
         if (counts(core, machine, sim->now) && roomy(core, machine)) {
             g_ptr_array_add(sim->roomy, machine);
         }
@@ -94,7 +108,7 @@
     guint i = 0;
     for (; i < sim->roomy->len && count > 0; i++) {
         rr_machine *machine = g_ptr_array_index(sim->roomy, i);
-        core->visits++;
+        core->counters.machines_visited++;
         if (machine->zone >= 0 && zones[machine->zone] &&
             rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot)) {
             uint32_t k = rr_tasks_fitting(job->request, machine->free, MIN(count, each));
@@ -140,10 +154,11 @@
     double share =
         1 - rr_resources_free_share(rr_resources_add(capacity, job->request, -1), capacity);
     for (guint i = 0; i < 2 * type->zones->len; i++) {
-        int zone = rr_name_index_find(&core->zones, g_ptr_array_index(type->zones, i / 2));
+        int zone = rr_name_index_find(&core->stored.zones, g_ptr_array_index(type->zones, i / 2));
         bool spot = i % 2 == 1;
         if (zone < 0 || !zones[zone] || !rr_job_allows(core, job, machine_type, zone, spot) ||
-            is_refused(core, type->name, rr_name_index_at(&core->zones, zone), spot, sim->now)) {
+            is_refused(core, type->name, rr_name_index_at(&core->stored.zones, zone), spot,
+                       sim->now)) {
             continue;
         }
         struct offer offer = {{machine_type, zone, spot, 0, capacity},
@@ -179,7 +194,8 @@
 static struct planned_rental *plan_rental_for(struct demand_simulation *sim, const rr_job *job,
                                               const bool *zones) {
     struct offer best = {.rental = {.machine_type = -1}};
-    for (guint machine_type = 0; machine_type < sim->core->build_info->len; machine_type++) {
+    for (guint machine_type = 0; machine_type < sim->core->stored.machine_types->len;
+         machine_type++) {
         consider_machine_type(sim, job, zones, (int)machine_type, &best);
     }
     if (best.rental.machine_type < 0) {
@@ -226,7 +242,7 @@
         return true;
     }
     double boot = 0, pull = 0;
-    for (guint i = 0; i < core->build_info->len; i++) {
+    for (guint i = 0; i < core->stored.machine_types->len; i++) {
         const rr_machine_type *type = rr_machine_type_at(core, (int)i);
         if (type) {
             boot = fmax(boot, type->startup_s);
@@ -243,11 +259,11 @@
  * changes allow: waiting for that, the provisioner rented for 1,200 lost tasks over a minute and a
  * half. */
 static void count_lost(const rr_core *core) {
-    for (guint i = 0; i < core->open->len; i++) {
-        ((rr_job *)g_ptr_array_index(core->open, i))->lost_count = 0;
+    for (guint i = 0; i < core->stored.open_jobs->len; i++) {
+        ((rr_job *)g_ptr_array_index(core->stored.open_jobs, i))->lost_count = 0;
     }
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         for (guint k = 0; k < machine->placements->len &&
                           (machine->gone || (machine->to_release && machine->declared_dead));
              k++) {
@@ -262,7 +278,7 @@
 static void one_zone(struct demand_simulation *sim, const rr_job *job, bool *zones) {
     rr_core *core = sim->core;
     int best = rr_zone_with_most_room(core, job, zones, sim->now);
-    for (guint zone = 0; zone < core->zones.names->len; zone++) {
+    for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
         best = best < 0 && zones[zone] ? (int)zone : best;
         zones[zone] = (int)zone == best;
     }
@@ -293,10 +309,10 @@
 static void demand_waiting(struct demand_simulation *sim) {
     const rr_core *core = sim->core;
     count_lost(core);
-    for (guint i = 0; i < core->open->len; i++) {
-        const rr_job *job = g_ptr_array_index(core->open, i);
+    for (guint i = 0; i < core->stored.open_jobs->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
         uint32_t count = wanted_tasks(core, job);
-        bool zones[core->zones.names->len + 1];
+        bool zones[core->stored.zones.names->len + 1];
         if (count == 0) {
             continue;
         }
@@ -312,8 +328,8 @@
 
 /* Work that would make room for the class and can save within its aim is as good as free room. */
 static void credit_preemptible(rr_core *core, const rr_job *job, double within_s, double now) {
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         for (guint k = 0; k < machine->placements->len && counts(core, machine, now); k++) {
             const rr_placement *placement = &g_array_index(machine->placements, rr_placement, k);
             const rr_submission *submission = &placement->job->submission;
@@ -333,11 +349,11 @@
 static double arrived_tasks(const rr_core *core, const char *job_class, const rr_job **last) {
     double tasks = 0;
     *last = NULL;
-    for (guint k = 0; k < core->arrivals->len; k++) {
-        const rr_job *job = g_array_index(core->arrivals, rr_job *, k);
+    for (guint k = 0; k < core->stored.arrivals->len; k++) {
+        const rr_job *job = g_array_index(core->stored.arrivals, rr_job *, k);
         if (strcmp(job->submission.job_class, job_class) == 0) {
             *last = job;
-            tasks += job->accepted_at > core->term.first_term_at + START_STOCK_S
+            tasks += job->accepted_at > core->membership.term.first_term_at + START_STOCK_S
                          ? job->submission.task_count
                          : 0;
         }
@@ -347,7 +363,7 @@
 
 static double longest_boot(const rr_core *core) {
     double boot = 0;
-    for (guint i = 0; i < core->build_info->len; i++) {
+    for (guint i = 0; i < core->stored.machine_types->len; i++) {
         const rr_machine_type *type = rr_machine_type_at(core, (int)i);
         boot = type ? fmax(boot, type->startup_s) : boot;
     }
@@ -358,7 +374,8 @@
 static void demand_headroom(struct demand_simulation *sim) {
     rr_core *core = sim->core;
     rr_arrivals_trim(core, sim->wall);
-    double span = fmin(RR_ARRIVAL_WINDOW_S, fmax(60, sim->wall - core->term.first_term_at));
+    double span =
+        fmin(RR_ARRIVAL_WINDOW_S, fmax(60, sim->wall - core->membership.term.first_term_at));
     for (size_t i = 0; i < core->config->objective_count; i++) {
         const struct rr_objective *objective = &core->config->objectives[i];
         const rr_job *last;
@@ -371,11 +388,11 @@
         }
         double mean = tasks / span * (1.2 * longest_boot(core) + 10);
         int count = (int)ceil(core->config->tuning.headroom * (mean + sqrt(mean)));
-        bool zones[core->zones.names->len + 1];
-        for (guint zone = 0; zone < core->zones.names->len; zone++) {
-            zones[zone] =
-                !last->submission.zone[0] ||
-                strcmp(last->submission.zone, rr_name_index_at(&core->zones, (int)zone)) == 0;
+        bool zones[core->stored.zones.names->len + 1];
+        for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
+            zones[zone] = !last->submission.zone[0] ||
+                          strcmp(last->submission.zone,
+                                 rr_name_index_at(&core->stored.zones, (int)zone)) == 0;
         }
         credit_preemptible(core, last, objective->within_s, sim->now);
         sort_roomy(sim);
@@ -388,12 +405,12 @@
     GHashTableIter iter;
     gpointer value;
     int count = 0;
-    g_hash_table_iter_init(&iter, core->rentals);
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const rr_rental *rental = value;
         if (strcmp(rental->machine_type,
-                   rr_name_index_at(&core->machine_types, rent->machine_type)) == 0 &&
-            strcmp(rental->zone, rr_name_index_at(&core->zones, rent->zone)) == 0 &&
+                   rr_name_index_at(&core->stored.machine_type_names, rent->machine_type)) == 0 &&
+            strcmp(rental->zone, rr_name_index_at(&core->stored.zones, rent->zone)) == 0 &&
             rental->spot == rent->spot) {
             count += rental->count;
         }
@@ -406,14 +423,14 @@
     char name[RR_ID_SIZE], key[RR_ID_SIZE + 32];
     rr_encoder encoder;
     /* A request's name is never used again: token, counter. */
-    g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, core->term.token,
-               ++core->counter);
+    g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+               core->membership.term.token, ++core->membership.attempt_counter);
     rr_rental_key(name, key, sizeof key);
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 4);
     rr_encode_key_text(&encoder, "build",
-                       rr_name_index_at(&core->machine_types, rent->machine_type));
-    rr_encode_key_text(&encoder, "ward", rr_name_index_at(&core->zones, rent->zone));
+                       rr_name_index_at(&core->stored.machine_type_names, rent->machine_type));
+    rr_encode_key_text(&encoder, "ward", rr_name_index_at(&core->stored.zones, rent->zone));
     rr_encode_key_bool(&encoder, "loaners", rent->spot);
     rr_encode_key_u64(&encoder, "n", (uint64_t)count);
     rr_transaction_guard(&out->transaction, key, 0);
@@ -427,7 +444,8 @@
         int left = rent->count - pending_for(core, rent);
         while (left > 0 &&
                (int)out->transaction.changes->len < rr_transaction_changes_max(core->config) &&
-               g_hash_table_size(core->rentals) + out->transaction.changes->len < RENTALS_MAX) {
+               g_hash_table_size(core->autoscaling.rentals) + out->transaction.changes->len <
+                   RENTALS_MAX) {
             int count = MIN(left, RENTAL_MAX);
             put_intent(core, rent, count, out);
             left -= count;
@@ -436,11 +454,12 @@
 }
 
 bool rr_autoscaler_step_demand(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
-    if (now - core->sim_at < 1 || !core->list_read || !core->catalog_known) {
+    if (now - core->autoscaling.demand_at < 1 || !core->autoscaling.list_read ||
+        !core->stored.catalog_known) {
         return false;
     }
-    core->sim_at = now;
-    guint in_zone[core->zones.names->len + 1];
+    core->autoscaling.demand_at = now;
+    guint in_zone[core->stored.zones.names->len + 1];
     memset(in_zone, 0, sizeof in_zone);
     struct demand_simulation sim = {core,
                                     now,
@@ -449,11 +468,11 @@
                                     g_ptr_array_new(),
                                     in_zone};
     rr_reset_free_resources(core);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->surplus = true;
         in_zone[machine->zone >= 0 && machine->recorded ? (guint)machine->zone
-                                                        : core->zones.names->len]++;
+                                                        : core->stored.zones.names->len]++;
     }
     sort_roomy(&sim);
     demand_waiting(&sim);
--- a/src/core/autoscaling/machine_records.c
+++ b/src/core/autoscaling/machine_records.c
@@ -1,5 +1,10 @@
 /* The provisioner's records of machines: pages of the fleet, many machines in each. */
 #include "core/autoscaling/autoscaler.h"
+#include "core/core_internal.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/transaction.h"
+#include "core/scaling.h"
 
 #include <string.h>
 
@@ -32,8 +37,8 @@
         return list;
     }
     list = g_ptr_array_new();
-    for (guint i = 0; i < pages->core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(pages->core->machine_list, i);
+    for (guint i = 0; i < pages->core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(pages->core->stored.machine_list, i);
         if (machine->recorded && machine->page == id) {
             g_ptr_array_add(list, machine);
         }
@@ -57,8 +62,8 @@
 static void split_page(struct pages *pages, uint32_t id) {
     GPtrArray *moved = g_ptr_array_new();
     size_t left = 64, taken = 64;
-    for (guint i = 0; i < pages->core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(pages->core->machine_list, i);
+    for (guint i = 0; i < pages->core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(pages->core->stored.machine_list, i);
         size_t bytes = machine->recorded && machine->page == id
                            ? rr_machine_page_entry_bytes(pages->core, machine)
                            : 0;
@@ -71,7 +76,7 @@
             left += bytes;
         }
     }
-    g_hash_table_insert(pages->changed, GUINT_TO_POINTER(pages->core->next_page++), moved);
+    g_hash_table_insert(pages->changed, GUINT_TO_POINTER(pages->core->stored.next_page++), moved);
     pages->room--;
 }
 
@@ -87,8 +92,8 @@
     GHashTable *counts = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     GHashTableIter iter;
     gpointer key, value;
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         struct page_count *page_count =
             g_hash_table_lookup(counts, GUINT_TO_POINTER(machine->page));
         if (machine->recorded && !page_count) {
@@ -101,7 +106,7 @@
             page_count->bytes += rr_machine_page_entry_bytes(core, machine);
         }
     }
-    g_hash_table_iter_init(&iter, core->pages);
+    g_hash_table_iter_init(&iter, core->stored.pages);
     while (pages->room > 0 && g_hash_table_iter_next(&iter, &key, &value)) {
         const struct page_count *page_count = g_hash_table_lookup(counts, key);
         if (page_count && (double)page_count->bytes > page_bytes_max(core)) {
@@ -129,14 +134,14 @@
             return value;
         }
     }
-    g_hash_table_iter_init(&iter, pages->core->pages);
+    g_hash_table_iter_init(&iter, pages->core->stored.pages);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         if (!g_hash_table_contains(pages->changed, key) &&
             (double)(64 + ((rr_machine_page *)value)->bytes + need) <= most) {
             return change_page(pages, GPOINTER_TO_UINT(key));
         }
     }
-    return change_page(pages, pages->core->next_page++);
+    return change_page(pages, pages->core->stored.next_page++);
 }
 
 static bool to_record(const rr_core *core, const rr_machine *machine, double now) {
@@ -146,7 +151,7 @@
     /* One that only reports have told of: a late copy of a report creates nothing, so it has to
      * answer us first. */
     return machine->to_record ||
-           (machine->heartbeat_seen && machine->verified && core->list_read &&
+           (machine->heartbeat_seen && machine->verified && core->autoscaling.list_read &&
             now - machine->heartbeat_at < 2 * core->config->heartbeat_interval_s &&
             !rr_recently_gone(core, machine->name, now));
 }
@@ -180,16 +185,16 @@
                : most;
     struct pages pages = {core, g_hash_table_new(NULL, NULL), most < PAGES_MAX ? most : PAGES_MAX};
     if (rr_value_kb_max(core->config) < core->config->value_kb &&
-        now - core->parted_at > PART_EVERY_S) {
-        core->parted_at = now;
+        now - core->autoscaling.pages_split_at > PART_EVERY_S) {
+        core->autoscaling.pages_split_at = now;
         part_pages(&pages);
     }
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        record_machine(&pages, g_ptr_array_index(core->machine_list, i), now, wall);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        record_machine(&pages, g_ptr_array_index(core->stored.machine_list, i), now, wall);
     }
     g_hash_table_iter_init(&iter, pages.changed);
     while (g_hash_table_iter_next(&iter, &page_key, &value)) {
-        const rr_machine_page *page = g_hash_table_lookup(core->pages, page_key);
+        const rr_machine_page *page = g_hash_table_lookup(core->stored.pages, page_key);
         rr_encoder encoder;
         rr_encoder_init(&encoder);
         rr_machine_page_encode(core, &encoder, value);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,5 +1,17 @@
 /* The life of the core's model, its keys and its objectives. */
+#include "core/autoscaling/autoscaling_state.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
 #include "core/state/record_handlers.h"
+#include "core/state/resources.h"
+#include "core/planning.h"
+#include "core/submissions.h"
 
 #include <stdarg.h>
 #include <stdio.h>
@@ -11,17 +23,17 @@
     va_start(args, fmt);
     vsnprintf(line, sizeof line, fmt, args);
     va_end(args);
-    core->log(level, line);
+    core->log_fn(level, line);
 }
 
 void rr_core_set_log(rr_core *core, rr_core_log_fn log_fn, int level) {
-    core->log = log_fn;
+    core->log_fn = log_fn;
     core->log_level = level;
 }
 
 void rr_core_set_pressure(rr_core *core, double pressure, int changes) {
-    core->pressure = pressure;
-    core->changes = changes;
+    core->planning.write_pressure = pressure;
+    core->planning.changes_allowed = changes;
 }
 
 void rr_ledger_record_free(gpointer data) {
@@ -84,49 +96,52 @@
 rr_core *rr_core_create(const struct rr_config *config) {
     rr_core *core = g_new0(rr_core, 1);
     core->config = config;
-    rr_name_index_init(&core->teams);
-    rr_name_index_init(&core->zones);
-    rr_name_index_init(&core->machine_types);
-    rr_name_index_init(&core->job_classes);
-    rr_name_index_init(&core->images);
+    rr_name_index_init(&core->stored.teams);
+    rr_name_index_init(&core->stored.zones);
+    rr_name_index_init(&core->stored.machine_type_names);
+    rr_name_index_init(&core->stored.job_classes);
+    rr_name_index_init(&core->stored.images);
     for (size_t i = 0; i < config->team_count; i++) {
-        rr_name_index_add(&core->teams, config->teams[i].name);
+        rr_name_index_add(&core->stored.teams, config->teams[i].name);
     }
-    core->build_info = machine_types_new();
-    core->fresh_builds = machine_types_new();
-    core->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
-    core->finals = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    core->open = g_ptr_array_new();
-    core->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
-    core->machine_list = g_ptr_array_new();
-    core->dirty = g_ptr_array_new();
-    core->garbage = g_ptr_array_new_with_free_func(g_free);
-    core->team_used = g_array_new(FALSE, TRUE, sizeof(rr_resources));
-    core->team_booked = g_array_new(FALSE, TRUE, sizeof(rr_resources));
-    core->owners = g_array_new(FALSE, TRUE, sizeof(int));
-    core->autoscaler = core->place = -1;
+    core->stored.machine_types = machine_types_new();
+    core->autoscaling.catalog_types = machine_types_new();
+    core->stored.jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
+    core->stored.final_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    core->stored.open_jobs = g_ptr_array_new();
+    core->stored.machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
+    core->stored.machine_list = g_ptr_array_new();
+    core->stored.dirty_machines = g_ptr_array_new();
+    core->stored.orphan_record_keys = g_ptr_array_new_with_free_func(g_free);
+    core->stored.team_used = g_array_new(FALSE, TRUE, sizeof(rr_resources));
+    core->planning.team_reserved = g_array_new(FALSE, TRUE, sizeof(rr_resources));
+    core->membership.team_owners = g_array_new(FALSE, TRUE, sizeof(int));
+    core->membership.autoscaler_member = core->membership.member_index = -1;
     /* The same on every controller: from the settings alone. */
-    core->chunk = RR_TASKS_PER_RECORD_MIN;
-    while (core->chunk < RR_TASKS_PER_RECORD_MAX &&
-           (double)rr_ledger_record_bytes(2 * core->chunk) < config->value_kb * 1024) {
-        core->chunk *= 2;
+    core->stored.tasks_per_record = RR_TASKS_PER_RECORD_MIN;
+    while (core->stored.tasks_per_record < RR_TASKS_PER_RECORD_MAX &&
+           (double)rr_ledger_record_bytes(2 * core->stored.tasks_per_record) <
+               config->value_kb * 1024) {
+        core->stored.tasks_per_record *= 2;
     }
-    core->pages = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    core->batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, batch_free);
-    core->next_page = 1;
-    core->changes = rr_transaction_changes_max(config);
-    core->zone_counts = g_array_new(FALSE, TRUE, sizeof(rr_zone_heartbeats));
-    core->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    core->holds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    core->cancel_hints = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    core->sessions = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    core->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rental_free);
-    core->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    core->stray_failed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    core->term.members = g_array_new(FALSE, TRUE, sizeof(rr_session));
-    core->cut_at = g_array_new(FALSE, TRUE, sizeof(double));
-    core->arrivals = g_array_new(FALSE, FALSE, sizeof(rr_job *));
-    core->plan_moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
+    core->stored.pages = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    core->stored.batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, batch_free);
+    core->stored.next_page = 1;
+    core->planning.changes_allowed = rr_transaction_changes_max(config);
+    core->observed.zone_heartbeats = g_array_new(FALSE, TRUE, sizeof(rr_zone_heartbeats));
+    core->stored.gone_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    core->extensions.transfer_holds =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    core->stored.cancel_hints = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    core->membership.sessions = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+    core->autoscaling.rentals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rental_free);
+    core->autoscaling.refused_capacity =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    core->autoscaling.stray_failed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    core->membership.term.members = g_array_new(FALSE, TRUE, sizeof(rr_session));
+    core->observed.partitioned_at = g_array_new(FALSE, TRUE, sizeof(double));
+    core->stored.arrivals = g_array_new(FALSE, FALSE, sizeof(rr_job *));
+    core->planning.moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
     return core;
 }
 
@@ -134,40 +149,40 @@
     if (!core) {
         return;
     }
-    for (guint i = 0; i < core->record_watch_count; i++) {
-        g_free(core->watches[i].prefix);
+    for (guint i = 0; i < core->extensions.record_watch_count; i++) {
+        g_free(core->extensions.record_watches[i].prefix);
     }
-    g_hash_table_destroy(core->holds);
-    g_array_free(core->plan_moves, TRUE);
-    g_array_free(core->arrivals, TRUE);
-    g_array_free(core->cut_at, TRUE);
-    g_array_free(core->zone_counts, TRUE);
-    g_array_free(core->team_used, TRUE);
-    g_array_free(core->team_booked, TRUE);
-    g_array_free(core->owners, TRUE);
-    g_hash_table_destroy(core->pages);
-    g_hash_table_destroy(core->batches);
-    g_ptr_array_free(core->dirty, TRUE);
-    g_ptr_array_free(core->garbage, TRUE);
-    g_array_free(core->term.members, TRUE);
-    g_hash_table_destroy(core->stray_failed);
-    g_hash_table_destroy(core->refused);
-    g_hash_table_destroy(core->rentals);
-    g_hash_table_destroy(core->sessions);
-    g_hash_table_destroy(core->gone);
-    g_hash_table_destroy(core->cancel_hints);
-    g_ptr_array_free(core->machine_list, TRUE);
-    g_hash_table_destroy(core->machines);
-    g_ptr_array_free(core->open, TRUE);
-    g_hash_table_destroy(core->jobs);
-    g_hash_table_destroy(core->finals);
-    g_array_free(core->build_info, TRUE);
-    g_array_free(core->fresh_builds, TRUE);
-    rr_name_index_clear(&core->teams);
-    rr_name_index_clear(&core->zones);
-    rr_name_index_clear(&core->machine_types);
-    rr_name_index_clear(&core->job_classes);
-    rr_name_index_clear(&core->images);
+    g_hash_table_destroy(core->extensions.transfer_holds);
+    g_array_free(core->planning.moves, TRUE);
+    g_array_free(core->stored.arrivals, TRUE);
+    g_array_free(core->observed.partitioned_at, TRUE);
+    g_array_free(core->observed.zone_heartbeats, TRUE);
+    g_array_free(core->stored.team_used, TRUE);
+    g_array_free(core->planning.team_reserved, TRUE);
+    g_array_free(core->membership.team_owners, TRUE);
+    g_hash_table_destroy(core->stored.pages);
+    g_hash_table_destroy(core->stored.batches);
+    g_ptr_array_free(core->stored.dirty_machines, TRUE);
+    g_ptr_array_free(core->stored.orphan_record_keys, TRUE);
+    g_array_free(core->membership.term.members, TRUE);
+    g_hash_table_destroy(core->autoscaling.stray_failed);
+    g_hash_table_destroy(core->autoscaling.refused_capacity);
+    g_hash_table_destroy(core->autoscaling.rentals);
+    g_hash_table_destroy(core->membership.sessions);
+    g_hash_table_destroy(core->stored.gone_machines);
+    g_hash_table_destroy(core->stored.cancel_hints);
+    g_ptr_array_free(core->stored.machine_list, TRUE);
+    g_hash_table_destroy(core->stored.machines);
+    g_ptr_array_free(core->stored.open_jobs, TRUE);
+    g_hash_table_destroy(core->stored.jobs);
+    g_hash_table_destroy(core->stored.final_jobs);
+    g_array_free(core->stored.machine_types, TRUE);
+    g_array_free(core->autoscaling.catalog_types, TRUE);
+    rr_name_index_clear(&core->stored.teams);
+    rr_name_index_clear(&core->stored.zones);
+    rr_name_index_clear(&core->stored.machine_type_names);
+    rr_name_index_clear(&core->stored.job_classes);
+    rr_name_index_clear(&core->stored.images);
     g_free(core);
 }
 
--- a/src/core/health/failure_detector.c
+++ b/src/core/health/failure_detector.c
@@ -1,6 +1,12 @@
 /* What a silence, a notice or a failure means. Silence alone proves nothing about a task: these
  * judgements only decide where new work goes and which machine is asked back from the cloud. */
-#include "core/model.h"
+#include "core/health/failure_detector.h"
+#include "core/core_internal.h"
+#include "core/state/jobs.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
 
 #include <math.h>
 #include <string.h>
@@ -132,13 +138,13 @@
 
 /* One walk for all zones. */
 static void count_zones(rr_core *core, double now) {
-    g_array_set_size(core->zone_counts, 0);
-    g_array_set_size(core->zone_counts, core->zones.names->len);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    g_array_set_size(core->observed.zone_heartbeats, 0);
+    g_array_set_size(core->observed.zone_heartbeats, core->stored.zones.names->len);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->zone >= 0 && was_up(machine)) {
             rr_zone_heartbeats *counts =
-                &g_array_index(core->zone_counts, rr_zone_heartbeats, machine->zone);
+                &g_array_index(core->observed.zone_heartbeats, rr_zone_heartbeats, machine->zone);
             counts->machines++;
             counts->heard += rr_machine_heartbeat_recent(core, machine, now);
             counts->recent += heartbeat_within(core, machine, now);
@@ -147,10 +153,11 @@
 }
 
 static bool mostly_overdue(const rr_core *core, int zone, const rr_machine *but, double now) {
-    if (zone < 0 || (guint)zone >= core->zone_counts->len) {
+    if (zone < 0 || (guint)zone >= core->observed.zone_heartbeats->len) {
         return false;
     }
-    rr_zone_heartbeats counts = g_array_index(core->zone_counts, rr_zone_heartbeats, zone);
+    rr_zone_heartbeats counts =
+        g_array_index(core->observed.zone_heartbeats, rr_zone_heartbeats, zone);
     if (but && was_up(but)) {
         counts.machines--;
         counts.heard -= rr_machine_heartbeat_recent(core, but, now) && counts.heard > 0;
@@ -160,10 +167,11 @@
 
 /* May only hold a verdict back: in a small zone it happens by chance, too. */
 static bool partition_begins(const rr_core *core, int zone, const rr_machine *but, double now) {
-    if (zone < 0 || (guint)zone >= core->zone_counts->len) {
+    if (zone < 0 || (guint)zone >= core->observed.zone_heartbeats->len) {
         return false;
     }
-    rr_zone_heartbeats counts = g_array_index(core->zone_counts, rr_zone_heartbeats, zone);
+    rr_zone_heartbeats counts =
+        g_array_index(core->observed.zone_heartbeats, rr_zone_heartbeats, zone);
     bool recent = heartbeat_within(core, but, now) && counts.recent > 0;
     return counts.recent - recent < RECENT_SHARE * (counts.machines - (counts.machines > 0));
 }
@@ -183,7 +191,7 @@
 
 void rr_core_peer_contacted(rr_core *core, double now, int peer) {
     if (peer >= 0 && peer < RR_CONTROLLERS_MAX) {
-        rr_contact_record(&core->peers[peer], now);
+        rr_contact_record(&core->observed.peer_contacts[peer], now);
     }
 }
 
@@ -193,10 +201,11 @@
 }
 
 bool rr_peers_connected_for(const rr_core *core, double now, double seconds) {
-    bool all = now - core->woke_at >= seconds;
-    for (guint i = 0; i < core->term.members->len && i < RR_CONTROLLERS_MAX; i++) {
-        all =
-            all && (core->peer_at[i] < 0 || lasting(&core->peers[core->peer_at[i]], now, seconds));
+    bool all = now - core->observed.woke_at >= seconds;
+    for (guint i = 0; i < core->membership.term.members->len && i < RR_CONTROLLERS_MAX; i++) {
+        all = all && (core->membership.peer_of_member[i] < 0 ||
+                      lasting(&core->observed.peer_contacts[core->membership.peer_of_member[i]],
+                              now, seconds));
     }
     return all;
 }
@@ -205,37 +214,38 @@
  * zone is not cut off from us. Ourselves count while workers report to us: we may have lost them.
  */
 static bool zone_reached(const rr_core *core, int zone, double now) {
-    const char *name = rr_name_index_at(&core->zones, zone);
+    const char *name = rr_name_index_at(&core->stored.zones, zone);
     double seconds = core->config->tuning.dead_reports * core->config->heartbeat_interval_s;
-    if (now - core->woke_at < seconds) {
+    if (now - core->observed.woke_at < seconds) {
         return false;
     }
-    bool reached = strcmp(core->config->zone, name) == 0 && lasting(&core->direct, now, seconds);
+    bool reached = strcmp(core->config->zone, name) == 0 &&
+                   lasting(&core->observed.direct_contact, now, seconds);
     for (size_t i = 0; i < core->config->peer_count; i++) {
         reached = reached || (strcmp(core->config->peers[i].zone, name) == 0 &&
-                              lasting(&core->peers[i], now, seconds));
+                              lasting(&core->observed.peer_contacts[i], now, seconds));
     }
     return reached;
 }
 
 void rr_core_set_timers_late(rr_core *core, double now) {
-    core->late_at = now;
+    core->observed.timers_late_at = now;
 }
 
 bool rr_core_timers_late(const rr_core *core, double now, double within) {
-    return core->late_at > 0 && now - core->late_at < within;
+    return core->observed.timers_late_at > 0 && now - core->observed.timers_late_at < within;
 }
 
 void rr_detect_partitions(rr_core *core, double now) {
-    if (core->looked_at <= 0 || now - core->looked_at > PAUSE_S) {
-        core->woke_at = now;
+    if (core->observed.zones_counted_at <= 0 || now - core->observed.zones_counted_at > PAUSE_S) {
+        core->observed.woke_at = now;
     }
-    core->looked_at = now;
+    core->observed.zones_counted_at = now;
     count_zones(core, now);
-    g_array_set_size(core->cut_at, core->zones.names->len);
-    for (guint zone = 0; zone < core->cut_at->len; zone++) {
+    g_array_set_size(core->observed.partitioned_at, core->stored.zones.names->len);
+    for (guint zone = 0; zone < core->observed.partitioned_at->len; zone++) {
         if (mostly_overdue(core, (int)zone, NULL, now)) {
-            g_array_index(core->cut_at, double, zone) = now;
+            g_array_index(core->observed.partitioned_at, double, zone) = now;
         }
     }
 }
@@ -260,8 +270,8 @@
     }
     /* When a cut heals, the first machines speak again before the others: those get as long as
      * anybody to be heard. Nine healthy ones were once given up in that moment. */
-    double cut = (guint)machine->zone < core->cut_at->len
-                     ? g_array_index(core->cut_at, double, machine->zone)
+    double cut = (guint)machine->zone < core->observed.partitioned_at->len
+                     ? g_array_index(core->observed.partitioned_at, double, machine->zone)
                      : 0;
     return !mostly_overdue(core, machine->zone, machine, now) &&
            !partition_begins(core, machine->zone, machine, now) && (cut <= 0 || now - cut >= limit);
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -1,5 +1,14 @@
 /* Workers' reports: what they show, and the answers to them. */
-#include "core/model.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/state/cancel_hints.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/heartbeats.h"
 
 #include <string.h>
 
@@ -21,7 +30,7 @@
     const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
     for (guint i = 0; i < machine->heartbeat.tasks->len; i++) {
         const rr_task_status *task = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
-        const rr_job *job = g_hash_table_lookup(core->jobs, task->job_id);
+        const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
         bool fetched = task->state == RR_TASK_RUNNING || task->state == RR_TASK_WAITING;
         if (!job || job->image < 0 || !fetched || rr_machine_has_image(machine, job->image)) {
             continue;
@@ -62,7 +71,7 @@
                        double now) {
     for (guint i = 0; i < heartbeat->tasks->len; i++) {
         const rr_task_status *task = &g_array_index(heartbeat->tasks, rr_task_status, i);
-        const rr_job *job = g_hash_table_lookup(core->jobs, task->job_id);
+        const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
         if (job && task->state == RR_TASK_RUNNING && job->team >= 0 &&
             rr_owns_team(core, job->team) && !was_running(machine, task)) {
             rr_log_at(core, RR_LOG_DEBUG,
@@ -80,7 +89,7 @@
         if (task->state != RR_TASK_ENDED || was_shown_failed(machine, task)) {
             continue;
         }
-        rr_job *job = g_hash_table_lookup(core->jobs, task->job_id);
+        rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
         if (task->exit_reason == RR_EXIT_ERROR && job) {
             rr_record_task_failure(core, machine, job, now);
         } else if (task->exit_reason == RR_EXIT_FULL) {
@@ -110,7 +119,8 @@
 static void verify(const rr_core *core, rr_machine *machine, const rr_heartbeat *heartbeat,
                    double now) {
     machine->verified = machine->verified || machine->recorded_while_watching ||
-                        (core->term.token > 0 && heartbeat->fencing_token == core->term.token) ||
+                        (core->membership.term.token > 0 &&
+                         heartbeat->fencing_token == core->membership.term.token) ||
                         (machine->heartbeat_seen && now - machine->heartbeat_at > SECOND_S);
 }
 
@@ -123,20 +133,20 @@
     if (machine->heartbeat_seen && heartbeat->worker_epoch > machine->heartbeat.worker_epoch) {
         rr_log_at(core, RR_LOG_DEBUG, "machine %s lost its lease: worker epoch %" G_GUINT64_FORMAT,
                   machine->name, heartbeat->worker_epoch);
-        core->leases_lost++;
+        core->counters.leases_lost++;
     }
     if (heartbeat->spot_notice_s >= 0 &&
         (!machine->heartbeat_seen || machine->heartbeat.spot_notice_s < 0)) {
         rr_log_at(core, RR_LOG_DEBUG, "machine %s goes in %.0f s (notice)", machine->name,
                   heartbeat->spot_notice_s);
-        core->notices++;
+        core->counters.spot_notices++;
     }
 }
 
 enum rr_heartbeat_news rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
                                               int via) {
-    rr_machine *machine = g_hash_table_lookup(core->machines, heartbeat->machine);
-    if (!machine && g_hash_table_contains(core->gone, heartbeat->machine)) {
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, heartbeat->machine);
+    if (!machine && g_hash_table_contains(core->stored.gone_machines, heartbeat->machine)) {
         rr_heartbeat_clear(
             heartbeat); /* a late copy about a machine that has gone creates nothing */
         return RR_HEARTBEAT_IGNORED;
@@ -149,8 +159,9 @@
         return RR_HEARTBEAT_IGNORED;
     }
     if (machine->machine_type < 0) {
-        machine->machine_type = rr_name_index_add(&core->machine_types, heartbeat->machine_type);
-        machine->zone = rr_name_index_add(&core->zones, heartbeat->zone);
+        machine->machine_type =
+            rr_name_index_add(&core->stored.machine_type_names, heartbeat->machine_type);
+        machine->zone = rr_name_index_add(&core->stored.zones, heartbeat->zone);
         machine->spot = heartbeat->spot;
     }
     verify(core, machine, heartbeat, now);
@@ -177,7 +188,7 @@
     machine->stale_answers = 0;
     machine->heard_via = via;
     if (via < 0) {
-        rr_contact_record(&core->direct, now);
+        rr_contact_record(&core->observed.direct_contact, now);
     }
     if (changed) {
         note_images(core, machine);
@@ -191,7 +202,7 @@
  * first is gone, but a command on its way to that one could still reach this one. So it is asked
  * back. */
 void rr_core_verify_machine(rr_core *core, double now, const rr_heartbeat_digest *digest) {
-    rr_machine *machine = g_hash_table_lookup(core->machines, digest->machine);
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest->machine);
     if (!machine) {
         return;
     }
@@ -214,11 +225,11 @@
     rr_heartbeat_digest digest = {.worker_epoch = heartbeat->worker_epoch,
                                   .sequence = heartbeat->sequence};
     g_strlcpy(digest.machine, heartbeat->machine, sizeof digest.machine);
-    const rr_machine *known = g_hash_table_lookup(core->machines, heartbeat->machine);
+    const rr_machine *known = g_hash_table_lookup(core->stored.machines, heartbeat->machine);
     double reported = known && known->heartbeat_seen ? known->reported_at : now;
     rr_core_take_heartbeat(core, now, heartbeat, via);
     rr_core_verify_machine(core, now, &digest);
-    rr_machine *machine = g_hash_table_lookup(core->machines, digest.machine);
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest.machine);
     if (machine) {
         machine->reported_at = reported;
     }
@@ -231,7 +242,7 @@
 
 bool rr_core_take_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
                                    int via) {
-    rr_machine *machine = g_hash_table_lookup(core->machines, digest->machine);
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest->machine);
     if (!machine || !machine->heartbeat_seen ||
         machine->heartbeat.worker_epoch != digest->worker_epoch ||
         digest->sequence <= machine->heartbeat.sequence) {
@@ -248,44 +259,44 @@
 }
 
 static void want(const rr_core *core, int place, uint32_t *peers) {
-    if (place >= 0 && (guint)place < core->term.members->len && place < RR_CONTROLLERS_MAX &&
-        core->peer_at[place] >= 0) {
-        *peers |= 1u << core->peer_at[place];
+    if (place >= 0 && (guint)place < core->membership.term.members->len &&
+        place < RR_CONTROLLERS_MAX && core->membership.peer_of_member[place] >= 0) {
+        *peers |= 1u << core->membership.peer_of_member[place];
     }
 }
 
 static void want_owner(const rr_core *core, const rr_job *job, uint32_t *peers) {
-    if (job && job->team >= 0 && (guint)job->team < core->owners->len) {
-        want(core, g_array_index(core->owners, int, job->team), peers);
+    if (job && job->team >= 0 && (guint)job->team < core->membership.team_owners->len) {
+        want(core, g_array_index(core->membership.team_owners, int, job->team), peers);
     }
 }
 
 uint32_t rr_core_heartbeat_subscribers(const rr_core *core, const char *machine,
                                        uint32_t *now_and_then) {
-    const rr_machine *found = g_hash_table_lookup(core->machines, machine);
+    const rr_machine *found = g_hash_table_lookup(core->stored.machines, machine);
     uint32_t peers = 0;
     *now_and_then = 0;
-    want(core, core->autoscaler, &peers);
+    want(core, core->membership.autoscaler_member, &peers);
     for (guint i = 0; found && i < found->placements->len; i++) {
         want_owner(core, g_array_index(found->placements, rr_placement, i).job, &peers);
     }
     for (guint i = 0; found && found->heartbeat_seen && i < found->heartbeat.tasks->len; i++) {
         const char *job_id = g_array_index(found->heartbeat.tasks, rr_task_status, i).job_id;
-        want_owner(core, g_hash_table_lookup(core->jobs, job_id), &peers);
+        want_owner(core, g_hash_table_lookup(core->stored.jobs, job_id), &peers);
     }
     /* Every owner looks for room everywhere. */
-    for (guint i = 0; i < core->owners->len; i++) {
-        want(core, g_array_index(core->owners, int, i), now_and_then);
+    for (guint i = 0; i < core->membership.team_owners->len; i++) {
+        want(core, g_array_index(core->membership.team_owners, int, i), now_and_then);
     }
     return peers;
 }
 
 static const char *other_node(const rr_core *core, const rr_heartbeat *heartbeat) {
-    guint count = core->term.members->len;
+    guint count = core->membership.term.members->len;
     guint first = count ? (guint)(heartbeat->sequence % count) : 0;
     for (guint i = 0; i < count; i++) {
         const rr_session *session =
-            &g_array_index(core->term.members, rr_session, (first + i) % count);
+            &g_array_index(core->membership.term.members, rr_session, (first + i) % count);
         if (strcmp(session->name, core->config->node_name) != 0) {
             return session->name;
         }
@@ -304,18 +315,19 @@
 void rr_core_reply_to_heartbeat(rr_core *core, double now, const rr_heartbeat *heartbeat,
                                 struct rr_heartbeat_reply *out) {
     memset(out, 0, sizeof *out);
-    if (!rr_is_member(core) || now >= core->fresh_at + rr_heartbeat_reply_s(core->config) ||
-        heartbeat->fencing_token > core->term.token) {
+    if (!rr_is_member(core) ||
+        now >= core->stored.current_at + rr_heartbeat_reply_s(core->config) ||
+        heartbeat->fencing_token > core->membership.term.token) {
         out->peer = other_node(core, heartbeat);
         out->status = out->peer ? 421 : 503;
         return;
     }
     out->status = 200;
-    out->fencing_token = core->term.token;
+    out->fencing_token = core->membership.term.token;
     out->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
     for (guint i = 0; i < heartbeat->tasks->len; i++) {
         const rr_task_status *task = &g_array_index(heartbeat->tasks, rr_task_status, i);
-        const rr_job *job = g_hash_table_lookup(core->jobs, task->job_id);
+        const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
         bool unwanted = (job && job->cancelled && !job->done) ||
                         rr_job_final(core, task->job_id, NULL, NULL) ||
                         rr_has_cancel_hint(core, task->job_id, now);
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -1,7 +1,16 @@
 /* The paper's Allocation phase as DESIGN cuts it down, used for new tasks and rounds alike: zone
  * groups first, to the zone with most free room on the scarcest resource, there the fitting machine
  * with least free room; other tasks to the fitting machine of least price x free room. */
-#include "core/model.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/scheduling/reservation.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/state/resources.h"
 
 #include <math.h>
 #include <string.h>
@@ -25,8 +34,8 @@
 }
 
 void rr_reset_free_resources(rr_core *core) {
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->free = rr_resources_add(rr_machine_capacity(core, machine), machine->used, -1);
         /* What is known to be over takes no room any more, though its record waits for others. */
         for (guint k = 0; k < machine->placements->len; k++) {
@@ -44,7 +53,7 @@
         return false;
     }
     if (job->submission.zone[0] &&
-        strcmp(job->submission.zone, rr_name_index_at(&core->zones, zone)) != 0) {
+        strcmp(job->submission.zone, rr_name_index_at(&core->stored.zones, zone)) != 0) {
         return false;
     }
     if (job->submission.machine_type_count == 0) {
@@ -52,7 +61,7 @@
     }
     for (int i = 0; i < job->submission.machine_type_count; i++) {
         if (strcmp(job->submission.machine_types[i],
-                   rr_name_index_at(&core->machine_types, machine_type)) == 0) {
+                   rr_name_index_at(&core->stored.machine_type_names, machine_type)) == 0) {
             return true;
         }
     }
@@ -86,10 +95,10 @@
 void rr_job_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
                        uint32_t all, bool *allowed) {
     uint32_t half = (job->submission.task_count + 1) / 2;
-    for (guint zone = 0; zone < core->zones.names->len; zone++) {
+    for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
         allowed[zone] = true;
         if (job->submission.zone[0] &&
-            strcmp(job->submission.zone, rr_name_index_at(&core->zones, (int)zone)) != 0) {
+            strcmp(job->submission.zone, rr_name_index_at(&core->stored.zones, (int)zone)) != 0) {
             allowed[zone] = false;
         }
         if (job->submission.spread && by_zone[zone] >= half) {
@@ -104,7 +113,7 @@
 
 void rr_job_zones(const rr_core *core, const rr_job *job, bool *allowed,
                   const rr_placement *except) {
-    guint count = core->zones.names->len;
+    guint count = core->stored.zones.names->len;
     uint32_t by_zone[count + 1];
     memset(by_zone, 0, sizeof by_zone);
     uint32_t all = job->submission.one_zone || job->submission.spread
@@ -177,9 +186,9 @@
                         const struct rr_placement_constraints *how, double now, GArray *out) {
     bool urgent = rr_objective_for(core, "wait", job->submission.job_class) != NULL;
     g_array_set_size(out, 0);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
-        core->visits++;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        core->counters.machines_visited++;
         if (machine->zone < 0 || !how->zones[machine->zone] ||
             !rr_resources_fit(job->request, machine->free) ||
             !rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot) ||
@@ -203,8 +212,9 @@
         }
         /* A replica that is planned anew settles where it is, if it can. */
         candidate.foreign_shard =
-            !how->current && core->parts > 1 && part_of(machine) % core->parts != core->part;
-        if (candidate.foreign_shard && core->pressure > SHORT) {
+            !how->current && core->membership.shard_count > 1 &&
+            part_of(machine) % core->membership.shard_count != core->membership.shard;
+        if (candidate.foreign_shard && core->planning.write_pressure > SHORT) {
             candidate.failures += 0.5;
         }
         candidate.booting = fetch > 0 && image_coming(machine, job->image);
@@ -254,7 +264,7 @@
     struct rank best_rank = {0};
     for (guint i = 0; i < candidates->len;) {
         const rr_candidate *candidate = &g_array_index(candidates, rr_candidate, i);
-        core->visits++;
+        core->counters.machines_visited++;
         if (!rr_resources_fit(job->request, candidate->machine->free) ||
             (how->distinct_machines && candidate->machine != how->current &&
              candidate->machine->reserved_jobs && rr_machine_has_task(candidate->machine, job))) {
@@ -337,14 +347,14 @@
 }
 
 int rr_zone_with_most_room(rr_core *core, const rr_job *job, const bool *zones, double now) {
-    guint count = core->zones.names->len;
+    guint count = core->stored.zones.names->len;
     struct zone_room rooms[count + 1];
     uint32_t wanted = job->submission.task_count -
                       MIN(job->submission.task_count, job->done_count + job->placed_count);
     memset(rooms, 0, sizeof rooms);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
-        core->visits++;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        core->counters.machines_visited++;
         if (machine->zone >= 0 && zones[machine->zone] &&
             rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot) &&
             rr_machine_schedulable(core, machine, now)) {
--- a/src/core/scheduling/gang_phase.c
+++ b/src/core/scheduling/gang_phase.c
@@ -2,19 +2,25 @@
  * and one change, under one attempt; it stops whole, and is booked anew, under a new attempt, once
  * every placement of the old one is proven over. Which of its phases it is in is derived from the
  * ledger and the reports each time: nothing of it is remembered. */
+#include "core/scheduling/gang_phase.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
 #include "core/scheduling/plan.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
 
 #include <string.h>
 
 /* Its tasks are of one chunk, so that one change records them all as done, and one transaction
  * books or ends it, now and under the limits to come: its records, and its final one at the end. */
 uint32_t rr_gang_tasks_max(const rr_core *core) {
-    uint32_t in_record = core->chunk;
+    uint32_t in_record = core->stored.tasks_per_record;
     while (in_record > 1 && !rr_ledger_record_fits(core, in_record)) {
         in_record--;
     }
     uint32_t records = (uint32_t)MAX(rr_transaction_changes_max(core->config) - 1, 1);
-    return MIN(core->chunk, in_record * records);
+    return MIN(core->stored.tasks_per_record, in_record * records);
 }
 
 /* A machine that has not shown its task for this part of gang_wait_s will not in time. */
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -1,6 +1,15 @@
 #include "core/scheduling/gang_placement.h"
-
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/scheduling/plan.h"
 #include "core/scheduling/preemption.h"
+#include "core/scheduling/reservation.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/state/resources.h"
 
 #include <string.h>
 
@@ -9,7 +18,8 @@
 
 static void unbook_last(struct rr_planner *planner, const rr_job *job, GArray *items) {
     rr_machine *machine = g_array_index(items, rr_placement_record, items->len - 1).machine;
-    rr_resources *reserved = &g_array_index(planner->core->team_booked, rr_resources, job->team);
+    rr_resources *reserved =
+        &g_array_index(planner->core->planning.team_reserved, rr_resources, job->team);
     g_array_set_size(items, items->len - 1);
     g_array_set_size(machine->reserved_jobs, machine->reserved_jobs->len - 1);
     machine->free = rr_resources_add(machine->free, job->request, 1);
@@ -68,7 +78,7 @@
 
 /* Fills the plan's candidates: one walk serves all tasks, in whatever zones they may come to be. */
 static void find_candidates(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
-    guint zone_count = planner->core->zones.names->len;
+    guint zone_count = planner->core->stored.zones.names->len;
     bool all_zones[zone_count + 1];
     memset(all_zones, true, sizeof all_zones);
     struct rr_placement_constraints choice = {.zones = rr_job_zone_bound(job) ? allowed : all_zones,
@@ -79,12 +89,12 @@
 /* ---- making room ---- */
 
 guint rr_gang_searches(const rr_core *core, const rr_job *job) {
-    return job->submission.one_zone ? core->zones.names->len : 1;
+    return job->submission.one_zone ? core->stored.zones.names->len : 1;
 }
 
 void rr_gang_search_zones(const rr_core *core, const rr_job *job, const bool *allowed, guint search,
                           bool *zones) {
-    for (guint zone = 0; zone < core->zones.names->len; zone++) {
+    for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
         zones[zone] = allowed[zone] && (!job->submission.one_zone || zone == search);
     }
 }
@@ -134,9 +144,10 @@
     guint compared = 0;
     struct rr_preemption found;
     rr_preemption_init(&found);
-    for (guint i = 0; i < core->machine_list->len && compared < RR_PREEMPT_COMPARED_MAX; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
-        core->visits++;
+    for (guint i = 0; i < core->stored.machine_list->len && compared < RR_PREEMPT_COMPARED_MAX;
+         i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        core->counters.machines_visited++;
         if (rr_machine_may_take(planner, machine, job, zones)) {
             compared += add_seats(planner, machine, job, &found, seats);
         }
@@ -151,7 +162,7 @@
  * ones, as they lose no less. */
 static bool choose_seats(const struct rr_planner *planner, const rr_job *job, GArray *seats,
                          double *loss) {
-    guint zone_count = planner->core->zones.names->len, kept = 0;
+    guint zone_count = planner->core->stored.zones.names->len, kept = 0;
     uint32_t in_zone[zone_count + 1];
     uint32_t most =
         job->submission.spread ? (job->submission.task_count + 1) / 2 : job->submission.task_count;
@@ -172,7 +183,7 @@
 /* The seats for the whole gang where least is lost; NULL: there is no such room. */
 static GArray *best_seats(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
     const rr_core *core = planner->core;
-    bool zones[core->zones.names->len + 1];
+    bool zones[core->stored.zones.names->len + 1];
     GArray *best = NULL;
     double least = 0, loss;
     for (guint search = 0; search < rr_gang_searches(core, job); search++) {
@@ -219,7 +230,7 @@
     const rr_core *core = planner->core;
     bool urgent = job->submission.priority > RR_PRIORITY_LOW &&
                   rr_objective_for(core, "wait", job->submission.job_class);
-    return (urgent && core->pressure < SHORT_OF_CHANGES) ||
+    return (urgent && core->planning.write_pressure < SHORT_OF_CHANGES) ||
            rr_within_guarantee(planner, job, job->submission.task_count);
 }
 
@@ -252,7 +263,7 @@
 /* While a gang waits for room it holds none, so that no two of them hold a half each. */
 bool rr_gang_place(struct rr_planner *planner, rr_job *job, int *left) {
     rr_core *core = planner->core;
-    guint zone_count = core->zones.names->len;
+    guint zone_count = core->stored.zones.names->len;
     bool allowed[zone_count + 1];
     uint32_t placements[zone_count + 1];
     struct rr_job_zones zones = {allowed, placements, 0, true};
--- a/src/core/scheduling/gang_reservation.c
+++ b/src/core/scheduling/gang_reservation.c
@@ -1,6 +1,14 @@
+#include "core/core_internal.h"
+#include "core/scheduling/bin_packing.h"
 #include "core/scheduling/gang_placement.h"
-
+#include "core/scheduling/plan.h"
 #include "core/scheduling/preemption.h"
+#include "core/scheduling/reservation.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/resources.h"
 
 #include <string.h>
 
@@ -40,9 +48,9 @@
                              bool gangs_stay) {
     rr_core *core = planner->core;
     GArray *prospects = g_array_new(FALSE, FALSE, sizeof(struct prospect));
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
-        core->visits++;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        core->counters.machines_visited++;
         if (!rr_machine_may_take(planner, machine, job, zones)) {
             continue;
         }
@@ -90,7 +98,7 @@
 static GArray *best_prospects(const struct rr_planner *planner, const rr_job *job,
                               const bool *allowed, bool gangs_stay) {
     const rr_core *core = planner->core;
-    bool zones[core->zones.names->len + 1];
+    bool zones[core->stored.zones.names->len + 1];
     struct progress progress, most = {0, 0};
     GArray *best = NULL;
     for (guint search = 0; search < rr_gang_searches(core, job); search++) {
@@ -115,7 +123,7 @@
 
 void rr_gang_reserve_room(struct rr_planner *planner, const rr_job *job) {
     rr_core *core = planner->core;
-    guint zone_count = core->zones.names->len;
+    guint zone_count = core->stored.zones.names->len;
     bool allowed[zone_count + 1];
     uint32_t none_placed[zone_count + 1];
     memset(none_placed, 0, sizeof none_placed);
@@ -129,7 +137,8 @@
         g_array_unref(prospects);
     }
     if (!rr_within_limit(planner, job, job->submission.task_count)) {
-        rr_resources *reserved = &g_array_index(core->team_booked, rr_resources, job->team);
+        rr_resources *reserved =
+            &g_array_index(core->planning.team_reserved, rr_resources, job->team);
         *reserved = rr_resources_add(*reserved, job->request, job->submission.task_count);
     }
 }
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,7 +1,18 @@
 /* Places waiting tasks after the chosen design, and books the moves of a round. What is booked
  * stands in the plan's transaction only. */
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/bin_packing.h"
 #include "core/scheduling/gang_placement.h"
+#include "core/scheduling/plan.h"
 #include "core/scheduling/preemption.h"
+#include "core/scheduling/reservation.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/state/transfer_holds.h"
+#include "core/extensions.h"
 
 #include <math.h>
 #include <string.h>
@@ -30,8 +41,9 @@
     /* While changes are short a free machine is better: a victim costs three changes more, and
      * those that wait behind it their starts. In a burst of four times as many services a fifth of
      * all changes went to victims while one machine in four stood free. */
-    bool worth = core->pressure < 0.9 &&
-                 (planner->wall - job->accepted_at + 1 < within || core->pressure < 0.5);
+    bool worth =
+        core->planning.write_pressure < 0.9 &&
+        (planner->wall - job->accepted_at + 1 < within || core->planning.write_pressure < 0.5);
     if ((worth || !machine) && rr_may_preempt(core, job) &&
         rr_preempt_for_task(planner, job, task, how, true)) {
         return true;
@@ -71,7 +83,7 @@
         rr_gang_place(planner, job, left);
         return;
     }
-    guint count = core->zones.names->len;
+    guint count = core->stored.zones.names->len;
     bool zones[count + 1];
     uint32_t by_zone[count + 1];
     struct rr_job_zones job_zones = {zones, by_zone, 0,
@@ -169,8 +181,8 @@
 
 void rr_core_each_spillable(const rr_core *core, double now, rr_core_spillable_fn callback,
                             void *user) {
-    for (guint i = 0; i < core->open->len; i++) {
-        const rr_job *job = g_ptr_array_index(core->open, i);
+    for (guint i = 0; i < core->stored.open_jobs->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
         if (waits(core, job, now) && job->placed_count == 0 && job->done_count == 0 &&
             !rr_job_of_another_cell(core, job)) {
             callback(user, &job->submission, job->accepted_at);
@@ -179,8 +191,9 @@
 }
 
 bool rr_any_job_waiting(const struct rr_planner *planner) {
-    for (guint i = 0; i < planner->core->open->len; i++) {
-        if (waits(planner->core, g_ptr_array_index(planner->core->open, i), planner->now)) {
+    for (guint i = 0; i < planner->core->stored.open_jobs->len; i++) {
+        if (waits(planner->core, g_ptr_array_index(planner->core->stored.open_jobs, i),
+                  planner->now)) {
             return true;
         }
     }
@@ -189,8 +202,8 @@
 
 GPtrArray *rr_list_waiting_jobs(const struct rr_planner *planner) {
     GPtrArray *wait = g_ptr_array_new();
-    for (guint i = 0; i < planner->core->open->len; i++) {
-        rr_job *job = g_ptr_array_index(planner->core->open, i);
+    for (guint i = 0; i < planner->core->stored.open_jobs->len; i++) {
+        rr_job *job = g_ptr_array_index(planner->core->stored.open_jobs, i);
         if (waits(planner->core, job, planner->now)) {
             g_ptr_array_add(wait, job);
         }
@@ -223,7 +236,7 @@
 
 static rr_job *overdue(const struct rr_planner *planner, const GPtrArray *wait) {
     rr_job *best = NULL;
-    bool any = planner->core->plans % OLDEST_EVERY == 0;
+    bool any = planner->core->planning.plan_count % OLDEST_EVERY == 0;
     for (guint i = 0; i < wait->len; i++) {
         rr_job *job = g_ptr_array_index(wait, i);
         bool unbegun = job->done_count + job->placed_count == 0 &&
@@ -240,7 +253,7 @@
 static void set_missing(const struct rr_planner *planner, const GPtrArray *wait) {
     for (guint i = 0; i < wait->len; i++) {
         rr_job *job = g_ptr_array_index(wait, i);
-        bool counts = planner->core->pressure > 0.9 &&
+        bool counts = planner->core->planning.write_pressure > 0.9 &&
                       job->submission.priority == RR_PRIORITY_PROD &&
                       job->submission.kind == RR_JOB_SERVICE;
         job->replaceable_count =
@@ -277,7 +290,7 @@
 void rr_place_waiting(struct rr_planner *planner, GPtrArray *wait) {
     int left = PLACE_MAX;
     double retry = fmin(0.25 + 0.02 * wait->len, RETRY_MAX_S);
-    planner->core->plans++;
+    planner->core->planning.plan_count++;
     struct early early = place_early(planner, wait, retry, &left);
     set_missing(planner, wait);
     rr_set_fair_turns(planner, wait);
@@ -299,9 +312,9 @@
 
 void rr_start_due_moves(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    while (core->plan_moves->len > 0 && core->round_left > 0 &&
+    while (core->planning.moves->len > 0 && core->planning.rebalance_moves_left > 0 &&
            planner->change_count + 1 <= planner->change_limit) {
-        rr_move move = g_array_index(core->plan_moves, rr_move, 0);
+        rr_move move = g_array_index(core->planning.moves, rr_move, 0);
         rr_placement *old = NULL;
         for (guint k = 0; k < move.from->placements->len; k++) {
             rr_placement *other = &g_array_index(move.from->placements, rr_placement, k);
@@ -309,9 +322,9 @@
                 old = other;
             }
         }
-        g_array_remove_index(core->plan_moves, 0);
-        core->round_left--;
-        bool zones[core->zones.names->len + 1];
+        g_array_remove_index(core->planning.moves, 0);
+        core->planning.rebalance_moves_left--;
+        bool zones[core->stored.zones.names->len + 1];
         rr_job_zones(core, move.job, zones, old);
         if (!old || move.job->cancelled || rr_job_held(core, move.job, planner->now) ||
             !rr_machine_schedulable(core, move.to, planner->now) ||
@@ -320,7 +333,7 @@
             !rr_plan_edit_record(planner, move.job, old->chunk) ||
             !rr_reserve(planner, move.to, move.job, move.task)) {
             /* A move that fails ends the plan. */
-            g_array_set_size(core->plan_moves, 0);
+            g_array_set_size(core->planning.moves, 0);
             return;
         }
         const struct rr_plan_edit *edit = rr_plan_edit_record(planner, move.job, old->chunk);
@@ -328,7 +341,7 @@
         if (item) {
             item->preempt = RR_PREEMPT_SAVING;
         }
-        core->moves_made++;
+        core->counters.moves_made++;
         rr_log_at(core, RR_LOG_DEBUG, "move %s/%u from %s to %s", move.job->submission.job_id,
                   move.task, move.from->name, move.to->name);
     }
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -2,6 +2,19 @@
  * together and cleared. It costs what changed since the last one: only machines that something
  * happened to are reconciled, and one change books or ends many tasks of a job. */
 #include "core/scheduling/plan.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/scheduling/rebalancing.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/state/transaction.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
@@ -67,7 +80,8 @@
  * can't be written again until enough of its placements are over, which one change then takes out.
  * Until the lower limits are seen to hold it may, as long as it does not grow. */
 bool rr_plan_writable(const struct rr_planner *planner, const rr_ledger_record *record) {
-    if (!planner->core->lowered || rr_ledger_record_fits(planner->core, record->placements->len)) {
+    if (!planner->core->stored.next_limits_in_force ||
+        rr_ledger_record_fits(planner->core, record->placements->len)) {
         return true;
     }
     return rr_ledger_record_fits(
@@ -263,7 +277,7 @@
     placement->terminated_at =
         placement->terminated_at > 0 ? placement->terminated_at : planner->now;
     terminated.may_wait =
-        planner->now - placement->terminated_at < GATHER_S * planner->core->pressure;
+        planner->now - placement->terminated_at < GATHER_S * planner->core->planning.write_pressure;
     if (done && !rr_job_task_done(job, placement->task)) {
         job->terminated_count = job->submission.kind == RR_JOB_GANG ? job->submission.task_count
                                                                     : job->terminated_count + 1;
@@ -334,9 +348,9 @@
 /* Machines known only from reports that came late, after their records were gone, and names of
  * machines that went with work of which nothing is left in the ledger. */
 static void forget_unknown_machines(rr_core *core, double now) {
-    g_hash_table_foreach_remove(core->gone, gone_old, &now);
-    for (guint i = core->machine_list->len; i > 0; i--) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i - 1);
+    g_hash_table_foreach_remove(core->stored.gone_machines, gone_old, &now);
+    for (guint i = core->stored.machine_list->len; i > 0; i--) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         if (!machine->recorded && !machine->to_record && !machine->command_inflight &&
             machine->placements->len == 0 &&
             (machine->gone || rr_heartbeat_age(machine, now) > STRANGER_S)) {
@@ -390,13 +404,15 @@
 /* Records of final jobs go when changes are plentiful. */
 static void put_garbage(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    for (guint i = core->garbage->len;
-         i > 0 && core->pressure < 0.5 && planner->change_count < planner->change_limit; i--) {
-        const char *key = g_ptr_array_index(core->garbage, i - 1);
+    for (guint i = core->stored.orphan_record_keys->len;
+         i > 0 && core->planning.write_pressure < 0.5 &&
+         planner->change_count < planner->change_limit;
+         i--) {
+        const char *key = g_ptr_array_index(core->stored.orphan_record_keys, i - 1);
         rr_job *job;
         const rr_ledger_record *record = rr_garbage_record(core, i - 1, &job);
         if (!record || !record->version) {
-            g_ptr_array_remove_index_fast(core->garbage, i - 1);
+            g_ptr_array_remove_index_fast(core->stored.orphan_record_keys, i - 1);
         } else if (!job->open && !record->edit && job->team >= 0 && rr_owns_team(core, job->team)) {
             rr_transaction_guard(&planner->plan->transaction, key, record->version);
             rr_transaction_delete(&planner->plan->transaction, key);
@@ -424,7 +440,7 @@
               "plan: %u changes: %u records book, %u end tasks, %u others; %u known over; "
               "pressure %.2f",
               planner->plan->transaction.changes->len, reserved, done, freed,
-              planner->terminated->len, planner->core->pressure);
+              planner->terminated->len, planner->core->planning.write_pressure);
 }
 
 /* A batch says nothing any more once all its jobs have records of their own. */
@@ -441,12 +457,12 @@
     rr_core *core = planner->core;
     GHashTableIter iter;
     gpointer key, value;
-    if (core->pressure > 0.3 || planner->now - core->batches_at < 2 ||
+    if (core->planning.write_pressure > 0.3 || planner->now - core->planning.batches_at < 2 ||
         !rr_core_is_autoscaler(core, planner->now)) {
         return;
     }
-    core->batches_at = planner->now;
-    g_hash_table_iter_init(&iter, core->batches);
+    core->planning.batches_at = planner->now;
+    g_hash_table_iter_init(&iter, core->stored.batches);
     while (planner->change_count < planner->change_limit &&
            g_hash_table_iter_next(&iter, &key, &value)) {
         if (batch_terminated(value)) {
@@ -461,7 +477,7 @@
 static void build_transaction(struct rr_planner *planner) {
     rr_transaction *transaction = &planner->plan->transaction;
     char key[RR_ID_SIZE + 64];
-    rr_transaction_guard(transaction, RR_KEY_ROOT "term", planner->core->term.version);
+    rr_transaction_guard(transaction, RR_KEY_ROOT "term", planner->core->membership.term.version);
     for (guint i = 0; i < planner->edits->len; i++) {
         put_edit(planner, g_ptr_array_index(planner->edits, i));
     }
@@ -486,7 +502,7 @@
 static void finish_command_batches(struct rr_planner *planner) {
     for (guint i = 0; i < planner->plan->command_batches->len; i++) {
         const rr_command_batch *batch = g_ptr_array_index(planner->plan->command_batches, i);
-        rr_machine *machine = g_hash_table_lookup(planner->core->machines, batch->machine);
+        rr_machine *machine = g_hash_table_lookup(planner->core->stored.machines, batch->machine);
         machine->command_inflight = true;
         machine->plan_commands = NULL;
         machine->reap_at = 0;
@@ -524,9 +540,9 @@
 /* Whether changes were what bounded the plan, not the transaction. Between two plans some gather,
  * so that their number alone never looked short while hundreds of bookings waited for them. */
 static void note_short(struct rr_planner *planner) {
-    if (planner->full &&
-        planner->core->changes < rr_transaction_changes_max(planner->core->config)) {
-        planner->core->short_at = planner->now;
+    if (planner->full && planner->core->planning.changes_allowed <
+                             rr_transaction_changes_max(planner->core->config)) {
+        planner->core->planning.writes_short_at = planner->now;
     }
     planner->full = false;
 }
@@ -534,15 +550,18 @@
 #define SHORT_S 1.0
 
 static double pressure_now(const rr_core *core, double now) {
-    return core->short_at > 0 && now - core->short_at < SHORT_S ? 1 : core->pressure;
+    return core->planning.writes_short_at > 0 && now - core->planning.writes_short_at < SHORT_S
+               ? 1
+               : core->planning.write_pressure;
 }
 
 void rr_core_plan(rr_core *core, double now, double wall, rr_plan *out) {
-    if (!rr_core_lease_valid(core, now) || !rr_core_cache_consistent(core) || core->anew) {
+    if (!rr_core_lease_valid(core, now) || !rr_core_cache_consistent(core) ||
+        core->membership.new_term_wanted) {
         return;
     }
     struct rr_planner planner = {.core = core, .now = now, .wall = wall, .plan = out};
-    core->pressure = pressure_now(core, now);
+    core->planning.write_pressure = pressure_now(core, now);
     planner.edits = g_ptr_array_new_with_free_func(edit_free);
     planner.terminated = g_array_new(FALSE, FALSE, sizeof(struct rr_terminated_placement));
     planner.requeued = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_requeued));
@@ -550,10 +569,10 @@
     planner.guards = g_ptr_array_new();
     planner.failures = g_array_new(FALSE, FALSE, sizeof(struct rr_plan_failure));
     planner.candidates = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
-    g_array_set_size(core->team_booked, 0);
-    g_array_set_size(core->team_booked, (guint)core->config->team_count);
+    g_array_set_size(core->planning.team_reserved, 0);
+    g_array_set_size(core->planning.team_reserved, (guint)core->config->team_count);
     /* What is over leaves part of the transaction to what waits for its start. */
-    int ops = MIN(rr_transaction_changes_max(core->config), core->changes);
+    int ops = MIN(rr_transaction_changes_max(core->config), core->planning.changes_allowed);
     planner.change_limit = rr_any_job_waiting(&planner) ? ops - ops / 2 : ops;
     rr_reconcile(&planner);
     record_terminated(&planner);
@@ -563,7 +582,7 @@
     planner.change_limit = ops;
     note_short(&planner);
     bool round = rr_rebalance_due(core, now);
-    if (ops > 0 && (wait->len || round || core->plan_moves->len)) {
+    if (ops > 0 && (wait->len || round || core->planning.moves->len)) {
         rr_reset_free_resources(core);
         if (round) {
             rr_rebalance(core, now); /* leaves every sum of free room as the ledger has it */
@@ -578,22 +597,22 @@
     rr_probe_overdue_machines(&planner);
     for (guint i = first; i < out->command_batches->len; i++) {
         rr_machine *machine = g_hash_table_lookup(
-            core->machines,
+            core->stored.machines,
             ((rr_command_batch *)g_ptr_array_index(out->command_batches, i))->machine);
         machine->plan_commands = NULL;
     }
-    if (now - core->strangers_at > 1) {
-        core->strangers_at = now;
+    if (now - core->planning.unknown_machines_at > 1) {
+        core->planning.unknown_machines_at = now;
         forget_unknown_machines(core, now);
     }
-    if (now - core->recount_at > RECOUNT_S) {
-        core->recount_at = now;
+    if (now - core->planning.recount_at > RECOUNT_S) {
+        core->planning.recount_at = now;
         rr_recount_team_usage(core);
     }
     g_ptr_array_free(wait, TRUE);
     planner_clear(&planner);
-    if (now - core->shrunk_at > SHRINK_S) {
-        core->shrunk_at = now;
+    if (now - core->planning.shrunk_at > SHRINK_S) {
+        core->planning.shrunk_at = now;
         rr_jobs_shrink(core, wall);
     }
 }
--- a/src/core/scheduling/plan.h
+++ b/src/core/scheduling/plan.h
@@ -4,7 +4,8 @@
 #ifndef RR_CORE_SCHEDULING_PLAN_H
 #define RR_CORE_SCHEDULING_PLAN_H
 
-#include "core/model.h"
+#include "core/core_internal.h"
+#include "core/planning.h"
 
 /* Changes to one record of the ledger in this plan. */
 struct rr_plan_edit {
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -1,4 +1,14 @@
 #include "core/scheduling/preemption.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/scheduling/plan.h"
+#include "core/scheduling/reservation.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/state/resources.h"
 
 #include <math.h>
 #include <string.h>
@@ -229,7 +239,7 @@
 
 /* Where a search over machines begins: not always with the same ones. */
 static guint first_compared(const rr_core *core, guint machines) {
-    return machines > 0 ? (guint)(core->counter * 61) % machines : 0;
+    return machines > 0 ? (guint)(core->membership.attempt_counter * 61) % machines : 0;
 }
 
 bool rr_preempt_for_task(struct rr_planner *planner, rr_job *job, uint32_t task,
@@ -237,12 +247,12 @@
     rr_core *core = planner->core;
     rr_machine *best = NULL;
     double least = 0;
-    guint count = core->machine_list->len, first = first_compared(core, count), compared = 0;
+    guint count = core->stored.machine_list->len, first = first_compared(core, count), compared = 0;
     struct rr_preemption found;
     rr_preemption_init(&found);
     for (guint i = 0; i < count && compared < RR_PREEMPT_COMPARED_MAX; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, (first + i) % count);
-        core->visits++;
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, (first + i) % count);
+        core->counters.machines_visited++;
         if (!may_take(planner, machine, job, choice, warm_only) ||
             !rr_preemption_find(planner, machine, job, 1, &found)) {
             continue;
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -2,6 +2,7 @@
 #ifndef RR_CORE_SCHEDULING_PREEMPTION_H
 #define RR_CORE_SCHEDULING_PREEMPTION_H
 
+#include "core/scheduling/bin_packing.h"
 #include "core/scheduling/reservation.h"
 
 #define RR_PREEMPT_COMPARED_MAX 160 /* machines with victims, in one search */
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -1,5 +1,13 @@
 /* Probes of machines that are silent or in doubt, and what the answers to commands show. */
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
 #include "core/scheduling/plan.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/leadership.h"
+#include "core/planning.h"
 
 #include <string.h>
 
@@ -51,23 +59,23 @@
  * Those asked longest ago come first. */
 void rr_probe_overdue_machines(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    if (planner->now - core->probe_at < PROBE_LOOK_S) {
+    if (planner->now - core->planning.probe_at < PROBE_LOOK_S) {
         return;
     }
-    core->probe_at = planner->now;
+    core->planning.probe_at = planner->now;
     rr_detect_partitions(core, planner->now);
     bool provisioner = rr_core_is_autoscaler(core, planner->now);
-    guint in_cut[core->zones.names->len + 1];
+    guint in_cut[core->stored.zones.names->len + 1];
     memset(in_cut, 0, sizeof in_cut);
     GPtrArray *late = g_ptr_array_new();
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (wants_probe(core, machine, planner->now, provisioner)) {
             g_ptr_array_add(late, machine);
         }
     }
     g_ptr_array_sort(late, by_probed);
-    for (guint i = 0; i < late->len && core->probing < PROBES_MAX; i++) {
+    for (guint i = 0; i < late->len && core->counters.probes_in_flight < PROBES_MAX; i++) {
         rr_machine *machine = g_ptr_array_index(late, i);
         if (machine->plan_commands ||
             (machine->zone >= 0 && rr_zone_partitioned(core, machine->zone) &&
@@ -79,7 +87,7 @@
         rr_command_batch *batch = rr_plan_command_batch(planner, machine);
         batch->may_time_out = true;
         machine->plan_commands = NULL;
-        core->probing++;
+        core->counters.probes_in_flight++;
     }
     g_ptr_array_free(late, TRUE);
 }
@@ -97,7 +105,7 @@
 }
 
 void rr_core_suspect(rr_core *core, const char *machine, double now) {
-    rr_machine *suspected = g_hash_table_lookup(core->machines, machine);
+    rr_machine *suspected = g_hash_table_lookup(core->stored.machines, machine);
     if (suspected) {
         suspected->suspect_until = now + 2 * core->config->heartbeat_interval_s;
     }
@@ -105,8 +113,8 @@
 
 /* Machines whose commands got no answer twice or more in a row, for the peers. */
 void rr_core_list_suspects(rr_core *core, double now, GPtrArray *out) {
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->unanswered >= 2 && machine->recorded &&
             now - machine->heartbeat_at < 2 * core->config->heartbeat_interval_s) {
             g_ptr_array_add(out, g_strdup(machine->name));
@@ -135,9 +143,9 @@
 
 void rr_core_command_result(rr_core *core, double now, const rr_command_batch *batch,
                             enum rr_command_outcome outcome, bool executed) {
-    rr_machine *machine = g_hash_table_lookup(core->machines, batch->machine);
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, batch->machine);
     bool probe = batch->commands->len == 0;
-    core->probing -= probe && core->probing > 0;
+    core->counters.probes_in_flight -= probe && core->counters.probes_in_flight > 0;
     if (!machine) {
         return;
     }
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -2,7 +2,19 @@
  * replica off its machine on paper and places all of them anew; the plan counts only if it empties
  * a priced machine, and only the replicas of such machines move. Ordering makes the fitting move of
  * least request over the destination's free room first and credits the source. */
-#include "core/model.h"
+#include "core/scheduling/rebalancing.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/state/resources.h"
+#include "core/state/transfer_holds.h"
+#include "core/leadership.h"
 
 #include <math.h>
 #include <string.h>
@@ -34,8 +46,8 @@
  * large fleet one machine or another always is in trouble: up to one in fifty says nothing. */
 static bool calm(rr_core *core, double now) {
     guint up_count = 0, bad = 0;
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->recorded && machine->heartbeat_seen) {
             up_count++;
             bad += !rr_machine_heartbeat_recent(core, machine, now) ||
@@ -43,14 +55,14 @@
         }
     }
     bool quiet = bad * 50 <= up_count && !rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S);
-    if (core->round_token != core->term.token) {
-        core->round_token = core->term.token;
+    if (core->planning.rebalance_token != core->membership.term.token) {
+        core->planning.rebalance_token = core->membership.term.token;
         quiet = false;
     }
     if (!quiet) {
-        core->calm_since = now;
+        core->planning.calm_since = now;
     }
-    return now - core->calm_since >= 3 * core->config->heartbeat_interval_s;
+    return now - core->planning.calm_since >= 3 * core->config->heartbeat_interval_s;
 }
 
 static double size_of(const rr_core *core, const rr_machine *machine, const rr_job *job) {
@@ -112,8 +124,8 @@
 static GArray *collect(rr_core *core, double now) {
     GArray *items = g_array_new(FALSE, TRUE, sizeof(struct movable_task));
     GArray *lots = g_array_new(FALSE, FALSE, sizeof(struct machine_room));
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         rr_resources capacity = rr_machine_capacity(core, machine);
         struct machine_room lot = {
             machine,
@@ -157,15 +169,15 @@
 /* A job of several replicas keeps its zones; a single one may go wherever its job allows. */
 static void allowed_zones(rr_core *core, const struct movable_task *item, bool *zones, double now) {
     rr_job *job = item->job;
-    guint count = core->zones.names->len;
+    guint count = core->stored.zones.names->len;
     bool fixed =
         job->submission.task_count > 1 && (job->submission.spread || job->submission.one_zone);
     for (guint other_zone = 0; other_zone < count; other_zone++) {
-        zones[other_zone] = fixed
-                                ? (int)other_zone == item->home->zone
-                                : !job->submission.zone[0] ||
-                                      strcmp(job->submission.zone,
-                                             rr_name_index_at(&core->zones, (int)other_zone)) == 0;
+        zones[other_zone] =
+            fixed ? (int)other_zone == item->home->zone
+                  : !job->submission.zone[0] ||
+                        strcmp(job->submission.zone,
+                               rr_name_index_at(&core->stored.zones, (int)other_zone)) == 0;
     }
     if (!fixed && rr_job_zone_bound(job)) {
         int zone = rr_zone_with_most_room(core, job, zones, now);
@@ -183,7 +195,7 @@
     }
     for (guint i = 0; i < items->len; i++) {
         struct movable_task *item = &g_array_index(items, struct movable_task, i);
-        bool zones[core->zones.names->len + 1];
+        bool zones[core->stored.zones.names->len + 1];
         allowed_zones(core, item, zones, now);
         /* An image still to be fetched would keep the replica down for the fetch. */
         struct rr_placement_constraints how = {.zones = zones,
@@ -204,8 +216,8 @@
 /* Priced machines that the plan leaves empty. */
 static guint mark_emptied(rr_core *core, const GArray *items) {
     guint count = 0;
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->leaving = machine->arriving = 0;
     }
     for (guint k = 0; k < items->len; k++) {
@@ -213,8 +225,8 @@
         item->home->leaving += item->home != item->to;
         item->to->arriving += item->home != item->to;
     }
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->emptied = machine->recorded && !machine->scaling_in &&
                            rr_machine_price(core, machine) > 0 && machine->placements->len > 0 &&
                            machine->leaving == machine->placements->len && machine->arriving == 0;
@@ -262,7 +274,7 @@
             count += g_array_index(moves, rr_move, k).from == move->from;
         }
         if (count == move->from->placements->len) {
-            g_array_append_val(core->plan_moves, *move);
+            g_array_append_val(core->planning.moves, *move);
         }
     }
     g_array_free(moves, TRUE);
@@ -271,8 +283,8 @@
 /* A fleet frees half-empty machines in proportion to its size: so many a round it may move. */
 static int moves_allowed(const rr_core *core) {
     guint count = 0;
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        count += ((const rr_machine *)g_ptr_array_index(core->machine_list, i))->recorded;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        count += ((const rr_machine *)g_ptr_array_index(core->stored.machine_list, i))->recorded;
     }
     int share = (int)(core->config->tuning.rebalance_share * count);
     return share > core->config->tuning.rebalance_moves ? share
@@ -282,26 +294,27 @@
 /* Whether a round begins now. */
 bool rr_rebalance_due(rr_core *core, double now) {
     const struct rr_tuning *tuning = &core->config->tuning;
-    if (!tuning->rebalance || now - core->round_at < tuning->rebalance_period_s) {
+    if (!tuning->rebalance || now - core->planning.rebalance_at < tuning->rebalance_period_s) {
         /* A trouble ends a plan under way at once. */
-        if (core->plan_moves->len > 0 && !calm(core, now)) {
-            g_array_set_size(core->plan_moves, 0);
+        if (core->planning.moves->len > 0 && !calm(core, now)) {
+            g_array_set_size(core->planning.moves, 0);
         }
         return false;
     }
     if (!calm(core, now)) {
-        g_array_set_size(core->plan_moves, 0);
-        core->round_at = now - tuning->rebalance_period_s +
-                         fmin(1, tuning->rebalance_period_s); /* looked at again soon */
+        g_array_set_size(core->planning.moves, 0);
+        core->planning.rebalance_at =
+            now - tuning->rebalance_period_s +
+            fmin(1, tuning->rebalance_period_s); /* looked at again soon */
         return false;
     }
     return true;
 }
 
 void rr_rebalance(rr_core *core, double now) {
-    core->round_at = now;
-    core->round_left = moves_allowed(core);
-    if (core->plan_moves->len > 0) {
+    core->planning.rebalance_at = now;
+    core->planning.rebalance_moves_left = moves_allowed(core);
+    if (core->planning.moves->len > 0) {
         return; /* the plan is kept until it is done */
     }
     GArray *items = collect(core, now);
@@ -311,10 +324,10 @@
         if (count > 0) {
             order_moves(core, items);
         }
-        if (core->plan_moves->len > 0) {
+        if (core->planning.moves->len > 0) {
             rr_log_at(core, RR_LOG_INFO,
                       "round: %u movable replicas, %u machines to empty, %u moves", items->len,
-                      count, core->plan_moves->len);
+                      count, core->planning.moves->len);
         }
         rr_reset_free_resources(core);
     }
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -1,6 +1,18 @@
 /* What each placement of this owner needs: proof that it is over, a start, a stop or a reap, and
  * what machines have that the ledger does not know. Commands go out with the plan. */
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/gang_phase.h"
 #include "core/scheduling/plan.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/resources.h"
+#include "core/state/transfer_holds.h"
+#include "core/leadership.h"
+#include "core/planning.h"
 
 #include <math.h>
 #include <string.h>
@@ -17,7 +29,7 @@
     rr_command_batch *batch = g_new0(rr_command_batch, 1);
     g_strlcpy(batch->machine, machine->name, sizeof batch->machine);
     g_strlcpy(batch->address, machine->address, sizeof batch->address);
-    batch->fencing_token = planner->core->term.token;
+    batch->fencing_token = planner->core->membership.term.token;
     batch->worker_epoch = machine->heartbeat.worker_epoch;
     batch->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
     batch->fallback = machine->heard_via;
@@ -44,7 +56,7 @@
 /* An attempt's start may be under way still: it went unanswered under this token and worker_epoch.
  */
 static bool start_lost(const rr_core *core, const rr_machine *machine, uint64_t attempt) {
-    return machine->unanswered_starts_token == core->term.token &&
+    return machine->unanswered_starts_token == core->membership.term.token &&
            machine->unanswered_starts_epoch == machine->heartbeat.worker_epoch &&
            g_hash_table_contains(machine->unanswered_starts, &attempt);
 }
@@ -217,7 +229,7 @@
     }
     /* Absent in a report that knows the present token, with no start of this term under way: it
      * never will be there. */
-    if (!task && machine->heartbeat.fencing_token == core->term.token &&
+    if (!task && machine->heartbeat.fencing_token == core->membership.term.token &&
         !start_lost(core, machine, placement->attempt)) {
         rr_plan_terminated(planner, machine, placement, false, "absent");
     } else {
@@ -246,7 +258,8 @@
  * late. An exited attempt of this term is left to the controller that made it, which alone knows
  * whether a copy of its start may still be on its way and has to find the attempt there. */
 static bool clears_line(const rr_core *core, const rr_task_status *task, double now) {
-    if (task->state == RR_TASK_ENDED && rr_attempt_token(task->attempt) == core->term.token) {
+    if (task->state == RR_TASK_ENDED &&
+        rr_attempt_token(task->attempt) == core->membership.term.token) {
         return rr_attempt_member(task->attempt) == rr_member_index(core);
     }
     return rr_core_is_autoscaler(core, now);
@@ -256,7 +269,7 @@
 static bool reconcile_stray(struct rr_planner *planner, rr_machine *machine,
                             const rr_task_status *task) {
     const rr_core *core = planner->core;
-    rr_job *job = g_hash_table_lookup(core->jobs, task->job_id);
+    rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
     bool ours =
         job ? job->team >= 0 && rr_owns_team(core, job->team)
             : rr_job_final(core, task->job_id, NULL, NULL) && clears_line(core, task, planner->now);
@@ -293,11 +306,11 @@
 static bool reconcile(struct rr_planner *planner, rr_machine *machine) {
     rr_core *core = planner->core;
     bool again = false;
-    core->visits++;
+    core->counters.machines_visited++;
     /* A booking is made on a recorded machine only; one whose record has gone is proven gone. */
     bool gone = !machine->recorded;
-    if (!gone &&
-        (!machine->heartbeat_seen || machine->heartbeat.fencing_token > core->term.token)) {
+    if (!gone && (!machine->heartbeat_seen ||
+                  machine->heartbeat.fencing_token > core->membership.term.token)) {
         return false; /* a report or the next term brings it back */
     }
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -364,23 +377,23 @@
 
 void rr_reconcile(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    if (core->all_dirty_token != core->term.token) {
-        core->all_dirty_token = core->term.token;
-        for (guint i = 0; i < core->machine_list->len; i++) {
-            rr_mark_dirty(core, g_ptr_array_index(core->machine_list, i));
+    if (core->membership.all_dirty_token != core->membership.term.token) {
+        core->membership.all_dirty_token = core->membership.term.token;
+        for (guint i = 0; i < core->stored.machine_list->len; i++) {
+            rr_mark_dirty(core, g_ptr_array_index(core->stored.machine_list, i));
         }
     }
-    guint count = core->dirty->len, kept = 0;
+    guint count = core->stored.dirty_machines->len, kept = 0;
     GPtrArray *gangs = g_ptr_array_new(); /* rr_job* */
     for (guint i = 0; i < count; i++) {
-        rr_machine *machine = g_ptr_array_index(core->dirty, i);
+        rr_machine *machine = g_ptr_array_index(core->stored.dirty_machines, i);
         note_gangs(planner, machine, gangs);
         machine->dirty = reconcile(planner, machine);
         if (machine->dirty) {
-            core->dirty->pdata[kept++] = machine;
+            core->stored.dirty_machines->pdata[kept++] = machine;
         }
     }
-    g_ptr_array_set_size(core->dirty, (gint)kept);
+    g_ptr_array_set_size(core->stored.dirty_machines, (gint)kept);
     reconcile_gangs(planner, gangs);
     g_ptr_array_free(gangs, TRUE);
 }
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,4 +1,12 @@
 #include "core/scheduling/reservation.h"
+#include "core/core_internal.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/scheduling/plan.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/state/resources.h"
 
 #include <string.h>
 
@@ -8,10 +16,11 @@
 rr_resources rr_team_usage_in_plan(const struct rr_planner *planner, int team) {
     const rr_core *core = planner->core;
     rr_resources used = rr_team_usage(core, team);
-    if ((guint)team >= core->team_booked->len) {
+    if ((guint)team >= core->planning.team_reserved->len) {
         return used;
     }
-    return rr_resources_add(used, g_array_index(core->team_booked, rr_resources, team), 1);
+    return rr_resources_add(used, g_array_index(core->planning.team_reserved, rr_resources, team),
+                            1);
 }
 
 bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
@@ -68,7 +77,8 @@
     if (has_room(planner, rr_job_ledger_record(job, home))) {
         return home;
     }
-    uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX, RR_TASKS_MAX / planner->core->chunk + 1);
+    uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX,
+                       RR_TASKS_MAX / planner->core->stored.tasks_per_record + 1);
     for (uint32_t chunk = first; rr_all_gang_capable(planner->core) && chunk < end; chunk++) {
         if (has_room(planner, record_at(job, chunk))) {
             return chunk;
@@ -146,7 +156,7 @@
     g_array_append_val(machine->reserved_jobs, job);
     machine->free = rr_resources_add(machine->free, job->request, -1);
     machine->reserved_image = job->image;
-    rr_resources *reserved = &g_array_index(core->team_booked, rr_resources, job->team);
+    rr_resources *reserved = &g_array_index(core->planning.team_reserved, rr_resources, job->team);
     *reserved = rr_resources_add(*reserved, job->request, 1);
     rr_plan_guard(planner, job);
     planner->last_machine = machine;
@@ -162,7 +172,7 @@
 void rr_job_zones_update(struct rr_planner *planner, const rr_job *job,
                          struct rr_job_zones *zones) {
     rr_core *core = planner->core;
-    guint zone_count = core->zones.names->len, open = 0;
+    guint zone_count = core->stored.zones.names->len, open = 0;
     rr_job_zones_from(core, job, zones->placements, zones->all, zones->allowed);
     for (guint zone = 0; zone < zone_count; zone++) {
         open += zones->allowed[zone];
@@ -178,7 +188,7 @@
 
 uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
     uint64_t mask = 0;
-    for (guint zone = 0; zone < core->zones.names->len; zone++) {
+    for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
         mask |= allowed[zone] ? (uint64_t)1 << (zone % 64) : 0;
     }
     return mask;
--- /dev/null
+++ b/src/core/state/cancel_hints.h
@@ -0,0 +1,10 @@
+/* Cancellations that other controllers have confirmed, known before the store's watch shows them.
+ */
+#ifndef RR_CORE_STATE_CANCEL_HINTS_H
+#define RR_CORE_STATE_CANCEL_HINTS_H
+
+#include "core/core.h"
+
+bool rr_has_cancel_hint(const rr_core *core, const char *job_id, double now);
+
+#endif
--- a/src/core/state/jobs.c
+++ b/src/core/state/jobs.c
@@ -1,5 +1,12 @@
 /* Jobs as the store cache has them: accepted, cancelled, done, and final ones as lines. */
+#include "core/state/jobs.h"
+#include "core/core_internal.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
 #include "core/state/record_handlers.h"
+#include "core/state/resources.h"
+#include "core/submissions.h"
 
 void rr_core_job_encode(rr_encoder *encoder, const rr_submission *submission, double when,
                         bool cancelled) {
@@ -11,7 +18,7 @@
 
 bool rr_core_cancel_record(const rr_core *core, const char *job_id, rr_encoder *encoder,
                            uint64_t *version) {
-    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     if (!job || job->done || job->cancelled) {
         return false;
     }
@@ -31,7 +38,7 @@
 void rr_job_open(rr_core *core, rr_job *job) {
     if (!job->open) {
         job->open = true;
-        g_ptr_array_add(core->open, job);
+        g_ptr_array_add(core->stored.open_jobs, job);
     }
     if (!job->placed) {
         job->placed = g_malloc0(job->submission.task_count);
@@ -47,7 +54,7 @@
         return;
     }
     job->open = false;
-    g_ptr_array_remove_fast(core->open, job);
+    g_ptr_array_remove_fast(core->stored.open_jobs, job);
     g_clear_pointer(&job->done_bits, g_free);
     g_clear_pointer(&job->placed, g_free);
     /* What is left of its ledger says nothing any more. */
@@ -56,53 +63,53 @@
         if (record && record->version) {
             char key[RR_ID_SIZE + 64];
             rr_ledger_record_key(job->submission.job_id, record->chunk, key, sizeof key);
-            g_ptr_array_add(core->garbage, g_strdup(key));
+            g_ptr_array_add(core->stored.orphan_record_keys, g_strdup(key));
         }
     }
 }
 
 rr_job *rr_job_get(rr_core *core, const char *job_id, double now) {
-    rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     if (!job) {
         job = g_new0(rr_job, 1);
         g_strlcpy(job->submission.job_id, job_id, sizeof job->submission.job_id);
         job->submission.task_count = 0;
         job->team = job->job_class = job->image = job->zone = -1;
         job->first_seen = now;
-        job->tasks_per_record = core->chunk;
-        g_hash_table_insert(core->jobs, job->submission.job_id, job);
+        job->tasks_per_record = core->stored.tasks_per_record;
+        g_hash_table_insert(core->stored.jobs, job->submission.job_id, job);
     }
     return job;
 }
 
 static void job_index(rr_core *core, rr_job *job) {
-    job->team = rr_name_index_add(&core->teams, job->submission.team);
-    job->job_class = rr_name_index_add(&core->job_classes, job->submission.job_class);
-    job->image = rr_name_index_add(&core->images, job->submission.image);
+    job->team = rr_name_index_add(&core->stored.teams, job->submission.team);
+    job->job_class = rr_name_index_add(&core->stored.job_classes, job->submission.job_class);
+    job->image = rr_name_index_add(&core->stored.images, job->submission.image);
     job->request =
         (rr_resources){job->submission.cpus, job->submission.gpus, job->submission.mem_gb};
 }
 
 /* Recent arrivals of each class, for the headroom. */
 static void note_arrival(rr_core *core, rr_job *job) {
-    if (core->rereading && core->term.token == 0) {
+    if (core->stored.reloading && core->membership.term.token == 0) {
         return;
     }
-    g_array_append_val(core->arrivals, job);
-    if (core->arrivals->len > 4096) {
-        g_array_remove_range(core->arrivals, 0, 1024);
+    g_array_append_val(core->stored.arrivals, job);
+    if (core->stored.arrivals->len > 4096) {
+        g_array_remove_range(core->stored.arrivals, 0, 1024);
     }
 }
 
 void rr_arrivals_trim(rr_core *core, double wall) {
     guint count = 0;
-    while (count < core->arrivals->len &&
-           wall - g_array_index(core->arrivals, rr_job *, count)->accepted_at >
+    while (count < core->stored.arrivals->len &&
+           wall - g_array_index(core->stored.arrivals, rr_job *, count)->accepted_at >
                RR_ARRIVAL_WINDOW_S) {
         count++;
     }
     if (count > 0) {
-        g_array_remove_range(core->arrivals, 0, count);
+        g_array_remove_range(core->stored.arrivals, 0, count);
     }
 }
 
@@ -176,7 +183,7 @@
     job->version = job->own_version = version;
     if (rr_map_get(value, "final")) {
         put_final(job, value);
-        job->team = rr_name_index_add(&core->teams, job->submission.team);
+        job->team = rr_name_index_add(&core->stored.teams, job->submission.team);
     } else {
         put_body(core, job, value, is_new);
     }
@@ -191,7 +198,7 @@
     rr_job_batch *batch = g_new0(rr_job_batch, 1);
     batch->version = version;
     batch->jobs = g_ptr_array_new();
-    g_hash_table_replace(core->batches, g_strdup(key), batch);
+    g_hash_table_replace(core->stored.batches, g_strdup(key), batch);
     for (uint32_t i = 0; list && list->type == MSGPACK_OBJECT_ARRAY && i < list->via.array.size;
          i++) {
         const msgpack_object *object = &list->via.array.ptr[i];
@@ -226,7 +233,7 @@
     for (guint i = 0; job->records && i < job->records->len; i++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
         if (record && (record->version || record->edit || record->placements->len ||
-                       record->deleted_at_revision > core->epoch)) {
+                       record->deleted_at_revision > core->stored.revision)) {
             return;
         }
     }
@@ -238,7 +245,7 @@
 
 bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *ndone) {
     gpointer value;
-    if (!g_hash_table_lookup_extended(core->finals, job_id, NULL, &value)) {
+    if (!g_hash_table_lookup_extended(core->stored.final_jobs, job_id, NULL, &value)) {
         return false;
     }
     if (done) {
@@ -261,14 +268,14 @@
     GHashTable *pinned = g_hash_table_new(NULL, NULL);
     GHashTableIter iter;
     gpointer value;
-    pin(pinned, core->arrivals);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        pin(pinned, ((rr_machine *)g_ptr_array_index(core->machine_list, i))->failed_jobs);
+    pin(pinned, core->stored.arrivals);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        pin(pinned, ((rr_machine *)g_ptr_array_index(core->stored.machine_list, i))->failed_jobs);
     }
-    for (guint i = 0; i < core->plan_moves->len; i++) {
-        g_hash_table_add(pinned, g_array_index(core->plan_moves, rr_move, i).job);
+    for (guint i = 0; i < core->planning.moves->len; i++) {
+        g_hash_table_add(pinned, g_array_index(core->planning.moves, rr_move, i).job);
     }
-    g_hash_table_iter_init(&iter, core->batches);
+    g_hash_table_iter_init(&iter, core->stored.batches);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GPtrArray *jobs = ((rr_job_batch *)value)->jobs;
         for (guint i = 0; i < jobs->len; i++) {
@@ -281,7 +288,7 @@
 /* Known from its own record, over, and the watch past all that may still be said of it. */
 static bool rests(const rr_core *core, rr_job *job) {
     if (!(job->done || job->cancelled) || job->open || job->own_version == 0 ||
-        job->own_version > core->epoch) {
+        job->own_version > core->stored.revision) {
         return false;
     }
     rr_job_trim(core, job);
@@ -295,14 +302,14 @@
     gpointer value;
     rr_arrivals_trim(core, wall);
     GHashTable *pinned = pinned_jobs(core);
-    g_hash_table_iter_init(&iter, core->jobs);
+    g_hash_table_iter_init(&iter, core->stored.jobs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         rr_job *job = value;
         bool rested = job->idle;
         job->idle = rests(core, job) && !g_hash_table_contains(pinned, job);
         if (rested && job->idle) {
             gsize line = (gsize)job->done_count * 2 + (job->done ? 1 : 0);
-            g_hash_table_replace(core->finals, g_strdup(job->submission.job_id),
+            g_hash_table_replace(core->stored.final_jobs, g_strdup(job->submission.job_id),
                                  GSIZE_TO_POINTER(line));
             g_hash_table_iter_remove(&iter);
         }
--- a/src/core/state/ledger.c
+++ b/src/core/state/ledger.c
@@ -1,5 +1,11 @@
 /* The ledger: records of placements by job, and which tasks are done. */
+#include "core/state/ledger.h"
+#include "core/core_internal.h"
+#include "core/state/jobs.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
 #include "core/state/record_handlers.h"
+#include "core/state/resources.h"
 
 #include <string.h>
 
@@ -76,7 +82,7 @@
     rr_encode_map(encoder, zone >= 0 ? 3 : 2);
     rr_encode_key_text(encoder, "bits", hex);
     if (zone >= 0) {
-        rr_encode_key_text(encoder, "zone", rr_name_index_at(&core->zones, zone));
+        rr_encode_key_text(encoder, "zone", rr_name_index_at(&core->stored.zones, zone));
     }
     rr_encode_text(encoder, "tasks");
     rr_encode_array(encoder, items->len);
@@ -198,7 +204,8 @@
     char job_id[RR_ID_SIZE], hex[RR_TASKS_PER_RECORD_MAX / 4 + 1], zone[RR_TEXT_SIZE];
     uint32_t chunk;
     if (!rr_task_name_parse(rest, job_id, sizeof job_id, &chunk) ||
-        chunk > RR_TASKS_MAX / core->chunk || rr_job_final(core, job_id, NULL, NULL)) {
+        chunk > RR_TASKS_MAX / core->stored.tasks_per_record ||
+        rr_job_final(core, job_id, NULL, NULL)) {
         return;
     }
     rr_job *job = rr_job_get(core, job_id, now);
@@ -219,7 +226,7 @@
         put_bits(job, chunk, hex);
     }
     if (rr_map_get_text(value, "zone", zone, sizeof zone)) {
-        job->zone = rr_name_index_add(&core->zones, zone);
+        job->zone = rr_name_index_add(&core->stored.zones, zone);
     }
     GArray *fresh = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
     for (uint32_t i = 0; some && i < list->via.array.size; i++) {
@@ -232,17 +239,17 @@
     if (!job->open && job->version && (job->done || job->cancelled)) {
         char key[RR_ID_SIZE + 64];
         rr_ledger_record_key(job_id, chunk, key, sizeof key);
-        g_ptr_array_add(core->garbage, g_strdup(key));
+        g_ptr_array_add(core->stored.orphan_record_keys, g_strdup(key));
     }
 }
 
 rr_ledger_record *rr_garbage_record(const rr_core *core, guint i, rr_job **job) {
-    const char *key = g_ptr_array_index(core->garbage, i);
+    const char *key = g_ptr_array_index(core->stored.orphan_record_keys, i);
     char job_id[RR_ID_SIZE];
     uint32_t chunk;
     rr_job *found =
         rr_task_name_parse(key + strlen(RR_KEY_ROOT "run/"), job_id, sizeof job_id, &chunk)
-            ? g_hash_table_lookup(core->jobs, job_id)
+            ? g_hash_table_lookup(core->stored.jobs, job_id)
             : NULL;
     if (job) {
         *job = found;
@@ -263,7 +270,7 @@
     char job_id[RR_ID_SIZE];
     uint32_t chunk;
     rr_job *job = rr_task_name_parse(rest, job_id, sizeof job_id, &chunk)
-                      ? g_hash_table_lookup(core->jobs, job_id)
+                      ? g_hash_table_lookup(core->stored.jobs, job_id)
                       : NULL;
     rr_ledger_record *record = job && job->records && chunk < job->records->len
                                    ? g_ptr_array_index(job->records, chunk)
--- a/src/core/state/machines.c
+++ b/src/core/state/machines.c
@@ -1,15 +1,20 @@
 /* Machines, their placements, and the sums that follow them. */
+#include "core/state/machines.h"
+#include "core/core_internal.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
 #include "core/state/record_handlers.h"
+#include "core/state/resources.h"
 
 #include <string.h>
 
 rr_machine *rr_machine_get(rr_core *core, const char *name, double now) {
-    rr_machine *machine = g_hash_table_lookup(core->machines, name);
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, name);
     if (machine) {
         return machine;
     }
     machine = g_new0(rr_machine, 1);
-    machine->id = core->next_machine_id++;
+    machine->id = core->stored.next_machine_id++;
     g_strlcpy(machine->name, name, sizeof machine->name);
     machine->machine_type = machine->zone = -1;
     machine->placements = g_array_new(FALSE, TRUE, sizeof(rr_placement));
@@ -18,45 +23,45 @@
     machine->unanswered_starts = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     machine->known_at = machine->idle_since = now;
     machine->heard_via = -1;
-    g_hash_table_insert(core->machines, machine->name, machine);
-    g_ptr_array_add(core->machine_list, machine);
+    g_hash_table_insert(core->stored.machines, machine->name, machine);
+    g_ptr_array_add(core->stored.machine_list, machine);
     return machine;
 }
 
 void rr_machine_forget(rr_core *core, rr_machine *machine) {
-    for (guint i = 0; i < core->plan_moves->len;) {
-        rr_move *move = &g_array_index(core->plan_moves, rr_move, i);
+    for (guint i = 0; i < core->planning.moves->len;) {
+        rr_move *move = &g_array_index(core->planning.moves, rr_move, i);
         if (move->from == machine || move->to == machine) {
-            g_array_remove_index(core->plan_moves, i);
+            g_array_remove_index(core->planning.moves, i);
         } else {
             i++;
         }
     }
     if (machine->dirty) {
-        g_ptr_array_remove_fast(core->dirty, machine);
+        g_ptr_array_remove_fast(core->stored.dirty_machines, machine);
     }
-    g_ptr_array_remove_fast(core->machine_list, machine);
-    g_hash_table_remove(core->machines, machine->name);
+    g_ptr_array_remove_fast(core->stored.machine_list, machine);
+    g_hash_table_remove(core->stored.machines, machine->name);
 }
 
 void rr_mark_dirty(rr_core *core, rr_machine *machine) {
     if (!machine->dirty) {
         machine->dirty = true;
-        g_ptr_array_add(core->dirty, machine);
+        g_ptr_array_add(core->stored.dirty_machines, machine);
     }
 }
 
 rr_resources rr_team_usage(const rr_core *core, int team) {
-    return team >= 0 && (guint)team < core->team_used->len
-               ? g_array_index(core->team_used, rr_resources, team)
+    return team >= 0 && (guint)team < core->stored.team_used->len
+               ? g_array_index(core->stored.team_used, rr_resources, team)
                : (rr_resources){0, 0, 0};
 }
 
 static void team_add(rr_core *core, const rr_job *job, int sign) {
-    if ((guint)job->team >= core->team_used->len) {
-        g_array_set_size(core->team_used, (guint)job->team + 1);
+    if ((guint)job->team >= core->stored.team_used->len) {
+        g_array_set_size(core->stored.team_used, (guint)job->team + 1);
     }
-    rr_resources *used = &g_array_index(core->team_used, rr_resources, job->team);
+    rr_resources *used = &g_array_index(core->stored.team_used, rr_resources, job->team);
     *used = rr_resources_add(*used, job->request, sign);
 }
 
@@ -113,9 +118,9 @@
 }
 
 void rr_recount_team_usage(rr_core *core) {
-    g_array_set_size(core->team_used, 0);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    g_array_set_size(core->stored.team_used, 0);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         for (guint k = 0; k < machine->placements->len; k++) {
             const rr_job *job = g_array_index(machine->placements, rr_placement, k).job;
             if (job->team >= 0) {
--- a/src/core/state/record_handlers.h
+++ b/src/core/state/record_handlers.h
@@ -3,7 +3,7 @@
 #ifndef RR_CORE_STATE_RECORD_HANDLERS_H
 #define RR_CORE_STATE_RECORD_HANDLERS_H
 
-#include "core/model.h"
+#include "core/core_internal.h"
 
 /* Records of jobs, alone or in batches. */
 void rr_job_put(rr_core *core, const char *job_id, const msgpack_object *value, uint64_t version,
--- a/src/core/state/transfer_holds.c
+++ b/src/core/state/transfer_holds.c
@@ -1,6 +1,11 @@
 /* Jobs that another cell has a say in: their owner places their tasks only while released. A
  * release ends with its time and with its term, so that a new owner begins with none. */
-#include "core/model.h"
+#include "core/state/transfer_holds.h"
+#include "core/core_internal.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/extensions.h"
 
 typedef struct {
     enum rr_hold_kind kind;
@@ -10,10 +15,10 @@
 } rr_hold;
 
 void rr_core_hold_job(rr_core *core, const char *job_id, enum rr_hold_kind kind) {
-    rr_hold *hold = g_hash_table_lookup(core->holds, job_id);
+    rr_hold *hold = g_hash_table_lookup(core->extensions.transfer_holds, job_id);
     if (!hold) {
         hold = g_new0(rr_hold, 1);
-        g_hash_table_insert(core->holds, g_strdup(job_id), hold);
+        g_hash_table_insert(core->extensions.transfer_holds, g_strdup(job_id), hold);
     }
     if (hold->kind != kind) {
         hold->until = 0;
@@ -22,20 +27,20 @@
 }
 
 void rr_core_unhold_job(rr_core *core, const char *job_id) {
-    g_hash_table_remove(core->holds, job_id);
+    g_hash_table_remove(core->extensions.transfer_holds, job_id);
 }
 
 void rr_core_release_job(rr_core *core, const char *job_id, double until) {
-    rr_hold *hold = g_hash_table_lookup(core->holds, job_id);
+    rr_hold *hold = g_hash_table_lookup(core->extensions.transfer_holds, job_id);
     if (hold) {
-        hold->token = core->term.token;
+        hold->token = core->membership.term.token;
         hold->until = until;
     }
 }
 
 void rr_core_revoke_job(rr_core *core, const char *job_id) {
-    rr_hold *hold = g_hash_table_lookup(core->holds, job_id);
-    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    rr_hold *hold = g_hash_table_lookup(core->extensions.transfer_holds, job_id);
+    const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     if (hold) {
         hold->until = 0;
         hold->revoked = true;
@@ -49,13 +54,14 @@
 }
 
 static const rr_hold *hold_of(const rr_core *core, const rr_job *job) {
-    return g_hash_table_size(core->holds) ? g_hash_table_lookup(core->holds, job->submission.job_id)
-                                          : NULL;
+    return g_hash_table_size(core->extensions.transfer_holds)
+               ? g_hash_table_lookup(core->extensions.transfer_holds, job->submission.job_id)
+               : NULL;
 }
 
 bool rr_job_held(const rr_core *core, const rr_job *job, double now) {
     const rr_hold *hold = hold_of(core, job);
-    return hold && (hold->token != core->term.token || now >= hold->until);
+    return hold && (hold->token != core->membership.term.token || now >= hold->until);
 }
 
 bool rr_job_revoked(const rr_core *core, const rr_job *job) {
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -1,5 +1,16 @@
 /* The store cache: records of the state service as they come by reread, watch or own commit. */
+#include "core/autoscaling/autoscaling_state.h"
+#include "core/core_internal.h"
+#include "core/membership/membership.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
 #include "core/state/record_handlers.h"
+#include "core/state/transaction.h"
+#include "core/views/package_views.h"
+#include "core/cache_feed.h"
+#include "core/stats.h"
 
 #include <string.h>
 
@@ -13,48 +24,48 @@
     session->lease_id = lease_id;
     rr_map_get_u64(value, "able", &session->capabilities);
     rr_map_get_bool(value, "holds", &session->keeps_holds);
-    g_hash_table_replace(core->sessions, session->name, session);
+    g_hash_table_replace(core->membership.sessions, session->name, session);
 }
 
 static void put_term(rr_core *core, const msgpack_object *value, uint64_t version) {
     uint64_t token;
     const msgpack_object *nodes = rr_map_get(value, "nodes");
-    if (version < core->term.version || !rr_map_get_u64(value, "token", &token) || !nodes ||
-        nodes->type != MSGPACK_OBJECT_ARRAY) {
+    if (version < core->membership.term.version || !rr_map_get_u64(value, "token", &token) ||
+        !nodes || nodes->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
-    core->term.version = version;
-    if (token != core->term.token) {
-        core->counter = 0;
-        core->anew = false;
+    core->membership.term.version = version;
+    if (token != core->membership.term.token) {
+        core->membership.attempt_counter = 0;
+        core->membership.new_term_wanted = false;
     }
-    core->term.token = token;
-    rr_map_get_number(value, "born", &core->term.first_term_at);
-    g_array_set_size(core->term.members, 0);
+    core->membership.term.token = token;
+    rr_map_get_number(value, "born", &core->membership.term.first_term_at);
+    g_array_set_size(core->membership.term.members, 0);
     for (uint32_t i = 0; i < nodes->via.array.size; i++) {
         const msgpack_object *node = &nodes->via.array.ptr[i];
         rr_session session = {0};
         if (node->type == MSGPACK_OBJECT_ARRAY && node->via.array.size == 2 &&
             rr_object_text(&node->via.array.ptr[0], session.name, sizeof session.name) &&
             rr_object_u64(&node->via.array.ptr[1], &session.lease_id)) {
-            g_array_append_val(core->term.members, session);
+            g_array_append_val(core->membership.term.members, session);
         }
     }
     rr_assign_shards(core);
-    g_array_set_size(core->plan_moves, 0); /* teams may have moved */
+    g_array_set_size(core->planning.moves, 0); /* teams may have moved */
 }
 
 static void put_rental(rr_core *core, const char *name, const msgpack_object *value,
                        uint64_t version) {
-    rr_rental *rental = g_hash_table_lookup(core->rentals, name);
+    rr_rental *rental = g_hash_table_lookup(core->autoscaling.rentals, name);
     uint64_t node = 0;
     if (!rental) {
         rental = g_new0(rr_rental, 1);
         rental->machine_ids = g_ptr_array_new_with_free_func(g_free);
         g_strlcpy(rental->name, name, sizeof rental->name);
-        g_hash_table_insert(core->rentals, rental->name, rental);
+        g_hash_table_insert(core->autoscaling.rentals, rental->name, rental);
     }
-    core->ever_rented = true;
+    core->autoscaling.ever_rented = true;
     rental->version = version;
     rental->seen_in_reload = true;
     rr_map_get_text(value, "build", rental->machine_type, sizeof rental->machine_type);
@@ -103,11 +114,11 @@
     } else if ((rest = after(key, RR_KEY_ROOT "run/"))) {
         rr_ledger_record_delete(core, rest, version, now);
     } else if ((rest = after(key, RR_KEY_ROOT "node/"))) {
-        g_hash_table_remove(core->sessions, rest);
+        g_hash_table_remove(core->membership.sessions, rest);
     } else if ((rest = after(key, RR_KEY_ROOT "hire/"))) {
-        g_hash_table_remove(core->rentals, rest);
+        g_hash_table_remove(core->autoscaling.rentals, rest);
     } else if (after(key, RR_KEY_ROOT "batch/")) {
-        g_hash_table_remove(core->batches, key);
+        g_hash_table_remove(core->stored.batches, key);
     } else {
         rr_watched_record(core, key, NULL, version);
     }
@@ -116,22 +127,22 @@
 void rr_core_cache_begin_reload(rr_core *core) {
     GHashTableIter iter;
     gpointer key, value;
-    core->rereading = true;
-    g_hash_table_remove_all(core->sessions);
-    g_hash_table_remove_all(core->batches);
-    g_hash_table_iter_init(&iter, core->rentals);
+    core->stored.reloading = true;
+    g_hash_table_remove_all(core->membership.sessions);
+    g_hash_table_remove_all(core->stored.batches);
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         ((rr_rental *)value)->seen_in_reload = false;
     }
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        ((rr_machine *)g_ptr_array_index(core->machine_list, i))->seen_in_reload = false;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        ((rr_machine *)g_ptr_array_index(core->stored.machine_list, i))->seen_in_reload = false;
     }
-    g_hash_table_iter_init(&iter, core->pages);
+    g_hash_table_iter_init(&iter, core->stored.pages);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         ((rr_machine_page *)value)->seen_in_reload = false;
     }
-    for (guint i = 0; i < core->open->len; i++) {
-        const rr_job *job = g_ptr_array_index(core->open, i);
+    for (guint i = 0; i < core->stored.open_jobs->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
         for (guint node = 0; job->records && node < job->records->len; node++) {
             rr_ledger_record *record = g_ptr_array_index(job->records, node);
             if (record) {
@@ -139,7 +150,7 @@
             }
         }
     }
-    for (guint i = 0; i < core->garbage->len; i++) {
+    for (guint i = 0; i < core->stored.orphan_record_keys->len; i++) {
         rr_ledger_record *record = rr_garbage_record(core, i, NULL);
         if (record) {
             record->seen_in_reload = false;
@@ -155,14 +166,14 @@
 
 /* A record written after the reread began may not be on its pages: only an older one is gone. */
 static void drop_stale_records(rr_core *core, uint64_t first, double now) {
-    for (guint i = 0; i < core->garbage->len; i++) {
+    for (guint i = 0; i < core->stored.orphan_record_keys->len; i++) {
         rr_ledger_record *record = rr_garbage_record(core, i, NULL);
         if (record && !record->seen_in_reload && record->version <= first) {
             record->version = 0;
         }
     }
-    for (guint i = core->open->len; i > 0; i--) {
-        rr_job *job = g_ptr_array_index(core->open, i - 1);
+    for (guint i = core->stored.open_jobs->len; i > 0; i--) {
+        rr_job *job = g_ptr_array_index(core->stored.open_jobs, i - 1);
         for (guint node = 0; job->records && node < job->records->len; node++) {
             rr_ledger_record *record = g_ptr_array_index(job->records, node);
             if (record && record->version && record->version <= first && !record->seen_in_reload) {
@@ -195,59 +206,60 @@
 }
 
 bool rr_core_cache_consistent(const rr_core *core) {
-    return core->loaded && !core->rereading && core->epoch >= core->settle;
+    return core->stored.loaded && !core->stored.reloading &&
+           core->stored.revision >= core->stored.consistent_revision;
 }
 
 void rr_core_cache_end_reload(rr_core *core, uint64_t first, uint64_t last, double now) {
-    core->settle = last;
-    for (guint i = core->machine_list->len; i > 0; i--) {
-        rr_machine *machine = g_ptr_array_index(core->machine_list, i - 1);
+    core->stored.consistent_revision = last;
+    for (guint i = core->stored.machine_list->len; i > 0; i--) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         const rr_machine_page *page =
-            g_hash_table_lookup(core->pages, GUINT_TO_POINTER(machine->page));
+            g_hash_table_lookup(core->stored.pages, GUINT_TO_POINTER(machine->page));
         if (machine->recorded && !machine->seen_in_reload && !(page && page->version > first)) {
             rr_machine_record_removed(core, machine, now);
         }
     }
-    g_hash_table_foreach_remove(core->rentals, rental_stale, NULL);
-    g_hash_table_foreach_remove(core->pages, page_stale, &first);
+    g_hash_table_foreach_remove(core->autoscaling.rentals, rental_stale, NULL);
+    g_hash_table_foreach_remove(core->stored.pages, page_stale, &first);
     drop_stale_records(core, first, now);
-    core->rereading = false;
-    core->loaded = true;
+    core->stored.reloading = false;
+    core->stored.loaded = true;
 }
 
 void rr_core_set_revision(rr_core *core, uint64_t revision) {
-    core->epoch = revision > core->epoch ? revision : core->epoch;
+    core->stored.revision = revision > core->stored.revision ? revision : core->stored.revision;
 }
 
 uint64_t rr_core_revision(const rr_core *core) {
-    return core->epoch;
+    return core->stored.revision;
 }
 
 bool rr_core_cache_loaded(const rr_core *core) {
-    return core->loaded;
+    return core->stored.loaded;
 }
 
 void rr_core_get_stats(const rr_core *core, rr_core_stats *out) {
     memset(out, 0, sizeof *out);
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         out->machines += machine->recorded;
         out->booting += machine->recorded && !machine->heartbeat_seen;
         out->tasks_placed += machine->placements->len;
         out->priced += machine->recorded ? rr_machine_price(core, machine) : 0;
     }
-    for (guint i = 0; i < core->open->len; i++) {
-        const rr_job *job = g_ptr_array_index(core->open, i);
+    for (guint i = 0; i < core->stored.open_jobs->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
         out->jobs_open++;
         if (!job->cancelled && !job->done) {
             out->tasks_waiting += job->submission.task_count - job->done_count - job->placed_count;
         }
     }
-    out->moves = core->moves_made;
-    out->rented = core->rented;
-    out->given_up = core->given_up;
-    out->leases_lost = core->leases_lost;
-    out->notices = core->notices;
-    out->visits = core->visits;
-    out->jobs_whole = g_hash_table_size(core->jobs);
+    out->moves = core->counters.moves_made;
+    out->rented = core->counters.rented;
+    out->given_up = core->counters.machines_terminated;
+    out->leases_lost = core->counters.leases_lost;
+    out->notices = core->counters.spot_notices;
+    out->visits = core->counters.machines_visited;
+    out->jobs_whole = g_hash_table_size(core->stored.jobs);
 }
--- a/src/core/views/job_views.c
+++ b/src/core/views/job_views.c
@@ -1,5 +1,14 @@
 /* What users ask: admission, states, cancelling. */
-#include "core/model.h"
+#include "core/core_internal.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/gang_phase.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/resources.h"
+#include "core/leadership.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
@@ -23,7 +32,7 @@
 
 static bool fits_some_machine_type(const rr_core *core, const rr_submission *submission) {
     rr_resources need = {submission->cpus, submission->gpus, submission->mem_gb};
-    for (guint i = 0; i < core->build_info->len; i++) {
+    for (guint i = 0; i < core->stored.machine_types->len; i++) {
         const rr_machine_type *type = rr_machine_type_at(core, (int)i);
         if (type && machine_type_allowed(submission, type) &&
             zone_offered(type, submission->zone) &&
@@ -39,7 +48,7 @@
                                                   const char **why) {
     int team = rr_config_team(core->config, submission->team);
     const struct rr_team_config *team_config = team >= 0 ? &core->config->teams[team] : NULL;
-    const rr_job *known = g_hash_table_lookup(core->jobs, submission->job_id);
+    const rr_job *known = g_hash_table_lookup(core->stored.jobs, submission->job_id);
     if ((known && known->version) || rr_job_final(core, submission->job_id, NULL, NULL)) {
         return RR_SUBMISSION_KNOWN;
     }
@@ -55,7 +64,7 @@
         *why = "over the team's limit";
         return RR_SUBMISSION_UNSATISFIABLE;
     }
-    if (!core->catalog_known) {
+    if (!core->stored.catalog_known) {
         *why = "machine types not known yet";
         return RR_SUBMISSION_UNDECIDED;
     }
@@ -106,7 +115,7 @@
         out->state = out->done ? "done" : "aborted";
         return;
     }
-    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     if (!job || job->version == 0) {
         return;
     }
@@ -125,5 +134,5 @@
 }
 
 bool rr_core_ready(const rr_core *core, double now) {
-    return rr_core_lease_valid(core, now) && core->catalog_known;
+    return rr_core_lease_valid(core, now) && core->stored.catalog_known;
 }
--- a/src/core/views/package_views.c
+++ b/src/core/views/package_views.c
@@ -1,21 +1,33 @@
 /* What packages beside the core see of it, and what they tell it. */
-#include "core/model.h"
+#include "core/views/package_views.h"
+#include "core/core_internal.h"
+#include "core/membership/membership.h"
+#include "core/state/cancel_hints.h"
+#include "core/state/jobs.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/state/transaction.h"
+#include "core/state/transfer_holds.h"
+#include "core/extensions.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
 void rr_core_watch_records(rr_core *core, const char *prefix, rr_core_record_fn callback,
                            void *user) {
-    if (core->record_watch_count == RR_RECORD_WATCHES) {
+    if (core->extensions.record_watch_count == RR_RECORD_WATCHES) {
         return;
     }
-    core->watches[core->record_watch_count++] = (rr_record_watch){g_strdup(prefix), callback, user};
+    core->extensions.record_watches[core->extensions.record_watch_count++] =
+        (rr_record_watch){g_strdup(prefix), callback, user};
 }
 
 /* True: a package's record. */
 bool rr_watched_record(const rr_core *core, const char *key, const msgpack_object *value,
                        uint64_t version) {
-    for (guint i = 0; i < core->record_watch_count; i++) {
-        const rr_record_watch *watch = &core->watches[i];
+    for (guint i = 0; i < core->extensions.record_watch_count; i++) {
+        const rr_record_watch *watch = &core->extensions.record_watches[i];
         size_t length = strlen(watch->prefix);
         if (strncmp(key, watch->prefix, length) == 0) {
             watch->callback(watch->user, key + length, value, version);
@@ -26,12 +38,12 @@
 }
 
 void rr_core_each_machine(const rr_core *core, rr_core_machine_fn callback, void *user) {
-    for (guint i = 0; i < core->machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->machine_list, i);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
         if (type && machine->recorded && !machine->scaling_in && machine->zone >= 0) {
-            callback(user, type->name, rr_name_index_at(&core->zones, machine->zone), type->cpus,
-                     type->gpus, type->mem_gb);
+            callback(user, type->name, rr_name_index_at(&core->stored.zones, machine->zone),
+                     type->cpus, type->gpus, type->mem_gb);
         }
     }
 }
@@ -39,7 +51,7 @@
 void rr_core_each_job(const rr_core *core, rr_core_job_fn callback, void *user) {
     GHashTableIter iterator;
     gpointer value;
-    g_hash_table_iter_init(&iterator, core->jobs);
+    g_hash_table_iter_init(&iterator, core->stored.jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const rr_job *job = value;
         bool open = job->version && !job->cancelled && !job->done && !rr_job_transferred(core, job);
@@ -53,12 +65,12 @@
 }
 
 bool rr_core_job_known(const rr_core *core, const char *job_id) {
-    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     return (job && job->version) || rr_job_final(core, job_id, NULL, NULL);
 }
 
 void rr_core_guard_term(const rr_core *core, rr_transaction *transaction) {
-    rr_transaction_guard(transaction, RR_KEY_ROOT "term", core->term.version);
+    rr_transaction_guard(transaction, RR_KEY_ROOT "term", core->membership.term.version);
 }
 
 bool rr_core_all_admission_capable(const rr_core *core) {
@@ -66,11 +78,11 @@
 }
 
 double rr_core_cache_age(const rr_core *core, double now) {
-    return now - core->fresh_at;
+    return now - core->stored.current_at;
 }
 
 bool rr_core_find_job(const rr_core *core, const char *job_id, rr_core_job *out) {
-    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     if (!job || !job->version) {
         return false;
     }
@@ -81,11 +93,11 @@
 
 const char *rr_core_team_owner(const rr_core *core, const char *team) {
     int index = rr_config_team(core->config, team);
-    int place = index >= 0 && (guint)index < core->owners->len
-                    ? g_array_index(core->owners, int, index)
+    int place = index >= 0 && (guint)index < core->membership.team_owners->len
+                    ? g_array_index(core->membership.team_owners, int, index)
                     : -1;
-    bool known = place >= 0 && (guint)place < core->term.members->len;
-    return known ? g_array_index(core->term.members, rr_session, place).name : NULL;
+    bool known = place >= 0 && (guint)place < core->membership.term.members->len;
+    return known ? g_array_index(core->membership.term.members, rr_session, place).name : NULL;
 }
 
 void rr_job_final_record(const rr_job *job, rr_transaction *transaction) {
@@ -103,7 +115,7 @@
 }
 
 static rr_job *open_job(const rr_core *core, const char *job_id) {
-    rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     return job && job->version && !job->done && !job->cancelled ? job : NULL;
 }
 
@@ -143,7 +155,7 @@
 }
 
 bool rr_core_job_cancelled(const rr_core *core, const char *job_id, double now) {
-    const rr_job *job = g_hash_table_lookup(core->jobs, job_id);
+    const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     bool done = false;
     bool final = rr_job_final(core, job_id, &done, NULL);
     return (job && job->cancelled) || (final && !done) || rr_has_cancel_hint(core, job_id, now);
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -5,6 +5,7 @@
  * reserve of requests to the higher ones, so that renewals never wait behind plans. */
 #include "common/clock.h"
 #include "store/store.h"
+#include "core/leadership.h"
 
 #include <errno.h>
 #include <math.h>
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,4 +1,5 @@
 #include "store/store.h"
+#include "core/state/transaction.h"
 
 #include <errno.h>
 #include <string.h>
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -3,7 +3,8 @@
 #ifndef RR_STORE_STORE_H
 #define RR_STORE_STORE_H
 
-#include "core/core.h"
+#include "core/leadership.h"
+#include "core/state/transaction.h"
 #include "net/client.h"
 #include "wire/wire.h"
 
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -1,4 +1,5 @@
 #include "admission_model.h"
+#include "core/state/transaction.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -1,4 +1,6 @@
 #include "cell_pair.h"
+#include "core/extensions.h"
+#include "core/planning.h"
 
 #include <string.h>
 
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -5,6 +5,7 @@
 #define RR_TESTS_CELL_PAIR_H
 
 #include "core_fixture.h"
+#include "core/extensions.h"
 
 #include "cells/transfers.h"
 
--- a/tests/core_fixture.c
+++ b/tests/core_fixture.c
@@ -1,4 +1,11 @@
 #include "core_fixture.h"
+#include "core/cache_feed.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
+#include "core/submissions.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -11,6 +11,9 @@
 #include <cmocka.h>
 
 #include "core/core.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
 
 typedef struct {
     GHashTable *kv; /* key -> struct fake_value* */
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -5,6 +5,9 @@
 #define RR_TESTS_SCENE_H
 
 #include "core_fixture.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
 
 #include "peer/frame.h"
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,6 +1,10 @@
 /* Fair admission by parts: keys, tables and their records, verdicts, the demand and its frames,
  * shares, and what bad input does to each. The whole of it: test_admission_hour.c. */
 #include "core_fixture.h"
+#include "core/extensions.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
 
 #include "admission/admission.h"
 #include "admission/shares.h"
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -1,5 +1,6 @@
 /* The parts of the state service's limits; times only pass here as the calls themselves take. */
 #include "core_fixture.h"
+#include "core/leadership.h"
 
 #include "store/store.h"
 
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -1,6 +1,9 @@
 /* Transfers between two cells, with the package's own code, a fake clock and scripted state
  * services: what each side may place and when, whatever is lost, cut or begun anew. */
 #include "cell_pair.h"
+#include "core/extensions.h"
+#include "core/state/transaction.h"
+#include "core/submissions.h"
 
 #include "cells/spill.h"
 
--- a/tests/test_core_autoscaler.c
+++ b/tests/test_core_autoscaler.c
@@ -1,5 +1,9 @@
 /* Renting and returning: nothing rented twice, nothing lost, nobody judged by silence alone. */
 #include "core_fixture.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
 
 #include <string.h>
 
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -1,6 +1,9 @@
 /* The design's ordinary path on small cases worked out by hand: where new tasks go, and the paper's
  * two phases in a round. */
 #include "core_fixture.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/stats.h"
 
 #include <string.h>
 
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -1,6 +1,14 @@
 /* Troubles beyond silence: machines that hear nothing, late copies of reports, controllers left
  * alone or back at once, and the order in which records reach a mirror. */
 #include "core_fixture.h"
+#include "core/cache_feed.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
+#include "core/stats.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
--- a/tests/test_core_fault_combinations.c
+++ b/tests/test_core_fault_combinations.c
@@ -2,6 +2,14 @@
  * in both orders where there are two, and shows which guard parts them. docs/meetings.md lists the
  * meetings and the tests, here and elsewhere, that bring them about. */
 #include "core_fixture.h"
+#include "core/cache_feed.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
+#include "core/stats.h"
+#include "core/submissions.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -1,7 +1,12 @@
 /* Gangs: all tasks run at the same time or none does, through every phase and every loss. */
 #include "core_fixture.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/submissions.h"
 
-#include "core/model.h"
+#include "core/core_internal.h"
+#include "core/scheduling/gang_phase.h"
 
 #include <string.h>
 
@@ -85,7 +90,8 @@
 }
 
 static enum rr_gang_phase phase(const test_controller *node, const char *job_id) {
-    return rr_gang_phase(node->core, g_hash_table_lookup(node->core->jobs, job_id), node->now);
+    return rr_gang_phase(node->core, g_hash_table_lookup(node->core->stored.jobs, job_id),
+                         node->now);
 }
 
 /* Submits the gang, books and starts it. */
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -2,6 +2,14 @@
  * not times: machines looked at, records changed, commands sent. A walk over all machines for each
  * event fails these on any machine. Then that no one's work waits for ever behind another's. */
 #include "core_fixture.h"
+#include "core/cache_feed.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
+#include "core/stats.h"
+#include "core/submissions.h"
 
 #include <malloc.h>
 #include <stdio.h>
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -1,5 +1,10 @@
 /* The rules that must hold under every failure, each test tied to one way of breaking them. */
 #include "core_fixture.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/stats.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -1,6 +1,12 @@
 /* Two versions side by side, and the state service's limits lowered while records of before are
  * stored: what each writes the other reads, and what was stored larger is still worked on. */
 #include "scene.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/stats.h"
+#include "core/submissions.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -3,6 +3,7 @@
  * connections for report to it. For profiling, `test_load JOBS [WORKERS]` takes more of both than
  * the test does, and prints rates and memory. */
 #include "core_fixture.h"
+#include "core/stats.h"
 
 #include "common/clock.h"
 #include "common/log.h"
--- a/tests/test_user_batch.c
+++ b/tests/test_user_batch.c
@@ -1,5 +1,7 @@
 /* Which of the users' changes share a transaction, and what it guards and writes. */
 #include "core_fixture.h"
+#include "core/state/transaction.h"
+#include "core/submissions.h"
 
 #include "app/user_batch.h"
 
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -1,4 +1,5 @@
 #include "trace_world.h"
+#include "core/scaling.h"
 
 #include <string.h>
 
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -1,4 +1,11 @@
 #include "trace_world.h"
+#include "core/cache_feed.h"
+#include "core/extensions.h"
+#include "core/heartbeats.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
 
 #include <errno.h>
 #include <string.h>
--- a/tests/trace_core.c
+++ b/tests/trace_core.c
@@ -1,4 +1,5 @@
 #include "trace_world.h"
+#include "core/leadership.h"
 
 #include <string.h>
 
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -1,4 +1,10 @@
 #include "trace_hash.h"
+#include "core/heartbeats.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
+#include "core/stats.h"
+#include "core/submissions.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/tests/trace_hash.h
+++ b/tests/trace_hash.h
@@ -4,7 +4,12 @@
 #ifndef RR_TESTS_TRACE_HASH_H
 #define RR_TESTS_TRACE_HASH_H
 
-#include "core/core.h"
+#include "core/heartbeats.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
+#include "core/stats.h"
+#include "core/submissions.h"
 
 typedef struct {
     uint64_t value;
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -1,4 +1,5 @@
 #include "trace_world.h"
+#include "core/planning.h"
 
 #include <math.h>
 #include <string.h>
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -10,6 +10,9 @@
 
 #include "core_fixture.h"
 #include "trace_hash.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+#include "core/state/transaction.h"
 
 #define TRACE_CONTROLLERS 3
 #define TRACE_ZONES 3
