--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -95,7 +95,7 @@
     return rr_admission_in_force(&tables, wall);
 }
 
-/* Both slots' records are guarded: a provisioner that has not read the newest table writes none. */
+/* Both slots' records are guarded: an autoscaler that has not read the newest table writes none. */
 bool rr_admission_write(const rr_admission *admission, const rr_admission_table *table,
                         rr_transaction *out) {
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -14,7 +14,7 @@
                                   const rr_admission_settings *settings);
 void rr_admission_destroy(rr_admission *admission);
 
-/* ---- tables, as the state service has them ---- */
+/* ---- tables, as the key-value store has them ---- */
 /* A record under RR_ADMISSION_PREFIX; rest: its key after that. */
 void rr_admission_put(rr_admission *admission, const char *rest, const msgpack_object *value,
                       uint64_t version);
--- a/src/admission/offered_load.h
+++ b/src/admission/offered_load.h
@@ -1,4 +1,4 @@
-/* What the provisioner knows of the work there is when it writes a table: room, accepted work that
+/* What the autoscaler knows of the work there is when it writes a table: room, accepted work that
  * waits, and what runs, by key and team. Gathered from the store cache in one visit. */
 #ifndef RR_ADMISSION_OFFERED_LOAD_H
 #define RR_ADMISSION_OFFERED_LOAD_H
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -1,9 +1,9 @@
-/* The admission table: for one interval, how much of each key's demand is admitted. The provisioner
- * of the term writes one ahead of each interval under overload; every controller mirrors it.
+/* The admission table: for one interval, how much of each key's demand is admitted. The autoscaler
+ * of the term writes one ahead of each interval under overload; every controller store caches it.
  *
  * The records alternate between two slots, so that the table in force and the next one are both
  * there for a controller that has just started, and a table is parted over as many records as the
- * state service's limit on values asks for, all written in one transaction. */
+ * key-value store's limit on values asks for, all written in one transaction. */
 #ifndef RR_ADMISSION_TABLE_H
 #define RR_ADMISSION_TABLE_H
 
@@ -54,7 +54,7 @@
 typedef struct {
     rr_admission_table table;
     guint parts, have;                         /* have: bits of those that are there */
-    uint64_t versions[RR_ADMISSION_PARTS_MAX]; /* of the records as mirrored, 0: not there */
+    uint64_t versions[RR_ADMISSION_PARTS_MAX]; /* of the records as cached, 0: not there */
 } rr_admission_slot;
 
 /* 1: the slot holds a whole table; 0: not yet; -EPROTO: of an unknown version or not readable. */
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -55,7 +55,7 @@
 
 /* ---- estimates against what was used ---- */
 
-/* This controller was not the provisioner for a while: what it remembers is of another time. */
+/* This controller was not the autoscaler for a while: what it remembers is of another time. */
 static void forget_old_visits(rr_admission_writer *writer, double now) {
     if (now - writer->visited_at > PAUSE_MAX * writer->settings->interval_s) {
         writer->visited_at = 0;
--- a/src/admission/writer.h
+++ b/src/admission/writer.h
@@ -1,4 +1,4 @@
-/* Writes the next admission table: what the provisioner of a term does once an interval. No I/O and
+/* Writes the next admission table: what the autoscaler of a term does once an interval. No I/O and
  * no lock: it is given what was gathered and the time. */
 #ifndef RR_ADMISSION_WRITER_H
 #define RR_ADMISSION_WRITER_H
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -1,5 +1,5 @@
 /* Fair admission in this process: the package's state under a lock of its own, the questions of the
- * HTTP threads, and the duty that tells the demand and, on the provisioner, writes the tables.
+ * HTTP threads, and the thread that tells the demand and, on the autoscaler, writes the tables.
  *
  * Lock order: the core's lock, then this one. The linear programs run under neither. */
 #include "admission/admission.h"
@@ -17,7 +17,7 @@
 #include <string.h>
 
 #define TELL_AT 0.45 /* of an interval: demand is told, a little before tables are made */
-#define LOOKS 40.0   /* of the duty in an interval */
+#define LOOKS 40.0   /* of the thread in an interval */
 #define LOOK_MAX_S 0.25
 #define COMMIT_S 1.0
 #define RETRY 0.1 /* of an interval, between tries to write a table */
@@ -25,7 +25,7 @@
 struct rr_app_admission {
     pthread_mutex_t lock;
     rr_admission *admission; /* under lock */
-    /* The duty's own. */
+    /* The thread's own. */
     rr_admission_writer *writer;
     rr_offered_load load;
     double announced_for;              /* wall: the interval for which the demand was told, */
@@ -152,7 +152,7 @@
            stats.records_unread, written.fallbacks);
 }
 
-/* ---- the duty ---- */
+/* ---- the thread ---- */
 
 /* Under the core's lock. */
 static bool job_known(void *user, const char *job_id) {
--- a/src/app/app.c
+++ b/src/app/app.c
@@ -115,8 +115,9 @@
     rr_session_thread,      rr_watch_thread,   rr_membership_thread, rr_commit_thread,
     rr_read_barrier_thread, rr_planner_thread, rr_autoscaler_thread};
 
-/* Beside the connections': main, the door's own two and its opener, the duties, the senders and the
- * peers' threads; and two sockets for each that calls out: a client keeps one and opens another. */
+/* Beside the connections': main, the HTTP server's own two and its opener, the threads, the senders
+ * and the peers' threads; and two sockets for each that calls out: a client keeps one and opens
+ * another. */
 static int cells_threads(const struct rr_config *config) {
     return config->cells ? 1 + RR_CELLS_MAX + RR_CELLS_CONNECTIONS : 0;
 }
@@ -214,7 +215,7 @@
         pthread_join(app->startup_thread, NULL); /* it may be about to listen */
     }
     rr_http_server_stop(
-        app->http_server); /* joins the connections' threads, which wait on the duties at most */
+        app->http_server); /* joins the connections' threads, which wait on the threads at most */
     for (int i = 0; i < app->thread_count; i++) {
         pthread_join(app->threads[i], NULL);
     }
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -1,4 +1,4 @@
-/* The shell round the core: one process's state, and the duties that run on it. */
+/* The shell round the core: one process's state, and the threads that run on it. */
 #ifndef RR_APP_APP_H
 #define RR_APP_APP_H
 
@@ -23,8 +23,8 @@
     /* The core and everything below, down to the next blank line, is under `lock`. No I/O under it.
      */
     pthread_mutex_t lock;
-    pthread_cond_t cache_advanced; /* the mirror moved on */
-    pthread_cond_t work;           /* planner and provisioner have something to look at */
+    pthread_cond_t cache_advanced; /* the store cache moved on */
+    pthread_cond_t work;           /* planner and autoscaler have something to look at */
     rr_core *core;
     uint64_t wake_count; /* counts wakes of `work` */
     bool planning;       /* a plan is made and its outcome not known yet */
@@ -44,9 +44,9 @@
     double commit_rate;   /* of them were served a second by the last transaction, 0: none yet */
     uint64_t batch_count; /* written so far */
     uint64_t lease_id;    /* of our session: batches' keys are unique by it */
-    /* Polls wait in groups, each for one read of the store's revision and for the mirror to reach
-     * it: one group is served while the next gathers, so that two are enough. Whoever waits is
-     * woken once, with its group. */
+    /* Polls wait in groups, each for one read of the store's revision and for the store cache to
+     * reach it: one group is served while the next gathers, so that two are enough. Whoever waits
+     * is woken once, with its group. */
     struct rr_read_barrier {
         uint64_t number; /* of the group that gathers or is served here */
         uint64_t served; /* the last one that was, */
@@ -64,7 +64,7 @@
     rr_stats *stats;
     rr_peers *peers;
     rr_http_server *http_server;
-    pthread_t threads[160], startup_thread; /* opener: opens the door, and ends */
+    pthread_t threads[160], startup_thread; /* opener: opens the HTTP server, and ends */
     int thread_count;
     bool startup_running;
 };
@@ -96,9 +96,9 @@
 int rr_app_start(struct rr_app *app);
 void rr_app_stop(struct rr_app *app);
 
-/* Wakes planner and provisioner; caller holds `lock`. */
+/* Wakes planner and autoscaler; caller holds `lock`. */
 void rr_app_wake(struct rr_app *app);
-/* Waits until the mirror has reached epoch. Caller holds `lock`. */
+/* Waits until the store cache has reached epoch. Caller holds `lock`. */
 bool rr_app_wait_revision(struct rr_app *app, uint64_t revision, double until);
 void rr_app_wait(struct rr_app *app, pthread_cond_t *condition, pthread_mutex_t *mutex,
                  double seconds);
@@ -155,7 +155,7 @@
 void rr_app_poll_here(struct rr_app *app, const char *job_id, struct rr_http_response *response);
 void rr_app_cancel_here(struct rr_app *app, const char *job_id, struct rr_http_response *response);
 
-/* duties: one thread each */
+/* threads: one thread each */
 void *rr_session_thread(void *app);
 void *rr_membership_thread(void *app);
 void *rr_watch_thread(void *app);
--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -1,4 +1,4 @@
-/* Carries out the provisioner's steps: lists, records, rentals, returns. */
+/* Carries out the autoscaler's steps: lists, records, rentals, returns. */
 #include "app/thread_loop.h"
 #include "common/clock.h"
 #include "common/log.h"
--- a/src/app/cells_thread.c
+++ b/src/app/cells_thread.c
@@ -1,4 +1,4 @@
-/* Cells in this process: a duty for each neighbour drives the transfers with it, connections from
+/* Cells in this process: a thread for each neighbour drives the transfers with it, connections from
  * neighbours are answered, and users' requests for jobs of other cells are carried there.
  *
  * The transfers are under the core's lock. Requests, replies and changes go on without it. */
@@ -22,13 +22,14 @@
 
 #define LOOKS 40.0 /* at the transfers in a lease */
 #define LOOK_MAX_S 0.5
-#define READINGS 6.0    /* of a neighbour's state service in a lease, while it has no controllers */
+#define READINGS 6.0 /* of a neighbour's key-value store in a lease, while it has no controllers   \
+                      */
 #define READ_SHARE 0.25 /* of its limits, which are taken to be like this cell's */
 #define THERE_S 1.5
 #define DOWN_S 5.0 /* a neighbour that did not answer is taken for unreachable for so long */
 #define RELAY_RETRY_S 2
 
-/* A neighbour's state service, read while it has no controllers; its duty's own. */
+/* A neighbour's key-value store, read while it has no controllers; its thread's own. */
 struct absent_reader {
     rr_store *store; /* NULL: the settings name none */
     rr_absent *absent;
@@ -47,8 +48,9 @@
     rr_transfers *transfers; /* under the core's lock */
     rr_cells_links *links;
     struct neighbour_thread neighbour_threads[RR_CELLS_MAX];
-    double down_until[RR_CELLS_MAX];  /* steady, under the core's lock */
-    rr_budget *budgets[RR_CELLS_MAX]; /* for the neighbours' state services; NULL: not claimable */
+    double down_until[RR_CELLS_MAX]; /* steady, under the core's lock */
+    rr_budget
+        *budgets[RR_CELLS_MAX]; /* for the neighbours' key-value stores; NULL: not claimable */
 };
 
 /* Called with the core's lock held, as records come. */
@@ -181,7 +183,7 @@
     return rc == 0 && sessions == 0;
 }
 
-/* One change to the neighbour's own state service. One whose outcome is not known is read next
+/* One change to the neighbour's own key-value store. One whose outcome is not known is read next
  * time, and its guards keep it from being made twice. */
 static void commit_there(struct rr_app *app, struct absent_reader *reader,
                          const rr_transfer_write *write) {
@@ -224,7 +226,7 @@
     rr_transfers_plan_clear(&here);
 }
 
-/* ---- the duty ---- */
+/* ---- the thread ---- */
 
 /* False: there was no answer. */
 static bool send_request(struct rr_app *app, rr_store *store, rr_cells_client *client,
@@ -422,8 +424,8 @@
     return answered;
 }
 
-/* A final state that stands in the cell's state service can't change any more: it may be told while
- * nobody there answers. */
+/* A final state that stands in the cell's key-value store can't change any more: it may be told
+ * while nobody there answers. */
 static bool read_final(struct rr_app *app, size_t neighbour, const char *job_id,
                        struct rr_http_response *response) {
     const rr_cell *cell = &app->cells_settings.neighbours[neighbour];
--- a/src/app/commit_thread.c
+++ b/src/app/commit_thread.c
@@ -141,7 +141,7 @@
     pthread_mutex_unlock(&app->user_lock);
 }
 
-/* The mirror has all that was committed before this call. */
+/* The store cache has all that was committed before this call. */
 static bool cache_is_current(struct rr_app *app, rr_store *store) {
     uint64_t revision = 0;
     double until = rr_steady_clock_s() + 1.2;
@@ -155,7 +155,8 @@
 }
 
 /* One read of the store's revision serves all polls that were waiting when it was sent, and this
- * thread alone waits for the mirror to reach it: when each poll did, every change woke them all. */
+ * thread alone waits for the store cache to reach it: when each poll did, every change woke them
+ * all. */
 void *rr_read_barrier_thread(void *argument) {
     struct rr_app *app = argument;
     rr_usage_enter(RR_USAGE_USERS);
--- a/src/app/planner_thread.c
+++ b/src/app/planner_thread.c
@@ -22,7 +22,8 @@
     }
 }
 
-/* Our own changes are in the mirror at once; those that others made first come with the watch. */
+/* Our own changes are in the store cache at once; those that others made first come with the watch.
+ */
 static uint64_t plan_outcome(struct rr_app *app, const rr_transaction *transaction,
                              enum rr_commit_status rc, uint64_t revision) {
     pthread_mutex_lock(&app->lock);
@@ -73,7 +74,7 @@
             rr_app_wait(app, &app->work, &app->lock, 0.5);
         }
         wakes = app->wake_count;
-        /* After a conflict, until the mirror shows what came first. */
+        /* After a conflict, until the store cache shows what came first. */
         if (rr_app_wait_revision(app, need, rr_steady_clock_s() + 1)) {
             int changes = rr_budget_changes(app->budget);
             /* Few at a time cost a request each. */
@@ -93,7 +94,7 @@
             need = plan_outcome(app, &plan.transaction, rc, revision);
             committed = rr_steady_clock_s();
             if (rc == RR_COMMIT_DONE) {
-                wakes--; /* what it booked is to be started */
+                wakes--; /* what it reserved is to be started */
             } else if (rc != RR_COMMIT_CONFLICT) {
                 rr_log(RR_DEBUG_LEVEL, "plan not committed");
                 rr_app_pause(app, 0.2);
--- a/src/app/request_handlers.c
+++ b/src/app/request_handlers.c
@@ -166,7 +166,7 @@
         return;
     }
     rr_submission_clear(&submission);
-    /* Before a refusal for good: the job may be known where this mirror does not reach yet. */
+    /* Before a refusal for good: the job may be known where this store cache does not reach yet. */
     if (rr_job_id_valid(job_id) && answer_known(app, job_id, response)) {
         return;
     }
@@ -216,8 +216,8 @@
     }
 }
 
-/* The other controllers stop the job's tasks in their answers from now on, also one that the state
- * service refuses and whose mirror does not bring it the cancellation. */
+/* The other controllers stop the job's tasks in their answers from now on, also one that the
+ * key-value store refuses and whose store cache does not bring it the cancellation. */
 void rr_app_announce_cancellation(struct rr_app *app, const char *job_id) {
     pthread_mutex_lock(&app->lock);
     bool capable = rr_core_all_gang_capable(app->core);
--- a/src/app/session_thread.c
+++ b/src/app/session_thread.c
@@ -1,4 +1,5 @@
-/* The session with the state service: taken, renewed, and resigned where it is refused here alone.
+/* The session with the key-value store: taken, renewed, and resigned where it is refused here
+ * alone.
  */
 #include "app/thread_loop.h"
 #include "common/clock.h"
@@ -91,8 +92,8 @@
 #define ALONE_S 3.0
 
 /* Renewals that went unanswered while this process had no time to read the answers say nothing of
- * the state service: a healthy controller resigned just after a restart of all, and its teams went
- * round once more. */
+ * the key-value store: a healthy controller resigned just after a restart of all, and its teams
+ * went round once more. */
 static bool is_late(struct rr_app *app) {
     pthread_mutex_lock(&app->lock);
     bool late = rr_core_timers_late(app->core, rr_steady_clock_s(), ALONE_S);
@@ -100,9 +101,9 @@
     return late;
 }
 
-/* Refused by the state service while a peer reaches it: another should take over now, not when our
- * lease runs out. We stop commanding first, then have the peer end the lease. In an outage for all
- * no peer says yes, and everybody stays. */
+/* Refused by the key-value store while a peer reaches it: another should take over now, not when
+ * our lease runs out. We stop commanding first, then have the peer end the lease. In an outage for
+ * all no peer says yes, and everybody stays. */
 static bool resign(struct rr_app *app, uint64_t lease_id) {
     for (size_t i = 0; i < app->config.peer_count && !rr_app_stopping(app); i++) {
         if (rr_peers_ask_resign(app->peers, (int)i, lease_id, false)) {
--- a/src/app/startup_thread.c
+++ b/src/app/startup_thread.c
@@ -6,12 +6,13 @@
 
 #include <string.h>
 
-/* Nobody is let in before there is something to tell them: in term, with the mirror read. After a
- * crash of all controllers every worker and user came at once to processes that could only refuse
- * them, and come again a second later; each refusal cost a connection and its thread, and the
- * reading of the mirror waited for the processor beside them. A refused connection costs nothing,
- * and sends users and workers to the next controller all the same. In an outage of the state
- * service users are to be told, so that the door opens after a session's time at the latest. */
+/* Nobody is let in before there is something to tell them: in term, with the store cache read.
+ * After a crash of all controllers every worker and user came at once to processes that could only
+ * refuse them, and come again a second later; each refusal cost a connection and its thread, and
+ * the reading of the store cache waited for the processor beside them. A refused connection costs
+ * nothing, and sends users and workers to the next controller all the same. In an outage of the
+ * key-value store users are to be told, so that the HTTP server opens after a session's time at the
+ * latest. */
 void *rr_startup_thread(void *argument) {
     struct rr_app *app = argument;
     double until = rr_steady_clock_s() + rr_session_lease_s(&app->config);
--- a/src/app/thread_loop.c
+++ b/src/app/thread_loop.c
@@ -1,4 +1,4 @@
-/* What the duties have in common: pauses that notice when they end late, the store client of a
+/* What the threads have in common: pauses that notice when they end late, the store client of a
  * thread, and transactions whose outcome must be certain. */
 #include "app/thread_loop.h"
 #include "common/clock.h"
@@ -38,7 +38,7 @@
     return rr_store_create(&app->config.state, app->budget, &app->stop);
 }
 
-/* A valid transaction was called invalid: the state service's lower limits hold. */
+/* A valid transaction was called invalid: the key-value store's lower limits hold. */
 static void next_limits_hold(struct rr_app *app, bool in_doubt) {
     rr_budget_next_limits_hold(app->budget);
     pthread_mutex_lock(&app->lock);
--- a/src/app/thread_loop.h
+++ b/src/app/thread_loop.h
@@ -1,4 +1,4 @@
-/* What the duties, one long-lived thread each, have in common. All block with a bound and look at
+/* What the threads, one long-lived thread each, have in common. All block with a bound and look at
  * the process's stop flag after each wait. */
 #ifndef RR_APP_THREAD_LOOP_H
 #define RR_APP_THREAD_LOOP_H
--- a/src/app/user_batch.h
+++ b/src/app/user_batch.h
@@ -19,7 +19,7 @@
 /* False: it does not fit any more, and goes with a later one. */
 bool rr_user_batch_add(const struct rr_config *config, struct rr_user_batch *batch,
                        struct rr_user_commit *commit);
-/* tether, and the count of batches so far, make the keys of shared records unique. */
+/* lease, and the count of batches so far, make the keys of shared records unique. */
 void rr_user_batch_transaction(const struct rr_user_batch *batch, uint64_t lease_id,
                                uint64_t *batches, rr_transaction *transaction);
 
--- a/src/app/watch_thread.c
+++ b/src/app/watch_thread.c
@@ -34,9 +34,9 @@
     rr_core_cache_put(page->core, key, value, version, page->now);
 }
 
-/* Page by page, so that a mirror of any size is never held twice. Nobody is shown half a state:
- * until the end nothing is decided, and answers wait for the revision. The changes since the first
- * page come with the watch; older marks never undo newer ones. */
+/* Page by page, so that a store cache of any size is never held twice. Nobody is shown half a
+ * state: until the end nothing is decided, and answers wait for the revision. The changes since the
+ * first page come with the watch; older versions never undo newer ones. */
 static int reread(struct rr_app *app, rr_store *store) {
     double began = rr_steady_clock_s();
     rr_store_cursor cursor = {.more = true};
@@ -120,7 +120,7 @@
 }
 
 /* Short, since an open watch says nothing of the time since it was opened, and answers to workers
- * are bounded by how old the mirror may be. */
+ * are bounded by how old the store cache may be. */
 #define WATCH_MS 2000
 
 void *rr_watch_thread(void *argument) {
--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -1,9 +1,9 @@
-/* Another cell as its state service alone shows it, while it has no controllers: read in full, by
+/* Another cell as its key-value store alone shows it, while it has no controllers: read in full, by
  * whoever may hold jobs of it or claim some. Belongs to one thread; no I/O of its own.
  *
  * What is read counts only between two looks that both found no session, one before and one after:
- * then nobody of the term that was read is entitled to anything, and a change that is guarded by
- * that term's record is made before anybody else is (docs/cells.md). */
+ * then nobody of the term that was read is holding a valid lease to anything, and a change that is
+ * guarded by that term's record is made before anybody else is (docs/cells.md). */
 #ifndef RR_CELLS_ABSENT_H
 #define RR_CELLS_ABSENT_H
 
@@ -42,8 +42,8 @@
 /* Jobs that are open there. */
 void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn callback, void *user);
 
-/* Changes to its state service, guarded by its term and the records that were read. False: there is
- * nothing to change. */
+/* Changes to its key-value store, guarded by its term and the records that were read. False: there
+ * is nothing to change. */
 bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
                      rr_transaction *out);
 bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out);
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -111,7 +111,7 @@
         rr_cells_out_write(&write->transaction, entry->job_id, entry->version, NULL);
     } else {
         rr_out_record record = next_record(transfers, entry, wall);
-        /* Its user may have cancelled it, and this mirror not know. */
+        /* Its user may have cancelled it, and this store cache not know. */
         good = next->state != RR_HOME_OFFERED ||
                rr_core_guard_job(transfers->core, entry->job_id, &write->transaction);
         rr_cells_out_write(&write->transaction, entry->job_id, entry->version, &record);
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -1,5 +1,5 @@
-/* The records of transfers in a cell's state service: one for each of its jobs that was offered to
- * another cell, one for each claim that it holds for another. */
+/* The records of transfers in a cell's key-value store: one for each of its jobs that was offered
+ * to another cell, one for each claim that it holds for another. */
 #ifndef RR_CELLS_RECORDS_H
 #define RR_CELLS_RECORDS_H
 
--- a/src/cells/settings.h
+++ b/src/cells/settings.h
@@ -25,7 +25,7 @@
     GPtrArray *zones;         /* char*: where it has machines */
     GPtrArray *teams;         /* char*: whose jobs may go there; empty: any */
     bool claimable;           /* while it has no controllers its jobs may be claimed, */
-    struct rr_endpoint state; /* by its state service */
+    struct rr_endpoint state; /* by its key-value store */
 } rr_cell;
 
 typedef struct {
--- a/src/cells/transfer.h
+++ b/src/cells/transfer.h
@@ -3,7 +3,7 @@
  *
  * Pure: events and a time in, actions out; plain values, so that a test can copy and compare whole
  * states. Times are each side's own steady clock, in seconds. Both sides keep a durable record in
- * their cell's state service, written by compare-and-swap: a write is an action, its outcome an
+ * their cell's key-value store, written by compare-and-swap: a write is an action, its outcome an
  * event, and nothing that rests on it is done before. */
 #ifndef RR_CELLS_TRANSFER_H
 #define RR_CELLS_TRANSFER_H
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -21,8 +21,8 @@
                                   rr_core *core, uint64_t process);
 void rr_transfers_destroy(rr_transfers *transfers);
 
-/* A record of the package, as the core's mirror takes it; rest: of its key after RR_CELLS_PREFIX.
- * value NULL: it is deleted. False: it can't be read. */
+/* A record of the package, as the core's store cache takes it; rest: of its key after
+ * RR_CELLS_PREFIX. value NULL: it is deleted. False: it can't be read. */
 bool rr_transfers_put(rr_transfers *transfers, const char *rest, const msgpack_object *value,
                       uint64_t version);
 
@@ -62,8 +62,9 @@
 bool rr_transfers_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *asked,
                           const rr_transfer_message *reply, double now, double wall,
                           rr_transfer_write *write);
-/* The same with a neighbour that has no controllers, as its state service shows it. Changes to that
- * one are added to `there`: rr_transfer_write*, owned by it. asked: before anything of it was read.
+/* The same with a neighbour that has no controllers, as its key-value store shows it. Changes to
+ * that one are added to `there`: rr_transfer_write*, owned by it. asked: before anything of it was
+ * read.
  */
 void rr_transfers_look_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
                               double asked, double now, double wall, rr_transfers_plan *here,
@@ -93,7 +94,7 @@
     RR_CANCEL_WAIT      /* grants may last yet for *wait_s */
 };
 /* Whether a cancellation may be recorded now, if the transfer's record has this version still (0:
- * there is none). A mirror that lags may not know that the job was offered. */
+ * there is none). A store cache that lags may not know that the job was offered. */
 bool rr_transfers_may_cancel(const rr_transfers *transfers, const char *job_id, double wall,
                              uint64_t *version);
 enum rr_cancel_first rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
--- a/src/cells/transfers_internal.h
+++ b/src/cells/transfers_internal.h
@@ -6,7 +6,8 @@
 #include "cells/spill.h"
 #include "cells/transfers.h"
 
-/* A mirror that is older than this may miss that a job was taken back: nothing is granted by it. */
+/* A store cache that is older than this may miss that a job was taken back: nothing is granted by
+ * it. */
 #define RR_CELLS_FRESH_S 5.0
 #define RR_CELLS_REPEAT_S 1.0 /* between two tries to say something that needs no haste */
 
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,4 +1,4 @@
-/* The cloud's interface. One object a thread (the provisioner's). */
+/* The cloud's interface. One object a thread (the autoscaler's). */
 #ifndef RR_CLOUD_CLOUD_H
 #define RR_CLOUD_CLOUD_H
 
--- a/src/common/usage.c
+++ b/src/common/usage.c
@@ -4,7 +4,7 @@
 #include <pthread.h>
 #include <time.h>
 
-#define THREADS_MAX 192 /* more are not told apart from the door's */
+#define THREADS_MAX 192 /* more are not told apart from the HTTP server's */
 
 static const char *const names[RR_USAGE_KINDS] = {"session", "mirror",      "users",
                                                   "planner", "provisioner", "senders",
--- a/src/common/usage.h
+++ b/src/common/usage.h
@@ -1,6 +1,6 @@
 /* What the process spends its processor time on, for the minute's line: each long-lived thread says
- * once which duty it works for, and its clock is read by whoever asks. What no such thread used is
- * the door's: connections come and go too often to be listed. Locks itself. */
+ * once which thread it works for, and its clock is read by whoever asks. What no such thread used
+ * is the HTTP server's: connections come and go too often to be listed. Locks itself. */
 #ifndef RR_COMMON_USAGE_H
 #define RR_COMMON_USAGE_H
 
@@ -19,10 +19,11 @@
     RR_USAGE_KINDS
 };
 
-/* The calling thread works for this duty until it leaves. */
+/* The calling thread works for this thread until it leaves. */
 void rr_usage_enter(enum rr_usage_kind use);
 void rr_usage_leave(void);
-/* Writes milliseconds of processor time by duty since the last call; "" where no clock answers. */
+/* Writes milliseconds of processor time by thread since the last call; "" where no clock answers.
+ */
 void rr_usage_line(char *out, size_t size);
 
 #endif
--- a/src/conf/config.h
+++ b/src/conf/config.h
@@ -43,18 +43,18 @@
     double rebalance_share;    /* or this share of the machines, if that is more */
     bool rebalance;            /* false: no re-orchestration */
     double session_share;      /* session time as a share of cancel_s - lease_s */
-    double answer_share;       /* how long reports are answered by a mirror that stands still, as a
-                                  share of what cancellations allow */
-    double silent_reports;     /* reports missed before a machine takes no new work */
-    double dead_reports;       /* reports missed before a lone silent machine is given up */
-    double idle_return_s;      /* idle time before a rented machine goes back */
-    double headroom;           /* factor on arrivals expected during a boot */
-    double boot_patience;      /* boots longer than this many startup_s are not counted on */
-    double cloud_list_s;       /* pause between machine lists */
-    int senders;               /* threads that carry commands to workers */
-    int max_connections;       /* HTTP connections at most */
-    int max_threads;           /* of the process; a connection takes one */
-    double plan_pause_ms;      /* least pause between two plans */
+    double answer_share;   /* how long reports are answered by a store cache that stands still, as a
+                              share of what cancellations allow */
+    double silent_reports; /* reports missed before a machine takes no new work */
+    double dead_reports;   /* reports missed before a lone silent machine is given up */
+    double idle_return_s;  /* idle time before a rented machine goes back */
+    double headroom;       /* factor on arrivals expected during a boot */
+    double boot_patience;  /* boots longer than this many startup_s are not counted on */
+    double cloud_list_s;   /* pause between machine lists */
+    int senders;           /* threads that carry commands to workers */
+    int max_connections;   /* HTTP connections at most */
+    int max_threads;       /* of the process; a connection takes one */
+    double plan_pause_ms;  /* least pause between two plans */
 };
 
 struct rr_config {
@@ -73,7 +73,7 @@
     double gang_peer_s; /* within this the others notice that one is gone, or is told to stop */
     double state_rps, state_write_rps, value_kb;
     int transaction_changes_max;
-    /* The limits that the state service will have from some moment on, without notice; 0 or the
+    /* The limits that the key-value store will have from some moment on, without notice; 0 or the
      * same as above where the settings name none. */
     double next_rps, next_write_rps, next_value_kb;
     int next_transaction_changes_max;
@@ -95,8 +95,8 @@
     return -1;
 }
 
-/* What is written obeys the smaller of the state service's limits from the first write on: what is
- * larger could not be written again once they are lowered. How a job's tasks are parted over the
+/* What is written obeys the smaller of the key-value store's limits from the first write on: what
+ * is larger could not be written again once they are lowered. How a job's tasks are parted over the
  * records of its ledger follows the present limit, in every version alike. */
 static inline double rr_value_kb_max(const struct rr_config *config) {
     return config->next_value_kb > 0 && config->next_value_kb < config->value_kb
@@ -111,16 +111,16 @@
                : config->transaction_changes_max;
 }
 
-/* The lease of a session: short, so that another takes over soon from one that has lost the state
- * service; longer than an ordinary restart takes. */
+/* The lease of a session: short, so that another takes over soon from one that has lost the
+ * key-value store; longer than an ordinary restart takes. */
 static inline double rr_session_lease_s(const struct rr_config *config) {
     return config->tuning.session_share * (config->cancel_s - config->lease_s);
 }
 
-/* How long reports are answered by a mirror that learns of no cancellation, from the last moment up
- * to which it knows them all. A worker answered last at the end of this time ends by its lease, and
- * that must be within cancel_s of any cancellation that this controller can't know: the rest is for
- * the drift of two clocks and the stop itself. */
+/* How long reports are answered by a store cache that learns of no cancellation, from the last
+ * moment up to which it knows them all. A worker answered last at the end of this time ends by its
+ * lease, and that must be within cancel_s of any cancellation that this controller can't know: the
+ * rest is for the drift of two clocks and the stop itself. */
 static inline double rr_heartbeat_reply_s(const struct rr_config *config) {
     double room = config->cancel_s - config->lease_s;
     return config->tuning.answer_share *
--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -1,4 +1,4 @@
-/* The provisioner: rents for waiting work and headroom, returns what is idle, dead or sick, keeps
+/* The autoscaler: rents for waiting work and headroom, returns what is idle, dead or sick, keeps
  * the machine records in step with the cloud. One step at a time; the shell carries it out and
  * reports.
  */
@@ -21,7 +21,8 @@
 #define RENTAL_RETRY_S 5.0
 #define REFUSED_S 15.0
 #define DEAF_S 4.0        /* probes of a machine that still reports fail for this long */
-#define RETURN_WAIT_S 0.8 /* a booking made just before a return was announced shows by then */
+#define RETURN_WAIT_S 0.8 /* a reservation made just before a return was announced shows by then   \
+                           */
 
 void rr_autoscaler_step_init(rr_autoscaler_step *step) {
     memset(step, 0, sizeof *step);
@@ -192,7 +193,7 @@
             rr_log_at(core, RR_LOG_DEBUG, "machine %s is returned after %.0f s", id,
                       now - machine->known_at);
         } else if (machine && machine->placements->len == 0) {
-            /* With places it stays as a name until the ledger has none: a provisioner ended when a
+            /* With places it stays as a name until the ledger has none: an autoscaler ended when a
              * machine was listed as failed, lost its record and was then released as a stray. */
             rr_machine_forget(core, machine);
         }
@@ -238,7 +239,8 @@
     return same;
 }
 
-/* What was read is written until the mirror shows it: a change of term may void a transaction. */
+/* What was read is written until the store cache shows it: a change of term may void a transaction.
+ */
 static bool record_machine_types(rr_core *core, rr_autoscaler_step *out) {
     for (guint i = 0; i < core->autoscaling.catalog_types->len; i++) {
         const rr_machine_type *type =
@@ -277,7 +279,8 @@
     gpointer key;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        /* What an owner booked there meanwhile is not thrown away; a dead machine goes as it is. */
+        /* What an owner reserved there meanwhile is not thrown away; a dead machine goes as it is.
+         */
         bool empty = machine->placements->len == 0 && now - machine->scaling_in_at > RETURN_WAIT_S;
         if (machine->recorded && machine->scaling_in && machine->to_release &&
             !machine->list_failed && (empty || machine->declared_dead) &&
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -1,4 +1,4 @@
-/* Inside the core only: the provisioner, which rents and returns machines and keeps their records
+/* Inside the core only: the autoscaler, which rents and returns machines and keeps their records
  * in step with the cloud. autoscaler.c takes one step at a time and judges machines;
  * machine_records.c writes their records; capacity_demand.c finds out what to rent. */
 #ifndef RR_CORE_AUTOSCALING_AUTOSCALER_H
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -1,4 +1,4 @@
-/* What the provisioner rents: waiting work and headroom are put on paper onto the machines there
+/* What the autoscaler rents: waiting work and headroom are put on paper onto the machines there
  * are, then onto machines to rent. */
 #include "core/autoscaling/autoscaler.h"
 #include "core/autoscaling/autoscaling_state.h"
@@ -256,7 +256,7 @@
 }
 
 /* Placements on machines that are gone or given up as dead. Their owners clear the ledger as
- * changes allow: waiting for that, the provisioner rented for 1,200 lost tasks over a minute and a
+ * changes allow: waiting for that, the autoscaler rented for 1,200 lost tasks over a minute and a
  * half. */
 static void count_lost(const rr_core *core) {
     for (guint i = 0; i < core->stored.open_jobs->len; i++) {
--- a/src/core/autoscaling/machine_records.c
+++ b/src/core/autoscaling/machine_records.c
@@ -1,4 +1,4 @@
-/* The provisioner's records of machines: pages of the fleet, many machines in each. */
+/* The autoscaler's records of machines: pages of the fleet, many machines in each. */
 #include "core/autoscaling/autoscaler.h"
 #include "core/core_internal.h"
 #include "core/state/machine_pages.h"
@@ -56,7 +56,7 @@
 }
 
 /* A page from before the limits were lowered, larger than they will allow. Part of its machines are
- * written to a new page first; once the mirror shows them there the old one is written without
+ * written to a new page first; once the store cache shows them there the old one is written without
  * them. No reader, of whatever version, sees any of them in no page, which would say that it has
  * gone; and a full read, in the order of the keys, finds them in the new one last. */
 static void split_page(struct pages *pages, uint32_t id) {
@@ -163,7 +163,7 @@
             g_ptr_array_remove(list, machine);
         }
     } else if (machine->recorded && machine->to_release != machine->scaling_in) {
-        change_page(pages, machine->page); /* written with the new flag; the mirror follows */
+        change_page(pages, machine->page); /* written with the new flag; the store cache follows */
     } else if (to_record(pages->core, machine, now) && (list = page_with_room(pages, machine))) {
         machine->created_at = machine->created_at > 0 ? machine->created_at : wall;
         g_ptr_array_add(list, machine);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -187,7 +187,7 @@
 }
 
 /* ---- keys ----
- * A full reread comes in key order, and a record may only speak of what was read before it:
+ * A full reload comes in key order, and a record may only speak of what was read before it:
  * machines (fleet) of builds, runs of jobs and machines. */
 
 void rr_core_job_key(const char *job_id, char *out, size_t size) {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,4 +1,4 @@
-/* The core: the mirrored state and every decision on it. No I/O, no clock, no thread and no lock:
+/* The core: the cached state and every decision on it. No I/O, no clock, no thread and no lock:
  * the shell hands in events and times and carries out what comes back, one call at a time (src/app
  * holds its lock around each call). Steady times are `now`, times of day `wall`, both in seconds.
  */
--- a/src/core/extensions.h
+++ b/src/core/extensions.h
@@ -7,8 +7,9 @@
 #include "core/state/transaction.h"
 #include "wire/wire.h"
 
-/* Hands every record under this prefix to fn, with the rest of its key, whenever the mirror takes
- * it; value NULL: it is deleted. At most RR_RECORD_WATCHES prefixes, before the first record comes.
+/* Hands every record under this prefix to fn, with the rest of its key, whenever the store cache
+ * takes it; value NULL: it is deleted. At most RR_RECORD_WATCHES prefixes, before the first record
+ * comes.
  */
 #define RR_RECORD_WATCHES 2
 typedef void (*rr_core_record_fn)(void *user, const char *rest, const msgpack_object *value,
@@ -24,7 +25,7 @@
                                uint32_t waiting, uint32_t placed, uint32_t done);
 void rr_core_each_job(const rr_core *core, rr_core_job_fn callback, void *user);
 bool rr_core_job_known(const rr_core *core, const char *job_id);
-/* A change that only this term's provisioner may make. */
+/* A change that only this term's autoscaler may make. */
 void rr_core_guard_term(const rr_core *core, rr_transaction *transaction);
 /* Every controller of the term takes part in fair admission. */
 bool rr_core_all_admission_capable(const rr_core *core);
@@ -51,7 +52,7 @@
                         rr_transaction *transaction);
 /* Guards the record of a job that is open. False: it is not. */
 bool rr_core_guard_job(const rr_core *core, const char *job_id, rr_transaction *transaction);
-/* Adds a record of the job that marks it cancelled. False: it is not known or final. */
+/* Adds a record of the job that versions it cancelled. False: it is not known or final. */
 bool rr_core_abandon_job(const rr_core *core, const char *job_id, rr_transaction *transaction);
 /* Jobs that this controller plans, of which nothing has begun; none of another cell. at: wall, when
  * accepted. */
--- a/src/core/health/failure_detector.c
+++ b/src/core/health/failure_detector.c
@@ -54,8 +54,8 @@
 }
 
 /* Its reports may go on arriving while answers and commands no longer reach it: it looks fresh,
- * takes bookings and then loses its lease. Two commands in a row without an answer, and it takes no
- * new work until one is answered. */
+ * takes reservations and then loses its lease. Two commands in a row without an answer, and it
+ * takes no new work until one is answered. */
 bool rr_machine_commands_unanswered(const rr_machine *machine) {
     return machine->unanswered >= 2;
 }
@@ -119,7 +119,7 @@
  * fail too. All controllers probe, and what one hears it passes on, so a machine that any of them
  * reaches is not silent. A silent zone is a cut. */
 static bool was_up(const rr_machine *machine) {
-    /* Work in the ledger shows it, even if this process never heard the machine: a provisioner that
+    /* Work in the ledger shows it, even if this process never heard the machine: an autoscaler that
      * restarts into a cut must not take the few it hears for the whole zone. */
     return machine->recorded && (machine->heartbeat_seen || machine->placements->len > 0);
 }
@@ -263,7 +263,7 @@
     /* Most of a zone may be dead or hung, and looks like a cut; but a cut silences the zone's
      * controllers, too. Where one of them is heard, whoever has been silent for longer than a lease
      * has nothing left to lose: machines that hung for good in the greater part of a zone kept
-     * their tasks booked for ever. */
+     * their tasks reserved for ever. */
     if (rr_heartbeat_age(machine, now) > 1.2 * core->config->lease_s &&
         zone_reached(core, machine->zone, now)) {
         return true;
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -304,11 +304,11 @@
     return NULL;
 }
 
-/* A controller that has lost the state service keeps its workers' leases alive for longer than it
+/* A controller that has lost the key-value store keeps its workers' leases alive for longer than it
  * plans: the token keeps a deposed one from changing anything, and the time is bounded so that a
  * worker that hears of no cancellation still ends in time. It runs from the last moment up to which
- * the mirror knows every cancellation, whatever became of the session: with a share of it, and by
- * renewals, a whole zone lost its leases in a cut that the rules let it outlast. 200 only with a
+ * the store cache knows every cancellation, whatever became of the session: with a share of it, and
+ * by renewals, a whole zone lost its leases in a cut that the rules let it outlast. 200 only with a
  * token that the worker will take: one lower than it has seen would be dropped, and the worker
  * would stay here until its lease runs out. Any controller adds the stops of cancelled jobs, so
  * that they end even where their owner can't reach the machine. */
--- a/src/core/heartbeats.h
+++ b/src/core/heartbeats.h
@@ -21,7 +21,7 @@
 bool rr_core_take_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
                                    int via);
 /* Which peers need a machine's reports whole, as bits of their indices: with every change the
- * owners of its tasks and the provisioner; now and then all owners. */
+ * owners of its tasks and the autoscaler; now and then all owners. */
 uint32_t rr_core_heartbeat_subscribers(const rr_core *core, const char *machine,
                                        uint32_t *now_and_then);
 struct rr_heartbeat_reply {
--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -7,7 +7,7 @@
 
 /* Our own session: its lease, and until when it surely holds: until then we may plan. */
 void rr_core_set_session(rr_core *core, uint64_t lease_id, double valid_until);
-/* The mirror has every change made before this time: workers' reports may be answered for
+/* The store cache has every change made before this time: workers' reports may be answered for
  * rr_heartbeat_reply_s from there, longer than the session lasts. */
 void rr_core_set_cache_current(rr_core *core, double when);
 bool rr_core_lease_valid(const rr_core *core, double now);
@@ -15,7 +15,7 @@
 void rr_core_set_timers_late(rr_core *core, double now);
 bool rr_core_timers_late(const rr_core *core, double now,
                          double within); /* so, not longer ago than this */
-/* Whether our node key stands in the mirror with this lease. */
+/* Whether our node key stands in the store cache with this lease. */
 bool rr_core_session_seen(const rr_core *core, uint64_t lease_id);
 void rr_core_encode_session(const struct rr_config *config, rr_encoder *encoder, uint64_t lease_id);
 /* The transaction that makes the next term if the sessions differ from the present one; false:
@@ -23,7 +23,7 @@
 bool rr_core_next_term(rr_core *core, double now, double wall, rr_transaction *out);
 unsigned rr_core_live_controllers(const rr_core *core);
 /* This controller's part of what the store allows a second, by what it has to write: requests, and
- * changes for users, its plans and the provisioner's records. */
+ * changes for users, its plans and the autoscaler's records. */
 struct rr_budget_shares {
     double requests, users, plans, autoscaler;
 };
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -45,10 +45,10 @@
 /* A number that no other attempt has, of whatever controller and term; later ones are higher within
  * a team. */
 uint64_t rr_next_attempt(rr_core *core);
-uint64_t rr_attempt_token(uint64_t attempt); /* of the term in which it was booked */
-guint rr_attempt_member(uint64_t attempt);   /* and the place there of who booked it */
+uint64_t rr_attempt_token(uint64_t attempt); /* of the term in which it was reserved */
+guint rr_attempt_member(uint64_t attempt);   /* and the place there of who reserved it */
 guint rr_member_index(const rr_core *core);  /* this controller's place in the term */
 bool rr_owns_team(const rr_core *core, int team);
-void rr_assign_shards(rr_core *core); /* finds owners and provisioner of a new term */
+void rr_assign_shards(rr_core *core); /* finds owners and autoscaler of a new term */
 
 #endif
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -22,7 +22,7 @@
     const rr_session *session =
         g_hash_table_lookup(core->membership.sessions, core->config->node_name);
     return core->stored.reloading ||
-           (session && session->lease_id == lease_id); /* a reread has not come to it yet */
+           (session && session->lease_id == lease_id); /* a reload has not come to it yet */
 }
 
 /* What this version can do beyond the first ones, told in its session's record. Those pass over the
@@ -158,7 +158,7 @@
     return count;
 }
 
-/* The provisioner sits with the controller that owns fewest teams: where one owner has most of the
+/* The autoscaler sits with the controller that owns fewest teams: where one owner has most of the
  * work its processor is the narrowest. Rendezvous hashing between equals. */
 static int autoscaler_member(const rr_core *core) {
     int best = -1;
@@ -227,7 +227,7 @@
     }
     double own = teams_at(core, (int)rr_member_index(core)) / teams;
     double provisioners = member_at(core, core->membership.autoscaler_member) ? 1 : 0;
-    /* Everybody mirrors, reads for polls and accepts. */
+    /* Everybody store caches, reads for polls and accepts. */
     out->requests = 0.65 / live + 0.3 * own + 0.05 * provisioners;
     out->users = 0.35 / live;
     out->plans = 0.5 * own;
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -160,8 +160,8 @@
  * the machine that needs none wins; if all need one, the one that is not about to have this image
  * anyway: it will be ready for two kinds of work then. A machine that failed this job comes last.
  * Owners plan side by side: between equals each first takes machines of a part of its own, so that
- * two of them rarely book the same room, and while changes are short before all else: one booking
- * in seven was refused, and each cost three changes. */
+ * two of them rarely book the same room, and while changes are short before all else: one
+ * reservation in seven was refused, and each cost three changes. */
 #define SHORT 0.3
 
 struct rank {
--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -10,7 +10,7 @@
  * not counting `except`): fills allowed[zone]. */
 void rr_job_zones(const rr_core *core, const rr_job *job, bool *allowed,
                   const rr_placement *except);
-/* The same from counts that the caller keeps while it books: placements by zone. */
+/* The same from counts that the caller keeps while it reserves: placements by zone. */
 uint32_t rr_job_count_by_zone(const rr_core *core, const rr_job *job, const rr_placement *except,
                               uint32_t *by_zone);
 void rr_job_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
--- a/src/core/scheduling/gang_phase.c
+++ b/src/core/scheduling/gang_phase.c
@@ -1,7 +1,7 @@
-/* Gangs: all tasks of one run at the same time or none does. A gang is booked whole, in one record
- * and one change, under one attempt; it stops whole, and is booked anew, under a new attempt, once
- * every placement of the old one is proven over. Which of its phases it is in is derived from the
- * ledger and the reports each time: nothing of it is remembered. */
+/* Gangs: all tasks of one run at the same time or none does. A gang is reserved whole, in one
+ * record and one change, under one attempt; it stops whole, and is reserved anew, under a new
+ * attempt, once every placement of the old one is proven over. Which of its phases it is in is
+ * derived from the ledger and the reports each time: nothing of it is remembered. */
 #include "core/scheduling/gang_phase.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -13,7 +13,8 @@
 #include <string.h>
 
 /* Its tasks are of one chunk, so that one change records them all as done, and one transaction
- * books or ends it, now and under the limits to come: its records, and its final one at the end. */
+ * reserves or ends it, now and under the limits to come: its records, and its final one at the end.
+ */
 uint32_t rr_gang_tasks_max(const rr_core *core) {
     uint32_t in_record = core->stored.tasks_per_record;
     while (in_record > 1 && !rr_ledger_record_fits(core, in_record)) {
--- a/src/core/scheduling/gang_phase.h
+++ b/src/core/scheduling/gang_phase.h
@@ -5,8 +5,8 @@
 #include "core/state/jobs.h"
 
 enum rr_gang_phase {
-    RR_GANG_QUEUED,   /* no task is on a machine or booked */
-    RR_GANG_RESERVED, /* all are booked; none is shown yet */
+    RR_GANG_QUEUED,   /* no task is on a machine or reserved */
+    RR_GANG_RESERVED, /* all are reserved; none is shown yet */
     RR_GANG_WAITING,  /* some are shown; not all run */
     RR_GANG_RUNNING,  /* all run */
     RR_GANG_STOPPING, /* one is lost or has to go: all go, and come back together */
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -26,7 +26,7 @@
     *reserved = rr_resources_add(*reserved, job->request, -1);
 }
 
-/* Takes this plan's bookings of the gang under this attempt back. */
+/* Takes this plan's reservations of the gang under this attempt back. */
 static void unbook(struct rr_planner *planner, const rr_job *job, uint64_t attempt) {
     for (guint chunk = 0; chunk < job->records->len; chunk++) {
         const rr_ledger_record *run = g_ptr_array_index(job->records, chunk);
@@ -50,7 +50,7 @@
     return fitting >= job->submission.task_count;
 }
 
-/* Books all tasks on free room, or none. */
+/* Reserves all tasks on free room, or none. */
 static bool reserve_on_free_room(struct rr_planner *planner, rr_job *job,
                                  struct rr_job_zones *zones) {
     rr_core *core = planner->core;
@@ -234,7 +234,7 @@
            rr_within_guarantee(planner, job, job->submission.task_count);
 }
 
-/* Has lower work stopped where least is lost, and books all tasks there; they start when the
+/* Has lower work stopped where least is lost, and reserves all tasks there; they start when the
  * machines show room. */
 static bool reserve_on_preempted_room(struct rr_planner *planner, rr_job *job,
                                       const bool *allowed) {
--- a/src/core/scheduling/gang_placement.h
+++ b/src/core/scheduling/gang_placement.h
@@ -4,8 +4,8 @@
 
 #include "core/scheduling/plan.h"
 
-/* Books all tasks of the gang under one attempt, or none. True: booked. *left: tasks that this plan
- * may still book. */
+/* Reserves all tasks of the gang under one attempt, or none. True: reserved. *left: tasks that this
+ * plan may still book. */
 bool rr_gang_place(struct rr_planner *planner, rr_job *job, int *left);
 
 /* The zones of one search for a gang that may run in the allowed ones: a single one if the job asks
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,4 +1,4 @@
-/* Places waiting tasks after the chosen design, and books the moves of a round. What is booked
+/* Places waiting tasks after the chosen design, and reserves the moves of a round. What is reserved
  * stands in the plan's transaction only. */
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -1,6 +1,6 @@
 /* What a team owner does next. One plan makes at most one transaction; here it is begun, put
  * together and cleared. It costs what changed since the last one: only machines that something
- * happened to are reconciled, and one change books or ends many tasks of a job. */
+ * happened to are reconciled, and one change reserves or ends many tasks of a job. */
 #include "core/scheduling/plan.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -76,9 +76,9 @@
     return over;
 }
 
-/* A record of before the state service's limits were lowered may be larger than they allow now: it
- * can't be written again until enough of its placements are over, which one change then takes out.
- * Until the lower limits are seen to hold it may, as long as it does not grow. */
+/* A record of before the key-value store's limits were lowered may be larger than they allow now:
+ * it can't be written again until enough of its placements are over, which one change then takes
+ * out. Until the lower limits are seen to hold it may, as long as it does not grow. */
 bool rr_plan_writable(const struct rr_planner *planner, const rr_ledger_record *record) {
     if (!planner->core->stored.next_limits_in_force ||
         rr_ledger_record_fits(planner->core, record->placements->len)) {
@@ -182,7 +182,7 @@
     }
 }
 
-/* The mirror counts placements as the store has them. */
+/* The store cache counts placements as the store has them. */
 static void restore_requeued(struct rr_planner *planner) {
     for (guint i = 0; i < planner->requeued->len; i++) {
         const struct rr_plan_requeued *requeued =
@@ -308,9 +308,9 @@
 
 /* Completions are gathered while changes are short; one change then ends several. A job's last ones
  * never wait, since its user does. What is to run again waits for its turn among all that waits for
- * a place, and is taken out in the change that books it anew: when a zone of four hundred machines
- * had lost its leases, records of arrays were cleared first, a change each, and services came back
- * after them, 35 s later. */
+ * a place, and is taken out in the change that reserves it anew: when a zone of four hundred
+ * machines had lost its leases, records of arrays were cleared first, a change each, and services
+ * came back after them, 35 s later. */
 static void record_terminated(struct rr_planner *planner) {
     for (guint i = 0; i < planner->terminated->len; i++) {
         const struct rr_terminated_placement *terminated =
@@ -338,7 +338,8 @@
 }
 
 #define STRANGER_S 120.0
-#define GONE_KEEP_S 600.0 /* a copy of a report later than this makes a stranger for a while */
+#define GONE_KEEP_S                                                                                \
+    600.0 /* a copy of a report later than this makes a unknown machine for a while */
 
 static gboolean gone_old(gpointer key, gpointer value, gpointer now) {
     (void)key;
@@ -481,14 +482,14 @@
     for (guint i = 0; i < planner->edits->len; i++) {
         put_edit(planner, g_ptr_array_index(planner->edits, i));
     }
-    /* Every booking guards its job, and with that its own first copy: one that was held up finds
-     * the job changed by its end, should the ledger's record be gone by then. */
+    /* Every reservation guards its job, and with that its own first copy: one that was held up
+     * finds the job changed by its end, should the ledger's record be gone by then. */
     for (guint i = 0; i < planner->guards->len; i++) {
         rr_job *job = g_ptr_array_index(planner->guards, i);
         rr_core_job_key(job->submission.job_id, key, sizeof key);
         rr_transaction_guard(transaction, key, job->own_version);
     }
-    /* On their own: if one of them is not as the mirror has it, no other change suffers. */
+    /* On their own: if one of them is not as the store cache has it, no other change suffers. */
     if (transaction->changes->len == 0) {
         put_garbage(planner);
         put_old_batches(planner);
@@ -538,7 +539,7 @@
 }
 
 /* Whether changes were what bounded the plan, not the transaction. Between two plans some gather,
- * so that their number alone never looked short while hundreds of bookings waited for them. */
+ * so that their number alone never looked short while hundreds of reservations waited for them. */
 static void note_short(struct rr_planner *planner) {
     if (planner->full && planner->core->planning.changes_allowed <
                              rr_transaction_changes_max(planner->core->config)) {
--- a/src/core/scheduling/plan.h
+++ b/src/core/scheduling/plan.h
@@ -53,7 +53,7 @@
     int change_count, change_limit; /* changes so far and at most */
     size_t bytes;                   /* their size, roughly */
     bool full;                      /* the transaction takes no more */
-    rr_machine *last_machine;       /* by the last booking */
+    rr_machine *last_machine;       /* by the last reservation */
 };
 
 /* plan.c: the transaction */
@@ -64,7 +64,7 @@
                                        uint32_t task);
 guint rr_plan_terminated_count(const struct rr_planner *planner,
                                const rr_ledger_record *record); /* known to be over in it */
-/* The state service takes the record as this plan may write it. */
+/* The key-value store takes the record as this plan may write it. */
 bool rr_plan_writable(const struct rr_planner *planner, const rr_ledger_record *record);
 void rr_plan_guard(struct rr_planner *planner, rr_job *job);
 void rr_plan_use_machine(struct rr_planner *planner, rr_machine *machine);
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -30,7 +30,7 @@
  * and none is marked. */
 bool rr_preemption_mark(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                         const struct rr_preemption *preemption);
-/* Makes room for one task on the machine where least is lost, and books it there. It starts when
+/* Makes room for one task on the machine where least is lost, and reserves it there. It starts when
  * the machine shows room. warm_only: only machines that have the job's image. */
 bool rr_preempt_for_task(struct rr_planner *planner, rr_job *job, uint32_t task,
                          const struct rr_placement_constraints *choice, bool warm_only);
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -24,7 +24,7 @@
     return left->probed_at < right->probed_at ? -1 : left->probed_at > right->probed_at;
 }
 
-/* Whose silence is ours to look into: the provisioner's all, an owner's those with its work, and
+/* Whose silence is ours to look into: the autoscaler's all, an owner's those with its work, and
  * those that it doubts itself: only an answer to it ends that, and one that had lost its work there
  * never sent another command and left the machine out for good. */
 static bool concerns_us(const rr_core *core, const rr_machine *machine, bool provisioner) {
@@ -92,7 +92,7 @@
     g_ptr_array_free(late, TRUE);
 }
 
-/* Commands to it go unanswered: the others are told, since the provisioner may not have sent any.
+/* Commands to it go unanswered: the others are told, since the autoscaler may not have sent any.
  */
 static void suspect(rr_core *core, rr_machine *machine, double now) {
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -81,7 +81,7 @@
 }
 
 /* The older placement of a task is the live one; a newer one waits for its end (moves: the
- * destination is booked first). */
+ * destination is reserved first). */
 static bool has_older(const rr_placement *placement) {
     rr_job *job = placement->job;
     if (!job->placed || placement->task >= job->submission.task_count ||
@@ -169,7 +169,7 @@
 }
 
 /* Booked over others that are to go first: the machine would refuse it now. Where nothing is to go,
- * two owners booked the same room, and the worker decides between them. */
+ * two owners reserved the same room, and the worker decides between them. */
 static bool room_coming(const rr_core *core, const rr_machine *machine) {
     bool leaving = false;
     rr_resources used = machine->used;
@@ -253,7 +253,7 @@
     return planner->now - machine->reap_at < planner->core->config->heartbeat_interval_s;
 }
 
-/* Of a job kept as a line the team is not known any more. The provisioner stops what still runs,
+/* Of a job kept as a line the team is not known any more. The autoscaler stops what still runs,
  * and clears what an earlier term started: the command's token voids any start of it that comes
  * late. An exited attempt of this term is left to the controller that made it, which alone knows
  * whether a copy of its start may still be on its way and has to find the attempt there. */
@@ -307,7 +307,8 @@
     rr_core *core = planner->core;
     bool again = false;
     core->counters.machines_visited++;
-    /* A booking is made on a recorded machine only; one whose record has gone is proven gone. */
+    /* A reservation is made on a recorded machine only; one whose record has gone is proven gone.
+     */
     bool gone = !machine->recorded;
     if (!gone && (!machine->heartbeat_seen ||
                   machine->heartbeat.fencing_token > core->membership.term.token)) {
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -120,7 +120,7 @@
     return RR_RESERVABLE;
 }
 
-/* An earlier placement of the task that is over leaves the ledger with the change that books it
+/* An earlier placement of the task that is over leaves the ledger with the change that reserves it
  * anew, whichever record it is in. */
 static bool begin_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
     for (guint i = 0; i < records_of_task(job); i++) {
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -1,5 +1,5 @@
 /* Inside the core only: what placing tasks has in common, whatever the kind of the job. Team limits
- * and guarantees, allowed zones, searches that failed, and the bookings of the plan under
+ * and guarantees, allowed zones, searches that failed, and the reservations of the plan under
  * construction. */
 #ifndef RR_CORE_SCHEDULING_RESERVATION_H
 #define RR_CORE_SCHEDULING_RESERVATION_H
@@ -16,7 +16,7 @@
 /* The team would use more than its guarantee even after giving `returned` back. */
 bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_resources returned);
 
-/* What the team uses, with what the plan under construction has booked. */
+/* What the team uses, with what the plan under construction has reserved. */
 rr_resources rr_team_usage_in_plan(const struct rr_planner *planner, int team);
 /* Under overload: one more task keeps the team within its fair part of all room. */
 bool rr_within_fair_room(const struct rr_planner *planner, const rr_job *job);
@@ -24,7 +24,7 @@
  */
 void rr_set_fair_turns(const struct rr_planner *planner, GPtrArray *waiting /* rr_job* */);
 
-/* ---- bookings ---- */
+/* ---- reservations ---- */
 
 /* Whether the ledger's records take one more placement of a task, whatever room machines have. */
 enum rr_reservable {
@@ -36,7 +36,7 @@
 /* The record that takes one more placement of this task, begun in the plan; NULL: none does, or the
  * transaction takes no more. */
 struct rr_plan_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job, uint32_t task);
-/* Books the task on the machine under this attempt. False: the transaction takes no more. */
+/* Reserves the task on the machine under this attempt. False: the transaction takes no more. */
 bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
                         uint64_t attempt);
 /* The same under an attempt of its own. */
@@ -44,7 +44,7 @@
 
 /* ---- zones ---- */
 
-/* The zones in which the next task of a job may start, kept up to date while a plan books. */
+/* The zones in which the next task of a job may start, kept up to date while a plan reserves. */
 struct rr_job_zones {
     bool *allowed;        /* by zone */
     uint32_t *placements; /* by zone: of the job, with those of this plan */
--- a/src/core/state/cancel_hints.c
+++ b/src/core/state/cancel_hints.c
@@ -1,5 +1,5 @@
-/* Cancellations that another controller says it has confirmed, before the state service's watch has
- * brought them: answers to reports stop the tasks of those jobs. Stopping a cancelled task is
+/* Cancellations that another controller says it has confirmed, before the key-value store's watch
+ * has brought them: answers to reports stop the tasks of those jobs. Stopping a cancelled task is
  * always right, so this needs no record; and it is no authority for anything else: it frees no room
  * and changes no state that anybody is told. */
 #include "core/state/cancel_hints.h"
--- a/src/core/state/jobs.c
+++ b/src/core/state/jobs.c
@@ -124,7 +124,7 @@
     job->done_count = job->submission.task_count;
 }
 
-/* A ledger record that came before its job's (pages of a reread are of different moments) was
+/* A ledger record that came before its job's (pages of a reload are of different moments) was
  * counted without sizes: out with it before they are known, in again after. */
 static void recount(rr_core *core, rr_job *job, int sign) {
     for (guint index = 0; job->records && index < job->records->len; index++) {
@@ -263,7 +263,7 @@
     }
 }
 
-/* Jobs that something else of the mirror points to. */
+/* Jobs that something else of the store cache points to. */
 static GHashTable *pinned_jobs(const rr_core *core) {
     GHashTable *pinned = g_hash_table_new(NULL, NULL);
     GHashTableIter iter;
--- a/src/core/state/ledger.h
+++ b/src/core/state/ledger.h
@@ -25,7 +25,7 @@
     uint64_t attempt, worker_epoch;
     int preempt; /* enum rr_preempt_mode: to be stopped for work of higher rank, or moved away */
     /* volatile */
-    double seen_at;       /* when the mirror first showed it */
+    double seen_at;       /* when the store cache first showed it */
     double start_at;      /* last start sent, 0: none */
     double stop_at;       /* last stop sent, 0: none */
     double stop_grace_s;  /* the time it left */
@@ -42,8 +42,8 @@
 } rr_placement_record;
 
 /* One record of the ledger: the placements of a chunk of a job's tasks, and which are done. One
- * change books or ends many tasks of a job, which a ledger by machine can't. Where the state
- * service's limits to come leave a record less room than its chunk has tasks, overflow records
+ * change reserves or ends many tasks of a job, which a ledger by machine can't. Where the key-value
+ * store's limits to come leave a record less room than its chunk has tasks, overflow records
  * beyond the job's chunks hold placements of any of its tasks, and no completions: those stay in
  * the chunk's own record, where every version reads them. */
 typedef struct {
@@ -51,7 +51,7 @@
     uint64_t version;             /* 0: not in the store */
     uint64_t deleted_at_revision; /* revision of its end: what is not newer says nothing */
     GArray *placements;           /* rr_placement_record */
-    bool seen_in_reload;          /* seen in the reread that is under way */
+    bool seen_in_reload;          /* seen in the reload that is under way */
     void *edit;                   /* scratch of one plan */
     guint first_terminated; /* likewise: 1 + the index of the first placement known to be over, 0:
                                none */
@@ -66,7 +66,7 @@
 void rr_ledger_record_encode(const rr_core *core, rr_encoder *encoder, const rr_job *job,
                              uint32_t chunk, const GArray *items, const GArray *done, int zone);
 size_t rr_ledger_record_bytes(guint items);
-/* The record that the i-th key of garbage names, and its job; NULL: not in the mirror. */
+/* The record that the i-th key of garbage names, and its job; NULL: not in the store cache. */
 rr_ledger_record *rr_garbage_record(const rr_core *core, guint i, rr_job **job);
 
 #endif
--- a/src/core/state/machine_pages.c
+++ b/src/core/state/machine_pages.c
@@ -1,5 +1,5 @@
-/* Machine types and the fleet as the mirror has them: the catalogue's records, and pages of
- * machines, which the provisioner writes. A machine belongs to the core; it goes with its record,
+/* Machine types and the fleet as the store cache has them: the catalogue's records, and pages of
+ * machines, which the autoscaler writes. A machine belongs to the core; it goes with its record,
  * or stays as a name while the ledger has anything on it. */
 #include "core/state/machine_pages.h"
 #include "core/core_internal.h"
--- a/src/core/state/machine_pages.h
+++ b/src/core/state/machine_pages.h
@@ -4,7 +4,7 @@
 
 #include "core/state/machines.h"
 
-/* A record of machines, written by the provisioner. */
+/* A record of machines, written by the autoscaler. */
 typedef struct {
     uint32_t id;
     uint64_t version;
--- a/src/core/state/machines.h
+++ b/src/core/state/machines.h
@@ -17,7 +17,7 @@
     bool dirty;        /* on the core's list of machines to reconcile */
     double created_at; /* wall */
     uint32_t page;
-    double scaling_in_at; /* when the mirror first showed ret */
+    double scaling_in_at; /* when the store cache first showed ret */
     GArray *placements;   /* rr_placement */
     rr_resources used;
     /* observed */
@@ -48,16 +48,16 @@
     double next_command_at;
     double reap_at;      /* an exited task has waited since then to be reaped, 0: none */
     void *plan_commands; /* scratch of one plan: rr_command_batch */
-    /* provisioner */
+    /* autoscaler */
     bool listed, list_failed, to_record, rented, to_release, declared_dead, releasing;
     bool surplus;
     int probe_fails;
     double listed_at, idle_since, probed_at;
     /* scratch of one plan or simulation */
     rr_resources free;
-    int reserved_image; /* image of the last task booked here in this plan, -1 */
+    int reserved_image; /* image of the last task reserved here in this plan, -1 */
     bool emptied;
-    GArray *reserved_jobs; /* rr_job*: booked here in this plan; NULL: none */
+    GArray *reserved_jobs; /* rr_job*: reserved here in this plan; NULL: none */
     guint leaving, arriving;
 };
 
@@ -78,7 +78,7 @@
                                 uint32_t task);
 const rr_task_status *rr_task_status_find(const rr_machine *machine, const rr_placement *placement);
 bool rr_machine_has_image(const rr_machine *machine, int image);
-/* Counts what the plan under construction has booked, too. */
+/* Counts what the plan under construction has reserved, too. */
 bool rr_machine_has_task(const rr_machine *machine, const rr_job *job);
 
 #endif
--- a/src/core/state/name_index.h
+++ b/src/core/state/name_index.h
@@ -1,4 +1,4 @@
-/* Names to dense indices, once at the door; the core works with indices. */
+/* Names to dense indices, once at the HTTP server; the core works with indices. */
 #ifndef RR_CORE_STATE_NAME_INDEX_H
 #define RR_CORE_STATE_NAME_INDEX_H
 
--- a/src/core/state/transaction.h
+++ b/src/core/state/transaction.h
@@ -1,4 +1,4 @@
-/* A transaction on the state service, as the core asks for it: guards and changes, values already
+/* A transaction on the key-value store, as the core asks for it: guards and changes, values already
  * packed. */
 #ifndef RR_CORE_STATE_TRANSACTION_H
 #define RR_CORE_STATE_TRANSACTION_H
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -1,4 +1,4 @@
-/* The store cache: records of the state service as they come by reread, watch or own commit. */
+/* The store cache: records of the key-value store as they come by reload, watch or own commit. */
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/core_internal.h"
 #include "core/membership/membership.h"
@@ -75,7 +75,7 @@
     rental->count = (int)node;
 }
 
-/* ---- the mirror's door ---- */
+/* ---- the store cache's door ---- */
 
 static const char *after(const char *key, const char *prefix) {
     size_t node = strlen(prefix);
@@ -164,7 +164,7 @@
     return !page->seen_in_reload && page->version <= *(uint64_t *)first;
 }
 
-/* A record written after the reread began may not be on its pages: only an older one is gone. */
+/* A record written after the reload began may not be on its pages: only an older one is gone. */
 static void drop_stale_records(rr_core *core, uint64_t first, double now) {
     for (guint i = 0; i < core->stored.orphan_record_keys->len; i++) {
         rr_ledger_record *record = rr_garbage_record(core, i, NULL);
--- a/src/core/submissions.h
+++ b/src/core/submissions.h
@@ -22,7 +22,7 @@
 } rr_job_view;
 void rr_core_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out);
 void rr_core_job_key(const char *job_id, char *out, size_t size);
-/* Several jobs accepted with one change: n encoded jobs follow. tether and n make the key unique.
+/* Several jobs accepted with one change: n encoded jobs follow. lease and n make the key unique.
  */
 void rr_core_batch_begin(rr_encoder *encoder, size_t count);
 void rr_core_batch_key(uint64_t lease_id, uint64_t number, char *out, size_t size);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -14,7 +14,7 @@
 
 struct rr_http_response {
     int status;
-    rr_encoder body;   /* initialised by the door; empty: no body */
+    rr_encoder body;   /* initialised by the HTTP server; empty: no body */
     int retry_after_s; /* 0: none */
     const char *allow; /* with 405 */
     bool yields;       /* the connection makes room for others when there are many */
--- a/src/peer/cancellations.h
+++ b/src/peer/cancellations.h
@@ -11,7 +11,7 @@
 
 rr_cancellations *rr_cancellations_create(void);
 void rr_cancellations_destroy(rr_cancellations *list);
-/* To be told until this time. Of too many the oldest go: the state service tells them, too. */
+/* To be told until this time. Of too many the oldest go: the key-value store tells them, too. */
 void rr_cancellations_add(rr_cancellations *list, const char *job_id, double until);
 /* Some have not been told over this connection. Those that are too old go. */
 bool rr_cancellations_pending(rr_cancellations *list, unsigned connection, double now);
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -16,7 +16,7 @@
     RR_FRAME_HEARTBEAT = 2, /* hops so far, a worker's report as it came */
     RR_FRAME_RELAY = 3,     /* carry a call to a worker: address, body (empty: GET /status) */
     RR_FRAME_ANSWER = 4,    /* its outcome: sent, status, body; to a resignation: 0 if yes */
-    RR_FRAME_RESIGN = 5,    /* 0: can you reach the state service? 1: end this lease; the lease */
+    RR_FRAME_RESIGN = 5,    /* 0: can you reach the key-value store? 1: end this lease; the lease */
     RR_FRAME_HEARTBEAT_DIGESTS = 6, /* hops so far; the nodes that the sender hears; machines heard:
                            name, worker_epoch, sequence, hash of the report */
     RR_FRAME_SUSPECT = 7,           /* names of machines that answer no command */
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -25,7 +25,7 @@
     void (*suspect)(void *user, const char *machine);
     /* A peer has confirmed this job's cancellation. */
     void (*cancelled)(void *user, const char *job_id);
-    /* A peer that has lost the state service asks whether we have it (end false), or to end its
+    /* A peer that has lost the key-value store asks whether we have it (end false), or to end its
      * lease for it. True: yes, or done. */
     bool (*resign)(void *user, uint64_t lease_id, bool end);
     /* A peer's view of the demand for admission; data is borrowed. */
@@ -57,7 +57,7 @@
 /* Tells all peers this view of the demand; one that has not gone out yet is replaced. */
 void rr_peers_send_demand(rr_peers *peers, const void *view, size_t length);
 
-/* Asks peer i whether it reaches the state service, or to end our lease there. */
+/* Asks peer i whether it reaches the key-value store, or to end our lease there. */
 bool rr_peers_ask_resign(rr_peers *peers, int peer, uint64_t lease_id, bool end);
 
 typedef struct {
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -1,6 +1,6 @@
 /* This controller's part of what the store allows: a token bucket of requests, and one of changes
  * for each kind of writer, under one lock. Changes are the scarcest: with one bucket for all,
- * users' small commits took every token before the provisioner's large ones found enough, and
+ * users' small commits took every token before the autoscaler's large ones found enough, and
  * nothing was placed. What a kind leaves unused goes to a common pool. A lower priority leaves a
  * reserve of requests to the higher ones, so that renewals never wait behind plans. */
 #include "common/clock.h"
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,4 +1,4 @@
-/* The state service: budgets, transactions, leases, reads. A client object belongs to one thread;
+/* The key-value store: budgets, transactions, leases, reads. A client object belongs to one thread;
  * the budget is shared by all threads of the process and locks itself. */
 #ifndef RR_STORE_STORE_H
 #define RR_STORE_STORE_H
@@ -55,7 +55,7 @@
                                       uint64_t *revision, GPtrArray *failed);
 
 int rr_store_revision(rr_store *store, uint64_t *revision, double timeout_s);
-/* 0 with the value in *doc and its mark and tether; -ENOENT; -EAGAIN: no answer. */
+/* 0 with the value in *doc and its version and lease; -ENOENT; -EAGAIN: no answer. */
 int rr_store_get(rr_store *store, const char *key, rr_document *document, uint64_t *version,
                  uint64_t *lease_id);
 /* A prefix in full, page by page. */
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -29,7 +29,7 @@
     double ends_at;
 };
 
-/* A record of the state service, and when it reaches the caches. */
+/* A record of the key-value store, and when it reaches the caches. */
 struct record {
     char rest[16];
     GByteArray *value;
@@ -77,7 +77,7 @@
     }
 }
 
-/* ---- the state service ---- */
+/* ---- the key-value store ---- */
 
 static void deliver(struct model *model, int controller, const struct record *record) {
     rr_document document;
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -64,7 +64,7 @@
 void model_init(struct model *model, const char *const *teams);
 void model_clear(struct model *model);
 void model_run(struct model *model);
-/* A controller that has just started: it knows only what the state service has. */
+/* A controller that has just started: it knows only what the key-value store has. */
 void model_restart(struct model *model, int controller);
 /* Mean wait over the fair cluster's, of a stream or of all of a team's jobs; both no less than an
  * interval, which is the least that admission can tell apart. */
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -1,4 +1,4 @@
-/* Two cells in one process for the tests of transfers: a core and a scripted state service each,
+/* Two cells in one process for the tests of transfers: a core and a scripted key-value store each,
  * the package's transfers over them, and a link that can be cut or lose replies. Time is a number
  * that the test advances. */
 #ifndef RR_TESTS_CELL_PAIR_H
@@ -44,7 +44,7 @@
 void cell_pair_play(cell_pair *pair, double seconds);
 /* The home's controllers are gone: their session is, and nothing passes. */
 void cell_pair_home_dies(cell_pair *pair);
-/* The guest reads the home's state service, looks at its jobs, and makes the changes at both, or,
+/* The guest reads the home's key-value store, looks at its jobs, and makes the changes at both, or,
  * with hold_back, leaves those at the home to the caller. */
 void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *hold_back);
 void cell_pair_commit_there(cell_pair *pair, GPtrArray *writes, unsigned *made);
--- a/tests/core_fixture.c
+++ b/tests/core_fixture.c
@@ -83,7 +83,7 @@
     return count;
 }
 
-/* As the state service counts it. */
+/* As the key-value store counts it. */
 static size_t json_size(const void *data, size_t length) {
     static char text[256 * 1024];
     rr_document document;
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -1,5 +1,5 @@
-/* Stand-ins for the core's tests: a scripted state service whose changes reach any number of cores,
- * and short ways to make jobs, machines and reports. Time is a number that the test sets. */
+/* Stand-ins for the core's tests: a scripted key-value store whose changes reach any number of
+ * cores, and short ways to make jobs, machines and reports. Time is a number that the test sets. */
 #ifndef RR_TESTS_CORE_FIXTURE_H
 #define RR_TESTS_CORE_FIXTURE_H
 
@@ -27,7 +27,7 @@
 void fake_store_destroy(fake_store *store);
 /* 0, -EAGAIN if a guard fails, -EINVAL beyond a limit (nothing is changed then). */
 int fake_store_commit(fake_store *store, const rr_transaction *transaction);
-/* Brings the core's mirror up to now. */
+/* Brings the core's store cache up to now. */
 void fake_store_sync(fake_store *store, rr_core *core, double now);
 /* A full read in key order, as a controller makes that has just started. */
 void fake_store_reload(fake_store *store, rr_core *core, double now);
@@ -46,7 +46,7 @@
 void fake_store_put(fake_store *store, const char *key,
                     rr_encoder *encoder); /* writes, whatever is there */
 unsigned fake_store_placed_count(const fake_store *store,
-                                 const char *job_id); /* bookings of a job in the ledger */
+                                 const char *job_id); /* reservations of a job in the ledger */
 
 typedef struct {
     struct rr_config config;
@@ -113,7 +113,7 @@
 };
 #define SHOWN_TASKS_MAX 16
 void test_controller_show_machines(test_controller *node, const struct shown_machines *show);
-/* One step of the provisioner: records are committed, a list is answered with `machines`
+/* One step of the autoscaler: records are committed, a list is answered with `machines`
  * (rr_listed_machine); what else it asks for is the caller's. rr_autoscaler_step_clear() after. */
 void test_controller_autoscaler_step(test_controller *node, const GArray *machines,
                                      rr_autoscaler_step *out);
@@ -124,7 +124,7 @@
 void test_controller_add_machines(test_controller *node, int first, int many, const char *zone);
 /* Plans, commits and syncs once; the commands are in *p until rr_plan_clear(). 1: committed. */
 int test_controller_plan(test_controller *node, rr_plan *plan);
-/* The attempt booked for ref/task on machine id, 0: none. */
+/* The attempt reserved for ref/task on machine id, 0: none. */
 uint64_t fake_store_attempt(const fake_store *store, const char *id, const char *job_id,
                             uint32_t task);
 /* The first order of this verb for the task in the plan, or NULL. */
--- a/tests/fake_services.c
+++ b/tests/fake_services.c
@@ -89,7 +89,7 @@
     return strcmp(left, right);
 }
 
-/* ---- state service ---- */
+/* ---- key-value store ---- */
 
 static void set_key(fake_services *cluster, const char *key, const msgpack_object *value,
                     uint64_t lease_id) {
--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -1,4 +1,4 @@
-/* A stand-in world on loopback for the shell's tests: state service, cloud and one worker behind
+/* A stand-in world on loopback for the shell's tests: key-value store, cloud and one worker behind
  * one HTTP server, with switches for the failures that the tests script. */
 #ifndef RR_TESTS_FAKE_SERVICES_H
 #define RR_TESTS_FAKE_SERVICES_H
@@ -19,7 +19,7 @@
 /* Another way in to everything; returns its port. Doors are counted from 1, the first being the one
  * that world_config() names. */
 uint16_t fake_services_add_endpoint(fake_services *cluster);
-/* The state service refuses who comes through this door, or shows it nothing new. */
+/* The key-value store refuses who comes through this door, or shows it nothing new. */
 void fake_services_refuse(fake_services *cluster, unsigned door, bool refused);
 void fake_services_freeze_endpoint(fake_services *cluster, unsigned door, bool frozen);
 /* While down, every request to the store gets 503. */
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -45,7 +45,8 @@
     g_byte_array_free(buffer, TRUE);
 }
 
-/* Jobs of each kind and state, two machines, bookings, a completion, an intent, a session, a term.
+/* Jobs of each kind and state, two machines, reservations, a completion, an intent, a session, a
+ * term.
  */
 static GString *scene_play(void) {
     core_fixture *fixture;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -128,7 +128,7 @@
     rr_admission_table_clear(&slot.table);
 }
 
-/* Records as the state service takes them: never above its limit on values, in any part. */
+/* Records as the key-value store takes them: never above its limit on values, in any part. */
 static void records_keep_to_the_limit(void **state) {
     (void)state;
     rr_admission_table table;
@@ -665,7 +665,7 @@
     writing_clear(&writing);
 }
 
-/* A controller that was not the provisioner for an hour does not take that hour for what its teams'
+/* A controller that was not the autoscaler for an hour does not take that hour for what its teams'
  * tasks have used since its last table: estimates that are right stay so. */
 static void a_provisioner_after_a_pause(void **state) {
     (void)state;
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -262,7 +262,7 @@
     model_clear(&without);
 }
 
-/* Without overload nobody is refused, and the state service sees no change. */
+/* Without overload nobody is refused, and the key-value store sees no change. */
 static void without_overload_nothing_changes(void **state) {
     (void)state;
     struct model model;
@@ -279,7 +279,7 @@
 }
 
 /* A rolling restart with a second file: gold weighs three times as much from the first controller
- * that has it and is the provisioner. */
+ * that has it and is the autoscaler. */
 static void new_weights(struct model *model, double now) {
     if (now == 600) {
         model->settings[1].teams[3].weight = 3;
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -1,5 +1,5 @@
 /* Three real controllers, started from the program's own file with an admission file each, against
- * the stand-in state service, cloud and worker on loopback, under skewed submissions; one of them
+ * the stand-in key-value store, cloud and worker on loopback, under skewed submissions; one of them
  * is killed on the way and comes back. All times are a tenth of what they are in earnest: intervals
  * of a second, tasks of two, users who ask for six.
  *
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -1,11 +1,11 @@
-/* The parts of the state service's limits; times only pass here as the calls themselves take. */
+/* The parts of the key-value store's limits; times only pass here as the calls themselves take. */
 #include "core_fixture.h"
 #include "core/leadership.h"
 
 #include "store/store.h"
 
 /* Users' changes come in bursts that reach one controller, and users wait for them: a second's
- * worth goes at once and is owed. Plans and the provisioner wait for theirs. */
+ * worth goes at once and is owed. Plans and the autoscaler wait for theirs. */
 static void users_may_owe_a_second(void **state) {
     (void)state;
     rr_budget *budget = rr_budget_create(1e6, 10);
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -1,5 +1,5 @@
-/* Transfers between two cells, with the package's own code, a fake clock and scripted state
- * services: what each side may place and when, whatever is lost, cut or begun anew. */
+/* Transfers between two cells, with the package's own code, a fake clock and scripted key-value
+ * stores: what each side may place and when, whatever is lost, cut or begun anew. */
 #include "cell_pair.h"
 #include "core/extensions.h"
 #include "core/state/transaction.h"
@@ -188,7 +188,7 @@
     assert_true(pair->home.node.now - began >= 90);
 }
 
-/* The guest's state service takes no changes: the owner stops the tasks of a lapsed copy all the
+/* The guest's key-value store takes no changes: the owner stops the tasks of a lapsed copy all the
  * same. */
 static void lapsed_copy_is_stopped_without_a_record(void **state) {
     cell_pair *pair = *state;
@@ -447,7 +447,7 @@
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
 
-/* A cancellation that this controller's mirror has not seen yet: the offer is not made. */
+/* A cancellation that this controller's store cache has not seen yet: the offer is not made. */
 static void cancelled_before_the_offer(void **state) {
     cell_pair *pair = *state;
     rr_encoder out;
@@ -748,7 +748,7 @@
     rr_absent_destroy(dead.absent);
 }
 
-/* The state service can't be read either: the guest's copy ends, as with any cut. */
+/* The key-value store can't be read either: the guest's copy ends, as with any cut. */
 static void home_and_its_state_are_gone(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -1,5 +1,5 @@
-/* Four cells of two real controllers each on loopback, each cell with a state service, a cloud and
- * a machine of its own; two of them get more work than they can do. One is killed on the way. A
+/* Four cells of two real controllers each on loopback, each cell with a key-value store, a cloud
+ * and a machine of its own; two of them get more work than they can do. One is killed on the way. A
  * checker goes over what users were told and what every worker ran.
  *
  * Times are small: leases of 2 s, cancel_s of 8. Arguments: the program; seconds of submissions
@@ -545,7 +545,7 @@
 }
 
 /* A home's controllers die for good, or, with even seeds, come back while others claim its jobs:
- * its state service is there, and every job gets one answer, told by any cell. */
+ * its key-value store is there, and every job gets one answer, told by any cell. */
 static void claimed_from_a_dead_home(void **state) {
     (void)state;
     if (!cells_on) {
--- a/tests/test_core_autoscaler.c
+++ b/tests/test_core_autoscaler.c
@@ -63,7 +63,7 @@
     return plan_reaching(node, NULL);
 }
 
-/* The intent is written before the cloud is called, and a new provisioner repeats it under the same
+/* The intent is written before the cloud is called, and a new autoscaler repeats it under the same
  * name: the cloud then answers as before and rents nothing. */
 static void a_rental_is_repeated_under_its_name(void **state) {
     core_fixture *fixture = *state;
@@ -245,7 +245,7 @@
     g_array_free(machines, TRUE);
 }
 
-/* A provisioner that restarted while a zone was cut has never heard most of it. It gave up fourteen
+/* A autoscaler that restarted while a zone was cut has never heard most of it. It gave up fourteen
  * healthy machines one after the other, since it compared each with the few it had heard. */
 static void a_restart_into_a_cut(void **state) {
     core_fixture *fixture = *state;
@@ -318,7 +318,7 @@
     list_machine(one, "vm-1", "a", RR_LISTED_RUNNING, 3);
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     fake_store_sync(fixture->store, node->core, node->now);
-    /* The first step makes it provisioner. */
+    /* The first step makes it autoscaler. */
     rr_autoscaler_step_init(&step);
     rr_core_autoscaler_step(node->core, node->now, node->now, &step);
     rr_autoscaler_step_clear(&step);
@@ -457,12 +457,12 @@
     return asked;
 }
 
-/* A provisioner that stood still finds every machine long silent on waking: none is given up
+/* A autoscaler that stood still finds every machine long silent on waking: none is given up
  * because it did not listen. */
 static void a_standstill_gives_nobody_up(void **state) {
     core_fixture *fixture = *state;
     assert_int_equal(released_after_standing(fixture, 9),
-                     0); /* shorter than a lease: provisioner still */
+                     0); /* shorter than a lease: autoscaler still */
     assert_int_equal(released_after_standing(fixture, 55), 0);
 }
 
@@ -553,7 +553,7 @@
     assert_int_equal(released_of_hung_zone(*state, false), 0);
 }
 
-/* The catalogue is written until the mirror shows it, whatever becomes of one transaction. */
+/* The catalogue is written until the store cache shows it, whatever becomes of one transaction. */
 static void catalogue_survives_a_lost_transaction(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -131,8 +131,8 @@
 
 /* Four machines with one replica each. By hand: vm-1 has 12 of 16 CPUs taken (room 1/4), vm-2 4
  * (room 3/4), both rented; everything fits on one machine, so the round empties the other one by
- * moving its replica: destination booked first, then the old copy stopped, the new one started only
- * once the old is gone. */
+ * moving its replica: destination reserved first, then the old copy stopped, the new one started
+ * only once the old is gone. */
 static void a_round_empties_a_priced_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -294,7 +294,7 @@
     rr_plan_clear(&plan);
 }
 
-/* One victim makes room for one: counted twice, its room was booked for two replicas, and the
+/* One victim makes room for one: counted twice, its room was reserved for two replicas, and the
  * worker refused the second. */
 static void a_victim_makes_room_once(void **state) {
     core_fixture *fixture = *state;
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -1,5 +1,5 @@
 /* Troubles beyond silence: machines that hear nothing, late copies of reports, controllers left
- * alone or back at once, and the order in which records reach a mirror. */
+ * alone or back at once, and the order in which records reach a store cache. */
 #include "core_fixture.h"
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
@@ -49,7 +49,7 @@
     rr_plan_clear(&plan);
 }
 
-/* One step of the provisioner, carried out as far as the store goes. True: it asks for a release of
+/* One step of the autoscaler, carried out as far as the store goes. True: it asks for a release of
  * id.
  */
 static bool step(core_fixture *fixture, const char *id) {
@@ -76,9 +76,9 @@
     return asked;
 }
 
-/* Its reports arrive, but commands do not: it looked fresh, took bookings and lost its lease. Two
- * commands without an answer and it takes no new work; soon after it is asked back, and its task
- * starts elsewhere on that proof. */
+/* Its reports arrive, but commands do not: it looked fresh, took reservations and lost its lease.
+ * Two commands without an answer and it takes no new work; soon after it is asked back, and its
+ * task starts elsewhere on that proof. */
 static void one_way_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -240,7 +240,8 @@
 }
 
 /* A machine back under its name with its counts begun anew: its reports look old and are dropped,
- * so that it stayed silent and alive for ever. It is asked back; until then its task stays booked.
+ * so that it stayed silent and alive for ever. It is asked back; until then its task stays
+ * reserved.
  */
 static void a_machine_back_at_once(void **state) {
     core_fixture *fixture = *state;
@@ -273,9 +274,9 @@
     assert_true(released);
 }
 
-/* A controller has lost the state service and the others, but not its workers: by its own clock it
- * stops answering them. To the others they are silent; they ask, with the present token, and hold
- * nobody for dead who answers. */
+/* A controller has lost the key-value store and the others, but not its workers: by its own clock
+ * it stops answering them. To the others they are silent; they ask, with the present token, and
+ * hold nobody for dead who answers. */
 static void a_controller_alone_with_its_workers(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n, alone;
@@ -288,7 +289,7 @@
     fake_store_sync(fixture->store, alone.core, alone.now);
     hear(node, "vm-1", 1);
     hear(node, "vm-2", 1);
-    /* Cut off from here on: no renewal, no change of the mirror. */
+    /* Cut off from here on: no renewal, no change of the store cache. */
     rr_core_set_session(alone.core, 9, alone.now + 10);
     rr_heartbeat heartbeat = {.worker_epoch = 1,
                               .sequence = 2,
@@ -303,12 +304,12 @@
     assert_false(rr_core_ready(alone.core, alone.now + answers - 0.1));
     rr_core_reply_to_heartbeat(alone.core, alone.now + answers + 0.1, &heartbeat, &ans);
     assert_int_not_equal(ans.status, 200);
-    /* A renewal, held up or late, says nothing of cancellations: only the mirror does. */
+    /* A renewal, held up or late, says nothing of cancellations: only the store cache does. */
     rr_core_set_session(alone.core, 9, alone.now + 1e6);
     rr_core_reply_to_heartbeat(alone.core, alone.now + answers + 0.1, &heartbeat, &ans);
     assert_int_not_equal(ans.status, 200);
     /* The worker answered last ends by its lease, in time for a cancellation made just after the
-     * last moment that this mirror knows. */
+     * last moment that this store cache knows. */
     assert_true(answers + 1.001 * alone.config.lease_s < alone.config.cancel_s - 0.9);
     assert_true(answers > 0.9 * (alone.config.cancel_s - alone.config.lease_s));
     rr_heartbeat_clear(&heartbeat);
@@ -381,7 +382,7 @@
         assert_true(rr_core_lease_valid(again.core, again.now));
         fake_store_sync(fixture->store, peer.core, peer.now);
         assert_true(rr_core_lease_valid(peer.core, peer.now));
-        /* The old one's lease may live on: its mirror tells it that it is deposed. */
+        /* The old one's lease may live on: its store cache tells it that it is deposed. */
         fake_store_sync(fixture->store, node->core, node->now);
         assert_false(rr_core_lease_valid(node->core, node->now));
         rr_transaction_clear(&old);
@@ -410,7 +411,7 @@
 }
 
 /* Jobs accepted in one record: each is known, runs, and is cancelled by a record of its own, which
- * stands whatever order a reread brings them in. */
+ * stands whatever order a reload brings them in. */
 static void jobs_accepted_together(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n, again;
@@ -422,7 +423,8 @@
     plan_with_deaf(node, NULL);
     assert_non_null(place_of(fixture, "req-1"));
     assert_non_null(place_of(fixture, "req-2"));
-    /* A booking planned before the cancellation is void after it, as with a job of its own record.
+    /* A reservation planned before the cancellation is void after it, as with a job of its own
+     * record.
      */
     struct test_job more[] = {{.job_id = "req-3"}, {.job_id = "req-4"}};
     put_batch(fixture, RR_KEY_ROOT "batch/7-2", more, 2);
@@ -445,8 +447,8 @@
     test_controller_clear(&again);
 }
 
-/* Our own changes are in the mirror before the watch brings older ones: an older record must not
- * bring back a placement that is over, or its task would be started again. */
+/* Our own changes are in the store cache before the watch brings older ones: an older record must
+ * not bring back a placement that is over, or its task would be started again. */
 static void an_older_record_revives_nothing(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -480,8 +482,8 @@
     rr_transaction_clear(&booking);
 }
 
-/* Pages of a reread are of different moments: a booking may be read whose machine's record was not
- * yet there. Nothing is decided before the watch has joined them. */
+/* Pages of a reload are of different moments: a reservation may be read whose machine's record was
+ * not yet there. Nothing is decided before the watch has joined them. */
 static void an_unsettled_mirror_decides_nothing(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -496,7 +498,7 @@
     rr_plan_clear(&plan);
 }
 
-/* The machine of a booking went while its owner was down: the new one has never heard of it. */
+/* The machine of a reservation went while its owner was down: the new one has never heard of it. */
 static void a_booking_on_a_machine_long_gone(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n, again;
--- a/tests/test_core_fault_combinations.c
+++ b/tests/test_core_fault_combinations.c
@@ -57,7 +57,7 @@
     return g_strdup_printf("%s 0 %" G_GUINT64_FORMAT " %s", job_id, attempt, state);
 }
 
-/* Books the job and starts it: where and under which attempt. */
+/* Reserves the job and starts it: where and under which attempt. */
 static const char *run_job(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
     test_controller *node = &fixture->n;
     hear(node, "vm-1", 1, NULL);
@@ -69,8 +69,8 @@
     return place_of(fixture->store, job->job_id, attempt);
 }
 
-/* A report of one running task, as the door hands it to rr_core_reply_to_heartbeat(): how it is
- * answered, and how many stops the answer carries. */
+/* A report of one running task, as the HTTP server hands it to rr_core_reply_to_heartbeat(): how it
+ * is answered, and how many stops the answer carries. */
 static int answer_at(const test_controller *node, double when, const char *job_id, uint64_t attempt,
                      unsigned *stops) {
     rr_heartbeat heartbeat = {.worker_epoch = 1,
@@ -91,12 +91,13 @@
     return ans.status;
 }
 
-/* The gap: the state service refuses the leader alone, another controller confirms a cancellation,
- * then it is out for everybody, for longer than cancel_s, while the worker goes on reporting to the
- * leader. Facts not to be combined: a cancellation confirmed at T, and a lease that an answer given
- * without knowing of it renews beyond T + cancel_s. The guard is a comparison of times, tried one
- * tick on either side, with the cancellation at each step: before the mirror's last moment, at it,
- * and after. Nothing but the mirror moves that moment: no renewal, and no commit of its own. */
+/* The gap: the key-value store refuses the leader alone, another controller confirms a
+ * cancellation, then it is out for everybody, for longer than cancel_s, while the worker goes on
+ * reporting to the leader. Facts not to be combined: a cancellation confirmed at T, and a lease
+ * that an answer given without knowing of it renews beyond T + cancel_s. The guard is a comparison
+ * of times, tried one tick on either side, with the cancellation at each step: before the store
+ * cache's last moment, at it, and after. Nothing but the store cache moves that moment: no renewal,
+ * and no commit of its own. */
 static void the_gap(void **state) {
     core_fixture *fixture = *state;
     test_controller *leader = &fixture->n, other;
@@ -134,12 +135,13 @@
      * the answer, on a clock that may run slow, and the leader's may, too. */
     double drift = 1.0005, gone = (answers + leader->config.lease_s * drift) * drift;
     assert_true(gone < leader->config.cancel_s);
-    /* Who confirmed it stops it with every answer, entitled to plan or not. */
+    /* Who confirmed it stops it with every answer, holding a valid lease to plan or not. */
     assert_int_equal(answer_at(&other, other.now + answers - tick, job.job_id, attempt, &stops),
                      200);
     assert_int_equal(stops, 1);
-    /* After the outage all sessions live, with mirrors of before: the leader answers nobody and
-     * starts nothing that would outlast it until its mirror is current, and then it stops the task.
+    /* After the outage all sessions live, with store caches of before: the leader answers nobody
+     * and starts nothing that would outlast it until its store cache is current, and then it stops
+     * the task.
      */
     leader->now = last + 90;
     assert_int_not_equal(answer_at(leader, leader->now, job.job_id, attempt, &stops), 200);
@@ -150,9 +152,10 @@
     test_controller_clear(&other);
 }
 
-/* The confirming controller's word comes over a link while the leader's mirror stands still: the
- * leader's answers stop the task at once. The word is no record: the job's state, its bookings and
- * its room are as before, and it lapses; whoever was told nothing stops nothing. */
+/* The confirming controller's word comes over a link while the leader's store cache stands still:
+ * the leader's answers stop the task at once. The word is no record: the job's state, its
+ * reservations and its room are as before, and it lapses; whoever was told nothing stops nothing.
+ */
 static void a_confirmed_cancellation_is_told(void **state) {
     core_fixture *fixture = *state;
     test_controller *leader = &fixture->n;
@@ -184,7 +187,7 @@
     assert_int_equal(stops, 0);
 }
 
-/* A booking without an answer is carried out late, after newer changes of the same controller:
+/* A reservation without an answer is carried out late, after newer changes of the same controller:
  * after its own repeat, after the task's end, after a cancellation, and when its record is gone. It
  * stands in the ledger once at most. */
 static void a_late_booking(void **state) {
@@ -286,7 +289,7 @@
     fake_store_sync(fixture->store, node->core, node->now);
     test_controller_cancel(node, first_job.job_id);
     test_controller_join(node,
-                         8); /* the leader's next life: everything booked before is another's */
+                         8); /* the leader's next life: everything reserved before is another's */
     assert_true(rr_core_fencing_token(node->core) > old);
     for (uint64_t i = 0; i < 12; i++) {
         node->now += 2;
@@ -448,7 +451,7 @@
 }
 
 /* Commands went unanswered; then the machine lost its lease and with it the work of this owner, who
- * is not the provisioner. Nobody's answer but one to us clears the doubt, so we go on asking: the
+ * is not the autoscaler. Nobody's answer but one to us clears the doubt, so we go on asking: the
  * machine stayed out of use at one controller for good. */
 static void a_doubt_without_work_ends(void **state) {
     core_fixture *fixture = *state;
@@ -458,7 +461,7 @@
     fake_store_sync(fixture->store, second.core, second.now);
     test_controller_join(&second, 9);
     test_controller_next_term(node);
-    /* Whichever of the two is not the provisioner, with a team of its own. */
+    /* Whichever of the two is not the autoscaler, with a team of its own. */
     test_controller *owner = rr_core_is_autoscaler(node->core, node->now) ? &second : node;
     for (int team = 0; team < 2; team++) {
         char job_id[16];
@@ -550,7 +553,7 @@
 
 /* A start is in doubt, and its task was ended by start and stop under one token: the exited attempt
  * blocks a late copy of the start. It must do so also after the job has shrunk to a line, which the
- * provisioner clears: in the attempt's own term the provisioner leaves it to the owner, who knows.
+ * autoscaler clears: in the attempt's own term the autoscaler leaves it to the owner, who knows.
  */
 static void a_line_that_blocks_a_late_start(void **state) {
     core_fixture *fixture = *state;
@@ -591,7 +594,7 @@
     test_controller_plan(node, &plan);
     assert_null(plan_find_command(&plan, "vm-1", RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan);
-    /* The next term voids every copy: now the provisioner clears it. */
+    /* The next term voids every copy: now the autoscaler clears it. */
     test_controller_join(node, 8);
     node->now += 5;
     hear(node, "vm-1", sequence++, theirs);
@@ -603,7 +606,7 @@
 }
 
 /* New machines are up within two seconds, writes lag, and the leader that rented them ends: they
- * report before any record names them. Nobody books there until one does; the next provisioner
+ * report before any record names them. Nobody reserves there until one does; the next autoscaler
  * repeats the intent under its name, records each once, and work goes there at once. */
 static void machines_up_before_their_record(void **state) {
     core_fixture *fixture = *state;
@@ -736,7 +739,7 @@
         plan_with(node, RR_COMMAND_ANSWERED);
     }
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/"), 0);
-    /* Accepted, booked, ended with its ledger record gone; a cancelled one no more than that. */
+    /* Accepted, reserved, ended with its ledger record gone; a cancelled one no more than that. */
     assert_true(changes_since(fixture->store, before) <= 4 * (unsigned)jobs);
     for (int i = 0; i < 6; i++) {
         node->now += 61;
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -94,7 +94,7 @@
                          node->now);
 }
 
-/* Submits the gang, books and starts it. */
+/* Submits the gang, reserves and starts it. */
 static void start(core_fixture *fixture, const struct test_job *job) {
     test_controller *node = &fixture->n;
     show_all(node, job->job_id, NULL);
@@ -182,7 +182,7 @@
 }
 
 /* The phase that follows. A notice or a cancellation that no machine shows a task for changes
- * nothing yet: booked tasks are not started then. */
+ * nothing yet: reserved tasks are not started then. */
 static enum rr_gang_phase phase_after(enum event event, enum rr_gang_phase before) {
     static const enum rr_gang_phase after_booked[EVENTS] = {
         RR_GANG_RESERVED, RR_GANG_STOPPING, RR_GANG_ENDING,   RR_GANG_STOPPING,
@@ -514,8 +514,8 @@
 }
 
 /* A full fleet of low work: a gang whose class has an aim on its start has as much of it stopped as
- * it needs, in one zone, and all of the gang is booked with that; one that would need more than the
- * zone has stops nothing. */
+ * it needs, in one zone, and all of the gang is reserved with that; one that would need more than
+ * the zone has stops nothing. */
 static void a_gang_makes_room_whole(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -731,8 +731,8 @@
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 3);
 }
 
-/* A gang of more tasks than one record holds under the limits to come is booked in one transaction
- * all the same, and ends with one. */
+/* A gang of more tasks than one record holds under the limits to come is reserved in one
+ * transaction all the same, and ends with one. */
 static void a_gang_over_several_records(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -181,7 +181,7 @@
 #endif
 }
 
-/* An array is booked with one change, what ends together is recorded with one, and its end with
+/* An array is reserved with one change, what ends together is recorded with one, and its end with
  * two, however many machines it ran on. */
 static void an_array_costs_a_few_changes(void **state) {
     core_fixture *fixture = *state;
@@ -253,7 +253,7 @@
     assert_true(visits(node) - before <= 4 * FLEET);
 }
 
-/* The tasks of a spread job go out in one plan: zone counts are kept while it books. */
+/* The tasks of a spread job go out in one plan: zone counts are kept while it reserves. */
 static void a_spread_job_in_one_plan(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -559,8 +559,9 @@
     rr_heartbeat_clear(&round);
 }
 
-/* A mirror is read page by page; in between it is half a state, in which a machine may be missing
- * that a record speaks of. Nothing is decided by it, least of all that its tasks are over. */
+/* A store cache is read page by page; in between it is half a state, in which a machine may be
+ * missing that a record speaks of. Nothing is decided by it, least of all that its tasks are over.
+ */
 static void nothing_is_decided_in_a_reread(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -592,8 +593,8 @@
 }
 
 /* A fleet of the next size and the tasks to fill half of it: a controller starts from its full
- * mirror and takes every report anew, then half of the fleet loses its leases. Machines looked at
- * follow what was reported, and each record of the ledger that lost tasks costs one change. */
+ * store cache and takes every report anew, then half of the fleet loses its leases. Machines looked
+ * at follow what was reported, and each record of the ledger that lost tasks costs one change. */
 static void a_fleet_anew_and_a_zone_lost(void **state) {
     core_fixture *fixture = *state;
     test_controller again;
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -18,7 +18,7 @@
     return 0;
 }
 
-/* Both machines report empty; the job is booked on one of them, whose id comes back. */
+/* Both machines report empty; the job is reserved on one of them, whose id comes back. */
 static const char *book_one(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
     rr_plan plan;
     test_controller_heartbeat(&fixture->n, "vm-1", "a", false, 1, 1,
@@ -28,7 +28,7 @@
     fake_store_submit(fixture->store, job, fixture->n.now);
     fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
     assert_int_equal(test_controller_plan(&fixture->n, &plan), 1);
-    /* Nothing is started before the booking is recorded. */
+    /* Nothing is started before the reservation is recorded. */
     assert_int_equal(plan.command_batches->len, 0);
     rr_plan_clear(&plan);
     *attempt = fake_store_attempt(fixture->store, "vm-1", job->job_id, 0);
@@ -77,7 +77,7 @@
     rr_core_command_result(node->core, node->now, plan_find_batch(&plan, machine),
                            RR_COMMAND_ANSWERED, true);
     rr_plan_clear(&plan);
-    /* Exited now: the booking may go, the attempt must stay as a block. */
+    /* Exited now: the reservation may go, the attempt must stay as a block. */
     char *ended = shown(job.job_id, attempt, "ended:halted");
     node->now += 1;
     test_controller_heartbeat(node, machine, zone_of(machine), false, 1, 3,
@@ -99,7 +99,7 @@
     g_free(ended);
 }
 
-/* A task's completion is recorded, in one transaction with the end of its booking, before the
+/* A task's completion is recorded, in one transaction with the end of its reservation, before the
  * worker is told to forget it: a crash in between finds it in the report again. */
 static void done_is_recorded_before_reap(void **state) {
     core_fixture *fixture = *state;
@@ -256,14 +256,15 @@
     assert_true(fake_store_attempt(fixture->store, other, job.job_id, 0) == 0);
     fake_store_delete_machine(fixture->store, machine);
     fake_store_sync(fixture->store, node->core, node->now);
-    test_controller_plan(node, &plan); /* the booking goes */
+    test_controller_plan(node, &plan); /* the reservation goes */
     rr_plan_clear(&plan);
     test_controller_plan(node, &plan);
     rr_plan_clear(&plan);
     assert_true(fake_store_attempt(fixture->store, other, job.job_id, 0) > attempt);
 }
 
-/* A worker whose lease ran out forgot its tasks: the booking of the earlier worker_epoch goes. */
+/* A worker whose lease ran out forgot its tasks: the reservation of the earlier worker_epoch goes.
+ */
 static void later_worker_epoch_ends_the_booking(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -300,7 +301,7 @@
     g_free(running);
 }
 
-/* Cancelled with its start in flight: no new start, and the booking stands until the answer. */
+/* Cancelled with its start in flight: no new start, and the reservation stands until the answer. */
 static void cancel_with_start_in_flight(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
@@ -377,7 +378,7 @@
     rr_heartbeat_clear(&heartbeat);
 }
 
-/* The limit holds across a change of owner: what the old owner booked counts, proven gone or not.
+/* The limit holds across a change of owner: what the old owner reserved counts, proven gone or not.
  */
 static void quota_across_an_owner_change(void **state) {
     core_fixture *fixture = *state;
@@ -448,7 +449,7 @@
 }
 
 /* Two owners may book the same room, since each writes its own jobs' records. The worker decides:
- * it refuses one start, and that booking goes. Neither waits for the other to leave. */
+ * it refuses one start, and that reservation goes. Neither waits for the other to leave. */
 static void two_owners_one_room(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n, other;
@@ -541,7 +542,8 @@
     rr_plan_clear(&plan);
 }
 
-/* A job that waited long goes first and in its turn: once each, or its tasks were booked twice. */
+/* A job that waited long goes first and in its turn: once each, or its tasks were reserved twice.
+ */
 static void an_overdue_job_is_placed_once(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -1,4 +1,4 @@
-/* Two versions side by side, and the state service's limits lowered while records of before are
+/* Two versions side by side, and the key-value store's limits lowered while records of before are
  * stored: what each writes the other reads, and what was stored larger is still worked on. */
 #include "scene.h"
 #include "core/cache_feed.h"
@@ -80,7 +80,7 @@
     assert_int_equal(offset, length);
 }
 
-/* A controller that starts on production's records knows its jobs, machines and bookings. */
+/* A controller that starts on production's records knows its jobs, machines and reservations. */
 static void reads_production(void **state) {
     (void)state;
     char *was = fixture(), **lines = g_strsplit(was, "\n", 0);
@@ -269,7 +269,7 @@
     assert_int_equal(places, 1);
 }
 
-/* So many plans, none of which the state service calls invalid. */
+/* So many plans, none of which the key-value store calls invalid. */
 static void plan_on(test_controller *node, int plans) {
     for (int i = 0; i < plans; i++) {
         node->now += 0.5;
@@ -410,7 +410,7 @@
     rr_plan_clear(&plan);
 }
 
-/* A task lost in an overflow record is booked anew where there is room by then, in the record of
+/* A task lost in an overflow record is reserved anew where there is room by then, in the record of
  * its chunk, and the same change takes its old placement out. */
 static void a_task_moves_back_to_its_chunk(void **state) {
     core_fixture *fixture = *state;
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -150,8 +150,8 @@
     wait_standing(service->app, "req-100002", "done");
 }
 
-/* A second controller whose mirror stands still must not tell an older state than the first has
- * told: it says that it can't tell. */
+/* A second controller whose store cache stands still must not tell an older state than the first
+ * has told: it says that it can't tell. */
 static void no_older_answer_elsewhere(void **state) {
     struct service *service = *state;
     char got[32];
@@ -272,8 +272,8 @@
 }
 
 /* Odd requests: a repeat of an unfinished job, also a malformed one; cancelling what is done or
- * what nobody submitted; jobs that fit no machine or lack a field, each of them. While the state
- * service is away 400 is said where nothing depends on it, and the rest is 503. */
+ * what nobody submitted; jobs that fit no machine or lack a field, each of them. While the
+ * key-value store is away 400 is said where nothing depends on it, and the rest is 503. */
 static void odd_requests(void **state) {
     struct service *service = *state;
     static const char *const fields[] = {"lane",    "crew",    "cast",     "shape",  "rank",
@@ -301,7 +301,7 @@
     fake_services_store_down(service->w, false);
 }
 
-/* While the state service is down nothing is promised, and what was final is still told. */
+/* While the key-value store is down nothing is promised, and what was final is still told. */
 static void an_outage(void **state) {
     struct service *service = *state;
     char got[32];
@@ -344,7 +344,7 @@
 
 /* Once all troubles are over, an outage with a restart in it here, every job that was accepted is
  * answered for, open, done or cancelled, well within the time after which it would count as
- * forgotten; also while the restarted controller still reads its mirror. */
+ * forgotten; also while the restarted controller still reads its store cache. */
 static void every_job_is_known_after_the_troubles(void **state) {
     struct service *service = *state;
     char job_id[32], got[32];
@@ -443,7 +443,7 @@
     char byte;
     GHashTableIter iter;
     gpointer id, before;
-    /* The mirror stands still behind the store, so that polls wait. */
+    /* The store cache stands still behind the store, so that polls wait. */
     fake_services_freeze_watches(service->w, true);
     assert_int_equal(submit(service->app, "req-500010", 1, true), 201);
     for (int i = 0; i < WAITERS; i++) {
@@ -468,7 +468,7 @@
         gsize now = GPOINTER_TO_SIZE(g_hash_table_lookup(last, id));
         woken += now >= GPOINTER_TO_SIZE(before) + 8;
     }
-    /* The duties and the stand-in were busy; two in three of the users were not. */
+    /* The threads and the stand-in were busy; two in three of the users were not. */
     assert_true(woken <= WAITERS / 3);
     fake_services_freeze_watches(service->w, false);
     for (int i = 0; i < WAITERS; i++) {
--- a/tests/test_user_batch.c
+++ b/tests/test_user_batch.c
@@ -25,10 +25,10 @@
 }
 
 /* An acceptance was carried out together with others and its answer lost, so that it goes again,
- * still guarded by the mark 0 of the job's own key. Its user, who has read the job elsewhere, calls
- * it off here, guarded by the same mark. In one transaction both held, and the later put won: the
- * job was told to be cancelled and ran on (went_back 178 times, ran_cancelled). In either order the
- * second waits for the next transaction, where its guard tells what has come first. */
+ * still guarded by the version 0 of the job's own key. Its user, who has read the job elsewhere,
+ * calls it off here, guarded by the same mark. In one transaction both held, and the later put won:
+ * the job was told to be cancelled and ran on (went_back 178 times, ran_cancelled). In either order
+ * the second waits for the next transaction, where its guard tells what has come first. */
 static void a_key_is_written_once(void **state) {
     (void)state;
     struct rr_config settings;
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -34,8 +34,8 @@
     assert_int_equal(parse(fine, sizeof fine), 0);
 }
 
-/* A document outlives the buffer it was read from: a mirror read in pages kept the documents of all
- * pages while the client's buffer was used for the next one. */
+/* A document outlives the buffer it was read from: a store cache read in pages kept the documents
+ * of all pages while the client's buffer was used for the next one. */
 static void a_document_keeps_its_text(void **state) {
     (void)state;
     char buffer[] = "\x81\xa1k\xa3"
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -366,7 +366,7 @@
     g_string_free(dump, TRUE);
 }
 
-/* The home's controllers are gone, and the guest reads what its state service has. */
+/* The home's controllers are gone, and the guest reads what its key-value store has. */
 static void cells_home_absent(struct cells_trace *trace) {
     if (!trace->pair->home_dead) {
         cell_pair_home_dies(trace->pair);
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -34,7 +34,7 @@
     return trace_zone_names[controller->index];
 }
 
-/* The state service stands in the first zone. */
+/* The key-value store stands in the first zone. */
 static bool has_store(const struct trace_world *world, const struct trace_controller *controller) {
     return controller->running && !controller->wedged &&
            reaches(world, zone_of(controller), trace_zone_names[0]);
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -44,7 +44,7 @@
     trace_text(hash, text);
 }
 
-/* As it goes to the state service: guards, changes and their bytes. */
+/* As it goes to the key-value store: guards, changes and their bytes. */
 void trace_txn(trace_hash *hash, const rr_transaction *transaction) {
     rr_encoder out;
     rr_encoder_init(&out);
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -1,8 +1,8 @@
-/* The world that the decision trace plays: users, workers, a cloud and a state service on one fake
- * clock, around two or three cores. Everything that happens follows from the seed; everything that
- * a core gives out goes into the hash.
+/* The world that the decision trace plays: users, workers, a cloud and a key-value store on one
+ * fake clock, around two or three cores. Everything that happens follows from the seed; everything
+ * that a core gives out goes into the hash.
  *
- * trace_workers.c: machines and their tasks. trace_cloud.c: the cloud's side of the provisioner.
+ * trace_workers.c: machines and their tasks. trace_cloud.c: the cloud's side of the autoscaler.
  * trace_users.c: submissions, cancellations and questions. trace_controllers.c: sessions, terms,
  * plans and what becomes of transactions and commands. trace_core.c: the scenarios. */
 #ifndef RR_TESTS_TRACE_WORLD_H
@@ -73,7 +73,7 @@
     test_controller node;
     int index;
     bool running;     /* the process */
-    bool wedged;      /* it has lost the state service */
+    bool wedged;      /* it has lost the key-value store */
     bool joined;      /* its session is there */
     double back_at;   /* a stopped process, or a wedged one, is back then */
     uint64_t session; /* its lease */
@@ -167,7 +167,7 @@
 void trace_controller_reread(struct trace_world *world, struct trace_controller *controller);
 /* Renews sessions, ends those that ran out, and makes the next term. */
 void trace_sessions(struct trace_world *world);
-/* All plans and provisioner steps of one moment. */
+/* All plans and autoscaler steps of one moment. */
 void trace_plans(struct trace_world *world);
 void trace_flights(struct trace_world *world);
 /* Commits what a core asked for; the core may learn of it at once or with the next watch. */
