--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -1,5 +1,5 @@
-/* The struct behind rr_core: one part for each folder. Internal to the core. Decisions rest on what
- * is stored, and on observations only where they prove something. */
+/* The struct behind rr_core: one part for each folder. Internal to the core. Decisions rely on what
+ * the store records, and on observations only where these prove something. */
 #ifndef RR_CORE_CORE_INTERNAL_H
 #define RR_CORE_CORE_INTERNAL_H
 
@@ -7,6 +7,7 @@
 #include "core/health/failure_detector.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/planning_state.h"
+#include "core/state/core_log.h"
 #include "core/state/stored_state.h"
 #include "core/extensions.h"
 
@@ -16,19 +17,19 @@
     void *user;
 } rr_record_watch;
 
-/* Set by packages beside the core. */
+/* Set by fair admission and by cells. */
 struct rr_extensions {
     rr_record_watch record_watches[RR_RECORD_WATCHES];
     guint record_watch_count;
     GHashTable *transfer_holds;      /* job id -> rr_hold (transfer_holds.c) */
-    bool fair_share_enabled;         /* the next two hold */
-    double fair_share[RR_TEAMS_MAX]; /* part of all room, by team of the settings */
+    bool fair_share_enabled;         /* the next two are in force */
+    double fair_share[RR_TEAMS_MAX]; /* share of total_resources, by team of the settings */
     rr_resources total_resources;
 };
 
-/* For the log and the tests of growth. */
+/* Counts since the start, for logs and tests. */
 struct rr_counters {
-    unsigned machines_visited; /* machines looked at */
+    unsigned machines_visited; /* examined by plans */
     unsigned moves_made, probes_in_flight, rented, machines_terminated, leases_lost, spot_notices;
 };
 
@@ -45,17 +46,4 @@
     struct rr_counters counters;
 };
 
-/* Formats nothing that is not printed. */
-#define RR_LOG_ERROR 0
-#define RR_LOG_INFO 1
-#define RR_LOG_DEBUG 2
-
-#define rr_log_at(core, level, ...)                                                                \
-    do {                                                                                           \
-        if ((core)->log_fn && (level) <= (core)->log_level) {                                      \
-            rr_log_line_at(core, level, __VA_ARGS__);                                              \
-        }                                                                                          \
-    } while (0)
-void rr_log_line_at(const rr_core *core, int level, const char *fmt, ...) G_GNUC_PRINTF(3, 4);
-
 #endif
--- /dev/null
+++ b/src/core/membership/attempts.c
@@ -0,0 +1,23 @@
+/* Attempt numbers: fencing token of the term, member index, counter. The member index keeps the
+ * numbers of two owners of one term apart, so that a task is never mistaken for another team's. */
+#include "core/core_internal.h"
+#include "core/membership/membership.h"
+
+#define TOKEN_SHIFT 32
+#define MEMBER_SHIFT 24
+#define MEMBER_MASK 0xff
+#define COUNTER_MASK 0xffffff
+
+uint64_t rr_next_attempt(rr_core *core) {
+    return core->membership.term.token << TOKEN_SHIFT |
+           (uint64_t)rr_member_index(core) << MEMBER_SHIFT |
+           (++core->membership.attempt_counter & COUNTER_MASK);
+}
+
+uint64_t rr_attempt_token(uint64_t attempt) {
+    return attempt >> TOKEN_SHIFT;
+}
+
+guint rr_attempt_member(uint64_t attempt) {
+    return (guint)(attempt >> MEMBER_SHIFT & MEMBER_MASK);
+}
--- /dev/null
+++ b/src/core/membership/sessions.h
@@ -0,0 +1,14 @@
+/* Session records in the store cache. */
+#ifndef RR_CORE_MEMBERSHIP_SESSIONS_H
+#define RR_CORE_MEMBERSHIP_SESSIONS_H
+
+#include "core/membership/membership.h"
+#include "wire/wire.h"
+
+/* Take over a controller's session record and its deletion. */
+void rr_session_put(rr_core *core, const char *name, const msgpack_object *value);
+void rr_session_delete(rr_core *core, const char *name);
+/* A full reload of the store cache begins: sessions are those that it brings. */
+void rr_sessions_begin_reload(rr_core *core);
+
+#endif
--- /dev/null
+++ b/src/core/scheduling/write_pressure.c
@@ -0,0 +1,8 @@
+/* How many changes to the store planning may spend. */
+#include "core/core_internal.h"
+#include "core/planning.h"
+
+void rr_core_set_pressure(rr_core *core, double pressure, int changes) {
+    core->planning.write_pressure = pressure;
+    core->planning.changes_allowed = changes;
+}
--- /dev/null
+++ b/src/core/state/cache_progress.c
@@ -0,0 +1,30 @@
+/* How far the store cache has followed the store. */
+#include "core/core_internal.h"
+#include "core/cache_feed.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
+
+bool rr_core_cache_loaded(const rr_core *core) {
+    return core->stored.loaded;
+}
+
+bool rr_core_cache_consistent(const rr_core *core) {
+    return core->stored.loaded && !core->stored.reloading &&
+           core->stored.revision >= core->stored.consistent_revision;
+}
+
+void rr_core_set_revision(rr_core *core, uint64_t revision) {
+    core->stored.revision = MAX(core->stored.revision, revision);
+}
+
+uint64_t rr_core_revision(const rr_core *core) {
+    return core->stored.revision;
+}
+
+void rr_core_set_cache_current(rr_core *core, double when) {
+    core->stored.current_at = when > core->stored.current_at ? when : core->stored.current_at;
+}
+
+double rr_core_cache_age(const rr_core *core, double now) {
+    return now - core->stored.current_at;
+}
--- a/src/core/state/cancel_hints.h
+++ b/src/core/state/cancel_hints.h
@@ -1,5 +1,5 @@
 /* Cancellations that other controllers have confirmed, known before the store's watch shows them.
- */
+ * Added with rr_core_add_cancel_hint(). */
 #ifndef RR_CORE_STATE_CANCEL_HINTS_H
 #define RR_CORE_STATE_CANCEL_HINTS_H
 
--- /dev/null
+++ b/src/core/state/core_log.h
@@ -0,0 +1,20 @@
+/* Log lines of the core's decisions, handed to the function set with rr_core_set_log(). */
+#ifndef RR_CORE_STATE_CORE_LOG_H
+#define RR_CORE_STATE_CORE_LOG_H
+
+#include "core/core.h"
+
+#define RR_LOG_ERROR 0
+#define RR_LOG_INFO 1
+#define RR_LOG_DEBUG 2
+
+/* Logs a formatted line; formats nothing where the level is not wanted. */
+#define rr_log_at(core, level, ...)                                                                \
+    do {                                                                                           \
+        if ((core)->log_fn && (level) <= (core)->log_level) {                                      \
+            rr_log_line_at(core, level, __VA_ARGS__);                                              \
+        }                                                                                          \
+    } while (0)
+void rr_log_line_at(const rr_core *core, int level, const char *fmt, ...) G_GNUC_PRINTF(3, 4);
+
+#endif
--- a/src/core/state/jobs.h
+++ b/src/core/state/jobs.h
@@ -1,56 +1,61 @@
-/* Jobs as the store cache knows them. */
+/* Jobs in the store cache. Each is in one of three states: open (not final, or with placements
+ * left), closed (final and without placements) or shrunk to its outcome (rr_job_final). */
 #ifndef RR_CORE_STATE_JOBS_H
 #define RR_CORE_STATE_JOBS_H
 
-#include "core/state/ledger.h"
-#include "core/state/transaction.h"
+#include "core/state/ledger_record.h"
+#include "core/state/resources.h"
+#include "wire/wire.h"
 
 #define RR_ARRIVAL_WINDOW_S 120.0 /* arrivals count for headroom this long */
 
-/* Jobs accepted together, in one record. */
-typedef struct {
-    uint64_t version;
-    GPtrArray *jobs; /* rr_job* */
-} rr_job_batch;
-
 struct rr_job {
     rr_submission submission;
-    int team, job_class, image;
-    rr_resources request;
-    uint64_t version;     /* of the record that tells of it */
-    uint64_t own_version; /* of its own record, 0 while it is known from a batch only */
-    double accepted_at;   /* wall, when accepted */
+    int team, job_class, image; /* indices of names, -1: not known yet */
+    rr_resources request;       /* of one task */
+    uint64_t version;           /* of the record it is known from, 0: known from its ledger only */
+    uint64_t own_version;       /* of its own record, 0: known from a batch only */
+    double accepted_at;         /* wall */
     bool cancelled, done, open;
-    guint8 *done_bits; /* done tasks, one bit each; NULL once final */
-    guint8 *placed;    /* placements a task has in the ledger */
+    guint8 *done_bits; /* done tasks, one bit each; NULL while closed */
+    guint8 *placed;    /* placements in the ledger by task; NULL while closed */
     uint32_t done_count, placed_count, next_task_hint;
-    uint32_t tasks_per_record; /* tasks in a record of its ledger */
-    GPtrArray
-        *records; /* rr_ledger_record* by chunk, NULL where there is none; NULL: none at all */
-    uint32_t terminated_count,
-        completing_count;       /* scratch of one plan: tasks known to be over, to be recorded */
-    double failed_at;           /* steady; no room was found for it then */
-    bool guarded, ending;       /* scratch of one plan */
-    bool idle;                  /* final and out of use since the last look */
-    uint32_t replaceable_count; /* likewise: tasks that one change would bring back, 0: no matter */
-    double team_fill;           /* likewise, under overload: how full its team's fair room is, */
-    double class_fill;          /* and what its class fills of all room */
-    uint32_t lost_count;     /* scratch of one simulation: placements on machines that are gone */
-    int zone;                /* of completed tasks of a one-zone job, -1 */
-    GArray *failed_machines; /* rr_machine ids (int) where a task failed */
-    double backoff_until;    /* steady; placed no sooner */
+    uint32_t tasks_per_record;
+    GPtrArray *records; /* rr_ledger_record* by chunk, with NULL entries; NULL: none at all */
+    int zone;           /* of completed tasks of a one-zone job, -1 */
+    /* observed */
     double first_seen;       /* steady */
+    double failed_at;        /* steady, no room was found for it then */
+    double backoff_until;    /* steady, not placed before */
+    GArray *failed_machines; /* int: ids of machines where a task failed; NULL: none */
+    bool idle;               /* was retirable at the last rr_jobs_shrink() */
+    /* scratch of one plan or simulation */
+    uint32_t terminated_count, completing_count; /* terminated tasks still to be recorded */
+    bool guarded, ending;
+    uint32_t replaceable_count; /* tasks that one change would place again, 0: does not matter */
+    double team_fill;           /* under overload: used share of the team's fair room, */
+    double class_fill;          /* and of all room by the job's class */
+    uint32_t lost_count;        /* placements on machines that are gone */
 };
 
+/* Returns the job of this id, creating it without a submission if need be. */
+rr_job *rr_job_get(rr_core *core, const char *job_id, double now);
+/* Frees a job with its ledger records; takes gpointer, as GLib's containers do. */
+void rr_job_free(gpointer data);
+/* Lists the job among the open ones and allocates its task tables. */
+void rr_job_open(rr_core *core, rr_job *job);
+/* Closes a final job whose last placement is gone: frees its task tables and leaves the records
+ * that remain of its ledger to be deleted. */
+void rr_job_close_if_final(rr_core *core, rr_job *job);
 bool rr_job_task_done(const rr_job *job, uint32_t task);
-void rr_arrivals_trim(rr_core *core, double wall); /* those that count no more go */
-/* A final job that is kept as a line only; *done and *ndone may be NULL. */
-bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *ndone);
-/* Jobs are known for good, but final ones out of use shrink to a line. */
-void rr_jobs_shrink(rr_core *core, double wall);
+/* Whether the job has shrunk to its outcome; *done and *done_count (may be NULL) receive it. */
+bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count);
+/* Notes an arrival, for headroom; those of the first load are of any age and don't count. */
+void rr_arrivals_add(rr_core *core, rr_job *job);
+/* Drops arrivals older than RR_ARRIVAL_WINDOW_S. wall: time of day, seconds. */
+void rr_arrivals_trim(rr_core *core, double wall);
+/* Returns the configured objective of this kind for a job class, or NULL. */
 const struct rr_objective *rr_objective_for(const rr_core *core, const char *kind,
                                             const char *job_class);
-/* Adds the final record of a job that is done. */
-void rr_job_final_record(const rr_job *job, rr_transaction *transaction);
 
 #endif
--- a/src/core/state/ledger.c
+++ b/src/core/state/ledger.c
@@ -1,153 +1,147 @@
-/* The ledger: records of placements by job, and which tasks are done. */
+/* Ledger records between the store and the store cache. */
 #include "core/state/ledger.h"
 #include "core/core_internal.h"
+#include "core/state/job_retention.h"
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
-#include "core/state/record_handlers.h"
-#include "core/state/resources.h"
+#include "core/state/placement_accounting.h"
 
 #include <string.h>
 
-rr_ledger_record *rr_job_ledger_record(rr_job *job, uint32_t chunk) {
-    if (!job->records) {
-        job->records = g_ptr_array_new_with_free_func(rr_ledger_record_free);
-    }
-    if (chunk >= job->records->len) {
-        g_ptr_array_set_size(job->records, (gint)chunk + 1);
-    }
-    rr_ledger_record *record = g_ptr_array_index(job->records, chunk);
-    if (!record) {
-        record = g_new0(rr_ledger_record, 1);
-        record->chunk = chunk;
-        record->placements = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
-        job->records->pdata[chunk] = record;
-    }
-    return record;
-}
-
-uint32_t rr_job_chunks(const rr_job *job) {
-    return (job->submission.task_count + job->tasks_per_record - 1) / job->tasks_per_record;
-}
+/* ---- completions: one bit a task, as hexadecimal digits, since values of the store are text ----
+ */
 
-bool rr_job_overflows(const rr_job *job) {
-    return job->records && job->records->len > rr_job_chunks(job);
-}
+#define BITS_PER_DIGIT 4
+#define HEX_SIZE (RR_TASKS_PER_RECORD_MAX / BITS_PER_DIGIT + 1)
 
-/* Completions of one chunk, as hexadecimal digits (nothing binary in the store). */
-static void put_bits(rr_job *job, uint32_t chunk, const char *hex) {
-    size_t count = strlen(hex);
-    for (uint32_t i = 0; i < count * 4; i++) {
+static void decode_completions(rr_job *job, uint32_t chunk, const char *hex) {
+    size_t digit_count = strlen(hex);
+    for (uint32_t i = 0; i < digit_count * BITS_PER_DIGIT; i++) {
         uint32_t task = chunk * job->tasks_per_record + i;
-        int digit = g_ascii_xdigit_value(hex[i / 4]);
-        if (digit >= 0 && (digit >> (i % 4) & 1) && task < job->submission.task_count &&
-            !rr_job_task_done(job, task)) {
+        int digit = g_ascii_xdigit_value(hex[i / BITS_PER_DIGIT]);
+        if (digit >= 0 && (digit >> (i % BITS_PER_DIGIT) & 1) &&
+            task < job->submission.task_count && !rr_job_task_done(job, task)) {
             job->done_bits[task / 8] |= (guint8)(1 << (task % 8));
             job->done_count++;
         }
     }
 }
 
-static void chunk_hex(const rr_job *job, uint32_t chunk, const GArray *extra, char *hex) {
+static void encode_completions(const rr_job *job, uint32_t chunk, const GArray *done, char *hex) {
     uint32_t first = chunk * job->tasks_per_record;
-    uint32_t count = first >= job->submission.task_count
-                         ? 0
-                         : MIN(job->submission.task_count - first, job->tasks_per_record);
-    int digit[RR_TASKS_PER_RECORD_MAX / 4] = {0};
-    for (uint32_t i = 0; i < count; i++) {
+    uint32_t task_count = first >= job->submission.task_count
+                              ? 0
+                              : MIN(job->submission.task_count - first, job->tasks_per_record);
+    uint32_t digit_count = (task_count + BITS_PER_DIGIT - 1) / BITS_PER_DIGIT;
+    int digits[RR_TASKS_PER_RECORD_MAX / BITS_PER_DIGIT] = {0};
+    for (uint32_t i = 0; i < task_count; i++) {
         if (rr_job_task_done(job, first + i)) {
-            digit[i / 4] |= 1 << (i % 4);
+            digits[i / BITS_PER_DIGIT] |= 1 << (i % BITS_PER_DIGIT);
         }
     }
-    for (guint i = 0; extra && i < extra->len; i++) {
-        uint32_t task = g_array_index(extra, uint32_t, i);
-        digit[(task - first) / 4] |= 1 << ((task - first) % 4);
+    for (guint i = 0; done && i < done->len; i++) {
+        uint32_t bit = g_array_index(done, uint32_t, i) - first;
+        digits[bit / BITS_PER_DIGIT] |= 1 << (bit % BITS_PER_DIGIT);
     }
-    for (uint32_t i = 0; i < (count + 3) / 4; i++) {
-        hex[i] = "0123456789abcdef"[digit[i]];
+    for (uint32_t i = 0; i < digit_count; i++) {
+        hex[i] = "0123456789abcdef"[digits[i]];
     }
-    hex[(count + 3) / 4] = 0;
+    hex[digit_count] = 0;
 }
 
-size_t rr_ledger_record_bytes(guint items) {
-    /* As JSON, which is what the store counts: task, machine's name, attempt, worker_epoch, mark.
-     */
-    return 220 + (size_t)items * 44;
-}
+/* ---- placements: [task, machine, attempt, worker epoch, preempt mode] ---- */
 
-void rr_ledger_record_encode(const rr_core *core, rr_encoder *encoder, const rr_job *job,
-                             uint32_t chunk, const GArray *items, const GArray *done, int zone) {
-    char hex[RR_TASKS_PER_RECORD_MAX / 4 + 1];
-    chunk_hex(job, chunk, done, hex);
-    rr_encode_map(encoder, zone >= 0 ? 3 : 2);
-    rr_encode_key_text(encoder, "bits", hex);
-    if (zone >= 0) {
-        rr_encode_key_text(encoder, "zone", rr_name_index_at(&core->stored.zones, zone));
-    }
-    rr_encode_text(encoder, "tasks");
-    rr_encode_array(encoder, items->len);
-    for (guint i = 0; i < items->len; i++) {
-        const rr_placement_record *item = &g_array_index(items, rr_placement_record, i);
-        rr_encode_array(encoder, 5);
-        rr_encode_u64(encoder, item->task);
-        rr_encode_text(encoder, item->machine->name);
-        rr_encode_u64(encoder, item->attempt);
-        rr_encode_u64(encoder, item->worker_epoch);
-        rr_encode_u64(encoder, (uint64_t)item->preempt);
-    }
+#define PLACEMENT_FIELDS 5
+
+static void encode_placement(rr_encoder *encoder, const rr_placement_record *placement) {
+    rr_encode_array(encoder, PLACEMENT_FIELDS);
+    rr_encode_u64(encoder, placement->task);
+    rr_encode_text(encoder, placement->machine->name);
+    rr_encode_u64(encoder, placement->attempt);
+    rr_encode_u64(encoder, placement->worker_epoch);
+    rr_encode_u64(encoder, (uint64_t)placement->preempt);
 }
 
-/* One placement: [task, machine, attempt, worker_epoch, evict]. */
-static bool placement_decode(rr_core *core, const msgpack_object *object, rr_placement_record *item,
+/* False: malformed, to be skipped. Creates the machine if the store cache does not have it. */
+static bool decode_placement(rr_core *core, const msgpack_object *object, rr_placement_record *out,
                              double now) {
     char name[RR_ID_SIZE];
     uint64_t task, preempt = RR_PREEMPT_NONE;
-    memset(item, 0, sizeof *item);
-    if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < 5) {
+    memset(out, 0, sizeof *out);
+    if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < PLACEMENT_FIELDS) {
         return false;
     }
     const msgpack_object *fields = object->via.array.ptr;
     if (!rr_object_u64(&fields[0], &task) || task >= RR_TASKS_MAX ||
         !rr_object_text(&fields[1], name, sizeof name) || !name[0] ||
-        !rr_object_u64(&fields[2], &item->attempt) ||
-        !rr_object_u64(&fields[3], &item->worker_epoch)) {
+        !rr_object_u64(&fields[2], &out->attempt) ||
+        !rr_object_u64(&fields[3], &out->worker_epoch)) {
         return false;
     }
     rr_object_u64(&fields[4], &preempt);
-    item->preempt = preempt > RR_PREEMPT_AT_ONCE ? RR_PREEMPT_SAVING : (int)preempt;
-    item->task = (uint32_t)task;
-    item->machine = rr_machine_get(core, name, now);
+    out->preempt = preempt > RR_PREEMPT_AT_ONCE ? RR_PREEMPT_SAVING : (int)preempt;
+    out->task = (uint32_t)task;
+    out->machine = rr_machine_get(core, name, now);
     return true;
 }
 
-static void placement_add(rr_core *core, rr_job *job, uint32_t chunk,
-                          const rr_placement_record *item, double now) {
+void rr_ledger_record_encode(const rr_core *core, rr_encoder *encoder, const rr_job *job,
+                             uint32_t chunk, const GArray *placements, const GArray *done,
+                             int zone) {
+    char hex[HEX_SIZE];
+    encode_completions(job, chunk, done, hex);
+    rr_encode_map(encoder, zone >= 0 ? 3 : 2);
+    rr_encode_key_text(encoder, "bits", hex);
+    if (zone >= 0) {
+        rr_encode_key_text(encoder, "zone", rr_name_index_at(&core->stored.zones, zone));
+    }
+    rr_encode_text(encoder, "tasks");
+    rr_encode_array(encoder, placements->len);
+    for (guint i = 0; i < placements->len; i++) {
+        encode_placement(encoder, &g_array_index(placements, rr_placement_record, i));
+    }
+}
+
+static GArray *decode_placements(rr_core *core, const msgpack_object *objects, double now) {
+    GArray *placements = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
+    for (uint32_t i = 0; objects && i < objects->via.array.size; i++) {
+        rr_placement_record placement;
+        if (decode_placement(core, &objects->via.array.ptr[i], &placement, now)) {
+            g_array_append_val(placements, placement);
+        }
+    }
+    return placements;
+}
+
+/* ---- a record's placements in the tables of their machines ---- */
+
+static void add_placement(rr_core *core, rr_job *job, uint32_t chunk,
+                          const rr_placement_record *recorded, double now) {
     rr_placement placement = {.job = job,
-                              .task = item->task,
+                              .task = recorded->task,
                               .chunk = chunk,
-                              .attempt = item->attempt,
-                              .worker_epoch = item->worker_epoch,
-                              .preempt = item->preempt,
+                              .attempt = recorded->attempt,
+                              .worker_epoch = recorded->worker_epoch,
+                              .preempt = recorded->preempt,
                               .seen_at = now};
-    g_array_append_val(item->machine->placements, placement);
-    rr_placement_count(core, item->machine, &placement, 1);
+    g_array_append_val(recorded->machine->placements, placement);
+    rr_placement_count(core, recorded->machine, &placement, 1);
 }
 
-static void placement_remove(rr_core *core, rr_job *job, const rr_placement_record *item,
+static void remove_placement(rr_core *core, const rr_job *job, const rr_placement_record *recorded,
                              double now) {
-    rr_machine *machine = item->machine;
-    for (guint i = 0; i < machine->placements->len; i++) {
-        rr_placement *placement = &g_array_index(machine->placements, rr_placement, i);
-        if (placement->attempt == item->attempt && placement->job == job &&
-            placement->task == item->task) {
-            rr_placement old = *placement;
-            g_array_remove_index(machine->placements, i);
-            rr_placement_count(core, machine, &old, -1);
-            break;
-        }
+    rr_machine *machine = recorded->machine;
+    const rr_placement *placement =
+        rr_placement_find(machine, recorded->attempt, job, recorded->task);
+    if (placement) {
+        rr_placement removed = *placement;
+        g_array_remove_index(machine->placements,
+                             (guint)(placement - (rr_placement *)machine->placements->data));
+        rr_placement_count(core, machine, &removed, -1);
     }
     if (machine->placements->len == 0) {
-        machine->used = (rr_resources){0, 0, 0}; /* no residue of sums */
+        machine->used = (rr_resources){0, 0, 0}; /* clears rounding errors of the sum */
         machine->idle_since = now;
     }
 }
@@ -157,126 +151,157 @@
            left->machine == right->machine;
 }
 
-/* Both lists keep their order, so that the search mostly ends where it begins. */
-static const rr_placement_record *find_placement(const GArray *items,
-                                                 const rr_placement_record *item, guint *from) {
-    for (guint index = 0; index < items->len; index++) {
-        guint i = (*from + index) % items->len;
-        if (same_placement(&g_array_index(items, rr_placement_record, i), item)) {
+/* Searches from *from on and moves it past the hit: versions of a record keep their order, so that
+ * a search in order mostly ends at once. */
+static bool has_placement(const GArray *placements, const rr_placement_record *wanted,
+                          guint *from) {
+    for (guint step = 0; step < placements->len; step++) {
+        guint i = (*from + step) % placements->len;
+        if (same_placement(&g_array_index(placements, rr_placement_record, i), wanted)) {
             *from = i + 1;
-            return &g_array_index(items, rr_placement_record, i);
+            return true;
         }
     }
-    return NULL;
+    return false;
 }
 
-/* Takes over a record's placements: what is new is added, what has gone is dropped, the rest keeps
- * what this process remembers of it. */
-static void set_placements(rr_core *core, rr_job *job, rr_ledger_record *record, GArray *fresh,
-                           double now) {
-    GArray *old = record->placements;
+static void update_preempt_mode(rr_core *core, const rr_job *job,
+                                const rr_placement_record *recorded) {
+    rr_placement *placement =
+        rr_placement_find(recorded->machine, recorded->attempt, job, recorded->task);
+    if (placement && placement->preempt != recorded->preempt) {
+        placement->preempt = recorded->preempt;
+        rr_mark_dirty(core, recorded->machine);
+    }
+}
+
+/* Replaces the record's placements; the record takes ownership of the array. */
+static void replace_placements(rr_core *core, rr_job *job, rr_ledger_record *record,
+                               GArray *placements, double now) {
+    GArray *previous = record->placements;
     guint from = 0;
-    record->placements = fresh;
-    for (guint i = 0; i < fresh->len; i++) {
-        const rr_placement_record *item = &g_array_index(fresh, rr_placement_record, i);
-        if (!find_placement(old, item, &from)) {
-            placement_add(core, job, record->chunk, item, now);
-            continue;
-        }
-        rr_placement *placement = rr_placement_find(item->machine, item->attempt, job, item->task);
-        if (placement && placement->preempt != item->preempt) {
-            placement->preempt = item->preempt;
-            rr_mark_dirty(core, item->machine);
+    record->placements = placements;
+    for (guint i = 0; i < placements->len; i++) {
+        const rr_placement_record *placement = &g_array_index(placements, rr_placement_record, i);
+        if (has_placement(previous, placement, &from)) {
+            update_preempt_mode(core, job, placement);
+        } else {
+            add_placement(core, job, record->chunk, placement, now);
         }
     }
     from = 0;
-    for (guint i = 0; i < old->len; i++) {
-        const rr_placement_record *item = &g_array_index(old, rr_placement_record, i);
-        if (!find_placement(fresh, item, &from)) {
-            placement_remove(core, job, item, now);
+    for (guint i = 0; i < previous->len; i++) {
+        const rr_placement_record *placement = &g_array_index(previous, rr_placement_record, i);
+        if (!has_placement(placements, placement, &from)) {
+            remove_placement(core, job, placement, now);
         }
     }
-    g_array_free(old, TRUE);
+    g_array_free(previous, TRUE);
+}
+
+/* ---- records as they arrive ---- */
+
+static void decode_record(rr_core *core, rr_job *job, rr_ledger_record *record,
+                          const msgpack_object *value, double now) {
+    char hex[HEX_SIZE], zone[RR_TEXT_SIZE];
+    const msgpack_object *tasks = rr_map_get(value, "tasks");
+    if (!tasks || tasks->type != MSGPACK_OBJECT_ARRAY || tasks->via.array.size == 0) {
+        tasks = NULL;
+    }
+    if (job->submission.task_count && (tasks || !(job->done || job->cancelled))) {
+        rr_job_open(core, job);
+    }
+    if (job->done_bits && rr_map_get_text(value, "bits", hex, sizeof hex)) {
+        decode_completions(job, record->chunk, hex);
+    }
+    if (rr_map_get_text(value, "zone", zone, sizeof zone)) {
+        job->zone = rr_name_index_add(&core->stored.zones, zone);
+    }
+    replace_placements(core, job, record, decode_placements(core, tasks, now), now);
 }
 
-void rr_ledger_record_put(rr_core *core, const char *rest, const msgpack_object *value,
+void rr_ledger_record_put(rr_core *core, const char *key_suffix, const msgpack_object *value,
                           uint64_t version, double now) {
-    char job_id[RR_ID_SIZE], hex[RR_TASKS_PER_RECORD_MAX / 4 + 1], zone[RR_TEXT_SIZE];
+    char job_id[RR_ID_SIZE];
     uint32_t chunk;
-    if (!rr_task_name_parse(rest, job_id, sizeof job_id, &chunk) ||
+    if (!rr_ledger_record_key_parse(key_suffix, job_id, sizeof job_id, &chunk) ||
         chunk > RR_TASKS_MAX / core->stored.tasks_per_record ||
         rr_job_final(core, job_id, NULL, NULL)) {
         return;
     }
     rr_job *job = rr_job_get(core, job_id, now);
     rr_ledger_record *record = rr_job_ledger_record(job, chunk);
-    /* Our own changes are here before the watch brings those before them: a record that is older
-     * than its end would bring back placements that are over, and start them again. */
+    /* Own changes are applied before the watch brings the changes that precede them: a version
+     * older than the record's deletion would bring back terminated placements and restart them. */
     if (version < record->version || version <= record->deleted_at_revision) {
         return;
     }
     record->version = version;
     record->seen_in_reload = true;
-    const msgpack_object *list = rr_map_get(value, "tasks");
-    bool some = list && list->type == MSGPACK_OBJECT_ARRAY && list->via.array.size > 0;
-    if (job->submission.task_count && (some || !(job->done || job->cancelled))) {
-        rr_job_open(core, job);
-    }
-    if (job->done_bits && rr_map_get_text(value, "bits", hex, sizeof hex)) {
-        put_bits(job, chunk, hex);
-    }
-    if (rr_map_get_text(value, "zone", zone, sizeof zone)) {
-        job->zone = rr_name_index_add(&core->stored.zones, zone);
-    }
-    GArray *fresh = g_array_new(FALSE, TRUE, sizeof(rr_placement_record));
-    for (uint32_t i = 0; some && i < list->via.array.size; i++) {
-        rr_placement_record item;
-        if (placement_decode(core, &list->via.array.ptr[i], &item, now)) {
-            g_array_append_val(fresh, item);
-        }
-    }
-    set_placements(core, job, record, fresh, now);
+    decode_record(core, job, record, value, now);
     if (!job->open && job->version && (job->done || job->cancelled)) {
-        char key[RR_ID_SIZE + 64];
-        rr_ledger_record_key(job_id, chunk, key, sizeof key);
-        g_ptr_array_add(core->stored.orphan_record_keys, g_strdup(key));
+        rr_orphan_record_add(core, job_id, chunk);
     }
 }
 
-rr_ledger_record *rr_garbage_record(const rr_core *core, guint i, rr_job **job) {
-    const char *key = g_ptr_array_index(core->stored.orphan_record_keys, i);
-    char job_id[RR_ID_SIZE];
-    uint32_t chunk;
-    rr_job *found =
-        rr_task_name_parse(key + strlen(RR_KEY_ROOT "run/"), job_id, sizeof job_id, &chunk)
-            ? g_hash_table_lookup(core->stored.jobs, job_id)
-            : NULL;
-    if (job) {
-        *job = found;
-    }
-    return found && found->records && chunk < found->records->len
-               ? g_ptr_array_index(found->records, chunk)
-               : NULL;
-}
-
-void rr_ledger_record_remove(rr_core *core, rr_job *job, rr_ledger_record *record, uint64_t version,
-                             double now) {
+static void remove_record(rr_core *core, rr_job *job, rr_ledger_record *record, uint64_t version,
+                          double now) {
     record->version = 0;
     record->deleted_at_revision = version;
-    set_placements(core, job, record, g_array_new(FALSE, TRUE, sizeof(rr_placement_record)), now);
+    replace_placements(core, job, record, decode_placements(core, NULL, now), now);
 }
 
-void rr_ledger_record_delete(rr_core *core, const char *rest, uint64_t version, double now) {
+void rr_ledger_record_delete(rr_core *core, const char *key_suffix, uint64_t version, double now) {
     char job_id[RR_ID_SIZE];
     uint32_t chunk;
-    rr_job *job = rr_task_name_parse(rest, job_id, sizeof job_id, &chunk)
+    rr_job *job = rr_ledger_record_key_parse(key_suffix, job_id, sizeof job_id, &chunk)
                       ? g_hash_table_lookup(core->stored.jobs, job_id)
                       : NULL;
-    rr_ledger_record *record = job && job->records && chunk < job->records->len
-                                   ? g_ptr_array_index(job->records, chunk)
-                                   : NULL;
+    rr_ledger_record *record = job ? rr_job_ledger_record_find(job, chunk) : NULL;
     if (record && version >= record->version) {
-        rr_ledger_record_remove(core, job, record, version, now);
+        remove_record(core, job, record, version, now);
         rr_job_trim(core, job);
     }
 }
+
+void rr_ledger_begin_reload(rr_core *core) {
+    for (guint i = 0; i < core->stored.open_jobs->len; i++) {
+        const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
+        for (guint k = 0; job->records && k < job->records->len; k++) {
+            rr_ledger_record *record = g_ptr_array_index(job->records, k);
+            if (record) {
+                record->seen_in_reload = false;
+            }
+        }
+    }
+    for (guint i = 0; i < core->stored.orphan_record_keys->len; i++) {
+        rr_ledger_record *record = rr_garbage_record(core, i, NULL);
+        if (record) {
+            record->seen_in_reload = false;
+        }
+    }
+}
+
+/* A record written after the reload began may be missing from its pages: only an older one is
+ * gone. */
+static bool gone_after_reload(const rr_ledger_record *record, uint64_t first) {
+    return record && !record->seen_in_reload && record->version <= first;
+}
+
+void rr_ledger_end_reload(rr_core *core, uint64_t first, double now) {
+    for (guint i = 0; i < core->stored.orphan_record_keys->len; i++) {
+        rr_ledger_record *record = rr_garbage_record(core, i, NULL);
+        if (gone_after_reload(record, first)) {
+            record->version = 0;
+        }
+    }
+    for (guint i = core->stored.open_jobs->len; i > 0; i--) { /* a closed job leaves the list */
+        rr_job *job = g_ptr_array_index(core->stored.open_jobs, i - 1);
+        for (guint k = 0; job->records && k < job->records->len; k++) {
+            rr_ledger_record *record = g_ptr_array_index(job->records, k);
+            if (gone_after_reload(record, first) && record->version) {
+                remove_record(core, job, record, record->version, now);
+            }
+        }
+    }
+}
--- a/src/core/state/machine_pages.c
+++ b/src/core/state/machine_pages.c
@@ -1,15 +1,15 @@
-/* Machine types and the fleet as the store cache has them: the catalogue's records, and pages of
- * machines, which the autoscaler writes. A machine belongs to the core; it goes with its record,
- * or stays as a name while the ledger has anything on it. */
+/* Machine types and machine pages in the store cache. A machine whose record is gone stays as a
+ * name while the ledger has placements on it. */
 #include "core/state/machine_pages.h"
 #include "core/core_internal.h"
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
 #include "core/state/resources.h"
+#include "core/state/store_keys.h"
 
 #include <string.h>
 
-/* ---- builds ---- */
+/* ---- machine types ---- */
 
 const rr_machine_type *rr_machine_type_at(const rr_core *core, int machine_type) {
     if (machine_type < 0 || (guint)machine_type >= core->stored.machine_types->len) {
@@ -49,8 +49,6 @@
     return type ? (rr_resources){type->cpus, type->gpus, type->mem_gb} : (rr_resources){0, 0, 0};
 }
 
-/* Machines that stood there before the service did are the paper's private cluster: they cost
- * nothing more by being used and are never returned. */
 double rr_machine_price(const rr_core *core, const rr_machine *machine) {
     const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
     if (machine->operator_owned || !type) {
@@ -59,43 +57,56 @@
     return machine->spot ? type->spot_price : type->price;
 }
 
-/* ---- the fleet ---- */
+/* ---- machine pages: [name, address, machine type, zone, flags, created at] ---- */
 
+#define ENTRY_FIELDS 6
 #define FLAG_SPOT 1
 #define FLAG_OPERATOR_OWNED 2
 #define FLAG_SCALING_IN 4
+#define ENTRY_BASE_BYTES 44 /* of JSON, without the texts */
+
+void rr_machine_page_key(uint32_t page, char *out, size_t size) {
+    g_snprintf(out, size, RR_KEY_MACHINE_PAGE "%08u", page);
+}
 
 size_t rr_machine_page_entry_bytes(const rr_core *core, const rr_machine *machine) {
-    return 44 + strlen(machine->name) + strlen(machine->address) +
+    return ENTRY_BASE_BYTES + strlen(machine->name) + strlen(machine->address) +
            strlen(rr_name_index_at(&core->stored.machine_type_names, machine->machine_type)) +
            strlen(rr_name_index_at(&core->stored.zones, machine->zone));
 }
 
+static uint64_t machine_flags(const rr_machine *machine) {
+    return (uint64_t)((machine->spot ? FLAG_SPOT : 0) |
+                      (machine->operator_owned ? FLAG_OPERATOR_OWNED : 0) |
+                      (machine->to_release ? FLAG_SCALING_IN : 0));
+}
+
+static void encode_entry(const rr_core *core, rr_encoder *encoder, const rr_machine *machine) {
+    rr_encode_array(encoder, ENTRY_FIELDS);
+    rr_encode_text(encoder, machine->name);
+    rr_encode_text(encoder, machine->address);
+    rr_encode_text(encoder,
+                   rr_name_index_at(&core->stored.machine_type_names, machine->machine_type));
+    rr_encode_text(encoder, rr_name_index_at(&core->stored.zones, machine->zone));
+    rr_encode_u64(encoder, machine_flags(machine));
+    rr_encode_u64(encoder, machine->created_at > 0 ? (uint64_t)machine->created_at : 0);
+}
+
 void rr_machine_page_encode(const rr_core *core, rr_encoder *encoder, const GPtrArray *machines) {
     rr_encode_map(encoder, 1);
     rr_encode_text(encoder, "stones");
     rr_encode_array(encoder, machines->len);
     for (guint i = 0; i < machines->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(machines, i);
-        rr_encode_array(encoder, 6);
-        rr_encode_text(encoder, machine->name);
-        rr_encode_text(encoder, machine->address);
-        rr_encode_text(encoder,
-                       rr_name_index_at(&core->stored.machine_type_names, machine->machine_type));
-        rr_encode_text(encoder, rr_name_index_at(&core->stored.zones, machine->zone));
-        rr_encode_u64(encoder, (uint64_t)((machine->spot ? FLAG_SPOT : 0) |
-                                          (machine->operator_owned ? FLAG_OPERATOR_OWNED : 0) |
-                                          (machine->to_release ? FLAG_SCALING_IN : 0)));
-        rr_encode_u64(encoder, machine->created_at > 0 ? (uint64_t)machine->created_at : 0);
-    }
-}
-
-/* Its record no longer has it: it is gone: so is all that was on it. What the ledger has there goes
- * with its owners' next plans; until then the machine stays as a name. */
-void rr_machine_record_removed(rr_core *core, rr_machine *machine, double now) {
-    double *when = g_new(double, 1);
-    *when = now;
-    g_hash_table_replace(core->stored.gone_machines, g_strdup(machine->name), when);
+        encode_entry(core, encoder, g_ptr_array_index(machines, i));
+    }
+}
+
+/* Everything on the machine is gone with it. The ledger loses its placements there with the next
+ * plans of their teams' owners. */
+static void remove_machine_record(rr_core *core, rr_machine *machine, double now) {
+    double *gone_at = g_new(double, 1);
+    *gone_at = now;
+    g_hash_table_replace(core->stored.gone_machines, g_strdup(machine->name), gone_at);
     machine->recorded = machine->to_record = false;
     machine->gone = true;
     if (machine->placements->len == 0) {
@@ -105,95 +116,163 @@
     }
 }
 
-static void page_entry(rr_core *core, const msgpack_object *object, uint32_t page, double now) {
+typedef struct {
     char name[RR_ID_SIZE], address[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     uint64_t flags;
+    const msgpack_object *created_at;
+} page_entry;
+
+/* False: malformed, to be skipped. */
+static bool decode_entry(const msgpack_object *object, page_entry *out) {
     const msgpack_object *fields =
         object->type == MSGPACK_OBJECT_ARRAY ? object->via.array.ptr : NULL;
-    if (!fields || object->via.array.size < 6 || !rr_object_text(&fields[0], name, sizeof name) ||
-        !name[0] || !rr_object_text(&fields[1], address, sizeof address) ||
-        !rr_object_text(&fields[2], machine_type, sizeof machine_type) ||
-        !rr_object_text(&fields[3], zone, sizeof zone) || !rr_object_u64(&fields[4], &flags)) {
-        return;
+    if (!fields || object->via.array.size < ENTRY_FIELDS ||
+        !rr_object_text(&fields[0], out->name, sizeof out->name) || !out->name[0] ||
+        !rr_object_text(&fields[1], out->address, sizeof out->address) ||
+        !rr_object_text(&fields[2], out->machine_type, sizeof out->machine_type) ||
+        !rr_object_text(&fields[3], out->zone, sizeof out->zone) ||
+        !rr_object_u64(&fields[4], &out->flags)) {
+        return false;
     }
-    rr_machine *machine = rr_machine_get(core, name, now);
+    out->created_at = &fields[5];
+    return true;
+}
+
+static void put_entry(rr_core *core, const page_entry *entry, uint32_t page, double now) {
+    rr_machine *machine = rr_machine_get(core, entry->name, now);
     if (!machine->recorded) {
         machine->known_at = machine->idle_since = now;
         machine->recorded_while_watching = !core->stored.reloading && !machine->heartbeat_seen;
         rr_mark_dirty(core, machine);
     }
-    bool ret = flags & FLAG_SCALING_IN;
-    machine->scaling_in_at = ret && !machine->scaling_in ? now : machine->scaling_in_at;
-    machine->scaling_in = ret;
+    bool scaling_in = entry->flags & FLAG_SCALING_IN;
+    machine->scaling_in_at = scaling_in && !machine->scaling_in ? now : machine->scaling_in_at;
+    machine->scaling_in = scaling_in;
     machine->recorded = machine->seen_in_reload = true;
     machine->gone = machine->to_record = false;
     machine->page = page;
-    machine->machine_type = machine_type_index(core, machine_type);
-    machine->zone = rr_name_index_add(&core->stored.zones, zone);
-    machine->spot = flags & FLAG_SPOT;
-    machine->operator_owned = flags & FLAG_OPERATOR_OWNED;
+    machine->machine_type = machine_type_index(core, entry->machine_type);
+    machine->zone = rr_name_index_add(&core->stored.zones, entry->zone);
+    machine->spot = entry->flags & FLAG_SPOT;
+    machine->operator_owned = entry->flags & FLAG_OPERATOR_OWNED;
     core->autoscaling.ever_rented = core->autoscaling.ever_rented || !machine->operator_owned;
-    rr_object_number(&fields[5], &machine->created_at);
-    if (!machine->heartbeat_seen && address[0]) {
-        g_strlcpy(machine->address, address, sizeof machine->address);
+    rr_object_number(entry->created_at, &machine->created_at);
+    if (!machine->heartbeat_seen && entry->address[0]) {
+        g_strlcpy(machine->address, entry->address, sizeof machine->address);
     }
 }
 
-/* Machines of the page that its record no longer has. */
-static void drop_unkept(rr_core *core, uint32_t page, double now) {
-    for (guint i = core->stored.machine_list->len; i > 0; i--) {
+static void clear_seen(rr_core *core, uint32_t page) {
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        machine->seen_in_reload = machine->seen_in_reload && machine->page != page;
+    }
+}
+
+static void remove_unseen(rr_core *core, uint32_t page, double now) {
+    for (guint i = core->stored.machine_list->len; i > 0; i--) { /* removal reorders the list */
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         if (machine->recorded && machine->page == page && !machine->seen_in_reload) {
-            rr_machine_record_removed(core, machine, now);
+            remove_machine_record(core, machine, now);
         }
     }
 }
 
-void rr_machine_page_put(rr_core *core, const char *rest, const msgpack_object *value,
-                         uint64_t version, double now) {
-    uint32_t id = (uint32_t)g_ascii_strtoull(rest, NULL, 10);
-    rr_machine_page *page = g_hash_table_lookup(core->stored.pages, GUINT_TO_POINTER(id));
-    const msgpack_object *list = rr_map_get(value, "stones");
-    if (id == 0 || !list || list->type != MSGPACK_OBJECT_ARRAY ||
-        (page && version < page->version)) {
-        return;
+static size_t entries_bytes(const rr_core *core, uint32_t page) {
+    size_t bytes = 0;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        if (machine->recorded && machine->page == page && machine->seen_in_reload) {
+            bytes += rr_machine_page_entry_bytes(core, machine);
+        }
     }
+    return bytes;
+}
+
+static uint32_t parse_page_id(const char *key_suffix) {
+    return (uint32_t)g_ascii_strtoull(key_suffix, NULL, 10);
+}
+
+static rr_machine_page *find_page(const rr_core *core, uint32_t id) {
+    return g_hash_table_lookup(core->stored.pages, GUINT_TO_POINTER(id));
+}
+
+static rr_machine_page *get_page(rr_core *core, uint32_t id) {
+    rr_machine_page *page = find_page(core, id);
     if (!page) {
         page = g_new0(rr_machine_page, 1);
         page->id = id;
         g_hash_table_insert(core->stored.pages, GUINT_TO_POINTER(id), page);
     }
+    return page;
+}
+
+void rr_machine_page_put(rr_core *core, const char *key_suffix, const msgpack_object *value,
+                         uint64_t version, double now) {
+    uint32_t id = parse_page_id(key_suffix);
+    const rr_machine_page *known = find_page(core, id);
+    const msgpack_object *entries = rr_map_get(value, "stones");
+    if (id == 0 || !entries || entries->type != MSGPACK_OBJECT_ARRAY ||
+        (known && version < known->version)) {
+        return;
+    }
+    rr_machine_page *page = get_page(core, id);
     page->version = version;
     page->seen_in_reload = true;
-    page->entry_count = list->via.array.size;
+    page->entry_count = entries->via.array.size;
     core->stored.next_page = id >= core->stored.next_page ? id + 1 : core->stored.next_page;
-    for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        machine->seen_in_reload = machine->seen_in_reload && machine->page != id;
-    }
-    page->bytes = 0;
-    for (uint32_t i = 0; i < list->via.array.size; i++) {
-        page_entry(core, &list->via.array.ptr[i], id, now);
-    }
-    for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        page->bytes += machine->recorded && machine->page == id && machine->seen_in_reload
-                           ? rr_machine_page_entry_bytes(core, machine)
-                           : 0;
+    clear_seen(core, id);
+    for (uint32_t i = 0; i < entries->via.array.size; i++) {
+        page_entry entry;
+        if (decode_entry(&entries->via.array.ptr[i], &entry)) {
+            put_entry(core, &entry, id, now);
+        }
     }
-    drop_unkept(core, id, now);
+    page->bytes = entries_bytes(core, id);
+    remove_unseen(core, id, now);
 }
 
-void rr_machine_page_delete(rr_core *core, const char *rest, uint64_t version, double now) {
-    uint32_t id = (uint32_t)g_ascii_strtoull(rest, NULL, 10);
-    const rr_machine_page *page = g_hash_table_lookup(core->stored.pages, GUINT_TO_POINTER(id));
+void rr_machine_page_delete(rr_core *core, const char *key_suffix, uint64_t version, double now) {
+    uint32_t id = parse_page_id(key_suffix);
+    const rr_machine_page *page = find_page(core, id);
     if (!page || version < page->version) {
         return;
     }
+    clear_seen(core, id);
+    remove_unseen(core, id, now);
+    g_hash_table_remove(core->stored.pages, GUINT_TO_POINTER(id));
+}
+
+/* ---- full reload ---- */
+
+void rr_machine_pages_begin_reload(rr_core *core) {
+    GHashTableIter iter;
+    gpointer page;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        machine->seen_in_reload = machine->seen_in_reload && machine->page != id;
+        machine->seen_in_reload = false;
     }
-    drop_unkept(core, id, now);
-    g_hash_table_remove(core->stored.pages, GUINT_TO_POINTER(id));
+    g_hash_table_iter_init(&iter, core->stored.pages);
+    while (g_hash_table_iter_next(&iter, NULL, &page)) {
+        ((rr_machine_page *)page)->seen_in_reload = false;
+    }
+}
+
+/* A page written after the reload began may be missing from what it read: only an older one is
+ * gone. */
+static gboolean page_gone_after_reload(gpointer key, gpointer value, gpointer first) {
+    const rr_machine_page *page = value;
+    (void)key;
+    return !page->seen_in_reload && page->version <= *(const uint64_t *)first;
+}
+
+void rr_machine_pages_end_reload(rr_core *core, uint64_t first, double now) {
+    for (guint i = core->stored.machine_list->len; i > 0; i--) { /* removal reorders the list */
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
+        const rr_machine_page *page = find_page(core, machine->page);
+        if (machine->recorded && !machine->seen_in_reload && !(page && page->version > first)) {
+            remove_machine_record(core, machine, now);
+        }
+    }
+    g_hash_table_foreach_remove(core->stored.pages, page_gone_after_reload, &first);
 }
--- a/src/core/state/machines.c
+++ b/src/core/state/machines.c
@@ -1,10 +1,7 @@
-/* Machines, their placements, and the sums that follow them. */
+/* Machines as objects of the store cache, and lookups in their placements and heartbeats. */
 #include "core/state/machines.h"
 #include "core/core_internal.h"
 #include "core/state/jobs.h"
-#include "core/state/ledger.h"
-#include "core/state/record_handlers.h"
-#include "core/state/resources.h"
 
 #include <string.h>
 
@@ -28,15 +25,30 @@
     return machine;
 }
 
-void rr_machine_forget(rr_core *core, rr_machine *machine) {
-    for (guint i = 0; i < core->planning.moves->len;) {
-        rr_move *move = &g_array_index(core->planning.moves, rr_move, i);
+void rr_machine_free(gpointer data) {
+    rr_machine *machine = data;
+    g_array_free(machine->placements, TRUE);
+    rr_heartbeat_clear(&machine->heartbeat);
+    g_array_free(machine->images, TRUE);
+    g_array_free(machine->failed_jobs, TRUE);
+    g_hash_table_destroy(machine->unanswered_starts);
+    if (machine->reserved_jobs) {
+        g_array_free(machine->reserved_jobs, TRUE);
+    }
+    g_free(machine);
+}
+
+static void drop_moves(rr_core *core, const rr_machine *machine) {
+    for (guint i = core->planning.moves->len; i > 0; i--) {
+        const rr_move *move = &g_array_index(core->planning.moves, rr_move, i - 1);
         if (move->from == machine || move->to == machine) {
-            g_array_remove_index(core->planning.moves, i);
-        } else {
-            i++;
+            g_array_remove_index(core->planning.moves, i - 1);
         }
     }
+}
+
+void rr_machine_forget(rr_core *core, rr_machine *machine) {
+    drop_moves(core, machine);
     if (machine->dirty) {
         g_ptr_array_remove_fast(core->stored.dirty_machines, machine);
     }
@@ -51,40 +63,6 @@
     }
 }
 
-rr_resources rr_team_usage(const rr_core *core, int team) {
-    return team >= 0 && (guint)team < core->stored.team_used->len
-               ? g_array_index(core->stored.team_used, rr_resources, team)
-               : (rr_resources){0, 0, 0};
-}
-
-static void team_add(rr_core *core, const rr_job *job, int sign) {
-    if ((guint)job->team >= core->stored.team_used->len) {
-        g_array_set_size(core->stored.team_used, (guint)job->team + 1);
-    }
-    rr_resources *used = &g_array_index(core->stored.team_used, rr_resources, job->team);
-    *used = rr_resources_add(*used, job->request, sign);
-}
-
-void rr_placement_count(rr_core *core, rr_machine *machine, rr_placement *placement, int sign) {
-    rr_job *job = placement->job;
-    machine->used = rr_resources_add(machine->used, job->request, sign);
-    if (job->team >= 0) {
-        team_add(core, job, sign);
-    }
-    rr_mark_dirty(core, machine);
-    if (!job->placed || placement->task >= job->submission.task_count) {
-        return;
-    }
-    if (sign > 0) {
-        job->placed_count += job->placed[placement->task]++ == 0;
-    } else if (job->placed[placement->task] > 0) {
-        job->placed_count -= --job->placed[placement->task] == 0;
-        job->next_task_hint =
-            placement->task < job->next_task_hint ? placement->task : job->next_task_hint;
-        rr_job_close_if_final(core, job);
-    }
-}
-
 rr_placement *rr_placement_find(const rr_machine *machine, uint64_t attempt, const rr_job *job,
                                 uint32_t task) {
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -116,16 +94,3 @@
     }
     return false;
 }
-
-void rr_recount_team_usage(rr_core *core) {
-    g_array_set_size(core->stored.team_used, 0);
-    for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        for (guint k = 0; k < machine->placements->len; k++) {
-            const rr_job *job = g_array_index(machine->placements, rr_placement, k).job;
-            if (job->team >= 0) {
-                team_add(core, job, 1);
-            }
-        }
-    }
-}
--- a/src/core/state/name_index.c
+++ b/src/core/state/name_index.c
@@ -1,3 +1,4 @@
+/* Name tables: a list of names, and a hash table that finds their places in it. */
 #include "core/state/name_index.h"
 
 void rr_name_index_init(rr_name_index *names) {
--- /dev/null
+++ b/src/core/state/placement_accounting.c
@@ -0,0 +1,55 @@
+/* Sums over placements, by machine, team and task. */
+#include "core/state/placement_accounting.h"
+#include "core/core_internal.h"
+#include "core/state/jobs.h"
+#include "core/state/machines.h"
+#include "core/state/resources.h"
+
+rr_resources rr_team_usage(const rr_core *core, int team) {
+    return team >= 0 && (guint)team < core->stored.team_used->len
+               ? g_array_index(core->stored.team_used, rr_resources, team)
+               : (rr_resources){0, 0, 0};
+}
+
+static void count_for_team(rr_core *core, const rr_job *job, int sign) {
+    if (job->team < 0) {
+        return; /* known from its ledger only: the team follows with the job's record */
+    }
+    if ((guint)job->team >= core->stored.team_used->len) {
+        g_array_set_size(core->stored.team_used, (guint)job->team + 1);
+    }
+    rr_resources *used = &g_array_index(core->stored.team_used, rr_resources, job->team);
+    *used = rr_resources_add(*used, job->request, sign);
+}
+
+static void count_for_task(rr_core *core, rr_job *job, uint32_t task, int sign) {
+    if (!job->placed || task >= job->submission.task_count) {
+        return;
+    }
+    if (sign > 0) {
+        job->placed_count += job->placed[task]++ == 0;
+    } else if (job->placed[task] > 0) {
+        job->placed_count -= --job->placed[task] == 0;
+        job->next_task_hint = MIN(task, job->next_task_hint);
+        rr_job_close_if_final(core, job);
+    }
+}
+
+void rr_placement_count(rr_core *core, rr_machine *machine, const rr_placement *placement,
+                        int sign) {
+    rr_job *job = placement->job;
+    machine->used = rr_resources_add(machine->used, job->request, sign);
+    count_for_team(core, job, sign);
+    rr_mark_dirty(core, machine);
+    count_for_task(core, job, placement->task, sign);
+}
+
+void rr_recount_team_usage(rr_core *core) {
+    g_array_set_size(core->stored.team_used, 0);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        for (guint k = 0; k < machine->placements->len; k++) {
+            count_for_team(core, g_array_index(machine->placements, rr_placement, k).job, 1);
+        }
+    }
+}
--- a/src/core/state/transaction.h
+++ b/src/core/state/transaction.h
@@ -1,10 +1,10 @@
-/* A transaction on the key-value store, as the core asks for it: guards and changes, values already
- * packed. */
+/* A transaction on the key-value store: all of its changes apply, or none if a guard fails. */
 #ifndef RR_CORE_STATE_TRANSACTION_H
 #define RR_CORE_STATE_TRANSACTION_H
 
 #include "wire/wire.h"
 
+/* The key must have this version; 0: it must not exist. */
 typedef struct {
     char *key;
     uint64_t version;
@@ -12,9 +12,9 @@
 
 typedef struct {
     char *key;
-    void *value; /* NULL: delete */
+    void *value; /* packed; NULL: delete */
     size_t length;
-    uint64_t lease_id; /* 0: none */
+    uint64_t lease_id; /* the record ends with this lease, 0: with none */
 } rr_change;
 
 typedef struct {
@@ -24,11 +24,13 @@
 
 void rr_transaction_init(rr_transaction *transaction);
 void rr_transaction_clear(rr_transaction *transaction);
-void rr_transaction_guard(rr_transaction *transaction, const char *key,
-                          uint64_t version); /* the first guard on a key stays */
+/* Adds a guard unless the key has one already. */
+void rr_transaction_guard(rr_transaction *transaction, const char *key, uint64_t version);
+/* Adds a write of what the encoder holds, and clears the encoder. */
 void rr_transaction_put(rr_transaction *transaction, const char *key, rr_encoder *value,
-                        uint64_t lease_id); /* empties value */
+                        uint64_t lease_id);
 void rr_transaction_delete(rr_transaction *transaction, const char *key);
+/* Encodes the body of the request to the store. */
 void rr_transaction_encode(const rr_transaction *transaction, rr_encoder *encoder);
 
 #endif
--- a/src/core/state/transfer_holds.c
+++ b/src/core/state/transfer_holds.c
@@ -1,17 +1,16 @@
-/* Jobs that another cell has a say in: their owner places their tasks only while released. A
- * release ends with its time and with its term, so that a new owner begins with none. */
+/* Transfer holds. A release ends at its time and with its term, so a new owner of the job's team
+ * begins without any. */
 #include "core/state/transfer_holds.h"
 #include "core/core_internal.h"
 #include "core/state/jobs.h"
-#include "core/state/ledger.h"
 #include "core/state/machines.h"
 #include "core/extensions.h"
 
 typedef struct {
     enum rr_hold_kind kind;
-    uint64_t token; /* of the term in which it was released */
-    double until;   /* steady */
-    bool revoked;   /* what runs is to be stopped */
+    uint64_t token; /* fencing token of the term in which it was released */
+    double until;   /* end of the release, steady */
+    bool revoked;   /* its running tasks are to be stopped */
 } rr_hold;
 
 void rr_core_hold_job(rr_core *core, const char *job_id, enum rr_hold_kind kind) {
@@ -38,6 +37,15 @@
     }
 }
 
+static void mark_machines_dirty(rr_core *core, const rr_job *job) {
+    for (guint k = 0; job->records && k < job->records->len; k++) {
+        const rr_ledger_record *record = g_ptr_array_index(job->records, k);
+        for (guint i = 0; record && i < record->placements->len; i++) {
+            rr_mark_dirty(core, g_array_index(record->placements, rr_placement_record, i).machine);
+        }
+    }
+}
+
 void rr_core_revoke_job(rr_core *core, const char *job_id) {
     rr_hold *hold = g_hash_table_lookup(core->extensions.transfer_holds, job_id);
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
@@ -45,36 +53,33 @@
         hold->until = 0;
         hold->revoked = true;
     }
-    for (guint index = 0; job && job->records && index < job->records->len; index++) {
-        const rr_ledger_record *run = g_ptr_array_index(job->records, index);
-        for (guint i = 0; run && i < run->placements->len; i++) {
-            rr_mark_dirty(core, g_array_index(run->placements, rr_placement_record, i).machine);
-        }
+    if (job) {
+        mark_machines_dirty(core, job);
     }
 }
 
-static const rr_hold *hold_of(const rr_core *core, const rr_job *job) {
+static const rr_hold *find_hold(const rr_core *core, const rr_job *job) {
     return g_hash_table_size(core->extensions.transfer_holds)
                ? g_hash_table_lookup(core->extensions.transfer_holds, job->submission.job_id)
                : NULL;
 }
 
 bool rr_job_held(const rr_core *core, const rr_job *job, double now) {
-    const rr_hold *hold = hold_of(core, job);
+    const rr_hold *hold = find_hold(core, job);
     return hold && (hold->token != core->membership.term.token || now >= hold->until);
 }
 
 bool rr_job_revoked(const rr_core *core, const rr_job *job) {
-    const rr_hold *hold = hold_of(core, job);
+    const rr_hold *hold = find_hold(core, job);
     return hold && hold->revoked;
 }
 
 bool rr_job_transferred(const rr_core *core, const rr_job *job) {
-    const rr_hold *hold = hold_of(core, job);
+    const rr_hold *hold = find_hold(core, job);
     return hold && hold->kind == RR_HOLD_TRANSFERRED;
 }
 
 bool rr_job_of_another_cell(const rr_core *core, const rr_job *job) {
-    const rr_hold *hold = hold_of(core, job);
+    const rr_hold *hold = find_hold(core, job);
     return hold && hold->kind == RR_HOLD_GUEST;
 }
--- a/src/core/stats.h
+++ b/src/core/stats.h
@@ -5,11 +5,12 @@
 #include "core/core.h"
 
 typedef struct {
-    unsigned machines, booting, jobs_open, tasks_waiting, tasks_placed, moves;
-    unsigned rented, given_up, leases_lost, notices; /* so far */
-    unsigned visits;                                 /* machines looked at so far */
-    unsigned jobs_whole;                             /* jobs kept as more than a line */
-    double priced;
+    unsigned machines, booting, jobs_open, tasks_waiting, tasks_placed;
+    /* since the start */
+    unsigned moves, rented, given_up, leases_lost, notices;
+    unsigned visits;     /* machines examined by plans */
+    unsigned jobs_whole; /* jobs that have not shrunk to their outcome */
+    double priced;       /* sum of the recorded machines' prices */
 } rr_core_stats;
 void rr_core_get_stats(const rr_core *core, rr_core_stats *out);
 
--- /dev/null
+++ b/src/core/views/submission_check.c
@@ -0,0 +1,93 @@
+/* Admission of a submission: whether it is new, and whether it can ever run. */
+#include "core/core_internal.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/gang_phase.h"
+#include "core/state/jobs.h"
+#include "core/state/machine_pages.h"
+#include "core/state/resources.h"
+#include "core/submissions.h"
+
+#include <string.h>
+
+/* zone "": any. */
+static bool offered_in_zone(const rr_machine_type *type, const char *zone) {
+    for (guint i = 0; i < type->zones->len; i++) {
+        if (!zone[0] || strcmp(g_ptr_array_index(type->zones, i), zone) == 0) {
+            return true;
+        }
+    }
+    return false;
+}
+
+static bool machine_type_allowed(const rr_submission *submission, const rr_machine_type *type) {
+    for (int i = 0; i < submission->machine_type_count; i++) {
+        if (strcmp(submission->machine_types[i], type->name) == 0) {
+            return true;
+        }
+    }
+    return submission->machine_type_count == 0;
+}
+
+static bool fits_some_machine_type(const rr_core *core, const rr_submission *submission) {
+    rr_resources need = {submission->cpus, submission->gpus, submission->mem_gb};
+    for (guint i = 0; i < core->stored.machine_types->len; i++) {
+        const rr_machine_type *type = rr_machine_type_at(core, (int)i);
+        if (type && machine_type_allowed(submission, type) &&
+            offered_in_zone(type, submission->zone) &&
+            rr_resources_fit(need, (rr_resources){type->cpus, type->gpus, type->mem_gb})) {
+            return true;
+        }
+    }
+    return false;
+}
+
+static bool exceeds(double amount, double limit) {
+    return limit > 0 && amount > limit + RR_RESOURCE_EPSILON;
+}
+
+/* Tasks of an array run one by one if need be; those of services and gangs run together. */
+static bool exceeds_team_limit(const struct rr_team_config *team, const rr_submission *submission) {
+    double together = submission->kind == RR_JOB_ARRAY ? 1 : submission->task_count;
+    return exceeds(together * submission->cpus, team->cpus_max) ||
+           exceeds(together * submission->gpus, team->gpus_max);
+}
+
+static enum rr_submission_check check_gang(const rr_core *core, const rr_submission *submission,
+                                           const char **why) {
+    if (submission->task_count > rr_gang_tasks_max(core)) {
+        *why = "more linked tasks than one transaction books";
+        return RR_SUBMISSION_UNSATISFIABLE;
+    }
+    if (!rr_all_gang_capable(core)) {
+        *why = "an older version still serves";
+        return RR_SUBMISSION_UNDECIDED;
+    }
+    return RR_SUBMISSION_NEW;
+}
+
+enum rr_submission_check rr_core_check_submission(const rr_core *core,
+                                                  const rr_submission *submission,
+                                                  const char **why) {
+    int team = rr_config_team(core->config, submission->team);
+    const rr_job *known = g_hash_table_lookup(core->stored.jobs, submission->job_id);
+    if ((known && known->version) || rr_job_final(core, submission->job_id, NULL, NULL)) {
+        return RR_SUBMISSION_KNOWN;
+    }
+    if (team < 0) {
+        *why = "unknown team";
+        return RR_SUBMISSION_UNSATISFIABLE;
+    }
+    if (exceeds_team_limit(&core->config->teams[team], submission)) {
+        *why = "over the team's limit";
+        return RR_SUBMISSION_UNSATISFIABLE;
+    }
+    if (!core->stored.catalog_known) {
+        *why = "machine types not known yet";
+        return RR_SUBMISSION_UNDECIDED;
+    }
+    if (!fits_some_machine_type(core, submission)) {
+        *why = "fits no allowed machine type";
+        return RR_SUBMISSION_UNSATISFIABLE;
+    }
+    return submission->kind == RR_JOB_GANG ? check_gang(core, submission, why) : RR_SUBMISSION_NEW;
+}
