--- a/src/core/core.c
+++ b/src/core/core.c
@@ -2,7 +2,6 @@
 #include "core/core.h"
 #include "core/autoscaling/rental_records.h"
 #include "core/core_internal.h"
-#include "core/scheduling/plan.h"
 #include "core/views/record_watches.h"
 
 static void init_planning(struct rr_planning *planning, const struct rr_config *config) {
--- a/src/core/extensions.h
+++ b/src/core/extensions.h
@@ -10,8 +10,8 @@
 /* ---- records ---- */
 
 #define RR_RECORD_WATCHES 2 /* most prefixes that can be watched */
-/* rest: the key after the prefix. value NULL: the record is deleted. */
-typedef void (*rr_core_record_fn)(void *user, const char *rest, const msgpack_object *value,
+/* key_suffix: the key after the prefix. value NULL: the record is deleted. */
+typedef void (*rr_core_record_fn)(void *user, const char *key_suffix, const msgpack_object *value,
                                   uint64_t version);
 /* Calls back for every record under the prefix as the store cache takes it. To be called before the
  * first record comes. */
@@ -19,7 +19,7 @@
                            void *user);
 /* Guards a change that only this term's autoscaler may make. */
 void rr_core_guard_term(const rr_core *core, rr_transaction *transaction);
-/* Seconds since when the store cache may lack changes. */
+/* Seconds for which the store cache may lack changes. */
 double rr_core_cache_age(const rr_core *core, double now);
 
 /* ---- capabilities: whether every controller of the term has one ---- */
