--- /dev/null
+++ b/tests/scene.c
@@ -0,0 +1,117 @@
+#include "scene.h"
+#include "core_fixture.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+#include "core/scaling.h"
+
+#include "peer/frame.h"
+
+#define MACHINES 3
+
+/* ---- frames ---- */
+
+static void append_frames(GString *out) {
+    GByteArray *buffer = g_byte_array_new();
+    guint start = rr_frame_begin(buffer, RR_FRAME_HELLO);
+    rr_frame_put_text(buffer, "n0");
+    rr_frame_end(buffer, start);
+    start = rr_frame_begin(buffer, RR_FRAME_SENT_AT);
+    rr_frame_put_u64(buffer, 1000000);
+    rr_frame_end(buffer, start);
+    start = rr_frame_begin(buffer, RR_FRAME_HEARTBEAT_DIGESTS);
+    rr_frame_put_u8(buffer, 0);
+    rr_frame_put_u16(buffer, 1);
+    rr_frame_put_text(buffer, "n1");
+    rr_frame_put_u16(buffer, 1);
+    rr_frame_put_text(buffer, "vm-1");
+    for (uint64_t i = 1; i <= 3; i++) {
+        rr_frame_put_u64(buffer, i);
+    }
+    rr_frame_end(buffer, start);
+    start = rr_frame_begin(buffer, RR_FRAME_SUSPECT);
+    rr_frame_put_u16(buffer, 1);
+    rr_frame_put_text(buffer, "vm-2");
+    rr_frame_end(buffer, start);
+    g_string_append(out, "frames ");
+    for (guint i = 0; i < buffer->len; i++) {
+        g_string_append_printf(out, "%02x", buffer->data[i]);
+    }
+    g_string_append_c(out, '\n');
+    g_byte_array_free(buffer, TRUE);
+}
+
+/* ---- records ---- */
+
+static void submit_each_kind(test_controller *node) {
+    static const struct test_job jobs[] = {
+        {.job_id = "req-1", .pieces = 5, .cpus = 2, .deadline_s = 90},
+        {.job_id = "req-2", .service = true, .spread = true},
+        {.job_id = "req-3", .one_zone = true, .zone = "b"},
+        {.job_id = "req-4", .service = true, .rank = "prod"}};
+    for (size_t i = 0; i < G_N_ELEMENTS(jobs); i++) {
+        fake_store_submit(node->store, &jobs[i], node->now);
+    }
+    fake_store_sync(node->store, node->core, node->now);
+}
+
+static void plan_and_answer(test_controller *node) {
+    rr_plan plan;
+    test_controller_plan(node, &plan);
+    for (guint i = 0; i < plan.command_batches->len; i++) {
+        rr_core_command_result(node->core, node->now, g_ptr_array_index(plan.command_batches, i),
+                               RR_COMMAND_ANSWERED, true);
+    }
+    rr_plan_clear(&plan);
+}
+
+static void plan_without_answers(test_controller *node) {
+    rr_plan plan;
+    test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+}
+
+static void complete_first_task(test_controller *node) {
+    for (int machine = 1; machine <= MACHINES; machine++) {
+        char id[16];
+        g_snprintf(id, sizeof id, "vm-%d", machine);
+        uint64_t attempt = fake_store_attempt(node->store, id, "req-1", 0);
+        if (attempt) {
+            char *ended = g_strdup_printf("req-1 0 %" G_GUINT64_FORMAT " ended:done", attempt);
+            test_controller_heartbeat(node, id, "a", false, 1, 2, rr_core_fencing_token(node->core),
+                                      ended, NULL);
+            g_free(ended);
+        }
+    }
+}
+
+static void step_until_rental(test_controller *node) {
+    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    for (int i = 0; i < 20 && fake_store_count(node->store, RR_KEY_ROOT "hire/") == 0; i++) {
+        rr_autoscaler_step step;
+        test_controller_autoscaler_step(node, none, &step);
+        rr_autoscaler_step_clear(&step);
+        node->now += 1;
+    }
+    g_array_free(none, TRUE);
+}
+
+GString *scene_play(void) {
+    core_fixture *fixture;
+    core_fixture_setup((void **)&fixture);
+    test_controller *node = &fixture->n;
+    test_controller_add_machines(node, 1, MACHINES, "a");
+    submit_each_kind(node);
+    for (int i = 0; i < 3; i++) {
+        node->now += 1;
+        plan_and_answer(node);
+    }
+    test_controller_cancel(node, "req-4");
+    complete_first_task(node);
+    node->now += 50;
+    plan_without_answers(node);
+    step_until_rental(node);
+    GString *out = fake_store_dump(fixture->store);
+    append_frames(out);
+    core_fixture_teardown((void **)&fixture);
+    return out;
+}
--- a/tests/write_scene.c
+++ b/tests/write_scene.c
@@ -1,4 +1,4 @@
-/* Writes the scene's records and frames as this version makes them, to become a fixture when it
+/* Writes the scene's records and frames as this version makes them, to become the fixture when it
  * goes into production: target/tests/write_scene > tests/fixtures/production.txt */
 #include "scene.h"
 
