--- a/src/core/state/ledger.c
+++ b/src/core/state/ledger.c
@@ -80,7 +80,7 @@
         return false;
     }
     rr_object_u64(&fields[4], &preempt);
-    out->preempt = preempt > RR_PREEMPT_AT_ONCE ? RR_PREEMPT_SAVING : (int)preempt;
+    out->preempt = preempt > RR_PREEMPT_AT_ONCE ? RR_PREEMPT_SAVING : (enum rr_preempt_mode)preempt;
     out->task = (uint32_t)task;
     out->machine = rr_machine_get(core, name, now);
     return true;
--- a/src/core/state/ledger_record.h
+++ b/src/core/state/ledger_record.h
@@ -22,7 +22,7 @@
     uint32_t task;
     uint32_t chunk; /* of the record that holds it */
     uint64_t attempt, worker_epoch;
-    int preempt; /* enum rr_preempt_mode: to be stopped for higher priority, or moved away */
+    enum rr_preempt_mode preempt; /* to be stopped for higher priority, or moved away */
     /* observed */
     double seen_at;       /* when the store cache first showed it */
     double start_at;      /* last start command, 0: none */
@@ -37,7 +37,7 @@
     rr_machine *machine;
     uint32_t task;
     uint64_t attempt, worker_epoch;
-    int preempt; /* enum rr_preempt_mode */
+    enum rr_preempt_mode preempt;
 } rr_placement_record;
 
 /* The placements of one chunk of a job's tasks, and which of the chunk's tasks are done. Where the
