--- a/src/core/autoscaling/rental_records.h
+++ b/src/core/autoscaling/rental_records.h
@@ -6,11 +6,13 @@
 
 /* Frees a rental; takes gpointer, as GLib's containers do. */
 void rr_rental_free(gpointer data);
-/* Take over a rental's record and its deletion. name: its key after RR_KEY_RENTAL. */
+/* Takes over a rental's record. name: its key after RR_KEY_RENTAL. */
 void rr_rental_put(rr_core *core, const char *name, const msgpack_object *value, uint64_t version);
+/* Takes over the deletion of a rental's record. */
 void rr_rental_delete(rr_core *core, const char *name);
-/* A full reload of the store cache begins, and ends: rentals that it did not bring are removed. */
+/* Begins a full reload of the store cache: no rental has been seen in it yet. */
 void rr_rentals_begin_reload(rr_core *core);
+/* Ends a full reload: removes the rentals that it did not bring. */
 void rr_rentals_end_reload(rr_core *core);
 
 #endif
--- a/src/core/cache_feed.h
+++ b/src/core/cache_feed.h
@@ -11,9 +11,10 @@
 /* Ends a full reload whose pages were read at revisions first to last. Records newer than first are
  * kept even if no page had them. Nothing is decided until the watch has reached revision last. */
 void rr_core_cache_end_reload(rr_core *core, uint64_t first, uint64_t last, double now);
-/* Take over a record and the deletion of one. Versions older than the one known are ignored. */
+/* Takes over a record. A version older than the one known is ignored. */
 void rr_core_cache_put(rr_core *core, const char *key, const msgpack_object *value,
                        uint64_t version, double now);
+/* Takes over the deletion of a record at this version. */
 void rr_core_cache_delete(rr_core *core, const char *key, uint64_t version, double now);
 /* Takes over an own transaction committed at this revision, so that planning need not wait for the
  * watch. */
@@ -25,6 +26,7 @@
 bool rr_core_cache_consistent(const rr_core *core);
 /* The watch has brought every change up to this revision; lower values are ignored. */
 void rr_core_set_revision(rr_core *core, uint64_t revision);
+/* Returns the revision that the watch has reached. */
 uint64_t rr_core_revision(const rr_core *core);
 
 /* The store has refused a transaction that is valid under the present limits: the next limits are
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -13,13 +13,15 @@
 
 typedef struct rr_core rr_core;
 
-/* The settings must outlive the core. */
+/* Creates a core without any state. The settings must outlive it. */
 rr_core *rr_core_create(const struct rr_config *config);
+/* Destroys the core and all it owns; NULL is ignored. */
 void rr_core_destroy(rr_core *core);
 
+/* Receives a log line; the text is valid during the call. */
+typedef void (*rr_core_log_fn)(int level, const char *line);
 /* Sets the function that receives log lines of up to this level (RR_LOG_ERROR to RR_LOG_DEBUG,
  * core/state/core_log.h). To be called once, before any other thread uses the core. */
-typedef void (*rr_core_log_fn)(int level, const char *line);
 void rr_core_set_log(rr_core *core, rr_core_log_fn log_fn, int level);
 
 #endif
--- a/src/core/extensions.h
+++ b/src/core/extensions.h
@@ -84,7 +84,9 @@
     RR_HOLD_RETURNED,    /* it was: placed only in a term whose owner knows that it ended there */
     RR_HOLD_GUEST,       /* another cell's: placed, and left running, while that cell grants it */
 };
+/* Holds the job, or changes the kind of its hold, which ends its release. */
 void rr_core_hold_job(rr_core *core, const char *job_id, enum rr_hold_kind kind);
+/* Removes the job's hold. */
 void rr_core_unhold_job(rr_core *core, const char *job_id);
 /* Releases a held job in the present term until this steady time. */
 void rr_core_release_job(rr_core *core, const char *job_id, double until);
--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -30,13 +30,15 @@
 bool rr_core_next_term(rr_core *core, double now, double wall, rr_transaction *out);
 unsigned rr_core_live_controllers(const rr_core *core); /* members of the term */
 uint64_t rr_core_fencing_token(const rr_core *core);
+/* Whether this controller is the term's autoscaler and its lease is valid. */
 bool rr_core_is_autoscaler(const rr_core *core, double now);
 
-/* This controller's shares of what the store allows per second: of all requests, and of changes for
- * users, for its plans and for the autoscaler's records. */
+/* Shares, 0 to 1, of what the store allows per second: of all requests, and of changes for users,
+ * for plans and for the autoscaler's records. */
 struct rr_budget_shares {
     double requests, users, plans, autoscaler;
 };
+/* Computes this controller's shares; outside the term it has none for plans and the autoscaler. */
 void rr_core_budget_shares(const rr_core *core, struct rr_budget_shares *out);
 
 #endif
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -41,7 +41,9 @@
     int peer_of_member[RR_CONTROLLERS_MAX]; /* peer by member index, -1: this controller */
 };
 
+/* Initializes a membership without sessions or term, from zeroed memory. */
 void rr_membership_init(struct rr_membership *membership);
+/* Frees what the membership owns. */
 void rr_membership_clear(struct rr_membership *membership);
 
 /* ---- members.c ---- */
@@ -55,6 +57,7 @@
 /* Whether every member has at least this capability by its present session. A member that returns
  * in an older version ends that. */
 bool rr_all_capable(const rr_core *core, uint64_t capability);
+/* Whether every member has RR_CAPABILITY_GANGS. */
 bool rr_all_gang_capable(const rr_core *core);
 
 /* ---- attempts.c ---- */
--- a/src/core/membership/sessions.h
+++ b/src/core/membership/sessions.h
@@ -5,8 +5,9 @@
 #include "core/membership/membership.h"
 #include "wire/wire.h"
 
-/* Take over a controller's session record and its deletion. */
+/* Takes over a controller's session record; a malformed one is ignored. */
 void rr_session_put(rr_core *core, const char *name, const msgpack_object *value);
+/* Takes over the deletion of a controller's session record. */
 void rr_session_delete(rr_core *core, const char *name);
 /* A full reload of the store cache begins: sessions are those that it brings. */
 void rr_sessions_begin_reload(rr_core *core);
--- a/src/core/state/cancel_hints.h
+++ b/src/core/state/cancel_hints.h
@@ -5,6 +5,8 @@
 
 #include "core/core.h"
 
+/* Whether another controller has confirmed the job's cancellation within the last cancel_s seconds.
+ */
 bool rr_has_cancel_hint(const rr_core *core, const char *job_id, double now);
 
 #endif
--- a/src/core/state/core_log.h
+++ b/src/core/state/core_log.h
@@ -8,13 +8,14 @@
 #define RR_LOG_INFO 1
 #define RR_LOG_DEBUG 2
 
-/* Logs a formatted line; formats nothing where the level is not wanted. */
+/* Logs a formatted line, as printf does; formats nothing where the level is not wanted. */
 #define rr_log_at(core, level, ...)                                                                \
     do {                                                                                           \
         if ((core)->log_fn && (level) <= (core)->log_level) {                                      \
             rr_log_line_at(core, level, __VA_ARGS__);                                              \
         }                                                                                          \
     } while (0)
+/* Formats and logs a line whatever its level; called by rr_log_at(). */
 void rr_log_line_at(const rr_core *core, int level, const char *fmt, ...) G_GNUC_PRINTF(3, 4);
 
 #endif
--- a/src/core/state/job_records.h
+++ b/src/core/state/job_records.h
@@ -11,6 +11,7 @@
     GPtrArray *jobs; /* rr_job*, owned by the store cache */
 } rr_job_batch;
 
+/* Frees a batch but not its jobs; takes gpointer, as GLib's containers do. */
 void rr_job_batch_free(gpointer data);
 /* Takes over a job's own record; a version older than the one known is ignored. */
 void rr_job_put(rr_core *core, const char *job_id, const msgpack_object *value, uint64_t version,
@@ -20,6 +21,7 @@
  * another controller, the one of the lower version does. */
 void rr_job_batch_put(rr_core *core, const char *key, const msgpack_object *value, uint64_t version,
                       double now);
+/* Takes over the deletion of a batch's record. */
 void rr_job_batch_delete(rr_core *core, const char *key);
 /* A full reload of the store cache begins: batches are those that it brings. */
 void rr_job_batches_begin_reload(rr_core *core);
--- a/src/core/state/jobs.h
+++ b/src/core/state/jobs.h
@@ -47,6 +47,7 @@
 /* Closes a final job whose last placement is gone: frees its task tables and leaves the records
  * that remain of its ledger to be deleted. */
 void rr_job_close_if_final(rr_core *core, rr_job *job);
+/* Whether the job or this task of it is done. */
 bool rr_job_task_done(const rr_job *job, uint32_t task);
 /* Whether the job has shrunk to its outcome; *done and *done_count (may be NULL) receive it. */
 bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count);
--- a/src/core/state/ledger.h
+++ b/src/core/state/ledger.h
@@ -11,10 +11,12 @@
  * one in the store cache. */
 void rr_ledger_record_put(rr_core *core, const char *key_suffix, const msgpack_object *value,
                           uint64_t version, double now);
+/* Takes over the deletion of a record and with it of its placements. */
 void rr_ledger_record_delete(rr_core *core, const char *key_suffix, uint64_t version, double now);
-/* A full reload of the store cache begins, and ends: records that it did not bring are removed
- * unless they are newer than revision first. */
+/* Begins a full reload of the store cache: no record has been seen in it yet. */
 void rr_ledger_begin_reload(rr_core *core);
+/* Ends a full reload: removes the records that it did not bring, unless they are newer than
+ * revision first. */
 void rr_ledger_end_reload(rr_core *core, uint64_t first, double now);
 
 /* Encodes the record of a chunk with these placements (rr_placement_record). done: tasks (uint32_t)
--- a/src/core/state/machine_pages.h
+++ b/src/core/state/machine_pages.h
@@ -19,18 +19,21 @@
  * machine type is put. */
 const rr_machine_type *rr_machine_type_at(const rr_core *core, int machine_type);
 
-/* Take over a page's record and its deletion: machines that the page no longer has are gone.
- * key_suffix: the key after RR_KEY_MACHINE_PAGE. */
+/* Takes over a page's record: machines that the page no longer has are gone. key_suffix: the key
+ * after RR_KEY_MACHINE_PAGE. */
 void rr_machine_page_put(rr_core *core, const char *key_suffix, const msgpack_object *value,
                          uint64_t version, double now);
+/* Takes over the deletion of a page's record: all of its machines are gone. */
 void rr_machine_page_delete(rr_core *core, const char *key_suffix, uint64_t version, double now);
-/* A full reload of the store cache begins, and ends: pages and machines that it did not bring are
- * removed unless their page is newer than revision first. */
+/* Begins a full reload of the store cache: no page or machine has been seen in it yet. */
 void rr_machine_pages_begin_reload(rr_core *core);
+/* Ends a full reload: removes the pages and machines that it did not bring, unless their page is
+ * newer than revision first. */
 void rr_machine_pages_end_reload(rr_core *core, uint64_t first, double now);
 
 /* Encodes the record of a page with these machines (rr_machine*), flagged as they are now. */
 void rr_machine_page_encode(const rr_core *core, rr_encoder *encoder, const GPtrArray *machines);
+/* Writes the key of a page to out. */
 void rr_machine_page_key(uint32_t page, char *out, size_t size);
 /* Estimated size of a machine's entry in a page, in bytes of JSON. */
 size_t rr_machine_page_entry_bytes(const rr_core *core, const rr_machine *machine);
--- a/src/core/state/machines.h
+++ b/src/core/state/machines.h
@@ -82,6 +82,7 @@
                                 uint32_t task);
 /* Returns the status of the placement's task in the newest heartbeat, or NULL. */
 const rr_task_status *rr_task_status_find(const rr_machine *machine, const rr_placement *placement);
+/* Whether the machine is known to have the image (an index of names). */
 bool rr_machine_has_image(const rr_machine *machine, int image);
 /* Whether the machine has a placement of the job or the plan under construction reserves one. */
 bool rr_machine_has_task(const rr_machine *machine, const rr_job *job);
--- a/src/core/state/name_index.h
+++ b/src/core/state/name_index.h
@@ -10,7 +10,9 @@
     GPtrArray *names;  /* char* by index */
 } rr_name_index;
 
+/* Initializes an empty table. */
 void rr_name_index_init(rr_name_index *names);
+/* Frees the table and its names. */
 void rr_name_index_clear(rr_name_index *names);
 /* Returns the name's index, a new one if the name is unknown. */
 int rr_name_index_add(rr_name_index *names, const char *name);
--- a/src/core/state/stored_state.h
+++ b/src/core/state/stored_state.h
@@ -42,8 +42,10 @@
     bool next_limits_in_force; /* the store has refused what only the present limits allow */
 };
 
-/* Teams of the settings get the first indices, in the order of the settings. */
+/* Initializes an empty cache from zeroed memory. Teams of the settings get the first indices, in
+ * the order of the settings. */
 void rr_stored_state_init(struct rr_stored_state *stored, const struct rr_config *config);
+/* Frees everything in the cache. */
 void rr_stored_state_clear(struct rr_stored_state *stored);
 
 #endif
--- a/src/core/state/transaction.h
+++ b/src/core/state/transaction.h
@@ -22,13 +22,16 @@
     GArray *changes; /* rr_change */
 } rr_transaction;
 
+/* Initializes an empty transaction. */
 void rr_transaction_init(rr_transaction *transaction);
+/* Frees the guards and changes; may be called twice. */
 void rr_transaction_clear(rr_transaction *transaction);
 /* Adds a guard unless the key has one already. */
 void rr_transaction_guard(rr_transaction *transaction, const char *key, uint64_t version);
 /* Adds a write of what the encoder holds, and clears the encoder. */
 void rr_transaction_put(rr_transaction *transaction, const char *key, rr_encoder *value,
                         uint64_t lease_id);
+/* Adds the deletion of a key. */
 void rr_transaction_delete(rr_transaction *transaction, const char *key);
 /* Encodes the body of the request to the store. */
 void rr_transaction_encode(const rr_transaction *transaction, rr_encoder *encoder);
--- a/src/core/stats.h
+++ b/src/core/stats.h
@@ -12,6 +12,7 @@
     unsigned jobs_whole; /* jobs that have not shrunk to their outcome */
     double priced;       /* sum of the recorded machines' prices */
 } rr_core_stats;
+/* Fills *out with the present counts. */
 void rr_core_get_stats(const rr_core *core, rr_core_stats *out);
 
 #endif
--- a/src/core/submissions.h
+++ b/src/core/submissions.h
@@ -23,6 +23,7 @@
     uint32_t done_count, running_count;
     uint64_t version;
 } rr_job_view;
+/* Fills *out with the job's state; known is false for an unknown job. */
 void rr_core_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out);
 
 /* Writes the key of a job's own record to out. */
