--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -1,50 +1,46 @@
-/* Which machines may take a task, and the choice among them. */
+/* Bin packing: the choice of a machine for a task. */
 #ifndef RR_CORE_SCHEDULING_BIN_PACKING_H
 #define RR_CORE_SCHEDULING_BIN_PACKING_H
 
+#include "core/scheduling/placement_constraints.h"
+#include "core/scheduling/zone_choice.h"
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
 
-bool rr_job_allows(const rr_core *core, const rr_job *job, int machine_type, int zone, bool spot);
-/* The zones in which one more task of the job may start, given its placements (and, while moving,
- * not counting `except`): fills allowed[zone]. */
-void rr_job_zones(const rr_core *core, const rr_job *job, bool *allowed,
-                  const rr_placement *except);
-/* The same from counts that the caller keeps while it reserves: placements by zone. */
-uint32_t rr_job_count_by_zone(const rr_core *core, const rr_job *job, const rr_placement *except,
-                              uint32_t *by_zone);
-void rr_job_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
-                       uint32_t all, bool *allowed);
-/* Estimated time to fetch the job's image there; 0: it has it. */
-double rr_image_fetch_s(const rr_core *core, const rr_job *job, const rr_machine *machine);
-struct rr_placement_constraints {
-    const bool *zones;         /* allowed zones */
-    bool distinct_machines;    /* no machine that has a task of this job */
-    const rr_machine *current; /* where it runs now: never refused for its own sake */
-    bool need_image;           /* only machines that have the image */
-    bool (*filter)(const rr_core *core, const rr_machine *machine, double now);
-};
-/* The machines that may take a task of the job, each with the part of its rank that placing does
- * not change: one walk over all machines serves many tasks. */
+/* A machine that may take a task of a job, with the parts of its score that reservations don't
+ * change. */
 typedef struct {
     rr_machine *machine;
     rr_resources capacity;
-    double failures, image, price, fetch, foreign_shard;
-    bool booting;
+    double failure_penalty, price, fetch_s;
+    bool image_missing; /* counts before the price, since the start is urgent */
+    bool foreign_shard; /* other owners take it first */
+    bool image_coming;  /* another task of the same image is placed there */
 } rr_candidate;
+
+/* The estimated time to fetch the job's image on the machine, seconds; 0: the machine has it. */
+double rr_image_fetch_s(const rr_core *core, const rr_job *job, const rr_machine *machine);
+
+/* How many tasks of this request fit into the available resources, up to count_max. */
+uint32_t rr_tasks_fitting(rr_resources request, rr_resources available, uint32_t count_max);
+
+/* Sets every machine's free resources to what the ledger leaves, without terminated placements. */
+void rr_reset_free_resources(rr_core *core);
+
+/* Fills in the machines that may take a task of the job now. One walk over all machines then serves
+ * many choices. */
 void rr_list_candidates(rr_core *core, const rr_job *job,
-                        const struct rr_placement_constraints *how, double now,
-                        GArray *out /* rr_candidate */);
-/* The paper's choice among them: the fitting machine of least price x free room. room: by m->sim.
- * how->zones and how->separate are looked at anew; candidates without room go. */
+                        const struct rr_placement_constraints *constraints, double now,
+                        GArray *candidates /* rr_candidate */);
+
+/* The best candidate for one more task, NULL: none fits. Candidates without room are removed. Zones
+ * and distinct machines are checked again, since reservations change them. */
 rr_machine *rr_bin_pack_from(rr_core *core, const rr_job *job,
-                             const struct rr_placement_constraints *how, GArray *candidates);
+                             const struct rr_placement_constraints *constraints,
+                             GArray *candidates);
+
+/* The best of all machines for one task, NULL: none fits. */
 rr_machine *rr_bin_pack(rr_core *core, const rr_job *job,
-                        const struct rr_placement_constraints *how, double now);
-/* How many tasks of this need fit into this room, up to most. */
-uint32_t rr_tasks_fitting(rr_resources need, rr_resources room, uint32_t most);
-int rr_zone_with_most_room(rr_core *core, const rr_job *job, const bool *zones, double now);
-void rr_reset_free_resources(rr_core *core);
-bool rr_job_zone_bound(const rr_job *job);
+                        const struct rr_placement_constraints *constraints, double now);
 
 #endif
--- /dev/null
+++ b/src/core/scheduling/command_batches.c
@@ -0,0 +1,54 @@
+/* Command batches of one plan. */
+#include "core/scheduling/command_batches.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/state/machines.h"
+
+/* A heartbeat later than this many intervals says that the machine may not answer either. */
+#define LATE_HEARTBEAT_INTERVALS 1.3
+
+void rr_command_batch_free(rr_command_batch *batch) {
+    g_array_free(batch->commands, TRUE);
+    g_free(batch);
+}
+
+rr_command_batch *rr_plan_command_batch(struct rr_planner *planner, rr_machine *machine) {
+    if (machine->plan_commands) {
+        return machine->plan_commands;
+    }
+    bool direct_path_bad = planner->now < machine->direct_path_bad_until;
+    rr_command_batch *batch = g_new0(rr_command_batch, 1);
+    g_strlcpy(batch->machine, machine->name, sizeof batch->machine);
+    g_strlcpy(batch->address, machine->address, sizeof batch->address);
+    batch->fencing_token = planner->core->membership.term.token;
+    batch->worker_epoch = machine->heartbeat.worker_epoch;
+    batch->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
+    batch->fallback = machine->heard_via;
+    batch->via = machine->heard_via >= 0 && direct_path_bad ? machine->heard_via : -1;
+    batch->may_time_out =
+        machine->unanswered > 0 ||
+        rr_heartbeat_age(machine, planner->now) >
+            LATE_HEARTBEAT_INTERVALS * planner->core->config->heartbeat_interval_s;
+    machine->plan_commands = batch;
+    g_ptr_array_add(planner->plan->command_batches, batch);
+    return batch;
+}
+
+void rr_plan_add_command(struct rr_planner *planner, rr_machine *machine,
+                         enum rr_command_kind command_kind, const char *job_id, uint32_t task,
+                         uint64_t attempt, double grace_s) {
+    rr_command command = {
+        .kind = command_kind, .task = task, .attempt = attempt, .grace_s = grace_s};
+    g_strlcpy(command.job_id, job_id, sizeof command.job_id);
+    g_array_append_val(rr_plan_command_batch(planner, machine)->commands, command);
+}
+
+void rr_plan_finish_command_batches(struct rr_planner *planner) {
+    for (guint i = 0; i < planner->plan->command_batches->len; i++) {
+        const rr_command_batch *batch = g_ptr_array_index(planner->plan->command_batches, i);
+        rr_machine *machine = g_hash_table_lookup(planner->core->stored.machines, batch->machine);
+        machine->command_inflight = true;
+        machine->plan_commands = NULL;
+        machine->reap_at = 0;
+    }
+}
--- a/src/core/scheduling/fair_share.c
+++ b/src/core/scheduling/fair_share.c
@@ -1,7 +1,7 @@
-/* Fair room: while admission limits, what it grants a team also bounds and orders what its owner
- * places. */
+/* Fair shares: while admission limits, what it grants a team also bounds and orders what the team's
+ * owner places. */
+#include "core/scheduling/fair_share.h"
 #include "core/core_internal.h"
-#include "core/scheduling/plan.h"
 #include "core/scheduling/reservation.h"
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
@@ -10,6 +10,9 @@
 
 #include <math.h>
 
+/* A job that has waited longer than this shows that other teams do not use the free room. */
+#define FAIR_SHARE_WAIT_MAX_S 60.0
+
 void rr_core_set_fair_room(rr_core *core, const double *rooms, double cpu, double gpu, double mem) {
     core->extensions.fair_share_enabled = rooms != NULL;
     core->extensions.total_resources = (rr_resources){cpu, gpu, mem};
@@ -18,60 +21,63 @@
     }
 }
 
-static double part_of(double used, double all) {
-    return all > 0 ? used / all : 0;
+static double share_of(double used, double total) {
+    return total > 0 ? used / total : 0;
 }
 
-static double dominant_part(const rr_core *core, rr_resources used) {
-    double cpu = part_of(used.cpus, core->extensions.total_resources.cpus),
-           gpu = part_of(used.gpus, core->extensions.total_resources.gpus);
-    return fmax(fmax(cpu, gpu), part_of(used.mem_gb, core->extensions.total_resources.mem_gb));
+static double dominant_share(const rr_core *core, rr_resources used) {
+    const rr_resources *total = &core->extensions.total_resources;
+    double cpu_share = share_of(used.cpus, total->cpus);
+    double gpu_share = share_of(used.gpus, total->gpus);
+    return fmax(fmax(cpu_share, gpu_share), share_of(used.mem_gb, total->mem_gb));
 }
 
-/* A team at its fair part of all room leaves what is free to others: an owner sees only its own
- * teams, and two owners would race for it. Not held back are replicas of prod rank, what is within
- * a guarantee, and who has waited so long that the room is evidently of no use to others. */
-#define FAIR_WAIT_S 60.0
-
-bool rr_within_fair_room(const struct rr_planner *planner, const rr_job *job) {
+/* An owner sees only its own teams: without a bound, the owners of two teams would race for what is
+ * free. Replicas of prod priority and work within a guarantee are not held back. */
+bool rr_within_fair_share(const struct rr_planner *planner, const rr_job *job) {
     const rr_core *core = planner->core;
     if (!core->extensions.fair_share_enabled || job->submission.priority == RR_PRIORITY_PROD ||
-        planner->wall - job->accepted_at > FAIR_WAIT_S || rr_within_guarantee(planner, job, 1)) {
+        planner->wall - job->accepted_at > FAIR_SHARE_WAIT_MAX_S ||
+        rr_within_guarantee(planner, job, 1)) {
         return true;
     }
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, 1);
-    return dominant_part(core, used) <=
+    return dominant_share(core, used) <=
            core->extensions.fair_share[job->team] + RR_RESOURCE_EPSILON;
 }
 
-/* What every class of every team uses: by team, then by class. */
-static rr_resources *count_classes(const rr_core *core, guint classes) {
-    rr_resources *used = g_new0(rr_resources, core->config->team_count * classes + 1);
+static rr_resources *usage_of_class(rr_resources *usage, const rr_job *job, guint class_count) {
+    return &usage[(guint)job->team * class_count + (guint)job->job_class];
+}
+
+/* What every class of every team uses, by team, then by class. The caller frees it. */
+static rr_resources *usage_by_class(const rr_core *core, guint class_count) {
+    rr_resources *usage = g_new0(rr_resources, core->config->team_count * class_count + 1);
     for (guint i = 0; i < core->stored.open_jobs->len; i++) {
         const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
         if (job->team >= 0 && (size_t)job->team < core->config->team_count && job->job_class >= 0) {
-            rr_resources *of_class = &used[(guint)job->team * classes + (guint)job->job_class];
+            rr_resources *of_class = usage_of_class(usage, job, class_count);
             *of_class = rr_resources_add(*of_class, job->request, job->placed_count);
         }
     }
-    return used;
+    return usage;
 }
 
-void rr_set_fair_turns(const struct rr_planner *planner, GPtrArray *waiting) {
+void rr_set_fair_share_fill(const struct rr_planner *planner, GPtrArray *waiting) {
     const rr_core *core = planner->core;
-    guint classes = core->stored.job_classes.names->len;
-    rr_resources *used = core->extensions.fair_share_enabled ? count_classes(core, classes) : NULL;
+    guint class_count = core->stored.job_classes.names->len;
+    rr_resources *usage =
+        core->extensions.fair_share_enabled ? usage_by_class(core, class_count) : NULL;
     for (guint i = 0; i < waiting->len; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
         job->team_fill = job->class_fill = 0;
-        if (used && job->job_class >= 0) {
-            rr_resources team = rr_team_usage(core, job->team);
-            double room = core->extensions.fair_share[job->team];
-            job->team_fill = room > 0 ? dominant_part(core, team) / room : 1;
-            job->class_fill =
-                dominant_part(core, used[(guint)job->team * classes + (guint)job->job_class]);
+        if (usage && job->job_class >= 0) {
+            double used_share = dominant_share(core, rr_team_usage(core, job->team));
+            double fair_share = core->extensions.fair_share[job->team];
+            job->team_fill = fair_share > 0 ? used_share / fair_share : 1;
+            job->class_fill = dominant_share(core, *usage_of_class(usage, job, class_count));
         }
     }
-    g_free(used);
+    g_free(usage);
 }
--- a/src/core/scheduling/gang_phase.h
+++ b/src/core/scheduling/gang_phase.h
@@ -1,4 +1,4 @@
-/* The phase of a gang. */
+/* The phase of a gang, whose tasks run together or not at all. */
 #ifndef RR_CORE_SCHEDULING_GANG_PHASE_H
 #define RR_CORE_SCHEDULING_GANG_PHASE_H
 
@@ -6,16 +6,21 @@
 
 enum rr_gang_phase {
     RR_GANG_QUEUED,   /* no task is on a machine or reserved */
-    RR_GANG_RESERVED, /* all are reserved; none is shown yet */
-    RR_GANG_WAITING,  /* some are shown; not all run */
-    RR_GANG_RUNNING,  /* all run */
-    RR_GANG_STOPPING, /* one is lost or has to go: all go, and come back together */
-    RR_GANG_ENDING    /* done or cancelled: what is left goes */
+    RR_GANG_RESERVED, /* all tasks are reserved, and no machine shows one yet */
+    RR_GANG_WAITING,  /* machines show some tasks, and not all run */
+    RR_GANG_RUNNING,  /* all tasks run */
+    RR_GANG_STOPPING, /* a task is lost or has to go: all stop, and are placed again together */
+    RR_GANG_ENDING    /* done or cancelled: the remaining tasks stop */
 };
-/* From the ledger and the reports alone, so that a new owner reaches the same. */
+
+/* Whether all tasks of a gang are to be stopped, and how. */
+enum rr_gang_stop { RR_GANG_STAYS, RR_GANG_STOPS_AT_ONCE, RR_GANG_STOPS_SAVING };
+
+/* Both derive from the ledger and the heartbeats alone, so that a new owner decides the same. */
 enum rr_gang_phase rr_gang_phase(const rr_core *core, const rr_job *job, double now);
-/* Every task of it is to be stopped. *saving: all of them can be told to save first. */
-bool rr_gang_stops(const rr_core *core, const rr_job *job, double now, bool *saving);
-uint32_t rr_gang_tasks_max(const rr_core *core); /* tasks of one gang at most */
+enum rr_gang_stop rr_gang_stop(const rr_core *core, const rr_job *job, double now);
+
+/* The largest number of tasks of one gang: one transaction reserves or ends all of them. */
+uint32_t rr_gang_tasks_max(const rr_core *core);
 
 #endif
--- a/src/core/scheduling/gang_reservation.c
+++ b/src/core/scheduling/gang_reservation.c
@@ -1,8 +1,10 @@
+/* Keeps room for a gang. Machines that are kept fill up no more, so that the next plan finds the
+ * same ones with more free resources. */
+#include "core/scheduling/gang_reservation.h"
 #include "core/core_internal.h"
 #include "core/scheduling/bin_packing.h"
-#include "core/scheduling/gang_placement.h"
-#include "core/scheduling/plan.h"
-#include "core/scheduling/preemption.h"
+#include "core/scheduling/gang_search.h"
+#include "core/scheduling/placement_constraints.h"
 #include "core/scheduling/reservation.h"
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
@@ -12,112 +14,107 @@
 
 #include <string.h>
 
-/* A machine that may take tasks of the gang, once what ends by itself there has ended. */
-struct prospect {
+/* A machine that will take tasks of the gang once what ends by itself there has ended. */
+struct future_room {
     rr_machine *machine;
-    double free_share;
-    uint32_t seats;
+    double free_share;   /* now */
+    uint32_t task_count; /* that it will take */
 };
 
-static gint by_free_share(gconstpointer left_item, gconstpointer right_item) {
-    const struct prospect *left = left_item, *right = right_item;
+static gint by_free_share(gconstpointer left_room, gconstpointer right_room) {
+    const struct future_room *left = left_room, *right = right_room;
     if (left->free_share != right->free_share) {
         return left->free_share > right->free_share ? -1 : 1;
     }
     return left->machine->id - right->machine->id;
 }
 
-/* Tasks of the job that the machine takes when only replicas are left there, and gangs where those
- * are counted as staying. */
-static uint32_t seats_in_time(const rr_core *core, const rr_machine *machine, const rr_job *job,
-                              bool gangs_stay) {
-    rr_resources room = rr_machine_capacity(core, machine);
+/* Which placements will not end by themselves. */
+enum staying { SERVICES_STAY, SERVICES_AND_GANGS_STAY };
+
+static bool stays(const rr_job *job, enum staying staying) {
+    bool kind_stays = job->submission.kind == RR_JOB_SERVICE ||
+                      (staying == SERVICES_AND_GANGS_STAY && job->submission.kind == RR_JOB_GANG);
+    return kind_stays && !job->cancelled;
+}
+
+/* How many tasks of the job the machine takes when only staying placements are left there. */
+static uint32_t future_task_count(const rr_core *core, const rr_machine *machine, const rr_job *job,
+                                  enum staying staying) {
+    rr_resources available = rr_machine_capacity(core, machine);
     for (guint i = 0; i < machine->placements->len; i++) {
         const rr_job *other = g_array_index(machine->placements, rr_placement, i).job;
-        bool stays = other->submission.kind == RR_JOB_SERVICE ||
-                     (gangs_stay && other->submission.kind == RR_JOB_GANG);
-        if (stays && !other->cancelled) {
-            room = rr_resources_add(room, other->request, -1);
+        if (stays(other, staying)) {
+            available = rr_resources_add(available, other->request, -1);
         }
     }
-    return rr_tasks_fitting(job->request, room, job->submission.task_count);
+    return rr_tasks_fitting(job->request, available, job->submission.task_count);
 }
 
-/* All machines of these zones that may ever take tasks of the gang, the emptiest first. */
-static GArray *all_prospects(const struct rr_planner *planner, const rr_job *job, const bool *zones,
-                             bool gangs_stay) {
+/* All machines of these zones that will ever take tasks of the gang, the emptiest first. */
+static GArray *list_future_room(const struct rr_planner *planner, const rr_job *job,
+                                const bool *zones, enum staying staying) {
     rr_core *core = planner->core;
-    GArray *prospects = g_array_new(FALSE, FALSE, sizeof(struct prospect));
+    GArray *rooms = g_array_new(FALSE, FALSE, sizeof(struct future_room));
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         core->counters.machines_visited++;
-        if (!rr_machine_may_take(planner, machine, job, zones)) {
+        if (!rr_machine_may_take(core, machine, job, zones, planner->now)) {
             continue;
         }
-        struct prospect prospect = {.machine = machine,
-                                    .free_share = rr_resources_free_share(
-                                        machine->free, rr_machine_capacity(core, machine)),
-                                    .seats = seats_in_time(core, machine, job, gangs_stay)};
-        if (prospect.seats > 0) {
-            g_array_append_val(prospects, prospect);
+        struct future_room room = {.machine = machine,
+                                   .free_share = rr_resources_free_share(
+                                       machine->free, rr_machine_capacity(core, machine)),
+                                   .task_count = future_task_count(core, machine, job, staying)};
+        if (room.task_count > 0) {
+            g_array_append_val(rooms, room);
         }
     }
-    g_array_sort(prospects, by_free_share);
-    return prospects;
-}
-
-/* How near machines are to taking the whole gang. */
-struct progress {
-    uint32_t free_seats; /* that they have now */
-    double free_share;   /* their free room, in machines */
-};
-
-static bool is_nearer(const struct progress *left, const struct progress *right) {
-    return left->free_seats != right->free_seats ? left->free_seats > right->free_seats
-                                                 : left->free_share > right->free_share;
+    g_array_sort(rooms, by_free_share);
+    return rooms;
 }
 
-/* Keeps the fewest of them that will take the whole gang; false: they never will. */
-static bool keep_needed(const rr_job *job, GArray *prospects, struct progress *progress) {
-    uint32_t seats = 0;
+/* Keeps the fewest machines that will take the whole gang; false: they never will. The score counts
+ * the tasks that they take now, then their free shares. */
+static bool keep_needed(const rr_job *job, GArray *rooms, struct rr_gang_score *score) {
+    uint32_t future_tasks = 0, tasks_now = 0;
+    double free_share = 0;
     guint needed = 0;
-    *progress = (struct progress){0, 0};
-    for (; needed < prospects->len && seats < job->submission.task_count; needed++) {
-        const struct prospect *prospect = &g_array_index(prospects, struct prospect, needed);
-        seats += prospect->seats;
-        progress->free_seats +=
-            rr_tasks_fitting(job->request, prospect->machine->free, job->submission.task_count);
-        progress->free_share += prospect->free_share;
+    for (; needed < rooms->len && future_tasks < job->submission.task_count; needed++) {
+        const struct future_room *room = &g_array_index(rooms, struct future_room, needed);
+        future_tasks += room->task_count;
+        tasks_now +=
+            rr_tasks_fitting(job->request, room->machine->free, job->submission.task_count);
+        free_share += room->free_share;
     }
-    g_array_set_size(prospects, needed);
-    return seats >= job->submission.task_count;
+    g_array_set_size(rooms, needed);
+    *score = (struct rr_gang_score){-(double)tasks_now, -free_share};
+    return future_tasks >= job->submission.task_count;
 }
 
-/* The machines to keep for the gang, in the zones where most of it fits now; NULL: there are none.
- * What is kept fills up no more, so that the next plan finds the same ones emptier still. */
-static GArray *best_prospects(const struct rr_planner *planner, const rr_job *job,
-                              const bool *allowed, bool gangs_stay) {
-    const rr_core *core = planner->core;
-    bool zones[core->stored.zones.names->len + 1];
-    struct progress progress, most = {0, 0};
-    GArray *best = NULL;
-    for (guint search = 0; search < rr_gang_searches(core, job); search++) {
-        rr_gang_search_zones(core, job, allowed, search, zones);
-        GArray *prospects = all_prospects(planner, job, zones, gangs_stay);
-        if (keep_needed(job, prospects, &progress) && (!best || is_nearer(&progress, &most))) {
-            g_clear_pointer(&best, g_array_unref);
-            best = g_steal_pointer(&prospects);
-            most = progress;
-        }
-        g_clear_pointer(&prospects, g_array_unref);
+static GArray *search_future_room(struct rr_planner *planner, const rr_job *job, const bool *zones,
+                                  enum staying staying, struct rr_gang_score *score) {
+    GArray *rooms = list_future_room(planner, job, zones, staying);
+    if (!keep_needed(job, rooms, score)) {
+        g_clear_pointer(&rooms, g_array_unref);
     }
-    return best;
+    return rooms;
+}
+
+/* Two rr_gang_search_fn. */
+static GArray *search_beside_gangs(struct rr_planner *planner, const rr_job *job, const bool *zones,
+                                   struct rr_gang_score *score) {
+    return search_future_room(planner, job, zones, SERVICES_AND_GANGS_STAY, score);
+}
+
+static GArray *search_after_gangs(struct rr_planner *planner, const rr_job *job, const bool *zones,
+                                  struct rr_gang_score *score) {
+    return search_future_room(planner, job, zones, SERVICES_STAY, score);
 }
 
-static void reserve_machines(const GArray *prospects) {
-    const rr_resources none = {0, 0, 0};
-    for (guint i = 0; i < prospects->len; i++) {
-        g_array_index(prospects, struct prospect, i).machine->free = none;
+static void keep_machines(const GArray *rooms) {
+    for (guint i = 0; i < rooms->len; i++) {
+        g_array_index(rooms, struct future_room, i).machine->free = (rr_resources){0, 0, 0};
     }
 }
 
@@ -128,17 +125,15 @@
     uint32_t none_placed[zone_count + 1];
     memset(none_placed, 0, sizeof none_placed);
     rr_job_zones_from(core, job, none_placed, 0, allowed);
-    GArray *prospects = best_prospects(planner, job, allowed, true);
-    if (!prospects) {
-        prospects = best_prospects(planner, job, allowed, false);
+    GArray *rooms = rr_gang_best_search(planner, job, allowed, search_beside_gangs);
+    if (!rooms) {
+        rooms = rr_gang_best_search(planner, job, allowed, search_after_gangs);
     }
-    if (prospects) {
-        reserve_machines(prospects);
-        g_array_unref(prospects);
+    if (rooms) {
+        keep_machines(rooms);
+        g_array_unref(rooms);
     }
     if (!rr_within_limit(planner, job, job->submission.task_count)) {
-        rr_resources *reserved =
-            &g_array_index(core->planning.team_reserved, rr_resources, job->team);
-        *reserved = rr_resources_add(*reserved, job->request, job->submission.task_count);
+        rr_reserve_team_usage(planner, job, job->submission.task_count);
     }
 }
--- /dev/null
+++ b/src/core/scheduling/job_search.c
@@ -0,0 +1,110 @@
+/* Searches for room: the zones of a job, and failed searches. */
+#include "core/scheduling/job_search.h"
+#include "core/core_internal.h"
+#include "core/scheduling/placement_constraints.h"
+#include "core/scheduling/zone_choice.h"
+#include "core/state/jobs.h"
+#include "core/state/resources.h"
+
+#include <string.h>
+
+#define FAILED_SEARCHES_MAX 64 /* remembered within one plan */
+#define ZONE_MASK_BITS 64
+
+void rr_job_zones_init(const struct rr_planner *planner, const rr_job *job,
+                       struct rr_job_zones *zones) {
+    guint zone_count = planner->core->stored.zones.names->len;
+    *zones = (struct rr_job_zones){.allowed = g_new0(bool, zone_count + 1),
+                                   .placements = g_new0(uint32_t, zone_count + 1),
+                                   .counted = job->submission.spread || job->submission.one_zone ||
+                                              job->submission.kind == RR_JOB_GANG};
+    if (zones->counted) {
+        zones->placement_count = rr_job_count_by_zone(job, NULL, zones->placements);
+    }
+}
+
+void rr_job_zones_clear(struct rr_job_zones *zones) {
+    g_free(zones->allowed);
+    g_free(zones->placements);
+}
+
+void rr_job_zones_update(const struct rr_planner *planner, const rr_job *job,
+                         struct rr_job_zones *zones) {
+    rr_core *core = planner->core;
+    guint zone_count = core->stored.zones.names->len, allowed_count = 0;
+    rr_job_zones_from(core, job, zones->placements, zones->placement_count, zones->allowed);
+    for (guint zone = 0; zone < zone_count; zone++) {
+        allowed_count += zones->allowed[zone];
+    }
+    if (!rr_job_zone_bound(job) || allowed_count <= 1) {
+        return;
+    }
+    int best = rr_zone_with_most_room(core, job, zones->allowed, planner->now);
+    for (guint zone = 0; zone < zone_count; zone++) {
+        zones->allowed[zone] = (int)zone == best;
+    }
+}
+
+void rr_job_zones_add(const struct rr_planner *planner, const rr_job *job,
+                      const rr_machine *machine, struct rr_job_zones *zones) {
+    if (zones->counted) {
+        zones->placements[machine->zone]++;
+        zones->placement_count++;
+        rr_job_zones_update(planner, job, zones);
+    }
+}
+
+uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
+    uint64_t mask = 0;
+    for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
+        mask |= allowed[zone] ? (uint64_t)1 << (zone % ZONE_MASK_BITS) : 0;
+    }
+    return mask;
+}
+
+static bool allows_same_machine_types(const rr_submission *left, const rr_submission *right) {
+    size_t bytes = (size_t)left->machine_type_count * sizeof *left->machine_types;
+    return left->machine_type_count == right->machine_type_count &&
+           (bytes == 0 || memcmp(left->machine_types, right->machine_types, bytes) == 0);
+}
+
+/* Whether searches for both jobs differ in nothing but the amounts requested. */
+static bool search_alike(const rr_job *left, const rr_job *right) {
+    return left->team == right->team && left->job_class == right->job_class &&
+           left->submission.priority == right->submission.priority &&
+           left->submission.spot == right->submission.spot &&
+           left->submission.kind == right->submission.kind &&
+           strcmp(left->submission.zone, right->submission.zone) == 0 &&
+           allows_same_machine_types(&left->submission, &right->submission);
+}
+
+static bool failed_before(const struct rr_planner *planner, const rr_job *job, uint64_t zone_mask) {
+    for (guint i = 0; i < planner->failed_searches->len; i++) {
+        const struct rr_failed_search *failed =
+            &g_array_index(planner->failed_searches, struct rr_failed_search, i);
+        bool smaller_gang = job->submission.kind != RR_JOB_GANG ||
+                            failed->job->submission.task_count <= job->submission.task_count;
+        if (search_alike(failed->job, job) &&
+            rr_resources_fit(failed->job->request, job->request) && smaller_gang &&
+            (zone_mask & ~failed->zone_mask) == 0) {
+            return true;
+        }
+    }
+    return false;
+}
+
+bool rr_search_is_hopeless(const struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
+    if (!failed_before(planner, job, zone_mask)) {
+        return false;
+    }
+    job->failed_at = planner->now;
+    return true;
+}
+
+void rr_record_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
+    struct rr_failed_search failed = {job, zone_mask};
+    job->failed_at = planner->now;
+    if (planner->failed_searches->len < FAILED_SEARCHES_MAX) {
+        g_array_append_val(planner->failed_searches, failed);
+    }
+}
--- /dev/null
+++ b/src/core/scheduling/plan_transaction.c
@@ -0,0 +1,185 @@
+/* Builds a plan's transaction: ledger records, final records of jobs, guards, and the deletion of
+ * records that nobody needs any more. */
+#include "core/scheduling/plan_transaction.h"
+#include "core/core_internal.h"
+#include "core/membership/membership.h"
+#include "core/scheduling/planner.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+#include "core/state/transaction.h"
+#include "core/leadership.h"
+#include "core/submissions.h"
+
+#define KEY_BYTES_MAX (RR_ID_SIZE + 64)
+/* Deletions wait until the write pressure is below these. */
+#define ORPHAN_DELETION_PRESSURE_MAX 0.5
+#define BATCH_DELETION_PRESSURE_MAX 0.3
+#define BATCH_DELETION_PERIOD_S 2.0
+
+static void put_final_record(struct rr_planner *planner, const rr_job *job) {
+    rr_job_final_record(job, &planner->plan->transaction);
+    rr_log_at(planner->core, RR_LOG_DEBUG,
+              "job %s done: %u tasks, %.0f s after acceptance, deadline %.0f s, "
+              "runtime estimate %.0f s",
+              job->submission.job_id, job->submission.task_count, planner->wall - job->accepted_at,
+              job->submission.deadline_s, job->submission.runtime_estimate_s);
+}
+
+/* The zone that the record keeps for a job of one zone, -1: none. */
+static int recorded_zone(const struct rr_record_edit *edit) {
+    if (!edit->job->submission.one_zone) {
+        return -1;
+    }
+    return edit->zone >= 0 ? edit->zone : edit->job->zone;
+}
+
+static void put_ledger_record(struct rr_planner *planner, const struct rr_record_edit *edit,
+                              const char *key) {
+    rr_encoder encoder;
+    rr_encoder_init(&encoder);
+    rr_ledger_record_encode(planner->core, &encoder, edit->job, edit->record->chunk,
+                            edit->placements, edit->completed, recorded_zone(edit));
+    rr_transaction_put(&planner->plan->transaction, key, &encoder, 0);
+}
+
+static void put_edit(struct rr_planner *planner, const struct rr_record_edit *edit) {
+    rr_transaction *transaction = &planner->plan->transaction;
+    rr_job *job = edit->job;
+    bool completes_job = job->completing_count > 0 &&
+                         job->done_count + job->completing_count >= job->submission.task_count;
+    bool is_final = completes_job || job->cancelled || job->done;
+    bool is_empty = edit->placements->len == 0;
+    if ((is_final || job->submission.kind == RR_JOB_GANG) && is_empty &&
+        edit->record->version == 0) {
+        return; /* nothing to delete, or a gang whose reservations were all cancelled */
+    }
+    char key[KEY_BYTES_MAX];
+    rr_ledger_record_key(job->submission.job_id, edit->record->chunk, key, sizeof key);
+    rr_transaction_guard(transaction, key, edit->record->version);
+    if (is_final && is_empty) {
+        rr_transaction_delete(transaction, key);
+    } else {
+        put_ledger_record(planner, edit, key);
+    }
+    if (edit->completed->len > 0) {
+        rr_planner_guard_job(planner, job);
+        if (completes_job && !job->ending) {
+            job->ending = true;
+            put_final_record(planner, job);
+        }
+    }
+}
+
+static void guard_jobs(struct rr_planner *planner) {
+    char key[KEY_BYTES_MAX];
+    for (guint i = 0; i < planner->guarded_jobs->len; i++) {
+        const rr_job *job = g_ptr_array_index(planner->guarded_jobs, i);
+        rr_core_job_key(job->submission.job_id, key, sizeof key);
+        rr_transaction_guard(&planner->plan->transaction, key, job->own_version);
+    }
+}
+
+static void delete_record(struct rr_planner *planner, const char *key, uint64_t version) {
+    rr_transaction_guard(&planner->plan->transaction, key, version);
+    rr_transaction_delete(&planner->plan->transaction, key);
+    planner->change_count++;
+}
+
+/* Deletes ledger records of final jobs. */
+static void delete_orphan_records(struct rr_planner *planner) {
+    rr_core *core = planner->core;
+    GPtrArray *keys = core->stored.orphan_record_keys;
+    if (core->planning.write_pressure >= ORPHAN_DELETION_PRESSURE_MAX) {
+        return;
+    }
+    for (guint i = keys->len; i > 0 && planner->change_count < planner->change_limit; i--) {
+        rr_job *job;
+        const rr_ledger_record *record = rr_garbage_record(core, i - 1, &job);
+        if (!record || !record->version) {
+            g_ptr_array_remove_index_fast(keys, i - 1);
+        } else if (!job->open && !record->edit && job->team >= 0 && rr_owns_team(core, job->team)) {
+            delete_record(planner, g_ptr_array_index(keys, i - 1), record->version);
+        }
+    }
+}
+
+/* Whether every job of the batch has a record of its own. */
+static bool is_obsolete(const rr_job_batch *batch) {
+    for (guint i = 0; i < batch->jobs->len; i++) {
+        if (((const rr_job *)g_ptr_array_index(batch->jobs, i))->own_version == 0) {
+            return false;
+        }
+    }
+    return true;
+}
+
+static void delete_obsolete_batches(struct rr_planner *planner) {
+    rr_core *core = planner->core;
+    GHashTableIter iter;
+    gpointer key, value;
+    if (core->planning.write_pressure > BATCH_DELETION_PRESSURE_MAX ||
+        planner->now - core->planning.batches_at < BATCH_DELETION_PERIOD_S ||
+        !rr_core_is_autoscaler(core, planner->now)) {
+        return;
+    }
+    core->planning.batches_at = planner->now;
+    g_hash_table_iter_init(&iter, core->stored.batches);
+    while (planner->change_count < planner->change_limit &&
+           g_hash_table_iter_next(&iter, &key, &value)) {
+        if (is_obsolete(value)) {
+            delete_record(planner, key, ((const rr_job_batch *)value)->version);
+        }
+    }
+}
+
+static bool adds_placement(const struct rr_record_edit *edit) {
+    for (guint i = 0; i < edit->placements->len; i++) {
+        const rr_placement_record *record =
+            &g_array_index(edit->placements, rr_placement_record, i);
+        if (!rr_placement_find(record->machine, record->attempt, edit->job, record->task)) {
+            return true;
+        }
+    }
+    return false;
+}
+
+/* Logs what the changes are for, since the store's limit on changes bounds most plans. */
+static void log_plan(const struct rr_planner *planner) {
+    guint reserving = 0, completing = 0, other = 0;
+    for (guint i = 0; i < planner->edits->len; i++) {
+        const struct rr_record_edit *edit = g_ptr_array_index(planner->edits, i);
+        if (adds_placement(edit)) {
+            reserving++;
+        } else if (edit->completed->len > 0) {
+            completing++;
+        } else {
+            other++;
+        }
+    }
+    rr_log_at(planner->core, RR_LOG_DEBUG,
+              "plan: %u changes: %u records reserve, %u complete tasks, %u others; "
+              "%u placements terminated; write pressure %.2f",
+              planner->plan->transaction.changes->len, reserving, completing, other,
+              planner->terminated->len, planner->core->planning.write_pressure);
+}
+
+void rr_plan_build_transaction(struct rr_planner *planner) {
+    rr_transaction *transaction = &planner->plan->transaction;
+    rr_transaction_guard(transaction, RR_KEY_ROOT "term", planner->core->membership.term.version);
+    for (guint i = 0; i < planner->edits->len; i++) {
+        put_edit(planner, g_ptr_array_index(planner->edits, i));
+    }
+    /* A delayed duplicate of this transaction fails on the job's guard, even after the ledger
+     * record that it guards has been deleted. */
+    guard_jobs(planner);
+    /* Deletions go alone: a stale record among them must not fail other changes. */
+    if (transaction->changes->len == 0) {
+        delete_orphan_records(planner);
+        delete_obsolete_batches(planner);
+    }
+    planner->plan->has_transaction = transaction->changes->len > 0;
+    if (planner->plan->has_transaction && planner->core->log_level >= RR_LOG_DEBUG) {
+        log_plan(planner);
+    }
+}
--- /dev/null
+++ b/src/core/scheduling/planner.c
@@ -0,0 +1,89 @@
+/* Begins a plan, and removes its traces from the store cache. */
+#include "core/scheduling/planner.h"
+#include "core/core_internal.h"
+#include "core/scheduling/bin_packing.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machines.h"
+
+static void free_edit(gpointer data) {
+    struct rr_record_edit *edit = data;
+    edit->record->edit = NULL;
+    edit->job->terminated_count = edit->job->completing_count = 0;
+    edit->job->ending = false;
+    g_array_free(edit->placements, TRUE);
+    g_array_free(edit->completed, TRUE);
+    g_free(edit);
+}
+
+void rr_planner_init(struct rr_planner *planner, rr_core *core, double now, double wall,
+                     rr_plan *plan) {
+    *planner = (struct rr_planner){.core = core, .now = now, .wall = wall, .plan = plan};
+    planner->edits = g_ptr_array_new_with_free_func(free_edit);
+    planner->terminated = g_array_new(FALSE, FALSE, sizeof(struct rr_terminated_placement));
+    planner->requeued = g_array_new(FALSE, FALSE, sizeof(struct rr_requeued_task));
+    planner->machines = g_ptr_array_new();
+    planner->guarded_jobs = g_ptr_array_new();
+    planner->failed_searches = g_array_new(FALSE, FALSE, sizeof(struct rr_failed_search));
+    planner->candidates = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
+    g_array_set_size(core->planning.team_reserved, 0);
+    g_array_set_size(core->planning.team_reserved, (guint)core->config->team_count);
+}
+
+void rr_planner_use_machine(struct rr_planner *planner, rr_machine *machine) {
+    if (!machine->reserved_jobs) {
+        machine->reserved_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
+        g_ptr_array_add(planner->machines, machine);
+    }
+}
+
+void rr_planner_guard_job(struct rr_planner *planner, rr_job *job) {
+    if (!job->guarded) {
+        job->guarded = true;
+        g_ptr_array_add(planner->guarded_jobs, job);
+    }
+}
+
+static void clear_machine(rr_machine *machine) {
+    g_array_free(machine->reserved_jobs, TRUE);
+    machine->reserved_jobs = NULL;
+    for (guint i = 0; i < machine->placements->len; i++) {
+        g_array_index(machine->placements, rr_placement, i).leaving = false;
+    }
+}
+
+/* The store cache counts placements as the key-value store has them. */
+static void restore_requeued(const GArray *requeued) {
+    for (guint i = 0; i < requeued->len; i++) {
+        const struct rr_requeued_task *entry = &g_array_index(requeued, struct rr_requeued_task, i);
+        entry->job->placed[entry->task] = 1;
+        entry->job->placed_count++;
+    }
+}
+
+static void clear_terminated(const GArray *terminated) {
+    for (guint i = 0; i < terminated->len; i++) {
+        const struct rr_terminated_placement *entry =
+            &g_array_index(terminated, struct rr_terminated_placement, i);
+        entry->job->terminated_count = 0;
+        rr_job_ledger_record(entry->job, entry->chunk)->first_terminated = 0;
+    }
+}
+
+void rr_planner_clear(struct rr_planner *planner) {
+    for (guint i = 0; i < planner->machines->len; i++) {
+        clear_machine(g_ptr_array_index(planner->machines, i));
+    }
+    for (guint i = 0; i < planner->guarded_jobs->len; i++) {
+        ((rr_job *)g_ptr_array_index(planner->guarded_jobs, i))->guarded = false;
+    }
+    restore_requeued(planner->requeued);
+    clear_terminated(planner->terminated);
+    g_ptr_array_free(planner->machines, TRUE);
+    g_ptr_array_free(planner->guarded_jobs, TRUE);
+    g_ptr_array_free(planner->edits, TRUE);
+    g_array_free(planner->requeued, TRUE);
+    g_array_free(planner->terminated, TRUE);
+    g_array_free(planner->failed_searches, TRUE);
+    g_array_free(planner->candidates, TRUE);
+}
--- a/src/core/scheduling/planning_state.h
+++ b/src/core/scheduling/planning_state.h
@@ -1,4 +1,4 @@
-/* What planning remembers from one plan to the next. */
+/* What planning remembers from one plan to the next. Times are steady, in seconds. */
 #ifndef RR_CORE_SCHEDULING_PLANNING_STATE_H
 #define RR_CORE_SCHEDULING_PLANNING_STATE_H
 
@@ -6,17 +6,18 @@
 #include "core/state/machines.h"
 
 struct rr_planning {
-    double write_pressure;  /* 0: changes at the store are plentiful; 1: none to spare */
-    double writes_short_at; /* a plan was last cut short by the changes it might make */
-    int changes_allowed;    /* that a plan may make now */
-    double probe_at, unknown_machines_at, batches_at, recount_at, shrunk_at; /* last done, steady */
-    GArray *moves;            /* rr_move of the rebalancing plan still to make */
-    double rebalance_at;      /* the last rebalancing, steady */
-    double calm_since;        /* no failure observed since then, steady */
-    uint64_t rebalance_token; /* fencing token under which the moves were planned */
-    int rebalance_moves_left;
-    unsigned plan_count;
-    GArray *team_reserved; /* rr_resources by team: scratch of one plan */
+    double write_pressure;  /* 0: writes are plentiful; 1: none to spare */
+    double writes_short_at; /* when a plan last lacked changes, 0: never */
+    int changes_allowed;    /* changes that a plan may make now */
+    /* When each of these was last done. */
+    double probe_at, unknown_machines_at, batches_at, recount_at, shrunk_at;
+    GArray *moves;            /* rr_move: planned by rebalancing, not started */
+    double rebalance_at;      /* the last rebalancing */
+    double calm_since;        /* no fault observed since then */
+    uint64_t rebalance_token; /* fencing token of the term that rebalancing last saw */
+    int rebalance_moves_left; /* moves that may start until the next rebalancing */
+    unsigned plan_count;      /* plans that placed waiting jobs */
+    GArray *team_reserved;    /* rr_resources by team: reserved by the plan under construction */
 };
 
 #endif
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -1,8 +1,9 @@
-/* Probes of machines that are silent or in doubt, and what the answers to commands show. */
+/* Probes of machines, and what the answers to probes and commands show. */
+#include "core/scheduling/probes.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
 #include "core/membership/membership.h"
-#include "core/scheduling/plan.h"
+#include "core/scheduling/command_batches.h"
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
@@ -11,163 +12,171 @@
 
 #include <string.h>
 
-/* ---- probes ---- */
+#define PROBES_IN_FLIGHT_MAX 24
+/* Into a partitioned zone: a sample tells a partition from failed machines. */
+#define PROBES_PER_PARTITIONED_ZONE 2
+#define PROBE_PERIOD_S 0.9       /* of one machine */
+#define PROBE_ROUND_PERIOD_S 0.3 /* of looking for machines to probe */
+#define LATE_HEARTBEAT_INTERVALS 1.3
+#define SUSPECT_UNANSWERED_MIN 2 /* unanswered commands in a row that make a machine suspect */
+#define SUSPECT_INTERVALS 2      /* heartbeat intervals for which a machine stays suspect */
 
-#define PROBES_MAX 24   /* at a time */
-#define PROBES_IN_CUT 2 /* into a zone that is mostly silent: a sample tells a cut from deaths */
-#define PROBE_EVERY_S 0.9
-#define PROBE_LOOK_S 0.3
+/* After commands that were answered but not executed, or not answered. */
+#define NOT_EXECUTED_RETRY_S 0.5
+#define UNANSWERED_RETRY_S 1.0
+#define INDIRECT_PATH_S 10.0 /* commands go through a peer for this long */
 
-static gint by_probed(gconstpointer left_item, gconstpointer right_item) {
-    const rr_machine *left = *(rr_machine *const *)left_item,
-                     *right = *(rr_machine *const *)right_item;
+/* ---- sending probes ---- */
+
+static gint by_last_probe(gconstpointer left_machine, gconstpointer right_machine) {
+    const rr_machine *left = *(rr_machine *const *)left_machine;
+    const rr_machine *right = *(rr_machine *const *)right_machine;
     return left->probed_at < right->probed_at ? -1 : left->probed_at > right->probed_at;
 }
 
-/* Whose silence is ours to look into: the autoscaler's all, an owner's those with its work, and
- * those that it doubts itself: only an answer to it ends that, and one that had lost its work there
- * never sent another command and left the machine out for good. */
-static bool concerns_us(const rr_core *core, const rr_machine *machine, bool provisioner) {
-    provisioner = provisioner || rr_machine_commands_unanswered(machine);
-    for (guint i = 0; !provisioner && i < machine->placements->len; i++) {
+static bool has_own_placement(const rr_core *core, const rr_machine *machine) {
+    for (guint i = 0; i < machine->placements->len; i++) {
         const rr_job *job = g_array_index(machine->placements, rr_placement, i).job;
         if (job->team >= 0 && rr_owns_team(core, job->team)) {
             return true;
         }
     }
-    return provisioner;
+    return false;
+}
+
+/* Whether this controller probes the machine: the autoscaler probes all, an owner those with its
+ * work. A controller whose own commands went unanswered goes on probing, since only an answer to
+ * itself clears the machine again. */
+static bool is_probed_here(const rr_core *core, const rr_machine *machine, bool is_autoscaler) {
+    return is_autoscaler || rr_machine_commands_unanswered(machine) ||
+           has_own_placement(core, machine);
+}
+
+static bool heartbeat_is_late(const rr_core *core, const rr_machine *machine, double now) {
+    return rr_heartbeat_age(machine, now) >
+               LATE_HEARTBEAT_INTERVALS * core->config->heartbeat_interval_s &&
+           (machine->heartbeat_seen || machine->placements->len);
+}
+
+static bool is_suspect(const rr_machine *machine, double now) {
+    return machine->unanswered >= SUSPECT_UNANSWERED_MIN || now < machine->suspect_until;
+}
+
+/* Whether only late heartbeats may have told of the machine: a live exchange has to verify it. */
+static bool is_unverified(const rr_machine *machine) {
+    return machine->heartbeat_seen && !machine->verified && !machine->gone;
 }
 
-static bool wants_probe(const rr_core *core, const rr_machine *machine, double now,
-                        bool provisioner) {
+static bool needs_probe(const rr_core *core, const rr_machine *machine, double now,
+                        bool is_autoscaler) {
     if (machine->scaling_in || !machine->address[0] || machine->command_inflight ||
-        now - machine->probed_at <= PROBE_EVERY_S) {
+        now - machine->probed_at <= PROBE_PERIOD_S) {
         return false;
     }
-    bool late = rr_heartbeat_age(machine, now) > 1.3 * core->config->heartbeat_interval_s &&
-                (machine->heartbeat_seen || machine->placements->len);
-    bool doubted = machine->unanswered >= 2 || now < machine->suspect_until;
-    /* A report about an unknown machine may be a late copy: a live exchange has to vouch for it. */
-    bool stranger =
-        !machine->recorded && machine->heartbeat_seen && !machine->verified && !machine->gone;
-    return (machine->recorded ? late || doubted : stranger && provisioner) &&
-           concerns_us(core, machine, provisioner);
+    if (!machine->recorded) {
+        return is_autoscaler && is_unverified(machine);
+    }
+    return (heartbeat_is_late(core, machine, now) || is_suspect(machine, now)) &&
+           is_probed_here(core, machine, is_autoscaler);
+}
+
+/* The machines that need a probe, those probed longest ago first; the caller owns the array. */
+static GPtrArray *list_machines_to_probe(const struct rr_planner *planner) {
+    const rr_core *core = planner->core;
+    bool is_autoscaler = rr_core_is_autoscaler(core, planner->now);
+    GPtrArray *machines = g_ptr_array_new();
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        if (needs_probe(core, machine, planner->now, is_autoscaler)) {
+            g_ptr_array_add(machines, machine);
+        }
+    }
+    g_ptr_array_sort(machines, by_last_probe);
+    return machines;
+}
+
+static void probe(struct rr_planner *planner, rr_machine *machine) {
+    rr_plan_command_batch(planner, machine)->may_time_out = true;
+    machine->plan_commands = NULL;
+    machine->probed_at = planner->now;
+    machine->command_inflight = true;
+    planner->core->counters.probes_in_flight++;
 }
 
-/* A report late by more than its usual quarter, commands without answers: ask, with a command that
- * carries the present token, so that a worker that a deposed controller holds on to learns of it.
- * Those asked longest ago come first. */
+/* A probe carries the present fencing token, so that a worker which still takes commands of a
+ * deposed controller learns of it. */
 void rr_probe_overdue_machines(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    if (planner->now - core->planning.probe_at < PROBE_LOOK_S) {
+    if (planner->now - core->planning.probe_at < PROBE_ROUND_PERIOD_S) {
         return;
     }
     core->planning.probe_at = planner->now;
     rr_detect_partitions(core, planner->now);
-    bool provisioner = rr_core_is_autoscaler(core, planner->now);
-    guint in_cut[core->stored.zones.names->len + 1];
-    memset(in_cut, 0, sizeof in_cut);
-    GPtrArray *late = g_ptr_array_new();
-    for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        if (wants_probe(core, machine, planner->now, provisioner)) {
-            g_ptr_array_add(late, machine);
+    guint zone_probes[core->stored.zones.names->len + 1];
+    memset(zone_probes, 0, sizeof zone_probes);
+    GPtrArray *machines = list_machines_to_probe(planner);
+    for (guint i = 0; i < machines->len && core->counters.probes_in_flight < PROBES_IN_FLIGHT_MAX;
+         i++) {
+        rr_machine *machine = g_ptr_array_index(machines, i);
+        bool partitioned = machine->zone >= 0 && rr_zone_partitioned(core, machine->zone);
+        if (!partitioned || zone_probes[machine->zone]++ < PROBES_PER_PARTITIONED_ZONE) {
+            probe(planner, machine);
         }
     }
-    g_ptr_array_sort(late, by_probed);
-    for (guint i = 0; i < late->len && core->counters.probes_in_flight < PROBES_MAX; i++) {
-        rr_machine *machine = g_ptr_array_index(late, i);
-        if (machine->plan_commands ||
-            (machine->zone >= 0 && rr_zone_partitioned(core, machine->zone) &&
-             in_cut[machine->zone]++ >= PROBES_IN_CUT)) {
-            continue;
-        }
-        machine->probed_at = planner->now;
-        machine->command_inflight = true;
-        rr_command_batch *batch = rr_plan_command_batch(planner, machine);
-        batch->may_time_out = true;
-        machine->plan_commands = NULL;
-        core->counters.probes_in_flight++;
-    }
-    g_ptr_array_free(late, TRUE);
+    g_ptr_array_free(machines, TRUE);
 }
 
-/* Commands to it go unanswered: the others are told, since the autoscaler may not have sent any.
- */
-static void suspect(rr_core *core, rr_machine *machine, double now) {
-    if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
-        return; /* the answer may be waiting to be read */
-    }
-    machine->unanswered_at = machine->unanswered++ == 0 ? now : machine->unanswered_at;
-    if (machine->unanswered >= 2) {
-        rr_core_suspect(core, machine->name, now);
-    }
-}
+/* ---- answers ---- */
 
-void rr_core_suspect(rr_core *core, const char *machine, double now) {
-    rr_machine *suspected = g_hash_table_lookup(core->stored.machines, machine);
-    if (suspected) {
-        suspected->suspect_until = now + 2 * core->config->heartbeat_interval_s;
+void rr_core_suspect(rr_core *core, const char *machine_name, double now) {
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, machine_name);
+    if (machine) {
+        machine->suspect_until = now + SUSPECT_INTERVALS * core->config->heartbeat_interval_s;
     }
 }
 
-/* Machines whose commands got no answer twice or more in a row, for the peers. */
-void rr_core_list_suspects(rr_core *core, double now, GPtrArray *out) {
+void rr_core_list_suspects(rr_core *core, double now, GPtrArray *machine_names) {
+    double reports_within_s = SUSPECT_INTERVALS * core->config->heartbeat_interval_s;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        if (machine->unanswered >= 2 && machine->recorded &&
-            now - machine->heartbeat_at < 2 * core->config->heartbeat_interval_s) {
-            g_ptr_array_add(out, g_strdup(machine->name));
+        if (machine->unanswered >= SUSPECT_UNANSWERED_MIN && machine->recorded &&
+            now - machine->heartbeat_at < reports_within_s) {
+            g_ptr_array_add(machine_names, g_strdup(machine->name));
         }
     }
 }
 
-static void probe_result(rr_core *core, rr_machine *machine, double now, bool answered) {
-    if (answered) {
-        machine->probe_fails = 0;
-        machine->failed_suspect_probes = machine->unanswered = 0;
-        machine->suspect_until = 0;
-        return;
+static void record_unanswered(rr_core *core, rr_machine *machine, double now) {
+    if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
+        return; /* this process may not have read the answer yet */
     }
+    machine->unanswered_at = machine->unanswered++ == 0 ? now : machine->unanswered_at;
+    if (machine->unanswered >= SUSPECT_UNANSWERED_MIN) {
+        rr_core_suspect(core, machine->name, now);
+    }
+}
+
+static void record_failed_probe(rr_core *core, rr_machine *machine, double now) {
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
-        return; /* its answer may be waiting to be read */
+        return; /* this process may not have read the answer yet */
     }
     machine->probe_fails++;
-    /* Only while it goes on reporting: a silent machine is another trouble. */
+    /* A machine without heartbeats is overdue, not suspect. */
     if (!rr_machine_heartbeat_overdue(core, machine, now)) {
         machine->suspect_probes_failed_at =
             machine->failed_suspect_probes++ == 0 ? now : machine->suspect_probes_failed_at;
-        suspect(core, machine, now);
+        record_unanswered(core, machine, now);
     }
 }
 
-void rr_core_command_result(rr_core *core, double now, const rr_command_batch *batch,
-                            enum rr_command_outcome outcome, bool executed) {
-    rr_machine *machine = g_hash_table_lookup(core->stored.machines, batch->machine);
-    bool probe = batch->commands->len == 0;
-    core->counters.probes_in_flight -= probe && core->counters.probes_in_flight > 0;
-    if (!machine) {
-        return;
-    }
-    machine->command_inflight = false;
-    rr_mark_dirty(core, machine);
-    if (probe) {
-        probe_result(core, machine, now, outcome == RR_COMMAND_ANSWERED);
-        return;
-    }
-    machine->next_command_at =
-        outcome == RR_COMMAND_ANSWERED ? (executed ? 0 : now + 0.5) : now + 1;
-    if (outcome == RR_COMMAND_ANSWERED) {
-        machine->unanswered = 0;
-        return;
-    }
-    suspect(core, machine, now);
-    if (batch->via < 0) {
-        machine->direct_path_bad_until = now + 10;
-    }
-    if (outcome != RR_COMMAND_OUTCOME_UNKNOWN) {
-        return;
-    }
+static void record_answered_probe(rr_machine *machine) {
+    machine->probe_fails = 0;
+    machine->failed_suspect_probes = machine->unanswered = 0;
+    machine->suspect_until = 0;
+}
+
+/* Notes the starts of a batch whose outcome is unknown: they may still arrive. */
+static void record_unanswered_starts(rr_machine *machine, const rr_command_batch *batch) {
     if (machine->unanswered_starts_token != batch->fencing_token ||
         machine->unanswered_starts_epoch != batch->worker_epoch) {
         g_hash_table_remove_all(machine->unanswered_starts);
@@ -182,3 +191,38 @@
         }
     }
 }
+
+static void record_failed_commands(rr_core *core, rr_machine *machine, double now,
+                                   const rr_command_batch *batch, enum rr_command_outcome outcome) {
+    machine->next_command_at = now + UNANSWERED_RETRY_S;
+    record_unanswered(core, machine, now);
+    if (batch->via < 0) {
+        machine->direct_path_bad_until = now + INDIRECT_PATH_S;
+    }
+    if (outcome == RR_COMMAND_OUTCOME_UNKNOWN) {
+        record_unanswered_starts(machine, batch);
+    }
+}
+
+void rr_core_command_result(rr_core *core, double now, const rr_command_batch *batch,
+                            enum rr_command_outcome outcome, bool executed) {
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, batch->machine);
+    bool is_probe = batch->commands->len == 0;
+    bool answered = outcome == RR_COMMAND_ANSWERED;
+    core->counters.probes_in_flight -= is_probe && core->counters.probes_in_flight > 0;
+    if (!machine) {
+        return;
+    }
+    machine->command_inflight = false;
+    rr_mark_dirty(core, machine);
+    if (is_probe && answered) {
+        record_answered_probe(machine);
+    } else if (is_probe) {
+        record_failed_probe(core, machine, now);
+    } else if (answered) {
+        machine->next_command_at = executed ? 0 : now + NOT_EXECUTED_RETRY_S;
+        machine->unanswered = 0;
+    } else {
+        record_failed_commands(core, machine, now, batch, outcome);
+    }
+}
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -1,12 +1,14 @@
-/* Re-orchestration: DESIGN's rounds after the paper's two phases. Allocation takes every movable
- * replica off its machine on paper and places all of them anew; the plan counts only if it empties
- * a priced machine, and only the replicas of such machines move. Ordering makes the fitting move of
- * least request over the destination's free room first and credits the source. */
+/* Rebalancing after the two phases of the paper that DESIGN cites. Allocation takes every movable
+ * replica off its machine on paper and places all of them again; the plan counts only if it empties
+ * a priced machine, and only the replicas of such machines move. Ordering takes the fitting move of
+ * least size over its destination's free share first, and frees its source. */
 #include "core/scheduling/rebalancing.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/bin_packing.h"
+#include "core/scheduling/placement_constraints.h"
+#include "core/scheduling/zone_choice.h"
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machine_pages.h"
@@ -19,17 +21,27 @@
 #include <math.h>
 #include <string.h>
 
-struct movable_task {
+#define SHARE_EPSILON 1e-9
+/* A replica on a full machine stays where it is, so that only those on the emptiest machines are
+ * placed again on paper: the cost then grows with the fleet, and not with its square. One
+ * rebalancing can't empty more machines than this. */
+#define MACHINES_EXAMINED_MAX 256
+/* In a large fleet some machine always has a fault: one in this many does not disturb the calm. */
+#define FAULTY_MACHINES_ONE_IN 50
+#define CALM_INTERVALS 3 /* heartbeat intervals without a disturbance before replicas move */
+#define CALM_CHECK_PERIOD_S 1.0
+
+struct movable_replica {
     rr_job *job;
     uint32_t task;
-    rr_machine *home, *to;
-    double size;
-    double room; /* free on its machine now */
-    bool taken;
+    rr_machine *source, *destination;
+    double size;       /* share of the source that it takes */
+    double free_share; /* of the source, now */
+    bool ordered;      /* its move is in the list */
 };
 
-static bool movable(const rr_core *core, const rr_machine *machine, const rr_placement *placement,
-                    double now) {
+static bool is_movable(const rr_core *core, const rr_machine *machine,
+                       const rr_placement *placement, double now) {
     const rr_job *job = placement->job;
     if (job->submission.kind != RR_JOB_SERVICE || job->cancelled || job->done ||
         placement->preempt || !job->placed || placement->task >= job->submission.task_count ||
@@ -41,189 +53,236 @@
     return task && task->state == RR_TASK_RUNNING;
 }
 
-/* No replica moves while a trouble is on: recorded machines silent, notices, a young term, or this
- * controller behind with its work, of which rounds are the last in order. In a
- * large fleet one machine or another always is in trouble: up to one in fifty says nothing. */
-static bool calm(rr_core *core, double now) {
-    guint up_count = 0, bad = 0;
+/* ---- when ---- */
+
+static bool most_machines_healthy(const rr_core *core, double now) {
+    guint up_count = 0, faulty_count = 0;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->recorded && machine->heartbeat_seen) {
             up_count++;
-            bad += !rr_machine_heartbeat_recent(core, machine, now) ||
-                   machine->heartbeat.spot_notice_s >= 0;
+            faulty_count += !rr_machine_heartbeat_recent(core, machine, now) ||
+                            machine->heartbeat.spot_notice_s >= 0;
         }
     }
-    bool quiet = bad * 50 <= up_count && !rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S);
-    if (core->planning.rebalance_token != core->membership.term.token) {
-        core->planning.rebalance_token = core->membership.term.token;
-        quiet = false;
-    }
-    if (!quiet) {
-        core->planning.calm_since = now;
-    }
-    return now - core->planning.calm_since >= 3 * core->config->heartbeat_interval_s;
+    return faulty_count * FAULTY_MACHINES_ONE_IN <= up_count;
 }
 
-static double size_of(const rr_core *core, const rr_machine *machine, const rr_job *job) {
-    return 1 - rr_resources_free_share(
-                   rr_resources_add(rr_machine_capacity(core, machine), job->request, -1),
-                   rr_machine_capacity(core, machine));
+/* Whether replicas may move: no fault for a while, no new term, and this controller keeps up with
+ * its work, of which rebalancing is the least urgent. */
+static bool is_calm(rr_core *core, double now) {
+    bool new_term = core->planning.rebalance_token != core->membership.term.token;
+    core->planning.rebalance_token = core->membership.term.token;
+    if (new_term || !most_machines_healthy(core, now) ||
+        rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
+        core->planning.calm_since = now;
+    }
+    return now - core->planning.calm_since >= CALM_INTERVALS * core->config->heartbeat_interval_s;
 }
 
-static gint by_group_and_size(gconstpointer left_item, gconstpointer right_item) {
-    const struct movable_task *left = left_item, *right = right_item;
-    bool left_bound = rr_job_zone_bound(left->job), right_bound = rr_job_zone_bound(right->job);
-    if (left_bound != right_bound) {
-        return left_bound ? -1 : 1;
-    }
-    if (left_bound && left->job != right->job) {
-        return strcmp(left->job->submission.job_id, right->job->submission.job_id);
+bool rr_rebalance_due(rr_core *core, double now) {
+    const struct rr_tuning *tuning = &core->config->tuning;
+    if (!tuning->rebalance || now - core->planning.rebalance_at < tuning->rebalance_period_s) {
+        if (core->planning.moves->len > 0 && !is_calm(core, now)) {
+            g_array_set_size(core->planning.moves, 0);
+        }
+        return false;
     }
-    if (fabs(left->size - right->size) > 1e-9) {
-        return left->size > right->size ? -1 : 1;
+    if (!is_calm(core, now)) {
+        g_array_set_size(core->planning.moves, 0);
+        double next_check_s = fmin(CALM_CHECK_PERIOD_S, tuning->rebalance_period_s);
+        core->planning.rebalance_at = now - tuning->rebalance_period_s + next_check_s;
+        return false;
     }
-    /* Between equals, those on the fullest machines: they settle where they are, and what is left
-     * on emptier ones fills up with its like. In any other order a plan shifts replicas between
-     * full machines, and its moves wait for each other. */
-    if (fabs(left->room - right->room) > 1e-9) {
-        return left->room < right->room ? -1 : 1;
+    return true;
+}
+
+/* A fleet frees half-empty machines in proportion to its size, so its share of moves grows with it.
+ */
+static int moves_allowed(const rr_core *core) {
+    guint recorded_count = 0;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        recorded_count += machine->recorded;
     }
-    return left->home->id - right->home->id;
+    int share = (int)(core->config->tuning.rebalance_share * recorded_count);
+    return MAX(share, core->config->tuning.rebalance_moves);
 }
 
+/* ---- which replicas ---- */
+
 /* A machine with anything that must stay can't be emptied: its replicas stay too, and do not take
  * room on paper that real moves need. */
 static bool can_be_emptied(const rr_core *core, const rr_machine *machine, double now) {
-    for (guint k = 0; k < machine->placements->len; k++) {
-        if (!movable(core, machine, &g_array_index(machine->placements, rr_placement, k), now)) {
+    for (guint i = 0; i < machine->placements->len; i++) {
+        if (!is_movable(core, machine, &g_array_index(machine->placements, rr_placement, i), now)) {
             return false;
         }
     }
-    return true;
+    return machine->placements->len > 0;
 }
 
-/* A plan counts only if it empties machines, and a replica on a full one settles where it is: only
- * those on the emptiest machines are taken off on paper. A plan's cost then grows with the fleet
- * and not with its square; that many machines are more than a round's moves can empty. */
-#define LOOK_AT 256
-
-struct machine_room {
+struct source_machine {
     rr_machine *machine;
-    double room;
+    double free_share;
 };
 
-static gint by_room(gconstpointer left_item, gconstpointer right_item) {
-    const struct machine_room *left = left_item, *right = right_item;
-    if (fabs(left->room - right->room) > 1e-9) {
-        return left->room > right->room ? -1 : 1;
+static gint by_free_share(gconstpointer left_source, gconstpointer right_source) {
+    const struct source_machine *left = left_source, *right = right_source;
+    if (fabs(left->free_share - right->free_share) > SHARE_EPSILON) {
+        return left->free_share > right->free_share ? -1 : 1;
     }
     return left->machine->id - right->machine->id;
 }
 
-static GArray *collect(rr_core *core, double now) {
-    GArray *items = g_array_new(FALSE, TRUE, sizeof(struct movable_task));
-    GArray *lots = g_array_new(FALSE, FALSE, sizeof(struct machine_room));
+/* The machines that can be emptied, the emptiest first; the caller owns the array. */
+static GArray *list_sources(const rr_core *core, double now) {
+    GArray *sources = g_array_new(FALSE, FALSE, sizeof(struct source_machine));
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        rr_resources capacity = rr_machine_capacity(core, machine);
-        struct machine_room lot = {
-            machine,
-            rr_resources_free_share(rr_resources_add(capacity, machine->used, -1), capacity)};
-        if (machine->placements->len > 0 && can_be_emptied(core, machine, now)) {
-            g_array_append_val(lots, lot);
+        if (can_be_emptied(core, machine, now)) {
+            rr_resources capacity = rr_machine_capacity(core, machine);
+            rr_resources available = rr_resources_add(capacity, machine->used, -1);
+            struct source_machine source = {machine, rr_resources_free_share(available, capacity)};
+            g_array_append_val(sources, source);
         }
     }
-    g_array_sort(lots, by_room);
-    for (guint i = 0; i < lots->len && i < LOOK_AT; i++) {
-        rr_machine *machine = g_array_index(lots, struct machine_room, i).machine;
-        double room = g_array_index(lots, struct machine_room, i).room;
-        for (guint k = 0; k < machine->placements->len; k++) {
-            const rr_placement *placement = &g_array_index(machine->placements, rr_placement, k);
-            struct movable_task item = {placement->job,
-                                        placement->task,
-                                        machine,
-                                        NULL,
-                                        size_of(core, machine, placement->job),
-                                        room,
-                                        false};
-            g_array_append_val(items, item);
-        }
+    g_array_sort(sources, by_free_share);
+    return sources;
+}
+
+static double size_on(const rr_core *core, const rr_machine *machine, const rr_job *job) {
+    rr_resources capacity = rr_machine_capacity(core, machine);
+    return 1 - rr_resources_free_share(rr_resources_add(capacity, job->request, -1), capacity);
+}
+
+/* Replicas that are bound to a zone first, job by job; then the largest first. Between equals,
+ * those on the fullest machines: they stay where they are, and what is left on emptier machines
+ * joins them. Any other order would shift replicas between full machines. */
+static gint by_group_and_size(gconstpointer left_replica, gconstpointer right_replica) {
+    const struct movable_replica *left = left_replica, *right = right_replica;
+    bool left_bound = rr_job_zone_bound(left->job), right_bound = rr_job_zone_bound(right->job);
+    if (left_bound != right_bound) {
+        return left_bound ? -1 : 1;
+    }
+    if (left_bound && left->job != right->job) {
+        return strcmp(left->job->submission.job_id, right->job->submission.job_id);
+    }
+    if (fabs(left->size - right->size) > SHARE_EPSILON) {
+        return left->size > right->size ? -1 : 1;
     }
-    g_array_free(lots, TRUE);
-    g_array_sort(items, by_group_and_size);
-    return items;
+    if (fabs(left->free_share - right->free_share) > SHARE_EPSILON) {
+        return left->free_share < right->free_share ? -1 : 1;
+    }
+    return left->source->id - right->source->id;
 }
 
-static bool job_planned_on(const GArray *items, guint upto, const rr_job *job,
-                           const rr_machine *machine) {
-    for (guint i = 0; i < upto; i++) {
-        const struct movable_task *item = &g_array_index(items, struct movable_task, i);
-        if (item->job == job && item->to == machine) {
-            return true;
+/* The replicas on the emptiest machines, in the order in which they are placed again; the caller
+ * owns the array. */
+static GArray *list_movable_replicas(const rr_core *core, double now) {
+    GArray *replicas = g_array_new(FALSE, TRUE, sizeof(struct movable_replica));
+    GArray *sources = list_sources(core, now);
+    for (guint i = 0; i < sources->len && i < MACHINES_EXAMINED_MAX; i++) {
+        const struct source_machine *source = &g_array_index(sources, struct source_machine, i);
+        const GArray *placements = source->machine->placements;
+        for (guint k = 0; k < placements->len; k++) {
+            const rr_placement *placement = &g_array_index(placements, rr_placement, k);
+            struct movable_replica replica = {.job = placement->job,
+                                              .task = placement->task,
+                                              .source = source->machine,
+                                              .size =
+                                                  size_on(core, source->machine, placement->job),
+                                              .free_share = source->free_share};
+            g_array_append_val(replicas, replica);
         }
     }
-    return false;
+    g_array_free(sources, TRUE);
+    g_array_sort(replicas, by_group_and_size);
+    return replicas;
 }
 
-/* A job of several replicas keeps its zones; a single one may go wherever its job allows. */
-static void allowed_zones(rr_core *core, const struct movable_task *item, bool *zones, double now) {
-    rr_job *job = item->job;
-    guint count = core->stored.zones.names->len;
-    bool fixed =
+/* ---- allocation ---- */
+
+/* A job of several replicas that depends on zones keeps them; others may go wherever their job
+ * allows, or into the best zone if the job is bound to one. */
+static void find_allowed_zones(rr_core *core, const struct movable_replica *replica, bool *zones,
+                               double now) {
+    const rr_job *job = replica->job;
+    guint zone_count = core->stored.zones.names->len;
+    bool keeps_zone =
         job->submission.task_count > 1 && (job->submission.spread || job->submission.one_zone);
-    for (guint other_zone = 0; other_zone < count; other_zone++) {
-        zones[other_zone] =
-            fixed ? (int)other_zone == item->home->zone
-                  : !job->submission.zone[0] ||
-                        strcmp(job->submission.zone,
-                               rr_name_index_at(&core->stored.zones, (int)other_zone)) == 0;
+    for (guint zone = 0; zone < zone_count; zone++) {
+        const char *name = rr_name_index_at(&core->stored.zones, (int)zone);
+        bool named = !job->submission.zone[0] || strcmp(job->submission.zone, name) == 0;
+        zones[zone] = keeps_zone ? (int)zone == replica->source->zone : named;
     }
-    if (!fixed && rr_job_zone_bound(job)) {
-        int zone = rr_zone_with_most_room(core, job, zones, now);
-        for (guint other_zone = 0; other_zone < count; other_zone++) {
-            zones[other_zone] = (int)other_zone == zone;
+    if (!keeps_zone && rr_job_zone_bound(job)) {
+        int best = rr_zone_with_most_room(core, job, zones, now);
+        for (guint zone = 0; zone < zone_count; zone++) {
+            zones[zone] = (int)zone == best;
         }
     }
 }
 
-static void allocate(rr_core *core, GArray *items, double now) {
+/* Whether one of the first `count` replicas is of this job and goes to this machine. */
+static bool is_job_planned_on(const GArray *replicas, guint count, const rr_job *job,
+                              const rr_machine *machine) {
+    for (guint i = 0; i < count; i++) {
+        const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
+        if (replica->job == job && replica->destination == machine) {
+            return true;
+        }
+    }
+    return false;
+}
+
+/* The destination of a replica, given those before it: its source if there is no better machine. */
+static rr_machine *find_destination(rr_core *core, const GArray *replicas, guint index,
+                                    double now) {
+    const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, index);
+    bool zones[core->stored.zones.names->len + 1];
+    find_allowed_zones(core, replica, zones, now);
+    /* Without its image a replica would be down until the image is fetched. */
+    struct rr_placement_constraints constraints = {.zones = zones,
+                                                   .distinct_machines =
+                                                       replica->job->submission.task_count > 1,
+                                                   .need_image = true,
+                                                   .current = replica->source};
+    rr_machine *machine = rr_bin_pack(core, replica->job, &constraints, now);
+    if (!machine ||
+        (machine != replica->source && is_job_planned_on(replicas, index, replica->job, machine))) {
+        return replica->source;
+    }
+    return machine;
+}
+
+static void allocate(rr_core *core, GArray *replicas, double now) {
     rr_reset_free_resources(core);
-    for (guint i = 0; i < items->len; i++) {
-        struct movable_task *item = &g_array_index(items, struct movable_task, i);
-        item->home->free = rr_resources_add(item->home->free, item->job->request, 1);
+    for (guint i = 0; i < replicas->len; i++) {
+        struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
+        rr_machine *source = replica->source;
+        source->free = rr_resources_add(source->free, replica->job->request, 1);
     }
-    for (guint i = 0; i < items->len; i++) {
-        struct movable_task *item = &g_array_index(items, struct movable_task, i);
-        bool zones[core->stored.zones.names->len + 1];
-        allowed_zones(core, item, zones, now);
-        /* An image still to be fetched would keep the replica down for the fetch. */
-        struct rr_placement_constraints how = {.zones = zones,
-                                               .distinct_machines =
-                                                   item->job->submission.task_count > 1,
-                                               .current = item->home,
-                                               .need_image = true,
-                                               .filter = rr_machine_schedulable};
-        rr_machine *target = rr_bin_pack(core, item->job, &how, now);
-        if (!target || (target != item->home && job_planned_on(items, i, item->job, target))) {
-            target = item->home;
-        }
-        item->to = target;
-        target->free = rr_resources_add(target->free, item->job->request, -1);
+    for (guint i = 0; i < replicas->len; i++) {
+        struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
+        rr_machine *destination = find_destination(core, replicas, i, now);
+        replica->destination = destination;
+        destination->free = rr_resources_add(destination->free, replica->job->request, -1);
     }
 }
 
-/* Priced machines that the plan leaves empty. */
-static guint mark_emptied(rr_core *core, const GArray *items) {
+/* Marks the priced machines that the allocation leaves empty; returns how many. */
+static guint mark_emptied(rr_core *core, const GArray *replicas) {
     guint count = 0;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->leaving = machine->arriving = 0;
     }
-    for (guint k = 0; k < items->len; k++) {
-        const struct movable_task *item = &g_array_index(items, struct movable_task, k);
-        item->home->leaving += item->home != item->to;
-        item->to->arriving += item->home != item->to;
+    for (guint i = 0; i < replicas->len; i++) {
+        const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
+        bool moves = replica->source != replica->destination;
+        replica->source->leaving += moves;
+        replica->destination->arriving += moves;
     }
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
@@ -235,101 +294,84 @@
     return count;
 }
 
-/* The fitting move of least request over free room at its destination, or NULL. */
-static struct movable_task *next_move(rr_core *core, GArray *items) {
-    struct movable_task *best = NULL;
+/* ---- ordering ---- */
+
+static bool can_move_now(const struct movable_replica *replica) {
+    return !replica->ordered && replica->source->emptied &&
+           replica->destination != replica->source && !replica->destination->emptied &&
+           rr_resources_fit(replica->job->request, replica->destination->free);
+}
+
+/* The possible move of least size over its destination's free share, NULL: none. */
+static struct movable_replica *next_move(const rr_core *core, GArray *replicas) {
+    struct movable_replica *best = NULL;
     double least = 0;
-    for (guint i = 0; i < items->len; i++) {
-        struct movable_task *item = &g_array_index(items, struct movable_task, i);
-        if (item->taken || !item->home->emptied || item->to == item->home || item->to->emptied ||
-            !rr_resources_fit(item->job->request, item->to->free)) {
+    for (guint i = 0; i < replicas->len; i++) {
+        struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
+        if (!can_move_now(replica)) {
             continue;
         }
-        double room = rr_resources_free_share(item->to->free, rr_machine_capacity(core, item->to));
-        double score = room > 0 ? item->size / room : INFINITY;
+        const rr_machine *destination = replica->destination;
+        double free_share =
+            rr_resources_free_share(destination->free, rr_machine_capacity(core, destination));
+        double score = free_share > 0 ? replica->size / free_share : INFINITY;
         if (!best || score < least) {
-            best = item;
+            best = replica;
             least = score;
         }
     }
     return best;
 }
 
-static void order_moves(rr_core *core, GArray *items) {
+static guint moves_from(const GArray *moves, const rr_machine *source) {
+    guint count = 0;
+    for (guint i = 0; i < moves->len; i++) {
+        count += g_array_index(moves, rr_move, i).from == source;
+    }
+    return count;
+}
+
+/* Plans the moves in order, those of machines that they empty whole. */
+static void order_moves(rr_core *core, GArray *replicas) {
     GArray *moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
+    struct movable_replica *replica;
     rr_reset_free_resources(core);
-    struct movable_task *item;
-    while ((item = next_move(core, items))) {
-        rr_move move = {item->job, item->task, item->home, item->to};
+    while ((replica = next_move(core, replicas))) {
+        rr_machine *source = replica->source, *destination = replica->destination;
+        rr_move move = {replica->job, replica->task, source, destination};
         g_array_append_val(moves, move);
-        item->taken = true;
-        item->to->free = rr_resources_add(item->to->free, item->job->request, -1);
-        item->home->free = rr_resources_add(item->home->free, item->job->request, 1);
+        replica->ordered = true;
+        destination->free = rr_resources_add(destination->free, replica->job->request, -1);
+        source->free = rr_resources_add(source->free, replica->job->request, 1);
     }
-    /* A machine that can't be emptied whole is left alone: half-made plans only cost. */
     for (guint i = 0; i < moves->len; i++) {
-        rr_move *move = &g_array_index(moves, rr_move, i);
-        guint count = 0;
-        for (guint k = 0; k < moves->len; k++) {
-            count += g_array_index(moves, rr_move, k).from == move->from;
-        }
-        if (count == move->from->placements->len) {
+        const rr_move *move = &g_array_index(moves, rr_move, i);
+        if (moves_from(moves, move->from) == move->from->placements->len) {
             g_array_append_val(core->planning.moves, *move);
         }
     }
     g_array_free(moves, TRUE);
 }
 
-/* A fleet frees half-empty machines in proportion to its size: so many a round it may move. */
-static int moves_allowed(const rr_core *core) {
-    guint count = 0;
-    for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        count += ((const rr_machine *)g_ptr_array_index(core->stored.machine_list, i))->recorded;
-    }
-    int share = (int)(core->config->tuning.rebalance_share * count);
-    return share > core->config->tuning.rebalance_moves ? share
-                                                        : core->config->tuning.rebalance_moves;
-}
-
-/* Whether a round begins now. */
-bool rr_rebalance_due(rr_core *core, double now) {
-    const struct rr_tuning *tuning = &core->config->tuning;
-    if (!tuning->rebalance || now - core->planning.rebalance_at < tuning->rebalance_period_s) {
-        /* A trouble ends a plan under way at once. */
-        if (core->planning.moves->len > 0 && !calm(core, now)) {
-            g_array_set_size(core->planning.moves, 0);
-        }
-        return false;
-    }
-    if (!calm(core, now)) {
-        g_array_set_size(core->planning.moves, 0);
-        core->planning.rebalance_at =
-            now - tuning->rebalance_period_s +
-            fmin(1, tuning->rebalance_period_s); /* looked at again soon */
-        return false;
-    }
-    return true;
-}
-
 void rr_rebalance(rr_core *core, double now) {
     core->planning.rebalance_at = now;
     core->planning.rebalance_moves_left = moves_allowed(core);
     if (core->planning.moves->len > 0) {
-        return; /* the plan is kept until it is done */
+        return;
     }
-    GArray *items = collect(core, now);
-    if (items->len > 0) {
-        allocate(core, items, now);
-        guint count = mark_emptied(core, items);
-        if (count > 0) {
-            order_moves(core, items);
+    GArray *replicas = list_movable_replicas(core, now);
+    if (replicas->len > 0) {
+        allocate(core, replicas, now);
+        guint emptied_count = mark_emptied(core, replicas);
+        if (emptied_count > 0) {
+            order_moves(core, replicas);
         }
         if (core->planning.moves->len > 0) {
             rr_log_at(core, RR_LOG_INFO,
-                      "round: %u movable replicas, %u machines to empty, %u moves", items->len,
-                      count, core->planning.moves->len);
+                      "rebalance: %u movable replicas, %u machines to empty, %u moves",
+                      replicas->len, emptied_count, core->planning.moves->len);
         }
         rr_reset_free_resources(core);
     }
-    g_array_free(items, TRUE);
+    g_array_free(replicas, TRUE);
 }
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,17 +1,18 @@
+/* Reservations: a placement enters its ledger record, and its machine's free resources and its
+ * team's usage follow within the plan. */
 #include "core/scheduling/reservation.h"
 #include "core/core_internal.h"
 #include "core/membership/membership.h"
-#include "core/scheduling/bin_packing.h"
-#include "core/scheduling/plan.h"
+#include "core/scheduling/plan_edits.h"
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
 #include "core/state/resources.h"
 
-#include <string.h>
+#define OVERFLOW_RECORDS_MAX 16 /* of one job */
+#define NO_RECORD (-1)
 
-#define FAILURES_MAX 64         /* searches remembered within one plan */
-#define OVERFLOW_RECORDS_MAX 16 /* of one job: what it has running beyond its chunks' records */
+/* ---- limits and guarantees ---- */
 
 rr_resources rr_team_usage_in_plan(const struct rr_planner *planner, int team) {
     const rr_core *core = planner->core;
@@ -23,15 +24,15 @@
                             1);
 }
 
-bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
+bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t task_count) {
     const struct rr_team_config *team = &planner->core->config->teams[job->team];
     rr_resources used =
-        rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, tasks);
+        rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, task_count);
     return (team->cpus_max <= 0 || used.cpus <= team->cpus_max + RR_RESOURCE_EPSILON) &&
            (team->gpus_max <= 0 || used.gpus <= team->gpus_max + RR_RESOURCE_EPSILON);
 }
 
-/* In a resource of which the team is guaranteed none: 0. */
+/* Memory is not guaranteed. */
 static rr_resources guarantee_of(const rr_core *core, int team) {
     if (team < 0 || (size_t)team >= core->config->team_count) {
         return (rr_resources){0, 0, 0};
@@ -39,10 +40,10 @@
     return (rr_resources){core->config->teams[team].cpus, core->config->teams[team].gpus, 0};
 }
 
-bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t tasks) {
+bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t task_count) {
     rr_resources guarantee = guarantee_of(planner->core, job->team);
     rr_resources used =
-        rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, tasks);
+        rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, task_count);
     return used.cpus <= guarantee.cpus + RR_RESOURCE_EPSILON &&
            used.gpus <= guarantee.gpus + RR_RESOURCE_EPSILON;
 }
@@ -54,113 +55,127 @@
            used.gpus > guarantee.gpus + RR_RESOURCE_EPSILON;
 }
 
-/* Whether the record takes one placement more, once what is known to be over has left it. */
-static bool has_room(const struct rr_planner *planner, const rr_ledger_record *run) {
-    if (!run) {
-        return true;
-    }
-    const struct rr_plan_edit *edit = run->edit;
-    guint over = MIN(rr_plan_terminated_count(planner, run), run->placements->len);
-    guint placements = edit ? edit->placements->len : run->placements->len - over;
-    return rr_ledger_record_fits(planner->core, placements + 1);
+void rr_reserve_team_usage(const struct rr_planner *planner, const rr_job *job, double task_count) {
+    rr_resources *reserved =
+        &g_array_index(planner->core->planning.team_reserved, rr_resources, job->team);
+    *reserved = rr_resources_add(*reserved, job->request, task_count);
 }
 
+/* ---- the record of a reservation ---- */
+
 static const rr_ledger_record *record_at(const rr_job *job, uint32_t chunk) {
     return job->records && chunk < job->records->len ? g_ptr_array_index(job->records, chunk)
                                                      : NULL;
 }
 
-/* The number of a record with room, of the task's chunk or else an overflow record; -1: none. Those
- * are written only while every controller reads them. */
-static int64_t chunk_with_room(const struct rr_planner *planner, rr_job *job, uint32_t task) {
-    uint32_t home = task / job->tasks_per_record, first = rr_job_chunks(job);
-    if (has_room(planner, rr_job_ledger_record(job, home))) {
+/* Whether the record takes one more placement, once the terminated ones have left it. NULL: a
+ * record that does not exist yet. */
+static bool takes_placement(const struct rr_planner *planner, const rr_ledger_record *record) {
+    if (!record) {
+        return true;
+    }
+    const struct rr_record_edit *edit = record->edit;
+    guint terminated = MIN(rr_plan_terminated_count(planner, record), record->placements->len);
+    guint placements = edit ? edit->placements->len : record->placements->len - terminated;
+    return rr_ledger_record_fits(planner->core, placements + 1);
+}
+
+/* The record that takes a placement of the task: that of its chunk, or else an overflow record,
+ * which is written only while every controller reads them. NO_RECORD: none. */
+static int64_t find_record(const struct rr_planner *planner, rr_job *job, uint32_t task) {
+    uint32_t home = task / job->tasks_per_record, first_overflow = rr_job_chunks(job);
+    if (takes_placement(planner, rr_job_ledger_record(job, home))) {
         return home;
     }
-    uint32_t end = MIN(first + OVERFLOW_RECORDS_MAX,
+    if (!rr_all_gang_capable(planner->core)) {
+        return NO_RECORD;
+    }
+    uint32_t end = MIN(first_overflow + OVERFLOW_RECORDS_MAX,
                        RR_TASKS_MAX / planner->core->stored.tasks_per_record + 1);
-    for (uint32_t chunk = first; rr_all_gang_capable(planner->core) && chunk < end; chunk++) {
-        if (has_room(planner, record_at(job, chunk))) {
+    for (uint32_t chunk = first_overflow; chunk < end; chunk++) {
+        if (takes_placement(planner, record_at(job, chunk))) {
             return chunk;
         }
     }
-    return -1;
+    return NO_RECORD;
 }
 
-/* A record that this plan has not begun, with a placement of the task. */
-static bool has_earlier(const rr_ledger_record *run, uint32_t task) {
-    for (guint i = 0; run && !run->edit && i < run->placements->len; i++) {
-        if (g_array_index(run->placements, rr_placement_record, i).task == task) {
+/* Whether a record that this plan does not edit yet has a placement of the task. */
+static bool has_earlier_placement(const rr_ledger_record *record, uint32_t task) {
+    for (guint i = 0; record && !record->edit && i < record->placements->len; i++) {
+        if (g_array_index(record->placements, rr_placement_record, i).task == task) {
             return true;
         }
     }
     return false;
 }
 
-/* The records in which a task may stand: that of its chunk, then the overflow records. A job may
- * have hundreds of others. */
-static guint records_of_task(const rr_job *job) {
+/* The records that may hold a task are that of its chunk, then the overflow records. A job may have
+ * hundreds of others. */
+static guint task_record_count(const rr_job *job) {
     return rr_job_overflows(job) ? 1 + job->records->len - rr_job_chunks(job) : 1;
 }
 
-static uint32_t record_of_task(const rr_job *job, uint32_t task, guint i) {
+static uint32_t task_record_chunk(const rr_job *job, uint32_t task, guint i) {
     return i == 0 ? task / job->tasks_per_record : rr_job_chunks(job) + i - 1;
 }
 
 enum rr_reservable rr_reservable(const struct rr_planner *planner, rr_job *job, uint32_t task) {
-    if (chunk_with_room(planner, job, task) < 0) {
+    if (find_record(planner, job, task) == NO_RECORD) {
         return RR_CHUNK_BLOCKED;
     }
-    for (guint i = 0; i < records_of_task(job); i++) {
-        const rr_ledger_record *run = record_at(job, record_of_task(job, task, i));
-        if (has_earlier(run, task) && !rr_plan_writable(planner, run)) {
+    for (guint i = 0; i < task_record_count(job); i++) {
+        const rr_ledger_record *record = record_at(job, task_record_chunk(job, task, i));
+        if (has_earlier_placement(record, task) && !rr_plan_can_write_record(planner, record)) {
             return RR_TASK_BLOCKED;
         }
     }
     return RR_RESERVABLE;
 }
 
-/* An earlier placement of the task that is over leaves the ledger with the change that reserves it
- * anew, whichever record it is in. */
-static bool begin_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
-    for (guint i = 0; i < records_of_task(job); i++) {
-        uint32_t chunk = record_of_task(job, task, i);
-        if (has_earlier(record_at(job, chunk), task) && !rr_plan_edit_record(planner, job, chunk)) {
+/* Edits all records that hold an earlier, terminated placement of the task: it leaves the ledger in
+ * the transaction that reserves the task again. */
+static bool edit_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
+    for (guint i = 0; i < task_record_count(job); i++) {
+        uint32_t chunk = task_record_chunk(job, task, i);
+        if (has_earlier_placement(record_at(job, chunk), task) &&
+            !rr_plan_edit_record(planner, job, chunk)) {
             return false;
         }
     }
     return true;
 }
 
-struct rr_plan_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job, uint32_t task) {
-    if (!begin_earlier_records(planner, job, task)) {
+struct rr_record_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job,
+                                             uint32_t task) {
+    if (!edit_earlier_records(planner, job, task)) {
         return NULL;
     }
-    int64_t chunk = chunk_with_room(planner, job, task);
-    return chunk < 0 ? NULL : rr_plan_edit_record(planner, job, (uint32_t)chunk);
+    int64_t chunk = find_record(planner, job, task);
+    return chunk == NO_RECORD ? NULL : rr_plan_edit_record(planner, job, (uint32_t)chunk);
 }
 
+/* ---- reserving ---- */
+
 bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
                         uint64_t attempt) {
-    rr_core *core = planner->core;
-    struct rr_plan_edit *edit = rr_reservation_record(planner, job, task);
-    if (!edit || !rr_ledger_record_fits(core, edit->placements->len + 1)) {
+    struct rr_record_edit *edit = rr_reservation_record(planner, job, task);
+    if (!edit || !rr_ledger_record_fits(planner->core, edit->placements->len + 1)) {
         return false;
     }
-    rr_placement_record item = {.machine = machine,
-                                .task = task,
-                                .attempt = attempt,
-                                .worker_epoch = machine->heartbeat.worker_epoch};
-    g_array_append_val(edit->placements, item);
-    rr_plan_use_machine(planner, machine);
+    rr_placement_record record = {.machine = machine,
+                                  .task = task,
+                                  .attempt = attempt,
+                                  .worker_epoch = machine->heartbeat.worker_epoch};
+    g_array_append_val(edit->placements, record);
+    rr_planner_use_machine(planner, machine);
     g_array_append_val(machine->reserved_jobs, job);
     machine->free = rr_resources_add(machine->free, job->request, -1);
     machine->reserved_image = job->image;
-    rr_resources *reserved = &g_array_index(core->planning.team_reserved, rr_resources, job->team);
-    *reserved = rr_resources_add(*reserved, job->request, 1);
-    rr_plan_guard(planner, job);
-    planner->last_machine = machine;
-    rr_log_at(core, RR_LOG_DEBUG, "place %s/%u attempt %" G_GUINT64_FORMAT " on %s",
+    rr_reserve_team_usage(planner, job, 1);
+    rr_planner_guard_job(planner, job);
+    planner->last_reserved = machine;
+    rr_log_at(planner->core, RR_LOG_DEBUG, "place %s/%u attempt %" G_GUINT64_FORMAT " on %s",
               job->submission.job_id, task, attempt, machine->name);
     return true;
 }
@@ -169,66 +184,27 @@
     return rr_reserve_attempt(planner, machine, job, task, rr_next_attempt(planner->core));
 }
 
-void rr_job_zones_update(struct rr_planner *planner, const rr_job *job,
-                         struct rr_job_zones *zones) {
-    rr_core *core = planner->core;
-    guint zone_count = core->stored.zones.names->len, open = 0;
-    rr_job_zones_from(core, job, zones->placements, zones->all, zones->allowed);
-    for (guint zone = 0; zone < zone_count; zone++) {
-        open += zones->allowed[zone];
-    }
-    if (!rr_job_zone_bound(job) || open <= 1) {
-        return;
-    }
-    int best = rr_zone_with_most_room(core, job, zones->allowed, planner->now);
-    for (guint zone = 0; zone < zone_count; zone++) {
-        zones->allowed[zone] = (int)zone == best;
-    }
+static void cancel_last_reservation(const struct rr_planner *planner, const rr_job *job,
+                                    GArray *placements) {
+    rr_machine *machine =
+        g_array_index(placements, rr_placement_record, placements->len - 1).machine;
+    g_array_set_size(placements, placements->len - 1);
+    g_array_set_size(machine->reserved_jobs, machine->reserved_jobs->len - 1);
+    machine->free = rr_resources_add(machine->free, job->request, 1);
+    rr_reserve_team_usage(planner, job, -1);
 }
 
-uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
-    uint64_t mask = 0;
-    for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
-        mask |= allowed[zone] ? (uint64_t)1 << (zone % 64) : 0;
-    }
-    return mask;
-}
-
-static bool same_machine_types(const rr_submission *left, const rr_submission *right) {
-    size_t bytes = (size_t)left->machine_type_count * sizeof *left->machine_types;
-    return left->machine_type_count == right->machine_type_count &&
-           (bytes == 0 || memcmp(left->machine_types, right->machine_types, bytes) == 0);
-}
-
-static bool same_demands(const rr_job *left, const rr_job *right) {
-    return left->team == right->team && left->job_class == right->job_class &&
-           left->submission.priority == right->submission.priority &&
-           left->submission.spot == right->submission.spot &&
-           left->submission.kind == right->submission.kind &&
-           strcmp(left->submission.zone, right->submission.zone) == 0 &&
-           same_machine_types(&left->submission, &right->submission);
-}
-
-bool rr_search_failed_before(const struct rr_planner *planner, const rr_job *job,
-                             uint64_t zone_mask) {
-    for (guint i = 0; i < planner->failures->len; i++) {
-        const struct rr_plan_failure *failure =
-            &g_array_index(planner->failures, struct rr_plan_failure, i);
-        if (same_demands(failure->job, job) &&
-            rr_resources_fit(failure->job->request, job->request) &&
-            (job->submission.kind != RR_JOB_GANG ||
-             failure->job->submission.task_count <= job->submission.task_count) &&
-            (zone_mask & ~failure->zones) == 0) {
-            return true;
-        }
-    }
-    return false;
+static bool ends_with_attempt(const GArray *placements, uint64_t attempt) {
+    return placements->len > 0 &&
+           g_array_index(placements, rr_placement_record, placements->len - 1).attempt == attempt;
 }
 
-void rr_record_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
-    struct rr_plan_failure failure = {job, zone_mask};
-    job->failed_at = planner->now;
-    if (planner->failures->len < FAILURES_MAX) {
-        g_array_append_val(planner->failures, failure);
+void rr_cancel_reservations(const struct rr_planner *planner, const rr_job *job, uint64_t attempt) {
+    for (guint chunk = 0; chunk < job->records->len; chunk++) {
+        const rr_ledger_record *record = g_ptr_array_index(job->records, chunk);
+        const struct rr_record_edit *edit = record ? record->edit : NULL;
+        while (edit && ends_with_attempt(edit->placements, attempt)) {
+            cancel_last_reservation(planner, job, edit->placements);
+        }
     }
 }
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -1,66 +1,53 @@
-/* Inside the core only: what placing tasks has in common, whatever the kind of the job. Team limits
- * and guarantees, allowed zones, searches that failed, and the reservations of the plan under
- * construction. */
+/* Reservations of the plan under construction, and the limits and guarantees of teams that bound
+ * them. */
 #ifndef RR_CORE_SCHEDULING_RESERVATION_H
 #define RR_CORE_SCHEDULING_RESERVATION_H
 
-#include "core/scheduling/plan.h"
+#include "core/scheduling/plan_edits.h"
+#include "core/scheduling/planner.h"
 
-/* ---- limits and guarantees of teams ---- */
+/* ---- limits and guarantees ---- */
 
-/* So many more tasks of the job keep its team within its limit. Every placement in the ledger
- * counts, whether proven over or not. */
-bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t tasks);
-/* So many more tasks of the job keep its team within its guarantee. */
-bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t tasks);
-/* The team would use more than its guarantee even after giving `returned` back. */
-bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_resources returned);
-
-/* What the team uses, with what the plan under construction has reserved. */
+/* What the team uses, with what this plan has reserved. Every placement in the ledger counts,
+ * whether proven terminated or not. */
 rr_resources rr_team_usage_in_plan(const struct rr_planner *planner, int team);
-/* Under overload: one more task keeps the team within its fair part of all room. */
-bool rr_within_fair_room(const struct rr_planner *planner, const rr_job *job);
-/* Under overload: how full the teams' rooms are, and what their classes use, for the jobs' turns.
- */
-void rr_set_fair_turns(const struct rr_planner *planner, GPtrArray *waiting /* rr_job* */);
+
+/* Whether this many more tasks of the job keep its team within its limit. */
+bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t task_count);
+
+/* Whether this many more tasks of the job keep its team within its guarantee. */
+bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t task_count);
+
+/* Whether the team uses more than its guarantee even without `returned`. */
+bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_resources returned);
 
 /* ---- reservations ---- */
 
-/* Whether the ledger's records take one more placement of a task, whatever room machines have. */
+/* Whether the ledger takes one more placement of a task, whatever room machines have. */
 enum rr_reservable {
     RR_RESERVABLE,
-    RR_TASK_BLOCKED, /* an earlier placement stands in a record that can't be written yet */
-    RR_CHUNK_BLOCKED /* no record takes more of this task's chunk */
+    RR_TASK_BLOCKED, /* an earlier placement is in a record that can't be written yet */
+    RR_CHUNK_BLOCKED /* no record takes another placement of this task's chunk */
 };
 enum rr_reservable rr_reservable(const struct rr_planner *planner, rr_job *job, uint32_t task);
-/* The record that takes one more placement of this task, begun in the plan; NULL: none does, or the
- * transaction takes no more. */
-struct rr_plan_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job, uint32_t task);
-/* Reserves the task on the machine under this attempt. False: the transaction takes no more. */
-bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
-                        uint64_t attempt);
-/* The same under an attempt of its own. */
-bool rr_reserve(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task);
 
-/* ---- zones ---- */
+/* The edit of the record that takes one more placement of the task. NULL: no record does, or the
+ * transaction is full. */
+struct rr_record_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job,
+                                             uint32_t task);
 
-/* The zones in which the next task of a job may start, kept up to date while a plan reserves. */
-struct rr_job_zones {
-    bool *allowed;        /* by zone */
-    uint32_t *placements; /* by zone: of the job, with those of this plan */
-    uint32_t all;         /* their sum */
-    bool counted;         /* the job's allowed zones depend on its placements */
-};
+/* Reserves the task on the machine under this attempt. False: no record takes it, or the
+ * transaction is full. */
+bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
+                        uint64_t attempt);
 
-void rr_job_zones_update(struct rr_planner *planner, const rr_job *job, struct rr_job_zones *zones);
-/* One bit a zone, for comparing searches. */
-uint64_t rr_zone_mask(const rr_core *core, const bool *allowed);
+/* Reserves the task on the machine under a new attempt. False: as above. */
+bool rr_reserve(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task);
 
-/* ---- searches that failed ---- */
+/* Takes back all reservations of the job that this plan has made under the attempt. */
+void rr_cancel_reservations(const struct rr_planner *planner, const rr_job *job, uint64_t attempt);
 
-/* A job that asks for no more than this one has just found no room in these zones. */
-bool rr_search_failed_before(const struct rr_planner *planner, const rr_job *job,
-                             uint64_t zone_mask);
-void rr_record_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask);
+/* Counts resources as reserved by the job's team until the end of the plan. */
+void rr_reserve_team_usage(const struct rr_planner *planner, const rr_job *job, double task_count);
 
 #endif
