--- /dev/null
+++ b/tests/gang_fixture.c
@@ -0,0 +1,160 @@
+#include "gang_fixture.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+
+#include "core/core_internal.h"
+
+#include <string.h>
+
+#define SHOWN_TASKS 4 /* of the first eight, in one heartbeat */
+
+const struct test_job gang_job = {.job_id = "req-1",
+                                  .gang = true,
+                                  .one_zone = true,
+                                  .pieces = 3,
+                                  .cpus = 10,
+                                  .checkpoint_interval_s = 20,
+                                  .save_s = 3,
+                                  .rank = "high"};
+
+static uint64_t last_sequence = 1; /* of all heartbeats */
+
+int gang_setup(void **state) {
+    core_fixture_setup(state);
+    core_fixture *fixture = *state;
+    for (int i = 1; i <= GANG_MACHINES; i++) {
+        char id[16];
+        g_snprintf(id, sizeof id, "vm-%d", i);
+        fake_store_put_machine(fixture->store, id, i <= GANG_MACHINES_IN_A ? "a" : "b", false,
+                               true);
+    }
+    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    return 0;
+}
+
+void submit_gang_job(core_fixture *fixture, const struct test_job *job) {
+    fake_store_submit(fixture->store, job, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+}
+
+void gang_show(test_controller *node, int machine, const char *job_id, const char *state,
+               uint64_t worker_epoch, double spot_notice_s) {
+    char id[16], *text[SHOWN_TASKS + 1] = {NULL};
+    int k = 0;
+    g_snprintf(id, sizeof id, "vm-%d", machine);
+    for (uint32_t task = 0; state && task < 8 && k < SHOWN_TASKS; task++) {
+        uint64_t attempt = fake_store_attempt(node->store, id, job_id, task);
+        if (attempt) {
+            text[k++] =
+                g_strdup_printf("%s %u %" G_GUINT64_FORMAT " %s", job_id, task, attempt, state);
+        }
+    }
+    node->spot_notice_s = spot_notice_s;
+    test_controller_heartbeat(node, id, machine <= GANG_MACHINES_IN_A ? "a" : "b", false,
+                              worker_epoch, ++last_sequence, rr_core_fencing_token(node->core),
+                              text[0], text[1], text[2], text[3], NULL);
+    node->spot_notice_s = -1;
+    for (int i = 0; i < k; i++) {
+        g_free(text[i]);
+    }
+}
+
+void gang_show_all(test_controller *node, const char *job_id, const char *state) {
+    for (int machine = 1; machine <= GANG_MACHINES; machine++) {
+        gang_show(node, machine, job_id, state, 1, -1);
+    }
+}
+
+unsigned gang_plan(test_controller *node, enum rr_command_kind command_kind, const char *job_id,
+                   double *grace_s) {
+    rr_plan next_plan;
+    unsigned found = 0;
+    double least = 1e9;
+    test_controller_plan(node, &next_plan);
+    for (guint i = 0; i < next_plan.command_batches->len; i++) {
+        rr_command_batch *batch = g_ptr_array_index(next_plan.command_batches, i);
+        for (guint k = 0; k < batch->commands->len; k++) {
+            const rr_command *command = &g_array_index(batch->commands, rr_command, k);
+            if (command->kind == command_kind && strcmp(command->job_id, job_id) == 0) {
+                found++;
+                least = command->grace_s < least ? command->grace_s : least;
+            }
+        }
+        rr_core_command_result(node->core, node->now, batch, RR_COMMAND_ANSWERED, true);
+    }
+    rr_plan_clear(&next_plan);
+    if (grace_s) {
+        *grace_s = least;
+    }
+    return found;
+}
+
+enum rr_gang_phase gang_phase(const test_controller *node, const char *job_id) {
+    return rr_gang_phase(node->core, g_hash_table_lookup(node->core->stored.jobs, job_id),
+                         node->now);
+}
+
+void gang_start(core_fixture *fixture, const struct test_job *job) {
+    test_controller *node = &fixture->n;
+    gang_show_all(node, job->job_id, NULL);
+    submit_gang_job(fixture, job);
+    gang_plan(node, RR_COMMAND_START, job->job_id, NULL);
+    assert_int_equal(gang_plan(node, RR_COMMAND_START, job->job_id, NULL), job->pieces);
+}
+
+int gang_machine_of(const core_fixture *fixture, uint32_t task, uint64_t *attempt) {
+    for (int machine = 1; machine <= GANG_MACHINES; machine++) {
+        char id[16];
+        g_snprintf(id, sizeof id, "vm-%d", machine);
+        *attempt = fake_store_attempt(fixture->store, id, "req-1", task);
+        if (*attempt) {
+            return machine;
+        }
+    }
+    return 0;
+}
+
+uint64_t gang_shared_attempt(const core_fixture *fixture, uint32_t tasks) {
+    uint64_t attempt, other;
+    gang_machine_of(fixture, 0, &attempt);
+    for (uint32_t task = 1; task < tasks; task++) {
+        gang_machine_of(fixture, task, &other);
+        assert_true(other == attempt);
+    }
+    return attempt;
+}
+
+const char *gang_task_runs(int machine, const char *job_id, uint32_t task, int shown,
+                           uint64_t sequence) {
+    (void)machine;
+    (void)job_id;
+    (void)task;
+    (void)shown;
+    (void)sequence;
+    return "running";
+}
+
+const char *gang_task_is_done(int machine, const char *job_id, uint32_t task, int shown,
+                              uint64_t sequence) {
+    (void)machine;
+    (void)job_id;
+    (void)task;
+    (void)shown;
+    (void)sequence;
+    return "ended:done";
+}
+
+void gang_show_jobs(test_controller *node, const char *const *job_ids, int jobs, uint32_t tasks,
+                    shown_task_state_fn state) {
+    struct shown_machines show = {.first = 1,
+                                  .last = GANG_MACHINES,
+                                  .last_in_a = GANG_MACHINES_IN_A,
+                                  .refs = job_ids,
+                                  .jobs = jobs,
+                                  .tasks = tasks,
+                                  .most = SHOWN_TASKS_MAX,
+                                  .worker_epoch = 1,
+                                  .sequence = ++last_sequence,
+                                  .state = state};
+    test_controller_show_machines(node, &show);
+}
--- /dev/null
+++ b/tests/reservation_fixture.c
@@ -0,0 +1,58 @@
+#include "reservation_fixture.h"
+#include "core/leadership.h"
+#include "core/planning.h"
+
+#include <string.h>
+
+int reservation_setup(void **state) {
+    core_fixture_setup(state);
+    core_fixture *fixture = *state;
+    fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
+    fake_store_put_machine(fixture->store, "vm-2", "b", false, false);
+    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    return 0;
+}
+
+const char *zone_of(const char *machine) {
+    return strcmp(machine, "vm-1") == 0 ? "a" : "b";
+}
+
+void submit_job(core_fixture *fixture, const struct test_job *job) {
+    fake_store_submit(fixture->store, job, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+}
+
+void heartbeat_with(test_controller *node, const char *machine, uint64_t worker_epoch,
+                    uint64_t sequence, const char *task) {
+    test_controller_heartbeat(node, machine, zone_of(machine), false, worker_epoch, sequence,
+                              rr_core_fencing_token(node->core), task, NULL);
+}
+
+const char *reserve_one(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
+    rr_plan plan;
+    heartbeat_with(&fixture->n, "vm-1", 1, 1, NULL);
+    heartbeat_with(&fixture->n, "vm-2", 1, 1, NULL);
+    submit_job(fixture, job);
+    assert_int_equal(test_controller_plan(&fixture->n, &plan), 1);
+    /* Nothing is started before the reservation is recorded. */
+    assert_int_equal(plan.command_batches->len, 0);
+    rr_plan_clear(&plan);
+    *attempt = fake_store_attempt(fixture->store, "vm-1", job->job_id, 0);
+    if (*attempt) {
+        return "vm-1";
+    }
+    *attempt = fake_store_attempt(fixture->store, "vm-2", job->job_id, 0);
+    assert_true(*attempt != 0);
+    return "vm-2";
+}
+
+char *task_shown(const char *job_id, uint64_t attempt, const char *state) {
+    return g_strdup_printf("%s 0 %" G_GUINT64_FORMAT " %s", job_id, attempt, state);
+}
+
+int plan_and_commit(test_controller *node) {
+    rr_plan plan;
+    int committed = test_controller_plan(node, &plan);
+    rr_plan_clear(&plan);
+    return committed;
+}
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -1,5 +1,5 @@
-/* The design's ordinary path on small cases worked out by hand: where new tasks go, and the paper's
- * two phases in a round. */
+/* DESIGN's ordinary path on small cases worked out by hand: where new tasks go, rebalancing, and
+ * preemption. */
 #include "core_fixture.h"
 #include "core/leadership.h"
 #include "core/planning.h"
@@ -7,12 +7,13 @@
 
 #include <string.h>
 
-static void empty_report(test_controller *node, const char *id, const char *zone, bool spot,
-                         uint64_t sequence) {
+static void show_empty(test_controller *node, const char *id, const char *zone, bool spot,
+                       uint64_t sequence) {
     test_controller_heartbeat(node, id, zone, spot, 1, sequence, rr_core_fencing_token(node->core),
                               NULL);
 }
 
+/* Plans, commits and answers all commands. */
 static void plan_once(test_controller *node) {
     rr_plan plan;
     test_controller_plan(node, &plan);
@@ -28,28 +29,28 @@
     fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
 }
 
-/* vm-1 holds 8 of 16 CPUs, so price x room is 5 there and 10 on the empty vm-2. */
-static void fullest_machine_first(void **state) {
+/* vm-1 holds 8 of 16 CPUs, so price times free share is 5 there and 10 on the empty vm-2. */
+static void the_fullest_machine_comes_first(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     fake_store_put_machine(fixture->store, "vm-2", "a", false, false);
-    empty_report(&fixture->n, "vm-1", "a", false, 1);
+    show_empty(&fixture->n, "vm-1", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1", .cpus = 8});
     plan_once(&fixture->n);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
-    empty_report(&fixture->n, "vm-2", "a", false, 1);
+    show_empty(&fixture->n, "vm-2", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-2", .cpus = 4});
     plan_once(&fixture->n);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
 }
 
-/* Spot 4 x 1 beats ordinary 10 x 1, but only for jobs that may use it. */
-static void cheap_machines_for_those_who_may(void **state) {
+/* A spot machine costs 4 and an ordinary one 10; both are empty. */
+static void spot_machines_are_for_jobs_that_allow_them(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     fake_store_put_machine(fixture->store, "vm-2", "a", true, false);
-    empty_report(&fixture->n, "vm-1", "a", false, 1);
-    empty_report(&fixture->n, "vm-2", "a", true, 1);
+    show_empty(&fixture->n, "vm-1", "a", false, 1);
+    show_empty(&fixture->n, "vm-2", "a", true, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1", .spot = true});
     submit(fixture, &(struct test_job){.job_id = "req-2"});
     plan_once(&fixture->n);
@@ -57,21 +58,20 @@
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
 }
 
-/* A group bound to one zone goes, whole, to the zone with most free room. Zone b has two empty
- * machines of two; zone a one empty and one half full. */
-static void zone_group_to_the_emptier_zone(void **state) {
+/* Zone b has two empty machines, zone a an empty and a half full one. */
+static void a_job_of_one_zone_goes_to_the_emptier_zone(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    empty_report(&fixture->n, "vm-1", "a", false, 1);
+    show_empty(&fixture->n, "vm-1", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1", .cpus = 8});
     plan_once(&fixture->n);
     fake_store_put_machine(fixture->store, "vm-2", "a", false, false);
     fake_store_put_machine(fixture->store, "vm-3", "b", false, false);
     fake_store_put_machine(fixture->store, "vm-4", "b", false, false);
     fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
-    empty_report(&fixture->n, "vm-2", "a", false, 1);
-    empty_report(&fixture->n, "vm-3", "b", false, 1);
-    empty_report(&fixture->n, "vm-4", "b", false, 1);
+    show_empty(&fixture->n, "vm-2", "a", false, 1);
+    show_empty(&fixture->n, "vm-3", "b", false, 1);
+    show_empty(&fixture->n, "vm-4", "b", false, 1);
     submit(fixture,
            &(struct test_job){.job_id = "req-2", .cpus = 10, .pieces = 2, .one_zone = true});
     plan_once(&fixture->n);
@@ -84,13 +84,13 @@
     assert_int_equal(in_b, 2);
 }
 
-/* At most half of the tasks, rounded up, in one zone, and replicas on machines of their own. */
-static void spread_over_zones_and_machines(void **state) {
+/* At most half of the tasks, rounded up, are in one zone, and replicas on distinct machines. */
+static void replicas_spread_over_zones_and_machines(void **state) {
     core_fixture *fixture = *state;
     const char *ids[] = {"vm-1", "vm-2", "vm-3", "vm-4"};
     for (int i = 0; i < 4; i++) {
         fake_store_put_machine(fixture->store, ids[i], i < 3 ? "a" : "b", false, false);
-        empty_report(&fixture->n, ids[i], i < 3 ? "a" : "b", false, 1);
+        show_empty(&fixture->n, ids[i], i < 3 ? "a" : "b", false, 1);
     }
     submit(fixture,
            &(struct test_job){.job_id = "req-1", .service = true, .pieces = 3, .spread = true});
@@ -110,65 +110,87 @@
     assert_int_equal(in_b, 1);
 }
 
-/* Only a fresh report makes room count (the design's named risk: a cut zone's stale room). */
-static void stale_room_takes_nothing(void **state) {
+/* Guards against placing tasks in a partitioned zone on the free resources that it last showed. */
+static void a_machine_without_recent_heartbeats_takes_no_task(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    empty_report(&fixture->n, "vm-1", "a", false, 1);
+    show_empty(&fixture->n, "vm-1", "a", false, 1);
     fixture->n.now += 7;
     submit(fixture, &(struct test_job){.job_id = "req-1"});
     plan_once(&fixture->n);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) == 0);
-    empty_report(&fixture->n, "vm-1", "a", false, 2);
-    fixture->n.now += 0.5; /* a job that found no room is not looked at with every plan */
+    show_empty(&fixture->n, "vm-1", "a", false, 2);
+    fixture->n.now += 0.5; /* a job that found no room is not tried in every plan */
     plan_once(&fixture->n);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
 }
 
+/* Task 0 of the job as a heartbeat shows it; the caller frees it. */
 static char *running(const char *job_id, uint64_t attempt) {
     return g_strdup_printf("%s 0 %" G_GUINT64_FORMAT " running", job_id, attempt);
 }
 
-/* Four machines with one replica each. By hand: vm-1 has 12 of 16 CPUs taken (room 1/4), vm-2 4
- * (room 3/4), both rented; everything fits on one machine, so the round empties the other one by
- * moving its replica: destination reserved first, then the old copy stopped, the new one started
- * only once the old is gone. */
-static void a_round_empties_a_priced_machine(void **state) {
-    core_fixture *fixture = *state;
+/* A replica of 12 CPUs on vm-1 and one of 4 on vm-2, as their heartbeats show them. */
+struct two_replicas {
+    uint64_t first, second; /* attempts */
+    char *first_shown, *second_shown;
+};
+
+static void place_two_replicas(core_fixture *fixture, double first_cpus, bool operator_owned,
+                               struct two_replicas *replicas) {
     test_controller *node = &fixture->n;
-    rr_plan plan;
-    fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    fake_store_put_machine(fixture->store, "vm-2", "a", false, false);
-    empty_report(node, "vm-1", "a", false, 1);
-    submit(fixture, &(struct test_job){.job_id = "req-1", .service = true, .cpus = 12});
+    fake_store_put_machine(fixture->store, "vm-1", "a", false, operator_owned);
+    fake_store_put_machine(fixture->store, "vm-2", "a", false, operator_owned);
+    show_empty(node, "vm-1", "a", false, 1);
+    submit(fixture, &(struct test_job){.job_id = "req-1", .service = true, .cpus = first_cpus});
     plan_once(node);
-    uint64_t big = fake_store_attempt(fixture->store, "vm-1", "req-1", 0);
-    char *first = running("req-1", big);
     node->now += 7;
-    empty_report(node, "vm-2", "a", false, 1);
+    show_empty(node, "vm-2", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-2", .service = true, .cpus = 4});
     plan_once(node);
-    uint64_t small = fake_store_attempt(fixture->store, "vm-2", "req-2", 0);
-    assert_true(big && small);
-    char *second = running("req-2", small);
-    /* Calm for long enough, then the round. */
+    replicas->first = fake_store_attempt(fixture->store, "vm-1", "req-1", 0);
+    replicas->second = fake_store_attempt(fixture->store, "vm-2", "req-2", 0);
+    assert_true(replicas->first && replicas->second);
+    replicas->first_shown = running("req-1", replicas->first);
+    replicas->second_shown = running("req-2", replicas->second);
+}
+
+static void free_two_replicas(struct two_replicas *replicas) {
+    g_free(replicas->first_shown);
+    g_free(replicas->second_shown);
+}
+
+/* Three seconds later both machines show their replicas, and the controller plans. */
+static void plan_with_replicas(test_controller *node, const struct two_replicas *replicas,
+                               uint64_t sequence) {
+    node->now += 3;
+    test_controller_heartbeat(node, "vm-1", "a", false, 1, sequence,
+                              rr_core_fencing_token(node->core), replicas->first_shown, NULL);
+    test_controller_heartbeat(node, "vm-2", "a", false, 1, sequence,
+                              rr_core_fencing_token(node->core), replicas->second_shown, NULL);
+    plan_once(node);
+}
+
+/* Both machines are rented. A quarter of vm-1 is free and three quarters of vm-2, so that
+ * rebalancing empties vm-2 by moving its replica: the destination is reserved first, then the old
+ * attempt stops, and the new one starts only once the old one is terminated. */
+static void rebalancing_empties_a_priced_machine(void **state) {
+    core_fixture *fixture = *state;
+    test_controller *node = &fixture->n;
+    struct two_replicas replicas;
+    rr_plan plan;
+    place_two_replicas(fixture, 12, false, &replicas);
     uint64_t moved = 0;
     for (int i = 0; i < 15 && !moved; i++) {
-        node->now += 3;
-        test_controller_heartbeat(node, "vm-1", "a", false, 1, 10 + (uint64_t)i,
-                                  rr_core_fencing_token(node->core), first, NULL);
-        test_controller_heartbeat(node, "vm-2", "a", false, 1, 10 + (uint64_t)i,
-                                  rr_core_fencing_token(node->core), second, NULL);
-        plan_once(node);
+        plan_with_replicas(node, &replicas, 10 + (uint64_t)i);
         moved = fake_store_attempt(fixture->store, "vm-1", "req-2", 0);
     }
-    assert_true(moved > small);
-    assert_true(fake_store_attempt(fixture->store, "vm-2", "req-2", 0) == small);
-    /* The old copy is stopped; the new one waits. */
+    assert_true(moved > replicas.second);
+    assert_true(fake_store_attempt(fixture->store, "vm-2", "req-2", 0) == replicas.second);
     test_controller_plan(node, &plan);
     assert_null(plan_find_command(&plan, "vm-1", RR_COMMAND_START, "req-2", 0));
     rr_plan_clear(&plan);
-    char *gone = g_strdup_printf("req-2 0 %" G_GUINT64_FORMAT " ended:halted", small);
+    char *gone = g_strdup_printf("req-2 0 %" G_GUINT64_FORMAT " ended:halted", replicas.second);
     node->now += 1;
     test_controller_heartbeat(node, "vm-2", "a", false, 1, 90, rr_core_fencing_token(node->core),
                               gone, NULL);
@@ -178,49 +200,32 @@
     assert_non_null(plan_find_command(&plan, "vm-1", RR_COMMAND_START, "req-2", 0));
     rr_plan_clear(&plan);
     g_free(gone);
-    g_free(first);
-    g_free(second);
+    free_two_replicas(&replicas);
 }
 
-/* Standing machines cost nothing (the paper's private cluster): emptying one saves nothing, so no
- * round acts for it. */
-static void no_round_for_what_costs_nothing(void **state) {
+/* Emptying a machine that the operator owns saves nothing. */
+static void rebalancing_leaves_machines_without_a_price(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    struct two_replicas replicas;
     rr_core_stats stats;
-    fake_store_put_machine(fixture->store, "vm-1", "a", false, true);
-    fake_store_put_machine(fixture->store, "vm-2", "a", false, true);
-    empty_report(node, "vm-1", "a", false, 1);
-    submit(fixture, &(struct test_job){.job_id = "req-1", .service = true, .cpus = 8});
-    plan_once(node);
-    node->now += 7;
-    empty_report(node, "vm-2", "a", false, 1);
-    submit(fixture, &(struct test_job){.job_id = "req-2", .service = true, .cpus = 4});
-    plan_once(node);
-    char *first = running("req-1", fake_store_attempt(fixture->store, "vm-1", "req-1", 0));
-    char *second = running("req-2", fake_store_attempt(fixture->store, "vm-2", "req-2", 0));
+    place_two_replicas(fixture, 8, true, &replicas);
     for (int i = 0; i < 30; i++) {
-        node->now += 3;
-        test_controller_heartbeat(node, "vm-1", "a", false, 1, 10 + (uint64_t)i,
-                                  rr_core_fencing_token(node->core), first, NULL);
-        test_controller_heartbeat(node, "vm-2", "a", false, 1, 10 + (uint64_t)i,
-                                  rr_core_fencing_token(node->core), second, NULL);
-        plan_once(node);
+        plan_with_replicas(&fixture->n, &replicas, 10 + (uint64_t)i);
     }
-    rr_core_get_stats(node->core, &stats);
+    rr_core_get_stats(fixture->n.core, &stats);
     assert_int_equal(stats.moves, 0);
-    g_free(first);
-    g_free(second);
+    free_two_replicas(&replicas);
 }
 
-/* Higher rank with an aim on its start takes room from lower: the victim is marked in the ledger
- * and may save, and the new task starts only when the ledger shows room. */
-static void preemption_in_order(void **state) {
+/* A job of higher priority whose class has an objective for its wait preempts; one of the same
+ * priority waits. The victim is marked in the ledger and may save, and the new task starts only
+ * when the machine shows room. */
+static void an_urgent_job_preempts_lower_priority(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
     rr_plan plan;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    empty_report(node, "vm-1", "a", false, 1);
+    show_empty(node, "vm-1", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1",
                                        .rank = "low",
                                        .cpus = 16,
@@ -231,7 +236,6 @@
     char *first = running("req-1", low);
     test_controller_heartbeat(node, "vm-1", "a", false, 1, 2, rr_core_fencing_token(node->core),
                               first, NULL);
-    /* The same rank waits. */
     submit(fixture,
            &(struct test_job){.job_id = "req-2", .rank = "low", .job_class = "live", .cpus = 16});
     plan_once(node);
@@ -250,24 +254,24 @@
     g_free(first);
 }
 
-/* A team is owed its guarantee: work of any rank that another team runs beyond its own is stopped
- * for it, but no more than that, and not for work beyond the guarantee. */
-static void a_guarantee_is_given_back(void **state) {
+/* Work of any priority that a team runs beyond its guarantee stops for a job within another team's
+ * guarantee, but no more than that, and not for a job beyond it. */
+static void a_guarantee_preempts_work_beyond_another(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->n;
     rr_plan plan;
     node->config.teams[0].cpus = 8; /* red */
     node->config.teams[1].cpus = 4; /* blue */
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    empty_report(node, "vm-1", "a", false, 1);
-    const char *const refs[] = {"req-1", "req-2", "req-3", "req-4"};
+    show_empty(node, "vm-1", "a", false, 1);
+    const char *const job_ids[] = {"req-1", "req-2", "req-3", "req-4"};
     for (int i = 0; i < 4; i++) {
-        submit(fixture,
-               &(struct test_job){.job_id = refs[i], .rank = "prod", .service = true, .cpus = 4});
+        submit(fixture, &(struct test_job){
+                            .job_id = job_ids[i], .rank = "prod", .service = true, .cpus = 4});
     }
     plan_once(node);
     for (int i = 0; i < 4; i++) {
-        assert_true(fake_store_attempt(fixture->store, "vm-1", refs[i], 0) != 0);
+        assert_true(fake_store_attempt(fixture->store, "vm-1", job_ids[i], 0) != 0);
     }
     submit(fixture,
            &(struct test_job){.job_id = "req-5", .team = "blue", .rank = "low", .cpus = 4});
@@ -280,26 +284,27 @@
     node->now += 2;
     char *replicas[4];
     for (int i = 0; i < 4; i++) {
-        replicas[i] = running(refs[i], fake_store_attempt(fixture->store, "vm-1", refs[i], 0));
+        replicas[i] =
+            running(job_ids[i], fake_store_attempt(fixture->store, "vm-1", job_ids[i], 0));
     }
     test_controller_heartbeat(node, "vm-1", "a", false, 1, 9, rr_core_fencing_token(node->core),
                               replicas[0], replicas[1], replicas[2], replicas[3], NULL);
     test_controller_plan(node, &plan);
     unsigned stops = 0;
     for (int i = 0; i < 4; i++) {
-        stops += plan_find_command(&plan, "vm-1", RR_COMMAND_STOP, refs[i], 0) != NULL;
+        stops += plan_find_command(&plan, "vm-1", RR_COMMAND_STOP, job_ids[i], 0) != NULL;
         g_free(replicas[i]);
     }
     assert_int_equal(stops, 1);
     rr_plan_clear(&plan);
 }
 
-/* One victim makes room for one: counted twice, its room was reserved for two replicas, and the
- * worker refused the second. */
+/* Guards against counting what a victim gives back twice, which would reserve it for two replicas.
+ */
 static void a_victim_makes_room_once(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    empty_report(&fixture->n, "vm-1", "a", false, 1);
+    show_empty(&fixture->n, "vm-1", "a", false, 1);
     submit(fixture,
            &(struct test_job){
                .job_id = "req-1", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
@@ -325,16 +330,18 @@
     g_free(second);
 }
 
-#define T(f) cmocka_unit_test_setup_teardown(f, core_fixture_setup, core_fixture_teardown)
+#define TEST(name) cmocka_unit_test_setup_teardown(name, core_fixture_setup, core_fixture_teardown)
 
 int main(void) {
-    const struct CMUnitTest tests[] = {
-        T(a_victim_makes_room_once),
-
-        T(fullest_machine_first),           T(cheap_machines_for_those_who_may),
-        T(zone_group_to_the_emptier_zone),  T(spread_over_zones_and_machines),
-        T(stale_room_takes_nothing),        T(a_round_empties_a_priced_machine),
-        T(no_round_for_what_costs_nothing), T(preemption_in_order),
-        T(a_guarantee_is_given_back)};
+    const struct CMUnitTest tests[] = {TEST(the_fullest_machine_comes_first),
+                                       TEST(spot_machines_are_for_jobs_that_allow_them),
+                                       TEST(a_job_of_one_zone_goes_to_the_emptier_zone),
+                                       TEST(replicas_spread_over_zones_and_machines),
+                                       TEST(a_machine_without_recent_heartbeats_takes_no_task),
+                                       TEST(rebalancing_empties_a_priced_machine),
+                                       TEST(rebalancing_leaves_machines_without_a_price),
+                                       TEST(an_urgent_job_preempts_lower_priority),
+                                       TEST(a_guarantee_preempts_work_beyond_another),
+                                       TEST(a_victim_makes_room_once)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
