--- a/src/core/scheduling/fair_share.c
+++ b/src/core/scheduling/fair_share.c
@@ -64,20 +64,24 @@
     return usage;
 }
 
-void rr_set_fair_share_fill(const struct rr_planner *planner, GPtrArray *waiting) {
+struct rr_fair_share_fill *rr_fair_share_fills(const struct rr_planner *planner,
+                                               const GPtrArray *waiting) {
     const rr_core *core = planner->core;
+    struct rr_fair_share_fill *fills = g_new0(struct rr_fair_share_fill, waiting->len + 1);
+    if (!core->extensions.fair_share_enabled) {
+        return fills;
+    }
     guint class_count = core->stored.job_classes.names->len;
-    rr_resources *usage =
-        core->extensions.fair_share_enabled ? usage_by_class(core, class_count) : NULL;
+    rr_resources *usage = usage_by_class(core, class_count);
     for (guint i = 0; i < waiting->len; i++) {
-        rr_job *job = g_ptr_array_index(waiting, i);
-        job->team_fill = job->class_fill = 0;
-        if (usage && job->job_class >= 0) {
+        const rr_job *job = g_ptr_array_index(waiting, i);
+        if (job->job_class >= 0) {
             double used_share = dominant_share(core, rr_team_usage(core, job->team));
             double fair_share = core->extensions.fair_share[job->team];
-            job->team_fill = fair_share > 0 ? used_share / fair_share : 1;
-            job->class_fill = dominant_share(core, *usage_of_class(usage, job, class_count));
+            fills[i].team = fair_share > 0 ? used_share / fair_share : 1;
+            fills[i].job_class = dominant_share(core, *usage_of_class(usage, job, class_count));
         }
     }
     g_free(usage);
+    return fills;
 }
--- a/src/core/scheduling/gang_phase.h
+++ b/src/core/scheduling/gang_phase.h
@@ -16,8 +16,11 @@
 /* Whether all tasks of a gang are to be stopped, and how. */
 enum rr_gang_stop { RR_GANG_STAYS, RR_GANG_STOPS_AT_ONCE, RR_GANG_STOPS_SAVING };
 
-/* Both derive from the ledger and the heartbeats alone, so that a new owner decides the same. */
+/* The gang's phase. It derives from the ledger and the heartbeats alone, so that a new owner
+ * derives the same. */
 enum rr_gang_phase rr_gang_phase(const rr_core *core, const rr_job *job, double now);
+
+/* Whether all tasks of the gang are to stop now, which follows from its phase. */
 enum rr_gang_stop rr_gang_stop(const rr_core *core, const rr_job *job, double now);
 
 /* The largest number of tasks of one gang: one transaction reserves or ends all of them. */
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -183,7 +183,7 @@
         uint32_t count = slots_on(slots, machine);
         if (rr_tasks_fitting(job->request, machine->free, count) < count) {
             preempted = rr_preemption_find(planner, machine, job, count, &preemption) &&
-                        rr_preemption_mark(planner, machine, job, &preemption);
+                        rr_preemption_apply(planner, machine, job, &preemption);
         }
     }
     rr_preemption_clear(&preemption);
--- a/src/core/scheduling/job_search.h
+++ b/src/core/scheduling/job_search.h
@@ -13,9 +13,11 @@
     bool counted;             /* the allowed zones depend on the placements */
 };
 
-/* Counts the job's placements where its zones depend on them. Release with rr_job_zones_clear(). */
+/* Counts the job's placements where its zones depend on them. Clear with rr_job_zones_clear(). */
 void rr_job_zones_init(const struct rr_planner *planner, const rr_job *job,
                        struct rr_job_zones *zones);
+
+/* Frees the arrays. */
 void rr_job_zones_clear(struct rr_job_zones *zones);
 
 /* Recomputes the allowed zones; a job that is bound to one zone gets the best of them. */
--- a/src/core/scheduling/plan_edits.c
+++ b/src/core/scheduling/plan_edits.c
@@ -59,7 +59,7 @@
  */
 static bool may_leave_ledger(const struct rr_planner *planner, const rr_job *job) {
     return job->submission.kind != RR_JOB_GANG || job->cancelled || job->done ||
-           job->terminated_count > 0 || all_terminated(planner, job);
+           rr_planner_job(planner, job)->terminated_count > 0 || all_terminated(planner, job);
 }
 
 rr_placement_record *rr_record_edit_find(const struct rr_record_edit *edit, uint64_t attempt,
@@ -83,9 +83,9 @@
 }
 
 /* A gang is complete once one of its tasks is. All its tasks are of one chunk. */
-static void complete_gang(struct rr_record_edit *edit, rr_job *job) {
-    job->completing_count = job->submission.task_count;
-    for (uint32_t task = 0; task < job->submission.task_count; task++) {
+static void complete_gang(struct rr_record_edit *edit, struct rr_job_progress *progress) {
+    progress->completing_count = edit->job->submission.task_count;
+    for (uint32_t task = 0; task < edit->job->submission.task_count; task++) {
         g_array_append_val(edit->completed, task);
     }
 }
@@ -95,6 +95,7 @@
 static bool add_completion(struct rr_planner *planner, struct rr_record_edit *edit,
                            const struct rr_terminated_placement *terminated) {
     rr_job *job = terminated->job;
+    struct rr_job_progress *progress = rr_planner_job(planner, job);
     bool gang = job->submission.kind == RR_JOB_GANG;
     uint32_t chunk = terminated->task / job->tasks_per_record;
     struct rr_record_edit *home =
@@ -102,19 +103,20 @@
     if (!home) {
         return false;
     }
-    if ((gang && job->completing_count > 0) || records_completion(home, terminated->task)) {
+    if ((gang && progress->completing_count > 0) || records_completion(home, terminated->task)) {
         return true;
     }
-    bool last = gang || job->done_count + job->completing_count + 1 >= job->submission.task_count;
+    bool last =
+        gang || job->done_count + progress->completing_count + 1 >= job->submission.task_count;
     if (last && !has_room(planner, 1, FINAL_RECORD_BYTES_MAX)) {
         return false;
     }
     planner->change_count += last; /* the job's final record */
     home->zone = terminated->machine->zone;
     if (gang) {
-        complete_gang(home, job);
+        complete_gang(home, progress);
     } else {
-        job->completing_count++;
+        progress->completing_count++;
         g_array_append_val(home->completed, terminated->task);
     }
     return true;
@@ -196,8 +198,8 @@
         .preempted = placement->preempt != RR_PREEMPT_NONE,
         .next = record->first_terminated};
     if (completed && !rr_job_task_done(job, placement->task)) {
-        job->terminated_count = job->submission.kind == RR_JOB_GANG ? job->submission.task_count
-                                                                    : job->terminated_count + 1;
+        uint32_t *count = &rr_planner_job(planner, job)->terminated_count;
+        *count = job->submission.kind == RR_JOB_GANG ? job->submission.task_count : *count + 1;
     }
     g_array_append_val(planner->terminated, terminated);
     record->first_terminated = planner->terminated->len;
@@ -215,8 +217,9 @@
     }
 }
 
-static bool completes_job(const rr_job *job) {
-    return !job->cancelled && job->done_count + job->terminated_count >= job->submission.task_count;
+static bool all_tasks_done(const struct rr_planner *planner, const rr_job *job) {
+    return !job->cancelled && job->done_count + rr_planner_job(planner, job)->terminated_count >=
+                                  job->submission.task_count;
 }
 
 /* Whether the completion of a gang's task waits for the heartbeats of the other tasks, so that one
@@ -246,7 +249,8 @@
         return false;
     }
     return terminated->preempted ||
-           (!is_lost(terminated) && (!terminated->may_wait || completes_job(terminated->job)));
+           (!is_lost(terminated) &&
+            (!terminated->may_wait || all_tasks_done(planner, terminated->job)));
 }
 
 void rr_plan_edit_terminated(struct rr_planner *planner) {
--- a/src/core/scheduling/plan_transaction.c
+++ b/src/core/scheduling/plan_transaction.c
@@ -46,8 +46,9 @@
 static void put_edit(struct rr_planner *planner, const struct rr_record_edit *edit) {
     rr_transaction *transaction = &planner->plan->transaction;
     rr_job *job = edit->job;
-    bool completes_job = job->completing_count > 0 &&
-                         job->done_count + job->completing_count >= job->submission.task_count;
+    struct rr_job_progress *progress = rr_planner_job(planner, job);
+    bool completes_job = progress->completing_count > 0 &&
+                         job->done_count + progress->completing_count >= job->submission.task_count;
     bool is_final = completes_job || job->cancelled || job->done;
     bool is_empty = edit->placements->len == 0;
     if ((is_final || job->submission.kind == RR_JOB_GANG) && is_empty &&
@@ -64,8 +65,8 @@
     }
     if (edit->completed->len > 0) {
         rr_planner_guard_job(planner, job);
-        if (completes_job && !job->ending) {
-            job->ending = true;
+        if (completes_job && !progress->final_record_put) {
+            progress->final_record_put = true;
             put_final_record(planner, job);
         }
     }
--- a/src/core/scheduling/planner.c
+++ b/src/core/scheduling/planner.c
@@ -9,8 +9,6 @@
 static void free_edit(gpointer data) {
     struct rr_record_edit *edit = data;
     edit->record->edit = NULL;
-    edit->job->terminated_count = edit->job->completing_count = 0;
-    edit->job->ending = false;
     g_array_free(edit->placements, TRUE);
     g_array_free(edit->completed, TRUE);
     g_free(edit);
@@ -19,6 +17,7 @@
 void rr_planner_init(struct rr_planner *planner, rr_core *core, double now, double wall,
                      rr_plan *plan) {
     *planner = (struct rr_planner){.core = core, .now = now, .wall = wall, .plan = plan};
+    planner->jobs = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     planner->edits = g_ptr_array_new_with_free_func(free_edit);
     planner->terminated = g_array_new(FALSE, FALSE, sizeof(struct rr_terminated_placement));
     planner->requeued = g_array_new(FALSE, FALSE, sizeof(struct rr_requeued_task));
@@ -37,9 +36,19 @@
     }
 }
 
+struct rr_job_progress *rr_planner_job(const struct rr_planner *planner, const rr_job *job) {
+    struct rr_job_progress *progress = g_hash_table_lookup(planner->jobs, job);
+    if (!progress) {
+        progress = g_new0(struct rr_job_progress, 1);
+        g_hash_table_insert(planner->jobs, (gpointer)job, progress);
+    }
+    return progress;
+}
+
 void rr_planner_guard_job(struct rr_planner *planner, rr_job *job) {
-    if (!job->guarded) {
-        job->guarded = true;
+    struct rr_job_progress *progress = rr_planner_job(planner, job);
+    if (!progress->guarded) {
+        progress->guarded = true;
         g_ptr_array_add(planner->guarded_jobs, job);
     }
 }
@@ -65,7 +74,6 @@
     for (guint i = 0; i < terminated->len; i++) {
         const struct rr_terminated_placement *entry =
             &g_array_index(terminated, struct rr_terminated_placement, i);
-        entry->job->terminated_count = 0;
         rr_job_ledger_record(entry->job, entry->chunk)->first_terminated = 0;
     }
 }
@@ -74,11 +82,9 @@
     for (guint i = 0; i < planner->machines->len; i++) {
         clear_machine(g_ptr_array_index(planner->machines, i));
     }
-    for (guint i = 0; i < planner->guarded_jobs->len; i++) {
-        ((rr_job *)g_ptr_array_index(planner->guarded_jobs, i))->guarded = false;
-    }
     restore_requeued(planner->requeued);
     clear_terminated(planner->terminated);
+    g_hash_table_destroy(planner->jobs);
     g_ptr_array_free(planner->machines, TRUE);
     g_ptr_array_free(planner->guarded_jobs, TRUE);
     g_ptr_array_free(planner->edits, TRUE);
--- a/src/core/scheduling/planner.h
+++ b/src/core/scheduling/planner.h
@@ -44,10 +44,19 @@
     uint32_t task;
 };
 
+/* What one plan knows about a job, beyond the store cache. */
+struct rr_job_progress {
+    uint32_t terminated_count; /* tasks whose completion is known */
+    uint32_t completing_count; /* tasks whose completion this plan records */
+    bool guarded;              /* it is in guarded_jobs */
+    bool final_record_put;     /* its final record is in the transaction */
+};
+
 struct rr_planner {
     rr_core *core;
     double now, wall; /* steady time and time of day, seconds */
     rr_plan *plan;
+    GHashTable *jobs;          /* rr_job* -> struct rr_job_progress, owned */
     GPtrArray *edits;          /* struct rr_record_edit*, owned */
     GArray *terminated;        /* struct rr_terminated_placement */
     GArray *requeued;          /* struct rr_requeued_task */
@@ -73,6 +82,9 @@
  */
 void rr_planner_use_machine(struct rr_planner *planner, rr_machine *machine);
 
+/* What this plan knows about the job, begun empty if need be. Valid until rr_planner_clear(). */
+struct rr_job_progress *rr_planner_job(const struct rr_planner *planner, const rr_job *job);
+
 /* Makes the transaction fail if the job's record changes before it is applied. */
 void rr_planner_guard_job(struct rr_planner *planner, rr_job *job);
 
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -202,8 +202,8 @@
     return rr_plan_edit_record(planner, victim->job, victim->chunk);
 }
 
-static void mark_victim(struct rr_planner *planner, rr_machine *machine, rr_placement *victim,
-                        enum rr_preempt_mode mode) {
+static void preempt_placement(struct rr_planner *planner, rr_machine *machine, rr_placement *victim,
+                              enum rr_preempt_mode mode) {
     rr_placement_record *record =
         rr_record_edit_find(edit_of_victim(planner, victim), victim->attempt, victim->task);
     if (record) {
@@ -214,8 +214,8 @@
     machine->free = rr_resources_add(machine->free, victim->job->request, 1);
 }
 
-bool rr_preemption_mark(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
-                        const struct rr_preemption *preemption) {
+bool rr_preemption_apply(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
+                         const struct rr_preemption *preemption) {
     const GArray *victims = preemption->victims;
     enum rr_preempt_mode mode = preempt_mode(planner, job, machine);
     for (guint i = 0; i < victims->len; i++) {
@@ -225,7 +225,7 @@
     }
     for (guint i = 0; i < victims->len; i++) {
         rr_placement *victim = g_array_index(victims, rr_placement *, i);
-        mark_victim(planner, machine, victim, mode);
+        preempt_placement(planner, machine, victim, mode);
         rr_log_at(planner->core, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s",
                   victim->job->submission.job_id, victim->task, machine->name,
                   job->submission.job_id, mode == RR_PREEMPT_AT_ONCE ? ", unsaved" : "");
@@ -279,7 +279,7 @@
     rr_machine *best = cheapest_machine(planner, job, constraints, &preemption);
     bool reserved = best && rr_preemption_find(planner, best, job, 1, &preemption) &&
                     rr_reservation_record(planner, job, task) &&
-                    rr_preemption_mark(planner, best, job, &preemption) &&
+                    rr_preemption_apply(planner, best, job, &preemption) &&
                     rr_reserve(planner, best, job, task);
     rr_preemption_clear(&preemption);
     return reserved;
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -14,7 +14,10 @@
     double loss_s;   /* seconds of work lost, with penalties of the same unit */
 };
 
+/* Begins without victims. */
 void rr_preemption_init(struct rr_preemption *preemption);
+
+/* Frees the list of victims. */
 void rr_preemption_clear(struct rr_preemption *preemption);
 
 /* Whether the job's priority and its class's objective for the wait let it preempt. */
@@ -25,10 +28,11 @@
 bool rr_preemption_find(const struct rr_planner *planner, const rr_machine *machine,
                         const rr_job *job, uint32_t task_count, struct rr_preemption *preemption);
 
-/* Marks the victims in their ledger records; a gang among them stops whole, wherever its other
- * tasks are. False: the transaction has no room for all of them, and none is marked. */
-bool rr_preemption_mark(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
-                        const struct rr_preemption *preemption);
+/* Writes into the victims' ledger records that they are to stop; a gang among them stops whole,
+ * wherever its other tasks are. False: the transaction has no room for all of them, and none is
+ * written. */
+bool rr_preemption_apply(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
+                         const struct rr_preemption *preemption);
 
 /* Makes room for one task on the machine where least is lost, and reserves it there. The task
  * starts when the machine shows free resources. */
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -271,44 +271,50 @@
     }
 }
 
-/* Marks the priced machines that the allocation leaves empty; returns how many. */
-static guint mark_emptied(rr_core *core, const GArray *replicas) {
+/* What an allocation changes on one machine. */
+struct machine_changes {
+    guint leaving, arriving; /* replicas */
+    bool emptied;
+};
+
+/* Priced machines that the allocation leaves empty count as emptied. Returns how many there are. */
+static guint count_changes(const rr_core *core, const GArray *replicas,
+                           struct machine_changes *changes) {
     guint count = 0;
-    for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        machine->leaving = machine->arriving = 0;
-    }
     for (guint i = 0; i < replicas->len; i++) {
         const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
         bool moves = replica->source != replica->destination;
-        replica->source->leaving += moves;
-        replica->destination->arriving += moves;
+        changes[replica->source->id].leaving += moves;
+        changes[replica->destination->id].arriving += moves;
     }
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        machine->emptied = machine->recorded && !machine->scaling_in &&
-                           rr_machine_price(core, machine) > 0 && machine->placements->len > 0 &&
-                           machine->leaving == machine->placements->len && machine->arriving == 0;
-        count += machine->emptied;
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        struct machine_changes *change = &changes[machine->id];
+        change->emptied = machine->recorded && !machine->scaling_in &&
+                          rr_machine_price(core, machine) > 0 && machine->placements->len > 0 &&
+                          change->leaving == machine->placements->len && change->arriving == 0;
+        count += change->emptied;
     }
     return count;
 }
 
 /* ---- ordering ---- */
 
-static bool can_move_now(const struct movable_replica *replica) {
-    return !replica->ordered && replica->source->emptied &&
-           replica->destination != replica->source && !replica->destination->emptied &&
+static bool can_move_now(const struct movable_replica *replica,
+                         const struct machine_changes *changes) {
+    return !replica->ordered && changes[replica->source->id].emptied &&
+           replica->destination != replica->source && !changes[replica->destination->id].emptied &&
            rr_resources_fit(replica->job->request, replica->destination->free);
 }
 
 /* The possible move of least size over its destination's free share, NULL: none. */
-static struct movable_replica *next_move(const rr_core *core, GArray *replicas) {
+static struct movable_replica *next_move(const rr_core *core, GArray *replicas,
+                                         const struct machine_changes *changes) {
     struct movable_replica *best = NULL;
     double least = 0;
     for (guint i = 0; i < replicas->len; i++) {
         struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
-        if (!can_move_now(replica)) {
+        if (!can_move_now(replica, changes)) {
             continue;
         }
         const rr_machine *destination = replica->destination;
@@ -332,11 +338,11 @@
 }
 
 /* Plans the moves in order, those of machines that they empty whole. */
-static void order_moves(rr_core *core, GArray *replicas) {
+static void order_moves(rr_core *core, GArray *replicas, const struct machine_changes *changes) {
     GArray *moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
     struct movable_replica *replica;
     rr_reset_free_resources(core);
-    while ((replica = next_move(core, replicas))) {
+    while ((replica = next_move(core, replicas, changes))) {
         rr_machine *source = replica->source, *destination = replica->destination;
         rr_move move = {replica->job, replica->task, source, destination};
         g_array_append_val(moves, move);
@@ -362,10 +368,13 @@
     GArray *replicas = list_movable_replicas(core, now);
     if (replicas->len > 0) {
         allocate(core, replicas, now);
-        guint emptied_count = mark_emptied(core, replicas);
+        struct machine_changes *changes = /* by machine id */
+            g_new0(struct machine_changes, (gsize)core->stored.next_machine_id + 1);
+        guint emptied_count = count_changes(core, replicas, changes);
         if (emptied_count > 0) {
-            order_moves(core, replicas);
+            order_moves(core, replicas, changes);
         }
+        g_free(changes);
         if (core->planning.moves->len > 0) {
             rr_log_at(core, RR_LOG_INFO,
                       "rebalance: %u movable replicas, %u machines to empty, %u moves",
--- a/src/core/scheduling/waiting_jobs.c
+++ b/src/core/scheduling/waiting_jobs.c
@@ -54,16 +54,17 @@
 
 /* ---- order ---- */
 
-/* Sets replaceable_count, which orders services while writes are short. */
-static void set_replaceable_counts(const struct rr_planner *planner, const GPtrArray *waiting) {
-    bool writes_short = planner->core->planning.write_pressure > REPLICAS_FIRST_PRESSURE;
-    for (guint i = 0; i < waiting->len; i++) {
-        rr_job *job = g_ptr_array_index(waiting, i);
-        bool counts = writes_short && job->submission.priority == RR_PRIORITY_PROD &&
-                      job->submission.kind == RR_JOB_SERVICE;
-        job->replaceable_count =
-            counts ? job->submission.task_count - job->done_count - job->placed_count : 0;
-    }
+struct turn {
+    rr_job *job;
+    uint32_t replaceable_count; /* replicas that one change brings back; 0 while writes suffice */
+    struct rr_fair_share_fill fill;
+};
+
+static uint32_t replaceable_count(const struct rr_planner *planner, const rr_job *job) {
+    bool counts = planner->core->planning.write_pressure > REPLICAS_FIRST_PRESSURE &&
+                  job->submission.priority == RR_PRIORITY_PROD &&
+                  job->submission.kind == RR_JOB_SERVICE;
+    return counts ? job->submission.task_count - job->done_count - job->placed_count : 0;
 }
 
 /* When a task has to start to be in time. The deadline alone would put tasks of long jobs last. */
@@ -73,30 +74,42 @@
                : NO_LATEST_START_S;
 }
 
-static gint by_turn(gconstpointer left_job, gconstpointer right_job) {
-    const rr_job *left = *(const rr_job *const *)left_job;
-    const rr_job *right = *(const rr_job *const *)right_job;
-    if (left->submission.priority != right->submission.priority) {
-        return left->submission.priority > right->submission.priority ? -1 : 1;
+static gint by_turn(gconstpointer left_turn, gconstpointer right_turn) {
+    const struct turn *left = left_turn, *right = right_turn;
+    const rr_job *left_job = left->job, *right_job = right->job;
+    if (left_job->submission.priority != right_job->submission.priority) {
+        return left_job->submission.priority > right_job->submission.priority ? -1 : 1;
     }
     if (left->replaceable_count != right->replaceable_count) {
         return left->replaceable_count > right->replaceable_count ? -1 : 1;
     }
-    if (left->team_fill != right->team_fill) {
-        return left->team_fill < right->team_fill ? -1 : 1;
+    if (left->fill.team != right->fill.team) {
+        return left->fill.team < right->fill.team ? -1 : 1;
     }
-    if (left->class_fill != right->class_fill) {
-        return left->class_fill < right->class_fill ? -1 : 1;
+    if (left->fill.job_class != right->fill.job_class) {
+        return left->fill.job_class < right->fill.job_class ? -1 : 1;
     }
-    double left_start = latest_start(left), right_start = latest_start(right);
-    if (left->submission.priority < RR_PRIORITY_PROD && left_start != right_start) {
+    double left_start = latest_start(left_job), right_start = latest_start(right_job);
+    if (left_job->submission.priority < RR_PRIORITY_PROD && left_start != right_start) {
         return left_start < right_start ? -1 : 1;
     }
-    return left->accepted_at < right->accepted_at ? -1 : left->accepted_at > right->accepted_at;
+    return left_job->accepted_at < right_job->accepted_at
+               ? -1
+               : left_job->accepted_at > right_job->accepted_at;
 }
 
 void rr_sort_waiting_jobs(const struct rr_planner *planner, GPtrArray *waiting) {
-    set_replaceable_counts(planner, waiting);
-    rr_set_fair_share_fill(planner, waiting);
-    g_ptr_array_sort(waiting, by_turn);
+    struct rr_fair_share_fill *fills = rr_fair_share_fills(planner, waiting);
+    GArray *turns = g_array_sized_new(FALSE, FALSE, sizeof(struct turn), waiting->len);
+    for (guint i = 0; i < waiting->len; i++) {
+        rr_job *job = g_ptr_array_index(waiting, i);
+        struct turn turn = {job, replaceable_count(planner, job), fills[i]};
+        g_array_append_val(turns, turn);
+    }
+    g_array_sort(turns, by_turn); /* stable */
+    for (guint i = 0; i < waiting->len; i++) {
+        waiting->pdata[i] = g_array_index(turns, struct turn, i).job;
+    }
+    g_array_free(turns, TRUE);
+    g_free(fills);
 }
--- a/src/core/scheduling/waiting_jobs.h
+++ b/src/core/scheduling/waiting_jobs.h
@@ -4,6 +4,7 @@
 
 #include "core/scheduling/planner.h"
 
+/* Whether a job of this controller's teams has a task to be placed now. */
 bool rr_any_job_waiting(const struct rr_planner *planner);
 
 /* The waiting jobs of this controller's teams, rr_job*; the caller owns the array. */
