--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -12,7 +12,6 @@
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
-#include "core/state/resources.h"
 
 #include <string.h>
 
@@ -21,17 +20,6 @@
 
 /* ---- on free resources ---- */
 
-/* Lists the plan's candidates: one walk over the machines serves all tasks, and so it takes all
- * zones that the tasks may come to use. */
-static void list_candidates(struct rr_planner *planner, const rr_job *job, const bool *allowed) {
-    guint zone_count = planner->core->stored.zones.names->len;
-    bool all_zones[zone_count + 1];
-    memset(all_zones, true, sizeof all_zones);
-    struct rr_placement_constraints constraints = {.zones = rr_job_zone_bound(job) ? allowed
-                                                                                   : all_zones};
-    rr_list_candidates(planner->core, job, &constraints, planner->now, planner->candidates);
-}
-
 static bool candidates_take_all_tasks(const struct rr_planner *planner, const rr_job *job) {
     uint32_t task_count = job->submission.task_count, fitting = 0;
     for (guint i = 0; i < planner->candidates->len && fitting < task_count; i++) {
@@ -233,7 +221,8 @@
     if (rr_search_is_hopeless(planner, job, zone_mask)) {
         return false;
     }
-    list_candidates(planner, job, zones->allowed);
+    rr_list_job_candidates(planner, job, zones,
+                           &(struct rr_placement_constraints){.zones = zones->allowed});
     /* A gang that does not fit must not use up the transaction with partial reservations. */
     if ((candidates_take_all_tasks(planner, job) &&
          reserve_on_free_resources(planner, job, zones)) ||
--- a/src/core/scheduling/job_search.c
+++ b/src/core/scheduling/job_search.c
@@ -1,6 +1,7 @@
 /* Searches for room: the zones of a job, and failed searches. */
 #include "core/scheduling/job_search.h"
 #include "core/core_internal.h"
+#include "core/scheduling/bin_packing.h"
 #include "core/scheduling/placement_constraints.h"
 #include "core/scheduling/zone_choice.h"
 #include "core/state/jobs.h"
@@ -54,6 +55,17 @@
     }
 }
 
+void rr_list_job_candidates(struct rr_planner *planner, const rr_job *job,
+                            const struct rr_job_zones *zones,
+                            const struct rr_placement_constraints *constraints) {
+    guint zone_count = planner->core->stored.zones.names->len;
+    bool all_zones[zone_count + 1];
+    memset(all_zones, true, sizeof all_zones);
+    struct rr_placement_constraints widest = *constraints;
+    widest.zones = zones->counted && !rr_job_zone_bound(job) ? all_zones : zones->allowed;
+    rr_list_candidates(planner->core, job, &widest, planner->now, planner->candidates);
+}
+
 uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
     uint64_t mask = 0;
     for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
--- a/src/core/scheduling/job_search.h
+++ b/src/core/scheduling/job_search.h
@@ -3,6 +3,7 @@
 #ifndef RR_CORE_SCHEDULING_JOB_SEARCH_H
 #define RR_CORE_SCHEDULING_JOB_SEARCH_H
 
+#include "core/scheduling/placement_constraints.h"
 #include "core/scheduling/planner.h"
 
 /* The zones in which the next task of a job may start, kept up to date while a plan reserves. */
@@ -28,6 +29,12 @@
 void rr_job_zones_add(const struct rr_planner *planner, const rr_job *job,
                       const rr_machine *machine, struct rr_job_zones *zones);
 
+/* Lists the plan's candidates for the tasks of the job. One walk over the machines serves all
+ * tasks, and so it takes all zones that they may come to use, in place of constraints->zones. */
+void rr_list_job_candidates(struct rr_planner *planner, const rr_job *job,
+                            const struct rr_job_zones *zones,
+                            const struct rr_placement_constraints *constraints);
+
 /* One bit a zone, modulo 64, for comparing searches. */
 uint64_t rr_zone_mask(const rr_core *core, const bool *allowed);
 
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -14,7 +14,6 @@
 #include "core/state/jobs.h"
 
 #include <math.h>
-#include <string.h>
 
 #define PLACEMENTS_MAX 256 /* in one plan */
 
@@ -126,20 +125,6 @@
     return false;
 }
 
-/* Lists the plan's candidates in all zones that the tasks of the job may come to use. */
-static void list_candidates(struct rr_planner *planner, const rr_job *job,
-                            const struct rr_job_zones *zones,
-                            const struct rr_placement_constraints *constraints) {
-    guint zone_count = planner->core->stored.zones.names->len;
-    bool all_zones[zone_count + 1];
-    memset(all_zones, true, sizeof all_zones);
-    struct rr_placement_constraints widest = *constraints;
-    if (zones->counted && !rr_job_zone_bound(job)) {
-        widest.zones = all_zones;
-    }
-    rr_list_candidates(planner->core, job, &widest, planner->now, planner->candidates);
-}
-
 static bool may_take_more(const struct rr_planner *planner, const rr_job *job) {
     return rr_within_limit(planner, job, 1) && rr_within_fair_share(planner, job);
 }
@@ -153,7 +138,7 @@
     }
     struct rr_placement_constraints constraints = {
         .zones = zones->allowed, .distinct_machines = job->submission.kind == RR_JOB_SERVICE};
-    list_candidates(planner, job, zones, &constraints);
+    rr_list_job_candidates(planner, job, zones, &constraints);
     uint32_t task = job->next_task_hint;
     if (!planner->full && *placements_left > 0 && find_unplaced_task(job, &task)) {
         job->next_task_hint = task;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -3,7 +3,6 @@
 #ifndef RR_CORE_SCHEDULING_RESERVATION_H
 #define RR_CORE_SCHEDULING_RESERVATION_H
 
-#include "core/scheduling/plan_edits.h"
 #include "core/scheduling/planner.h"
 
 /* ---- limits and guarantees ---- */
