--- a/src/core/planning.h
+++ b/src/core/planning.h
@@ -22,9 +22,10 @@
     bool may_time_out; /* likely to go unanswered: not to be sent before other batches */
 } rr_command_batch;
 
+/* Frees a batch with its commands. */
 void rr_command_batch_free(rr_command_batch *batch);
 
-/* What a team's owner does next. Clear with rr_plan_clear(). */
+/* What a team's owner does next. */
 typedef struct {
     bool has_transaction;
     rr_transaction transaction;
@@ -32,7 +33,10 @@
     double next_s;              /* plan again after this long at the latest */
 } rr_plan;
 
+/* Begins an empty plan. Clear it with rr_plan_clear(). */
 void rr_plan_init(rr_plan *plan);
+
+/* Frees what the plan owns. */
 void rr_plan_clear(rr_plan *plan);
 
 /* Plans for the teams that this controller owns. Leaves *plan empty while the lease is not valid,
@@ -40,6 +44,7 @@
  * with rr_core_command_result(). Precondition: *plan is initialised and empty. */
 void rr_core_plan(rr_core *core, double now, double wall, rr_plan *plan);
 
+/* NOT_SENT: the worker can't have received the commands. OUTCOME_UNKNOWN: it may have. */
 enum rr_command_outcome { RR_COMMAND_ANSWERED, RR_COMMAND_NOT_SENT, RR_COMMAND_OUTCOME_UNKNOWN };
 
 /* Takes the outcome of a command batch, after rr_core_take_heartbeat() of the answer's body if
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -22,12 +22,13 @@
 
 /* ---- reservations ---- */
 
-/* Whether the ledger takes one more placement of a task, whatever room machines have. */
 enum rr_reservable {
     RR_RESERVABLE,
     RR_TASK_BLOCKED, /* an earlier placement is in a record that can't be written yet */
     RR_CHUNK_BLOCKED /* no record takes another placement of this task's chunk */
 };
+
+/* Whether the ledger takes one more placement of the task, whatever room machines have. */
 enum rr_reservable rr_reservable(const struct rr_planner *planner, rr_job *job, uint32_t task);
 
 /* The edit of the record that takes one more placement of the task. NULL: no record does, or the
