--- a/src/app/cells_thread.c
+++ b/src/app/cells_thread.c
@@ -22,8 +22,9 @@
 
 #define LOOKS 40.0 /* at the transfers in a lease */
 #define LOOK_MAX_S 0.5
-#define READINGS 6.0 /* of a neighbour's key-value store in a lease, while it has no controllers   \
-                      */
+#define READINGS                                                                                   \
+    6.0 /* of a neighbour's key-value store in a lease, while it has no controllers                \
+         */
 #define READ_SHARE 0.25 /* of its limits, which are taken to be like this cell's */
 #define THERE_S 1.5
 #define DOWN_S 5.0 /* a neighbour that did not answer is taken for unreachable for so long */
--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -20,9 +20,10 @@
 #define CATALOG_S 60.0
 #define RENTAL_RETRY_S 5.0
 #define REFUSED_S 15.0
-#define DEAF_S 4.0        /* probes of a machine that still reports fail for this long */
-#define RETURN_WAIT_S 0.8 /* a reservation made just before a return was announced shows by then   \
-                           */
+#define DEAF_S 4.0 /* probes of a machine that still reports fail for this long */
+#define RETURN_WAIT_S                                                                              \
+    0.8 /* a reservation made just before a return was announced shows by then                     \
+         */
 
 void rr_autoscaler_step_init(rr_autoscaler_step *step) {
     memset(step, 0, sizeof *step);
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -21,20 +21,6 @@
 #define MACHINE_FAILED_PENALTY 1.0 /* any job failed there not long ago */
 #define FOREIGN_SHARD_PENALTY 0.5
 
-double rr_resources_free_share(rr_resources room, rr_resources capacity) {
-    double free_share = 1;
-    if (capacity.cpus > 0) {
-        free_share = fmin(free_share, room.cpus / capacity.cpus);
-    }
-    if (capacity.gpus > 0) {
-        free_share = fmin(free_share, room.gpus / capacity.gpus);
-    }
-    if (capacity.mem_gb > 0) {
-        free_share = fmin(free_share, room.mem_gb / capacity.mem_gb);
-    }
-    return free_share < 0 ? 0 : free_share;
-}
-
 uint32_t rr_tasks_fitting(rr_resources request, rr_resources available, uint32_t count_max) {
     uint32_t count = 0;
     while (count < count_max && rr_resources_fit(request, available)) {
--- a/src/core/scheduling/placement_constraints.h
+++ b/src/core/scheduling/placement_constraints.h
@@ -37,4 +37,7 @@
 bool rr_machine_may_take(const rr_core *core, const rr_machine *machine, const rr_job *job,
                          const bool *allowed, double now);
 
+/* Whether the machine has a placement of the job, or the plan under construction reserves one. */
+bool rr_machine_has_task(const rr_machine *machine, const rr_job *job);
+
 #endif
--- a/src/core/state/jobs.h
+++ b/src/core/state/jobs.h
@@ -29,13 +29,8 @@
     double backoff_until;    /* steady, not placed before */
     GArray *failed_machines; /* int: ids of machines where a task failed; NULL: none */
     bool idle;               /* was retirable at the last rr_jobs_shrink() */
-    /* scratch of one plan or simulation */
-    uint32_t terminated_count, completing_count; /* terminated tasks still to be recorded */
-    bool guarded, ending;
-    uint32_t replaceable_count; /* tasks that one change would place again, 0: does not matter */
-    double team_fill;           /* under overload: used share of the team's fair room, */
-    double class_fill;          /* and of all room by the job's class */
-    uint32_t lost_count;        /* placements on machines that are gone */
+    /* scratch of one simulation of demand */
+    uint32_t lost_count; /* placements on machines that are gone */
 };
 
 /* Returns the job of this id, creating it without a submission if need be. */
--- a/src/core/state/machines.h
+++ b/src/core/state/machines.h
@@ -56,10 +56,8 @@
     /* scratch of one plan or simulation */
     void *plan_commands; /* rr_command_batch */
     rr_resources free;
-    int reserved_image; /* of the last task reserved here, -1 */
-    bool emptied;
+    int reserved_image;    /* of the last task reserved here, -1 */
     GArray *reserved_jobs; /* rr_job*: reserved here; NULL: none */
-    guint leaving, arriving;
 };
 
 /* A task to be moved. Dropped when its job or one of its machines is forgotten. */
@@ -84,7 +82,5 @@
 const rr_task_status *rr_task_status_find(const rr_machine *machine, const rr_placement *placement);
 /* Whether the machine is known to have the image (an index of names). */
 bool rr_machine_has_image(const rr_machine *machine, int image);
-/* Whether the machine has a placement of the job or the plan under construction reserves one. */
-bool rr_machine_has_task(const rr_machine *machine, const rr_job *job);
 
 #endif
