--- /dev/null
+++ b/src/core/health/heartbeat_contents.c
@@ -0,0 +1,125 @@
+/* What the content of a heartbeat shows about tasks, images and the machine's own state. */
+#include "core/health/heartbeat_contents.h"
+#include "core/core_internal.h"
+#include "core/health/machine_health.h"
+#include "core/state/jobs.h"
+#include "core/state/ledger.h"
+#include "core/state/machine_pages.h"
+
+#include <string.h>
+
+/* A machine that refused a task for lack of room takes no new work for so long: what fills it is
+ * about to show in the ledger, or is a stray task that is being stopped. */
+#define FULL_MACHINE_PAUSE_S 2.0
+#define NO_SUCH_BACKOFF_S 2.0
+/* The images kept by a machine are guessed by their number, because their sizes are not known once
+ * their jobs are gone; a wrong guess costs one fetch. */
+#define CACHED_IMAGES_MAX 12
+
+static bool is_same_attempt(const rr_task_status *left, const rr_task_status *right) {
+    return left->attempt == right->attempt && left->task == right->task &&
+           strcmp(left->job_id, right->job_id) == 0;
+}
+
+/* True: the machine's previous heartbeat already showed the end of this attempt. */
+static bool was_shown_ended(const rr_machine *machine, const rr_task_status *task) {
+    for (guint i = 0; machine->heartbeat_seen && i < machine->heartbeat.tasks->len; i++) {
+        const rr_task_status *shown = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
+        if (is_same_attempt(shown, task) && shown->state == RR_TASK_ENDED) {
+            return true;
+        }
+    }
+    return false;
+}
+
+/* True: the machine's previous heartbeat already showed this attempt past fetching its image. */
+static bool was_shown_started(const rr_machine *machine, const rr_task_status *task) {
+    for (guint i = 0; machine->heartbeat_seen && i < machine->heartbeat.tasks->len; i++) {
+        const rr_task_status *shown = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
+        if (is_same_attempt(shown, task)) {
+            return shown->state != RR_TASK_FETCHING;
+        }
+    }
+    return false;
+}
+
+static void log_machine_events(rr_core *core, const rr_machine *machine,
+                               const rr_heartbeat *heartbeat, double now) {
+    if (!machine->heartbeat_seen) {
+        rr_log_at(core, RR_LOG_DEBUG, "machine %s is up in %s after %.0f s", machine->name,
+                  heartbeat->zone, now - machine->known_at);
+    }
+    if (machine->heartbeat_seen && heartbeat->worker_epoch > machine->heartbeat.worker_epoch) {
+        rr_log_at(core, RR_LOG_DEBUG, "machine %s lost its lease: worker epoch %" G_GUINT64_FORMAT,
+                  machine->name, heartbeat->worker_epoch);
+        core->counters.leases_lost++;
+    }
+    if (heartbeat->spot_notice_s >= 0 &&
+        (!machine->heartbeat_seen || machine->heartbeat.spot_notice_s < 0)) {
+        rr_log_at(core, RR_LOG_DEBUG, "machine %s has a spot notice: %.0f s left", machine->name,
+                  heartbeat->spot_notice_s);
+        core->counters.spot_notices++;
+    }
+}
+
+static void record_ended_tasks(rr_core *core, rr_machine *machine, const rr_heartbeat *heartbeat,
+                               double now) {
+    for (guint i = 0; i < heartbeat->tasks->len; i++) {
+        const rr_task_status *task = &g_array_index(heartbeat->tasks, rr_task_status, i);
+        if (task->state != RR_TASK_ENDED || was_shown_ended(machine, task)) {
+            continue;
+        }
+        rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
+        if (task->exit_reason == RR_EXIT_ERROR && job) {
+            rr_record_task_failure(core, machine, job, now);
+        } else if (task->exit_reason == RR_EXIT_FULL) {
+            machine->full_until = now + FULL_MACHINE_PAUSE_S;
+        } else if (task->exit_reason == RR_EXIT_NO_SUCH && job) {
+            job->backoff_until = now + NO_SUCH_BACKOFF_S;
+        } else if (task->exit_reason == RR_EXIT_DONE && job && job->failed_machines) {
+            g_array_set_size(job->failed_machines, 0);
+        }
+    }
+}
+
+static void log_started_tasks(rr_core *core, const rr_machine *machine,
+                              const rr_heartbeat *heartbeat, double now) {
+    for (guint i = 0; i < heartbeat->tasks->len; i++) {
+        const rr_task_status *task = &g_array_index(heartbeat->tasks, rr_task_status, i);
+        const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
+        if (job && task->state == RR_TASK_RUNNING && job->team >= 0 &&
+            rr_owns_team(core, job->team) && !was_shown_started(machine, task)) {
+            rr_log_at(core, RR_LOG_DEBUG,
+                      "task %s/%u (%s) runs on %s %.1f s after its job was known, image %s",
+                      task->job_id, task->task, job->submission.job_class, machine->name,
+                      now - job->first_seen,
+                      rr_machine_has_image(machine, job->image) ? "cached" : "fetched");
+        }
+    }
+}
+
+void rr_record_heartbeat_changes(rr_core *core, rr_machine *machine, const rr_heartbeat *heartbeat,
+                                 double now) {
+    log_machine_events(core, machine, heartbeat, now);
+    record_ended_tasks(core, machine, heartbeat, now);
+    if (core->log_level >= RR_LOG_DEBUG) {
+        log_started_tasks(core, machine, heartbeat, now);
+    }
+}
+
+void rr_record_fetched_images(rr_core *core, rr_machine *machine) {
+    const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
+    guint kept_max = type && type->cache_gb > 0 ? CACHED_IMAGES_MAX : 1;
+    for (guint i = 0; i < machine->heartbeat.tasks->len; i++) {
+        const rr_task_status *task = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
+        const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
+        bool fetched = task->state == RR_TASK_RUNNING || task->state == RR_TASK_WAITING;
+        if (!job || job->image < 0 || !fetched || rr_machine_has_image(machine, job->image)) {
+            continue;
+        }
+        g_array_append_val(machine->images, job->image);
+        if (machine->images->len > kept_max) {
+            g_array_remove_index(machine->images, 0);
+        }
+    }
+}
--- /dev/null
+++ b/src/core/health/machine_health.c
@@ -0,0 +1,143 @@
+/* Verdicts on a single machine, from its heartbeats, its answers to commands and the tasks that
+ * failed there. */
+#include "core/health/machine_health.h"
+#include "core/core_internal.h"
+#include "core/health/contacts.h"
+#include "core/state/jobs.h"
+
+#include <math.h>
+#include <string.h>
+
+/* A heartbeat is overdue after so many intervals, and not before a worker without an answer has
+ * sent it to the next controller. */
+#define OVERDUE_INTERVALS 1.3
+#define OVERDUE_MIN_S 6.5
+
+/* Heartbeats count as lost after so many intervals without one. */
+#define HEARTBEATS_LOST_INTERVALS 2.5
+
+/* Commands in a row without an answer, after which a machine takes no new work. */
+#define COMMANDS_UNANSWERED_MAX 2
+
+/* Answers in a row, over this time, that are older than the newest heartbeat: one or two may be
+ * late copies. */
+#define STALE_ANSWERS_MIN 3
+#define STALE_ANSWERS_MIN_S 2.0
+
+/* A machine's failures are forgotten once none has been added for so long. */
+#define FAILURE_MEMORY_S 150.0
+/* Since the last failure; less than the time that a job may wait. */
+#define QUARANTINE_S 60.0
+#define RECENT_FAILURE_S 60.0
+/* Jobs that fail on a machine before it is quarantined. */
+#define QUARANTINE_JOBS_MIN 2
+/* A job that failed on more machines than this is itself at fault. */
+#define JOB_FAILED_MACHINES_MAX 2
+/* Failed jobs kept by machine, and failed machines by job. */
+#define FAILURES_KEPT_MAX 16
+
+/* A job's backoff doubles with every failed machine up to this many, then has its maximum. */
+#define BACKOFF_MACHINES_MAX 7
+#define BACKOFF_MAX_S 60.0
+
+double rr_heartbeat_age(const rr_machine *machine, double now) {
+    return machine->heartbeat_seen ? now - machine->heartbeat_at : now - machine->known_at;
+}
+
+bool rr_machine_heartbeat_overdue(const rr_core *core, const rr_machine *machine, double now) {
+    return rr_heartbeat_age(machine, now) >
+           fmax(OVERDUE_INTERVALS * core->config->heartbeat_interval_s, OVERDUE_MIN_S);
+}
+
+bool rr_machine_heartbeat_recent(const rr_core *core, const rr_machine *machine, double now) {
+    return machine->heartbeat_seen &&
+           now - machine->heartbeat_at <=
+               core->config->tuning.silent_reports * core->config->heartbeat_interval_s;
+}
+
+bool rr_machine_heartbeats_lost(const rr_core *core, const rr_machine *machine, double now) {
+    double limit_s = HEARTBEATS_LOST_INTERVALS * core->config->heartbeat_interval_s;
+    return machine->heartbeat_seen && now - machine->reported_at > limit_s &&
+           rr_peers_connected_for(core, now, limit_s);
+}
+
+bool rr_machine_commands_unanswered(const rr_machine *machine) {
+    return machine->unanswered >= COMMANDS_UNANSWERED_MAX;
+}
+
+bool rr_machine_name_reused(const rr_machine *machine, double now) {
+    return machine->stale_answers >= STALE_ANSWERS_MIN &&
+           now - machine->stale_at > STALE_ANSWERS_MIN_S;
+}
+
+/* Jobs that failed here and are not themselves at fault. */
+static guint count_credible_failures(const rr_machine *machine) {
+    guint count = 0;
+    for (guint i = 0; i < machine->failed_jobs->len; i++) {
+        const rr_job *job = g_array_index(machine->failed_jobs, rr_job *, i);
+        count += !job->failed_machines || job->failed_machines->len <= JOB_FAILED_MACHINES_MAX;
+    }
+    return count;
+}
+
+bool rr_machine_quarantined(const rr_machine *machine, double now) {
+    return machine->last_failure_at > 0 && now - machine->last_failure_at < QUARANTINE_S &&
+           count_credible_failures(machine) >= QUARANTINE_JOBS_MIN;
+}
+
+bool rr_machine_failed_recently(const rr_machine *machine, double now) {
+    return machine->last_failure_at > 0 && now - machine->last_failure_at < RECENT_FAILURE_S &&
+           count_credible_failures(machine) > 0;
+}
+
+/* Only a recent heartbeat makes capacity count, because old ones of a partitioned zone still show
+ * free room. */
+bool rr_machine_schedulable(const rr_core *core, const rr_machine *machine, double now) {
+    return machine->recorded && !machine->scaling_in && machine->address[0] && machine->verified &&
+           rr_machine_heartbeat_recent(core, machine, now) &&
+           machine->heartbeat.spot_notice_s < 0 && now >= machine->full_until &&
+           !rr_machine_quarantined(machine, now) && !machine->to_release &&
+           !rr_machine_commands_unanswered(machine) &&
+           !rr_machine_heartbeats_lost(core, machine, now);
+}
+
+static bool array_contains(const GArray *array, const void *item, size_t item_size) {
+    for (guint i = 0; i < array->len; i++) {
+        if (memcmp(array->data + (size_t)i * item_size, item, item_size) == 0) {
+            return true;
+        }
+    }
+    return false;
+}
+
+/* Seconds; the first failures may be the machines' fault and delay nothing. */
+static double backoff_after(guint failed_machines) {
+    if (failed_machines <= JOB_FAILED_MACHINES_MAX) {
+        return 0;
+    }
+    return failed_machines >= BACKOFF_MACHINES_MAX ? BACKOFF_MAX_S
+                                                   : (double)(1u << (failed_machines - 1));
+}
+
+void rr_record_task_failure(rr_core *core, rr_machine *machine, rr_job *job, double now) {
+    if (machine->last_failure_at > 0 && now - machine->last_failure_at > FAILURE_MEMORY_S) {
+        g_array_set_size(machine->failed_jobs, 0);
+    }
+    machine->last_failure_at = now;
+    if (machine->failed_jobs->len < FAILURES_KEPT_MAX &&
+        !array_contains(machine->failed_jobs, &job, sizeof(rr_job *))) {
+        g_array_append_val(machine->failed_jobs, job);
+    }
+    if (!job->failed_machines) {
+        job->failed_machines = g_array_new(FALSE, FALSE, sizeof(int));
+    }
+    if (job->failed_machines->len < FAILURES_KEPT_MAX &&
+        !array_contains(job->failed_machines, &machine->id, sizeof(int))) {
+        g_array_append_val(job->failed_machines, machine->id);
+    }
+    job->backoff_until = now + backoff_after(job->failed_machines->len);
+    rr_log_at(core, RR_LOG_DEBUG,
+              "task of %s failed on %s (job on %u machines, machine with %u jobs)",
+              job->submission.job_id, machine->name, job->failed_machines->len,
+              machine->failed_jobs->len);
+}
--- /dev/null
+++ b/src/core/health/partitions.c
@@ -0,0 +1,119 @@
+/* Partition detection by zone. */
+#include "core/health/partitions.h"
+#include "core/core_internal.h"
+#include "core/health/contacts.h"
+#include "core/health/machine_health.h"
+#include "core/state/name_index.h"
+
+#include <string.h>
+
+/* The machines of a zone send their heartbeats at different times, so that in a new partition the
+ * first of them reach the age of a dead machine while most still count as heard. Of a healthy zone,
+ * this part of an interval brings about the same part of the machines. */
+#define RECENT_INTERVALS 0.65
+#define RECENT_SHARE_MIN 0.3
+
+bool rr_machine_was_up(const rr_machine *machine) {
+    return machine->recorded && (machine->heartbeat_seen || machine->placements->len > 0);
+}
+
+static bool heard_in_last_interval(const rr_core *core, const rr_machine *machine, double now) {
+    return machine->heartbeat_seen &&
+           now - machine->heartbeat_at <= RECENT_INTERVALS * core->config->heartbeat_interval_s;
+}
+
+static void count_zone_heartbeats(rr_core *core, double now) {
+    GArray *zones = core->observed.zone_heartbeats;
+    g_array_set_size(zones, 0);
+    g_array_set_size(zones, core->stored.zones.names->len);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        if (machine->zone >= 0 && rr_machine_was_up(machine)) {
+            rr_zone_heartbeats *counts = &g_array_index(zones, rr_zone_heartbeats, machine->zone);
+            counts->machines++;
+            counts->heard += rr_machine_heartbeat_recent(core, machine, now);
+            counts->recent += heard_in_last_interval(core, machine, now);
+        }
+    }
+}
+
+/* False: the zone was not known at the last count. */
+static bool get_zone_counts(const rr_core *core, int zone, rr_zone_heartbeats *out) {
+    if (zone < 0 || (guint)zone >= core->observed.zone_heartbeats->len) {
+        return false;
+    }
+    *out = g_array_index(core->observed.zone_heartbeats, rr_zone_heartbeats, zone);
+    return true;
+}
+
+static bool mostly_overdue(const rr_zone_heartbeats *counts) {
+    return counts->heard * 2 < counts->machines;
+}
+
+bool rr_zone_partitioned(const rr_core *core, int zone) {
+    rr_zone_heartbeats counts;
+    return get_zone_counts(core, zone, &counts) && mostly_overdue(&counts);
+}
+
+bool rr_zone_partitioned_besides(const rr_core *core, int zone, const rr_machine *except,
+                                 double now) {
+    rr_zone_heartbeats counts;
+    if (!get_zone_counts(core, zone, &counts)) {
+        return false;
+    }
+    if (rr_machine_was_up(except)) {
+        counts.machines--;
+        counts.heard -= rr_machine_heartbeat_recent(core, except, now) && counts.heard > 0;
+    }
+    return mostly_overdue(&counts);
+}
+
+bool rr_zone_partition_begins(const rr_core *core, int zone, const rr_machine *except, double now) {
+    rr_zone_heartbeats counts;
+    if (!get_zone_counts(core, zone, &counts)) {
+        return false;
+    }
+    guint others = counts.machines - (counts.machines > 0);
+    guint recent_others =
+        counts.recent - (heard_in_last_interval(core, except, now) && counts.recent > 0);
+    return recent_others < RECENT_SHARE_MIN * others;
+}
+
+double rr_zone_partitioned_at(const rr_core *core, int zone) {
+    return (guint)zone < core->observed.partitioned_at->len
+               ? g_array_index(core->observed.partitioned_at, double, zone)
+               : 0;
+}
+
+bool rr_zone_controller_reached(const rr_core *core, int zone, double now) {
+    const char *name = rr_name_index_at(&core->stored.zones, zone);
+    double seconds = core->config->tuning.dead_reports * core->config->heartbeat_interval_s;
+    if (!rr_process_running_for(core, now, seconds)) {
+        return false;
+    }
+    /* This controller counts only while workers send it heartbeats: the partition may separate it
+     * from its own zone. */
+    if (strcmp(core->config->zone, name) == 0 &&
+        rr_contact_unbroken_for(&core->observed.direct_contact, now, seconds)) {
+        return true;
+    }
+    for (size_t i = 0; i < core->config->peer_count; i++) {
+        if (strcmp(core->config->peers[i].zone, name) == 0 &&
+            rr_contact_unbroken_for(&core->observed.peer_contacts[i], now, seconds)) {
+            return true;
+        }
+    }
+    return false;
+}
+
+void rr_detect_partitions(rr_core *core, double now) {
+    GArray *partitioned_at = core->observed.partitioned_at;
+    rr_record_zone_count(core, now);
+    count_zone_heartbeats(core, now);
+    g_array_set_size(partitioned_at, core->stored.zones.names->len);
+    for (guint zone = 0; zone < partitioned_at->len; zone++) {
+        if (rr_zone_partitioned(core, (int)zone)) {
+            g_array_index(partitioned_at, double, zone) = now;
+        }
+    }
+}
--- a/src/core/heartbeats.h
+++ b/src/core/heartbeats.h
@@ -1,40 +1,65 @@
-/* Heartbeats of workers and the replies to them. */
+/* Heartbeats of workers: acceptance, forwarding between controllers, and the replies to them. */
 #ifndef RR_CORE_HEARTBEATS_H
 #define RR_CORE_HEARTBEATS_H
 
 #include "core/core.h"
 #include "wire/wire.h"
 
-enum rr_heartbeat_news { RR_HEARTBEAT_IGNORED, RR_HEARTBEAT_UNCHANGED, RR_HEARTBEAT_CHANGED };
-/* Takes over the report's content. via: index of the peer that heard it, -1: this controller. What
- * it was: nothing new, only a sign of life, or news. */
+enum rr_heartbeat_news {
+    RR_HEARTBEAT_IGNORED,   /* not newer than what is known */
+    RR_HEARTBEAT_UNCHANGED, /* newer, with the content of the one before */
+    RR_HEARTBEAT_CHANGED
+};
+
+/* Takes over the heartbeat's content and clears the struct. heard_via: index of the peer that
+ * forwarded it, -1: it was sent to this controller. */
 enum rr_heartbeat_news rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
-                                              int via);
-/* Takes over the answer to a command or probe, and vouches for the machine. True: the machine has
- * lately reported by itself, so that others may take this for a report. */
-bool rr_core_take_command_reply(rr_core *core, double now, rr_heartbeat *heartbeat, int via);
-/* The machine has just answered this process: it is not known from late copies alone. */
+                                              int heard_via);
+
+/* Takes over the answer to a command or probe, as with a heartbeat, and verifies the machine. True:
+ * the machine's own heartbeats arrive too, so that peers may take this answer for one. */
+bool rr_core_take_command_reply(rr_core *core, double now, rr_heartbeat *heartbeat, int heard_via);
+
+/* Notes that the machine has just answered this process, so that it is not known from late copies
+ * of heartbeats alone. */
 void rr_core_verify_machine(rr_core *core, double now, const rr_heartbeat_digest *digest);
-/* A peer has just said something on its link to us. */
+
+/* Notes that a peer has just sent something over its link to this controller. */
 void rr_core_peer_contacted(rr_core *core, double now, int peer);
-/* A peer heard the machine again. False: not known here, or not news. */
+
+/* Takes a peer's digest of a newer heartbeat. False: the machine is not known here, or the digest
+ * is not newer. */
 bool rr_core_take_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
-                                   int via);
-/* Which peers need a machine's reports whole, as bits of their indices: with every change the
- * owners of its tasks and the autoscaler; now and then all owners. */
-uint32_t rr_core_heartbeat_subscribers(const rr_core *core, const char *machine,
-                                       uint32_t *now_and_then);
+                                   int heard_via);
+
+/* The peers that need the machine's heartbeats in full, as bits of their indices. Returned: the
+ * owners of its tasks and the autoscaler, which need every change; *occasional: all owners, which
+ * place work on any machine. */
+uint32_t rr_core_heartbeat_subscribers(const rr_core *core, const char *machine_name,
+                                       uint32_t *occasional);
+
+/* Statuses of HTTP. */
+enum {
+    RR_HEARTBEAT_REPLY_OK = 200,
+    RR_HEARTBEAT_REPLY_OTHER_CONTROLLER = 421, /* the worker is to use `peer` */
+    RR_HEARTBEAT_REPLY_UNAVAILABLE = 503
+};
+
 struct rr_heartbeat_reply {
-    int status; /* 200, 421 or 503 */
-    uint64_t fencing_token;
-    const char *peer; /* with 421, may be NULL */
-    GArray *commands; /* rr_command, with 200 */
+    int status;
+    uint64_t fencing_token; /* with RR_HEARTBEAT_REPLY_OK */
+    const char *peer;       /* the core's; with RR_HEARTBEAT_REPLY_OTHER_CONTROLLER */
+    GArray *commands;       /* rr_command, the caller's; with RR_HEARTBEAT_REPLY_OK, else NULL */
 };
-/* Another controller has confirmed this job's cancellation to its user. */
-void rr_core_add_cancel_hint(rr_core *core, const char *job_id, double now);
-/* Every controller of the term reads what this version tells its peers beside the one before. */
-bool rr_core_all_gang_capable(const rr_core *core);
+
+/* Fills *out with the reply to a heartbeat, whether or not it was newer. */
 void rr_core_reply_to_heartbeat(rr_core *core, double now, const rr_heartbeat *heartbeat,
                                 struct rr_heartbeat_reply *out);
 
+/* Notes that another controller has confirmed this job's cancellation to its user. */
+void rr_core_add_cancel_hint(rr_core *core, const char *job_id, double now);
+
+/* True: every controller of the term understands messages about gangs. */
+bool rr_core_all_gang_capable(const rr_core *core);
+
 #endif
