--- /dev/null
+++ b/src/core/autoscaling/catalog.c
@@ -0,0 +1,79 @@
+/* The cloud's catalogue of machine types, and its records in the store. */
+#include "core/autoscaling/catalog.h"
+#include "core/core_internal.h"
+#include "core/state/machine_pages.h"
+#include "core/state/name_index.h"
+#include "core/cache_feed.h"
+
+#include <string.h>
+
+#define CATALOG_INTERVAL_S 60.0
+/* After a read that failed. */
+#define CATALOG_RETRY_S 2.0
+
+void rr_core_catalog_read(rr_core *core, double now, const GArray *machine_types) {
+    core->autoscaling.catalog_at = now;
+    g_array_set_size(core->autoscaling.catalog_types, 0);
+    for (guint i = 0; i < machine_types->len; i++) {
+        const rr_machine_type *type = &g_array_index(machine_types, rr_machine_type, i);
+        rr_machine_type copy = *type;
+        copy.zones = g_ptr_array_new_with_free_func(g_free);
+        for (guint k = 0; k < type->zones->len; k++) {
+            g_ptr_array_add(copy.zones, g_strdup(g_ptr_array_index(type->zones, k)));
+        }
+        g_array_append_val(core->autoscaling.catalog_types, copy);
+    }
+}
+
+/* recorded: may be NULL. */
+static bool is_same_machine_type(const rr_machine_type *recorded, const rr_machine_type *type) {
+    bool same = recorded && recorded->cpus == type->cpus && recorded->gpus == type->gpus &&
+                recorded->mem_gb == type->mem_gb && recorded->cache_gb == type->cache_gb &&
+                recorded->pull_rate == type->pull_rate && recorded->price == type->price &&
+                recorded->spot_price == type->spot_price &&
+                recorded->startup_s == type->startup_s && recorded->zones->len == type->zones->len;
+    for (guint i = 0; same && i < recorded->zones->len; i++) {
+        same = strcmp(recorded->zones->pdata[i], type->zones->pdata[i]) == 0;
+    }
+    return same;
+}
+
+static void put_machine_type(rr_transaction *transaction, const rr_machine_type *type) {
+    char key[RR_ID_SIZE + 32];
+    rr_encoder encoder;
+    rr_encoder_init(&encoder);
+    rr_machine_type_encode(&encoder, type);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "build/%s", type->name);
+    rr_transaction_put(transaction, key, &encoder, 0);
+}
+
+/* Writes each type until the store cache shows it, because a change of term may void a transaction.
+ */
+static bool record_machine_types(const rr_core *core, rr_transaction *transaction) {
+    for (guint i = 0; i < core->autoscaling.catalog_types->len; i++) {
+        const rr_machine_type *type =
+            &g_array_index(core->autoscaling.catalog_types, rr_machine_type, i);
+        if ((int)transaction->changes->len >= rr_transaction_changes_max(core->config)) {
+            break;
+        }
+        int index = rr_name_index_find(&core->stored.machine_type_names, type->name);
+        if (!is_same_machine_type(rr_machine_type_at(core, index), type)) {
+            put_machine_type(transaction, type);
+        }
+    }
+    return transaction->changes->len > 0;
+}
+
+bool rr_step_catalog(rr_core *core, double now, rr_autoscaler_step *out) {
+    double *read_at = &core->autoscaling.catalog_at;
+    if (record_machine_types(core, &out->transaction)) {
+        out->kind = RR_AUTOSCALER_COMMIT;
+        return true;
+    }
+    if (*read_at == 0 || now - *read_at > CATALOG_INTERVAL_S) {
+        *read_at = now - CATALOG_INTERVAL_S + CATALOG_RETRY_S;
+        out->kind = RR_AUTOSCALER_CATALOG;
+        return true;
+    }
+    return false;
+}
--- /dev/null
+++ b/src/core/autoscaling/cloud_observations.c
@@ -0,0 +1,37 @@
+/* What the cloud has shown lately: machines that have gone, and capacity that it refused. */
+#include "core/autoscaling/cloud_observations.h"
+#include "core/core_internal.h"
+
+/* A machine that has gone stays listed for up to twice the usual lag of lists, and a dead one for
+ * half a minute longer. */
+#define GONE_LIST_LAGS 3
+#define GONE_LISTED_MAX_S 40
+
+#define CAPACITY_REFUSED_S 15.0
+
+bool rr_recently_gone(const rr_core *core, const char *name, double now) {
+    const double *gone_at = g_hash_table_lookup(core->stored.gone_machines, name);
+    return gone_at &&
+           now - *gone_at < GONE_LIST_LAGS * core->config->list_lag_s + GONE_LISTED_MAX_S;
+}
+
+/* The caller's to free. */
+static char *refusal_key(const char *machine_type, const char *zone, bool spot) {
+    return g_strdup_printf("%s|%s|%d", machine_type, zone, spot);
+}
+
+bool rr_capacity_refused(const rr_core *core, const char *machine_type, const char *zone, bool spot,
+                         double now) {
+    char *key = refusal_key(machine_type, zone, spot);
+    const double *until = g_hash_table_lookup(core->autoscaling.refused_capacity, key);
+    g_free(key);
+    return until && now < *until;
+}
+
+void rr_record_capacity_refusal(rr_core *core, const char *machine_type, const char *zone,
+                                bool spot, double now) {
+    double *until = g_new(double, 1);
+    *until = now + CAPACITY_REFUSED_S;
+    g_hash_table_replace(core->autoscaling.refused_capacity, refusal_key(machine_type, zone, spot),
+                         until);
+}
--- /dev/null
+++ b/src/core/autoscaling/machine_list.c
@@ -0,0 +1,106 @@
+/* The cloud's list of machines, compared with the records in the store. */
+#include "core/autoscaling/cloud_observations.h"
+#include "core/core_internal.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+#include "core/scaling.h"
+
+#include <math.h>
+#include <string.h>
+
+/* A machine created so shortly before the first term was there before it. */
+#define FIRST_TERM_MARGIN_S 5
+/* A machine is gone when it is missing from a list taken so long after it was first listed, or
+ * after it became known if it never was. */
+#define LISTED_LAGS 2
+#define LISTED_MARGIN_S 1
+#define UNLISTED_LAGS 3
+#define UNLISTED_MARGIN_S 10
+
+/* The operators' own machines were there before the service's first term or before it first rented
+ * any: a list may give machines that start together no age. */
+static bool is_operator_owned(const rr_core *core, const rr_machine *machine) {
+    return !machine->rented &&
+           (machine->created_at < core->membership.term.first_term_at - FIRST_TERM_MARGIN_S ||
+            !core->autoscaling.ever_rented);
+}
+
+/* The machine to be recorded for a listed one that has no record, NULL: none. */
+static rr_machine *adopt_listed_machine(rr_core *core, const rr_listed_machine *listed, double now,
+                                        double wall) {
+    if (listed->state == RR_LISTED_FAILED) {
+        g_hash_table_add(core->autoscaling.stray_failed, g_strdup(listed->id));
+        return NULL;
+    }
+    if (rr_recently_gone(core, listed->id, now)) {
+        return NULL;
+    }
+    rr_machine *machine = rr_machine_get(core, listed->id, now);
+    machine->to_record = true;
+    machine->created_at = wall - listed->age_s;
+    machine->operator_owned = is_operator_owned(core, machine);
+    return machine;
+}
+
+static void record_listed_machine(rr_core *core, const rr_listed_machine *listed, double asked_at,
+                                  double now, double wall) {
+    rr_machine *machine = g_hash_table_lookup(core->stored.machines, listed->id);
+    if (!machine || !machine->recorded) {
+        machine = adopt_listed_machine(core, listed, now, wall);
+    }
+    if (!machine) {
+        return;
+    }
+    if (machine->machine_type < 0) {
+        machine->machine_type =
+            rr_name_index_add(&core->stored.machine_type_names, listed->machine_type);
+        machine->zone = rr_name_index_add(&core->stored.zones, listed->zone);
+        machine->spot = listed->spot;
+    }
+    if (!machine->address[0]) {
+        g_strlcpy(machine->address, listed->address, sizeof machine->address);
+    }
+    if (!machine->listed) {
+        machine->listed = true;
+        machine->listed_at = asked_at;
+    }
+    machine->list_failed = listed->state == RR_LISTED_FAILED;
+}
+
+/* True: a machine missing from a list taken at asked_at is gone. A machine listed once stays listed
+ * until it is gone. */
+static bool missing_means_gone(const rr_core *core, const rr_machine *machine, double asked_at) {
+    double lag = core->config->list_lag_s;
+    return machine->listed ? asked_at > machine->listed_at + LISTED_LAGS * lag + LISTED_MARGIN_S
+                           : asked_at > fmax(machine->known_at, core->autoscaling.began_at) +
+                                            UNLISTED_LAGS * lag + UNLISTED_MARGIN_S;
+}
+
+/* names: a set of those in the list. */
+static void check_missing_machines(rr_core *core, double asked_at, GHashTable *names) {
+    for (guint i = core->stored.machine_list->len; i > 0; i--) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
+        if (g_hash_table_contains(names, machine->name)) {
+            continue;
+        }
+        machine->to_record = machine->to_record && machine->rented;
+        if (machine->recorded && missing_means_gone(core, machine, asked_at)) {
+            machine->list_failed = true;
+        }
+    }
+}
+
+void rr_core_machines_listed(rr_core *core, double asked_at, double now, double wall,
+                             const GArray *machines) {
+    GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
+    core->autoscaling.list_at = now;
+    core->autoscaling.list_read = true;
+    g_hash_table_remove_all(core->autoscaling.stray_failed);
+    for (guint i = 0; i < machines->len; i++) {
+        const rr_listed_machine *listed = &g_array_index(machines, rr_listed_machine, i);
+        g_hash_table_add(names, (gpointer)listed->id);
+        record_listed_machine(core, listed, asked_at, now, wall);
+    }
+    check_missing_machines(core, asked_at, names);
+    g_hash_table_destroy(names);
+}
--- /dev/null
+++ b/src/core/autoscaling/rentals.c
@@ -0,0 +1,204 @@
+/* Rentals: recorded intents to scale out, the calls to the cloud and their results. */
+#include "core/autoscaling/rentals.h"
+#include "core/autoscaling/autoscaling_state.h"
+#include "core/autoscaling/cloud_observations.h"
+#include "core/core_internal.h"
+#include "core/state/machines.h"
+#include "core/state/name_index.h"
+
+#include <string.h>
+
+/* Machines in one request: the cloud's limit. */
+#define RENTAL_MACHINES_MAX 50
+/* Intents at a time. */
+#define RENTALS_MAX 24
+#define RENTAL_RETRY_S 5.0
+
+#define RENTAL_KEY_BYTES (RR_ID_SIZE + 32)
+
+/* ---- intents ---- */
+
+/* Machines asked for and not yet recorded, of this machine type, zone and kind. */
+static int count_pending(const rr_core *core, const struct rr_planned_rental *planned) {
+    const char *machine_type =
+        rr_name_index_at(&core->stored.machine_type_names, planned->machine_type);
+    const char *zone = rr_name_index_at(&core->stored.zones, planned->zone);
+    GHashTableIter iter;
+    gpointer value;
+    int count = 0;
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const rr_rental *rental = value;
+        if (strcmp(rental->machine_type, machine_type) == 0 && strcmp(rental->zone, zone) == 0 &&
+            rental->spot == planned->spot) {
+            count += rental->count;
+        }
+    }
+    return count;
+}
+
+static void put_intent(rr_core *core, const struct rr_planned_rental *planned, int count,
+                       rr_transaction *transaction) {
+    char name[RR_ID_SIZE], key[RENTAL_KEY_BYTES];
+    rr_encoder encoder;
+    /* Token and counter together are never used again, so that no two requests share a name. */
+    g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+               core->membership.term.token, ++core->membership.attempt_counter);
+    rr_rental_key(name, key, sizeof key);
+    rr_encoder_init(&encoder);
+    rr_encode_map(&encoder, 4);
+    rr_encode_key_text(&encoder, RR_RENTAL_MACHINE_TYPE,
+                       rr_name_index_at(&core->stored.machine_type_names, planned->machine_type));
+    rr_encode_key_text(&encoder, RR_RENTAL_ZONE,
+                       rr_name_index_at(&core->stored.zones, planned->zone));
+    rr_encode_key_bool(&encoder, RR_RENTAL_SPOT, planned->spot);
+    rr_encode_key_u64(&encoder, RR_RENTAL_COUNT, (uint64_t)count);
+    rr_transaction_guard(transaction, key, 0);
+    rr_transaction_put(transaction, key, &encoder, 0);
+}
+
+static bool takes_another_intent(const rr_core *core, const rr_transaction *transaction) {
+    return (int)transaction->changes->len < rr_transaction_changes_max(core->config) &&
+           g_hash_table_size(core->autoscaling.rentals) + transaction->changes->len < RENTALS_MAX;
+}
+
+void rr_put_rental_intents(rr_core *core, const GArray *planned, rr_transaction *transaction) {
+    for (guint i = 0; i < planned->len; i++) {
+        const struct rr_planned_rental *rental =
+            &g_array_index(planned, struct rr_planned_rental, i);
+        int left = rental->count - count_pending(core, rental);
+        while (left > 0 && takes_another_intent(core, transaction)) {
+            int count = MIN(left, RENTAL_MACHINES_MAX);
+            put_intent(core, rental, count, transaction);
+            left -= count;
+        }
+    }
+}
+
+/* True: the cloud refused the rental, or each of its machines is recorded or has gone again. */
+static bool is_finished(const rr_core *core, const rr_rental *rental, double now) {
+    if (!rental->answered) {
+        return rental->refused;
+    }
+    for (guint i = 0; i < rental->machine_ids->len; i++) {
+        const char *id = g_ptr_array_index(rental->machine_ids, i);
+        const rr_machine *machine = g_hash_table_lookup(core->stored.machines, id);
+        if (!(machine && machine->recorded) && !rr_recently_gone(core, id, now)) {
+            return false;
+        }
+    }
+    return true;
+}
+
+bool rr_step_finished_rentals(const rr_core *core, double now, rr_autoscaler_step *out) {
+    GHashTableIter iter;
+    gpointer value;
+    char key[RENTAL_KEY_BYTES];
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const rr_rental *rental = value;
+        if ((int)out->transaction.changes->len < rr_transaction_changes_max(core->config) &&
+            is_finished(core, rental, now)) {
+            rr_rental_key(rental->name, key, sizeof key);
+            rr_transaction_guard(&out->transaction, key, rental->version);
+            rr_transaction_delete(&out->transaction, key);
+        }
+    }
+    if (out->transaction.changes->len == 0) {
+        return false;
+    }
+    out->kind = RR_AUTOSCALER_COMMIT;
+    return true;
+}
+
+/* ---- calls to the cloud ---- */
+
+static bool is_due(const rr_rental *rental, double now) {
+    return !rental->answered && !rental->refused &&
+           (rental->tried_at <= 0 || now - rental->tried_at >= RENTAL_RETRY_S);
+}
+
+bool rr_step_scale_out(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
+    GHashTableIter iter;
+    gpointer value;
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        rr_rental *rental = value;
+        if (!is_due(rental, now)) {
+            continue;
+        }
+        rental->tried_at = now;
+        core->autoscaling.rented_at = wall;
+        out->kind = RR_AUTOSCALER_SCALE_OUT;
+        g_strlcpy(out->rental, rental->name, sizeof out->rental);
+        g_strlcpy(out->machine_type, rental->machine_type, sizeof out->machine_type);
+        g_strlcpy(out->zone, rental->zone, sizeof out->zone);
+        out->spot = rental->spot;
+        out->count = rental->count;
+        return true;
+    }
+    return false;
+}
+
+void rr_restart_rentals(rr_core *core) {
+    GHashTableIter iter;
+    gpointer value;
+    g_hash_table_iter_init(&iter, core->autoscaling.rentals);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        rr_rental *rental = value;
+        rental->answered = rental->refused = false;
+        rental->tried_at = 0;
+        g_ptr_array_set_size(rental->machine_ids, 0);
+    }
+}
+
+/* ---- results ---- */
+
+static void record_rented_machine(rr_core *core, double now, const rr_autoscaler_step *step,
+                                  const char *id) {
+    if (rr_recently_gone(core, id, now)) {
+        return;
+    }
+    rr_machine *machine = rr_machine_get(core, id, now);
+    machine->rented = true;
+    machine->operator_owned = false;
+    if (!machine->recorded) {
+        machine->to_record = true;
+        machine->created_at =
+            machine->created_at > 0 ? machine->created_at : core->autoscaling.rented_at;
+        machine->machine_type =
+            rr_name_index_add(&core->stored.machine_type_names, step->machine_type);
+        machine->zone = rr_name_index_add(&core->stored.zones, step->zone);
+        machine->spot = step->spot;
+    }
+}
+
+void rr_core_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step, int status,
+                              const GPtrArray *ids) {
+    rr_rental *rental = g_hash_table_lookup(core->autoscaling.rentals, step->rental);
+    const char *kind = step->spot ? "spot" : "on-demand";
+    if (!rental) {
+        return;
+    }
+    if (status == RR_SCALE_OUT_NO_CAPACITY) {
+        rental->refused = true;
+        rr_record_capacity_refusal(core, step->machine_type, step->zone, step->spot, now);
+        rr_log_at(core, RR_LOG_INFO, "rental %s: no capacity for %s %s in %s", step->rental,
+                  step->machine_type, kind, step->zone);
+    }
+    if (status != RR_SCALE_OUT_DONE) {
+        return;
+    }
+    if ((int)ids->len < rental->count) {
+        rr_record_capacity_refusal(core, step->machine_type, step->zone, step->spot, now);
+    }
+    rental->answered = true;
+    for (guint i = 0; i < ids->len; i++) {
+        const char *id = g_ptr_array_index(ids, i);
+        g_ptr_array_add(rental->machine_ids, g_strdup(id));
+        record_rented_machine(core, now, step, id);
+    }
+    core->counters.rented += ids->len;
+    rr_log_at(core, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", step->rental, ids->len,
+              rental->count, step->machine_type, kind, step->zone);
+}
--- /dev/null
+++ b/src/core/autoscaling/scale_in.c
@@ -0,0 +1,168 @@
+/* Scale-in: release decisions, the calls to the cloud and their results. */
+#include "core/autoscaling/scale_in.h"
+#include "core/autoscaling/autoscaling_state.h"
+#include "core/core_internal.h"
+#include "core/health/failure_detector.h"
+#include "core/state/machine_pages.h"
+#include "core/state/machines.h"
+
+/* Probes in a row that fail over this time, while heartbeats arrive. */
+#define FAILED_SUSPECT_PROBES_MIN 3
+#define FAILED_SUSPECT_PROBES_MIN_S 4.0
+
+/* A machine without a heartbeat never came up after this time since its creation, and since this
+ * autoscaler began. */
+#define NEVER_UP_STARTUPS 4
+#define NEVER_UP_MARGIN_S 30
+#define NEVER_UP_WATCHED_STARTUPS 2
+#define STARTUP_DEFAULT_S 60
+
+/* A rented machine is kept at least this long. */
+#define RENTED_MIN_S 60
+
+/* A reservation made just before the scale-in was recorded shows in the store cache by then. */
+#define SCALE_IN_DELAY_S 0.8
+/* Machines released in one call. */
+#define SCALE_IN_MACHINES_MAX 100
+
+/* ---- decisions ---- */
+
+static bool never_came_up(const rr_core *core, const rr_machine *machine, double now, double wall) {
+    const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
+    double startup_s = type && type->startup_s > 0 ? type->startup_s : STARTUP_DEFAULT_S;
+    return !machine->heartbeat_seen &&
+           wall - machine->created_at > NEVER_UP_STARTUPS * startup_s + NEVER_UP_MARGIN_S &&
+           now - core->autoscaling.began_at > NEVER_UP_WATCHED_STARTUPS * startup_s;
+}
+
+/* Heartbeats arrive, but no command reaches the machine, neither from here nor from the controllers
+ * that own its tasks. Its lease will expire. */
+static bool is_unreachable_by_commands(const rr_core *core, const rr_machine *machine, double now) {
+    return machine->heartbeat_seen && machine->failed_suspect_probes >= FAILED_SUSPECT_PROBES_MIN &&
+           now - machine->suspect_probes_failed_at > FAILED_SUSPECT_PROBES_MIN_S &&
+           !rr_machine_heartbeat_overdue(core, machine, now);
+}
+
+/* Why the machine is to be released, for the log; NULL: it has no fault. */
+static const char *find_fault(const rr_core *core, const rr_machine *machine, double now,
+                              double wall) {
+    bool empty = machine->placements->len == 0;
+    if (rr_machine_dead(core, machine, now)) {
+        return "dead or hung";
+    }
+    if (is_unreachable_by_commands(core, machine, now)) {
+        return "commands unanswered";
+    }
+    if (rr_machine_name_reused(machine, now)) {
+        return "name reused by another machine";
+    }
+    if (empty && never_came_up(core, machine, now, wall)) {
+        return "never came up";
+    }
+    if (empty && rr_machine_quarantined(machine, now)) {
+        return "quarantined, tasks of several jobs failed";
+    }
+    return NULL;
+}
+
+static bool is_idle(const rr_core *core, const rr_machine *machine, double now, double wall) {
+    return machine->surplus && machine->placements->len == 0 && !machine->operator_owned &&
+           now - machine->idle_since > core->config->tuning.idle_return_s &&
+           wall - machine->created_at > RENTED_MIN_S;
+}
+
+/* True: the machine is heard again, or was idle, and has work. */
+static bool may_stay_after_all(const rr_core *core, const rr_machine *machine, double now) {
+    return machine->to_release && machine->placements->len > 0 && !machine->releasing &&
+           rr_machine_heartbeat_recent(core, machine, now);
+}
+
+static void review_machine(rr_core *core, rr_machine *machine, double now, double wall) {
+    if (!machine->recorded) {
+        return;
+    }
+    const char *fault = find_fault(core, machine, now, wall);
+    if (!fault && may_stay_after_all(core, machine, now)) {
+        machine->to_release = machine->declared_dead = false;
+        return;
+    }
+    if (machine->to_release || machine->scaling_in ||
+        !(fault || is_idle(core, machine, now, wall))) {
+        return;
+    }
+    machine->to_release = true;
+    machine->declared_dead = fault && machine->placements->len > 0;
+    core->counters.machines_terminated++;
+    rr_log_at(core, RR_LOG_DEBUG, "scale in %s (%u tasks): %s", machine->name,
+              machine->placements->len, fault ? fault : "idle");
+}
+
+void rr_review_machines(rr_core *core, double now, double wall) {
+    rr_detect_partitions(core, now);
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        review_machine(core, g_ptr_array_index(core->stored.machine_list, i), now, wall);
+    }
+}
+
+void rr_restart_scale_in(rr_core *core, double now) {
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        machine->list_failed = machine->listed = machine->surplus = machine->releasing = false;
+        machine->to_release = machine->scaling_in;
+        machine->declared_dead = machine->scaling_in && machine->placements->len > 0 &&
+                                 !rr_machine_heartbeat_recent(core, machine, now);
+        machine->probe_fails = 0;
+        machine->failed_suspect_probes = 0;
+    }
+}
+
+/* ---- calls to the cloud ---- */
+
+/* True: the record shows the scale-in, and the machine is empty or dead: what an owner reserved
+ * there in the meantime is kept. */
+static bool may_be_released(const rr_machine *machine, double now) {
+    bool empty = machine->placements->len == 0 && now - machine->scaling_in_at > SCALE_IN_DELAY_S;
+    return machine->recorded && machine->scaling_in && machine->to_release &&
+           !machine->list_failed && (empty || machine->declared_dead);
+}
+
+bool rr_step_scale_in(rr_core *core, double now, rr_autoscaler_step *out) {
+    GHashTableIter iter;
+    gpointer key;
+    for (guint i = 0; i < core->stored.machine_list->len; i++) {
+        rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
+        if (out->machines->len < SCALE_IN_MACHINES_MAX && may_be_released(machine, now)) {
+            g_ptr_array_add(out->machines, g_strdup(machine->name));
+            machine->releasing = true;
+        }
+    }
+    g_hash_table_iter_init(&iter, core->autoscaling.stray_failed);
+    while (g_hash_table_iter_next(&iter, &key, NULL) &&
+           out->machines->len < SCALE_IN_MACHINES_MAX) {
+        g_ptr_array_add(out->machines, g_strdup(key));
+    }
+    if (out->machines->len == 0) {
+        return false;
+    }
+    out->kind = RR_AUTOSCALER_SCALE_IN;
+    return true;
+}
+
+/* ---- results ---- */
+
+void rr_core_scale_in_result(rr_core *core, double now, const GPtrArray *ids) {
+    for (guint i = 0; i < ids->len; i++) {
+        const char *id = g_ptr_array_index(ids, i);
+        rr_machine *machine = g_hash_table_lookup(core->stored.machines, id);
+        g_hash_table_remove(core->autoscaling.stray_failed, id);
+        if (machine && machine->recorded) {
+            machine->list_failed = true; /* gone with everything on it, so the record may go */
+            rr_log_at(core, RR_LOG_DEBUG, "machine %s released %.0f s after it was known", id,
+                      now - machine->known_at);
+        } else if (machine && machine->placements->len == 0) {
+            /* With placements it stays, without a record, until the ledger has none: they refer to
+             * it. */
+            rr_machine_forget(core, machine);
+        }
+    }
+}
