--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -1,3 +1,4 @@
+/* Fair admission: tables, verdicts and demand of one controller. */
 #include "admission/admission.h"
 #include "peer/frame.h"
 #include "core/state/transaction.h"
@@ -7,25 +8,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define VIEW_BYTES_MAX (RR_FRAME_BYTES_MAX - 1024) /* of a view in a frame */
-#define VIEW_KEPT 6 /* intervals for which a silent controller's view counts */
+/* Of a view in a frame, beside the frame's other fields. */
+#define VIEW_BYTES_MAX (RR_FRAME_BYTES_MAX - 1024)
+/* In intervals: a peer's view counts as fresh, and counts at all. */
+#define VIEW_FRESH_INTERVALS 1.5
+#define VIEW_KEPT_INTERVALS 6
 
 struct peer_view {
     rr_demand_view view;
-    double heard_at; /* steady, 0: never */
+    double received_at; /* steady, 0: never */
 };
 
 struct rr_admission {
     const struct rr_config *config;
     const rr_admission_settings *settings;
-    rr_admission_slot slots[2];
-    rr_admission_table none;
-    bool whole[2]; /* the slot's table is complete */
+    rr_admission_slot slots[RR_ADMISSION_SLOTS];
+    bool whole[RR_ADMISSION_SLOTS]; /* the slot's table is complete */
+    rr_admission_table none;        /* the empty table */
     rr_demand *demand;
-    double counted_from; /* wall: the interval that is being counted */
+    double interval_at; /* wall: beginning of the interval that is being counted */
     struct peer_view peers[RR_CONTROLLERS_MAX];
-    /* What was admitted without a table that could be relied on, in this interval. */
-    rr_work conservative[RR_TEAMS_MAX];
+    rr_work admitted_unchecked[RR_TEAMS_MAX]; /* without a valid table, in this interval */
     rr_admission_stats stats;
 };
 
@@ -67,7 +70,7 @@
     unsigned long slot = strtoul(rest, &end, 10);
     unsigned long part = *end == '/' ? strtoul(end + 1, &end, 10) : RR_ADMISSION_PARTS_MAX;
     int rc = -EPROTO;
-    if (*end == 0 && slot < 2 && part < RR_ADMISSION_PARTS_MAX) {
+    if (*end == 0 && slot < RR_ADMISSION_SLOTS && part < RR_ADMISSION_PARTS_MAX) {
         uint64_t before = admission->slots[slot].table.sequence;
         rc = rr_admission_slot_put(&admission->slots[slot], (guint)part, value, version);
         bool newer = admission->slots[slot].table.sequence != before;
@@ -80,31 +83,34 @@
     return admission->whole[slot] ? &admission->slots[slot].table : &admission->none;
 }
 
-static rr_admission_tables tables_of(const rr_admission *admission) {
-    const rr_admission_table *first = slot_table(admission, 0), *second = slot_table(admission, 1);
-    bool ordered = first->sequence > second->sequence;
-    return (rr_admission_tables){ordered ? first : second, ordered ? second : first};
+static rr_admission_tables get_tables(const rr_admission *admission) {
+    const rr_admission_table *first = slot_table(admission, 0);
+    const rr_admission_table *second = slot_table(admission, 1);
+    bool first_is_newest = first->sequence > second->sequence;
+    return (rr_admission_tables){.newest = first_is_newest ? first : second,
+                                 .previous = first_is_newest ? second : first};
 }
 
 const rr_admission_table *rr_admission_newest(const rr_admission *admission) {
-    return tables_of(admission).newest;
+    return get_tables(admission).newest;
 }
 
 const rr_admission_table *rr_admission_table_at(const rr_admission *admission, double wall) {
-    rr_admission_tables tables = tables_of(admission);
+    rr_admission_tables tables = get_tables(admission);
     return rr_admission_in_force(&tables, wall);
 }
 
-/* Both slots' records are guarded: an autoscaler that has not read the newest table writes none. */
+/* Guards the records of both slots, so that an autoscaler that has not read the newest table writes
+ * none. */
 bool rr_admission_write(const rr_admission *admission, const rr_admission_table *table,
                         rr_transaction *out) {
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
     char key[64];
     size_t bytes = (size_t)(rr_value_kb_max(admission->config) * 1024);
-    guint most = (guint)rr_transaction_changes_max(admission->config);
-    guint parts = rr_admission_table_encode(table, bytes, most, records);
-    const rr_admission_slot *slot = &admission->slots[table->sequence % 2];
-    const rr_admission_slot *other = &admission->slots[(table->sequence + 1) % 2];
+    guint records_max = (guint)rr_transaction_changes_max(admission->config);
+    guint parts = rr_admission_table_encode(table, bytes, records_max, records);
+    const rr_admission_slot *slot = &admission->slots[table->sequence % RR_ADMISSION_SLOTS];
+    const rr_admission_slot *other = &admission->slots[(table->sequence + 1) % RR_ADMISSION_SLOTS];
     rr_admission_record_key(table->sequence + 1, 0, key, sizeof key);
     rr_transaction_guard(out, key, other->versions[0]);
     for (guint i = 0; i < parts; i++) {
@@ -122,28 +128,30 @@
     return rr_work_scale(task, submission->task_count);
 }
 
-/* Without a table to rely on: of what its team is guaranteed in an interval, this controller's part
- * among those of the last known term, so that all of them together stay within the guarantee. */
-static bool within_guarantee(rr_admission *admission, const rr_submission *submission,
-                             unsigned controllers) {
+/* Without a valid table a controller admits its part, among those of the last known term, of what
+ * the team is guaranteed in an interval: all of them together stay within the guarantee. */
+static bool admit_within_guarantee(rr_admission *admission, const rr_submission *submission,
+                                   unsigned controllers) {
     int team = rr_config_team(admission->config, submission->team);
     if (team < 0) {
         return false;
     }
     const struct rr_team_config *guarantee = &admission->config->teams[team];
-    double part = admission->settings->interval_s / MAX(controllers, 1);
-    rr_work work = rr_work_add(admission->conservative[team], job_work(admission, submission), 1);
-    if (work.cpu_s > guarantee->cpus * part || work.gpu_s > guarantee->gpus * part) {
+    double part_s = admission->settings->interval_s / MAX(controllers, 1);
+    rr_work admitted =
+        rr_work_add(admission->admitted_unchecked[team], job_work(admission, submission), 1);
+    if (admitted.cpu_s > guarantee->cpus * part_s || admitted.gpu_s > guarantee->gpus * part_s) {
         return false;
     }
-    admission->conservative[team] = work;
+    admission->admitted_unchecked[team] = admitted;
     return true;
 }
 
-static rr_admission_verdict conservative(rr_admission *admission, const rr_submission *submission,
-                                         unsigned controllers) {
+static rr_admission_verdict decide_without_table(rr_admission *admission,
+                                                 const rr_submission *submission,
+                                                 unsigned controllers) {
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
-    if (!within_guarantee(admission, submission, controllers)) {
+    if (!admit_within_guarantee(admission, submission, controllers)) {
         verdict.kind = RR_ADMISSION_STALE;
         verdict.retry_after_s =
             (int)fmin(RR_RETRY_AFTER_MAX_S, fmax(1, ceil(admission->settings->interval_s)));
@@ -152,23 +160,24 @@
 }
 
 rr_admission_verdict rr_admission_ask(rr_admission *admission, const rr_submission *submission,
-                                      const rr_admission_context *state, double wall, double now) {
-    rr_admission_tables tables = tables_of(admission);
+                                      const rr_admission_context *context, double wall,
+                                      double now) {
+    rr_admission_tables tables = get_tables(admission);
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     rr_admission_key key;
     rr_admission_key_of(submission, admission->settings->band_limits, &key);
-    if (!state->all_capable) {
+    if (!context->all_capable) {
         return verdict;
     }
-    bool stale = !state->lease_valid ||
-                 state->cache_age_s > rr_admission_counts_s(admission->settings->interval_s);
+    bool stale = !context->lease_valid ||
+                 context->cache_age_s > rr_admission_counts_s(admission->settings->interval_s);
     if (!stale) {
         verdict = rr_admission_decide(&tables, wall, admission->config->clock_off_s, &key,
                                       submission->job_id);
         stale = verdict.kind == RR_ADMISSION_STALE;
     }
     if (stale) {
-        verdict = conservative(admission, submission, state->controllers);
+        verdict = decide_without_table(admission, submission, context->controllers);
         admission->stats.refused_stale += verdict.kind != RR_ADMISSION_ADMIT;
     }
     if (verdict.kind != RR_ADMISSION_ADMIT) {
@@ -190,17 +199,17 @@
 /* ---- demand ---- */
 
 void rr_admission_tick(rr_admission *admission, double wall, double now) {
-    double length = admission->settings->interval_s;
-    double edge = floor(wall / length) * length;
-    if (edge != admission->counted_from) {
-        admission->counted_from = edge;
-        memset(admission->conservative, 0, sizeof admission->conservative);
+    double length_s = admission->settings->interval_s;
+    double edge = floor(wall / length_s) * length_s;
+    if (edge != admission->interval_at) {
+        admission->interval_at = edge;
+        memset(admission->admitted_unchecked, 0, sizeof admission->admitted_unchecked);
         rr_demand_next_interval(admission->demand, now);
     }
 }
 
 void rr_admission_settle(rr_admission *admission, rr_job_known_fn known, void *user) {
-    rr_demand_settle(admission->demand, known, user);
+    rr_demand_forget_accepted(admission->demand, known, user);
 }
 
 bool rr_admission_announce(const rr_admission *admission, uint64_t fencing_token, GByteArray *out) {
@@ -228,7 +237,7 @@
     }
     rr_demand_view_clear(&admission->peers[peer].view);
     admission->peers[peer].view = view;
-    admission->peers[peer].heard_at = now;
+    admission->peers[peer].received_at = now;
     return 0;
 }
 
@@ -242,10 +251,10 @@
     ages[count++] = 0;
     for (size_t i = 0; i < admission->config->peer_count; i++) {
         const struct peer_view *peer = &admission->peers[i];
-        double age = (now - peer->heard_at) / admission->settings->interval_s;
-        if (peer->heard_at > 0 && age < VIEW_KEPT) {
+        double age = (now - peer->received_at) / admission->settings->interval_s;
+        if (peer->received_at > 0 && age < VIEW_KEPT_INTERVALS) {
             views[count] = &peer->view;
-            ages[count++] = age < 1.5 ? 0 : (unsigned)age;
+            ages[count++] = age < VIEW_FRESH_INTERVALS ? 0 : (unsigned)age;
         }
     }
     rr_demand_merge(views, ages, count, out);
--- /dev/null
+++ b/src/admission/demand_total.c
@@ -0,0 +1,105 @@
+/* The demand of all controllers together, from their views. */
+#include "admission/demand_total.h"
+
+#include <math.h>
+
+#define AGE_FACTOR 0.5
+#define WEIGHT_MIN 1e-9
+
+struct aged_entry {
+    const rr_demand_entry *entry;
+    unsigned age; /* intervals */
+};
+
+struct key_sum {
+    rr_demand_total total;
+    GArray *entries; /* struct aged_entry, freshest first */
+    double weight;   /* of the mean */
+};
+
+static const struct aged_entry *entry_at(const GArray *entries, guint i) {
+    return &g_array_index(entries, struct aged_entry, i);
+}
+
+/* Jobs known to the first `count` entries together: the union of their samples below the lowest
+ * bound, scaled up to all hashes. */
+static double count_distinct_jobs(const struct key_sum *sum, guint count) {
+    uint64_t bound = UINT64_MAX;
+    GArray *hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    for (guint i = 0; i < count; i++) {
+        const rr_demand_entry *entry = entry_at(sum->entries, i)->entry;
+        bound = MIN(bound, entry->bound);
+        g_array_append_vals(hashes, entry->sample->data, entry->sample->len);
+    }
+    g_array_sort(hashes, rr_compare_hashes);
+    double found = 0;
+    for (guint i = 0; i < hashes->len; i++) {
+        uint64_t hash = g_array_index(hashes, uint64_t, i);
+        bool repeated = i > 0 && g_array_index(hashes, uint64_t, i - 1) == hash;
+        found += !repeated && (hash < bound || bound == UINT64_MAX);
+    }
+    g_array_free(hashes, TRUE);
+    return bound == UINT64_MAX ? found : found * ((double)UINT64_MAX / (double)bound);
+}
+
+static struct key_sum *find_or_add_sum(GHashTable *sums, const rr_admission_key *key) {
+    struct key_sum *sum = g_hash_table_lookup(sums, &key->id);
+    if (!sum) {
+        sum = g_new0(struct key_sum, 1);
+        sum->total.key = *key;
+        sum->entries = g_array_new(FALSE, FALSE, sizeof(struct aged_entry));
+        g_hash_table_insert(sums, &sum->total.key.id, sum);
+    }
+    return sum;
+}
+
+static void add_entry(GHashTable *sums, const rr_demand_entry *entry, unsigned age) {
+    struct key_sum *sum = find_or_add_sum(sums, &entry->key);
+    guint place = 0;
+    while (place < sum->entries->len && entry_at(sum->entries, place)->age <= age) {
+        place++;
+    }
+    struct aged_entry aged = {entry, age};
+    g_array_insert_val(sum->entries, place, aged);
+    double known_jobs = (double)entry->admitted + entry->sample->len;
+    sum->total.mean = rr_work_add(sum->total.mean, entry->mean, known_jobs);
+    sum->weight += known_jobs;
+}
+
+static rr_demand_total finish_sum(struct key_sum *sum) {
+    double counted = 0;
+    for (guint i = 0; i < sum->entries->len; i++) {
+        const struct aged_entry *aged = entry_at(sum->entries, i);
+        double known = fmax(counted, count_distinct_jobs(sum, i + 1));
+        sum->total.count +=
+            pow(AGE_FACTOR, aged->age) * (known - counted + (double)aged->entry->admitted);
+        counted = known;
+    }
+    sum->total.mean = rr_work_scale(sum->total.mean, 1 / fmax(sum->weight, WEIGHT_MIN));
+    g_array_free(sum->entries, TRUE);
+    return sum->total;
+}
+
+static gint compare_by_key(gconstpointer left_item, gconstpointer right_item) {
+    const rr_demand_total *left = left_item, *right = right_item;
+    return left->key.id < right->key.id ? -1 : left->key.id > right->key.id;
+}
+
+void rr_demand_merge(const rr_demand_view *const *views, const unsigned *ages, guint count,
+                     GArray *out) {
+    GHashTable *sums = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+    GHashTableIter iterator;
+    gpointer value;
+    for (guint i = 0; i < count; i++) {
+        for (guint k = 0; k < views[i]->entries->len; k++) {
+            add_entry(sums, &g_array_index(views[i]->entries, rr_demand_entry, k), ages[i]);
+        }
+    }
+    g_hash_table_iter_init(&iterator, sums);
+    while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+        rr_demand_total total = finish_sum(value);
+        g_array_append_val(out, total);
+    }
+    g_hash_table_destroy(sums);
+    g_array_sort(out, compare_by_key);
+}
--- /dev/null
+++ b/src/admission/demand_view.c
@@ -0,0 +1,80 @@
+/* Views: what a controller announces to its peers of the demand it has seen. */
+#include "admission/demand_view.h"
+
+#include <string.h>
+
+/* Hashes in one view, and for each key at least and at most. */
+#define VIEW_HASHES 4096u
+#define KEY_HASHES_MIN 16u
+#define KEY_HASHES_MAX 256u
+
+static void clear_entry(gpointer data) {
+    rr_demand_entry *entry = data;
+    if (entry->sample) {
+        g_array_free(entry->sample, TRUE);
+    }
+}
+
+void rr_demand_view_init(rr_demand_view *view) {
+    view->fencing_token = 0;
+    view->entries = g_array_new(FALSE, TRUE, sizeof(rr_demand_entry));
+    g_array_set_clear_func(view->entries, clear_entry);
+}
+
+void rr_demand_view_clear(rr_demand_view *view) {
+    if (view->entries) {
+        g_array_free(view->entries, TRUE);
+    }
+    memset(view, 0, sizeof *view);
+}
+
+gint rr_compare_hashes(gconstpointer left_item, gconstpointer right_item) {
+    uint64_t left = *(const uint64_t *)left_item, right = *(const uint64_t *)right_item;
+    return left < right ? -1 : left > right;
+}
+
+/* Keeps the smallest hashes, `count` at most. */
+static void reduce_sample(rr_demand_entry *entry, guint count) {
+    g_array_sort(entry->sample, rr_compare_hashes);
+    entry->bound = UINT64_MAX;
+    if (entry->sample->len > count) {
+        entry->bound = g_array_index(entry->sample, uint64_t, count);
+        g_array_set_size(entry->sample, count);
+    }
+}
+
+struct view_builder {
+    rr_demand_view *view;
+    GHashTable *samples; /* key id -> the entry's sample; ids are the demand's */
+};
+
+static void add_entry(void *user, const rr_demand_of_key *of_key) {
+    const struct view_builder *builder = user;
+    rr_demand_entry entry = {
+        .key = *of_key->key, .admitted = of_key->admitted, .mean = of_key->mean};
+    entry.sample = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    g_hash_table_insert(builder->samples, (gpointer)&of_key->key->id, entry.sample);
+    g_array_append_val(builder->view->entries, entry);
+}
+
+static void add_hash(void *user, uint64_t key_id, uint64_t job_hash) {
+    const struct view_builder *builder = user;
+    GArray *sample = g_hash_table_lookup(builder->samples, &key_id);
+    if (sample) {
+        g_array_append_val(sample, job_hash);
+    }
+}
+
+void rr_demand_view_of(const rr_demand *demand, uint64_t fencing_token, rr_demand_view *out) {
+    struct view_builder builder = {out, g_hash_table_new(g_int64_hash, g_int64_equal)};
+    rr_demand_view_init(out);
+    out->fencing_token = fencing_token;
+    rr_demand_each_key(demand, add_entry, &builder);
+    rr_demand_each_waiting(demand, add_hash, &builder);
+    g_hash_table_destroy(builder.samples);
+    guint each = VIEW_HASHES / MAX(out->entries->len, 1);
+    for (guint i = 0; i < out->entries->len; i++) {
+        reduce_sample(&g_array_index(out->entries, rr_demand_entry, i),
+                      CLAMP(each, KEY_HASHES_MIN, KEY_HASHES_MAX));
+    }
+}
--- a/src/admission/entries.c
+++ b/src/admission/entries.c
@@ -1,9 +1,12 @@
+/* The entries of a table to be written. */
 #include "admission/entries.h"
 
-#define ROWS_MAX 512u       /* keys told apart in one table, */
-#define GROUP_ROWS_LEAST 4u /* and of each team's band at least */
+/* Keys with a row of their own in one table, and of each group (team and band) at least. */
+#define KEYS_MAX 512u
+#define GROUP_KEYS_MIN 4u
 
-static rr_admission_entry *entry_of(GHashTable *entries, const rr_admission_key *key, int team) {
+static rr_admission_entry *find_or_add_entry(GHashTable *entries, const rr_admission_key *key,
+                                             int team) {
     rr_admission_entry *entry = g_hash_table_lookup(entries, &key->id);
     if (!entry) {
         entry = g_new0(rr_admission_entry, 1);
@@ -16,18 +19,57 @@
     return entry;
 }
 
-static gint by_group_and_size(gconstpointer left_item, gconstpointer right_item) {
-    const rr_admission_entry *left = *(const rr_admission_entry *const *)left_item,
-                             *right = *(const rr_admission_entry *const *)right_item;
+static void add_waiting_work(const struct rr_config *config, const rr_offered_load *load,
+                             const double *correction, GHashTable *entries) {
+    rr_amount capacity = rr_load_capacity(load);
+    GHashTableIter iterator;
+    gpointer value;
+    g_hash_table_iter_init(&iterator, load->keys);
+    while (g_hash_table_iter_next(&iterator, NULL, &value)) {
+        const rr_load_key *of_key = value;
+        int team = rr_config_team(config, of_key->key.team);
+        if (team >= 0) {
+            rr_admission_entry *entry = find_or_add_entry(entries, &of_key->key, team);
+            entry->work = rr_work_add(entry->work, of_key->waiting, 1);
+            entry->backlog = rr_dominant_work(of_key->waiting, capacity) * correction[team];
+        }
+    }
+}
+
+static void add_demand(const struct rr_config *config, const GArray *demand, rr_amount capacity,
+                       const double *correction, GHashTable *entries) {
+    for (guint i = 0; i < demand->len; i++) {
+        const rr_demand_total *total = &g_array_index(demand, rr_demand_total, i);
+        int team = rr_config_team(config, total->key.team);
+        if (team >= 0 && total->count > 0) {
+            rr_admission_entry *entry = find_or_add_entry(entries, &total->key, team);
+            entry->work = rr_work_add(entry->work, total->mean, total->count);
+            entry->count = total->count;
+            entry->asked =
+                rr_dominant_work(total->mean, capacity) * total->count * correction[team];
+        }
+    }
+}
+
+/* ---- limited to a table's room ---- */
+
+bool rr_admission_same_group(const rr_admission_entry *left, const rr_admission_entry *right) {
+    return left && left->team == right->team && left->band == right->band;
+}
+
+static gint compare_by_group_and_size(gconstpointer left_item, gconstpointer right_item) {
+    const rr_admission_entry *left = *(const rr_admission_entry *const *)left_item;
+    const rr_admission_entry *right = *(const rr_admission_entry *const *)right_item;
     if (left->team != right->team) {
         return left->team < right->team ? -1 : 1;
     }
     if (left->band != right->band) {
         return left->band < right->band ? -1 : 1;
     }
-    double size_x = left->backlog + left->asked, size_y = right->backlog + right->asked;
-    if (size_x != size_y) {
-        return size_x > size_y ? -1 : 1;
+    double left_size = left->backlog + left->asked;
+    double right_size = right->backlog + right->asked;
+    if (left_size != right_size) {
+        return left_size > right_size ? -1 : 1;
     }
     return left->id < right->id ? -1 : left->id > right->id;
 }
@@ -39,33 +81,34 @@
     into->asked += entry->asked;
 }
 
-bool rr_admission_same_group(const rr_admission_entry *left, const rr_admission_entry *right) {
-    return left && left->team == right->team && left->band == right->band;
+static guint count_groups(const GPtrArray *sorted) {
+    guint groups = 0;
+    const rr_admission_entry *last = NULL;
+    for (guint i = 0; i < sorted->len; i++) {
+        const rr_admission_entry *entry = g_ptr_array_index(sorted, i);
+        groups += !rr_admission_same_group(last, entry);
+        last = entry;
+    }
+    return groups;
 }
 
-/* The largest entries of each team's band, and one for the rest of it, so that the keys of one
- * team, whose classes are whatever its users write, take no other team's place. */
+/* Keeps the largest entries of each group and merges the rest of it into one, so that the keys of
+ * one team, whose classes its users choose, take no other team's rows. Sorts `all`. */
 static GArray *limit_entries(const struct rr_config *config, GPtrArray *all) {
     GArray *kept = g_array_new(FALSE, TRUE, sizeof(rr_admission_entry));
-    guint groups = 0, of_group = 0;
+    g_ptr_array_sort(all, compare_by_group_and_size);
+    guint group_max = MAX(KEYS_MAX / MAX(count_groups(all), 1), GROUP_KEYS_MIN);
+    guint index_in_group = 0;
     const rr_admission_entry *last = NULL;
-    g_ptr_array_sort(all, by_group_and_size);
-    for (guint i = 0; i < all->len; i++) {
-        const rr_admission_entry *entry = g_ptr_array_index(all, i);
-        groups += !rr_admission_same_group(last, entry);
-        last = entry;
-    }
-    guint most = MAX(ROWS_MAX / MAX(groups, 1), GROUP_ROWS_LEAST);
-    last = NULL;
     for (guint i = 0; i < all->len; i++) {
         const rr_admission_entry *entry = g_ptr_array_index(all, i);
-        of_group = rr_admission_same_group(last, entry) ? of_group + 1 : 0;
+        index_in_group = rr_admission_same_group(last, entry) ? index_in_group + 1 : 0;
         last = entry;
-        if (of_group < most) {
+        if (index_in_group < group_max) {
             g_array_append_val(kept, *entry);
             continue;
         }
-        if (of_group == most) {
+        if (index_in_group == group_max) {
             rr_admission_entry rest = {.team = entry->team, .band = entry->band};
             rest.id = rr_admission_rest_id(config->teams[entry->team].name, entry->band);
             g_array_append_val(kept, rest);
@@ -77,32 +120,12 @@
 
 GArray *rr_admission_entries(const struct rr_config *config, const rr_offered_load *load,
                              const GArray *demand, const double *correction) {
-    rr_amount capacity = rr_load_capacity(load);
     GHashTable *entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+    GPtrArray *all = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer value;
-    g_hash_table_iter_init(&iterator, load->keys);
-    while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const rr_load_key *waiting = value;
-        int team = rr_config_team(config, waiting->key.team);
-        if (team >= 0) {
-            rr_admission_entry *entry = entry_of(entries, &waiting->key, team);
-            entry->work = rr_work_add(entry->work, waiting->waiting, 1);
-            entry->backlog = rr_dominant_work(waiting->waiting, capacity) * correction[team];
-        }
-    }
-    for (guint i = 0; i < demand->len; i++) {
-        const rr_demand_total *total = &g_array_index(demand, rr_demand_total, i);
-        int team = rr_config_team(config, total->key.team);
-        if (team >= 0 && total->count > 0) {
-            rr_admission_entry *entry = entry_of(entries, &total->key, team);
-            entry->work = rr_work_add(entry->work, total->mean, total->count);
-            entry->count = total->count;
-            entry->asked =
-                rr_dominant_work(total->mean, capacity) * total->count * correction[team];
-        }
-    }
-    GPtrArray *all = g_ptr_array_new();
+    add_waiting_work(config, load, correction, entries);
+    add_demand(config, demand, rr_load_capacity(load), correction, entries);
     g_hash_table_iter_init(&iterator, entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         g_ptr_array_add(all, value);
--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -1,3 +1,4 @@
+/* Admission keys and the hashes of keys and jobs. */
 #include "admission/key.h"
 
 #include <stdlib.h>
@@ -5,7 +6,7 @@
 
 #define FNV_BASIS 1469598103934665603ULL
 #define FNV_PRIME 1099511628211ULL
-#define SEPARATOR 0x1f /* in no name */
+#define SEPARATOR 0x1f /* occurs in no name */
 
 static uint64_t hash_text(uint64_t hash, const char *text) {
     for (; *text; text++) {
@@ -14,8 +15,8 @@
     return (hash ^ SEPARATOR) * FNV_PRIME;
 }
 
-/* FNV-1a leaves similar texts close together; positions on the circle must not be. */
-static uint64_t mix(uint64_t hash) {
+/* FNV-1a keeps similar texts close together, but positions on the circle must be spread. */
+static uint64_t spread_bits(uint64_t hash) {
     hash ^= hash >> 33;
     hash *= 0xff51afd7ed558ccdULL;
     hash ^= hash >> 33;
@@ -24,25 +25,25 @@
 }
 
 uint64_t rr_admission_job_hash(const char *job_id) {
-    return mix(hash_text(FNV_BASIS, job_id));
+    return spread_bits(hash_text(FNV_BASIS, job_id));
 }
 
 uint64_t rr_admission_rest_id(const char *team, unsigned band) {
-    return mix((hash_text(hash_text(FNV_BASIS, "rest"), team) ^ band) * FNV_PRIME);
+    return spread_bits((hash_text(hash_text(FNV_BASIS, "rest"), team) ^ band) * FNV_PRIME);
 }
 
 void rr_admission_key_hash(rr_admission_key *key) {
     uint64_t hash = hash_text(hash_text(FNV_BASIS, key->team), key->job_class);
     hash = hash_text(hash_text(hash, key->zone), key->types);
-    key->id = mix((hash ^ key->band) * FNV_PRIME);
+    key->id = spread_bits((hash ^ key->band) * FNV_PRIME);
 }
 
-static int by_text(const void *left, const void *right) {
+static int compare_texts(const void *left, const void *right) {
     return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* Types that do not fit make the key one of any type: its share is then reckoned too high, and the
- * backlog corrects it. */
+/* If the types do not fit, the key allows any type: its share is then too high, which the backlog
+ * corrects. */
 static void set_types(const rr_submission *submission, rr_admission_key *out) {
     const char *types[RR_MACHINE_TYPES_MAX];
     int count = submission->machine_type_count;
@@ -50,7 +51,7 @@
         types[i] = submission->machine_types[i];
     }
     if (count > 1) {
-        qsort(types, (size_t)count, sizeof types[0], by_text);
+        qsort(types, (size_t)count, sizeof types[0], compare_texts);
     }
     for (int i = 0; i < count; i++) {
         if (g_strlcat(out->types, types[i], sizeof out->types) >= sizeof out->types - 1) {
--- a/src/admission/key.h
+++ b/src/admission/key.h
@@ -1,5 +1,5 @@
-/* What admission tells apart: a key is a team, a job class, a size band and the zone and machine
- * types that a job is tied to. Every controller derives the same key from the same submission. */
+/* Admission keys: a team, a job class, a size band, and the zone and machine types to which a job
+ * is restricted. Every controller derives the same key from the same submission. */
 #ifndef RR_ADMISSION_KEY_H
 #define RR_ADMISSION_KEY_H
 
@@ -17,16 +17,22 @@
     unsigned band;
 } rr_admission_key;
 
-/* band_limits: the tasks from which a job is of the second and of the third band. */
+/* Derives a submission's key. band_limits: the numbers of tasks from which a job is of the second
+ * and of the third band. */
 void rr_admission_key_of(const rr_submission *submission, const uint32_t band_limits[2],
                          rr_admission_key *out);
-/* Fills in the id of a key whose other fields are set. */
+
+/* Sets the id of a key whose other fields are set. */
 void rr_admission_key_hash(rr_admission_key *key);
-/* The id of a team's jobs of this band whose keys a table does not name. */
+
+/* The id that stands for those of a team's keys in this band that a table has no row for. */
 uint64_t rr_admission_rest_id(const char *team, unsigned band);
-/* Whether machines of this type and zone may take jobs of the key. */
+
+/* True: machines of this type and zone may take jobs of the key. */
 bool rr_admission_key_allows(const rr_admission_key *key, const char *type, const char *zone);
-/* A job's hash: where it stands on the circle, and what demand is counted by. */
+
+/* A job's hash: by it demand is counted, and its upper half is the job's position on the circle of
+ * admission (verdict.h). */
 uint64_t rr_admission_job_hash(const char *job_id);
 
 #endif
--- a/src/admission/offered_load.c
+++ b/src/admission/offered_load.c
@@ -1,9 +1,10 @@
+/* The load that the autoscaler knows of when it writes a table. */
 #include "admission/offered_load.h"
 
 #include <math.h>
 #include <string.h>
 
-static GHashTable *new_counts(void) {
+static GHashTable *create_counts(void) {
     return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 }
 
@@ -12,7 +13,7 @@
     load->settings = settings;
     load->pools = g_array_new(FALSE, TRUE, sizeof(rr_load_pool));
     load->keys = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    load->done = new_counts();
+    load->done = create_counts();
     load->done_before = NULL;
 }
 
@@ -33,11 +34,11 @@
         g_hash_table_destroy(load->done_before);
     }
     load->done_before = load->done;
-    load->done = new_counts();
+    load->done = create_counts();
     load->visits++;
 }
 
-static rr_amount amount_add(rr_amount left, rr_amount right, double factor) {
+static rr_amount add_amount(rr_amount left, rr_amount right, double factor) {
     return (rr_amount){left.cpus + factor * right.cpus, left.gpus + factor * right.gpus,
                        left.mem_gb + factor * right.mem_gb};
 }
@@ -47,7 +48,7 @@
     for (guint i = 0; i < load->pools->len; i++) {
         rr_load_pool *pool = &g_array_index(load->pools, rr_load_pool, i);
         if (strcmp(pool->type, type) == 0 && strcmp(pool->zone, zone) == 0) {
-            pool->amount = amount_add(pool->amount, amount, 1);
+            pool->amount = add_amount(pool->amount, amount, 1);
             return;
         }
     }
@@ -58,29 +59,30 @@
 }
 
 rr_amount rr_load_capacity(const rr_offered_load *load) {
-    rr_amount all = {0, 0, 0};
+    rr_amount capacity = {0, 0, 0};
     for (guint i = 0; i < load->pools->len; i++) {
-        all = amount_add(all, g_array_index(load->pools, rr_load_pool, i).amount, 1);
+        capacity = add_amount(capacity, g_array_index(load->pools, rr_load_pool, i).amount, 1);
     }
-    return all;
+    return capacity;
 }
 
-/* Tasks that ended since the last visit. A job that was not there then is new, unless nothing was:
- * then nothing is known. */
-static uint32_t newly_done(rr_offered_load *load, const char *job_id, uint32_t done) {
+/* Returns the job's tasks that ended since the last visit, and records those done. A job missing at
+ * the last visit is new; at the first visit nothing is known of what ended when. */
+static uint32_t count_newly_done(rr_offered_load *load, const char *job_id, uint32_t done) {
     uint64_t hash = rr_admission_job_hash(job_id);
-    gpointer before = NULL;
-    bool known =
-        load->done_before && g_hash_table_lookup_extended(load->done_before, &hash, NULL, &before);
-    uint64_t *copy = g_new(uint64_t, 1);
-    *copy = hash;
-    g_hash_table_replace(load->done, copy, GUINT_TO_POINTER(done));
-    uint32_t unseen = load->visits > 1 ? 0 : done;
-    uint32_t seen = known ? GPOINTER_TO_UINT(before) : unseen;
-    return done > seen ? done - seen : 0;
+    gpointer recorded = NULL;
+    uint32_t before = load->visits > 1 ? 0 : done;
+    if (load->done_before &&
+        g_hash_table_lookup_extended(load->done_before, &hash, NULL, &recorded)) {
+        before = GPOINTER_TO_UINT(recorded);
+    }
+    uint64_t *key = g_new(uint64_t, 1);
+    *key = hash;
+    g_hash_table_replace(load->done, key, GUINT_TO_POINTER(done));
+    return done > before ? done - before : 0;
 }
 
-static void add_waiting(rr_offered_load *load, const rr_submission *submission, rr_work work) {
+static void add_waiting_work(rr_offered_load *load, const rr_submission *submission, rr_work work) {
     rr_admission_key key;
     rr_admission_key_of(submission, load->settings->band_limits, &key);
     rr_load_key *entry = g_hash_table_lookup(load->keys, &key.id);
@@ -98,16 +100,16 @@
         return;
     }
     rr_load_team *of_team = &load->teams[team];
-    rr_amount need = {submission->cpus, submission->gpus, submission->mem_gb};
+    rr_amount request = {submission->cpus, submission->gpus, submission->mem_gb};
     rr_work work = rr_work_of_task(submission, load->settings->service_estimate_s);
-    bool ends = submission->kind != RR_JOB_SERVICE;
-    of_team->used = amount_add(of_team->used, need, placed);
-    of_team->batch = amount_add(of_team->batch, need, ends ? placed : 0);
-    of_team->waiting = amount_add(of_team->waiting, need, waiting);
-    of_team->done =
-        rr_work_add(of_team->done, work, newly_done(load, submission->job_id, ends ? done : 0));
+    bool ends_by_itself = submission->kind != RR_JOB_SERVICE;
+    of_team->used = add_amount(of_team->used, request, placed);
+    of_team->batch = add_amount(of_team->batch, request, ends_by_itself ? placed : 0);
+    of_team->waiting = add_amount(of_team->waiting, request, waiting);
+    uint32_t newly_done = count_newly_done(load, submission->job_id, ends_by_itself ? done : 0);
+    of_team->done = rr_work_add(of_team->done, work, newly_done);
     if (waiting > 0) {
-        add_waiting(load, submission, rr_work_scale(work, waiting));
+        add_waiting_work(load, submission, rr_work_scale(work, waiting));
     }
 }
 
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -1,31 +1,31 @@
-/* How room is shared: weighted max-min fairness over the scarcest resource each job takes (dominant
- * share), first among teams, then among the keys of each team. Jobs tied to zones or machine types
- * count in those pools of machines only. */
+/* The division of room: weighted max-min fairness over the resource of which each job takes most
+ * (dominant share), first among teams, then among the rows of each team. Jobs restricted to zones
+ * or machine types count in those pools of machines only. */
 #ifndef RR_ADMISSION_SHARES_H
 #define RR_ADMISSION_SHARES_H
 
 #include <glib.h>
 #include <stdbool.h>
 
-#define RR_SHARE_RESOURCES 3 /* processors, cards, memory */
+#define RR_SHARE_RESOURCES 3 /* CPUs, GPUs, memory */
 
 /* Machines of one type in one zone. */
 typedef struct {
-    double capacity[RR_SHARE_RESOURCES]; /* parts of all there is, times the time to be shared */
+    double capacity[RR_SHARE_RESOURCES]; /* parts of all room, times the seconds to be divided */
 } rr_share_pool;
 
 typedef struct {
     guint team;
     double weight;                  /* among its team's rows */
-    double demand;                  /* in dominant share times time */
+    double demand;                  /* in dominant share times seconds */
     double use[RR_SHARE_RESOURCES]; /* of each resource by one unit of demand; the largest is 1 */
-    const bool *pools;              /* where it may run */
-    double allocation;              /* the result */
+    const bool *pools;              /* by pool: whether it may run there */
+    double allocation;              /* the result, in the unit of the demand */
 } rr_share_row;
 
 typedef struct {
     double weight;
-    double least; /* what it gets in any case, if it asks for it */
+    double guaranteed; /* what it gets before others, as far as it asks for it */
 } rr_share_team;
 
 typedef struct {
@@ -39,18 +39,23 @@
 
 enum rr_share_method {
     RR_SHARE_BY_PROGRAM, /* linear programs, level by level */
-    RR_SHARE_BY_FILLING  /* progressive filling: there was no time, or no solution */
+    RR_SHARE_BY_FILLING  /* progressive filling: no time was left, or no solution found */
 };
 
-/* Sets the allocation of each row. seconds: what the linear programs may take in all. */
+/* Sets the allocation of each row. seconds: limit of the linear programs in all. */
 enum rr_share_method rr_share_solve(rr_share_problem *problem, double seconds);
-/* The fallback by itself. */
+
+/* Sets the allocation of each row by progressive filling. */
 void rr_share_fill(rr_share_problem *problem);
-/* Weighted max-min of one resource: each demand is met up to a common multiple of its weight. */
+
+/* Weighted max-min fairness of one resource: meets each demand up to a common multiple of its
+ * weight. out: the allocations. */
 void rr_share_water_fill(const double *demands, const double *weights, guint count, double capacity,
                          double *out);
-/* The same where everybody gets so much at least, if the demand is as large. */
-void rr_share_water_fill_least(const double *demands, const double *weights, const double *least,
-                               guint count, double capacity, double *out);
+
+/* The same where each demand is met up to its guaranteed amount first. */
+void rr_share_water_fill_guaranteed(const double *demands, const double *weights,
+                                    const double *guaranteed, guint count, double capacity,
+                                    double *out);
 
 #endif
--- /dev/null
+++ b/src/admission/table_records.c
@@ -0,0 +1,264 @@
+/* Admission tables as records of the key-value store. */
+#include "admission/table_records.h"
+
+#include <errno.h>
+#include <string.h>
+
+/* Upper bounds on the JSON of a record beside its lists, of a row (three integers), and of a team
+ * beside its name. */
+#define RECORD_HEAD_BYTES_MAX 256
+#define ROW_BYTES_MAX 56
+#define TEAM_BYTES_MAX 64
+
+#define TABLE_LENGTH_MAX_S 86400.0
+
+/* Rooms and corrections are written as integers, in these parts of 1. */
+#define ROOM_UNITS 1e6
+#define CORRECTION_UNITS 1000.0
+
+void rr_admission_record_key(uint64_t sequence, guint part, char *out, size_t size) {
+    g_snprintf(out, size, RR_ADMISSION_PREFIX "%u/%u", (unsigned)(sequence % RR_ADMISSION_SLOTS),
+               part);
+}
+
+/* ---- encoding ---- */
+
+static gint compare_by_share(gconstpointer left_item, gconstpointer right_item) {
+    const rr_admission_row *left = left_item, *right = right_item;
+    if (left->share != right->share) {
+        return left->share < right->share ? -1 : 1;
+    }
+    return left->id < right->id ? -1 : left->id > right->id;
+}
+
+/* The teams and rows of one record: the first and the number of each. */
+struct record_content {
+    guint team, team_count;
+    guint row, row_count;
+};
+
+static guint count_teams_that_fit(const rr_admission_table *table, guint first,
+                                  size_t *bytes_left) {
+    guint count = 0;
+    while (first + count < table->teams->len) {
+        const rr_admission_team *team =
+            &g_array_index(table->teams, rr_admission_team, first + count);
+        size_t bytes = TEAM_BYTES_MAX + strlen(team->name);
+        if (bytes > *bytes_left) {
+            break;
+        }
+        *bytes_left -= bytes;
+        count++;
+    }
+    return count;
+}
+
+static guint count_rows_that_fit(const rr_admission_table *table, guint first, size_t bytes_left) {
+    return (guint)MIN(bytes_left / ROW_BYTES_MAX, table->rows->len - first);
+}
+
+/* Divides the table into records, teams first. Returns their number. */
+static guint divide_table(const rr_admission_table *table, size_t value_bytes, guint records_max,
+                          struct record_content *records) {
+    guint count = 0, team = 0, row = 0;
+    records_max = MIN(records_max, RR_ADMISSION_PARTS_MAX);
+    while (count < records_max &&
+           (count == 0 || team < table->teams->len || row < table->rows->len)) {
+        size_t bytes_left =
+            value_bytes > RECORD_HEAD_BYTES_MAX ? value_bytes - RECORD_HEAD_BYTES_MAX : 0;
+        struct record_content *record = &records[count++];
+        *record = (struct record_content){.team = team, .row = row};
+        record->team_count = count_teams_that_fit(table, team, &bytes_left);
+        team += record->team_count;
+        if (team == table->teams->len) {
+            record->row_count = count_rows_that_fit(table, row, bytes_left);
+            row += record->row_count;
+        }
+        if (record->team_count + record->row_count == 0) {
+            break;
+        }
+    }
+    return count;
+}
+
+static void put_team(rr_encoder *out, const rr_admission_team *team) {
+    rr_encode_array(out, 3);
+    rr_encode_text(out, team->name);
+    rr_encode_u64(out, (uint64_t)(team->room * ROOM_UNITS));
+    rr_encode_u64(out, (uint64_t)(team->correction * CORRECTION_UNITS));
+}
+
+static void put_row(rr_encoder *out, const rr_admission_row *row) {
+    rr_encode_array(out, 3);
+    rr_encode_u64(out, row->id);
+    rr_encode_u64(out, row->phase);
+    rr_encode_u64(out, row->share);
+}
+
+static void encode_record(const rr_admission_table *table, const struct record_content *content,
+                          guint record_count, rr_encoder *out) {
+    rr_encoder_init(out);
+    rr_encode_map(out, 11);
+    rr_encode_key_u64(out, "v", RR_ADMISSION_VERSION);
+    rr_encode_key_u64(out, "sequence", table->sequence);
+    rr_encode_key_u64(out, "parts", record_count);
+    rr_encode_key_number(out, "starts_at", table->starts_at);
+    rr_encode_key_number(out, "length_s", table->length_s);
+    rr_encode_key_bool(out, "active", table->active);
+    rr_encode_key_number(out, "cpu", table->cpus);
+    rr_encode_key_number(out, "gpu", table->gpus);
+    rr_encode_key_number(out, "mem", table->mem_gb);
+    rr_encode_text(out, "teams");
+    rr_encode_array(out, content->team_count);
+    for (guint i = 0; i < content->team_count; i++) {
+        put_team(out, &g_array_index(table->teams, rr_admission_team, content->team + i));
+    }
+    rr_encode_text(out, "rows");
+    rr_encode_array(out, content->row_count);
+    for (guint i = 0; i < content->row_count; i++) {
+        put_row(out, &g_array_index(table->rows, rr_admission_row, content->row + i));
+    }
+}
+
+guint rr_admission_table_encode(const rr_admission_table *table, size_t value_bytes,
+                                guint records_max, rr_encoder *out) {
+    struct record_content records[RR_ADMISSION_PARTS_MAX];
+    rr_admission_table sorted = *table;
+    sorted.rows = g_array_copy(table->rows);
+    g_array_sort(sorted.rows, compare_by_share);
+    guint count = divide_table(&sorted, value_bytes, records_max, records);
+    for (guint i = 0; i < count; i++) {
+        encode_record(&sorted, &records[i], count, &out[i]);
+    }
+    g_array_free(sorted.rows, TRUE);
+    return count;
+}
+
+/* ---- decoding ---- */
+
+static bool is_triple(const msgpack_object *object) {
+    return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == 3;
+}
+
+static bool read_row(const msgpack_object *object, rr_admission_row *row) {
+    uint64_t phase;
+    if (!is_triple(object) || !rr_object_u64(&object->via.array.ptr[0], &row->id) ||
+        !rr_object_u64(&object->via.array.ptr[1], &phase) ||
+        !rr_object_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
+        row->share > RR_ADMISSION_FULL) {
+        return false;
+    }
+    row->phase = (uint32_t)phase;
+    return true;
+}
+
+static bool read_team(const msgpack_object *object, rr_admission_team *team) {
+    uint64_t room, correction;
+    if (!is_triple(object) ||
+        !rr_object_text(&object->via.array.ptr[0], team->name, sizeof team->name) ||
+        !rr_object_u64(&object->via.array.ptr[1], &room) ||
+        !rr_object_u64(&object->via.array.ptr[2], &correction)) {
+        return false;
+    }
+    team->room = (double)room / ROOM_UNITS;
+    team->correction = (double)correction / CORRECTION_UNITS;
+    return true;
+}
+
+/* NULL: not there, or not an array. */
+static const msgpack_object_array *get_array(const msgpack_object *map, const char *key) {
+    const msgpack_object *object = rr_map_get(map, key);
+    return object && object->type == MSGPACK_OBJECT_ARRAY ? &object->via.array : NULL;
+}
+
+static bool read_head(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
+    uint64_t version;
+    return rr_map_get_u64(value, "v", &version) && version == RR_ADMISSION_VERSION &&
+           rr_map_get_u64(value, "sequence", &table->sequence) && table->sequence != 0 &&
+           rr_map_get_u64(value, "parts", parts) && *parts != 0 &&
+           *parts <= RR_ADMISSION_PARTS_MAX &&
+           rr_map_get_number(value, "starts_at", &table->starts_at) &&
+           rr_map_get_number(value, "length_s", &table->length_s) && table->length_s > 0 &&
+           table->length_s <= TABLE_LENGTH_MAX_S &&
+           rr_map_get_bool(value, "active", &table->active) &&
+           rr_map_get_number(value, "cpu", &table->cpus) &&
+           rr_map_get_number(value, "gpu", &table->gpus) &&
+           rr_map_get_number(value, "mem", &table->mem_gb);
+}
+
+/* Reads a record into an empty table. */
+static bool read_record(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
+    const msgpack_object_array *rows = get_array(value, "rows");
+    const msgpack_object_array *teams = get_array(value, "teams");
+    if (!rows || !teams || !read_head(value, table, parts)) {
+        return false;
+    }
+    for (uint32_t i = 0; i < rows->size; i++) {
+        rr_admission_row row;
+        if (!read_row(&rows->ptr[i], &row)) {
+            return false;
+        }
+        g_array_append_val(table->rows, row);
+    }
+    for (uint32_t i = 0; i < teams->size; i++) {
+        rr_admission_team team;
+        memset(&team, 0, sizeof team);
+        if (!read_team(&teams->ptr[i], &team)) {
+            return false;
+        }
+        g_array_append_val(table->teams, team);
+    }
+    return true;
+}
+
+/* Begins an empty table with the head of one of its records. */
+static void begin_table(rr_admission_slot *slot, const rr_admission_table *head, guint parts) {
+    rr_admission_table_clear(&slot->table);
+    rr_admission_table_init(&slot->table);
+    slot->table.sequence = head->sequence;
+    slot->table.starts_at = head->starts_at;
+    slot->table.length_s = head->length_s;
+    slot->table.active = head->active;
+    slot->table.cpus = head->cpus;
+    slot->table.gpus = head->gpus;
+    slot->table.mem_gb = head->mem_gb;
+    slot->parts = parts;
+    slot->have = 0;
+}
+
+/* Adds a part to the slot's table, or begins a newer one with it. True: the table is whole. */
+static bool add_part(rr_admission_slot *slot, guint part, const rr_admission_table *read,
+                     guint parts, bool known) {
+    if (read->sequence > slot->table.sequence) {
+        begin_table(slot, read, parts);
+    }
+    if (read->sequence != slot->table.sequence || parts != slot->parts || known) {
+        return false;
+    }
+    g_array_append_vals(slot->table.rows, read->rows->data, read->rows->len);
+    g_array_append_vals(slot->table.teams, read->teams->data, read->teams->len);
+    slot->have |= 1U << part;
+    if (slot->have != (1U << slot->parts) - 1) {
+        return false;
+    }
+    rr_admission_table_sort(&slot->table);
+    return true;
+}
+
+int rr_admission_slot_put(rr_admission_slot *slot, guint part, const msgpack_object *value,
+                          uint64_t version) {
+    rr_admission_table read;
+    uint64_t parts = 0;
+    if (part >= RR_ADMISSION_PARTS_MAX) {
+        return -EPROTO;
+    }
+    bool known = slot->versions[part] == version && slot->have >> part & 1;
+    slot->versions[part] = version;
+    rr_admission_table_init(&read);
+    int rc = -EPROTO;
+    if (read_record(value, &read, &parts) && part < parts) {
+        rc = add_part(slot, part, &read, (guint)parts, known);
+    }
+    rr_admission_table_clear(&read);
+    return rc;
+}
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -402,7 +402,7 @@
     unsigned fresh[] = {0};
     rr_admission_key key = key_of("red", "x", 1);
     refuse_jobs(demand, &key, 0, 40);
-    rr_demand_settle(demand, even_number, NULL);
+    rr_demand_forget_accepted(demand, even_number, NULL);
     assert_int_equal(rr_demand_waiting(demand), 20);
     assert_true(count_of(one, fresh, 1, &key) == 20);
     rr_demand_destroy(demand);
