--- /dev/null
+++ b/tests/test_admission_tables.c
@@ -0,0 +1,257 @@
+/* Admission tables: their records in the key-value store, and the verdicts that follow from them.
+ * */
+#include "admission_fixture.h"
+
+#include <errno.h>
+#include <math.h>
+#include <stdio.h>
+#include <string.h>
+
+/* ---- records ---- */
+
+/* A table with this many rows, and 40 teams. */
+static void make_large_table(rr_admission_table *table, uint64_t sequence, double starts_at,
+                             guint row_count) {
+    rr_admission_table_init(table);
+    table->sequence = sequence;
+    table->starts_at = starts_at;
+    table->length_s = 10;
+    table->active = true;
+    table->cpus = 100;
+    for (guint i = 0; i < row_count; i++) {
+        rr_admission_row row = {.id = UINT64_MAX - i, .phase = UINT32_MAX - i};
+        row.share = RR_ADMISSION_FULL / (i + 1);
+        g_array_append_val(table->rows, row);
+    }
+    for (int i = 0; i < 40; i++) {
+        rr_admission_team team = {.room = 0.25, .correction = 1.5};
+        g_snprintf(team.name, sizeof team.name, "team-%d", i);
+        g_array_append_val(table->teams, team);
+    }
+    rr_admission_table_sort(table);
+}
+
+/* Puts the records in one by one; the slot must be whole with the last one and not before. */
+static void put_records(rr_admission_slot *slot, rr_encoder *records, guint count) {
+    for (guint i = 0; i < count; i++) {
+        rr_document document;
+        assert_int_equal(
+            rr_document_parse(&document, records[i].buffer.data, records[i].buffer.size), 0);
+        int rc = rr_admission_slot_put(slot, count - 1 - i, NULL, 1);
+        assert_int_equal(rc, -EPROTO);
+        assert_int_equal(rr_admission_slot_put(slot, i, document.root, 7), i + 1 == count);
+        rr_document_clear(&document);
+        rr_encoder_clear(&records[i]);
+    }
+}
+
+/* A table larger than a value comes back whole from its records; one larger than a transaction
+ * loses the rows of the largest shares, which their group's rest then stands for. */
+static void table_is_whole_from_its_records(void **state) {
+    (void)state;
+    rr_admission_table table;
+    rr_encoder records[RR_ADMISSION_PARTS_MAX];
+    rr_admission_slot slot = {.parts = 0};
+    rr_admission_table_init(&slot.table);
+    make_large_table(&table, 5, 1000, 200);
+    guint count = rr_admission_table_encode(&table, 4096, 8, records);
+    assert_true(count > 1 && count <= 8);
+    put_records(&slot, records, count);
+    assert_int_equal(slot.table.rows->len, 200);
+    assert_int_equal(slot.table.teams->len, 40);
+    for (guint i = 0; i < 200; i++) {
+        const rr_admission_row *row = &g_array_index(table.rows, rr_admission_row, i);
+        const rr_admission_row *read = &g_array_index(slot.table.rows, rr_admission_row, i);
+        assert_true(row->id == read->id && row->phase == read->phase && row->share == read->share);
+    }
+    assert_true(fabs(rr_admission_table_team(&slot.table, "team-7")->correction - 1.5) < 1e-9);
+    rr_admission_table_clear(&table);
+    make_large_table(&table, 7, 1020, 2000);
+    count = rr_admission_table_encode(&table, 4096, 8, records);
+    assert_int_equal(count, 8);
+    put_records(&slot, records, count);
+    assert_true(slot.table.rows->len < 2000);
+    assert_non_null(rr_admission_table_row(&slot.table, UINT64_MAX - 1999));
+    assert_null(rr_admission_table_row(&slot.table, UINT64_MAX));
+    rr_admission_table_clear(&table);
+    rr_admission_table_clear(&slot.table);
+}
+
+/* No record is larger than the key-value store's limit on values, in any part. */
+static void records_stay_within_limit_on_values(void **state) {
+    (void)state;
+    rr_admission_table table;
+    rr_encoder records[RR_ADMISSION_PARTS_MAX];
+    fake_store *store = fake_store_create();
+    make_large_table(&table, 5, 1e9, 900);
+    for (guint i = 0; i < table.teams->len; i++) {
+        rr_admission_team *team = &g_array_index(table.teams, rr_admission_team, i);
+        memset(team->name, 'x', sizeof team->name - 1);
+    }
+    guint count = rr_admission_table_encode(&table, 2048, 16, records);
+    for (guint i = 0; i < count; i++) {
+        fake_store_put(store, "rr/admission/1/0", &records[i]);
+        assert_true(fake_store_value_size(store, "rr/admission/1/0") <= 2048);
+    }
+    rr_admission_table_clear(&table);
+    fake_store_destroy(store);
+}
+
+/* A record of a later version or under a malformed key changes nothing. */
+static void unreadable_record_is_counted_and_ignored(void **state) {
+    (void)state;
+    struct admission_fixture fixture;
+    rr_admission_stats stats;
+    admission_fixture_init(&fixture);
+    rr_admission *admission = fixture.admission;
+    static const char *const keys[] = {"0/0", "0/99", "7/0", "x", "0", "0/0/0", ""};
+    for (guint i = 0; i < G_N_ELEMENTS(keys); i++) {
+        rr_encoder out;
+        rr_document document;
+        rr_encoder_init(&out);
+        rr_encode_map(&out, 2);
+        rr_encode_key_u64(&out, "v", RR_ADMISSION_VERSION + 1);
+        rr_encode_key_u64(&out, "sequence", 9);
+        assert_int_equal(rr_document_parse(&document, out.buffer.data, out.buffer.size), 0);
+        rr_admission_put(admission, keys[i], document.root, 3);
+        rr_document_clear(&document);
+        rr_encoder_clear(&out);
+    }
+    rr_admission_get_stats(admission, &stats);
+    assert_int_equal(stats.records_unread, G_N_ELEMENTS(keys));
+    assert_int_equal(rr_admission_newest(admission)->sequence, 0);
+    admission_fixture_clear(&fixture);
+}
+
+/* ---- verdicts ---- */
+
+#define START 1000.0
+
+static void make_table_of_one_row(rr_admission_table *table, uint64_t sequence, double starts_at,
+                                  uint64_t id, uint32_t phase, double share) {
+    rr_admission_row row = {.id = id, .phase = phase};
+    row.share = (uint64_t)(share * (double)RR_ADMISSION_FULL);
+    rr_admission_table_init(table);
+    table->sequence = sequence;
+    table->starts_at = starts_at;
+    table->length_s = 10;
+    table->active = true;
+    g_array_append_val(table->rows, row);
+}
+
+/* The part of jobs that a window admits is its width, and a job that comes back when told is
+ * admitted. */
+static void window_admits_its_share_and_every_job_in_turn(void **state) {
+    (void)state;
+    rr_admission_key key = make_key("red", "x", 1);
+    rr_admission_table table, none;
+    rr_admission_table_init(&none);
+    make_table_of_one_row(&table, 1, START, key.id, 123456789, 0.2);
+    rr_admission_tables tables = {&table, &none};
+    unsigned admitted = 0;
+    for (unsigned i = 0; i < 2000; i++) {
+        char id[32];
+        g_snprintf(id, sizeof id, "req-%06u", i);
+        double wall = START + 5;
+        rr_admission_verdict verdict = rr_admission_decide(&tables, wall, 0.1, &key, id);
+        admitted += verdict.kind == RR_ADMISSION_ADMIT;
+        while (verdict.kind != RR_ADMISSION_ADMIT && wall < START + 40) {
+            assert_int_equal(verdict.kind, RR_ADMISSION_WAIT);
+            assert_in_range(verdict.retry_after_s, 1, RR_RETRY_AFTER_MAX_S);
+            bool has_turn = verdict.retry_after_s < RR_RETRY_AFTER_MAX_S;
+            wall += verdict.retry_after_s;
+            verdict = rr_admission_decide(&tables, wall, 0.1, &key, id);
+            bool same_table = wall < START + 40;
+            assert_true(!has_turn || !same_table || verdict.kind == RR_ADMISSION_ADMIT);
+        }
+    }
+    assert_in_range(admitted, 320, 480);
+    rr_admission_table_clear(&table);
+    rr_admission_table_clear(&none);
+}
+
+/* At one true time no two clocks within the bound use windows of different intervals: one on either
+ * side of an edge, and all between, never both admit by their own. */
+static void clocks_within_bound_use_one_window(void **state) {
+    (void)state;
+    const double clock_error_s = 0.1;
+    rr_admission_key key = make_key("red", "x", 1);
+    rr_admission_table before, after;
+    make_table_of_one_row(&before, 1, START, key.id, 0, 0.25);
+    make_table_of_one_row(&after, 2, START + 10, key.id, 0x80000000U,
+                          0.25); /* the windows do not overlap */
+    rr_admission_tables tables = {&after, &before};
+    for (unsigned i = 0; i < 400; i++) {
+        char id[32];
+        g_snprintf(id, sizeof id, "req-%06u", i);
+        for (int tick = 0; tick < 100; tick++) {
+            double true_time = START + 9.5 + tick * 0.01;
+            bool slow =
+                rr_admission_decide(&tables, true_time - clock_error_s, clock_error_s, &key, id)
+                    .kind == RR_ADMISSION_ADMIT;
+            bool fast =
+                rr_admission_decide(&tables, true_time + clock_error_s, clock_error_s, &key, id)
+                    .kind == RR_ADMISSION_ADMIT;
+            /* Both admit only by the same window. */
+            bool by_before =
+                rr_admission_decide(&tables, START + 5, clock_error_s, &key, id).kind ==
+                RR_ADMISSION_ADMIT;
+            bool by_after =
+                rr_admission_decide(&tables, START + 15, clock_error_s, &key, id).kind ==
+                RR_ADMISSION_ADMIT;
+            assert_false(slow && fast && !by_before && !by_after);
+            assert_false(slow && !by_before &&
+                         true_time - clock_error_s < START + 10 + clock_error_s - 1e-9);
+            assert_false(fast && !by_after &&
+                         true_time + clock_error_s > START + 10 - clock_error_s + 1e-9);
+        }
+    }
+    rr_admission_table_clear(&before);
+    rr_admission_table_clear(&after);
+}
+
+/* A table is valid for three intervals after its own. An inactive one limits nothing, however old;
+ * a team or band without a row is not limited. */
+static void table_limits_named_keys_until_it_is_stale(void **state) {
+    (void)state;
+    rr_admission_key key = make_key("red", "x", 1), other = make_key("red", "new", 1);
+    rr_admission_key larger = make_key("red", "new", 9), blue = make_key("blue", "x", 1);
+    rr_admission_table table, none;
+    rr_admission_table_init(&none);
+    make_table_of_one_row(&table, 1, START, key.id, 0, 0);
+    rr_admission_tables tables = {&table, &none};
+    assert_int_equal(rr_admission_decide(&tables, START + 39.8, 0.1, &key, "req-1").kind,
+                     RR_ADMISSION_WAIT);
+    assert_int_equal(rr_admission_decide(&tables, START + 40.1, 0.1, &key, "req-1").kind,
+                     RR_ADMISSION_STALE);
+    assert_int_equal(rr_admission_decide(&tables, START - 1, 0.1, &key, "req-1").kind,
+                     RR_ADMISSION_ADMIT);
+    assert_int_equal(rr_admission_decide(&tables, START + 5, 0.1, &other, "req-1").kind,
+                     RR_ADMISSION_ADMIT);
+    rr_admission_row rest = {.id = rr_admission_rest_id("red", 0)};
+    g_array_append_val(table.rows, rest);
+    rr_admission_table_sort(&table);
+    assert_int_equal(rr_admission_decide(&tables, START + 5, 0.1, &other, "req-1").kind,
+                     RR_ADMISSION_WAIT);
+    assert_int_equal(rr_admission_decide(&tables, START + 5, 0.1, &larger, "req-1").kind,
+                     RR_ADMISSION_ADMIT);
+    assert_int_equal(rr_admission_decide(&tables, START + 5, 0.1, &blue, "req-1").kind,
+                     RR_ADMISSION_ADMIT);
+    table.active = false;
+    assert_int_equal(rr_admission_decide(&tables, START + 9999, 0.1, &key, "req-1").kind,
+                     RR_ADMISSION_ADMIT);
+    rr_admission_table_clear(&table);
+    rr_admission_table_clear(&none);
+}
+
+int main(void) {
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(table_is_whole_from_its_records),
+        cmocka_unit_test(records_stay_within_limit_on_values),
+        cmocka_unit_test(unreadable_record_is_counted_and_ignored),
+        cmocka_unit_test(window_admits_its_share_and_every_job_in_turn),
+        cmocka_unit_test(clocks_within_bound_use_one_window),
+        cmocka_unit_test(table_limits_named_keys_until_it_is_stale),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
