--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -13,14 +13,15 @@
 #include <string.h>
 
 #define STEP_S 0.1
-#define EPOCH_WALL 1e6 /* wall time at the beginning */
+#define START_WALL 1e6 /* wall clock at the beginning */
 #define PATIENCE_S 60.0
-#define FAIR_WAIT_S 60.0 /* as in core/observe.c */
+#define COMPARED_TRY 100 /* one of so many tries is made at all controllers */
+#define FAIR_WAIT_S 60.0 /* as in the core's plans */
 
 struct job {
     rr_submission submission;
     unsigned stream;
-    double came_at, next_try, accepted_at;
+    double arrived_at, next_try, accepted_at;
     uint32_t placed;
 };
 
@@ -49,19 +50,20 @@
     uint64_t revision, delivered[MODEL_CONTROLLERS]; /* newest, and what each cache has */
     rr_admission_writer *writers[MODEL_CONTROLLERS];
     rr_offered_load loads[MODEL_CONTROLLERS];
-    double fresh_at[MODEL_CONTROLLERS], told_for, written_for;
-    double free;
+    double current_at[MODEL_CONTROLLERS]; /* when each cache was last up to date */
+    double announced_for, written_for;    /* intervals */
+    double free_cpus;
 };
 
 static double wall_at(const struct model *model, int controller) {
-    return EPOCH_WALL + model->state->now + model->clock_off_s[controller];
+    return START_WALL + model->state->now + model->clock_off_s[controller];
 }
 
 void model_init(struct model *model, const char *const *teams) {
     memset(model, 0, sizeof *model);
     model->seed = 1;
     model->seconds = 3600;
-    model->processors = 100;
+    model->cpus = 100;
     model->admission = true;
     struct rr_config *config = &model->config;
     for (; *teams; teams++) {
@@ -144,7 +146,7 @@
     model->controllers[i] = rr_admission_create(&model->config, &model->settings[i]);
     state->writers[i] = rr_admission_writer_create(&model->config, &model->settings[i]);
     rr_offered_load_init(&state->loads[i], &model->settings[i]);
-    state->fresh_at[i] = state->now;
+    state->current_at[i] = state->now;
     state->delivered[i] = 0;
     deliver_all(model, i);
 }
@@ -165,7 +167,7 @@
     return g_hash_table_contains(model->state->accepted, job_id);
 }
 
-static void tell_demand(struct model *model) {
+static void announce_demand(struct model *model) {
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         GByteArray *view = g_byte_array_new();
         rr_admission_settle(model->controllers[i], is_known, model);
@@ -184,29 +186,28 @@
 static void gather_load(struct model *model, rr_offered_load *load) {
     struct model_state *state = model->state;
     rr_offered_load_begin(load);
-    rr_offered_load_add_machine(load, "m1", "a",
-                                (rr_amount){model->processors, 0, 4 * model->processors});
+    rr_offered_load_add_machine(load, "m1", "a", (rr_amount){model->cpus, 0, 4 * model->cpus});
     GHashTableIter iterator;
     gpointer value;
-    GHashTable *live = g_hash_table_new(NULL, NULL);
+    GHashTable *running_tasks = g_hash_table_new(NULL, NULL);
     for (guint i = 0; i < state->running->len; i++) {
         struct job *job = g_array_index(state->running, struct running, i).job;
-        gpointer count = g_hash_table_lookup(live, job);
-        g_hash_table_insert(live, job, GUINT_TO_POINTER(GPOINTER_TO_UINT(count) + 1));
+        gpointer count = g_hash_table_lookup(running_tasks, job);
+        g_hash_table_insert(running_tasks, job, GUINT_TO_POINTER(GPOINTER_TO_UINT(count) + 1));
     }
     g_hash_table_iter_init(&iterator, state->accepted);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct job *job = value;
-        uint32_t position = GPOINTER_TO_UINT(g_hash_table_lookup(live, job));
+        uint32_t running = GPOINTER_TO_UINT(g_hash_table_lookup(running_tasks, job));
         int team = 0;
         while (strcmp(model->config.teams[team].name, job->submission.team) != 0) {
             team++;
         }
         rr_offered_load_add_job(load, &job->submission, team,
-                                job->submission.task_count - job->placed, position,
-                                job->placed - position);
+                                job->submission.task_count - job->placed, running,
+                                job->placed - running);
     }
-    g_hash_table_destroy(live);
+    g_hash_table_destroy(running_tasks);
 }
 
 static void write_table(struct model *model, int i) {
@@ -226,9 +227,7 @@
         model->conflicts++;
     }
     if (fits && model->lose_answer) {
-        /* The answer was lost: the writer tries again. The first one counts, the guards refuse
-         * this.
-         */
+        /* The answer was lost, and the writer tries again: the guards refuse the second commit. */
         model->lost_answers++;
         assert_false(commit(model, &transaction));
     }
@@ -240,13 +239,13 @@
 static void run_controllers(struct model *model) {
     struct model_state *state = model->state;
     double length = model->settings[0].interval_s;
-    double edge = floor((EPOCH_WALL + state->now) / length) * length;
+    double edge = floor((START_WALL + state->now) / length) * length;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         rr_admission_tick(model->controllers[i], wall_at(model, i), state->now);
     }
-    if (state->told_for != edge && EPOCH_WALL + state->now - edge > 0.45 * length) {
-        state->told_for = edge;
-        tell_demand(model);
+    if (state->announced_for != edge && START_WALL + state->now - edge > 0.45 * length) {
+        state->announced_for = edge;
+        announce_demand(model);
     }
     int writer = model->autoscaler;
     if (writer >= 0 && state->written_for != edge &&
@@ -258,7 +257,7 @@
     }
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         if (!model->cut[i]) {
-            state->fresh_at[i] = state->now;
+            state->current_at[i] = state->now;
             deliver_all(model, i);
         }
     }
@@ -266,7 +265,7 @@
 
 /* ---- users ---- */
 
-static struct job *new_job(struct model *model, unsigned stream) {
+static void add_job(struct model *model, unsigned stream) {
     struct model_state *state = model->state;
     const struct model_stream *from = &model->streams[stream];
     struct job *job = g_new0(struct job, 1);
@@ -280,23 +279,22 @@
     submission->mem_gb = 1;
     submission->runtime_estimate_s = from->runtime_s * from->estimate_factor;
     job->stream = stream;
-    job->came_at = job->next_try = state->now;
+    job->arrived_at = job->next_try = state->now;
     g_ptr_array_add(state->jobs, job);
     g_ptr_array_add(state->asking, job);
     fair_cluster_submit(state->fair, stream, from->tasks * from->runtime_s, state->now);
     model->results[stream].offered++;
-    return job;
 }
 
-static void arrivals(struct model *model) {
+static void submit_arrivals(struct model *model) {
     struct model_state *state = model->state;
     for (unsigned i = 0; i < model->stream_count; i++) {
         const struct model_stream *stream = &model->streams[i];
         double until = stream->to_s > 0 ? stream->to_s : model->seconds;
         double expected = stream->jobs_per_s * STEP_S;
-        bool comes = state->now >= stream->from_s && state->now < until;
-        while (comes && g_rand_double(state->random) < expected) {
-            new_job(model, i);
+        bool open = state->now >= stream->from_s && state->now < until;
+        while (open && g_rand_double(state->random) < expected) {
+            add_job(model, i);
             expected -= 1;
         }
     }
@@ -304,29 +302,28 @@
 
 static rr_admission_verdict ask(struct model *model, int controller, const struct job *job) {
     struct model_state *state = model->state;
-    rr_admission_context standing_here = {.lease_valid = true,
-                                          .all_capable = true,
-                                          .cache_age_s = state->now - state->fresh_at[controller],
-                                          .controllers = MODEL_CONTROLLERS};
-    return rr_admission_ask(model->controllers[controller], &job->submission, &standing_here,
+    rr_admission_context context = {.lease_valid = true,
+                                    .all_capable = true,
+                                    .cache_age_s = state->now - state->current_at[controller],
+                                    .controllers = MODEL_CONTROLLERS};
+    return rr_admission_ask(model->controllers[controller], &job->submission, &context,
                             wall_at(model, controller), state->now);
 }
 
-/* Every hundredth job is asked at all controllers at once: with the same tables and clocks they
- * must agree. */
-static void compare(struct model *model, const struct job *job, bool admitted) {
-    bool clocks = false, cut = false;
+/* Asks all controllers at once: with the same tables and clocks they must agree. */
+static void compare_verdicts(struct model *model, const struct job *job, bool admitted) {
+    bool clocks_off = false, frozen = false;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
-        clocks = clocks || model->clock_off_s[i] != 0;
-        cut = cut || model->cut[i];
+        clocks_off = clocks_off || model->clock_off_s[i] != 0;
+        frozen = frozen || model->cut[i];
     }
-    for (int i = 0; i < MODEL_CONTROLLERS && !clocks && !cut; i++) {
+    for (int i = 0; i < MODEL_CONTROLLERS && !clocks_off && !frozen; i++) {
         bool other = ask(model, i, job).kind == RR_ADMISSION_ADMIT;
         model->disagreements += other != admitted;
     }
 }
 
-/* True: the user asks no more. */
+/* True: the job is accepted or abandoned. */
 static bool try_job(struct model *model, struct job *job) {
     struct model_state *state = model->state;
     int only = model->streams[job->stream].controller;
@@ -335,8 +332,8 @@
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     if (model->admission) {
         verdict = ask(model, controller, job);
-        if (g_rand_int_range(state->random, 0, 100) == 0) {
-            compare(model, job, verdict.kind == RR_ADMISSION_ADMIT);
+        if (g_rand_int_range(state->random, 0, COMPARED_TRY) == 0) {
+            compare_verdicts(model, job, verdict.kind == RR_ADMISSION_ADMIT);
         }
     }
     if (verdict.kind == RR_ADMISSION_ADMIT) {
@@ -346,19 +343,19 @@
             job->submission.task_count * job->submission.runtime_estimate_s;
         job->accepted_at = state->now;
         result->accepted++;
-        result->asked_s += state->now - job->came_at;
+        result->asked_s += state->now - job->arrived_at;
         g_hash_table_insert(state->accepted, job->submission.job_id, job);
         g_ptr_array_add(state->queue, job);
         return true;
     }
     job->next_try =
         state->now + fmax(1, verdict.retry_after_s) + g_rand_double_range(state->random, 0, 0.3);
-    bool gives_up = job->next_try - job->came_at > PATIENCE_S;
-    result->given_up += gives_up;
-    return gives_up;
+    bool abandons = job->next_try - job->arrived_at > PATIENCE_S;
+    result->given_up += abandons;
+    return abandons;
 }
 
-static void users(struct model *model) {
+static void retry_waiting(struct model *model) {
     GPtrArray *asking = model->state->asking;
     for (guint i = asking->len; i > 0; i--) {
         struct job *job = g_ptr_array_index(asking, i - 1);
@@ -370,7 +367,7 @@
 
 /* ---- machines ---- */
 
-static void note_wait(struct model_result *result, double wait) {
+static void record_wait(struct model_result *result, double wait) {
     static const double bounds[] = {1, 5, 15, 30, 60, 120, 240};
     unsigned bin = 0;
     while (bin < G_N_ELEMENTS(bounds) && wait >= bounds[bin]) {
@@ -382,16 +379,16 @@
     result->begun++;
 }
 
-/* As an owner does: no team beyond its fair room while a table is in force. */
+/* As an owner does, keeps teams within their fair rooms while a table is in force. */
 static bool may_place(const struct model *model, const struct job *job, const double *used) {
     const rr_admission_table *table =
-        rr_admission_table_at(model->controllers[0], EPOCH_WALL + model->state->now);
+        rr_admission_table_at(model->controllers[0], START_WALL + model->state->now);
     if (!model->admission || !table || !table->active ||
         model->state->now - job->accepted_at > FAIR_WAIT_S) {
         return true;
     }
     const rr_admission_team *team = rr_admission_table_team(table, job->submission.team);
-    return !team || (used[job->stream] + 1) / model->processors <= team->room + 1e-6;
+    return !team || (used[job->stream] + 1) / model->cpus <= team->room + 1e-6;
 }
 
 static void finish_tasks(struct model *model) {
@@ -400,12 +397,12 @@
         if (g_array_index(running, struct running, i - 1).ends_at <= model->state->now) {
             model->running[g_array_index(running, struct running, i - 1).job->stream]--;
             g_array_remove_index_fast(running, i - 1);
-            model->state->free += 1;
+            model->state->free_cpus += 1;
         }
     }
 }
 
-/* Processors by the team of each stream. */
+/* CPUs used by the team of each stream. */
 static void count_used(const struct model *model, double *used) {
     memset(used, 0, MODEL_STREAMS * sizeof *used);
     for (unsigned i = 0; i < model->stream_count; i++) {
@@ -421,28 +418,27 @@
     const struct model_stream *stream = &model->streams[job->stream];
     struct running task = {job, state->now + stream->runtime_s};
     g_array_append_val(state->running, task);
-    state->free -= 1;
+    state->free_cpus -= 1;
     model->running[job->stream]++;
     if (job->placed++ == 0) {
-        note_wait(&model->results[job->stream], state->now - job->came_at);
+        record_wait(&model->results[job->stream], state->now - job->arrived_at);
     }
     model->results[job->stream].served += stream->runtime_s;
 }
 
-static bool is_next(const struct model *model, const struct job *job, const struct job *best) {
+static bool goes_before(const struct model *model, const struct job *job, const struct job *best) {
     return !best ||
            (model->admission && model->running[job->stream] < model->running[best->stream]);
 }
 
-/* The next job of a team (NULL: of any): as an owner does, the class that has least, then the
- * oldest.
- */
+/* The next job of a team (NULL: of any): as an owner does, of the class with the fewest running
+ * tasks, then the oldest. */
 static struct job *next_job(const struct model *model, const char *team, const double *used) {
     const GPtrArray *queue = model->state->queue;
     struct job *best = NULL;
     for (guint i = 0; i < queue->len; i++) {
         struct job *job = g_ptr_array_index(queue, i);
-        if ((!team || strcmp(job->submission.team, team) == 0) && is_next(model, job, best) &&
+        if ((!team || strcmp(job->submission.team, team) == 0) && goes_before(model, job, best) &&
             may_place(model, job, used)) {
             best = job;
         }
@@ -453,8 +449,8 @@
     return best;
 }
 
-/* Each team has an owner of its own, and nobody orders what they do: they race for room. Without
- * admission one order of arrival stands for a lucky day. */
+/* The teams' owners place independently of each other, so that a random one goes first. Without
+ * admission, jobs are placed in order of arrival. */
 static struct job *next_to_place(struct model *model, const double *used) {
     guint teams = (guint)model->config.team_count;
     guint first = (guint)g_rand_int_range(model->state->random, 0, (gint)teams);
@@ -465,12 +461,12 @@
     return job;
 }
 
-static void place(struct model *model) {
+static void place_tasks(struct model *model) {
     GPtrArray *queue = model->state->queue;
     double used[MODEL_STREAMS];
     struct job *job;
     count_used(model, used);
-    while (model->state->free >= 1 && (job = next_to_place(model, used))) {
+    while (model->state->free_cpus >= 1 && (job = next_to_place(model, used))) {
         place_task(model, job);
         count_used(model, used);
         if (job->placed == job->submission.task_count) {
@@ -496,12 +492,12 @@
     state->queue = g_ptr_array_new();
     state->running = g_array_new(FALSE, FALSE, sizeof(struct running));
     state->accepted = g_hash_table_new(g_str_hash, g_str_equal);
-    state->free = model->processors;
+    state->free_cpus = model->cpus;
     const char *teams[MODEL_STREAMS];
     for (unsigned i = 0; i < model->stream_count; i++) {
         teams[i] = model->streams[i].team;
     }
-    state->fair = fair_cluster_create(model->processors, teams, model->stream_count);
+    state->fair = fair_cluster_create(model->cpus, teams, model->stream_count);
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         start_controller(model, i);
     }
@@ -511,11 +507,11 @@
         if (model->each_second && step % (unsigned)(1 / STEP_S) == 0) {
             model->each_second(model, state->now);
         }
-        arrivals(model);
+        submit_arrivals(model);
         run_controllers(model);
-        users(model);
+        retry_waiting(model);
         finish_tasks(model);
-        place(model);
+        place_tasks(model);
         fair_cluster_step(state->fair, state->now, STEP_S);
     }
     for (unsigned i = 0; i < model->stream_count; i++) {
--- a/tests/fair_cluster.c
+++ b/tests/fair_cluster.c
@@ -5,24 +5,24 @@
 #include <math.h>
 #include <string.h>
 
-#define NOTHING 1e-9
+#define WORK_EPSILON 1e-9
 
 struct fair_job {
-    double came_at, left;
+    double arrived_at, work_left; /* the work in CPU seconds */
     bool begun;
 };
 
 struct fair_cluster {
-    double processors;
+    double cpus;
     unsigned streams;
     const char *teams[FAIR_STREAMS_MAX];
     GQueue jobs[FAIR_STREAMS_MAX]; /* struct fair_job* */
     struct fair_result results[FAIR_STREAMS_MAX];
 };
 
-fair_cluster *fair_cluster_create(double processors, const char *const *teams, unsigned streams) {
+fair_cluster *fair_cluster_create(double cpus, const char *const *teams, unsigned streams) {
     fair_cluster *cluster = g_new0(fair_cluster, 1);
-    cluster->processors = processors;
+    cluster->cpus = cpus;
     cluster->streams = streams;
     for (unsigned i = 0; i < streams; i++) {
         cluster->teams[i] = teams[i];
@@ -40,8 +40,8 @@
 
 void fair_cluster_submit(fair_cluster *cluster, unsigned stream, double work, double now) {
     struct fair_job *job = g_new0(struct fair_job, 1);
-    job->came_at = now;
-    job->left = work;
+    job->arrived_at = now;
+    job->work_left = work;
     g_queue_push_tail(&cluster->jobs[stream], job);
 }
 
@@ -50,35 +50,35 @@
 }
 
 double fair_wait_ratio(double wait_s, unsigned begun, const struct fair_result *fair,
-                       double least) {
+                       double wait_min_s) {
     double mean = begun ? wait_s / begun : INFINITY;
     double fair_mean = fair->begun ? fair->wait_s / fair->begun : 0;
-    return fmax(mean, least) / fmax(fair_mean, least);
+    return fmax(mean, wait_min_s) / fmax(fair_mean, wait_min_s);
 }
 
 static void serve(fair_cluster *cluster, unsigned stream, double amount, double now) {
     struct fair_result *result = &cluster->results[stream];
     struct fair_job *job;
     result->served += amount;
-    while (amount > NOTHING && (job = g_queue_peek_head(&cluster->jobs[stream]))) {
-        result->wait_s += job->begun ? 0 : now - job->came_at;
+    while (amount > WORK_EPSILON && (job = g_queue_peek_head(&cluster->jobs[stream]))) {
+        result->wait_s += job->begun ? 0 : now - job->arrived_at;
         result->begun += !job->begun;
         job->begun = true;
-        double part = fmin(amount, job->left);
-        job->left -= part;
+        double part = fmin(amount, job->work_left);
+        job->work_left -= part;
         amount -= part;
-        if (job->left <= NOTHING) {
+        if (job->work_left <= WORK_EPSILON) {
             g_free(g_queue_pop_head(&cluster->jobs[stream]));
         }
     }
 }
 
-/* What a stream could take in this step, no more than all processors would give. */
+/* CPUs that a stream could use in this step, counted until there are more than exist. */
 static double demand_of(fair_cluster *cluster, unsigned stream, double seconds) {
     double demand = 0;
-    for (GList *position = cluster->jobs[stream].head; position && demand < cluster->processors;
-         position = position->next) {
-        demand += ((struct fair_job *)position->data)->left / seconds;
+    for (GList *link = cluster->jobs[stream].head; link && demand < cluster->cpus;
+         link = link->next) {
+        demand += ((struct fair_job *)link->data)->work_left / seconds;
     }
     return demand;
 }
@@ -86,15 +86,15 @@
 void fair_cluster_step(fair_cluster *cluster, double now, double seconds) {
     double demands[FAIR_STREAMS_MAX], weights[FAIR_STREAMS_MAX], out[FAIR_STREAMS_MAX];
     for (unsigned i = 0; i < cluster->streams; i++) {
-        unsigned same = 0;
+        unsigned team_streams = 0;
         for (unsigned k = 0; k < cluster->streams; k++) {
-            same += strcmp(cluster->teams[i], cluster->teams[k]) == 0 &&
-                    !g_queue_is_empty(&cluster->jobs[k]);
+            team_streams += strcmp(cluster->teams[i], cluster->teams[k]) == 0 &&
+                            !g_queue_is_empty(&cluster->jobs[k]);
         }
         demands[i] = demand_of(cluster, i, seconds);
-        weights[i] = 1.0 / MAX(same, 1);
+        weights[i] = 1.0 / MAX(team_streams, 1);
     }
-    rr_share_water_fill(demands, weights, cluster->streams, cluster->processors, out);
+    rr_share_water_fill(demands, weights, cluster->streams, cluster->cpus, out);
     for (unsigned i = 0; i < cluster->streams; i++) {
         serve(cluster, i, out[i] * seconds, now);
     }
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -1,6 +1,6 @@
-/* Hours of overload by a fake clock: three controllers, users who come back, skewed submissions,
- * and the failures that fair admission must survive. `test_admission_hour SEED...` runs no test,
- * but prints the distribution of the hour for each seed, with admission and without. */
+/* Hours of overload with a fake clock: three controllers, users who retry, skewed submissions, and
+ * the failures that fair admission must withstand. `test_admission_hour SEED...` runs no test, but
+ * prints the distribution of the hour for each seed, with admission and without. */
 #include "admission_model.h"
 
 #include <setjmp.h>
@@ -16,9 +16,9 @@
 
 static const char *const four_teams[] = {"red", "blue", "green", "gold", NULL};
 
-/* One team asks for twenty times what another does, all at one controller; its small jobs come
- * beside large ones of its own and of another team. */
-static void skewed(struct model *model) {
+/* One team submits twenty times what another does, all to one controller; beside its small jobs
+ * there are large ones of its own and of another team. */
+static void init_skewed(struct model *model) {
     static const struct model_stream streams[] = {
         {"red", "flood", 20, 20, 1, 0, 0, 1, 0},   {"red", "large", 0.004, 20, 1, 0, 0, 80, 0},
         {"blue", "small", 1, 20, 1, 0, 0, 1, -1},  {"blue", "large", 0.004, 20, 1, 0, 0, 80, -1},
@@ -40,8 +40,8 @@
 }
 
 /* No team and no class of a team waits more than twice as long as in the fair cluster. Each team is
- * served nearly as much, and each class half as much at least: users give up after a minute here,
- * and never in the fair cluster. */
+ * served nearly as much, and each class at least half as much: here users abandon jobs after a
+ * minute, and in the fair cluster never. */
 static void assert_fair(const struct model *model) {
     for (size_t i = 0; i < model->config.team_count; i++) {
         const char *team = model->config.teams[i].name;
@@ -56,10 +56,10 @@
     }
 }
 
-static void an_hour_of_skewed_submissions(void **state) {
+static void skewed_submissions_are_served_fairly_for_an_hour(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model_run(&model);
     model_print(&model, "an hour");
     assert_fair(&model);
@@ -67,16 +67,16 @@
     /* The large jobs begin within four minutes, beside a flood of their own team's or another's. */
     assert_true(model.results[1].longest_s <= 240);
     assert_true(model.results[3].longest_s <= 240);
-    /* What is accepted is soon begun: the queue stays near its target. */
-    assert_true(model.peak_backlog <= 200 * model.processors);
+    /* Accepted jobs begin soon: the queue stays near its target. */
+    assert_true(model.peak_backlog <= 200 * model.cpus);
     model_clear(&model);
 }
 
-/* The same without admission: the flood's queue is everybody's. */
-static void without_admission_everybody_waits(void **state) {
+/* Without admission every team waits in the flood's queue. */
+static void every_team_waits_without_admission(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.admission = false;
     model.seconds = 900;
     model_run(&model);
@@ -85,52 +85,52 @@
     model_clear(&model);
 }
 
-/* ---- one controller with a stale picture ---- */
+/* ---- one controller with a stale store cache ---- */
 
-#define CUT_FROM 600
-#define CUT_TO 1500
+#define FROZEN_FROM 600
+#define FROZEN_TO 1500
 
-static unsigned admitted_before, admitted_in_cut;
-static double work_before, work_in_cut;
+static unsigned admitted_before, admitted_while_frozen;
+static double work_before, work_while_frozen;
 
-static void cut_one(struct model *model, double now) {
-    model->cut[1] = now >= CUT_FROM && now < CUT_TO;
-    if (now == CUT_FROM + 50) { /* three intervals and the one of its last table are over */
+static void freeze_one_cache(struct model *model, double now) {
+    model->cut[1] = now >= FROZEN_FROM && now < FROZEN_TO;
+    if (now == FROZEN_FROM + 50) { /* its last table is stale by then */
         admitted_before = model->admitted_at[1];
         work_before = model->admitted_work_at[1];
     }
-    if (now == CUT_TO) {
-        admitted_in_cut = model->admitted_at[1] - admitted_before;
-        work_in_cut = model->admitted_work_at[1] - work_before;
+    if (now == FROZEN_TO) {
+        admitted_while_frozen = model->admitted_at[1] - admitted_before;
+        work_while_frozen = model->admitted_work_at[1] - work_before;
     }
 }
 
-/* Its table is too old after three intervals more: from then on it admits nothing of teams without
- * a guarantee, and of others no more than its third of the guarantee. Back, it is in step at once.
+/* Once its table is stale, a controller admits nothing of teams without a guarantee, and of others
+ * no more than its third of the guarantee. With a current cache it agrees with the others at once.
  */
-static void a_stale_controller_stays_within_the_guarantee(void **state) {
+static void controller_with_stale_cache_stays_within_guarantee(void **state) {
     (void)state;
     for (int guarantee = 0; guarantee <= 30; guarantee += 30) {
         struct model model;
-        skewed(&model);
+        init_skewed(&model);
         model.seconds = 2100;
         model.config.teams[1].cpus = guarantee;
-        model.each_second = cut_one;
+        model.each_second = freeze_one_cache;
         model_run(&model);
-        double bound = guarantee / 3.0 * (CUT_TO - CUT_FROM - 50 + 10);
-        assert_true(work_in_cut <= bound + 1e-6);
-        assert_true(guarantee ? admitted_in_cut > 0 : admitted_in_cut == 0);
+        double bound = guarantee / 3.0 * (FROZEN_TO - FROZEN_FROM - 50 + 10);
+        assert_true(work_while_frozen <= bound + 1e-6);
+        assert_true(guarantee ? admitted_while_frozen > 0 : admitted_while_frozen == 0);
         assert_int_equal(model.disagreements, 0);
-        assert_true(model.admitted_at[1] > admitted_before + admitted_in_cut);
+        assert_true(model.admitted_at[1] > admitted_before + admitted_while_frozen);
         assert_true(model_team_ratio(&model, "gold") <= 2);
         model_clear(&model);
     }
 }
 
-/* ---- changes in the middle of an interval, and lost answers ---- */
+/* ---- changes of the autoscaler, restarts and lost messages ---- */
 
-static void change_provisioner(struct model *model, double now) {
-    /* Odd times, within intervals; now and then nobody is, as in an election. */
+static void change_autoscaler(struct model *model, double now) {
+    /* At odd times, within intervals; for a while there is none, as in an election. */
     unsigned second = (unsigned)now;
     if (second % 47 == 0) {
         model->autoscaler = -1;
@@ -141,12 +141,12 @@
     model->lose_answer = second / 100 % 2;
 }
 
-static void provisioners_change_and_answers_are_lost(void **state) {
+static void changes_of_autoscaler_and_lost_answers_do_no_harm(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 1800;
-    model.each_second = change_provisioner;
+    model.each_second = change_autoscaler;
     model_run(&model);
     assert_fair(&model);
     assert_true(model.lost_answers > 0);
@@ -163,11 +163,11 @@
     }
 }
 
-/* All that they knew of the demand is gone, the tables are not. */
-static void all_restart_under_overload(void **state) {
+/* After a restart of all controllers the tables are still there, but no demand is known. */
+static void restart_of_all_controllers_does_no_harm(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 1800;
     model.each_second = restart_all;
     model_run(&model);
@@ -176,25 +176,25 @@
     model_clear(&model);
 }
 
-/* Nobody hears the others' views: the writer knows its own refusals only. */
-static void views_are_lost(void **state) {
+/* Without its peers' views the writer knows only its own refusals. */
+static void lost_views_do_bounded_harm(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 1800;
     model.deaf_peers = true;
     model_run(&model);
     assert_true(model_team_ratio(&model, "gold") <= 2);
     assert_true(model_team_ratio(&model, "green") <= 3);
-    assert_true(model.peak_backlog <= 400 * model.processors);
+    assert_true(model.peak_backlog <= 400 * model.cpus);
     model_clear(&model);
 }
 
-/* Clocks at both ends of what the settings allow. */
-static void clocks_at_the_bounds(void **state) {
+/* Clocks are off by as much as the settings allow, in both directions. */
+static void clocks_off_within_bounds_do_no_harm(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 1800;
     model.clock_off_s[0] = -model.config.clock_off_s;
     model.clock_off_s[2] = model.config.clock_off_s;
@@ -203,13 +203,13 @@
     model_clear(&model);
 }
 
-/* ---- what owners say, and what teams do ---- */
+/* ---- estimates, weights and teams that change ---- */
 
-/* The flood's owner says a quarter of the truth, another team's owner four times it. */
-static void estimates_wrong_both_ways(void **state) {
+/* One team estimates a quarter of its runtimes, another four times them. */
+static void wrong_estimates_are_corrected(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 2400;
     model.streams[0].estimate_factor = model.streams[1].estimate_factor = 0.25;
     model.streams[4].estimate_factor = 4;
@@ -227,11 +227,11 @@
     model_clear(&model);
 }
 
-/* Gold comes after ten minutes and goes after twenty. */
-static void a_team_comes_and_goes(void **state) {
+/* Gold submits from the tenth to the twentieth minute only. */
+static void team_that_comes_and_goes_is_served_fairly(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 1800;
     model.streams[5].from_s = 600;
     model.streams[5].to_s = 1200;
@@ -240,7 +240,7 @@
     model_clear(&model);
 }
 
-static void alone(struct model *model) {
+static void init_one_team(struct model *model) {
     static const struct model_stream stream = {"red", "flood", 20, 20, 1, 0, 0, 1, -1};
     model_init(model, four_teams);
     model->streams[0] = stream;
@@ -248,12 +248,12 @@
     model->seconds = 1200;
 }
 
-/* What others don't use is used: a team by itself gets as much done as without admission. */
-static void unused_share_is_used(void **state) {
+/* A team by itself gets as much done as without admission. */
+static void team_alone_uses_all_room(void **state) {
     (void)state;
     struct model with, without;
-    alone(&with);
-    alone(&without);
+    init_one_team(&with);
+    init_one_team(&without);
     without.admission = false;
     model_run(&with);
     model_run(&without);
@@ -262,14 +262,14 @@
     model_clear(&without);
 }
 
-/* Without overload nobody is refused, and the key-value store sees no change. */
-static void without_overload_nothing_changes(void **state) {
+/* Without overload no job is refused, and nothing is written to the key-value store. */
+static void no_table_is_written_without_overload(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 1200;
     model.streams[0].jobs_per_s = 0.5;
-    model.processors = 120;
+    model.cpus = 120;
     model_run(&model);
     for (unsigned i = 0; i < model.stream_count; i++) {
         assert_int_equal(model.results[i].given_up, 0);
@@ -278,9 +278,9 @@
     model_clear(&model);
 }
 
-/* A rolling restart with a second file: gold weighs three times as much from the first controller
- * that has it and is the autoscaler. */
-static void new_weights(struct model *model, double now) {
+/* A rolling restart with a new settings file, in which gold has three times the weight. It counts
+ * from when the autoscaler has it. */
+static void change_weights(struct model *model, double now) {
     if (now == 600) {
         model->settings[1].teams[3].weight = 3;
         model_restart(model, 1);
@@ -292,13 +292,13 @@
     }
 }
 
-static void weights_change_in_a_rolling_restart(void **state) {
+static void weights_change_during_rolling_restart(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 2400;
     model.streams[5].jobs_per_s = 20; /* gold floods as well */
-    model.each_second = new_weights;
+    model.each_second = change_weights;
     model_run(&model);
     assert_int_equal(model.disagreements, 0);
     assert_true(model.results[5].served > 1.5 * model.results[0].served);
@@ -306,11 +306,11 @@
     model_clear(&model);
 }
 
-/* A team of next to no weight that floods gets its least share all the same. */
-static void a_least_share(void **state) {
+/* A team of next to no weight that floods still gets its least share. */
+static void flooding_team_gets_its_least_share(void **state) {
     (void)state;
     struct model model;
-    skewed(&model);
+    init_skewed(&model);
     model.seconds = 1200;
     model.streams[5].jobs_per_s = 20;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
@@ -318,7 +318,7 @@
         model.settings[i].teams[3].least_share = 0.3;
     }
     model_run(&model);
-    assert_true(model.results[5].served >= 0.25 * model.processors * model.seconds);
+    assert_true(model.results[5].served >= 0.25 * model.cpus * model.seconds);
     assert_true(model_team_ratio(&model, "green") <= 2);
     model_clear(&model);
 }
@@ -327,7 +327,7 @@
     for (int i = 1; i < argc; i++) {
         for (int enabled = 0; enabled < 2; enabled++) {
             struct model model;
-            skewed(&model);
+            init_skewed(&model);
             model.seed = (unsigned)strtoul(argv[i], NULL, 10);
             model.admission = enabled;
             model_run(&model);
@@ -336,8 +336,8 @@
                 const char *name = model.config.teams[team].name;
                 printf("  %-6s all: ratio %.2f\n", name, model_team_ratio(&model, name));
             }
-            printf("  disagreements %u, peak backlog %.0f s of all processors\n",
-                   model.disagreements, model.peak_backlog / model.processors);
+            printf("  disagreements %u, peak backlog %.0f s of all CPUs\n", model.disagreements,
+                   model.peak_backlog / model.cpus);
             model_clear(&model);
         }
     }
@@ -345,19 +345,19 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(an_hour_of_skewed_submissions),
-        cmocka_unit_test(without_admission_everybody_waits),
-        cmocka_unit_test(a_stale_controller_stays_within_the_guarantee),
-        cmocka_unit_test(provisioners_change_and_answers_are_lost),
-        cmocka_unit_test(all_restart_under_overload),
-        cmocka_unit_test(views_are_lost),
-        cmocka_unit_test(clocks_at_the_bounds),
-        cmocka_unit_test(estimates_wrong_both_ways),
-        cmocka_unit_test(a_team_comes_and_goes),
-        cmocka_unit_test(unused_share_is_used),
-        cmocka_unit_test(without_overload_nothing_changes),
-        cmocka_unit_test(weights_change_in_a_rolling_restart),
-        cmocka_unit_test(a_least_share),
+        cmocka_unit_test(skewed_submissions_are_served_fairly_for_an_hour),
+        cmocka_unit_test(every_team_waits_without_admission),
+        cmocka_unit_test(controller_with_stale_cache_stays_within_guarantee),
+        cmocka_unit_test(changes_of_autoscaler_and_lost_answers_do_no_harm),
+        cmocka_unit_test(restart_of_all_controllers_does_no_harm),
+        cmocka_unit_test(lost_views_do_bounded_harm),
+        cmocka_unit_test(clocks_off_within_bounds_do_no_harm),
+        cmocka_unit_test(wrong_estimates_are_corrected),
+        cmocka_unit_test(team_that_comes_and_goes_is_served_fairly),
+        cmocka_unit_test(team_alone_uses_all_room),
+        cmocka_unit_test(no_table_is_written_without_overload),
+        cmocka_unit_test(weights_change_during_rolling_restart),
+        cmocka_unit_test(flooding_team_gets_its_least_share),
     };
     if (argc > 1) {
         print_hours(argc, argv);
