--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -1,45 +1,48 @@
 /* Fair admission in this process: the package's state under a lock of its own, the questions of the
- * HTTP threads, and the thread that tells the demand and, on the autoscaler, writes the tables.
+ * request handlers, and the thread that announces this controller's demand and, where the
+ * autoscaler runs, writes the admission tables.
  *
- * Lock order: the core's lock, then this one. The linear programs run under neither. */
+ * Lock order: rr_app.lock, then this one. The linear programs run under neither. */
+#include "app/admission.h"
 #include "admission/admission.h"
-#include "app/app.h"
+#include "app/thread_loop.h"
+#include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
 #include "core/cache_feed.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
-#include "core/state/transaction.h"
 
 #include <errno.h>
 #include <math.h>
 #include <string.h>
 
-#define TELL_AT 0.45 /* of an interval: demand is told, a little before tables are made */
-#define LOOKS 40.0   /* of the thread in an interval */
-#define LOOK_MAX_S 0.25
-#define COMMIT_S 1.0
-#define RETRY 0.1 /* of an interval, between tries to write a table */
+/* Part of an interval after which demand is announced: a little before tables are made. */
+#define ANNOUNCE_AT 0.45
+#define PASSES_PER_INTERVAL 40.0
+#define PASS_PAUSE_MAX_S 0.25
+#define COMMIT_TIMEOUT_S 1.0
+#define TABLE_RETRY_SHARE 0.1 /* of an interval, between attempts to write a table */
 
 struct rr_app_admission {
     pthread_mutex_t lock;
-    rr_admission *admission; /* under lock */
-    /* The thread's own. */
+    rr_admission *admission;                /* under lock */
+    rr_admission_writer_stats writer_stats; /* under lock */
+    /* The admission thread's own. */
     rr_admission_writer *writer;
     rr_offered_load load;
-    double announced_for;              /* wall: the interval for which the demand was told, */
-    double settled_for;                /* and whose table is written or not needed */
-    uint64_t rooms_of;                 /* the table whose rooms the core has, 0: none */
-    rr_admission_writer_stats written; /* under lock */
+    double announced_interval; /* wall: start of the interval whose demand was announced */
+    double settled_interval;   /* wall: of the one whose table is written or not needed */
+    uint64_t room_table;       /* sequence of the table whose rooms the core has; 0: none */
 };
 
-/* Called with the core's lock held, as records come. */
+/* Takes a record of the package as the store cache learns of it. Caller holds rr_app.lock. */
 static void on_record(void *user, const char *rest, const msgpack_object *value, uint64_t version) {
     struct rr_app_admission *state = user;
     rr_admission_stats before, after;
     if (!value) {
-        return; /* tables are written over, never deleted */
+        return; /* tables are overwritten, never deleted */
     }
     pthread_mutex_lock(&state->lock);
     rr_admission_get_stats(state->admission, &before);
@@ -47,7 +50,8 @@
     rr_admission_get_stats(state->admission, &after);
     pthread_mutex_unlock(&state->lock);
     if (after.records_unread != before.records_unread && before.records_unread == 0) {
-        rr_log(RR_ERROR_LEVEL, "admission: a table of an unknown form; more are only counted");
+        rr_log(RR_ERROR_LEVEL,
+               "admission: a table of an unknown format; further ones are only counted");
     }
 }
 
@@ -80,15 +84,15 @@
 
 /* ---- questions ---- */
 
-static rr_admission_context admission_context_of(struct rr_app *app) {
+static rr_admission_context read_context(struct rr_app *app) {
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->lock);
-    rr_admission_context state = {.lease_valid = rr_core_lease_valid(app->core, now),
-                                  .all_capable = rr_core_all_admission_capable(app->core),
-                                  .cache_age_s = rr_core_cache_age(app->core, now),
-                                  .controllers = rr_core_live_controllers(app->core)};
+    rr_admission_context context = {.lease_valid = rr_core_lease_valid(app->core, now),
+                                    .all_capable = rr_core_all_admission_capable(app->core),
+                                    .cache_age_s = rr_core_cache_age(app->core, now),
+                                    .controllers = rr_core_live_controllers(app->core)};
     pthread_mutex_unlock(&app->lock);
-    return state;
+    return context;
 }
 
 bool rr_app_admission_ask(struct rr_app *app, const rr_submission *submission, int *retry_after_s) {
@@ -96,9 +100,9 @@
     if (!state) {
         return true;
     }
-    rr_admission_context standing_here = admission_context_of(app);
+    rr_admission_context context = read_context(app);
     pthread_mutex_lock(&state->lock);
-    rr_admission_verdict verdict = rr_admission_ask(state->admission, submission, &standing_here,
+    rr_admission_verdict verdict = rr_admission_ask(state->admission, submission, &context,
                                                     rr_wall_clock_s(), rr_steady_clock_s());
     pthread_mutex_unlock(&state->lock);
     *retry_after_s = verdict.retry_after_s;
@@ -139,7 +143,7 @@
     pthread_mutex_lock(&state->lock);
     const rr_admission_table *table = rr_admission_table_at(state->admission, rr_wall_clock_s());
     bool active = table && table->active;
-    rr_admission_writer_stats written = state->written;
+    rr_admission_writer_stats writer_stats = state->writer_stats;
     rr_admission_get_stats(state->admission, &stats);
     pthread_mutex_unlock(&state->lock);
     rr_log(RR_INFO_LEVEL,
@@ -147,20 +151,21 @@
            " admitted, %" G_GUINT64_FORMAT " refused, %" G_GUINT64_FORMAT
            " of them without a fresh table, %" G_GUINT64_FORMAT " views dropped, %" G_GUINT64_FORMAT
            " records unread, %" G_GUINT64_FORMAT " shares by filling",
-           active ? "limits" : "admits all", written.backlog_s, written.asked_s, written.rows,
-           stats.admitted, stats.refused, stats.refused_stale, stats.frames_dropped,
-           stats.records_unread, written.fallbacks);
+           active ? "limits" : "admits all", writer_stats.backlog_s, writer_stats.asked_s,
+           writer_stats.rows, stats.admitted, stats.refused, stats.refused_stale,
+           stats.frames_dropped, stats.records_unread, writer_stats.fallbacks);
 }
 
 /* ---- the thread ---- */
 
-/* Under the core's lock. */
+/* Caller holds rr_app.lock. */
 static bool job_known(void *user, const char *job_id) {
     const struct rr_app *app = user;
     return rr_core_job_known(app->core, job_id);
 }
 
-static void settle(struct rr_app *app) {
+/* Drops accepted jobs that the core knows by now from the count of those under way. */
+static void settle_accepted_jobs(struct rr_app *app) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
@@ -169,15 +174,17 @@
     pthread_mutex_unlock(&app->lock);
 }
 
-/* Once an interval, and only while every controller reads it. */
+/* Announces the demand once an interval, and only while every controller can read it. wall: now. */
 static void announce_demand(struct rr_app *app, double wall) {
     struct rr_app_admission *state = app->admission;
-    double length = app->admission_settings.interval_s, edge = floor(wall / length) * length;
-    if (edge == state->announced_for || wall - edge < TELL_AT * length) {
+    double length_s = app->admission_settings.interval_s;
+    double interval_start = floor(wall / length_s) * length_s;
+    if (interval_start == state->announced_interval ||
+        wall - interval_start < ANNOUNCE_AT * length_s) {
         return;
     }
-    state->announced_for = edge;
-    settle(app);
+    state->announced_interval = interval_start;
+    settle_accepted_jobs(app);
     pthread_mutex_lock(&app->lock);
     bool capable = rr_core_all_admission_capable(app->core);
     uint64_t token = rr_core_fencing_token(app->core);
@@ -202,9 +209,9 @@
     rr_offered_load_add_job(user, submission, team, waiting, placed, done);
 }
 
-/* What the table is made of, from one moment. False: this controller is not to write one now. */
-static bool gather(struct rr_app *app, GArray *demand, rr_admission_table *newest,
-                   rr_transaction *transaction) {
+/* Reads the input of a table at one moment. False: this controller is not to write one now. */
+static bool gather_input(struct rr_app *app, GArray *demand, rr_admission_table *newest,
+                         rr_transaction *transaction) {
     struct rr_app_admission *state = app->admission;
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->lock);
@@ -234,42 +241,44 @@
     bool fits = rr_admission_write(state->admission, table, transaction);
     pthread_mutex_unlock(&state->lock);
     uint64_t revision = 0;
-    enum rr_commit_status rc = RR_COMMIT_INVALID;
+    enum rr_commit_status outcome = RR_COMMIT_INVALID;
     if (fits) {
-        rc = rr_store_commit(store, RR_REQUEST_AUTOSCALER, transaction, COMMIT_S, &revision, NULL);
+        outcome = rr_store_commit(store, RR_REQUEST_AUTOSCALER, transaction, COMMIT_TIMEOUT_S,
+                                  &revision, NULL);
     }
-    if (rc == RR_COMMIT_DONE) {
+    if (outcome == RR_COMMIT_DONE) {
         pthread_mutex_lock(&app->lock);
-        rr_core_apply(app->core, transaction, revision, rr_steady_clock_s());
+        rr_app_apply_committed(app, transaction, outcome, revision);
         pthread_mutex_unlock(&app->lock);
     } else {
         rr_log(RR_INFO_LEVEL, "admission: table %" G_GUINT64_FORMAT " was not written (%d)",
-               table->sequence, (int)rc);
+               table->sequence, (int)outcome);
     }
-    return rc == RR_COMMIT_DONE;
+    return outcome == RR_COMMIT_DONE;
 }
 
-/* A try that fails is repeated with what is known then: in doubt the records' guards decide. */
-static void write_table(struct rr_app *app, rr_store *store, double edge) {
+/* Makes and writes the next table, if one is needed. A failed attempt is repeated with newer input;
+ * after an unknown outcome the guards of the records keep it from being written twice. */
+static void write_table(struct rr_app *app, rr_store *store, double interval_start) {
     struct rr_app_admission *state = app->admission;
     rr_admission_table newest, table;
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    if (gather(app, demand, &newest, &transaction)) {
+    if (gather_input(app, demand, &newest, &transaction)) {
         bool wanted = rr_admission_writer_next(state->writer, &state->load, demand, &newest,
                                                rr_wall_clock_s(), rr_steady_clock_s(), &table);
         rr_log(RR_DEBUG_LEVEL, "admission: table %" G_GUINT64_FORMAT ", %u rows%s", table.sequence,
                table.rows->len, wanted ? "" : ", not needed");
         bool settled = !wanted || commit_table(app, store, &table, &transaction);
         if (settled) {
-            state->settled_for = edge;
+            state->settled_interval = interval_start;
         }
         if (settled && table.active != newest.active) {
             rr_log(RR_INFO_LEVEL, "admission: overload %s", table.active ? "begins" : "is over");
         }
         pthread_mutex_lock(&state->lock);
-        rr_admission_writer_get_stats(state->writer, &state->written);
+        rr_admission_writer_get_stats(state->writer, &state->writer_stats);
         pthread_mutex_unlock(&state->lock);
         rr_admission_table_clear(&table);
         rr_admission_table_clear(&newest);
@@ -278,8 +287,8 @@
     g_array_free(demand, TRUE);
 }
 
-/* Under both locks. */
-static void announce_rooms(struct rr_app *app, const rr_admission_table *table) {
+/* Caller holds both locks. */
+static void set_rooms_of_table(struct rr_app *app, const rr_admission_table *table) {
     double rooms[RR_TEAMS_MAX];
     for (size_t i = 0; i < app->config.team_count; i++) {
         const rr_admission_team *team = rr_admission_table_team(table, app->config.teams[i].name);
@@ -288,27 +297,28 @@
     rr_core_set_fair_room(app->core, rooms, table->cpus, table->gpus, table->mem_gb);
 }
 
-/* The rooms of the table in force, for this controller's own plans; told once for each table. */
-static void set_fair_room(struct rr_app *app, double wall) {
+/* Hands the rooms of the table in force to the core, for this controller's own plans; once for each
+ * table. */
+static void update_fair_room(struct rr_app *app, double wall) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
     const rr_admission_table *table = rr_admission_table_at(state->admission, wall);
     bool fresh = table && table->active && rr_core_all_admission_capable(app->core) &&
                  wall < table->starts_at + rr_admission_counts_s(table->length_s);
-    uint64_t rooms_of = fresh ? table->sequence : 0;
-    if (fresh && rooms_of != state->rooms_of) {
-        announce_rooms(app, table);
-    } else if (!fresh && state->rooms_of != 0) {
+    uint64_t room_table = fresh ? table->sequence : 0;
+    if (fresh && room_table != state->room_table) {
+        set_rooms_of_table(app, table);
+    } else if (!fresh && state->room_table != 0) {
         rr_core_set_fair_room(app->core, NULL, 0, 0, 0);
     }
-    state->rooms_of = rooms_of;
+    state->room_table = room_table;
     pthread_mutex_unlock(&state->lock);
     pthread_mutex_unlock(&app->lock);
 }
 
-static bool table_due(struct rr_app_admission *state, double wall, double edge) {
-    if (edge == state->settled_for) {
+static bool is_table_due(struct rr_app_admission *state, double wall, double interval_start) {
+    if (interval_start == state->settled_interval) {
         return false;
     }
     pthread_mutex_lock(&state->lock);
@@ -321,21 +331,22 @@
     struct rr_app *app = argument;
     struct rr_app_admission *state = app->admission;
     rr_usage_enter(RR_USAGE_ADMISSION);
-    rr_store *store = rr_store_create(&app->config.state, app->budget, &app->stop);
-    double length = app->admission_settings.interval_s, tried_at = 0;
-    while (!atomic_load(&app->stop)) {
-        rr_sleep(fmin(length / LOOKS, LOOK_MAX_S));
+    rr_store *store = rr_app_open_store(app);
+    double length_s = app->admission_settings.interval_s, tried_at = 0;
+    while (!rr_app_stopping(app)) {
+        rr_sleep(fmin(length_s / PASSES_PER_INTERVAL, PASS_PAUSE_MAX_S));
         double wall = rr_wall_clock_s();
         pthread_mutex_lock(&state->lock);
         rr_admission_tick(state->admission, wall, rr_steady_clock_s());
         pthread_mutex_unlock(&state->lock);
         announce_demand(app, wall);
-        double edge = floor(wall / length) * length;
-        if (table_due(state, wall, edge) && rr_steady_clock_s() - tried_at > RETRY * length) {
+        double interval_start = floor(wall / length_s) * length_s;
+        if (is_table_due(state, wall, interval_start) &&
+            rr_steady_clock_s() - tried_at > TABLE_RETRY_SHARE * length_s) {
             tried_at = rr_steady_clock_s();
-            write_table(app, store, edge);
+            write_table(app, store, interval_start);
         }
-        set_fair_room(app, wall);
+        update_fair_room(app, wall);
     }
     rr_store_destroy(store);
     rr_usage_leave();
--- /dev/null
+++ b/src/app/cells_absent_reader.c
@@ -0,0 +1,117 @@
+#include "app/cells_absent_reader.h"
+#include "app/cells_state.h"
+#include "app/thread_loop.h"
+#include "common/clock.h"
+
+#include <errno.h>
+#include <string.h>
+
+#define COMMIT_TIMEOUT_S 1.5
+#define SESSION_PREFIX RR_KEY_ROOT "node/"
+
+void rr_absent_reader_init(struct rr_app *app, size_t neighbour, struct rr_absent_reader *reader) {
+    memset(reader, 0, sizeof *reader);
+    if (app->cells_settings.neighbours[neighbour].claimable) {
+        reader->store = rr_app_cells_open_neighbour_store(app, neighbour);
+        reader->absent = rr_absent_create(&app->config, app->cells_settings.name);
+    }
+}
+
+void rr_absent_reader_clear(struct rr_absent_reader *reader) {
+    rr_absent_destroy(reader->absent);
+    rr_store_destroy(reader->store);
+}
+
+static void count_session(void *user, const char *key, const msgpack_object *value,
+                          uint64_t version) {
+    (void)value;
+    (void)version;
+    *(unsigned *)user += g_str_has_prefix(key, SESSION_PREFIX);
+}
+
+static void put_record(void *user, const char *key, const msgpack_object *value, uint64_t version) {
+    rr_absent_put(user, key, value, version, rr_steady_clock_s());
+}
+
+/* Reads all rows under the prefix. 0, -ECANCELED if the process is stopping, or -errno. */
+static int read_all(struct rr_app *app, struct rr_absent_reader *reader, const char *prefix,
+                    rr_store_row_fn callback, void *user) {
+    rr_store_cursor cursor = {.more = true};
+    int rc = 0;
+    while (rc == 0 && cursor.more && !rr_app_stopping(app)) {
+        rr_document document;
+        rc = rr_store_next_page(reader->store, prefix, &cursor, &document);
+        if (rc == 0) {
+            rr_store_each_row(&document, &cursor, callback, user);
+            rr_document_clear(&document);
+        }
+    }
+    return rr_app_stopping(app) ? -ECANCELED : rc;
+}
+
+/* Reads sessions, all records, and sessions again: the records count only if there was no session
+ * before and after. False: there was one, or the store could not be read. */
+static bool read_records(struct rr_app *app, struct rr_absent_reader *reader) {
+    unsigned sessions = 0;
+    reader->read_started_at = rr_steady_clock_s();
+    int rc = read_all(app, reader, SESSION_PREFIX, count_session, &sessions);
+    if (rc == 0 && sessions == 0) {
+        rr_absent_begin(reader->absent);
+        rc = read_all(app, reader, RR_KEY_ROOT, put_record, reader->absent);
+        rr_absent_end(reader->absent, rr_steady_clock_s());
+    }
+    if (rc == 0 && sessions == 0) {
+        rc = read_all(app, reader, SESSION_PREFIX, count_session, &sessions);
+    }
+    bool confirmed = rc == 0 && sessions == 0;
+    rr_absent_confirm(reader->absent, confirmed, rr_steady_clock_s());
+    return confirmed;
+}
+
+/* Commits a change to the neighbour's store, once. After an unknown outcome the next read shows
+ * whether it was made, and its guards keep it from being made twice. */
+static void commit_there(struct rr_app *app, struct rr_absent_reader *reader,
+                         const rr_transfer_write *write) {
+    uint64_t revision;
+    enum rr_commit_status outcome = rr_store_commit(
+        reader->store, RR_REQUEST_USER, &write->transaction, COMMIT_TIMEOUT_S, &revision, NULL);
+    if (outcome == RR_COMMIT_DONE) {
+        pthread_mutex_lock(&app->lock);
+        rr_transfers_absent_written(app->cells->transfers, write);
+        pthread_mutex_unlock(&app->lock);
+    }
+}
+
+static bool is_due(const struct rr_app *app, const struct rr_absent_reader *reader) {
+    double lease_s = app->cells_settings.lease_s;
+    return reader->store && reader->unanswered_since > 0 &&
+           rr_steady_clock_s() - reader->unanswered_since >= lease_s / 2 &&
+           rr_steady_clock_s() - reader->read_at >= lease_s / RR_CELLS_READS_PER_LEASE;
+}
+
+void rr_absent_reader_run(struct rr_app *app, rr_store *own_store, struct rr_absent_reader *reader,
+                          size_t neighbour) {
+    if (!is_due(app, reader)) {
+        return;
+    }
+    reader->read_at = rr_steady_clock_s();
+    if (!read_records(app, reader)) {
+        return;
+    }
+    rr_transfers_plan here;
+    GPtrArray *there = g_ptr_array_new();
+    rr_transfers_plan_init(&here);
+    pthread_mutex_lock(&app->lock);
+    rr_transfers_look_absent(app->cells->transfers, neighbour, reader->absent,
+                             reader->read_started_at, rr_steady_clock_s(), rr_wall_clock_s(), &here,
+                             there);
+    pthread_mutex_unlock(&app->lock);
+    for (guint i = 0; i < here.writes->len; i++) {
+        rr_app_cells_commit(app, own_store, g_ptr_array_index(here.writes, i));
+    }
+    for (guint i = 0; i < there->len && !rr_app_stopping(app); i++) {
+        commit_there(app, reader, g_ptr_array_index(there, i));
+    }
+    g_ptr_array_free(there, TRUE);
+    rr_transfers_plan_clear(&here);
+}
--- /dev/null
+++ b/src/app/cells_user_requests.c
@@ -0,0 +1,188 @@
+#include "app/cells_user_requests.h"
+#include "app/cells_state.h"
+#include "app/http_responses.h"
+#include "admission/verdict.h"
+#include "common/clock.h"
+
+#include <math.h>
+#include <string.h>
+
+#define RELAY_RETRY_S 2
+
+static bool is_reachable(struct rr_app *app, size_t neighbour) {
+    pthread_mutex_lock(&app->lock);
+    bool reachable = rr_steady_clock_s() >= app->cells->unreachable_until[neighbour];
+    pthread_mutex_unlock(&app->lock);
+    return reachable;
+}
+
+/* Sends one request on a connection of its own. *reply is to be cleared in any case. 0 or -errno.
+ */
+static int send_request(struct rr_app *app, size_t neighbour, const rr_cells_request *request,
+                        rr_cells_reply *reply) {
+    rr_cells_client *client = rr_cells_client_create(&app->cells_settings, neighbour, &app->stop);
+    int rc = rr_cells_ask(client, request, reply);
+    rr_cells_client_destroy(client);
+    return rc;
+}
+
+/* ---- jobs that other cells accepted ---- */
+
+/* True: the neighbour has answered, which includes that it does not know the job. */
+static bool relay_to(struct rr_app *app, size_t neighbour, const rr_cells_request *request,
+                     struct rr_http_response *response) {
+    rr_cells_reply reply;
+    if (!is_reachable(app, neighbour)) {
+        return false;
+    }
+    int rc = send_request(app, neighbour, request, &reply);
+    bool answered = rc == 0 && reply.status == RR_CELLS_OK && reply.http_status > 0;
+    if (rc != 0) {
+        rr_app_cells_record_answer(app, neighbour, false);
+    }
+    if (answered) {
+        response->status = reply.http_status;
+        response->retry_after_s = reply.retry_after_s;
+        msgpack_sbuffer_clear(&response->body.buffer);
+        msgpack_sbuffer_write(&response->body.buffer, (const char *)reply.body->data,
+                              reply.body->len);
+    }
+    rr_cells_reply_clear(&reply);
+    return answered;
+}
+
+/* Answers from a job's record if its state is final. False: it is not. */
+static bool answer_final_state(const msgpack_object *record, const char *job_id,
+                               struct rr_http_response *response) {
+    uint64_t task_count = 0;
+    bool done = rr_map_get(record, "final") != NULL, cancelled = false;
+    rr_map_get_u64(record, "pieces", &task_count);
+    rr_map_get_bool(record, "cancelled", &cancelled);
+    if (done || cancelled) {
+        msgpack_sbuffer_clear(&response->body.buffer);
+        rr_app_answer_job_view(response, job_id, done ? "done" : "aborted", done ? task_count : 0,
+                               0);
+    }
+    return done || cancelled;
+}
+
+/* Reads the job in the neighbour's key-value store, for the time when no controller answers there.
+ * A final state can't change any more and may be answered. False: there is none. */
+static bool relay_final_state(struct rr_app *app, size_t neighbour, const char *job_id,
+                              struct rr_http_response *response) {
+    char key[RR_ID_SIZE + 64];
+    uint64_t version, lease_id;
+    rr_document document;
+    if (!app->cells_settings.neighbours[neighbour].claimable) {
+        return false;
+    }
+    rr_store *store = rr_app_cells_open_neighbour_store(app, neighbour);
+    rr_core_job_key(job_id, key, sizeof key);
+    bool answered = false;
+    if (rr_store_get(store, key, &document, &version, &lease_id) == 0) {
+        answered = answer_final_state(rr_map_get(document.root, "v"), job_id, response);
+        rr_document_clear(&document);
+    }
+    rr_store_destroy(store);
+    return answered;
+}
+
+/* A job counts as unknown only when every cell was asked. */
+bool rr_app_cells_relay(struct rr_app *app, enum rr_cells_request_kind kind, const char *job_id,
+                        struct rr_http_response *response) {
+    rr_cells_request request;
+    bool all_answered = true, known = false;
+    if (!app->cells) {
+        return false;
+    }
+    rr_cells_request_init(&request, kind);
+    g_strlcpy(request.job_id, job_id, sizeof request.job_id);
+    for (size_t i = 0; i < app->cells_settings.neighbour_count && !known; i++) {
+        rr_cells_request_address(&request, &app->cells_settings, i);
+        bool answered = relay_to(app, i, &request, response);
+        known = answered ? response->status != 404 : relay_final_state(app, i, job_id, response);
+        all_answered = all_answered && answered;
+    }
+    rr_cells_request_clear(&request);
+    if (!known && !all_answered) {
+        msgpack_sbuffer_clear(&response->body.buffer);
+        rr_app_refuse(response, 503, "a cell that may know the job is not reachable",
+                      RELAY_RETRY_S);
+    }
+    return known || !all_answered;
+}
+
+/* ---- jobs of this cell that others have ---- */
+
+/* Only running tasks are taken from the guest cell's answer: tasks that are done there count once
+ * the home cell has recorded the end. False: the answer can't be used. */
+static bool read_transferred_view(const rr_cells_reply *reply, rr_job_view *view) {
+    rr_document document;
+    char state[32] = "";
+    uint64_t running = 0;
+    if (reply->status != RR_CELLS_OK || reply->http_status != 200 ||
+        rr_document_parse(&document, reply->body->data, reply->body->len) != 0) {
+        /* 404: the guest cell has not taken the job yet. */
+        return reply->status == RR_CELLS_OK && reply->http_status == 404;
+    }
+    rr_map_get_text(document.root, "standing", state, sizeof state);
+    rr_map_get_u64(document.root, "running", &running);
+    if (strcmp(state, "running") == 0) {
+        view->state = "running";
+        view->running_count = (uint32_t)running;
+    }
+    rr_document_clear(&document);
+    return true;
+}
+
+bool rr_app_cells_view_transferred(struct rr_app *app, const char *job_id, rr_job_view *view) {
+    rr_cells_request request;
+    rr_cells_reply reply;
+    size_t neighbour = 0;
+    if (!app->cells) {
+        return true;
+    }
+    rr_cells_request_init(&request, RR_CELLS_POLL);
+    pthread_mutex_lock(&app->lock);
+    bool transferred = rr_transfers_transferred(app->cells->transfers, job_id, &neighbour,
+                                                request.job_id, sizeof request.job_id);
+    pthread_mutex_unlock(&app->lock);
+    bool complete = !transferred;
+    if (transferred && is_reachable(app, neighbour)) {
+        rr_cells_request_address(&request, &app->cells_settings, neighbour);
+        complete = send_request(app, neighbour, &request, &reply) == 0 &&
+                   read_transferred_view(&reply, view);
+        rr_cells_reply_clear(&reply);
+    }
+    rr_cells_request_clear(&request);
+    return complete;
+}
+
+enum rr_cancel_first rr_app_cells_cancel(struct rr_app *app, const char *job_id,
+                                         struct rr_user_commit *commit, int *retry_after_s) {
+    rr_out_record withdrawn;
+    double wait_s = 0;
+    if (!app->cells) {
+        return RR_CANCEL_FREE;
+    }
+    pthread_mutex_lock(&app->lock);
+    enum rr_cancel_first first = rr_transfers_cancel(
+        app->cells->transfers, job_id, rr_wall_clock_s(), &wait_s, &withdrawn, &commit->version);
+    pthread_mutex_unlock(&app->lock);
+    if (first == RR_CANCEL_WITHDRAW) {
+        rr_cells_out_key(job_id, commit->key, sizeof commit->key);
+        rr_cells_out_encode(&withdrawn, &commit->value);
+    }
+    *retry_after_s = (int)fmax(1, fmin(ceil(wait_s), RR_RETRY_AFTER_MAX_S));
+    return first;
+}
+
+bool rr_app_cells_guard_cancel(const struct rr_app *app, const char *job_id,
+                               struct rr_user_commit *commit) {
+    if (!app->cells) {
+        return true;
+    }
+    rr_cells_out_key(job_id, commit->also_key, sizeof commit->also_key);
+    return rr_transfers_may_cancel(app->cells->transfers, job_id, rr_wall_clock_s(),
+                                   &commit->also_version);
+}
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -1,108 +1,149 @@
-/* Carries commands to workers, directly or through a peer. */
+/* Sends commands to workers, directly or through a peer. */
 #include "app/thread_loop.h"
+#include "app/threads.h"
+#include "app/worker_requests.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
-#include "worker/worker.h"
 #include "core/heartbeats.h"
 #include "core/planning.h"
+#include "worker/worker.h"
 
 #include <errno.h>
 
-/* Takes an answer's body as a report, which vouches for the machine. True if it was one. */
-static bool take_answer(struct rr_app *app, const void *body, size_t length, int via, bool share) {
+#define COMMAND_TIMEOUT_S 2.0
+#define PROBE_TIMEOUT_S 0.8
+#define IDLE_WAIT_S 5.0
+#define DIRECT (-1) /* in place of a peer's index */
+#define STALE_TOKEN_STATUS 409
+
+/* What came of sending a batch. */
+struct delivery {
+    int rc;         /* of the last attempt; -ENOTCONN: surely not sent */
+    int peer;       /* the one used, or DIRECT */
+    long status;    /* HTTP status of the worker; 0: no answer */
+    bool heartbeat; /* the answer held the worker's heartbeat */
+};
+
+/* Takes the heartbeat in a worker's answer, which verifies the machine. share: peers may take it
+ * for one that the machine sent by itself. False: the answer holds none. */
+static bool take_answer(struct rr_app *app, const void *body, size_t length, int peer, bool share) {
     rr_document document;
     rr_heartbeat heartbeat;
     rr_heartbeat_digest digest = {0};
-    uint32_t wanted = 0, rare = 0;
-    bool succeeded = false;
+    uint32_t subscribers = 0, occasional = 0;
+    bool decoded = false;
     if (rr_document_parse(&document, body, length) == 0) {
-        succeeded = rr_heartbeat_decode(document.root, &heartbeat) == 0;
-        if (succeeded) {
-            digest = (rr_heartbeat_digest){.worker_epoch = heartbeat.worker_epoch,
-                                           .sequence = heartbeat.sequence,
-                                           .hash = rr_heartbeat_hash(&heartbeat)};
-            g_strlcpy(digest.machine, heartbeat.machine, sizeof digest.machine);
+        decoded = rr_heartbeat_decode(document.root, &heartbeat) == 0;
+        if (decoded) {
+            digest = rr_app_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
-            share = rr_core_take_command_reply(app->core, rr_steady_clock_s(), &heartbeat, via) &&
+            share = rr_core_take_command_reply(app->core, rr_steady_clock_s(), &heartbeat, peer) &&
                     share;
-            wanted = rr_core_heartbeat_subscribers(app->core, digest.machine, &rare);
+            subscribers = rr_core_heartbeat_subscribers(app->core, digest.machine, &occasional);
             pthread_mutex_unlock(&app->lock);
         }
         rr_heartbeat_clear(&heartbeat);
     }
     rr_document_clear(&document);
-    if (succeeded && share) {
-        rr_peers_send_heartbeat(app->peers, wanted, rare, &digest, body, length);
+    if (decoded && share) {
+        rr_peers_send_heartbeat(app->peers, subscribers, occasional, &digest, body, length);
     }
-    return succeeded;
+    return decoded;
 }
 
-#define COMMAND_S 2.0
-#define PROBE_S 0.8
+/* A batch without commands is a probe: it only brings the present fencing token. */
+static bool is_probe(const rr_command_batch *batch) {
+    return batch->commands->len == 0;
+}
+
+static double batch_timeout_s(const rr_command_batch *batch) {
+    return is_probe(batch) ? PROBE_TIMEOUT_S : COMMAND_TIMEOUT_S;
+}
+
+/* If the batch was surely not sent, delivery->peer becomes the batch's fallback. */
+static void send_directly(struct rr_app *app, rr_client *client, const rr_command_batch *batch,
+                          const rr_encoder *encoder, struct delivery *delivery) {
+    rr_reply reply = {0};
+    /* The epoch of a worker that was never heard is unknown: only its status can be asked for. */
+    bool status_only = is_probe(batch) && batch->worker_epoch == 0;
+    delivery->rc =
+        rr_worker_call(client, batch->address, status_only ? NULL : encoder->buffer.data,
+                       status_only ? 0 : encoder->buffer.size, batch_timeout_s(batch), &reply);
+    if (delivery->rc == -ENOTCONN && batch->fallback >= 0) {
+        delivery->peer = batch->fallback;
+    } else if (delivery->rc == 0) {
+        delivery->status = reply.status;
+        delivery->heartbeat =
+            take_answer(app, reply.body->data, reply.body->len, DIRECT, is_probe(batch));
+    }
+}
+
+static void send_through_peer(struct rr_app *app, const rr_command_batch *batch,
+                              const rr_encoder *encoder, struct delivery *delivery) {
+    rr_relayed relayed = {0};
+    delivery->rc =
+        rr_peers_relay_commands(app->peers, delivery->peer, batch->address, encoder->buffer.data,
+                                encoder->buffer.size, batch_timeout_s(batch), &relayed);
+    if (delivery->rc == 0) {
+        delivery->status = relayed.status;
+        delivery->heartbeat =
+            take_answer(app, relayed.body->data, relayed.body->len, delivery->peer, false);
+    }
+    if (relayed.body) {
+        g_byte_array_free(relayed.body, TRUE);
+    }
+}
+
+static enum rr_command_outcome outcome_of(const struct delivery *delivery) {
+    if (delivery->rc == -ENOTCONN) {
+        return RR_COMMAND_NOT_SENT;
+    }
+    bool answered = delivery->rc == 0 && delivery->heartbeat &&
+                    (delivery->status == 200 || delivery->status == STALE_TOKEN_STATUS);
+    return answered ? RR_COMMAND_ANSWERED : RR_COMMAND_OUTCOME_UNKNOWN;
+}
+
+static const char *outcome_name(enum rr_command_outcome outcome) {
+    switch (outcome) {
+    case RR_COMMAND_ANSWERED:
+        return "answered";
+    case RR_COMMAND_NOT_SENT:
+        return "not sent";
+    default:
+        return "outcome unknown";
+    }
+}
 
-/* Without orders it is a probe: a command that does nothing, but brings the present token. What it
- * hears the others hear. */
 static void send_command_batch(struct rr_app *app, rr_client *client,
                                const rr_command_batch *batch) {
+    struct delivery delivery = {.rc = -ENOTCONN, .peer = batch->via};
     rr_encoder encoder;
-    bool probe = batch->commands->len == 0;
-    double limit = probe ? PROBE_S : COMMAND_S;
-    rr_reply reply = {0};
-    rr_relayed relayed = {0};
-    bool succeeded = false;
-    long status = 0;
-    int rc = -ENOTCONN, via = batch->via;
     rr_encoder_init(&encoder);
     rr_commands_encode(&encoder, batch->fencing_token, batch->worker_epoch, batch->commands);
-    if (via < 0) {
-        /* Never heard, its worker_epoch is not known: only its status can be asked. */
-        bool ask = probe && batch->worker_epoch == 0;
-        rc = rr_worker_call(client, batch->address, ask ? NULL : encoder.buffer.data,
-                            ask ? 0 : encoder.buffer.size, limit, &reply);
-        /* Only what surely was not sent may go another way. */
-        if (rc == -ENOTCONN && batch->fallback >= 0) {
-            via = batch->fallback;
-        } else if (rc == 0) {
-            status = reply.status;
-            succeeded = take_answer(app, reply.body->data, reply.body->len, -1, probe);
-        }
+    if (delivery.peer < 0) {
+        send_directly(app, client, batch, &encoder, &delivery);
     }
-    if (via >= 0) {
-        rc = rr_peers_relay_commands(app->peers, via, batch->address, encoder.buffer.data,
-                                     encoder.buffer.size, limit, &relayed);
-        if (rc == 0) {
-            status = relayed.status;
-            succeeded = take_answer(app, relayed.body->data, relayed.body->len, via, false);
-        }
+    if (delivery.peer >= 0) {
+        send_through_peer(app, batch, &encoder, &delivery);
     }
-    enum rr_command_outcome outcome = rc == -ENOTCONN ? RR_COMMAND_NOT_SENT
-                                      : rc == 0 && succeeded && (status == 200 || status == 409)
-                                          ? RR_COMMAND_ANSWERED
-                                          : RR_COMMAND_OUTCOME_UNKNOWN;
-    rr_log(RR_DEBUG_LEVEL, "do %s: %u orders, via %d: %s %ld", batch->machine, batch->commands->len,
-           via,
-           outcome == RR_COMMAND_ANSWERED          ? "answered"
-           : outcome == RR_COMMAND_OUTCOME_UNKNOWN ? "in doubt"
-                                                   : "not sent",
-           status);
+    rr_encoder_clear(&encoder);
+    enum rr_command_outcome outcome = outcome_of(&delivery);
+    rr_log(RR_DEBUG_LEVEL, "commands to %s: %u, via peer %d: %s %ld", batch->machine,
+           batch->commands->len, delivery.peer, outcome_name(outcome), delivery.status);
     pthread_mutex_lock(&app->lock);
-    rr_core_command_result(app->core, rr_steady_clock_s(), batch, outcome, status == 200);
-    rr_app_wake(app);
+    rr_core_command_result(app->core, rr_steady_clock_s(), batch, outcome, delivery.status == 200);
+    rr_app_wake_planner(app);
     pthread_mutex_unlock(&app->lock);
-    if (relayed.body) {
-        g_byte_array_free(relayed.body, TRUE);
-    }
-    rr_encoder_clear(&encoder);
 }
 
-static void send_from(struct rr_app *app, GQueue *queue, pthread_cond_t *wake) {
+static void send_queued_commands(struct rr_app *app, GQueue *queue, pthread_cond_t *wake) {
     rr_usage_enter(RR_USAGE_COMMANDS);
     rr_client *client = rr_client_create(&app->stop);
     while (!rr_app_stopping(app) && client) {
         pthread_mutex_lock(&app->lock);
         while (!rr_app_stopping(app) && g_queue_is_empty(queue)) {
-            rr_app_wait(app, wake, &app->lock, 5.0);
+            rr_app_cond_wait(wake, &app->lock, IDLE_WAIT_S);
         }
         rr_command_batch *batch = g_queue_pop_head(queue);
         pthread_mutex_unlock(&app->lock);
@@ -117,12 +158,12 @@
 
 void *rr_command_thread(void *argument) {
     struct rr_app *app = argument;
-    send_from(app, &app->command_queue, &app->command_wake);
+    send_queued_commands(app, &app->command_queue, &app->command_wake);
     return NULL;
 }
 
 void *rr_slow_command_thread(void *argument) {
     struct rr_app *app = argument;
-    send_from(app, &app->slow_command_queue, &app->slow_command_wake);
+    send_queued_commands(app, &app->slow_command_queue, &app->slow_command_wake);
     return NULL;
 }
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -1,5 +1,5 @@
 /* The command line, and the life of the process. */
-#include "app/app.h"
+#include "app/process.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "app/settings.h"
@@ -115,7 +115,7 @@
 int main(int argc, char **argv) {
     struct options options = {0};
     char err[512] = "";
-    rr_app_memory();
+    rr_app_tune_allocator();
     int rc = read_options(&argc, &argv, &options);
     if (rc != 0) {
         rc = rc == 1 ? 0 : rc;
@@ -134,7 +134,7 @@
     if (load_settings(&options, app, err, sizeof err) != 0) {
         fprintf(stderr, "ringrock: %s\n", err);
         rc = 2;
-    } else if (rr_app_connections(&app->config) < RR_CONNECTIONS_MIN) {
+    } else if (rr_app_connections_max(&app->config) < RR_CONNECTIONS_MIN) {
         fprintf(stderr,
                 "ringrock: %s: deployment.limits, max_threads and senders leave no room for "
                 "connections\n",
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -1,16 +1,34 @@
-/* Terms, which follow the sessions, and the log line of each minute. */
+/* Writes a new term when sessions have come or gone, and logs the state of each minute. */
+#include "app/admission.h"
+#include "app/cells.h"
 #include "app/thread_loop.h"
+#include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
 #include "core/leadership.h"
-#include "core/state/transaction.h"
 #include "core/stats.h"
 
 #include <malloc.h>
 
-#define MINUTE_S 60.0
-#define FREE_SHARE 0.05 /* of the memory there is may stay with the allocator */
+#define LOG_PERIOD_S 60.0
+#define FREE_HEAP_SHARE_MAX 0.05 /* of the process's memory limit, before free pages are returned  \
+                                  */
+#define COMMIT_TIMEOUT_S 1.5
+#define CACHE_WAIT_S 1.0
+#define RETRY_PAUSE_S 0.3
+
+/* Logs processor time and heap, and returns the free pages that a peak has left. */
+static void log_resources(const struct rr_app *app) {
+    char used[256];
+    rr_usage_line(used, sizeof used);
+    struct mallinfo2 heap = mallinfo2();
+    rr_log(RR_INFO_LEVEL, "processor, last minute: %s; heap %.1f MB, %.1f of it free", used,
+           (double)(heap.arena + heap.hblkhd) / 1e6, (double)heap.fordblks / 1e6);
+    if ((double)heap.fordblks > FREE_HEAP_SHARE_MAX * app->config.ram_mb * 1e6) {
+        malloc_trim(0);
+    }
+}
 
 static void log_minute(struct rr_app *app) {
     char line[160];
@@ -21,64 +39,65 @@
     pthread_mutex_unlock(&app->lock);
     rr_app_admission_log(app);
     rr_app_cells_log(app);
-    char used[256];
-    rr_usage_line(used, sizeof used);
-    struct mallinfo2 heap = mallinfo2();
-    rr_log(RR_INFO_LEVEL, "processor, last minute: %s; heap %.1f MB, %.1f of it free", used,
-           (double)(heap.arena + heap.hblkhd) / 1e6, (double)heap.fordblks / 1e6);
-    /* What a peak has left goes back. */
-    if ((double)heap.fordblks > FREE_SHARE * app->config.ram_mb * 1e6) {
-        malloc_trim(0);
-    }
+    log_resources(app);
     rr_log(RR_INFO_LEVEL,
            "last minute: %s; %d connections, %u machines (%u not heard), %u jobs open, "
            "%u tasks placed, %u waiting, so far %u moves, %u machines rented, "
-           "%u given up or returned, %u leases lost, %u notices",
+           "%u declared dead or returned, %u leases lost, %u notices",
            line, rr_http_server_connections(app->http_server), stats.machines, stats.booting,
            stats.jobs_open, stats.tasks_placed, stats.tasks_waiting, stats.moves, stats.rented,
            stats.given_up, stats.leases_lost, stats.notices);
 }
 
+/* Takes the store's budget shares from the core. Prepares a transaction if the term is to change;
+ * otherwise waits a while for news. */
+static bool prepare_term(struct rr_app *app, rr_transaction *transaction, uint64_t *logged_token) {
+    struct rr_budget_shares shares;
+    pthread_mutex_lock(&app->lock);
+    bool change = rr_core_next_term(app->core, rr_steady_clock_s(), rr_wall_clock_s(), transaction);
+    uint64_t token = rr_core_fencing_token(app->core);
+    unsigned controllers = rr_core_live_controllers(app->core);
+    rr_core_budget_shares(app->core, &shares);
+    if (!change) {
+        rr_app_cond_wait(&app->cache_advanced, &app->lock, CACHE_WAIT_S);
+    }
+    pthread_mutex_unlock(&app->lock);
+    rr_budget_set_shares(app->budget, &shares);
+    if (token != *logged_token) {
+        *logged_token = token;
+        rr_log(RR_INFO_LEVEL, "term %" G_GUINT64_FORMAT " with %u controllers", token, controllers);
+    }
+    return change;
+}
+
+static void commit_term(struct rr_app *app, rr_store *store, const rr_transaction *transaction) {
+    uint64_t revision;
+    enum rr_commit_status outcome =
+        rr_store_commit(store, RR_REQUEST_SESSION, transaction, COMMIT_TIMEOUT_S, &revision, NULL);
+    if (outcome == RR_COMMIT_DONE || outcome == RR_COMMIT_CONFLICT) {
+        pthread_mutex_lock(&app->lock);
+        rr_app_wait_revision(app, revision, rr_steady_clock_s() + CACHE_WAIT_S);
+        pthread_mutex_unlock(&app->lock);
+    } else {
+        rr_app_pause(app, RETRY_PAUSE_S);
+    }
+}
+
 void *rr_membership_thread(void *argument) {
     struct rr_app *app = argument;
     rr_usage_enter(RR_USAGE_SESSION);
     rr_store *store = rr_app_open_store(app);
-    uint64_t seen = 0;
-    double logged = rr_steady_clock_s();
+    uint64_t logged_token = 0;
+    double logged_at = rr_steady_clock_s();
     while (!rr_app_stopping(app)) {
-        if (rr_steady_clock_s() - logged >= MINUTE_S) {
-            logged = rr_steady_clock_s();
+        if (rr_steady_clock_s() - logged_at >= LOG_PERIOD_S) {
+            logged_at = rr_steady_clock_s();
             log_minute(app);
         }
         rr_transaction transaction;
-        uint64_t revision;
         rr_transaction_init(&transaction);
-        pthread_mutex_lock(&app->lock);
-        bool change =
-            rr_core_next_term(app->core, rr_steady_clock_s(), rr_wall_clock_s(), &transaction);
-        uint64_t token = rr_core_fencing_token(app->core);
-        unsigned live = rr_core_live_controllers(app->core);
-        struct rr_budget_shares shares;
-        rr_core_budget_shares(app->core, &shares);
-        if (!change) {
-            rr_app_wait(app, &app->cache_advanced, &app->lock, 1.0);
-        }
-        pthread_mutex_unlock(&app->lock);
-        rr_budget_set_shares(app->budget, &shares);
-        if (token != seen) {
-            seen = token;
-            rr_log(RR_INFO_LEVEL, "term %" G_GUINT64_FORMAT " with %u controllers", token, live);
-        }
-        if (change) {
-            enum rr_commit_status rc =
-                rr_store_commit(store, RR_REQUEST_SESSION, &transaction, 1.5, &revision, NULL);
-            if (rc == RR_COMMIT_DONE || rc == RR_COMMIT_CONFLICT) {
-                pthread_mutex_lock(&app->lock);
-                rr_app_wait_revision(app, revision, rr_steady_clock_s() + 1);
-                pthread_mutex_unlock(&app->lock);
-            } else {
-                rr_app_pause(app, 0.3);
-            }
+        if (prepare_term(app, &transaction, &logged_token)) {
+            commit_term(app, store, &transaction);
         }
         rr_transaction_clear(&transaction);
     }
--- a/src/app/planner_thread.c
+++ b/src/app/planner_thread.c
@@ -1,14 +1,42 @@
-/* The owner's plans: made, committed, and their commands handed to the senders. */
+/* Makes plans for the teams that this controller owns, commits them and hands their commands to the
+ * command threads. */
 #include "app/thread_loop.h"
+#include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
-#include "core/cache_feed.h"
 #include "core/planning.h"
-#include "core/state/transaction.h"
 
 #include <math.h>
 
+#define WORK_WAIT_S 0.5     /* between plans without a wake */
+#define CONFLICT_WAIT_S 1.0 /* for the store cache to show the conflicting change */
+#define COMMIT_FAILED_PAUSE_S 0.2
+#define SUSPECTS_PERIOD_S 2.0
+
+/* A transaction costs a request however few changes it has: fewer than CHANGES_MIN wait until
+ * FEW_CHANGES_WAIT_S have passed since the last commit. */
+#define CHANGES_MIN 3
+#define FEW_CHANGES_WAIT_S 0.3
+
+/* The pause after a plan: at least a share of the heartbeat interval, since peers batch heartbeats;
+ * longer after slow plans and while timers are late, so that heartbeats and commands come first. */
+#define PAUSE_HEARTBEAT_SHARE 0.0125
+#define PAUSE_PLAN_TIME_FACTOR 12
+#define PAUSE_PLAN_TIME_MAX_S 0.25
+#define PAUSE_LAG_FACTOR 4
+#define PAUSE_LAG_MAX_S 1.0
+
+/* State that the planner keeps from plan to plan. */
+struct planner {
+    uint64_t seen_wakes;      /* value of rr_app.wake_count before the last plan */
+    uint64_t needed_revision; /* the store cache must reach it before the next plan */
+    double committed_at;      /* steady: of the last transaction */
+    double suspects_sent_at;  /* steady */
+    double plan_time_pause_s; /* after the last plan */
+};
+
+/* Moves the plan's command batches to the queues. Caller holds `lock`. */
 static void queue_command_batches(struct rr_app *app, rr_plan *plan) {
     for (guint i = 0; i < plan->command_batches->len; i++) {
         rr_command_batch *batch = g_ptr_array_index(plan->command_batches, i);
@@ -22,89 +50,85 @@
     }
 }
 
-/* Our own changes are in the store cache at once; those that others made first come with the watch.
- */
-static uint64_t plan_outcome(struct rr_app *app, const rr_transaction *transaction,
-                             enum rr_commit_status rc, uint64_t revision) {
+static int count_affordable_changes(const struct rr_app *app, const struct planner *planner) {
+    int changes = rr_budget_changes(app->budget);
+    bool wait =
+        changes < CHANGES_MIN && rr_steady_clock_s() - planner->committed_at < FEW_CHANGES_WAIT_S;
+    return wait ? 0 : changes;
+}
+
+/* Waits for work and makes a plan, none if the store cache is still behind a conflict. */
+static void make_plan(struct rr_app *app, struct planner *planner, rr_plan *plan) {
     pthread_mutex_lock(&app->lock);
-    if (rc == RR_COMMIT_DONE) {
-        rr_core_apply(app->core, transaction, revision, rr_steady_clock_s());
+    if (app->wake_count == planner->seen_wakes) {
+        rr_app_cond_wait(&app->work, &app->lock, WORK_WAIT_S);
+    }
+    planner->seen_wakes = app->wake_count;
+    if (rr_app_wait_revision(app, planner->needed_revision,
+                             rr_steady_clock_s() + CONFLICT_WAIT_S)) {
+        int changes = count_affordable_changes(app, planner);
+        rr_core_set_pressure(app->core, rr_budget_pressure(app->budget), changes);
+        double began = rr_steady_clock_s();
+        rr_core_plan(app->core, began, rr_wall_clock_s(), plan);
+        queue_command_batches(app, plan);
+        app->planning = plan->has_transaction;
+        planner->plan_time_pause_s =
+            fmin(PAUSE_PLAN_TIME_FACTOR * (rr_steady_clock_s() - began), PAUSE_PLAN_TIME_MAX_S);
     }
-    app->planning = false;
     pthread_mutex_unlock(&app->lock);
-    return rc == RR_COMMIT_CONFLICT ? revision : 0;
 }
 
-#define SUSPECTS_S 2.0
+static void commit_plan(struct rr_app *app, rr_store *store, struct planner *planner,
+                        const rr_plan *plan) {
+    uint64_t revision = 0;
+    enum rr_commit_status outcome =
+        rr_app_commit(app, store, RR_REQUEST_PLAN, &plan->transaction, &revision);
+    pthread_mutex_lock(&app->lock);
+    rr_app_apply_committed(app, &plan->transaction, outcome, revision);
+    app->planning = false;
+    pthread_mutex_unlock(&app->lock);
+    planner->needed_revision = outcome == RR_COMMIT_CONFLICT ? revision : 0;
+    planner->committed_at = rr_steady_clock_s();
+    if (outcome == RR_COMMIT_DONE) {
+        planner->seen_wakes--; /* plans again at once, to start what this plan has reserved */
+    } else if (outcome != RR_COMMIT_CONFLICT) {
+        rr_log(RR_DEBUG_LEVEL, "plan not committed");
+        rr_app_pause(app, COMMIT_FAILED_PAUSE_S);
+    }
+}
 
-static void announce_suspects(struct rr_app *app, double *announced) {
-    if (rr_steady_clock_s() - *announced < SUSPECTS_S) {
+static void send_suspects(struct rr_app *app, struct planner *planner) {
+    if (rr_steady_clock_s() - planner->suspects_sent_at < SUSPECTS_PERIOD_S) {
         return;
     }
-    *announced = rr_steady_clock_s();
-    GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
+    planner->suspects_sent_at = rr_steady_clock_s();
+    GPtrArray *machines = g_ptr_array_new_with_free_func(g_free);
     pthread_mutex_lock(&app->lock);
-    rr_core_list_suspects(app->core, rr_steady_clock_s(), names);
+    rr_core_list_suspects(app->core, rr_steady_clock_s(), machines);
     pthread_mutex_unlock(&app->lock);
-    rr_peers_send_suspects(app->peers, names);
-    g_ptr_array_free(names, TRUE);
+    rr_peers_send_suspects(app->peers, machines);
+    g_ptr_array_free(machines, TRUE);
 }
 
-#define FEW 3
-#define FEW_S 0.3
-#define PAUSE_SHARE 0.0125 /* of a report interval, as links gather: news comes no faster */
-#define PAUSE_FACTOR 12    /* a plan's time goes into the pause after it so many times, */
-#define LAG_FACTOR 4
-#define LAG_PAUSE_S 1.0
-#define PAUSE_MAX_S 0.25 /* up to this: under load planning takes a bounded share */
-
 void *rr_planner_thread(void *argument) {
     struct rr_app *app = argument;
     rr_usage_enter(RR_USAGE_PLANNER);
     rr_store *store = rr_app_open_store(app);
-    uint64_t wakes = 0, need = 0;
-    double least = fmax(app->config.tuning.plan_pause_ms / 1000,
-                        PAUSE_SHARE * app->config.heartbeat_interval_s);
-    double announced = 0, committed = 0, pause = 0;
+    struct planner planner = {0};
+    double pause_min_s = fmax(app->config.tuning.plan_pause_ms / 1000,
+                              PAUSE_HEARTBEAT_SHARE * app->config.heartbeat_interval_s);
     while (!rr_app_stopping(app)) {
         rr_plan plan;
         rr_plan_init(&plan);
-        pthread_mutex_lock(&app->lock);
-        if (app->wake_count == wakes) {
-            rr_app_wait(app, &app->work, &app->lock, 0.5);
-        }
-        wakes = app->wake_count;
-        /* After a conflict, until the store cache shows what came first. */
-        if (rr_app_wait_revision(app, need, rr_steady_clock_s() + 1)) {
-            int changes = rr_budget_changes(app->budget);
-            /* Few at a time cost a request each. */
-            changes = changes < FEW && rr_steady_clock_s() - committed < FEW_S ? 0 : changes;
-            rr_core_set_pressure(app->core, rr_budget_pressure(app->budget), changes);
-            double began = rr_steady_clock_s();
-            rr_core_plan(app->core, began, rr_wall_clock_s(), &plan);
-            queue_command_batches(app, &plan);
-            app->planning = plan.has_transaction;
-            pause = fmin(PAUSE_FACTOR * (rr_steady_clock_s() - began), PAUSE_MAX_S);
-        }
-        pthread_mutex_unlock(&app->lock);
+        make_plan(app, &planner, &plan);
         if (plan.has_transaction) {
-            uint64_t revision = 0;
-            enum rr_commit_status rc =
-                rr_app_commit(app, store, RR_REQUEST_PLAN, &plan.transaction, &revision);
-            need = plan_outcome(app, &plan.transaction, rc, revision);
-            committed = rr_steady_clock_s();
-            if (rc == RR_COMMIT_DONE) {
-                wakes--; /* what it reserved is to be started */
-            } else if (rc != RR_COMMIT_CONFLICT) {
-                rr_log(RR_DEBUG_LEVEL, "plan not committed");
-                rr_app_pause(app, 0.2);
-            }
+            commit_plan(app, store, &planner, &plan);
         }
         rr_plan_clear(&plan);
-        announce_suspects(app, &announced);
-        /* Behind with its work it plans less: reports and commands come before it. */
-        double lag = fmin(LAG_FACTOR * atomic_load(&app->lag_ms) / 1000.0, LAG_PAUSE_S);
-        rr_app_pause(app, fmax(least, fmax(pause, lag)));
+        send_suspects(app, &planner);
+        double lag_pause_s =
+            fmin(PAUSE_LAG_FACTOR * atomic_load(&app->timer_lag_ms) / 1000.0, PAUSE_LAG_MAX_S);
+        rr_app_pause(app, fmax(pause_min_s, fmax(planner.plan_time_pause_s, lag_pause_s)));
     }
     rr_store_destroy(store);
     rr_usage_leave();
--- /dev/null
+++ b/src/app/read_barrier_thread.c
@@ -0,0 +1,111 @@
+#include "app/read_barrier.h"
+#include "app/thread_loop.h"
+#include "app/threads.h"
+#include "common/clock.h"
+#include "common/usage.h"
+#include "core/cache_feed.h"
+#include "core/leadership.h"
+
+#define POLL_WAIT_MAX_S 1.6 /* users wait for 2 s */
+#define REVISION_TIMEOUT_S 0.8
+#define CACHE_WAIT_MAX_S 1.2 /* from the request for the revision */
+#define IDLE_WAIT_S 5.0
+/* Reads of the revision take one in so many requests of the store's limit, over all controllers. */
+#define REQUESTS_PER_READ 6.0
+
+void rr_read_barriers_init(struct rr_app *app) {
+    rr_app_cond_init(&app->barrier_wake);
+    rr_app_cond_init(&app->read_barriers[0].served);
+    rr_app_cond_init(&app->read_barriers[1].served);
+    app->gathering_group = 1;
+}
+
+bool rr_read_barrier_wait(struct rr_app *app) {
+    double until = rr_steady_clock_s() + POLL_WAIT_MAX_S;
+    pthread_mutex_lock(&app->user_lock);
+    uint64_t group = app->gathering_group;
+    struct rr_read_barrier *barrier = &app->read_barriers[group % 2];
+    barrier->group = group;
+    if (barrier->waiting_polls++ == 0) {
+        pthread_cond_signal(&app->barrier_wake);
+    }
+    while (!rr_app_stopping(app) && barrier->served_group < group && rr_steady_clock_s() < until) {
+        rr_app_cond_wait(&barrier->served, &app->user_lock, until - rr_steady_clock_s());
+    }
+    /* If a later group was served here meanwhile, its read is newer and serves as well. */
+    bool succeeded = barrier->served_group >= group && barrier->succeeded;
+    pthread_mutex_unlock(&app->user_lock);
+    return succeeded;
+}
+
+static void wait_for_polls(struct rr_app *app) {
+    pthread_mutex_lock(&app->user_lock);
+    while (!rr_app_stopping(app) &&
+           app->read_barriers[app->gathering_group % 2].waiting_polls == 0) {
+        rr_app_cond_wait(&app->barrier_wake, &app->user_lock, IDLE_WAIT_S);
+    }
+    pthread_mutex_unlock(&app->user_lock);
+}
+
+/* Polls gather while the thread waits for its share of the store's request limit. read_at: steady,
+ * the previous read. */
+static void wait_for_request_share(struct rr_app *app, double read_at) {
+    pthread_mutex_lock(&app->lock);
+    unsigned controllers = rr_core_live_controllers(app->core);
+    pthread_mutex_unlock(&app->lock);
+    rr_sleep(read_at + REQUESTS_PER_READ * (controllers ? controllers : 1) / app->config.state_rps -
+             rr_steady_clock_s());
+}
+
+/* Closes the gathering group and opens the next. NULL: no poll waits. */
+static struct rr_read_barrier *close_group(struct rr_app *app) {
+    pthread_mutex_lock(&app->user_lock);
+    struct rr_read_barrier *barrier = &app->read_barriers[app->gathering_group % 2];
+    barrier = barrier->waiting_polls > 0 ? barrier : NULL;
+    app->gathering_group += barrier != NULL;
+    pthread_mutex_unlock(&app->user_lock);
+    return barrier;
+}
+
+/* Waits until the store cache has every change that was committed before this call. */
+static bool wait_until_cache_is_current(struct rr_app *app, rr_store *store) {
+    uint64_t revision = 0;
+    double until = rr_steady_clock_s() + CACHE_WAIT_MAX_S;
+    if (rr_store_revision(store, &revision, REVISION_TIMEOUT_S) != 0) {
+        return false;
+    }
+    pthread_mutex_lock(&app->lock);
+    bool succeeded = rr_core_cache_loaded(app->core) && rr_app_wait_revision(app, revision, until);
+    pthread_mutex_unlock(&app->lock);
+    return succeeded;
+}
+
+static void release_polls(struct rr_app *app, struct rr_read_barrier *barrier, bool succeeded) {
+    pthread_mutex_lock(&app->user_lock);
+    barrier->served_group = barrier->group;
+    barrier->succeeded = succeeded;
+    barrier->waiting_polls = 0;
+    pthread_cond_broadcast(&barrier->served);
+    pthread_mutex_unlock(&app->user_lock);
+}
+
+/* Only this thread waits for the store cache: if every poll did, each change would wake them all.
+ */
+void *rr_read_barrier_thread(void *argument) {
+    struct rr_app *app = argument;
+    rr_usage_enter(RR_USAGE_USERS);
+    rr_store *store = rr_app_open_store(app);
+    double read_at = 0;
+    while (!rr_app_stopping(app)) {
+        wait_for_polls(app);
+        wait_for_request_share(app, read_at);
+        struct rr_read_barrier *barrier = close_group(app);
+        if (barrier) {
+            read_at = rr_steady_clock_s();
+            release_polls(app, barrier, wait_until_cache_is_current(app, store));
+        }
+    }
+    rr_store_destroy(store);
+    rr_usage_leave();
+    return NULL;
+}
--- a/src/app/thread_loop.c
+++ b/src/app/thread_loop.c
@@ -1,23 +1,27 @@
-/* What the threads have in common: pauses that notice when they end late, the store client of a
- * thread, and transactions whose outcome must be certain. */
 #include "app/thread_loop.h"
 #include "common/clock.h"
 #include "core/cache_feed.h"
 #include "core/leadership.h"
-#include "core/state/transaction.h"
+
+#include <time.h>
+
+#define PAUSE_SLICE_S 0.5      /* time until a stop is noticed */
+#define TIMER_LATE_S 0.4       /* half the time that a probe may take */
+#define TIMER_LAG_OLD_WEIGHT 3 /* of the smoothed lag, against 1 of the new sample */
+#define COMMIT_TIMEOUT_S 2.0   /* of one attempt */
+#define COMMIT_RETRY_PAUSE_S 0.2
 
 bool rr_app_stopping(const struct rr_app *app) {
     return atomic_load(&app->stop);
 }
 
-#define LATE_S 0.4 /* a pause longer by this than asked for: half of what a probe may take */
-
-/* The process has less processor time than it has work for. What it hears is old by then, and what
- * it waits for has perhaps come and not been read. */
-static void note_late(struct rr_app *app, double now, double late) {
-    int lag = (3 * atomic_load(&app->lag_ms) + (int)(1000 * late)) / 4;
-    atomic_store(&app->lag_ms, lag);
-    if (late > LATE_S) {
+/* A late timer means that messages are read late, too: silence then says nothing about peers and
+ * machines. */
+static void record_timer_lag(struct rr_app *app, double now, double late_s) {
+    int lag_ms = (TIMER_LAG_OLD_WEIGHT * atomic_load(&app->timer_lag_ms) + (int)(1000 * late_s)) /
+                 (TIMER_LAG_OLD_WEIGHT + 1);
+    atomic_store(&app->timer_lag_ms, lag_ms);
+    if (late_s > TIMER_LATE_S) {
         pthread_mutex_lock(&app->lock);
         rr_core_set_timers_late(app->core, now);
         pthread_mutex_unlock(&app->lock);
@@ -26,47 +30,88 @@
 
 void rr_app_pause(struct rr_app *app, double seconds) {
     while (seconds > 0 && !rr_app_stopping(app)) {
-        double slice_s = seconds < 0.5 ? seconds : 0.5, began = rr_steady_clock_s();
+        double slice_s = seconds < PAUSE_SLICE_S ? seconds : PAUSE_SLICE_S;
+        double began = rr_steady_clock_s();
         rr_sleep(slice_s);
         double now = rr_steady_clock_s();
-        note_late(app, now, now - began - slice_s);
+        record_timer_lag(app, now, now - began - slice_s);
         seconds -= slice_s;
     }
 }
 
+void rr_app_cond_init(pthread_cond_t *condition) {
+    pthread_condattr_t attributes;
+    pthread_condattr_init(&attributes);
+    pthread_condattr_setclock(&attributes, CLOCK_MONOTONIC);
+    pthread_cond_init(condition, &attributes);
+    pthread_condattr_destroy(&attributes);
+}
+
+void rr_app_cond_wait(pthread_cond_t *condition, pthread_mutex_t *mutex, double seconds) {
+    double until = rr_steady_clock_s() + seconds;
+    struct timespec time = {(time_t)until, (long)((until - (double)(time_t)until) * 1e9)};
+    pthread_cond_timedwait(condition, mutex, &time);
+}
+
+void rr_app_wake_planner(struct rr_app *app) {
+    app->wake_count++;
+    pthread_cond_broadcast(&app->work);
+}
+
+bool rr_app_wait_revision(struct rr_app *app, uint64_t revision, double until) {
+    while (rr_core_revision(app->core) < revision) {
+        double left = until - rr_steady_clock_s();
+        if (left <= 0 || rr_app_stopping(app)) {
+            return false;
+        }
+        rr_app_cond_wait(&app->cache_advanced, &app->lock, left);
+    }
+    return true;
+}
+
 rr_store *rr_app_open_store(struct rr_app *app) {
     return rr_store_create(&app->config.state, app->budget, &app->stop);
 }
 
-/* A valid transaction was called invalid: the key-value store's lower limits hold. */
-static void next_limits_hold(struct rr_app *app, bool in_doubt) {
+/* The key-value store has rejected a transaction that is within its present limits: the lower
+ * limits that the settings announce are in force from now on. */
+static void switch_to_next_limits(struct rr_app *app, bool outcome_unknown) {
     rr_budget_next_limits_hold(app->budget);
     pthread_mutex_lock(&app->lock);
-    rr_core_lower_limits(app->core, in_doubt);
+    rr_core_lower_limits(app->core, outcome_unknown);
     pthread_cond_broadcast(&app->cache_advanced);
     pthread_mutex_unlock(&app->lock);
 }
 
-/* Until the outcome is certain. An unanswered transaction may still be carried out late, and a task
- * placed anew meanwhile would then stand in the ledger twice. The same transaction sent again
- * settles it: its guards hold at most once, since it changes the keys that it guards. */
+/* An unanswered transaction may still be carried out late, and a task that is placed again
+ * meanwhile would then be in the ledger twice. Sending the same transaction again settles the
+ * outcome: it changes the keys that it guards, so its guards hold at most once. */
 enum rr_commit_status rr_app_commit(struct rr_app *app, rr_store *store,
-                                    enum rr_request_priority prio,
+                                    enum rr_request_priority priority,
                                     const rr_transaction *transaction, uint64_t *revision) {
-    bool doubted = false;
+    bool outcome_unknown = false;
     for (;;) {
-        enum rr_commit_status rc = rr_store_commit(store, prio, transaction, 2.0, revision, NULL);
-        if (rc == RR_COMMIT_DONE || rc == RR_COMMIT_CONFLICT || rc == RR_COMMIT_NO_LEASE) {
-            return rc;
+        enum rr_commit_status status =
+            rr_store_commit(store, priority, transaction, COMMIT_TIMEOUT_S, revision, NULL);
+        if (status == RR_COMMIT_DONE || status == RR_COMMIT_CONFLICT ||
+            status == RR_COMMIT_NO_LEASE) {
+            return status;
         }
-        if (rc == RR_COMMIT_INVALID) {
-            next_limits_hold(app, doubted);
-            return rc;
+        if (status == RR_COMMIT_INVALID) {
+            switch_to_next_limits(app, outcome_unknown);
+            return status;
         }
-        if (rr_app_stopping(app) || (rc == RR_COMMIT_REFUSED && !doubted)) {
-            return rc;
+        if (rr_app_stopping(app) || (status == RR_COMMIT_REFUSED && !outcome_unknown)) {
+            return status;
         }
-        doubted = doubted || rc == RR_COMMIT_OUTCOME_UNKNOWN;
-        rr_app_pause(app, 0.2);
+        outcome_unknown = outcome_unknown || status == RR_COMMIT_OUTCOME_UNKNOWN;
+        rr_app_pause(app, COMMIT_RETRY_PAUSE_S);
+    }
+}
+
+void rr_app_apply_committed(struct rr_app *app, const rr_transaction *transaction,
+                            enum rr_commit_status outcome, uint64_t revision) {
+    if (outcome == RR_COMMIT_DONE) {
+        rr_core_apply(app->core, transaction, revision, rr_steady_clock_s());
     }
 }
--- a/src/app/user_batch.h
+++ b/src/app/user_batch.h
@@ -1,26 +1,30 @@
-/* Users' changes that share a transaction: what goes together, and the transaction that comes of
- * it. Plain data of the committer's thread. */
+/* Users' changes that share one transaction: which may be combined, and the transaction itself.
+ * Plain data of the commit thread; no lock. */
 #ifndef RR_APP_USER_BATCH_H
 #define RR_APP_USER_BATCH_H
 
-#include "app/app.h"
+#include "app/user_commit.h"
 #include "core/state/transaction.h"
 
-/* What one transaction takes of the queue: changes, guards (one a job, one a batch, four for each
- * change at most) and bytes are bounded. New jobs share records. */
+/* The changes of one transaction. The numbers of changes, guards and bytes are bounded; new jobs
+ * share records (job batches). Zeroed when empty. */
 struct rr_user_batch {
-    struct rr_user_commit *entries[RR_USER_BATCH_MAX];
-    bool joins[RR_USER_BATCH_MAX]; /* goes into the record of the new job before it */
-    guint n, records;              /* entries; changes that they make */
-    guint more_guards;             /* beyond one an entry */
-    size_t bytes, open;            /* of all; of the record being filled, 0: none */
+    struct rr_user_commit *entries[RR_USER_BATCH_MAX]; /* not owned */
+    bool joins_previous[RR_USER_BATCH_MAX]; /* shares the record of the new job before it */
+    guint entry_count;
+    guint record_count;       /* changes in the transaction */
+    guint extra_guard_count;  /* beyond one for each entry */
+    size_t bytes;             /* of all records, as JSON */
+    size_t open_record_bytes; /* of the job batch that new jobs still join; 0: none */
 };
 
-/* False: it does not fit any more, and goes with a later one. */
+/* Adds a change. False: it does not fit, or a change of the same key is in the batch already; it is
+ * to go into a later batch. An empty batch takes any change. */
 bool rr_user_batch_add(const struct rr_config *config, struct rr_user_batch *batch,
                        struct rr_user_commit *commit);
-/* lease, and the count of batches so far, make the keys of shared records unique. */
+/* Adds the batch's guards and changes to the transaction. lease_id and *batch_count, which counts
+ * up for each shared record, make the keys of shared records unique. */
 void rr_user_batch_transaction(const struct rr_user_batch *batch, uint64_t lease_id,
-                               uint64_t *batches, rr_transaction *transaction);
+                               uint64_t *batch_count, rr_transaction *transaction);
 
 #endif
--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -3,7 +3,7 @@
 #ifndef RR_TESTS_FAKE_SERVICES_H
 #define RR_TESTS_FAKE_SERVICES_H
 
-#include "app/app.h"
+#include "app/process.h"
 
 #include <stdint.h>
 
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -332,7 +332,7 @@
     const struct CMUnitTest tests[] = {cmocka_unit_test(many_jobs_to_their_end),
                                        cmocka_unit_test(more_workers_than_connections),
                                        cmocka_unit_test(requests_by_kind)};
-    rr_app_memory();
+    rr_app_tune_allocator();
     rr_net_init();
     rr_log_set_level("error");
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -386,15 +386,15 @@
     char got[32];
     assert_int_equal(submit(service->app, "req-500040", 1, true), 201);
     wait_standing(service->app, "req-500040", "running");
-    atomic_store(&service->app->lag_ms, 1000000);
+    atomic_store(&service->app->timer_lag_ms, 1000000);
     double began = rr_steady_clock_s();
     assert_int_equal(submit(service->app, "req-500041", 1, true), 503);
     assert_true(rr_steady_clock_s() - began < 1);
-    atomic_store(&service->app->lag_ms, 1000000);
+    atomic_store(&service->app->timer_lag_ms, 1000000);
     assert_string_equal(poll_standing(service->app, "req-500040", got, sizeof got), "running");
     assert_int_equal(fake_services_call(&service->app->config, "GET", "/ready", NULL, 0, NULL),
                      200);
-    atomic_store(&service->app->lag_ms, 1000000);
+    atomic_store(&service->app->timer_lag_ms, 1000000);
     assert_int_equal(cancel(service->app, "req-500040"), 200);
     double until = rr_steady_clock_s() + 60;
     while (submit(service->app, "req-500041", 1, true) == 503) {
@@ -429,7 +429,7 @@
 
 static unsigned waiting_polls(struct rr_app *app) {
     pthread_mutex_lock(&app->user_lock);
-    unsigned names = app->barrier[0].waiting + app->barrier[1].waiting;
+    unsigned names = app->read_barriers[0].waiting_polls + app->read_barriers[1].waiting_polls;
     pthread_mutex_unlock(&app->user_lock);
     return names;
 }
