--- a/src/admission/settings.c
+++ b/src/admission/settings.c
@@ -1,27 +1,29 @@
 #include "admission/settings.h"
-#include "conf/conf.h"
+#include "conf/settings_file.h"
 
 #include <errno.h>
-#include <stdlib.h>
 #include <string.h>
 
-#define NUMBER(field, standard, least, most)                                                       \
-    { #field, standard, least, most, offsetof(rr_admission_settings, field) }
-static const rr_conf_number numbers[] = {
+#define NUMBER(field, default_value, min, max)                                                     \
+    { #field, RR_NUMBER_REAL, default_value, min, max, offsetof(rr_admission_settings, field) }
+static const rr_number_setting numbers[] = {
     NUMBER(interval_s, 10, 0.2, 3600),       NUMBER(enter_backlog_s, 60, 0.1, 86400),
     NUMBER(leave_backlog_s, 20, 0, 86400),   NUMBER(target_backlog_s, 30, 0.1, 86400),
     NUMBER(service_estimate_s, 600, 1, 1e7), NUMBER(patience_s, 60, 1, 3600),
     NUMBER(solver_s, 0.3, 0.001, 60),
 };
-static const long standard_bands[2] = {8, 64};
-
+#define NUMBERS G_N_ELEMENTS(numbers)
 #define WEIGHT_MAX 1e6
+#define BAND_LIMIT_MIN 2
+#define CLOCK_OFF_PER_INTERVAL_MAX 8 /* controllers must agree on the interval they are in */
+
+static const uint32_t default_band_limits[2] = {8, 64};
+static const char default_band_text[] = "{8, 64}";
 
 void rr_admission_settings_init(rr_admission_settings *settings) {
     memset(settings, 0, sizeof *settings);
-    rr_conf_set_standards(numbers, G_N_ELEMENTS(numbers), settings);
-    settings->band_limits[0] = (uint32_t)standard_bands[0];
-    settings->band_limits[1] = (uint32_t)standard_bands[1];
+    rr_settings_set_defaults(numbers, NUMBERS, settings);
+    memcpy(settings->band_limits, default_band_limits, sizeof default_band_limits);
     for (size_t i = 0; i < RR_TEAMS_MAX; i++) {
         settings->teams[i].weight = 1;
     }
@@ -42,25 +44,25 @@
     return weight ? *weight : 1;
 }
 
-/* ---- checks that libconfuse makes while it reads, so that they know the line ---- */
+/* ---- checks during parsing, whose errors name the line ---- */
 
-static const struct rr_config
-    *platform; /* whose names are checked; read before any thread starts */
+/* Settings whose names are checked. Static, since libconfuse's callbacks have no user pointer. */
+static const struct rr_config *platform;
 
 static int check_weight(cfg_t *config, cfg_opt_t *option) {
     double value = cfg_opt_getnfloat(option, cfg_opt_size(option) - 1);
     if (!(value > 0 && value <= WEIGHT_MAX)) {
-        cfg_error(config, "weight: must be above 0 and at most %g", WEIGHT_MAX);
-        return -1;
+        return rr_settings_reject(config, RR_SETTINGS_ERROR_OUT_OF_RANGE,
+                                  "weight: must be above 0 and at most %g", WEIGHT_MAX);
     }
     return 0;
 }
 
-static int check_least(cfg_t *config, cfg_opt_t *option) {
+static int check_least_share(cfg_t *config, cfg_opt_t *option) {
     double value = cfg_opt_getnfloat(option, cfg_opt_size(option) - 1);
     if (!(value >= 0 && value <= 1)) {
-        cfg_error(config, "least_share: must be between 0 and 1");
-        return -1;
+        return rr_settings_reject(config, RR_SETTINGS_ERROR_OUT_OF_RANGE,
+                                  "least_share: must be between 0 and 1");
     }
     return 0;
 }
@@ -68,13 +70,14 @@
 static int check_team(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
     if (rr_config_team(platform, name) < 0) {
-        cfg_error(config, "team \"%s\": the platform's settings have no such team", name);
-        return -1;
+        return rr_settings_reject(config, RR_SETTINGS_ERROR_UNKNOWN_NAME,
+                                  "team \"%s\": the platform's settings have no such team", name);
     }
     return 0;
 }
 
-/* Classes are what users write; where the platform's settings name some, others are mistakes. */
+/* Users may submit jobs of any class. Where the platform's settings name classes, a class that they
+ * do not name is taken for a mistake. */
 static int check_class(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
     bool known = false, any = false;
@@ -83,8 +86,8 @@
         known = known || strcmp(platform->objectives[i].job_class, name) == 0;
     }
     if (any && !known) {
-        cfg_error(config, "class \"%s\": no objective names such a class", name);
-        return -1;
+        return rr_settings_reject(config, RR_SETTINGS_ERROR_UNKNOWN_NAME,
+                                  "class \"%s\": no objective names such a class", name);
     }
     return 0;
 }
@@ -103,74 +106,96 @@
     }
 }
 
-static const char *read_bands(cfg_t *config, rr_admission_settings *out) {
+static bool read_bands(cfg_t *config, const char *file, rr_admission_settings *out,
+                       GError **error) {
     if (cfg_size(config, "bands") != 2) {
-        return "bands: must be two numbers of tasks";
+        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_WRONG_TYPE,
+                    "%s: bands: must be two numbers of tasks", file);
+        return false;
     }
     long second = cfg_getnint(config, "bands", 0), third = cfg_getnint(config, "bands", 1);
-    if (second < 2 || third <= second || third > RR_ADMISSION_TASKS_MAX) {
-        return "bands: must rise, from 2 to 100000";
+    if (second < BAND_LIMIT_MIN || third <= second || third > RR_ADMISSION_TASKS_MAX) {
+        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_OUT_OF_RANGE,
+                    "%s: bands: must rise, from %d to %d", file, BAND_LIMIT_MIN,
+                    RR_ADMISSION_TASKS_MAX);
+        return false;
     }
     out->band_limits[0] = (uint32_t)second;
     out->band_limits[1] = (uint32_t)third;
-    return NULL;
+    return true;
 }
 
-/* What no single value shows. NULL: all is well. */
-static const char *read_values(cfg_t *config, rr_admission_settings *out) {
-    double least = 0;
-    rr_conf_read_numbers(config, numbers, G_N_ELEMENTS(numbers), out);
+/* Returns the sum of the teams' least shares. */
+static double read_teams(cfg_t *config, rr_admission_settings *out) {
+    double least_shares = 0;
     for (unsigned i = 0; i < cfg_size(config, "team"); i++) {
         cfg_t *section = cfg_getnsec(config, "team", i);
         rr_admission_team_settings *team =
             &out->teams[rr_config_team(platform, cfg_title(section))];
         read_team(section, team);
-        least += team->least_share;
+        least_shares += team->least_share;
     }
-    if (least > 1) {
-        return "least_share: the teams' sum must not be above 1";
-    }
-    if (out->leave_backlog_s >= out->enter_backlog_s) {
-        return "leave_backlog_s: must be below enter_backlog_s";
+    return least_shares;
+}
+
+/* Reads the parsed values, and checks what no single value shows. */
+static bool read_values(cfg_t *config, const char *file, rr_admission_settings *out,
+                        GError **error) {
+    const char *conflict = NULL;
+    rr_settings_copy_numbers(config, numbers, NUMBERS, out);
+    if (read_teams(config, out) > 1) {
+        conflict = "least_share: the teams' sum must not be above 1";
+    } else if (out->leave_backlog_s >= out->enter_backlog_s) {
+        conflict = "leave_backlog_s: must be below enter_backlog_s";
+    } else if (out->interval_s <= CLOCK_OFF_PER_INTERVAL_MAX * platform->clock_off_s) {
+        conflict = "interval_s: must be above eight times the platform's clock_off_ms";
     }
-    if (out->interval_s <= 8 * platform->clock_off_s) {
-        return "interval_s: must be above eight times the platform's clock_off_ms";
+    if (conflict) {
+        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_CONFLICT, "%s: %s", file, conflict);
+        return false;
     }
-    return read_bands(config, out);
+    return read_bands(config, file, out, error);
 }
 
-int rr_admission_settings_load(const char *file, const struct rr_config *config,
-                               rr_admission_settings *out, char *error, size_t size) {
+static void set_checks(cfg_t *config) {
+    rr_settings_check_ranges(config, numbers, NUMBERS);
+    cfg_set_validate_func(config, "team", check_team);
+    cfg_set_validate_func(config, "team|weight", check_weight);
+    cfg_set_validate_func(config, "team|least_share", check_least_share);
+    cfg_set_validate_func(config, "team|class", check_class);
+    cfg_set_validate_func(config, "team|class|weight", check_weight);
+}
+
+bool rr_admission_settings_load_file(const char *file, const struct rr_config *config,
+                                     rr_admission_settings *out, GError **error) {
     cfg_opt_t job_class[] = {CFG_FLOAT("weight", 1, CFGF_NONE), CFG_END()};
     cfg_opt_t team[] = {CFG_FLOAT("weight", 1, CFGF_NONE), CFG_FLOAT("least_share", 0, CFGF_NONE),
                         CFG_SEC("class", job_class, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
                         CFG_END()};
-    cfg_opt_t options[G_N_ELEMENTS(numbers) + 4];
-    cfg_opt_t bands = CFG_INT_LIST("bands", "{8, 64}", CFGF_NONE), end = CFG_END();
-    cfg_opt_t teams = CFG_SEC("team", team, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES);
-    rr_conf_list_numbers(numbers, G_N_ELEMENTS(numbers), options);
-    options[G_N_ELEMENTS(numbers)] = bands;
-    options[G_N_ELEMENTS(numbers) + 1] = teams;
-    cfg_opt_t version = CFG_BOOL(RR_CONF_END_MARK, cfg_false, CFGF_NONE);
-    options[G_N_ELEMENTS(numbers) + 2] = version;
-    options[G_N_ELEMENTS(numbers) + 3] = end;
+    cfg_opt_t others[] = {CFG_INT_LIST("bands", (char *)default_band_text, CFGF_NONE),
+                          CFG_SEC("team", team, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+                          CFG_BOOL(RR_SETTINGS_END_MARK, cfg_false, CFGF_NONE), CFG_END()};
+    cfg_opt_t options[NUMBERS + G_N_ELEMENTS(others)];
+    rr_settings_list_numbers(numbers, NUMBERS, options);
+    memcpy(&options[NUMBERS], others, sizeof others);
     rr_admission_settings_init(out);
     platform = config;
     cfg_t *parser = cfg_init(options, CFGF_NONE);
-    rr_conf_begin(parser, file, numbers, G_N_ELEMENTS(numbers));
-    cfg_set_validate_func(parser, "team", check_team);
-    cfg_set_validate_func(parser, "team|weight", check_weight);
-    cfg_set_validate_func(parser, "team|least_share", check_least);
-    cfg_set_validate_func(parser, "team|class", check_class);
-    cfg_set_validate_func(parser, "team|class|weight", check_weight);
-    bool parsed = rr_conf_parse(parser);
-    const char *wrong = parsed ? read_values(parser, out) : NULL;
-    out->on = parsed && !wrong;
-    if (!parsed) {
-        snprintf(error, size, "%s", rr_conf_error());
-    } else if (wrong) {
-        snprintf(error, size, "%s: %s", file, wrong);
-    }
+    rr_settings_begin(parser, file);
+    set_checks(parser);
+    out->on =
+        rr_settings_parse_with_sections(parser, error) && read_values(parser, file, out, error);
     cfg_free(parser);
-    return out->on ? 0 : -EINVAL;
+    return out->on;
+}
+
+int rr_admission_settings_load(const char *file, const struct rr_config *config,
+                               rr_admission_settings *out, char *message, size_t size) {
+    GError *error = NULL;
+    if (rr_admission_settings_load_file(file, config, out, &error)) {
+        return 0;
+    }
+    g_strlcpy(message, error->message, size);
+    g_error_free(error);
+    return -EINVAL;
 }
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -11,36 +11,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* GLib before 2.76 keeps freed small blocks for each thread: 7 KB a connection, since each has one,
- * and a lock for what one thread frees of another's. Plain malloc is told to it before it allocates
- * anything, which its own constructor does, so that main() is too late; a newer one ignores it. */
-static void no_slices(void) {
+/* GLib before 2.76 keeps freed small blocks for each thread, which costs memory for every
+ * connection, and takes a lock for blocks that another thread allocated. It is set to plain malloc
+ * before its own constructor allocates anything; main() would be too late. Newer versions ignore
+ * the setting. */
+static void disable_slices(void) {
     G_GNUC_BEGIN_IGNORE_DEPRECATIONS
     g_slice_set_config(G_SLICE_CONFIG_ALWAYS_MALLOC, TRUE);
     G_GNUC_END_IGNORE_DEPRECATIONS
 }
 
-__attribute__((section(".preinit_array"), used)) static void (*const before_glib)(void) = no_slices;
+__attribute__((section(".preinit_array"),
+               used)) static void (*const before_glib)(void) = disable_slices;
 
 struct options {
     char *config, *settings, *admission, *cells;
     gboolean version, check;
 };
 
-static sem_t quit;
+#define EXIT_BAD_USE 2
 
-static void on_signal(int sig) {
-    (void)sig;
+enum options_result { OPTIONS_SERVE, OPTIONS_ANSWERED, OPTIONS_BAD_USE };
+
+static sem_t quit; /* posted by signals */
+
+static void on_signal(int number) {
+    (void)number;
     sem_post(&quit);
 }
 
-static int usage_error(const char *what) {
-    fprintf(stderr, "ringrock: %s (see ringrock --help)\n", what);
-    return 2;
+static enum options_result report_bad_use(const char *reason) {
+    fprintf(stderr, "ringrock: %s (see ringrock --help)\n", reason);
+    return OPTIONS_BAD_USE;
 }
 
-/* 0: go on; 1: done, exit 0; 2: bad use. */
-static int read_options(int *argc, char ***argv, struct options *options) {
+static enum options_result read_options(int *argc, char ***argv, struct options *options) {
     GOptionEntry entries[] = {
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config,
          "The platform's settings (TOML)", "FILE"},
@@ -55,30 +60,32 @@
         {"version", 'V', 0, G_OPTION_ARG_NONE, &options->version, "Print the version and exit",
          NULL},
         {0}};
-    GError *err = NULL;
-    GOptionContext *ctx = g_option_context_new("- a controller of the ringrock cluster scheduler");
-    g_option_context_add_main_entries(ctx, entries, NULL);
+    GError *error = NULL;
+    GOptionContext *context =
+        g_option_context_new("- a controller of the ringrock cluster scheduler");
+    g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_description(
-        ctx, "LOG_LEVEL in the environment is error, info (default) or debug.\n");
-    gboolean succeeded = g_option_context_parse(ctx, argc, argv, &err);
-    g_option_context_free(ctx);
-    int rc = 0;
+        context, "LOG_LEVEL in the environment is error, info (default) or debug.\n");
+    gboolean succeeded = g_option_context_parse(context, argc, argv, &error);
+    g_option_context_free(context);
+    enum options_result result = OPTIONS_SERVE;
     if (!succeeded) {
-        rc = usage_error(err->message);
-        g_error_free(err);
+        result = report_bad_use(error->message);
+        g_error_free(error);
     } else if (options->version) {
         printf("ringrock %s\n", RINGROCK_VERSION);
-        rc = 1;
+        result = OPTIONS_ANSWERED;
     } else if (*argc > 1) {
-        rc = usage_error("unexpected argument");
+        result = report_bad_use("unexpected argument");
     } else if (!options->config) {
-        rc = usage_error("--config FILE is required");
+        result = report_bad_use("--config FILE is required");
     } else if (rr_log_set_level(getenv("LOG_LEVEL")) != 0) {
-        rc = usage_error("LOG_LEVEL must be error, info or debug");
+        result = report_bad_use("LOG_LEVEL must be error, info or debug");
     }
-    return rc;
+    return result;
 }
 
+/* Runs until SIGTERM or SIGINT. Returns the exit code. */
 static int serve(struct rr_app *app) {
     struct sigaction action = {.sa_handler = on_signal}, ignore = {.sa_handler = SIG_IGN};
     sem_init(&quit, 0, 0);
@@ -97,62 +104,83 @@
     return 0;
 }
 
-static int load_settings(const struct options *options, struct rr_app *app, char *err,
-                         size_t size) {
-    int rc = rr_settings_load(options->config, options->settings, &app->config, err, size);
-    if (rc == 0 && options->admission) {
-        rc = rr_admission_settings_load(options->admission, &app->config, &app->admission_settings,
-                                        err, size);
-        app->config.admission = rc == 0;
+/* Loads all settings files into *app. False: *error is set. */
+static bool load_settings(const struct options *options, struct rr_app *app, GError **error) {
+    if (!rr_settings_load(options->config, options->settings, &app->config, error)) {
+        return false;
+    }
+    if (options->admission) {
+        app->config.admission = rr_admission_settings_load_file(options->admission, &app->config,
+                                                                &app->admission_settings, error);
+        if (!app->config.admission) {
+            return false;
+        }
     }
-    if (rc == 0 && options->cells) {
-        rc = rr_cells_settings_load(options->cells, &app->config, &app->cells_settings, err, size);
-        app->config.cells = rc == 0;
+    if (options->cells) {
+        app->config.cells =
+            rr_cells_settings_load(options->cells, &app->config, &app->cells_settings, error);
+        return app->config.cells;
     }
-    return rc;
+    return true;
 }
 
-int main(int argc, char **argv) {
-    struct options options = {0};
-    char err[512] = "";
-    rr_app_tune_allocator();
-    int rc = read_options(&argc, &argv, &options);
-    if (rc != 0) {
-        rc = rc == 1 ? 0 : rc;
-        goto end;
+/* Where the command line names no file, the environment may. */
+static void read_environment(struct options *options) {
+    char **files[] = {&options->settings, &options->admission, &options->cells};
+    static const char *const names[] = {"RINGROCK_SETTINGS", "RINGROCK_ADMISSION",
+                                        "RINGROCK_CELLS"};
+    for (size_t i = 0; i < G_N_ELEMENTS(files); i++) {
+        if (!*files[i]) {
+            *files[i] = g_strdup(getenv(names[i]));
+        }
     }
+}
+
+/* Loads the settings, then serves until a signal, or only checks them. Returns the exit code. */
+static int run(const struct options *options) {
     struct rr_app *app = g_new0(struct rr_app, 1);
-    if (!options.settings) {
-        options.settings = g_strdup(getenv("RINGROCK_SETTINGS"));
-    }
-    if (!options.admission) {
-        options.admission = g_strdup(getenv("RINGROCK_ADMISSION"));
-    }
-    if (!options.cells) {
-        options.cells = g_strdup(getenv("RINGROCK_CELLS"));
-    }
-    if (load_settings(&options, app, err, sizeof err) != 0) {
-        fprintf(stderr, "ringrock: %s\n", err);
-        rc = 2;
+    GError *error = NULL;
+    int exit_code = 0;
+    if (!load_settings(options, app, &error)) {
+        fprintf(stderr, "ringrock: %s\n", error->message);
+        g_error_free(error);
+        exit_code = EXIT_BAD_USE;
     } else if (rr_app_connections_max(&app->config) < RR_CONNECTIONS_MIN) {
         fprintf(stderr,
                 "ringrock: %s: deployment.limits, max_threads and senders leave no room for "
                 "connections\n",
-                options.config);
-        rc = 2;
-    } else if (options.check) {
+                options->config);
+        exit_code = EXIT_BAD_USE;
+    } else if (options->check) {
         printf("settings are fine\n");
     } else {
         rr_log_node(app->config.node_name);
-        rc = serve(app);
+        exit_code = serve(app);
     }
     rr_admission_settings_clear(&app->admission_settings);
     rr_cells_settings_clear(&app->cells_settings);
     g_free(app);
-end:
+    return exit_code;
+}
+
+int main(int argc, char **argv) {
+    struct options options = {0};
+    int exit_code = 0;
+    rr_app_tune_allocator();
+    switch (read_options(&argc, &argv, &options)) {
+    case OPTIONS_SERVE:
+        read_environment(&options);
+        exit_code = run(&options);
+        break;
+    case OPTIONS_BAD_USE:
+        exit_code = EXIT_BAD_USE;
+        break;
+    case OPTIONS_ANSWERED:
+        break;
+    }
     g_free(options.config);
     g_free(options.settings);
     g_free(options.admission);
     g_free(options.cells);
-    return rc;
+    return exit_code;
 }
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -12,8 +12,9 @@
 #include <malloc.h>
 
 #define LOG_PERIOD_S 60.0
-#define FREE_HEAP_SHARE_MAX 0.05 /* of the process's memory limit, before free pages are returned  \
-                                  */
+#define FREE_HEAP_SHARE_MAX                                                                        \
+    0.05 /* of the process's memory limit, before free pages are returned                          \
+          */
 #define COMMIT_TIMEOUT_S 1.5
 #define CACHE_WAIT_S 1.0
 #define RETRY_PAUSE_S 0.3
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -1,12 +1,14 @@
-/* Both settings files: the platform's TOML and the operators' own. */
+/* Loads the platform's settings (TOML) and the operators' tuning file. */
 #ifndef RR_APP_SETTINGS_H
 #define RR_APP_SETTINGS_H
 
 #include "conf/config.h"
+#include "conf/settings_error.h"
 
-/* 0, or -EINVAL with one line naming file and field in err. own may be NULL: defaults. */
-int rr_settings_load(const char *platform, const char *own, struct rr_config *out, char *err,
-                     size_t size);
-void rr_settings_defaults(struct rr_tuning *tuning);
+/* Loads both files into *out. tuning_file may be NULL: defaults. False: *error is set. */
+bool rr_settings_load(const char *platform_file, const char *tuning_file, struct rr_config *out,
+                      GError **error);
+/* Sets every tuning setting to its default. */
+void rr_tuning_set_defaults(struct rr_tuning *tuning);
 
 #endif
--- a/src/app/stats.c
+++ b/src/app/stats.c
@@ -5,42 +5,47 @@
 #include <math.h>
 #include <pthread.h>
 
-#define BINS 60 /* logarithmic, 0.1 ms to 100 s: ten a decade */
+/* Bins of the histogram, in the logarithm to base 10 of seconds: 0.1 ms to 100 s, ten for each
+ * power of ten. */
+#define BINS 60
+#define LOG_MIN (-4)
+#define LOG_MAX 2
 
 struct rr_stats {
     pthread_mutex_t lock;
-    gsl_histogram *took;
+    gsl_histogram *durations; /* log10 of seconds */
     unsigned answered, refused;
 };
 
 rr_stats *rr_stats_create(void) {
     rr_stats *stats = g_new0(rr_stats, 1);
     pthread_mutex_init(&stats->lock, NULL);
-    stats->took = gsl_histogram_alloc(BINS);
-    gsl_histogram_set_ranges_uniform(stats->took, -4, 2);
+    stats->durations = gsl_histogram_alloc(BINS);
+    gsl_histogram_set_ranges_uniform(stats->durations, LOG_MIN, LOG_MAX);
     return stats;
 }
 
 void rr_stats_destroy(rr_stats *stats) {
     if (stats) {
-        gsl_histogram_free(stats->took);
+        gsl_histogram_free(stats->durations);
         pthread_mutex_destroy(&stats->lock);
         g_free(stats);
     }
 }
 
 void rr_stats_submission(rr_stats *stats, int status, double seconds) {
-    double bound = log10(seconds > 1e-4 ? seconds : 1.01e-4);
+    double logarithm = log10(seconds > 1e-4 ? seconds : 1.01e-4);
     pthread_mutex_lock(&stats->lock);
     stats->answered++;
     stats->refused += status >= 500;
-    gsl_histogram_increment(stats->took, bound < 1.99 ? bound : 1.99);
+    gsl_histogram_increment(stats->durations, logarithm < 1.99 ? logarithm : 1.99);
     pthread_mutex_unlock(&stats->lock);
 }
 
+/* The upper edge of the bin that holds the quantile. */
 static double quantile_ms(const gsl_histogram *histogram, double quantile) {
-    double sum = 0, all = gsl_histogram_sum(histogram), low = 0, high = 0;
-    for (size_t i = 0; i < BINS && sum < quantile * all; i++) {
+    double sum = 0, total = gsl_histogram_sum(histogram), low = 0, high = 0;
+    for (size_t i = 0; i < BINS && sum < quantile * total; i++) {
         sum += gsl_histogram_get(histogram, i);
         gsl_histogram_get_range(histogram, i, &low, &high);
     }
@@ -52,12 +57,12 @@
     if (stats->answered) {
         g_snprintf(out, size,
                    "%u submissions (%u refused), half within %.0f ms, 95%% within %.0f ms",
-                   stats->answered, stats->refused, quantile_ms(stats->took, 0.5),
-                   quantile_ms(stats->took, 0.95));
+                   stats->answered, stats->refused, quantile_ms(stats->durations, 0.5),
+                   quantile_ms(stats->durations, 0.95));
     } else {
         g_snprintf(out, size, "no submissions");
     }
-    gsl_histogram_reset(stats->took);
+    gsl_histogram_reset(stats->durations);
     stats->answered = stats->refused = 0;
     pthread_mutex_unlock(&stats->lock);
 }
--- a/src/app/stats.h
+++ b/src/app/stats.h
@@ -1,15 +1,16 @@
-/* What the last minute was like, for one line in the log. Locks itself. */
+/* Counts and times of submissions since the last log line. Has a lock of its own. */
 #ifndef RR_APP_STATS_H
 #define RR_APP_STATS_H
 
 #include <stddef.h>
 
 typedef struct rr_stats rr_stats;
+/* Never NULL. */
 rr_stats *rr_stats_create(void);
 void rr_stats_destroy(rr_stats *stats);
-/* A submission was answered with this status after this long. */
+/* Records that a submission was answered with this HTTP status after so many seconds. */
 void rr_stats_submission(rr_stats *stats, int status, double seconds);
-/* Writes the figures since the last call and starts anew. */
+/* Writes the figures since the last call and resets them. */
 void rr_stats_line(rr_stats *stats, char *out, size_t size);
 
 #endif
--- a/src/app/toml.cpp
+++ b/src/app/toml.cpp
@@ -2,7 +2,6 @@
 
 #include <cerrno>
 #include <cmath>
-#include <cstdio>
 #include <cstring>
 #include <exception>
 #include <string>
@@ -12,70 +11,85 @@
     toml::table root;
 };
 
-extern "C" rr_toml *rr_toml_load(const char *path, char *err, size_t size) {
+extern "C" rr_toml *rr_toml_load(const char *file, GError **error) {
     try {
-        return new rr_toml{toml::parse_file(path)};
-    } catch (const toml::parse_error &e) {
-        const auto &at = e.source().begin;
-        std::snprintf(err, size, "%s:%u: %s", path, static_cast<unsigned>(at.line),
-                      std::string(e.description()).c_str());
-    } catch (const std::exception &e) {
-        std::snprintf(err, size, "%s: %s", path, e.what());
+        return new rr_toml{toml::parse_file(file)};
+    } catch (const toml::parse_error &failure) {
+        const auto line = static_cast<unsigned>(failure.source().begin.line);
+        const std::string reason(failure.description());
+        if (line > 0) {
+            g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_SYNTAX, "%s:%u: %s", file, line,
+                        reason.c_str());
+        } else {
+            g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE, "%s: %s", file,
+                        reason.c_str());
+        }
+    } catch (const std::exception &failure) {
+        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE, "%s: %s", file,
+                    failure.what());
     }
     return nullptr;
 }
 
-extern "C" void rr_toml_destroy(rr_toml *t) {
-    delete t;
+extern "C" void rr_toml_destroy(rr_toml *table) {
+    delete table;
 }
 
-extern "C" int rr_toml_text(const rr_toml *t, const char *path, char *out, size_t size) {
-    const auto node = t->root.at_path(path);
+extern "C" int rr_toml_text(const rr_toml *table, const char *path, char *out, size_t size) {
+    const auto node = table->root.at_path(path);
     if (!node) {
         return -ENOENT;
     }
-    const auto *s = node.as_string();
-    if (!s || s->get().size() >= size || s->get().find('\0') != std::string::npos) {
+    const auto *text = node.as_string();
+    if (!text || text->get().size() >= size || text->get().find('\0') != std::string::npos) {
         return -EINVAL;
     }
-    std::memcpy(out, s->get().c_str(), s->get().size() + 1);
+    std::memcpy(out, text->get().c_str(), text->get().size() + 1);
     return 0;
 }
 
-extern "C" int rr_toml_num(const rr_toml *t, const char *path, double *out) {
-    const auto node = t->root.at_path(path);
+extern "C" int rr_toml_number(const rr_toml *table, const char *path, double *out) {
+    const auto node = table->root.at_path(path);
     if (!node) {
         return -ENOENT;
     }
     if (!node.is_number()) {
         return -EINVAL;
     }
-    const auto v = node.value<double>();
-    if (!v || !std::isfinite(*v)) {
+    const auto value = node.value<double>();
+    if (!value || !std::isfinite(*value)) {
         return -EINVAL;
     }
-    *out = *v;
+    *out = *value;
     return 0;
 }
 
-extern "C" int rr_toml_table(const rr_toml *t, const char *path) {
-    const auto node = t->root.at_path(path);
-    return !node ? -ENOENT : node.is_table() ? 0 : -EINVAL;
+extern "C" int rr_toml_table(const rr_toml *table, const char *path) {
+    const auto node = table->root.at_path(path);
+    if (!node) {
+        return -ENOENT;
+    }
+    return node.is_table() ? 0 : -EINVAL;
 }
 
-extern "C" int rr_toml_count(const rr_toml *t, const char *path) {
-    const auto node = t->root.at_path(path);
+extern "C" int rr_toml_count(const rr_toml *table, const char *path) {
+    const auto node = table->root.at_path(path);
     if (!node) {
         return 0;
     }
-    const auto *a = node.as_array();
-    if (!a) {
+    const auto *array = node.as_array();
+    if (!array) {
         return -EINVAL;
     }
-    for (const auto &e : *a) {
-        if (!e.is_table()) {
+    for (const auto &element : *array) {
+        if (!element.is_table()) {
             return -EINVAL;
         }
     }
-    return static_cast<int>(a->size());
+    return static_cast<int>(array->size());
+}
+
+extern "C" unsigned rr_toml_line(const rr_toml *table, const char *path) {
+    const auto node = table->root.at_path(path);
+    return node ? static_cast<unsigned>(node.node()->source().begin.line) : 0;
 }
--- a/src/app/toml.h
+++ b/src/app/toml.h
@@ -3,6 +3,8 @@
 #ifndef RR_APP_TOML_H
 #define RR_APP_TOML_H
 
+#include "conf/settings_error.h"
+
 #include <stddef.h>
 
 #ifdef __cplusplus
@@ -11,15 +13,19 @@
 
 typedef struct rr_toml rr_toml;
 
-rr_toml *rr_toml_load(const char *path, char *err, size_t size); /* NULL with a line in err */
+/* Parses the file. NULL: *error is set. The caller ends the table with rr_toml_destroy(). */
+rr_toml *rr_toml_load(const char *file, GError **error);
 void rr_toml_destroy(rr_toml *table);
-/* 0, -ENOENT or -EINVAL (wrong type, too long, not finite). */
+/* Copies a text. 0, -ENOENT, or -EINVAL: another type, too long, or with a NUL byte. */
 int rr_toml_text(const rr_toml *table, const char *path, char *out, size_t size);
-int rr_toml_num(const rr_toml *table, const char *path, double *out);
-/* Number of tables in an array of tables; 0 if missing, -EINVAL if it is something else. */
-int rr_toml_table(const rr_toml *table,
-                  const char *path); /* 0, -ENOENT, or -EINVAL: something else */
+/* Reads a number. 0, -ENOENT, or -EINVAL: another type or not finite. */
+int rr_toml_number(const rr_toml *table, const char *path, double *out);
+/* Whether there is a table. 0, -ENOENT, or -EINVAL: something else. */
+int rr_toml_table(const rr_toml *table, const char *path);
+/* The number of tables in an array of tables; 0: missing; -EINVAL: something else. */
 int rr_toml_count(const rr_toml *table, const char *path);
+/* The line on which the value begins; 0: there is no such value. */
+unsigned rr_toml_line(const rr_toml *table, const char *path);
 
 #ifdef __cplusplus
 }
--- a/src/common/log.c
+++ b/src/common/log.c
@@ -8,14 +8,18 @@
 #include <time.h>
 #include <unistd.h>
 
+#define NODE_NAME_BYTES 64
+#define MESSAGE_BYTES 640
+#define LINE_BYTES 768
+
 static int max_level = RR_INFO_LEVEL;
-static char node[64] = "ringrock";
-static const char *const names[] = {"error", "info", "debug"};
+static char node[NODE_NAME_BYTES] = "ringrock";
+static const char *const level_names[] = {"error", "info", "debug"};
 
 int rr_log_set_level(const char *name) {
-    for (int i = 0; name && i < 3; i++) {
-        if (strcmp(name, names[i]) == 0) {
-            max_level = i;
+    for (size_t i = 0; name && i < G_N_ELEMENTS(level_names); i++) {
+        if (strcmp(name, level_names[i]) == 0) {
+            max_level = (int)i;
             return 0;
         }
     }
@@ -34,7 +38,7 @@
     if (level > max_level) {
         return;
     }
-    char line[640];
+    char line[MESSAGE_BYTES];
     va_list args;
     va_start(args, fmt);
     vsnprintf(line, sizeof line, fmt, args);
@@ -43,11 +47,11 @@
     time_t seconds = (time_t)wall;
     struct tm local_time;
     gmtime_r(&seconds, &local_time);
-    char out[768];
+    char out[LINE_BYTES];
     int count = snprintf(out, sizeof out, "%02d:%02d:%02d.%03d %s %s %s\n", local_time.tm_hour,
                          local_time.tm_min, local_time.tm_sec,
-                         (int)((wall - (double)seconds) * 1000), node, names[level], line);
-    /* One write a line, so that threads do not mix theirs. */
+                         (int)((wall - (double)seconds) * 1000), node, level_names[level], line);
+    /* One write() for each line keeps the lines of different threads apart. */
     size_t length = count < (int)sizeof out ? (size_t)count : sizeof out - 1;
     if (write(STDERR_FILENO, out, length) < 0) {
         return;
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -1,4 +1,5 @@
-/* Levelled log lines on standard error; LOG_LEVEL is error, info or debug. */
+/* Log lines with a level, on standard error. Levels are set before threads start; rr_log() may be
+ * called from any thread. */
 #ifndef RR_COMMON_LOG_H
 #define RR_COMMON_LOG_H
 
@@ -6,11 +7,15 @@
 
 enum rr_level { RR_ERROR_LEVEL, RR_INFO_LEVEL, RR_DEBUG_LEVEL };
 
-/* name: "error", "info" or "debug"; NULL: info. 0 or -EINVAL. */
+/* The most verbose level that is written. */
 int rr_log_level(void);
+/* name: "error", "info" or "debug"; NULL: unchanged, info at first. 0 or -EINVAL. */
 int rr_log_set_level(const char *name);
+/* Sets the name that every line carries. */
 void rr_log_node(const char *node_name);
+/* Writes one line with time, node name and level. */
 void rr_log(int level, const char *fmt, ...) G_GNUC_PRINTF(2, 3);
-void rr_log_line(int level, const char *line); /* fits rr_core_log_fn */
+/* The same for a finished line; an rr_core_log_fn. */
+void rr_log_line(int level, const char *line);
 
 #endif
--- a/src/common/thread.c
+++ b/src/common/thread.c
@@ -1,13 +1,13 @@
 #include "common/thread.h"
 
-int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *arg, bool detached) {
+int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *argument, bool detached) {
     pthread_attr_t attributes;
     pthread_t local;
     pthread_attr_init(&attributes);
     pthread_attr_setstacksize(&attributes, RR_THREAD_STACK_BYTES);
     pthread_attr_setdetachstate(&attributes,
                                 detached ? PTHREAD_CREATE_DETACHED : PTHREAD_CREATE_JOINABLE);
-    int rc = pthread_create(thread ? thread : &local, &attributes, entry, arg);
+    int rc = pthread_create(thread ? thread : &local, &attributes, entry, argument);
     pthread_attr_destroy(&attributes);
     return -rc;
 }
--- a/src/common/thread.h
+++ b/src/common/thread.h
@@ -1,4 +1,4 @@
-/* Threads as this process makes them: with small stacks, since there are many. */
+/* Starts threads with small stacks, since the process has many. */
 #ifndef RR_COMMON_THREAD_H
 #define RR_COMMON_THREAD_H
 
@@ -7,7 +7,7 @@
 
 #define RR_THREAD_STACK_BYTES ((size_t)256 * 1024)
 
-/* 0 or -errno. A detached one needs no *t. */
-int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *arg, bool detached);
+/* Starts a thread that runs entry(argument). thread may be NULL if it is detached. 0 or -errno. */
+int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *argument, bool detached);
 
 #endif
--- a/src/conf/config.h
+++ b/src/conf/config.h
@@ -1,5 +1,5 @@
-/* Settings as the core and the shell see them. Plain data, filled once by src/app/settings.c before
- * any thread starts, and read-only from then on. */
+/* Settings of a controller. Plain data, filled once by src/app/settings.c before any thread starts,
+ * and read-only from then on; no lock. */
 #ifndef RR_CONF_CONFIG_H
 #define RR_CONF_CONFIG_H
 
@@ -11,24 +11,28 @@
 #define RR_CONTROLLERS_MAX 32
 #define RR_TEAMS_MAX 256
 #define RR_OBJECTIVES_MAX 64
-#define RR_NAME_SIZE 128
+#define RR_NAME_SIZE 128 /* bytes of a name, with the NUL */
 
+/* An IPv4 address and port. */
 struct rr_endpoint {
     char host[64];
     uint16_t port;
 };
 
+/* Another controller of the cell. */
 struct rr_peer_config {
     char name[RR_NAME_SIZE];
     char zone[RR_NAME_SIZE];
     struct rr_endpoint endpoint;
 };
 
+/* A team with its guaranteed resources and its limits; 0: none. */
 struct rr_team_config {
     char name[RR_NAME_SIZE];
-    double cpus, cpus_max, gpus, gpus_max; /* 0: none */
+    double cpus, cpus_max, gpus, gpus_max;
 };
 
+/* A service objective of a job class. */
 struct rr_objective {
     char kind[32];
     char job_class[RR_NAME_SIZE];
@@ -38,25 +42,26 @@
 
 /* The operators' own settings (HCL-like file), with defaults and ranges in src/app/settings.c. */
 struct rr_tuning {
-    double rebalance_period_s; /* pause between re-orchestration rounds */
-    int rebalance_moves;       /* moves a round at most, */
+    bool rebalance;            /* false: no rebalancing */
+    double rebalance_period_s; /* pause between rebalances */
+    int rebalance_moves;       /* moves in one rebalance, at most, */
     double rebalance_share;    /* or this share of the machines, if that is more */
-    bool rebalance;            /* false: no re-orchestration */
-    double session_share;      /* session time as a share of cancel_s - lease_s */
-    double answer_share;   /* how long reports are answered by a store cache that stands still, as a
-                              share of what cancellations allow */
-    double silent_reports; /* reports missed before a machine takes no new work */
-    double dead_reports;   /* reports missed before a lone silent machine is given up */
-    double idle_return_s;  /* idle time before a rented machine goes back */
-    double headroom;       /* factor on arrivals expected during a boot */
-    double boot_patience;  /* boots longer than this many startup_s are not counted on */
-    double cloud_list_s;   /* pause between machine lists */
-    int senders;           /* threads that carry commands to workers */
-    int max_connections;   /* HTTP connections at most */
-    int max_threads;       /* of the process; a connection takes one */
-    double plan_pause_ms;  /* least pause between two plans */
+    double session_share;      /* lease of the session, as a share of cancel_s - lease_s */
+    double answer_share;       /* how long heartbeats are answered without news of the store, as a
+                                  share of what cancellations allow */
+    double silent_reports;     /* heartbeats missed before a machine gets no new work */
+    double dead_reports;       /* heartbeats missed before a single machine is declared dead */
+    double idle_return_s;      /* idle time before a rented machine is returned */
+    double headroom;           /* factor on the arrivals expected during a boot */
+    double boot_patience;      /* boots longer than this many startup_s are not counted on */
+    double cloud_list_s;       /* pause between lists of machines */
+    int senders;               /* command threads */
+    int max_connections;       /* HTTP connections, at most */
+    int max_threads;           /* of the process; each connection takes one */
+    double plan_pause_ms;      /* pause between two plans, at least */
 };
 
+/* All settings. Durations and sizes have their unit in the name; rps: requests per second. */
 struct rr_config {
     char node_name[RR_NAME_SIZE];
     char zone[RR_NAME_SIZE];
@@ -67,21 +72,23 @@
     size_t team_count;
     struct rr_objective objectives[RR_OBJECTIVES_MAX];
     size_t objective_count;
-    double clock_off_s;
-    double heartbeat_interval_s, lease_s, cancel_s;
-    double gang_wait_s; /* a gang's task gives up after waiting so long for the others */
-    double gang_peer_s; /* within this the others notice that one is gone, or is told to stop */
+    double clock_off_s; /* difference between two wall clocks, at most */
+    double heartbeat_interval_s;
+    double lease_s;     /* a worker ends its tasks after so long without an answer */
+    double cancel_s;    /* bound between a confirmed cancellation and the end of its tasks */
+    double gang_wait_s; /* a gang's task ends after waiting so long for the others */
+    double gang_peer_s; /* within this time a gang's tasks notice that one has ended or is to stop */
     double state_rps, state_write_rps, value_kb;
     int transaction_changes_max;
-    /* The limits that the key-value store will have from some moment on, without notice; 0 or the
-     * same as above where the settings name none. */
+    /* Limits that the key-value store may switch to without notice; 0 or equal to the above where
+     * the settings name none. */
     double next_rps, next_write_rps, next_value_kb;
     int next_transaction_changes_max;
     double cloud_rps, list_lag_s;
     double core_share, ram_mb;
     int max_sockets;
-    bool admission; /* fair admission is switched on here */
-    bool cells;     /* work may spill over to other cells, and theirs to this one */
+    bool admission; /* fair admission is switched on */
+    bool cells;     /* work may spill over between cells */
     struct rr_tuning tuning;
 };
 
@@ -95,15 +102,16 @@
     return -1;
 }
 
-/* What is written obeys the smaller of the key-value store's limits from the first write on: what
- * is larger could not be written again once they are lowered. How a job's tasks are parted over the
- * records of its ledger follows the present limit, in every version alike. */
+/* The limits that writes keep to: the smaller of the present and the later one, since a larger
+ * record could not be written again under the later limit. The division of a job's tasks over
+ * ledger records follows the present limit, which is the same in every version. */
 static inline double rr_value_kb_max(const struct rr_config *config) {
     return config->next_value_kb > 0 && config->next_value_kb < config->value_kb
                ? config->next_value_kb
                : config->value_kb;
 }
 
+/* Changes in one transaction, at most; see rr_value_kb_max(). */
 static inline int rr_transaction_changes_max(const struct rr_config *config) {
     return config->next_transaction_changes_max > 0 &&
                    config->next_transaction_changes_max < config->transaction_changes_max
@@ -111,16 +119,15 @@
                : config->transaction_changes_max;
 }
 
-/* The lease of a session: short, so that another takes over soon from one that has lost the
- * key-value store; longer than an ordinary restart takes. */
+/* The lease of a session: short enough for a quick takeover, longer than an ordinary restart. */
 static inline double rr_session_lease_s(const struct rr_config *config) {
     return config->tuning.session_share * (config->cancel_s - config->lease_s);
 }
 
-/* How long reports are answered by a store cache that learns of no cancellation, from the last
- * moment up to which it knows them all. A worker answered last at the end of this time ends by its
- * lease, and that must be within cancel_s of any cancellation that this controller can't know: the
- * rest is for the drift of two clocks and the stop itself. */
+/* How long heartbeats are answered after the last moment up to which the store cache is known to
+ * have every cancellation. A worker that is answered at the end of this time ends its tasks lease_s
+ * later, which must be within cancel_s of any cancellation that this controller can't know of. The
+ * remainder covers the drift of two clocks and the time that stopping takes. */
 static inline double rr_heartbeat_reply_s(const struct rr_config *config) {
     double room = config->cancel_s - config->lease_s;
     return config->tuning.answer_share *
--- a/tests/fake_services.c
+++ b/tests/fake_services.c
@@ -849,7 +849,7 @@
     config->list_lag_s = 0.5;
     config->max_sockets = 500;
     config->ram_mb = 200;
-    rr_settings_defaults(&config->tuning);
+    rr_tuning_set_defaults(&config->tuning);
     config->tuning.idle_return_s = 1000;
     pthread_mutex_lock(&cluster->lock);
     cluster->reports_to = config->bind;
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -18,7 +18,7 @@
 #define TO_B "controller \"m0\" { endpoint = \"10.1.0.1:7000\" }\n"
 #define CELL_B "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0/16\"}\nzones = {\"far\"}\n}\n"
 
-static int load(const char *text, rr_cells_settings *out, char *error, size_t size) {
+static bool load(const char *text, rr_cells_settings *out, GError **error) {
     struct rr_config config;
     char name[] = "/tmp/cells-settings-XXXXXX";
     int fd = mkstemp(name);
@@ -26,16 +26,17 @@
     assert_true(fd >= 0);
     close(fd);
     assert_true(g_file_set_contents(name, text, -1, NULL));
-    int rc = rr_cells_settings_load(name, &config, out, error, size);
+    bool loaded = rr_cells_settings_load(name, &config, out, error);
     unlink(name);
-    return rc;
+    return loaded;
 }
 
-static void good_settings(void **state) {
+static void valid_settings_are_loaded(void **state) {
     rr_cells_settings settings;
-    char error[320] = "";
+    GError *error = NULL;
     (void)state;
-    assert_int_equal(load(OWN CELL_B "lease_s = 8\n", &settings, error, sizeof error), 0);
+    assert_true(load(OWN CELL_B "lease_s = 8\n", &settings, &error));
+    assert_null(error);
     assert_string_equal(settings.name, "a");
     assert_int_equal(settings.listen.port, 7000);
     assert_int_equal(rr_cells_neighbour(&settings, "b"), 0);
@@ -48,51 +49,65 @@
     rr_cells_settings_clear(&settings);
 }
 
-/* A text, and what the line about it must say: where, and why. */
+/* A text, and what its error must be: the code, and where and why in the message. */
 static const struct {
     const char *text, *where, *why;
-} bad[] = {
-    {OWN CELL_B "leese_s = 3\n", ":8:", "leese_s"},
-    {"# one \"\n// two '\n" OWN CELL_B "lease_s = 8 # three\nstop_s = 0 // #\n", ":11:", "stop_s"},
-    {OWN "neighbour \"b#c\" {\n" TO_B "}\n", ":5:", "b#c"},
-    {OWN CELL_B CELL_B, ":8:", "b"},
-    {OWN "neighbour \"a\" {\n" TO_B "networks = {\"10.1.0.0/16\"}\n}\n", ":6:", "itself"},
-    {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0\"}\n}\n", ":5:", "CIDR"},
-    {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.7/16\"}\n}\n", ":5:", "CIDR"},
-    {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0/33\"}\n}\n", ":5:", "CIDR"},
+    enum rr_settings_error code;
+} faulty[] = {
+    {OWN CELL_B "leese_s = 3\n", ":8:", "leese_s", RR_SETTINGS_ERROR_UNKNOWN_NAME},
+    {"# one \"\n// two '\n" OWN CELL_B "lease_s = 8 # three\nstop_s = 0 // #\n", ":11:", "stop_s",
+     RR_SETTINGS_ERROR_OUT_OF_RANGE},
+    {OWN "neighbour \"b#c\" {\n" TO_B "}\n", ":5:", "b#c", RR_SETTINGS_ERROR_WRONG_TYPE},
+    {OWN CELL_B CELL_B, ":8:", "b", RR_SETTINGS_ERROR_SYNTAX},
+    {OWN "neighbour \"a\" {\n" TO_B "networks = {\"10.1.0.0/16\"}\n}\n", ":6:", "itself",
+     RR_SETTINGS_ERROR_CONFLICT},
+    {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0\"}\n}\n", ":5:", "CIDR",
+     RR_SETTINGS_ERROR_WRONG_TYPE},
+    {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.7/16\"}\n}\n", ":5:", "CIDR",
+     RR_SETTINGS_ERROR_WRONG_TYPE},
+    {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0/33\"}\n}\n", ":5:", "CIDR",
+     RR_SETTINGS_ERROR_WRONG_TYPE},
     {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0/16\", \"10.1.2.0/24\"}\n}\n", ":",
-     "overlap"},
-    {OWN CELL_B "neighbour \"c\" {\n" TO_B "networks = {\"10.0.0.0/8\"}\n}\n", ":", "overlap"},
-    {OWN "neighbour \"b\" {\n" TO_B "}\n", ":", "networks"},
-    {OWN "neighbour \"b\" {\nnetworks = {\"10.1.0.0/16\"}\n}\n", ":", "controller"},
+     "overlap", RR_SETTINGS_ERROR_CONFLICT},
+    {OWN CELL_B "neighbour \"c\" {\n" TO_B "networks = {\"10.0.0.0/8\"}\n}\n", ":", "overlap",
+     RR_SETTINGS_ERROR_CONFLICT},
+    {OWN "neighbour \"b\" {\n" TO_B "}\n", ":", "networks", RR_SETTINGS_ERROR_CONFLICT},
+    {OWN "neighbour \"b\" {\nnetworks = {\"10.1.0.0/16\"}\n}\n", ":", "controller",
+     RR_SETTINGS_ERROR_CONFLICT},
     {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0/16\"}\nzones = {\"a\"}\n}\n",
-     ":6:", "own"},
+     ":6:", "own", RR_SETTINGS_ERROR_CONFLICT},
     {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0/16\"}\nzones = {\"x y\"}\n}\n",
-     ":6:", "zone"},
+     ":6:", "zone", RR_SETTINGS_ERROR_WRONG_TYPE},
     {OWN CELL_B "neighbour \"c\" {\n" TO_B "networks = {\"10.2.0.0/16\"}\nzones = {\"far\"}\n}\n",
-     ":", "zone"},
+     ":", "zone", RR_SETTINGS_ERROR_CONFLICT},
     {OWN "neighbour \"b\" {\n" TO_B "networks = {\"10.1.0.0/16\"}\nteams = {\"green\"}\n}\n",
-     ":6:", "green"},
-    {OWN "neighbour \"b\" {\ncontroller \"m0\" { endpoint = \"nowhere\" }\n}\n", ":4:", "nowhere"},
-    {OWN CELL_B "lease_s = 26\n", ":", "cancel_s"},
-    {OWN CELL_B "lease_s = 0\n", ":8:", "between"},
-    {OWN CELL_B "begin_wait_s = 5\n", ":", "begin_wait_s"},
-    {"cell = \"a\"\ncontroller \"n9\" { endpoint = \"10.0.0.1:7000\" }\n" CELL_B, ":", "node_name"},
-    {"controller \"n0\" { endpoint = \"10.0.0.1:7000\" }\n" CELL_B, ":", "cell"},
-    {OWN, ":", "neighbour"},
-    {OWN "neighbour \"b\" {\n" TO_B, ":", "closed"},
+     ":6:", "green", RR_SETTINGS_ERROR_UNKNOWN_NAME},
+    {OWN "neighbour \"b\" {\ncontroller \"m0\" { endpoint = \"nowhere\" }\n}\n", ":4:", "nowhere",
+     RR_SETTINGS_ERROR_WRONG_TYPE},
+    {OWN CELL_B "lease_s = 26\n", ":", "cancel_s", RR_SETTINGS_ERROR_CONFLICT},
+    {OWN CELL_B "lease_s = 0\n", ":8:", "between", RR_SETTINGS_ERROR_OUT_OF_RANGE},
+    {OWN CELL_B "begin_wait_s = 5\n", ":", "begin_wait_s", RR_SETTINGS_ERROR_CONFLICT},
+    {"cell = \"a\"\ncontroller \"n9\" { endpoint = \"10.0.0.1:7000\" }\n" CELL_B, ":", "node_name",
+     RR_SETTINGS_ERROR_MISSING},
+    {"controller \"n0\" { endpoint = \"10.0.0.1:7000\" }\n" CELL_B, ":", "cell",
+     RR_SETTINGS_ERROR_MISSING},
+    {OWN, ":", "neighbour", RR_SETTINGS_ERROR_MISSING},
+    {OWN "neighbour \"b\" {\n" TO_B, ":", "closed", RR_SETTINGS_ERROR_SYNTAX},
 };
 
-static void bad_settings(void **state) {
+static void faults_are_named_with_line_and_reason(void **state) {
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(faulty); i++) {
         rr_cells_settings settings;
-        char error[320] = "";
-        int rc = load(bad[i].text, &settings, error, sizeof error);
-        if (rc != -EINVAL || !strstr(error, bad[i].where) || !strstr(error, bad[i].why)) {
-            fail_msg("case %zu: %d, \"%s\"", i, rc, error);
+        GError *error = NULL;
+        assert_false(load(faulty[i].text, &settings, &error));
+        assert_non_null(error);
+        if (!g_error_matches(error, RR_SETTINGS_ERROR, (int)faulty[i].code) ||
+            !strstr(error->message, faulty[i].where) || !strstr(error->message, faulty[i].why)) {
+            fail_msg("case %zu: %d, \"%s\"", i, error->code, error->message);
         }
-        assert_null(strchr(error, '\n'));
+        assert_null(strchr(error->message, '\n'));
+        g_error_free(error);
     }
 }
 
@@ -263,8 +278,8 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(good_settings),
-        cmocka_unit_test(bad_settings),
+        cmocka_unit_test(valid_settings_are_loaded),
+        cmocka_unit_test(faults_are_named_with_line_and_reason),
         cmocka_unit_test(networks),
         cmocka_unit_test(requests_come_through),
         cmocka_unit_test(broken_requests),
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,25 +1,26 @@
-/* Both settings files: what is wrong is named with file and field. */
+/* Loading of the platform's settings and the operators' tuning file. Errors have the code of what
+ * is wrong and name file and field. */
 #include "core_fixture.h"
 
 #include "app/settings.h"
 
-#include <errno.h>
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
 
-static const char base[] = "node_name = \"n0\"\nzone = \"a\"\nbind = \"127.0.0.1:8080\"\n"
-                           "peer_listen = \"127.0.0.1:8081\"\nnew_field = 1\n"
-                           "[[seeds]]\nnode_name = \"n1\"\nzone = \"b\"\n"
-                           "endpoint = \"127.0.0.1:8082\"\n"
-                           "[services]\ncloud = \"127.0.0.1:1\"\nstate = \"127.0.0.1:2\"\n"
-                           "[deployment]\nnodes = 2\n"
-                           "[[deployment.teams]]\nname = \"t\"\ngpus_max = 3\n"
-                           "[[deployment.objectives]]\nkind = \"wait\"\nclass = \"c\"\n"
-                           "within_s = 4.0\nshare = 0.5\n"
-                           "[deployment.workers]\nreport_s = 3.0\nlease_s = 36\ncancel_s = 66.0\n"
-                           "[deployment.state]\nrps = 250.0\nwrite_rps = 100.0\nvalue_kb = 8.0\n"
-                           "txn_ops = 32\n[deployment.cloud]\nrps = 10.0\nlist_lag_s = 6.0\n";
+static const char valid_platform[] =
+    "node_name = \"n0\"\nzone = \"a\"\nbind = \"127.0.0.1:8080\"\n"
+    "peer_listen = \"127.0.0.1:8081\"\nnew_field = 1\n"
+    "[[seeds]]\nnode_name = \"n1\"\nzone = \"b\"\n"
+    "endpoint = \"127.0.0.1:8082\"\n"
+    "[services]\ncloud = \"127.0.0.1:1\"\nstate = \"127.0.0.1:2\"\n"
+    "[deployment]\nnodes = 2\n"
+    "[[deployment.teams]]\nname = \"t\"\ngpus_max = 3\n"
+    "[[deployment.objectives]]\nkind = \"wait\"\nclass = \"c\"\n"
+    "within_s = 4.0\nshare = 0.5\n"
+    "[deployment.workers]\nreport_s = 3.0\nlease_s = 36\ncancel_s = 66.0\n"
+    "[deployment.state]\nrps = 250.0\nwrite_rps = 100.0\nvalue_kb = 8.0\n"
+    "txn_ops = 32\n[deployment.cloud]\nrps = 10.0\nlist_lag_s = 6.0\n";
 
 static char *write_temp(const char *text) {
     char *path = NULL;
@@ -30,30 +31,54 @@
     return path;
 }
 
-static int load(const char *platform, const char *own, struct rr_config *config, char *err,
-                size_t size) {
-    char *cursor = write_temp(platform), *text = own ? write_temp(own) : NULL;
-    int rc = rr_settings_load(cursor, text, config, err, size);
-    unlink(cursor);
-    if (text) {
-        unlink(text);
+/* tuning: NULL: no such file. */
+static bool load(const char *platform, const char *tuning, struct rr_config *config,
+                 GError **error) {
+    char *platform_file = write_temp(platform), *tuning_file = tuning ? write_temp(tuning) : NULL;
+    bool loaded = rr_settings_load(platform_file, tuning_file, config, error);
+    unlink(platform_file);
+    if (tuning_file) {
+        unlink(tuning_file);
     }
-    g_free(cursor);
-    g_free(text);
-    return rc;
+    g_free(platform_file);
+    g_free(tuning_file);
+    return loaded;
+}
+
+static void load_valid(const char *platform, const char *tuning, struct rr_config *config) {
+    GError *error = NULL;
+    if (!load(platform, tuning, config, &error)) {
+        fail_msg("%s", error->message);
+    }
+    assert_null(error);
+}
+
+/* The files must be refused with this code, and a message of one line that has this text. */
+static void expect_error(const char *platform, const char *tuning, enum rr_settings_error code,
+                         const char *text) {
+    struct rr_config config;
+    GError *error = NULL;
+    assert_false(load(platform, tuning, &config, &error));
+    assert_non_null(error);
+    if (!g_error_matches(error, RR_SETTINGS_ERROR, (int)code) || !strstr(error->message, text)) {
+        fail_msg("\"%s\" with code %d, not \"%s\" with code %d", error->message, error->code, text,
+                 (int)code);
+    }
+    assert_null(strchr(error->message, '\n'));
+    g_error_free(error);
 }
 
-static char *replaced(const char *from, const char *target) {
-    GString *text = g_string_new(base);
-    assert_int_equal(g_string_replace(text, from, target, 1), 1);
+/* The valid platform file with one change. */
+static char *platform_with(const char *from, const char *replacement) {
+    GString *text = g_string_new(valid_platform);
+    assert_int_equal(g_string_replace(text, from, replacement, 1), 1);
     return g_string_free(text, FALSE);
 }
 
-static void good_settings(void **state) {
+static void valid_settings_are_loaded(void **state) {
     (void)state;
     struct rr_config config;
-    char err[256] = "";
-    assert_int_equal(load(base, NULL, &config, err, sizeof err), 0);
+    load_valid(valid_platform, NULL, &config);
     assert_string_equal(config.node_name, "n0");
     assert_int_equal(config.bind.port, 8080);
     assert_int_equal(config.peer_count, 1);
@@ -62,98 +87,149 @@
     assert_true(rr_session_lease_s(&config) + config.lease_s < config.cancel_s);
 }
 
-/* The limits that are to come: what is not named stays as it is, and a larger one changes nothing.
- */
-static void limits_to_come(void **state) {
+static void later_limits_default_to_the_present_ones(void **state) {
     (void)state;
     struct rr_config config;
-    char err[256] = "";
-    assert_int_equal(load(base, NULL, &config, err, sizeof err), 0);
+    load_valid(valid_platform, NULL, &config);
     assert_true(rr_value_kb_max(&config) == 8 && rr_transaction_changes_max(&config) == 32 &&
                 config.next_write_rps == 100);
-    char *text = replaced("txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\n"
-                                            "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
-    assert_int_equal(load(text, NULL, &config, err, sizeof err), 0);
+}
+
+static void smaller_later_limits_apply_at_once(void **state) {
+    (void)state;
+    struct rr_config config;
+    char *text = platform_with("txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\n"
+                                                 "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
+    load_valid(text, NULL, &config);
     assert_true(rr_value_kb_max(&config) == 2 && rr_transaction_changes_max(&config) == 32);
     assert_true(config.next_write_rps == 24 && config.next_rps == config.state_rps);
     g_free(text);
 }
 
-static void bad_platform_settings(void **state) {
+static void faults_of_the_platform_file_are_named(void **state) {
     (void)state;
-    static const char *const cases[][3] = {
-        {"node_name = \"n0\"\n", "", "node_name"},
-        {"node_name = \"n0\"", "node_name = 5", "node_name"},
-        {"bind = \"127.0.0.1:8080\"", "bind = \"localhost:8080\"", "bind"},
-        {"bind = \"127.0.0.1:8080\"", "bind = \"127.0.0.1:99999\"", "bind"},
-        {"endpoint = \"127.0.0.1:8082\"", "endpoint = \"x\"", "seeds[0].endpoint"},
-        {"report_s = 3.0", "report_s = \"3\"", "deployment.workers.report_s"},
-        {"report_s = 3.0", "report_s = -3.0", "deployment.workers.report_s"},
-        {"report_s = 3.0", "report_s = nan", "deployment.workers.report_s"},
-        {"cancel_s = 66.0", "cancel_s = 30.0", "deployment.workers.cancel_s"},
-        {"txn_ops = 32", "", "deployment.state.txn_ops"},
-        {"txn_ops = 32\n", "txn_ops = 32\nnext = 5\n", "deployment.state.next"},
-        {"txn_ops = 32\n", "txn_ops = 32\nnext = [2]\n", "deployment.state.next"},
+    static const struct {
+        const char *from, *replacement;
+        enum rr_settings_error code;
+        const char *field;
+    } cases[] = {
+        {"node_name = \"n0\"\n", "", RR_SETTINGS_ERROR_MISSING, "node_name"},
+        {"node_name = \"n0\"", "node_name = 5", RR_SETTINGS_ERROR_WRONG_TYPE, "node_name"},
+        {"bind = \"127.0.0.1:8080\"", "bind = \"localhost:8080\"", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "bind"},
+        {"bind = \"127.0.0.1:8080\"", "bind = \"127.0.0.1:99999\"", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "bind"},
+        {"endpoint = \"127.0.0.1:8082\"", "endpoint = \"x\"", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "seeds[0].endpoint"},
+        {"report_s = 3.0", "report_s = \"3\"", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "deployment.workers.report_s"},
+        {"report_s = 3.0", "report_s = -3.0", RR_SETTINGS_ERROR_OUT_OF_RANGE,
+         "deployment.workers.report_s"},
+        {"report_s = 3.0", "report_s = nan", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "deployment.workers.report_s"},
+        {"cancel_s = 66.0", "cancel_s = 30.0", RR_SETTINGS_ERROR_CONFLICT,
+         "deployment.workers.cancel_s"},
+        {"txn_ops = 32", "", RR_SETTINGS_ERROR_MISSING, "deployment.state.txn_ops"},
+        {"txn_ops = 32\n", "txn_ops = 32\nnext = 5\n", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "deployment.state.next"},
+        {"txn_ops = 32\n", "txn_ops = 32\nnext = [2]\n", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "deployment.state.next"},
         {"txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\nvalue_kb = \"2\"\n",
-         "deployment.state.next.value_kb"},
+         RR_SETTINGS_ERROR_WRONG_TYPE, "deployment.state.next.value_kb"},
         {"txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\ntxn_ops = 1\n",
-         "deployment.state.next.txn_ops"},
+         RR_SETTINGS_ERROR_OUT_OF_RANGE, "deployment.state.next.txn_ops"},
         {"txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\nwrite_rps = -3\n",
-         "deployment.state.next.write_rps"},
-        {"name = \"t\"", "name = \"\"", "deployment.teams[0].name"},
-        {"gpus_max = 3", "gpus_max = []", "deployment.teams[0].gpus_max"},
+         RR_SETTINGS_ERROR_OUT_OF_RANGE, "deployment.state.next.write_rps"},
+        {"name = \"t\"", "name = \"\"", RR_SETTINGS_ERROR_OUT_OF_RANGE, "deployment.teams[0].name"},
+        {"gpus_max = 3", "gpus_max = []", RR_SETTINGS_ERROR_WRONG_TYPE,
+         "deployment.teams[0].gpus_max"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct rr_config config;
-        char err[256] = "";
-        char *text = replaced(cases[i][0], cases[i][1]);
-        assert_int_equal(load(text, NULL, &config, err, sizeof err), -EINVAL);
-        assert_non_null(strstr(err, cases[i][2]));
-        assert_null(strchr(err, '\n'));
+        char *text = platform_with(cases[i].from, cases[i].replacement);
+        expect_error(text, NULL, cases[i].code, cases[i].field);
         g_free(text);
     }
 }
 
-static void syntax_error_and_missing_file(void **state) {
+static void a_fault_of_a_value_names_its_line(void **state) {
+    (void)state;
+    char *text = platform_with("zone = \"a\"", "zone = 7");
+    expect_error(text, NULL, RR_SETTINGS_ERROR_WRONG_TYPE, ":2: zone: must be text");
+    g_free(text);
+}
+
+static void a_syntax_error_names_its_line(void **state) {
+    (void)state;
+    expect_error("node_name = ", NULL, RR_SETTINGS_ERROR_SYNTAX, ":1:");
+}
+
+static void a_missing_file_is_named(void **state) {
+    (void)state;
+    struct rr_config config;
+    GError *error = NULL;
+    assert_false(rr_settings_load("/nonexistent/x.toml", NULL, &config, &error));
+    assert_true(g_error_matches(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE));
+    assert_non_null(strstr(error->message, "/nonexistent/x.toml"));
+    g_clear_error(&error);
+    char *platform_file = write_temp(valid_platform);
+    assert_false(rr_settings_load(platform_file, "/nonexistent/x.hcl", &config, &error));
+    assert_true(g_error_matches(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE));
+    assert_non_null(strstr(error->message, "/nonexistent/x.hcl"));
+    g_error_free(error);
+    unlink(platform_file);
+    g_free(platform_file);
+}
+
+static void an_error_does_not_affect_the_next_load(void **state) {
     (void)state;
     struct rr_config config;
-    char err[256] = "";
-    assert_int_equal(load("node_name = ", NULL, &config, err, sizeof err), -EINVAL);
-    assert_non_null(strstr(err, ":1:"));
-    assert_int_equal(rr_settings_load("/nonexistent/x.toml", NULL, &config, err, sizeof err),
-                     -EINVAL);
-    assert_non_null(strstr(err, "/nonexistent/x.toml"));
-    assert_int_equal(load(base, NULL, &config, err, sizeof err), 0);
+    expect_error("node_name = ", NULL, RR_SETTINGS_ERROR_SYNTAX, ":1:");
+    expect_error(valid_platform, "no_such = 1\n", RR_SETTINGS_ERROR_UNKNOWN_NAME, "no_such");
+    load_valid(valid_platform, NULL, &config);
+    load_valid(valid_platform, "round_moves = 2\n", &config);
 }
 
-static void operators_settings(void **state) {
+static void tuning_replaces_defaults(void **state) {
     (void)state;
     struct rr_config config;
-    char err[256] = "";
-    assert_int_equal(load(base, "round_period_s = 12.5\nround_moves = 2\nrounds = false\n", &config,
-                          err, sizeof err),
-                     0);
+    load_valid(valid_platform, "round_period_s = 12.5\nround_moves = 2\nrounds = false\n", &config);
     assert_true(config.tuning.rebalance_period_s == 12.5);
     assert_int_equal(config.tuning.rebalance_moves, 2);
     assert_false(config.tuning.rebalance);
     assert_true(config.tuning.silent_reports > 1); /* a default */
-    static const char *const bad[][2] = {{"no_such = 1\n", "no_such"},
-                                         {"round_moves = 0\n", "round_moves"},
-                                         {"session_share = 0.95\n", "session_share"},
-                                         {"round_period_s = \"x\"\n", "round_period_s"},
-                                         {"round_moves = \n", ":"}};
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        err[0] = 0;
-        assert_int_equal(load(base, bad[i][0], &config, err, sizeof err), -EINVAL);
-        assert_non_null(strstr(err, bad[i][1]));
-        assert_null(strchr(err, '\n'));
+}
+
+static void faults_of_the_tuning_file_are_named(void **state) {
+    (void)state;
+    static const struct {
+        const char *text;
+        enum rr_settings_error code;
+        const char *field;
+    } cases[] = {
+        {"no_such = 1\n", RR_SETTINGS_ERROR_UNKNOWN_NAME, "no_such"},
+        {"round_moves = 0\n", RR_SETTINGS_ERROR_OUT_OF_RANGE, "round_moves"},
+        {"session_share = 0.95\n", RR_SETTINGS_ERROR_OUT_OF_RANGE, "session_share"},
+        {"round_period_s = \"x\"\n", RR_SETTINGS_ERROR_WRONG_TYPE, "round_period_s"},
+        {"round_moves = \n", RR_SETTINGS_ERROR_SYNTAX, ":"},
+        {"session_share = 0.5\nanswer_share = 0.4\n", RR_SETTINGS_ERROR_CONFLICT, "answer_share"},
+    };
+    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
+        expect_error(valid_platform, cases[i].text, cases[i].code, cases[i].field);
     }
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(good_settings), cmocka_unit_test(limits_to_come),
-        cmocka_unit_test(bad_platform_settings), cmocka_unit_test(syntax_error_and_missing_file),
-        cmocka_unit_test(operators_settings)};
+        cmocka_unit_test(valid_settings_are_loaded),
+        cmocka_unit_test(later_limits_default_to_the_present_ones),
+        cmocka_unit_test(smaller_later_limits_apply_at_once),
+        cmocka_unit_test(faults_of_the_platform_file_are_named),
+        cmocka_unit_test(a_fault_of_a_value_names_its_line),
+        cmocka_unit_test(a_syntax_error_names_its_line),
+        cmocka_unit_test(a_missing_file_is_named),
+        cmocka_unit_test(an_error_does_not_affect_the_next_load),
+        cmocka_unit_test(tuning_replaces_defaults),
+        cmocka_unit_test(faults_of_the_tuning_file_are_named),
+    };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
