--- a/src/conf/config.h
+++ b/src/conf/config.h
@@ -26,7 +26,7 @@
     struct rr_endpoint endpoint;
 };
 
-/* A team with its guaranteed resources and its limits; 0: none. */
+/* A team with its shares and limits of resources; 0: none. */
 struct rr_team_config {
     char name[RR_NAME_SIZE];
     double cpus, cpus_max, gpus, gpus_max;
