--- a/src/app/user_commit.h
+++ b/src/app/user_commit.h
@@ -8,21 +8,25 @@
 #define RR_SUBMISSION_WAIT_MAX_S 1.5 /* from the request to its transaction's outcome */
 #define RR_USER_BATCH_MAX 96         /* users' changes in one transaction */
 
-/* Lives on the stack of the request's thread, which waits until the commit is finished. Fields
- * below `deadline` are under rr_app.user_lock while the commit is queued. */
+/* Lives on the stack of the request's thread, which waits until the commit is finished. While the
+ * commit is queued its fields are under rr_app.user_lock. */
 struct rr_user_commit {
+    /* Set by the request's thread. */
     char key[96];
-    rr_encoder value;
-    uint64_t version;  /* guard: version of the record at `key`, 0: absent */
     char also_key[96]; /* another record that must be unchanged; empty: none */
+    rr_encoder value;
+    uint64_t version; /* guard: version of the record at `key`, 0: absent */
     uint64_t also_version;
-    bool is_submission; /* a new job, which may share a record with other new jobs */
-    double deadline;    /* steady: fails if it is still queued after this time */
+    double deadline; /* steady: fails if it is still queued after this time */
+
+    /* Set by the commit thread. */
+    uint64_t revision; /* of the transaction; with a conflict, of the store */
     pthread_cond_t done;
+    enum rr_commit_status status;
     bool finished;
     bool outcome_unknown; /* an earlier transaction with it got no answer */
-    enum rr_commit_status status;
-    uint64_t revision; /* of the transaction; with a conflict, of the store */
+
+    bool is_submission; /* a new job, which may share a record with other new jobs */
 };
 
 /* Queues the commit for the commit thread and waits for its outcome in commit->status. False: not
--- a/tests/processes.c
+++ b/tests/processes.c
@@ -12,8 +12,6 @@
 #define ARGUMENTS_MAX 16
 #define READY_WITHIN_S 60
 
-extern char **environ;
-
 static void write_seeds(GString *text, const struct controller_process *controllers, int count,
                         int own) {
     for (int i = 0; i < count; i++) {
@@ -40,9 +38,9 @@
                            "[services]\ncloud = \"127.0.0.1:%u\"\nstate = \"127.0.0.1:%u\"\n"
                            "[deployment]\nclock_off_ms = 10.0\n",
                            config->cloud.port, config->state.port);
-    for (unsigned thread = 0; thread < platform->team_count; thread++) {
+    for (unsigned team = 0; team < platform->team_count; team++) {
         g_string_append_printf(text, "[[deployment.teams]]\nname = \"%s\"\n",
-                               platform->teams[thread]);
+                               platform->teams[team]);
     }
     g_string_append_printf(
         text, "[deployment.workers]\nreport_s = %.2f\nlease_s = %.2f\ncancel_s = %.2f\n",
@@ -54,62 +52,63 @@
     g_string_free(text, TRUE);
 }
 
-void processes_configure(fake_services *cluster, const char *folder, const char *prefix,
+void processes_configure(fake_services *services, const char *folder, const char *prefix,
                          const char *zone, const struct platform *platform,
                          struct controller_process *controllers, int count) {
     for (int i = 0; i < count; i++) {
-        struct controller_process *own = &controllers[i];
+        struct controller_process *controller = &controllers[i];
         char name[64];
         g_snprintf(name, sizeof name, "%s%d", prefix, i);
-        fake_services_config(cluster, &own->config, name);
-        g_strlcpy(own->config.zone, zone, sizeof own->config.zone);
-        own->config.state.port = fake_services_add_endpoint(cluster);
-        g_snprintf(own->file, sizeof own->file, "%s/%s.toml", folder, name);
-        g_snprintf(own->log, sizeof own->log, "%s/%s.log", folder, name);
+        fake_services_config(services, &controller->config, name);
+        g_strlcpy(controller->config.zone, zone, sizeof controller->config.zone);
+        controller->config.state.port = fake_services_add_endpoint(services);
+        g_snprintf(controller->file, sizeof controller->file, "%s/%s.toml", folder, name);
+        g_snprintf(controller->log, sizeof controller->log, "%s/%s.log", folder, name);
     }
     for (int i = 0; i < count; i++) {
         write_file(controllers, count, i, platform);
     }
 }
 
-void process_start(struct controller_process *own, const char *program,
+void process_start(struct controller_process *controller, const char *program,
                    const char *const *arguments) {
-    char *list[ARGUMENTS_MAX] = {(char *)program, "--config", own->file};
+    char *list[ARGUMENTS_MAX] = {(char *)program, "--config", controller->file};
     posix_spawn_file_actions_t actions;
     for (int i = 0; arguments[i] && i + 4 < ARGUMENTS_MAX; i++) {
         list[i + 3] = (char *)arguments[i];
     }
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, 2, own->log, O_CREAT | O_WRONLY | O_APPEND, 0600);
-    assert_int_equal(posix_spawn(&own->pid, program, &actions, NULL, list, environ), 0);
+    posix_spawn_file_actions_addopen(&actions, 2, controller->log, O_CREAT | O_WRONLY | O_APPEND,
+                                     0600);
+    assert_int_equal(posix_spawn(&controller->pid, program, &actions, NULL, list, environ), 0);
     posix_spawn_file_actions_destroy(&actions);
 }
 
-void process_end(struct controller_process *own, int signal) {
+void process_end(struct controller_process *controller, int signal) {
     int status = 0;
-    kill(own->pid, signal);
-    assert_int_equal(waitpid(own->pid, &status, 0), own->pid);
-    own->pid = 0;
+    kill(controller->pid, signal);
+    assert_int_equal(waitpid(controller->pid, &status, 0), controller->pid);
+    controller->pid = 0;
     assert_true(signal == SIGKILL || (WIFEXITED(status) && WEXITSTATUS(status) == 0));
 }
 
-void process_kill(struct controller_process *own) {
-    if (own->pid > 0) {
-        kill(own->pid, SIGKILL);
-        waitpid(own->pid, NULL, 0);
-        own->pid = 0;
+void process_kill(struct controller_process *controller) {
+    if (controller->pid > 0) {
+        kill(controller->pid, SIGKILL);
+        waitpid(controller->pid, NULL, 0);
+        controller->pid = 0;
     }
 }
 
-void process_wait_ready(const struct controller_process *own) {
+void process_wait_ready(const struct controller_process *controller) {
     double until = rr_steady_clock_s() + READY_WITHIN_S;
-    while (fake_services_call(&own->config, "GET", "/ready", NULL, 0, NULL) != 200) {
+    while (fake_services_call(&controller->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
 }
 
-void process_remove_files(const struct controller_process *own) {
-    unlink(own->file);
-    unlink(own->log);
+void process_remove_files(const struct controller_process *controller) {
+    unlink(controller->file);
+    unlink(controller->log);
 }
--- a/tests/processes.h
+++ b/tests/processes.h
@@ -7,7 +7,7 @@
 #include <sys/types.h>
 
 struct controller_process {
-    struct rr_config config; /* addresses; the name and zone that its file gives it */
+    struct rr_config config; /* addresses, name and zone, as in its file */
     char file[256], log[256];
     pid_t pid; /* 0: not running */
 };
@@ -19,19 +19,22 @@
     double report_s, lease_s, cancel_s;
 };
 
-/* Gives count controllers of this world their ports and names (prefix and number), each by a door
- * of its own, and writes their files into the folder. */
-void processes_configure(fake_services *cluster, const char *folder, const char *prefix,
+/* Gives `count` controllers their ports and names (prefix and number), and an endpoint of their own
+ * for the key-value store, and writes their settings files into the folder. */
+void processes_configure(fake_services *services, const char *folder, const char *prefix,
                          const char *zone, const struct platform *platform,
                          struct controller_process *controllers, int count);
-/* arguments: what follows "--config FILE", ended by NULL. */
-void process_start(struct controller_process *own, const char *program,
+/* Starts the program. arguments: what follows "--config FILE", ended by NULL. */
+void process_start(struct controller_process *controller, const char *program,
                    const char *const *arguments);
-/* An orderly end is one without a complaint, a sanitizer's included. */
-void process_end(struct controller_process *own, int signal);
-/* After a failed test: without a check. */
-void process_kill(struct controller_process *own);
-void process_wait_ready(const struct controller_process *own);
-void process_remove_files(const struct controller_process *own);
+/* Sends the signal and waits for the end. Unless killed, the process must exit with 0, which
+ * includes that no sanitizer has found anything. */
+void process_end(struct controller_process *controller, int signal);
+/* Kills the process, if it runs, without a check; for the end of failed tests. */
+void process_kill(struct controller_process *controller);
+/* Waits until /ready is answered 200. */
+void process_wait_ready(const struct controller_process *controller);
+/* Removes its settings file and log. */
+void process_remove_files(const struct controller_process *controller);
 
 #endif
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -1,7 +1,6 @@
-/* A bounded load generator over loopback. Users' threads submit many small jobs to one controller
- * in the stand-in world, poll each to its end and ask again; then many more workers than it has
- * connections for report to it. For profiling, `test_load JOBS [WORKERS]` takes more of both than
- * the test does, and prints rates and memory. */
+/* Bounded load over loopback: users' threads submit many small jobs to one controller and poll each
+ * to its end; more workers than it has connections for send heartbeats. For profiling, `test_load
+ * JOBS [WORKERS]` takes more of both than the test does, and prints rates and memory. */
 #include "core_fixture.h"
 #include "core/stats.h"
 
@@ -22,12 +21,13 @@
 #define JOBS_MAX 20000
 #define WORKERS_MAX 6000
 
-static unsigned jobs = 120, workers = 150, rounds_of_mix = 3;
+static unsigned jobs = 120, workers = 150, rounds_of_requests = 3;
 
 struct user {
     pthread_t thread;
     const struct rr_config *config;
-    unsigned first, refused, asked;
+    unsigned first; /* index of its first job; it takes every USERS-th */
+    unsigned refused;
     bool failed;
 };
 
@@ -51,17 +51,17 @@
     return strcmp(state, "done") == 0;
 }
 
-static void ref_of(unsigned count, char *out, size_t size) {
+static void make_job_id(unsigned count, char *out, size_t size) {
     g_snprintf(out, size, "req-%06u", 200000 + count);
 }
 
-/* Every refusal is answered at once and tried again; every job is polled until it is done. */
+/* Submits the user's jobs, again after each refusal, and polls each until it is done. */
 static void *user_main(void *arg) {
     struct user *user = arg;
     double until = rr_steady_clock_s() + 120;
     char job_id[32];
     for (unsigned i = user->first; i < jobs; i += USERS) {
-        ref_of(i, job_id, sizeof job_id);
+        make_job_id(i, job_id, sizeof job_id);
         int status;
         while ((status = submit(user->config, job_id)) != 201 && status != 200 &&
                rr_steady_clock_s() < until) {
@@ -70,9 +70,8 @@
         }
     }
     for (unsigned i = user->first; i < jobs; i += USERS) {
-        ref_of(i, job_id, sizeof job_id);
+        make_job_id(i, job_id, sizeof job_id);
         while (!is_done(user->config, job_id) && rr_steady_clock_s() < until) {
-            user->asked++;
             rr_sleep(0.05);
         }
         user->failed = user->failed || !is_done(user->config, job_id);
@@ -101,12 +100,12 @@
     }
 }
 
-static void many_jobs_to_their_end(void **state) {
+static void many_jobs_run_to_their_end(void **state) {
     (void)state;
-    fake_services *cluster = fake_services_start();
+    fake_services *services = fake_services_start();
     struct rr_app *app = g_new0(struct rr_app, 1);
     struct user users[USERS];
-    fake_services_config(cluster, &app->config, "n0");
+    fake_services_config(services, &app->config, "n0");
     app->config.state_rps = app->config.state_write_rps = 1000;
     start_ready(app);
     double began = rr_steady_clock_s();
@@ -126,7 +125,7 @@
     printf("%u jobs in %.1f s, %.0f a second, %u refusals, %.1f KB a job\n", jobs, took,
            jobs / took, refused, (double)(resident_kb() - before) / jobs);
     assert_false(failed);
-    /* What is over leaves nothing open behind. */
+    /* Jobs that are over leave nothing open. */
     rr_core_stats stats;
     pthread_mutex_lock(&app->lock);
     rr_core_get_stats(app->core, &stats);
@@ -135,12 +134,11 @@
     assert_int_equal(stats.tasks_placed, 0);
     rr_app_stop(app);
     g_free(app);
-    fake_services_stop(cluster);
+    fake_services_stop(services);
 }
 
-/* One request on a connection, which stays open if the controller leaves it so. Its status, 0:
- * closed instead. */
-static int talk(int fd, const char *method, const char *path, const rr_encoder *body) {
+/* Sends one request on an open connection. Its status; 0: the connection was closed. */
+static int request(int fd, const char *method, const char *path, const rr_encoder *body) {
     char text[4096];
     size_t size = body ? body->buffer.size : 0, got = 0, whole = 0;
     int used =
@@ -167,11 +165,12 @@
     return atoi(text + 9);
 }
 
-/* A report of worker n: that many tasks, the first of them in this standing. */
-static int hello(int fd, unsigned count, uint64_t sequence, unsigned tasks, const char *state) {
+/* Sends a heartbeat with so many tasks, of which the first is in this state. */
+static int send_heartbeat(int fd, unsigned worker, uint64_t sequence, unsigned tasks,
+                          const char *state) {
     char name[32], task_name[32];
     rr_encoder encoder;
-    g_snprintf(name, sizeof name, "vm-%06u", 500000 + count);
+    g_snprintf(name, sizeof name, "vm-%06u", 500000 + worker);
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 9);
     rr_encode_key_text(&encoder, "stone", name);
@@ -185,47 +184,47 @@
     rr_encode_text(&encoder, "pieces");
     rr_encode_array(&encoder, tasks);
     for (unsigned i = 0; i < tasks; i++) {
-        g_snprintf(task_name, sizeof task_name, "req-%06u/%u", 180000 + count, i);
+        g_snprintf(task_name, sizeof task_name, "req-%06u/%u", 180000 + worker, i);
         rr_encode_map(&encoder, 3);
         rr_encode_key_text(&encoder, "piece", task_name);
         rr_encode_key_u64(&encoder, "try", 4294967296 + i);
         rr_encode_key_text(&encoder, "standing", i ? "running" : state);
     }
-    int status = talk(fd, "POST", "/hello", &encoder);
+    int status = request(fd, "POST", "/hello", &encoder);
     rr_encoder_clear(&encoder);
     return status;
 }
 
-/* Every worker of a fleet at one controller that has connections for a third of them: all are
- * answered, as nobody keeps a place that others need, and users and health checks get in. */
-static void more_workers_than_connections(void **state) {
+/* One controller has connections for a third of a fleet: all workers are answered, since none keeps
+ * a connection that others need, and users and health checks get in. */
+static void all_workers_are_answered_with_fewer_connections(void **state) {
     (void)state;
-    fake_services *cluster = fake_services_start();
+    fake_services *services = fake_services_start();
     struct rr_app *app = g_new0(struct rr_app, 1);
     int *fds = g_new0(int, workers);
-    fake_services_config(cluster, &app->config, "n0");
+    fake_services_config(services, &app->config, "n0");
     app->config.max_sockets = 100000;
     app->config.tuning.max_connections = (int)workers / 3;
     start_ready(app);
     double until = rr_steady_clock_s() + 60;
     long before = resident_kb();
-    unsigned again = 0;
+    unsigned retries = 0;
     for (unsigned i = 0; i < workers; i++) {
         while ((fds[i] = fake_services_dial(&app->config.bind)) < 0 ||
-               hello(fds[i], i, 1, 0, "") != 200) {
+               send_heartbeat(fds[i], i, 1, 0, "") != 200) {
             assert_true(rr_steady_clock_s() < until);
             if (fds[i] >= 0) {
                 close(fds[i]);
             }
-            again++;
+            retries++;
             rr_sleep(0.01);
         }
     }
     int open = rr_http_server_connections(app->http_server);
-    printf("%u workers, %d connections kept, %u tries more, %.0f KB a connection\n", workers, open,
-           again, (double)(resident_kb() - before) / (open ? open : 1));
+    printf("%u workers, %d connections kept, %u retries, %.0f KB a connection\n", workers, open,
+           retries, (double)(resident_kb() - before) / (open ? open : 1));
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
-    /* The bound of connections counts on it. Each worker's machine in the model is in here, too. */
+    /* The bound on connections relies on it. Each worker's machine in the core is included. */
     assert_true(resident_kb() - before <= (long)open * RR_CONNECTION_KB + (long)workers * 2);
 #endif
     assert_true(open <= app->config.tuning.max_connections);
@@ -243,10 +242,10 @@
     g_free(fds);
     rr_app_stop(app);
     g_free(app);
-    fake_services_stop(cluster);
+    fake_services_stop(services);
 }
 
-/* Processor time of the process but for the calling thread, which plays the others. */
+/* Processor time of the process without the calling thread, which plays users and workers. */
 static double server_ms(void) {
     struct rusage all, own;
     getrusage(RUSAGE_SELF, &all);
@@ -259,37 +258,37 @@
     return milliseconds[0] + milliseconds[1] - milliseconds[2] - milliseconds[3];
 }
 
-enum kind { QUIET_REPORT, NEWS_REPORT, FINAL_POLL, OPEN_POLL, READY, KINDS };
+enum request_kind { UNCHANGED_HEARTBEAT, CHANGED_HEARTBEAT, FINAL_POLL, OPEN_POLL, READY, KINDS };
 
-static int ask(enum kind k, int fd, unsigned worker, unsigned round) {
+static int send_request(enum request_kind kind, int fd, unsigned worker, unsigned round) {
     static const char *const standings[] = {"fetching", "running"};
-    switch (k) {
-    case QUIET_REPORT:
-        return hello(fd, worker, 10 + round, 4, "running");
-    case NEWS_REPORT:
-        return hello(fd, worker, 1000000 + round, 4, standings[round % 2]);
+    switch (kind) {
+    case UNCHANGED_HEARTBEAT:
+        return send_heartbeat(fd, worker, 10 + round, 4, "running");
+    case CHANGED_HEARTBEAT:
+        return send_heartbeat(fd, worker, 1000000 + round, 4, standings[round % 2]);
     case FINAL_POLL:
-        return talk(fd, "GET", "/submissions/req-170000", NULL);
+        return request(fd, "GET", "/submissions/req-170000", NULL);
     case OPEN_POLL:
-        return talk(fd, "GET", "/submissions/req-170001", NULL);
+        return request(fd, "GET", "/submissions/req-170001", NULL);
     default:
-        return talk(fd, "GET", "/ready", NULL);
+        return request(fd, "GET", "/ready", NULL);
     }
 }
 
-/* What each kind of request costs the controller (for those that read the store, the stand-in's
- * part is in it), one after the other over connections that stay. For the eye: times are not
- * stable. That each is answered is what the test is about. */
-static void requests_by_kind(void **state) {
-    static const char *const names[] = {"report without news", "report with news",
+/* Prints what each kind of request costs the controller (with the stand-in's part, for those that
+ * read the store), one after the other over kept connections. Times are not stable; the test only
+ * checks that each request is answered. */
+static void every_kind_of_request_is_answered(void **state) {
+    static const char *const names[] = {"heartbeat, unchanged", "heartbeat, changed",
                                         "poll of a final job", "poll of an open job",
                                         "health check"};
     (void)state;
-    fake_services *cluster = fake_services_start();
+    fake_services *services = fake_services_start();
     struct rr_app *app = g_new0(struct rr_app, 1);
-    unsigned count = workers < 300 ? workers : 300, rounds = rounds_of_mix;
+    unsigned count = workers < 300 ? workers : 300, rounds = rounds_of_requests;
     int *fds = g_new(int, count);
-    fake_services_config(cluster, &app->config, "n0");
+    fake_services_config(services, &app->config, "n0");
     app->config.max_sockets = 100000;
     start_ready(app);
     assert_int_equal(submit(&app->config, "req-170000"), 201);
@@ -303,12 +302,13 @@
     }
     for (int k = 0; k < KINDS; k++) {
         double before = server_ms();
-        unsigned all = k == OPEN_POLL ? count : count * rounds; /* these wait for their barrier */
-        for (unsigned i = 0; i < all; i++) {
-            assert_int_equal(ask(k, fds[i % count], i % count, 1 + i / count), 200);
+        unsigned total =
+            k == OPEN_POLL ? count : count * rounds; /* these wait for their read barrier */
+        for (unsigned i = 0; i < total; i++) {
+            assert_int_equal(send_request(k, fds[i % count], i % count, 1 + i / count), 200);
         }
-        printf("%-20s %7u requests, %6.1f us each\n", names[k], all,
-               (server_ms() - before) * 1e3 / all);
+        printf("%-20s %7u requests, %6.1f us each\n", names[k], total,
+               (server_ms() - before) * 1e3 / total);
     }
     for (unsigned i = 0; i < count; i++) {
         close(fds[i]);
@@ -316,22 +316,23 @@
     g_free(fds);
     rr_app_stop(app);
     g_free(app);
-    fake_services_stop(cluster);
+    fake_services_stop(services);
 }
 
 int main(int argc, char **argv) {
     if (argc > 2) {
         unsigned long number = strtoul(argv[2], NULL, 10);
         workers = number >= 30 && number <= WORKERS_MAX ? (unsigned)number : workers;
-        rounds_of_mix = 60;
+        rounds_of_requests = 60;
     }
     if (argc > 1) {
         unsigned long number = strtoul(argv[1], NULL, 10);
         jobs = number > 0 && number <= JOBS_MAX ? (unsigned)number : jobs;
     }
-    const struct CMUnitTest tests[] = {cmocka_unit_test(many_jobs_to_their_end),
-                                       cmocka_unit_test(more_workers_than_connections),
-                                       cmocka_unit_test(requests_by_kind)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(many_jobs_run_to_their_end),
+        cmocka_unit_test(all_workers_are_answered_with_fewer_connections),
+        cmocka_unit_test(every_kind_of_request_is_answered)};
     rr_app_tune_allocator();
     rr_net_init();
     rr_log_set_level("error");
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -1,5 +1,5 @@
-/* The whole process against the stand-in world on loopback: threads, sockets and all. Waits are for
- * conditions, bounded well above what they take. */
+/* Whole controllers against the stand-in services on loopback, with threads and sockets. Waits are
+ * for conditions, with bounds well above what they take. */
 #include "core_fixture.h"
 
 #include "common/clock.h"
@@ -12,13 +12,13 @@
 #include <unistd.h>
 
 struct service {
-    fake_services *w;
+    fake_services *services;
     struct rr_app *app;
 };
 
-static struct rr_app *start_app(fake_services *cluster, const char *name) {
+static struct rr_app *start_app(fake_services *services, const char *name) {
     struct rr_app *app = g_new0(struct rr_app, 1);
-    fake_services_config(cluster, &app->config, name);
+    fake_services_config(services, &app->config, name);
     assert_int_equal(rr_app_start(app), 0);
     return app;
 }
@@ -38,8 +38,8 @@
 
 static int setup(void **state) {
     struct service *service = g_new0(struct service, 1);
-    service->w = fake_services_start();
-    service->app = start_app(service->w, "n0");
+    service->services = fake_services_start();
+    service->app = start_app(service->services, "n0");
     wait_ready(service->app);
     *state = service;
     return 0;
@@ -48,7 +48,7 @@
 static int teardown(void **state) {
     struct service *service = *state;
     stop_app(service->app);
-    fake_services_stop(service->w);
+    fake_services_stop(service->services);
     g_free(service);
     return 0;
 }
@@ -61,9 +61,9 @@
     return fake_services_submit(&app->config, &sub);
 }
 
-/* The standing that a poll tells, or "" with any other answer than 200. */
-static const char *poll_standing(const struct rr_app *app, const char *job_id, char *out,
-                                 size_t size) {
+/* The state that a poll answers; "" with any other status than 200. */
+static const char *poll_state(const struct rr_app *app, const char *job_id, char *out,
+                              size_t size) {
     char path[96];
     rr_document document;
     g_snprintf(path, sizeof path, "/submissions/%s", job_id);
@@ -78,10 +78,10 @@
     return out;
 }
 
-static void wait_standing(const struct rr_app *app, const char *job_id, const char *want) {
+static void wait_for_state(const struct rr_app *app, const char *job_id, const char *want) {
     double until = rr_steady_clock_s() + 40;
     char got[32];
-    while (strcmp(poll_standing(app, job_id, got, sizeof got), want) != 0) {
+    while (strcmp(poll_state(app, job_id, got, sizeof got), want) != 0) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
@@ -98,23 +98,23 @@
     assert_int_equal(submit(service->app, "req-100001", 5, false), 201);
     assert_int_equal(submit(service->app, "req-100001", 5, false), 200);
     assert_int_equal(submit(service->app, "req-500001", 2, true), 201);
-    wait_standing(service->app, "req-100001", "done");
-    wait_standing(service->app, "req-500001", "running");
+    wait_for_state(service->app, "req-100001", "done");
+    wait_for_state(service->app, "req-500001", "running");
     assert_int_equal(cancel(service->app, "req-500001"), 200);
     assert_int_equal(cancel(service->app, "req-500001"), 200);
     double until = rr_steady_clock_s() + 20;
-    while (fake_services_running_tasks(service->w) > 0) {
+    while (fake_services_running_tasks(service->services) > 0) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
-    wait_standing(service->app, "req-500001", "aborted");
-    /* Done stays done, whatever is asked of it. */
+    wait_for_state(service->app, "req-500001", "aborted");
+    /* A done job stays done. */
     assert_int_equal(cancel(service->app, "req-100001"), 200);
-    wait_standing(service->app, "req-100001", "done");
-    assert_int_equal(fake_services_rented_count(service->w), 1);
+    wait_for_state(service->app, "req-100001", "done");
+    assert_int_equal(fake_services_rented_count(service->services), 1);
 }
 
-static void bad_requests(void **state) {
+static void malformed_requests_get_4xx(void **state) {
     struct service *service = *state;
     const struct rr_config *config = &service->app->config;
     static char large[RR_BODY_BYTES_MAX + 1];
@@ -139,105 +139,108 @@
     assert_int_equal(fake_services_call(config, "GET", "/ready", NULL, 0, NULL), 200);
 }
 
-/* The store carried the acceptance out, but its answer was lost: the job is accepted once, and the
- * user is told so or asked to come back, never anything else. */
-static void an_unanswered_commit(void **state) {
+/* The store carries the commit out, but its answer is lost: the job is accepted once, and its user
+ * gets 200, 201 or 503. */
+static void a_job_is_accepted_once_if_its_commit_goes_unanswered(void **state) {
     struct service *service = *state;
-    fake_services_drop_next_answer(service->w);
+    fake_services_drop_next_answer(service->services);
     int status = submit(service->app, "req-100002", 1, false);
     assert_true(status == 200 || status == 201 || status == 503);
     assert_int_equal(submit(service->app, "req-100002", 1, false), 200);
-    wait_standing(service->app, "req-100002", "done");
+    wait_for_state(service->app, "req-100002", "done");
 }
 
-/* A second controller whose store cache stands still must not tell an older state than the first
- * has told: it says that it can't tell. */
-static void no_older_answer_elsewhere(void **state) {
+/* A controller with a store cache that lags refuses, rather than answer an older state than another
+ * controller has answered. */
+static void a_lagging_controller_does_not_answer_an_older_state(void **state) {
     struct service *service = *state;
     char got[32];
-    struct rr_app *app = start_app(service->w, "n1");
+    struct rr_app *app = start_app(service->services, "n1");
     wait_ready(app);
     assert_int_equal(submit(service->app, "req-500002", 1, true), 201);
-    wait_standing(app, "req-500002", "queued");
-    fake_services_freeze_watches(service->w, true);
+    wait_for_state(app, "req-500002", "queued");
+    fake_services_freeze_watches(service->services, true);
     assert_int_equal(cancel(service->app, "req-500002"), 200);
-    assert_string_equal(poll_standing(app, "req-500002", got, sizeof got), "");
+    assert_string_equal(poll_state(app, "req-500002", got, sizeof got), "");
     assert_int_equal(submit(app, "req-500002", 1, true), 503);
-    fake_services_freeze_watches(service->w, false);
-    wait_standing(app, "req-500002", "aborted");
+    fake_services_freeze_watches(service->services, false);
+    wait_for_state(app, "req-500002", "aborted");
     assert_int_equal(submit(app, "req-500002", 1, true), 200);
     stop_app(app);
 }
 
-static bool told(const char *got, const char *want) {
-    return got[0] == 0 || strcmp(got, want) == 0; /* "can't tell now" is no older answer */
+/* Refusing to answer is never wrong. */
+static bool is_state_or_refused(const char *got, const char *want) {
+    return got[0] == 0 || strcmp(got, want) == 0;
 }
 
-/* Users ask at all nodes, again and again within milliseconds, and submit once more, right after a
- * job was accepted, cancelled or done: nobody answers something older than was told. */
-static void close_looks(void **state) {
+/* Users poll two controllers in turn, milliseconds after a job was accepted, cancelled or done, and
+ * submit it again. */
+static void answers_never_go_back_in_time_between_controllers(void **state) {
     struct service *service = *state;
     char job_id[32], got[32];
-    /* The worker reports to one controller, and these two have no link: what is to run, runs first.
-     */
+    /* The worker reports to one controller and the two have no link, so the job that is to run runs
+     * before the second one starts. */
     assert_int_equal(submit(service->app, "req-600100", 1, false), 201);
-    wait_standing(service->app, "req-600100", "done");
-    struct rr_app *app = start_app(service->w, "n1"), *apps[2] = {service->app, app};
+    wait_for_state(service->app, "req-600100", "done");
+    struct rr_app *app = start_app(service->services, "n1"), *apps[2] = {service->app, app};
     wait_ready(app);
     for (int i = 0; i < 12; i++) {
         struct rr_app *target = apps[i % 2], *elsewhere = apps[(i + 1) % 2];
         g_snprintf(job_id, sizeof job_id, "req-%06d", 600001 + i);
         assert_int_equal(submit(target, job_id, 2, true), 201);
         for (int k = 0; k < 4; k++) {
-            poll_standing(apps[k % 2 == 0 ? (i + 1) % 2 : i % 2], job_id, got, sizeof got);
-            assert_true(told(got, "queued") || told(got, "running"));
+            poll_state(apps[k % 2 == 0 ? (i + 1) % 2 : i % 2], job_id, got, sizeof got);
+            assert_true(is_state_or_refused(got, "queued") || is_state_or_refused(got, "running"));
         }
         int again = submit(elsewhere, job_id, 2, true);
         assert_true(again == 200 || again == 201 || again == 503);
         assert_int_equal(cancel(elsewhere, job_id), 200);
         for (int k = 0; k < 4; k++) {
-            assert_true(told(poll_standing(apps[k % 2], job_id, got, sizeof got), "aborted"));
+            assert_true(
+                is_state_or_refused(poll_state(apps[k % 2], job_id, got, sizeof got), "aborted"));
         }
         again = submit(target, job_id, 2, true);
         assert_true(again == 200 || again == 503);
-        assert_true(told(poll_standing(target, job_id, got, sizeof got), "aborted"));
+        assert_true(is_state_or_refused(poll_state(target, job_id, got, sizeof got), "aborted"));
     }
     for (int k = 0; k < 4; k++) {
-        assert_true(told(poll_standing(apps[k % 2], "req-600100", got, sizeof got), "done"));
+        assert_true(
+            is_state_or_refused(poll_state(apps[k % 2], "req-600100", got, sizeof got), "done"));
         assert_int_equal(cancel(apps[k % 2], "req-600100"), 200);
     }
     stop_app(app);
 }
 
-/* A cancellation is carried out at once and only its answer is lost, while the other node reads
- * what it wrote and tells its user: from then on the first one says the same, or that it can't
- * tell. */
-static void a_lost_answer_while_others_read(void **state) {
+/* The store carries a cancellation out, but its answer is lost, while another controller reads the
+ * record and answers its user: from then on the first controller answers the same or refuses. */
+static void controllers_agree_after_a_cancellation_goes_unanswered(void **state) {
     struct service *service = *state;
-    struct rr_app *app = start_app(service->w, "n1");
+    struct rr_app *app = start_app(service->services, "n1");
     char job_id[32], got[32];
     wait_ready(app);
     for (int i = 0; i < 4; i++) {
         g_snprintf(job_id, sizeof job_id, "req-%06d", 610001 + i);
         assert_int_equal(submit(app, job_id, 1, true), 201);
-        fake_services_drop_next_answer(service->w);
+        fake_services_drop_next_answer(service->services);
         int status = cancel(i % 2 ? app : service->app, job_id);
         assert_true(status == 200 || status == 503);
         double until = rr_steady_clock_s() + 10;
         while (cancel(app, job_id) != 200) {
             assert_true(rr_steady_clock_s() < until);
         }
-        assert_true(told(poll_standing(service->app, job_id, got, sizeof got), "aborted"));
-        assert_true(told(poll_standing(app, job_id, got, sizeof got), "aborted"));
+        assert_true(
+            is_state_or_refused(poll_state(service->app, job_id, got, sizeof got), "aborted"));
+        assert_true(is_state_or_refused(poll_state(app, job_id, got, sizeof got), "aborted"));
     }
     stop_app(app);
 }
 
-/* A submission with one field left out. */
+/* Submits a job of one task; left_out: a field that is missing, NULL: none. */
 static int submit_without(const struct rr_app *app, const char *job_id, const char *left_out,
-                          double cards) {
-    static const char *const nums[] = {"vcpus",   "cards",   "mem_gb", "pull_gb",
-                                       "guess_s", "cairn_s", "stash_s"};
+                          double gpus) {
+    static const char *const numbers[] = {"vcpus",   "cards",   "mem_gb", "pull_gb",
+                                          "guess_s", "cairn_s", "stash_s"};
     static const char *const texts[][2] = {
         {"lane", "plain"}, {"crew", "red"}, {"cast", "img-1"}, {"shape", "batch"}, {"rank", "low"}};
     static const char *const flags[] = {"one_zone", "apart", "loaners"};
@@ -251,8 +254,8 @@
         rr_encode_key_u64(&encoder, "pieces", 1);
     }
     for (int i = 0; i < 7; i++) {
-        if (!left_out || strcmp(left_out, nums[i]) != 0) {
-            rr_encode_key_number(&encoder, nums[i], strcmp(nums[i], "cards") == 0 ? cards : 1);
+        if (!left_out || strcmp(left_out, numbers[i]) != 0) {
+            rr_encode_key_number(&encoder, numbers[i], strcmp(numbers[i], "cards") == 0 ? gpus : 1);
         }
     }
     for (int i = 0; i < 5; i++) {
@@ -271,48 +274,61 @@
     return status;
 }
 
-/* Odd requests: a repeat of an unfinished job, also a malformed one; cancelling what is done or
- * what nobody submitted; jobs that fit no machine or lack a field, each of them. While the
- * key-value store is away 400 is said where nothing depends on it, and the rest is 503. */
-static void odd_requests(void **state) {
+static void a_repeated_submission_is_answered_200_whatever_it_says(void **state) {
     struct service *service = *state;
-    static const char *const fields[] = {"lane",    "crew",    "cast",     "shape",  "rank",
-                                         "pieces",  "vcpus",   "cards",    "mem_gb", "pull_gb",
-                                         "guess_s", "cairn_s", "one_zone", "apart",  "loaners",
-                                         "stash_s", "ref"};
     assert_int_equal(submit(service->app, "req-620001", 1, true), 201);
     assert_int_equal(submit(service->app, "req-620001", 1, true), 200);
     assert_int_equal(submit_without(service->app, "req-620001", "rank", 0), 200);
     assert_int_equal(submit_without(service->app, "req-620001", NULL, 1e6), 200);
+}
+
+static void unacceptable_jobs_are_refused_and_stay_unknown(void **state) {
+    struct service *service = *state;
+    static const char *const fields[] = {"lane",    "crew",    "cast",     "shape",  "rank",
+                                         "pieces",  "vcpus",   "cards",    "mem_gb", "pull_gb",
+                                         "guess_s", "cairn_s", "one_zone", "apart",  "loaners",
+                                         "stash_s", "ref"};
     assert_int_equal(submit_without(service->app, "req-620002", NULL, 1e6), 422);
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
         assert_int_equal(submit_without(service->app, "req-620003", fields[i], 0), 400);
     }
     assert_int_equal(cancel(service->app, "req-620003"), 404);
+}
+
+static void a_done_job_stays_done_when_cancelled(void **state) {
+    struct service *service = *state;
     assert_int_equal(submit_without(service->app, "req-620004", NULL, 0), 201);
-    wait_standing(service->app, "req-620004", "done");
+    wait_for_state(service->app, "req-620004", "done");
     assert_int_equal(cancel(service->app, "req-620004"), 200);
-    wait_standing(service->app, "req-620004", "done");
-    fake_services_store_down(service->w, true);
+    wait_for_state(service->app, "req-620004", "done");
+}
+
+/* Without a valid id a submission is refused whatever the store has; with one, it depends on
+ * whether the job is known. */
+static void without_the_store_only_certain_answers_are_given(void **state) {
+    struct service *service = *state;
+    assert_int_equal(submit_without(service->app, "req-620004", NULL, 0), 201);
+    wait_for_state(service->app, "req-620004", "done");
+    fake_services_store_down(service->services, true);
     assert_int_equal(submit_without(service->app, "req-620003", "ref", 0), 400);
     assert_int_equal(submit_without(service->app, "req-620003", "rank", 0), 503);
     assert_int_equal(submit_without(service->app, "req-620004", "rank", 0), 200);
     assert_int_equal(cancel(service->app, "req-620003"), 503);
-    fake_services_store_down(service->w, false);
+    fake_services_store_down(service->services, false);
 }
 
-/* While the key-value store is down nothing is promised, and what was final is still told. */
-static void an_outage(void **state) {
+/* During an outage of the store, submissions are refused and final states are still answered. */
+static void submissions_are_accepted_again_after_an_outage(void **state) {
     struct service *service = *state;
     char got[32];
     assert_int_equal(submit(service->app, "req-100003", 1, false), 201);
-    wait_standing(service->app, "req-100003", "done");
-    fake_services_store_down(service->w, true);
+    wait_for_state(service->app, "req-100003", "done");
+    fake_services_store_down(service->services, true);
     assert_int_equal(submit(service->app, "req-100004", 1, false), 503);
     assert_int_equal(cancel(service->app, "req-100003"), 200);
-    assert_string_equal(poll_standing(service->app, "req-100003", got, sizeof got), "done");
-    assert_string_equal(poll_standing(service->app, "req-100004", got, sizeof got), "");
-    fake_services_store_down(service->w, false);
+    assert_string_equal(poll_state(service->app, "req-100003", got, sizeof got), "done");
+    assert_string_equal(poll_state(service->app, "req-100004", got, sizeof got), "");
+    fake_services_store_down(service->services, false);
     double until = rr_steady_clock_s() + 30;
     int status;
     while ((status = submit(service->app, "req-100004", 1, false)) != 201 && status != 200) {
@@ -320,56 +336,55 @@
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
-    wait_standing(service->app, "req-100004", "done");
+    wait_for_state(service->app, "req-100004", "done");
 }
 
-/* Stopped and started again it takes its own session over and goes on. */
-static void a_restart_goes_on(void **state) {
+/* The restarted controller takes over from its own previous session. */
+static void tasks_keep_running_across_a_restart(void **state) {
     struct service *service = *state;
     assert_int_equal(submit(service->app, "req-500003", 1, true), 201);
-    wait_standing(service->app, "req-500003", "running");
+    wait_for_state(service->app, "req-500003", "running");
     stop_app(service->app);
-    service->app = start_app(service->w, "n0");
+    service->app = start_app(service->services, "n0");
     wait_ready(service->app);
-    wait_standing(service->app, "req-500003", "running");
-    assert_int_equal(fake_services_running_tasks(service->w), 1);
+    wait_for_state(service->app, "req-500003", "running");
+    assert_int_equal(fake_services_running_tasks(service->services), 1);
     assert_int_equal(cancel(service->app, "req-500003"), 200);
-    assert_int_equal(fake_services_rented_count(service->w), 1);
+    assert_int_equal(fake_services_rented_count(service->services), 1);
 }
 
-static void ref_of(int i, char *out, size_t size) {
-    /* The stand-in's worker ends what is named so, and runs the rest until it is stopped. */
+/* Every third job ends by itself; the worker runs the others until they are stopped. */
+static void make_job_id(int i, char *out, size_t size) {
     g_snprintf(out, size, i % 3 == 0 ? "req-17%04d" : "req-57%04d", i);
 }
 
-/* Once all troubles are over, an outage with a restart in it here, every job that was accepted is
- * answered for, open, done or cancelled, well within the time after which it would count as
- * forgotten; also while the restarted controller still reads its store cache. */
-static void every_job_is_known_after_the_troubles(void **state) {
+/* Every accepted job, open, done or cancelled, is answered for within 75 s after an outage during
+ * which the controller was restarted; also while it still loads its store cache. */
+static void every_job_is_known_after_an_outage_with_a_restart(void **state) {
     struct service *service = *state;
     char job_id[32], got[32];
     for (int i = 0; i < 24; i++) {
-        ref_of(i, job_id, sizeof job_id);
+        make_job_id(i, job_id, sizeof job_id);
         assert_int_equal(submit(service->app, job_id, 1, i % 3 != 0), 201);
         if (i % 3 == 2) {
             assert_int_equal(cancel(service->app, job_id), 200);
         }
     }
     for (int i = 0; i < 24; i += 3) {
-        ref_of(i, job_id, sizeof job_id);
-        wait_standing(service->app, job_id, "done");
+        make_job_id(i, job_id, sizeof job_id);
+        wait_for_state(service->app, job_id, "done");
     }
-    fake_services_store_down(service->w, true);
+    fake_services_store_down(service->services, true);
     stop_app(service->app);
-    service->app = start_app(service->w, "n0");
-    /* Nobody is let in before there is anything to tell, for a session's time. */
+    service->app = start_app(service->services, "n0");
+    /* The HTTP server does not open before the store cache is loaded, for the time of a lease. */
     assert_int_equal(fake_services_call(&service->app->config, "GET", "/ready", NULL, 0, NULL), -1);
-    assert_string_equal(poll_standing(service->app, "req-170000", got, sizeof got), "");
-    fake_services_store_down(service->w, false);
+    assert_string_equal(poll_state(service->app, "req-170000", got, sizeof got), "");
+    fake_services_store_down(service->services, false);
     double until = rr_steady_clock_s() + 75;
     for (int i = 0; i < 24; i++) {
-        ref_of(i, job_id, sizeof job_id);
-        while (!*poll_standing(service->app, job_id, got, sizeof got)) {
+        make_job_id(i, job_id, sizeof job_id);
+        while (!*poll_state(service->app, job_id, got, sizeof got)) {
             assert_true(rr_steady_clock_s() < until);
             rr_sleep(0.02);
         }
@@ -379,19 +394,19 @@
     }
 }
 
-/* Far behind with its work a controller refuses new jobs at once, and nothing else: what was
- * accepted is told and cancelled, and health checks are answered. Then it catches up by itself. */
-static void behind_it_sheds_new_work_first(void **state) {
+/* With late timers a controller refuses new jobs at once, and still answers polls, cancellations
+ * and health checks. It accepts jobs again once its timers are in time. */
+static void late_timers_shed_submissions_only(void **state) {
     struct service *service = *state;
     char got[32];
     assert_int_equal(submit(service->app, "req-500040", 1, true), 201);
-    wait_standing(service->app, "req-500040", "running");
+    wait_for_state(service->app, "req-500040", "running");
     atomic_store(&service->app->timer_lag_ms, 1000000);
     double began = rr_steady_clock_s();
     assert_int_equal(submit(service->app, "req-500041", 1, true), 503);
     assert_true(rr_steady_clock_s() - began < 1);
     atomic_store(&service->app->timer_lag_ms, 1000000);
-    assert_string_equal(poll_standing(service->app, "req-500040", got, sizeof got), "running");
+    assert_string_equal(poll_state(service->app, "req-500040", got, sizeof got), "running");
     assert_int_equal(fake_services_call(&service->app->config, "GET", "/ready", NULL, 0, NULL),
                      200);
     atomic_store(&service->app->timer_lag_ms, 1000000);
@@ -401,14 +416,15 @@
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
-    wait_standing(service->app, "req-500041", "running");
+    wait_for_state(service->app, "req-500041", "running");
 }
 
 #define WAITERS 24
+#define SLEEPS_OF_A_WOKEN_THREAD 8
 
 /* How often each of the process's threads has gone to sleep so far, by its number in the system. */
-static GHashTable *sleeps(void) {
-    GHashTable *names = g_hash_table_new(NULL, NULL);
+static GHashTable *count_sleeps(void) {
+    GHashTable *sleeps = g_hash_table_new(NULL, NULL);
     GDir *dir = g_dir_open("/proc/self/task", 0, NULL);
     const char *id;
     assert_non_null(dir);
@@ -416,35 +432,34 @@
         char *path = g_strdup_printf("/proc/self/task/%s/status", id), *text = NULL;
         if (g_file_get_contents(path, &text, NULL, NULL)) {
             const char *line = strstr(text, "\nvoluntary_ctxt_switches:");
-            unsigned long k = line ? strtoul(line + 25, NULL, 10) : 0;
-            g_hash_table_insert(names, GSIZE_TO_POINTER(strtoul(id, NULL, 10)),
-                                GSIZE_TO_POINTER(k));
+            unsigned long count = line ? strtoul(line + 25, NULL, 10) : 0;
+            g_hash_table_insert(sleeps, GSIZE_TO_POINTER(strtoul(id, NULL, 10)),
+                                GSIZE_TO_POINTER(count));
         }
         g_free(text);
         g_free(path);
     }
     g_dir_close(dir);
-    return names;
+    return sleeps;
 }
 
-static unsigned waiting_polls(struct rr_app *app) {
+static unsigned count_waiting_polls(struct rr_app *app) {
     pthread_mutex_lock(&app->user_lock);
-    unsigned names = app->read_barriers[0].waiting_polls + app->read_barriers[1].waiting_polls;
+    unsigned count = app->read_barriers[0].waiting_polls + app->read_barriers[1].waiting_polls;
     pthread_mutex_unlock(&app->user_lock);
-    return names;
+    return count;
 }
 
-/* Users who wait for their answer are woken for their own turn only: each commit and each change
- * once woke everybody, and took the lock for each. */
-static void waiting_users_are_left_alone(void **state) {
+/* Guards against waking every waiting poll with each commit and each change of the store cache. */
+static void waiting_polls_are_not_woken_by_commits_of_others(void **state) {
     struct service *service = *state;
     const char ask[] = "GET /submissions/req-500010 HTTP/1.1\r\nHost: x\r\n\r\n";
     int fds[WAITERS];
     char byte;
     GHashTableIter iter;
     gpointer id, before;
-    /* The store cache stands still behind the store, so that polls wait. */
-    fake_services_freeze_watches(service->w, true);
+    /* The store cache stays behind the store, so that polls wait. */
+    fake_services_freeze_watches(service->services, true);
     assert_int_equal(submit(service->app, "req-500010", 1, true), 201);
     for (int i = 0; i < WAITERS; i++) {
         fds[i] = fake_services_dial(&service->app->config.bind);
@@ -452,25 +467,26 @@
         assert_int_equal(send(fds[i], ask, sizeof ask - 1, MSG_NOSIGNAL), sizeof ask - 1);
     }
     double until = rr_steady_clock_s() + 20;
-    while (waiting_polls(service->app) < WAITERS && rr_steady_clock_s() < until) {
+    while (count_waiting_polls(service->app) < WAITERS && rr_steady_clock_s() < until) {
         rr_sleep(0.001);
     }
-    GHashTable *first = sleeps();
+    GHashTable *first = count_sleeps();
     for (int i = 0; i < 12; i++) {
         char job_id[32];
         g_snprintf(job_id, sizeof job_id, "req-5000%d", 20 + i);
         assert_int_equal(submit(service->app, job_id, 1, true), 201);
     }
-    GHashTable *last = sleeps();
+    GHashTable *last = count_sleeps();
     unsigned woken = 0;
     g_hash_table_iter_init(&iter, first);
     while (g_hash_table_iter_next(&iter, &id, &before)) {
         gsize now = GPOINTER_TO_SIZE(g_hash_table_lookup(last, id));
-        woken += now >= GPOINTER_TO_SIZE(before) + 8;
+        woken += now >= GPOINTER_TO_SIZE(before) + SLEEPS_OF_A_WOKEN_THREAD;
     }
-    /* The threads and the stand-in were busy; two in three of the users were not. */
+    /* The controller's threads and the stand-in's are busy; two thirds of the polls' must not be.
+     */
     assert_true(woken <= WAITERS / 3);
-    fake_services_freeze_watches(service->w, false);
+    fake_services_freeze_watches(service->services, false);
     for (int i = 0; i < WAITERS; i++) {
         assert_int_equal(recv(fds[i], &byte, 1, 0), 1);
         close(fds[i]);
@@ -483,17 +499,20 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {T(runs_an_array_and_cancels_a_service),
-                                       T(bad_requests),
-                                       T(an_unanswered_commit),
-                                       T(no_older_answer_elsewhere),
-                                       T(close_looks),
-                                       T(a_lost_answer_while_others_read),
-                                       T(odd_requests),
-                                       T(an_outage),
-                                       T(a_restart_goes_on),
-                                       T(every_job_is_known_after_the_troubles),
-                                       T(waiting_users_are_left_alone),
-                                       T(behind_it_sheds_new_work_first)};
+                                       T(malformed_requests_get_4xx),
+                                       T(a_job_is_accepted_once_if_its_commit_goes_unanswered),
+                                       T(a_lagging_controller_does_not_answer_an_older_state),
+                                       T(answers_never_go_back_in_time_between_controllers),
+                                       T(controllers_agree_after_a_cancellation_goes_unanswered),
+                                       T(a_repeated_submission_is_answered_200_whatever_it_says),
+                                       T(unacceptable_jobs_are_refused_and_stay_unknown),
+                                       T(a_done_job_stays_done_when_cancelled),
+                                       T(without_the_store_only_certain_answers_are_given),
+                                       T(submissions_are_accepted_again_after_an_outage),
+                                       T(tasks_keep_running_across_a_restart),
+                                       T(every_job_is_known_after_an_outage_with_a_restart),
+                                       T(waiting_polls_are_not_woken_by_commits_of_others),
+                                       T(late_timers_shed_submissions_only)};
     rr_net_init();
     rr_log_set_level("error");
     return cmocka_run_group_tests(tests, NULL, NULL);
