--- /dev/null
+++ b/src/app/admission.c
@@ -0,0 +1,126 @@
+#include "app/admission.h"
+#include "app/admission_state.h"
+#include "common/clock.h"
+#include "common/log.h"
+#include "core/cache_feed.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
+
+#include <errno.h>
+
+/* Takes a record of the package as the store cache learns of it. Caller holds rr_app.lock. */
+static void on_record(void *user, const char *rest, const msgpack_object *value, uint64_t version) {
+    struct rr_app_admission *state = user;
+    rr_admission_stats before, after;
+    if (!value) {
+        return; /* tables are overwritten, never deleted */
+    }
+    pthread_mutex_lock(&state->lock);
+    rr_admission_get_stats(state->admission, &before);
+    rr_admission_put(state->admission, rest, value, version);
+    rr_admission_get_stats(state->admission, &after);
+    pthread_mutex_unlock(&state->lock);
+    if (after.records_unread != before.records_unread && before.records_unread == 0) {
+        rr_log(RR_ERROR_LEVEL,
+               "admission: a table of an unknown format; further ones are only counted");
+    }
+}
+
+int rr_app_admission_start(struct rr_app *app) {
+    if (!app->config.admission) {
+        return 0;
+    }
+    struct rr_app_admission *state = g_new0(struct rr_app_admission, 1);
+    pthread_mutex_init(&state->lock, NULL);
+    state->admission = rr_admission_create(&app->config, &app->admission_settings);
+    state->writer = rr_admission_writer_create(&app->config, &app->admission_settings);
+    rr_offered_load_init(&state->load, &app->admission_settings);
+    rr_core_watch_records(app->core, RR_ADMISSION_PREFIX, on_record, state);
+    app->admission = state;
+    return 0;
+}
+
+void rr_app_admission_stop(struct rr_app *app) {
+    struct rr_app_admission *state = app->admission;
+    if (state) {
+        rr_offered_load_clear(&state->load);
+        rr_admission_writer_destroy(state->writer);
+        rr_admission_destroy(state->admission);
+        pthread_mutex_destroy(&state->lock);
+        g_free(state);
+        app->admission = NULL;
+    }
+    rr_admission_settings_clear(&app->admission_settings);
+}
+
+static rr_admission_context read_context(struct rr_app *app) {
+    double now = rr_steady_clock_s();
+    pthread_mutex_lock(&app->lock);
+    rr_admission_context context = {.lease_valid = rr_core_lease_valid(app->core, now),
+                                    .all_capable = rr_core_all_admission_capable(app->core),
+                                    .cache_age_s = rr_core_cache_age(app->core, now),
+                                    .controllers = rr_core_live_controllers(app->core)};
+    pthread_mutex_unlock(&app->lock);
+    return context;
+}
+
+bool rr_app_admission_ask(struct rr_app *app, const rr_submission *submission, int *retry_after_s) {
+    struct rr_app_admission *state = app->admission;
+    if (!state) {
+        return true;
+    }
+    rr_admission_context context = read_context(app);
+    pthread_mutex_lock(&state->lock);
+    rr_admission_verdict verdict = rr_admission_ask(state->admission, submission, &context,
+                                                    rr_wall_clock_s(), rr_steady_clock_s());
+    pthread_mutex_unlock(&state->lock);
+    *retry_after_s = verdict.retry_after_s;
+    return verdict.kind == RR_ADMISSION_ADMIT;
+}
+
+void rr_app_admission_accepted(struct rr_app *app, const rr_submission *submission) {
+    if (app->admission) {
+        pthread_mutex_lock(&app->admission->lock);
+        rr_admission_accepted(app->admission->admission, submission);
+        pthread_mutex_unlock(&app->admission->lock);
+    }
+}
+
+void rr_app_admission_take_demand(struct rr_app *app, int peer, const void *data, size_t length) {
+    struct rr_app_admission *state = app->admission;
+    if (!state) {
+        return;
+    }
+    pthread_mutex_lock(&app->lock);
+    uint64_t token = rr_core_fencing_token(app->core);
+    pthread_mutex_unlock(&app->lock);
+    pthread_mutex_lock(&state->lock);
+    int rc = rr_admission_take_demand(state->admission, (size_t)peer, token, data, length,
+                                      rr_steady_clock_s());
+    pthread_mutex_unlock(&state->lock);
+    if (rc == -EBADMSG) {
+        rr_log(RR_DEBUG_LEVEL, "admission: a malformed view of the demand was dropped");
+    }
+}
+
+void rr_app_admission_log(struct rr_app *app) {
+    struct rr_app_admission *state = app->admission;
+    rr_admission_stats stats;
+    if (!state) {
+        return;
+    }
+    pthread_mutex_lock(&state->lock);
+    const rr_admission_table *table = rr_admission_table_at(state->admission, rr_wall_clock_s());
+    bool active = table && table->active;
+    rr_admission_writer_stats writer_stats = state->writer_stats;
+    rr_admission_get_stats(state->admission, &stats);
+    pthread_mutex_unlock(&state->lock);
+    rr_log(RR_INFO_LEVEL,
+           "admission: %s, backlog %.0f s, asked for %.0f s, %u rows; so far %" G_GUINT64_FORMAT
+           " admitted, %" G_GUINT64_FORMAT " refused, %" G_GUINT64_FORMAT
+           " of them without a fresh table, %" G_GUINT64_FORMAT " views dropped, %" G_GUINT64_FORMAT
+           " records unread, %" G_GUINT64_FORMAT " shares by filling",
+           active ? "limits" : "admits all", writer_stats.backlog_s, writer_stats.asked_s,
+           writer_stats.rows, stats.admitted, stats.refused, stats.refused_stale,
+           stats.frames_dropped, stats.records_unread, writer_stats.fallbacks);
+}
--- a/src/app/cells_absent_reader.h
+++ b/src/app/cells_absent_reader.h
@@ -19,7 +19,9 @@
     double read_at;
 };
 
+/* Opens the neighbour's store, if the settings name one. */
 void rr_absent_reader_init(struct rr_app *app, size_t neighbour, struct rr_absent_reader *reader);
+/* Frees what rr_absent_reader_init() created. */
 void rr_absent_reader_clear(struct rr_absent_reader *reader);
 /* Reads the neighbour's records, if no controller there has answered for half a lease and a read is
  * due, and commits what follows from them to both key-value stores. own_store: this cell's. Takes
--- a/src/app/cells_server.h
+++ b/src/app/cells_server.h
@@ -9,6 +9,7 @@
  * thread and take `lock`. *context is the connection's store client, NULL until it is needed. */
 void rr_app_cells_serve(void *user, void **context, size_t neighbour,
                         const rr_cells_request *request, rr_cells_reply *reply);
+/* Frees the connection's context. */
 void rr_app_cells_end_connection(void *context);
 
 #endif
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -51,7 +51,7 @@
 }
 
 /* Takes the store's budget shares from the core. Prepares a transaction if the term is to change;
- * otherwise waits a while for news. */
+ * otherwise waits a while for a change of the store cache. */
 static bool prepare_term(struct rr_app *app, rr_transaction *transaction, uint64_t *logged_token) {
     struct rr_budget_shares shares;
     pthread_mutex_lock(&app->lock);
--- a/src/app/stats.h
+++ b/src/app/stats.h
@@ -7,6 +7,7 @@
 typedef struct rr_stats rr_stats;
 /* Never NULL. */
 rr_stats *rr_stats_create(void);
+/* NULL is allowed. */
 void rr_stats_destroy(rr_stats *stats);
 /* Records that a submission was answered with this HTTP status after so many seconds. */
 void rr_stats_submission(rr_stats *stats, int status, double seconds);
--- a/src/app/toml.h
+++ b/src/app/toml.h
@@ -15,6 +15,7 @@
 
 /* Parses the file. NULL: *error is set. The caller ends the table with rr_toml_destroy(). */
 rr_toml *rr_toml_load(const char *file, GError **error);
+/* NULL is allowed. */
 void rr_toml_destroy(rr_toml *table);
 /* Copies a text. 0, -ENOENT, or -EINVAL: another type, too long, or with a NUL byte. */
 int rr_toml_text(const rr_toml *table, const char *path, char *out, size_t size);
--- a/src/app/worker_requests.c
+++ b/src/app/worker_requests.c
@@ -15,14 +15,14 @@
     return digest;
 }
 
-/* Caller holds `lock`. */
+/* Takes the heartbeat, and wakes the planner if it changes something. Caller holds `lock`. */
 static enum rr_heartbeat_news take_and_wake(struct rr_app *app, double now, rr_heartbeat *heartbeat,
                                             int peer) {
-    enum rr_heartbeat_news news = rr_core_take_heartbeat(app->core, now, heartbeat, peer);
-    if (news == RR_HEARTBEAT_CHANGED) {
+    enum rr_heartbeat_news effect = rr_core_take_heartbeat(app->core, now, heartbeat, peer);
+    if (effect == RR_HEARTBEAT_CHANGED) {
         rr_app_wake_planner(app);
     }
-    return news;
+    return effect;
 }
 
 void rr_app_take_heartbeat(struct rr_app *app, const void *body, size_t length, int peer,
@@ -33,9 +33,10 @@
         if (rr_heartbeat_decode(document.root, &heartbeat) == 0) {
             rr_heartbeat_digest digest = rr_app_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
-            enum rr_heartbeat_news news = take_and_wake(app, rr_steady_clock_s(), &heartbeat, peer);
+            enum rr_heartbeat_news effect =
+                take_and_wake(app, rr_steady_clock_s(), &heartbeat, peer);
             pthread_mutex_unlock(&app->lock);
-            if (news != RR_HEARTBEAT_IGNORED && hops == 0) {
+            if (effect != RR_HEARTBEAT_IGNORED && hops == 0) {
                 rr_peers_forward_heartbeats(app->peers, peer, &digest, 1, body, length);
             }
         }
@@ -83,11 +84,11 @@
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
     rr_core_reply_to_heartbeat(app->core, now, &heartbeat, &reply);
-    enum rr_heartbeat_news news = take_and_wake(app, now, &heartbeat, HEARD_HERE);
+    enum rr_heartbeat_news effect = take_and_wake(app, now, &heartbeat, HEARD_HERE);
     uint32_t occasional,
         subscribers = rr_core_heartbeat_subscribers(app->core, digest.machine, &occasional);
     pthread_mutex_unlock(&app->lock);
-    if (news != RR_HEARTBEAT_IGNORED) {
+    if (effect != RR_HEARTBEAT_IGNORED) {
         rr_peers_send_heartbeat(app->peers, subscribers, occasional, &digest, request->body,
                                 request->len);
     }
--- a/src/conf/config.h
+++ b/src/conf/config.h
@@ -47,18 +47,18 @@
     int rebalance_moves;       /* moves in one rebalance, at most, */
     double rebalance_share;    /* or this share of the machines, if that is more */
     double session_share;      /* lease of the session, as a share of cancel_s - lease_s */
-    double answer_share;       /* how long heartbeats are answered without news of the store, as a
-                                  share of what cancellations allow */
-    double silent_reports;     /* heartbeats missed before a machine gets no new work */
-    double dead_reports;       /* heartbeats missed before a single machine is declared dead */
-    double idle_return_s;      /* idle time before a rented machine is returned */
-    double headroom;           /* factor on the arrivals expected during a boot */
-    double boot_patience;      /* boots longer than this many startup_s are not counted on */
-    double cloud_list_s;       /* pause between lists of machines */
-    int senders;               /* command threads */
-    int max_connections;       /* HTTP connections, at most */
-    int max_threads;           /* of the process; each connection takes one */
-    double plan_pause_ms;      /* pause between two plans, at least */
+    double answer_share; /* how long heartbeats are answered while the store cache stands still, as
+                            a share of what cancellations allow */
+    double silent_reports; /* heartbeats missed before a machine gets no new work */
+    double dead_reports;   /* heartbeats missed before a single machine is declared dead */
+    double idle_return_s;  /* idle time before a rented machine is returned */
+    double headroom;       /* factor on the arrivals expected during a boot */
+    double boot_patience;  /* boots longer than this many startup_s are not counted on */
+    double cloud_list_s;   /* pause between lists of machines */
+    int senders;           /* command threads */
+    int max_connections;   /* HTTP connections, at most */
+    int max_threads;       /* of the process; each connection takes one */
+    double plan_pause_ms;  /* pause between two plans, at least */
 };
 
 /* All settings. Durations and sizes have their unit in the name; rps: requests per second. */
@@ -77,7 +77,8 @@
     double lease_s;     /* a worker ends its tasks after so long without an answer */
     double cancel_s;    /* bound between a confirmed cancellation and the end of its tasks */
     double gang_wait_s; /* a gang's task ends after waiting so long for the others */
-    double gang_peer_s; /* within this time a gang's tasks notice that one has ended or is to stop */
+    double
+        gang_peer_s; /* within this time a gang's tasks notice that one has ended or is to stop */
     double state_rps, state_write_rps, value_kb;
     int transaction_changes_max;
     /* Limits that the key-value store may switch to without notice; 0 or equal to the above where
--- a/src/http/server_internal.h
+++ b/src/http/server_internal.h
@@ -41,6 +41,7 @@
 enum MHD_Result rr_http_on_request(void *user, struct MHD_Connection *connection, const char *path,
                                    const char *method, const char *version, const char *data,
                                    size_t *length, void **state);
+/* Frees the request's state. */
 void rr_http_on_completed(void *user, struct MHD_Connection *connection, void **state,
                           enum MHD_RequestTerminationCode reason);
 
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -1,4 +1,4 @@
-/* Settings, networks and messages of cells: what is taken, and what is refused with its line. */
+/* Settings, networks and messages of cells: what is accepted, and what is refused. */
 #include "core_fixture.h"
 
 #include "cells/messages.h"
@@ -117,7 +117,7 @@
     return rr_networks_contain(networks, &parsed);
 }
 
-static void networks(void **state) {
+static void networks_contain_and_overlap_by_prefix(void **state) {
     (void)state;
     rr_networks *one = rr_networks_create(), *other = rr_networks_create();
     assert_int_equal(rr_networks_add(one, "10.1.0.0/16"), 0);
@@ -151,7 +151,7 @@
     g_byte_array_append(offer->submission, (const guint8 *)"xyz", 3);
 }
 
-static void requests_come_through(void **state) {
+static void requests_survive_packing(void **state) {
     rr_cells_request sent, got;
     GByteArray *frame = g_byte_array_new();
     (void)state;
@@ -173,9 +173,9 @@
     g_byte_array_free(frame, TRUE);
 }
 
-/* Cut anywhere, or with a byte changed, a frame is refused or read as something else, never beyond
- * its end (the sanitizers see that). */
-static void broken_requests(void **state) {
+/* A request that is truncated or has a byte changed is refused or read as another one, never beyond
+ * its end, which the sanitizers check. */
+static void broken_requests_are_refused_or_read_safely(void **state) {
     rr_cells_request sent, got;
     GByteArray *frame = g_byte_array_new();
     GRand *random = g_rand_new_with_seed(1);
@@ -203,7 +203,7 @@
 }
 
 /* A later version adds fields to the end; an unknown request is refused by name. */
-static void other_versions(void **state) {
+static void later_versions_append_fields_and_unknown_requests_are_refused(void **state) {
     rr_cells_request sent, got;
     GByteArray *frame = g_byte_array_new();
     (void)state;
@@ -230,7 +230,7 @@
     g_byte_array_free(frame, TRUE);
 }
 
-static void replies_come_through(void **state) {
+static void replies_survive_packing_and_refuse_truncation(void **state) {
     rr_cells_reply sent, got;
     GByteArray *frame = g_byte_array_new();
     rr_transfer_message message = {RR_TRANSFER_GRANT, 3, RR_ANSWER_NONE, 4.25, 5};
@@ -263,8 +263,9 @@
     g_byte_array_free(frame, TRUE);
 }
 
-/* Each claim has a name of its own, which every version gives alike. */
-static void local_names(void **state) {
+/* The name of a transferred job depends on cell, job and claim, and is the same in every version.
+ */
+static void local_ids_depend_on_cell_job_and_claim(void **state) {
     char one[RR_ID_SIZE], other[RR_ID_SIZE];
     (void)state;
     rr_cells_local_id("a", "req-1", 1, one, sizeof one);
@@ -280,12 +281,12 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(valid_settings_are_loaded),
         cmocka_unit_test(faults_are_named_with_line_and_reason),
-        cmocka_unit_test(networks),
-        cmocka_unit_test(requests_come_through),
-        cmocka_unit_test(broken_requests),
-        cmocka_unit_test(other_versions),
-        cmocka_unit_test(replies_come_through),
-        cmocka_unit_test(local_names),
+        cmocka_unit_test(networks_contain_and_overlap_by_prefix),
+        cmocka_unit_test(requests_survive_packing),
+        cmocka_unit_test(broken_requests_are_refused_or_read_safely),
+        cmocka_unit_test(later_versions_append_fields_and_unknown_requests_are_refused),
+        cmocka_unit_test(replies_survive_packing_and_refuse_truncation),
+        cmocka_unit_test(local_ids_depend_on_cell_job_and_claim),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
