--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -138,76 +138,97 @@
     return names;
 }
 
-/* Finds the first fault in a neighbour's controllers. NULL: none. */
-static const char *read_controllers(cfg_t *section, rr_cell *cell) {
-    cell->controller_count = cfg_size(section, "controller");
+/* The neighbour section that is read. */
+struct neighbour_reader {
+    cfg_t *section;
+    const char *file;
+    const rr_cells_settings *settings; /* with all cells up to this one */
+    rr_cell *cell;
+    GError **error;
+};
+
+/* Sets the error. Returns false. */
+static bool fail_neighbour(const struct neighbour_reader *reader, enum rr_settings_error code,
+                           const char *reason) {
+    g_set_error(reader->error, RR_SETTINGS_ERROR, (int)code, "%s:%d: neighbour \"%s\": %s",
+                reader->file, reader->section->line, cfg_title(reader->section), reason);
+    return false;
+}
+
+static bool read_controllers(const struct neighbour_reader *reader) {
+    rr_cell *cell = reader->cell;
+    cell->controller_count = cfg_size(reader->section, "controller");
     if (cell->controller_count == 0 || cell->controller_count > RR_CONTROLLERS_MAX) {
-        return "names no controller, or more than 32";
+        return fail_neighbour(reader,
+                              cell->controller_count == 0 ? RR_SETTINGS_ERROR_MISSING
+                                                          : RR_SETTINGS_ERROR_OUT_OF_RANGE,
+                              "names no controller, or more than 32");
     }
     for (unsigned i = 0; i < cell->controller_count; i++) {
-        cfg_t *controller = cfg_getnsec(section, "controller", i);
+        cfg_t *controller = cfg_getnsec(reader->section, "controller", i);
         const char *endpoint = cfg_getstr(controller, "endpoint");
         g_strlcpy(cell->controllers[i].name, cfg_title(controller), RR_NAME_SIZE);
         if (!endpoint || rr_endpoint_parse(endpoint, &cell->controllers[i].endpoint) != 0) {
-            return "has a controller without an endpoint";
+            return fail_neighbour(reader, RR_SETTINGS_ERROR_MISSING,
+                                  "has a controller without an endpoint");
         }
     }
-    return NULL;
+    return true;
 }
 
-/* settings: with all cells up to this one. NULL: no fault. */
-static const char *read_networks(cfg_t *section, const rr_cells_settings *settings, rr_cell *cell) {
-    const char *fault = cfg_size(section, "networks") ? NULL : "names no networks";
-    for (unsigned i = 0; i < cfg_size(section, "networks"); i++) {
-        if (rr_networks_add(cell->networks, cfg_getnstr(section, "networks", i)) != 0) {
-            fault = "has networks that overlap";
+static bool read_networks(const struct neighbour_reader *reader) {
+    const rr_cells_settings *settings = reader->settings;
+    unsigned count = cfg_size(reader->section, "networks");
+    if (count == 0) {
+        return fail_neighbour(reader, RR_SETTINGS_ERROR_MISSING, "names no networks");
+    }
+    for (unsigned i = 0; i < count; i++) {
+        if (rr_networks_add(reader->cell->networks, cfg_getnstr(reader->section, "networks", i)) !=
+            0) {
+            return fail_neighbour(reader, RR_SETTINGS_ERROR_CONFLICT, "has networks that overlap");
         }
     }
     for (size_t i = 0; i + 1 < settings->neighbour_count; i++) {
-        if (rr_networks_overlap(settings->neighbours[i].networks, cell->networks)) {
-            fault = "has networks that overlap with another cell's";
+        if (rr_networks_overlap(settings->neighbours[i].networks, reader->cell->networks)) {
+            return fail_neighbour(reader, RR_SETTINGS_ERROR_CONFLICT,
+                                  "has networks that overlap with another cell's");
         }
     }
-    return fault;
+    return true;
 }
 
-/* NULL: no fault. */
-static const char *check_zones_are_distinct(const rr_cells_settings *settings,
-                                            const rr_cell *cell) {
-    for (size_t i = 0; i + 1 < settings->neighbour_count; i++) {
-        for (guint zone = 0; zone < cell->zones->len; zone++) {
-            if (contains_name(settings->neighbours[i].zones,
-                              g_ptr_array_index(cell->zones, zone))) {
-                return "has a zone that another cell has too";
+static bool check_zones_are_distinct(const struct neighbour_reader *reader) {
+    const GPtrArray *zones = reader->cell->zones;
+    for (size_t i = 0; i + 1 < reader->settings->neighbour_count; i++) {
+        for (guint zone = 0; zone < zones->len; zone++) {
+            if (contains_name(reader->settings->neighbours[i].zones,
+                              g_ptr_array_index(zones, zone))) {
+                return fail_neighbour(reader, RR_SETTINGS_ERROR_CONFLICT,
+                                      "has a zone that another cell has too");
             }
         }
     }
-    return NULL;
+    return true;
 }
 
-/* Adds the neighbour to the settings. NULL: no fault. */
-static const char *read_neighbour(cfg_t *section, rr_cells_settings *out) {
+/* Adds the neighbour to the settings. */
+static bool read_neighbour(cfg_t *section, const char *file, rr_cells_settings *out,
+                           GError **error) {
     rr_cell *cell = &out->neighbours[out->neighbour_count++];
+    struct neighbour_reader reader = {section, file, out, cell, error};
     g_strlcpy(cell->name, cfg_title(section), sizeof cell->name);
     cell->networks = rr_networks_create();
     const char *state = cfg_getstr(section, "state");
     cell->claimable = state && rr_endpoint_parse(state, &cell->state) == 0;
     cell->zones = read_names(section, "zones");
     cell->teams = read_names(section, "teams");
-    const char *fault = read_controllers(section, cell);
-    fault = fault ? fault : read_networks(section, out, cell);
-    return fault ? fault : check_zones_are_distinct(out, cell);
+    return read_controllers(&reader) && read_networks(&reader) && check_zones_are_distinct(&reader);
 }
 
 static bool read_neighbours(cfg_t *config, const char *file, rr_cells_settings *out,
                             GError **error) {
     for (unsigned i = 0; i < cfg_size(config, "neighbour"); i++) {
-        cfg_t *section = cfg_getnsec(config, "neighbour", i);
-        const char *fault = read_neighbour(section, out);
-        if (fault) {
-            g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_CONFLICT,
-                        "%s:%d: neighbour \"%s\": %s", file, section->line, cfg_title(section),
-                        fault);
+        if (!read_neighbour(cfg_getnsec(config, "neighbour", i), file, out, error)) {
             return false;
         }
     }
--- a/src/conf/config.h
+++ b/src/conf/config.h
@@ -77,8 +77,7 @@
     double lease_s;     /* a worker ends its tasks after so long without an answer */
     double cancel_s;    /* bound between a confirmed cancellation and the end of its tasks */
     double gang_wait_s; /* a gang's task ends after waiting so long for the others */
-    double
-        gang_peer_s; /* within this time a gang's tasks notice that one has ended or is to stop */
+    double gang_peer_s; /* a gang's tasks notice within this time that one ends or is to stop */
     double state_rps, state_write_rps, value_kb;
     int transaction_changes_max;
     /* Limits that the key-value store may switch to without notice; 0 or equal to the above where
--- a/src/conf/settings_error.h
+++ b/src/conf/settings_error.h
@@ -18,7 +18,7 @@
     RR_SETTINGS_ERROR_MISSING,      /* a setting that has no default */
     RR_SETTINGS_ERROR_WRONG_TYPE,   /* a value of another type or form */
     RR_SETTINGS_ERROR_OUT_OF_RANGE, /* a value beyond its bounds */
-    RR_SETTINGS_ERROR_CONFLICT      /* values that exclude each other, or an incomplete section */
+    RR_SETTINGS_ERROR_CONFLICT      /* values that exclude each other */
 };
 
 GQuark rr_settings_error_quark(void);
