--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,83 +1,83 @@
-/* The key-value store: budgets, transactions, leases, reads. A client object belongs to one thread;
- * the budget is shared by all threads of the process and locks itself. */
+/* The client of the key-value store: transactions, reads, watches, leases. A client object belongs
+ * to one thread and takes no lock; every call blocks, first for the budget that all threads of the
+ * process share, then for the store. */
 #ifndef RR_STORE_STORE_H
 #define RR_STORE_STORE_H
 
 #include "core/leadership.h"
 #include "core/state/transaction.h"
 #include "net/client.h"
+#include "store/budget.h"
 #include "wire/wire.h"
 
-/* Who goes first when the budget is short. */
-enum rr_request_priority {
-    RR_REQUEST_SESSION,
-    RR_REQUEST_USER,
-    RR_REQUEST_READ,
-    RR_REQUEST_PLAN,
-    RR_REQUEST_AUTOSCALER
-};
-
-typedef struct rr_budget rr_budget;
-rr_budget *rr_budget_create(double rps, double write_rps);
-void rr_budget_destroy(rr_budget *budget);
-/* Our parts of the service's limits. */
-void rr_budget_set_shares(rr_budget *budget, const struct rr_budget_shares *shares);
-/* The limits that the service will have from some moment on. The present ones are used up to until
- * refusals, or a valid transaction that it calls invalid, show that the next ones hold. */
-void rr_budget_set_next_limits(rr_budget *budget, double rps, double write_rps);
-void rr_budget_request_refused(rr_budget *budget); /* a request got 429 */
-void rr_budget_next_limits_hold(rr_budget *budget);
-/* For plans. 0: a second's worth of changes is to spare; 1: none. */
-double rr_budget_pressure(rr_budget *budget);
-int rr_budget_changes(rr_budget *budget); /* that a plan may make now without waiting */
-/* Waits up to wait_s for one request with `writes` changes. 0 or -EAGAIN. */
-int rr_budget_take(rr_budget *budget, enum rr_request_priority prio, int writes, double wait_s);
+#define RR_STORE_KEY_SIZE 256 /* longest key (200 bytes by the protocol) with its end */
 
 typedef struct rr_store rr_store;
+
+/* The budget and the stop flag are borrowed and outlive the object; a set flag ends running calls.
+ * NULL if there is no HTTP client to be had. */
 rr_store *rr_store_create(const struct rr_endpoint *endpoint, rr_budget *budget,
                           const atomic_bool *stop);
 void rr_store_destroy(rr_store *store);
 
-/* Outcome of a transaction. */
+/* ---- transactions ---- */
+
 enum rr_commit_status {
     RR_COMMIT_DONE,
-    RR_COMMIT_CONFLICT,
-    RR_COMMIT_REFUSED,
-    RR_COMMIT_OUTCOME_UNKNOWN,
-    RR_COMMIT_NO_LEASE,
-    RR_COMMIT_INVALID
+    RR_COMMIT_CONFLICT, /* a guard did not hold: not executed */
+    RR_COMMIT_REFUSED,  /* not executed, for want of budget or by the store: may be retried */
+    RR_COMMIT_OUTCOME_UNKNOWN, /* may have been executed, or may still be */
+    RR_COMMIT_NO_LEASE,        /* the lease of a put has ended: not executed */
+    RR_COMMIT_INVALID          /* beyond the store's limits: no retry can succeed */
 };
-/* One try. RR_COMMIT_REFUSED: not executed. RR_COMMIT_INVALID: nor will it be, as it is beyond the
- * limits. RR_COMMIT_OUTCOME_UNKNOWN: it may have been or may still be. *epoch is set with the first
- * two. failed, if given, gets the keys whose guards did not hold. */
-enum rr_commit_status rr_store_commit(rr_store *store, enum rr_request_priority prio,
+
+/* One attempt. *revision is set with RR_COMMIT_DONE and RR_COMMIT_CONFLICT. failed (may be NULL)
+ * gets the keys (char*, owned by the array) whose guards did not hold. */
+enum rr_commit_status rr_store_commit(rr_store *store, enum rr_request_priority priority,
                                       const rr_transaction *transaction, double timeout_s,
                                       uint64_t *revision, GPtrArray *failed);
 
+/* ---- reads and watches: a document is the caller's to clear, after 0 only ---- */
+
+/* The store's revision. 0, or -EAGAIN: no answer. */
 int rr_store_revision(rr_store *store, uint64_t *revision, double timeout_s);
-/* 0 with the value in *doc and its version and lease; -ENOENT; -EAGAIN: no answer. */
+
+/* 0 with the key's row in *document, its version and its lease (0: none); -ENOENT: no such key;
+ * -EAGAIN: no answer. */
 int rr_store_get(rr_store *store, const char *key, rr_document *document, uint64_t *version,
                  uint64_t *lease_id);
-/* A prefix in full, page by page. */
+
+/* Reads all keys with a prefix, page by page. */
 typedef struct {
-    bool more; /* true at first */
-    char from_key[256];
-    uint64_t revision; /* of the last page */
+    bool more;                        /* the caller sets it to true before the first page */
+    char from_key[RR_STORE_KEY_SIZE]; /* the last key read; empty before the first page */
+    uint64_t revision;                /* of the last page */
 } rr_store_cursor;
-/* 0 with the page in *doc, to be handed to rr_store_each_row() and cleared; -EAGAIN. */
+
+/* 0 with the page in *document, which goes to rr_store_each_row(); or -EAGAIN: no answer. */
 int rr_store_next_page(rr_store *store, const char *prefix, rr_store_cursor *cursor,
                        rr_document *document);
+
+/* key and value are borrowed for the call. */
 typedef void (*rr_store_row_fn)(void *user, const char *key, const msgpack_object *value,
                                 uint64_t version);
+/* Hands each row of a page to callback and moves the cursor behind the last. */
 void rr_store_each_row(const rr_document *document, rr_store_cursor *cursor,
                        rr_store_row_fn callback, void *user);
-/* -ESTALE: too old (410). */
+
+/* Waits up to hold_ms for changes of keys with the prefix after revision `from`. 0 with the changes
+ * in *document; -ESTALE: the store no longer has them all, the keys have to be read again;
+ * -EAGAIN: no answer. */
 int rr_store_watch(rr_store *store, const char *prefix, uint64_t from, int hold_ms,
                    rr_document *document);
 
+/* ---- leases ---- */
+
+/* A new lease that ends life_s after its last renewal. 0, or -EAGAIN: no answer or refused. */
 int rr_store_grant_lease(rr_store *store, double life_s, uint64_t *lease_id);
-/* 0, -ENOENT (ended), -EAGAIN (no answer or refused). */
+/* 0; -ENOENT: the lease has ended; -EAGAIN: no answer or refused. */
 int rr_store_renew_lease(rr_store *store, uint64_t lease_id);
+/* Ends a lease, with which its keys go. Returns as rr_store_renew_lease(). */
 int rr_store_end_lease(rr_store *store, uint64_t lease_id);
 
 #endif
