--- a/src/cells/links.c
+++ b/src/cells/links.c
@@ -95,7 +95,7 @@
 static void *connection_main(void *argument) {
     struct connection *connection = argument;
     rr_cells_links *links = connection->links;
-    struct inbox inbox;
+    struct rr_inbox inbox;
     rr_frame_reader payload;
     uint8_t type;
     void *context = NULL;
@@ -244,7 +244,7 @@
 
 struct line {
     bool open;
-    struct inbox in;
+    struct rr_inbox in;
 };
 
 struct rr_cells_client {
--- a/src/peer/cancellations.c
+++ b/src/peer/cancellations.c
@@ -3,13 +3,13 @@
 #include "peer/frame.h"
 #include "wire/wire.h"
 
-#define KEPT_MAX 512u /* far below what fills a frame */
+#define CANCELLATIONS_MAX 512u /* far fewer than fill a frame */
 
 struct cancellation {
     char job_id[RR_ID_SIZE];
     double until;
     bool announced;
-    unsigned connection; /* over which it was told */
+    unsigned connection; /* over which it was announced last */
 };
 
 struct rr_cancellations {
@@ -34,7 +34,7 @@
     struct cancellation *added = g_new0(struct cancellation, 1);
     g_strlcpy(added->job_id, job_id, sizeof added->job_id);
     added->until = until;
-    if (g_queue_get_length(&list->queue) >= KEPT_MAX) {
+    if (g_queue_get_length(&list->queue) >= CANCELLATIONS_MAX) {
         g_free(g_queue_pop_head(&list->queue));
     }
     g_queue_push_tail(&list->queue, added);
@@ -44,13 +44,17 @@
     return !cancellation->announced || cancellation->connection != connection;
 }
 
-bool rr_cancellations_pending(rr_cancellations *list, unsigned connection, double now) {
-    struct cancellation *oldest = g_queue_peek_head(&list->queue);
+static void remove_expired(rr_cancellations *list, double now) {
+    const struct cancellation *oldest = g_queue_peek_head(&list->queue);
     while (oldest && oldest->until < now) {
         g_free(g_queue_pop_head(&list->queue));
         oldest = g_queue_peek_head(&list->queue);
     }
-    /* The newest was told last. */
+}
+
+bool rr_cancellations_pending(rr_cancellations *list, unsigned connection, double now) {
+    remove_expired(list, now);
+    /* All pending ones are announced together, so that the newest is pending if any is. */
     const struct cancellation *newest = g_queue_peek_tail(&list->queue);
     return newest && is_pending(newest, connection);
 }
--- a/src/peer/cancellations.h
+++ b/src/peer/cancellations.h
@@ -1,6 +1,6 @@
-/* Confirmed cancellations that a peer is to be told of: once over each connection to it, as one
- * that was lost may not have brought them, until they are too old to matter. No lock of its own:
- * the link's owner holds one. */
+/* Confirmed cancellations that a peer is to be told. Each is announced once over each connection to
+ * the peer, since a lost connection may not have delivered it, until it expires. No lock of its
+ * own: the caller holds that of the peers. */
 #ifndef RR_PEER_CANCELLATIONS_H
 #define RR_PEER_CANCELLATIONS_H
 
@@ -11,11 +11,13 @@
 
 rr_cancellations *rr_cancellations_create(void);
 void rr_cancellations_destroy(rr_cancellations *list);
-/* To be told until this time. Of too many the oldest go: the key-value store tells them, too. */
+
+/* Adds a job whose cancellation is announced until this time of the steady clock. A full list drops
+ * its oldest entry, which peers also learn from the key-value store. */
 void rr_cancellations_add(rr_cancellations *list, const char *job_id, double until);
-/* Some have not been told over this connection. Those that are too old go. */
+/* Whether some have not been announced over this connection. Removes expired ones. */
 bool rr_cancellations_pending(rr_cancellations *list, unsigned connection, double now);
-/* Appends them as one frame, and takes them for told over this connection. */
+/* Appends those as one frame and marks them as announced over this connection. */
 void rr_cancellations_put(rr_cancellations *list, unsigned connection, GByteArray *out);
 
 #endif
--- a/src/peer/frame.c
+++ b/src/peer/frame.c
@@ -3,18 +3,38 @@
 #include <errno.h>
 #include <string.h>
 
+#define MAGIC_FIRST 'R'
+#define MAGIC_SECOND 'r'
+#define LENGTH_OFFSET 4 /* in the header */
+
+static void store_u16(uint8_t octets[2], uint16_t value) {
+    octets[0] = (uint8_t)(value >> 8);
+    octets[1] = (uint8_t)value;
+}
+
+static void store_u32(uint8_t octets[4], uint32_t value) {
+    store_u16(octets, (uint16_t)(value >> 16));
+    store_u16(octets + 2, (uint16_t)value);
+}
+
+static uint32_t load_u32(const uint8_t octets[4]) {
+    return (uint32_t)octets[0] << 24 | (uint32_t)octets[1] << 16 | (uint32_t)octets[2] << 8 |
+           octets[3];
+}
+
 void rr_frame_put_u8(GByteArray *buffer, uint8_t value) {
     g_byte_array_append(buffer, &value, 1);
 }
 
 void rr_frame_put_u16(GByteArray *buffer, uint16_t value) {
-    uint8_t octets[2] = {(uint8_t)(value >> 8), (uint8_t)value};
+    uint8_t octets[2];
+    store_u16(octets, value);
     g_byte_array_append(buffer, octets, 2);
 }
 
 void rr_frame_put_u32(GByteArray *buffer, uint32_t value) {
-    uint8_t octets[4] = {(uint8_t)(value >> 24), (uint8_t)(value >> 16), (uint8_t)(value >> 8),
-                         (uint8_t)value};
+    uint8_t octets[4];
+    store_u32(octets, value);
     g_byte_array_append(buffer, octets, 4);
 }
 
@@ -36,8 +56,8 @@
 
 guint rr_frame_begin(GByteArray *buffer, enum rr_frame_type type) {
     guint start = buffer->len;
-    rr_frame_put_u8(buffer, 'R');
-    rr_frame_put_u8(buffer, 'r');
+    rr_frame_put_u8(buffer, MAGIC_FIRST);
+    rr_frame_put_u8(buffer, MAGIC_SECOND);
     rr_frame_put_u8(buffer, RR_FRAME_VERSION);
     rr_frame_put_u8(buffer, (uint8_t)type);
     rr_frame_put_u32(buffer, 0);
@@ -45,19 +65,19 @@
 }
 
 void rr_frame_end(GByteArray *buffer, guint start) {
-    uint32_t count = buffer->len - start - RR_FRAME_HEADER_BYTES;
-    buffer->data[start + 4] = (uint8_t)(count >> 24);
-    buffer->data[start + 5] = (uint8_t)(count >> 16);
-    buffer->data[start + 6] = (uint8_t)(count >> 8);
-    buffer->data[start + 7] = (uint8_t)count;
+    store_u32(buffer->data + start + LENGTH_OFFSET, buffer->len - start - RR_FRAME_HEADER_BYTES);
+}
+
+void rr_frame_set_u16(GByteArray *buffer, guint offset, uint16_t value) {
+    store_u16(buffer->data + offset, value);
 }
 
 int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *length) {
-    if (head[0] != 'R' || head[1] != 'r' || head[2] != RR_FRAME_VERSION) {
+    if (head[0] != MAGIC_FIRST || head[1] != MAGIC_SECOND || head[2] != RR_FRAME_VERSION) {
         return -EBADMSG;
     }
     *type = head[3];
-    *length = (uint32_t)head[4] << 24 | (uint32_t)head[5] << 16 | (uint32_t)head[6] << 8 | head[7];
+    *length = load_u32(head + LENGTH_OFFSET);
     return *length > RR_FRAME_BYTES_MAX ? -EBADMSG : 0;
 }
 
@@ -84,9 +104,7 @@
 
 uint32_t rr_frame_read_u32(rr_frame_reader *reader) {
     const uint8_t *bytes = take(reader, 4);
-    return bytes ? (uint32_t)bytes[0] << 24 | (uint32_t)bytes[1] << 16 | (uint32_t)bytes[2] << 8 |
-                       bytes[3]
-                 : 0;
+    return bytes ? load_u32(bytes) : 0;
 }
 
 uint64_t rr_frame_read_u64(rr_frame_reader *reader) {
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -1,5 +1,6 @@
-/* Packed frames between controllers: magic 'R' 'r', version, type, then the length of what follows,
- * big-endian; fields packed by hand. Unpacking checks every length and trusts nothing. */
+/* Packed frames between controllers: a header of magic 'R' 'r', version, type and the payload's
+ * length, then the payload. Integers are big-endian; text and bytes follow their length in 32 bits.
+ * Readers check every length. Pure functions. */
 #ifndef RR_PEER_FRAME_H
 #define RR_PEER_FRAME_H
 
@@ -12,26 +13,41 @@
 #define RR_FRAME_BYTES_MAX (256 * 1024)
 
 enum rr_frame_type {
-    RR_FRAME_HELLO = 1,     /* node name */
-    RR_FRAME_HEARTBEAT = 2, /* hops so far, a worker's report as it came */
-    RR_FRAME_RELAY = 3,     /* carry a call to a worker: address, body (empty: GET /status) */
-    RR_FRAME_ANSWER = 4,    /* its outcome: sent, status, body; to a resignation: 0 if yes */
-    RR_FRAME_RESIGN = 5,    /* 0: can you reach the key-value store? 1: end this lease; the lease */
-    RR_FRAME_HEARTBEAT_DIGESTS = 6, /* hops so far; the nodes that the sender hears; machines heard:
-                           name, worker_epoch, sequence, hash of the report */
-    RR_FRAME_SUSPECT = 7,           /* names of machines that answer no command */
-    RR_FRAME_SENT_AT = 8,           /* time of day, in ms, of the frames that follow */
-    RR_FRAME_CANCELLED = 9,   /* ids of jobs whose cancellation the sender has confirmed; only while
-                                 every controller says that it reads them */
-    RR_FRAME_DEMAND = 10,     /* the sender's view of the demand for admission (admission/demand.h);
-                                 only while every controller says that it takes part */
-    RR_FRAME_CELLS = 11,      /* a request from another cell (cells/messages.h), */
-    RR_FRAME_CELLS_REPLY = 12 /* and its reply */
+    RR_FRAME_HELLO = 1,     /* the sender's node name; first on every connection */
+    RR_FRAME_HEARTBEAT = 2, /* hops so far (u8), a worker's heartbeat as it came */
+    RR_FRAME_RELAY = 3,  /* a call to a worker: address, timeout in ms (u32), body; without a body
+                            it asks for the worker's status */
+    RR_FRAME_ANSWER = 4, /* to RELAY: rr_relay_outcome (u8), HTTP status (u16), body;
+                            to RESIGN: rr_resign_answer (u8) */
+    RR_FRAME_RESIGN = 5, /* rr_resign_request (u8), the sender's lease (u64) */
+    RR_FRAME_HEARTBEAT_DIGESTS = 6, /* hops so far (u8); count (u16) and names of the nodes that the
+                                       sender receives from; count (u16) and digests of heartbeats:
+                                       machine, worker epoch, sequence, hash */
+    RR_FRAME_SUSPECT = 7,           /* count (u16) and names of machines that answer no command */
+    RR_FRAME_SENT_AT = 8,     /* time of day in ms (u64) at which the following frames were sent */
+    RR_FRAME_CANCELLED = 9,   /* count (u16) and ids of jobs whose cancellation the sender has
+                                 confirmed; only while every controller has the capability */
+    RR_FRAME_DEMAND = 10,     /* the sender's view of the demand for admission
+                                 (admission/demand.h); only while every controller takes part */
+    RR_FRAME_CELLS = 11,      /* a request from another cell (cells/messages.h) */
+    RR_FRAME_CELLS_REPLY = 12 /* the reply to it */
 };
 
-/* Frames may follow one another in one buffer: begin() appends and tells where, end() sets the
- * length of the one that began there. */
+/* What became of a relayed call. */
+enum rr_relay_outcome {
+    RR_RELAY_ANSWERED = 0,
+    RR_RELAY_NOT_SENT = 1,
+    RR_RELAY_OUTCOME_UNKNOWN = 2 /* it may have reached the worker, or may still */
+};
+
+enum rr_resign_request { RR_RESIGN_STORE_REACHABLE = 0, RR_RESIGN_END_LEASE = 1 };
+enum rr_resign_answer { RR_RESIGN_YES = 0, RR_RESIGN_NO = 1 };
+
+/* ---- writing: frames may follow one another in one buffer ---- */
+
+/* Appends a frame's header and returns its offset, which goes to rr_frame_end(). */
 guint rr_frame_begin(GByteArray *buffer, enum rr_frame_type type);
+/* Sets the length of the frame that begins at `start` to all that follows its header. */
 void rr_frame_end(GByteArray *buffer, guint start);
 void rr_frame_put_u8(GByteArray *buffer, uint8_t value);
 void rr_frame_put_u16(GByteArray *buffer, uint16_t value);
@@ -39,10 +55,16 @@
 void rr_frame_put_u64(GByteArray *buffer, uint64_t value);
 void rr_frame_put_text(GByteArray *buffer, const char *text);
 void rr_frame_put_bytes(GByteArray *buffer, const void *data, uint32_t length);
+/* Replaces the 16-bit value at this offset, such as a count that was not known before. */
+void rr_frame_set_u16(GByteArray *buffer, guint offset, uint16_t value);
+
+/* ---- reading ---- */
 
-/* 0 and the payload's length, or -EBADMSG. */
+/* 0 with the type and the payload's length; -EBADMSG: another magic or version, or too long. */
 int rr_frame_head(const uint8_t head[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *length);
 
+/* Reads a payload from its start. A read beyond the end marks the reader as malformed; then all
+ * further reads return 0, NULL or false. */
 typedef struct {
     const uint8_t *next;
     size_t bytes_left;
@@ -52,7 +74,9 @@
 uint16_t rr_frame_read_u16(rr_frame_reader *reader);
 uint32_t rr_frame_read_u32(rr_frame_reader *reader);
 uint64_t rr_frame_read_u64(rr_frame_reader *reader);
+/* Borrowed from the payload. */
 const uint8_t *rr_frame_read_bytes(rr_frame_reader *reader, uint32_t *length);
+/* Copies a text; one that does not fit or holds a zero byte is malformed. */
 bool rr_frame_read_text(rr_frame_reader *reader, char *out, size_t size);
 
 #endif
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -1,208 +1,164 @@
-/* The outgoing link to a peer: what has gathered for it goes out as frames, over a connection that
- * is made anew when it brings nothing across. */
-#include "peer/peers_internal.h"
+/* The thread of an outgoing link: collects what waits for the peer and sends it over a connection,
+ * which it replaces when the peer does not confirm that frames arrive. */
+#include "peer/link.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
+#include "peer/stream.h"
 
+#include <errno.h>
 #include <unistd.h>
 
-#define GATHER_SHARE 0.0125 /* of a report interval: what else comes goes with the same send */
-#define BEAT_S 0.5 /* lists of machines heard, and of peers: a silence is seen later by this */
-#define PATIENCE_MAX_S 30.0
+/* Part of a heartbeat interval for which the link waits for more output to send along. */
+#define COLLECT_PART 0.0125
+#define DIGEST_INTERVAL_S 0.5
+#define CONFIRM_TIMEOUT_MAX_S 30.0
+#define DIAL_TIMEOUT_S 1.0
+#define RETRY_PAUSE_STEPS 5 /* of STOP_CHECK_S */
+#define STOP_CHECK_S 0.1
 
-static bool has_news(struct link *link) {
-    return !g_queue_is_empty(&link->queue) || link->suspects->len > 0 || link->demand ||
-           rr_cancellations_pending(link->cancelled, link->losses, rr_steady_clock_s());
-}
-
-void wait_until(pthread_cond_t *condition, pthread_mutex_t *mutex, double until) {
-    struct timespec time = {(time_t)until, (long)((until - (double)(time_t)until) * 1e9)};
-    pthread_cond_timedwait(condition, mutex, &time);
-}
-
-bool rr_link_heard_lately(const struct link *link, double now) {
-    return link->peer_digest_at > 0 && now - link->peer_digest_at < RR_PEER_HEARD_S;
-}
-
-static void put_list(struct link *link, unsigned hops, GByteArray *out, double now) {
-    const rr_peers *peers = link->owner;
-    GHashTableIter iter;
-    gpointer value;
-    guint start = rr_frame_begin(out, RR_FRAME_HEARTBEAT_DIGESTS);
-    uint16_t hears = 0, count = 0;
-    rr_frame_put_u8(out, (uint8_t)hops);
-    for (size_t i = 0; i < peers->config->peer_count; i++) {
-        hears += rr_link_heard_lately(&peers->links[i], now);
-    }
-    rr_frame_put_u16(out, hears);
-    for (size_t i = 0; i < peers->config->peer_count; i++) {
-        if (rr_link_heard_lately(&peers->links[i], now)) {
-            rr_frame_put_text(out, peers->config->peers[i].name);
-        }
-    }
-    guint count_at = out->len;
-    rr_frame_put_u16(out, 0);
-    g_hash_table_iter_init(&iter, link->digests[hops]);
-    while (count < RR_PEER_LIST_MAX && g_hash_table_iter_next(&iter, NULL, &value)) {
-        const rr_heartbeat_digest *digest = value;
-        rr_frame_put_text(out, digest->machine);
-        rr_frame_put_u64(out, digest->worker_epoch);
-        rr_frame_put_u64(out, digest->sequence);
-        rr_frame_put_u64(out, digest->hash);
-        g_hash_table_iter_remove(&iter);
-        count++;
+void rr_peer_link_init(struct rr_peer_link *link, rr_peers *owner, int index,
+                       const pthread_condattr_t *steady) {
+    link->owner = owner;
+    link->index = index;
+    g_queue_init(&link->heartbeats);
+    pthread_cond_init(&link->wake, steady);
+    for (int hops = 0; hops < RR_PEER_HOPS_COUNT; hops++) {
+        link->digests[hops] = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     }
-    out->data[count_at] = (uint8_t)(count >> 8);
-    out->data[count_at + 1] = (uint8_t)count;
-    rr_frame_end(out, start);
+    link->suspects = g_ptr_array_new_with_free_func(g_free);
+    link->cancellations = rr_cancellations_create();
+    link->confirm_timeout_s = RR_PEER_RECEIVED_S;
 }
 
-/* Bounded by the machines there are: each is in a list once. */
-static void put_rest_of_lists(struct link *link, GByteArray *out, double now) {
-    for (unsigned hops = 0; hops < 2; hops++) {
-        while (g_hash_table_size(link->digests[hops]) > 0) {
-            put_list(link, hops, out, now);
-        }
+void rr_peer_link_clear(struct rr_peer_link *link) {
+    g_queue_clear_full(&link->heartbeats, (GDestroyNotify)g_bytes_unref);
+    for (int hops = 0; hops < RR_PEER_HOPS_COUNT; hops++) {
+        g_hash_table_destroy(link->digests[hops]);
     }
+    g_ptr_array_free(link->suspects, TRUE);
+    rr_cancellations_destroy(link->cancellations);
+    g_clear_pointer(&link->demand, g_bytes_unref);
+    pthread_cond_destroy(&link->wake);
 }
 
-static void put_suspects(struct link *link, GByteArray *out) {
-    guint start = rr_frame_begin(out, RR_FRAME_SUSPECT);
-    rr_frame_put_u16(out, (uint16_t)link->suspects->len);
-    for (guint i = 0; i < link->suspects->len; i++) {
-        rr_frame_put_text(out, g_ptr_array_index(link->suspects, i));
-    }
-    rr_frame_end(out, start);
-    g_ptr_array_set_size(link->suspects, 0);
-}
-
-static void put_demand(struct link *link, GByteArray *out) {
-    gsize length;
-    const void *view = g_bytes_get_data(link->demand, &length);
-    guint start = rr_frame_begin(out, RR_FRAME_DEMAND);
-    g_byte_array_append(out, view, (guint)length);
-    rr_frame_end(out, start);
-    g_clear_pointer(&link->demand, g_bytes_unref);
+static void wait_until(pthread_cond_t *condition, pthread_mutex_t *mutex, double until) {
+    struct timespec time = {(time_t)until, (long)((until - (double)(time_t)until) * 1e9)};
+    pthread_cond_timedwait(condition, mutex, &time);
 }
 
-/* All that is to be said to the peer now, as frames. False: stop. */
-static bool gather(struct link *link, GByteArray *out, double *beat) {
+/* Waits until there is something to send or digests are due. */
+static void wait_for_output(struct rr_peer_link *link, double digests_sent_at) {
     rr_peers *peers = link->owner;
     pthread_mutex_lock(&peers->lock);
-    while (!atomic_load(peers->stop) && !has_news(link) && rr_steady_clock_s() - *beat < BEAT_S) {
-        wait_until(&link->wake, &peers->lock, *beat + BEAT_S);
+    while (!atomic_load(peers->stop) && !rr_peer_link_has_output(link, rr_steady_clock_s()) &&
+           rr_steady_clock_s() - digests_sent_at < DIGEST_INTERVAL_S) {
+        wait_until(&link->wake, &peers->lock, digests_sent_at + DIGEST_INTERVAL_S);
     }
-    bool news = has_news(link);
+    bool has_output = rr_peer_link_has_output(link, rr_steady_clock_s());
     pthread_mutex_unlock(&peers->lock);
-    if (news) {
-        rr_sleep(GATHER_SHARE * peers->config->heartbeat_interval_s);
+    if (has_output) {
+        rr_sleep(COLLECT_PART * peers->config->heartbeat_interval_s);
     }
+}
+
+/* Waits for output and moves it to `frames`. False: the peers are stopped. */
+static bool collect(struct rr_peer_link *link, GByteArray *frames, double *digests_sent_at) {
+    rr_peers *peers = link->owner;
+    wait_for_output(link, *digests_sent_at);
     pthread_mutex_lock(&peers->lock);
-    GBytes *bytes;
-    guint head = rr_frame_begin(out, RR_FRAME_SENT_AT);
-    rr_frame_put_u64(out, (uint64_t)(rr_wall_clock_s() * 1000));
-    rr_frame_end(out, head);
-    while (out->len < RR_FRAME_BYTES_MAX && (bytes = g_queue_pop_head(&link->queue))) {
-        gsize count;
-        const void *data = g_bytes_get_data(bytes, &count);
-        guint start = rr_frame_begin(out, RR_FRAME_HEARTBEAT);
-        g_byte_array_append(out, data, (guint)count);
-        rr_frame_end(out, start);
-        g_bytes_unref(bytes);
-    }
     double now = rr_steady_clock_s();
-    if (now - *beat >= BEAT_S) {
-        *beat = now;
-        /* The first even if it is empty: it tells whom we hear. At 4,500 machines one list a beat
-         * was not enough, and machines were told of seconds late. */
-        put_list(link, 0, out, now);
-        put_rest_of_lists(link, out, now);
-    }
-    if (link->suspects->len > 0) {
-        put_suspects(link, out);
-    }
-    if (link->demand) {
-        put_demand(link, out);
-    }
-    if (rr_cancellations_pending(link->cancelled, link->losses, now)) {
-        rr_cancellations_put(link->cancelled, link->losses, out);
+    bool digests_due = now - *digests_sent_at >= DIGEST_INTERVAL_S;
+    if (digests_due) {
+        *digests_sent_at = now;
     }
+    rr_peer_link_take_output(link, digests_due, frames);
     pthread_mutex_unlock(&peers->lock);
     return !atomic_load(peers->stop);
 }
 
-/* A report that waited for a peer to come back would be taken for fresh there: a machine that had
- * hung meanwhile seemed alive for as long again. */
-static void forget_queue(struct link *link) {
+/* Drops what waits. A heartbeat that waited for the peer to come back would pass for a fresh one
+ * there, and a dead machine for a live one. */
+static void discard_output(struct rr_peer_link *link) {
     pthread_mutex_lock(&link->owner->lock);
-    g_queue_clear_full(&link->queue, (GDestroyNotify)g_bytes_unref);
-    g_hash_table_remove_all(link->digests[0]);
-    g_hash_table_remove_all(link->digests[1]);
+    g_queue_clear_full(&link->heartbeats, (GDestroyNotify)g_bytes_unref);
+    for (int hops = 0; hops < RR_PEER_HOPS_COUNT; hops++) {
+        g_hash_table_remove_all(link->digests[hops]);
+    }
     g_ptr_array_set_size(link->suspects, 0);
     g_clear_pointer(&link->demand, g_bytes_unref);
-    link->losses++;
+    link->generation++;
     pthread_mutex_unlock(&link->owner->lock);
 }
 
-/* A connection may take what is sent and bring nothing across: after a cut the other side had given
- * it up, and no reset ever came back. The reports of a quarter of the machines were lost on one for
- * good, while a third controller's lines said that the machines were alive, so that their tasks
- * were neither seen to run nor placed anew. So the peer has to say that it hears us; where it does
- * not, or is not heard itself, the connection is made anew, less and less often. */
-static bool is_dead(struct link *link, double now) {
+/* Whether the connection has to be replaced because the peer does not confirm it. After a network
+ * partition a connection may accept all that is sent and deliver nothing, without a reset. So the
+ * peer has to report that it receives from us; where it does not, or where nothing is received from
+ * it, connections are replaced at growing intervals. */
+static bool is_unconfirmed(struct rr_peer_link *link, double now) {
     rr_peers *peers = link->owner;
     pthread_mutex_lock(&peers->lock);
-    bool works = rr_link_heard_lately(link, now) && link->peer_hears_us;
-    bool dead = !works && now - link->connected_at > link->patience;
-    link->patience = works  ? RR_PEER_HEARD_S
-                     : dead ? MIN(2 * link->patience, PATIENCE_MAX_S)
-                            : link->patience;
+    bool confirmed = rr_peer_received_lately(link, now) && link->peer_receives_us;
+    bool timed_out = !confirmed && now - link->connected_at > link->confirm_timeout_s;
+    if (confirmed) {
+        link->confirm_timeout_s = RR_PEER_RECEIVED_S;
+    } else if (timed_out) {
+        link->confirm_timeout_s = MIN(2 * link->confirm_timeout_s, CONFIRM_TIMEOUT_MAX_S);
+    }
     pthread_mutex_unlock(&peers->lock);
-    return dead;
+    return timed_out;
 }
 
-static int link_send(struct link *link, int *fd, const GByteArray *frames) {
-    const struct rr_peer_config *peer = &link->owner->config->peers[link->index];
+/* Connects and says hello. 0 with the socket in *fd, also if only the hello failed; or -EIO. */
+static int connect_to_peer(struct rr_peer_link *link, int *fd) {
+    rr_peers *peers = link->owner;
+    *fd = rr_peer_dial(NULL, &peers->config->peers[link->index].endpoint, DIAL_TIMEOUT_S);
     if (*fd < 0) {
-        *fd = rr_peer_dial(NULL, &peer->endpoint, 1.0);
-        if (*fd < 0) {
-            return -EIO;
-        }
-        pthread_mutex_lock(&link->owner->lock);
-        link->connected_at = rr_steady_clock_s();
-        pthread_mutex_unlock(&link->owner->lock);
-        GByteArray *hello = g_byte_array_new();
-        rr_peer_put_hello(link->owner, hello);
-        int rc = rr_peer_send(*fd, hello->data, hello->len);
-        g_byte_array_free(hello, TRUE);
-        if (rc != 0) {
-            return rc;
-        }
+        return -EIO;
+    }
+    pthread_mutex_lock(&peers->lock);
+    link->connected_at = rr_steady_clock_s();
+    pthread_mutex_unlock(&peers->lock);
+    GByteArray *hello = g_byte_array_new();
+    rr_peer_put_hello(peers, hello);
+    int rc = rr_peer_send(*fd, hello->data, hello->len);
+    g_byte_array_free(hello, TRUE);
+    return rc;
+}
+
+/* Sends the frames, over a new connection if there is none (*fd < 0). 0 or -EIO. */
+static int send_frames(struct rr_peer_link *link, int *fd, const GByteArray *frames) {
+    int rc = *fd < 0 ? connect_to_peer(link, fd) : 0;
+    return rc == 0 ? rr_peer_send(*fd, frames->data, frames->len) : rc;
+}
+
+static void close_connection(const struct rr_peer_link *link, int *fd, bool unconfirmed) {
+    if (*fd >= 0) {
+        close(*fd);
+        rr_log(RR_INFO_LEVEL, "link to %s lost%s", link->owner->config->peers[link->index].name,
+               unconfirmed ? ": it does not confirm that it receives from this controller" : "");
+    }
+    *fd = -1;
+}
+
+static void pause_before_retry(const struct rr_peer_link *link) {
+    for (int i = 0; i < RETRY_PAUSE_STEPS && !atomic_load(link->owner->stop); i++) {
+        rr_sleep(STOP_CHECK_S);
     }
-    return rr_peer_send(*fd, frames->data, frames->len);
 }
 
-void *rr_link_main(void *arg) {
-    struct link *link = arg;
+void *rr_peer_link_main(void *arg) {
+    struct rr_peer_link *link = arg;
     rr_usage_enter(RR_USAGE_PEERS);
     GByteArray *frames = g_byte_array_new();
-    double beat = 0;
+    double digests_sent_at = 0;
     int fd = -1;
-    while (gather(link, frames, &beat)) {
-        bool dead = fd >= 0 && is_dead(link, rr_steady_clock_s());
-        if (dead || link_send(link, &fd, frames) != 0) {
-            if (fd >= 0) {
-                close(fd);
-                rr_log(RR_INFO_LEVEL, "link to %s lost%s",
-                       link->owner->config->peers[link->index].name,
-                       dead ? ": it does not say that it hears us" : "");
-            }
-            fd = -1;
-            forget_queue(link);
-            for (int i = 0; i < 5 && !atomic_load(link->owner->stop); i++) {
-                rr_sleep(0.1);
-            }
+    while (collect(link, frames, &digests_sent_at)) {
+        bool unconfirmed = fd >= 0 && is_unconfirmed(link, rr_steady_clock_s());
+        if (unconfirmed || send_frames(link, &fd, frames) != 0) {
+            close_connection(link, &fd, unconfirmed);
+            discard_output(link);
+            pause_before_retry(link);
         }
         g_byte_array_set_size(frames, 0);
     }
--- a/src/peer/stream.c
+++ b/src/peer/stream.c
@@ -8,6 +8,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#define RECEIVE_BYTES_MIN 16384 /* room for one recv() */
+#define STOP_CHECK_S 2          /* longest wait without a look at the stop flag */
+
 void rr_peer_set_timeouts(int fd, double seconds) {
     struct timeval timeout = {(time_t)seconds,
                               (suseconds_t)((seconds - (double)(time_t)seconds) * 1e6)};
@@ -55,19 +58,40 @@
     return 0;
 }
 
-void rr_inbox_init(struct inbox *inbox, int fd) {
+void rr_inbox_init(struct rr_inbox *inbox, int fd) {
     inbox->fd = fd;
     inbox->buffer = g_byte_array_new();
     inbox->offset = 0;
 }
 
-void rr_inbox_clear(struct inbox *inbox) {
+void rr_inbox_clear(struct rr_inbox *inbox) {
     g_byte_array_free(inbox->buffer, TRUE);
 }
 
-/* Until len bytes are there. Waits in slices so that a stop is seen; -EIO at the end of the stream
- * or of the time. */
-static int inbox_fill(const atomic_bool *stop, struct inbox *inbox, guint length,
+/* 0: readable; -EAGAIN: not yet; -EIO: stopped, or too late. */
+static int wait_readable(const atomic_bool *stop, int fd, double until) {
+    struct pollfd poll_fd = {fd, POLLIN, 0};
+    double left_s = until - rr_steady_clock_s();
+    if (atomic_load(stop) || left_s <= 0) {
+        return -EIO;
+    }
+    int wait_ms = left_s < STOP_CHECK_S ? (int)(left_s * 1000) + 1 : STOP_CHECK_S * 1000;
+    int count = poll(&poll_fd, 1, wait_ms);
+    return count == 0 || (count < 0 && errno == EINTR) ? -EAGAIN : 0;
+}
+
+/* Appends what one recv() brings. 0, or -EIO at the end of the stream. */
+static int receive_some(struct rr_inbox *inbox, guint wanted) {
+    guint filled = inbox->buffer->len;
+    guint room = wanted > RECEIVE_BYTES_MIN ? wanted : RECEIVE_BYTES_MIN;
+    g_byte_array_set_size(inbox->buffer, filled + room);
+    ssize_t received = recv(inbox->fd, inbox->buffer->data + filled, room, 0);
+    g_byte_array_set_size(inbox->buffer, filled + (received > 0 ? (guint)received : 0));
+    return received > 0 ? 0 : -EIO;
+}
+
+/* Receives until `length` unread bytes are there. 0 or -EIO, as rr_peer_receive(). */
+static int inbox_fill(const atomic_bool *stop, struct rr_inbox *inbox, guint length,
                       double timeout_s) {
     double until = rr_steady_clock_s() + timeout_s;
     if (inbox->offset > 0 && inbox->buffer->len - inbox->offset < length) {
@@ -75,28 +99,18 @@
         inbox->offset = 0;
     }
     while (inbox->buffer->len - inbox->offset < length) {
-        struct pollfd poll_fd = {inbox->fd, POLLIN, 0};
-        double left = until - rr_steady_clock_s();
-        if (atomic_load(stop) || left <= 0) {
-            return -EIO;
+        int rc = wait_readable(stop, inbox->fd, until);
+        if (rc == 0) {
+            rc = receive_some(inbox, length);
         }
-        int count = poll(&poll_fd, 1, left < 2 ? (int)(left * 1000) + 1 : 2000);
-        if (count == 0 || (count < 0 && errno == EINTR)) {
-            continue;
-        }
-        guint had = inbox->buffer->len, room = length > 16384 ? length : 16384;
-        g_byte_array_set_size(inbox->buffer, had + room);
-        ssize_t got = recv(inbox->fd, inbox->buffer->data + had, room, 0);
-        g_byte_array_set_size(inbox->buffer, had + (got > 0 ? (guint)got : 0));
-        if (got <= 0) {
-            return -EIO;
+        if (rc != 0 && rc != -EAGAIN) {
+            return rc;
         }
     }
     return 0;
 }
 
-/* The next frame's payload, in the inbox until the next call. */
-int rr_peer_receive(const atomic_bool *stop, struct inbox *inbox, uint8_t *type,
+int rr_peer_receive(const atomic_bool *stop, struct rr_inbox *inbox, uint8_t *type,
                     rr_frame_reader *reader, double timeout_s) {
     uint32_t length = 0;
     int rc = inbox_fill(stop, inbox, RR_FRAME_HEADER_BYTES, timeout_s);
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -217,7 +217,7 @@
 /* A malformed request, or one of an unknown version, gets a typed refusal, and the connection goes
  * on. */
 static void typed_refusals(void **state) {
-    struct inbox inbox;
+    struct rr_inbox inbox;
     rr_frame_reader payload;
     uint8_t type;
     rr_cells_reply reply;
