--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -1,42 +1,39 @@
-/* Jobs of a neighbour that has no controllers: those that this cell holds are granted by the record
- * itself, their answers are written there, and others are claimed. */
-#include "cells/transfers_internal.h"
+/* Jobs of a neighbour that has no controllers. Those that this cell holds are granted by their
+ * records in the neighbour's key-value store, and their answers are written there; open ones are
+ * claimed. */
+#include "cells/incoming.h"
 #include "core/cache_feed.h"
 #include "core/state/transaction.h"
 #include "core/submissions.h"
 
 #include <string.h>
 
-#define CLAIMS_AT_ONCE 16u /* in one look */
+#define CLAIMS_AT_ONCE_MAX 16u /* in one look */
 
 struct look {
     rr_transfers *transfers;
     size_t neighbour;
     const rr_absent *absent;
-    double asked, now, wall;
+    double asked; /* when the reading began, on the steady clock */
+    double now, wall;
     rr_transfers_plan *here;
-    GPtrArray *there;
-    guint claims;
+    GPtrArray *there; /* rr_transfer_write* */
+    guint claims;     /* planned in this look */
 };
 
-static void free_write(gpointer write) {
-    rr_transfer_write_clear(write);
-    g_free(write);
-}
-
-/* Takes the transaction over. */
+/* Moves the transaction. */
 static void add_there(struct look *look, const char *id, bool ends_claim,
                       const rr_transaction *transaction) {
     rr_transfer_write *write = g_new0(rr_transfer_write, 1);
     write->ends_claim = ends_claim;
     write->transaction = *transaction;
     g_strlcpy(write->id, id, sizeof write->id);
-    g_ptr_array_set_free_func(look->there, free_write);
     g_ptr_array_add(look->there, write);
 }
 
-/* ---- what this cell holds ---- */
+/* ---- jobs that this cell holds ---- */
 
+/* As if the home had sent the message, in reply to one from when the reading began. */
 static void receive(const struct look *look, rr_incoming *entry, enum rr_transfer_kind kind) {
     rr_transfer_message message = {.kind = kind,
                                    .claim = entry->guest.record.claim,
@@ -45,7 +42,7 @@
     rr_guest_receive(&entry->guest, &message, false, &look->transfers->settings->times);
 }
 
-static void announce_answer(struct look *look, const rr_incoming *entry) {
+static void write_answer(struct look *look, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     if (rr_absent_finish(look->absent, entry->record.job_id, &transaction)) {
@@ -55,7 +52,6 @@
     }
 }
 
-/* The copy has gone: its record there says so. */
 static void give_back(struct look *look, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
@@ -73,12 +69,12 @@
     if (!rr_absent_holds(look->absent, entry->record.job_id, entry->guest.record.claim)) {
         receive(look, entry, RR_TRANSFER_VOID);
     } else if (entry->guest.record.state == RR_GUEST_ENDED) {
-        announce_answer(look, entry);
-    } else if (entry->leaving && !entry->guest.running) {
+        write_answer(look, entry);
+    } else if (entry->returning && !entry->guest.running) {
         give_back(look, entry);
-    } else if (!entry->leaving) {
+    } else if (!entry->returning) {
         receive(look, entry, RR_TRANSFER_GRANT);
-        entry->said_at = look->now;
+        entry->sent_at = look->now;
     }
 }
 
@@ -90,10 +86,11 @@
     transfers->stats.claimed += !write->ends_claim;
 }
 
-/* ---- what it may claim ---- */
+/* ---- jobs that it may claim ---- */
 
-/* Offered to this cell by the record, and not taken yet: as if the offer had come by a link. */
-static void take_offered(struct look *look, const rr_submission *submission, double when,
+/* The record says that the job is offered to this cell: taken as if the offer had come by a link.
+ */
+static void take_offered(struct look *look, const rr_submission *submission, double accepted_at,
                          const rr_absent_out *out) {
     rr_cells_request request;
     rr_transfer_message reply, offer = {.kind = RR_TRANSFER_OFFER, .claim = out->record.claim};
@@ -102,27 +99,27 @@
     g_strlcpy(request.team, submission->team, sizeof request.team);
     request.lease_s = look->transfers->settings->times.lease_s;
     request.rest_s = look->transfers->settings->times.rest_s;
-    rr_cells_add_offer(request.items, &offer, submission, when);
+    rr_cells_add_offer(request.items, &offer, submission, accepted_at);
     const rr_cells_item *item = &g_array_index(request.items, rr_cells_item, 0);
     if (rr_transfers_receive(look->transfers, look->neighbour, &request, item, look->now,
                              look->wall, &reply, &write)) {
-        g_ptr_array_add(look->here->writes, g_memdup2(&write, sizeof write));
+        rr_transfers_plan_add(look->here, &write);
     }
     rr_cells_request_clear(&request);
 }
 
-/* Whatever ran there has ended by then. */
+/* After rest_s without controllers everything that ran there has ended. */
 static bool may_claim(const struct look *look, const rr_submission *submission) {
     const rr_transfers *transfers = look->transfers;
     rr_cells_room room = rr_transfers_room(look->transfers, look->now);
-    const char *why;
-    return look->claims < CLAIMS_AT_ONCE &&
+    const char *reason;
+    return look->claims < CLAIMS_AT_ONCE_MAX &&
            rr_absent_for(look->absent, look->now) > transfers->settings->times.rest_s &&
-           rr_room_take(&room, submission) &&
-           rr_core_check_submission(transfers->core, submission, &why) == RR_SUBMISSION_NEW;
+           rr_cells_room_take(&room, submission) &&
+           rr_core_check_submission(transfers->core, submission, &reason) == RR_SUBMISSION_NEW;
 }
 
-static void look_at_job(void *user, const rr_submission *submission, double when,
+static void look_at_job(void *user, const rr_submission *submission, double accepted_at,
                         const rr_absent_out *out) {
     struct look *look = user;
     rr_transaction transaction;
@@ -130,7 +127,7 @@
         return;
     }
     if (out && rr_absent_holds(look->absent, submission->job_id, out->record.claim)) {
-        take_offered(look, submission, when, out);
+        take_offered(look, submission, accepted_at, out);
         return;
     }
     if (!may_claim(look, submission)) {
@@ -138,7 +135,7 @@
     }
     rr_transaction_init(&transaction);
     if (rr_absent_claim(look->absent, submission->job_id, submission->team, &transaction)) {
-        rr_room_take(&look->transfers->room, submission);
+        rr_cells_room_take(&look->transfers->room, submission);
         look->claims++;
         add_there(look, submission->job_id, false, &transaction);
     } else {
@@ -159,6 +156,7 @@
                         .there = there};
     GHashTableIter iterator;
     gpointer value;
+    g_ptr_array_set_free_func(there, rr_transfer_write_free);
     if (rr_absent_for(absent, now) <= 0 || !rr_core_cache_consistent(transfers->core)) {
         return;
     }
--- /dev/null
+++ b/src/cells/incoming_offers.c
@@ -0,0 +1,158 @@
+/* Takes or refuses other cells' offers, by the room that is free here. */
+#include "cells/incoming.h"
+#include "core/extensions.h"
+#include "core/leadership.h"
+#include "core/submissions.h"
+
+#include <string.h>
+
+#define ROOM_AGE_MAX_S 1.0 /* before free room is summed up again */
+#define TIMES_TOLERANCE_S 1e-3
+#define ACCEPTED_AT_FIELD "at" /* as rr_core_job_encode() writes it */
+
+/* ---- free room ---- */
+
+static void add_machine(void *user, const char *type, const char *zone, double cpus, double gpus,
+                        double mem_gb) {
+    rr_cells_room *sum = user;
+    (void)type;
+    (void)zone;
+    sum->cpus += cpus;
+    sum->gpus += gpus;
+    sum->mem_gb += mem_gb;
+}
+
+static void subtract_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
+                         uint32_t placed, uint32_t done) {
+    rr_cells_room *sum = user;
+    double tasks = (double)waiting + placed;
+    (void)team;
+    (void)done;
+    sum->cpus -= tasks * submission->cpus;
+    sum->gpus -= tasks * submission->gpus;
+    sum->mem_gb -= tasks * submission->mem_gb;
+}
+
+/* Guests' share of what all machines have beyond all that runs or waits. */
+static void update_room(rr_transfers *transfers, double now) {
+    if (transfers->room_at > 0 && now - transfers->room_at < ROOM_AGE_MAX_S) {
+        return;
+    }
+    rr_cells_room sum = {0};
+    rr_core_each_machine(transfers->core, add_machine, &sum);
+    rr_core_each_job(transfers->core, subtract_job, &sum);
+    double share = transfers->settings->guest_share;
+    transfers->room = (rr_cells_room){share * sum.cpus, share * sum.gpus, share * sum.mem_gb};
+    transfers->room_at = now;
+}
+
+/* A cell whose own jobs wait takes none of others. */
+static bool takes_jobs(const rr_transfers *transfers) {
+    return !transfers->spill.spilling &&
+           transfers->longest_wait_s <= transfers->settings->end_wait_s &&
+           rr_core_all_hold_capable(transfers->core);
+}
+
+rr_cells_room rr_transfers_room(rr_transfers *transfers, double now) {
+    update_room(transfers, now);
+    return takes_jobs(transfers) ? transfers->room : (rr_cells_room){0, 0, 0};
+}
+
+/* ---- offers ---- */
+
+/* Whether the home counts on a lease and a rest that are not shorter than this cell's. */
+static bool times_agree(const rr_transfers *transfers, const rr_cells_request *request) {
+    const rr_transfer_times *own = &transfers->settings->times;
+    return own->lease_s <= request->lease_s + TIMES_TOLERANCE_S &&
+           own->rest_s <= request->rest_s + TIMES_TOLERANCE_S;
+}
+
+/* Takes the job's demand off the room if it may be taken. The room may be in parts that are too
+ * small for its tasks: then it does not start, and goes back. */
+static bool reserve_room(rr_transfers *transfers, const rr_cells_request *request,
+                         const rr_submission *submission, double now) {
+    const char *reason;
+    update_room(transfers, now);
+    return times_agree(transfers, request) && takes_jobs(transfers) &&
+           strcmp(submission->team, request->team) == 0 &&
+           rr_core_check_submission(transfers->core, submission, &reason) == RR_SUBMISSION_NEW &&
+           rr_cells_room_take(&transfers->room, submission);
+}
+
+/* The claim's record and the copy of the job, in one transaction. */
+static void make_copy_write(rr_transfers *transfers, const rr_incoming *entry,
+                            const rr_submission *submission, double accepted_at,
+                            rr_transfer_write *write) {
+    char key[RR_CELLS_KEY_SIZE];
+    rr_encoder encoder;
+    rr_incoming_make_write(transfers, entry, write);
+    rr_encoder_init(&encoder);
+    rr_core_job_encode(&encoder, submission, accepted_at, false);
+    rr_core_job_key(entry->local_id, key, sizeof key);
+    rr_transaction_guard(&write->transaction, key, 0);
+    rr_transaction_put(&write->transaction, key, &encoder, 0);
+}
+
+static rr_incoming *add_entry(rr_transfers *transfers, size_t neighbour, const rr_cells_item *item,
+                              const char *team, const char *local_id, const rr_guest *guest,
+                              double now) {
+    rr_incoming *entry = rr_incoming_get(transfers, local_id);
+    entry->guest = *guest;
+    entry->neighbour = (int)neighbour;
+    entry->token = rr_core_fencing_token(transfers->core);
+    entry->loaded_at = now;
+    g_strlcpy(entry->record.team, team, sizeof entry->record.team);
+    g_strlcpy(entry->record.home, transfers->settings->neighbours[neighbour].name,
+              sizeof entry->record.home);
+    g_strlcpy(entry->record.job_id, item->job_id, sizeof entry->record.job_id);
+    return entry;
+}
+
+/* The offered job under its local name, for rr_submission_clear(), and when its home accepted it;
+ * *accepted_at stays if the offer does not say. False: not readable. */
+static bool read_offer(const rr_cells_item *item, const char *local_id, rr_submission *submission,
+                       double *accepted_at) {
+    rr_document document;
+    const char *field;
+    if (!item->submission) {
+        return false;
+    }
+    bool readable =
+        rr_document_parse(&document, item->submission->data, item->submission->len) == 0 &&
+        rr_submission_decode(document.root, submission, &field) == 0;
+    rr_map_get_number(document.root, ACCEPTED_AT_FIELD, accepted_at);
+    rr_document_clear(&document);
+    if (readable) {
+        g_strlcpy(submission->job_id, local_id, sizeof submission->job_id);
+    }
+    return readable;
+}
+
+bool rr_incoming_offered(rr_transfers *transfers, size_t neighbour, const rr_cells_request *request,
+                         const rr_cells_item *item, double now, double wall,
+                         rr_transfer_message *reply, rr_transfer_write *write) {
+    char local_id[RR_ID_SIZE];
+    rr_cells_local_id(transfers->settings->neighbours[neighbour].name, item->job_id,
+                      item->message.claim, local_id, sizeof local_id);
+    if (g_hash_table_contains(transfers->incoming, local_id)) {
+        return false; /* a repeated offer: the job is held, or being taken */
+    }
+    /* A late copy of an offer names a claim that has ended. Its copy of the job is known here, so
+     * that the submission is not new and is refused. */
+    rr_submission submission = {0};
+    double accepted_at = wall;
+    rr_guest guest = {.process = transfers->process};
+    bool room = read_offer(item, local_id, &submission, &accepted_at) &&
+                reserve_room(transfers, request, &submission, now);
+    rr_guest_step step =
+        rr_guest_receive(&guest, &item->message, room, &transfers->settings->times);
+    *reply = step.message;
+    bool taken = step.action == RR_GUEST_WRITE;
+    if (taken) {
+        const rr_incoming *entry =
+            add_entry(transfers, neighbour, item, request->team, local_id, &guest, now);
+        make_copy_write(transfers, entry, &submission, accepted_at, write);
+    }
+    rr_submission_clear(&submission);
+    return taken;
+}
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -1,9 +1,10 @@
-#include "cells/transfers_internal.h"
+/* Routes records, messages and outcomes to the two sides of transfers. */
+#include "cells/incoming.h"
+#include "cells/outgoing.h"
 #include "core/cache_feed.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
 
-#include <math.h>
 #include <string.h>
 
 rr_transfers *rr_transfers_create(const rr_cells_settings *settings, const struct rr_config *config,
@@ -26,30 +27,6 @@
     }
 }
 
-void rr_transfer_write_clear(gpointer write) {
-    rr_transaction_clear(&((rr_transfer_write *)write)->transaction);
-}
-
-static void free_write(gpointer write) {
-    rr_transfer_write_clear(write);
-    g_free(write);
-}
-
-static void free_request(gpointer request) {
-    rr_cells_request_clear(request);
-    g_free(request);
-}
-
-void rr_transfers_plan_init(rr_transfers_plan *plan) {
-    plan->writes = g_ptr_array_new_with_free_func(free_write);
-    plan->requests = g_ptr_array_new_with_free_func(free_request);
-}
-
-void rr_transfers_plan_clear(rr_transfers_plan *plan) {
-    g_ptr_array_free(plan->writes, TRUE);
-    g_ptr_array_free(plan->requests, TRUE);
-}
-
 bool rr_transfers_put(rr_transfers *transfers, const char *rest, const msgpack_object *value,
                       uint64_t version) {
     uint64_t unread = transfers->stats.records_unread;
@@ -63,43 +40,15 @@
     return transfers->stats.records_unread == unread;
 }
 
-bool rr_transfers_owns(const rr_transfers *transfers, const char *team, double now) {
-    const char *owner = rr_core_team_owner(transfers->core, team);
-    return owner && strcmp(owner, transfers->config->node_name) == 0 &&
-           rr_core_cache_consistent(transfers->core) && rr_core_lease_valid(transfers->core, now);
-}
-
-bool rr_transfers_speaks_for(const rr_transfers *transfers, const char *team, double now) {
-    return rr_transfers_owns(transfers, team, now) &&
-           rr_core_cache_age(transfers->core, now) < RR_CELLS_FRESH_S;
-}
-
-rr_cells_request *rr_plan_request(const rr_transfers *transfers, rr_transfers_plan *plan,
-                                  size_t neighbour, const char *team) {
-    for (guint i = plan->requests->len; i > 0; i--) {
-        rr_cells_request *request = g_ptr_array_index(plan->requests, i - 1);
-        if (strcmp(request->team, team) == 0) {
-            if (request->items->len < RR_CELLS_ITEMS_MAX) {
-                return request;
-            }
-            break;
-        }
-    }
-    rr_cells_request *request = g_new0(rr_cells_request, 1);
-    rr_cells_request_init(request, RR_CELLS_TRANSFERS);
-    rr_cells_request_address(request, transfers->settings, neighbour);
-    g_strlcpy(request->team, team, sizeof request->team);
-    request->lease_s = transfers->settings->times.lease_s;
-    request->rest_s = transfers->settings->times.rest_s;
-    g_ptr_array_add(plan->requests, request);
-    return request;
-}
-
 void rr_transfers_look(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
-                       double wall, rr_transfers_plan *out) {
-    if (rr_core_cache_consistent(transfers->core) && rr_core_lease_valid(transfers->core, now)) {
-        rr_incoming_look(transfers, neighbour, now, out);
-        rr_outgoing_look(transfers, neighbour, may_offer, now, wall, out);
+                       double wall, rr_transfers_plan *plan) {
+    if (!rr_core_cache_consistent(transfers->core) || !rr_core_lease_valid(transfers->core, now)) {
+        return;
+    }
+    rr_incoming_look(transfers, neighbour, now, plan);
+    rr_outgoing_look(transfers, neighbour, now, wall, plan);
+    if (may_offer && rr_core_all_hold_capable(transfers->core)) {
+        rr_outgoing_offer(transfers, neighbour, now, wall, plan);
     }
 }
 
@@ -142,21 +91,8 @@
 
 void rr_transfers_room_announced(rr_transfers *transfers, size_t neighbour,
                                  const rr_cells_room *room, double now) {
-    transfers->rooms[neighbour] = *room;
-    transfers->rooms_at[neighbour] = now;
-}
-
-bool rr_room_take(rr_cells_room *room, const rr_submission *submission) {
-    double tasks = submission->task_count;
-    double cpu = tasks * submission->cpus, gpu = tasks * submission->gpus,
-           mem = tasks * submission->mem_gb;
-    bool fits = cpu <= room->cpus && gpu <= fmax(room->gpus, 0) && mem <= room->mem_gb;
-    if (fits) {
-        room->cpus -= cpu;
-        room->gpus -= gpu;
-        room->mem_gb -= mem;
-    }
-    return fits;
+    transfers->neighbour_rooms[neighbour] = *room;
+    transfers->neighbour_rooms_at[neighbour] = now;
 }
 
 void rr_transfers_unanswered(rr_transfers *transfers, size_t neighbour, double now) {
