--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -9,11 +9,11 @@
 struct rr_absent {
     const struct rr_config *config;
     const char *own_cell;
-    rr_core *cache;
-    GHashTable *outs; /* job id -> rr_absent_out */
-    uint64_t token;   /* of the term that was read */
-    uint64_t gone_token;
-    double gone_since; /* steady, 0: it may have controllers */
+    rr_core *cache;      /* a store cache of that cell; NULL: nothing was read */
+    GHashTable *outs;    /* job id -> rr_absent_out */
+    uint64_t token;      /* of the term that was read */
+    double gone_since;   /* steady clock; 0: it may have controllers */
+    uint64_t gone_token; /* of the term for which gone_since counts */
 };
 
 rr_absent *rr_absent_create(const struct rr_config *config, const char *own_cell) {
@@ -123,7 +123,6 @@
     rr_cells_out_write(out, job_id, before ? before->version : 0, record);
 }
 
-/* Also guarded by the job's own record: its user may have cancelled it. */
 bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
                      rr_transaction *out) {
     const rr_absent_out *before = rr_absent_out_of(absent, job_id);
@@ -139,7 +138,6 @@
     return true;
 }
 
-/* What its ledger has placed there is gone, as its workers had no controllers. */
 bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out) {
     if (!rr_core_finish_job(absent->cache, job_id, true, out)) {
         return false;
--- /dev/null
+++ b/src/cells/link_client.c
@@ -0,0 +1,126 @@
+/* Asks a neighbour's controllers over connections that stay open. */
+#include "cells/links.h"
+#include "peer/stream.h"
+
+#include <errno.h>
+#include <string.h>
+#include <unistd.h>
+
+#define DIAL_TIMEOUT_S 1.0
+#define REPLY_TIMEOUT_S 2.5
+
+struct kept_connection {
+    bool open;
+    struct rr_inbox inbox; /* valid if open, with the socket */
+};
+
+struct rr_cells_client {
+    const rr_cell *cell;
+    const struct rr_endpoint *own_address; /* from which neighbours expect connections */
+    const atomic_bool *stop;
+    struct kept_connection connections[RR_CONTROLLERS_MAX]; /* by controller */
+    GHashTable *planners; /* team -> index of the controller that plans it, + 1 */
+    size_t next;          /* controller to ask where the planner is unknown */
+};
+
+rr_cells_client *rr_cells_client_create(const rr_cells_settings *settings, size_t neighbour,
+                                        const atomic_bool *stop) {
+    rr_cells_client *client = g_new0(rr_cells_client, 1);
+    client->cell = &settings->neighbours[neighbour];
+    client->own_address = &settings->listen;
+    client->stop = stop;
+    client->planners = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    return client;
+}
+
+static void close_connection(struct kept_connection *connection) {
+    if (connection->open) {
+        close(connection->inbox.fd);
+        rr_inbox_clear(&connection->inbox);
+        connection->open = false;
+    }
+}
+
+void rr_cells_client_destroy(rr_cells_client *client) {
+    if (!client) {
+        return;
+    }
+    for (size_t i = 0; i < client->cell->controller_count; i++) {
+        close_connection(&client->connections[i]);
+    }
+    g_hash_table_destroy(client->planners);
+    g_free(client);
+}
+
+static size_t choose_controller(const rr_cells_client *client, const char *team) {
+    guint planner = GPOINTER_TO_UINT(g_hash_table_lookup(client->planners, team));
+    return planner > 0 ? planner - 1 : client->next % client->cell->controller_count;
+}
+
+static int open_connection(const rr_cells_client *client, size_t controller,
+                           struct kept_connection *connection) {
+    int fd = rr_peer_dial(client->own_address, &client->cell->controllers[controller].endpoint,
+                          DIAL_TIMEOUT_S);
+    if (fd < 0) {
+        return fd;
+    }
+    rr_inbox_init(&connection->inbox, fd);
+    connection->open = true;
+    return 0;
+}
+
+static int read_reply(uint8_t type, const rr_frame_reader *payload, rr_cells_reply *reply) {
+    rr_cells_reply_clear(reply); /* unpacking initialises it again */
+    int rc = rr_cells_reply_unpack(payload->next, payload->bytes_left, reply);
+    return rc == 0 && type != RR_FRAME_CELLS_REPLY ? -EBADMSG : rc;
+}
+
+static int exchange(const rr_cells_client *client, struct kept_connection *connection,
+                    const rr_cells_request *request, rr_cells_reply *reply) {
+    rr_frame_reader payload;
+    uint8_t type;
+    GByteArray *frame = g_byte_array_new();
+    rr_cells_request_pack(request, frame);
+    int rc = rr_peer_send(connection->inbox.fd, frame->data, frame->len);
+    if (rc == 0) {
+        rc = rr_peer_receive(client->stop, &connection->inbox, &type, &payload, REPLY_TIMEOUT_S);
+    }
+    if (rc == 0) {
+        rc = read_reply(type, &payload, reply);
+    }
+    g_byte_array_free(frame, TRUE);
+    return rc;
+}
+
+/* Remembers the planner that a NOT_OWNER names; without a name another controller is asked next. */
+static void learn_planner(rr_cells_client *client, const char *team, const rr_cells_reply *reply) {
+    if (reply->status != RR_CELLS_NOT_OWNER) {
+        return;
+    }
+    g_hash_table_remove(client->planners, team);
+    client->next++;
+    for (size_t i = 0; i < client->cell->controller_count; i++) {
+        if (strcmp(client->cell->controllers[i].name, reply->owner) == 0) {
+            g_hash_table_replace(client->planners, g_strdup(team), GUINT_TO_POINTER(i + 1));
+        }
+    }
+}
+
+int rr_cells_ask(rr_cells_client *client, const rr_cells_request *request, rr_cells_reply *reply) {
+    size_t controller = choose_controller(client, request->team);
+    struct kept_connection *connection = &client->connections[controller];
+    rr_cells_reply_init(reply);
+    int rc = connection->open ? 0 : open_connection(client, controller, connection);
+    if (rc == 0) {
+        rc = exchange(client, connection, request, reply);
+    }
+    if (rc == 0) {
+        learn_planner(client, request->team, reply);
+        return 0;
+    }
+    /* Another controller next time, also where this one plans the team: it may be gone. */
+    close_connection(connection);
+    g_hash_table_remove(client->planners, request->team);
+    client->next = controller + 1;
+    return rc;
+}
--- a/src/cells/links.h
+++ b/src/cells/links.h
@@ -1,5 +1,6 @@
-/* Connections between cells: a listener for the neighbours' requests, a thread for each connection,
- * and clients that ask a neighbour's controllers. Blocking sockets, every wait bounded. */
+/* Connections between cells: a listener for the neighbours' requests with a thread for each
+ * connection, and clients that ask a neighbour's controllers. Blocking sockets, every wait bounded.
+ */
 #ifndef RR_CELLS_LINKS_H
 #define RR_CELLS_LINKS_H
 
@@ -7,11 +8,14 @@
 
 #include <stdatomic.h>
 
-/* Answers a request from a neighbour; called by the connection's thread. *context is its own, NULL
- * at first. */
+/* ---- serving: links.c ---- */
+
+/* Answers a request from a neighbour, on the connection's thread. *context belongs to the
+ * connection and is NULL at first. */
 typedef void (*rr_cells_serve_fn)(void *user, void **context, size_t neighbour,
                                   const rr_cells_request *request, rr_cells_reply *reply);
-typedef void (*rr_cells_context_fn)(void *context); /* frees what serving has left, if not NULL */
+/* Frees a connection's context, unless it is NULL, when the connection ends. */
+typedef void (*rr_cells_context_fn)(void *context);
 
 typedef struct rr_cells_links rr_cells_links;
 
@@ -21,24 +25,31 @@
     uint64_t crowded;       /* connections beyond the bound */
 } rr_cells_links_stats;
 
-/* Connections that may stand at a time. */
-#define RR_CELLS_CONNECTIONS 64
+#define RR_CELLS_CONNECTIONS 64 /* incoming ones at a time; a further one is closed at once */
 
-/* Listens and serves until the stop. 0 with *out, or -errno. */
+/* Listens and serves until *stop. settings and stop are borrowed and outlive the object. 0 with
+ * *out; or -errno, with NULL. */
 int rr_cells_links_start(const rr_cells_settings *settings, const atomic_bool *stop,
                          rr_cells_serve_fn serve, rr_cells_context_fn end, void *user,
                          rr_cells_links **out);
-/* After the stop; joins its threads. */
+/* Joins all threads, after *stop is set. */
 void rr_cells_links_destroy(rr_cells_links *links);
 void rr_cells_links_get_stats(rr_cells_links *links, rr_cells_links_stats *out);
 
+/* ---- asking: link_client.c ---- */
+
 /* Asks one neighbour; belongs to one thread. It keeps a connection to each controller that it
- * asked, and remembers who plans which team. */
+ * asked, and remembers which one plans which team. */
 typedef struct rr_cells_client rr_cells_client;
+
+/* settings and stop are borrowed and outlive the object. */
 rr_cells_client *rr_cells_client_create(const rr_cells_settings *settings, size_t neighbour,
                                         const atomic_bool *stop);
 void rr_cells_client_destroy(rr_cells_client *client);
-/* 0 with *reply of any status; -EIO or -EBADMSG: no answer. *reply is to be cleared in any case. */
+
+/* Sends the request to the controller that plans its team, as far as is known, and waits for the
+ * reply. 0 with *reply of any status; -errno, mostly -EIO or -EBADMSG: no answer, and the next
+ * request goes to another controller. *reply is to be cleared after either. */
 int rr_cells_ask(rr_cells_client *client, const rr_cells_request *request, rr_cells_reply *reply);
 
 #endif
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -5,10 +5,10 @@
 #include <errno.h>
 #include <string.h>
 
-#define MICROSECONDS 1e6
-#define ROOM_UNIT 1e3 /* room is told in thousandths */
-#define BODY_MAX (64u * 1024)
-#define SUBMISSION_MAX (16u * 1024)
+#define MICROSECONDS_PER_S 1e6
+#define ROOM_UNITS 1e3 /* room is sent in thousandths */
+#define BODY_BYTES_MAX ((uint32_t)RR_BODY_BYTES_MAX)
+#define SUBMISSION_BYTES_MAX (16u * 1024)
 
 static void clear_item(gpointer data) {
     rr_cells_item *item = data;
@@ -55,12 +55,12 @@
 }
 
 void rr_cells_add_offer(GArray *items, const rr_transfer_message *offer,
-                        const rr_submission *submission, double when) {
+                        const rr_submission *submission, double accepted_at) {
     rr_encoder packed;
     rr_cells_add_item(items, submission->job_id, offer);
     rr_cells_item *item = &g_array_index(items, rr_cells_item, items->len - 1);
     rr_encoder_init(&packed);
-    rr_core_job_encode(&packed, submission, when, false);
+    rr_core_job_encode(&packed, submission, accepted_at, false);
     item->submission = g_byte_array_new();
     g_byte_array_append(item->submission, (const guint8 *)packed.buffer.data,
                         (guint)packed.buffer.size);
@@ -81,7 +81,7 @@
     rr_frame_put_text(packed, item->job_id);
     rr_frame_put_u32(packed, item->message.claim);
     rr_frame_put_u8(packed, (uint8_t)item->message.answer);
-    rr_frame_put_u64(packed, (uint64_t)(item->message.sent_at * MICROSECONDS));
+    rr_frame_put_u64(packed, (uint64_t)(item->message.sent_at * MICROSECONDS_PER_S));
     rr_frame_put_u64(packed, item->message.asker);
     rr_frame_put_bytes(packed, item->submission ? item->submission->data : NULL,
                        item->submission ? item->submission->len : 0);
@@ -103,8 +103,8 @@
     rr_frame_put_text(out, request->from);
     rr_frame_put_text(out, request->to);
     if (request->kind == RR_CELLS_TRANSFERS) {
-        rr_frame_put_u64(out, (uint64_t)(request->lease_s * MICROSECONDS));
-        rr_frame_put_u64(out, (uint64_t)(request->rest_s * MICROSECONDS));
+        rr_frame_put_u64(out, (uint64_t)(request->lease_s * MICROSECONDS_PER_S));
+        rr_frame_put_u64(out, (uint64_t)(request->rest_s * MICROSECONDS_PER_S));
         rr_frame_put_text(out, request->team);
         pack_items(request->items, out);
     } else {
@@ -114,7 +114,7 @@
 }
 
 static void pack_amount(double amount, GByteArray *out) {
-    rr_frame_put_u64(out, amount > 0 ? (uint64_t)(amount * ROOM_UNIT) : 0);
+    rr_frame_put_u64(out, amount > 0 ? (uint64_t)(amount * ROOM_UNITS) : 0);
 }
 
 void rr_cells_reply_pack(const rr_cells_reply *reply, GByteArray *out) {
@@ -138,10 +138,11 @@
     return kind <= RR_TRANSFER_ACK;
 }
 
-static GByteArray *unpack_bytes(rr_frame_reader *from, uint32_t most) {
+/* NULL: malformed, or too long, which counts as malformed. Owned by the caller. */
+static GByteArray *unpack_bytes(rr_frame_reader *from, uint32_t length_max) {
     uint32_t length;
     const uint8_t *data = rr_frame_read_bytes(from, &length);
-    if (from->malformed || length > most) {
+    if (from->malformed || length > length_max) {
         from->malformed = true;
         return NULL;
     }
@@ -152,6 +153,7 @@
     return out;
 }
 
+/* An item has its own length, so that fields of later versions are skipped. */
 static bool unpack_item(rr_frame_reader *from, rr_cells_item *item) {
     uint32_t length;
     const uint8_t *data = rr_frame_read_bytes(from, &length);
@@ -160,9 +162,9 @@
     rr_frame_read_text(&fields, item->job_id, sizeof item->job_id);
     item->message.claim = rr_frame_read_u32(&fields);
     uint8_t answer = rr_frame_read_u8(&fields);
-    item->message.sent_at = (double)rr_frame_read_u64(&fields) / MICROSECONDS;
+    item->message.sent_at = (double)rr_frame_read_u64(&fields) / MICROSECONDS_PER_S;
     item->message.asker = rr_frame_read_u64(&fields);
-    item->submission = unpack_bytes(&fields, SUBMISSION_MAX);
+    item->submission = unpack_bytes(&fields, SUBMISSION_BYTES_MAX);
     item->message.kind = (enum rr_transfer_kind)kind;
     item->message.answer = (enum rr_job_answer)answer;
     bool empty = kind == RR_TRANSFER_NOTHING;
@@ -172,13 +174,13 @@
 
 static bool unpack_items(rr_frame_reader *from, GArray *items) {
     uint16_t count = rr_frame_read_u16(from);
-    bool good = !from->malformed && count <= RR_CELLS_ITEMS_MAX;
-    for (uint16_t i = 0; good && i < count; i++) {
+    bool readable = !from->malformed && count <= RR_CELLS_ITEMS_MAX;
+    for (uint16_t i = 0; readable && i < count; i++) {
         rr_cells_item item = {0};
-        good = unpack_item(from, &item);
+        readable = unpack_item(from, &item);
         g_array_append_val(items, item);
     }
-    return good;
+    return readable;
 }
 
 int rr_cells_request_unpack(const void *data, size_t length, rr_cells_request *out) {
@@ -195,17 +197,17 @@
         return -EPROTO;
     }
     out->kind = (enum rr_cells_request_kind)kind;
-    bool good = true;
+    bool readable = true;
     if (out->kind == RR_CELLS_TRANSFERS) {
-        out->lease_s = (double)rr_frame_read_u64(&from) / MICROSECONDS;
-        out->rest_s = (double)rr_frame_read_u64(&from) / MICROSECONDS;
+        out->lease_s = (double)rr_frame_read_u64(&from) / MICROSECONDS_PER_S;
+        out->rest_s = (double)rr_frame_read_u64(&from) / MICROSECONDS_PER_S;
         rr_frame_read_text(&from, out->team, sizeof out->team);
-        good = unpack_items(&from, out->items);
+        readable = unpack_items(&from, out->items);
     } else {
         rr_frame_read_text(&from, out->job_id, sizeof out->job_id);
-        good = rr_job_id_valid(out->job_id);
+        readable = rr_job_id_valid(out->job_id);
     }
-    return good && !from.malformed ? 0 : -EBADMSG;
+    return readable && !from.malformed ? 0 : -EBADMSG;
 }
 
 int rr_cells_reply_unpack(const void *data, size_t length, rr_cells_reply *out) {
@@ -222,14 +224,14 @@
     }
     out->http_status = rr_frame_read_u16(&from);
     out->retry_after_s = rr_frame_read_u16(&from);
-    GByteArray *body = unpack_bytes(&from, BODY_MAX);
+    GByteArray *body = unpack_bytes(&from, BODY_BYTES_MAX);
     if (body) {
         g_byte_array_free(out->body, TRUE);
         out->body = body;
     }
-    out->room.cpus = (double)rr_frame_read_u64(&from) / ROOM_UNIT;
-    out->room.gpus = (double)rr_frame_read_u64(&from) / ROOM_UNIT;
-    out->room.mem_gb = (double)rr_frame_read_u64(&from) / ROOM_UNIT;
+    out->room.cpus = (double)rr_frame_read_u64(&from) / ROOM_UNITS;
+    out->room.gpus = (double)rr_frame_read_u64(&from) / ROOM_UNITS;
+    out->room.mem_gb = (double)rr_frame_read_u64(&from) / ROOM_UNITS;
     return from.malformed ? -EBADMSG : 0;
 }
 
--- a/src/cells/networks.c
+++ b/src/cells/networks.c
@@ -40,8 +40,7 @@
     return false;
 }
 
-/* An address with a prefix's length is taken for a mistake: which of the two is meant is not known.
- */
+/* An address with bits beyond its prefix is refused: it is unclear which of the two is meant. */
 static bool is_network(const CIDR *prefix) {
     CIDR *network = cidr_addr_network(prefix);
     bool same = network && cidr_equals(network, prefix) == 0;
@@ -51,20 +50,19 @@
     return same;
 }
 
-#define PREFIX_MAX 64
-#define BEFORE                                                                                     \
-    16 /* libcidr looks for the ends of long names, before the beginning of short ones             \
-        */
+#define PREFIX_SIZE 64
+/* libcidr looks for the ends of long names, before the beginning of short ones: it gets blanks. */
+#define LEADING_BLANKS 16
 
 static CIDR *parse(const char *prefix) {
-    char padded[BEFORE + PREFIX_MAX];
+    char padded[LEADING_BLANKS + PREFIX_SIZE];
     size_t length = strlen(prefix);
-    if (length >= PREFIX_MAX || !strchr(prefix, '/')) {
+    if (length >= PREFIX_SIZE || !strchr(prefix, '/')) {
         return NULL;
     }
-    memset(padded, ' ', BEFORE);
-    memcpy(padded + BEFORE, prefix, length + 1);
-    return cidr_from_str(padded + BEFORE);
+    memset(padded, ' ', LEADING_BLANKS);
+    memcpy(padded + LEADING_BLANKS, prefix, length + 1);
+    return cidr_from_str(padded + LEADING_BLANKS);
 }
 
 int rr_networks_add(rr_networks *networks, const char *prefix) {
--- a/src/cells/spill.c
+++ b/src/cells/spill.c
@@ -1,7 +1,9 @@
 #include "cells/spill.h"
 
-#define PAUSE_LEAST_S 1.0
-#define PAUSE_MOST_S 30.0
+#include <math.h>
+
+#define PAUSE_MIN_S 1.0
+#define PAUSE_MAX_S 30.0
 
 bool rr_spill_update(rr_spill *spill, const rr_cells_settings *settings, double longest_wait_s) {
     double limit = spill->spilling ? settings->end_wait_s : settings->begin_wait_s;
@@ -14,9 +16,7 @@
 }
 
 void rr_spill_refused(rr_spill_pause *pause, double now) {
-    double longer = pause->pause_s * 2;
-    pause->pause_s = longer < PAUSE_LEAST_S ? PAUSE_LEAST_S : longer;
-    pause->pause_s = pause->pause_s > PAUSE_MOST_S ? PAUSE_MOST_S : pause->pause_s;
+    pause->pause_s = fmin(fmax(2 * pause->pause_s, PAUSE_MIN_S), PAUSE_MAX_S);
     pause->until = now + pause->pause_s;
 }
 
--- a/src/cells/transfer_guest.c
+++ b/src/cells/transfer_guest.c
@@ -1,12 +1,13 @@
+/* The guest that may run a job of another cell: its side of the transfer. */
 #include "cells/transfer.h"
 
 static rr_guest_step nothing(void) {
-    return (rr_guest_step){RR_GUEST_NOTHING, {RR_TRANSFER_NOTHING, 0, RR_ANSWER_NONE, 0, 0}};
+    return (rr_guest_step){.action = RR_GUEST_NOTHING, .message = {.kind = RR_TRANSFER_NOTHING}};
 }
 
-static rr_guest_step say(enum rr_transfer_kind kind, uint32_t claim) {
+static rr_guest_step send_message(enum rr_transfer_kind kind, uint32_t claim) {
     rr_guest_step step = nothing();
-    step.message = (rr_transfer_message){kind, claim, RR_ANSWER_NONE, 0, 0};
+    step.message = (rr_transfer_message){.kind = kind, .claim = claim};
     return step;
 }
 
@@ -28,22 +29,28 @@
            now < guest->granted_until;
 }
 
-/* An offer is taken by writing the claim down; it may be run only once the home has granted a
- * lease. One of a later claim is taken when the earlier one is over and forgotten. */
+/* Takes an offer by recording its claim; the job runs only once the home has granted a lease. An
+ * offer of a later claim is taken when the earlier one has ended and its record is gone. */
 static rr_guest_step take_offer(rr_guest *guest, uint32_t claim, bool room) {
     if (guest->writes) {
         return nothing();
     }
     if (guest->record.state != RR_GUEST_NONE) {
-        /* A claim above the one held shows that the home has taken that one back. */
+        /* A later claim than the one held shows that the home has withdrawn that one. */
         guest->terminated = guest->terminated || claim > guest->record.claim;
         return nothing();
     }
     if (claim <= guest->record.claim) {
-        return nothing(); /* a late copy: this claim was over */
+        return nothing(); /* a late copy of an offer whose claim has ended */
     }
     return room ? write_record(guest, RR_GUEST_HELD, claim, RR_ANSWER_NONE)
-                : say(RR_TRANSFER_REFUSE, claim);
+                : send_message(RR_TRANSFER_REFUSE, claim);
+}
+
+static void extend_grant(rr_guest *guest, double until) {
+    if (until > guest->granted_until) {
+        guest->granted_until = until;
+    }
 }
 
 rr_guest_step rr_guest_receive(rr_guest *guest, const rr_transfer_message *message, bool room,
@@ -54,8 +61,7 @@
         return take_offer(guest, message->claim, room);
     case RR_TRANSFER_GRANT:
         if (ours && guest->record.state == RR_GUEST_HELD && message->asker == guest->process) {
-            double until = message->sent_at + times->lease_s * (1 - times->drift);
-            guest->granted_until = until > guest->granted_until ? until : guest->granted_until;
+            extend_grant(guest, message->sent_at + times->lease_s * (1 - times->drift));
         }
         return nothing();
     case RR_TRANSFER_VOID:
@@ -88,13 +94,13 @@
         return step;
     }
     if (guest->terminated) {
-        /* The claim's number stays, so that a late copy of its offer is not taken again. */
+        /* The claim's number is kept, so that a late copy of its offer is not taken again. */
         return guest->running
                    ? step
                    : write_record(guest, RR_GUEST_NONE, guest->record.claim, RR_ANSWER_NONE);
     }
     bool held = guest->record.state == RR_GUEST_HELD;
-    step = say(held ? RR_TRANSFER_RENEW : RR_TRANSFER_ENDED, guest->record.claim);
+    step = send_message(held ? RR_TRANSFER_RENEW : RR_TRANSFER_ENDED, guest->record.claim);
     step.message.sent_at = now;
     step.message.asker = guest->process;
     step.message.answer = guest->record.answer;
