--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -149,7 +149,7 @@
     return id;
 }
 
-/* ---- as the shell does ---- */
+/* ---- what a controller's threads do ---- */
 
 static rr_transfer_message commit(struct test_cell *cell, const rr_transfer_write *write,
                                   bool refuse) {
@@ -280,3 +280,42 @@
         cell_pair_step(pair);
     }
 }
+
+/* ---- for test programs ---- */
+
+const struct test_job cell_pair_job = {.job_id = CELL_PAIR_JOB, .pieces = 2, .cpus = 4};
+
+int cell_pair_setup(void **state) {
+    *state = cell_pair_create();
+    return 0;
+}
+
+int cell_pair_teardown(void **state) {
+    cell_pair_destroy(*state);
+    return 0;
+}
+
+void cell_pair_wait_at_home(cell_pair *pair, const struct test_job *job) {
+    cell_fleet(&pair->guest, 2);
+    cell_submit(&pair->home, job);
+    cell_pair_advance(pair, 31);
+}
+
+unsigned cell_placed(const struct test_cell *cell, const char *job_id) {
+    return fake_store_placed_count(cell->store, job_id);
+}
+
+const char *cell_pair_spill(cell_pair *pair) {
+    cell_pair_wait_at_home(pair, &cell_pair_job);
+    cell_pair_play(pair, 3);
+    cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB, 1));
+    const char *local = cell_pair_local(pair, CELL_PAIR_JOB, 1);
+    assert_int_equal(cell_placed(&pair->guest, local), 2);
+    return local;
+}
+
+void cell_pair_end_at_guest(cell_pair *pair, const char *local) {
+    for (int i = 0; i < 3; i++) {
+        cell_plan_with(&pair->guest, local, "ended:done");
+    }
+}
--- /dev/null
+++ b/tests/cells_run.c
@@ -0,0 +1,422 @@
+/* See cells_run.h: cells as processes, their users, and the checker. */
+#include "cells_run.h"
+
+#include "common/clock.h"
+#include "cells/records.h"
+
+#include <math.h>
+#include <signal.h>
+#include <stdio.h>
+#include <string.h>
+#include <unistd.h>
+
+#define TASK_S 1.0
+#define CANCEL_S 8.0
+#define WORKER_LEASE_S 3.0
+#define CLAIMS_MAX 3u /* of a job */
+#define SETTLE_MAX_S 60.0
+#define START_IN_TIME_S 6.0
+
+const char *const run_cell_names[RUN_CELLS] = {"a", "b", "c", "d"};
+/* Jobs of two tasks a second; a cell's machine ends 16 tasks a second. */
+static const double offered[RUN_CELLS] = {11, 10, 1, 1};
+
+struct cells_run_options run_options = {.submissions_s = 9, .cells_on = true};
+struct cells_run run;
+
+/* ---- cells ---- */
+
+static void write_cells_file(int own) {
+    GString *text = g_string_new(NULL);
+    g_string_append_printf(text,
+                           "cell = \"%s\"\nlease_s = 2\nstop_s = 0.5\nbegin_wait_s = 1\n"
+                           "end_wait_s = 0.5\ngive_back_s = 3\n",
+                           run_cell_names[own]);
+    for (int k = 0; k < RUN_CONTROLLERS; k++) {
+        g_string_append_printf(text, "controller \"%s%d\" { endpoint = \"127.0.%d.1:%u\" }\n",
+                               run_cell_names[own], k, own + 1, run.cells[own].ports[k]);
+    }
+    for (int i = 0; i < RUN_CELLS; i++) {
+        if (i == own) {
+            continue;
+        }
+        g_string_append_printf(text, "neighbour \"%s\" {\n  networks = {\"127.0.%d.0/24\"}\n",
+                               run_cell_names[i], i + 1);
+        g_string_append_printf(text, "  zones = {\"%s\"}\n", run_cell_names[i]);
+        if (run_options.claims_on) {
+            g_string_append_printf(text, "  state = \"127.0.0.1:%u\"\n",
+                                   fake_services_port(run.cells[i].services));
+        }
+        for (int k = 0; k < RUN_CONTROLLERS; k++) {
+            g_string_append_printf(text, "  controller \"%s%d\" { endpoint = \"127.0.%d.1:%u\" }\n",
+                                   run_cell_names[i], k, i + 1, run.cells[i].ports[k]);
+        }
+        g_string_append(text, "}\n");
+    }
+    assert_true(g_file_set_contents(run.cells[own].file, text->str, (gssize)text->len, NULL));
+    g_string_free(text, TRUE);
+}
+
+static void start_controller(int cell, int k) {
+    const char *with[] = {"--cells", run.cells[cell].file, NULL}, *without[] = {NULL};
+    process_start(&run.cells[cell].controllers[k], run_options.program,
+                  run_options.cells_on ? with : without);
+}
+
+void run_start_controllers(int cell) {
+    for (int k = 0; k < RUN_CONTROLLERS; k++) {
+        start_controller(cell, k);
+    }
+    run.cells[cell].dead = false;
+}
+
+void run_begin(unsigned seed) {
+    static const char *const teams[] = {"red"};
+    static const struct platform platform = {teams, 1, 0.3, WORKER_LEASE_S, CANCEL_S};
+    memset(&run, 0, sizeof run);
+    g_strlcpy(run.folder, "/tmp/cells-XXXXXX", sizeof run.folder);
+    assert_non_null(g_mkdtemp(run.folder));
+    run.random = g_rand_new_with_seed(seed);
+    run.jobs = g_ptr_array_new_with_free_func(g_free);
+    for (int i = 0; i < RUN_CELLS; i++) {
+        struct run_cell *cell = &run.cells[i];
+        cell->services = fake_services_start();
+        fake_services_zone(cell->services, run_cell_names[i]);
+        fake_services_task_seconds(cell->services, TASK_S);
+        fake_services_worker_lease(cell->services, WORKER_LEASE_S);
+        processes_configure(cell->services, run.folder, run_cell_names[i], run_cell_names[i],
+                            &platform, cell->controllers, RUN_CONTROLLERS);
+        g_snprintf(cell->file, sizeof cell->file, "%s/%s.conf", run.folder, run_cell_names[i]);
+        for (int k = 0; k < RUN_CONTROLLERS; k++) {
+            cell->ports[k] = fake_services_free_port();
+        }
+    }
+    for (int i = 0; i < RUN_CELLS; i++) {
+        write_cells_file(i);
+        run_start_controllers(i);
+    }
+    for (int i = 0; i < RUN_CELLS; i++) {
+        process_wait_ready(&run.cells[i].controllers[0]);
+        process_wait_ready(&run.cells[i].controllers[1]);
+    }
+}
+
+int run_kill_leftovers(void **state) {
+    (void)state;
+    for (int i = 0; i < RUN_CELLS; i++) {
+        for (int k = 0; k < RUN_CONTROLLERS; k++) {
+            process_kill(&run.cells[i].controllers[k]);
+        }
+    }
+    return 0;
+}
+
+void run_end(void) {
+    for (int i = 0; i < RUN_CELLS; i++) {
+        struct run_cell *cell = &run.cells[i];
+        for (int k = 0; k < RUN_CONTROLLERS; k++) {
+            if (cell->controllers[k].pid > 0) {
+                process_end(&cell->controllers[k], SIGTERM);
+            }
+            process_remove_files(&cell->controllers[k]);
+        }
+        unlink(cell->file);
+        fake_services_stop(cell->services);
+    }
+    rmdir(run.folder);
+    g_ptr_array_free(run.jobs, TRUE);
+    g_rand_free(run.random);
+}
+
+void run_kill_controllers(int cell) {
+    for (int k = 0; k < RUN_CONTROLLERS; k++) {
+        process_end(&run.cells[cell].controllers[k], SIGKILL);
+    }
+    run.cells[cell].dead = true;
+}
+
+/* ---- users ---- */
+
+/* One of the cell's controllers, at random. */
+static const struct rr_config *some_controller(int cell) {
+    return &run.cells[cell].controllers[g_rand_int_range(run.random, 0, RUN_CONTROLLERS)].config;
+}
+
+void run_submit(int home) {
+    struct run_job *job = g_new0(struct run_job, 1);
+    rr_submission submission;
+    g_snprintf(job->id, sizeof job->id, "req-1%d%06u", home, run.next_id++);
+    test_submission(&submission, &(struct test_job){.job_id = job->id,
+                                                    .team = "red",
+                                                    .job_class = "small",
+                                                    .pieces = 2,
+                                                    .cpus = 1,
+                                                    .mem_gb = 1});
+    submission.runtime_estimate_s = TASK_S;
+    job->home = home;
+    job->submitted_at = rr_steady_clock_s();
+    int status = fake_services_submit(some_controller(home), &submission);
+    if (status == 201) {
+        job->accepted_at = rr_steady_clock_s();
+        job->wants_cancel = g_rand_double(run.random) < 0.05;
+        g_ptr_array_add(run.jobs, job);
+    } else {
+        run.refused++;
+        g_free(job);
+    }
+}
+
+void run_submit_for(double seconds) {
+    double last = rr_steady_clock_s(), until = last + seconds;
+    while (rr_steady_clock_s() < until) {
+        double now = rr_steady_clock_s(), passed = now - last;
+        last = now;
+        for (int i = 0; i < RUN_CELLS; i++) {
+            bool comes = g_rand_double(run.random) < offered[i] * passed;
+            if (comes && !run.cells[i].dead) {
+                run_submit(i);
+            }
+        }
+        rr_sleep(RUN_POLL_S);
+    }
+}
+
+int run_ask(int cell, const char *method, const char *id, const char *action, char *state,
+            uint64_t *done) {
+    char path[96];
+    rr_document document = {0};
+    g_snprintf(path, sizeof path, "/submissions/%s%s", id, action);
+    int status = fake_services_call(some_controller(cell), method, path, NULL, 0, &document);
+    state[0] = 0;
+    if (status > 0 && document.root) {
+        rr_map_get_text(document.root, "standing", state, 32);
+        if (done) {
+            rr_map_get_u64(document.root, "done", done);
+        }
+    }
+    if (status > 0) {
+        rr_document_clear(&document);
+    }
+    return status;
+}
+
+static bool started_at_home(const struct run_job *job) {
+    char task_name[48];
+    bool started = false;
+    for (unsigned task = 0; task < 2; task++) {
+        g_snprintf(task_name, sizeof task_name, "%s/%u", job->id, task);
+        started = started || fake_services_started(run.cells[job->home].services, task_name) > 0;
+    }
+    return started;
+}
+
+void run_poll_at(struct run_job *job, int cell) {
+    char state[32];
+    uint64_t done = 0;
+    int status = run_ask(cell, "GET", job->id, "", state, &done);
+    assert_true(status == 200 || status == 503 || status == -1);
+    if (status != 200) {
+        return;
+    }
+    bool is_done = strcmp(state, "done") == 0, cancelled = strcmp(state, "aborted") == 0;
+    /* Done tasks must not become fewer, and a final answer must stay. */
+    bool older =
+        done < job->reported_done || (job->done && !is_done) || (job->cancelled && !cancelled);
+    if (older) {
+        printf("%s: told %s with %u done after %s\n", job->id, state, (unsigned)done,
+               job->done        ? "done"
+               : job->cancelled ? "aborted"
+                                : "fewer");
+    }
+    run.went_back += older;
+    bool elsewhere = strcmp(state, "running") == 0 && !started_at_home(job);
+    run.running_elsewhere += elsewhere;
+    job->reported_done = MAX(job->reported_done, done);
+    if ((is_done || cancelled) && !job->done && !job->cancelled) {
+        job->settled_at = rr_steady_clock_s();
+    }
+    job->done = job->done || is_done;
+    job->cancelled = job->cancelled || cancelled;
+}
+
+/* A user who cancels repeats the request until it is confirmed, at any cell. */
+static void try_cancel(struct run_job *job) {
+    char state[32];
+    int cell = run_options.cells_on ? g_rand_int_range(run.random, 0, RUN_CELLS) : job->home;
+    if (run.cells[cell].dead) {
+        return;
+    }
+    int status = run_ask(cell, "POST", job->id, "/cancel", state, NULL);
+    assert_true(status == 200 || status == 503 || status == -1);
+    if (status == 200) {
+        job->wants_cancel = false;
+        bool cancelled = strcmp(state, "aborted") == 0;
+        job->cancelled_at = cancelled ? rr_steady_clock_s() : 0;
+        job->cancelled = job->cancelled || cancelled;
+        job->settled_at = cancelled ? rr_steady_clock_s() : job->settled_at;
+    }
+}
+
+static bool settled(const struct run_job *job) {
+    return job->done || job->cancelled || (run.cells[job->home].dead && !run_options.claims_on);
+}
+
+unsigned run_poll_all(void) {
+    unsigned open = 0;
+    for (guint i = 0; i < run.jobs->len; i++) {
+        struct run_job *job = g_ptr_array_index(run.jobs, i);
+        double now = rr_steady_clock_s();
+        if (settled(job)) {
+            continue;
+        }
+        open++;
+        if (now - job->polled_at < 1) {
+            continue;
+        }
+        job->polled_at = now;
+        bool home_is_dead = run.cells[job->home].dead;
+        if (job->wants_cancel && !home_is_dead) {
+            try_cancel(job);
+        }
+        bool at_other_cell =
+            home_is_dead || (run_options.cells_on && g_rand_double(run.random) < 0.1);
+        int cell = at_other_cell ? g_rand_int_range(run.random, 0, RUN_CELLS) : job->home;
+        if (!run.cells[cell].dead) {
+            run_poll_at(job, cell);
+        }
+    }
+    return open;
+}
+
+/* For a test that fails. */
+static void print_open_jobs(void) {
+    for (guint i = 0; i < run.jobs->len; i++) {
+        const struct run_job *job = g_ptr_array_index(run.jobs, i);
+        if (!settled(job)) {
+            for (int cell = 0; cell < RUN_CELLS; cell++) {
+                char state[32];
+                int status =
+                    run.cells[cell].dead ? 0 : run_ask(cell, "GET", job->id, "", state, NULL);
+                printf("%s of %s, in %s: %d %s\n", job->id, run_cell_names[job->home],
+                       run_cell_names[cell], status, status == 200 ? state : "");
+            }
+        }
+    }
+}
+
+void run_assert_in_time(double started_at) {
+    if (rr_steady_clock_s() - started_at >= SETTLE_MAX_S) {
+        print_open_jobs();
+    }
+    assert_true(rr_steady_clock_s() - started_at < SETTLE_MAX_S);
+}
+
+double run_poll_until_settled(void) {
+    double started_at = rr_steady_clock_s();
+    while (run_poll_all() > 0) {
+        run_assert_in_time(started_at);
+        rr_sleep(RUN_POLL_S);
+    }
+    return rr_steady_clock_s() - started_at;
+}
+
+/* ---- the checker ---- */
+
+struct span {
+    double from, until;
+    int cell;
+};
+
+/* All runs of the task, in every cell and under every name of its job. */
+static GArray *spans_of(GArray *const *runs, const struct run_job *job, unsigned task) {
+    GArray *spans = g_array_new(FALSE, TRUE, sizeof(struct span));
+    for (int cell = 0; cell < RUN_CELLS; cell++) {
+        for (uint32_t claim = 0; claim <= CLAIMS_MAX; claim++) {
+            char id[RR_ID_SIZE], task_name[80];
+            bool home = cell == job->home;
+            if (home != (claim == 0)) {
+                continue;
+            }
+            rr_cells_local_id(run_cell_names[job->home], job->id, claim, id, sizeof id);
+            g_snprintf(task_name, sizeof task_name, "%s/%u", home ? job->id : id, task);
+            for (guint i = 0; i < runs[cell]->len; i++) {
+                const fake_services_run *entry = &g_array_index(runs[cell], fake_services_run, i);
+                if (strcmp(entry->piece, task_name) == 0) {
+                    struct span span = {entry->started_at,
+                                        entry->ended_at > 0 ? entry->ended_at : INFINITY, cell};
+                    g_array_append_val(spans, span);
+                }
+            }
+        }
+    }
+    return spans;
+}
+
+static void check_task(const struct run_job *job, const GArray *spans, struct run_findings *out) {
+    bool ran = false;
+    for (guint i = 0; i < spans->len; i++) {
+        const struct span *one = &g_array_index(spans, struct span, i);
+        ran = true;
+        for (guint k = i + 1; k < spans->len; k++) {
+            const struct span *other = &g_array_index(spans, struct span, k);
+            bool overlap = one->from < other->until && other->from < one->until;
+            if (overlap) {
+                printf("%s ran in %s and %s at the same time, %.2f s\n", job->id,
+                       run_cell_names[one->cell], run_cell_names[other->cell],
+                       fmin(one->until, other->until) - fmax(one->from, other->from));
+            }
+            out->overlaps += overlap;
+        }
+        bool late = job->cancelled_at > 0 && one->until > job->cancelled_at + CANCEL_S;
+        out->late += late;
+    }
+    out->never += job->done && !ran;
+}
+
+static void check_job(GArray *const *runs, const struct run_job *job, struct run_findings *out) {
+    double started_at = INFINITY;
+    bool transferred = false;
+    for (unsigned task = 0; task < 2; task++) {
+        GArray *spans = spans_of(runs, job, task);
+        check_task(job, spans, out);
+        for (guint i = 0; i < spans->len; i++) {
+            started_at = fmin(started_at, g_array_index(spans, struct span, i).from);
+            transferred = transferred || g_array_index(spans, struct span, i).cell != job->home;
+        }
+        g_array_free(spans, TRUE);
+    }
+    out->jobs++;
+    out->done += job->done;
+    out->cancelled += job->cancelled;
+    out->transferred += transferred;
+    out->started_in_time += started_at - job->submitted_at <= START_IN_TIME_S;
+}
+
+struct run_findings run_check(void) {
+    struct run_findings found = {0};
+    GArray *runs[RUN_CELLS];
+    for (int i = 0; i < RUN_CELLS; i++) {
+        runs[i] = fake_services_runs(run.cells[i].services);
+    }
+    for (guint i = 0; i < run.jobs->len; i++) {
+        check_job(runs, g_ptr_array_index(run.jobs, i), &found);
+    }
+    for (int i = 0; i < RUN_CELLS; i++) {
+        g_array_free(runs[i], TRUE);
+    }
+    return found;
+}
+
+void run_report(const char *title, unsigned seed, const struct run_findings *found,
+                double settle_s) {
+    printf("%s, seed %u: %u jobs, %u done, %u cancelled, %u ran elsewhere, begun within %.0f s "
+           "%.3f; settled in %.1f s; overlaps %u, late %u, went back %u, done without a run %u, "
+           "refused %u\n",
+           title, seed, found->jobs, found->done, found->cancelled, found->transferred,
+           START_IN_TIME_S, (double)found->started_in_time / found->jobs, settle_s, found->overlaps,
+           found->late, run.went_back, found->never, run.refused);
+    assert_int_equal(found->overlaps, 0);
+    assert_int_equal(found->late, 0);
+    assert_int_equal(run.went_back, 0);
+    assert_int_equal(found->never, 0);
+}
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -1,5 +1,5 @@
-/* Links between cells over real sockets on loopback: who is served, who is closed, what a broken
- * frame does, and how a client finds the controller that plans a team. */
+/* Links between cells over real sockets on loopback: who is served, what malformed input does, and
+ * how a client finds the controller that plans a team. */
 #include "core_fixture.h"
 
 #include "common/clock.h"
@@ -85,8 +85,8 @@
     return 0;
 }
 
-/* The settings of cell a, or of whoever asks from there. */
-static void asker(rr_cells_settings *settings, const char *from) {
+/* Cell a with both controllers of cell b as neighbours, connecting from this address. */
+static void configure_client(rr_cells_settings *settings, const char *from) {
     memset(settings, 0, sizeof *settings);
     g_strlcpy(settings->name, "a", RR_CELL_NAME);
     g_strlcpy(settings->listen.host, from, sizeof settings->listen.host);
@@ -113,11 +113,12 @@
     return rc;
 }
 
-static void served_and_kept(void **state) {
+/* Three requests over one connection are answered in full. */
+static void requests_of_a_neighbour_are_served(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     (void)state;
-    asker(&settings, "127.0.1.9");
+    configure_client(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
     for (int i = 0; i < 3; i++) {
         assert_int_equal(ask(client, "a", "b", &reply), 0);
@@ -131,7 +132,7 @@
     rr_cells_settings_clear(&settings);
 }
 
-static void wait_strangers(uint64_t expected) {
+static void wait_for_unknown_peers(uint64_t expected) {
     rr_cells_links_stats stats = {0};
     double until = rr_steady_clock_s() + 5;
     while (stats.unknown_peers != expected) {
@@ -141,27 +142,27 @@
     }
 }
 
-/* From outside the neighbours' networks: closed without a byte, and counted. */
-static void strangers_are_closed(void **state) {
+/* Without an answer; the connection is counted. */
+static void connections_from_unknown_networks_are_closed(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     (void)state;
-    asker(&settings, "127.0.9.1");
+    configure_client(&settings, "127.0.9.1");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
     assert_int_not_equal(ask(client, "a", "b", &reply), 0);
     rr_cells_reply_clear(&reply);
-    wait_strangers(1);
+    wait_for_unknown_peers(1);
     assert_int_equal(servers[0].requests, 0);
     rr_cells_client_destroy(client);
     rr_cells_settings_clear(&settings);
 }
 
-/* From a neighbour's network, but in another's name, or for another cell. */
-static void names_must_agree(void **state) {
+/* The request names another sender than its network belongs to, or another cell than this one. */
+static void requests_with_wrong_cell_names_are_refused(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     (void)state;
-    asker(&settings, "127.0.1.9");
+    configure_client(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
     assert_int_equal(ask(client, "c", "b", &reply), 0);
     assert_int_equal(reply.status, RR_CELLS_WRONG_CELL);
@@ -181,8 +182,8 @@
     return fd;
 }
 
-/* Bytes that are no frame end their connection; the others go on. */
-static void garbage_ends_its_connection(void **state) {
+/* Other connections go on. */
+static void bytes_that_are_no_frame_end_their_connection(void **state) {
     char byte;
     (void)state;
     static const char *const garbage[] = {"GET / HTTP/1.0\r\n\r\n", "Rr\003\013\377\377\377\377",
@@ -193,11 +194,11 @@
         assert_true(recv(fd, &byte, 1, 0) <= 0);
         close(fd);
     }
-    served_and_kept(state);
+    requests_of_a_neighbour_are_served(state);
 }
 
-/* A frame of the links inside a cell is none here. */
-static void frames_of_another_kind(void **state) {
+/* Frames of the links inside a cell are not taken from other cells. */
+static void other_frame_types_end_their_connection(void **state) {
     GByteArray *frame = g_byte_array_new();
     char byte;
     (void)state;
@@ -214,9 +215,8 @@
     g_byte_array_free(frame, TRUE);
 }
 
-/* A malformed request, or one of an unknown version, gets a typed refusal, and the connection goes
- * on. */
-static void typed_refusals(void **state) {
+/* The connection goes on. */
+static void malformed_requests_get_a_status(void **state) {
     struct rr_inbox inbox;
     rr_frame_reader payload;
     uint8_t type;
@@ -242,12 +242,12 @@
     rr_inbox_clear(&inbox);
 }
 
-static void older_version_is_refused_by_name(void **state) {
+static void an_unknown_version_gets_its_own_status(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     rr_cells_request request;
     (void)state;
-    asker(&settings, "127.0.1.9");
+    configure_client(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     request.version = 0;
@@ -261,13 +261,13 @@
     rr_cells_settings_clear(&settings);
 }
 
-/* Sent on to the controller that plans the team; and, when that one is gone, to the other. */
-static void finds_the_planner(void **state) {
+/* And another controller when that one is not there. */
+static void a_client_learns_which_controller_plans_a_team(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     (void)state;
     g_strlcpy(servers[0].planner, "b1", RR_NAME_SIZE);
-    asker(&settings, "127.0.1.9");
+    configure_client(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
     assert_int_equal(ask(client, "a", "b", &reply), 0);
     assert_int_equal(reply.status, RR_CELLS_NOT_OWNER);
@@ -290,8 +290,7 @@
     rr_cells_settings_clear(&settings);
 }
 
-/* More connections than there is room for are closed; those that stand go on. */
-static void connections_are_bounded(void **state) {
+static void connections_beyond_the_bound_are_closed(void **state) {
     int open[RR_CELLS_CONNECTIONS + 4];
     rr_cells_links_stats stats = {0};
     (void)state;
@@ -310,17 +309,17 @@
     }
 }
 
-#define LINKS(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
+#define LINKS_TEST(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
 
 int main(void) {
-    const struct CMUnitTest tests[] = {LINKS(served_and_kept),
-                                       LINKS(strangers_are_closed),
-                                       LINKS(names_must_agree),
-                                       LINKS(garbage_ends_its_connection),
-                                       LINKS(frames_of_another_kind),
-                                       LINKS(typed_refusals),
-                                       LINKS(older_version_is_refused_by_name),
-                                       LINKS(finds_the_planner),
-                                       LINKS(connections_are_bounded)};
+    const struct CMUnitTest tests[] = {LINKS_TEST(requests_of_a_neighbour_are_served),
+                                       LINKS_TEST(connections_from_unknown_networks_are_closed),
+                                       LINKS_TEST(requests_with_wrong_cell_names_are_refused),
+                                       LINKS_TEST(bytes_that_are_no_frame_end_their_connection),
+                                       LINKS_TEST(other_frame_types_end_their_connection),
+                                       LINKS_TEST(malformed_requests_get_a_status),
+                                       LINKS_TEST(an_unknown_version_gets_its_own_status),
+                                       LINKS_TEST(a_client_learns_which_controller_plans_a_team),
+                                       LINKS_TEST(connections_beyond_the_bound_are_closed)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- /dev/null
+++ b/tests/test_cells_offers.c
@@ -0,0 +1,173 @@
+/* When jobs are offered to another cell, and when they are taken. */
+#include "cell_pair.h"
+#include "cells/spill.h"
+
+#include <math.h>
+#include <string.h>
+
+static void no_offer_without_announced_room(void **state) {
+    cell_pair *pair = *state;
+    cell_pair_wait_at_home(pair,
+                           &(struct test_job){.job_id = CELL_PAIR_JOB, .pieces = 9, .cpus = 4});
+    cell_pair_play(pair, 20);
+    assert_int_equal(pair->offers, 0);
+    assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
+}
+
+/* The guest fills up after it has announced its room. */
+static void a_refused_offer_frees_the_job_at_home(void **state) {
+    cell_pair *pair = *state;
+    cell_fleet(&pair->home, 1);
+    rr_cells_room plenty = {100, 10, 1000};
+    cell_pair_wait_at_home(pair,
+                           &(struct test_job){.job_id = CELL_PAIR_JOB, .pieces = 9, .cpus = 4});
+    rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    cell_pair_step(pair); /* records the offer */
+    cell_pair_step(pair);
+    cell_pair_step(pair);
+    assert_int_equal(pair->offers, 1);
+    cell_plan(&pair->home, CELL_PAIR_JOB);
+    assert_int_equal(cell_placed(&pair->home, CELL_PAIR_JOB), 4);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
+}
+
+/* The guest takes it, but another job has taken the room. */
+static void a_job_that_cannot_start_goes_back(void **state) {
+    cell_pair *pair = *state;
+    rr_core_job job;
+    cell_pair_wait_at_home(pair, &cell_pair_job);
+    cell_pair_play(pair, 3);
+    const char *local = cell_pair_local(pair, CELL_PAIR_JOB, 1);
+    assert_true(cell_job(&pair->guest, local, &job));
+    cell_pair_play(pair, 65); /* the guest never plans */
+    assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
+    rr_transfers_stats stats;
+    rr_transfers_get_stats(pair->home.transfers, &stats);
+    assert_int_equal(stats.withdrawn, 1);
+}
+
+/* Both cells are full. */
+static void a_guests_job_is_not_offered_on(void **state) {
+    cell_pair *pair = *state;
+    rr_transfers_stats stats;
+    rr_cells_room plenty = {100, 10, 1000};
+    cell_pair_wait_at_home(pair, &cell_pair_job);
+    cell_pair_play(pair, 3);
+    for (int i = 0; i < 40; i++) {
+        cell_pair_play(pair, 1);
+        rr_transfers_room_announced(pair->guest.transfers, 0, &plenty, pair->guest.node.now);
+    }
+    rr_transfers_get_stats(pair->guest.transfers, &stats);
+    assert_int_equal(stats.offered, 0);
+    assert_int_equal(stats.incoming, 1);
+}
+
+static void a_cell_whose_own_jobs_wait_takes_none(void **state) {
+    cell_pair *pair = *state;
+    cell_pair_wait_at_home(pair, &cell_pair_job);
+    cell_submit(&pair->guest, &(struct test_job){.job_id = "req-2", .cpus = 1, .zone = "far"});
+    cell_pair_advance(pair, 11); /* longer than end_wait_s, though there is room for others */
+    pair->cut = true;
+    cell_pair_step(pair); /* it has seen its own jobs */
+    pair->cut = false;
+    cell_pair_play(pair, 10);
+    assert_int_equal(pair->offers, 0);
+}
+
+static void offers_keep_to_zones_and_teams(void **state) {
+    cell_pair *pair = *state;
+    cell_fleet(&pair->guest, 2);
+    g_ptr_array_add(pair->home.settings.neighbours[0].teams, g_strdup("blue"));
+    cell_submit(&pair->home, &(struct test_job){.job_id = "req-1", .cpus = 1, .zone = "a"});
+    cell_submit(&pair->home, &(struct test_job){.job_id = "req-2", .cpus = 1});
+    cell_pair_advance(pair, 31);
+    cell_pair_play(pair, 10);
+    assert_int_equal(pair->offers, 0);
+    cell_submit(&pair->home, &(struct test_job){.job_id = "req-3", .cpus = 1, .team = "blue"});
+    cell_pair_advance(pair, 31);
+    cell_pair_play(pair, 3);
+    assert_int_equal(pair->offers, 1);
+}
+
+/* That plan may have placed the job already. */
+static void no_offer_while_a_plan_is_under_way(void **state) {
+    cell_pair *pair = *state;
+    cell_pair_wait_at_home(pair, &cell_pair_job);
+    pair->plan_under_way = true;
+    cell_pair_play(pair, 10);
+    assert_int_equal(pair->offers, 0);
+    pair->plan_under_way = false;
+    cell_pair_play(pair, 3);
+    assert_int_equal(pair->offers, 1);
+}
+
+/* A controller that keeps no holds would place transferred jobs. */
+static void no_transfer_beside_an_older_version(void **state) {
+    cell_pair *pair = *state;
+    cell_pair_wait_at_home(pair, &cell_pair_job);
+    test_controller_join_old_version(&pair->home.node);
+    cell_pair_play(pair, 10);
+    assert_int_equal(pair->offers, 0);
+    test_controller_leave_old_version(&pair->home.node);
+    test_controller_join_old_version(&pair->guest.node);
+    cell_pair_play(pair, 10);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
+    test_controller_leave_old_version(&pair->guest.node);
+    cell_pair_play(pair, 45);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 1);
+}
+
+/* The guest's workers could go on for longer than the home waits. */
+static void an_offer_with_shorter_times_is_refused(void **state) {
+    cell_pair *pair = *state;
+    rr_cells_room plenty = {100, 10, 1000};
+    pair->guest.settings.times.rest_s = 81;
+    cell_pair_wait_at_home(pair, &cell_pair_job);
+    rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    cell_pair_play(pair, 5);
+    assert_true(pair->offers > 0);
+    assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
+}
+
+static void offering_stops_only_below_the_lower_limit(void **state) {
+    (void)state;
+    rr_spill spill = {false};
+    rr_cells_settings settings = {.begin_wait_s = 30, .end_wait_s = 10};
+    static const double waits[] = {29, 31, 29, 11, 31, 10, 11, 29};
+    static const bool expected[] = {false, true, true, true, true, false, false, false};
+    for (size_t i = 0; i < G_N_ELEMENTS(waits); i++) {
+        assert_int_equal(rr_spill_update(&spill, &settings, waits[i]), expected[i]);
+    }
+}
+
+static void pauses_after_refusals_double_up_to_a_limit(void **state) {
+    (void)state;
+    rr_spill_pause pause = {0};
+    double now = 100;
+    for (int i = 0; i < 20; i++) {
+        rr_spill_refused(&pause, now);
+        assert_false(rr_spill_may_ask(&pause, now + fmin(exp2(i), 30) - 0.01));
+        assert_true(rr_spill_may_ask(&pause, now + 30));
+        now += 30;
+    }
+    rr_spill_taken(&pause);
+    assert_true(rr_spill_may_ask(&pause, now));
+}
+
+int main(void) {
+    const struct CMUnitTest tests[] = {
+        CELL_PAIR_TEST(no_offer_without_announced_room),
+        CELL_PAIR_TEST(a_refused_offer_frees_the_job_at_home),
+        CELL_PAIR_TEST(a_job_that_cannot_start_goes_back),
+        CELL_PAIR_TEST(a_guests_job_is_not_offered_on),
+        CELL_PAIR_TEST(a_cell_whose_own_jobs_wait_takes_none),
+        CELL_PAIR_TEST(offers_keep_to_zones_and_teams),
+        CELL_PAIR_TEST(no_offer_while_a_plan_is_under_way),
+        CELL_PAIR_TEST(no_transfer_beside_an_older_version),
+        CELL_PAIR_TEST(an_offer_with_shorter_times_is_refused),
+        cmocka_unit_test(offering_stops_only_below_the_lower_limit),
+        cmocka_unit_test(pauses_after_refusals_double_up_to_a_limit),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/test_cells_transfer.c
+++ b/tests/test_cells_transfer.c
@@ -1,7 +1,9 @@
-/* The transfer of one job between a home and two guests, walked through: every order of messages,
- * losses, repeats, crashes and writes to a stated depth, and long random walks beyond it, with the
- * invariants checked after every step. Then the same from states that the walks reached, without
- * further faults: the job gets its answer. `test_cells_transfer DEPTH WALKS SEED` goes further. */
+/* A model check of the transfer of one job between a home and two guests: all orders of messages,
+ * losses, repeats, crashes and writes up to a depth, and long random walks beyond it, with the
+ * invariants checked after every event. From the states that the walks reach the job gets its
+ * answer once no further fault occurs.
+ *
+ * Arguments, to go further than CI does: DEPTH WALKS SEED. */
 #include "cells/transfer.h"
 
 #include <setjmp.h>
@@ -17,7 +19,7 @@
 #include <string.h>
 
 #define GUESTS 2
-#define MESSAGES 3      /* on their way at a time; more are lost */
+#define MESSAGES 3      /* in transit at a time; further ones are lost */
 #define CLOCK_STEP (-7) /* by which a restarted guest's clock differs from the last one's */
 
 static const rr_transfer_times times = {.lease_s = 2, .rest_s = 1, .drift = 0};
@@ -29,18 +31,18 @@
     rr_transfer_message content;
 };
 
-/* All there is; compared and hashed as bytes, so that it is zeroed first. */
+/* The whole model. Compared and hashed as bytes, so it is zeroed first. */
 struct state {
     double now;
     rr_home home;
     rr_home_record home_stored;
     rr_guest guests[GUESTS];
     rr_guest_record guest_stored[GUESTS];
-    double clock[GUESTS];   /* a guest's clock less the time */
+    double clock[GUESTS];   /* a guest's clock minus the model's time */
     double ends_at[GUESTS]; /* the time at which its last grant ends */
     struct message messages[MESSAGES];
-    unsigned runs_begun, runs_done; /* anywhere */
-    enum rr_job_answer told;        /* the home's users have been told */
+    unsigned runs_started, runs_done; /* in any cell */
+    enum rr_job_answer announced;     /* to the home's users */
 };
 
 enum event_kind {
@@ -96,7 +98,7 @@
     [LOSE] = MESSAGES,
 };
 
-/* ---- the world round the two machines ---- */
+/* ---- events ---- */
 
 static void send(struct state *state, bool to_home, uint32_t guest,
                  const rr_transfer_message *content) {
@@ -111,54 +113,54 @@
     }
 }
 
-static double guest_now(const struct state *state, uint32_t chunk) {
-    return state->now + state->clock[chunk];
+static double guest_now(const struct state *state, uint32_t index) {
+    return state->now + state->clock[index];
 }
 
-static void home_step(struct state *state, uint32_t until, rr_home_step step) {
-    send(state, false, until, &step.message);
+static void home_step(struct state *state, uint32_t guest, rr_home_step step) {
+    send(state, false, guest, &step.message);
 }
 
-static void guest_step(struct state *state, uint32_t chunk, rr_guest_step step) {
-    send(state, true, chunk, &step.message);
+static void guest_step(struct state *state, uint32_t index, rr_guest_step step) {
+    send(state, true, index, &step.message);
 }
 
 static void start(struct state *state, bool *running) {
     *running = true;
-    state->runs_begun++;
+    state->runs_started++;
 }
 
 static void home_write(struct state *state, bool applied, bool crash) {
     if (applied) {
         state->home_stored = state->home.writing;
     }
-    uint32_t until = state->home.writing.guest;
+    uint32_t guest = state->home.writing.guest;
     if (crash) {
         rr_home_load(&state->home, &state->home_stored, state->home.running, state->now, &times);
     } else {
-        home_step(state, until, rr_home_written(&state->home, applied));
+        home_step(state, guest, rr_home_written(&state->home, applied));
     }
     if (state->home.record.state == RR_HOME_FINAL) {
-        state->told = state->home.record.answer;
-        state->home.running = false; /* what is final is stopped; here at once */
+        state->announced = state->home.record.answer;
+        state->home.running = false; /* tasks of a final job are stopped, in the model at once */
     }
 }
 
-static void guest_crash(struct state *state, uint32_t chunk) {
-    uint64_t process = state->guests[chunk].process + 1;
-    state->clock[chunk] += CLOCK_STEP;
-    rr_guest_load(&state->guests[chunk], &state->guest_stored[chunk], state->guests[chunk].running,
+static void guest_crash(struct state *state, uint32_t index) {
+    uint64_t process = state->guests[index].process + 1;
+    state->clock[index] += CLOCK_STEP;
+    rr_guest_load(&state->guests[index], &state->guest_stored[index], state->guests[index].running,
                   process);
 }
 
-static void guest_write(struct state *state, uint32_t chunk, bool applied, bool crash) {
+static void guest_write(struct state *state, uint32_t index, bool applied, bool crash) {
     if (applied) {
-        state->guest_stored[chunk] = state->guests[chunk].writing;
+        state->guest_stored[index] = state->guests[index].writing;
     }
     if (crash) {
-        guest_crash(state, chunk);
+        guest_crash(state, index);
     } else {
-        guest_step(state, chunk, rr_guest_written(&state->guests[chunk], applied));
+        guest_step(state, index, rr_guest_written(&state->guests[index], applied));
     }
 }
 
@@ -178,24 +180,24 @@
     }
 }
 
-/* The workers' lease: what a guest does not stop is gone a while after its grant ends. */
+/* By the workers' lease, tasks that a guest does not stop are gone rest_s after its grant ends. */
 static void tick(struct state *state) {
     state->now++;
-    for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
-        if (state->now >= state->ends_at[chunk] + times.rest_s) {
-            state->guests[chunk].running = false;
+    for (uint32_t index = 0; index < GUESTS; index++) {
+        if (state->now >= state->ends_at[index] + times.rest_s) {
+            state->guests[index].running = false;
         }
     }
 }
 
-static void home_event(struct state *state, enum event_kind kind, uint32_t chunk) {
+static void home_event(struct state *state, enum event_kind kind, uint32_t index) {
     rr_home *home = &state->home;
     switch (kind) {
     case HOME_OFFERS:
-        home_step(state, chunk, rr_home_offer(home, chunk, state->now));
+        home_step(state, index, rr_home_offer(home, index, state->now));
         break;
     case HOME_WITHDRAWS:
-        home_step(state, chunk, rr_home_withdraw(home));
+        home_step(state, index, rr_home_withdraw(home));
         break;
     case HOME_STARTS:
         if (!home->running && rr_home_may_run(home, state->now)) {
@@ -226,9 +228,9 @@
     }
 }
 
-static void guest_event(struct state *state, enum event_kind kind, uint32_t chunk) {
-    rr_guest *guest = &state->guests[chunk];
-    bool may = rr_guest_may_run(guest, guest_now(state, chunk));
+static void guest_event(struct state *state, enum event_kind kind, uint32_t index) {
+    rr_guest *guest = &state->guests[index];
+    bool may = rr_guest_may_run(guest, guest_now(state, index));
     switch (kind) {
     case GUEST_STARTS:
         if (!guest->running && may) {
@@ -242,21 +244,21 @@
         if (guest->running && may) {
             guest->running = false;
             state->runs_done++;
-            guest_step(state, chunk, rr_guest_end(guest, RR_ANSWER_DONE));
+            guest_step(state, index, rr_guest_end(guest, RR_ANSWER_DONE));
         }
         break;
     case GUEST_WRITTEN:
     case GUEST_NOT_WRITTEN:
     case GUEST_CRASHES_AFTER_WRITE:
         if (guest->writes) {
-            guest_write(state, chunk, kind != GUEST_NOT_WRITTEN, kind == GUEST_CRASHES_AFTER_WRITE);
+            guest_write(state, index, kind != GUEST_NOT_WRITTEN, kind == GUEST_CRASHES_AFTER_WRITE);
         }
         break;
     case GUEST_CRASHES:
-        guest_crash(state, chunk);
+        guest_crash(state, index);
         break;
     default:
-        guest_step(state, chunk, rr_guest_repeat(guest, guest_now(state, chunk)));
+        guest_step(state, index, rr_guest_repeat(guest, guest_now(state, index)));
     }
 }
 
@@ -279,7 +281,7 @@
     return true;
 }
 
-/* False: there is no such message. An event that is not possible changes nothing. */
+/* Applies an event; one that is not possible changes nothing. False: there is no such message. */
 static bool apply(struct state *state, enum event_kind kind, unsigned choice) {
     if (kind == TICK) {
         tick(state);
@@ -298,11 +300,12 @@
 
 /* ---- invariants ---- */
 
-static const char *broken(const struct state *before, const struct state *state) {
+/* The invariant that the step from `before` breaks; NULL: none. */
+static const char *broken_invariant(const struct state *before, const struct state *state) {
     unsigned running = state->home.running;
-    for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
-        running += state->guests[chunk].running;
-        if (state->guest_stored[chunk].claim < before->guest_stored[chunk].claim) {
+    for (uint32_t index = 0; index < GUESTS; index++) {
+        running += state->guests[index].running;
+        if (state->guest_stored[index].claim < before->guest_stored[index].claim) {
             return "a guest's claim went back";
         }
     }
@@ -312,10 +315,10 @@
     if (state->home_stored.claim < before->home_stored.claim) {
         return "a claim number was used again";
     }
-    if (before->told != RR_ANSWER_NONE && state->told != before->told) {
+    if (before->announced != RR_ANSWER_NONE && state->announced != before->announced) {
         return "a final answer changed";
     }
-    if (state->told == RR_ANSWER_DONE && state->runs_done == 0) {
+    if (state->announced == RR_ANSWER_DONE && state->runs_done == 0) {
         return "done, but no run has ended";
     }
     return NULL;
@@ -325,15 +328,15 @@
     struct state state;
     memset(&state, 0, sizeof state);
     rr_home_load(&state.home, &state.home_stored, false, 0, &times);
-    for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
-        state.clock[chunk] = 100 * (chunk + 1);
-        state.ends_at[chunk] = -100;
-        rr_guest_load(&state.guests[chunk], &state.guest_stored[chunk], false, 1);
+    for (uint32_t index = 0; index < GUESTS; index++) {
+        state.clock[index] = 100 * (index + 1);
+        state.ends_at[index] = -100;
+        rr_guest_load(&state.guests[index], &state.guest_stored[index], false, 1);
     }
     return state;
 }
 
-/* ---- every order, to a depth ---- */
+/* ---- all orders of events, to a depth ---- */
 
 static guint64 *digest(const struct state *state) {
     guint64 *hash = g_new(guint64, 1);
@@ -352,9 +355,9 @@
             if (!apply(&state, (enum event_kind)kind, choice)) {
                 continue;
             }
-            const char *why = broken(from, &state);
-            if (why) {
-                fail_msg("%s, after event %d %u", why, kind, choice);
+            const char *broken = broken_invariant(from, &state);
+            if (broken) {
+                fail_msg("%s, after event %d %u", broken, kind, choice);
             }
             if (g_hash_table_add(seen, digest(&state))) {
                 g_array_append_val(next, state);
@@ -375,8 +378,8 @@
     return state;
 }
 
-/* The home has taken the job back, and the guest does not know. */
-static struct state taken_back(void) {
+/* The home has withdrawn the job, and the guest does not know. */
+static struct state withdrawn(void) {
     struct state state = guest_runs_it();
     assert_true(apply(&state, HOME_WITHDRAWS, 0));
     assert_true(apply(&state, HOME_WRITTEN, 0));
@@ -384,7 +387,7 @@
     return state;
 }
 
-static void walk_all(struct state first, const char *from) {
+static void explore(struct state first, const char *from) {
     GHashTable *seen = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     GArray *level = g_array_new(FALSE, FALSE, sizeof(struct state));
     g_array_append_val(level, first);
@@ -401,30 +404,32 @@
     g_hash_table_destroy(seen);
 }
 
-static void every_order_to_a_depth(void **state) {
+static void no_order_of_events_breaks_an_invariant(void **state) {
     (void)state;
-    walk_all(first_state(), "the beginning");
-    walk_all(guest_runs_it(), "a guest that runs it");
-    walk_all(taken_back(), "a job taken back, the guest not told");
+    explore(first_state(), "the beginning");
+    explore(guest_runs_it(), "a guest that runs it");
+    explore(withdrawn(), "a job taken back, the guest not told");
 }
 
-/* ---- random walks, and an orderly end ---- */
+/* ---- random walks, each with an orderly end ---- */
 
-#define WALK 400
-#define RARE 40 /* what ends a walk soon, or undoes much, comes so much less often */
+#define WALK_EVENTS 400
+/* One in so many of the events that end a transfer or undo much takes place, or walks would be
+ * short. */
+#define RARE_EVENT_PART 40
 
-/* Writes succeed, messages arrive, nobody crashes; a guest that may run does, and is done. */
-static void play_on(struct state *state) {
-    for (unsigned round = 0; round < 200 && state->told == RR_ANSWER_NONE; round++) {
+/* Writes succeed, messages arrive, nobody crashes; a cell that may run the job does, to its end. */
+static void play_without_faults(struct state *state) {
+    for (unsigned round = 0; round < 200 && state->announced == RR_ANSWER_NONE; round++) {
         apply(state, HOME_WRITTEN, 0);
         apply(state, HOME_STARTS, 0);
         apply(state, HOME_ENDS, 0);
-        for (uint32_t chunk = 0; chunk < GUESTS; chunk++) {
-            apply(state, GUEST_WRITTEN, chunk);
-            apply(state, GUEST_STARTS, chunk);
-            apply(state, GUEST_ENDS, chunk);
-            apply(state, GUEST_STOPS, chunk);
-            apply(state, GUEST_REPEATS, chunk);
+        for (uint32_t index = 0; index < GUESTS; index++) {
+            apply(state, GUEST_WRITTEN, index);
+            apply(state, GUEST_STARTS, index);
+            apply(state, GUEST_ENDS, index);
+            apply(state, GUEST_STOPS, index);
+            apply(state, GUEST_REPEATS, index);
         }
         for (unsigned i = 0; i < MESSAGES; i++) {
             apply(state, DELIVER, i);
@@ -436,42 +441,67 @@
     }
 }
 
-static void random_walks(void **state) {
+static bool is_rare(enum event_kind kind) {
+    switch (kind) {
+    case HOME_CANCELS:
+    case HOME_WITHDRAWS:
+    case HOME_CRASHES:
+    case HOME_STARTS:
+    case HOME_ENDS:
+    case GUEST_CRASHES:
+    case GUEST_ENDS:
+        return true;
+    default:
+        return false;
+    }
+}
+
+static bool starts_at_guest(const struct state *before, const struct state *state) {
+    return (state->guests[0].running && !before->guests[0].running) ||
+           (state->guests[1].running && !before->guests[1].running);
+}
+
+/* One random walk from the first state; adds to *guest_runs. */
+static struct state walk_randomly(GRand *random, unsigned walk, unsigned *guest_runs) {
+    struct state model = first_state();
+    for (unsigned step = 0; step < WALK_EVENTS; step++) {
+        struct state before = model;
+        enum event_kind kind = (enum event_kind)g_rand_int_range(random, 0, EVENT_KINDS);
+        unsigned choice = (unsigned)g_rand_int_range(random, 0, (gint)choices[kind]);
+        if ((is_rare(kind) && g_rand_int_range(random, 0, RARE_EVENT_PART) > 0) ||
+            !apply(&model, kind, choice)) {
+            continue;
+        }
+        *guest_runs += starts_at_guest(&before, &model);
+        const char *broken = broken_invariant(&before, &model);
+        if (broken) {
+            fail_msg("%s: seed %u, walk %u, step %u", broken, seed, walk, step);
+        }
+    }
+    return model;
+}
+
+static void random_walks_keep_invariants_and_reach_an_answer(void **state) {
     (void)state;
     GRand *random = g_rand_new_with_seed(seed);
     unsigned guest_runs = 0;
     for (unsigned walk = 0; walk < walks; walk++) {
-        struct state model = first_state();
-        for (unsigned step = 0; step < WALK; step++) {
-            struct state before = model;
-            enum event_kind kind = (enum event_kind)g_rand_int_range(random, 0, EVENT_KINDS);
-            bool rare = kind == HOME_CANCELS || kind == HOME_WITHDRAWS || kind == HOME_CRASHES ||
-                        kind == HOME_STARTS || kind == HOME_ENDS || kind == GUEST_CRASHES ||
-                        kind == GUEST_ENDS;
-            unsigned choice = (unsigned)g_rand_int_range(random, 0, (gint)choices[kind]);
-            if ((rare && g_rand_int_range(random, 0, RARE) > 0) || !apply(&model, kind, choice)) {
-                continue;
-            }
-            guest_runs += (model.guests[0].running && !before.guests[0].running) ||
-                          (model.guests[1].running && !before.guests[1].running);
-            const char *why = broken(&before, &model);
-            if (why) {
-                fail_msg("%s: seed %u, walk %u, step %u", why, seed, walk, step);
-            }
-        }
-        play_on(&model);
-        if (model.told == RR_ANSWER_NONE) {
+        struct state model = walk_randomly(random, walk, &guest_runs);
+        play_without_faults(&model);
+        if (model.announced == RR_ANSWER_NONE) {
             fail_msg("no answer: seed %u, walk %u", seed, walk);
         }
     }
-    printf("%u walks of %u events, seed %u; %u runs at guests\n", walks, WALK, seed, guest_runs);
+    printf("%u walks of %u events, seed %u; %u runs at guests\n", walks, WALK_EVENTS, seed,
+           guest_runs);
     assert_true(guest_runs > walks / 10);
     g_rand_free(random);
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(every_order_to_a_depth),
-                                       cmocka_unit_test(random_walks)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(no_order_of_events_breaks_an_invariant),
+        cmocka_unit_test(random_walks_keep_invariants_and_reach_an_answer)};
     depth = argc > 1 ? (unsigned)strtoul(argv[1], NULL, 10) : depth;
     walks = argc > 2 ? (unsigned)strtoul(argv[2], NULL, 10) : walks;
     seed = argc > 3 ? (unsigned)strtoul(argv[3], NULL, 10) : seed;
