--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -14,12 +14,15 @@
 
 /* own_cell: the reader's name. Both are borrowed and outlive the object. */
 rr_absent *rr_absent_create(const struct rr_config *config, const char *own_cell);
+/* NULL is allowed. */
 void rr_absent_destroy(rr_absent *absent);
 
 /* One reading: begin, put for all records, end. */
 void rr_absent_begin(rr_absent *absent);
+/* One record; it is borrowed for the call. */
 void rr_absent_put(rr_absent *absent, const char *key, const msgpack_object *value,
                    uint64_t version, double now);
+/* The reading is complete: its term is the one that later changes are guarded by. */
 void rr_absent_end(rr_absent *absent, double now);
 
 /* Takes the outcome of the two checks; no_sessions: neither found one. */
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -64,7 +64,7 @@
         return;
     }
     if (entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
-        entry->guest.terminated = true; /* there is nobody to be told */
+        entry->guest.terminated = true; /* there is no home to notify */
     }
     if (entry->guest.terminated) {
         plan_step(transfers, entry, rr_guest_repeat(&entry->guest, now), plan);
--- a/src/cells/links.h
+++ b/src/cells/links.h
@@ -34,6 +34,7 @@
                          rr_cells_links **out);
 /* Joins all threads, after *stop is set. */
 void rr_cells_links_destroy(rr_cells_links *links);
+/* Copies the counters; from any thread. */
 void rr_cells_links_get_stats(rr_cells_links *links, rr_cells_links_stats *out);
 
 /* ---- asking: link_client.c ---- */
@@ -45,6 +46,7 @@
 /* settings and stop are borrowed and outlive the object. */
 rr_cells_client *rr_cells_client_create(const rr_cells_settings *settings, size_t neighbour,
                                         const atomic_bool *stop);
+/* Closes its connections. NULL is allowed. */
 void rr_cells_client_destroy(rr_cells_client *client);
 
 /* Sends the request to the controller that plans its team, as far as is known, and waits for the
--- a/src/cells/messages.h
+++ b/src/cells/messages.h
@@ -57,10 +57,15 @@
     GByteArray *body;               /* and its body, owned */
 } rr_cells_reply;
 
+/* An empty request of this version, for rr_cells_request_clear(). */
 void rr_cells_request_init(rr_cells_request *request, enum rr_cells_request_kind kind);
+/* Frees its items. */
 void rr_cells_request_clear(rr_cells_request *request);
+/* An empty reply with status OK, for rr_cells_reply_clear(). */
 void rr_cells_reply_init(rr_cells_reply *reply);
+/* Frees its items and its body. */
 void rr_cells_reply_clear(rr_cells_reply *reply);
+/* Appends a message about a job. */
 void rr_cells_add_item(GArray *items, const char *job_id, const rr_transfer_message *message);
 /* An offer carries the job; accepted_at: time of day when its home accepted it. */
 void rr_cells_add_offer(GArray *items, const rr_transfer_message *offer,
@@ -71,10 +76,12 @@
 
 /* Append a complete frame. */
 void rr_cells_request_pack(const rr_cells_request *request, GByteArray *out);
+/* Always of this version. */
 void rr_cells_reply_pack(const rr_cells_reply *reply, GByteArray *out);
 /* Read a frame's payload. 0; -EPROTO: of a version or kind that this one can't read; -EBADMSG. The
  * target is to be cleared after any of them. */
 int rr_cells_request_unpack(const void *data, size_t length, rr_cells_request *out);
+/* As for requests. */
 int rr_cells_reply_unpack(const void *data, size_t length, rr_cells_reply *out);
 /* For log lines. */
 const char *rr_cells_status_name(enum rr_cells_status status);
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -32,9 +32,13 @@
     enum rr_job_answer answer;
 } rr_in_record;
 
+/* Keys of the records, whole; RR_CELLS_KEY_SIZE is enough. */
 void rr_cells_out_key(const char *job_id, char *out, size_t size);
+/* As rr_cells_out_key(), for a job that is held here. */
 void rr_cells_in_key(const char *local_id, char *out, size_t size);
+/* Append a record's value. */
 void rr_cells_out_encode(const rr_out_record *record, rr_encoder *out);
+/* As rr_cells_out_encode(). */
 void rr_cells_in_encode(const rr_in_record *record, rr_encoder *out);
 /* Adds a change of the record that has this version (0: there is none); record NULL: deletes it. */
 void rr_cells_out_write(rr_transaction *transaction, const char *job_id, uint64_t version,
@@ -43,6 +47,7 @@
 rr_out_record rr_cells_out_withdrawn(const rr_out_record *record, double wall);
 /* 0, or -EBADMSG. */
 int rr_cells_out_decode(const msgpack_object *value, rr_out_record *out);
+/* As rr_cells_out_decode(). */
 int rr_cells_in_decode(const msgpack_object *value, rr_in_record *out);
 
 /* What a guest calls the job that it holds under this claim: another name for each claim, so that a
--- a/src/cells/spill.h
+++ b/src/cells/spill.h
@@ -20,9 +20,11 @@
     double pause_s;
 } rr_spill_pause;
 
+/* Whether the pause is over. */
 bool rr_spill_may_ask(const rr_spill_pause *pause, double now);
 /* Also for a request without an answer. */
 void rr_spill_refused(rr_spill_pause *pause, double now);
+/* Ends the pause: the neighbour has taken a job. */
 void rr_spill_taken(rr_spill_pause *pause);
 
 #endif
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -23,6 +23,7 @@
  * settings, config and core are borrowed and outlive the object. */
 rr_transfers *rr_transfers_create(const rr_cells_settings *settings, const struct rr_config *config,
                                   rr_core *core, uint64_t process);
+/* NULL is allowed. */
 void rr_transfers_destroy(rr_transfers *transfers);
 
 /* Takes a record of the package from the core's store cache; rest: its key after RR_CELLS_PREFIX.
@@ -37,22 +38,24 @@
     bool outgoing;
     char id[RR_ID_SIZE]; /* the job's, as this cell calls it */
     bool ends_copy;      /* cancels the copy of another cell's job: peers need an announcement */
-    bool ends_claim;     /* at a cell without controllers: deletes its record of the claim */
+    bool ends_claim;     /* at a cell without controllers: its record holds the claim no longer */
     rr_transaction transaction;
 } rr_transfer_write;
 
 /* Clears a write (rr_transfer_write *), or also frees it. */
 void rr_transfer_write_clear(gpointer write);
+/* As a GDestroyNotify for writes on the heap. */
 void rr_transfer_write_free(gpointer write);
 
 /* What a look at the transfers with one neighbour asks for. */
 typedef struct {
-    GPtrArray *writes; /* rr_transfer_write*, owned */
-    GPtrArray
-        *requests; /* rr_cells_request*, owned: one for each team and RR_CELLS_ITEMS_MAX items */
+    GPtrArray *writes;   /* rr_transfer_write*, owned */
+    GPtrArray *requests; /* rr_cells_request*, owned: each for one team, not larger than allowed */
 } rr_transfers_plan;
 
+/* An empty plan, for rr_transfers_plan_clear(). */
 void rr_transfers_plan_init(rr_transfers_plan *plan);
+/* Frees its writes and requests. */
 void rr_transfers_plan_clear(rr_transfers_plan *plan);
 
 /* Adds to the plan what is due with this neighbour. may_offer: no change that places tasks is under
@@ -115,6 +118,7 @@
     RR_CANCEL_WITHDRAW, /* the transfer's record of *version becomes *withdrawn */
     RR_CANCEL_WAIT      /* *wait_s pass: grants may last so long */
 };
+/* By the store cache; rr_transfers_may_cancel() guards against its lag. */
 enum rr_cancel_first rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
                                          double wall, double *wait_s, rr_out_record *withdrawn,
                                          uint64_t *version);
@@ -135,6 +139,7 @@
     uint64_t records_unread;          /* records that could not be read */
     bool spilling;
 } rr_transfers_stats;
+/* Copies the counters and the present state. */
 void rr_transfers_get_stats(const rr_transfers *transfers, rr_transfers_stats *out);
 
 #endif
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -12,6 +12,7 @@
 /* rps: the cloud's limit in requests a second. stop is borrowed. NULL: no HTTP client is to be had.
  */
 rr_cloud *rr_cloud_create(const struct rr_endpoint *endpoint, double rps, const atomic_bool *stop);
+/* NULL is allowed. */
 void rr_cloud_destroy(rr_cloud *cloud);
 
 /* All calls return 0; -EAGAIN: a status other than 200; -EBADMSG: not readable; or an error of
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -16,6 +16,7 @@
 /* *stop (stop may be NULL) ends running calls soon after it becomes true; it is borrowed. NULL: no
  * handle is to be had. */
 rr_client *rr_client_create(const atomic_bool *stop);
+/* Closes its connections. NULL is allowed. */
 void rr_client_destroy(rr_client *client);
 
 struct rr_call {
--- a/src/peer/cancellations.h
+++ b/src/peer/cancellations.h
@@ -1,4 +1,4 @@
-/* Confirmed cancellations that a peer is to be told. Each is announced once over each connection to
+/* Confirmed cancellations to announce to a peer. Each is announced once over each connection to
  * the peer, since a lost connection may not have delivered it, until it expires. No lock of its
  * own: the caller holds that of the peers. */
 #ifndef RR_PEER_CANCELLATIONS_H
@@ -9,7 +9,9 @@
 
 typedef struct rr_cancellations rr_cancellations;
 
+/* An empty list. */
 rr_cancellations *rr_cancellations_create(void);
+/* NULL is allowed. */
 void rr_cancellations_destroy(rr_cancellations *list);
 
 /* Adds a job whose cancellation is announced until this time of the steady clock. A full list drops
--- a/src/peer/link.h
+++ b/src/peer/link.h
@@ -7,6 +7,7 @@
 /* steady: attributes of a condition that waits by the steady clock. */
 void rr_peer_link_init(struct rr_peer_link *link, rr_peers *owner, int index,
                        const pthread_condattr_t *steady);
+/* Frees what waits to be sent; the thread has ended, or was never started. */
 void rr_peer_link_clear(struct rr_peer_link *link);
 /* Thread of a link: arg is the struct rr_peer_link. Ends at the peers' stop. */
 void *rr_peer_link_main(void *arg);
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -47,6 +47,7 @@
 int rr_peers_start(rr_peers *peers);
 /* Joins every thread, after *stop is set. */
 void rr_peers_stop(rr_peers *peers);
+/* After rr_peers_stop(), if they were started. NULL is allowed. */
 void rr_peers_destroy(rr_peers *peers);
 
 /* Queues a heartbeat that this controller received. The peers in `wanted` (a bit for each index)
--- a/src/peer/peer_state.h
+++ b/src/peer/peer_state.h
@@ -10,7 +10,8 @@
 
 #include <pthread.h>
 
-#define RR_PEER_RECEIVED_S 4.0  /* a peer counts as received from for so long after its last frame \
+#define RR_PEER_RECEIVED_S                                                                         \
+    4.0                         /* a peer counts as received from for so long after its last frame \
                                  */
 #define RR_PEER_DIGESTS_MAX 512 /* machines in a frame */
 
--- a/src/peer/stream.h
+++ b/src/peer/stream.h
@@ -16,7 +16,9 @@
     guint offset; /* of the first byte not read */
 };
 
+/* An empty inbox of a connection; fd may be negative if nothing is received. */
 void rr_inbox_init(struct rr_inbox *inbox, int fd);
+/* Frees the buffer. */
 void rr_inbox_clear(struct rr_inbox *inbox);
 
 /* Waits for the next frame. 0 with its payload in *reader, borrowed from the inbox until the next
--- a/src/store/budget.h
+++ b/src/store/budget.h
@@ -18,6 +18,7 @@
 
 /* The store's limits in requests and in changes (puts and deletes) a second. */
 rr_budget *rr_budget_create(double rps, double write_rps);
+/* NULL is allowed. */
 void rr_budget_destroy(rr_budget *budget);
 
 /* Sets this controller's parts of the limits. */
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -18,6 +18,7 @@
  * NULL if there is no HTTP client to be had. */
 rr_store *rr_store_create(const struct rr_endpoint *endpoint, rr_budget *budget,
                           const atomic_bool *stop);
+/* NULL is allowed. */
 void rr_store_destroy(rr_store *store);
 
 /* ---- transactions ---- */
--- a/src/store/token_buckets.h
+++ b/src/store/token_buckets.h
@@ -26,6 +26,7 @@
 /* Sets the rates from the store's limits and this controller's parts; tokens stay. */
 void rr_token_buckets_set_rates(struct rr_token_buckets *buckets, double rps, double write_rps,
                                 const struct rr_budget_shares *shares);
+/* Adds the tokens of the time since the last refill; now: steady clock, in seconds. */
 void rr_token_buckets_refill(struct rr_token_buckets *buckets, double now);
 /* Takes one request with `writes` changes from buckets refilled just before. 0: taken; otherwise
  * the seconds to wait until the next attempt, and nothing is taken. */
--- a/src/wire/document.h
+++ b/src/wire/document.h
@@ -20,6 +20,7 @@
  * which nothing is allocated. The buffer is copied. 0, or -EBADMSG; rr_document_clear() is safe
  * after either. */
 int rr_document_parse(rr_document *document, const void *data, size_t length);
+/* Its objects are no longer valid. */
 void rr_document_clear(rr_document *document);
 
 /* The functions below take NULL for an object and return false, or NULL, for it and for an object
@@ -32,6 +33,7 @@
 bool rr_object_number(const msgpack_object *object, double *out);
 /* Texts without a zero byte that fit with their end. */
 bool rr_object_text(const msgpack_object *object, char *out, size_t size);
+/* Whether the object is exactly this text. */
 bool rr_object_text_equals(const msgpack_object *object, const char *text);
 /* The index of the name that the object's text equals, or -1. */
 int rr_object_name_index(const msgpack_object *object, const char *const *names, int count);
--- a/src/wire/encoder.h
+++ b/src/wire/encoder.h
@@ -14,6 +14,7 @@
 
 /* An encoder must not move after its initialisation: the packer points into it. */
 void rr_encoder_init(rr_encoder *encoder);
+/* Frees the buffer; rr_encoder_init() is due before further use. */
 void rr_encoder_clear(rr_encoder *encoder);
 
 /* Opens a map of `count` keys with their values, or a list of `count` values: the caller appends
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -35,10 +35,12 @@
  * field, a constant, in *field, and nothing is to be cleared. */
 int rr_submission_decode(const msgpack_object *object, rr_submission *submission,
                          const char **field);
+/* Frees the machine types. May be repeated. */
 void rr_submission_clear(rr_submission *submission);
 
 /* Appends a submission's fields to an open map; rr_submission_field_count() says how many. */
 void rr_submission_encode_fields(rr_encoder *encoder, const rr_submission *submission);
+/* It depends on the optional fields that are set. */
 size_t rr_submission_field_count(const rr_submission *submission);
 
 /* Whether a text has the form of all job ids: "req-" and up to 36 digits. */
--- a/src/wire/wire_limits.h
+++ b/src/wire/wire_limits.h
@@ -4,10 +4,11 @@
 
 #include <stddef.h>
 
-#define RR_BODY_BYTES_MAX ((size_t)64 * 1024) /* of a request; responses may be bounded otherwise  \
-                                               */
-#define RR_TASKS_MAX 100000                   /* of a job */
-#define RR_MACHINE_TYPES_MAX 32               /* that a submission may name */
+#define RR_BODY_BYTES_MAX                                                                          \
+    ((size_t)64 * 1024)         /* of a request; responses may be bounded otherwise                \
+                                 */
+#define RR_TASKS_MAX 100000     /* of a job */
+#define RR_MACHINE_TYPES_MAX 32 /* that a submission may name */
 
 /* Buffers for texts with their end. */
 #define RR_ID_SIZE 64                      /* job ids, machine names and types, addresses */
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -47,6 +47,7 @@
 /* 0 or -EBADMSG: the whole heartbeat is refused for one task that can't be read, as its list would
  * prove nothing about absent tasks. rr_heartbeat_clear() is due after either. */
 int rr_heartbeat_decode(const msgpack_object *object, rr_heartbeat *heartbeat);
+/* Frees the tasks. May be repeated. */
 void rr_heartbeat_clear(rr_heartbeat *heartbeat);
 
 /* A hash of the content beside machine, worker epoch and sequence: two heartbeats of one worker
