--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -21,14 +21,20 @@
     guint claims;     /* planned in this look */
 };
 
-/* Moves the transaction. */
-static void add_there(struct look *look, const char *id, bool ends_claim,
-                      const rr_transaction *transaction) {
+/* Moves the transaction into a write there if the change is possible, and clears it otherwise.
+ * Returns whether it is possible. */
+static bool add_there(struct look *look, bool possible, const char *id, bool ends_claim,
+                      rr_transaction *transaction) {
+    if (!possible) {
+        rr_transaction_clear(transaction);
+        return false;
+    }
     rr_transfer_write *write = g_new0(rr_transfer_write, 1);
     write->ends_claim = ends_claim;
     write->transaction = *transaction;
     g_strlcpy(write->id, id, sizeof write->id);
     g_ptr_array_add(look->there, write);
+    return true;
 }
 
 /* ---- jobs that this cell holds ---- */
@@ -45,21 +51,16 @@
 static void write_answer(struct look *look, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    if (rr_absent_finish(look->absent, entry->record.job_id, &transaction)) {
-        add_there(look, entry->local_id, true, &transaction);
-    } else {
-        rr_transaction_clear(&transaction);
-    }
+    bool possible = rr_absent_finish(look->absent, entry->record.job_id, &transaction);
+    add_there(look, possible, entry->local_id, true, &transaction);
 }
 
 static void give_back(struct look *look, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    if (rr_absent_give_back(look->absent, entry->record.job_id, look->wall, &transaction)) {
-        add_there(look, entry->local_id, true, &transaction);
-    } else {
-        rr_transaction_clear(&transaction);
-    }
+    bool possible =
+        rr_absent_give_back(look->absent, entry->record.job_id, look->wall, &transaction);
+    add_there(look, possible, entry->local_id, true, &transaction);
 }
 
 static void look_at_held(struct look *look, rr_incoming *entry) {
@@ -134,12 +135,11 @@
         return;
     }
     rr_transaction_init(&transaction);
-    if (rr_absent_claim(look->absent, submission->job_id, submission->team, &transaction)) {
+    bool possible =
+        rr_absent_claim(look->absent, submission->job_id, submission->team, &transaction);
+    if (add_there(look, possible, submission->job_id, false, &transaction)) {
         rr_cells_room_take(&look->transfers->room, submission);
         look->claims++;
-        add_there(look, submission->job_id, false, &transaction);
-    } else {
-        rr_transaction_clear(&transaction);
     }
 }
 
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -1,5 +1,5 @@
 /* Drives this cell's jobs at others: repeats offers, grants guests the right to run, withdraws jobs
- * from guests that are not heard, and records answers. */
+ * from guests that do not respond, and records answers. */
 #include "cells/outgoing.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
--- a/src/cells/transfer.h
+++ b/src/cells/transfer.h
@@ -83,7 +83,7 @@
 bool rr_home_may_run(const rr_home *home, double now);
 /* Offers the job to a guest; nothing happens while it may run elsewhere, or runs here. */
 rr_home_step rr_home_offer(rr_home *home, uint32_t guest, double now);
-/* Takes an offered job back, as the guest is not heard or the user has cancelled. */
+/* Takes an offered job back, since the guest does not respond or the user has cancelled. */
 rr_home_step rr_home_withdraw(rr_home *home);
 /* The job has become final. */
 rr_home_step rr_home_end(rr_home *home, enum rr_job_answer answer);
--- a/src/peer/peer_state.h
+++ b/src/peer/peer_state.h
@@ -37,7 +37,7 @@
     double connected_at;      /* of the present connection */
     double confirm_timeout_s; /* how long it may stand without the peer's confirmation */
 
-    /* What the peer last said on its own link to us about whom it receives from. */
+    /* What the peer last reported, on its own link to us, about whom it receives from. */
     double digests_received_at;
     bool peer_receives[RR_CONTROLLERS_MAX]; /* by index of our configuration */
     bool peer_receives_us;
@@ -59,7 +59,7 @@
     pthread_cond_t connection_ended; /* signalled with each that ends */
 };
 
-/* Whether the peer has said something on its link to us lately. Caller holds the lock. */
+/* Whether the peer has lately sent digests on its link to us. Caller holds the lock. */
 static inline bool rr_peer_received_lately(const struct rr_peer_link *link, double now) {
     return link->digests_received_at > 0 && now - link->digests_received_at < RR_PEER_RECEIVED_S;
 }
--- a/src/wire/wire_words.h
+++ b/src/wire/wire_words.h
@@ -1,8 +1,7 @@
-/* The words of the wire, each once, beside the term that the code uses for it:
- * RR_WORD_<term> for fields and values, RR_PATH_<term> for paths. They name the
- * fields, values and paths of messages to users, workers, the cloud and the key-value store, and
- * the fields of stored records that have the form of such a message. Changing one changes the
- * protocol.
+/* The words of the wire, each once, beside the term that the code uses for it: RR_WORD_<term> for
+ * fields and values, RR_PATH_<term> for paths. They belong to messages to users, workers, the cloud
+ * and the key-value store, and to stored records that have the form of such a message. Changing one
+ * changes the protocol.
  *
  * A word that is already the code's term (mem_gb, price, one_zone) stands here too, as encoders and
  * decoders must agree on it. */
