--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -17,6 +17,7 @@
 /* Both arguments must outlive the object. */
 rr_admission *rr_admission_create(const struct rr_config *config,
                                   const rr_admission_settings *settings);
+/* NULL is allowed. */
 void rr_admission_destroy(rr_admission *admission);
 
 /* ---- tables, as the key-value store has them ---- */
@@ -78,6 +79,8 @@
     uint64_t refused_stale; /* of those refused, without a valid table */
     uint64_t frames_dropped, records_unread;
 } rr_admission_stats;
+
+/* Copies the counts. */
 void rr_admission_get_stats(const rr_admission *admission, rr_admission_stats *out);
 
 #endif
--- a/src/admission/demand.h
+++ b/src/admission/demand.h
@@ -10,6 +10,7 @@
 
 /* patience_s: a user who was refused is taken to ask again for this long. */
 rr_demand *rr_demand_create(double patience_s);
+/* NULL is allowed. */
 void rr_demand_destroy(rr_demand *demand);
 
 /* Records a refused job, which waits until it is admitted or its user's patience ends. A job that
@@ -21,7 +22,7 @@
 void rr_demand_admitted(rr_demand *demand, const rr_admission_key *key, const char *job_id,
                         rr_work work);
 
-/* True: the job has been accepted, by whatever controller. */
+/* True: the job has been accepted, by any controller. */
 typedef bool (*rr_job_known_fn)(void *user, const char *job_id);
 
 /* Removes waiting jobs that another controller has accepted. */
@@ -31,6 +32,7 @@
  * admissions from 0. */
 void rr_demand_next_interval(rr_demand *demand, double now);
 
+/* The number of waiting jobs, of all keys. */
 guint rr_demand_waiting(const rr_demand *demand);
 
 /* Jobs of one key, for views of the demand. */
--- a/src/admission/demand_view.h
+++ b/src/admission/demand_view.h
@@ -25,7 +25,9 @@
     GArray *entries;        /* rr_demand_entry */
 } rr_demand_view;
 
+/* An empty view. */
 void rr_demand_view_init(rr_demand_view *view);
+/* Frees the entries. Allowed on a zero-initialized view, and twice. */
 void rr_demand_view_clear(rr_demand_view *view);
 
 /* Makes a view of the demand; *out is the caller's to clear. */
--- a/src/admission/level_program.h
+++ b/src/admission/level_program.h
@@ -32,9 +32,11 @@
     GArray *rows, *cols, *values; /* int, int, double: the matrix; element 0 is unused */
 };
 
-/* level_max: where the next entity has all that it asks for. */
+/* Builds the program over the entities, which must outlive it. level_max: where the next entity has
+ * all that it asks for. */
 void rr_level_program_init(struct rr_level_program *program,
                            const struct rr_level_entities *entities, double level_max);
+/* Frees the program, not the entities. */
 void rr_level_program_clear(struct rr_level_program *program);
 
 /* Solves the program within seconds. False: no solution in that time. */
--- a/src/admission/offered_load.h
+++ b/src/admission/offered_load.h
@@ -42,10 +42,12 @@
 
 /* settings must outlive the load. */
 void rr_offered_load_init(rr_offered_load *load, const rr_admission_settings *settings);
+/* Frees what was gathered. */
 void rr_offered_load_clear(rr_offered_load *load);
 
 /* Begins a new visit; the last one is kept for comparison. */
 void rr_offered_load_begin(rr_offered_load *load);
+/* Adds a machine to the pool of its type and zone. */
 void rr_offered_load_add_machine(rr_offered_load *load, const char *type, const char *zone,
                                  rr_amount amount);
 /* Adds a job that is neither cancelled nor forgotten, by the numbers of its tasks. team: by the
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -30,7 +30,9 @@
     GArray *teams;             /* rr_admission_team */
 } rr_admission_table;
 
+/* An empty table. */
 void rr_admission_table_init(rr_admission_table *table);
+/* Frees the rows and teams. Allowed on a zero-initialized table, and twice. */
 void rr_admission_table_clear(rr_admission_table *table);
 
 /* Sorts the rows by id, which the search for a row requires. */
@@ -38,6 +40,7 @@
 
 /* The row of a key, or of the rest of a team's band; NULL: none. */
 const rr_admission_row *rr_admission_table_row(const rr_admission_table *table, uint64_t id);
+/* The entry of a team; NULL: none. */
 const rr_admission_team *rr_admission_table_team(const rr_admission_table *table, const char *name);
 
 #endif
--- a/src/admission/writer.h
+++ b/src/admission/writer.h
@@ -12,6 +12,7 @@
 /* Both arguments must outlive the writer. */
 rr_admission_writer *rr_admission_writer_create(const struct rr_config *config,
                                                 const rr_admission_settings *settings);
+/* NULL is allowed. */
 void rr_admission_writer_destroy(rr_admission_writer *writer);
 
 /* True: it is time to gather for the next table. newest: the newest table (sequence 0: none). */
@@ -32,6 +33,7 @@
     uint64_t fallbacks; /* tables whose shares were found by progressive filling */
     guint rows;         /* of the last table */
 } rr_admission_writer_stats;
+/* Copies the counts. */
 void rr_admission_writer_get_stats(const rr_admission_writer *writer,
                                    rr_admission_writer_stats *out);
 
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -136,7 +136,7 @@
             keep_one_zone(sim, job, zones);
         }
         /* A service's replicas run on separate machines. */
-        struct rr_demand demand = {
+        struct rr_task_demand demand = {
             .job = job,
             .zones = zones,
             .tasks = tasks,
@@ -215,11 +215,11 @@
     }
     credit_preemptible(sim, last, objective->within_s);
     rr_list_machines_with_room(sim);
-    struct rr_demand demand = {.job = last,
-                               .zones = zones,
-                               .tasks = (uint32_t)tasks,
-                               .per_machine_max = (uint32_t)tasks,
-                               .may_scale_out = true};
+    struct rr_task_demand demand = {.job = last,
+                                    .zones = zones,
+                                    .tasks = (uint32_t)tasks,
+                                    .per_machine_max = (uint32_t)tasks,
+                                    .may_scale_out = true};
     rr_simulate_demand(sim, &demand);
 }
 
--- a/src/core/autoscaling/demand_simulation.c
+++ b/src/core/autoscaling/demand_simulation.c
@@ -95,7 +95,7 @@
 
 /* Tasks placed on the machine, `left` at most. */
 static uint32_t fill_machine(const struct rr_demand_simulation *sim, rr_machine *machine,
-                             const struct rr_demand *demand, uint32_t left) {
+                             const struct rr_task_demand *demand, uint32_t left) {
     const rr_job *job = demand->job;
     if (machine->zone < 0 || !demand->zones[machine->zone] ||
         !rr_job_allows(sim->core, job, machine->machine_type, machine->zone, machine->spot)) {
@@ -110,7 +110,8 @@
 
 /* Places tasks on machines there are and drops those that are full from the list. Returns how many
  * tasks found no room. */
-static uint32_t fill_machines(struct rr_demand_simulation *sim, const struct rr_demand *demand) {
+static uint32_t fill_machines(struct rr_demand_simulation *sim,
+                              const struct rr_task_demand *demand) {
     uint32_t left = demand->tasks;
     guint kept = 0;
     guint i = 0;
@@ -172,7 +173,7 @@
     return NULL;
 }
 
-void rr_simulate_demand(struct rr_demand_simulation *sim, const struct rr_demand *demand) {
+void rr_simulate_demand(struct rr_demand_simulation *sim, const struct rr_task_demand *demand) {
     uint32_t left = fill_machines(sim, demand);
     for (; demand->may_scale_out && left > 0; left--) {
         struct rr_planned_rental *planned = find_planned_room(sim, demand->job, demand->zones);
--- a/src/core/autoscaling/demand_simulation.h
+++ b/src/core/autoscaling/demand_simulation.h
@@ -17,6 +17,7 @@
 /* Starts with the machines' real placements; each counts as surplus until a task needs it. */
 void rr_demand_simulation_init(struct rr_demand_simulation *sim, rr_core *core, double now,
                                double wall);
+/* Frees the lists; the machines keep their simulated room. */
 void rr_demand_simulation_clear(struct rr_demand_simulation *sim);
 
 /* True: new work can count on the machine, which is usable or about to be. */
@@ -25,7 +26,7 @@
 /* Lists the machines with room again, after room was added to some. */
 void rr_list_machines_with_room(struct rr_demand_simulation *sim);
 
-struct rr_demand {
+struct rr_task_demand {
     const rr_job *job;
     const bool *zones; /* allowed, by index */
     uint32_t tasks;
@@ -34,6 +35,6 @@
 };
 
 /* Finds room for the tasks, planning machines to rent where none has any. */
-void rr_simulate_demand(struct rr_demand_simulation *sim, const struct rr_demand *demand);
+void rr_simulate_demand(struct rr_demand_simulation *sim, const struct rr_task_demand *demand);
 
 #endif
--- a/src/core/autoscaling/page_changes.c
+++ b/src/core/autoscaling/page_changes.c
@@ -116,7 +116,7 @@
 }
 
 /* Writes some of the page's machines to a new page. Once the store cache shows them there, the old
- * page is written without them: no reader, of whatever version, sees a machine on no page, which
+ * page is written without them: no reader of any version sees a machine on no page, which
  * would mean that it has gone. A full read, in key order, finds it on the new page last. */
 static void split_page(struct rr_page_changes *changes, uint32_t id) {
     rr_core *core = changes->core;
--- a/src/core/autoscaling/page_changes.h
+++ b/src/core/autoscaling/page_changes.h
@@ -11,6 +11,7 @@
     int pages_left;      /* that the transaction takes */
 };
 
+/* Starts without changes. rr_page_changes_put() frees them. */
 void rr_page_changes_init(struct rr_page_changes *changes, rr_core *core);
 
 /* Adds the changed pages to the transaction and frees the changes. */
--- a/src/core/health/contacts.h
+++ b/src/core/health/contacts.h
@@ -21,7 +21,7 @@
 bool rr_peers_connected_for(const rr_core *core, double now, double seconds);
 
 /* Notes that the zones are being counted; a gap since the last count shows a pause of this process,
- * during which it heard nobody. */
+ * during which it heard no other process. */
 void rr_record_zone_count(rr_core *core, double now);
 
 /* True: this process has counted its zones without a pause for at least the last `seconds`. */
--- a/src/core/scaling.h
+++ b/src/core/scaling.h
@@ -27,7 +27,9 @@
     GPtrArray *machines; /* char*, RR_AUTOSCALER_SCALE_IN */
 } rr_autoscaler_step;
 
+/* An empty step; it must be cleared. */
 void rr_autoscaler_step_init(rr_autoscaler_step *step);
+/* Frees what the step owns. */
 void rr_autoscaler_step_clear(rr_autoscaler_step *step);
 
 /* Fills *out, which must be initialized, with the next step; RR_AUTOSCALER_NONE also if this
