--- a/src/core/health/partitions.c
+++ b/src/core/health/partitions.c
@@ -8,8 +8,9 @@
 #include <string.h>
 
 /* The machines of a zone send their heartbeats at different times, so that in a new partition the
- * first of them reach the age of a dead machine while most still count as heard. Of a healthy zone,
- * this part of an interval brings about the same part of the machines. */
+ * first of them reach the age of a dead machine while most still count as heard. By then no machine
+ * has been heard for the last part of an interval given here, in which most of a healthy zone is. A
+ * share below the minimum therefore shows that a partition may have begun. */
 #define RECENT_INTERVALS 0.65
 #define RECENT_SHARE_MIN 0.3
 
