--- a/src/cells/incoming_offers.c
+++ b/src/cells/incoming_offers.c
@@ -3,12 +3,12 @@
 #include "core/extensions.h"
 #include "core/leadership.h"
 #include "core/submissions.h"
+#include "core/state/record_words.h"
 
 #include <string.h>
 
 #define ROOM_AGE_MAX_S 1.0 /* before free room is summed up again */
 #define TIMES_TOLERANCE_S 1e-3
-#define ACCEPTED_AT_FIELD "at" /* as rr_core_job_encode() writes it */
 
 /* ---- free room ---- */
 
@@ -120,7 +120,7 @@
     bool readable =
         rr_document_parse(&document, item->submission->data, item->submission->len) == 0 &&
         rr_submission_decode(document.root, submission, &field) == 0;
-    rr_map_get_number(document.root, ACCEPTED_AT_FIELD, accepted_at);
+    rr_map_get_number(document.root, RR_RECORD_ACCEPTED_AT, accepted_at);
     rr_document_clear(&document);
     if (readable) {
         g_strlcpy(submission->job_id, local_id, sizeof submission->job_id);
--- a/src/core/autoscaling/autoscaling_state.h
+++ b/src/core/autoscaling/autoscaling_state.h
@@ -31,13 +31,4 @@
     bool ever_rented;  /* the store has or had a rental or a rented machine */
 };
 
-/* Fields of a rental's record. */
-#define RR_RENTAL_MACHINE_TYPE "build"
-#define RR_RENTAL_ZONE "ward"
-#define RR_RENTAL_SPOT "loaners"
-#define RR_RENTAL_COUNT "n"
-
-/* The key of a rental's record. */
-void rr_rental_key(const char *name, char *out, size_t size);
-
 #endif
--- a/src/core/autoscaling/rental_records.c
+++ b/src/core/autoscaling/rental_records.c
@@ -3,6 +3,8 @@
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/core_internal.h"
 #include "core/state/store_keys.h"
+#include "core/state/record_words.h"
+#include "wire/wire_words.h"
 
 void rr_rental_key(const char *name, char *out, size_t size) {
     g_snprintf(out, size, RR_KEY_RENTAL "%s", name);
@@ -31,10 +33,10 @@
     core->autoscaling.ever_rented = true;
     rental->version = version;
     rental->seen_in_reload = true;
-    rr_map_get_text(value, "build", rental->machine_type, sizeof rental->machine_type);
-    rr_map_get_text(value, "ward", rental->zone, sizeof rental->zone);
-    rr_map_get_bool(value, "loaners", &rental->spot);
-    rr_map_get_u64(value, "n", &count);
+    rr_map_get_text(value, RR_WORD_MACHINE_TYPE, rental->machine_type, sizeof rental->machine_type);
+    rr_map_get_text(value, RR_WORD_ZONE, rental->zone, sizeof rental->zone);
+    rr_map_get_bool(value, RR_WORD_SPOT, &rental->spot);
+    rr_map_get_u64(value, RR_RECORD_RENTAL_COUNT, &count);
     rental->count = (int)count;
 }
 
--- a/src/core/autoscaling/rental_records.h
+++ b/src/core/autoscaling/rental_records.h
@@ -4,6 +4,8 @@
 
 #include "core/autoscaling/autoscaling_state.h"
 
+/* Writes the key of a rental's record to out. */
+void rr_rental_key(const char *name, char *out, size_t size);
 /* Frees a rental; takes gpointer, as GLib's containers do. */
 void rr_rental_free(gpointer data);
 /* Takes over a rental's record. name: its key after RR_KEY_RENTAL. */
--- a/src/core/autoscaling/rentals.c
+++ b/src/core/autoscaling/rentals.c
@@ -5,6 +5,9 @@
 #include "core/core_internal.h"
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
+#include "core/state/record_words.h"
+#include "wire/wire_words.h"
+#include "core/autoscaling/rental_records.h"
 
 #include <string.h>
 
@@ -47,12 +50,12 @@
     rr_rental_key(name, key, sizeof key);
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 4);
-    rr_encode_key_text(&encoder, RR_RENTAL_MACHINE_TYPE,
+    rr_encode_key_text(&encoder, RR_WORD_MACHINE_TYPE,
                        rr_name_index_at(&core->stored.machine_type_names, planned->machine_type));
-    rr_encode_key_text(&encoder, RR_RENTAL_ZONE,
+    rr_encode_key_text(&encoder, RR_WORD_ZONE,
                        rr_name_index_at(&core->stored.zones, planned->zone));
-    rr_encode_key_bool(&encoder, RR_RENTAL_SPOT, planned->spot);
-    rr_encode_key_u64(&encoder, RR_RENTAL_COUNT, (uint64_t)count);
+    rr_encode_key_bool(&encoder, RR_WORD_SPOT, planned->spot);
+    rr_encode_key_u64(&encoder, RR_RECORD_RENTAL_COUNT, (uint64_t)count);
     rr_transaction_guard(transaction, key, 0);
     rr_transaction_put(transaction, key, &encoder, 0);
 }
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -9,6 +9,7 @@
 #include "core/cache_feed.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
+#include "core/state/record_words.h"
 
 #include <string.h>
 
@@ -30,9 +31,9 @@
 void rr_term_put(rr_core *core, const msgpack_object *value, uint64_t version) {
     rr_term *term = &core->membership.term;
     uint64_t token;
-    const msgpack_object *nodes = rr_map_get(value, "nodes");
-    if (version < term->version || !rr_map_get_u64(value, "token", &token) || !nodes ||
-        nodes->type != MSGPACK_OBJECT_ARRAY) {
+    const msgpack_object *nodes = rr_map_get(value, RR_RECORD_MEMBERS);
+    if (version < term->version || !rr_map_get_u64(value, RR_RECORD_FENCING_TOKEN, &token) ||
+        !nodes || nodes->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
     term->version = version;
@@ -41,7 +42,7 @@
         core->membership.new_term_wanted = false;
     }
     term->token = token;
-    rr_map_get_number(value, "born", &term->first_term_at);
+    rr_map_get_number(value, RR_RECORD_FIRST_TERM_AT, &term->first_term_at);
     decode_members(core, nodes);
     rr_assign_shards(core);
     g_array_set_size(core->planning.moves, 0); /* their teams may have another owner now */
@@ -88,9 +89,10 @@
     rr_encoder encoder;
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 3);
-    rr_encode_key_u64(&encoder, "token", term->token + 1);
-    rr_encode_key_number(&encoder, "born", term->token ? term->first_term_at : wall);
-    rr_encode_text(&encoder, "nodes");
+    rr_encode_key_u64(&encoder, RR_RECORD_FENCING_TOKEN, term->token + 1);
+    rr_encode_key_number(&encoder, RR_RECORD_FIRST_TERM_AT,
+                         term->token ? term->first_term_at : wall);
+    rr_encode_text(&encoder, RR_RECORD_MEMBERS);
     rr_encode_array(&encoder, sessions->len);
     for (guint i = 0; i < sessions->len; i++) {
         const rr_session *session = g_ptr_array_index(sessions, i);
--- a/src/core/state/job_records.c
+++ b/src/core/state/job_records.c
@@ -6,6 +6,8 @@
 #include "core/state/placement_accounting.h"
 #include "core/state/store_keys.h"
 #include "core/submissions.h"
+#include "core/state/record_words.h"
+#include "wire/wire_words.h"
 
 /* ---- encoding ---- */
 
@@ -17,8 +19,8 @@
                         bool cancelled) {
     rr_encode_map(encoder, rr_submission_field_count(submission) + 2);
     rr_submission_encode_fields(encoder, submission);
-    rr_encode_key_number(encoder, "at", when);
-    rr_encode_key_bool(encoder, "cancelled", cancelled);
+    rr_encode_key_number(encoder, RR_RECORD_ACCEPTED_AT, when);
+    rr_encode_key_bool(encoder, RR_RECORD_CANCELLED, cancelled);
 }
 
 bool rr_core_cancel_record(const rr_core *core, const char *job_id, rr_encoder *encoder,
@@ -37,10 +39,10 @@
     rr_encoder encoder;
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 4);
-    rr_encode_key_text(&encoder, "ref", job->submission.job_id);
-    rr_encode_key_text(&encoder, "final", "done");
-    rr_encode_key_text(&encoder, "crew", job->submission.team);
-    rr_encode_key_u64(&encoder, "pieces", job->submission.task_count);
+    rr_encode_key_text(&encoder, RR_WORD_JOB_ID, job->submission.job_id);
+    rr_encode_key_text(&encoder, RR_RECORD_FINAL, RR_RECORD_FINAL_DONE);
+    rr_encode_key_text(&encoder, RR_WORD_TEAM, job->submission.team);
+    rr_encode_key_u64(&encoder, RR_WORD_TASKS, job->submission.task_count);
     rr_core_job_key(job->submission.job_id, key, sizeof key);
     rr_transaction_guard(transaction, key, job->own_version);
     rr_transaction_put(transaction, key, &encoder, 0);
@@ -48,7 +50,7 @@
 
 void rr_core_batch_begin(rr_encoder *encoder, size_t count) {
     rr_encode_map(encoder, 1);
-    rr_encode_text(encoder, "jobs");
+    rr_encode_text(encoder, RR_RECORD_JOBS);
     rr_encode_array(encoder, count);
 }
 
@@ -61,11 +63,11 @@
 
 static void decode_final(rr_core *core, rr_job *job, const msgpack_object *value) {
     uint64_t task_count = 0;
-    rr_map_get_u64(value, "pieces", &task_count);
+    rr_map_get_u64(value, RR_WORD_TASKS, &task_count);
     if (job->submission.task_count == 0) {
         job->submission.task_count = (uint32_t)task_count;
     }
-    rr_map_get_text(value, "crew", job->submission.team, sizeof job->submission.team);
+    rr_map_get_text(value, RR_WORD_TEAM, job->submission.team, sizeof job->submission.team);
     job->done = true;
     job->done_count = job->submission.task_count;
     job->team = rr_name_index_add(&core->stored.teams, job->submission.team);
@@ -96,7 +98,7 @@
 static void decode_cancelled_only(rr_core *core, rr_job *job, const msgpack_object *value,
                                   const char *field) {
     rr_log_at(core, RR_LOG_ERROR, "job %s: record unreadable at %s", job->submission.job_id, field);
-    rr_map_get_bool(value, "cancelled", &job->cancelled);
+    rr_map_get_bool(value, RR_RECORD_CANCELLED, &job->cancelled);
     count_placements(core, job, -1);
     count_placements(core, job, 1); /* marks its machines dirty */
 }
@@ -121,8 +123,8 @@
     count_placements(core, job, -1);
     rr_submission_clear(&job->submission);
     job->submission = submission;
-    rr_map_get_number(value, "at", &job->accepted_at);
-    rr_map_get_bool(value, "cancelled", &job->cancelled);
+    rr_map_get_number(value, RR_RECORD_ACCEPTED_AT, &job->accepted_at);
+    rr_map_get_bool(value, RR_RECORD_CANCELLED, &job->cancelled);
     index_names(core, job);
     rr_job_open(core, job);
     count_placements(core, job, 1);
@@ -142,7 +144,7 @@
         return;
     }
     job->version = job->own_version = version;
-    if (rr_map_get(value, "final")) {
+    if (rr_map_get(value, RR_RECORD_FINAL)) {
         decode_final(core, job, value);
     } else {
         decode_submission(core, job, value, is_new);
@@ -153,8 +155,8 @@
 static void put_batch_entry(rr_core *core, rr_job_batch *batch, const msgpack_object *entry,
                             double now) {
     char job_id[RR_ID_SIZE];
-    if (!rr_map_get_text(entry, "ref", job_id, sizeof job_id) || !rr_job_id_valid(job_id) ||
-        rr_job_final(core, job_id, NULL, NULL)) {
+    if (!rr_map_get_text(entry, RR_WORD_JOB_ID, job_id, sizeof job_id) ||
+        !rr_job_id_valid(job_id) || rr_job_final(core, job_id, NULL, NULL)) {
         return;
     }
     rr_job *job = rr_job_get(core, job_id, now);
@@ -168,7 +170,7 @@
 
 void rr_job_batch_put(rr_core *core, const char *key, const msgpack_object *value, uint64_t version,
                       double now) {
-    const msgpack_object *entries = rr_map_get(value, "jobs");
+    const msgpack_object *entries = rr_map_get(value, RR_RECORD_JOBS);
     rr_job_batch *batch = g_new0(rr_job_batch, 1);
     batch->version = version;
     batch->jobs = g_ptr_array_new();
--- a/src/core/state/ledger.c
+++ b/src/core/state/ledger.c
@@ -6,6 +6,7 @@
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
 #include "core/state/placement_accounting.h"
+#include "core/state/record_words.h"
 
 #include <string.h>
 
@@ -92,11 +93,11 @@
     char hex[HEX_SIZE];
     encode_completions(job, chunk, done, hex);
     rr_encode_map(encoder, zone >= 0 ? 3 : 2);
-    rr_encode_key_text(encoder, "bits", hex);
+    rr_encode_key_text(encoder, RR_RECORD_DONE_BITS, hex);
     if (zone >= 0) {
-        rr_encode_key_text(encoder, "zone", rr_name_index_at(&core->stored.zones, zone));
+        rr_encode_key_text(encoder, RR_RECORD_ZONE, rr_name_index_at(&core->stored.zones, zone));
     }
-    rr_encode_text(encoder, "tasks");
+    rr_encode_text(encoder, RR_RECORD_PLACEMENTS);
     rr_encode_array(encoder, placements->len);
     for (guint i = 0; i < placements->len; i++) {
         encode_placement(encoder, &g_array_index(placements, rr_placement_record, i));
@@ -204,17 +205,17 @@
 static void decode_record(rr_core *core, rr_job *job, rr_ledger_record *record,
                           const msgpack_object *value, double now) {
     char hex[HEX_SIZE], zone[RR_TEXT_SIZE];
-    const msgpack_object *tasks = rr_map_get(value, "tasks");
+    const msgpack_object *tasks = rr_map_get(value, RR_RECORD_PLACEMENTS);
     if (!tasks || tasks->type != MSGPACK_OBJECT_ARRAY || tasks->via.array.size == 0) {
         tasks = NULL;
     }
     if (job->submission.task_count && (tasks || !(job->done || job->cancelled))) {
         rr_job_open(core, job);
     }
-    if (job->done_bits && rr_map_get_text(value, "bits", hex, sizeof hex)) {
+    if (job->done_bits && rr_map_get_text(value, RR_RECORD_DONE_BITS, hex, sizeof hex)) {
         decode_completions(job, record->chunk, hex);
     }
-    if (rr_map_get_text(value, "zone", zone, sizeof zone)) {
+    if (rr_map_get_text(value, RR_RECORD_ZONE, zone, sizeof zone)) {
         job->zone = rr_name_index_add(&core->stored.zones, zone);
     }
     replace_placements(core, job, record, decode_placements(core, tasks, now), now);
--- a/src/core/state/machine_pages.c
+++ b/src/core/state/machine_pages.c
@@ -6,6 +6,7 @@
 #include "core/state/name_index.h"
 #include "core/state/resources.h"
 #include "core/state/store_keys.h"
+#include "wire/wire_words.h"
 
 #include <string.h>
 
@@ -94,7 +95,7 @@
 
 void rr_machine_page_encode(const rr_core *core, rr_encoder *encoder, const GPtrArray *machines) {
     rr_encode_map(encoder, 1);
-    rr_encode_text(encoder, "stones");
+    rr_encode_text(encoder, RR_WORD_MACHINES);
     rr_encode_array(encoder, machines->len);
     for (guint i = 0; i < machines->len; i++) {
         encode_entry(core, encoder, g_ptr_array_index(machines, i));
@@ -211,7 +212,7 @@
                          uint64_t version, double now) {
     uint32_t id = parse_page_id(key_suffix);
     const rr_machine_page *known = find_page(core, id);
-    const msgpack_object *entries = rr_map_get(value, "stones");
+    const msgpack_object *entries = rr_map_get(value, RR_WORD_MACHINES);
     if (id == 0 || !entries || entries->type != MSGPACK_OBJECT_ARRAY ||
         (known && version < known->version)) {
         return;
--- a/src/core/state/transaction.c
+++ b/src/core/state/transaction.c
@@ -1,5 +1,6 @@
 /* Building transactions and encoding them for the store. */
 #include "core/state/transaction.h"
+#include "wire/wire_words.h"
 
 #include <string.h>
 
@@ -53,33 +54,33 @@
 
 static void encode_guard(rr_encoder *encoder, const rr_guard *guard) {
     rr_encode_map(encoder, 2);
-    rr_encode_key_text(encoder, "path", guard->key);
-    rr_encode_key_u64(encoder, "mark", guard->version);
+    rr_encode_key_text(encoder, RR_WORD_KEY, guard->key);
+    rr_encode_key_u64(encoder, RR_WORD_VERSION, guard->version);
 }
 
 static void encode_change(rr_encoder *encoder, const rr_change *change) {
     if (!change->value) {
         rr_encode_map(encoder, 1);
-        rr_encode_key_text(encoder, "delete", change->key);
+        rr_encode_key_text(encoder, RR_WORD_DELETE, change->key);
         return;
     }
     rr_encode_map(encoder, change->lease_id ? 3 : 2);
-    rr_encode_key_text(encoder, "put", change->key);
-    rr_encode_text(encoder, "v");
+    rr_encode_key_text(encoder, RR_WORD_PUT, change->key);
+    rr_encode_text(encoder, RR_WORD_VALUE);
     msgpack_sbuffer_write(&encoder->buffer, change->value, change->length);
     if (change->lease_id) {
-        rr_encode_key_u64(encoder, "tether", change->lease_id);
+        rr_encode_key_u64(encoder, RR_WORD_LEASE_ID, change->lease_id);
     }
 }
 
 void rr_transaction_encode(const rr_transaction *transaction, rr_encoder *encoder) {
     rr_encode_map(encoder, 2);
-    rr_encode_text(encoder, "guards");
+    rr_encode_text(encoder, RR_WORD_GUARDS);
     rr_encode_array(encoder, transaction->guards->len);
     for (guint i = 0; i < transaction->guards->len; i++) {
         encode_guard(encoder, &g_array_index(transaction->guards, rr_guard, i));
     }
-    rr_encode_text(encoder, "apply");
+    rr_encode_text(encoder, RR_WORD_CHANGES);
     rr_encode_array(encoder, transaction->changes->len);
     for (guint i = 0; i < transaction->changes->len; i++) {
         encode_change(encoder, &g_array_index(transaction->changes, rr_change, i));
--- a/src/core/views/job_views.c
+++ b/src/core/views/job_views.c
@@ -5,6 +5,7 @@
 #include "core/state/machines.h"
 #include "core/leadership.h"
 #include "core/submissions.h"
+#include "wire/wire_words.h"
 
 #include <string.h>
 
@@ -42,11 +43,11 @@
 
 void rr_core_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out) {
     memset(out, 0, sizeof *out);
-    out->state = "queued";
+    out->state = RR_WORD_QUEUED;
     if (rr_job_final(core, job_id, &out->done, &out->done_count)) {
         out->known = true;
         out->cancelled = !out->done;
-        out->state = out->done ? "done" : "aborted";
+        out->state = out->done ? RR_WORD_DONE : RR_WORD_CANCELLED;
         return;
     }
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
@@ -59,11 +60,11 @@
     out->done = job->done;
     out->cancelled = !job->done && job->cancelled;
     if (out->done) {
-        out->state = "done";
+        out->state = RR_WORD_DONE;
     } else if (out->cancelled) {
-        out->state = "aborted";
+        out->state = RR_WORD_CANCELLED;
     } else if ((out->running_count = count_running(core, job, now)) > 0) {
-        out->state = "running";
+        out->state = RR_WORD_RUNNING;
     }
 }
 
