--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -64,8 +64,8 @@
 
 /* ---- tables ---- */
 
-void rr_admission_put(rr_admission *admission, const char *rest, const msgpack_object *value,
-                      uint64_t version) {
+void rr_admission_put_record(rr_admission *admission, const char *rest, const msgpack_object *value,
+                             uint64_t version) {
     char *end;
     unsigned long slot = strtoul(rest, &end, 10);
     unsigned long part = *end == '/' ? strtoul(end + 1, &end, 10) : RR_ADMISSION_PARTS_MAX;
@@ -102,8 +102,8 @@
 
 /* Guards the records of both slots, so that an autoscaler that has not read the newest table writes
  * none. */
-bool rr_admission_write(const rr_admission *admission, const rr_admission_table *table,
-                        rr_transaction *out) {
+bool rr_admission_put_table(const rr_admission *admission, const rr_admission_table *table,
+                            rr_transaction *out) {
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
     char key[64];
     size_t bytes = (size_t)(rr_value_kb_max(admission->config) * 1024);
@@ -159,9 +159,9 @@
     return verdict;
 }
 
-rr_admission_verdict rr_admission_ask(rr_admission *admission, const rr_submission *submission,
-                                      const rr_admission_context *context, double wall,
-                                      double now) {
+rr_admission_verdict rr_admission_check(rr_admission *admission, const rr_submission *submission,
+                                        const rr_admission_context *context, double wall,
+                                        double now) {
     rr_admission_tables tables = get_tables(admission);
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     rr_admission_key key;
@@ -170,7 +170,7 @@
         return verdict;
     }
     bool stale = !context->lease_valid ||
-                 context->cache_age_s > rr_admission_counts_s(admission->settings->interval_s);
+                 context->cache_age_s > rr_admission_valid_s(admission->settings->interval_s);
     if (!stale) {
         verdict = rr_admission_decide(&tables, wall, admission->config->clock_off_s, &key,
                                       submission->job_id);
@@ -198,7 +198,7 @@
 
 /* ---- demand ---- */
 
-void rr_admission_tick(rr_admission *admission, double wall, double now) {
+void rr_admission_update_interval(rr_admission *admission, double wall, double now) {
     double length_s = admission->settings->interval_s;
     double edge = floor(wall / length_s) * length_s;
     if (edge != admission->interval_at) {
@@ -208,7 +208,7 @@
     }
 }
 
-void rr_admission_settle(rr_admission *admission, rr_job_known_fn known, void *user) {
+void rr_admission_forget_accepted(rr_admission *admission, rr_job_known_fn known, void *user) {
     rr_demand_forget_accepted(admission->demand, known, user);
 }
 
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -23,8 +23,8 @@
 /* ---- tables, as the key-value store has them ---- */
 
 /* Takes a record under RR_ADMISSION_PREFIX. rest: its key after the prefix. */
-void rr_admission_put(rr_admission *admission, const char *rest, const msgpack_object *value,
-                      uint64_t version);
+void rr_admission_put_record(rr_admission *admission, const char *rest, const msgpack_object *value,
+                             uint64_t version);
 
 /* The newest whole table; sequence 0: none. Valid until the next record. */
 const rr_admission_table *rr_admission_newest(const rr_admission *admission);
@@ -33,8 +33,8 @@
 
 /* Adds the table's records to the transaction, guarded against another autoscaler's; the term's
  * guard is the caller's. False: the table does not fit. */
-bool rr_admission_write(const rr_admission *admission, const rr_admission_table *table,
-                        rr_transaction *out);
+bool rr_admission_put_table(const rr_admission *admission, const rr_admission_table *table,
+                            rr_transaction *out);
 
 /* ---- submissions ---- */
 
@@ -47,8 +47,9 @@
 } rr_admission_context;
 
 /* The verdict on a submission that is valid and not yet known. A refused job counts as demand. */
-rr_admission_verdict rr_admission_ask(rr_admission *admission, const rr_submission *submission,
-                                      const rr_admission_context *context, double wall, double now);
+rr_admission_verdict rr_admission_check(rr_admission *admission, const rr_submission *submission,
+                                        const rr_admission_context *context, double wall,
+                                        double now);
 
 /* Records that the submission was admitted and its acceptance committed. */
 void rr_admission_accepted(rr_admission *admission, const rr_submission *submission);
@@ -56,10 +57,10 @@
 /* ---- demand of all controllers ---- */
 
 /* Begins a new interval of counting when it is time. */
-void rr_admission_tick(rr_admission *admission, double wall, double now);
+void rr_admission_update_interval(rr_admission *admission, double wall, double now);
 
 /* Removes jobs from the demand that were refused here and accepted by another controller since. */
-void rr_admission_settle(rr_admission *admission, rr_job_known_fn known, void *user);
+void rr_admission_forget_accepted(rr_admission *admission, rr_job_known_fn known, void *user);
 
 /* Packs this controller's view for its peers. False: nothing is to be announced. */
 bool rr_admission_announce(const rr_admission *admission, uint64_t fencing_token, GByteArray *out);
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -16,7 +16,7 @@
 
 typedef struct {
     char name[RR_NAME_SIZE];
-    double room;       /* fair part of all room, by the resource of which it uses most */
+    double fair_room;  /* fair part of all room, by the resource of which it uses most */
     double correction; /* what its tasks take, as a multiple of their estimates */
 } rr_admission_team;
 
--- a/src/admission/table_records.c
+++ b/src/admission/table_records.c
@@ -84,7 +84,7 @@
 static void put_team(rr_encoder *out, const rr_admission_team *team) {
     rr_encode_array(out, 3);
     rr_encode_text(out, team->name);
-    rr_encode_u64(out, (uint64_t)(team->room * ROOM_UNITS));
+    rr_encode_u64(out, (uint64_t)(team->fair_room * ROOM_UNITS));
     rr_encode_u64(out, (uint64_t)(team->correction * CORRECTION_UNITS));
 }
 
@@ -160,7 +160,7 @@
         !rr_object_u64(&object->via.array.ptr[2], &correction)) {
         return false;
     }
-    team->room = (double)room / ROOM_UNITS;
+    team->fair_room = (double)room / ROOM_UNITS;
     team->correction = (double)correction / CORRECTION_UNITS;
     return true;
 }
--- a/src/admission/verdict.c
+++ b/src/admission/verdict.c
@@ -74,8 +74,7 @@
                                          const char *job_id) {
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     const rr_admission_table *table = rr_admission_in_force(tables, wall);
-    if (table && table->active &&
-        wall > table->starts_at + rr_admission_counts_s(table->length_s)) {
+    if (table && table->active && wall > table->starts_at + rr_admission_valid_s(table->length_s)) {
         verdict.kind = RR_ADMISSION_STALE;
         return verdict;
     }
--- a/src/admission/verdict.h
+++ b/src/admission/verdict.h
@@ -12,7 +12,7 @@
 
 #define RR_ADMISSION_STALE_INTERVALS 3 /* a table is valid for so long after its interval */
 /* How long a table is valid, from its beginning. */
-static inline double rr_admission_counts_s(double interval_s) {
+static inline double rr_admission_valid_s(double interval_s) {
     return (1 + RR_ADMISSION_STALE_INTERVALS) * interval_s;
 }
 #define RR_RETRY_AFTER_MAX_S 30 /* the protocol's limit */
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -150,7 +150,8 @@
 static void add_teams(const rr_admission_writer *writer, const double *rooms,
                       rr_admission_table *out) {
     for (size_t i = 0; i < writer->config->team_count; i++) {
-        rr_admission_team team = {.room = rooms[i], .correction = writer->estimates.correction[i]};
+        rr_admission_team team = {.fair_room = rooms[i],
+                                  .correction = writer->estimates.correction[i]};
         g_strlcpy(team.name, writer->config->teams[i].name, sizeof team.name);
         g_array_append_val(out->teams, team);
     }
--- a/src/app/admission.c
+++ b/src/app/admission.c
@@ -17,7 +17,7 @@
     }
     pthread_mutex_lock(&state->lock);
     rr_admission_get_stats(state->admission, &before);
-    rr_admission_put(state->admission, rest, value, version);
+    rr_admission_put_record(state->admission, rest, value, version);
     rr_admission_get_stats(state->admission, &after);
     pthread_mutex_unlock(&state->lock);
     if (after.records_unread != before.records_unread && before.records_unread == 0) {
@@ -64,15 +64,16 @@
     return context;
 }
 
-bool rr_app_admission_ask(struct rr_app *app, const rr_submission *submission, int *retry_after_s) {
+bool rr_app_admission_check(struct rr_app *app, const rr_submission *submission,
+                            int *retry_after_s) {
     struct rr_app_admission *state = app->admission;
     if (!state) {
         return true;
     }
     rr_admission_context context = read_context(app);
     pthread_mutex_lock(&state->lock);
-    rr_admission_verdict verdict = rr_admission_ask(state->admission, submission, &context,
-                                                    rr_wall_clock_s(), rr_steady_clock_s());
+    rr_admission_verdict verdict = rr_admission_check(state->admission, submission, &context,
+                                                      rr_wall_clock_s(), rr_steady_clock_s());
     pthread_mutex_unlock(&state->lock);
     *retry_after_s = verdict.retry_after_s;
     return verdict.kind == RR_ADMISSION_ADMIT;
--- a/src/app/admission.h
+++ b/src/app/admission.h
@@ -12,7 +12,8 @@
 
 /* Whether a valid submission of an unknown job is admitted; if not, *retry_after_s is when its user
  * is to come back. Takes `lock`; caller holds no lock. */
-bool rr_app_admission_ask(struct rr_app *app, const rr_submission *submission, int *retry_after_s);
+bool rr_app_admission_check(struct rr_app *app, const rr_submission *submission,
+                            int *retry_after_s);
 /* Records that an admitted job is in the key-value store. */
 void rr_app_admission_accepted(struct rr_app *app, const rr_submission *submission);
 /* Takes a peer's view of the demand; a malformed one is dropped. Takes `lock`; caller holds no
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -31,7 +31,7 @@
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
-    rr_admission_settle(state->admission, job_known, app);
+    rr_admission_forget_accepted(state->admission, job_known, app);
     pthread_mutex_unlock(&state->lock);
     pthread_mutex_unlock(&app->lock);
 }
@@ -100,7 +100,7 @@
                          rr_transaction *transaction) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&state->lock);
-    bool fits = rr_admission_write(state->admission, table, transaction);
+    bool fits = rr_admission_put_table(state->admission, table, transaction);
     pthread_mutex_unlock(&state->lock);
     uint64_t revision = 0;
     enum rr_commit_status outcome = RR_COMMIT_INVALID;
@@ -154,9 +154,9 @@
     double rooms[RR_TEAMS_MAX];
     for (size_t i = 0; i < app->config.team_count; i++) {
         const rr_admission_team *team = rr_admission_table_team(table, app->config.teams[i].name);
-        rooms[i] = team ? team->room : 1;
+        rooms[i] = team ? team->fair_room : 1;
     }
-    rr_core_set_fair_room(app->core, rooms, table->cpus, table->gpus, table->mem_gb);
+    rr_core_set_fair_shares(app->core, rooms, table->cpus, table->gpus, table->mem_gb);
 }
 
 /* Hands the rooms of the table in force to the core, for this controller's own plans; once for each
@@ -167,12 +167,12 @@
     pthread_mutex_lock(&state->lock);
     const rr_admission_table *table = rr_admission_table_at(state->admission, wall);
     bool fresh = table && table->active && rr_core_all_admission_capable(app->core) &&
-                 wall < table->starts_at + rr_admission_counts_s(table->length_s);
+                 wall < table->starts_at + rr_admission_valid_s(table->length_s);
     uint64_t room_table = fresh ? table->sequence : 0;
     if (fresh && room_table != state->room_table) {
         set_rooms_of_table(app, table);
     } else if (!fresh && state->room_table != 0) {
-        rr_core_set_fair_room(app->core, NULL, 0, 0, 0);
+        rr_core_set_fair_shares(app->core, NULL, 0, 0, 0);
     }
     state->room_table = room_table;
     pthread_mutex_unlock(&state->lock);
@@ -199,7 +199,7 @@
         rr_sleep(fmin(length_s / PASSES_PER_INTERVAL, PASS_PAUSE_MAX_S));
         double wall = rr_wall_clock_s();
         pthread_mutex_lock(&state->lock);
-        rr_admission_tick(state->admission, wall, rr_steady_clock_s());
+        rr_admission_update_interval(state->admission, wall, rr_steady_clock_s());
         pthread_mutex_unlock(&state->lock);
         announce_demand(app, wall);
         double interval_start = floor(wall / length_s) * length_s;
--- a/src/app/cells_absent_reader.c
+++ b/src/app/cells_absent_reader.c
@@ -102,9 +102,9 @@
     GPtrArray *there = g_ptr_array_new();
     rr_transfers_plan_init(&here);
     pthread_mutex_lock(&app->lock);
-    rr_transfers_look_absent(app->cells->transfers, neighbour, reader->absent,
-                             reader->read_started_at, rr_steady_clock_s(), rr_wall_clock_s(), &here,
-                             there);
+    rr_transfers_advance_absent(app->cells->transfers, neighbour, reader->absent,
+                                reader->read_started_at, rr_steady_clock_s(), rr_wall_clock_s(),
+                                &here, there);
     pthread_mutex_unlock(&app->lock);
     for (guint i = 0; i < here.writes->len; i++) {
         rr_app_cells_commit(app, own_store, g_ptr_array_index(here.writes, i));
--- a/src/app/cells_neighbour_thread.c
+++ b/src/app/cells_neighbour_thread.c
@@ -98,8 +98,8 @@
     rr_transfers_plan plan;
     rr_transfers_plan_init(&plan);
     pthread_mutex_lock(&app->lock);
-    rr_transfers_look(app->cells->transfers, context->neighbour, !app->planning,
-                      rr_steady_clock_s(), rr_wall_clock_s(), &plan);
+    rr_transfers_advance(app->cells->transfers, context->neighbour, !app->planning,
+                         rr_steady_clock_s(), rr_wall_clock_s(), &plan);
     pthread_mutex_unlock(&app->lock);
     for (guint i = 0; i < plan.writes->len; i++) {
         rr_app_cells_commit(app, context->store, g_ptr_array_index(plan.writes, i));
--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -158,15 +158,15 @@
     return complete;
 }
 
-enum rr_cancel_first rr_app_cells_cancel(struct rr_app *app, const char *job_id,
-                                         struct rr_user_commit *commit, int *retry_after_s) {
+enum rr_cancel_precondition rr_app_cells_cancel(struct rr_app *app, const char *job_id,
+                                                struct rr_user_commit *commit, int *retry_after_s) {
     rr_out_record withdrawn;
     double wait_s = 0;
     if (!app->cells) {
         return RR_CANCEL_FREE;
     }
     pthread_mutex_lock(&app->lock);
-    enum rr_cancel_first first = rr_transfers_cancel(
+    enum rr_cancel_precondition first = rr_transfers_cancel(
         app->cells->transfers, job_id, rr_wall_clock_s(), &wait_s, &withdrawn, &commit->version);
     pthread_mutex_unlock(&app->lock);
     if (first == RR_CANCEL_WITHDRAW) {
--- a/src/app/cells_user_requests.h
+++ b/src/app/cells_user_requests.h
@@ -18,8 +18,8 @@
 /* What must happen before a job's cancellation may be recorded. With RR_CANCEL_WITHDRAW, *commit is
  * to be committed, which withdraws the transfer; unless RR_CANCEL_FREE, the user is to come back
  * after *retry_after_s. Takes `lock`; caller holds no lock. */
-enum rr_cancel_first rr_app_cells_cancel(struct rr_app *app, const char *job_id,
-                                         struct rr_user_commit *commit, int *retry_after_s);
+enum rr_cancel_precondition rr_app_cells_cancel(struct rr_app *app, const char *job_id,
+                                                struct rr_user_commit *commit, int *retry_after_s);
 /* Guards a cancellation by the record of the job's transfer. False: another cell has the job, or
  * had a moment ago. Caller holds `lock`. */
 bool rr_app_cells_guard_cancel(const struct rr_app *app, const char *job_id,
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -64,7 +64,7 @@
 /* If the batch was surely not sent, delivery->peer becomes the batch's fallback. */
 static void send_directly(struct rr_app *app, rr_client *client, const rr_command_batch *batch,
                           const rr_encoder *encoder, struct delivery *delivery) {
-    rr_reply reply = {0};
+    rr_http_reply reply = {0};
     /* The epoch of a worker that was never heard is unknown: only its status can be asked for. */
     bool status_only = is_probe(batch) && batch->worker_epoch == 0;
     delivery->rc =
@@ -81,7 +81,7 @@
 
 static void send_through_peer(struct rr_app *app, const rr_command_batch *batch,
                               const rr_encoder *encoder, struct delivery *delivery) {
-    rr_relayed relayed = {0};
+    rr_relayed_reply relayed = {0};
     delivery->rc =
         rr_peers_relay_commands(app->peers, delivery->peer, batch->address, encoder->buffer.data,
                                 encoder->buffer.size, batch_timeout_s(batch), &relayed);
@@ -117,7 +117,7 @@
 
 static void send_command_batch(struct rr_app *app, rr_client *client,
                                const rr_command_batch *batch) {
-    struct delivery delivery = {.rc = -ENOTCONN, .peer = batch->via};
+    struct delivery delivery = {.rc = -ENOTCONN, .peer = batch->peer};
     rr_encoder encoder;
     rr_encoder_init(&encoder);
     rr_commands_encode(&encoder, batch->fencing_token, batch->worker_epoch, batch->commands);
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -47,7 +47,7 @@
            "%u declared dead or returned, %u leases lost, %u notices",
            line, rr_http_server_connections(app->http_server), stats.machines, stats.booting,
            stats.jobs_open, stats.tasks_placed, stats.tasks_waiting, stats.moves, stats.rented,
-           stats.given_up, stats.leases_lost, stats.notices);
+           stats.machines_terminated, stats.leases_lost, stats.spot_notices);
 }
 
 /* Takes the store's budget shares from the core. Prepares a transaction if the term is to change;
--- a/src/app/planner_thread.c
+++ b/src/app/planner_thread.c
@@ -51,7 +51,7 @@
 }
 
 static int count_affordable_changes(const struct rr_app *app, const struct planner *planner) {
-    int changes = rr_budget_changes(app->budget);
+    int changes = rr_budget_plan_writes(app->budget);
     bool wait =
         changes < CHANGES_MIN && rr_steady_clock_s() - planner->committed_at < FEW_CHANGES_WAIT_S;
     return wait ? 0 : changes;
@@ -67,7 +67,7 @@
     if (rr_app_wait_revision(app, planner->needed_revision,
                              rr_steady_clock_s() + CONFLICT_WAIT_S)) {
         int changes = count_affordable_changes(app, planner);
-        rr_core_set_pressure(app->core, rr_budget_pressure(app->budget), changes);
+        rr_core_set_write_pressure(app->core, rr_budget_pressure(app->budget), changes);
         double began = rr_steady_clock_s();
         rr_core_plan(app->core, began, rr_wall_clock_s(), plan);
         queue_command_batches(app, plan);
--- a/src/app/thread_loop.c
+++ b/src/app/thread_loop.c
@@ -76,9 +76,9 @@
 /* The key-value store has rejected a transaction that is within its present limits: the lower
  * limits that the settings announce are in force from now on. */
 static void switch_to_next_limits(struct rr_app *app, bool outcome_unknown) {
-    rr_budget_next_limits_hold(app->budget);
+    rr_budget_put_next_limits_in_force(app->budget);
     pthread_mutex_lock(&app->lock);
-    rr_core_lower_limits(app->core, outcome_unknown);
+    rr_core_next_limits_in_force(app->core, outcome_unknown);
     pthread_cond_broadcast(&app->cache_advanced);
     pthread_mutex_unlock(&app->lock);
 }
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -101,7 +101,7 @@
 static void admit_submission(struct rr_app *app, const rr_submission *submission,
                              struct rr_http_response *response) {
     int retry_after_s = 0;
-    if (!rr_app_admission_ask(app, submission, &retry_after_s)) {
+    if (!rr_app_admission_check(app, submission, &retry_after_s)) {
         rr_app_refuse(response, 503, "the fair share is used up", retry_after_s);
         return;
     }
@@ -272,7 +272,7 @@
 static bool bring_job_home(struct rr_app *app, const char *job_id, int *retry_after_s) {
     struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_SUBMISSION_WAIT_MAX_S};
     rr_encoder_init(&commit.value);
-    enum rr_cancel_first first = rr_app_cells_cancel(app, job_id, &commit, retry_after_s);
+    enum rr_cancel_precondition first = rr_app_cells_cancel(app, job_id, &commit, retry_after_s);
     if (first == RR_CANCEL_WITHDRAW) {
         rr_user_commit_run(app, &commit);
     }
--- a/src/app/worker_requests.c
+++ b/src/app/worker_requests.c
@@ -16,9 +16,9 @@
 }
 
 /* Takes the heartbeat, and wakes the planner if it changes something. Caller holds `lock`. */
-static enum rr_heartbeat_news take_and_wake(struct rr_app *app, double now, rr_heartbeat *heartbeat,
-                                            int peer) {
-    enum rr_heartbeat_news effect = rr_core_take_heartbeat(app->core, now, heartbeat, peer);
+static enum rr_heartbeat_effect take_and_wake(struct rr_app *app, double now,
+                                              rr_heartbeat *heartbeat, int peer) {
+    enum rr_heartbeat_effect effect = rr_core_take_heartbeat(app->core, now, heartbeat, peer);
     if (effect == RR_HEARTBEAT_CHANGED) {
         rr_app_wake_planner(app);
     }
@@ -33,7 +33,7 @@
         if (rr_heartbeat_decode(document.root, &heartbeat) == 0) {
             rr_heartbeat_digest digest = rr_app_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
-            enum rr_heartbeat_news effect =
+            enum rr_heartbeat_effect effect =
                 take_and_wake(app, rr_steady_clock_s(), &heartbeat, peer);
             pthread_mutex_unlock(&app->lock);
             if (effect != RR_HEARTBEAT_IGNORED && hops == 0) {
@@ -84,7 +84,7 @@
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
     rr_core_reply_to_heartbeat(app->core, now, &heartbeat, &reply);
-    enum rr_heartbeat_news effect = take_and_wake(app, now, &heartbeat, HEARD_HERE);
+    enum rr_heartbeat_effect effect = take_and_wake(app, now, &heartbeat, HEARD_HERE);
     uint32_t occasional,
         subscribers = rr_core_heartbeat_subscribers(app->core, digest.machine, &occasional);
     pthread_mutex_unlock(&app->lock);
--- a/src/cells/cancellation.c
+++ b/src/cells/cancellation.c
@@ -25,8 +25,9 @@
 }
 
 /* entry NULL: the job was never offered. */
-static enum rr_cancel_first cancel_state(const rr_transfers *transfers, const rr_outgoing *entry,
-                                         double wall, double *wait_s) {
+static enum rr_cancel_precondition cancel_state(const rr_transfers *transfers,
+                                                const rr_outgoing *entry, double wall,
+                                                double *wait_s) {
     *wait_s = 0;
     if (!entry) {
         return RR_CANCEL_FREE;
@@ -49,11 +50,11 @@
     return cancel_state(transfers, entry, wall, &wait_s) == RR_CANCEL_FREE;
 }
 
-enum rr_cancel_first rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
-                                         double wall, double *wait_s, rr_out_record *withdrawn,
-                                         uint64_t *version) {
+enum rr_cancel_precondition rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
+                                                double wall, double *wait_s,
+                                                rr_out_record *withdrawn, uint64_t *version) {
     const rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
-    enum rr_cancel_first first = cancel_state(transfers, entry, wall, wait_s);
+    enum rr_cancel_precondition first = cancel_state(transfers, entry, wall, wait_s);
     if (first == RR_CANCEL_WITHDRAW) {
         *withdrawn = rr_cells_out_withdrawn(&entry->record, wall);
         *version = entry->version;
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -143,9 +143,9 @@
     }
 }
 
-void rr_transfers_look_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
-                              double asked, double now, double wall, rr_transfers_plan *here,
-                              GPtrArray *there) {
+void rr_transfers_advance_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
+                                 double asked, double now, double wall, rr_transfers_plan *here,
+                                 GPtrArray *there) {
     struct look look = {.transfers = transfers,
                         .neighbour = neighbour,
                         .absent = absent,
--- a/src/cells/incoming.h
+++ b/src/cells/incoming.h
@@ -38,7 +38,7 @@
 /* Whether the entry is loaded for the present term, this controller is its owner, and no write is
  * under way. */
 bool rr_incoming_ready(rr_transfers *transfers, const rr_incoming *entry, double now);
-/* As rr_transfers_look(), for the jobs of this neighbour here. */
+/* As rr_transfers_advance(), for the jobs of this neighbour here. */
 void rr_incoming_look(rr_transfers *transfers, size_t neighbour, double now,
                       rr_transfers_plan *plan);
 /* The home's reply to a message about a job that is held here. */
--- a/src/cells/outgoing.h
+++ b/src/cells/outgoing.h
@@ -37,7 +37,7 @@
 
 /* ---- outgoing.c ---- */
 
-/* As rr_transfers_look(), for this cell's jobs at the neighbour. */
+/* As rr_transfers_advance(), for this cell's jobs at the neighbour. */
 void rr_outgoing_look(rr_transfers *transfers, size_t neighbour, double now, double wall,
                       rr_transfers_plan *plan);
 /* As rr_transfers_receive(), for messages of guests. */
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -40,8 +40,8 @@
     return transfers->stats.records_unread == unread;
 }
 
-void rr_transfers_look(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
-                       double wall, rr_transfers_plan *plan) {
+void rr_transfers_advance(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
+                          double wall, rr_transfers_plan *plan) {
     if (!rr_core_cache_consistent(transfers->core) || !rr_core_lease_valid(transfers->core, now)) {
         return;
     }
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -60,8 +60,8 @@
 
 /* Adds to the plan what is due with this neighbour. may_offer: no change that places tasks is under
  * way. */
-void rr_transfers_look(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
-                       double wall, rr_transfers_plan *plan);
+void rr_transfers_advance(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
+                          double wall, rr_transfers_plan *plan);
 
 /* Takes a write's outcome, after the core has taken its changes. Returns the message that follows;
  * NOTHING: none. It goes into the reply to what caused the write; otherwise it may be dropped, as
@@ -97,12 +97,12 @@
 
 /* ---- neighbours without controllers ---- */
 
-/* As rr_transfers_look(), with a neighbour as its key-value store shows it. Changes to that store
- * are added to `there` (rr_transfer_write*), which gets a function to free them. asked: when the
- * reading began. */
-void rr_transfers_look_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
-                              double asked, double now, double wall, rr_transfers_plan *here,
-                              GPtrArray *there);
+/* As rr_transfers_advance(), with a neighbour as its key-value store shows it. Changes to that
+ * store are added to `there` (rr_transfer_write*), which gets a function to free them. asked: when
+ * the reading began. */
+void rr_transfers_advance_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
+                                 double asked, double now, double wall, rr_transfers_plan *here,
+                                 GPtrArray *there);
 /* A change to that store is committed. */
 void rr_transfers_absent_written(rr_transfers *transfers, const rr_transfer_write *write);
 
@@ -113,15 +113,15 @@
                               char *local_id, size_t size);
 
 /* What has to happen before a user's cancellation is recorded. */
-enum rr_cancel_first {
+enum rr_cancel_precondition {
     RR_CANCEL_FREE,     /* nothing */
     RR_CANCEL_WITHDRAW, /* the transfer's record of *version becomes *withdrawn */
     RR_CANCEL_WAIT      /* *wait_s pass: grants may last so long */
 };
 /* By the store cache; rr_transfers_may_cancel() guards against its lag. */
-enum rr_cancel_first rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
-                                         double wall, double *wait_s, rr_out_record *withdrawn,
-                                         uint64_t *version);
+enum rr_cancel_precondition rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
+                                                double wall, double *wait_s,
+                                                rr_out_record *withdrawn, uint64_t *version);
 /* Whether a cancellation may be recorded now, if the transfer's record still has *version (0: there
  * is none). The guard is needed because a store cache may lag behind an offer. */
 bool rr_transfers_may_cancel(const rr_transfers *transfers, const char *job_id, double wall,
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -48,15 +48,15 @@
 /* One call; body may be NULL. 0 with the map of a 200 in *document, for the caller to clear;
  * otherwise as declared for all calls, with *reply set if there was one. */
 static int call_cloud(rr_cloud *cloud, const char *method, const char *path, const rr_encoder *body,
-                      rr_reply *reply, rr_document *document) {
+                      rr_http_reply *reply, rr_document *document) {
     wait_for_turn(cloud);
-    struct rr_call call = {.method = method,
-                           .to = &cloud->endpoint,
-                           .path = path,
-                           .body = body ? body->buffer.data : NULL,
-                           .len = body ? body->buffer.size : 0,
-                           .timeout_s = TIMEOUT_S,
-                           .answer_max = REPLY_BYTES_MAX};
+    struct rr_http_call call = {.method = method,
+                                .endpoint = &cloud->endpoint,
+                                .path = path,
+                                .body = body ? body->buffer.data : NULL,
+                                .len = body ? body->buffer.size : 0,
+                                .timeout_s = TIMEOUT_S,
+                                .reply_bytes_max = REPLY_BYTES_MAX};
     int rc = rr_client_call(cloud->client, &call, reply);
     if (rc != 0) {
         return rc;
@@ -79,7 +79,7 @@
 }
 
 int rr_cloud_catalog(rr_cloud *cloud, GArray *machine_types) {
-    rr_reply reply;
+    rr_http_reply reply;
     rr_document document;
     int rc = call_cloud(cloud, "GET", RR_PATH_CATALOG, NULL, &reply, &document);
     if (rc != 0) {
@@ -103,7 +103,7 @@
 /* The machines after *from, which becomes the last one. */
 static int list_page(rr_cloud *cloud, char *from, size_t size, GArray *machines, bool *more) {
     char path[PATH_SIZE];
-    rr_reply reply;
+    rr_http_reply reply;
     rr_document document;
     g_snprintf(path, sizeof path, RR_PATH_MACHINES "?" RR_WORD_LIMIT "=%d%s%s", LIST_PAGE_MACHINES,
                from[0] ? "&" RR_WORD_FROM "=" : "", from);
@@ -148,7 +148,7 @@
 }
 
 /* A 503 also comes in an outage, after which the outcome is unknown; its text tells them apart. */
-static bool says_no_capacity(const rr_reply *reply) {
+static bool says_no_capacity(const rr_http_reply *reply) {
     rr_document document;
     rr_document_parse(&document, reply->body->data, reply->body->len);
     const msgpack_object *error = rr_map_get(document.root, RR_WORD_ERROR);
@@ -169,7 +169,7 @@
 
 int rr_cloud_rental(rr_cloud *cloud, const char *rental, const char *machine_type, const char *zone,
                     bool spot, int how_many, int *status, GPtrArray *ids) {
-    rr_reply reply = {0};
+    rr_http_reply reply = {0};
     rr_document document;
     rr_encoder body;
     rr_encoder_init(&body);
@@ -188,7 +188,7 @@
 }
 
 int rr_cloud_release(rr_cloud *cloud, const GPtrArray *ids) {
-    rr_reply reply = {0};
+    rr_http_reply reply = {0};
     rr_document document;
     rr_encoder body;
     rr_encoder_init(&body);
--- a/src/conf/config.h
+++ b/src/conf/config.h
@@ -49,16 +49,17 @@
     double session_share;      /* lease of the session, as a share of cancel_s - lease_s */
     double answer_share; /* how long heartbeats are answered while the store cache stands still, as
                             a share of what cancellations allow */
-    double silent_reports; /* heartbeats missed before a machine gets no new work */
-    double dead_reports;   /* heartbeats missed before a single machine is declared dead */
-    double idle_return_s;  /* idle time before a rented machine is returned */
-    double headroom;       /* factor on the arrivals expected during a boot */
-    double boot_patience;  /* boots longer than this many startup_s are not counted on */
-    double cloud_list_s;   /* pause between lists of machines */
-    int senders;           /* command threads */
-    int max_connections;   /* HTTP connections, at most */
-    int max_threads;       /* of the process; each connection takes one */
-    double plan_pause_ms;  /* pause between two plans, at least */
+    double recent_heartbeat_intervals; /* heartbeats missed before a machine gets no new work */
+    double
+        dead_heartbeat_intervals; /* heartbeats missed before a single machine is declared dead */
+    double idle_return_s;         /* idle time before a rented machine is returned */
+    double headroom;              /* factor on the arrivals expected during a boot */
+    double boot_patience;         /* boots longer than this many startup_s are not counted on */
+    double cloud_list_s;          /* pause between lists of machines */
+    int senders;                  /* command threads */
+    int max_connections;          /* HTTP connections, at most */
+    int max_threads;              /* of the process; each connection takes one */
+    double plan_pause_ms;         /* pause between two plans, at least */
 };
 
 /* All settings. Durations and sizes have their unit in the name; rps: requests per second. */
--- a/src/core/autoscaling/scale_in.c
+++ b/src/core/autoscaling/scale_in.c
@@ -111,7 +111,7 @@
         machine->to_release = machine->scaling_in;
         machine->declared_dead = machine->scaling_in && machine->placements->len > 0 &&
                                  !rr_machine_heartbeat_recent(core, machine, now);
-        machine->probe_fails = 0;
+        machine->failed_probes = 0;
         machine->failed_suspect_probes = 0;
     }
 }
--- a/src/core/cache_feed.h
+++ b/src/core/cache_feed.h
@@ -33,6 +33,6 @@
  * in force from here on. in_doubt: an earlier copy of it went unanswered and may still be
  * committed; a new term is made then, which voids it, as every plan is guarded by the term's
  * record. */
-void rr_core_lower_limits(rr_core *core, bool in_doubt);
+void rr_core_next_limits_in_force(rr_core *core, bool in_doubt);
 
 #endif
--- a/src/core/extensions.h
+++ b/src/core/extensions.h
@@ -35,7 +35,8 @@
 void rr_core_each_machine(const rr_core *core, rr_core_machine_fn callback, void *user);
 /* Under overload, limits each team to its share of the given total while others wait. rooms: shares
  * by team of the settings, copied; NULL: no overload. */
-void rr_core_set_fair_room(rr_core *core, const double *rooms, double cpu, double gpu, double mem);
+void rr_core_set_fair_shares(rr_core *core, const double *rooms, double cpu, double gpu,
+                             double mem);
 
 /* ---- jobs ---- */
 
--- a/src/core/health/failure_detector.c
+++ b/src/core/health/failure_detector.c
@@ -10,9 +10,10 @@
 
 bool rr_machine_dead(const rr_core *core, const rr_machine *machine, double now) {
     double age_s = rr_heartbeat_age(machine, now);
-    double limit_s = core->config->tuning.dead_reports * core->config->heartbeat_interval_s;
+    double limit_s =
+        core->config->tuning.dead_heartbeat_intervals * core->config->heartbeat_interval_s;
     if (!rr_machine_was_up(machine) || machine->zone < 0 || age_s < limit_s ||
-        machine->probe_fails < FAILED_PROBES_MIN) {
+        machine->failed_probes < FAILED_PROBES_MIN) {
         return false;
     }
     /* A process that runs late has heartbeats in its sockets that it has not read yet. */
--- a/src/core/health/heartbeat_replies.c
+++ b/src/core/health/heartbeat_replies.c
@@ -35,7 +35,8 @@
 
 static bool is_unwanted(const rr_core *core, const rr_task_status *task, double now) {
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
-    return (job && job->cancelled && !job->done) || rr_job_final(core, task->job_id, NULL, NULL) ||
+    return (job && job->cancelled && !job->done) ||
+           rr_job_outcome(core, task->job_id, NULL, NULL) ||
            rr_has_cancel_hint(core, task->job_id, now);
 }
 
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -76,12 +76,12 @@
 
 static void record_heard(rr_machine *machine, double now, int heard_via) {
     machine->heartbeat_at = machine->reported_at = now;
-    machine->probe_fails = 0;
+    machine->failed_probes = 0;
     machine->heard_via = heard_via;
 }
 
-enum rr_heartbeat_news rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
-                                              int heard_via) {
+enum rr_heartbeat_effect rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
+                                                int heard_via) {
     rr_machine *machine = find_or_add_machine(core, heartbeat->machine, now);
     if (!machine || !is_newer(machine, heartbeat)) {
         rr_heartbeat_clear(heartbeat);
@@ -91,7 +91,7 @@
     update_verified(core, machine, heartbeat, now);
     if (rr_machine_heartbeat_overdue(core, machine, now)) {
         /* The machine was unreachable as a whole, which explains its unanswered commands. */
-        machine->unanswered = machine->failed_suspect_probes = 0;
+        machine->unanswered_commands = machine->failed_suspect_probes = 0;
     }
     uint64_t hash = rr_heartbeat_hash(heartbeat);
     bool changed = !has_same_content(machine, heartbeat, hash);
@@ -107,7 +107,7 @@
     }
     if (changed) {
         rr_record_fetched_images(core, machine);
-        rr_mark_dirty(core, machine);
+        rr_machine_mark_dirty(core, machine);
     }
     return changed ? RR_HEARTBEAT_CHANGED : RR_HEARTBEAT_UNCHANGED;
 }
@@ -127,7 +127,7 @@
     if (!older) {
         machine->stale_answers = 0;
     } else if (machine->stale_answers++ == 0) {
-        machine->stale_at = now;
+        machine->stale_answers_since = now;
     }
 }
 
--- a/src/core/health/machine_health.c
+++ b/src/core/health/machine_health.c
@@ -52,7 +52,7 @@
 bool rr_machine_heartbeat_recent(const rr_core *core, const rr_machine *machine, double now) {
     return machine->heartbeat_seen &&
            now - machine->heartbeat_at <=
-               core->config->tuning.silent_reports * core->config->heartbeat_interval_s;
+               core->config->tuning.recent_heartbeat_intervals * core->config->heartbeat_interval_s;
 }
 
 bool rr_machine_heartbeats_lost(const rr_core *core, const rr_machine *machine, double now) {
@@ -62,12 +62,12 @@
 }
 
 bool rr_machine_commands_unanswered(const rr_machine *machine) {
-    return machine->unanswered >= COMMANDS_UNANSWERED_MAX;
+    return machine->unanswered_commands >= COMMANDS_UNANSWERED_MAX;
 }
 
 bool rr_machine_name_reused(const rr_machine *machine, double now) {
     return machine->stale_answers >= STALE_ANSWERS_MIN &&
-           now - machine->stale_at > STALE_ANSWERS_MIN_S;
+           now - machine->stale_answers_since > STALE_ANSWERS_MIN_S;
 }
 
 /* Jobs that failed here and are not themselves at fault. */
@@ -81,12 +81,14 @@
 }
 
 bool rr_machine_quarantined(const rr_machine *machine, double now) {
-    return machine->last_failure_at > 0 && now - machine->last_failure_at < QUARANTINE_S &&
+    return machine->last_task_failure_at > 0 &&
+           now - machine->last_task_failure_at < QUARANTINE_S &&
            count_credible_failures(machine) >= QUARANTINE_JOBS_MIN;
 }
 
 bool rr_machine_failed_recently(const rr_machine *machine, double now) {
-    return machine->last_failure_at > 0 && now - machine->last_failure_at < RECENT_FAILURE_S &&
+    return machine->last_task_failure_at > 0 &&
+           now - machine->last_task_failure_at < RECENT_FAILURE_S &&
            count_credible_failures(machine) > 0;
 }
 
@@ -120,10 +122,11 @@
 }
 
 void rr_record_task_failure(rr_core *core, rr_machine *machine, rr_job *job, double now) {
-    if (machine->last_failure_at > 0 && now - machine->last_failure_at > FAILURE_MEMORY_S) {
+    if (machine->last_task_failure_at > 0 &&
+        now - machine->last_task_failure_at > FAILURE_MEMORY_S) {
         g_array_set_size(machine->failed_jobs, 0);
     }
-    machine->last_failure_at = now;
+    machine->last_task_failure_at = now;
     if (machine->failed_jobs->len < FAILURES_KEPT_MAX &&
         !array_contains(machine->failed_jobs, &job, sizeof(rr_job *))) {
         g_array_append_val(machine->failed_jobs, job);
--- a/src/core/health/partitions.c
+++ b/src/core/health/partitions.c
@@ -88,7 +88,8 @@
 
 bool rr_zone_controller_reached(const rr_core *core, int zone, double now) {
     const char *name = rr_name_index_at(&core->stored.zones, zone);
-    double seconds = core->config->tuning.dead_reports * core->config->heartbeat_interval_s;
+    double seconds =
+        core->config->tuning.dead_heartbeat_intervals * core->config->heartbeat_interval_s;
     if (!rr_process_running_for(core, now, seconds)) {
         return false;
     }
--- a/src/core/heartbeats.h
+++ b/src/core/heartbeats.h
@@ -5,7 +5,7 @@
 #include "core/core.h"
 #include "wire/wire.h"
 
-enum rr_heartbeat_news {
+enum rr_heartbeat_effect {
     RR_HEARTBEAT_IGNORED,   /* not newer than what is known */
     RR_HEARTBEAT_UNCHANGED, /* newer, with the content of the one before */
     RR_HEARTBEAT_CHANGED
@@ -13,8 +13,8 @@
 
 /* Takes over the heartbeat's content and clears the struct. heard_via: index of the peer that
  * forwarded it, -1: it was sent to this controller. */
-enum rr_heartbeat_news rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
-                                              int heard_via);
+enum rr_heartbeat_effect rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
+                                                int heard_via);
 
 /* Takes over the answer to a command or probe, as with a heartbeat, and verifies the machine. True:
  * the machine's own heartbeats arrive too, so that peers may take this answer for one. */
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -124,7 +124,7 @@
     rr_transaction_guard(transaction, RR_KEY_TERM, core->membership.term.version);
 }
 
-void rr_core_lower_limits(rr_core *core, bool in_doubt) {
+void rr_core_next_limits_in_force(rr_core *core, bool in_doubt) {
     if (!core->stored.next_limits_in_force) {
         rr_log_at(core, RR_LOG_INFO, "key-value store: the next limits are in force");
     }
--- a/src/core/planning.h
+++ b/src/core/planning.h
@@ -10,14 +10,14 @@
  * spare, and how many changes a plan may make now. Under pressure completions are gathered for
  * longer, so that one change records more of them. A plan never waits for its changes, since other
  * owners reserve the same machines meanwhile. */
-void rr_core_set_pressure(rr_core *core, double pressure, int changes);
+void rr_core_set_write_pressure(rr_core *core, double pressure, int changes);
 
 /* Commands for one machine, to be sent together. */
 typedef struct {
     char machine[RR_ID_SIZE], address[RR_ID_SIZE];
     uint64_t fencing_token, worker_epoch;
     GArray *commands;  /* rr_command; empty: a probe, which asks for the machine's status */
-    int via;           /* peer to send through, -1: direct */
+    int peer;          /* peer to send through, -1: direct */
     int fallback;      /* peer to try if nothing could be sent directly, -1: none */
     bool may_time_out; /* likely to go unanswered: not to be sent before other batches */
 } rr_command_batch;
--- a/src/core/scheduling/command_batches.c
+++ b/src/core/scheduling/command_batches.c
@@ -24,9 +24,9 @@
     batch->worker_epoch = machine->heartbeat.worker_epoch;
     batch->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
     batch->fallback = machine->heard_via;
-    batch->via = machine->heard_via >= 0 && direct_path_bad ? machine->heard_via : -1;
+    batch->peer = machine->heard_via >= 0 && direct_path_bad ? machine->heard_via : -1;
     batch->may_time_out =
-        machine->unanswered > 0 ||
+        machine->unanswered_commands > 0 ||
         rr_heartbeat_age(machine, planner->now) >
             LATE_HEARTBEAT_INTERVALS * planner->core->config->heartbeat_interval_s;
     machine->plan_commands = batch;
--- a/src/core/scheduling/fair_share.c
+++ b/src/core/scheduling/fair_share.c
@@ -13,7 +13,8 @@
 /* A job that has waited longer than this shows that other teams do not use the free room. */
 #define FAIR_SHARE_WAIT_MAX_S 60.0
 
-void rr_core_set_fair_room(rr_core *core, const double *rooms, double cpu, double gpu, double mem) {
+void rr_core_set_fair_shares(rr_core *core, const double *rooms, double cpu, double gpu,
+                             double mem) {
     core->extensions.fair_share_enabled = rooms != NULL;
     core->extensions.total_resources = (rr_resources){cpu, gpu, mem};
     for (size_t i = 0; rooms && i < core->config->team_count; i++) {
--- a/src/core/scheduling/placement_verdict.c
+++ b/src/core/scheduling/placement_verdict.c
@@ -52,7 +52,7 @@
         return false;
     }
     uint32_t chunk = placement->task / job->tasks_per_record;
-    if (holds_older_attempt(rr_job_ledger_record(job, chunk), placement)) {
+    if (holds_older_attempt(rr_job_ledger_record_get(job, chunk), placement)) {
         return true;
     }
     for (guint i = rr_job_chunks(job); i < job->records->len; i++) { /* overflow records */
--- a/src/core/scheduling/plan_edits.c
+++ b/src/core/scheduling/plan_edits.c
@@ -149,7 +149,7 @@
 
 struct rr_record_edit *rr_plan_edit_record(struct rr_planner *planner, rr_job *job,
                                            uint32_t chunk) {
-    rr_ledger_record *record = rr_job_ledger_record(job, chunk);
+    rr_ledger_record *record = rr_job_ledger_record_get(job, chunk);
     if (record->edit) {
         return record->edit;
     }
@@ -186,7 +186,7 @@
     placement->terminated_at =
         placement->terminated_at > 0 ? placement->terminated_at : planner->now;
     double wait_max_s = COMPLETION_WAIT_MAX_S * planner->core->planning.write_pressure;
-    rr_ledger_record *record = rr_job_ledger_record(job, placement->chunk);
+    rr_ledger_record *record = rr_job_ledger_record_get(job, placement->chunk);
     struct rr_terminated_placement terminated = {
         .machine = machine,
         .job = job,
--- a/src/core/scheduling/plan_transaction.c
+++ b/src/core/scheduling/plan_transaction.c
@@ -96,7 +96,7 @@
     }
     for (guint i = keys->len; i > 0 && planner->change_count < planner->change_limit; i--) {
         rr_job *job;
-        const rr_ledger_record *record = rr_garbage_record(core, i - 1, &job);
+        const rr_ledger_record *record = rr_orphan_record_find(core, i - 1, &job);
         if (!record || !record->version) {
             g_ptr_array_remove_index_fast(keys, i - 1);
         } else if (!job->open && !record->edit && job->team >= 0 && rr_owns_team(core, job->team)) {
--- a/src/core/scheduling/planner.c
+++ b/src/core/scheduling/planner.c
@@ -74,7 +74,7 @@
     for (guint i = 0; i < terminated->len; i++) {
         const struct rr_terminated_placement *entry =
             &g_array_index(terminated, struct rr_terminated_placement, i);
-        rr_job_ledger_record(entry->job, entry->chunk)->first_terminated = 0;
+        rr_job_ledger_record_get(entry->job, entry->chunk)->first_terminated = 0;
     }
 }
 
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -59,7 +59,7 @@
 }
 
 static bool is_suspect(const rr_machine *machine, double now) {
-    return machine->unanswered >= SUSPECT_UNANSWERED_MIN || now < machine->suspect_until;
+    return machine->unanswered_commands >= SUSPECT_UNANSWERED_MIN || now < machine->suspect_until;
 }
 
 /* Whether only late heartbeats may have told of the machine: a live exchange has to verify it. */
@@ -139,7 +139,7 @@
     double reports_within_s = SUSPECT_INTERVALS * core->config->heartbeat_interval_s;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        if (machine->unanswered >= SUSPECT_UNANSWERED_MIN && machine->recorded &&
+        if (machine->unanswered_commands >= SUSPECT_UNANSWERED_MIN && machine->recorded &&
             now - machine->heartbeat_at < reports_within_s) {
             g_ptr_array_add(machine_names, g_strdup(machine->name));
         }
@@ -150,8 +150,8 @@
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* this process may not have read the answer yet */
     }
-    machine->unanswered_at = machine->unanswered++ == 0 ? now : machine->unanswered_at;
-    if (machine->unanswered >= SUSPECT_UNANSWERED_MIN) {
+    machine->unanswered_at = machine->unanswered_commands++ == 0 ? now : machine->unanswered_at;
+    if (machine->unanswered_commands >= SUSPECT_UNANSWERED_MIN) {
         rr_core_suspect(core, machine->name, now);
     }
 }
@@ -160,7 +160,7 @@
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* this process may not have read the answer yet */
     }
-    machine->probe_fails++;
+    machine->failed_probes++;
     /* A machine without heartbeats is overdue, not suspect. */
     if (!rr_machine_heartbeat_overdue(core, machine, now)) {
         machine->suspect_probes_failed_at =
@@ -170,8 +170,8 @@
 }
 
 static void record_answered_probe(rr_machine *machine) {
-    machine->probe_fails = 0;
-    machine->failed_suspect_probes = machine->unanswered = 0;
+    machine->failed_probes = 0;
+    machine->failed_suspect_probes = machine->unanswered_commands = 0;
     machine->suspect_until = 0;
 }
 
@@ -196,7 +196,7 @@
                                    const rr_command_batch *batch, enum rr_command_outcome outcome) {
     machine->next_command_at = now + UNANSWERED_RETRY_S;
     record_unanswered(core, machine, now);
-    if (batch->via < 0) {
+    if (batch->peer < 0) {
         machine->direct_path_bad_until = now + INDIRECT_PATH_S;
     }
     if (outcome == RR_COMMAND_OUTCOME_UNKNOWN) {
@@ -214,14 +214,14 @@
         return;
     }
     machine->command_inflight = false;
-    rr_mark_dirty(core, machine);
+    rr_machine_mark_dirty(core, machine);
     if (is_probe && answered) {
         record_answered_probe(machine);
     } else if (is_probe) {
         record_failed_probe(core, machine, now);
     } else if (answered) {
         machine->next_command_at = executed ? 0 : now + NOT_EXECUTED_RETRY_S;
-        machine->unanswered = 0;
+        machine->unanswered_commands = 0;
     } else {
         record_failed_commands(core, machine, now, batch, outcome);
     }
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -89,7 +89,7 @@
     const rr_core *core = planner->core;
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
     if (!job) {
-        return rr_job_final(core, task->job_id, NULL, NULL) &&
+        return rr_job_outcome(core, task->job_id, NULL, NULL) &&
                cleans_up_final_job(core, task, planner->now);
     }
     return is_own_job(core, job) && !rr_placement_find(machine, task->attempt, job, task->task);
@@ -180,7 +180,7 @@
     for (guint i = 0; record && i < record->placements->len; i++) {
         rr_machine *machine = g_array_index(record->placements, rr_placement_record, i).machine;
         if (!machine->dirty && reconcile_machine(planner, machine)) {
-            rr_mark_dirty(planner->core, machine);
+            rr_machine_mark_dirty(planner->core, machine);
         }
     }
 }
@@ -205,7 +205,7 @@
     }
     core->membership.all_dirty_token = core->membership.term.token;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        rr_mark_dirty(core, g_ptr_array_index(core->stored.machine_list, i));
+        rr_machine_mark_dirty(core, g_ptr_array_index(core->stored.machine_list, i));
     }
 }
 
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -84,7 +84,7 @@
  * which is written only while every controller reads them. NO_RECORD: none. */
 static int64_t find_record(const struct rr_planner *planner, rr_job *job, uint32_t task) {
     uint32_t home = task / job->tasks_per_record, first_overflow = rr_job_chunks(job);
-    if (takes_placement(planner, rr_job_ledger_record(job, home))) {
+    if (takes_placement(planner, rr_job_ledger_record_get(job, home))) {
         return home;
     }
     if (!rr_all_gang_capable(planner->core)) {
--- a/src/core/state/job_records.c
+++ b/src/core/state/job_records.c
@@ -135,7 +135,7 @@
 
 void rr_job_put(rr_core *core, const char *job_id, const msgpack_object *value, uint64_t version,
                 double now) {
-    if (rr_job_final(core, job_id, NULL, NULL)) {
+    if (rr_job_outcome(core, job_id, NULL, NULL)) {
         return; /* a final job does not change any more */
     }
     rr_job *job = rr_job_get(core, job_id, now);
@@ -156,7 +156,7 @@
                             double now) {
     char job_id[RR_ID_SIZE];
     if (!rr_map_get_text(entry, RR_WORD_JOB_ID, job_id, sizeof job_id) ||
-        !rr_job_id_valid(job_id) || rr_job_final(core, job_id, NULL, NULL)) {
+        !rr_job_id_valid(job_id) || rr_job_outcome(core, job_id, NULL, NULL)) {
         return;
     }
     rr_job *job = rr_job_get(core, job_id, now);
--- a/src/core/state/job_retention.h
+++ b/src/core/state/job_retention.h
@@ -6,9 +6,9 @@
 
 /* Frees the ledger of a closed job once no record of it is in use or expected by the watch. */
 void rr_job_trim(const rr_core *core, rr_job *job);
-/* Shrinks every job that was retirable at the last call and still is to its outcome (rr_job_final).
- * Calls are at least a minute apart, so that no late record revives a job it no longer knows.
- * wall: time of day, seconds. */
+/* Shrinks every job that was retirable at the last call and still is to its outcome
+ * (rr_job_outcome). Calls are at least a minute apart, so that no late record revives a job it no
+ * longer knows. wall: time of day, seconds. */
 void rr_jobs_shrink(rr_core *core, double wall);
 
 #endif
--- a/src/core/state/jobs.c
+++ b/src/core/state/jobs.c
@@ -71,7 +71,7 @@
            (job->done_bits[task / 8] >> (task % 8) & 1);
 }
 
-bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count) {
+bool rr_job_outcome(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count) {
     gpointer outcome;
     if (!g_hash_table_lookup_extended(core->stored.final_jobs, job_id, NULL, &outcome)) {
         return false;
--- a/src/core/state/jobs.h
+++ b/src/core/state/jobs.h
@@ -1,5 +1,5 @@
 /* Jobs in the store cache. Each is in one of three states: open (not final, or with placements
- * left), closed (final and without placements) or shrunk to its outcome (rr_job_final). */
+ * left), closed (final and without placements) or shrunk to its outcome (rr_job_outcome). */
 #ifndef RR_CORE_STATE_JOBS_H
 #define RR_CORE_STATE_JOBS_H
 
@@ -45,7 +45,7 @@
 /* Whether the job or this task of it is done. */
 bool rr_job_task_done(const rr_job *job, uint32_t task);
 /* Whether the job has shrunk to its outcome; *done and *done_count (may be NULL) receive it. */
-bool rr_job_final(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count);
+bool rr_job_outcome(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count);
 /* Notes an arrival, for headroom; those of the first load are of any age and don't count. */
 void rr_arrivals_add(rr_core *core, rr_job *job);
 /* Drops arrivals older than RR_ARRIVAL_WINDOW_S. wall: time of day, seconds. */
--- a/src/core/state/ledger.c
+++ b/src/core/state/ledger.c
@@ -172,7 +172,7 @@
         rr_placement_find(recorded->machine, recorded->attempt, job, recorded->task);
     if (placement && placement->preempt != recorded->preempt) {
         placement->preempt = recorded->preempt;
-        rr_mark_dirty(core, recorded->machine);
+        rr_machine_mark_dirty(core, recorded->machine);
     }
 }
 
@@ -227,11 +227,11 @@
     uint32_t chunk;
     if (!rr_ledger_record_key_parse(key_suffix, job_id, sizeof job_id, &chunk) ||
         chunk > RR_TASKS_MAX / core->stored.tasks_per_record ||
-        rr_job_final(core, job_id, NULL, NULL)) {
+        rr_job_outcome(core, job_id, NULL, NULL)) {
         return;
     }
     rr_job *job = rr_job_get(core, job_id, now);
-    rr_ledger_record *record = rr_job_ledger_record(job, chunk);
+    rr_ledger_record *record = rr_job_ledger_record_get(job, chunk);
     /* Own changes are applied before the watch brings the changes that precede them: a version
      * older than the record's deletion would bring back terminated placements and restart them. */
     if (version < record->version || version <= record->deleted_at_revision) {
@@ -276,7 +276,7 @@
         }
     }
     for (guint i = 0; i < core->stored.orphan_record_keys->len; i++) {
-        rr_ledger_record *record = rr_garbage_record(core, i, NULL);
+        rr_ledger_record *record = rr_orphan_record_find(core, i, NULL);
         if (record) {
             record->seen_in_reload = false;
         }
@@ -291,7 +291,7 @@
 
 void rr_ledger_end_reload(rr_core *core, uint64_t first, double now) {
     for (guint i = 0; i < core->stored.orphan_record_keys->len; i++) {
-        rr_ledger_record *record = rr_garbage_record(core, i, NULL);
+        rr_ledger_record *record = rr_orphan_record_find(core, i, NULL);
         if (gone_after_reload(record, first)) {
             record->version = 0;
         }
--- a/src/core/state/ledger_record.c
+++ b/src/core/state/ledger_record.c
@@ -16,7 +16,7 @@
                                                      : NULL;
 }
 
-rr_ledger_record *rr_job_ledger_record(rr_job *job, uint32_t chunk) {
+rr_ledger_record *rr_job_ledger_record_get(rr_job *job, uint32_t chunk) {
     if (!job->records) {
         job->records = g_ptr_array_new_with_free_func(rr_ledger_record_free);
     }
@@ -77,7 +77,7 @@
     g_ptr_array_add(core->stored.orphan_record_keys, g_strdup(key));
 }
 
-rr_ledger_record *rr_garbage_record(const rr_core *core, guint i, rr_job **job) {
+rr_ledger_record *rr_orphan_record_find(const rr_core *core, guint i, rr_job **job) {
     const char *key = g_ptr_array_index(core->stored.orphan_record_keys, i);
     char job_id[RR_ID_SIZE];
     uint32_t chunk;
--- a/src/core/state/ledger_record.h
+++ b/src/core/state/ledger_record.h
@@ -57,7 +57,7 @@
 
 /* Returns the job's record of this chunk, creating it without placements if there is none. The job
  * owns it. */
-rr_ledger_record *rr_job_ledger_record(rr_job *job, uint32_t chunk);
+rr_ledger_record *rr_job_ledger_record_get(rr_job *job, uint32_t chunk);
 /* Returns the job's record of this chunk, or NULL. */
 rr_ledger_record *rr_job_ledger_record_find(const rr_job *job, uint32_t chunk);
 /* Number of the job's chunks; the first overflow record has this number. */
@@ -79,6 +79,6 @@
 void rr_orphan_record_add(rr_core *core, const char *job_id, uint32_t chunk);
 /* Returns the orphan record that the i-th listed key names, or NULL if the store cache does not
  * have it; *job (may be NULL) receives its job or NULL. */
-rr_ledger_record *rr_garbage_record(const rr_core *core, guint i, rr_job **job);
+rr_ledger_record *rr_orphan_record_find(const rr_core *core, guint i, rr_job **job);
 
 #endif
--- a/src/core/state/machine_pages.c
+++ b/src/core/state/machine_pages.c
@@ -113,7 +113,7 @@
     if (machine->placements->len == 0) {
         rr_machine_forget(core, machine);
     } else {
-        rr_mark_dirty(core, machine);
+        rr_machine_mark_dirty(core, machine);
     }
 }
 
@@ -144,7 +144,7 @@
     if (!machine->recorded) {
         machine->known_at = machine->idle_since = now;
         machine->recorded_while_watching = !core->stored.reloading && !machine->heartbeat_seen;
-        rr_mark_dirty(core, machine);
+        rr_machine_mark_dirty(core, machine);
     }
     bool scaling_in = entry->flags & FLAG_SCALING_IN;
     machine->scaling_in_at = scaling_in && !machine->scaling_in ? now : machine->scaling_in_at;
--- a/src/core/state/machines.c
+++ b/src/core/state/machines.c
@@ -56,7 +56,7 @@
     g_hash_table_remove(core->stored.machines, machine->name);
 }
 
-void rr_mark_dirty(rr_core *core, rr_machine *machine) {
+void rr_machine_mark_dirty(rr_core *core, rr_machine *machine) {
     if (!machine->dirty) {
         machine->dirty = true;
         g_ptr_array_add(core->stored.dirty_machines, machine);
--- a/src/core/state/machines.h
+++ b/src/core/state/machines.h
@@ -30,8 +30,8 @@
                                      which may be late copies */
     bool command_inflight;
     unsigned stale_answers; /* in a row that were older than its last heartbeat */
-    double stale_at;
-    unsigned unanswered;            /* commands in a row that got no answer */
+    double stale_answers_since;
+    unsigned unanswered_commands;   /* commands in a row that got no answer */
     double unanswered_at;           /* since when */
     double suspect_until;           /* a controller found its commands unanswered there */
     unsigned failed_suspect_probes; /* in a row, while its heartbeats continued */
@@ -43,7 +43,7 @@
     int heard_via;       /* peer, -1: this controller */
     GArray *images;      /* int: images it has, oldest first */
     GArray *failed_jobs; /* rr_job*: jobs that failed here */
-    double last_failure_at, full_until;
+    double last_task_failure_at, full_until;
     GHashTable *unanswered_starts; /* attempts whose start went unanswered, under the next two */
     uint64_t unanswered_starts_token, unanswered_starts_epoch;
     double next_command_at;
@@ -51,7 +51,7 @@
     /* autoscaler */
     bool listed, list_failed, to_record, rented, to_release, declared_dead, releasing;
     bool surplus;
-    int probe_fails;
+    int failed_probes;
     double listed_at, idle_since, probed_at;
     /* scratch of one plan or simulation */
     void *plan_commands; /* rr_command_batch */
@@ -74,7 +74,7 @@
 /* Frees a machine; takes gpointer, as GLib's containers do. */
 void rr_machine_free(gpointer data);
 /* Lists the machine for reconciliation by the next plan. */
-void rr_mark_dirty(rr_core *core, rr_machine *machine);
+void rr_machine_mark_dirty(rr_core *core, rr_machine *machine);
 /* Returns the machine's placement of this attempt, or NULL. */
 rr_placement *rr_placement_find(const rr_machine *machine, uint64_t attempt, const rr_job *job,
                                 uint32_t task);
--- a/src/core/state/placement_accounting.c
+++ b/src/core/state/placement_accounting.c
@@ -40,7 +40,7 @@
     rr_job *job = placement->job;
     machine->used = rr_resources_add(machine->used, job->request, sign);
     count_for_team(core, job, sign);
-    rr_mark_dirty(core, machine);
+    rr_machine_mark_dirty(core, machine);
     count_for_task(core, job, placement->task, sign);
 }
 
--- a/src/core/state/transfer_holds.c
+++ b/src/core/state/transfer_holds.c
@@ -41,7 +41,8 @@
     for (guint k = 0; job->records && k < job->records->len; k++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, k);
         for (guint i = 0; record && i < record->placements->len; i++) {
-            rr_mark_dirty(core, g_array_index(record->placements, rr_placement_record, i).machine);
+            rr_machine_mark_dirty(
+                core, g_array_index(record->placements, rr_placement_record, i).machine);
         }
     }
 }
--- a/src/core/views/core_stats.c
+++ b/src/core/views/core_stats.c
@@ -10,7 +10,7 @@
         out->machines += machine->recorded;
         out->booting += machine->recorded && !machine->heartbeat_seen;
         out->tasks_placed += machine->placements->len;
-        out->priced += machine->recorded ? rr_machine_price(core, machine) : 0;
+        out->price_sum += machine->recorded ? rr_machine_price(core, machine) : 0;
     }
 }
 
@@ -22,7 +22,7 @@
             out->tasks_waiting += job->submission.task_count - job->done_count - job->placed_count;
         }
     }
-    out->jobs_whole = g_hash_table_size(core->stored.jobs);
+    out->unshrunk_jobs = g_hash_table_size(core->stored.jobs);
 }
 
 void rr_core_get_stats(const rr_core *core, rr_core_stats *out) {
@@ -31,8 +31,8 @@
     count_jobs(core, out);
     out->moves = core->counters.moves_made;
     out->rented = core->counters.rented;
-    out->given_up = core->counters.machines_terminated;
+    out->machines_terminated = core->counters.machines_terminated;
     out->leases_lost = core->counters.leases_lost;
-    out->notices = core->counters.spot_notices;
-    out->visits = core->counters.machines_visited;
+    out->spot_notices = core->counters.spot_notices;
+    out->machines_visited = core->counters.machines_visited;
 }
--- a/src/core/views/job_views.c
+++ b/src/core/views/job_views.c
@@ -44,7 +44,7 @@
 void rr_core_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out) {
     memset(out, 0, sizeof *out);
     out->state = RR_WORD_QUEUED;
-    if (rr_job_final(core, job_id, &out->done, &out->done_count)) {
+    if (rr_job_outcome(core, job_id, &out->done, &out->done_count)) {
         out->known = true;
         out->cancelled = !out->done;
         out->state = out->done ? RR_WORD_DONE : RR_WORD_CANCELLED;
--- a/src/core/views/package_views.c
+++ b/src/core/views/package_views.c
@@ -43,7 +43,7 @@
 
 bool rr_core_job_known(const rr_core *core, const char *job_id) {
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
-    return (job && job->version) || rr_job_final(core, job_id, NULL, NULL);
+    return (job && job->version) || rr_job_outcome(core, job_id, NULL, NULL);
 }
 
 bool rr_core_find_job(const rr_core *core, const char *job_id, rr_core_job *out) {
@@ -107,6 +107,6 @@
 bool rr_core_job_cancelled(const rr_core *core, const char *job_id, double now) {
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     bool done = false;
-    bool final = rr_job_final(core, job_id, &done, NULL);
+    bool final = rr_job_outcome(core, job_id, &done, NULL);
     return (job && job->cancelled) || (final && !done) || rr_has_cancel_hint(core, job_id, now);
 }
--- a/src/core/views/submission_check.c
+++ b/src/core/views/submission_check.c
@@ -70,7 +70,7 @@
                                                   const char **why) {
     int team = rr_config_team(core->config, submission->team);
     const rr_job *known = g_hash_table_lookup(core->stored.jobs, submission->job_id);
-    if ((known && known->version) || rr_job_final(core, submission->job_id, NULL, NULL)) {
+    if ((known && known->version) || rr_job_outcome(core, submission->job_id, NULL, NULL)) {
         return RR_SUBMISSION_KNOWN;
     }
     if (team < 0) {
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -98,7 +98,7 @@
     g_free(client);
 }
 
-static void set_method_and_body(rr_client *client, const struct rr_call *call) {
+static void set_method_and_body(rr_client *client, const struct rr_http_call *call) {
     curl_easy_setopt(client->curl, CURLOPT_HTTPHEADER, client->headers);
     if (strcmp(call->method, "GET") == 0) {
         curl_easy_setopt(client->curl, CURLOPT_HTTPGET, 1L);
@@ -115,16 +115,17 @@
     }
 }
 
-static void set_target(rr_client *client, const struct rr_call *call) {
+static void set_target(rr_client *client, const struct rr_http_call *call) {
     char url[URL_SIZE];
-    g_snprintf(url, sizeof url, "http://%s:%u%s", call->to->host, call->to->port, call->path);
+    g_snprintf(url, sizeof url, "http://%s:%u%s", call->endpoint->host, call->endpoint->port,
+               call->path);
     curl_easy_setopt(client->curl, CURLOPT_URL, url);
     curl_easy_setopt(client->curl, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(client->curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(client->curl, CURLOPT_PROXY, "");
 }
 
-static void set_connection(rr_client *client, const struct rr_call *call) {
+static void set_connection(rr_client *client, const struct rr_http_call *call) {
     long timeout_ms = (long)(call->timeout_s * 1000);
     curl_easy_setopt(client->curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(client->curl, CURLOPT_TIMEOUT_MS, timeout_ms);
@@ -163,10 +164,10 @@
     }
 }
 
-int rr_client_call(rr_client *client, const struct rr_call *call, rr_reply *out) {
+int rr_client_call(rr_client *client, const struct rr_http_call *call, rr_http_reply *out) {
     curl_easy_reset(client->curl); /* options only: connections stay */
     g_byte_array_set_size(client->reply_body, 0);
-    client->reply_body_max = call->answer_max;
+    client->reply_body_max = call->reply_bytes_max;
     client->retry_after_s = 0;
     set_target(client, call);
     set_connection(client, call);
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -19,25 +19,25 @@
 /* Closes its connections. NULL is allowed. */
 void rr_client_destroy(rr_client *client);
 
-struct rr_call {
+struct rr_http_call {
     const char *method; /* GET, POST or DELETE */
-    const struct rr_endpoint *to;
+    const struct rr_endpoint *endpoint;
     const char *path; /* with its query */
     const void *body; /* NULL: none; a GET has none */
     size_t len;
-    double timeout_s;  /* of the whole call */
-    bool fresh;        /* over a connection of its own, closed afterwards */
-    size_t answer_max; /* bytes of the reply's body; 0: no bound */
+    double timeout_s;       /* of the whole call */
+    bool fresh;             /* over a connection of its own, closed afterwards */
+    size_t reply_bytes_max; /* bytes of the reply's body; 0: no bound */
 };
 
 typedef struct {
     long status;
     GByteArray *body;     /* owned by the client, valid until its next call */
     double retry_after_s; /* 0: the reply does not say */
-} rr_reply;
+} rr_http_reply;
 
 /* 0 with a reply of any status; -ENOTCONN: certainly not sent; -EIO, -ETIMEDOUT or, if stopped,
  * -ECANCELED: the request may have been executed, or may still be. */
-int rr_client_call(rr_client *client, const struct rr_call *call, rr_reply *out);
+int rr_client_call(rr_client *client, const struct rr_http_call *call, rr_http_reply *out);
 
 #endif
--- a/src/peer/incoming_frames.c
+++ b/src/peer/incoming_frames.c
@@ -165,7 +165,7 @@
     if (reader->malformed || timeout_ms > RELAY_TIMEOUT_MAX_MS) {
         return -EBADMSG;
     }
-    rr_reply reply = {0};
+    rr_http_reply reply = {0};
     int rc = rr_worker_call(connection->client, address, length ? body : NULL, length,
                             timeout_ms / 1000.0, &reply);
     bool answered = rc == 0;
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -74,11 +74,11 @@
 typedef struct {
     long status;      /* HTTP status of the worker's reply */
     GByteArray *body; /* owned by the caller; NULL unless the call returned 0 */
-} rr_relayed;
+} rr_relayed_reply;
 
 /* Has the peer call a worker; without a body it asks for the worker's status. 0: the worker
  * answered; -ENOTCONN: certainly not sent to the worker; -EIO: outcome unknown. */
 int rr_peers_relay_commands(rr_peers *peers, int peer, const char *address, const void *body,
-                            size_t length, double timeout_s, rr_relayed *out);
+                            size_t length, double timeout_s, rr_relayed_reply *out);
 
 #endif
--- a/src/peer/relay.c
+++ b/src/peer/relay.c
@@ -65,7 +65,7 @@
 }
 
 /* As rr_peers_relay_commands(). */
-static int read_relay_answer(rr_frame_reader *answer, rr_relayed *out) {
+static int read_relay_answer(rr_frame_reader *answer, rr_relayed_reply *out) {
     uint32_t length;
     uint8_t outcome = rr_frame_read_u8(answer);
     uint16_t status = rr_frame_read_u16(answer);
@@ -87,7 +87,7 @@
 }
 
 int rr_peers_relay_commands(rr_peers *peers, int peer, const char *address, const void *body,
-                            size_t length, double timeout_s, rr_relayed *out) {
+                            size_t length, double timeout_s, rr_relayed_reply *out) {
     struct request request;
     rr_frame_reader answer;
     int rc = -ENOTCONN;
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -77,7 +77,7 @@
     set_rates(budget);
 }
 
-void rr_budget_next_limits_hold(rr_budget *budget) {
+void rr_budget_put_next_limits_in_force(rr_budget *budget) {
     pthread_mutex_lock(&budget->lock);
     put_next_limits_in_force(budget);
     pthread_mutex_unlock(&budget->lock);
@@ -117,7 +117,7 @@
     return fmin(fmax(pressure, 0), 1);
 }
 
-int rr_budget_changes(rr_budget *budget) {
+int rr_budget_plan_writes(rr_budget *budget) {
     double rate;
     double writes = refilled_plan_writes(budget, &rate);
     return writes > 0 ? (int)writes : 0;
--- a/src/store/budget.h
+++ b/src/store/budget.h
@@ -31,12 +31,12 @@
 /* Counts a refusal (429); several in a short time put the announced limits in force. */
 void rr_budget_request_refused(rr_budget *budget);
 /* Puts the announced limits in force. */
-void rr_budget_next_limits_hold(rr_budget *budget);
+void rr_budget_put_next_limits_in_force(rr_budget *budget);
 
 /* How scarce changes are for plans: 0 (a second's worth is left) to 1 (none). */
 double rr_budget_pressure(rr_budget *budget);
 /* Number of changes that a plan may make now without waiting. */
-int rr_budget_changes(rr_budget *budget);
+int rr_budget_plan_writes(rr_budget *budget);
 
 /* Takes one request with `writes` changes, blocking the caller for up to wait_s. 0, or -EAGAIN
  * as soon as it is clear that the tokens will not be there in time. */
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -23,17 +23,17 @@
     }
 }
 
-int rr_store_call(rr_store *store, const struct rr_store_request *request, rr_reply *reply) {
+int rr_store_call(rr_store *store, const struct rr_store_request *request, rr_http_reply *reply) {
     if (rr_budget_take(store->budget, request->priority, request->writes, request->timeout_s) !=
         0) {
         return -ENOTCONN;
     }
-    struct rr_call call = {.method = request->method,
-                           .to = &store->endpoint,
-                           .path = request->path,
-                           .body = request->body ? request->body->buffer.data : NULL,
-                           .len = request->body ? request->body->buffer.size : 0,
-                           .timeout_s = request->timeout_s};
+    struct rr_http_call call = {.method = request->method,
+                                .endpoint = &store->endpoint,
+                                .path = request->path,
+                                .body = request->body ? request->body->buffer.data : NULL,
+                                .len = request->body ? request->body->buffer.size : 0,
+                                .timeout_s = request->timeout_s};
     int rc = rr_client_call(store->client, &call, reply);
     if (rc == 0 && reply->status == RR_HTTP_TOO_MANY_REQUESTS) {
         rr_budget_request_refused(store->budget);
@@ -41,7 +41,7 @@
     return rc;
 }
 
-int rr_store_parse_reply(const rr_reply *reply, rr_document *document) {
+int rr_store_parse_reply(const rr_http_reply *reply, rr_document *document) {
     if (rr_document_parse(document, reply->body->data, reply->body->len) != 0 ||
         !rr_object_is_map(document->root)) {
         rr_document_clear(document);
--- a/src/store/store_commit.c
+++ b/src/store/store_commit.c
@@ -17,7 +17,7 @@
     }
 }
 
-static enum rr_commit_status status_of_bad_request(const rr_reply *reply) {
+static enum rr_commit_status status_of_bad_request(const rr_http_reply *reply) {
     rr_document document;
     rr_document_parse(&document, reply->body->data, reply->body->len);
     bool lease_ended =
@@ -27,7 +27,7 @@
 }
 
 /* Of a reply that has to name the store's revision; without it the outcome counts as unknown. */
-static enum rr_commit_status status_with_revision(const rr_reply *reply, uint64_t *revision,
+static enum rr_commit_status status_with_revision(const rr_http_reply *reply, uint64_t *revision,
                                                   GPtrArray *failed) {
     rr_document document;
     enum rr_commit_status status = RR_COMMIT_OUTCOME_UNKNOWN;
@@ -42,7 +42,7 @@
     return status;
 }
 
-static enum rr_commit_status status_of_reply(const rr_reply *reply, uint64_t *revision,
+static enum rr_commit_status status_of_reply(const rr_http_reply *reply, uint64_t *revision,
                                              GPtrArray *failed) {
     switch (reply->status) {
     case RR_HTTP_OK:
@@ -70,7 +70,7 @@
                                        .path = RR_PATH_COMMIT,
                                        .body = &body,
                                        .timeout_s = timeout_s};
-    rr_reply reply;
+    rr_http_reply reply;
     int rc = rr_store_call(store, &request, &reply);
     rr_encoder_clear(&body);
     if (rc == -ENOTCONN) {
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -30,9 +30,9 @@
 
 /* Sends the request once the budget allows it. As rr_client_call(); -ENOTCONN also when the budget
  * did not allow it in time. */
-int rr_store_call(rr_store *store, const struct rr_store_request *request, rr_reply *reply);
+int rr_store_call(rr_store *store, const struct rr_store_request *request, rr_http_reply *reply);
 
 /* 0 with the reply's body, a map, in *document; or -EAGAIN, and nothing is to be cleared. */
-int rr_store_parse_reply(const rr_reply *reply, rr_document *document);
+int rr_store_parse_reply(const rr_http_reply *reply, rr_document *document);
 
 #endif
--- a/src/store/store_lease.c
+++ b/src/store/store_lease.c
@@ -17,7 +17,7 @@
                                        .path = RR_PATH_LEASES,
                                        .body = &body,
                                        .timeout_s = LEASE_TIMEOUT_S};
-    rr_reply reply;
+    rr_http_reply reply;
     rr_document document;
     int rc = rr_store_call(store, &request, &reply);
     rr_encoder_clear(&body);
@@ -42,7 +42,7 @@
                                        .path = path,
                                        .body = &body,
                                        .timeout_s = LEASE_TIMEOUT_S};
-    rr_reply reply;
+    rr_http_reply reply;
     int rc = rr_store_call(store, &request, &reply);
     rr_encoder_clear(&body);
     if (rc != 0) {
--- a/src/store/store_read.c
+++ b/src/store/store_read.c
@@ -17,7 +17,7 @@
                                        .method = "GET",
                                        .path = RR_PATH_STORE "/" ABSENT_KEY,
                                        .timeout_s = timeout_s};
-    rr_reply reply;
+    rr_http_reply reply;
     rr_document document;
     if (rr_store_call(store, &request, &reply) != 0 || reply.status != RR_HTTP_NOT_FOUND) {
         return -EAGAIN;
@@ -37,7 +37,7 @@
     g_snprintf(path, sizeof path, RR_PATH_STORE "/%s", key);
     struct rr_store_request request = {
         .priority = RR_REQUEST_SESSION, .method = "GET", .path = path, .timeout_s = GET_TIMEOUT_S};
-    rr_reply reply;
+    rr_http_reply reply;
     if (rr_store_call(store, &request, &reply) != 0) {
         return -EAGAIN;
     }
@@ -64,7 +64,7 @@
                PAGE_ROWS_MAX);
     struct rr_store_request request = {
         .priority = RR_REQUEST_SESSION, .method = "GET", .path = path, .timeout_s = PAGE_TIMEOUT_S};
-    rr_reply reply;
+    rr_http_reply reply;
     if (rr_store_call(store, &request, &reply) != 0 || reply.status != RR_HTTP_OK) {
         return -EAGAIN;
     }
@@ -108,7 +108,7 @@
                                        .method = "GET",
                                        .path = path,
                                        .timeout_s = hold_ms / 1000.0 + WATCH_EXTRA_TIMEOUT_S};
-    rr_reply reply;
+    rr_http_reply reply;
     if (rr_store_call(store, &request, &reply) != 0) {
         return -EAGAIN;
     }
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -9,18 +9,18 @@
 #define REPLY_BYTES_MAX (4 * RR_BODY_BYTES_MAX)
 
 int rr_worker_call(rr_client *client, const char *address, const void *body, size_t length,
-                   double timeout_s, rr_reply *out) {
+                   double timeout_s, rr_http_reply *out) {
     struct rr_endpoint endpoint;
     if (rr_endpoint_parse(address, &endpoint) != 0) {
         return -ENOTCONN;
     }
-    struct rr_call call = {.method = body ? "POST" : "GET",
-                           .to = &endpoint,
-                           .path = body ? RR_PATH_COMMANDS : RR_PATH_WORKER_STATUS,
-                           .body = body,
-                           .len = length,
-                           .timeout_s = timeout_s,
-                           .fresh = true,
-                           .answer_max = REPLY_BYTES_MAX};
+    struct rr_http_call call = {.method = body ? "POST" : "GET",
+                                .endpoint = &endpoint,
+                                .path = body ? RR_PATH_COMMANDS : RR_PATH_WORKER_STATUS,
+                                .body = body,
+                                .len = length,
+                                .timeout_s = timeout_s,
+                                .fresh = true,
+                                .reply_bytes_max = REPLY_BYTES_MAX};
     return rr_client_call(client, &call, out);
 }
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -9,6 +9,6 @@
  * that can't be read. Each call has a connection of its own, so that libcurl has no reason to send
  * a request twice. */
 int rr_worker_call(rr_client *client, const char *address, const void *body, size_t length,
-                   double timeout_s, rr_reply *out);
+                   double timeout_s, rr_http_reply *out);
 
 #endif
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -85,8 +85,8 @@
     rr_document document;
     if (record->value &&
         rr_document_parse(&document, record->value->data, record->value->len) == 0) {
-        rr_admission_put(model->controllers[controller], record->rest, document.root,
-                         record->version);
+        rr_admission_put_record(model->controllers[controller], record->rest, document.root,
+                                record->version);
         rr_document_clear(&document);
     }
 }
@@ -170,9 +170,9 @@
 static void announce_demand(struct model *model) {
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         GByteArray *view = g_byte_array_new();
-        rr_admission_settle(model->controllers[i], is_known, model);
+        rr_admission_forget_accepted(model->controllers[i], is_known, model);
         bool announced =
-            rr_admission_announce(model->controllers[i], 1, view) && !model->deaf_peers;
+            rr_admission_announce(model->controllers[i], 1, view) && !model->views_lost;
         for (int until = 0; announced && until < MODEL_CONTROLLERS; until++) {
             if (until != i) {
                 rr_admission_take_demand(model->controllers[until], (size_t)(i < until ? i : i - 1),
@@ -222,11 +222,11 @@
     rr_admission_demand(admission, state->now, demand);
     bool wanted = rr_admission_writer_next(state->writers[i], &state->loads[i], demand, newest,
                                            wall_at(model, i), state->now, &table);
-    bool fits = wanted && rr_admission_write(admission, &table, &transaction);
+    bool fits = wanted && rr_admission_put_table(admission, &table, &transaction);
     if (fits && !commit(model, &transaction)) {
         model->conflicts++;
     }
-    if (fits && model->lose_answer) {
+    if (fits && model->answers_lost) {
         /* The answer was lost, and the writer tries again: the guards refuse the second commit. */
         model->lost_answers++;
         assert_false(commit(model, &transaction));
@@ -241,7 +241,7 @@
     double length = model->settings[0].interval_s;
     double edge = floor((START_WALL + state->now) / length) * length;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
-        rr_admission_tick(model->controllers[i], wall_at(model, i), state->now);
+        rr_admission_update_interval(model->controllers[i], wall_at(model, i), state->now);
     }
     if (state->announced_for != edge && START_WALL + state->now - edge > 0.45 * length) {
         state->announced_for = edge;
@@ -256,7 +256,7 @@
         write_table(model, writer);
     }
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
-        if (!model->cut[i]) {
+        if (!model->cache_frozen[i]) {
             state->current_at[i] = state->now;
             deliver_all(model, i);
         }
@@ -306,8 +306,8 @@
                                     .all_capable = true,
                                     .cache_age_s = state->now - state->current_at[controller],
                                     .controllers = MODEL_CONTROLLERS};
-    return rr_admission_ask(model->controllers[controller], &job->submission, &context,
-                            wall_at(model, controller), state->now);
+    return rr_admission_check(model->controllers[controller], &job->submission, &context,
+                              wall_at(model, controller), state->now);
 }
 
 /* Asks all controllers at once: with the same tables and clocks they must agree. */
@@ -315,7 +315,7 @@
     bool clocks_off = false, frozen = false;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         clocks_off = clocks_off || model->clock_off_s[i] != 0;
-        frozen = frozen || model->cut[i];
+        frozen = frozen || model->cache_frozen[i];
     }
     for (int i = 0; i < MODEL_CONTROLLERS && !clocks_off && !frozen; i++) {
         bool other = ask(model, i, job).kind == RR_ADMISSION_ADMIT;
@@ -351,7 +351,7 @@
     job->next_try =
         state->now + fmax(1, verdict.retry_after_s) + g_rand_double_range(state->random, 0, 0.3);
     bool abandons = job->next_try - job->arrived_at > PATIENCE_S;
-    result->given_up += abandons;
+    result->abandoned += abandons;
     return abandons;
 }
 
@@ -388,7 +388,7 @@
         return true;
     }
     const rr_admission_team *team = rr_admission_table_team(table, job->submission.team);
-    return !team || (used[job->stream] + 1) / model->cpus <= team->room + 1e-6;
+    return !team || (used[job->stream] + 1) / model->cpus <= team->fair_room + 1e-6;
 }
 
 static void finish_tasks(struct model *model) {
@@ -556,7 +556,7 @@
             wait_s += result->wait_s;
             begun += result->begun;
             fair.wait_s += result->fair.wait_s;
-            fair.begun += result->fair.begun;
+            fair.started += result->fair.started;
         }
     }
     return fair_wait_ratio(wait_s, begun, &fair, model->settings[0].interval_s);
@@ -572,10 +572,10 @@
                "%6.1f s longest %6.1f s, fair %7.1f s, ratio %5.2f; served %9.0f of fair %9.0f; "
                "waits <1 %u <5 %u <15 %u <30 %u <60 %u <120 %u <240 %u more %u\n",
                model->streams[i].team, model->streams[i].job_class, model->streams[i].tasks,
-               result->offered, result->accepted, result->given_up, result->begun,
+               result->offered, result->accepted, result->abandoned, result->begun,
                result->accepted ? result->asked_s / result->accepted : 0,
                result->begun ? result->wait_s / result->begun : 0, result->longest_s,
-               result->fair.begun ? result->fair.wait_s / result->fair.begun : 0,
+               result->fair.started ? result->fair.wait_s / result->fair.started : 0,
                model_wait_ratio(model, i), result->served, result->fair.served, result->waits[0],
                result->waits[1], result->waits[2], result->waits[3], result->waits[4],
                result->waits[5], result->waits[6], result->waits[7]);
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -23,7 +23,7 @@
 };
 
 struct model_result {
-    unsigned offered, accepted, given_up, begun;
+    unsigned offered, accepted, abandoned, begun;
     double asked_s;           /* sum of the times until jobs were accepted */
     double wait_s, longest_s; /* of jobs that began, from the first try: sum and longest */
     double served;            /* CPU seconds */
@@ -41,11 +41,11 @@
     void (*each_second)(struct model *model, double now);
 
     /* Failures, switched by each_second. */
-    bool cut[MODEL_CONTROLLERS]; /* its store cache gets no changes */
+    bool cache_frozen[MODEL_CONTROLLERS]; /* its store cache gets no changes */
     double clock_off_s[MODEL_CONTROLLERS];
-    int autoscaler;   /* -1: none */
-    bool lose_answer; /* tables are written, but the writer gets no answer */
-    bool deaf_peers;  /* no view of the demand reaches a peer */
+    int autoscaler;    /* -1: none */
+    bool answers_lost; /* tables are written, but the writer gets no answer */
+    bool views_lost;   /* no view of the demand reaches a peer */
 
     /* Results. */
     struct rr_config config;
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -106,10 +106,10 @@
     struct shown_machines show = {.first = 1,
                                   .last = cell->machines,
                                   .last_in_a = cell->machines,
-                                  .refs = &job_id,
+                                  .job_ids = &job_id,
                                   .jobs = 1,
                                   .tasks = 9,
-                                  .most = SHOWN_TASKS_MAX,
+                                  .task_max = SHOWN_TASKS_MAX,
                                   .worker_epoch = 1,
                                   .sequence = 10 + ++cell->sequence,
                                   .state = state_of};
@@ -203,7 +203,7 @@
     rr_transfers_plan plan;
     bool under_way = pair->plan_under_way && own == &pair->home;
     rr_transfers_plan_init(&plan);
-    rr_transfers_look(own->transfers, 0, !under_way, own->node.now, own->node.now, &plan);
+    rr_transfers_advance(own->transfers, 0, !under_way, own->node.now, own->node.now, &plan);
     for (guint i = 0; i < plan.writes->len; i++) {
         commit(own, g_ptr_array_index(plan.writes, i), pair->refuse_commit && own == &pair->guest);
     }
@@ -263,7 +263,7 @@
     rr_absent_end(absent, now);
     rr_absent_confirm(absent, none, now);
     rr_transfers_plan_init(&here);
-    rr_transfers_look_absent(pair->guest.transfers, 0, absent, now, now, now, &here, there);
+    rr_transfers_advance_absent(pair->guest.transfers, 0, absent, now, now, now, &here, there);
     for (guint i = 0; i < here.writes->len; i++) {
         commit(&pair->guest, g_ptr_array_index(here.writes, i), false);
     }
@@ -283,7 +283,7 @@
 
 /* ---- for test programs ---- */
 
-const struct test_job cell_pair_job = {.job_id = CELL_PAIR_JOB, .pieces = 2, .cpus = 4};
+const struct test_job cell_pair_job = {.job_id = CELL_PAIR_JOB, .task_count = 2, .cpus = 4};
 
 int cell_pair_setup(void **state) {
     *state = cell_pair_create();
--- a/tests/cells_run.c
+++ b/tests/cells_run.c
@@ -149,7 +149,7 @@
     test_submission(&submission, &(struct test_job){.job_id = job->id,
                                                     .team = "red",
                                                     .job_class = "small",
-                                                    .pieces = 2,
+                                                    .task_count = 2,
                                                     .cpus = 1,
                                                     .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
@@ -341,7 +341,7 @@
             g_snprintf(task_name, sizeof task_name, "%s/%u", home ? job->id : id, task);
             for (guint i = 0; i < runs[cell]->len; i++) {
                 const fake_services_run *entry = &g_array_index(runs[cell], fake_services_run, i);
-                if (strcmp(entry->piece, task_name) == 0) {
+                if (strcmp(entry->task_name, task_name) == 0) {
                     struct span span = {entry->started_at,
                                         entry->ended_at > 0 ? entry->ended_at : INFINITY, cell};
                     g_array_append_val(spans, span);
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -45,8 +45,8 @@
                                         .rebalance = true,
                                         .session_share = 0.35,
                                         .answer_share = 1,
-                                        .silent_reports = 2,
-                                        .dead_reports = 3.5,
+                                        .recent_heartbeat_intervals = 2,
+                                        .dead_heartbeat_intervals = 3.5,
                                         .idle_return_s = 20,
                                         .headroom = 0,
                                         .boot_patience = 2,
@@ -182,12 +182,12 @@
     int shown = 0;
     g_snprintf(id, sizeof id, "vm-%d", machine);
     for (int i = 0; i < show->jobs; i++) {
-        for (uint32_t task = 0; task < show->tasks && shown < show->most; task++) {
-            uint64_t attempt = fake_store_attempt(node->store, id, show->refs[i], task);
+        for (uint32_t task = 0; task < show->tasks && shown < show->task_max; task++) {
+            uint64_t attempt = fake_store_attempt(node->store, id, show->job_ids[i], task);
             if (attempt) {
                 texts[shown] = g_strdup_printf(
-                    "%s %u %" G_GUINT64_FORMAT " %s", show->refs[i], task, attempt,
-                    show->state(machine, show->refs[i], task, shown, show->sequence));
+                    "%s %u %" G_GUINT64_FORMAT " %s", show->job_ids[i], task, attempt,
+                    show->state(machine, show->job_ids[i], task, shown, show->sequence));
                 shown++;
             }
         }
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -47,10 +47,10 @@
 /* Machines that show what the ledger has there of some jobs. */
 struct shown_machines {
     int first, last, last_in_a; /* vm-<first> to vm-<last>; those after last_in_a are in zone b */
-    const char *const *refs;    /* the jobs' ids */
+    const char *const *job_ids; /* the jobs' ids */
     int jobs;
     uint32_t tasks; /* looked for, of each job */
-    int most;       /* in a heartbeat, SHOWN_TASKS_MAX at most */
+    int task_max;   /* in a heartbeat, SHOWN_TASKS_MAX at most */
     uint64_t worker_epoch, sequence;
     shown_task_state_fn state;
 };
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -8,7 +8,7 @@
 
 typedef struct {
     fake_store *store;
-    test_controller n;
+    test_controller controller;
 } core_fixture;
 int core_fixture_setup(void **state);
 int core_fixture_teardown(void **state);
--- a/tests/fair_cluster.c
+++ b/tests/fair_cluster.c
@@ -52,7 +52,7 @@
 double fair_wait_ratio(double wait_s, unsigned begun, const struct fair_result *fair,
                        double wait_min_s) {
     double mean = begun ? wait_s / begun : INFINITY;
-    double fair_mean = fair->begun ? fair->wait_s / fair->begun : 0;
+    double fair_mean = fair->started ? fair->wait_s / fair->started : 0;
     return fmax(mean, wait_min_s) / fmax(fair_mean, wait_min_s);
 }
 
@@ -62,7 +62,7 @@
     result->served += amount;
     while (amount > WORK_EPSILON && (job = g_queue_peek_head(&cluster->jobs[stream]))) {
         result->wait_s += job->begun ? 0 : now - job->arrived_at;
-        result->begun += !job->begun;
+        result->started += !job->begun;
         job->begun = true;
         double part = fmin(amount, job->work_left);
         job->work_left -= part;
--- a/tests/fair_cluster.h
+++ b/tests/fair_cluster.h
@@ -10,7 +10,7 @@
 struct fair_result {
     double wait_s; /* sum over the jobs that began */
     double served; /* CPU seconds */
-    unsigned begun;
+    unsigned started;
 };
 
 /* teams: by stream. */
--- a/tests/fake_controllers.c
+++ b/tests/fake_controllers.c
@@ -83,14 +83,14 @@
 int fake_services_call(const struct rr_config *config, const char *method, const char *path,
                        const void *body, size_t length, rr_document *document) {
     rr_client *client = rr_client_create(NULL);
-    rr_reply reply;
-    struct rr_call call = {.method = method,
-                           .to = &config->bind,
-                           .path = path,
-                           .body = body,
-                           .len = length,
-                           .timeout_s = CALL_TIMEOUT_S,
-                           .fresh = true};
+    rr_http_reply reply;
+    struct rr_http_call call = {.method = method,
+                                .endpoint = &config->bind,
+                                .path = path,
+                                .body = body,
+                                .len = length,
+                                .timeout_s = CALL_TIMEOUT_S,
+                                .fresh = true};
     int rc = rr_client_call(client, &call, &reply);
     if (rc == 0 && document) {
         rr_document_parse(document, reply.body->data, reply.body->len);
--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -52,7 +52,7 @@
 
 /* One run of a task on the worker. Times are steady. */
 typedef struct {
-    char piece[80];              /* task name */
+    char task_name[80];          /* task name */
     double started_at, ended_at; /* ended_at 0: it runs */
     bool done;
 } fake_services_run;
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -34,19 +34,19 @@
 
 fake_store *fake_store_create(void) {
     fake_store *store = g_new0(fake_store, 1);
-    store->kv = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, value_free);
+    store->records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, value_free);
     store->log = g_ptr_array_new_with_free_func(change_free);
     return store;
 }
 
 void fake_store_destroy(fake_store *store) {
-    g_hash_table_destroy(store->kv);
+    g_hash_table_destroy(store->records);
     g_ptr_array_free(store->log, TRUE);
     g_free(store);
 }
 
 uint64_t fake_store_version(const fake_store *store, const char *key) {
-    const struct fake_value *value = g_hash_table_lookup(store->kv, key);
+    const struct fake_value *value = g_hash_table_lookup(store->records, key);
     return value ? value->version : 0;
 }
 
@@ -57,7 +57,7 @@
 void fake_store_each(const fake_store *store, fake_store_record_fn callback, void *user) {
     GHashTableIter iter;
     gpointer key, value;
-    g_hash_table_iter_init(&iter, store->kv);
+    g_hash_table_iter_init(&iter, store->records);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         const struct fake_value *record = value;
         rr_document document;
@@ -71,7 +71,7 @@
     GHashTableIter iter;
     gpointer key;
     unsigned count = 0;
-    g_hash_table_iter_init(&iter, store->kv);
+    g_hash_table_iter_init(&iter, store->records);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         count += g_str_has_prefix(key, prefix);
     }
@@ -89,7 +89,7 @@
 }
 
 size_t fake_store_value_size(const fake_store *store, const char *key) {
-    const struct fake_value *value = g_hash_table_lookup(store->kv, key);
+    const struct fake_value *value = g_hash_table_lookup(store->records, key);
     return value ? json_size(value->data, value->len) : 0;
 }
 
@@ -117,21 +117,21 @@
             return -EAGAIN;
         }
     }
-    store->epoch++;
+    store->revision++;
     for (guint i = 0; i < transaction->changes->len; i++) {
         const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
         struct fake_change *logged = g_new0(struct fake_change, 1);
         logged->key = g_strdup(change->key);
-        logged->version = store->epoch;
+        logged->version = store->revision;
         if (change->value) {
             struct fake_value *value = g_new0(struct fake_value, 1);
             value->data = g_memdup2(change->value, change->length);
             value->len = logged->len = change->length;
-            value->version = store->epoch;
+            value->version = store->revision;
             logged->data = g_memdup2(change->value, change->length);
-            g_hash_table_replace(store->kv, g_strdup(change->key), value);
+            g_hash_table_replace(store->records, g_strdup(change->key), value);
         } else {
-            g_hash_table_remove(store->kv, change->key);
+            g_hash_table_remove(store->records, change->key);
         }
         g_ptr_array_add(store->log, logged);
     }
@@ -158,9 +158,9 @@
         rr_document_clear(&document);
     }
     if (!rr_core_cache_loaded(core)) {
-        rr_core_cache_end_reload(core, store->epoch, store->epoch, now);
+        rr_core_cache_end_reload(core, store->revision, store->revision, now);
     }
-    rr_core_set_revision(core, store->epoch);
+    rr_core_set_revision(core, store->revision);
     rr_core_set_cache_current(core, now);
 }
 
@@ -169,26 +169,26 @@
 }
 
 void fake_store_reload(fake_store *store, rr_core *core, double now) {
-    GList *keys = g_list_sort(g_hash_table_get_keys(store->kv), by_text);
+    GList *keys = g_list_sort(g_hash_table_get_keys(store->records), by_text);
     rr_core_cache_begin_reload(core);
     for (const GList *node = keys; node; node = node->next) {
-        const struct fake_value *value = g_hash_table_lookup(store->kv, node->data);
+        const struct fake_value *value = g_hash_table_lookup(store->records, node->data);
         rr_document document;
         assert_int_equal(rr_document_parse(&document, value->data, value->len), 0);
         rr_core_cache_put(core, node->data, document.root, value->version, now);
         rr_document_clear(&document);
     }
-    rr_core_cache_end_reload(core, store->epoch, store->epoch, now);
-    rr_core_set_revision(core, store->epoch);
+    rr_core_cache_end_reload(core, store->revision, store->revision, now);
+    rr_core_set_revision(core, store->revision);
     rr_core_set_cache_current(core, now);
     g_list_free(keys);
 }
 
 GString *fake_store_dump(const fake_store *store) {
     GString *out = g_string_new(NULL);
-    GList *keys = g_list_sort(g_hash_table_get_keys(store->kv), by_text);
+    GList *keys = g_list_sort(g_hash_table_get_keys(store->records), by_text);
     for (const GList *node = keys; node; node = node->next) {
-        const struct fake_value *value = g_hash_table_lookup(store->kv, node->data);
+        const struct fake_value *value = g_hash_table_lookup(store->records, node->data);
         g_string_append_printf(out, "%s ", (const char *)node->data);
         for (size_t i = 0; i < value->len; i++) {
             g_string_append_printf(out, "%02x", ((const uint8_t *)value->data)[i]);
@@ -219,7 +219,7 @@
     GHashTableIter iter;
     gpointer key, value;
     bool found = false;
-    g_hash_table_iter_init(&iter, store->kv);
+    g_hash_table_iter_init(&iter, store->records);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         const struct fake_value *page = value;
         rr_document document;
@@ -260,7 +260,7 @@
     for (uint32_t chunk = task / TASKS_PER_RECORD; found == 0; chunk++) {
         char key[128];
         g_snprintf(key, sizeof key, RR_KEY_ROOT "run/%s/%u", job_id, chunk);
-        const struct fake_value *value = g_hash_table_lookup(store->kv, key);
+        const struct fake_value *value = g_hash_table_lookup(store->records, key);
         if (!value) {
             break;
         }
@@ -275,7 +275,7 @@
     unsigned count = 0;
     char prefix[64];
     g_snprintf(prefix, sizeof prefix, RR_KEY_ROOT "run/%s/", job_id);
-    g_hash_table_iter_init(&iter, store->kv);
+    g_hash_table_iter_init(&iter, store->records);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         const struct fake_value *record = value;
         rr_document document;
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -14,11 +14,11 @@
 #include "core/state/transaction.h"
 
 typedef struct {
-    GHashTable *kv;   /* key -> struct fake_value* */
-    GPtrArray *log;   /* struct fake_change* */
-    uint64_t epoch;   /* revision of the last change */
-    size_t value_max; /* bytes of JSON, 0: no limit */
-    guint ops_max;    /* changes in a transaction, 0: no limit */
+    GHashTable *records; /* key -> struct fake_value* */
+    GPtrArray *log;      /* struct fake_change* */
+    uint64_t revision;   /* revision of the last change */
+    size_t value_max;    /* bytes of JSON, 0: no limit */
+    guint ops_max;       /* changes in a transaction, 0: no limit */
 } fake_store;
 
 fake_store *fake_store_create(void);
@@ -73,9 +73,9 @@
 
 /* A job to submit; what is left out has the defaults of test_submission(). */
 struct test_job {
-    const char *job_id, *team, *job_class, *image, *zone, *rank;
+    const char *job_id, *team, *job_class, *image, *zone, *priority;
     bool service, gang, one_zone, spread, spot;
-    uint32_t pieces;
+    uint32_t task_count;
     double cpus, gpus, mem_gb, checkpoint_interval_s, save_s, deadline_s;
 };
 void test_submission(rr_submission *out, const struct test_job *job);
--- a/tests/fake_store_records.c
+++ b/tests/fake_store_records.c
@@ -97,12 +97,12 @@
     g_strlcpy(out->image, job->image ? job->image : "img-1", sizeof out->image);
     g_strlcpy(out->zone, job->zone ? job->zone : "", sizeof out->zone);
     for (int i = 0; i < 4; i++) {
-        if (strcmp(priorities[i], job->rank ? job->rank : "standard") == 0) {
+        if (strcmp(priorities[i], job->priority ? job->priority : "standard") == 0) {
             out->priority = (enum rr_priority)i;
         }
     }
     out->kind = job->gang ? RR_JOB_GANG : job->service ? RR_JOB_SERVICE : RR_JOB_ARRAY;
-    out->task_count = job->pieces ? job->pieces : 1;
+    out->task_count = job->task_count ? job->task_count : 1;
     out->cpus = job->cpus ? job->cpus : 4;
     out->gpus = job->gpus;
     out->mem_gb = job->mem_gb ? job->mem_gb : 8;
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -58,7 +58,7 @@
     g_strlcpy(task.name, name, sizeof task.name);
     task.ends_at = is_service ? 0 : rr_steady_clock_s() + worker->task_s;
     task.run = worker->runs->len;
-    g_strlcpy(run.piece, name, sizeof run.piece);
+    g_strlcpy(run.task_name, name, sizeof run.task_name);
     g_array_append_val(worker->runs, run);
     g_array_append_val(worker->tasks, task);
     record_start(worker, name);
@@ -201,13 +201,13 @@
 /* Sends a heartbeat and takes the commands of its answer. */
 static void send_heartbeat(fake_services *services, rr_client *client,
                            const struct rr_endpoint *controller, const rr_encoder *heartbeat) {
-    struct rr_call call = {.method = "POST",
-                           .to = controller,
-                           .path = "/hello",
-                           .body = heartbeat->buffer.data,
-                           .len = heartbeat->buffer.size,
-                           .timeout_s = HEARTBEAT_TIMEOUT_S};
-    rr_reply reply;
+    struct rr_http_call call = {.method = "POST",
+                                .endpoint = controller,
+                                .path = "/hello",
+                                .body = heartbeat->buffer.data,
+                                .len = heartbeat->buffer.size,
+                                .timeout_s = HEARTBEAT_TIMEOUT_S};
+    rr_http_reply reply;
     rr_document document;
     if (rr_client_call(client, &call, &reply) != 0 || reply.status != 200) {
         switch_controller(services);
--- a/tests/gang_fixture.c
+++ b/tests/gang_fixture.c
@@ -11,11 +11,11 @@
 const struct test_job gang_job = {.job_id = "req-1",
                                   .gang = true,
                                   .one_zone = true,
-                                  .pieces = 3,
+                                  .task_count = 3,
                                   .cpus = 10,
                                   .checkpoint_interval_s = 20,
                                   .save_s = 3,
-                                  .rank = "high"};
+                                  .priority = "high"};
 
 static uint64_t last_sequence = 1; /* of all heartbeats */
 
@@ -28,13 +28,13 @@
         fake_store_put_machine(fixture->store, id, i <= GANG_MACHINES_IN_A ? "a" : "b", false,
                                true);
     }
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
     return 0;
 }
 
 void submit_gang_job(core_fixture *fixture, const struct test_job *job) {
-    fake_store_submit(fixture->store, job, fixture->n.now);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_submit(fixture->store, job, fixture->controller.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
 void gang_show(test_controller *node, int machine, const char *job_id, const char *state,
@@ -95,11 +95,11 @@
 }
 
 void gang_start(core_fixture *fixture, const struct test_job *job) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     gang_show_all(node, job->job_id, NULL);
     submit_gang_job(fixture, job);
     gang_plan(node, RR_COMMAND_START, job->job_id, NULL);
-    assert_int_equal(gang_plan(node, RR_COMMAND_START, job->job_id, NULL), job->pieces);
+    assert_int_equal(gang_plan(node, RR_COMMAND_START, job->job_id, NULL), job->task_count);
 }
 
 int gang_machine_of(const core_fixture *fixture, uint32_t task, uint64_t *attempt) {
@@ -149,10 +149,10 @@
     struct shown_machines show = {.first = 1,
                                   .last = GANG_MACHINES,
                                   .last_in_a = GANG_MACHINES_IN_A,
-                                  .refs = job_ids,
+                                  .job_ids = job_ids,
                                   .jobs = jobs,
                                   .tasks = tasks,
-                                  .most = SHOWN_TASKS_MAX,
+                                  .task_max = SHOWN_TASKS_MAX,
                                   .worker_epoch = 1,
                                   .sequence = ++last_sequence,
                                   .state = state};
--- a/tests/machine_fixture.c
+++ b/tests/machine_fixture.c
@@ -9,7 +9,7 @@
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, operator_owned);
     fake_store_put_machine(fixture->store, "vm-2", "b", false, operator_owned);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
     return 0;
 }
 
@@ -49,7 +49,7 @@
 }
 
 const char *run_job(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     send_heartbeat(node, "vm-1", 1, NULL);
     send_heartbeat(node, "vm-2", 1, NULL);
     fake_store_submit(fixture->store, job, node->now);
@@ -114,7 +114,7 @@
         fake_store_put_machine(fixture->store, id, "a", false, true);
         list_machine(listed, id, "a", RR_LISTED_RUNNING, 500);
     }
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
 void send_fleet_heartbeats(test_controller *node, int first, int last, uint64_t sequence) {
@@ -128,7 +128,7 @@
 
 bool step_until(core_fixture *fixture, enum rr_autoscaler_step_kind kind, const GArray *listed,
                 rr_autoscaler_step *out) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(rr_machine_type));
     bool found = false;
@@ -161,7 +161,7 @@
 }
 
 bool step_releases(core_fixture *fixture, const char *id) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     GArray *listed = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     bool released = false;
--- a/tests/reservation_fixture.c
+++ b/tests/reservation_fixture.c
@@ -9,7 +9,7 @@
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     fake_store_put_machine(fixture->store, "vm-2", "b", false, false);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
     return 0;
 }
 
@@ -18,8 +18,8 @@
 }
 
 void submit_job(core_fixture *fixture, const struct test_job *job) {
-    fake_store_submit(fixture->store, job, fixture->n.now);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_submit(fixture->store, job, fixture->controller.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
 void heartbeat_with(test_controller *node, const char *machine, uint64_t worker_epoch,
@@ -30,10 +30,10 @@
 
 const char *reserve_one(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
     rr_plan plan;
-    heartbeat_with(&fixture->n, "vm-1", 1, 1, NULL);
-    heartbeat_with(&fixture->n, "vm-2", 1, 1, NULL);
+    heartbeat_with(&fixture->controller, "vm-1", 1, 1, NULL);
+    heartbeat_with(&fixture->controller, "vm-2", 1, 1, NULL);
     submit_job(fixture, job);
-    assert_int_equal(test_controller_plan(&fixture->n, &plan), 1);
+    assert_int_equal(test_controller_plan(&fixture->controller, &plan), 1);
     /* Nothing is started before the reservation is recorded. */
     assert_int_equal(plan.command_batches->len, 0);
     rr_plan_clear(&plan);
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -44,10 +44,10 @@
 
 static void submit_each_kind(test_controller *node) {
     static const struct test_job jobs[] = {
-        {.job_id = "req-1", .pieces = 5, .cpus = 2, .deadline_s = 90},
+        {.job_id = "req-1", .task_count = 5, .cpus = 2, .deadline_s = 90},
         {.job_id = "req-2", .service = true, .spread = true},
         {.job_id = "req-3", .one_zone = true, .zone = "b"},
-        {.job_id = "req-4", .service = true, .rank = "prod"}};
+        {.job_id = "req-4", .service = true, .priority = "prod"}};
     for (size_t i = 0; i < G_N_ELEMENTS(jobs); i++) {
         fake_store_submit(node->store, &jobs[i], node->now);
     }
@@ -98,7 +98,7 @@
 GString *scene_play(void) {
     core_fixture *fixture;
     core_fixture_setup((void **)&fixture);
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     test_controller_add_machines(node, 1, MACHINES, "a");
     submit_each_kind(node);
     for (int i = 0; i < 3; i++) {
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -40,7 +40,7 @@
 static enum rr_admission_kind ask(rr_admission *admission, const rr_submission *job,
                                   bool lease_valid, bool all_capable, double cache_age_s) {
     rr_admission_context context = {lease_valid, all_capable, cache_age_s, 3};
-    return rr_admission_ask(admission, job, &context, 1000, 50).kind;
+    return rr_admission_check(admission, job, &context, 1000, 50).kind;
 }
 
 /* A controller with neither a valid lease nor a fresh store cache admits its part of the guarantees
@@ -57,7 +57,7 @@
     for (int stale = 0; stale < 2; stale++) {
         bool lease_valid = stale;
         double age = stale ? 40.1 : 0;
-        rr_admission_tick(admission, 1000 + 10 * stale, 50);
+        rr_admission_update_interval(admission, 1000 + 10 * stale, 50);
         assert_int_equal(ask(admission, &red, lease_valid, true, age), RR_ADMISSION_ADMIT);
         assert_int_equal(ask(admission, &red, lease_valid, true, age), RR_ADMISSION_ADMIT);
         assert_int_equal(ask(admission, &red, lease_valid, true, age), RR_ADMISSION_STALE);
@@ -120,7 +120,7 @@
  * the session's record as before. */
 static void admission_waits_until_all_controllers_take_part(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     assert_false(rr_core_all_admission_capable(node->core));
     node->config.admission = true;
     test_controller_leave(node);
@@ -144,23 +144,25 @@
  * prod replicas, and only while a table is in force. */
 static void owner_leaves_room_beyond_its_fair_room(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     const double rooms[] = {0.25, 1};
     test_controller_add_machines(node, 1, 4, "a");
     fake_store_submit(
         fixture->store,
-        &(struct test_job){.job_id = "req-1", .team = "red", .pieces = 64, .cpus = 1, .mem_gb = 1},
+        &(struct test_job){
+            .job_id = "req-1", .team = "red", .task_count = 64, .cpus = 1, .mem_gb = 1},
         node->now);
     fake_store_sync(fixture->store, node->core, node->now);
-    rr_core_set_fair_room(node->core, rooms, 64, 16, 256);
+    rr_core_set_fair_shares(node->core, rooms, 64, 16, 256);
     assert_int_equal(placed_after_plan(node, "req-1"), 16);
     fake_store_submit(
         fixture->store,
-        &(struct test_job){.job_id = "req-2", .team = "red", .service = true, .rank = "prod"},
+        &(struct test_job){.job_id = "req-2", .team = "red", .service = true, .priority = "prod"},
         node->now);
     fake_store_submit(
         fixture->store,
-        &(struct test_job){.job_id = "req-3", .team = "blue", .pieces = 8, .cpus = 1, .mem_gb = 1},
+        &(struct test_job){
+            .job_id = "req-3", .team = "blue", .task_count = 8, .cpus = 1, .mem_gb = 1},
         node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     node->now += 3;
@@ -168,7 +170,7 @@
     assert_int_equal(fake_store_placed_count(fixture->store, "req-3"), 8);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 16);
     /* No table is in force any more. */
-    rr_core_set_fair_room(node->core, NULL, 0, 0, 0);
+    rr_core_set_fair_shares(node->core, NULL, 0, 0, 0);
     for (int machine = 1; machine <= 4; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -94,7 +94,7 @@
 static double work_before, work_while_frozen;
 
 static void freeze_one_cache(struct model *model, double now) {
-    model->cut[1] = now >= FROZEN_FROM && now < FROZEN_TO;
+    model->cache_frozen[1] = now >= FROZEN_FROM && now < FROZEN_TO;
     if (now == FROZEN_FROM + 50) { /* its last table is stale by then */
         admitted_before = model->admitted_at[1];
         work_before = model->admitted_work_at[1];
@@ -138,7 +138,7 @@
     if (second % 47 == 8) {
         model->autoscaler = (int)(second / 47 % MODEL_CONTROLLERS);
     }
-    model->lose_answer = second / 100 % 2;
+    model->answers_lost = second / 100 % 2;
 }
 
 static void changes_of_autoscaler_and_lost_answers_do_no_harm(void **state) {
@@ -182,7 +182,7 @@
     struct model model;
     init_skewed(&model);
     model.seconds = 1800;
-    model.deaf_peers = true;
+    model.views_lost = true;
     model_run(&model);
     assert_true(model_team_ratio(&model, "gold") <= 2);
     assert_true(model_team_ratio(&model, "green") <= 3);
@@ -272,7 +272,7 @@
     model.cpus = 120;
     model_run(&model);
     for (unsigned i = 0; i < model.stream_count; i++) {
-        assert_int_equal(model.results[i].given_up, 0);
+        assert_int_equal(model.results[i].abandoned, 0);
     }
     assert_int_equal(model.tables_written, 0);
     model_clear(&model);
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -110,7 +110,7 @@
     test_submission(&submission, &(struct test_job){.job_id = job->id,
                                                     .team = streams[job->stream].team,
                                                     .job_class = streams[job->stream].job_class,
-                                                    .pieces = streams[job->stream].tasks,
+                                                    .task_count = streams[job->stream].tasks,
                                                     .cpus = 1,
                                                     .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
@@ -222,7 +222,7 @@
             "%.2f s, ratio %.2f; served %.0f of fair %.0f\n",
             streams[i].team, streams[i].job_class, run->offered[i], outcome.accepted,
             run->given_up[i], outcome.begun ? outcome.wait_s / outcome.begun : 0, outcome.longest_s,
-            fair.begun ? fair.wait_s / fair.begun : 0, ratio, served, fair.served);
+            fair.started ? fair.wait_s / fair.started : 0, ratio, served, fair.served);
         assert_true(!admission || ratio <= 2);
         assert_true(!admission || served >= 0.5 * fair.served);
     }
--- a/tests/test_admission_tables.c
+++ b/tests/test_admission_tables.c
@@ -24,7 +24,7 @@
         g_array_append_val(table->rows, row);
     }
     for (int i = 0; i < 40; i++) {
-        rr_admission_team team = {.room = 0.25, .correction = 1.5};
+        rr_admission_team team = {.fair_room = 0.25, .correction = 1.5};
         g_snprintf(team.name, sizeof team.name, "team-%d", i);
         g_array_append_val(table->teams, team);
     }
@@ -113,7 +113,7 @@
         rr_encode_key_u64(&out, "v", RR_ADMISSION_VERSION + 1);
         rr_encode_key_u64(&out, "sequence", 9);
         assert_int_equal(rr_document_parse(&document, out.buffer.data, out.buffer.size), 0);
-        rr_admission_put(admission, keys[i], document.root, 3);
+        rr_admission_put_record(admission, keys[i], document.root, 3);
         rr_document_clear(&document);
         rr_encoder_clear(&out);
     }
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -68,7 +68,8 @@
 static void gangs_are_transferred_and_placed_completely(void **state) {
     cell_pair *pair = *state;
     cell_pair_wait_at_home(
-        pair, &(struct test_job){.job_id = CELL_PAIR_JOB, .gang = true, .pieces = 3, .cpus = 8});
+        pair,
+        &(struct test_job){.job_id = CELL_PAIR_JOB, .gang = true, .task_count = 3, .cpus = 8});
     cell_pair_play(pair, 3);
     cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB, 1));
     assert_int_equal(cell_placed(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB, 1)), 3);
--- a/tests/test_cells_cancellation.c
+++ b/tests/test_cells_cancellation.c
@@ -5,12 +5,12 @@
 #include "core/submissions.h"
 
 /* Asks as a controller does for a user, and records a withdrawal that has to come first. */
-static enum rr_cancel_first ask_to_cancel(cell_pair *pair, double *wait_s) {
+static enum rr_cancel_precondition ask_to_cancel(cell_pair *pair, double *wait_s) {
     test_controller *home = &pair->home.node;
     rr_out_record withdrawn;
     uint64_t version;
-    enum rr_cancel_first first = rr_transfers_cancel(pair->home.transfers, CELL_PAIR_JOB, home->now,
-                                                     wait_s, &withdrawn, &version);
+    enum rr_cancel_precondition first = rr_transfers_cancel(
+        pair->home.transfers, CELL_PAIR_JOB, home->now, wait_s, &withdrawn, &version);
     if (first == RR_CANCEL_WITHDRAW) {
         rr_transaction transaction;
         rr_transaction_init(&transaction);
--- a/tests/test_cells_offers.c
+++ b/tests/test_cells_offers.c
@@ -8,7 +8,7 @@
 static void no_offer_without_announced_room(void **state) {
     cell_pair *pair = *state;
     cell_pair_wait_at_home(pair,
-                           &(struct test_job){.job_id = CELL_PAIR_JOB, .pieces = 9, .cpus = 4});
+                           &(struct test_job){.job_id = CELL_PAIR_JOB, .task_count = 9, .cpus = 4});
     cell_pair_play(pair, 20);
     assert_int_equal(pair->offers, 0);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
@@ -20,7 +20,7 @@
     cell_fleet(&pair->home, 1);
     rr_cells_room plenty = {100, 10, 1000};
     cell_pair_wait_at_home(pair,
-                           &(struct test_job){.job_id = CELL_PAIR_JOB, .pieces = 9, .cpus = 4});
+                           &(struct test_job){.job_id = CELL_PAIR_JOB, .task_count = 9, .cpus = 4});
     rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
     cell_pair_step(pair); /* records the offer */
     cell_pair_step(pair);
--- a/tests/test_cells_partitions.c
+++ b/tests/test_cells_partitions.c
@@ -111,7 +111,7 @@
     cell_pair *pair = *state;
     rr_cells_room plenty = {100, 10, 1000};
     cell_pair_wait_at_home(pair,
-                           &(struct test_job){.job_id = CELL_PAIR_JOB, .pieces = 9, .cpus = 4});
+                           &(struct test_job){.job_id = CELL_PAIR_JOB, .task_count = 9, .cpus = 4});
     rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
     for (int i = 0; i < 3; i++) {
         cell_pair_step(pair); /* offered, refused, released */
--- a/tests/test_core_autoscaler.c
+++ b/tests/test_core_autoscaler.c
@@ -12,7 +12,7 @@
  * name, so that the cloud answers as before and rents nothing more. */
 static void new_autoscaler_repeats_rental_under_its_name(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, other;
+    test_controller *node = &fixture->controller, other;
     rr_autoscaler_step step;
     char first[RR_ID_SIZE];
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1"}, node->now);
@@ -31,7 +31,8 @@
     assert_string_equal(step.rental, first);
     GPtrArray *ids = g_ptr_array_new();
     g_ptr_array_add(ids, "vm-9");
-    rr_core_scale_out_result(second_fixture.n.core, second_fixture.n.now, &step, 200, ids);
+    rr_core_scale_out_result(second_fixture.controller.core, second_fixture.controller.now, &step,
+                             200, ids);
     rr_autoscaler_step_clear(&step);
     for (int i = 0; i < 4; i++) {
         step_until(&second_fixture, RR_AUTOSCALER_NONE, NULL, &step);
@@ -40,13 +41,13 @@
     assert_true(fake_store_has_machine(fixture->store, "vm-9"));
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "hire/"), 0);
     g_ptr_array_free(ids, TRUE);
-    test_controller_clear(&second_fixture.n);
+    test_controller_clear(&second_fixture.controller);
 }
 
 /* No two requests share a name, and a zone without capacity is avoided for a while. */
 static void refused_rental_is_repeated_under_new_name_in_other_zone(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     char first[RR_ID_SIZE];
     GPtrArray *none = g_ptr_array_new();
@@ -68,7 +69,7 @@
  * idle. */
 static void operator_machines_stay_and_idle_rented_ones_are_released(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     list_machine(machines, "vm-1", "a", RR_LISTED_RUNNING, 500);
@@ -109,7 +110,7 @@
  * missing for more than twice the lag has gone. */
 static void machine_missing_from_lagging_list_is_kept(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *one = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -145,7 +146,7 @@
  * placed elsewhere. */
 static void failed_machine_released_before_its_owner_plans(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -186,14 +187,14 @@
  * clear them from the ledger. */
 static void lost_tasks_cause_scale_out_before_ledger_is_cleared(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     rr_autoscaler_step step;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, true);
     fake_store_sync(fixture->store, node->core, node->now);
     test_controller_heartbeat(node, "vm-1", "a", false, 1, 1, 1, NULL);
     fake_store_submit(fixture->store,
-                      &(struct test_job){.job_id = "req-000001", .pieces = 3, .cpus = 4},
+                      &(struct test_job){.job_id = "req-000001", .task_count = 3, .cpus = 4},
                       node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     test_controller_plan(node, &plan);
@@ -209,7 +210,7 @@
 /* Whatever becomes of one transaction, the catalogue is written until the store cache shows it. */
 static void catalogue_is_written_until_cache_shows_it(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     GArray *machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     rr_machine_type type = {.name = "m2",
@@ -241,7 +242,7 @@
  * intent under its name and records each machine once. */
 static void machine_heard_before_its_record_takes_no_work(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, next;
+    test_controller *node = &fixture->controller, next;
     uint64_t attempt;
     rr_autoscaler_step step;
     GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
--- a/tests/test_core_cancellation_faults.c
+++ b/tests/test_core_cancellation_faults.c
@@ -40,7 +40,7 @@
  * renewal, and no commit of the leader's own. */
 static void isolated_leader_renews_no_lease_past_a_cancellation(void **state) {
     core_fixture *fixture = *state;
-    test_controller *leader = &fixture->n, other;
+    test_controller *leader = &fixture->controller, other;
     struct test_job job = {.job_id = "req-1", .service = true};
     uint64_t attempt;
     unsigned stops;
@@ -69,7 +69,7 @@
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 0);
     rr_transaction_put(&own, RR_KEY_ROOT "hire/none", &encoder, 0);
-    rr_core_apply(leader->core, &own, fixture->store->epoch + 1, leader->now);
+    rr_core_apply(leader->core, &own, fixture->store->revision + 1, leader->now);
     rr_transaction_clear(&own);
     assert_int_not_equal(
         reply_status_at(leader, last + reply_s + tick, job.job_id, attempt, &stops), 200);
@@ -97,7 +97,7 @@
  * its room stay as they were, and the hint expires. */
 static void cancel_hint_stops_task_and_changes_no_state(void **state) {
     core_fixture *fixture = *state;
-    test_controller *leader = &fixture->n;
+    test_controller *leader = &fixture->controller;
     struct test_job job = {.job_id = "req-1", .service = true};
     rr_job_view before, after;
     uint64_t attempt;
@@ -130,7 +130,7 @@
  * after a cancellation, and when its record is gone. It stands in the ledger once at most. */
 static void late_reservation_is_void_after_newer_changes(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job done = {.job_id = "req-1"}, cancelled = {.job_id = "req-2"};
     rr_plan late;
     uint64_t attempt;
@@ -171,7 +171,7 @@
     for (int cancel_first = 0; cancel_first < 2; cancel_first++) {
         core_fixture *fixture;
         two_own_machines_setup((void **)&fixture);
-        test_controller *node = &fixture->n;
+        test_controller *node = &fixture->controller;
         struct test_job job = {.job_id = "req-1"};
         uint64_t attempt, version;
         rr_plan end;
@@ -214,7 +214,7 @@
  * is none even if it lacks the task, because the old leader's start may come after it. */
 static void team_limit_holds_across_change_of_leader(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job first_job = {.job_id = "req-1", .gpus = 2},
                     second_job = {.job_id = "req-2", .gpus = 2};
     uint64_t attempt, second_attempt;
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -25,8 +25,8 @@
 }
 
 static void submit(core_fixture *fixture, const struct test_job *job) {
-    fake_store_submit(fixture->store, job, fixture->n.now);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_submit(fixture->store, job, fixture->controller.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
 /* vm-1 holds 8 of 16 CPUs, so price times free share is 5 there and 10 on the empty vm-2. */
@@ -34,13 +34,13 @@
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     fake_store_put_machine(fixture->store, "vm-2", "a", false, false);
-    show_empty(&fixture->n, "vm-1", "a", false, 1);
+    show_empty(&fixture->controller, "vm-1", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1", .cpus = 8});
-    plan_once(&fixture->n);
+    plan_once(&fixture->controller);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
-    show_empty(&fixture->n, "vm-2", "a", false, 1);
+    show_empty(&fixture->controller, "vm-2", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-2", .cpus = 4});
-    plan_once(&fixture->n);
+    plan_once(&fixture->controller);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
 }
 
@@ -49,11 +49,11 @@
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     fake_store_put_machine(fixture->store, "vm-2", "a", true, false);
-    show_empty(&fixture->n, "vm-1", "a", false, 1);
-    show_empty(&fixture->n, "vm-2", "a", true, 1);
+    show_empty(&fixture->controller, "vm-1", "a", false, 1);
+    show_empty(&fixture->controller, "vm-2", "a", true, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1", .spot = true});
     submit(fixture, &(struct test_job){.job_id = "req-2"});
-    plan_once(&fixture->n);
+    plan_once(&fixture->controller);
     assert_true(fake_store_attempt(fixture->store, "vm-2", "req-1", 0) != 0);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
 }
@@ -62,20 +62,20 @@
 static void a_job_of_one_zone_goes_to_the_emptier_zone(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    show_empty(&fixture->n, "vm-1", "a", false, 1);
+    show_empty(&fixture->controller, "vm-1", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1", .cpus = 8});
-    plan_once(&fixture->n);
+    plan_once(&fixture->controller);
     fake_store_put_machine(fixture->store, "vm-2", "a", false, false);
     fake_store_put_machine(fixture->store, "vm-3", "b", false, false);
     fake_store_put_machine(fixture->store, "vm-4", "b", false, false);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
-    show_empty(&fixture->n, "vm-2", "a", false, 1);
-    show_empty(&fixture->n, "vm-3", "b", false, 1);
-    show_empty(&fixture->n, "vm-4", "b", false, 1);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
+    show_empty(&fixture->controller, "vm-2", "a", false, 1);
+    show_empty(&fixture->controller, "vm-3", "b", false, 1);
+    show_empty(&fixture->controller, "vm-4", "b", false, 1);
     submit(fixture,
-           &(struct test_job){.job_id = "req-2", .cpus = 10, .pieces = 2, .one_zone = true});
-    plan_once(&fixture->n);
-    plan_once(&fixture->n);
+           &(struct test_job){.job_id = "req-2", .cpus = 10, .task_count = 2, .one_zone = true});
+    plan_once(&fixture->controller);
+    plan_once(&fixture->controller);
     unsigned in_b = 0;
     for (uint32_t task = 0; task < 2; task++) {
         in_b += fake_store_attempt(fixture->store, "vm-3", "req-2", task) != 0;
@@ -90,12 +90,12 @@
     const char *ids[] = {"vm-1", "vm-2", "vm-3", "vm-4"};
     for (int i = 0; i < 4; i++) {
         fake_store_put_machine(fixture->store, ids[i], i < 3 ? "a" : "b", false, false);
-        show_empty(&fixture->n, ids[i], i < 3 ? "a" : "b", false, 1);
+        show_empty(&fixture->controller, ids[i], i < 3 ? "a" : "b", false, 1);
     }
     submit(fixture,
-           &(struct test_job){.job_id = "req-1", .service = true, .pieces = 3, .spread = true});
+           &(struct test_job){.job_id = "req-1", .service = true, .task_count = 3, .spread = true});
     for (int i = 0; i < 4; i++) {
-        plan_once(&fixture->n);
+        plan_once(&fixture->controller);
     }
     unsigned in_a = 0, in_b = 0;
     for (uint32_t task = 0; task < 3; task++) {
@@ -114,14 +114,14 @@
 static void a_machine_without_recent_heartbeats_takes_no_task(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    show_empty(&fixture->n, "vm-1", "a", false, 1);
-    fixture->n.now += 7;
+    show_empty(&fixture->controller, "vm-1", "a", false, 1);
+    fixture->controller.now += 7;
     submit(fixture, &(struct test_job){.job_id = "req-1"});
-    plan_once(&fixture->n);
+    plan_once(&fixture->controller);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) == 0);
-    show_empty(&fixture->n, "vm-1", "a", false, 2);
-    fixture->n.now += 0.5; /* a job that found no room is not tried in every plan */
-    plan_once(&fixture->n);
+    show_empty(&fixture->controller, "vm-1", "a", false, 2);
+    fixture->controller.now += 0.5; /* a job that found no room is not tried in every plan */
+    plan_once(&fixture->controller);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
 }
 
@@ -138,7 +138,7 @@
 
 static void place_two_replicas(core_fixture *fixture, double first_cpus, bool operator_owned,
                                struct two_replicas *replicas) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, operator_owned);
     fake_store_put_machine(fixture->store, "vm-2", "a", false, operator_owned);
     show_empty(node, "vm-1", "a", false, 1);
@@ -176,7 +176,7 @@
  * attempt stops, and the new one starts only once the old one is terminated. */
 static void rebalancing_empties_a_priced_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct two_replicas replicas;
     rr_plan plan;
     place_two_replicas(fixture, 12, false, &replicas);
@@ -210,9 +210,9 @@
     rr_core_stats stats;
     place_two_replicas(fixture, 8, true, &replicas);
     for (int i = 0; i < 30; i++) {
-        plan_with_replicas(&fixture->n, &replicas, 10 + (uint64_t)i);
+        plan_with_replicas(&fixture->controller, &replicas, 10 + (uint64_t)i);
     }
-    rr_core_get_stats(fixture->n.core, &stats);
+    rr_core_get_stats(fixture->controller.core, &stats);
     assert_int_equal(stats.moves, 0);
     free_two_replicas(&replicas);
 }
@@ -222,12 +222,12 @@
  * when the machine shows room. */
 static void an_urgent_job_preempts_lower_priority(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     show_empty(node, "vm-1", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1",
-                                       .rank = "low",
+                                       .priority = "low",
                                        .cpus = 16,
                                        .checkpoint_interval_s = 30,
                                        .save_s = 2});
@@ -236,12 +236,13 @@
     char *first = running("req-1", low);
     test_controller_heartbeat(node, "vm-1", "a", false, 1, 2, rr_core_fencing_token(node->core),
                               first, NULL);
-    submit(fixture,
-           &(struct test_job){.job_id = "req-2", .rank = "low", .job_class = "live", .cpus = 16});
+    submit(fixture, &(struct test_job){
+                        .job_id = "req-2", .priority = "low", .job_class = "live", .cpus = 16});
     plan_once(node);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) == 0);
-    submit(fixture, &(struct test_job){
-                        .job_id = "req-3", .rank = "prod", .job_class = "live", .service = true});
+    submit(fixture,
+           &(struct test_job){
+               .job_id = "req-3", .priority = "prod", .job_class = "live", .service = true});
     plan_once(node);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-3", 0) != 0);
     node->now += 2;
@@ -258,7 +259,7 @@
  * guarantee, but no more than that, and not for a job beyond it. */
 static void a_guarantee_preempts_work_beyond_another(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     node->config.teams[0].cpus = 8; /* red */
     node->config.teams[1].cpus = 4; /* blue */
@@ -267,16 +268,16 @@
     const char *const job_ids[] = {"req-1", "req-2", "req-3", "req-4"};
     for (int i = 0; i < 4; i++) {
         submit(fixture, &(struct test_job){
-                            .job_id = job_ids[i], .rank = "prod", .service = true, .cpus = 4});
+                            .job_id = job_ids[i], .priority = "prod", .service = true, .cpus = 4});
     }
     plan_once(node);
     for (int i = 0; i < 4; i++) {
         assert_true(fake_store_attempt(fixture->store, "vm-1", job_ids[i], 0) != 0);
     }
     submit(fixture,
-           &(struct test_job){.job_id = "req-5", .team = "blue", .rank = "low", .cpus = 4});
+           &(struct test_job){.job_id = "req-5", .team = "blue", .priority = "low", .cpus = 4});
     submit(fixture,
-           &(struct test_job){.job_id = "req-6", .team = "blue", .rank = "prod", .cpus = 4});
+           &(struct test_job){.job_id = "req-6", .team = "blue", .priority = "prod", .cpus = 4});
     plan_once(node);
     bool five = fake_store_attempt(fixture->store, "vm-1", "req-5", 0) != 0;
     bool six = fake_store_attempt(fixture->store, "vm-1", "req-6", 0) != 0;
@@ -304,25 +305,31 @@
 static void a_victim_makes_room_once(void **state) {
     core_fixture *fixture = *state;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
-    show_empty(&fixture->n, "vm-1", "a", false, 1);
-    submit(fixture,
-           &(struct test_job){
-               .job_id = "req-1", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
-    submit(fixture, &(struct test_job){.job_id = "req-2", .cpus = 8, .rank = "low"});
-    plan_once(&fixture->n);
+    show_empty(&fixture->controller, "vm-1", "a", false, 1);
+    submit(fixture, &(struct test_job){.job_id = "req-1",
+                                       .cpus = 8,
+                                       .priority = "prod",
+                                       .job_class = "live",
+                                       .service = true});
+    submit(fixture, &(struct test_job){.job_id = "req-2", .cpus = 8, .priority = "low"});
+    plan_once(&fixture->controller);
     uint64_t low = fake_store_attempt(fixture->store, "vm-1", "req-2", 0);
     assert_true(low != 0);
     char *first = running("req-1", fake_store_attempt(fixture->store, "vm-1", "req-1", 0));
     char *second = running("req-2", low);
-    test_controller_heartbeat(&fixture->n, "vm-1", "a", false, 1, 2,
-                              rr_core_fencing_token(fixture->n.core), first, second, NULL);
-    submit(fixture,
-           &(struct test_job){
-               .job_id = "req-3", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
-    submit(fixture,
-           &(struct test_job){
-               .job_id = "req-4", .cpus = 8, .rank = "prod", .job_class = "live", .service = true});
-    plan_once(&fixture->n);
+    test_controller_heartbeat(&fixture->controller, "vm-1", "a", false, 1, 2,
+                              rr_core_fencing_token(fixture->controller.core), first, second, NULL);
+    submit(fixture, &(struct test_job){.job_id = "req-3",
+                                       .cpus = 8,
+                                       .priority = "prod",
+                                       .job_class = "live",
+                                       .service = true});
+    submit(fixture, &(struct test_job){.job_id = "req-4",
+                                       .cpus = 8,
+                                       .priority = "prod",
+                                       .job_class = "live",
+                                       .service = true});
+    plan_once(&fixture->controller);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-3") +
                          fake_store_placed_count(fixture->store, "req-4"),
                      1);
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -14,7 +14,7 @@
  * it is released, which proves its task's end and lets it start elsewhere. */
 static void machine_with_unanswered_commands_is_released(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job first_job = {.job_id = "req-1", .service = true},
                     second_job = {.job_id = "req-2", .service = true};
     send_heartbeat(node, "vm-1", 1, NULL);
@@ -55,7 +55,7 @@
  * */
 static void one_answer_clears_suspect(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     send_heartbeat(node, "vm-1", 1, NULL);
@@ -112,7 +112,7 @@
  * the first one suffices. */
 static void newly_recorded_machine_takes_work_with_first_heartbeat(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     fake_store_put_machine(fixture->store, "vm-3", "a", false, false);
     fake_store_sync(fixture->store, node->core, node->now);
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1"}, node->now);
@@ -144,7 +144,7 @@
 /* A late copy about a machine that has gone does not make it known restarted. */
 static void late_copy_of_gone_machine_is_ignored(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_core_stats stats;
     send_heartbeat(node, "vm-1", 5, NULL);
     send_heartbeat(node, "vm-2", 5, NULL);
@@ -165,7 +165,7 @@
 /* A machine that the cloud has not named is recorded only after it has answered. */
 static void unverified_machine_is_not_recorded(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     test_controller_heartbeat(node, "vm-7", "a", false, 1, 3, 0, NULL);
     for (int i = 0; i < 8; i++) {
         node->now += 0.5;
@@ -186,7 +186,7 @@
  * reserved. */
 static void machine_with_reused_name_is_released(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     send_heartbeat(node, "vm-1", 500, NULL);
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1", .service = true},
                       node->now);
@@ -220,7 +220,7 @@
  * every machine that answers. */
 static void machines_of_isolated_controller_are_probed_and_kept(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, alone;
+    test_controller *node = &fixture->controller, alone;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, true);
     fake_store_put_machine(fixture->store, "vm-2", "b", false, true);
     test_controller_init(&alone, fixture->store, "n1");
@@ -282,7 +282,7 @@
  * */
 static void job_failing_everywhere_quarantines_no_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     const char *ids[] = {"vm-1", "vm-2", "vm-3", "vm-4"};
     for (int i = 0; i < 4; i++) {
--- a/tests/test_core_fault_combinations.c
+++ b/tests/test_core_fault_combinations.c
@@ -14,7 +14,7 @@
  * since, it proves nothing and brings nothing back. */
 static void delayed_heartbeat_changes_nothing_under_next_leader(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-1", .service = true};
     uint64_t attempt;
     const char *machine = run_job(fixture, &job, &attempt);
@@ -41,7 +41,7 @@
  * it is itself not connected. */
 static void machine_with_lost_heartbeats_takes_no_work(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, other;
+    test_controller *node = &fixture->controller, other;
     uint64_t attempt;
     bool peer_connected = true;
     test_controller_init(&other, fixture->store, "n1");
@@ -90,7 +90,7 @@
  * of it on one machine. A job bound to one zone goes where it fits as a whole. */
 static void job_bound_to_one_zone_goes_where_it_fits(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     uint64_t attempt;
     for (int i = 3; i < 9; i++) {
         char id[16], job_id[32];
@@ -140,7 +140,8 @@
     /* Three tasks of 6 fit into zone a alone. */
     fake_store_submit(
         fixture->store,
-        &(struct test_job){.job_id = "req-2", .one_zone = true, .cpus = 6, .pieces = 3}, node->now);
+        &(struct test_job){.job_id = "req-2", .one_zone = true, .cpus = 6, .task_count = 3},
+        node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     plan_with_outcome(node, RR_COMMAND_ANSWERED);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 3);
@@ -151,7 +152,7 @@
  * goes on probing. */
 static void suspect_without_work_is_probed_until_it_answers(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, second;
+    test_controller *node = &fixture->controller, second;
     uint64_t attempt;
     test_controller_init(&second, fixture->store, "n1");
     fake_store_sync(fixture->store, second.core, second.now);
@@ -212,7 +213,7 @@
  * failure, so that no job waits for 90 s while it has room. */
 static void quarantine_ends_after_a_minute(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     uint64_t sequence = 1, attempt;
     fake_store_delete_machine(fixture->store, "vm-2");
     for (int i = 1; i <= 2; i++) {
@@ -253,7 +254,7 @@
  * that to the owner. */
 static void ended_attempt_of_forgotten_job_blocks_late_start(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-1", .zone = "a"};
     uint64_t sequence = 10;
     send_heartbeat(node, "vm-1", 1, NULL);
@@ -284,8 +285,8 @@
         }
         rr_plan_clear(&plan);
         rr_core_get_stats(node->core, &stats);
-    } while (stats.jobs_whole > 0 && sequence < 40);
-    assert_int_equal(stats.jobs_whole, 0);
+    } while (stats.unshrunk_jobs > 0 && sequence < 40);
+    assert_int_equal(stats.unshrunk_jobs, 0);
     send_heartbeat(node, "vm-1", sequence++, theirs);
     test_controller_plan(node, &plan);
     assert_null(plan_find_command(&plan, "vm-1", RR_COMMAND_REAP, job.job_id, 0));
@@ -325,10 +326,10 @@
     struct shown_machines show = {.first = 10,
                                   .last = 29,
                                   .last_in_a = 29,
-                                  .refs = refs,
+                                  .job_ids = refs,
                                   .jobs = jobs,
                                   .tasks = 1,
-                                  .most = 4,
+                                  .task_max = 4,
                                   .worker_epoch = 1,
                                   .sequence = sequence,
                                   .state = ended_state};
@@ -348,13 +349,13 @@
  * its final state in memory. */
 static void small_jobs_have_bounded_cost_and_leave_nothing(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     const int jobs = 480;
     uint64_t sequence = 1, before;
     char job_id[32];
     rr_core_stats stats;
     test_controller_add_machines(node, 10, 20, "a");
-    before = fixture->store->epoch;
+    before = fixture->store->revision;
     for (int i = 1; i <= jobs; i++) {
         g_snprintf(job_id, sizeof job_id, "req-%06d", i);
         fake_store_submit(fixture->store, &(struct test_job){.job_id = job_id, .cpus = 1},
@@ -384,7 +385,7 @@
         plan_with_outcome(node, RR_COMMAND_ANSWERED);
     }
     rr_core_get_stats(node->core, &stats);
-    assert_int_equal(stats.jobs_whole, 0);
+    assert_int_equal(stats.unshrunk_jobs, 0);
     for (int i = 1; i <= jobs; i++) {
         rr_job_view view;
         g_snprintf(job_id, sizeof job_id, "req-%06d", i);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -40,7 +40,7 @@
 /* Lets one thing happen to the gang, or to this machine of it. */
 static void let_happen(core_fixture *fixture, enum gang_event event, int machine,
                        enum rr_gang_phase before) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     char id[16];
     g_snprintf(id, sizeof id, "vm-%d", machine);
     switch (event) {
@@ -107,7 +107,7 @@
         uint64_t attempt;
         double grace_s;
         gang_setup((void **)&fixture);
-        test_controller *node = &fixture->n;
+        test_controller *node = &fixture->controller;
         gang_start(fixture, &gang_job);
         assert_int_equal(gang_phase(node, "req-1"), RR_GANG_RESERVED);
         if (before != RR_GANG_RESERVED) {
@@ -132,7 +132,7 @@
  * exit. Nothing is placed before all are proven terminated, then all tasks under a new attempt. */
 static void a_gang_with_a_lost_task_is_placed_again_whole(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     uint64_t first, attempt;
     gang_start(fixture, &gang_job);
     gang_show_all(node, "req-1", "running");
@@ -169,7 +169,7 @@
 /* One completed task means that all are. No controller reports the job as done before. */
 static void a_gang_completes_in_one_change(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_job_view view;
     uint64_t attempt;
     gang_start(fixture, &gang_job);
@@ -180,7 +180,7 @@
     node->now += 30;
     gang_show_all(node, "req-1", "running");
     int machine = gang_machine_of(fixture, 0, &attempt);
-    uint64_t before = fixture->store->epoch;
+    uint64_t before = fixture->store->revision;
     gang_show(node, machine, "req-1", "ended:done", 1, -1);
     gang_plan(node, RR_COMMAND_REAP, "req-1", NULL);
     node->now += 0.5;
@@ -188,7 +188,7 @@
     gang_plan(node, RR_COMMAND_REAP, "req-1", NULL);
     rr_core_job_view(node->core, "req-1", node->now, &view);
     assert_true(view.done && view.done_count == 3);
-    assert_int_equal(fixture->store->epoch, before + 1);
+    assert_int_equal(fixture->store->revision, before + 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
 }
 
@@ -196,7 +196,7 @@
  * remaining placements go when they are proven terminated. */
 static void a_gang_completes_without_an_unreachable_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_job_view view;
     uint64_t attempt;
     gang_start(fixture, &gang_job);
@@ -219,7 +219,7 @@
 /* No second stop without grace follows when the first task exits. */
 static void a_spot_notice_lets_all_tasks_save(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     uint64_t attempt;
     double grace_s;
     gang_start(fixture, &gang_job);
@@ -241,7 +241,7 @@
  * blocks the start, and only then does the next attempt begin. */
 static void an_unanswered_start_delays_the_next_attempt(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     uint64_t first, attempt;
     rr_plan next_plan;
     gang_show_all(node, "req-1", NULL);
@@ -288,7 +288,7 @@
 /* A new owner derives the phase of a gang from the ledger and the heartbeats. */
 static void a_new_owner_derives_the_same_phase(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, next;
+    test_controller *node = &fixture->controller, next;
     uint64_t attempt;
     gang_start(fixture, &gang_job);
     gang_show_all(node, "req-1", "running");
@@ -312,7 +312,7 @@
  * and ends with one. */
 static void a_gang_over_several_records_takes_one_transaction(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job wide = gang_job;
     const char *const job_ids[] = {"req-1"};
     rr_job_view view;
@@ -322,24 +322,24 @@
     fixture->store->ops_max = 4;
     wide.cpus = wide.mem_gb = 1;
     wide.one_zone = false;
-    wide.pieces = 60;
+    wide.task_count = 60;
     gang_show_all(node, "req-1", NULL);
     submit_gang_job(fixture, &wide);
-    uint64_t before = fixture->store->epoch;
+    uint64_t before = fixture->store->revision;
     gang_plan(node, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 60);
-    assert_int_equal(fixture->store->epoch, before + 1);
+    assert_int_equal(fixture->store->revision, before + 1);
     assert_true(fake_store_count(fixture->store, RR_KEY_ROOT "run/req-1/") == 2);
     gang_shared_attempt(fixture, 60);
     gang_show_jobs(node, job_ids, 1, 60, gang_task_runs);
     assert_int_equal(gang_phase(node, "req-1"), RR_GANG_RUNNING);
     node->now += 20;
     gang_show_jobs(node, job_ids, 1, 60, gang_task_is_done);
-    before = fixture->store->epoch;
+    before = fixture->store->revision;
     gang_plan(node, RR_COMMAND_REAP, "req-1", NULL);
     rr_core_job_view(node->core, "req-1", node->now, &view);
     assert_true(view.done);
-    assert_int_equal(fixture->store->epoch, before + 1);
+    assert_int_equal(fixture->store->revision, before + 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
 }
 
--- a/tests/test_core_gang_placement.c
+++ b/tests/test_core_gang_placement.c
@@ -13,14 +13,14 @@
 /* A gang without room for all of its tasks holds none: another one that fits is placed. */
 static void a_gang_is_placed_whole_or_not_at_all(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job large = gang_job, small = gang_job, other = gang_job;
-    large.pieces = 4; /* ten CPUs of sixteen each: three machines a zone */
+    large.task_count = 4; /* ten CPUs of sixteen each: three machines a zone */
     small.job_id = "req-2";
-    small.pieces = 2;
+    small.task_count = 2;
     other.job_id = "req-3";
     other.one_zone = false;
-    other.pieces = 4;
+    other.task_count = 4;
     gang_show_all(node, "req-1", NULL);
     fake_store_submit(fixture->store, &large, node->now);
     submit_gang_job(fixture, &small);
@@ -36,7 +36,7 @@
     over.job_id = "req-4";
     over.one_zone = false;
     over.cpus = 11;
-    over.pieces = 3;
+    over.task_count = 3;
     submit_gang_job(fixture, &over);
     for (int i = 0; i < 4; i++) {
         node->now += 1;
@@ -49,7 +49,7 @@
  * until the limit is lifted. */
 static void a_team_limit_counts_the_whole_gang(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job waiting = gang_job;
     gang_start(fixture, &gang_job); /* thirty CPUs in one zone */
     node->config.teams[0].cpus_max = 60;
@@ -73,7 +73,7 @@
  * resources: the next gang of its kind then finds the image on more machines. */
 static void a_gang_goes_to_the_zone_with_its_image(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     const char *const one[] = {"req-5"};
     uint64_t attempt;
     gang_show_all(node, "req-1", NULL);
@@ -92,21 +92,21 @@
  * more than a zone has preempts nothing. */
 static void an_urgent_gang_preempts_only_if_all_of_it_fits(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job urgent = gang_job, large = gang_job;
     const char *const arrays[] = {"req-5"};
     gang_show_all(node, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5",
-                                                .rank = "low",
+                                                .priority = "low",
                                                 .cpus = 8,
-                                                .pieces = 12,
+                                                .task_count = 12,
                                                 .checkpoint_interval_s = 30});
     gang_plan(node, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), 12);
     gang_show_jobs(node, arrays, 1, 12, gang_task_runs);
     large.job_id = "req-2";
     large.job_class = "live";
-    large.pieces = 4; /* of ten CPUs: three machines a zone */
+    large.task_count = 4; /* of ten CPUs: three machines a zone */
     submit_gang_job(fixture, &large);
     node->now += 1;
     gang_plan(node, RR_COMMAND_START, "req-2", NULL);
@@ -114,7 +114,7 @@
     assert_int_equal(gang_plan(node, RR_COMMAND_STOP, "req-5", NULL), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 0);
     urgent.job_class = "live";
-    urgent.pieces = 2;
+    urgent.task_count = 2;
     submit_gang_job(fixture, &urgent);
     gang_plan(node, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 2);
@@ -132,20 +132,21 @@
  * in the same plan. */
 static void a_gang_is_preempted_whole(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job all = gang_job;
     uint64_t attempt;
     double grace_s;
     all.cpus = 16;
     all.one_zone = false;
-    all.pieces = GANG_MACHINES;
-    all.rank = "standard";
+    all.task_count = GANG_MACHINES;
+    all.priority = "standard";
     gang_start(fixture, &all);
     gang_show_all(node, "req-1", "running");
-    submit_gang_job(
-        fixture,
-        &(struct test_job){
-            .job_id = "req-2", .rank = "prod", .job_class = "live", .service = true, .cpus = 8});
+    submit_gang_job(fixture, &(struct test_job){.job_id = "req-2",
+                                                .priority = "prod",
+                                                .job_class = "live",
+                                                .service = true,
+                                                .cpus = 8});
     gang_plan(node, RR_COMMAND_START, "req-2", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 1);
     gang_show_all(node, "req-1", "running");
@@ -169,22 +170,22 @@
  * beyond the guarantee does not. */
 static void a_guarantee_makes_room_for_a_whole_gang(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job owed = gang_job, beyond = gang_job;
     const char *const others[] = {"req-5"};
     node->config.teams[1].cpus = 20; /* blue */
     gang_show_all(node, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5",
-                                                .rank = "prod",
+                                                .priority = "prod",
                                                 .cpus = 16,
-                                                .pieces = GANG_MACHINES,
+                                                .task_count = GANG_MACHINES,
                                                 .service = true});
     gang_plan(node, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), GANG_MACHINES);
     gang_show_jobs(node, others, 1, 12, gang_task_runs);
     owed.team = beyond.team = "blue";
-    owed.rank = beyond.rank = "low";
-    owed.pieces = 2;
+    owed.priority = beyond.priority = "low";
+    owed.task_count = 2;
     beyond.job_id = "req-2";
     fake_store_submit(fixture->store, &beyond, node->now); /* thirty CPUs */
     fake_store_sync(fixture->store, node->core, node->now);
@@ -224,23 +225,25 @@
  * go on meanwhile. */
 static void gangs_start_among_a_stream_of_small_tasks(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job first = gang_job, second = gang_job;
     static char names[SMALL_JOBS][16];
     const char *small[SMALL_JOBS];
     unsigned begun[2] = {0, 0};
-    first.rank = second.rank = "low";
+    first.priority = second.priority = "low";
     first.cpus = second.cpus = 16;
     second.job_id = "req-2";
     gang_show_all(node, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
-        fake_store_submit(
-            fixture->store,
-            &(struct test_job){
-                .job_id = small[i], .rank = "low", .cpus = 8, .pieces = 12, .deadline_s = 20},
-            node->now);
+        fake_store_submit(fixture->store,
+                          &(struct test_job){.job_id = small[i],
+                                             .priority = "low",
+                                             .cpus = 8,
+                                             .task_count = 12,
+                                             .deadline_s = 20},
+                          node->now);
     }
     fake_store_submit(fixture->store, &first, node->now);
     submit_gang_job(fixture, &second);
@@ -272,7 +275,7 @@
  * gang. */
 static void a_team_limit_is_kept_for_a_waiting_gang(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     static char names[SMALL_JOBS][16];
     const char *small[SMALL_JOBS];
     node->config.teams[0].cpus_max = 32;
@@ -282,7 +285,7 @@
         small[i] = names[i];
         fake_store_submit(
             fixture->store,
-            &(struct test_job){.job_id = small[i], .rank = "low", .cpus = 8, .pieces = 12},
+            &(struct test_job){.job_id = small[i], .priority = "low", .cpus = 8, .task_count = 12},
             node->now);
     }
     fake_store_sync(fixture->store, node->core, node->now);
@@ -300,7 +303,7 @@
 
 static void a_gang_that_can_never_run_is_refused(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_submission submission;
     const char *why = "";
     test_submission(&submission, &gang_job);
@@ -319,7 +322,7 @@
 /* While a version without gangs serves, new gangs are not decided on, and accepted ones stay. */
 static void an_old_version_holds_back_new_gangs(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_submission submission;
     rr_job_view view;
     const char *why = "";
@@ -346,12 +349,12 @@
     rr_encode_key_text(&encoder, "shape", "batch");
     rr_encode_key_bool(&encoder, "cancelled", true);
     fake_store_put(fixture->store, RR_KEY_ROOT "job/req-1", &encoder);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
 static void a_cancellation_by_an_old_version_holds(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_submission submission;
     rr_job_view view;
     const char *why = "";
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -20,7 +20,7 @@
 static unsigned machines_visited(const test_controller *node) {
     rr_core_stats stats;
     rr_core_get_stats(node->core, &stats);
-    return stats.visits;
+    return stats.machines_visited;
 }
 
 /* Every machine has sent a heartbeat, and nothing is left to plan. */
@@ -41,7 +41,7 @@
 /* After one heartbeat with news, in a fleet of thousands, a plan visits its machine alone. */
 static void a_plan_costs_what_changed(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     add_settled_fleet(node);
     test_controller_heartbeat(node, "vm-77", "a", false, 1, 2, rr_core_fencing_token(node->core),
                               "req-000001 0 3 running", NULL);
@@ -52,7 +52,7 @@
  * nothing and commands nothing. */
 static void a_heartbeat_without_news_costs_nothing(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     add_settled_fleet(node);
     unsigned before = machines_visited(node);
@@ -69,7 +69,7 @@
 /* The first plan of a term visits each machine once, and the next one none. */
 static void a_new_term_visits_each_machine_once(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     add_settled_fleet(node);
     test_controller_join(node, 9);
     unsigned first = plan_and_count_visits(node);
@@ -87,14 +87,14 @@
  * not known. */
 static void memory_per_machine_and_job_is_bounded(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     const int jobs = 500;
     size_t before = allocated_bytes();
     test_controller_add_machines(node, 1, FLEET, "a");
     size_t machine = (allocated_bytes() - before) / FLEET;
     plan_until_settled(node);
     before = allocated_bytes();
-    submit_many(node, 1, jobs, &(struct test_job){.pieces = 4, .cpus = 4, .service = true});
+    submit_many(node, 1, jobs, &(struct test_job){.task_count = 4, .cpus = 4, .service = true});
     plan_until_settled(node);
     size_t job = (allocated_bytes() - before) / jobs;
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 4);
@@ -112,11 +112,11 @@
  * together takes one, and ending the job takes two. */
 static void an_array_costs_a_few_changes(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     rr_job_view view;
     test_controller_add_machines(node, 1, FLEET, "a");
-    submit_many(node, 1, 1, &(struct test_job){.pieces = 60, .cpus = 4, .gpus = 1});
+    submit_many(node, 1, 1, &(struct test_job){.task_count = 60, .cpus = 4, .gpus = 1});
     test_controller_plan(node, &plan);
     assert_int_equal(plan_changes(&plan), 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 60);
@@ -139,16 +139,16 @@
  * resources are free at once; a job's last completion does not wait. */
 static void completions_are_gathered_while_writes_are_short(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     test_controller_add_machines(node, 1, 1, "a");
-    submit_many(node, 1, 1, &(struct test_job){.pieces = 2, .cpus = 8});
+    submit_many(node, 1, 1, &(struct test_job){.task_count = 2, .cpus = 8});
     plan_until_settled(node);
     char *one = g_strdup_printf("req-000001 0 %" G_GUINT64_FORMAT " ended:done",
                                 fake_store_attempt(fixture->store, "vm-1", "req-000001", 0));
     char *two = g_strdup_printf("req-000001 1 %" G_GUINT64_FORMAT " ended:done",
                                 fake_store_attempt(fixture->store, "vm-1", "req-000001", 1));
-    rr_core_set_pressure(node->core, 1, 8);
+    rr_core_set_write_pressure(node->core, 1, 8);
     test_controller_heartbeat(node, "vm-1", "a", false, 1, 2, rr_core_fencing_token(node->core),
                               one, NULL);
     test_controller_plan(node, &plan);
@@ -170,7 +170,7 @@
 /* Hundreds of jobs that do not fit cost a few walks over the fleet, not one each. */
 static void waiting_jobs_share_a_search(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     test_controller_add_machines(node, 1, FLEET, "a");
     submit_many(node, 1, 500, &(struct test_job){.zone = "b"});
@@ -183,12 +183,12 @@
 /* One plan places all tasks of a spread job, since it keeps the counts by zone as it reserves. */
 static void a_spread_job_is_placed_by_one_plan(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     test_controller_add_machines(node, 1, 200, "a");
     test_controller_add_machines(node, 201, 200, "b");
     submit_many(node, 1, 1,
-                &(struct test_job){.pieces = 12, .service = true, .spread = true, .gpus = 1});
+                &(struct test_job){.task_count = 12, .service = true, .spread = true, .gpus = 1});
     test_controller_plan(node, &plan);
     assert_int_equal(plan_changes(&plan), 1);
     rr_plan_clear(&plan);
@@ -208,7 +208,7 @@
  * waiting tasks are rented in calls of up to fifty. */
 static void machines_are_recorded_and_rented_in_bulk(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     unsigned changes = 0, rentals = 0, asked = 0;
     for (int i = 1; i <= 1000; i++) {
@@ -216,7 +216,7 @@
         g_snprintf(id, sizeof id, "vm-%06d", i);
         list_machine(machines, id, "a", RR_LISTED_RUNNING, 100);
     }
-    submit_many(node, 1, 100, &(struct test_job){.pieces = 40, .cpus = 8, .zone = "b"});
+    submit_many(node, 1, 100, &(struct test_job){.task_count = 40, .cpus = 8, .zone = "b"});
     for (int i = 0; i < 120; i++) {
         rr_autoscaler_step step;
         rr_autoscaler_step_init(&step);
@@ -250,16 +250,18 @@
     core_fixture *fixture = *state;
     test_controller again;
     const int half = FLEET / 2;
-    test_controller_add_machines(&fixture->n, 1, half, "a");
-    test_controller_add_machines(&fixture->n, half + 1, FLEET - half, "b");
-    submit_many(&fixture->n, 1, 100,
-                &(struct test_job){
-                    .pieces = 8, .cpus = 4, .service = true, .spread = true, .rank = "prod"});
-    submit_many(&fixture->n, 201, 40, &(struct test_job){.pieces = 60, .cpus = 4, .rank = "low"});
-    plan_until_settled(&fixture->n);
+    test_controller_add_machines(&fixture->controller, 1, half, "a");
+    test_controller_add_machines(&fixture->controller, half + 1, FLEET - half, "b");
+    submit_many(
+        &fixture->controller, 1, 100,
+        &(struct test_job){
+            .task_count = 8, .cpus = 4, .service = true, .spread = true, .priority = "prod"});
+    submit_many(&fixture->controller, 201, 40,
+                &(struct test_job){.task_count = 60, .cpus = 4, .priority = "low"});
+    plan_until_settled(&fixture->controller);
     unsigned records = fake_store_count(fixture->store, RR_KEY_ROOT "run/");
     test_controller_init(&again, fixture->store, "n0");
-    again.now = fixture->n.now;
+    again.now = fixture->controller.now;
     fake_store_reload(fixture->store, again.core, again.now);
     test_controller_join(&again, 8);
     rr_plan plan;
@@ -285,13 +287,13 @@
  * it, and the records keep to the store's limits. */
 static void a_cold_start_to_the_whole_fleet(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     int rented = 0;
     unsigned steps = 0;
     fixture->store->value_max = (size_t)(node->config.value_kb * 1024);
     fixture->store->ops_max = (guint)node->config.transaction_changes_max;
-    submit_many(node, 1, FLEET / 100, &(struct test_job){.pieces = 100, .cpus = 16});
+    submit_many(node, 1, FLEET / 100, &(struct test_job){.task_count = 100, .cpus = 16});
     for (; rented < FLEET && steps < 4000; steps++) {
         rr_autoscaler_step step;
         test_controller_autoscaler_step(node, machines, &step);
--- a/tests/test_core_next_limits.c
+++ b/tests/test_core_next_limits.c
@@ -20,8 +20,8 @@
 static int setup(void **state) {
     core_fixture_setup(state);
     core_fixture *fixture = *state;
-    fixture->n.config.next_value_kb = NEXT_KB;
-    fixture->n.config.next_transaction_changes_max = NEXT_CHANGES;
+    fixture->controller.config.next_value_kb = NEXT_KB;
+    fixture->controller.config.next_transaction_changes_max = NEXT_CHANGES;
     return 0;
 }
 
@@ -41,7 +41,7 @@
     if (plan.has_transaction) {
         rc = fake_store_commit(node->store, &plan.transaction);
         if (rc == -EINVAL) {
-            rr_core_lower_limits(node->core, false);
+            rr_core_next_limits_in_force(node->core, false);
         }
     }
     fake_store_sync(node->store, node->core, node->now);
@@ -86,7 +86,7 @@
 }
 
 /* An array of more tasks than a record within the next limits holds. */
-static const struct test_job large_array = {.job_id = "req-1", .pieces = TASKS, .cpus = 1};
+static const struct test_job large_array = {.job_id = "req-1", .task_count = TASKS, .cpus = 1};
 
 /* Number of machines on which the ledger has a placement of the task. */
 static unsigned count_places(const fake_store *store, const char *job_id, uint32_t task) {
@@ -105,7 +105,7 @@
  * be confined to the tasks of one smaller record. */
 static void every_write_keeps_to_the_next_limits(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     test_controller_join_old_version(node);
     test_controller_add_machines(node, 1, MACHINES, "a"); /* in pages of the old size */
     enforce_next_limits(fixture->store);
@@ -143,10 +143,10 @@
     struct shown_machines show = {.first = 1,
                                   .last = MACHINES,
                                   .last_in_a = MACHINES,
-                                  .refs = &job_id,
+                                  .job_ids = &job_id,
                                   .jobs = 1,
                                   .tasks = (uint32_t)tasks,
-                                  .most = SHOWN_TASKS_MAX,
+                                  .task_max = SHOWN_TASKS_MAX,
                                   .worker_epoch = worker_epoch,
                                   .sequence = sequence,
                                   .state = done_or_running};
@@ -175,7 +175,7 @@
 
 /* Places the whole array under the next limits, which takes overflow records. */
 static void place_large_array(core_fixture *fixture) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     test_controller_add_machines(node, 1, MACHINES, "a");
     enforce_next_limits(fixture->store);
     submit(node, &large_array);
@@ -187,8 +187,8 @@
  */
 static uint64_t lose_and_place_again(core_fixture *fixture) {
     uint64_t first = fake_store_attempt(fixture->store, "vm-1", "req-1", 0);
-    heartbeat_without_tasks(&fixture->n, MACHINES, 2, 1); /* every lease was lost */
-    plan_large_array(&fixture->n, 12);
+    heartbeat_without_tasks(&fixture->controller, MACHINES, 2, 1); /* every lease was lost */
+    plan_large_array(&fixture->controller, 12);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), TASKS);
     assert_records_within_limit(fixture->store, "req-1");
     return first;
@@ -208,7 +208,7 @@
  * in the record of their chunk. */
 static void a_new_owner_completes_overflow_records(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, next;
+    test_controller *node = &fixture->controller, next;
     rr_job_view view;
     place_large_array(fixture);
     lose_and_place_again(fixture);
@@ -255,7 +255,7 @@
     }
     g_snprintf(key, sizeof key, RR_KEY_ROOT "run/%s/%d", job_id, chunk);
     fake_store_put(fixture->store, key, &encoder);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
 #define OLD_ATTEMPT (((uint64_t)5000 << 32) + 500)
@@ -269,15 +269,15 @@
  * must not be taken for a lack of room, which would make other jobs of its size wait, too. */
 static void a_task_of_an_unwritable_record_blocks_nothing_else(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     test_controller_add_machines(node, 1, MACHINES, "a");
     fake_store_submit(
         fixture->store,
-        &(struct test_job){.job_id = "req-1", .pieces = TASKS, .cpus = 1, .deadline_s = 10},
+        &(struct test_job){.job_id = "req-1", .task_count = TASKS, .cpus = 1, .deadline_s = 10},
         node->now);
     put_old_record(fixture);
     enforce_next_limits(fixture->store);
-    rr_core_lower_limits(node->core, false);
+    rr_core_next_limits_in_force(node->core, false);
     show_tasks(node, "req-1", TASKS, 0, 1, 2);
     test_controller_heartbeat(node, "vm-1", "a", false, 2, 1, rr_core_fencing_token(node->core),
                               NULL);
@@ -299,7 +299,7 @@
  * its chunk's record does not start. */
 static void a_task_waits_for_its_older_placement_in_an_overflow_record(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     test_controller_add_machines(node, 1, MACHINES, "a");
     fake_store_submit(fixture->store, &large_array, node->now);
@@ -322,7 +322,7 @@
  * by then, and the same change removes its old placement. */
 static void a_lost_task_moves_back_to_the_record_of_its_chunk(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     test_controller_add_machines(node, 1, MACHINES, "a");
     enforce_next_limits(fixture->store);
     fake_store_submit(fixture->store, &large_array, node->now);
@@ -334,7 +334,7 @@
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 50);
     /* Task 50 runs on vm-11, which loses its lease. Writes are short, so that lost placements are
      * not removed by changes of their own. */
-    rr_core_set_pressure(node->core, 1, NEXT_CHANGES);
+    rr_core_set_write_pressure(node->core, 1, NEXT_CHANGES);
     uint64_t lost = fake_store_attempt(fixture->store, "vm-11", "req-1", 50);
     assert_true(lost != 0);
     test_controller_heartbeat(node, "vm-11", "a", false, 2, 1, rr_core_fencing_token(node->core),
@@ -352,7 +352,7 @@
  * lost, and other jobs are placed meanwhile. */
 static void an_old_record_beyond_the_limit_waits_until_it_fits(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_job_view view;
     test_controller_add_machines(node, 1, MACHINES, "a");
     fake_store_submit(fixture->store, &large_array, node->now);
@@ -390,7 +390,7 @@
  * reader, whether it follows the store or reloads, miss a machine of it. */
 static void an_old_page_is_split_without_losing_a_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, other;
+    test_controller *node = &fixture->controller, other;
     rr_core_stats stats;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -437,7 +437,7 @@
  */
 static void a_page_grown_beyond_a_full_one_is_still_written(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     node->config.next_value_kb = node->config.next_transaction_changes_max = 0;
@@ -464,14 +464,14 @@
  * be committed, so nothing is planned before a new term has voided it. */
 static void nothing_is_planned_until_a_new_term_voids_a_doubtful_transaction(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan late;
     test_controller_add_machines(node, 1, 4, "a");
     submit(node, &(struct test_job){.job_id = "req-1"});
     rr_plan_init(&late);
     rr_core_plan(node->core, node->now, node->now, &late);
     assert_true(late.has_transaction);
-    rr_core_lower_limits(node->core, true);
+    rr_core_next_limits_in_force(node->core, true);
     uint64_t token = rr_core_fencing_token(node->core);
     assert_int_equal(plan(node), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
--- a/tests/test_core_ownership.c
+++ b/tests/test_core_ownership.c
@@ -12,7 +12,7 @@
  * applied. */
 static void a_transaction_of_an_old_term_changes_nothing(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, other;
+    test_controller *node = &fixture->controller, other;
     struct test_job job = {.job_id = "req-000004"};
     rr_plan plan;
     heartbeat_with(node, "vm-1", 1, 1, NULL);
@@ -33,7 +33,7 @@
  * voids them; until then the new owner takes no absence as proof. */
 static void absence_proves_nothing_before_the_worker_shows_the_new_token(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000005", .service = true};
     uint64_t attempt, old = rr_core_fencing_token(node->core);
     rr_plan plan;
@@ -57,8 +57,8 @@
 /* What the old owner reserved counts, whether proven terminated or not. */
 static void a_team_limit_holds_across_a_change_of_owner(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
-    struct test_job job = {.job_id = "req-000011", .pieces = 3, .cpus = 1, .gpus = 1};
+    test_controller *node = &fixture->controller;
+    struct test_job job = {.job_id = "req-000011", .task_count = 3, .cpus = 1, .gpus = 1};
     uint64_t attempt;
     node->config.teams[0].gpus_max = 2;
     reserve_one(fixture, &job, &attempt);
@@ -123,7 +123,7 @@
  * worker refuses one start, and that reservation goes. Neither owner waits for the other. */
 static void a_worker_decides_between_two_owners(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, other;
+    test_controller *node = &fixture->controller, other;
     struct test_job first_job = {.job_id = "req-000012", .team = "red", .cpus = 16};
     struct test_job second_job = {.job_id = "req-000013", .team = "blue", .cpus = 16};
     const char *job_ids[2] = {first_job.job_id, second_job.job_id};
@@ -164,7 +164,7 @@
  * number. */
 static void attempts_of_two_owners_differ(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, other;
+    test_controller *node = &fixture->controller, other;
     const char *const teams[] = {"red", "blue"};
     uint64_t seen[2] = {0, 0};
     test_controller_init(&other, fixture->store, "n1");
@@ -193,7 +193,7 @@
 /* A reservation guards its job's record: a cancellation committed in between makes it fail. */
 static void a_cancellation_voids_a_planned_reservation(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000014"};
     rr_plan plan;
     heartbeat_with(node, "vm-1", 1, 1, NULL);
@@ -209,7 +209,7 @@
 /* A restarted controller of the same name is not the member that the term names. */
 static void a_new_incarnation_has_no_lease_before_its_term(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, again;
+    test_controller *node = &fixture->controller, again;
     test_controller_init(&again, fixture->store, "n0");
     fake_store_sync(fixture->store, again.core, again.now);
     rr_core_set_session(again.core, 77, again.now + 100);
--- a/tests/test_core_partitions.c
+++ b/tests/test_core_partitions.c
@@ -11,14 +11,14 @@
 /* vm-1 to vm-3 of zone a, listed, recorded and heard once. */
 static void put_three_heard_machines(core_fixture *fixture, GArray *listed) {
     put_fleet(fixture, 3, listed);
-    send_fleet_heartbeats(&fixture->n, 1, 3, 1);
+    send_fleet_heartbeats(&fixture->controller, 1, 3, 1);
 }
 
 /* While a whole zone is overdue none of its machines is released; a single overdue machine is, once
  * probes failed, and its record goes only after the release. */
 static void partitioned_zone_stays_and_dead_machine_is_released(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     put_three_heard_machines(fixture, machines);
@@ -39,7 +39,8 @@
         test_controller_autoscaler_step(node, machines, &step);
         if (step.kind == RR_AUTOSCALER_SCALE_IN) {
             released = true;
-            assert_true(i > node->config.tuning.dead_reports * node->config.heartbeat_interval_s);
+            assert_true(i > node->config.tuning.dead_heartbeat_intervals *
+                                node->config.heartbeat_interval_s);
             assert_int_equal(step.machines->len, 1);
             assert_string_equal(step.machines->pdata[0], "vm-3");
             assert_true(fake_store_has_machine(fixture->store, "vm-3"));
@@ -54,10 +55,10 @@
  * still counts as heard, because heartbeats are staggered. */
 static void beginning_partition_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     char id[16];
-    node->config.tuning.dead_reports = 1.9;
+    node->config.tuning.dead_heartbeat_intervals = 1.9;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     put_fleet(fixture, 12, machines);
     for (uint64_t tick = 1; tick < 160; tick++) {
@@ -85,13 +86,14 @@
  * with placements count as up, so that the few do not pass for the whole zone. */
 static void controller_started_during_partition_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     rr_plan plan;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     put_fleet(fixture, 4, machines);
     fake_store_submit(fixture->store,
-                      &(struct test_job){.job_id = "req-1", .pieces = 4, .cpus = 16}, node->now);
+                      &(struct test_job){.job_id = "req-1", .task_count = 4, .cpus = 16},
+                      node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     send_fleet_heartbeats(node, 1, 4, 1);
     test_controller_plan(node, &plan);
@@ -104,21 +106,21 @@
     test_controller_join(&restarted, 8);
     core_fixture second_fixture = {fixture->store, restarted};
     for (uint64_t i = 2; i < 40; i++) {
-        second_fixture.n.now += 1;
-        test_controller_heartbeat(&second_fixture.n, "vm-1", "a", false, 1, i, 1, NULL);
-        plan_reaching(&second_fixture.n, "vm-1");
+        second_fixture.controller.now += 1;
+        test_controller_heartbeat(&second_fixture.controller, "vm-1", "a", false, 1, i, 1, NULL);
+        plan_reaching(&second_fixture.controller, "vm-1");
         assert_false(step_until(&second_fixture, RR_AUTOSCALER_SCALE_IN, machines, &step));
         rr_autoscaler_step_clear(&step);
     }
     g_array_free(machines, TRUE);
-    test_controller_clear(&second_fixture.n);
+    test_controller_clear(&second_fixture.controller);
 }
 
 /* Overdue machines are probed, but in a partitioned zone only a sample of two, so that reachable
  * machines need not wait for the senders. */
 static void partitioned_zone_gets_two_probes(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     const char *ids[] = {"vm-1", "vm-2", "vm-3", "vm-4"};
     for (int i = 0; i < 4; i++) {
@@ -140,7 +142,7 @@
 /* The controller pauses for `pause_s`; then machines send heartbeats one after the other within an
  * interval, while probes fail. Returns the releases. */
 static unsigned releases_after_pause(core_fixture *fixture, double pause_s) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     const int count = 12;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -180,7 +182,7 @@
 static unsigned releases_without_third_machine(core_fixture *fixture, int seconds,
                                                uint64_t *sequence, const GArray *machines,
                                                bool late) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     unsigned released = 0;
     rr_autoscaler_step step;
     for (int tick = 0; tick < seconds && !released; tick++) {
@@ -203,7 +205,7 @@
  * seconds or for longer than a lease, and the probes of that time count for nothing. */
 static void late_controller_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     uint64_t sequence = 1;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     put_three_heard_machines(fixture, machines);
@@ -227,7 +229,7 @@
 /* Eight of ten machines of a zone hang for good. Returns the releases within three leases, while
  * the zone's controller is connected or not. */
 static unsigned releases_in_hung_zone(core_fixture *fixture, bool controller_connected) {
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     const int count = 10, hung = 8;
     unsigned released = 0;
