--- a/tests/test_core_progress.c
+++ b/tests/test_core_progress.c
@@ -56,10 +56,10 @@
  * at least half of the small ones complete. */
 static void a_huge_job_among_small_ones(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     unsigned small = 0;
     test_controller_add_machines(node, 1, 2, "a"); /* room for eight tasks */
-    submit_many(node, 1, 1, &(struct test_job){.pieces = 3000, .cpus = 4, .deadline_s = 5000});
+    submit_many(node, 1, 1, &(struct test_job){.task_count = 3000, .cpus = 4, .deadline_s = 5000});
     int next = 2;
     for (uint64_t turn = 2; turn < 100; turn++) {
         rr_plan plan;
@@ -96,7 +96,7 @@
  * guaranteed. */
 static void a_flooding_team(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     node->config.teams[0].cpus_max = 48;
     node->config.teams[1].cpus = 16;
     test_controller_add_machines(node, 1, 4, "a");
@@ -134,20 +134,22 @@
  * replicas come first. Clearing records of arrays first would delay the services. */
 static void services_come_back_first(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     const int half = 40, services = 12;
     char job_id[JOB_ID_SIZE];
     test_controller_add_machines(node, 1, half, "a");
     test_controller_add_machines(node, half + 1, half, "b");
-    submit_many(
-        node, 1, 10,
-        &(struct test_job){.pieces = 10, .cpus = 1, .rank = "low", .checkpoint_interval_s = 30});
-    submit_many(node, 101, services,
-                &(struct test_job){
-                    .pieces = 2, .cpus = 1, .service = true, .spread = true, .rank = "prod"});
-    submit_many(node, 201, 1,
+    submit_many(node, 1, 10,
                 &(struct test_job){
-                    .pieces = 8, .cpus = 1, .service = true, .spread = true, .rank = "prod"});
+                    .task_count = 10, .cpus = 1, .priority = "low", .checkpoint_interval_s = 30});
+    submit_many(
+        node, 101, services,
+        &(struct test_job){
+            .task_count = 2, .cpus = 1, .service = true, .spread = true, .priority = "prod"});
+    submit_many(
+        node, 201, 1,
+        &(struct test_job){
+            .task_count = 8, .cpus = 1, .service = true, .spread = true, .priority = "prod"});
     plan_until_settled(node);
     uint64_t lost_attempt = 0, highest = 0;
     for (int i = 101; i < 101 + services; i++) {
@@ -163,7 +165,7 @@
     for (int i = 0; i < 5; i++) {
         rr_plan plan;
         node->now += 0.3;
-        rr_core_set_pressure(node->core, 0, 3);
+        rr_core_set_write_pressure(node->core, 0, 3);
         test_controller_plan(node, &plan);
         changes += plan_changes(&plan);
         rr_plan_clear(&plan);
--- a/tests/test_core_record_order.c
+++ b/tests/test_core_record_order.c
@@ -18,7 +18,7 @@
         test_controller restarted, peer;
         rr_transaction old, mine;
         core_fixture_setup((void **)&fixture);
-        test_controller *node = &fixture->n;
+        test_controller *node = &fixture->controller;
         test_controller_init(&peer, fixture->store, "n1");
         fake_store_sync(fixture->store, peer.core, peer.now);
         rr_encoder encoder;
@@ -77,19 +77,19 @@
     for (size_t i = 0; i < count; i++) {
         rr_encoder_init(&job_encoder);
         test_submission(&submission, &jobs[i]);
-        rr_core_job_encode(&job_encoder, &submission, fixture->n.now, false);
+        rr_core_job_encode(&job_encoder, &submission, fixture->controller.now, false);
         msgpack_sbuffer_write(&encoder.buffer, job_encoder.buffer.data, job_encoder.buffer.size);
         rr_encoder_clear(&job_encoder);
     }
     fake_store_put(fixture->store, key, &encoder);
-    fake_store_sync(fixture->store, fixture->n.core, fixture->n.now);
+    fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
 /* Jobs accepted in one record are each known, run, and are cancelled by a record of their own,
  * which holds in whatever order a reload reads them. */
 static void jobs_in_one_record_are_cancelled_separately(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, restarted;
+    test_controller *node = &fixture->controller, restarted;
     struct test_job jobs[] = {{.job_id = "req-1", .service = true}, {.job_id = "req-2"}};
     rr_job_view view;
     rr_plan plan;
@@ -124,7 +124,7 @@
  * record must not bring back a placement that is over, or its task would be started restarted. */
 static void older_record_does_not_bring_back_placement(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-1", .service = true};
     rr_plan plan;
     char key[64] = RR_KEY_ROOT "run/req-1/0";
@@ -135,14 +135,14 @@
     rr_transaction reservation = plan.transaction;
     rr_transaction_init(&plan.transaction);
     rr_plan_clear(&plan);
-    uint64_t reserved = fixture->store->epoch;
+    uint64_t reserved = fixture->store->revision;
     test_controller_cancel(node, "req-1");
     send_heartbeat(node, "vm-1", 2, NULL);
     rr_plan_init(&plan);
     rr_core_plan(node->core, node->now, node->now, &plan);
     assert_true(plan.has_transaction);
     assert_int_equal(fake_store_commit(fixture->store, &plan.transaction), 0);
-    rr_core_apply(node->core, &plan.transaction, fixture->store->epoch, node->now);
+    rr_core_apply(node->core, &plan.transaction, fixture->store->revision, node->now);
     rr_plan_clear(&plan);
     assert_true(fake_store_version(fixture->store, key) == 0);
     rr_core_apply(node->core, &reservation, reserved, node->now); /* as the watch would, late */
@@ -159,12 +159,12 @@
  * machine. Nothing is decided until the watch has reached one consistent revision. */
 static void inconsistent_cache_plans_nothing(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     send_heartbeat(node, "vm-1", 1, NULL);
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1"}, node->now);
     fake_store_sync(fixture->store, node->core, node->now);
-    rr_core_cache_end_reload(node->core, 1, fixture->store->epoch + 5, node->now);
+    rr_core_cache_end_reload(node->core, 1, fixture->store->revision + 5, node->now);
     rr_plan_init(&plan);
     rr_core_plan(node->core, node->now, node->now, &plan);
     assert_false(plan.has_transaction);
@@ -175,7 +175,7 @@
  * it. */
 static void placement_on_unknown_machine_is_replaced(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n, restarted;
+    test_controller *node = &fixture->controller, restarted;
     send_heartbeat(node, "vm-1", 1, NULL);
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1", .service = true},
                       node->now);
@@ -236,7 +236,7 @@
     static const char *const fields[] = {"tasks",  "bits", "stones", "jobs",
                                          "tether", "zone", "final"};
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     GRand *random = g_rand_new_with_seed(11);
     rr_plan plan;
     for (uint64_t i = 0; i < 20000; i++) {
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -15,7 +15,7 @@
  * the late start, and that attempt is not reaped before the next term. */
 static void an_unanswered_start_is_blocked_until_the_next_term(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000001", .service = true};
     uint64_t attempt;
     rr_plan plan;
@@ -62,7 +62,7 @@
  * again. */
 static void a_completion_is_recorded_before_the_reap(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000002"};
     uint64_t attempt;
     rr_plan plan;
@@ -97,7 +97,7 @@
  * place. */
 static void a_reap_goes_with_the_next_start(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000002"}, next = {.job_id = "req-000003"};
     uint64_t attempt;
     rr_plan plan;
@@ -120,8 +120,8 @@
 
 static void a_job_is_not_done_before_its_last_task(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
-    struct test_job job = {.job_id = "req-000003", .pieces = 2, .cpus = 1};
+    test_controller *node = &fixture->controller;
+    struct test_job job = {.job_id = "req-000003", .task_count = 2, .cpus = 1};
     uint64_t attempt;
     rr_job_view view;
     const char *machine = reserve_one(fixture, &job, &attempt);
@@ -138,7 +138,7 @@
  * is deleted. */
 static void a_silent_machine_keeps_its_placements(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000006", .service = true};
     uint64_t attempt;
     const char *machine = reserve_one(fixture, &job, &attempt),
@@ -158,7 +158,7 @@
 /* A worker whose lease expired has forgotten its tasks. */
 static void a_later_worker_epoch_ends_the_reservation(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000007", .service = true};
     uint64_t attempt;
     const char *machine = reserve_one(fixture, &job, &attempt);
@@ -171,7 +171,7 @@
 /* A heartbeat that is older than the newest one known is dropped. */
 static void a_delayed_heartbeat_proves_nothing(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000008", .service = true};
     uint64_t attempt;
     rr_plan plan;
@@ -191,7 +191,7 @@
  * reservation stands until the answer. */
 static void a_cancelled_task_stops_after_its_start_is_answered(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000009", .service = true};
     uint64_t attempt;
     rr_plan plan, next_plan;
@@ -221,7 +221,7 @@
 /* Any controller that receives a heartbeat adds the stops of cancelled jobs to its reply. */
 static void every_heartbeat_reply_stops_cancelled_tasks(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000010", .service = true};
     uint64_t attempt;
     reserve_one(fixture, &job, &attempt);
@@ -247,7 +247,7 @@
  * expires. A controller whose own lease has expired may not reply at all. */
 static void no_reply_is_sent_that_the_worker_would_drop(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_heartbeat heartbeat = {.worker_epoch = 1, .sequence = 3, .spot_notice_s = -1};
     struct rr_heartbeat_reply ans;
     heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
@@ -267,8 +267,8 @@
  * second time in the job's usual turn. */
 static void an_overdue_job_is_placed_once(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
-    struct test_job job = {.job_id = "req-000018", .pieces = 4, .cpus = 1};
+    test_controller *node = &fixture->controller;
+    struct test_job job = {.job_id = "req-000018", .task_count = 4, .cpus = 1};
     fake_store_submit(fixture->store, &job, node->now);
     node->now += 100;
     fake_store_sync(fixture->store, node->core, node->now);
@@ -282,7 +282,7 @@
  * refused. */
 static void submission_checks(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-000015"};
     rr_submission submission;
     const char *why = NULL;
@@ -298,7 +298,7 @@
     assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_KNOWN);
     test_submission(
         &submission,
-        &(struct test_job){.job_id = "req-000016", .service = true, .pieces = 3, .gpus = 1});
+        &(struct test_job){.job_id = "req-000016", .service = true, .task_count = 3, .gpus = 1});
     node->config.teams[0].gpus_max = 2;
     assert_int_equal(rr_core_check_submission(node->core, &submission, &why),
                      RR_SUBMISSION_UNSATISFIABLE);
@@ -310,7 +310,7 @@
  * machines accumulating in a long run. */
 static void an_unknown_machine_is_forgotten(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_core_stats stats;
     rr_plan plan;
     rr_job_view view;
--- a/tests/test_core_store_cache.c
+++ b/tests/test_core_store_cache.c
@@ -19,13 +19,13 @@
 static unsigned count_whole_jobs(const test_controller *node) {
     rr_core_stats stats;
     rr_core_get_stats(node->core, &stats);
-    return stats.jobs_whole;
+    return stats.unshrunk_jobs;
 }
 
 /* Runs JOBS jobs: those of odd numbers are done, the others cancelled. */
 static void run_jobs(test_controller *node) {
     test_controller_add_machines(node, 1, MACHINES, "a");
-    submit_many(node, 1, JOBS, &(struct test_job){.pieces = 1, .cpus = 1});
+    submit_many(node, 1, JOBS, &(struct test_job){.task_count = 1, .cpus = 1});
     plan_until_settled(node);
     for (int i = 1; i <= JOBS; i++) {
         char job_id[JOB_ID_SIZE];
@@ -66,8 +66,8 @@
  * nothing refers to shrinks to its outcome, which users read as before. */
 static void final_jobs_shrink_to_their_outcome(void **state) {
     core_fixture *fixture = *state;
-    run_jobs_and_shrink(&fixture->n);
-    assert_outcomes_known(&fixture->n);
+    run_jobs_and_shrink(&fixture->controller);
+    assert_outcomes_known(&fixture->controller);
 }
 
 /* Writes a ledger record of the first job that places its task on vm-1. */
@@ -90,7 +90,7 @@
 /* Neither a late ledger record nor a full reload makes a shrunk job whole again. */
 static void shrunk_jobs_are_not_revived(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_core_stats stats;
     run_jobs_and_shrink(node);
     put_late_ledger_record(fixture->store);
@@ -105,7 +105,7 @@
 /* A worker that still runs a task of a shrunk cancelled job is told to stop it. */
 static void a_task_of_a_shrunk_job_is_stopped(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     run_jobs_and_shrink(node);
     put_late_ledger_record(fixture->store);
     fake_store_sync(fixture->store, node->core, node->now);
@@ -131,14 +131,14 @@
  * ledger record names. Nothing is decided then, least of all that its tasks are terminated. */
 static void nothing_is_decided_during_a_reload(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->n;
+    test_controller *node = &fixture->controller;
     rr_plan plan;
     rr_autoscaler_step step;
     rr_transaction transaction;
     test_controller_add_machines(node, 1, 4, "a");
-    submit_many(node, 1, 4, &(struct test_job){.pieces = 1, .cpus = 1});
+    submit_many(node, 1, 4, &(struct test_job){.task_count = 1, .cpus = 1});
     plan_until_settled(node);
-    submit_many(node, 5, 4, &(struct test_job){.pieces = 1, .cpus = 1});
+    submit_many(node, 5, 4, &(struct test_job){.task_count = 1, .cpus = 1});
     rr_core_cache_begin_reload(node->core);
     node->now += 3;
     rr_plan_init(&plan);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -55,9 +55,9 @@
 
 static int submit(const struct rr_app *app, const char *job_id, uint32_t task_count, bool service) {
     rr_submission sub;
-    test_submission(
-        &sub,
-        &(struct test_job){.job_id = job_id, .pieces = task_count, .cpus = 1, .service = service});
+    test_submission(&sub,
+                    &(struct test_job){
+                        .job_id = job_id, .task_count = task_count, .cpus = 1, .service = service});
     return fake_services_submit(&app->config, &sub);
 }
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -196,7 +196,7 @@
     assert_true(config.tuning.rebalance_period_s == 12.5);
     assert_int_equal(config.tuning.rebalance_moves, 2);
     assert_false(config.tuning.rebalance);
-    assert_true(config.tuning.silent_reports > 1); /* a default */
+    assert_true(config.tuning.recent_heartbeat_intervals > 1); /* a default */
 }
 
 static void faults_of_the_tuning_file_are_named(void **state) {
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -51,7 +51,7 @@
     }
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    trace_int(hash, rr_admission_write(admission, table, &transaction));
+    trace_int(hash, rr_admission_put_table(admission, table, &transaction));
     trace_txn(hash, &transaction);
     rr_transaction_clear(&transaction);
 }
@@ -107,8 +107,8 @@
             g_snprintf(submission.job_class, sizeof submission.job_class, "class-%d",
                        g_rand_int_range(random, 0, 300));
         }
-        rr_admission_verdict verdict = rr_admission_ask(model->controllers[controller], &submission,
-                                                        &state, TRACE_WALL + now, now);
+        rr_admission_verdict verdict = rr_admission_check(
+            model->controllers[controller], &submission, &state, TRACE_WALL + now, now);
         trace_int(&admission_trace.hash, verdict.kind);
         trace_int(&admission_trace.hash, (uint64_t)verdict.retry_after_s);
     }
@@ -117,9 +117,9 @@
 /* Faults begin and end at given times of the run. */
 static void admission_faults(struct model *model, double now) {
     unsigned second = (unsigned)now;
-    model->cut[1] = model->seed % 2 && second >= 70 && second < 110;
-    model->lose_answer = second >= 120 && second < 140;
-    model->deaf_peers = model->seed % 3 == 0 && second >= 90 && second < 130;
+    model->cache_frozen[1] = model->seed % 2 && second >= 70 && second < 110;
+    model->answers_lost = second >= 120 && second < 140;
+    model->views_lost = model->seed % 3 == 0 && second >= 90 && second < 130;
     model->clock_off_s[2] = model->seed % 2 ? 0 : 0.05;
     model->autoscaler = second >= 150 && second < 160 ? -1 : (int)(second / 80) % 3;
     if (second == 170) {
@@ -144,7 +144,7 @@
     for (unsigned i = 0; i < model->stream_count; i++) {
         const struct model_result *result = &model->results[i];
         trace_int(&admission_trace.hash, result->accepted);
-        trace_int(&admission_trace.hash, result->given_up);
+        trace_int(&admission_trace.hash, result->abandoned);
         trace_int(&admission_trace.hash, result->begun);
         trace_decimal(&admission_trace.hash, result->wait_s);
     }
@@ -232,9 +232,9 @@
     struct test_job job = {.job_id = id,
                            .team = roll(trace, 2) ? "red" : "blue",
                            .service = roll(trace, 4) == 0,
-                           .pieces = (uint32_t)(1 + roll(trace, 4)),
+                           .task_count = (uint32_t)(1 + roll(trace, 4)),
                            .cpus = 2 + 2 * roll(trace, 7),
-                           .rank = roll(trace, 4) == 0 ? "prod" : "standard"};
+                           .priority = roll(trace, 4) == 0 ? "prod" : "standard"};
     cell_submit(&trace->pair->home, &job);
 }
 
@@ -260,7 +260,7 @@
     if (!cell_job(home, id, &job) || job.done || job.cancelled) {
         return;
     }
-    enum rr_cancel_first first =
+    enum rr_cancel_precondition first =
         rr_transfers_cancel(home->transfers, id, home->node.now, &wait_s, &withdrawn, &version);
     trace_int(&trace->hash, first);
     trace_decimal(&trace->hash, first == RR_CANCEL_WAIT ? wait_s : 0);
@@ -354,7 +354,7 @@
     GString *dump = fake_store_dump(cell->store);
     rr_transfers_stats stats;
     trace_text(hash, dump->str);
-    trace_int(hash, cell->store->epoch);
+    trace_int(hash, cell->store->revision);
     rr_transfers_get_stats(cell->transfers, &stats);
     const uint64_t counts[] = {
         stats.outgoing, stats.incoming,  stats.offered,        stats.taken,      stats.refused,
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -185,13 +185,13 @@
     trace_int(&world->hash, (uint64_t)(int64_t)rc);
     if (rc == -EINVAL) {
         assert_true(world->lowered);
-        rr_core_lower_limits(core, trace_chance(world, 0.3));
+        rr_core_next_limits_in_force(core, trace_chance(world, 0.3));
         return false;
     }
     if (rc == 0 && !trace_chance(world, world->scenario.lost_answers)) {
-        rr_core_apply(core, transaction, world->store->epoch, world->now);
+        rr_core_apply(core, transaction, world->store->revision, world->now);
     } else {
-        controller->need = world->store->epoch;
+        controller->need = world->store->revision;
     }
     return rc == 0;
 }
@@ -273,8 +273,8 @@
                             const struct trace_controller *controller,
                             const struct trace_machine *machine, const rr_command_batch *command) {
     const struct trace_controller *from = controller;
-    if (command->via >= 0) {
-        int index = command->via < controller->index ? command->via : command->via + 1;
+    if (command->peer >= 0) {
+        int index = command->peer < controller->index ? command->peer : command->peer + 1;
         from = &world->controllers[index];
         if (!from->running || !reaches(world, zone_of(controller), zone_of(from))) {
             return false;
@@ -346,7 +346,7 @@
     }
     bool answered = flight->answered && machine && machine->up;
     if (answered) {
-        take_answer(world, controller, machine, flight->command->via);
+        take_answer(world, controller, machine, flight->command->peer);
     }
     rr_core_command_result(controller->node.core, world->now, flight->command,
                            answered       ? RR_COMMAND_ANSWERED
@@ -395,10 +395,10 @@
 static void set_pressure(struct trace_world *world, struct trace_controller *controller) {
     int all = rr_transaction_changes_max(&controller->node.config);
     if (world->scenario.short_of_changes) {
-        rr_core_set_pressure(controller->node.core, trace_between(world, 0, 1),
-                             trace_roll(world, all + 1));
+        rr_core_set_write_pressure(controller->node.core, trace_between(world, 0, 1),
+                                   trace_roll(world, all + 1));
     } else {
-        rr_core_set_pressure(controller->node.core, 0, all);
+        rr_core_set_write_pressure(controller->node.core, 0, all);
     }
 }
 
@@ -412,8 +412,8 @@
         rooms[i] = trace_between(world, 0, 1.5 / world->scenario.teams);
     }
     bool active = trace_chance(world, 0.8);
-    rr_core_set_fair_room(controller->node.core, active ? rooms : NULL, 16 * machines, 4 * machines,
-                          64 * machines);
+    rr_core_set_fair_shares(controller->node.core, active ? rooms : NULL, 16 * machines,
+                            4 * machines, 64 * machines);
 }
 
 static void plan(struct trace_world *world, struct trace_controller *controller) {
@@ -494,7 +494,7 @@
 
 /* What one controller has heard goes to the others: whole, or as a sign of life. */
 static void pass_on(struct trace_world *world, const struct trace_controller *from,
-                    const rr_heartbeat *heartbeat, enum rr_heartbeat_news news) {
+                    const rr_heartbeat *heartbeat, enum rr_heartbeat_effect news) {
     uint32_t now_and_then = 0;
     uint32_t wanted =
         rr_core_heartbeat_subscribers(from->node.core, heartbeat->machine, &now_and_then);
@@ -553,7 +553,7 @@
     }
     trace_report_of(world, machine, &heartbeat);
     rr_heartbeat copy = copy_report(&heartbeat);
-    enum rr_heartbeat_news news =
+    enum rr_heartbeat_effect news =
         rr_core_take_heartbeat(controller->node.core, world->now, &copy, -1);
     trace_int(&world->hash, news);
     pass_on(world, controller, &heartbeat, news);
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -72,7 +72,7 @@
     trace_int(hash, command->fencing_token);
     trace_int(hash, command->worker_epoch);
     trace_orders(hash, command->commands);
-    trace_int(hash, (uint64_t)(int64_t)command->via);
+    trace_int(hash, (uint64_t)(int64_t)command->peer);
     trace_int(hash, (uint64_t)(int64_t)command->fallback);
     trace_int(hash, command->may_time_out);
 }
@@ -129,12 +129,14 @@
 }
 
 void trace_stats(trace_hash *hash, const rr_core_stats *stats) {
-    const unsigned counts[] = {stats->machines,      stats->booting,      stats->jobs_open,
-                               stats->tasks_waiting, stats->tasks_placed, stats->moves,
-                               stats->rented,        stats->given_up,     stats->leases_lost,
-                               stats->notices,       stats->visits,       stats->jobs_whole};
+    const unsigned counts[] = {stats->machines,         stats->booting,
+                               stats->jobs_open,        stats->tasks_waiting,
+                               stats->tasks_placed,     stats->moves,
+                               stats->rented,           stats->machines_terminated,
+                               stats->leases_lost,      stats->spot_notices,
+                               stats->machines_visited, stats->unshrunk_jobs};
     for (size_t i = 0; i < G_N_ELEMENTS(counts); i++) {
         trace_int(hash, counts[i]);
     }
-    trace_decimal(hash, stats->priced);
+    trace_decimal(hash, stats->price_sum);
 }
