--- a/src/app/user_requests.h
+++ b/src/app/user_requests.h
@@ -15,9 +15,10 @@
 /* POST /submissions/JOB_ID/cancel. Answers 200 once the cancellation is in the key-value store. */
 void rr_app_cancel_job(struct rr_app *app, const char *job_id, struct rr_http_response *response);
 
-/* The same for a neighbour cell: only jobs of this cell are considered. */
+/* As rr_app_poll_job() for a neighbour cell: only jobs of this cell are considered. */
 void rr_app_poll_local_job(struct rr_app *app, const char *job_id,
                            struct rr_http_response *response);
+/* As rr_app_cancel_job() for a neighbour cell: only jobs of this cell are considered. */
 void rr_app_cancel_local_job(struct rr_app *app, const char *job_id,
                              struct rr_http_response *response);
 
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -49,11 +49,17 @@
 guint rr_frame_begin(GByteArray *buffer, enum rr_frame_type type);
 /* Sets the length of the frame that begins at `start` to all that follows its header. */
 void rr_frame_end(GByteArray *buffer, guint start);
+/* Appends one byte. */
 void rr_frame_put_u8(GByteArray *buffer, uint8_t value);
+/* Appends two bytes, the most significant first. */
 void rr_frame_put_u16(GByteArray *buffer, uint16_t value);
+/* Appends four bytes, the most significant first. */
 void rr_frame_put_u32(GByteArray *buffer, uint32_t value);
+/* Appends eight bytes, the most significant first. */
 void rr_frame_put_u64(GByteArray *buffer, uint64_t value);
+/* Appends a text as rr_frame_put_bytes() does, without its terminating zero. */
 void rr_frame_put_text(GByteArray *buffer, const char *text);
+/* Appends the length in four bytes, then the bytes. */
 void rr_frame_put_bytes(GByteArray *buffer, const void *data, uint32_t length);
 /* Replaces the 16-bit value at this offset, such as a count that was not known before. */
 void rr_frame_set_u16(GByteArray *buffer, guint offset, uint16_t value);
@@ -70,9 +76,13 @@
     size_t bytes_left;
     bool malformed;
 } rr_frame_reader;
+/* Reads what rr_frame_put_u8() wrote. */
 uint8_t rr_frame_read_u8(rr_frame_reader *reader);
+/* Reads what rr_frame_put_u16() wrote. */
 uint16_t rr_frame_read_u16(rr_frame_reader *reader);
+/* Reads what rr_frame_put_u32() wrote. */
 uint32_t rr_frame_read_u32(rr_frame_reader *reader);
+/* Reads what rr_frame_put_u64() wrote. */
 uint64_t rr_frame_read_u64(rr_frame_reader *reader);
 /* Borrowed from the payload. */
 const uint8_t *rr_frame_read_bytes(rr_frame_reader *reader, uint32_t *length);
--- a/src/wire/document.h
+++ b/src/wire/document.h
@@ -26,6 +26,7 @@
 /* The functions below take NULL for an object and return false, or NULL, for it and for an object
  * of another type. */
 
+/* Whether the object is a map. */
 bool rr_object_is_map(const msgpack_object *object);
 /* Integers from 0 on. */
 bool rr_object_u64(const msgpack_object *object, uint64_t *out);
@@ -40,9 +41,13 @@
 
 /* The value of a key. A key that is missing and one that is null are the same: NULL. */
 const msgpack_object *rr_map_get(const msgpack_object *map, const char *key);
+/* The value of a key as rr_object_u64() reads it; false leaves *out as it is. */
 bool rr_map_get_u64(const msgpack_object *map, const char *key, uint64_t *out);
+/* The value of a key as rr_object_number() reads it. */
 bool rr_map_get_number(const msgpack_object *map, const char *key, double *out);
+/* The value of a key as rr_object_text() reads it. */
 bool rr_map_get_text(const msgpack_object *map, const char *key, char *out, size_t size);
+/* The value of a key that is true or false. */
 bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out);
 
 #endif
--- a/src/wire/encoder.h
+++ b/src/wire/encoder.h
@@ -17,20 +17,27 @@
 /* Frees the buffer; rr_encoder_init() is due before further use. */
 void rr_encoder_clear(rr_encoder *encoder);
 
-/* Opens a map of `count` keys with their values, or a list of `count` values: the caller appends
- * exactly as many. */
+/* Opens a map: the caller appends exactly `count` keys with their values. */
 void rr_encode_map(rr_encoder *encoder, size_t count);
+/* Opens a list: the caller appends exactly `count` values. */
 void rr_encode_array(rr_encoder *encoder, size_t count);
 
+/* Appends a text, such as a key that a map or list follows. */
 void rr_encode_text(rr_encoder *encoder, const char *text);
+/* Appends an integer. */
 void rr_encode_u64(rr_encoder *encoder, uint64_t value);
+/* Appends a decimal. */
 void rr_encode_number(rr_encoder *encoder, double value);
+/* Appends true or false. */
 void rr_encode_bool(rr_encoder *encoder, bool value);
 
-/* A key of an open map with its value. */
+/* Appends a key of an open map with a text. */
 void rr_encode_key_text(rr_encoder *encoder, const char *key, const char *value);
+/* Appends a key of an open map with an integer. */
 void rr_encode_key_u64(rr_encoder *encoder, const char *key, uint64_t value);
+/* Appends a key of an open map with a decimal. */
 void rr_encode_key_number(rr_encoder *encoder, const char *key, double value);
+/* Appends a key of an open map with true or false. */
 void rr_encode_key_bool(rr_encoder *encoder, const char *key, bool value);
 
 #endif
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -132,7 +132,7 @@
 /* ---- trace_workers.c ---- */
 struct trace_machine *trace_machine_new(struct trace_world *world, int number, const char *type,
                                         const char *zone, bool spot);
-void trace_machine_free(gpointer machine);
+void trace_machine_free(gpointer pointer);
 void trace_workers_advance(struct trace_world *world);
 /* The report that the machine makes now; to be cleared. */
 void trace_report_of(struct trace_world *world, struct trace_machine *machine, rr_heartbeat *out);
@@ -179,8 +179,8 @@
 bool trace_is_cut(const struct trace_world *world, const char *zone);
 struct trace_controller *trace_any_controller(struct trace_world *world); /* running, or NULL */
 double trace_wall(const struct trace_world *world);
-void trace_flight_free(gpointer flight);
-void trace_copy_free(gpointer copy);
+void trace_flight_free(gpointer pointer);
+void trace_copy_free(gpointer pointer);
 
 /* ---- trace_core.c ---- */
 #define TRACE_SEEDS 24
