--- a/src/admission/settings.c
+++ b/src/admission/settings.c
@@ -166,8 +166,8 @@
     cfg_set_validate_func(config, "team|class|weight", check_weight);
 }
 
-bool rr_admission_settings_load_file(const char *file, const struct rr_config *config,
-                                     rr_admission_settings *out, GError **error) {
+bool rr_admission_settings_load(const char *file, const struct rr_config *config,
+                                rr_admission_settings *out, GError **error) {
     cfg_opt_t job_class[] = {CFG_FLOAT("weight", 1, CFGF_NONE), CFG_END()};
     cfg_opt_t team[] = {CFG_FLOAT("weight", 1, CFGF_NONE), CFG_FLOAT("least_share", 0, CFGF_NONE),
                         CFG_SEC("class", job_class, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
@@ -188,14 +188,3 @@
     cfg_free(parser);
     return out->on;
 }
-
-int rr_admission_settings_load(const char *file, const struct rr_config *config,
-                               rr_admission_settings *out, char *message, size_t size) {
-    GError *error = NULL;
-    if (rr_admission_settings_load_file(file, config, out, &error)) {
-        return 0;
-    }
-    g_strlcpy(message, error->message, size);
-    g_error_free(error);
-    return -EINVAL;
-}
--- a/src/admission/settings.h
+++ b/src/admission/settings.h
@@ -34,11 +34,8 @@
 void rr_admission_settings_clear(rr_admission_settings *settings);
 /* Loads the file for the teams and classes of *config. False: *error is set. *out is to be cleared
  * in any case. */
-bool rr_admission_settings_load_file(const char *file, const struct rr_config *config,
-                                     rr_admission_settings *out, GError **error);
-/* The same with the error's message in a buffer. 0 or -EINVAL. */
-int rr_admission_settings_load(const char *file, const struct rr_config *config,
-                               rr_admission_settings *out, char *message, size_t size);
+bool rr_admission_settings_load(const char *file, const struct rr_config *config,
+                                rr_admission_settings *out, GError **error);
 /* The weight of a job class in its team; 1 without a setting. */
 double rr_admission_class_weight(const rr_admission_team_settings *team, const char *job_class);
 
--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -17,13 +17,9 @@
 #define RETRY_PAUSE_S 0.3
 #define RETRY_JITTER_MAX_S 0.4
 
-static void machine_type_clear(gpointer machine_type) {
-    rr_machine_type_clear(machine_type);
-}
-
 static int read_catalog(struct rr_app *app, rr_cloud *cloud) {
     GArray *machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
-    g_array_set_clear_func(machine_types, machine_type_clear);
+    g_array_set_clear_func(machine_types, rr_machine_type_clear);
     int rc = rr_cloud_catalog(cloud, machine_types);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
--- a/src/app/cancellations.c
+++ b/src/app/cancellations.c
@@ -1,6 +1,7 @@
 #include "app/cancellations.h"
 #include "common/clock.h"
 #include "core/heartbeats.h"
+#include "core/leadership.h"
 
 void rr_app_announce_cancellation(struct rr_app *app, const char *job_id) {
     pthread_mutex_lock(&app->lock);
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -110,8 +110,8 @@
         return false;
     }
     if (options->admission) {
-        app->config.admission = rr_admission_settings_load_file(options->admission, &app->config,
-                                                                &app->admission_settings, error);
+        app->config.admission = rr_admission_settings_load(options->admission, &app->config,
+                                                           &app->admission_settings, error);
         if (!app->config.admission) {
             return false;
         }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -25,16 +25,12 @@
     g_array_free(observed->zone_heartbeats, TRUE);
 }
 
-static void clear_machine_type(gpointer data) {
-    rr_machine_type_clear(data);
-}
-
 static void init_autoscaling(struct rr_autoscaling *autoscaling) {
     autoscaling->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rr_rental_free);
     autoscaling->refused_capacity = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     autoscaling->stray_failed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     autoscaling->catalog_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
-    g_array_set_clear_func(autoscaling->catalog_types, clear_machine_type);
+    g_array_set_clear_func(autoscaling->catalog_types, rr_machine_type_clear);
 }
 
 static void clear_autoscaling(struct rr_autoscaling *autoscaling) {
--- a/src/core/heartbeats.h
+++ b/src/core/heartbeats.h
@@ -59,7 +59,4 @@
 /* Notes that another controller has confirmed this job's cancellation to its user. */
 void rr_core_add_cancel_hint(rr_core *core, const char *job_id, double now);
 
-/* True: every controller of the term understands messages about gangs. */
-bool rr_core_all_gang_capable(const rr_core *core);
-
 #endif
--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -41,4 +41,7 @@
 /* Computes this controller's shares; outside the term it has none for plans and the autoscaler. */
 void rr_core_budget_shares(const rr_core *core, struct rr_budget_shares *out);
 
+/* Whether every controller of the term understands records and messages about gangs. */
+bool rr_core_all_gang_capable(const rr_core *core);
+
 #endif
--- a/src/core/membership/members.c
+++ b/src/core/membership/members.c
@@ -83,12 +83,8 @@
     return all_members(core, has_capability, capability);
 }
 
-bool rr_all_gang_capable(const rr_core *core) {
-    return rr_all_capable(core, RR_CAPABILITY_GANGS);
-}
-
 bool rr_core_all_gang_capable(const rr_core *core) {
-    return rr_all_gang_capable(core);
+    return rr_all_capable(core, RR_CAPABILITY_GANGS);
 }
 
 bool rr_core_all_admission_capable(const rr_core *core) {
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -57,8 +57,6 @@
 /* Whether every member has at least this capability by its present session. A member that returns
  * in an older version ends that. */
 bool rr_all_capable(const rr_core *core, uint64_t capability);
-/* Whether every member has RR_CAPABILITY_GANGS. */
-bool rr_all_gang_capable(const rr_core *core);
 
 /* ---- attempts.c ---- */
 
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,6 +1,7 @@
 /* Reservations: a placement enters its ledger record, and its machine's free resources and its
  * team's usage follow within the plan. */
 #include "core/scheduling/reservation.h"
+#include "core/leadership.h"
 #include "core/core_internal.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/plan_edits.h"
@@ -87,7 +88,7 @@
     if (takes_placement(planner, rr_job_ledger_record_get(job, home))) {
         return home;
     }
-    if (!rr_all_gang_capable(planner->core)) {
+    if (!rr_core_all_gang_capable(planner->core)) {
         return NO_RECORD;
     }
     uint32_t end = MIN(first_overflow + OVERFLOW_RECORDS_MAX,
--- a/src/core/state/stored_state.c
+++ b/src/core/state/stored_state.c
@@ -1,10 +1,6 @@
 /* Creates and frees the tables of the store cache. */
 #include "core/state/stored_state.h"
 
-static void clear_machine_type(gpointer data) {
-    rr_machine_type_clear(data);
-}
-
 static void init_names(struct rr_stored_state *stored, const struct rr_config *config) {
     rr_name_index_init(&stored->teams);
     rr_name_index_init(&stored->zones);
@@ -29,7 +25,7 @@
     stored->tasks_per_record = rr_tasks_per_record(config->value_kb);
     stored->next_page = 1;
     stored->machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
-    g_array_set_clear_func(stored->machine_types, clear_machine_type);
+    g_array_set_clear_func(stored->machine_types, rr_machine_type_clear);
     stored->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rr_job_free);
     stored->final_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     stored->open_jobs = g_ptr_array_new();
--- a/src/core/views/submission_check.c
+++ b/src/core/views/submission_check.c
@@ -1,5 +1,6 @@
 /* Admission of a submission: whether it is new, and whether it can ever run. */
 #include "core/core_internal.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/gang_phase.h"
 #include "core/state/jobs.h"
@@ -58,7 +59,7 @@
         *why = "more linked tasks than one transaction books";
         return RR_SUBMISSION_UNSATISFIABLE;
     }
-    if (!rr_all_gang_capable(core)) {
+    if (!rr_core_all_gang_capable(core)) {
         *why = "an older version still serves";
         return RR_SUBMISSION_UNDECIDED;
     }
--- a/src/wire/cloud_messages.c
+++ b/src/wire/cloud_messages.c
@@ -55,7 +55,8 @@
     }
 }
 
-void rr_machine_type_clear(rr_machine_type *type) {
+void rr_machine_type_clear(gpointer data) {
+    rr_machine_type *type = data;
     if (type->zones) {
         g_ptr_array_free(type->zones, TRUE);
         type->zones = NULL;
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -20,8 +20,8 @@
 int rr_machine_type_decode(const msgpack_object *object, rr_machine_type *type);
 /* The form in which the catalogue is stored; the decoder reads it. */
 void rr_machine_type_encode(rr_encoder *encoder, const rr_machine_type *type);
-/* Frees the zones. */
-void rr_machine_type_clear(rr_machine_type *type);
+/* Frees the zones; takes gpointer (rr_machine_type), as the clear functions of GLib do. */
+void rr_machine_type_clear(gpointer data);
 
 enum rr_listed_state { RR_LISTED_STARTING, RR_LISTED_RUNNING, RR_LISTED_FAILED };
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -72,21 +72,26 @@
 
 /* Loads a file with this text. error: part of the expected message, NULL: it is accepted. */
 static void check_settings(const char *text, const char *error) {
-    char path[] = "/tmp/admission-XXXXXX", message[512] = "";
+    char path[] = "/tmp/admission-XXXXXX";
     struct rr_config config;
     rr_admission_settings settings;
+    GError *refusal = NULL;
     int fd = mkstemp(path);
     assert_true(fd >= 0);
     assert_int_equal(write(fd, text, strlen(text)), strlen(text));
     close(fd);
     test_config(&config, "n0");
     config.clock_off_s = 0.1;
-    int rc = rr_admission_settings_load(path, &config, &settings, message, sizeof message);
+    bool loaded = rr_admission_settings_load(path, &config, &settings, &refusal);
     unlink(path);
     rr_admission_settings_clear(&settings);
-    if (rc != (error ? -EINVAL : 0) || (error && !strstr(message, error))) {
-        fail_msg("%s gives %d, \"%s\", not \"%s\"", text, rc, message, error ? error : "");
+    assert_true(loaded == !refusal);
+    assert_true(loaded || (refusal && refusal->domain == RR_SETTINGS_ERROR));
+    const char *message = refusal ? refusal->message : "";
+    if (loaded != !error || (error && !strstr(message, error))) {
+        fail_msg("%s gives \"%s\", not \"%s\"", text, message, error ? error : "");
     }
+    g_clear_error(&refusal);
 }
 
 static void invalid_settings_are_refused_with_their_place(void **state) {
