--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -1,7 +1,7 @@
 /* Fair admission: tables, verdicts and demand of one controller. */
 #include "admission/admission.h"
-#include "peer/frame.h"
 #include "core/state/transaction.h"
+#include "peer/frame.h"
 
 #include <errno.h>
 #include <math.h>
--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -1,10 +1,10 @@
 /* Carries out the autoscaler's steps: catalogue, list of machines, records, rentals, returns. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
+#include "cloud/cloud.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
-#include "cloud/cloud.h"
 #include "core/scaling.h"
 
 #include <errno.h>
--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -1,7 +1,7 @@
 #include "app/cells_user_requests.h"
+#include "admission/verdict.h"
 #include "app/cells_state.h"
 #include "app/http_responses.h"
-#include "admission/verdict.h"
 #include "common/clock.h"
 
 #include <math.h>
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -1,8 +1,8 @@
 /* The command line, and the life of the process. */
 #include "app/process.h"
+#include "app/settings.h"
 #include "common/clock.h"
 #include "common/log.h"
-#include "app/settings.h"
 
 #include <errno.h>
 #include <semaphore.h>
--- a/src/cells/incoming_offers.c
+++ b/src/cells/incoming_offers.c
@@ -2,8 +2,8 @@
 #include "cells/incoming.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
-#include "core/submissions.h"
 #include "core/state/record_words.h"
+#include "core/submissions.h"
 
 #include <string.h>
 
--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -6,8 +6,8 @@
 #include "core/autoscaling/machine_records.h"
 #include "core/autoscaling/rentals.h"
 #include "core/autoscaling/scale_in.h"
-#include "core/core_internal.h"
 #include "core/cache_feed.h"
+#include "core/core_internal.h"
 #include "core/leadership.h"
 #include "core/scaling.h"
 
--- a/src/core/autoscaling/catalog.c
+++ b/src/core/autoscaling/catalog.c
@@ -1,9 +1,9 @@
 /* The cloud's catalogue of machine types, and its records in the store. */
 #include "core/autoscaling/catalog.h"
+#include "core/cache_feed.h"
 #include "core/core_internal.h"
 #include "core/state/machine_pages.h"
 #include "core/state/name_index.h"
-#include "core/cache_feed.h"
 
 #include <string.h>
 
--- a/src/core/autoscaling/machine_list.c
+++ b/src/core/autoscaling/machine_list.c
@@ -1,9 +1,9 @@
 /* The cloud's list of machines, compared with the records in the store. */
 #include "core/autoscaling/cloud_observations.h"
 #include "core/core_internal.h"
+#include "core/scaling.h"
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
-#include "core/scaling.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/autoscaling/rental_records.c
+++ b/src/core/autoscaling/rental_records.c
@@ -2,8 +2,8 @@
 #include "core/autoscaling/rental_records.h"
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/core_internal.h"
-#include "core/state/store_keys.h"
 #include "core/state/record_words.h"
+#include "core/state/store_keys.h"
 #include "wire/wire_words.h"
 
 void rr_rental_key(const char *name, char *out, size_t size) {
--- a/src/core/autoscaling/rentals.c
+++ b/src/core/autoscaling/rentals.c
@@ -2,12 +2,12 @@
 #include "core/autoscaling/rentals.h"
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/autoscaling/cloud_observations.h"
+#include "core/autoscaling/rental_records.h"
 #include "core/core_internal.h"
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
 #include "core/state/record_words.h"
 #include "wire/wire_words.h"
-#include "core/autoscaling/rental_records.h"
 
 #include <string.h>
 
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -4,12 +4,12 @@
 #define RR_CORE_CORE_INTERNAL_H
 
 #include "core/autoscaling/autoscaling_state.h"
+#include "core/extensions.h"
 #include "core/health/failure_detector.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/planning_state.h"
 #include "core/state/core_log.h"
 #include "core/state/stored_state.h"
-#include "core/extensions.h"
 
 typedef struct {
     char *prefix;
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -1,12 +1,12 @@
 /* Acceptance of heartbeats, of their digests and of answers to commands: which are newer than what
  * is known, and which prove that the machine is reachable now. */
+#include "core/heartbeats.h"
 #include "core/core_internal.h"
 #include "core/health/contacts.h"
 #include "core/health/heartbeat_contents.h"
 #include "core/health/machine_health.h"
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
-#include "core/heartbeats.h"
 
 #include <string.h>
 
--- a/src/core/membership/members.c
+++ b/src/core/membership/members.c
@@ -1,9 +1,9 @@
 /* Members of the term, and what their present sessions can do. */
 #include "core/core_internal.h"
-#include "core/membership/membership.h"
 #include "core/extensions.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
+#include "core/membership/membership.h"
 
 #include <string.h>
 
--- a/src/core/membership/shards.c
+++ b/src/core/membership/shards.c
@@ -2,9 +2,9 @@
  * store's limits. Every controller derives the same from the term's members and the settings alone.
  */
 #include "core/core_internal.h"
-#include "core/membership/membership.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
+#include "core/membership/membership.h"
 
 #include <string.h>
 
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -2,14 +2,14 @@
  * The next term is committed by compare-and-swap on the term's record, by any controller that sees
  * the sessions change. */
 #include "core/membership/term.h"
-#include "core/core_internal.h"
-#include "core/membership/membership.h"
-#include "core/state/store_keys.h"
-#include "core/state/transaction.h"
 #include "core/cache_feed.h"
+#include "core/core_internal.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
+#include "core/membership/membership.h"
 #include "core/state/record_words.h"
+#include "core/state/store_keys.h"
+#include "core/state/transaction.h"
 
 #include <string.h>
 
--- a/src/core/scheduling/fair_share.c
+++ b/src/core/scheduling/fair_share.c
@@ -2,11 +2,11 @@
  * owner places. */
 #include "core/scheduling/fair_share.h"
 #include "core/core_internal.h"
+#include "core/extensions.h"
 #include "core/scheduling/reservation.h"
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
 #include "core/state/resources.h"
-#include "core/extensions.h"
 
 #include <math.h>
 
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -1,8 +1,11 @@
 /* The steps of one plan of a team owner. A plan makes at most one transaction. It costs what
  * changed since the last one: only machines that something happened to are reconciled. */
+#include "core/cache_feed.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
+#include "core/planning.h"
 #include "core/scheduling/bin_packing.h"
 #include "core/scheduling/command_batches.h"
 #include "core/scheduling/moves.h"
@@ -17,9 +20,6 @@
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
 #include "core/state/transaction.h"
-#include "core/cache_feed.h"
-#include "core/leadership.h"
-#include "core/planning.h"
 
 #include <string.h>
 
--- a/src/core/scheduling/plan_transaction.c
+++ b/src/core/scheduling/plan_transaction.c
@@ -2,13 +2,13 @@
  * records that nobody needs any more. */
 #include "core/scheduling/plan_transaction.h"
 #include "core/core_internal.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/planner.h"
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
 #include "core/state/transaction.h"
-#include "core/leadership.h"
 #include "core/submissions.h"
 
 #define KEY_BYTES_MAX (RR_ID_SIZE + 64)
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -2,13 +2,13 @@
 #include "core/scheduling/probes.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
+#include "core/planning.h"
 #include "core/scheduling/command_batches.h"
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
-#include "core/leadership.h"
-#include "core/planning.h"
 
 #include <string.h>
 
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -5,6 +5,7 @@
 #include "core/scheduling/rebalancing.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/bin_packing.h"
 #include "core/scheduling/placement_constraints.h"
@@ -16,7 +17,6 @@
 #include "core/state/name_index.h"
 #include "core/state/resources.h"
 #include "core/state/transfer_holds.h"
-#include "core/leadership.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -2,6 +2,7 @@
  * that follow go into the plan. Tasks that the ledger does not know are stopped and reaped. */
 #include "core/scheduling/reconciliation.h"
 #include "core/core_internal.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/command_batches.h"
 #include "core/scheduling/gang_phase.h"
@@ -10,7 +11,6 @@
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
-#include "core/leadership.h"
 
 /* A machine that shows more tasks than this gets every reap at once. */
 #define DEFERRED_REAP_TASKS_MAX 32
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,8 +1,8 @@
 /* Reservations: a placement enters its ledger record, and its machine's free resources and its
  * team's usage follow within the plan. */
 #include "core/scheduling/reservation.h"
-#include "core/leadership.h"
 #include "core/core_internal.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/plan_edits.h"
 #include "core/state/jobs.h"
--- a/src/core/scheduling/waiting_jobs.c
+++ b/src/core/scheduling/waiting_jobs.c
@@ -1,11 +1,11 @@
 /* Which jobs wait for placement, and in which order they are placed. */
 #include "core/scheduling/waiting_jobs.h"
 #include "core/core_internal.h"
+#include "core/extensions.h"
 #include "core/membership/membership.h"
 #include "core/scheduling/fair_share.h"
 #include "core/state/jobs.h"
 #include "core/state/transfer_holds.h"
-#include "core/extensions.h"
 
 /* Above this write pressure the service that one change brings back most replicas of goes first. */
 #define REPLICAS_FIRST_PRESSURE 0.9
--- a/src/core/state/cache_progress.c
+++ b/src/core/state/cache_progress.c
@@ -1,6 +1,6 @@
 /* How far the store cache has followed the store. */
-#include "core/core_internal.h"
 #include "core/cache_feed.h"
+#include "core/core_internal.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
 
--- a/src/core/state/job_records.c
+++ b/src/core/state/job_records.c
@@ -4,9 +4,9 @@
 #include "core/state/machines.h"
 #include "core/state/name_index.h"
 #include "core/state/placement_accounting.h"
+#include "core/state/record_words.h"
 #include "core/state/store_keys.h"
 #include "core/submissions.h"
-#include "core/state/record_words.h"
 #include "wire/wire_words.h"
 
 /* ---- encoding ---- */
--- a/src/core/state/transfer_holds.c
+++ b/src/core/state/transfer_holds.c
@@ -2,9 +2,9 @@
  * begins without any. */
 #include "core/state/transfer_holds.h"
 #include "core/core_internal.h"
+#include "core/extensions.h"
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
-#include "core/extensions.h"
 
 typedef struct {
     enum rr_hold_kind kind;
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -1,6 +1,7 @@
 /* Dispatches records of the key-value store, as a reload, the watch or an own commit brings them,
  * to the modules that keep them. */
 #include "core/autoscaling/rental_records.h"
+#include "core/cache_feed.h"
 #include "core/core_internal.h"
 #include "core/membership/sessions.h"
 #include "core/membership/term.h"
@@ -10,7 +11,6 @@
 #include "core/state/store_keys.h"
 #include "core/state/transaction.h"
 #include "core/views/record_watches.h"
-#include "core/cache_feed.h"
 
 #include <string.h>
 
--- a/src/core/views/job_views.c
+++ b/src/core/views/job_views.c
@@ -1,9 +1,9 @@
 /* A job's state as users see it. */
 #include "core/core_internal.h"
+#include "core/leadership.h"
 #include "core/membership/membership.h"
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
-#include "core/leadership.h"
 #include "core/submissions.h"
 #include "wire/wire_words.h"
 
--- a/src/core/views/package_views.c
+++ b/src/core/views/package_views.c
@@ -1,5 +1,6 @@
 /* Machines and jobs as fair admission and cells see them, and the changes they make to jobs. */
 #include "core/core_internal.h"
+#include "core/extensions.h"
 #include "core/state/cancel_hints.h"
 #include "core/state/job_records.h"
 #include "core/state/jobs.h"
@@ -9,7 +10,6 @@
 #include "core/state/store_keys.h"
 #include "core/state/transaction.h"
 #include "core/state/transfer_holds.h"
-#include "core/extensions.h"
 #include "core/submissions.h"
 
 /* ---- machines and jobs ---- */
--- a/src/peer/incoming_frames.c
+++ b/src/peer/incoming_frames.c
@@ -1,7 +1,7 @@
 /* Reads the frames that peers send, hands their content to the owner's events, and answers
  * requests. Runs on the threads of connections. */
-#include "peer/listener.h"
 #include "common/clock.h"
+#include "peer/listener.h"
 #include "peer/stream.h"
 #include "worker/worker.h"
 
--- a/src/peer/link_frames.c
+++ b/src/peer/link_frames.c
@@ -1,6 +1,6 @@
 /* Packs what waits for a peer into frames. */
-#include "peer/link.h"
 #include "common/clock.h"
+#include "peer/link.h"
 
 bool rr_peer_link_has_output(struct rr_peer_link *link, double now) {
     return !g_queue_is_empty(&link->heartbeats) || link->suspects->len > 0 || link->demand ||
--- a/src/peer/outbox.c
+++ b/src/peer/outbox.c
@@ -1,7 +1,7 @@
 /* Decides what goes to which peer, and queues it: heartbeats in full or as digests, suspects,
  * cancellations, the demand. Called from any thread. */
-#include "peer/peer_state.h"
 #include "common/clock.h"
+#include "peer/peer_state.h"
 
 #include <string.h>
 
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -1,8 +1,8 @@
 /* Creation, start and stop of the links between controllers. */
-#include "peer/link.h"
-#include "peer/listener.h"
 #include "common/thread.h"
 #include "net/socket.h"
+#include "peer/link.h"
+#include "peer/listener.h"
 
 #include <errno.h>
 #include <unistd.h>
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -1,6 +1,6 @@
 #include "store/budget.h"
-#include "store/token_buckets.h"
 #include "common/clock.h"
+#include "store/token_buckets.h"
 
 #include <errno.h>
 #include <math.h>
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -4,8 +4,8 @@
 #ifndef RR_TESTS_CELL_PAIR_H
 #define RR_TESTS_CELL_PAIR_H
 
-#include "core_fixture.h"
 #include "core/extensions.h"
+#include "core_fixture.h"
 
 #include "cells/transfers.h"
 
--- a/tests/cells_run.c
+++ b/tests/cells_run.c
@@ -1,8 +1,8 @@
 /* See cells_run.h: cells as processes, their users, and the checker. */
 #include "cells_run.h"
 
-#include "common/clock.h"
 #include "cells/records.h"
+#include "common/clock.h"
 
 #include <math.h>
 #include <signal.h>
--- a/tests/fake_store_records.c
+++ b/tests/fake_store_records.c
@@ -1,6 +1,6 @@
 /* Records as controllers write them: machine types, machine pages, jobs. */
-#include "fake_store.h"
 #include "core/submissions.h"
+#include "fake_store.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/gang_fixture.h
+++ b/tests/gang_fixture.h
@@ -2,8 +2,8 @@
 #ifndef RR_TESTS_GANG_FIXTURE_H
 #define RR_TESTS_GANG_FIXTURE_H
 
-#include "core_fixture.h"
 #include "core/scheduling/gang_phase.h"
+#include "core_fixture.h"
 
 #define GANG_MACHINES 6
 #define GANG_MACHINES_IN_A 3 /* vm-1 to vm-3 */
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -1,8 +1,8 @@
 #include "scene.h"
-#include "core_fixture.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/scaling.h"
+#include "core_fixture.h"
 
 #include "peer/frame.h"
 
--- a/tests/test_admission_shares.c
+++ b/tests/test_admission_shares.c
@@ -1,6 +1,6 @@
 /* The division of room among teams and keys, and the tables that the writer makes of it. */
-#include "admission_fixture.h"
 #include "admission/shares.h"
+#include "admission_fixture.h"
 
 #include <math.h>
 #include <string.h>
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -1,7 +1,7 @@
 /* The budget of requests and changes to the key-value store. It reads the steady clock itself, so
  * time passes here only as the calls take it. */
-#include "core_fixture.h"
 #include "core/leadership.h"
+#include "core_fixture.h"
 
 #include "store/store.h"
 
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -2,8 +2,8 @@
  * how a client finds the controller that plans a team. */
 #include "core_fixture.h"
 
-#include "common/clock.h"
 #include "cells/links.h"
+#include "common/clock.h"
 #include "peer/frame.h"
 #include "peer/stream.h"
 #include "processes.h"
--- a/tests/test_core_autoscaler.c
+++ b/tests/test_core_autoscaler.c
@@ -1,10 +1,10 @@
 /* Scale-out, scale-in, machine lists and the catalogue: nothing is rented twice, and no machine or
  * task is lost. */
-#include "machine_fixture.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/scaling.h"
+#include "machine_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_cancellation_faults.c
+++ b/tests/test_core_cancellation_faults.c
@@ -1,13 +1,13 @@
 /* Fault combinations: each test names two facts that must not be combined, brings them together in
  * both orders where there are two, and checks the guard between them. Here, cancellations that meet
  * partitions, late transactions and changes of leader. */
-#include "machine_fixture.h"
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "machine_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -1,9 +1,9 @@
 /* DESIGN's ordinary path on small cases worked out by hand: where new tasks go, rebalancing, and
  * preemption. */
-#include "core_fixture.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/stats.h"
+#include "core_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -1,12 +1,12 @@
 /* Faults beyond missing heartbeats: unanswered commands, late copies, reused names, failed tasks,
  * and controllers that are cut off from the others. */
-#include "machine_fixture.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/scaling.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "machine_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_fault_combinations.c
+++ b/tests/test_core_fault_combinations.c
@@ -1,12 +1,12 @@
 /* Fault combinations: each test names two facts that must not be combined, brings them together in
  * both orders where there are two, and checks the guard between them. Here, faults of machines and
  * of the load. docs/meetings.md lists all combinations. */
-#include "machine_fixture.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "machine_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -1,9 +1,9 @@
 /* Gangs run together or not at all, through every phase and every loss. */
-#include "core_fixture.h"
-#include "gang_fixture.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/submissions.h"
+#include "core_fixture.h"
+#include "gang_fixture.h"
 
 #include "core/scheduling/gang_phase.h"
 
--- a/tests/test_core_gang_placement.c
+++ b/tests/test_core_gang_placement.c
@@ -1,10 +1,10 @@
 /* Where gangs are placed, what they preempt and what preempts them. */
-#include "core_fixture.h"
-#include "gang_fixture.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/submissions.h"
+#include "core_fixture.h"
+#include "gang_fixture.h"
 
 #include "core/scheduling/gang_phase.h"
 
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -1,7 +1,6 @@
 /* With many machines and jobs, the cost of work must follow what happens and not the size of the
  * fleet. The tests count machines visited, records changed and commands sent, not time, so that a
  * walk over all machines for each event fails them on any computer. */
-#include "fleet_scenario.h"
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
@@ -10,6 +9,7 @@
 #include "core/state/transaction.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "fleet_scenario.h"
 
 #include <malloc.h>
 #include <stdio.h>
--- a/tests/test_core_next_limits.c
+++ b/tests/test_core_next_limits.c
@@ -1,12 +1,12 @@
 /* The key-value store's next, lower limits come into force while records of the present size are
  * stored: every write keeps to them, and larger records are still read and processed. */
-#include "core_fixture.h"
 #include "core/cache_feed.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/scaling.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "core_fixture.h"
 
 #include <errno.h>
 #include <string.h>
--- a/tests/test_core_partitions.c
+++ b/tests/test_core_partitions.c
@@ -1,10 +1,10 @@
 /* Which machines without heartbeats are released: dead and hung ones, but none of a partitioned
  * zone, and none because the controller itself paused or ran late. */
-#include "machine_fixture.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/scaling.h"
+#include "machine_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_progress.c
+++ b/tests/test_core_progress.c
@@ -1,6 +1,5 @@
 /* No job waits for ever behind others: huge jobs among small ones, teams beside one that floods,
  * and services before arrays. */
-#include "fleet_scenario.h"
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
@@ -9,6 +8,7 @@
 #include "core/state/transaction.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "fleet_scenario.h"
 
 #define LARGE_JOB 1                /* its number; those of the small jobs follow */
 #define LARGE_JOB_TASKS_SHOWN 402u /* its first so many tasks are shown */
--- a/tests/test_core_record_order.c
+++ b/tests/test_core_record_order.c
@@ -1,12 +1,12 @@
 /* The order in which records reach the store cache: elections with a restarted controller, records
  * older than what is known, reloads, and malformed records. */
-#include "machine_fixture.h"
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "machine_fixture.h"
 
 #include <string.h>
 
--- a/tests/test_core_store_cache.c
+++ b/tests/test_core_store_cache.c
@@ -1,5 +1,4 @@
 /* The store cache over time: final jobs shrink to their outcome, and a full reload is one step. */
-#include "fleet_scenario.h"
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
@@ -8,6 +7,7 @@
 #include "core/state/transaction.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "fleet_scenario.h"
 
 #define MACHINES 10
 #define JOBS 20
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -1,11 +1,11 @@
 /* Two versions side by side: what the production version wrote this version reads, and what this
  * one writes the production version reads. */
-#include "core_fixture.h"
-#include "scene.h"
 #include "core/cache_feed.h"
 #include "core/leadership.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "core_fixture.h"
+#include "scene.h"
 
 #include "peer/frame.h"
 
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -2,8 +2,8 @@
 #include "core_fixture.h"
 
 #include "common/clock.h"
-#include "http/server.h"
 #include "fake_services.h"
+#include "http/server.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -1,13 +1,13 @@
 /* Bounded load over loopback: users' threads submit many small jobs to one controller and poll each
  * to its end; more workers than it has connections for send heartbeats. For profiling, `test_load
  * JOBS [WORKERS]` takes more of both than the test does, and prints rates and memory. */
-#include "core_fixture.h"
 #include "core/stats.h"
+#include "core_fixture.h"
 
 #include "common/clock.h"
 #include "common/log.h"
-#include "net/client.h"
 #include "fake_services.h"
+#include "net/client.h"
 
 #include <pthread.h>
 #include <stdio.h>
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -4,10 +4,10 @@
 
 #include "common/clock.h"
 #include "common/log.h"
+#include "fake_services.h"
 #include "net/client.h"
 #include "peer/frame.h"
 #include "peer/peer.h"
-#include "fake_services.h"
 
 #include <arpa/inet.h>
 #include <string.h>
--- a/tests/test_user_batch.c
+++ b/tests/test_user_batch.c
@@ -1,7 +1,7 @@
 /* Group commit: which of the users' changes share a transaction, and what it guards and writes. */
-#include "core_fixture.h"
 #include "core/state/transaction.h"
 #include "core/submissions.h"
+#include "core_fixture.h"
 
 #include "app/user_batch.h"
 
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -1,7 +1,7 @@
 /* The decision trace of the packages beside the core: admission and transfers between cells. */
-#include "trace_world.h"
 #include "core/extensions.h"
 #include "core/state/transaction.h"
+#include "trace_world.h"
 
 #include "admission_model.h"
 #include "cell_pair.h"
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -1,5 +1,5 @@
-#include "trace_world.h"
 #include "core/scaling.h"
+#include "trace_world.h"
 
 #include <string.h>
 
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -1,4 +1,3 @@
-#include "trace_world.h"
 #include "core/cache_feed.h"
 #include "core/extensions.h"
 #include "core/heartbeats.h"
@@ -6,6 +5,7 @@
 #include "core/planning.h"
 #include "core/scaling.h"
 #include "core/state/transaction.h"
+#include "trace_world.h"
 
 #include <errno.h>
 #include <string.h>
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -1,10 +1,10 @@
-#include "trace_world.h"
 #include "core/extensions.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/state/transaction.h"
 #include "core/stats.h"
 #include "core/submissions.h"
+#include "trace_world.h"
 
 #include <string.h>
 
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -1,5 +1,5 @@
-#include "trace_world.h"
 #include "core/planning.h"
+#include "trace_world.h"
 
 #include <math.h>
 #include <string.h>
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -8,11 +8,11 @@
 #ifndef RR_TESTS_TRACE_WORLD_H
 #define RR_TESTS_TRACE_WORLD_H
 
-#include "core_fixture.h"
-#include "trace_hash.h"
 #include "core/planning.h"
 #include "core/scaling.h"
 #include "core/state/transaction.h"
+#include "core_fixture.h"
+#include "trace_hash.h"
 
 #define TRACE_CONTROLLERS 3
 #define TRACE_ZONES 3
