--- a/tests/test_core_fault_combinations.c
+++ b/tests/test_core_fault_combinations.c
@@ -1,6 +1,6 @@
 /* Fault combinations: each test names two facts that must not be combined, brings them together in
  * both orders where there are two, and checks the guard between them. Here, faults of machines and
- * of the load. docs/meetings.md lists all combinations. */
+ * of the load. docs/fault-combinations.md lists all combinations. */
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
