--- a/src/core/scheduling/gang_reservation.c
+++ b/src/core/scheduling/gang_reservation.c
@@ -1,5 +1,5 @@
-/* Keeps room for a gang. Machines that are kept fill up no more, so that the next plan finds the
- * same ones with more free resources. */
+/* Reserves capacity for a gang by blocking machines within a plan. Blocked machines get no new
+ * tasks, so that the next plan selects the same ones, with more free resources. */
 #include "core/scheduling/gang_reservation.h"
 #include "core/core_internal.h"
 #include "core/scheduling/bin_packing.h"
@@ -14,124 +14,142 @@
 
 #include <string.h>
 
-/* A machine that will take tasks of the gang once what ends by itself there has ended. */
-struct future_room {
-    rr_machine *machine;
-    double free_share;   /* now */
-    uint32_t task_count; /* that it will take */
+/* A machine that will take tasks of the gang once the placements that end by themselves have ended
+ * there. */
+struct future_capacity {
+    rr_machine *machine; /* not owned */
+    double free_share;   /* of its scarcest resource now, 0 to 1 */
+    uint32_t task_count; /* tasks of the gang that it will take */
 };
 
-static gint by_free_share(gconstpointer left_room, gconstpointer right_room) {
-    const struct future_room *left = left_room, *right = right_room;
+/* Compares machines by free share, the largest first, then by id. */
+static gint compare_by_free_share(gconstpointer left_capacity, gconstpointer right_capacity) {
+    const struct future_capacity *left = left_capacity, *right = right_capacity;
     if (left->free_share != right->free_share) {
         return left->free_share > right->free_share ? -1 : 1;
     }
     return left->machine->id - right->machine->id;
 }
 
-/* Which placements will not end by themselves. */
-enum staying { SERVICES_STAY, SERVICES_AND_GANGS_STAY };
+/* The kinds of jobs whose placements are not expected to end by themselves. */
+enum long_running_kinds { LONG_RUNNING_SERVICES, LONG_RUNNING_SERVICES_AND_GANGS };
 
-static bool stays(const rr_job *job, enum staying staying) {
-    bool kind_stays = job->submission.kind == RR_JOB_SERVICE ||
-                      (staying == SERVICES_AND_GANGS_STAY && job->submission.kind == RR_JOB_GANG);
-    return kind_stays && !job->cancelled;
+/* Whether the job is of these kinds and not cancelled; placements of a cancelled job end soon. */
+static bool is_long_running(const rr_job *job, enum long_running_kinds kinds) {
+    bool kind_is_long_running =
+        job->submission.kind == RR_JOB_SERVICE ||
+        (kinds == LONG_RUNNING_SERVICES_AND_GANGS && job->submission.kind == RR_JOB_GANG);
+    return kind_is_long_running && !job->cancelled;
 }
 
-/* How many tasks of the job the machine takes when only staying placements are left there. */
-static uint32_t future_task_count(const rr_core *core, const rr_machine *machine, const rr_job *job,
-                                  enum staying staying) {
+/* Returns how many tasks of the job the machine will take once only long-running placements are
+ * left there. */
+static uint32_t count_future_tasks(const rr_core *core, const rr_machine *machine,
+                                   const rr_job *job, enum long_running_kinds kinds) {
     rr_resources available = rr_machine_capacity(core, machine);
     for (guint i = 0; i < machine->placements->len; i++) {
         const rr_job *other = g_array_index(machine->placements, rr_placement, i).job;
-        if (stays(other, staying)) {
+        if (is_long_running(other, kinds)) {
             available = rr_resources_add(available, other->request, -1);
         }
     }
     return rr_tasks_fitting(job->request, available, job->submission.task_count);
 }
 
-/* All machines of these zones that will ever take tasks of the gang, the emptiest first. */
-static GArray *list_future_room(const struct rr_planner *planner, const rr_job *job,
-                                const bool *zones, enum staying staying) {
+/* Returns all machines of these zones that will take tasks of the gang, those with the largest free
+ * share first. The caller owns the array. */
+static GArray *list_future_capacity(const struct rr_planner *planner, const rr_job *job,
+                                    const bool *zones, enum long_running_kinds kinds) {
     rr_core *core = planner->core;
-    GArray *rooms = g_array_new(FALSE, FALSE, sizeof(struct future_room));
+    GArray *capacities = g_array_new(FALSE, FALSE, sizeof(struct future_capacity));
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         core->counters.machines_visited++;
-        if (!rr_machine_may_take(core, machine, job, zones, planner->now)) {
+        if (!rr_machine_accepts_job(core, machine, job, zones, planner->now)) {
             continue;
         }
-        struct future_room room = {.machine = machine,
-                                   .free_share = rr_resources_free_share(
-                                       machine->free, rr_machine_capacity(core, machine)),
-                                   .task_count = future_task_count(core, machine, job, staying)};
-        if (room.task_count > 0) {
-            g_array_append_val(rooms, room);
+        struct future_capacity capacity = {
+            .machine = machine,
+            .free_share =
+                rr_resources_free_share(machine->free, rr_machine_capacity(core, machine)),
+            .task_count = count_future_tasks(core, machine, job, kinds)};
+        if (capacity.task_count > 0) {
+            g_array_append_val(capacities, capacity);
         }
     }
-    g_array_sort(rooms, by_free_share);
-    return rooms;
+    g_array_sort(capacities, compare_by_free_share);
+    return capacities;
 }
 
-/* Keeps the fewest machines that will take the whole gang; false: they never will. The score counts
- * the tasks that they take now, then their free shares. */
-static bool keep_needed(const rr_job *job, GArray *rooms, struct rr_gang_score *score) {
+/* Reduces the sorted machines to the first ones that together will take the whole gang; returns
+ * false if all of them can't. The score prefers machines that take more tasks now, then those with
+ * larger free shares. */
+static bool select_needed_machines(const rr_job *job, GArray *capacities,
+                                   struct rr_gang_score *score) {
     uint32_t future_tasks = 0, tasks_now = 0;
     double free_share = 0;
-    guint needed = 0;
-    for (; needed < rooms->len && future_tasks < job->submission.task_count; needed++) {
-        const struct future_room *room = &g_array_index(rooms, struct future_room, needed);
-        future_tasks += room->task_count;
+    guint needed_count = 0;
+    for (; needed_count < capacities->len && future_tasks < job->submission.task_count;
+         needed_count++) {
+        const struct future_capacity *capacity =
+            &g_array_index(capacities, struct future_capacity, needed_count);
+        future_tasks += capacity->task_count;
         tasks_now +=
-            rr_tasks_fitting(job->request, room->machine->free, job->submission.task_count);
-        free_share += room->free_share;
+            rr_tasks_fitting(job->request, capacity->machine->free, job->submission.task_count);
+        free_share += capacity->free_share;
     }
-    g_array_set_size(rooms, needed);
+    g_array_set_size(capacities, needed_count);
     *score = (struct rr_gang_score){-(double)tasks_now, -free_share};
     return future_tasks >= job->submission.task_count;
 }
 
-static GArray *search_future_room(struct rr_planner *planner, const rr_job *job, const bool *zones,
-                                  enum staying staying, struct rr_gang_score *score) {
-    GArray *rooms = list_future_room(planner, job, zones, staying);
-    if (!keep_needed(job, rooms, score)) {
-        g_clear_pointer(&rooms, g_array_unref);
+/* Searches these zones for machines that will take the whole gang. Returns them and their score, or
+ * NULL. The caller owns the array. */
+static GArray *search_future_capacity(struct rr_planner *planner, const rr_job *job,
+                                      const bool *zones, enum long_running_kinds kinds,
+                                      struct rr_gang_score *score) {
+    GArray *capacities = list_future_capacity(planner, job, zones, kinds);
+    if (!select_needed_machines(job, capacities, score)) {
+        g_clear_pointer(&capacities, g_array_unref);
     }
-    return rooms;
+    return capacities;
 }
 
-/* Two rr_gang_search_fn. */
+/* Searches machines for the time when only services and other gangs still run there. An
+ * rr_gang_search_fn. */
 static GArray *search_beside_gangs(struct rr_planner *planner, const rr_job *job, const bool *zones,
                                    struct rr_gang_score *score) {
-    return search_future_room(planner, job, zones, SERVICES_AND_GANGS_STAY, score);
+    return search_future_capacity(planner, job, zones, LONG_RUNNING_SERVICES_AND_GANGS, score);
 }
 
+/* Searches machines for the time when only services still run there. An rr_gang_search_fn. */
 static GArray *search_after_gangs(struct rr_planner *planner, const rr_job *job, const bool *zones,
                                   struct rr_gang_score *score) {
-    return search_future_room(planner, job, zones, SERVICES_STAY, score);
+    return search_future_capacity(planner, job, zones, LONG_RUNNING_SERVICES, score);
 }
 
-static void keep_machines(const GArray *rooms) {
-    for (guint i = 0; i < rooms->len; i++) {
-        g_array_index(rooms, struct future_room, i).machine->free = (rr_resources){0, 0, 0};
+/* Sets the machines' free resources to none, so that this plan places nothing else there. */
+static void block_machines(const GArray *capacities) {
+    for (guint i = 0; i < capacities->len; i++) {
+        g_array_index(capacities, struct future_capacity, i).machine->free =
+            (rr_resources){0, 0, 0};
     }
 }
 
-void rr_gang_reserve_room(struct rr_planner *planner, const rr_job *job) {
+void rr_reserve_gang_capacity(struct rr_planner *planner, const rr_job *job) {
     rr_core *core = planner->core;
     guint zone_count = core->stored.zones.names->len;
     bool allowed[zone_count + 1];
-    uint32_t none_placed[zone_count + 1];
-    memset(none_placed, 0, sizeof none_placed);
-    rr_job_zones_from(core, job, none_placed, 0, allowed);
-    GArray *rooms = rr_gang_best_search(planner, job, allowed, search_beside_gangs);
-    if (!rooms) {
-        rooms = rr_gang_best_search(planner, job, allowed, search_after_gangs);
+    uint32_t no_placements[zone_count + 1];
+    memset(no_placements, 0, sizeof no_placements);
+    rr_compute_allowed_zones_from(core, job, no_placements, 0, allowed);
+    GArray *capacities = rr_search_zones_for_gang(planner, job, allowed, search_beside_gangs);
+    if (!capacities) {
+        capacities = rr_search_zones_for_gang(planner, job, allowed, search_after_gangs);
     }
-    if (rooms) {
-        keep_machines(rooms);
-        g_array_unref(rooms);
+    if (capacities) {
+        block_machines(capacities);
+        g_array_unref(capacities);
     }
     if (!rr_within_limit(planner, job, job->submission.task_count)) {
         rr_reserve_team_usage(planner, job, job->submission.task_count);
--- a/src/core/scheduling/gang_search.h
+++ b/src/core/scheduling/gang_search.h
@@ -1,22 +1,24 @@
-/* Searches over zones for machines that take a whole gang. */
+/* Searches the zones for machines that take a whole gang. */
 #ifndef RR_CORE_SCHEDULING_GANG_SEARCH_H
 #define RR_CORE_SCHEDULING_GANG_SEARCH_H
 
 #include "core/scheduling/planner.h"
 
-/* How good the machines of one search are: less is better, the first number before the second. */
+/* The score of the machines that a search has found. The lower score is the better one. */
 struct rr_gang_score {
-    double first, second;
+    double primary;   /* compared first */
+    double secondary; /* compared if the primary scores are equal */
 };
 
-/* Searches the allowed zones for machines for the whole gang. Returns what it found, which the
- * caller owns, and its score; NULL: these zones don't take the gang. */
+/* Searches the zones with zones[zone] set for machines that take the whole gang. Returns an array
+ * that the caller owns, with its score in *score, or NULL if these zones don't take the gang. */
 typedef GArray *(*rr_gang_search_fn)(struct rr_planner *planner, const rr_job *job,
                                      const bool *zones, struct rr_gang_score *score);
 
-/* The best result of all searches: one search a zone if the gang has to be in one zone, else a
- * single one over all allowed zones. The caller owns it; NULL: no search found anything. */
-GArray *rr_gang_best_search(struct rr_planner *planner, const rr_job *job, const bool *allowed,
-                            rr_gang_search_fn search);
+/* Runs `search` once for each zone if all tasks of the gang have to be in one zone, else once for
+ * all allowed zones together. Returns the result with the best score, which the caller owns, or
+ * NULL if no search found anything. */
+GArray *rr_search_zones_for_gang(struct rr_planner *planner, const rr_job *job, const bool *allowed,
+                                 rr_gang_search_fn search);
 
 #endif
--- a/src/core/scheduling/job_search.c
+++ b/src/core/scheduling/job_search.c
@@ -1,4 +1,4 @@
-/* Searches for room: the zones of a job, and failed searches. */
+/* Tracks the zones that a job may use, and the failed searches of a plan. */
 #include "core/scheduling/job_search.h"
 #include "core/core_internal.h"
 #include "core/scheduling/bin_packing.h"
@@ -9,31 +9,33 @@
 
 #include <string.h>
 
-#define FAILED_SEARCHES_MAX 64 /* remembered within one plan */
+#define FAILED_SEARCHES_MAX 64 /* recorded in one plan */
 #define ZONE_MASK_BITS 64
 
-void rr_job_zones_init(const struct rr_planner *planner, const rr_job *job,
-                       struct rr_job_zones *zones) {
+void rr_zone_tracker_init(const struct rr_planner *planner, const rr_job *job,
+                          struct rr_zone_tracker *zones) {
     guint zone_count = planner->core->stored.zones.names->len;
-    *zones = (struct rr_job_zones){.allowed = g_new0(bool, zone_count + 1),
-                                   .placements = g_new0(uint32_t, zone_count + 1),
-                                   .counted = job->submission.spread || job->submission.one_zone ||
-                                              job->submission.kind == RR_JOB_GANG};
-    if (zones->counted) {
-        zones->placement_count = rr_job_count_by_zone(job, NULL, zones->placements);
+    *zones = (struct rr_zone_tracker){.allowed = g_new0(bool, zone_count + 1),
+                                      .placements_by_zone = g_new0(uint32_t, zone_count + 1),
+                                      .counts_placements = job->submission.spread ||
+                                                           job->submission.one_zone ||
+                                                           job->submission.kind == RR_JOB_GANG};
+    if (zones->counts_placements) {
+        zones->placement_count = rr_count_placements_by_zone(job, NULL, zones->placements_by_zone);
     }
 }
 
-void rr_job_zones_clear(struct rr_job_zones *zones) {
+void rr_zone_tracker_clear(struct rr_zone_tracker *zones) {
     g_free(zones->allowed);
-    g_free(zones->placements);
+    g_free(zones->placements_by_zone);
 }
 
-void rr_job_zones_update(const struct rr_planner *planner, const rr_job *job,
-                         struct rr_job_zones *zones) {
+void rr_zone_tracker_update(const struct rr_planner *planner, const rr_job *job,
+                            struct rr_zone_tracker *zones) {
     rr_core *core = planner->core;
     guint zone_count = core->stored.zones.names->len, allowed_count = 0;
-    rr_job_zones_from(core, job, zones->placements, zones->placement_count, zones->allowed);
+    rr_compute_allowed_zones_from(core, job, zones->placements_by_zone, zones->placement_count,
+                                  zones->allowed);
     for (guint zone = 0; zone < zone_count; zone++) {
         allowed_count += zones->allowed[zone];
     }
@@ -46,24 +48,25 @@
     }
 }
 
-void rr_job_zones_add(const struct rr_planner *planner, const rr_job *job,
-                      const rr_machine *machine, struct rr_job_zones *zones) {
-    if (zones->counted) {
-        zones->placements[machine->zone]++;
+void rr_zone_tracker_add_placement(const struct rr_planner *planner, const rr_job *job,
+                                   const rr_machine *machine, struct rr_zone_tracker *zones) {
+    if (zones->counts_placements) {
+        zones->placements_by_zone[machine->zone]++;
         zones->placement_count++;
-        rr_job_zones_update(planner, job, zones);
+        rr_zone_tracker_update(planner, job, zones);
     }
 }
 
 void rr_list_job_candidates(struct rr_planner *planner, const rr_job *job,
-                            const struct rr_job_zones *zones,
+                            const struct rr_zone_tracker *zones,
                             const struct rr_placement_constraints *constraints) {
     guint zone_count = planner->core->stored.zones.names->len;
     bool all_zones[zone_count + 1];
     memset(all_zones, true, sizeof all_zones);
-    struct rr_placement_constraints widest = *constraints;
-    widest.zones = zones->counted && !rr_job_zone_bound(job) ? all_zones : zones->allowed;
-    rr_list_candidates(planner->core, job, &widest, planner->now, planner->candidates);
+    struct rr_placement_constraints wide_constraints = *constraints;
+    wide_constraints.zones =
+        zones->counts_placements && !rr_job_zone_bound(job) ? all_zones : zones->allowed;
+    rr_list_candidates(planner->core, job, &wide_constraints, planner->now, planner->candidates);
 }
 
 uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
@@ -74,14 +77,15 @@
     return mask;
 }
 
+/* Whether both submissions list the same machine types in the same order. */
 static bool allows_same_machine_types(const rr_submission *left, const rr_submission *right) {
     size_t bytes = (size_t)left->machine_type_count * sizeof *left->machine_types;
     return left->machine_type_count == right->machine_type_count &&
            (bytes == 0 || memcmp(left->machine_types, right->machine_types, bytes) == 0);
 }
 
-/* Whether searches for both jobs differ in nothing but the amounts requested. */
-static bool search_alike(const rr_job *left, const rr_job *right) {
+/* Whether searches for both jobs differ only in the resources and the number of tasks requested. */
+static bool are_searches_alike(const rr_job *left, const rr_job *right) {
     return left->team == right->team && left->job_class == right->job_class &&
            left->submission.priority == right->submission.priority &&
            left->submission.spot == right->submission.spot &&
@@ -90,14 +94,17 @@
            allows_same_machine_types(&left->submission, &right->submission);
 }
 
-static bool failed_before(const struct rr_planner *planner, const rr_job *job, uint64_t zone_mask) {
+/* Whether this plan has recorded a failed search in all of these zones, for a similar job that
+ * requests no more; of gangs, for one with no more tasks. */
+static bool has_failed_before(const struct rr_planner *planner, const rr_job *job,
+                              uint64_t zone_mask) {
     for (guint i = 0; i < planner->failed_searches->len; i++) {
         const struct rr_failed_search *failed =
             &g_array_index(planner->failed_searches, struct rr_failed_search, i);
-        bool smaller_gang = job->submission.kind != RR_JOB_GANG ||
-                            failed->job->submission.task_count <= job->submission.task_count;
-        if (search_alike(failed->job, job) &&
-            rr_resources_fit(failed->job->request, job->request) && smaller_gang &&
+        bool no_larger_gang = job->submission.kind != RR_JOB_GANG ||
+                              failed->job->submission.task_count <= job->submission.task_count;
+        if (are_searches_alike(failed->job, job) &&
+            rr_resources_fit(failed->job->request, job->request) && no_larger_gang &&
             (zone_mask & ~failed->zone_mask) == 0) {
             return true;
         }
@@ -105,8 +112,8 @@
     return false;
 }
 
-bool rr_search_is_hopeless(const struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
-    if (!failed_before(planner, job, zone_mask)) {
+bool rr_skip_repeated_search(const struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
+    if (!has_failed_before(planner, job, zone_mask)) {
         return false;
     }
     job->failed_at = planner->now;
--- a/src/core/scheduling/job_search.h
+++ b/src/core/scheduling/job_search.h
@@ -1,48 +1,53 @@
-/* One search for room for the tasks of a job: the zones that it may use, and the searches of this
- * plan that found nothing. */
+/* The search for machines for a job's tasks: the zones that it may use, and the searches of this
+ * plan that have failed. */
 #ifndef RR_CORE_SCHEDULING_JOB_SEARCH_H
 #define RR_CORE_SCHEDULING_JOB_SEARCH_H
 
 #include "core/scheduling/placement_constraints.h"
 #include "core/scheduling/planner.h"
 
-/* The zones in which the next task of a job may start, kept up to date while a plan reserves. */
-struct rr_job_zones {
-    bool *allowed;            /* by zone */
-    uint32_t *placements;     /* by zone: of the job, with those of this plan; only if counted */
-    uint32_t placement_count; /* their sum */
-    bool counted;             /* the allowed zones depend on the placements */
+/* Tracks the zones in which the next task of a job may start while a plan reserves its tasks. */
+struct rr_zone_tracker {
+    bool *allowed;                /* by zone, owned: whether the next task may start there */
+    uint32_t *placements_by_zone; /* by zone, owned: the job's placements, including this plan's */
+    uint32_t placement_count;     /* the sum of the above */
+    bool counts_placements; /* the allowed zones depend on placements; if not, none are counted */
 };
 
-/* Counts the job's placements where its zones depend on them. Clear with rr_job_zones_clear(). */
-void rr_job_zones_init(const struct rr_planner *planner, const rr_job *job,
-                       struct rr_job_zones *zones);
+/* Initializes a tracker, and counts the job's placements if its allowed zones depend on them. The
+ * allowed zones are empty until rr_zone_tracker_update(). Free it with rr_zone_tracker_clear(). */
+void rr_zone_tracker_init(const struct rr_planner *planner, const rr_job *job,
+                          struct rr_zone_tracker *zones);
 
-/* Frees the arrays. */
-void rr_job_zones_clear(struct rr_job_zones *zones);
+/* Frees the tracker's arrays. */
+void rr_zone_tracker_clear(struct rr_zone_tracker *zones);
 
-/* Recomputes the allowed zones; a job that is bound to one zone gets the best of them. */
-void rr_job_zones_update(const struct rr_planner *planner, const rr_job *job,
-                         struct rr_job_zones *zones);
+/* Recomputes the allowed zones. For a job bound to one zone only the best of the allowed zones
+ * remains. */
+void rr_zone_tracker_update(const struct rr_planner *planner, const rr_job *job,
+                            struct rr_zone_tracker *zones);
 
-/* Counts a reservation of this plan, and recomputes the allowed zones. */
-void rr_job_zones_add(const struct rr_planner *planner, const rr_job *job,
-                      const rr_machine *machine, struct rr_job_zones *zones);
+/* Counts a reservation on the machine and recomputes the allowed zones, if they depend on
+ * placements. */
+void rr_zone_tracker_add_placement(const struct rr_planner *planner, const rr_job *job,
+                                   const rr_machine *machine, struct rr_zone_tracker *zones);
 
-/* Lists the plan's candidates for the tasks of the job. One walk over the machines serves all
- * tasks, and so it takes all zones that they may come to use, in place of constraints->zones. */
+/* Sets planner->candidates to the candidates for the job's tasks. One pass over the machines serves
+ * all tasks, so it covers every zone that any of them may use, instead of constraints->zones. */
 void rr_list_job_candidates(struct rr_planner *planner, const rr_job *job,
-                            const struct rr_job_zones *zones,
+                            const struct rr_zone_tracker *zones,
                             const struct rr_placement_constraints *constraints);
 
-/* One bit a zone, modulo 64, for comparing searches. */
+/* Returns a mask with the bits of the allowed zones set, to compare searches. Zones whose indices
+ * are equal modulo 64 share a bit. */
 uint64_t rr_zone_mask(const rr_core *core, const bool *allowed);
 
-/* Whether a search of this plan found no room in all of these zones for a job that asks for no more
- * than this one. If so, the job counts as failed now. */
-bool rr_search_is_hopeless(const struct rr_planner *planner, rr_job *job, uint64_t zone_mask);
+/* Returns whether the search can be skipped: an earlier search of this plan, which covered all of
+ * these zones, found no machine for a similar job that requests no more than this one. If so, sets
+ * the job's failed_at. */
+bool rr_skip_repeated_search(const struct rr_planner *planner, rr_job *job, uint64_t zone_mask);
 
-/* Notes that no room was found for the job in these zones. */
+/* Records that a search of these zones found no machine for the job, and sets its failed_at. */
 void rr_record_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask);
 
 #endif
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,5 +1,5 @@
-/* Places waiting tasks: the best machine by bin packing, or preemption where the job may preempt.
- * Reservations stand in the plan's transaction only. */
+/* Places waiting tasks on the machine that bin packing chooses, or by preemption if the job may
+ * preempt. Reservations exist only in the plan's transaction until it is committed. */
 #include "core/scheduling/placement.h"
 #include "core/core_internal.h"
 #include "core/scheduling/bin_packing.h"
@@ -15,54 +15,61 @@
 
 #include <math.h>
 
-#define PLACEMENTS_MAX 256 /* in one plan */
+#define PLACEMENTS_MAX 256 /* placements in one plan; a gang may exceed it */
 
-/* A job that found no room is tried again after a time that grows with the number of waiting jobs.
- */
+/* A job for which no machine was found is retried after a delay that increases with the number of
+ * waiting jobs. */
 #define RETRY_BASE_S 0.25
 #define RETRY_PER_JOB_S 0.02
 #define RETRY_MAX_S 2.0
 
-/* A job that has waited this long for its first task gets a few before all others, so that a stream
- * of small jobs with nearer deadlines can't keep it waiting for ever. */
+/* A job without any placed or completed task that has waited this long gets up to
+ * EARLY_PLACEMENTS_MAX placements before all other jobs, so that a stream of small jobs with
+ * earlier deadlines can't starve it. A gang that has waited this long is tried first, and gets
+ * capacity reserved if it can't be placed. */
 #define FIRST_TASK_WAIT_MAX_S 45.0
-/* Every so many plans the oldest job gets a few, too, so that what has begun goes on. */
-#define OLDEST_FIRST_PLANS 7
+/* In every so many plans the oldest waiting job gets them too, so that jobs that have already
+ * started make progress. */
+#define OLDEST_JOB_PERIOD_PLANS 7
 #define EARLY_PLACEMENTS_MAX 8
-/* A gang that has waited this long gets room before work of higher priority. */
-#define GANG_RESERVES_FIRST_S 90.0
+/* After this wait, capacity is reserved for a gang before work of higher priority is placed. */
+#define GANG_RESERVE_FIRST_WAIT_S 90.0
 
-/* Preempting costs writes, so that it waits while the write pressure is above these: the first as
- * long as the objective for the wait can be met, the second once it is missed. */
+/* Preemption needs additional writes, so it is not used while another machine is free and the write
+ * pressure is this high: the first limit holds while the wait objective can still be met, the
+ * second once it is missed. */
 #define PREEMPTION_PRESSURE_MAX 0.9
 #define LATE_PREEMPTION_PRESSURE_MAX 0.5
-#define START_ROUND_TRIP_S 1.0 /* from the reservation to the start, without the image's fetch */
+#define START_ROUND_TRIP_S 1.0 /* from the reservation to the start, without the image fetch */
 
-/* ---- one task ---- */
+/* ---- placing a task ---- */
 
-/* Whether preempting is worth its writes although another machine is free. */
-static bool preempts_before_free_machine(const struct rr_planner *planner, const rr_job *job,
-                                         double within_s) {
+/* Whether preempting is worth the additional writes although another machine is free. objective_s:
+ * the job's wait objective, in seconds. */
+static bool should_preempt_first(const struct rr_planner *planner, const rr_job *job,
+                                 double objective_s) {
     double pressure = planner->core->planning.write_pressure;
-    bool in_time = planner->wall - job->accepted_at + START_ROUND_TRIP_S < within_s;
+    bool in_time = planner->wall - job->accepted_at + START_ROUND_TRIP_S < objective_s;
     return pressure < PREEMPTION_PRESSURE_MAX &&
            (in_time || pressure < LATE_PREEMPTION_PRESSURE_MAX);
 }
 
-/* Places a task of a class with an objective for its wait: on a free machine that can meet it, else
- * by preempting where the image is, else on any free machine, else by preempting anywhere. */
+/* Places a task of a job whose class has a wait objective: on a free machine that can meet the
+ * objective, else by preemption on a machine that has the image, else on any free machine, else by
+ * preemption on any machine. Returns whether the task is reserved. */
 static bool place_urgent_task(struct rr_planner *planner, rr_job *job, uint32_t task,
                               const struct rr_placement_constraints *constraints) {
     rr_core *core = planner->core;
-    double within_s = rr_objective_for(core, "wait", job->submission.job_class)->within_s;
-    rr_machine *machine = rr_bin_pack_from(core, job, constraints, planner->candidates);
-    if (machine && rr_image_fetch_s(core, job, machine) + START_ROUND_TRIP_S <= within_s) {
+    double objective_s = rr_objective_for(core, "wait", job->submission.job_class)->within_s;
+    rr_machine *machine = rr_choose_candidate(core, job, constraints, planner->candidates);
+    if (machine &&
+        rr_estimate_image_fetch_s(core, job, machine) + START_ROUND_TRIP_S <= objective_s) {
         return rr_reserve(planner, machine, job, task);
     }
     struct rr_placement_constraints with_image = *constraints;
     with_image.need_image = true;
-    bool may_preempt = rr_may_preempt(core, job);
-    if (may_preempt && (!machine || preempts_before_free_machine(planner, job, within_s)) &&
+    bool may_preempt = rr_job_may_preempt(core, job);
+    if (may_preempt && (!machine || should_preempt_first(planner, job, objective_s)) &&
         rr_preempt_for_task(planner, job, task, &with_image)) {
         return true;
     }
@@ -70,8 +77,9 @@
                    : may_preempt && rr_preempt_for_task(planner, job, task, constraints);
 }
 
-/* May clear constraints->distinct_machines: two tasks on one machine are better than one unplaced.
- */
+/* Places a task of any job; returns whether it is reserved. If no distinct machine is left for a
+ * further replica, clears constraints->distinct_machines, since two tasks on one machine are better
+ * than an unplaced one. */
 static bool place_task(struct rr_planner *planner, rr_job *job, uint32_t task,
                        struct rr_placement_constraints *constraints) {
     rr_core *core = planner->core;
@@ -79,11 +87,11 @@
         place_urgent_task(planner, job, task, constraints)) {
         return true;
     }
-    rr_machine *machine = rr_bin_pack_from(core, job, constraints, planner->candidates);
+    rr_machine *machine = rr_choose_candidate(core, job, constraints, planner->candidates);
     if (!machine && constraints->distinct_machines && job->placed_count) {
         constraints->distinct_machines = false;
         rr_list_candidates(core, job, constraints, planner->now, planner->candidates);
-        machine = rr_bin_pack_from(core, job, constraints, planner->candidates);
+        machine = rr_choose_candidate(core, job, constraints, planner->candidates);
     }
     if (!machine && rr_within_guarantee(planner, job, 1)) {
         return rr_preempt_for_task(planner, job, task, constraints);
@@ -91,10 +99,10 @@
     return machine && rr_reserve(planner, machine, job, task);
 }
 
-/* ---- one job ---- */
+/* ---- placing a job ---- */
 
-/* Moves *task on to the first one at or after it that is neither placed nor done; false: none is.
- */
+/* Advances *task to the first task, from *task on, that is neither placed nor done. Returns false
+ * if there is none. */
 static bool find_unplaced_task(const rr_job *job, uint32_t *task) {
     while (*task < job->submission.task_count &&
            (job->placed[*task] || rr_job_task_done(job, *task))) {
@@ -103,13 +111,14 @@
     return *task < job->submission.task_count;
 }
 
+/* Returns the last task of the ledger chunk that the task is in. */
 static uint32_t last_task_of_chunk(const rr_job *job, uint32_t task) {
     return task - task % job->tasks_per_record + job->tasks_per_record - 1;
 }
 
-/* Moves *task on to the next one that the ledger takes a placement of; false: there is none. A task
- * that the ledger can't take yet is passed over and does not count as a failed search: the job is
- * tried again as soon as records have room. */
+/* Advances *task to the first unplaced task, from *task on, for which the ledger can take a
+ * placement. Returns false if there is none. Skipping a task that the ledger can't take yet does
+ * not count as a failed search, so that the job is retried as soon as its records have room. */
 static bool find_reservable_task(const struct rr_planner *planner, rr_job *job, uint32_t *task) {
     for (; find_unplaced_task(job, task); (*task)++) {
         switch (rr_reservable(planner, job, *task)) {
@@ -125,15 +134,18 @@
     return false;
 }
 
-static bool may_take_more(const struct rr_planner *planner, const rr_job *job) {
+/* Whether the team's limit and fair share allow it one more task of the job. */
+static bool may_place_more(const struct rr_planner *planner, const rr_job *job) {
     return rr_within_limit(planner, job, 1) && rr_within_fair_share(planner, job);
 }
 
+/* Reserves tasks of the job one by one, until a task can't be placed, the team may take no more, or
+ * the plan or *placements_left is exhausted. */
 static void place_tasks_in_zones(struct rr_planner *planner, rr_job *job,
-                                 struct rr_job_zones *zones, int *placements_left) {
+                                 struct rr_zone_tracker *zones, int *placements_left) {
     rr_core *core = planner->core;
-    rr_job_zones_update(planner, job, zones);
-    if (rr_search_is_hopeless(planner, job, rr_zone_mask(core, zones->allowed))) {
+    rr_zone_tracker_update(planner, job, zones);
+    if (rr_skip_repeated_search(planner, job, rr_zone_mask(core, zones->allowed))) {
         return;
     }
     struct rr_placement_constraints constraints = {
@@ -145,7 +157,7 @@
     }
     for (; !planner->full && *placements_left > 0 && find_reservable_task(planner, job, &task);
          task++) {
-        if (!may_take_more(planner, job)) {
+        if (!may_place_more(planner, job)) {
             return;
         }
         if (!place_task(planner, job, task, &constraints)) {
@@ -155,35 +167,36 @@
             return;
         }
         (*placements_left)--;
-        rr_job_zones_add(planner, job, planner->last_reserved, zones);
+        rr_zone_tracker_add_placement(planner, job, planner->last_reserved, zones);
     }
 }
 
+/* Reserves tasks of the job, and subtracts them from *placements_left. */
 static void place_job(struct rr_planner *planner, rr_job *job, int *placements_left) {
     if (job->submission.kind == RR_JOB_GANG) {
         rr_place_gang(planner, job, placements_left);
         return;
     }
-    struct rr_job_zones zones;
-    rr_job_zones_init(planner, job, &zones);
+    struct rr_zone_tracker zones;
+    rr_zone_tracker_init(planner, job, &zones);
     place_tasks_in_zones(planner, job, &zones, placements_left);
-    rr_job_zones_clear(&zones);
+    rr_zone_tracker_clear(&zones);
 }
 
-/* ---- all jobs ---- */
+/* ---- placing all waiting jobs ---- */
 
-static bool waits_too_long(const struct rr_planner *planner, const rr_job *job) {
+static bool has_waited_too_long(const struct rr_planner *planner, const rr_job *job) {
     return planner->wall - job->accepted_at > FIRST_TASK_WAIT_MAX_S;
 }
 
-/* The gang that has waited longest, NULL: none has waited too long. Room is gathered for one at a
- * time. */
-static rr_job *overdue_gang(const struct rr_planner *planner, const GPtrArray *waiting) {
+/* Returns the oldest unplaced gang that has waited too long, or NULL. Capacity is reserved for one
+ * gang at a time. */
+static rr_job *find_overdue_gang(const struct rr_planner *planner, const GPtrArray *waiting) {
     rr_job *oldest = NULL;
     for (guint i = 0; i < waiting->len; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
         bool overdue = job->submission.kind == RR_JOB_GANG && job->placed_count == 0 &&
-                       waits_too_long(planner, job);
+                       has_waited_too_long(planner, job);
         if (overdue && (!oldest || job->accepted_at < oldest->accepted_at)) {
             oldest = job;
         }
@@ -191,15 +204,17 @@
     return oldest;
 }
 
-/* The oldest job of those that wait too long for their first task, and now and then of all; NULL:
- * none. */
-static rr_job *overdue_job(const struct rr_planner *planner, const GPtrArray *waiting) {
+/* Returns the oldest job that has waited too long for its first task, or in every
+ * OLDEST_JOB_PERIOD_PLANS-th plan the oldest waiting job; NULL if there is none. Skips jobs whose
+ * last search failed less than RETRY_MAX_S ago. */
+static rr_job *find_overdue_job(const struct rr_planner *planner, const GPtrArray *waiting) {
     rr_job *oldest = NULL;
-    bool any = planner->core->planning.plan_count % OLDEST_FIRST_PLANS == 0;
+    bool take_any = planner->core->planning.plan_count % OLDEST_JOB_PERIOD_PLANS == 0;
     for (guint i = 0; i < waiting->len; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
-        bool overdue = job->done_count + job->placed_count == 0 && waits_too_long(planner, job);
-        if ((overdue || any) && planner->now - job->failed_at >= RETRY_MAX_S &&
+        bool overdue =
+            job->done_count + job->placed_count == 0 && has_waited_too_long(planner, job);
+        if ((overdue || take_any) && planner->now - job->failed_at >= RETRY_MAX_S &&
             (!oldest || job->accepted_at < oldest->accepted_at)) {
             oldest = job;
         }
@@ -207,26 +222,29 @@
     return oldest;
 }
 
-/* Jobs that had their turn before the others in this plan; NULL: none. */
+/* The jobs that a plan places before all others. NULL: none. */
 struct early_jobs {
-    const rr_job *gang, *job;
-    const rr_job *keep_room_for; /* the gang for which room is to be kept when its turn comes */
+    const rr_job *gang;        /* the overdue gang, whether placed or not */
+    const rr_job *job;         /* the overdue job, if any of its tasks was placed */
+    const rr_job *reserve_for; /* the gang to reserve capacity for, once all jobs of higher
+                                  priority have been tried */
 };
 
+/* Places the overdue gang or reserves capacity for it, and places some tasks of the overdue job. */
 static struct early_jobs place_early_jobs(struct rr_planner *planner, const GPtrArray *waiting,
                                           double retry_s, int *placements_left) {
-    rr_job *gang = overdue_gang(planner, waiting);
+    rr_job *gang = find_overdue_gang(planner, waiting);
     struct early_jobs early = {.gang = gang};
     bool gang_placed = gang && planner->now - gang->failed_at >= retry_s &&
                        rr_place_gang(planner, gang, placements_left);
     if (gang && !gang_placed) {
-        if (planner->wall - gang->accepted_at > GANG_RESERVES_FIRST_S) {
-            rr_gang_reserve_room(planner, gang);
+        if (planner->wall - gang->accepted_at > GANG_RESERVE_FIRST_WAIT_S) {
+            rr_reserve_gang_capacity(planner, gang);
         } else {
-            early.keep_room_for = gang;
+            early.reserve_for = gang;
         }
     }
-    rr_job *job = overdue_job(planner, waiting);
+    rr_job *job = find_overdue_job(planner, waiting);
     if (job && job != gang) {
         int early_left = EARLY_PLACEMENTS_MAX;
         place_job(planner, job, &early_left);
@@ -243,10 +261,10 @@
     rr_sort_waiting_jobs(planner, waiting);
     for (guint i = 0; i < waiting->len && !planner->full && placements_left > 0; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
-        if (early.keep_room_for &&
-            job->submission.priority <= early.keep_room_for->submission.priority) {
-            rr_gang_reserve_room(planner, early.keep_room_for);
-            early.keep_room_for = NULL;
+        if (early.reserve_for &&
+            job->submission.priority <= early.reserve_for->submission.priority) {
+            rr_reserve_gang_capacity(planner, early.reserve_for);
+            early.reserve_for = NULL;
         }
         if (planner->now - job->failed_at >= retry_s && job != early.gang && job != early.job &&
             rr_within_fair_share(planner, job)) {
--- a/src/core/scheduling/placement_constraints.c
+++ b/src/core/scheduling/placement_constraints.c
@@ -1,4 +1,4 @@
-/* Placement constraints: machine types, spot machines, zones, distinct machines. */
+/* Checks placement constraints: machine types, spot machines, zones and distinct machines. */
 #include "core/scheduling/placement_constraints.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -9,7 +9,8 @@
 
 #include <string.h>
 
-static bool names_zone(const rr_core *core, const rr_job *job, int zone) {
+/* Whether the job's submission names this zone. */
+static bool requests_zone(const rr_core *core, const rr_job *job, int zone) {
     return strcmp(job->submission.zone, rr_name_index_at(&core->stored.zones, zone)) == 0;
 }
 
@@ -21,7 +22,7 @@
     if (spot && !job->submission.spot) {
         return false;
     }
-    if (job->submission.zone[0] && !names_zone(core, job, zone)) {
+    if (job->submission.zone[0] && !requests_zone(core, job, zone)) {
         return false;
     }
     if (job->submission.machine_type_count == 0) {
@@ -36,6 +37,8 @@
     return false;
 }
 
+/* Whether the placement counts in its zone: the zone is known, the machine is not gone, and the
+ * placement is neither terminated nor `except`. */
 static bool counts_in_zone(const rr_job *job, const rr_placement_record *entry,
                            const rr_placement *except) {
     const rr_placement *placement =
@@ -45,7 +48,8 @@
            !(except && entry->attempt == except->attempt);
 }
 
-uint32_t rr_job_count_by_zone(const rr_job *job, const rr_placement *except, uint32_t *by_zone) {
+uint32_t rr_count_placements_by_zone(const rr_job *job, const rr_placement *except,
+                                     uint32_t *by_zone) {
     uint32_t count = 0;
     for (guint chunk = 0; job->records && chunk < job->records->len; chunk++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, chunk);
@@ -61,24 +65,25 @@
     return count;
 }
 
-/* A job of one zone keeps to the zone of its placements, or of its completed tasks. */
-static bool is_common_zone(const rr_job *job, const uint32_t *by_zone, uint32_t placement_count,
-                           int zone) {
+/* Whether one more task in the zone keeps a one-zone job in a single zone: that of its placements,
+ * or without any, that of its completed tasks; any zone if there are none of these either. */
+static bool keeps_single_zone(const rr_job *job, const uint32_t *by_zone, uint32_t placement_count,
+                              int zone) {
     if (placement_count > 0) {
         return by_zone[zone] > 0;
     }
     return job->zone < 0 || job->zone == zone;
 }
 
-void rr_job_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
-                       uint32_t placement_count, bool *allowed) {
+void rr_compute_allowed_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
+                                   uint32_t placement_count, bool *allowed) {
     uint32_t spread_max = (job->submission.task_count + 1) / 2;
     for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
-        bool named = !job->submission.zone[0] || names_zone(core, job, (int)zone);
-        bool full = job->submission.spread && by_zone[zone] >= spread_max;
-        bool common =
-            !job->submission.one_zone || is_common_zone(job, by_zone, placement_count, (int)zone);
-        allowed[zone] = named && !full && common;
+        bool zone_requested = !job->submission.zone[0] || requests_zone(core, job, (int)zone);
+        bool spread_exhausted = job->submission.spread && by_zone[zone] >= spread_max;
+        bool single_zone = !job->submission.one_zone ||
+                           keeps_single_zone(job, by_zone, placement_count, (int)zone);
+        allowed[zone] = zone_requested && !spread_exhausted && single_zone;
     }
 }
 
@@ -88,9 +93,9 @@
     uint32_t by_zone[zone_count + 1];
     memset(by_zone, 0, sizeof by_zone);
     uint32_t placement_count = job->submission.one_zone || job->submission.spread
-                                   ? rr_job_count_by_zone(job, except, by_zone)
+                                   ? rr_count_placements_by_zone(job, except, by_zone)
                                    : 0;
-    rr_job_zones_from(core, job, by_zone, placement_count, allowed);
+    rr_compute_allowed_zones_from(core, job, by_zone, placement_count, allowed);
 }
 
 bool rr_machine_has_task(const rr_machine *machine, const rr_job *job) {
@@ -108,8 +113,8 @@
     return false;
 }
 
-bool rr_machine_may_take(const rr_core *core, const rr_machine *machine, const rr_job *job,
-                         const bool *allowed, double now) {
+bool rr_machine_accepts_job(const rr_core *core, const rr_machine *machine, const rr_job *job,
+                            const bool *allowed, double now) {
     return machine->zone >= 0 && allowed[machine->zone] &&
            rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot) &&
            rr_machine_schedulable(core, machine, now);
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -1,4 +1,4 @@
-/* Preemption: which placements may stop for a job, and what stopping them loses. */
+/* Selects the placements to preempt for a job by the estimated loss, and marks them in the plan. */
 #include "core/scheduling/preemption.h"
 #include "core/core_internal.h"
 #include "core/membership/membership.h"
@@ -12,16 +12,18 @@
 
 #include <math.h>
 
-/* Losses beside the work itself. */
-#define VICTIM_LOSS_S 1.0
-#define INTACT_JOB_LOSS_S 10.0   /* the first victim of a job may decide when the job ends */
-#define FOREIGN_OWNER_LOSS_S 3.0 /* another owner may change the victim's record too */
+/* Penalties added to the estimated loss of work, in seconds. */
+#define VICTIM_LOSS_S 1.0 /* for every victim */
+/* The first victim of a job whose other tasks are all placed or done may determine when it ends. */
+#define FULLY_PLACED_JOB_LOSS_S 10.0
+/* Another controller owns the victim's team, and may change the victim's record too. */
+#define FOREIGN_OWNER_LOSS_S 3.0
 
-#define SLACK_WANTED_S 60.0 /* a deadline nearer than this is in danger from a restart */
-#define NO_DEADLINE_SLACK_S 1e6
-#define STOP_ROUND_TRIP_S 1.0 /* until a machine shows the room that a stop has made */
+#define SAFE_SLACK_S 60.0       /* with less slack, a restart endangers the deadline */
+#define NO_DEADLINE_SLACK_S 1e6 /* for jobs that have no deadline, or have missed it */
+#define STOP_ROUND_TRIP_S 1.0   /* from the stop until the machine reports the resources as free */
 
-/* Spreads the starts of successive searches over the machine list. */
+/* Distance in the machine list between the starts of successive searches. */
 #define SEARCH_START_STRIDE 61
 
 void rr_preemption_init(struct rr_preemption *preemption) {
@@ -33,16 +35,17 @@
     g_array_free(preemption->victims, TRUE);
 }
 
-/* Work lost by stopping the placement without a save: its run time since its last checkpoint. */
-static double unsaved_work_s(const rr_placement *placement, double now) {
+/* Returns the seconds of work lost if the placement stops without saving: the run time since its
+ * last checkpoint. */
+static double compute_unsaved_work_s(const rr_placement *placement, double now) {
     double ran_s = now - placement->seen_at;
     double interval_s = placement->job->submission.checkpoint_interval_s;
     return interval_s > 0 ? fmod(ran_s, interval_s) : ran_s;
 }
 
-/* Time to spare until the job's deadline if this task runs on from here. A job that is late already
- * has no deadline left to lose. */
-static double slack_s(const rr_placement *placement, double now, double wall) {
+/* Returns the slack of the job's deadline, in seconds, if this task runs on without interruption. A
+ * job that is already late has no deadline left to miss, and so counts as one without deadline. */
+static double compute_slack_s(const rr_placement *placement, double now, double wall) {
     const rr_job *job = placement->job;
     if (job->submission.deadline_s < 0) {
         return NO_DEADLINE_SLACK_S;
@@ -52,13 +55,14 @@
     return slack < 0 ? NO_DEADLINE_SLACK_S : slack;
 }
 
+/* A placement that may be preempted. */
 struct victim {
-    rr_placement *placement;
-    double slack_s;
+    rr_placement *placement; /* not owned */
+    double slack_s;          /* until the deadline of its job, seconds */
 };
 
-/* Lowest priority first, then most time to spare. */
-static gint by_priority_and_slack(gconstpointer left_victim, gconstpointer right_victim) {
+/* Compares victims by priority, the lowest first, then by slack, the largest first. */
+static gint compare_victims(gconstpointer left_victim, gconstpointer right_victim) {
     const struct victim *left = left_victim, *right = right_victim;
     int left_priority = left->placement->job->submission.priority;
     int right_priority = right->placement->job->submission.priority;
@@ -68,12 +72,14 @@
     return left->slack_s > right->slack_s ? -1 : left->slack_s < right->slack_s;
 }
 
-/* Whether the placement may stop for the job, on one of PROTOCOL's two grounds: it has lower
- * priority, or it runs beyond its team's guarantee where the job is within its own
- * (job_guaranteed). Replicas are stopped on the second ground alone. `returned`: what victims of
- * its team chosen so far give back. */
-static bool may_stop(const struct rr_planner *planner, const rr_job *job,
-                     const rr_placement *placement, bool job_guaranteed, rr_resources returned) {
+/* Whether the placement may be preempted for the job, for one of the two reasons that PROTOCOL
+ * names: it has lower priority and the job's class has a wait objective, or its team exceeds its
+ * guarantee while the job is within its own (job_guaranteed). Replicas of services are preempted
+ * for the second reason only. `freed`: resources of the victims selected so far, of whichever team.
+ */
+static bool may_preempt_placement(const struct rr_planner *planner, const rr_job *job,
+                                  const rr_placement *placement, bool job_guaranteed,
+                                  rr_resources freed) {
     const rr_job *victim = placement->job;
     if (victim->submission.priority < job->submission.priority &&
         victim->submission.kind != RR_JOB_SERVICE &&
@@ -81,46 +87,53 @@
         return true;
     }
     return job_guaranteed && victim->team >= 0 && victim->team != job->team &&
-           rr_beyond_guarantee(planner, victim->team, returned);
+           rr_beyond_guarantee(planner, victim->team, freed);
 }
 
-/* The machine's placements that may stop for the job, in the order in which they would; the caller
- * owns the array. Adds to *available what is being stopped already. */
-static GArray *possible_victims(const struct rr_planner *planner, const rr_machine *machine,
-                                const rr_job *job, bool job_guaranteed, rr_resources *available) {
+/* Returns the machine's placements (struct victim) that may be preempted for the job, in order of
+ * preemption. The caller owns the array. Adds to *available the resources of placements that are
+ * already preempted. */
+static GArray *list_possible_victims(const struct rr_planner *planner, const rr_machine *machine,
+                                     const rr_job *job, bool job_guaranteed,
+                                     rr_resources *available) {
     const rr_resources nothing = {0, 0, 0};
     GArray *possible = g_array_new(FALSE, FALSE, sizeof(struct victim));
     for (guint i = 0; i < machine->placements->len; i++) {
         rr_placement *placement = &g_array_index(machine->placements, rr_placement, i);
-        /* The machine's free resources include these already. */
+        /* The machine's free resources already include those of this placement. */
         if (placement->leaving || placement->terminated_at > 0) {
             continue;
         }
         if (placement->preempt) {
             *available = rr_resources_add(*available, placement->job->request, 1);
-        } else if (may_stop(planner, job, placement, job_guaranteed, nothing)) {
-            struct victim victim = {placement, slack_s(placement, planner->now, planner->wall)};
+        } else if (may_preempt_placement(planner, job, placement, job_guaranteed, nothing)) {
+            struct victim victim = {placement,
+                                    compute_slack_s(placement, planner->now, planner->wall)};
             g_array_append_val(possible, victim);
         }
     }
-    g_array_sort(possible, by_priority_and_slack);
+    g_array_sort(possible, compare_victims);
     return possible;
 }
 
-static double loss_s(const struct rr_planner *planner, const struct victim *victim, bool at_once) {
+/* Returns the estimated loss of preempting the victim, in seconds. at_once: it stops without saving
+ * a checkpoint. */
+static double compute_loss_s(const struct rr_planner *planner, const struct victim *victim,
+                             bool at_once) {
     const rr_job *job = victim->placement->job;
     bool saves = job->submission.checkpoint_interval_s > 0 && !at_once;
-    bool intact = job->done_count + job->placed_count >= job->submission.task_count;
+    bool fully_placed = job->done_count + job->placed_count >= job->submission.task_count;
     double loss = VICTIM_LOSS_S;
-    loss += saves ? job->submission.save_s : unsaved_work_s(victim->placement, planner->now);
-    loss += victim->slack_s < SLACK_WANTED_S ? SLACK_WANTED_S - victim->slack_s : 0;
-    loss += intact ? INTACT_JOB_LOSS_S : 0;
+    loss +=
+        saves ? job->submission.save_s : compute_unsaved_work_s(victim->placement, planner->now);
+    loss += victim->slack_s < SAFE_SLACK_S ? SAFE_SLACK_S - victim->slack_s : 0;
+    loss += fully_placed ? FULLY_PLACED_JOB_LOSS_S : 0;
     loss += rr_owns_team(planner->core, job->team) ? 0 : FOREIGN_OWNER_LOSS_S;
-    /* A gang stops whole, and starts again only when room for all of it is found. */
+    /* All tasks of a gang stop, and restart only when there is capacity for all of them. */
     return job->submission.kind == RR_JOB_GANG ? loss * job->submission.task_count : loss;
 }
 
-static bool is_chosen(const GArray *victims, const rr_placement *placement) {
+static bool is_selected(const GArray *victims, const rr_placement *placement) {
     for (guint i = 0; i < victims->len; i++) {
         if (g_array_index(victims, const rr_placement *, i) == placement) {
             return true;
@@ -129,8 +142,8 @@
     return false;
 }
 
-/* Adds a victim; of a gang, all that the machine has of it. Adds to *available what they give back.
- */
+/* Appends the victim to `victims`; if it belongs to a gang, all of the gang's placements on the
+ * machine. Adds their resources to *available. */
 static void add_victim(const GArray *possible, const struct victim *victim, GArray *victims,
                        rr_resources *available) {
     const rr_job *job = victim->placement->job;
@@ -144,15 +157,16 @@
     }
 }
 
-bool rr_may_preempt(const rr_core *core, const rr_job *job) {
+bool rr_job_may_preempt(const rr_core *core, const rr_job *job) {
     return job->submission.priority > RR_PRIORITY_STANDARD &&
            rr_objective_for(core, "wait", job->submission.job_class);
 }
 
-/* How victims on the machine stop. Saving takes time; where the objective for the job's wait leaves
- * none, or is missed already, they stop at once and lose their work since the last checkpoint. */
-static enum rr_preempt_mode preempt_mode(const struct rr_planner *planner, const rr_job *job,
-                                         const rr_machine *machine) {
+/* Returns how victims on the machine stop. Saving a checkpoint takes time. If the job's wait
+ * objective does not leave that much time, or is already missed, they stop at once and lose the
+ * work since their last checkpoints. */
+static enum rr_preempt_mode choose_preempt_mode(const struct rr_planner *planner, const rr_job *job,
+                                                const rr_machine *machine) {
     const struct rr_objective *objective =
         rr_objective_for(planner->core, "wait", job->submission.job_class);
     if (!objective) {
@@ -174,9 +188,9 @@
     bool gang = job->submission.kind == RR_JOB_GANG;
     bool guaranteed =
         rr_within_guarantee(planner, job, gang ? job->submission.task_count : task_count);
-    bool at_once = preempt_mode(planner, job, machine) == RR_PREEMPT_AT_ONCE;
-    rr_resources available = machine->free, returned = {0, 0, 0};
-    GArray *possible = possible_victims(planner, machine, job, guaranteed, &available);
+    bool at_once = choose_preempt_mode(planner, job, machine) == RR_PREEMPT_AT_ONCE;
+    rr_resources available = machine->free, freed = {0, 0, 0};
+    GArray *possible = list_possible_victims(planner, machine, job, guaranteed, &available);
     g_array_set_size(preemption->victims, 0);
     preemption->loss_s = 0;
     for (guint i = 0;
@@ -184,28 +198,31 @@
          i++) {
         const struct victim *victim = &g_array_index(possible, struct victim, i);
         const rr_placement *placement = victim->placement;
-        /* Victims before it may have brought its team back within its guarantee. */
-        if (is_chosen(preemption->victims, placement) ||
-            !may_stop(planner, job, placement, guaranteed, returned)) {
+        /* Victims selected before may have brought its team back within its guarantee. */
+        if (is_selected(preemption->victims, placement) ||
+            !may_preempt_placement(planner, job, placement, guaranteed, freed)) {
             continue;
         }
-        returned = rr_resources_add(returned, placement->job->request, 1);
-        preemption->loss_s += loss_s(planner, victim, at_once);
+        freed = rr_resources_add(freed, placement->job->request, 1);
+        preemption->loss_s += compute_loss_s(planner, victim, at_once);
         add_victim(possible, victim, preemption->victims, &available);
     }
     g_array_free(possible, TRUE);
     return rr_tasks_fitting(job->request, available, task_count) >= task_count;
 }
 
-static struct rr_record_edit *edit_of_victim(struct rr_planner *planner,
-                                             const rr_placement *victim) {
+/* Returns the plan's edit of the victim's ledger record, or NULL if the transaction is full or the
+ * record can't be written. */
+static struct rr_record_edit *edit_victim_record(struct rr_planner *planner,
+                                                 const rr_placement *victim) {
     return rr_plan_edit_record(planner, victim->job, victim->chunk);
 }
 
+/* Marks one victim as preempted, and adds its resources to the machine's free ones. */
 static void preempt_placement(struct rr_planner *planner, rr_machine *machine, rr_placement *victim,
                               enum rr_preempt_mode mode) {
     rr_placement_record *record =
-        rr_record_edit_find(edit_of_victim(planner, victim), victim->attempt, victim->task);
+        rr_record_edit_find(edit_victim_record(planner, victim), victim->attempt, victim->task);
     if (record) {
         record->preempt = mode;
     }
@@ -217,46 +234,52 @@
 bool rr_preemption_apply(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                          const struct rr_preemption *preemption) {
     const GArray *victims = preemption->victims;
-    enum rr_preempt_mode mode = preempt_mode(planner, job, machine);
+    enum rr_preempt_mode mode = choose_preempt_mode(planner, job, machine);
     for (guint i = 0; i < victims->len; i++) {
-        if (!edit_of_victim(planner, g_array_index(victims, rr_placement *, i))) {
+        if (!edit_victim_record(planner, g_array_index(victims, rr_placement *, i))) {
             return false;
         }
     }
     for (guint i = 0; i < victims->len; i++) {
         rr_placement *victim = g_array_index(victims, rr_placement *, i);
         preempt_placement(planner, machine, victim, mode);
-        rr_log_at(planner->core, RR_LOG_DEBUG, "preempt %s/%u on %s for %s%s",
+        rr_log_at(planner->core, RR_LOG_DEBUG, "preempting task %s/%u on machine %s for job %s%s",
                   victim->job->submission.job_id, victim->task, machine->name,
-                  job->submission.job_id, mode == RR_PREEMPT_AT_ONCE ? ", unsaved" : "");
+                  job->submission.job_id,
+                  mode == RR_PREEMPT_AT_ONCE ? ", without saving a checkpoint" : "");
     }
     return true;
 }
 
+/* Whether a task of the job may run on the machine once placements there are preempted, as far as
+ * the constraints go. Resources are not compared. */
 static bool may_preempt_on(const struct rr_planner *planner, const rr_machine *machine,
                            const rr_job *job, const struct rr_placement_constraints *constraints) {
     return machine->placements->len > 0 &&
-           rr_machine_may_take(planner->core, machine, job, constraints->zones, planner->now) &&
+           rr_machine_accepts_job(planner->core, machine, job, constraints->zones, planner->now) &&
            (!constraints->need_image || rr_machine_has_image(machine, job->image)) &&
            !(constraints->distinct_machines && rr_machine_has_task(machine, job));
 }
 
-/* Searches start at different machines, since each compares only some of a large fleet. */
-static guint search_start(const rr_core *core, guint machine_count) {
+/* Returns the index of the machine at which a search starts. It varies, since in a large cluster
+ * each search compares only some of the machines. */
+static guint choose_search_start(const rr_core *core, guint machine_count) {
     return machine_count > 0
                ? (guint)(core->membership.attempt_counter * SEARCH_START_STRIDE) % machine_count
                : 0;
 }
 
-/* The machine on which preempting for one task loses least, NULL: none. */
-static rr_machine *cheapest_machine(const struct rr_planner *planner, const rr_job *job,
-                                    const struct rr_placement_constraints *constraints,
-                                    struct rr_preemption *preemption) {
+/* Returns the machine on which preempting for one task loses the least, or NULL if there is none.
+ * Overwrites *preemption with the victims of the last machine compared. */
+static rr_machine *find_cheapest_machine(const struct rr_planner *planner, const rr_job *job,
+                                         const struct rr_placement_constraints *constraints,
+                                         struct rr_preemption *preemption) {
     rr_core *core = planner->core;
-    guint count = core->stored.machine_list->len, start = search_start(core, count), compared = 0;
+    guint count = core->stored.machine_list->len, start = choose_search_start(core, count),
+          compared = 0;
     rr_machine *best = NULL;
     double least_loss_s = 0;
-    for (guint i = 0; i < count && compared < RR_PREEMPT_COMPARED_MAX; i++) {
+    for (guint i = 0; i < count && compared < RR_PREEMPTION_MACHINES_MAX; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, (start + i) % count);
         core->counters.machines_visited++;
         if (!may_preempt_on(planner, machine, job, constraints) ||
@@ -276,7 +299,7 @@
                          const struct rr_placement_constraints *constraints) {
     struct rr_preemption preemption;
     rr_preemption_init(&preemption);
-    rr_machine *best = cheapest_machine(planner, job, constraints, &preemption);
+    rr_machine *best = find_cheapest_machine(planner, job, constraints, &preemption);
     bool reserved = best && rr_preemption_find(planner, best, job, 1, &preemption) &&
                     rr_reservation_record(planner, job, task) &&
                     rr_preemption_apply(planner, best, job, &preemption) &&
--- a/src/core/scheduling/zone_choice.c
+++ b/src/core/scheduling/zone_choice.c
@@ -1,7 +1,8 @@
-/* Zone choice: zones that take all waiting tasks of the job come before those that take some of
- * them, and those before the rest; free resources scattered over machines too small for a task
- * don't count. Then the zone with the largest free share of its scarcest resource wins, as the
- * paper scores clusters. */
+/* Chooses the zone of a job. Zones that take all waiting tasks come before zones that take some of
+ * them, and these before all others; free resources scattered over machines that are too small for
+ * a task don't count. For gangs, zones with capacity for more tasks on machines that have the image
+ * come next. Then the zone with the largest free share of its scarcest resource is chosen, which is
+ * how the paper cited in DESIGN scores clusters. */
 #include "core/scheduling/zone_choice.h"
 #include "core/core_internal.h"
 #include "core/scheduling/bin_packing.h"
@@ -13,42 +14,48 @@
 
 #include <string.h>
 
-/* What a zone has for the waiting tasks of a job. */
-struct zone_room {
-    rr_resources free, capacity;
-    uint32_t fitting_tasks;            /* up to those that wait */
-    uint32_t fitting_tasks_with_image; /* likewise, on machines that have the image; gangs only */
+/* The resources of a zone's machines that may take a job's waiting tasks, and how many fit. */
+struct zone_resources {
+    rr_resources free, capacity;       /* sums over the machines */
+    uint32_t fitting_tasks;            /* at most the number of waiting tasks */
+    uint32_t fitting_tasks_with_image; /* of these, on machines that have the image; 0 unless the
+                                          job is a gang */
 };
 
+/* How many of the waiting tasks fit in a zone. Greater values are better. */
 enum fit { FITS_NONE, FITS_SOME, FITS_ALL };
 
-static enum fit fit_of(const struct zone_room *zone, uint32_t waiting_tasks) {
+static enum fit classify_fit(const struct zone_resources *zone, uint32_t waiting_tasks) {
     if (zone->fitting_tasks == 0) {
         return FITS_NONE;
     }
     return zone->fitting_tasks < waiting_tasks ? FITS_SOME : FITS_ALL;
 }
 
-/* -1: the zone has no machine for the job. */
-static double free_share(const struct zone_room *zone) {
+/* Returns the free share of the zone's scarcest resource, 0 to 1, or -1 if the zone has no machine
+ * for the job. */
+static double compute_free_share(const struct zone_resources *zone) {
     return zone->capacity.cpus > 0 ? rr_resources_free_share(zone->free, zone->capacity) : -1;
 }
 
-static bool is_better(const struct zone_room *left, const struct zone_room *right,
-                      uint32_t waiting_tasks) {
-    enum fit left_fit = fit_of(left, waiting_tasks), right_fit = fit_of(right, waiting_tasks);
+/* Whether the left zone suits the job better than the right one. */
+static bool is_better_zone(const struct zone_resources *left, const struct zone_resources *right,
+                           uint32_t waiting_tasks) {
+    enum fit left_fit = classify_fit(left, waiting_tasks),
+             right_fit = classify_fit(right, waiting_tasks);
     if (left_fit != right_fit) {
         return left_fit > right_fit;
     }
-    /* A gang starts only when its last task has its image. */
+    /* A gang starts only once all of its tasks have their images. */
     if (left->fitting_tasks_with_image != right->fitting_tasks_with_image) {
         return left->fitting_tasks_with_image > right->fitting_tasks_with_image;
     }
-    return free_share(left) > free_share(right);
+    return compute_free_share(left) > compute_free_share(right);
 }
 
+/* Adds a machine that may take the job's tasks to its zone's sums. */
 static void add_machine(const rr_core *core, const rr_job *job, const rr_machine *machine,
-                        uint32_t waiting_tasks, struct zone_room *zone) {
+                        uint32_t waiting_tasks, struct zone_resources *zone) {
     zone->free = rr_resources_add(zone->free, machine->free, 1);
     zone->capacity = rr_resources_add(zone->capacity, rr_machine_capacity(core, machine), 1);
     uint32_t fitting = rr_tasks_fitting(job->request, machine->free, waiting_tasks);
@@ -61,21 +68,21 @@
 
 int rr_zone_with_most_room(rr_core *core, const rr_job *job, const bool *allowed, double now) {
     guint zone_count = core->stored.zones.names->len;
-    struct zone_room rooms[zone_count + 1];
+    struct zone_resources by_zone[zone_count + 1];
     uint32_t waiting_tasks = job->submission.task_count -
                              MIN(job->submission.task_count, job->done_count + job->placed_count);
-    memset(rooms, 0, sizeof rooms);
+    memset(by_zone, 0, sizeof by_zone);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         core->counters.machines_visited++;
-        if (rr_machine_may_take(core, machine, job, allowed, now)) {
-            add_machine(core, job, machine, waiting_tasks, &rooms[machine->zone]);
+        if (rr_machine_accepts_job(core, machine, job, allowed, now)) {
+            add_machine(core, job, machine, waiting_tasks, &by_zone[machine->zone]);
         }
     }
     int best = -1;
     for (guint zone = 0; zone < zone_count; zone++) {
-        bool usable = free_share(&rooms[zone]) >= 0;
-        if (usable && (best < 0 || is_better(&rooms[zone], &rooms[best], waiting_tasks))) {
+        bool usable = compute_free_share(&by_zone[zone]) >= 0;
+        if (usable && (best < 0 || is_better_zone(&by_zone[zone], &by_zone[best], waiting_tasks))) {
             best = (int)zone;
         }
     }
