--- a/src/core/scheduling/command_batches.c
+++ b/src/core/scheduling/command_batches.c
@@ -1,10 +1,11 @@
-/* Command batches of one plan. */
+/* Collects the commands of one plan in batches per machine. */
 #include "core/scheduling/command_batches.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
 #include "core/state/machines.h"
 
-/* A heartbeat later than this many intervals says that the machine may not answer either. */
+/* If the last heartbeat is older than this many intervals, the machine may not answer commands
+ * either. */
 #define LATE_HEARTBEAT_INTERVALS 1.3
 
 void rr_command_batch_free(rr_command_batch *batch) {
@@ -12,7 +13,7 @@
     g_free(batch);
 }
 
-rr_command_batch *rr_plan_command_batch(struct rr_planner *planner, rr_machine *machine) {
+rr_command_batch *rr_plan_get_command_batch(struct rr_planner *planner, rr_machine *machine) {
     if (machine->plan_commands) {
         return machine->plan_commands;
     }
@@ -40,10 +41,10 @@
     rr_command command = {
         .kind = command_kind, .task = task, .attempt = attempt, .grace_s = grace_s};
     g_strlcpy(command.job_id, job_id, sizeof command.job_id);
-    g_array_append_val(rr_plan_command_batch(planner, machine)->commands, command);
+    g_array_append_val(rr_plan_get_command_batch(planner, machine)->commands, command);
 }
 
-void rr_plan_finish_command_batches(struct rr_planner *planner) {
+void rr_plan_close_command_batches(struct rr_planner *planner) {
     for (guint i = 0; i < planner->plan->command_batches->len; i++) {
         const rr_command_batch *batch = g_ptr_array_index(planner->plan->command_batches, i);
         rr_machine *machine = g_hash_table_lookup(planner->core->stored.machines, batch->machine);
--- a/src/core/scheduling/moves.c
+++ b/src/core/scheduling/moves.c
@@ -1,5 +1,5 @@
-/* Starts planned moves: the destination is reserved first, and the source stops in the same
- * transaction. */
+/* Starts planned moves. One transaction reserves the destination and marks the source to be
+ * stopped. */
 #include "core/scheduling/moves.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -12,8 +12,8 @@
 #include "core/state/resources.h"
 #include "core/state/transfer_holds.h"
 
-/* The placement to be moved, NULL: it is not there any more. */
-static const rr_placement *find_source(const rr_move *move) {
+/* Returns the placement to be moved, or NULL if it does not exist any more. */
+static const rr_placement *find_source_placement(const rr_move *move) {
     const rr_placement *source = NULL;
     for (guint i = 0; i < move->from->placements->len; i++) {
         const rr_placement *placement = &g_array_index(move->from->placements, rr_placement, i);
@@ -24,8 +24,9 @@
     return source;
 }
 
-static bool is_possible(const struct rr_planner *planner, const rr_move *move,
-                        const rr_placement *source) {
+/* Whether the move's source is still there and its destination has room. source: may be NULL. */
+static bool is_move_possible(const struct rr_planner *planner, const rr_move *move,
+                             const rr_placement *source) {
     const rr_core *core = planner->core;
     bool zones[core->stored.zones.names->len + 1];
     rr_job_zones(core, move->job, zones, source);
@@ -35,10 +36,11 @@
            rr_within_limit(planner, move->job, 1);
 }
 
-/* False: the move is not possible, or the transaction is full. */
+/* Adds a move to the plan. Returns false if the move is not possible any more or the transaction is
+ * full. */
 static bool start_move(struct rr_planner *planner, const rr_move *move) {
-    const rr_placement *source = find_source(move);
-    if (!is_possible(planner, move, source)) {
+    const rr_placement *source = find_source_placement(move);
+    if (!is_move_possible(planner, move, source)) {
         return false;
     }
     const struct rr_record_edit *edit = rr_plan_edit_record(planner, move->job, source->chunk);
@@ -52,7 +54,7 @@
     return true;
 }
 
-void rr_start_due_moves(struct rr_planner *planner) {
+void rr_start_planned_moves(struct rr_planner *planner) {
     rr_core *core = planner->core;
     GArray *moves = core->planning.moves;
     while (moves->len > 0 && core->planning.rebalance_moves_left > 0 &&
@@ -65,7 +67,7 @@
             return;
         }
         core->counters.moves_made++;
-        rr_log_at(core, RR_LOG_DEBUG, "move %s/%u from %s to %s", move.job->submission.job_id,
-                  move.task, move.from->name, move.to->name);
+        rr_log_at(core, RR_LOG_DEBUG, "move task %s/%u from machine %s to machine %s",
+                  move.job->submission.job_id, move.task, move.from->name, move.to->name);
     }
 }
--- a/src/core/scheduling/moves.h
+++ b/src/core/scheduling/moves.h
@@ -1,11 +1,12 @@
-/* Moves of replicas, as rebalancing has planned them. */
+/* Starts the moves of replicas that rebalancing has planned. */
 #ifndef RR_CORE_SCHEDULING_MOVES_H
 #define RR_CORE_SCHEDULING_MOVES_H
 
 #include "core/scheduling/planner.h"
 
-/* Reserves the destinations of the planned moves that are due, and marks their sources to stop. A
- * move that is not possible any more ends the rebalancing plan. */
-void rr_start_due_moves(struct rr_planner *planner);
+/* Starts planned moves until the plan's changes or the moves allowed until the next rebalancing are
+ * used up: reserves the destination and marks the source to be stopped. If a move can't be started,
+ * drops all planned moves that are left. */
+void rr_start_planned_moves(struct rr_planner *planner);
 
 #endif
--- a/src/core/scheduling/placement_verdict.c
+++ b/src/core/scheduling/placement_verdict.c
@@ -1,5 +1,5 @@
-/* The verdict on one placement: keep, start, stop, or record that it is terminated. Only proof
- * terminates a placement; a silent machine proves nothing. */
+/* Decides what to do about one placement: keep, start, stop, or record it as terminated. A
+ * placement counts as terminated only on proof; missing heartbeats prove nothing. */
 #include "core/scheduling/placement_verdict.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -13,26 +13,29 @@
 
 #include <math.h>
 
-#define STOP_ROUND_TRIP_S 2.0 /* added to the time that saving takes */
+#define STOP_ROUND_TRIP_S 2.0 /* added to the time that the task needs to save its state */
 
+/* Returns the log text for an exit reason. */
 static const char *exit_reason_name(enum rr_exit_reason exit_reason) {
     static const char *const names[] = {"ended",  "done",    "stopped",    "error",      "full",
                                         "in use", "no such", "peers lost", "incomplete", "ended"};
     return names[exit_reason];
 }
 
-bool rr_start_unanswered(const rr_core *core, const rr_machine *machine, uint64_t attempt) {
+bool rr_start_may_arrive(const rr_core *core, const rr_machine *machine, uint64_t attempt) {
     return machine->unanswered_starts_token == core->membership.term.token &&
            machine->unanswered_starts_epoch == machine->heartbeat.worker_epoch &&
            g_hash_table_contains(machine->unanswered_starts, &attempt);
 }
 
-bool rr_machine_takes_commands(const struct rr_planner *planner, const rr_machine *machine) {
+bool rr_machine_accepts_commands(const struct rr_planner *planner, const rr_machine *machine) {
     return !machine->command_inflight && planner->now >= machine->next_command_at &&
            rr_machine_heartbeat_recent(planner->core, machine, planner->now);
 }
 
-static bool holds_older_attempt(const rr_ledger_record *record, const rr_placement *placement) {
+/* Whether the record has a placement of the same task under an older attempt. */
+static bool record_has_older_attempt(const rr_ledger_record *record,
+                                     const rr_placement *placement) {
     for (guint i = 0; i < record->placements->len; i++) {
         const rr_placement_record *other =
             &g_array_index(record->placements, rr_placement_record, i);
@@ -43,8 +46,8 @@
     return false;
 }
 
-/* Whether the ledger has an older placement of the task, which is the live one: a move reserves its
- * destination first, and the newer placement waits until the older one is terminated. */
+/* Whether the ledger has an older placement of the task, which is the active one: a move reserves
+ * its destination first, and the newer placement waits until the older one is terminated. */
 static bool has_older_attempt(const rr_placement *placement) {
     rr_job *job = placement->job;
     if (!job->placed || placement->task >= job->submission.task_count ||
@@ -52,21 +55,22 @@
         return false;
     }
     uint32_t chunk = placement->task / job->tasks_per_record;
-    if (holds_older_attempt(rr_job_ledger_record_get(job, chunk), placement)) {
+    if (record_has_older_attempt(rr_job_ledger_record_get(job, chunk), placement)) {
         return true;
     }
     for (guint i = rr_job_chunks(job); i < job->records->len; i++) { /* overflow records */
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
-        if (record && holds_older_attempt(record, placement)) {
+        if (record && record_has_older_attempt(record, placement)) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether the machine would refuse a start now, since placements that are to stop still fill it.
- * Where none is to stop, two owners reserved the same resources, and the worker decides. */
-static bool waits_for_stops(const rr_core *core, const rr_machine *machine) {
+/* Whether a start has to wait until placements that are being stopped free their resources, since
+ * the machine would refuse it before. If the machine is overcommitted and no placement is being
+ * stopped, two owners have reserved the same resources, and the worker decides. */
+static bool must_wait_for_stops(const rr_core *core, const rr_machine *machine) {
     bool any_stopping = false;
     rr_resources used = machine->used;
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -80,6 +84,7 @@
     return any_stopping && !rr_resources_fit(used, rr_machine_capacity(core, machine));
 }
 
+/* Whether the placement's task must not run, or not any longer. */
 static bool must_stop(const struct rr_planner *planner, const rr_machine *machine,
                       const rr_placement *placement, enum rr_gang_stop gang_stop) {
     const rr_job *job = placement->job;
@@ -88,7 +93,7 @@
            machine->heartbeat.spot_notice_s >= 0;
 }
 
-/* The time that a stopped task gets to save its state. */
+/* Returns the time that a stopped task gets to save its state, 0: none. */
 static double stop_grace_s(const struct rr_planner *planner, const rr_machine *machine,
                            const rr_placement *placement, enum rr_gang_stop gang_stop) {
     const rr_job *job = placement->job;
@@ -96,7 +101,7 @@
         job->submission.checkpoint_interval_s <= 0) {
         return 0;
     }
-    /* A task of a gang that has saved waits for those that were told last. */
+    /* A gang's task that has saved its state waits for the tasks that got the command last. */
     if (job->submission.kind == RR_JOB_GANG) {
         return gang_stop == RR_GANG_STOPS_SAVING
                    ? job->submission.save_s + planner->core->config->gang_peer_s
@@ -110,59 +115,62 @@
     return notice_s >= 0 && notice_s < grace_s ? fmax(notice_s, 0) : grace_s;
 }
 
-/* Whether a stop is left alone: it was sent not long ago, or the task is saving. */
-static bool stop_under_way(const struct rr_planner *planner, const rr_placement *placement,
-                           const rr_task_status *task, double grace_s) {
-    double since_stop_s = planner->now - placement->stop_at;
-    if (placement->stop_at > 0 && since_stop_s < RR_COMMAND_RESEND_S) {
+/* Whether no stop command is to be sent now, because one was sent recently or the task is saving
+ * its state. */
+static bool is_stop_pending(const struct rr_planner *planner, const rr_placement *placement,
+                            const rr_task_status *task, double grace_s) {
+    double stop_age_s = planner->now - placement->stop_at;
+    if (placement->stop_at > 0 && stop_age_s < RR_COMMAND_RESEND_S) {
         return true;
     }
     if (task && task->state == RR_TASK_SAVING && grace_s > 0) {
         return true;
     }
-    /* A gang that was told to save counts as lost once its first task exits; a second stop without
-     * grace would end the others before they have saved. */
+    /* A gang that was stopped with grace counts as lost once its first task exits. A second stop
+     * without grace would end the other tasks before they have saved their state. */
     return placement->job->submission.kind == RR_JOB_GANG && placement->stop_grace_s > 0 &&
-           !placement->job->cancelled && since_stop_s < placement->stop_grace_s;
+           !placement->job->cancelled && stop_age_s < placement->stop_grace_s;
 }
 
-static struct rr_placement_verdict verdict_of(enum rr_placement_action action) {
+static struct rr_placement_verdict make_verdict(enum rr_placement_action action) {
     return (struct rr_placement_verdict){.action = action};
 }
 
-static struct rr_placement_verdict terminated(bool completed, const char *proof) {
+static struct rr_placement_verdict terminated_verdict(bool completed, const char *proof) {
     return (struct rr_placement_verdict){
-        .action = RR_PLACEMENT_RECORD, .completed = completed, .proof = proof};
+        .action = RR_PLACEMENT_TERMINATED, .completed = completed, .proof = proof};
 }
 
+/* Returns the verdict on a placement that is to run and that the machine does not report. */
 static struct rr_placement_verdict start_verdict(const struct rr_planner *planner,
                                                  const rr_machine *machine,
                                                  const rr_placement *placement) {
-    bool start_sent =
+    bool sent_recently =
         placement->start_at > 0 && planner->now - placement->start_at < RR_COMMAND_RESEND_S;
-    bool blocked = start_sent || waits_for_stops(planner->core, machine) ||
+    bool blocked = sent_recently || must_wait_for_stops(planner->core, machine) ||
                    has_older_attempt(placement) || machine->scaling_in;
-    return verdict_of(blocked ? RR_PLACEMENT_WAIT : RR_PLACEMENT_START);
+    return make_verdict(blocked ? RR_PLACEMENT_WAIT : RR_PLACEMENT_START);
 }
 
+/* Returns the verdict on a placement that must not run. */
 static struct rr_placement_verdict stop_verdict(const struct rr_planner *planner,
                                                 const rr_machine *machine,
                                                 const rr_placement *placement,
                                                 const rr_task_status *task,
                                                 enum rr_gang_stop gang_stop) {
-    bool start_unanswered = rr_start_unanswered(planner->core, machine, placement->attempt);
-    /* The machine knows the present fencing token, and no start under it may still arrive: the task
-     * will never be there. */
-    if (!task && !start_unanswered &&
+    bool start_may_arrive = rr_start_may_arrive(planner->core, machine, placement->attempt);
+    /* The machine refuses commands with older fencing tokens, and no start under the present token
+     * may still arrive: the task can't start there any more. */
+    if (!task && !start_may_arrive &&
         machine->heartbeat.fencing_token == planner->core->membership.term.token) {
-        return terminated(false, "absent");
+        return terminated_verdict(false, "absent");
     }
     double grace_s = stop_grace_s(planner, machine, placement, gang_stop);
-    if (stop_under_way(planner, placement, task, grace_s) || (!task && !start_unanswered)) {
-        return verdict_of(RR_PLACEMENT_WAIT);
+    if (is_stop_pending(planner, placement, task, grace_s) || (!task && !start_may_arrive)) {
+        return make_verdict(RR_PLACEMENT_WAIT);
     }
-    return (struct rr_placement_verdict){.action =
-                                             task ? RR_PLACEMENT_STOP : RR_PLACEMENT_VOID_START,
+    return (struct rr_placement_verdict){.action = task ? RR_PLACEMENT_STOP
+                                                        : RR_PLACEMENT_INVALIDATE_START,
                                          .grace_s = task ? grace_s : 0};
 }
 
@@ -173,24 +181,25 @@
     const rr_job *job = placement->job;
     bool ended = task && task->state == RR_TASK_ENDED;
     bool completed = ended && task->exit_reason == RR_EXIT_DONE;
-    /* The worker killed and forgot everything of the earlier epoch, and refuses commands for it. */
+    /* The worker has killed and forgotten all tasks of the earlier epoch and refuses commands for
+     * it. */
     if (machine->heartbeat.worker_epoch > placement->worker_epoch) {
-        return terminated(completed, "later worker epoch");
+        return terminated_verdict(completed, "later worker epoch");
     }
-    /* While the machine shows the task as ended, it can't start again. It is reaped only after the
-     * ledger no longer has the placement. */
+    /* The attempt can't start again while the machine reports it as ended, and it is reaped only
+     * after its placement is removed from the ledger. */
     if (ended) {
-        return terminated(completed, exit_reason_name(task->exit_reason));
+        return terminated_verdict(completed, exit_reason_name(task->exit_reason));
     }
     enum rr_gang_stop gang_stop = job->submission.kind == RR_JOB_GANG
                                       ? rr_gang_stop(planner->core, job, planner->now)
                                       : RR_GANG_STAYS;
     bool stop = must_stop(planner, machine, placement, gang_stop);
     if (task && !stop) {
-        return verdict_of(RR_PLACEMENT_KEEP);
+        return make_verdict(RR_PLACEMENT_KEEP);
     }
-    if (!rr_machine_takes_commands(planner, machine)) {
-        return verdict_of(RR_PLACEMENT_WAIT);
+    if (!rr_machine_accepts_commands(planner, machine)) {
+        return make_verdict(RR_PLACEMENT_WAIT);
     }
     return stop ? stop_verdict(planner, machine, placement, task, gang_stop)
                 : start_verdict(planner, machine, placement);
--- a/src/core/scheduling/placement_verdict.h
+++ b/src/core/scheduling/placement_verdict.h
@@ -1,40 +1,45 @@
-/* What one placement of this owner needs, as its machine's heartbeats show it. */
+/* Decides from a machine's heartbeats what to do about one placement of this controller's teams. */
 #ifndef RR_CORE_SCHEDULING_PLACEMENT_VERDICT_H
 #define RR_CORE_SCHEDULING_PLACEMENT_VERDICT_H
 
 #include "core/scheduling/planner.h"
 
-/* A start or stop without a visible effect is sent again after this. */
+/* A start or stop command is sent again after this time if the heartbeats show no effect. */
 #define RR_COMMAND_RESEND_S 1.5
 
+/* What to do about a placement. The machine "reports" a task that its newest heartbeat lists. */
 enum rr_placement_action {
-    RR_PLACEMENT_KEEP,      /* the machine shows the task, which is to go on */
-    RR_PLACEMENT_WAIT,      /* the machine can't take a command now */
-    RR_PLACEMENT_RECORD,    /* proven terminated: to leave the ledger */
-    RR_PLACEMENT_START,     /* not shown yet */
-    RR_PLACEMENT_STOP,      /* shown, and not to go on */
-    RR_PLACEMENT_VOID_START /* not to run, and a start of it may still arrive */
+    RR_PLACEMENT_KEEP,       /* the machine reports the task, which may continue */
+    RR_PLACEMENT_WAIT,       /* no command can or need be sent in this plan */
+    RR_PLACEMENT_TERMINATED, /* proven terminated: remove it from the ledger */
+    RR_PLACEMENT_START,      /* not reported yet: send a start command */
+    RR_PLACEMENT_STOP,       /* reported, but must not run: send a stop command */
+    /* Not reported and must not run, but a start may still arrive: make that start ineffective. */
+    RR_PLACEMENT_INVALIDATE_START
 };
 
+/* An action with its parameters. */
 struct rr_placement_verdict {
     enum rr_placement_action action;
-    bool completed;    /* RECORD: the task is done */
-    const char *proof; /* RECORD: why it is known to be terminated, for the log */
-    double grace_s;    /* STOP: time to save, 0: none */
+    bool completed;    /* TERMINATED: the task is done */
+    const char *proof; /* TERMINATED: why it is known to be terminated, for the log; else NULL */
+    double grace_s;    /* STOP: seconds that the task gets to save its state, 0: none */
 };
 
-/* The verdict on a placement. `task` is what the machine shows of it, NULL: nothing. Changes
- * nothing. Precondition: the machine is recorded and has sent a heartbeat. */
+/* Returns what to do about a placement, without side effects. task: its status in the machine's
+ * newest heartbeat, NULL if that does not list it. Precondition: the machine is recorded and has
+ * sent a heartbeat. */
 struct rr_placement_verdict rr_placement_verdict(const struct rr_planner *planner,
                                                  const rr_machine *machine,
                                                  const rr_placement *placement,
                                                  const rr_task_status *task);
 
-/* Whether a start of the attempt may still arrive: it went unanswered under the present fencing
- * token and worker epoch. */
-bool rr_start_unanswered(const rr_core *core, const rr_machine *machine, uint64_t attempt);
+/* Whether a start command of the attempt may still arrive at the machine: one was sent under the
+ * present fencing token and worker epoch, and its outcome is unknown. */
+bool rr_start_may_arrive(const rr_core *core, const rr_machine *machine, uint64_t attempt);
 
-/* Whether the machine takes commands now: it waits for no answer, and its heartbeats are recent. */
-bool rr_machine_takes_commands(const struct rr_planner *planner, const rr_machine *machine);
+/* Whether a command may be sent to the machine now: none is in flight, no retry delay is running,
+ * and its last heartbeat is recent. */
+bool rr_machine_accepts_commands(const struct rr_planner *planner, const rr_machine *machine);
 
 #endif
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -44,8 +44,8 @@
 }
 
 static double write_pressure(const rr_core *core, double now) {
-    bool writes_short =
-        core->planning.writes_short_at > 0 && now - core->planning.writes_short_at < WRITES_SHORT_S;
+    bool writes_short = core->planning.write_shortage_at > 0 &&
+                        now - core->planning.write_shortage_at < WRITES_SHORT_S;
     return writes_short ? 1 : core->planning.write_pressure;
 }
 
@@ -54,7 +54,7 @@
 static void record_write_shortage(struct rr_planner *planner) {
     if (planner->full && planner->core->planning.changes_allowed <
                              rr_transaction_changes_max(planner->core->config)) {
-        planner->core->planning.writes_short_at = planner->now;
+        planner->core->planning.write_shortage_at = planner->now;
     }
     planner->full = false;
 }
@@ -64,9 +64,9 @@
 static void reconcile(struct rr_planner *planner, int change_limit) {
     planner->change_limit =
         rr_any_job_waiting(planner) ? change_limit - change_limit / 2 : change_limit;
-    rr_reconcile(planner);
+    rr_reconcile_machines(planner);
     rr_plan_edit_terminated(planner);
-    rr_plan_finish_command_batches(planner);
+    rr_plan_close_command_batches(planner);
     planner->change_limit = change_limit;
 }
 
@@ -74,14 +74,14 @@
 static void place(struct rr_planner *planner) {
     rr_core *core = planner->core;
     GPtrArray *waiting = rr_list_waiting_jobs(planner);
-    bool rebalance = rr_rebalance_due(core, planner->now);
+    bool rebalance = rr_check_rebalancing_due(core, planner->now);
     if (planner->change_limit > 0 && (waiting->len || rebalance || core->planning.moves->len)) {
         rr_reset_free_resources(core);
         if (rebalance) {
-            rr_rebalance(core, planner->now);
+            rr_plan_rebalancing_moves(core, planner->now);
         }
         rr_place_waiting_jobs(planner, waiting);
-        rr_start_due_moves(planner);
+        rr_start_planned_moves(planner);
     }
     g_ptr_array_free(waiting, TRUE);
 }
@@ -129,15 +129,15 @@
     rr_plan_edit_lost(&planner);
     record_write_shortage(&planner);
     rr_plan_build_transaction(&planner);
-    rr_probe_overdue_machines(&planner);
-    if (is_due(&core->planning.unknown_machines_at, now, UNKNOWN_MACHINES_PERIOD_S)) {
+    rr_plan_add_probes(&planner);
+    if (is_due(&core->planning.last_machine_cleanup_at, now, UNKNOWN_MACHINES_PERIOD_S)) {
         forget_unknown_machines(core, now);
     }
-    if (is_due(&core->planning.recount_at, now, USAGE_RECOUNT_PERIOD_S)) {
+    if (is_due(&core->planning.last_usage_recount_at, now, USAGE_RECOUNT_PERIOD_S)) {
         rr_recount_team_usage(core);
     }
     rr_planner_clear(&planner);
-    if (is_due(&core->planning.shrunk_at, now, JOBS_SHRINK_PERIOD_S)) {
+    if (is_due(&core->planning.last_job_shrink_at, now, JOBS_SHRINK_PERIOD_S)) {
         rr_jobs_shrink(core, wall);
     }
 }
--- a/src/core/scheduling/plan_transaction.c
+++ b/src/core/scheduling/plan_transaction.c
@@ -120,11 +120,11 @@
     GHashTableIter iter;
     gpointer key, value;
     if (core->planning.write_pressure > BATCH_DELETION_PRESSURE_MAX ||
-        planner->now - core->planning.batches_at < BATCH_DELETION_PERIOD_S ||
+        planner->now - core->planning.last_batch_deletion_at < BATCH_DELETION_PERIOD_S ||
         !rr_core_is_autoscaler(core, planner->now)) {
         return;
     }
-    core->planning.batches_at = planner->now;
+    core->planning.last_batch_deletion_at = planner->now;
     g_hash_table_iter_init(&iter, core->stored.batches);
     while (planner->change_count < planner->change_limit &&
            g_hash_table_iter_next(&iter, &key, &value)) {
--- a/src/core/scheduling/planning_state.h
+++ b/src/core/scheduling/planning_state.h
@@ -1,4 +1,4 @@
-/* What planning remembers from one plan to the next. Times are steady, in seconds. */
+/* State that planning keeps from one plan to the next. Times are steady, in seconds. */
 #ifndef RR_CORE_SCHEDULING_PLANNING_STATE_H
 #define RR_CORE_SCHEDULING_PLANNING_STATE_H
 
@@ -6,18 +6,22 @@
 #include "core/state/machines.h"
 
 struct rr_planning {
-    double write_pressure;  /* 0: writes are plentiful; 1: none to spare */
-    double writes_short_at; /* when a plan last lacked changes, 0: never */
-    int changes_allowed;    /* changes that a plan may make now */
-    /* When each of these was last done. */
-    double probe_at, unknown_machines_at, batches_at, recount_at, shrunk_at;
-    GArray *moves;            /* rr_move: planned by rebalancing, not started */
-    double rebalance_at;      /* the last rebalancing */
-    double calm_since;        /* no fault observed since then */
-    uint64_t rebalance_token; /* fencing token of the term that rebalancing last saw */
-    int rebalance_moves_left; /* moves that may start until the next rebalancing */
-    unsigned plan_count;      /* plans that placed waiting jobs */
-    GArray *team_reserved;    /* rr_resources by team: reserved by the plan under construction */
+    double write_pressure;    /* 0 (writes are plentiful) to 1 (none to spare) */
+    double write_shortage_at; /* when a plan last needed more changes than allowed, 0: never */
+    int changes_allowed;      /* store changes that a plan may make now */
+    /* Times of the last runs, 0: never. */
+    double last_probe_round_at;     /* search for machines to probe */
+    double last_machine_cleanup_at; /* removal of machines without a record */
+    double last_batch_deletion_at;  /* deletion of obsolete batch records */
+    double last_usage_recount_at;   /* recount of team usage */
+    double last_job_shrink_at;      /* shrinking of closed jobs */
+    GArray *moves;                  /* rr_move: planned by rebalancing, not started */
+    double last_rebalancing_at;     /* last rebalancing, or set to time the next stability check */
+    double stable_since;            /* time of the last observed disturbance, 0: none */
+    uint64_t stability_check_token; /* fencing token of the term at the last stability check */
+    int rebalance_moves_left;       /* moves that may start until the next rebalancing */
+    unsigned plan_count;            /* plans that placed waiting jobs */
+    GArray *team_reserved;          /* rr_resources by team: reserved by the present plan */
 };
 
 #endif
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -1,4 +1,4 @@
-/* Probes of machines, and what the answers to probes and commands show. */
+/* Probes machines, and records the outcomes of probes and commands. */
 #include "core/scheduling/probes.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -13,27 +13,31 @@
 #include <string.h>
 
 #define PROBES_IN_FLIGHT_MAX 24
-/* Into a partitioned zone: a sample tells a partition from failed machines. */
+/* Per round. In a partitioned zone a sample is enough to tell a partition from failed machines. */
 #define PROBES_PER_PARTITIONED_ZONE 2
-#define PROBE_PERIOD_S 0.9       /* of one machine */
-#define PROBE_ROUND_PERIOD_S 0.3 /* of looking for machines to probe */
+#define PROBE_PERIOD_S 0.9       /* minimum time between two probes of one machine */
+#define PROBE_ROUND_PERIOD_S 0.3 /* time between two searches for machines to probe */
+/* A heartbeat older than this many heartbeat intervals is late. */
 #define LATE_HEARTBEAT_INTERVALS 1.3
 #define SUSPECT_UNANSWERED_MIN 2 /* unanswered commands in a row that make a machine suspect */
 #define SUSPECT_INTERVALS 2      /* heartbeat intervals for which a machine stays suspect */
 
-/* After commands that were answered but not executed, or not answered. */
-#define NOT_EXECUTED_RETRY_S 0.5
-#define UNANSWERED_RETRY_S 1.0
-#define INDIRECT_PATH_S 10.0 /* commands go through a peer for this long */
+/* Delay before the next command to a machine that did not execute the last ones. */
+#define NOT_EXECUTED_RETRY_S 0.5 /* it answered */
+#define UNANSWERED_RETRY_S 1.0   /* it did not answer */
+/* Commands go through a peer for this long after the direct path failed. */
+#define PEER_PATH_S 10.0
 
-/* ---- sending probes ---- */
+/* ---- selecting and sending probes ---- */
 
-static gint by_last_probe(gconstpointer left_machine, gconstpointer right_machine) {
+/* GCompareFunc: sorts machines by the time of their last probe, the oldest first. */
+static gint compare_last_probe(gconstpointer left_machine, gconstpointer right_machine) {
     const rr_machine *left = *(rr_machine *const *)left_machine;
     const rr_machine *right = *(rr_machine *const *)right_machine;
     return left->probed_at < right->probed_at ? -1 : left->probed_at > right->probed_at;
 }
 
+/* Whether a task of this controller's teams is placed on the machine. */
 static bool has_own_placement(const rr_core *core, const rr_machine *machine) {
     for (guint i = 0; i < machine->placements->len; i++) {
         const rr_job *job = g_array_index(machine->placements, rr_placement, i).job;
@@ -44,10 +48,11 @@
     return false;
 }
 
-/* Whether this controller probes the machine: the autoscaler probes all, an owner those with its
- * work. A controller whose own commands went unanswered goes on probing, since only an answer to
- * itself clears the machine again. */
-static bool is_probed_here(const rr_core *core, const rr_machine *machine, bool is_autoscaler) {
+/* Whether this controller is responsible for probing the machine. The autoscaler probes all
+ * machines, other controllers those with tasks of their teams. A controller whose own commands went
+ * unanswered continues to probe, since only an answer to itself ends the suspicion. */
+static bool is_responsible_for_probe(const rr_core *core, const rr_machine *machine,
+                                     bool is_autoscaler) {
     return is_autoscaler || rr_machine_commands_unanswered(machine) ||
            has_own_placement(core, machine);
 }
@@ -58,11 +63,13 @@
            (machine->heartbeat_seen || machine->placements->len);
 }
 
+/* Whether this or another controller has lately found its commands to the machine unanswered. */
 static bool is_suspect(const rr_machine *machine, double now) {
     return machine->unanswered_commands >= SUSPECT_UNANSWERED_MIN || now < machine->suspect_until;
 }
 
-/* Whether only late heartbeats may have told of the machine: a live exchange has to verify it. */
+/* Whether the machine may be known only from delayed copies of heartbeats, so that a live exchange
+ * has to verify that it exists. */
 static bool is_unverified(const rr_machine *machine) {
     return machine->heartbeat_seen && !machine->verified && !machine->gone;
 }
@@ -77,10 +84,11 @@
         return is_autoscaler && is_unverified(machine);
     }
     return (heartbeat_is_late(core, machine, now) || is_suspect(machine, now)) &&
-           is_probed_here(core, machine, is_autoscaler);
+           is_responsible_for_probe(core, machine, is_autoscaler);
 }
 
-/* The machines that need a probe, those probed longest ago first; the caller owns the array. */
+/* Returns the machines (rr_machine*) that need a probe, those probed longest ago first. The caller
+ * owns the array. */
 static GPtrArray *list_machines_to_probe(const struct rr_planner *planner) {
     const rr_core *core = planner->core;
     bool is_autoscaler = rr_core_is_autoscaler(core, planner->now);
@@ -91,26 +99,27 @@
             g_ptr_array_add(machines, machine);
         }
     }
-    g_ptr_array_sort(machines, by_last_probe);
+    g_ptr_array_sort(machines, compare_last_probe);
     return machines;
 }
 
-static void probe(struct rr_planner *planner, rr_machine *machine) {
-    rr_plan_command_batch(planner, machine)->may_time_out = true;
+/* Adds a probe to the plan: an empty command batch that is complete at once. */
+static void add_probe(struct rr_planner *planner, rr_machine *machine) {
+    rr_plan_get_command_batch(planner, machine)->may_time_out = true;
     machine->plan_commands = NULL;
     machine->probed_at = planner->now;
     machine->command_inflight = true;
     planner->core->counters.probes_in_flight++;
 }
 
-/* A probe carries the present fencing token, so that a worker which still takes commands of a
- * deposed controller learns of it. */
-void rr_probe_overdue_machines(struct rr_planner *planner) {
+/* Probes carry the present fencing token, so that a worker that still accepts commands of a deposed
+ * controller learns of the new term. */
+void rr_plan_add_probes(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    if (planner->now - core->planning.probe_at < PROBE_ROUND_PERIOD_S) {
+    if (planner->now - core->planning.last_probe_round_at < PROBE_ROUND_PERIOD_S) {
         return;
     }
-    core->planning.probe_at = planner->now;
+    core->planning.last_probe_round_at = planner->now;
     rr_detect_partitions(core, planner->now);
     guint zone_probes[core->stored.zones.names->len + 1];
     memset(zone_probes, 0, sizeof zone_probes);
@@ -120,13 +129,13 @@
         rr_machine *machine = g_ptr_array_index(machines, i);
         bool partitioned = machine->zone >= 0 && rr_zone_partitioned(core, machine->zone);
         if (!partitioned || zone_probes[machine->zone]++ < PROBES_PER_PARTITIONED_ZONE) {
-            probe(planner, machine);
+            add_probe(planner, machine);
         }
     }
     g_ptr_array_free(machines, TRUE);
 }
 
-/* ---- answers ---- */
+/* ---- recording outcomes ---- */
 
 void rr_core_suspect(rr_core *core, const char *machine_name, double now) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, machine_name);
@@ -136,16 +145,18 @@
 }
 
 void rr_core_list_suspects(rr_core *core, double now, GPtrArray *machine_names) {
-    double reports_within_s = SUSPECT_INTERVALS * core->config->heartbeat_interval_s;
+    double heartbeat_age_max_s = SUSPECT_INTERVALS * core->config->heartbeat_interval_s;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->unanswered_commands >= SUSPECT_UNANSWERED_MIN && machine->recorded &&
-            now - machine->heartbeat_at < reports_within_s) {
+            now - machine->heartbeat_at < heartbeat_age_max_s) {
             g_ptr_array_add(machine_names, g_strdup(machine->name));
         }
     }
 }
 
+/* Counts an unanswered command or probe, and marks the machine suspect if there are several in a
+ * row. */
 static void record_unanswered(rr_core *core, rr_machine *machine, double now) {
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* this process may not have read the answer yet */
@@ -156,12 +167,13 @@
     }
 }
 
+/* Counts an unanswered probe. */
 static void record_failed_probe(rr_core *core, rr_machine *machine, double now) {
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* this process may not have read the answer yet */
     }
     machine->failed_probes++;
-    /* A machine without heartbeats is overdue, not suspect. */
+    /* Only a machine that still sends heartbeats can be suspect; others are overdue. */
     if (!rr_machine_heartbeat_overdue(core, machine, now)) {
         machine->suspect_probes_failed_at =
             machine->failed_suspect_probes++ == 0 ? now : machine->suspect_probes_failed_at;
@@ -169,13 +181,15 @@
     }
 }
 
+/* Clears the machine's failure counts and its suspicion. */
 static void record_answered_probe(rr_machine *machine) {
     machine->failed_probes = 0;
     machine->failed_suspect_probes = machine->unanswered_commands = 0;
     machine->suspect_until = 0;
 }
 
-/* Notes the starts of a batch whose outcome is unknown: they may still arrive. */
+/* Records the start commands of a batch whose outcome is unknown, since they may still arrive.
+ * Drops those recorded under another fencing token or worker epoch. */
 static void record_unanswered_starts(rr_machine *machine, const rr_command_batch *batch) {
     if (machine->unanswered_starts_token != batch->fencing_token ||
         machine->unanswered_starts_epoch != batch->worker_epoch) {
@@ -192,12 +206,13 @@
     }
 }
 
+/* Records that a batch of commands got no answer. */
 static void record_failed_commands(rr_core *core, rr_machine *machine, double now,
                                    const rr_command_batch *batch, enum rr_command_outcome outcome) {
     machine->next_command_at = now + UNANSWERED_RETRY_S;
     record_unanswered(core, machine, now);
     if (batch->peer < 0) {
-        machine->direct_path_bad_until = now + INDIRECT_PATH_S;
+        machine->direct_path_bad_until = now + PEER_PATH_S;
     }
     if (outcome == RR_COMMAND_OUTCOME_UNKNOWN) {
         record_unanswered_starts(machine, batch);
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -1,7 +1,8 @@
-/* Rebalancing after the two phases of the paper that DESIGN cites. Allocation takes every movable
- * replica off its machine on paper and places all of them again; the plan counts only if it empties
- * a priced machine, and only the replicas of such machines move. Ordering takes the fitting move of
- * least size over its destination's free share first, and frees its source. */
+/* Rebalancing in two phases, after the paper cited in DESIGN. Allocation removes every movable
+ * replica from its machine in a simulation and places all of them again. Its result is used only if
+ * it empties a machine with a price, and only the replicas of such machines move. Ordering
+ * repeatedly picks, of the moves that fit, the one with the least ratio of replica size to free
+ * share of the destination, and frees the resources on its source. */
 #include "core/scheduling/rebalancing.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -22,24 +23,29 @@
 #include <string.h>
 
 #define SHARE_EPSILON 1e-9
-/* A replica on a full machine stays where it is, so that only those on the emptiest machines are
- * placed again on paper: the cost then grows with the fleet, and not with its square. One
- * rebalancing can't empty more machines than this. */
-#define MACHINES_EXAMINED_MAX 256
-/* In a large fleet some machine always has a fault: one in this many does not disturb the calm. */
+/* Only replicas on this many of the emptiest machines are placed again, while those on fuller
+ * machines stay: the cost then grows linearly with the fleet and not with its square. It is also
+ * the most machines that one rebalancing can empty. */
+#define SOURCE_MACHINES_MAX 256
+/* The fleet counts as healthy with up to one faulty machine in this many, since some machine of a
+ * large fleet always has a fault. */
 #define FAULTY_MACHINES_ONE_IN 50
-#define CALM_INTERVALS 3 /* heartbeat intervals without a disturbance before replicas move */
-#define CALM_CHECK_PERIOD_S 1.0
+#define STABLE_INTERVALS 3 /* heartbeat intervals without a disturbance before replicas move */
+/* An overdue rebalancing checks again after this time whether the fleet is stable. */
+#define STABILITY_CHECK_PERIOD_S 1.0
 
+/* A replica that allocation places again. */
 struct movable_replica {
     rr_job *job;
     uint32_t task;
-    rr_machine *source, *destination;
-    double size;       /* share of the source that it takes */
-    double free_share; /* of the source, now */
-    bool ordered;      /* its move is in the list */
+    rr_machine *source;
+    rr_machine *destination; /* set by allocation; the source if the replica stays */
+    double size;             /* share of the source's resources that it takes */
+    double free_share;       /* share of the source's resources that is free now */
+    bool ordered;            /* ordering has taken its move */
 };
 
+/* Whether the placement is a running replica of a service that rebalancing may move. */
 static bool is_movable(const rr_core *core, const rr_machine *machine,
                        const rr_placement *placement, double now) {
     const rr_job *job = placement->job;
@@ -53,8 +59,9 @@
     return task && task->state == RR_TASK_RUNNING;
 }
 
-/* ---- when ---- */
+/* ---- conditions for rebalancing ---- */
 
+/* Whether few enough machines have late heartbeats or spot termination notices. */
 static bool most_machines_healthy(const rr_core *core, double now) {
     guint up_count = 0, faulty_count = 0;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
@@ -68,38 +75,41 @@
     return faulty_count * FAULTY_MACHINES_ONE_IN <= up_count;
 }
 
-/* Whether replicas may move: no fault for a while, no new term, and this controller keeps up with
- * its work, of which rebalancing is the least urgent. */
-static bool is_calm(rr_core *core, double now) {
-    bool new_term = core->planning.rebalance_token != core->membership.term.token;
-    core->planning.rebalance_token = core->membership.term.token;
+/* Whether the fleet has been stable for STABLE_INTERVALS: no faults beyond the usual, no new term,
+ * and no late timers of this controller, since rebalancing is the least urgent of its work.
+ * Restarts that time at a disturbance. */
+static bool check_fleet_stable(rr_core *core, double now) {
+    bool new_term = core->planning.stability_check_token != core->membership.term.token;
+    core->planning.stability_check_token = core->membership.term.token;
     if (new_term || !most_machines_healthy(core, now) ||
         rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
-        core->planning.calm_since = now;
+        core->planning.stable_since = now;
     }
-    return now - core->planning.calm_since >= CALM_INTERVALS * core->config->heartbeat_interval_s;
+    return now - core->planning.stable_since >=
+           STABLE_INTERVALS * core->config->heartbeat_interval_s;
 }
 
-bool rr_rebalance_due(rr_core *core, double now) {
+bool rr_check_rebalancing_due(rr_core *core, double now) {
     const struct rr_tuning *tuning = &core->config->tuning;
-    if (!tuning->rebalance || now - core->planning.rebalance_at < tuning->rebalance_period_s) {
-        if (core->planning.moves->len > 0 && !is_calm(core, now)) {
+    if (!tuning->rebalance ||
+        now - core->planning.last_rebalancing_at < tuning->rebalance_period_s) {
+        if (core->planning.moves->len > 0 && !check_fleet_stable(core, now)) {
             g_array_set_size(core->planning.moves, 0);
         }
         return false;
     }
-    if (!is_calm(core, now)) {
+    if (!check_fleet_stable(core, now)) {
         g_array_set_size(core->planning.moves, 0);
-        double next_check_s = fmin(CALM_CHECK_PERIOD_S, tuning->rebalance_period_s);
-        core->planning.rebalance_at = now - tuning->rebalance_period_s + next_check_s;
+        double next_check_s = fmin(STABILITY_CHECK_PERIOD_S, tuning->rebalance_period_s);
+        core->planning.last_rebalancing_at = now - tuning->rebalance_period_s + next_check_s;
         return false;
     }
     return true;
 }
 
-/* A fleet frees half-empty machines in proportion to its size, so its share of moves grows with it.
- */
-static int moves_allowed(const rr_core *core) {
+/* Returns how many moves one rebalancing may start. Half-empty machines appear in proportion to the
+ * size of the fleet, so the limit grows with it. */
+static int compute_move_limit(const rr_core *core) {
     guint recorded_count = 0;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
@@ -109,10 +119,10 @@
     return MAX(share, core->config->tuning.rebalance_moves);
 }
 
-/* ---- which replicas ---- */
+/* ---- selection of replicas ---- */
 
-/* A machine with anything that must stay can't be emptied: its replicas stay too, and do not take
- * room on paper that real moves need. */
+/* Whether all placements on the machine are movable. The replicas of other machines stay, since
+ * moving them would not empty a machine, and so take no room that useful moves need. */
 static bool can_be_emptied(const rr_core *core, const rr_machine *machine, double now) {
     for (guint i = 0; i < machine->placements->len; i++) {
         if (!is_movable(core, machine, &g_array_index(machine->placements, rr_placement, i), now)) {
@@ -122,12 +132,14 @@
     return machine->placements->len > 0;
 }
 
+/* A machine that can be emptied. */
 struct source_machine {
     rr_machine *machine;
-    double free_share;
+    double free_share; /* of its resources */
 };
 
-static gint by_free_share(gconstpointer left_source, gconstpointer right_source) {
+/* GCompareFunc: sorts source machines by free share, the emptiest first. */
+static gint compare_free_share(gconstpointer left_source, gconstpointer right_source) {
     const struct source_machine *left = left_source, *right = right_source;
     if (fabs(left->free_share - right->free_share) > SHARE_EPSILON) {
         return left->free_share > right->free_share ? -1 : 1;
@@ -135,8 +147,9 @@
     return left->machine->id - right->machine->id;
 }
 
-/* The machines that can be emptied, the emptiest first; the caller owns the array. */
-static GArray *list_sources(const rr_core *core, double now) {
+/* Returns the machines that can be emptied (struct source_machine), the emptiest first. The caller
+ * owns the array. */
+static GArray *list_source_machines(const rr_core *core, double now) {
     GArray *sources = g_array_new(FALSE, FALSE, sizeof(struct source_machine));
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
@@ -147,19 +160,21 @@
             g_array_append_val(sources, source);
         }
     }
-    g_array_sort(sources, by_free_share);
+    g_array_sort(sources, compare_free_share);
     return sources;
 }
 
-static double size_on(const rr_core *core, const rr_machine *machine, const rr_job *job) {
+/* Returns the share of the machine's resources that a task of the job takes. */
+static double share_of_machine(const rr_core *core, const rr_machine *machine, const rr_job *job) {
     rr_resources capacity = rr_machine_capacity(core, machine);
     return 1 - rr_resources_free_share(rr_resources_add(capacity, job->request, -1), capacity);
 }
 
-/* Replicas that are bound to a zone first, job by job; then the largest first. Between equals,
- * those on the fullest machines: they stay where they are, and what is left on emptier machines
- * joins them. Any other order would shift replicas between full machines. */
-static gint by_group_and_size(gconstpointer left_replica, gconstpointer right_replica) {
+/* GCompareFunc: the order in which replicas are placed again. Replicas that are bound to a zone
+ * come first, job by job, then the largest. Among equals, those on the fullest machines come first:
+ * they stay in place, and replicas of emptier machines are added to them. Any other order would
+ * shift replicas between full machines. */
+static gint compare_placement_order(gconstpointer left_replica, gconstpointer right_replica) {
     const struct movable_replica *left = left_replica, *right = right_replica;
     bool left_bound = rr_job_zone_bound(left->job), right_bound = rr_job_zone_bound(right->job);
     if (left_bound != right_bound) {
@@ -177,34 +192,35 @@
     return left->source->id - right->source->id;
 }
 
-/* The replicas on the emptiest machines, in the order in which they are placed again; the caller
- * owns the array. */
+/* Returns the replicas (struct movable_replica) on the emptiest machines, in the order in which
+ * they are placed again. The caller owns the array. */
 static GArray *list_movable_replicas(const rr_core *core, double now) {
     GArray *replicas = g_array_new(FALSE, TRUE, sizeof(struct movable_replica));
-    GArray *sources = list_sources(core, now);
-    for (guint i = 0; i < sources->len && i < MACHINES_EXAMINED_MAX; i++) {
+    GArray *sources = list_source_machines(core, now);
+    for (guint i = 0; i < sources->len && i < SOURCE_MACHINES_MAX; i++) {
         const struct source_machine *source = &g_array_index(sources, struct source_machine, i);
         const GArray *placements = source->machine->placements;
         for (guint k = 0; k < placements->len; k++) {
             const rr_placement *placement = &g_array_index(placements, rr_placement, k);
-            struct movable_replica replica = {.job = placement->job,
-                                              .task = placement->task,
-                                              .source = source->machine,
-                                              .size =
-                                                  size_on(core, source->machine, placement->job),
-                                              .free_share = source->free_share};
+            struct movable_replica replica = {
+                .job = placement->job,
+                .task = placement->task,
+                .source = source->machine,
+                .size = share_of_machine(core, source->machine, placement->job),
+                .free_share = source->free_share};
             g_array_append_val(replicas, replica);
         }
     }
     g_array_free(sources, TRUE);
-    g_array_sort(replicas, by_group_and_size);
+    g_array_sort(replicas, compare_placement_order);
     return replicas;
 }
 
 /* ---- allocation ---- */
 
-/* A job of several replicas that depends on zones keeps them; others may go wherever their job
- * allows, or into the best zone if the job is bound to one. */
+/* Sets zones[i] to whether the replica may be placed in zone i. If its job has several replicas
+ * that are spread over zones or share one, it stays in its zone. Otherwise it may go to any zone
+ * that the job allows, or only to the best of them if the job is bound to one zone. */
 static void find_allowed_zones(rr_core *core, const struct movable_replica *replica, bool *zones,
                                double now) {
     const rr_job *job = replica->job;
@@ -224,9 +240,9 @@
     }
 }
 
-/* Whether one of the first `count` replicas is of this job and goes to this machine. */
-static bool is_job_planned_on(const GArray *replicas, guint count, const rr_job *job,
-                              const rr_machine *machine) {
+/* Whether one of the first `count` replicas is of this job and is allocated to this machine. */
+static bool has_earlier_replica_on(const GArray *replicas, guint count, const rr_job *job,
+                                   const rr_machine *machine) {
     for (guint i = 0; i < count; i++) {
         const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
         if (replica->job == job && replica->destination == machine) {
@@ -236,26 +252,28 @@
     return false;
 }
 
-/* The destination of a replica, given those before it: its source if there is no better machine. */
+/* Returns the machine for a replica after the ones before it are allocated: its source if no other
+ * machine is better. */
 static rr_machine *find_destination(rr_core *core, const GArray *replicas, guint index,
                                     double now) {
     const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, index);
     bool zones[core->stored.zones.names->len + 1];
     find_allowed_zones(core, replica, zones, now);
-    /* Without its image a replica would be down until the image is fetched. */
+    /* On a machine without its image a replica would be down until the image is fetched. */
     struct rr_placement_constraints constraints = {.zones = zones,
                                                    .distinct_machines =
                                                        replica->job->submission.task_count > 1,
                                                    .need_image = true,
                                                    .current = replica->source};
     rr_machine *machine = rr_bin_pack(core, replica->job, &constraints, now);
-    if (!machine ||
-        (machine != replica->source && is_job_planned_on(replicas, index, replica->job, machine))) {
+    if (!machine || (machine != replica->source &&
+                     has_earlier_replica_on(replicas, index, replica->job, machine))) {
         return replica->source;
     }
     return machine;
 }
 
+/* Sets the destination of every replica. Overwrites the machines' free resources. */
 static void allocate(rr_core *core, GArray *replicas, double now) {
     rr_reset_free_resources(core);
     for (guint i = 0; i < replicas->len; i++) {
@@ -273,13 +291,13 @@
 
 /* What an allocation changes on one machine. */
 struct machine_changes {
-    guint leaving, arriving; /* replicas */
-    bool emptied;
+    guint leaving, arriving; /* numbers of replicas */
+    bool emptied;            /* no placement is left, and the machine has a price */
 };
 
-/* Priced machines that the allocation leaves empty count as emptied. Returns how many there are. */
-static guint count_changes(const rr_core *core, const GArray *replicas,
-                           struct machine_changes *changes) {
+/* Fills in the changes of each machine, by machine id. Returns the number of emptied machines. */
+static guint find_emptied_machines(const rr_core *core, const GArray *replicas,
+                                   struct machine_changes *changes) {
     guint count = 0;
     for (guint i = 0; i < replicas->len; i++) {
         const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
@@ -300,6 +318,7 @@
 
 /* ---- ordering ---- */
 
+/* Whether the replica leaves a machine that is emptied and fits on its destination now. */
 static bool can_move_now(const struct movable_replica *replica,
                          const struct machine_changes *changes) {
     return !replica->ordered && changes[replica->source->id].emptied &&
@@ -307,11 +326,12 @@
            rr_resources_fit(replica->job->request, replica->destination->free);
 }
 
-/* The possible move of least size over its destination's free share, NULL: none. */
-static struct movable_replica *next_move(const rr_core *core, GArray *replicas,
-                                         const struct machine_changes *changes) {
+/* Returns the replica to move next: of those that can move now, the one with the least ratio of its
+ * size to the free share of its destination. Returns NULL if none can move. */
+static struct movable_replica *find_next_move(const rr_core *core, GArray *replicas,
+                                              const struct machine_changes *changes) {
     struct movable_replica *best = NULL;
-    double least = 0;
+    double best_score = 0;
     for (guint i = 0; i < replicas->len; i++) {
         struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
         if (!can_move_now(replica, changes)) {
@@ -321,15 +341,16 @@
         double free_share =
             rr_resources_free_share(destination->free, rr_machine_capacity(core, destination));
         double score = free_share > 0 ? replica->size / free_share : INFINITY;
-        if (!best || score < least) {
+        if (!best || score < best_score) {
             best = replica;
-            least = score;
+            best_score = score;
         }
     }
     return best;
 }
 
-static guint moves_from(const GArray *moves, const rr_machine *source) {
+/* Returns the number of moves from this machine. */
+static guint count_moves_from(const GArray *moves, const rr_machine *source) {
     guint count = 0;
     for (guint i = 0; i < moves->len; i++) {
         count += g_array_index(moves, rr_move, i).from == source;
@@ -337,12 +358,13 @@
     return count;
 }
 
-/* Plans the moves in order, those of machines that they empty whole. */
+/* Adds the moves to the planned moves in the order found, leaving out those from machines that the
+ * moves would not empty completely. Overwrites the machines' free resources. */
 static void order_moves(rr_core *core, GArray *replicas, const struct machine_changes *changes) {
     GArray *moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
     struct movable_replica *replica;
     rr_reset_free_resources(core);
-    while ((replica = next_move(core, replicas, changes))) {
+    while ((replica = find_next_move(core, replicas, changes))) {
         rr_machine *source = replica->source, *destination = replica->destination;
         rr_move move = {replica->job, replica->task, source, destination};
         g_array_append_val(moves, move);
@@ -352,16 +374,16 @@
     }
     for (guint i = 0; i < moves->len; i++) {
         const rr_move *move = &g_array_index(moves, rr_move, i);
-        if (moves_from(moves, move->from) == move->from->placements->len) {
+        if (count_moves_from(moves, move->from) == move->from->placements->len) {
             g_array_append_val(core->planning.moves, *move);
         }
     }
     g_array_free(moves, TRUE);
 }
 
-void rr_rebalance(rr_core *core, double now) {
-    core->planning.rebalance_at = now;
-    core->planning.rebalance_moves_left = moves_allowed(core);
+void rr_plan_rebalancing_moves(rr_core *core, double now) {
+    core->planning.last_rebalancing_at = now;
+    core->planning.rebalance_moves_left = compute_move_limit(core);
     if (core->planning.moves->len > 0) {
         return;
     }
@@ -370,14 +392,14 @@
         allocate(core, replicas, now);
         struct machine_changes *changes = /* by machine id */
             g_new0(struct machine_changes, (gsize)core->stored.next_machine_id + 1);
-        guint emptied_count = count_changes(core, replicas, changes);
+        guint emptied_count = find_emptied_machines(core, replicas, changes);
         if (emptied_count > 0) {
             order_moves(core, replicas, changes);
         }
         g_free(changes);
         if (core->planning.moves->len > 0) {
             rr_log_at(core, RR_LOG_INFO,
-                      "rebalance: %u movable replicas, %u machines to empty, %u moves",
+                      "rebalance: %u replicas examined, %u machines to empty, %u moves planned",
                       replicas->len, emptied_count, core->planning.moves->len);
         }
         rr_reset_free_resources(core);
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -1,5 +1,5 @@
-/* Reconciles machines with the ledger. Each placement of this owner gets its verdict; the commands
- * that follow go into the plan. Tasks that the ledger does not know are stopped and reaped. */
+/* Reconciles machines with the ledger. Decides what each placement of this controller's teams needs
+ * and adds the resulting commands to the plan. Stops and reaps tasks that are not in the ledger. */
 #include "core/scheduling/reconciliation.h"
 #include "core/core_internal.h"
 #include "core/leadership.h"
@@ -12,10 +12,11 @@
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
 
-/* A machine that shows more tasks than this gets every reap at once. */
+/* On a machine that reports more tasks than this, exited tasks are reaped without delay. */
 #define DEFERRED_REAP_TASKS_MAX 32
 
-static bool is_own_job(const rr_core *core, const rr_job *job) {
+/* Whether this controller owns the job's team. */
+static bool owns_job(const rr_core *core, const rr_job *job) {
     return job->team >= 0 && rr_owns_team(core, job->team);
 }
 
@@ -26,7 +27,8 @@
                         placement->attempt, grace_s);
 }
 
-/* True: the placement is looked at again before the machine reports anything new. */
+/* Acts on the verdict on one placement. Returns whether to reconcile the machine again in the next
+ * plan, even if it reports nothing new until then. */
 static bool reconcile_placement(struct rr_planner *planner, rr_machine *machine,
                                 rr_placement *placement) {
     const rr_task_status *task = rr_task_status_find(machine, placement);
@@ -36,16 +38,16 @@
         return false;
     case RR_PLACEMENT_WAIT:
         break;
-    case RR_PLACEMENT_RECORD:
+    case RR_PLACEMENT_TERMINATED:
         rr_plan_add_terminated(planner, machine, placement, verdict.completed, verdict.proof);
         break;
     case RR_PLACEMENT_START:
         add_task_command(planner, machine, RR_COMMAND_START, placement, 0);
         placement->start_at = planner->now;
         break;
-    case RR_PLACEMENT_VOID_START:
-        /* Started and stopped under one token, the attempt stays on the machine as exited and
-         * blocks a start that arrives late. */
+    case RR_PLACEMENT_INVALIDATE_START:
+        /* Starting and stopping the attempt under the same fencing token leaves it on the machine
+         * as exited, which blocks an earlier start command that arrives late. */
         add_task_command(planner, machine, RR_COMMAND_START, placement, 0);
         /* fall through */
     case RR_PLACEMENT_STOP:
@@ -57,12 +59,13 @@
     return true;
 }
 
-/* Whether the reap of an exited task waits for the next command to the machine, mostly the start of
- * what takes its place, for at most a heartbeat interval: a command of its own costs a connection
- * and one more heartbeat with news for every owner. Only a completed task waits: one that is to run
- * again may be refused where the machine still shows an earlier attempt. */
-static bool reap_may_wait(const struct rr_planner *planner, rr_machine *machine,
-                          const rr_task_status *task) {
+/* Whether the reap of an exited task may wait for the next command to the machine, usually the
+ * start of the task that replaces it. It waits for at most one heartbeat interval, which starts
+ * with the first call. A separate command would cost a connection and one more changed heartbeat
+ * for every owner. Only the reap of a completed task waits: a task that has to run again may be
+ * refused by a machine that still shows an earlier attempt. */
+static bool may_defer_reap(const struct rr_planner *planner, rr_machine *machine,
+                           const rr_task_status *task) {
     if (machine->plan_commands || task->exit_reason != RR_EXIT_DONE ||
         machine->heartbeat.tasks->len > DEFERRED_REAP_TASKS_MAX) {
         return false;
@@ -72,10 +75,11 @@
 }
 
 /* Whether this controller cleans up a task of a final job, whose team is not known any more. The
- * autoscaler stops what still runs and reaps attempts of earlier terms: the fencing token of its
- * command voids any late start of those. An exited attempt of this term is left to the controller
- * that reserved it, which alone knows whether a start may still arrive. */
-static bool cleans_up_final_job(const rr_core *core, const rr_task_status *task, double now) {
+ * autoscaler stops tasks that still run and reaps attempts of earlier terms: workers refuse a late
+ * start of those, because its fencing token is older than that of the reap. An exited attempt of
+ * the present term is reaped by the controller that reserved it, since only that one knows whether
+ * a start command may still arrive. */
+static bool must_clean_up_final_job(const rr_core *core, const rr_task_status *task, double now) {
     if (task->state == RR_TASK_ENDED &&
         rr_attempt_token(task->attempt) == core->membership.term.token) {
         return rr_attempt_member(task->attempt) == rr_member_index(core);
@@ -83,31 +87,33 @@
     return rr_core_is_autoscaler(core, now);
 }
 
-/* Whether the task is this controller's to clean up: no placement in the ledger has its attempt. */
-static bool is_own_unknown_task(const struct rr_planner *planner, const rr_machine *machine,
-                                const rr_task_status *task) {
+/* Whether this controller has to clean up the task, because its attempt has no placement in the
+ * ledger. */
+static bool must_clean_up_task(const struct rr_planner *planner, const rr_machine *machine,
+                               const rr_task_status *task) {
     const rr_core *core = planner->core;
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
     if (!job) {
         return rr_job_outcome(core, task->job_id, NULL, NULL) &&
-               cleans_up_final_job(core, task, planner->now);
+               must_clean_up_final_job(core, task, planner->now);
     }
-    return is_own_job(core, job) && !rr_placement_find(machine, task->attempt, job, task->task);
+    return owns_job(core, job) && !rr_placement_find(machine, task->attempt, job, task->task);
 }
 
-/* Stops or reaps a task that the ledger does not know. True: the machine is looked at again. */
+/* Stops or reaps a task that is not in the ledger. Returns whether to reconcile the machine again
+ * in the next plan. */
 static bool reconcile_unknown_task(struct rr_planner *planner, rr_machine *machine,
                                    const rr_task_status *task) {
-    if (!is_own_unknown_task(planner, machine, task)) {
+    if (!must_clean_up_task(planner, machine, task)) {
         return false;
     }
     enum rr_command_kind kind = RR_COMMAND_STOP;
     if (task->state == RR_TASK_ENDED) {
-        /* An exited attempt blocks starts of it that arrive late, so it stays until none can. */
-        if (rr_start_unanswered(planner->core, machine, task->attempt)) {
+        /* An exited attempt blocks late starts of it, so it is kept while one may arrive. */
+        if (rr_start_may_arrive(planner->core, machine, task->attempt)) {
             return false;
         }
-        if (reap_may_wait(planner, machine, task)) {
+        if (may_defer_reap(planner, machine, task)) {
             return true;
         }
         kind = RR_COMMAND_REAP;
@@ -116,8 +122,8 @@
     return true;
 }
 
-/* Notes the end of another owner's task, whose resources are free long before its owner records it.
- */
+/* Sets terminated_at of another owner's placement once its task has ended: its resources are free
+ * long before the owner records the end in the ledger. */
 static void observe_foreign_placement(const struct rr_planner *planner, const rr_machine *machine,
                                       rr_placement *placement) {
     const rr_task_status *task = rr_task_status_find(machine, placement);
@@ -128,55 +134,60 @@
     }
 }
 
+/* Reconciles all placements on the machine. gone: the machine is proven gone, and its tasks with
+ * it. Returns whether to reconcile the machine again in the next plan. */
 static bool reconcile_placements(struct rr_planner *planner, rr_machine *machine, bool gone) {
-    bool again = false;
+    bool revisit = false;
     for (guint i = 0; i < machine->placements->len; i++) {
         rr_placement *placement = &g_array_index(machine->placements, rr_placement, i);
-        if (!is_own_job(planner->core, placement->job)) {
+        if (!owns_job(planner->core, placement->job)) {
             observe_foreign_placement(planner, machine, placement);
         } else if (gone) {
             rr_plan_add_terminated(planner, machine, placement, false, "machine gone");
-            again = true;
+            revisit = true;
         } else {
-            again = reconcile_placement(planner, machine, placement) || again;
+            revisit = reconcile_placement(planner, machine, placement) || revisit;
         }
     }
-    return again;
+    return revisit;
 }
 
-/* True: the machine is looked at again with the next plan. */
+/* Reconciles the machine's placements and the tasks it reports. Returns whether to do so again in
+ * the next plan. */
 static bool reconcile_machine(struct rr_planner *planner, rr_machine *machine) {
     rr_core *core = planner->core;
-    /* Reservations are made on recorded machines only: one without a record is proven gone. */
+    /* Only machines with a record get reservations, so one without a record is proven gone. */
     bool gone = !machine->recorded;
     core->counters.machines_visited++;
     if (!gone && (!machine->heartbeat_seen ||
                   machine->heartbeat.fencing_token > core->membership.term.token)) {
-        return false; /* a heartbeat or the next term marks it again */
+        return false; /* a heartbeat or the next term will mark it dirty */
     }
-    bool again = reconcile_placements(planner, machine, gone);
-    if (gone || !rr_machine_takes_commands(planner, machine)) {
-        return again || machine->command_inflight || planner->now < machine->next_command_at;
+    bool revisit = reconcile_placements(planner, machine, gone);
+    if (gone || !rr_machine_accepts_commands(planner, machine)) {
+        return revisit || machine->command_inflight || planner->now < machine->next_command_at;
     }
     for (guint i = 0; i < machine->heartbeat.tasks->len; i++) {
         const rr_task_status *task = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
-        again = reconcile_unknown_task(planner, machine, task) || again;
+        revisit = reconcile_unknown_task(planner, machine, task) || revisit;
     }
-    return again;
+    return revisit;
 }
 
+/* Adds the gangs of this controller's teams that have placements on the machine to `gangs`. */
 static void collect_own_gangs(const struct rr_planner *planner, const rr_machine *machine,
                               GPtrArray *gangs) {
     for (guint i = 0; i < machine->placements->len; i++) {
         rr_job *job = g_array_index(machine->placements, rr_placement, i).job;
-        if (job->submission.kind == RR_JOB_GANG && is_own_job(planner->core, job) &&
+        if (job->submission.kind == RR_JOB_GANG && owns_job(planner->core, job) &&
             !g_ptr_array_find(gangs, job, NULL)) {
             g_ptr_array_add(gangs, job);
         }
     }
 }
 
-static void reconcile_machines_of(struct rr_planner *planner, const rr_ledger_record *record) {
+/* Reconciles the machines of the record's placements, except those that are marked dirty. */
+static void reconcile_record_machines(struct rr_planner *planner, const rr_ledger_record *record) {
     for (guint i = 0; record && i < record->placements->len; i++) {
         rr_machine *machine = g_array_index(record->placements, rr_placement_record, i).machine;
         if (!machine->dirty && reconcile_machine(planner, machine)) {
@@ -185,7 +196,8 @@
     }
 }
 
-/* Reconciles all machines of gangs that stop, in this plan, so that their tasks stop together. */
+/* Reconciles all machines of stopping gangs in this plan, so that the tasks of a gang stop
+ * together. */
 static void reconcile_gangs(struct rr_planner *planner, const GPtrArray *gangs) {
     for (guint i = 0; i < gangs->len; i++) {
         const rr_job *job = g_ptr_array_index(gangs, i);
@@ -193,12 +205,12 @@
             continue;
         }
         for (guint chunk = 0; chunk < job->records->len; chunk++) {
-            reconcile_machines_of(planner, g_ptr_array_index(job->records, chunk));
+            reconcile_record_machines(planner, g_ptr_array_index(job->records, chunk));
         }
     }
 }
 
-/* With a new term the ownership of teams changes, so that every machine is looked at once. */
+/* Marks every machine dirty once per term, since the ownership of teams changes with the term. */
 static void mark_all_machines_in_new_term(rr_core *core) {
     if (core->membership.all_dirty_token == core->membership.term.token) {
         return;
@@ -209,21 +221,21 @@
     }
 }
 
-void rr_reconcile(struct rr_planner *planner) {
+void rr_reconcile_machines(struct rr_planner *planner) {
     rr_core *core = planner->core;
     mark_all_machines_in_new_term(core);
     GPtrArray *dirty = core->stored.dirty_machines;
-    guint count = dirty->len, kept = 0;
+    guint count = dirty->len, kept_count = 0;
     GPtrArray *gangs = g_ptr_array_new(); /* rr_job* */
     for (guint i = 0; i < count; i++) {
         rr_machine *machine = g_ptr_array_index(dirty, i);
         collect_own_gangs(planner, machine, gangs);
         machine->dirty = reconcile_machine(planner, machine);
         if (machine->dirty) {
-            dirty->pdata[kept++] = machine;
+            dirty->pdata[kept_count++] = machine;
         }
     }
-    g_ptr_array_set_size(dirty, (gint)kept);
+    g_ptr_array_set_size(dirty, (gint)kept_count);
     reconcile_gangs(planner, gangs);
     g_ptr_array_free(gangs, TRUE);
 }
--- a/src/core/scheduling/write_pressure.c
+++ b/src/core/scheduling/write_pressure.c
@@ -1,4 +1,4 @@
-/* How many changes to the store planning may spend. */
+/* Sets how many changes to the store a plan may make. */
 #include "core/core_internal.h"
 #include "core/planning.h"
 
