--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -1,5 +1,6 @@
-/* The steps of one plan of a team owner. A plan makes at most one transaction. It costs what
- * changed since the last one: only machines that something happened to are reconciled. */
+/* Runs the steps of one plan for the teams that this controller owns. A plan makes at most one
+ * transaction. Its cost depends on what changed since the previous plan, because it reconciles only
+ * the machines that are marked dirty. */
 #include "core/cache_feed.h"
 #include "core/core_internal.h"
 #include "core/health/failure_detector.h"
@@ -25,12 +26,14 @@
 
 #define USAGE_RECOUNT_PERIOD_S 60.0
 #define JOBS_SHRINK_PERIOD_S 60.0
-#define UNKNOWN_MACHINES_PERIOD_S 1.0
-#define UNKNOWN_MACHINE_KEEP_S 120.0
-/* A copy of a heartbeat that is later than this makes its machine known again for a while. */
-#define GONE_MACHINE_KEEP_S 600.0
-/* After a plan that lacked changes, the write pressure counts as full for this long. */
-#define WRITES_SHORT_S 1.0
+#define MACHINE_CLEANUP_PERIOD_S 1.0
+#define UNRECORDED_MACHINE_RETENTION_S 120.0
+/* The names of deleted machines are kept this long, so that delayed copies of their heartbeats are
+ * ignored. A copy that arrives later makes the machine known again for a while. */
+#define DELETED_MACHINE_RETENTION_S 600.0
+/* The write pressure counts as 1 for this long after a plan that needed more changes than it was
+ * allowed. */
+#define WRITE_SHORTAGE_S 1.0
 
 void rr_plan_init(rr_plan *plan) {
     memset(plan, 0, sizeof *plan);
@@ -43,14 +46,16 @@
     g_ptr_array_free(plan->command_batches, TRUE);
 }
 
-static double write_pressure(const rr_core *core, double now) {
-    bool writes_short = core->planning.write_shortage_at > 0 &&
-                        now - core->planning.write_shortage_at < WRITES_SHORT_S;
-    return writes_short ? 1 : core->planning.write_pressure;
+/* Returns the pressure that the controller has set, or 1 shortly after a write shortage. */
+static double effective_write_pressure(const rr_core *core, double now) {
+    bool shortage = core->planning.write_shortage_at > 0 &&
+                    now - core->planning.write_shortage_at < WRITE_SHORTAGE_S;
+    return shortage ? 1 : core->planning.write_pressure;
 }
 
-/* Notes whether the allowed changes, not the transaction's limit, bounded the plan. The number of
- * allowed changes alone does not show it: some gather between two plans. */
+/* Records a write shortage if the plan ran out of allowed changes rather than out of room in its
+ * transaction, and resets the planner's `full`. The number of allowed changes alone does not show a
+ * shortage, since unused changes accumulate between two plans. */
 static void record_write_shortage(struct rr_planner *planner) {
     if (planner->full && planner->core->planning.changes_allowed <
                              rr_transaction_changes_max(planner->core->config)) {
@@ -59,19 +64,20 @@
     planner->full = false;
 }
 
-/* Reconciles machines and edits the records of what is terminated. While jobs wait, half of the
- * transaction is left to them. */
-static void reconcile(struct rr_planner *planner, int change_limit) {
+/* Reconciles machines and edits the ledger records of terminated placements. While jobs wait, these
+ * edits may use only half of the transaction, so that waiting tasks can be placed in the rest. */
+static void reconcile_and_edit_terminated(struct rr_planner *planner, int change_limit) {
     planner->change_limit =
         rr_any_job_waiting(planner) ? change_limit - change_limit / 2 : change_limit;
     rr_reconcile_machines(planner);
-    rr_plan_edit_terminated(planner);
+    rr_plan_process_terminated(planner);
     rr_plan_close_command_batches(planner);
     planner->change_limit = change_limit;
 }
 
-/* Places waiting tasks, those that have just lost their placements among them, and starts moves. */
-static void place(struct rr_planner *planner) {
+/* Places waiting tasks, including those that this plan has requeued, and starts planned moves.
+ * Plans new moves first if a rebalancing is due. */
+static void place_tasks_and_moves(struct rr_planner *planner) {
     rr_core *core = planner->core;
     GPtrArray *waiting = rr_list_waiting_jobs(planner);
     bool rebalance = rr_check_rebalancing_due(core, planner->now);
@@ -86,31 +92,35 @@
     g_ptr_array_free(waiting, TRUE);
 }
 
-static gboolean is_long_gone(gpointer key, gpointer value, gpointer now) {
+/* GHRFunc: whether the entry of a deleted machine has expired. */
+static gboolean is_deletion_expired(gpointer key, gpointer value, gpointer now) {
     (void)key;
-    return *(double *)now - *(double *)value > GONE_MACHINE_KEEP_S;
+    return *(double *)now - *(double *)value > DELETED_MACHINE_RETENTION_S;
 }
 
-/* Forgets machines that are known only from heartbeats that came after their records were deleted,
- * and gone machines with no placement left in the ledger. */
-static void forget_unknown_machines(rr_core *core, double now) {
-    g_hash_table_foreach_remove(core->stored.gone_machines, is_long_gone, &now);
+/* Removes machines without a record and without placements from the store cache: those that are
+ * proven gone, and those that were known only from heartbeats (which may have arrived after their
+ * records were deleted) and have sent none for UNRECORDED_MACHINE_RETENTION_S. Also removes expired
+ * entries of deleted machines. */
+static void remove_unrecorded_machines(rr_core *core, double now) {
+    g_hash_table_foreach_remove(core->stored.gone_machines, is_deletion_expired, &now);
     for (guint i = core->stored.machine_list->len; i > 0; i--) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         if (!machine->recorded && !machine->to_record && !machine->command_inflight &&
             machine->placements->len == 0 &&
-            (machine->gone || rr_heartbeat_age(machine, now) > UNKNOWN_MACHINE_KEEP_S)) {
+            (machine->gone || rr_heartbeat_age(machine, now) > UNRECORDED_MACHINE_RETENTION_S)) {
             rr_machine_forget(core, machine);
         }
     }
 }
 
-/* True once a period; *last_at: when it was last true. */
-static bool is_due(double *last_at, double now, double period_s) {
-    if (now - *last_at <= period_s) {
+/* Whether the period has passed since *last_run_at, the time of the last run. If so, sets
+ * *last_run_at to now. */
+static bool begin_period_if_due(double *last_run_at, double now, double period_s) {
+    if (now - *last_run_at <= period_s) {
         return false;
     }
-    *last_at = now;
+    *last_run_at = now;
     return true;
 }
 
@@ -121,23 +131,24 @@
     }
     struct rr_planner planner;
     rr_planner_init(&planner, core, now, wall, plan);
-    core->planning.write_pressure = write_pressure(core, now);
-    reconcile(&planner,
-              MIN(rr_transaction_changes_max(core->config), core->planning.changes_allowed));
+    core->planning.write_pressure = effective_write_pressure(core, now);
+    reconcile_and_edit_terminated(
+        &planner, MIN(rr_transaction_changes_max(core->config), core->planning.changes_allowed));
     record_write_shortage(&planner);
-    place(&planner);
-    rr_plan_edit_lost(&planner);
+    place_tasks_and_moves(&planner);
+    rr_plan_remove_lost(&planner);
     record_write_shortage(&planner);
     rr_plan_build_transaction(&planner);
     rr_plan_add_probes(&planner);
-    if (is_due(&core->planning.last_machine_cleanup_at, now, UNKNOWN_MACHINES_PERIOD_S)) {
-        forget_unknown_machines(core, now);
+    if (begin_period_if_due(&core->planning.last_machine_cleanup_at, now,
+                            MACHINE_CLEANUP_PERIOD_S)) {
+        remove_unrecorded_machines(core, now);
     }
-    if (is_due(&core->planning.last_usage_recount_at, now, USAGE_RECOUNT_PERIOD_S)) {
+    if (begin_period_if_due(&core->planning.last_usage_recount_at, now, USAGE_RECOUNT_PERIOD_S)) {
         rr_recount_team_usage(core);
     }
     rr_planner_clear(&planner);
-    if (is_due(&core->planning.last_job_shrink_at, now, JOBS_SHRINK_PERIOD_S)) {
+    if (begin_period_if_due(&core->planning.last_job_shrink_at, now, JOBS_SHRINK_PERIOD_S)) {
         rr_jobs_shrink(core, wall);
     }
 }
--- a/src/core/scheduling/plan_edits.c
+++ b/src/core/scheduling/plan_edits.c
@@ -1,44 +1,47 @@
-/* Edits of ledger records: terminated placements leave them, completions enter them. */
+/* Edits ledger records: removes terminated placements and adds completions. */
 #include "core/scheduling/plan_edits.h"
 #include "core/core_internal.h"
 #include "core/state/jobs.h"
 #include "core/state/ledger.h"
 #include "core/state/machines.h"
 
-/* At full write pressure a completion waits this long for others of its job. */
-#define COMPLETION_WAIT_MAX_S 40.0
-/* The tasks of a gang complete together; their heartbeats arrive within this time. */
+/* The longest time for which the removal of a terminated placement is deferred, so that one change
+ * records more completions of its job. Applies at write pressure 1 and scales with the pressure. */
+#define REMOVAL_DEFERRAL_MAX_S 40.0
+/* The tasks of a gang complete together, and the heartbeats that report it arrive within this
+ * time. */
 #define GANG_COMPLETION_WAIT_S 1.0
-/* Below the store's limit of 64 KiB for a transaction. */
+/* Estimated size; leaves a margin below the store's limit of 64 KiB for a transaction. */
 #define TRANSACTION_BYTES_MAX ((size_t)48 * 1024)
-#define RECORD_OVERHEAD_BYTES 120  /* of one record in a transaction: key, guard, framing */
-#define FINAL_RECORD_BYTES_MAX 200 /* of a job's final record, with its key */
+#define RECORD_OVERHEAD_BYTES 120  /* key, guard and framing of one record in a transaction */
+#define FINAL_RECORD_BYTES_MAX 200 /* a job's final record with its key */
 
 bool rr_ledger_record_fits(const rr_core *core, guint placement_count) {
     return (double)rr_ledger_record_bytes(placement_count) <= rr_value_kb_max(core->config) * 1024;
 }
 
-static bool has_room(const struct rr_planner *planner, int change_count, size_t bytes) {
+/* Whether the transaction has room for this many more changes and bytes. */
+static bool transaction_has_room(const struct rr_planner *planner, int change_count, size_t bytes) {
     return planner->change_count + change_count <= planner->change_limit &&
-           planner->bytes + bytes <= TRANSACTION_BYTES_MAX;
+           planner->transaction_bytes + bytes <= TRANSACTION_BYTES_MAX;
 }
 
-guint rr_plan_terminated_count(const struct rr_planner *planner, const rr_ledger_record *record) {
+guint rr_plan_count_terminated(const struct rr_planner *planner, const rr_ledger_record *record) {
     guint count = 0;
     for (guint i = record->first_terminated; i > 0; count++) {
-        i = g_array_index(planner->terminated, struct rr_terminated_placement, i - 1).next;
+        i = g_array_index(planner->terminated, struct rr_terminated_placement, i - 1).next_index;
     }
     return count;
 }
 
 bool rr_plan_can_write_record(const struct rr_planner *planner, const rr_ledger_record *record) {
     guint count = record->placements->len;
-    /* Until the lower limits are seen to hold, a record may stay as large as it is. */
+    /* A record may stay as large as it is until the store is seen to enforce the lower limits. */
     if (!planner->core->stored.next_limits_in_force ||
         rr_ledger_record_fits(planner->core, count)) {
         return true;
     }
-    guint terminated_count = rr_plan_terminated_count(planner, record);
+    guint terminated_count = rr_plan_count_terminated(planner, record);
     return rr_ledger_record_fits(planner->core, count - MIN(terminated_count, count));
 }
 
@@ -46,20 +49,21 @@
 static bool all_terminated(const struct rr_planner *planner, const rr_job *job) {
     for (guint i = 0; job->records && i < job->records->len; i++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
-        if (record && rr_plan_terminated_count(planner, record) < record->placements->len) {
+        if (record && rr_plan_count_terminated(planner, record) < record->placements->len) {
             return false;
         }
     }
     return true;
 }
 
-/* Whether terminated placements of the job may leave the ledger now. Those of a gang leave together
- * once all are terminated: no new attempt then runs beside an old one, and every owner can still
- * derive from the ledger that a task was lost. After completion or cancellation each leaves alone.
- */
-static bool may_leave_ledger(const struct rr_planner *planner, const rr_job *job) {
+/* Whether terminated placements of the job may be removed from the ledger now. Those of a gang are
+ * removed together once all are terminated: a new attempt then never runs beside an old one, and
+ * until then every owner can derive from the ledger that a task was lost. Once the gang has
+ * completed or is cancelled, each is removed on its own. */
+static bool may_remove_from_ledger(const struct rr_planner *planner, const rr_job *job) {
     return job->submission.kind != RR_JOB_GANG || job->cancelled || job->done ||
-           rr_planner_job(planner, job)->terminated_count > 0 || all_terminated(planner, job);
+           rr_planner_job_progress(planner, job)->completed_count > 0 ||
+           all_terminated(planner, job);
 }
 
 rr_placement_record *rr_record_edit_find(const struct rr_record_edit *edit, uint64_t attempt,
@@ -73,7 +77,8 @@
     return NULL;
 }
 
-static bool records_completion(const struct rr_record_edit *edit, uint32_t task) {
+/* Whether the edit already records the completion of the task. */
+static bool has_completion(const struct rr_record_edit *edit, uint32_t task) {
     for (guint i = 0; i < edit->completed->len; i++) {
         if (g_array_index(edit->completed, uint32_t, i) == task) {
             return true;
@@ -82,7 +87,8 @@
     return false;
 }
 
-/* A gang is complete once one of its tasks is. All its tasks are of one chunk. */
+/* Records the completion of all tasks of a gang, which is complete once one of its tasks is. All
+ * its tasks are in one chunk. */
 static void complete_gang(struct rr_record_edit *edit, struct rr_job_progress *progress) {
     progress->completing_count = edit->job->submission.task_count;
     for (uint32_t task = 0; task < edit->job->submission.task_count; task++) {
@@ -90,39 +96,40 @@
     }
 }
 
-/* Adds a completion to the record of the task's chunk, which may be another one than `edit`. False:
- * the transaction has no room for it. */
+/* Adds the task's completion to the record of its chunk, which differs from `edit` if the placement
+ * is in an overflow record. Returns false if the transaction has no room for it. */
 static bool add_completion(struct rr_planner *planner, struct rr_record_edit *edit,
                            const struct rr_terminated_placement *terminated) {
     rr_job *job = terminated->job;
-    struct rr_job_progress *progress = rr_planner_job(planner, job);
+    struct rr_job_progress *progress = rr_planner_job_progress(planner, job);
     bool gang = job->submission.kind == RR_JOB_GANG;
     uint32_t chunk = terminated->task / job->tasks_per_record;
-    struct rr_record_edit *home =
+    struct rr_record_edit *home_edit =
         edit->record->chunk == chunk ? edit : rr_plan_edit_record(planner, job, chunk);
-    if (!home) {
+    if (!home_edit) {
         return false;
     }
-    if ((gang && progress->completing_count > 0) || records_completion(home, terminated->task)) {
+    if ((gang && progress->completing_count > 0) || has_completion(home_edit, terminated->task)) {
         return true;
     }
     bool last =
         gang || job->done_count + progress->completing_count + 1 >= job->submission.task_count;
-    if (last && !has_room(planner, 1, FINAL_RECORD_BYTES_MAX)) {
+    if (last && !transaction_has_room(planner, 1, FINAL_RECORD_BYTES_MAX)) {
         return false;
     }
-    planner->change_count += last; /* the job's final record */
-    home->zone = terminated->machine->zone;
+    planner->change_count += last; /* the job's final record takes one more change */
+    home_edit->zone = terminated->machine->zone;
     if (gang) {
-        complete_gang(home, progress);
+        complete_gang(home_edit, progress);
     } else {
         progress->completing_count++;
-        g_array_append_val(home->completed, terminated->task);
+        g_array_append_val(home_edit->completed, terminated->task);
     }
     return true;
 }
 
-/* Removes a terminated placement, after its completion is added where there is one to record. */
+/* Removes a terminated placement from the edit. If its task's completion has to be recorded, adds
+ * it first, and keeps the placement if the transaction has no room for the completion. */
 static void remove_terminated(struct rr_planner *planner, struct rr_record_edit *edit,
                               const struct rr_terminated_placement *terminated) {
     rr_job *job = terminated->job;
@@ -137,13 +144,13 @@
     }
 }
 
-/* Removes every terminated placement from a record that this plan already writes. */
+/* Removes every placement known to be terminated from the edit. */
 static void remove_all_terminated(struct rr_planner *planner, struct rr_record_edit *edit) {
     for (guint i = edit->record->first_terminated; i > 0;) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i - 1);
         remove_terminated(planner, edit, terminated);
-        i = terminated->next;
+        i = terminated->next_index;
     }
 }
 
@@ -154,11 +161,11 @@
         return record->edit;
     }
     if (!rr_plan_can_write_record(planner, record) ||
-        (rr_plan_terminated_count(planner, record) > 0 && !may_leave_ledger(planner, job))) {
+        (rr_plan_count_terminated(planner, record) > 0 && !may_remove_from_ledger(planner, job))) {
         return NULL;
     }
     size_t bytes = rr_ledger_record_bytes(record->placements->len + 1) + RECORD_OVERHEAD_BYTES;
-    if (!has_room(planner, 1, bytes)) {
+    if (!transaction_has_room(planner, 1, bytes)) {
         planner->full = true;
         return NULL;
     }
@@ -170,7 +177,7 @@
     edit->zone = -1;
     record->edit = edit;
     planner->change_count++;
-    planner->bytes += bytes;
+    planner->transaction_bytes += bytes;
     g_ptr_array_add(planner->edits, edit);
     remove_all_terminated(planner, edit);
     return edit;
@@ -180,12 +187,12 @@
                             rr_placement *placement, bool completed, const char *proof) {
     rr_job *job = placement->job;
     if (placement->terminated_at <= 0 && !completed) {
-        rr_log_at(planner->core, RR_LOG_DEBUG, "terminated %s/%u on %s: %s", job->submission.job_id,
-                  placement->task, machine->name, proof);
+        rr_log_at(planner->core, RR_LOG_DEBUG, "terminated task %s/%u on machine %s: %s",
+                  job->submission.job_id, placement->task, machine->name, proof);
     }
     placement->terminated_at =
         placement->terminated_at > 0 ? placement->terminated_at : planner->now;
-    double wait_max_s = COMPLETION_WAIT_MAX_S * planner->core->planning.write_pressure;
+    double deferral_max_s = REMOVAL_DEFERRAL_MAX_S * planner->core->planning.write_pressure;
     rr_ledger_record *record = rr_job_ledger_record_get(job, placement->chunk);
     struct rr_terminated_placement terminated = {
         .machine = machine,
@@ -194,18 +201,19 @@
         .chunk = placement->chunk,
         .attempt = placement->attempt,
         .completed = completed,
-        .may_wait = planner->now - placement->terminated_at < wait_max_s,
+        .removal_may_wait = planner->now - placement->terminated_at < deferral_max_s,
         .preempted = placement->preempt != RR_PREEMPT_NONE,
-        .next = record->first_terminated};
+        .next_index = record->first_terminated};
     if (completed && !rr_job_task_done(job, placement->task)) {
-        uint32_t *count = &rr_planner_job(planner, job)->terminated_count;
+        uint32_t *count = &rr_planner_job_progress(planner, job)->completed_count;
         *count = job->submission.kind == RR_JOB_GANG ? job->submission.task_count : *count + 1;
     }
     g_array_append_val(planner->terminated, terminated);
     record->first_terminated = planner->terminated->len;
 }
 
-/* Lets a task be placed again in the transaction that removes its terminated placement. */
+/* Marks a task as unplaced within this plan, so that the transaction that removes its terminated
+ * placement can place it again. */
 static void requeue_task(struct rr_planner *planner, rr_job *job, uint32_t task) {
     struct rr_requeued_task requeued = {job, task};
     if (job->placed && task < job->submission.task_count && job->placed[task] == 1 &&
@@ -217,15 +225,17 @@
     }
 }
 
+/* Whether all tasks of the job are done, counting completions that this plan knows of. */
 static bool all_tasks_done(const struct rr_planner *planner, const rr_job *job) {
-    return !job->cancelled && job->done_count + rr_planner_job(planner, job)->terminated_count >=
-                                  job->submission.task_count;
+    return !job->cancelled &&
+           job->done_count + rr_planner_job_progress(planner, job)->completed_count >=
+               job->submission.task_count;
 }
 
 /* Whether the completion of a gang's task waits for the heartbeats of the other tasks, so that one
- * change ends the gang. */
-static bool waits_for_gang(const struct rr_planner *planner,
-                           const struct rr_terminated_placement *terminated) {
+ * change removes the whole gang. */
+static bool awaits_gang_completions(const struct rr_planner *planner,
+                                    const struct rr_terminated_placement *terminated) {
     const rr_job *job = terminated->job;
     const rr_placement *placement =
         rr_placement_find(terminated->machine, terminated->attempt, job, terminated->task);
@@ -234,43 +244,43 @@
            !all_terminated(planner, job);
 }
 
-/* Whether the task has to run again. */
-static bool is_lost(const struct rr_terminated_placement *terminated) {
+/* Whether the placement terminated without completing its task, which has to run again. */
+static bool task_was_lost(const struct rr_terminated_placement *terminated) {
     return !terminated->completed && !terminated->job->cancelled;
 }
 
-/* Whether the placement leaves the ledger in this plan, whatever else happens to its record. The
- * last completions of a job never wait, since its user does. A lost placement waits until its task
- * is placed again: removing it first would spend writes on low-priority jobs that services of high
- * priority need. */
-static bool must_leave_now(const struct rr_planner *planner,
-                           const struct rr_terminated_placement *terminated) {
-    if (waits_for_gang(planner, terminated)) {
+/* Whether this plan has to remove the placement even if it does not write its record otherwise. The
+ * last completions of a job are never deferred, since its user waits for them. A lost placement
+ * waits until its task is placed again: removing it earlier would spend writes on low-priority jobs
+ * that high-priority services need. */
+static bool must_remove_now(const struct rr_planner *planner,
+                            const struct rr_terminated_placement *terminated) {
+    if (awaits_gang_completions(planner, terminated)) {
         return false;
     }
     return terminated->preempted ||
-           (!is_lost(terminated) &&
-            (!terminated->may_wait || all_tasks_done(planner, terminated->job)));
+           (!task_was_lost(terminated) &&
+            (!terminated->removal_may_wait || all_tasks_done(planner, terminated->job)));
 }
 
-void rr_plan_edit_terminated(struct rr_planner *planner) {
+void rr_plan_process_terminated(struct rr_planner *planner) {
     for (guint i = 0; i < planner->terminated->len; i++) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i);
-        if (is_lost(terminated) && may_leave_ledger(planner, terminated->job)) {
+        if (task_was_lost(terminated) && may_remove_from_ledger(planner, terminated->job)) {
             requeue_task(planner, terminated->job, terminated->task);
         }
-        if (must_leave_now(planner, terminated)) {
+        if (must_remove_now(planner, terminated)) {
             rr_plan_edit_record(planner, terminated->job, terminated->chunk);
         }
     }
 }
 
-void rr_plan_edit_lost(struct rr_planner *planner) {
+void rr_plan_remove_lost(struct rr_planner *planner) {
     for (guint i = 0; i < planner->terminated->len && !planner->full; i++) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i);
-        if (is_lost(terminated) && !terminated->may_wait) {
+        if (task_was_lost(terminated) && !terminated->removal_may_wait) {
             rr_plan_edit_record(planner, terminated->job, terminated->chunk);
         }
     }
--- a/src/core/scheduling/plan_edits.h
+++ b/src/core/scheduling/plan_edits.h
@@ -1,40 +1,43 @@
-/* Edits of ledger records within one plan: each record is written at most once, with everything
- * that the plan changes in it. */
+/* Edits of ledger records within one plan. All changes to a record are collected in one edit, so
+ * that the plan's transaction writes each record at most once. */
 #ifndef RR_CORE_SCHEDULING_PLAN_EDITS_H
 #define RR_CORE_SCHEDULING_PLAN_EDITS_H
 
 #include "core/scheduling/planner.h"
 
-/* Whether a record with this many placements keeps to the size limit of a stored value. */
+/* Whether a record with this many placements is within the size limit of a stored value. */
 bool rr_ledger_record_fits(const rr_core *core, guint placement_count);
 
-/* Whether the key-value store takes the record as this plan may write it. A record written before
- * the limits were lowered may be too large until enough of its placements are terminated. */
+/* Whether the key-value store would accept the record without the placements that this plan knows
+ * to be terminated. A record written before the size limit was lowered may be too large until
+ * enough of its placements are terminated. */
 bool rr_plan_can_write_record(const struct rr_planner *planner, const rr_ledger_record *record);
 
-/* The edit of a chunk's record; begins it if this plan has none yet, without the placements that
- * are known to be terminated. NULL: the record can't be written, or the transaction is full. The
+/* Returns this plan's edit of the chunk's record, creating it if need be. A new edit starts with
+ * the record's placements, except those known to be terminated. Returns NULL if the record can't be
+ * written now or the transaction is full; in the latter case it also sets planner->full. The
  * planner owns the edit. */
 struct rr_record_edit *rr_plan_edit_record(struct rr_planner *planner, rr_job *job, uint32_t chunk);
 
-/* The placement of this attempt and task in the edit, NULL: there is none. The pointer is valid
- * until the edit's placements change. */
+/* Returns the placement of this attempt and task in the edit, or NULL. The pointer is valid until
+ * the edit's placements change. */
 rr_placement_record *rr_record_edit_find(const struct rr_record_edit *edit, uint64_t attempt,
                                          uint32_t task);
 
-/* The number of placements of the record that this plan knows to be terminated. */
-guint rr_plan_terminated_count(const struct rr_planner *planner, const rr_ledger_record *record);
+/* Returns the number of the record's placements that this plan knows to be terminated. */
+guint rr_plan_count_terminated(const struct rr_planner *planner, const rr_ledger_record *record);
 
-/* Notes that a placement is proven terminated. `proof` says how, for the log. */
+/* Records in the planner that a placement is proven terminated, and sets its terminated_at unless
+ * set. completed: its task is done. proof: why it is known to be terminated, for the log. */
 void rr_plan_add_terminated(struct rr_planner *planner, rr_machine *machine,
                             rr_placement *placement, bool completed, const char *proof);
 
-/* Requeues the tasks that lost their placements, and edits the records whose completions and
- * preempted placements must not wait any longer. */
-void rr_plan_edit_terminated(struct rr_planner *planner);
+/* Requeues tasks whose placements terminated without completing them, and edits the records whose
+ * completions or preempted placements must not wait any longer. */
+void rr_plan_process_terminated(struct rr_planner *planner);
 
-/* Edits the records of lost placements for whose tasks the plan found no room, as far as the
- * transaction allows. */
-void rr_plan_edit_lost(struct rr_planner *planner);
+/* Removes lost placements that have waited long enough although this plan has not placed their
+ * tasks again, until the transaction is full. To be called after placement. */
+void rr_plan_remove_lost(struct rr_planner *planner);
 
 #endif
--- a/src/core/scheduling/plan_transaction.c
+++ b/src/core/scheduling/plan_transaction.c
@@ -1,5 +1,5 @@
-/* Builds a plan's transaction: ledger records, final records of jobs, guards, and the deletion of
- * records that nobody needs any more. */
+/* Builds a plan's transaction: ledger records, final records of jobs, guards, and deletions of
+ * obsolete records. */
 #include "core/scheduling/plan_transaction.h"
 #include "core/core_internal.h"
 #include "core/leadership.h"
@@ -12,11 +12,12 @@
 #include "core/submissions.h"
 
 #define KEY_BYTES_MAX (RR_ID_SIZE + 64)
-/* Deletions wait until the write pressure is below these. */
+/* Obsolete records are deleted only while the write pressure is low. */
 #define ORPHAN_DELETION_PRESSURE_MAX 0.5
 #define BATCH_DELETION_PRESSURE_MAX 0.3
 #define BATCH_DELETION_PERIOD_S 2.0
 
+/* Adds the final record of a completed job. */
 static void put_final_record(struct rr_planner *planner, const rr_job *job) {
     rr_job_final_record(job, &planner->plan->transaction);
     rr_log_at(planner->core, RR_LOG_DEBUG,
@@ -26,7 +27,8 @@
               job->submission.deadline_s, job->submission.runtime_estimate_s);
 }
 
-/* The zone that the record keeps for a job of one zone, -1: none. */
+/* Returns the zone to store in the record of a one-zone job: that of a task whose completion the
+ * edit records, else the job's. Returns -1 for other jobs or if there is none. */
 static int recorded_zone(const struct rr_record_edit *edit) {
     if (!edit->job->submission.one_zone) {
         return -1;
@@ -43,10 +45,12 @@
     rr_transaction_put(&planner->plan->transaction, key, &encoder, 0);
 }
 
+/* Adds the edited record with its guard, or its deletion if the job is final and no placement is
+ * left. Also adds the final record of a job that the plan completes. */
 static void put_edit(struct rr_planner *planner, const struct rr_record_edit *edit) {
     rr_transaction *transaction = &planner->plan->transaction;
     rr_job *job = edit->job;
-    struct rr_job_progress *progress = rr_planner_job(planner, job);
+    struct rr_job_progress *progress = rr_planner_job_progress(planner, job);
     bool completes_job = progress->completing_count > 0 &&
                          job->done_count + progress->completing_count >= job->submission.task_count;
     bool is_final = completes_job || job->cancelled || job->done;
@@ -72,6 +76,7 @@
     }
 }
 
+/* Guards the record of each job that the transaction depends on. */
 static void guard_jobs(struct rr_planner *planner) {
     char key[KEY_BYTES_MAX];
     for (guint i = 0; i < planner->guarded_jobs->len; i++) {
@@ -87,7 +92,7 @@
     planner->change_count++;
 }
 
-/* Deletes ledger records of final jobs. */
+/* Deletes ledger records that are left of final jobs of this controller's teams. */
 static void delete_orphan_records(struct rr_planner *planner) {
     rr_core *core = planner->core;
     GPtrArray *keys = core->stored.orphan_record_keys;
@@ -105,8 +110,8 @@
     }
 }
 
-/* Whether every job of the batch has a record of its own. */
-static bool is_obsolete(const rr_job_batch *batch) {
+/* Whether every job of the batch has its own record, which makes the batch record obsolete. */
+static bool is_batch_obsolete(const rr_job_batch *batch) {
     for (guint i = 0; i < batch->jobs->len; i++) {
         if (((const rr_job *)g_ptr_array_index(batch->jobs, i))->own_version == 0) {
             return false;
@@ -115,6 +120,8 @@
     return true;
 }
 
+/* Deletes obsolete batch records, at most once per BATCH_DELETION_PERIOD_S and only on the
+ * autoscaler. */
 static void delete_obsolete_batches(struct rr_planner *planner) {
     rr_core *core = planner->core;
     GHashTableIter iter;
@@ -128,12 +135,13 @@
     g_hash_table_iter_init(&iter, core->stored.batches);
     while (planner->change_count < planner->change_limit &&
            g_hash_table_iter_next(&iter, &key, &value)) {
-        if (is_obsolete(value)) {
+        if (is_batch_obsolete(value)) {
             delete_record(planner, key, ((const rr_job_batch *)value)->version);
         }
     }
 }
 
+/* Whether the edit reserves a task: it has a placement that the store cache does not show. */
 static bool adds_placement(const struct rr_record_edit *edit) {
     for (guint i = 0; i < edit->placements->len; i++) {
         const rr_placement_record *record =
@@ -145,24 +153,24 @@
     return false;
 }
 
-/* Logs what the changes are for, since the store's limit on changes bounds most plans. */
+/* Logs the purposes of the plan's changes, since the store's limit on changes bounds most plans. */
 static void log_plan(const struct rr_planner *planner) {
-    guint reserving = 0, completing = 0, other = 0;
+    guint reserving_count = 0, completing_count = 0, other_count = 0;
     for (guint i = 0; i < planner->edits->len; i++) {
         const struct rr_record_edit *edit = g_ptr_array_index(planner->edits, i);
         if (adds_placement(edit)) {
-            reserving++;
+            reserving_count++;
         } else if (edit->completed->len > 0) {
-            completing++;
+            completing_count++;
         } else {
-            other++;
+            other_count++;
         }
     }
     rr_log_at(planner->core, RR_LOG_DEBUG,
-              "plan: %u changes: %u records reserve, %u complete tasks, %u others; "
+              "plan: %u changes: %u records add placements, %u add completions, %u others; "
               "%u placements terminated; write pressure %.2f",
-              planner->plan->transaction.changes->len, reserving, completing, other,
-              planner->terminated->len, planner->core->planning.write_pressure);
+              planner->plan->transaction.changes->len, reserving_count, completing_count,
+              other_count, planner->terminated->len, planner->core->planning.write_pressure);
 }
 
 void rr_plan_build_transaction(struct rr_planner *planner) {
@@ -171,10 +179,11 @@
     for (guint i = 0; i < planner->edits->len; i++) {
         put_edit(planner, g_ptr_array_index(planner->edits, i));
     }
-    /* A delayed duplicate of this transaction fails on the job's guard, even after the ledger
-     * record that it guards has been deleted. */
+    /* With the guards of jobs, a delayed duplicate of this transaction fails even after the ledger
+     * records that it guards have been deleted. */
     guard_jobs(planner);
-    /* Deletions go alone: a stale record among them must not fail other changes. */
+    /* Deletions have a transaction of their own: the guard of a stale record among them must not
+     * fail other changes. */
     if (transaction->changes->len == 0) {
         delete_orphan_records(planner);
         delete_obsolete_batches(planner);
--- a/src/core/scheduling/planner.c
+++ b/src/core/scheduling/planner.c
@@ -1,4 +1,4 @@
-/* Begins a plan, and removes its traces from the store cache. */
+/* Initializes the state of a plan, and resets what the plan has marked in the store cache. */
 #include "core/scheduling/planner.h"
 #include "core/core_internal.h"
 #include "core/scheduling/bin_packing.h"
@@ -17,11 +17,11 @@
 void rr_planner_init(struct rr_planner *planner, rr_core *core, double now, double wall,
                      rr_plan *plan) {
     *planner = (struct rr_planner){.core = core, .now = now, .wall = wall, .plan = plan};
-    planner->jobs = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
+    planner->job_progress = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     planner->edits = g_ptr_array_new_with_free_func(free_edit);
     planner->terminated = g_array_new(FALSE, FALSE, sizeof(struct rr_terminated_placement));
     planner->requeued = g_array_new(FALSE, FALSE, sizeof(struct rr_requeued_task));
-    planner->machines = g_ptr_array_new();
+    planner->used_machines = g_ptr_array_new();
     planner->guarded_jobs = g_ptr_array_new();
     planner->failed_searches = g_array_new(FALSE, FALSE, sizeof(struct rr_failed_search));
     planner->candidates = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
@@ -32,28 +32,30 @@
 void rr_planner_use_machine(struct rr_planner *planner, rr_machine *machine) {
     if (!machine->reserved_jobs) {
         machine->reserved_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
-        g_ptr_array_add(planner->machines, machine);
+        g_ptr_array_add(planner->used_machines, machine);
     }
 }
 
-struct rr_job_progress *rr_planner_job(const struct rr_planner *planner, const rr_job *job) {
-    struct rr_job_progress *progress = g_hash_table_lookup(planner->jobs, job);
+struct rr_job_progress *rr_planner_job_progress(const struct rr_planner *planner,
+                                                const rr_job *job) {
+    struct rr_job_progress *progress = g_hash_table_lookup(planner->job_progress, job);
     if (!progress) {
         progress = g_new0(struct rr_job_progress, 1);
-        g_hash_table_insert(planner->jobs, (gpointer)job, progress);
+        g_hash_table_insert(planner->job_progress, (gpointer)job, progress);
     }
     return progress;
 }
 
 void rr_planner_guard_job(struct rr_planner *planner, rr_job *job) {
-    struct rr_job_progress *progress = rr_planner_job(planner, job);
+    struct rr_job_progress *progress = rr_planner_job_progress(planner, job);
     if (!progress->guarded) {
         progress->guarded = true;
         g_ptr_array_add(planner->guarded_jobs, job);
     }
 }
 
-static void clear_machine(rr_machine *machine) {
+/* Resets the machine's per-plan state. */
+static void reset_machine(rr_machine *machine) {
     g_array_free(machine->reserved_jobs, TRUE);
     machine->reserved_jobs = NULL;
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -61,8 +63,9 @@
     }
 }
 
-/* The store cache counts placements as the key-value store has them. */
-static void restore_requeued(const GArray *requeued) {
+/* Counts requeued tasks as placed again: the store cache counts placements as the key-value store
+ * has them, and the plan's transaction is not applied yet. */
+static void restore_requeued_tasks(const GArray *requeued) {
     for (guint i = 0; i < requeued->len; i++) {
         const struct rr_requeued_task *entry = &g_array_index(requeued, struct rr_requeued_task, i);
         entry->job->placed[entry->task] = 1;
@@ -70,7 +73,8 @@
     }
 }
 
-static void clear_terminated(const GArray *terminated) {
+/* Resets the lists of terminated placements in the ledger records. */
+static void clear_terminated_lists(const GArray *terminated) {
     for (guint i = 0; i < terminated->len; i++) {
         const struct rr_terminated_placement *entry =
             &g_array_index(terminated, struct rr_terminated_placement, i);
@@ -79,13 +83,13 @@
 }
 
 void rr_planner_clear(struct rr_planner *planner) {
-    for (guint i = 0; i < planner->machines->len; i++) {
-        clear_machine(g_ptr_array_index(planner->machines, i));
+    for (guint i = 0; i < planner->used_machines->len; i++) {
+        reset_machine(g_ptr_array_index(planner->used_machines, i));
     }
-    restore_requeued(planner->requeued);
-    clear_terminated(planner->terminated);
-    g_hash_table_destroy(planner->jobs);
-    g_ptr_array_free(planner->machines, TRUE);
+    restore_requeued_tasks(planner->requeued);
+    clear_terminated_lists(planner->terminated);
+    g_hash_table_destroy(planner->job_progress);
+    g_ptr_array_free(planner->used_machines, TRUE);
     g_ptr_array_free(planner->guarded_jobs, TRUE);
     g_ptr_array_free(planner->edits, TRUE);
     g_array_free(planner->requeued, TRUE);
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -1,5 +1,5 @@
-/* Reservations: a placement enters its ledger record, and its machine's free resources and its
- * team's usage follow within the plan. */
+/* Reserves machines for tasks: adds a placement to the edit of a ledger record, and updates the
+ * machine's free resources and the team's usage within the plan. */
 #include "core/scheduling/reservation.h"
 #include "core/core_internal.h"
 #include "core/leadership.h"
@@ -10,10 +10,10 @@
 #include "core/state/machines.h"
 #include "core/state/resources.h"
 
-#define OVERFLOW_RECORDS_MAX 16 /* of one job */
-#define NO_RECORD (-1)
+#define OVERFLOW_RECORDS_MAX 16 /* per job */
+#define NO_CHUNK (-1)
 
-/* ---- limits and guarantees ---- */
+/* ---- limits and guarantees of teams ---- */
 
 rr_resources rr_team_usage_in_plan(const struct rr_planner *planner, int team) {
     const rr_core *core = planner->core;
@@ -33,8 +33,9 @@
            (team->gpus_max <= 0 || used.gpus <= team->gpus_max + RR_RESOURCE_EPSILON);
 }
 
-/* Memory is not guaranteed. */
-static rr_resources guarantee_of(const rr_core *core, int team) {
+/* Returns the CPUs and GPUs guaranteed to the team; memory is not guaranteed. A team that is not in
+ * the settings has no guarantee. */
+static rr_resources team_guarantee(const rr_core *core, int team) {
     if (team < 0 || (size_t)team >= core->config->team_count) {
         return (rr_resources){0, 0, 0};
     }
@@ -42,7 +43,7 @@
 }
 
 bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t task_count) {
-    rr_resources guarantee = guarantee_of(planner->core, job->team);
+    rr_resources guarantee = team_guarantee(planner->core, job->team);
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, task_count);
     return used.cpus <= guarantee.cpus + RR_RESOURCE_EPSILON &&
@@ -50,7 +51,7 @@
 }
 
 bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_resources returned) {
-    rr_resources guarantee = guarantee_of(planner->core, team);
+    rr_resources guarantee = team_guarantee(planner->core, team);
     rr_resources used = rr_resources_add(rr_team_usage_in_plan(planner, team), returned, -1);
     return used.cpus > guarantee.cpus + RR_RESOURCE_EPSILON ||
            used.gpus > guarantee.gpus + RR_RESOURCE_EPSILON;
@@ -62,46 +63,51 @@
     *reserved = rr_resources_add(*reserved, job->request, task_count);
 }
 
-/* ---- the record of a reservation ---- */
+/* ---- choice of the ledger record ---- */
 
-static const rr_ledger_record *record_at(const rr_job *job, uint32_t chunk) {
+/* Returns the job's record of this chunk, or NULL if there is none yet. */
+static const rr_ledger_record *find_chunk_record(const rr_job *job, uint32_t chunk) {
     return job->records && chunk < job->records->len ? g_ptr_array_index(job->records, chunk)
                                                      : NULL;
 }
 
-/* Whether the record takes one more placement, once the terminated ones have left it. NULL: a
- * record that does not exist yet. */
-static bool takes_placement(const struct rr_planner *planner, const rr_ledger_record *record) {
+/* Whether the record has room for one more placement once its terminated placements are removed.
+ * NULL stands for a record that does not exist yet. */
+static bool has_room_for_placement(const struct rr_planner *planner,
+                                   const rr_ledger_record *record) {
     if (!record) {
         return true;
     }
     const struct rr_record_edit *edit = record->edit;
-    guint terminated = MIN(rr_plan_terminated_count(planner, record), record->placements->len);
+    guint terminated = MIN(rr_plan_count_terminated(planner, record), record->placements->len);
     guint placements = edit ? edit->placements->len : record->placements->len - terminated;
     return rr_ledger_record_fits(planner->core, placements + 1);
 }
 
-/* The record that takes a placement of the task: that of its chunk, or else an overflow record,
- * which is written only while every controller reads them. NO_RECORD: none. */
-static int64_t find_record(const struct rr_planner *planner, rr_job *job, uint32_t task) {
-    uint32_t home = task / job->tasks_per_record, first_overflow = rr_job_chunks(job);
-    if (takes_placement(planner, rr_job_ledger_record_get(job, home))) {
-        return home;
+/* Returns the number of a record with room for a placement of the task, or NO_CHUNK. Prefers the
+ * record of the task's chunk to an overflow record; overflow records are written only while every
+ * controller of the term can read them. */
+static int64_t find_reservation_chunk(const struct rr_planner *planner, rr_job *job,
+                                      uint32_t task) {
+    uint32_t home_chunk = task / job->tasks_per_record, first_overflow = rr_job_chunks(job);
+    if (has_room_for_placement(planner, rr_job_ledger_record_get(job, home_chunk))) {
+        return home_chunk;
     }
     if (!rr_core_all_gang_capable(planner->core)) {
-        return NO_RECORD;
+        return NO_CHUNK;
     }
     uint32_t end = MIN(first_overflow + OVERFLOW_RECORDS_MAX,
                        RR_TASKS_MAX / planner->core->stored.tasks_per_record + 1);
     for (uint32_t chunk = first_overflow; chunk < end; chunk++) {
-        if (takes_placement(planner, record_at(job, chunk))) {
+        if (has_room_for_placement(planner, find_chunk_record(job, chunk))) {
             return chunk;
         }
     }
-    return NO_RECORD;
+    return NO_CHUNK;
 }
 
-/* Whether a record that this plan does not edit yet has a placement of the task. */
+/* Whether the record has a placement of the task. False for NULL and for a record that this plan
+ * edits already, since the edit has removed the terminated placements. */
 static bool has_earlier_placement(const rr_ledger_record *record, uint32_t task) {
     for (guint i = 0; record && !record->edit && i < record->placements->len; i++) {
         if (g_array_index(record->placements, rr_placement_record, i).task == task) {
@@ -111,22 +117,23 @@
     return false;
 }
 
-/* The records that may hold a task are that of its chunk, then the overflow records. A job may have
- * hundreds of others. */
-static guint task_record_count(const rr_job *job) {
+/* Returns the number of records that may hold placements of one task: that of its chunk and the
+ * overflow records. The others are not searched, since a job may have hundreds of records. */
+static guint count_task_records(const rr_job *job) {
     return rr_job_overflows(job) ? 1 + job->records->len - rr_job_chunks(job) : 1;
 }
 
+/* Returns the chunk of the i-th record that may hold placements of the task. */
 static uint32_t task_record_chunk(const rr_job *job, uint32_t task, guint i) {
     return i == 0 ? task / job->tasks_per_record : rr_job_chunks(job) + i - 1;
 }
 
 enum rr_reservable rr_reservable(const struct rr_planner *planner, rr_job *job, uint32_t task) {
-    if (find_record(planner, job, task) == NO_RECORD) {
+    if (find_reservation_chunk(planner, job, task) == NO_CHUNK) {
         return RR_CHUNK_BLOCKED;
     }
-    for (guint i = 0; i < task_record_count(job); i++) {
-        const rr_ledger_record *record = record_at(job, task_record_chunk(job, task, i));
+    for (guint i = 0; i < count_task_records(job); i++) {
+        const rr_ledger_record *record = find_chunk_record(job, task_record_chunk(job, task, i));
         if (has_earlier_placement(record, task) && !rr_plan_can_write_record(planner, record)) {
             return RR_TASK_BLOCKED;
         }
@@ -134,12 +141,12 @@
     return RR_RESERVABLE;
 }
 
-/* Edits all records that hold an earlier, terminated placement of the task: it leaves the ledger in
- * the transaction that reserves the task again. */
-static bool edit_earlier_records(struct rr_planner *planner, rr_job *job, uint32_t task) {
-    for (guint i = 0; i < task_record_count(job); i++) {
+/* Edits all records that hold an earlier, terminated placement of the task, so that the transaction
+ * that reserves the task again removes it. Returns false if one of them can't be edited. */
+static bool edit_earlier_placements(struct rr_planner *planner, rr_job *job, uint32_t task) {
+    for (guint i = 0; i < count_task_records(job); i++) {
         uint32_t chunk = task_record_chunk(job, task, i);
-        if (has_earlier_placement(record_at(job, chunk), task) &&
+        if (has_earlier_placement(find_chunk_record(job, chunk), task) &&
             !rr_plan_edit_record(planner, job, chunk)) {
             return false;
         }
@@ -149,14 +156,14 @@
 
 struct rr_record_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job,
                                              uint32_t task) {
-    if (!edit_earlier_records(planner, job, task)) {
+    if (!edit_earlier_placements(planner, job, task)) {
         return NULL;
     }
-    int64_t chunk = find_record(planner, job, task);
-    return chunk == NO_RECORD ? NULL : rr_plan_edit_record(planner, job, (uint32_t)chunk);
+    int64_t chunk = find_reservation_chunk(planner, job, task);
+    return chunk == NO_CHUNK ? NULL : rr_plan_edit_record(planner, job, (uint32_t)chunk);
 }
 
-/* ---- reserving ---- */
+/* ---- reservations ---- */
 
 bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
                         uint64_t attempt) {
@@ -176,7 +183,8 @@
     rr_reserve_team_usage(planner, job, 1);
     rr_planner_guard_job(planner, job);
     planner->last_reserved = machine;
-    rr_log_at(planner->core, RR_LOG_DEBUG, "place %s/%u attempt %" G_GUINT64_FORMAT " on %s",
+    rr_log_at(planner->core, RR_LOG_DEBUG,
+              "reserve task %s/%u attempt %" G_GUINT64_FORMAT " on machine %s",
               job->submission.job_id, task, attempt, machine->name);
     return true;
 }
@@ -185,6 +193,7 @@
     return rr_reserve_attempt(planner, machine, job, task, rr_next_attempt(planner->core));
 }
 
+/* Removes the last placement of a record edit and gives back its resources. */
 static void cancel_last_reservation(const struct rr_planner *planner, const rr_job *job,
                                     GArray *placements) {
     rr_machine *machine =
