--- a/src/core/state/cache_progress.c
+++ b/src/core/state/cache_progress.c
@@ -1,4 +1,4 @@
-/* How far the store cache has followed the store. */
+/* Progress of the store cache: its revision, its age and whether it is consistent. */
 #include "core/cache_feed.h"
 #include "core/core_internal.h"
 #include "core/extensions.h"
--- a/src/core/state/cancel_hints.c
+++ b/src/core/state/cancel_hints.c
@@ -1,11 +1,12 @@
-/* Cancellation hints: replies to heartbeats stop the tasks of these jobs before their records
- * arrive. Stopping a cancelled task is always right, so a hint needs no record; it authorizes
- * nothing else: it frees no resources and changes no state that users see. */
+/* Cancellation hints. Replies to heartbeats stop the tasks of a hinted job before the cancelled
+ * record of the job arrives. A hint needs no record, because stopping a cancelled task is always
+ * safe. It has no other effect: it frees no resources and changes no state that users see. */
 #include "core/state/cancel_hints.h"
 #include "core/core_internal.h"
 #include "core/heartbeats.h"
 
-#define HINTS_MAX 4096u /* beyond it the watch alone brings cancellations */
+/* Further cancellations are known only once the watch delivers their records. */
+#define CANCEL_HINTS_MAX 4096u
 
 static gboolean is_expired(gpointer job_id, gpointer until, gpointer now) {
     (void)job_id;
@@ -14,10 +15,10 @@
 
 void rr_core_add_cancel_hint(rr_core *core, const char *job_id, double now) {
     GHashTable *hints = core->stored.cancel_hints;
-    if (g_hash_table_size(hints) >= HINTS_MAX) {
+    if (g_hash_table_size(hints) >= CANCEL_HINTS_MAX) {
         g_hash_table_foreach_remove(hints, is_expired, &now);
     }
-    if (g_hash_table_size(hints) >= HINTS_MAX) {
+    if (g_hash_table_size(hints) >= CANCEL_HINTS_MAX) {
         return;
     }
     double *until = g_new(double, 1);
--- a/src/core/state/transaction.c
+++ b/src/core/state/transaction.c
@@ -1,14 +1,16 @@
-/* Building transactions and encoding them for the store. */
+/* Builds transactions and encodes them for the store. */
 #include "core/state/transaction.h"
 #include "wire/wire_words.h"
 
 #include <string.h>
 
-static void guard_free(gpointer data) {
+/* GDestroyNotify of the guards: frees what a guard owns. */
+static void clear_guard(gpointer data) {
     g_free(((rr_guard *)data)->key);
 }
 
-static void change_free(gpointer data) {
+/* GDestroyNotify of the changes: frees what a change owns. */
+static void clear_change(gpointer data) {
     rr_change *change = data;
     g_free(change->key);
     g_free(change->value);
@@ -17,8 +19,8 @@
 void rr_transaction_init(rr_transaction *transaction) {
     transaction->guards = g_array_new(FALSE, FALSE, sizeof(rr_guard));
     transaction->changes = g_array_new(FALSE, FALSE, sizeof(rr_change));
-    g_array_set_clear_func(transaction->guards, guard_free);
-    g_array_set_clear_func(transaction->changes, change_free);
+    g_array_set_clear_func(transaction->guards, clear_guard);
+    g_array_set_clear_func(transaction->changes, clear_change);
 }
 
 void rr_transaction_clear(rr_transaction *transaction) {
