--- a/src/core/state/machine_pages.c
+++ b/src/core/state/machine_pages.c
@@ -1,5 +1,5 @@
-/* Machine types and machine pages in the store cache. A machine whose record is gone stays as a
- * name while the ledger has placements on it. */
+/* Machine types and machine pages in the store cache. A machine whose record was removed stays in
+ * the cache while the ledger has placements on it. */
 #include "core/state/machine_pages.h"
 #include "core/core_internal.h"
 #include "core/state/machines.h"
@@ -21,7 +21,9 @@
     return type->name[0] ? type : NULL;
 }
 
-static int machine_type_index(rr_core *core, const char *type_name) {
+/* Returns the index of the machine type, a new one if the name is unknown. May move the array of
+ * machine types. */
+static int find_or_add_machine_type(rr_core *core, const char *type_name) {
     int i = rr_name_index_add(&core->stored.machine_type_names, type_name);
     if ((guint)i >= core->stored.machine_types->len) {
         g_array_set_size(core->stored.machine_types, (guint)i + 1);
@@ -35,10 +37,11 @@
         rr_machine_type_clear(&type);
         return;
     }
-    int index = machine_type_index(core, type.name); /* may move the array */
-    rr_machine_type *slot = &g_array_index(core->stored.machine_types, rr_machine_type, index);
-    rr_machine_type_clear(slot);
-    *slot = type;
+    int index = find_or_add_machine_type(core, type.name);
+    rr_machine_type *stored_type =
+        &g_array_index(core->stored.machine_types, rr_machine_type, index);
+    rr_machine_type_clear(stored_type);
+    *stored_type = type;
     for (guint i = 0; i < type.zones->len; i++) {
         rr_name_index_add(&core->stored.zones, g_ptr_array_index(type.zones, i));
     }
@@ -58,13 +61,14 @@
     return machine->spot ? type->spot_price : type->price;
 }
 
-/* ---- machine pages: [name, address, machine type, zone, flags, created at] ---- */
+/* ---- machine pages: arrays of [name, address, machine type, zone, flags, created at] ---- */
 
 #define ENTRY_FIELDS 6
+/* Bits of the flags field, as stored. */
 #define FLAG_SPOT 1
 #define FLAG_OPERATOR_OWNED 2
 #define FLAG_SCALING_IN 4
-#define ENTRY_BASE_BYTES 44 /* of JSON, without the texts */
+#define ENTRY_BASE_BYTES 44 /* size of an entry without its strings, in bytes of JSON */
 
 void rr_machine_page_key(uint32_t page, char *out, size_t size) {
     g_snprintf(out, size, RR_KEY_MACHINE_PAGE "%08u", page);
@@ -102,8 +106,8 @@
     }
 }
 
-/* Everything on the machine is gone with it. The ledger loses its placements there with the next
- * plans of their teams' owners. */
+/* Marks a machine as gone, with all tasks on it. The owners of the tasks' teams remove its
+ * placements from the ledger in their next plans. A machine without placements is freed. */
 static void remove_machine_record(rr_core *core, rr_machine *machine, double now) {
     double *gone_at = g_new(double, 1);
     *gone_at = now;
@@ -117,14 +121,15 @@
     }
 }
 
+/* The decoded entry of a machine. */
 typedef struct {
     char name[RR_ID_SIZE], address[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
-    uint64_t flags;
-    const msgpack_object *created_at;
-} page_entry;
+    uint64_t flags;                   /* FLAG_SPOT, FLAG_OPERATOR_OWNED, FLAG_SCALING_IN */
+    const msgpack_object *created_at; /* time of day in seconds, points into the record */
+} machine_entry;
 
-/* False: malformed, to be skipped. */
-static bool decode_entry(const msgpack_object *object, page_entry *out) {
+/* Returns false if the entry is malformed. */
+static bool decode_entry(const msgpack_object *object, machine_entry *out) {
     const msgpack_object *fields =
         object->type == MSGPACK_OBJECT_ARRAY ? object->via.array.ptr : NULL;
     if (!fields || object->via.array.size < ENTRY_FIELDS ||
@@ -139,7 +144,9 @@
     return true;
 }
 
-static void put_entry(rr_core *core, const page_entry *entry, uint32_t page, double now) {
+/* Creates or updates the machine of an entry. Its address is taken only until the machine has sent
+ * a heartbeat, which names the address itself. */
+static void apply_entry(rr_core *core, const machine_entry *entry, uint32_t page, double now) {
     rr_machine *machine = rr_machine_get(core, entry->name, now);
     if (!machine->recorded) {
         machine->known_at = machine->idle_since = now;
@@ -152,7 +159,7 @@
     machine->recorded = machine->seen_in_reload = true;
     machine->gone = machine->to_record = false;
     machine->page = page;
-    machine->machine_type = machine_type_index(core, entry->machine_type);
+    machine->machine_type = find_or_add_machine_type(core, entry->machine_type);
     machine->zone = rr_name_index_add(&core->stored.zones, entry->zone);
     machine->spot = entry->flags & FLAG_SPOT;
     machine->operator_owned = entry->flags & FLAG_OPERATOR_OWNED;
@@ -163,15 +170,18 @@
     }
 }
 
-static void clear_seen(rr_core *core, uint32_t page) {
+/* Marks the machines of the page as not seen. */
+static void mark_machines_unseen(rr_core *core, uint32_t page) {
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->seen_in_reload = machine->seen_in_reload && machine->page != page;
     }
 }
 
-static void remove_unseen(rr_core *core, uint32_t page, double now) {
-    for (guint i = core->stored.machine_list->len; i > 0; i--) { /* removal reorders the list */
+/* Removes the records of the page's machines that no entry has marked as seen. */
+static void remove_unseen_machines(rr_core *core, uint32_t page, double now) {
+    /* Backwards, because removal reorders the list. */
+    for (guint i = core->stored.machine_list->len; i > 0; i--) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         if (machine->recorded && machine->page == page && !machine->seen_in_reload) {
             remove_machine_record(core, machine, now);
@@ -179,7 +189,8 @@
     }
 }
 
-static size_t entries_bytes(const rr_core *core, uint32_t page) {
+/* Returns the estimated size of the entries of the page's machines, in bytes of JSON. */
+static size_t sum_entry_bytes(const rr_core *core, uint32_t page) {
     size_t bytes = 0;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
@@ -190,6 +201,7 @@
     return bytes;
 }
 
+/* Returns 0, which no page has as its id, if the suffix is not a number. */
 static uint32_t parse_page_id(const char *key_suffix) {
     return (uint32_t)g_ascii_strtoull(key_suffix, NULL, 10);
 }
@@ -198,7 +210,7 @@
     return g_hash_table_lookup(core->stored.pages, GUINT_TO_POINTER(id));
 }
 
-static rr_machine_page *get_page(rr_core *core, uint32_t id) {
+static rr_machine_page *find_or_add_page(rr_core *core, uint32_t id) {
     rr_machine_page *page = find_page(core, id);
     if (!page) {
         page = g_new0(rr_machine_page, 1);
@@ -217,20 +229,20 @@
         (known && version < known->version)) {
         return;
     }
-    rr_machine_page *page = get_page(core, id);
+    rr_machine_page *page = find_or_add_page(core, id);
     page->version = version;
     page->seen_in_reload = true;
     page->entry_count = entries->via.array.size;
     core->stored.next_page = id >= core->stored.next_page ? id + 1 : core->stored.next_page;
-    clear_seen(core, id);
+    mark_machines_unseen(core, id);
     for (uint32_t i = 0; i < entries->via.array.size; i++) {
-        page_entry entry;
+        machine_entry entry;
         if (decode_entry(&entries->via.array.ptr[i], &entry)) {
-            put_entry(core, &entry, id, now);
+            apply_entry(core, &entry, id, now);
         }
     }
-    page->bytes = entries_bytes(core, id);
-    remove_unseen(core, id, now);
+    page->bytes = sum_entry_bytes(core, id);
+    remove_unseen_machines(core, id, now);
 }
 
 void rr_machine_page_delete(rr_core *core, const char *key_suffix, uint64_t version, double now) {
@@ -239,8 +251,8 @@
     if (!page || version < page->version) {
         return;
     }
-    clear_seen(core, id);
-    remove_unseen(core, id, now);
+    mark_machines_unseen(core, id);
+    remove_unseen_machines(core, id, now);
     g_hash_table_remove(core->stored.pages, GUINT_TO_POINTER(id));
 }
 
@@ -259,21 +271,23 @@
     }
 }
 
-/* A page written after the reload began may be missing from what it read: only an older one is
- * gone. */
-static gboolean page_gone_after_reload(gpointer key, gpointer value, gpointer first) {
+/* GHRFunc: whether the reload shows that the store no longer has the page. A page written after the
+ * reload began may be missing from what it read and still exist. */
+static gboolean is_page_gone_after_reload(gpointer key, gpointer value, gpointer first_revision) {
     const rr_machine_page *page = value;
     (void)key;
-    return !page->seen_in_reload && page->version <= *(const uint64_t *)first;
+    return !page->seen_in_reload && page->version <= *(const uint64_t *)first_revision;
 }
 
-void rr_machine_pages_end_reload(rr_core *core, uint64_t first, double now) {
-    for (guint i = core->stored.machine_list->len; i > 0; i--) { /* removal reorders the list */
+void rr_machine_pages_end_reload(rr_core *core, uint64_t first_revision, double now) {
+    /* Backwards, because removal reorders the list. */
+    for (guint i = core->stored.machine_list->len; i > 0; i--) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         const rr_machine_page *page = find_page(core, machine->page);
-        if (machine->recorded && !machine->seen_in_reload && !(page && page->version > first)) {
+        if (machine->recorded && !machine->seen_in_reload &&
+            !(page && page->version > first_revision)) {
             remove_machine_record(core, machine, now);
         }
     }
-    g_hash_table_foreach_remove(core->stored.pages, page_gone_after_reload, &first);
+    g_hash_table_foreach_remove(core->stored.pages, is_page_gone_after_reload, &first_revision);
 }
--- a/src/core/state/machines.c
+++ b/src/core/state/machines.c
@@ -1,4 +1,4 @@
-/* Machines as objects of the store cache, and lookups in their placements and heartbeats. */
+/* Machine objects of the store cache, and searches in their placements and heartbeats. */
 #include "core/state/machines.h"
 #include "core/core_internal.h"
 #include "core/state/jobs.h"
@@ -38,6 +38,7 @@
     g_free(machine);
 }
 
+/* Drops all planned moves from or to the machine. */
 static void drop_moves(rr_core *core, const rr_machine *machine) {
     for (guint i = core->planning.moves->len; i > 0; i--) {
         const rr_move *move = &g_array_index(core->planning.moves, rr_move, i - 1);
