--- a/src/core/state/job_records.c
+++ b/src/core/state/job_records.c
@@ -1,4 +1,4 @@
-/* Job records between the store and the store cache. */
+/* Encodes job records for the store and applies them to the store cache. */
 #include "core/state/job_records.h"
 #include "core/core_internal.h"
 #include "core/state/machines.h"
@@ -9,7 +9,7 @@
 #include "core/submissions.h"
 #include "wire/wire_words.h"
 
-/* ---- encoding ---- */
+/* ---- encoding records ---- */
 
 void rr_core_job_key(const char *job_id, char *out, size_t size) {
     g_snprintf(out, size, RR_KEY_JOB "%s", job_id);
@@ -59,9 +59,10 @@
                number);
 }
 
-/* ---- decoding ---- */
+/* ---- applying records to the store cache ---- */
 
-static void decode_final(rr_core *core, rr_job *job, const msgpack_object *value) {
+/* Applies the final record of a completed job, which has no submission any more. */
+static void apply_final_record(rr_core *core, rr_job *job, const msgpack_object *value) {
     uint64_t task_count = 0;
     rr_map_get_u64(value, RR_WORD_TASKS, &task_count);
     if (job->submission.task_count == 0) {
@@ -73,7 +74,8 @@
     job->team = rr_name_index_add(&core->stored.teams, job->submission.team);
 }
 
-static void index_names(rr_core *core, rr_job *job) {
+/* Converts the names in the submission to indices, and its resources to a request. */
+static void index_submission_names(rr_core *core, rr_job *job) {
     const rr_submission *submission = &job->submission;
     job->team = rr_name_index_add(&core->stored.teams, submission->team);
     job->job_class = rr_name_index_add(&core->stored.job_classes, submission->job_class);
@@ -81,53 +83,57 @@
     job->request = (rr_resources){submission->cpus, submission->gpus, submission->mem_gb};
 }
 
-static void count_placements(rr_core *core, rr_job *job, int sign) {
+/* Adds (sign 1) or subtracts (sign -1) the job's placements in the totals. */
+static void account_placements(rr_core *core, rr_job *job, int sign) {
     for (guint k = 0; job->records && k < job->records->len; k++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, k);
         for (guint i = 0; record && i < record->placements->len; i++) {
             const rr_placement_record *recorded =
                 &g_array_index(record->placements, rr_placement_record, i);
             rr_placement placement = {.job = job, .task = recorded->task};
-            rr_placement_count(core, recorded->machine, &placement, sign);
+            rr_account_placement(core, recorded->machine, &placement, sign);
         }
     }
 }
 
-/* A record whose submission this version can't read. A version that does not know the job's kind
- * writes its cancellation without the submission. */
-static void decode_cancelled_only(rr_core *core, rr_job *job, const msgpack_object *value,
-                                  const char *field) {
-    rr_log_at(core, RR_LOG_ERROR, "job %s: record unreadable at %s", job->submission.job_id, field);
+/* Takes only the cancellation from a record whose submission this version can't read. Such a
+ * record may come from a version that does not know the job's kind: it writes the job's
+ * cancellation without the submission. */
+static void apply_cancellation_only(rr_core *core, rr_job *job, const msgpack_object *value,
+                                    const char *field) {
+    rr_log_at(core, RR_LOG_ERROR,
+              "job %s: submission in stored record ignored, field %s is missing or invalid",
+              job->submission.job_id, field);
     rr_map_get_bool(value, RR_RECORD_CANCELLED, &job->cancelled);
-    count_placements(core, job, -1);
-    count_placements(core, job, 1); /* marks its machines dirty */
+    account_placements(core, job, -1);
+    account_placements(core, job, 1); /* totals are unchanged, but the machines are now dirty */
 }
 
-/* Takes over the submission from a job's own record or from an entry of a batch. */
-static void decode_submission(rr_core *core, rr_job *job, const msgpack_object *value,
-                              bool is_new) {
+/* Applies a submission from a job's own record or from an entry of a batch record. */
+static void apply_submission(rr_core *core, rr_job *job, const msgpack_object *value, bool is_new) {
     rr_submission submission;
     const char *field;
     if (rr_submission_decode(value, &submission, &field) != 0) {
-        decode_cancelled_only(core, job, value, field);
+        apply_cancellation_only(core, job, value, field);
         return;
     }
     if (job->submission.task_count && job->submission.task_count != submission.task_count) {
-        rr_log_at(core, RR_LOG_ERROR, "job %s: record with another task count ignored",
+        rr_log_at(core, RR_LOG_ERROR,
+                  "job %s: stored record ignored, its task count differs from the known one",
                   job->submission.job_id);
         rr_submission_clear(&submission);
         return;
     }
-    /* A ledger record that arrived before the job's was counted without its resources: it is
-     * subtracted as it was counted and added again with them. */
-    count_placements(core, job, -1);
+    /* Ledger records may have arrived before the submission, so their placements were counted
+     * without resources. Subtract them as they were counted, and add them again with resources. */
+    account_placements(core, job, -1);
     rr_submission_clear(&job->submission);
     job->submission = submission;
     rr_map_get_number(value, RR_RECORD_ACCEPTED_AT, &job->accepted_at);
     rr_map_get_bool(value, RR_RECORD_CANCELLED, &job->cancelled);
-    index_names(core, job);
+    index_submission_names(core, job);
     rr_job_open(core, job);
-    count_placements(core, job, 1);
+    account_placements(core, job, 1);
     if (is_new) {
         rr_arrivals_add(core, job);
     }
@@ -136,7 +142,7 @@
 void rr_job_put(rr_core *core, const char *job_id, const msgpack_object *value, uint64_t version,
                 double now) {
     if (rr_job_outcome(core, job_id, NULL, NULL)) {
-        return; /* a final job does not change any more */
+        return; /* an evicted job is final and does not change any more */
     }
     rr_job *job = rr_job_get(core, job_id, now);
     bool is_new = job->version == 0;
@@ -145,15 +151,15 @@
     }
     job->version = job->own_version = version;
     if (rr_map_get(value, RR_RECORD_FINAL)) {
-        decode_final(core, job, value);
+        apply_final_record(core, job, value);
     } else {
-        decode_submission(core, job, value, is_new);
+        apply_submission(core, job, value, is_new);
     }
     rr_job_close_if_final(core, job);
 }
 
-static void put_batch_entry(rr_core *core, rr_job_batch *batch, const msgpack_object *entry,
-                            double now) {
+static void apply_batch_entry(rr_core *core, rr_job_batch *batch, const msgpack_object *entry,
+                              double now) {
     char job_id[RR_ID_SIZE];
     if (!rr_map_get_text(entry, RR_WORD_JOB_ID, job_id, sizeof job_id) ||
         !rr_job_id_valid(job_id) || rr_job_outcome(core, job_id, NULL, NULL)) {
@@ -164,7 +170,7 @@
     if (job->own_version == 0 && (job->version == 0 || batch->version < job->version)) {
         bool is_new = job->version == 0;
         job->version = batch->version;
-        decode_submission(core, job, entry, is_new);
+        apply_submission(core, job, entry, is_new);
     }
 }
 
@@ -179,7 +185,7 @@
         return;
     }
     for (uint32_t i = 0; i < entries->via.array.size; i++) {
-        put_batch_entry(core, batch, &entries->via.array.ptr[i], now);
+        apply_batch_entry(core, batch, &entries->via.array.ptr[i], now);
     }
 }
 
--- a/src/core/state/job_retention.c
+++ b/src/core/state/job_retention.c
@@ -1,18 +1,20 @@
-/* Frees what is no longer needed of final jobs. */
+/* Frees the ledger records of closed jobs, and evicts final jobs to which nothing refers. */
 #include "core/state/job_retention.h"
 #include "core/core_internal.h"
 #include "core/state/job_records.h"
 #include "core/state/jobs.h"
 #include "core/state/machines.h"
 
-static bool record_in_use(const rr_core *core, const rr_ledger_record *record) {
+/* Returns whether the record is stored, being edited or not empty, or the watch may still deliver a
+ * version older than its deletion. */
+static bool is_record_in_use(const rr_core *core, const rr_ledger_record *record) {
     return record && (record->version || record->edit || record->placements->len ||
                       record->deleted_at_revision > core->stored.revision);
 }
 
-void rr_job_trim(const rr_core *core, rr_job *job) {
+void rr_job_free_unused_records(const rr_core *core, rr_job *job) {
     for (guint i = 0; job->records && i < job->records->len; i++) {
-        if (record_in_use(core, g_ptr_array_index(job->records, i))) {
+        if (is_record_in_use(core, g_ptr_array_index(job->records, i))) {
             return;
         }
     }
@@ -22,21 +24,21 @@
     }
 }
 
-static void add_jobs(GHashTable *referenced, const GArray *jobs) {
+static void add_to_set(GHashTable *referenced, const GArray *jobs) {
     for (guint i = 0; i < jobs->len; i++) {
         g_hash_table_add(referenced, g_array_index(jobs, rr_job *, i));
     }
 }
 
-/* Returns the set of jobs that something else points to; the caller destroys it. */
-static GHashTable *referenced_jobs(const rr_core *core) {
+/* Collects the jobs (rr_job*) to which other objects point. The caller destroys the set. */
+static GHashTable *collect_referenced_jobs(const rr_core *core) {
     GHashTable *referenced = g_hash_table_new(NULL, NULL);
     GHashTableIter iter;
     gpointer value;
-    add_jobs(referenced, core->stored.arrivals);
+    add_to_set(referenced, core->stored.arrivals);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        add_jobs(referenced, machine->failed_jobs);
+        add_to_set(referenced, machine->failed_jobs);
     }
     for (guint i = 0; i < core->planning.moves->len; i++) {
         g_hash_table_add(referenced, g_array_index(core->planning.moves, rr_move, i).job);
@@ -51,13 +53,14 @@
     return referenced;
 }
 
-/* Final by its own record, and the watch is past every record that may still name it. */
-static bool retirable(const rr_core *core, rr_job *job) {
+/* Returns whether the job is final by its own record and closed, and the watch has passed every
+ * record that may still name it. */
+static bool is_evictable(const rr_core *core, rr_job *job) {
     if (!(job->done || job->cancelled) || job->open || job->own_version == 0 ||
         job->own_version > core->stored.revision) {
         return false;
     }
-    rr_job_trim(core, job);
+    rr_job_free_unused_records(core, job);
     return job->records == NULL;
 }
 
@@ -65,15 +68,15 @@
     GHashTableIter iter;
     gpointer value;
     rr_arrivals_trim(core, wall);
-    GHashTable *referenced = referenced_jobs(core);
+    GHashTable *referenced = collect_referenced_jobs(core);
     g_hash_table_iter_init(&iter, core->stored.jobs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         rr_job *job = value;
-        bool was_idle = job->idle;
-        job->idle = retirable(core, job) && !g_hash_table_contains(referenced, job);
-        if (was_idle && job->idle) {
+        bool was_evictable = job->evictable;
+        job->evictable = is_evictable(core, job) && !g_hash_table_contains(referenced, job);
+        if (was_evictable && job->evictable) {
             gsize outcome = (gsize)job->done_count * 2 + (job->done ? 1 : 0);
-            g_hash_table_replace(core->stored.final_jobs, g_strdup(job->submission.job_id),
+            g_hash_table_replace(core->stored.job_outcomes, g_strdup(job->submission.job_id),
                                  GSIZE_TO_POINTER(outcome));
             g_hash_table_iter_remove(&iter);
         }
--- a/src/core/state/job_retention.h
+++ b/src/core/state/job_retention.h
@@ -1,14 +1,16 @@
-/* Retention of jobs: their outcome is known for good, all else only while something needs it. */
+/* Retention of final jobs: the outcome of a job is kept forever, and everything else only as long
+ * as something refers to it. */
 #ifndef RR_CORE_STATE_JOB_RETENTION_H
 #define RR_CORE_STATE_JOB_RETENTION_H
 
 #include "core/state/jobs.h"
 
-/* Frees the ledger of a closed job once no record of it is in use or expected by the watch. */
-void rr_job_trim(const rr_core *core, rr_job *job);
-/* Shrinks every job that was retirable at the last call and still is to its outcome
- * (rr_job_outcome). Calls are at least a minute apart, so that no late record revives a job it no
- * longer knows. wall: time of day, seconds. */
+/* Frees the ledger records of a closed job, unless one of them is still in use or the watch may
+ * still deliver an earlier version of it. */
+void rr_job_free_unused_records(const rr_core *core, rr_job *job);
+/* Evicts every job that was evictable at the previous call and still is: only its outcome
+ * (rr_job_outcome) stays in the cache. Calls must be at least a minute apart, or a late record
+ * could bring back a job that the cache no longer has. wall: time of day, seconds. */
 void rr_jobs_shrink(rr_core *core, double wall);
 
 #endif
--- a/src/core/state/jobs.c
+++ b/src/core/state/jobs.c
@@ -1,11 +1,12 @@
-/* Jobs as objects of the store cache: creation, opening and closing, arrivals. */
+/* Job objects of the store cache: creation, opening, closing and recent arrivals. */
 #include "core/state/jobs.h"
 #include "core/core_internal.h"
 
 #include <string.h>
 
 #define ARRIVALS_MAX 4096u
-#define ARRIVALS_DROPPED 1024u /* oldest, at once, when there are more */
+/* The oldest arrivals, dropped together once there are more than ARRIVALS_MAX. */
+#define ARRIVALS_DROP_COUNT 1024u
 
 rr_job *rr_job_get(rr_core *core, const char *job_id, double now) {
     rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
@@ -23,7 +24,7 @@
 void rr_job_free(gpointer data) {
     rr_job *job = data;
     rr_submission_clear(&job->submission);
-    g_free(job->done_bits);
+    g_free(job->done_bitmap);
     g_free(job->placed);
     if (job->failed_machines) {
         g_array_free(job->failed_machines, TRUE);
@@ -42,8 +43,8 @@
     if (!job->placed) {
         job->placed = g_malloc0(job->submission.task_count);
     }
-    if (!job->done_bits && !job->done) {
-        job->done_bits = g_malloc0((job->submission.task_count + 7) / 8);
+    if (!job->done_bitmap && !job->done) {
+        job->done_bitmap = g_malloc0((job->submission.task_count + 7) / 8);
     }
 }
 
@@ -53,7 +54,7 @@
     }
     job->open = false;
     g_ptr_array_remove_fast(core->stored.open_jobs, job);
-    g_clear_pointer(&job->done_bits, g_free);
+    g_clear_pointer(&job->done_bitmap, g_free);
     g_clear_pointer(&job->placed, g_free);
     for (guint i = 0; job->records && i < job->records->len; i++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
@@ -67,13 +68,13 @@
     if (job->done) {
         return true;
     }
-    return job->done_bits && task < job->submission.task_count &&
-           (job->done_bits[task / 8] >> (task % 8) & 1);
+    return job->done_bitmap && task < job->submission.task_count &&
+           (job->done_bitmap[task / 8] >> (task % 8) & 1);
 }
 
 bool rr_job_outcome(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count) {
     gpointer outcome;
-    if (!g_hash_table_lookup_extended(core->stored.final_jobs, job_id, NULL, &outcome)) {
+    if (!g_hash_table_lookup_extended(core->stored.job_outcomes, job_id, NULL, &outcome)) {
         return false;
     }
     if (done) {
@@ -91,7 +92,7 @@
     }
     g_array_append_val(core->stored.arrivals, job);
     if (core->stored.arrivals->len > ARRIVALS_MAX) {
-        g_array_remove_range(core->stored.arrivals, 0, ARRIVALS_DROPPED);
+        g_array_remove_range(core->stored.arrivals, 0, ARRIVALS_DROP_COUNT);
     }
 }
 
--- a/src/core/state/jobs.h
+++ b/src/core/state/jobs.h
@@ -1,5 +1,6 @@
-/* Jobs in the store cache. Each is in one of three states: open (not final, or with placements
- * left), closed (final and without placements) or shrunk to its outcome (rr_job_outcome). */
+/* Jobs in the store cache. A job is open (not final, or it still has placements), closed (final and
+ * without placements) or evicted (only its outcome is kept, see rr_job_outcome). A job is final
+ * once it is done or cancelled. */
 #ifndef RR_CORE_STATE_JOBS_H
 #define RR_CORE_STATE_JOBS_H
 
@@ -7,50 +8,56 @@
 #include "core/state/resources.h"
 #include "wire/wire.h"
 
-#define RR_ARRIVAL_WINDOW_S 120.0 /* arrivals count for headroom this long */
+/* Age up to which arrivals count for the autoscaler's headroom. */
+#define RR_ARRIVAL_WINDOW_S 120.0
 
 struct rr_job {
-    rr_submission submission;
-    int team, job_class, image; /* indices of names, -1: not known yet */
-    rr_resources request;       /* of one task */
-    uint64_t version;           /* of the record it is known from, 0: known from its ledger only */
-    uint64_t own_version;       /* of its own record, 0: known from a batch only */
-    double accepted_at;         /* wall */
+    rr_submission submission;   /* task_count 0: not known yet */
+    int team, job_class, image; /* name indices, -1: not known yet */
+    rr_resources request;       /* resources of one task */
+    uint64_t version;     /* of the record that the job is known from, 0: from its ledger only */
+    uint64_t own_version; /* of the job's own record, 0: none has arrived */
+    double accepted_at;   /* time of day, seconds */
     bool cancelled, done, open;
-    guint8 *done_bits; /* done tasks, one bit each; NULL while closed */
-    guint8 *placed;    /* placements in the ledger by task; NULL while closed */
-    uint32_t done_count, placed_count, next_task_hint;
+    guint8 *done_bitmap;     /* one bit per task, set once the task is done; NULL while closed */
+    guint8 *placed;          /* number of placements in the ledger, by task; NULL while closed */
+    uint32_t done_count;     /* tasks that are done */
+    uint32_t placed_count;   /* tasks with at least one placement */
+    uint32_t next_task_hint; /* index at which the search for an unplaced task begins */
     uint32_t tasks_per_record;
-    GPtrArray *records; /* rr_ledger_record* by chunk, with NULL entries; NULL: none at all */
-    int zone;           /* of completed tasks of a one-zone job, -1 */
-    /* observed */
-    double first_seen;       /* steady */
-    double failed_at;        /* steady, no room was found for it then */
-    double backoff_until;    /* steady, not placed before */
-    GArray *failed_machines; /* int: ids of machines where a task failed; NULL: none */
-    bool idle;               /* was retirable at the last rr_jobs_shrink() */
-    /* scratch of one simulation of demand */
-    uint32_t lost_count; /* placements on machines that are gone */
+    GPtrArray *records; /* rr_ledger_record* by chunk, entries may be NULL; NULL: none at all */
+    int zone;           /* zone index of a one-zone job, as the ledger records it, -1: none */
+    /* Observed by this process; not stored. */
+    double first_seen;       /* when the job became known; steady time */
+    double failed_at;        /* when a search last found no room for the job; steady time */
+    double backoff_until;    /* the job is not placed before this steady time */
+    GArray *failed_machines; /* int: ids of machines on which a task failed; NULL: none */
+    bool evictable;          /* could have been evicted at the last rr_jobs_shrink() */
+    /* Scratch of one demand simulation. */
+    uint32_t lost_count; /* unfinished tasks placed on machines that are gone */
 };
 
-/* Returns the job of this id, creating it without a submission if need be. */
+/* Returns the job with this id. Creates it without a submission if the cache does not have it. The
+ * cache owns the job. */
 rr_job *rr_job_get(rr_core *core, const char *job_id, double now);
-/* Frees a job with its ledger records; takes gpointer, as GLib's containers do. */
+/* Frees a job and its ledger records. Has the signature of GDestroyNotify. */
 void rr_job_free(gpointer data);
-/* Lists the job among the open ones and allocates its task tables. */
+/* Adds the job to the open jobs and allocates its per-task tables. */
 void rr_job_open(rr_core *core, rr_job *job);
-/* Closes a final job whose last placement is gone: frees its task tables and leaves the records
- * that remain of its ledger to be deleted. */
+/* Closes a final job that has no placement left: frees its per-task tables, and lists its remaining
+ * ledger records for deletion from the store. */
 void rr_job_close_if_final(rr_core *core, rr_job *job);
-/* Whether the job or this task of it is done. */
+/* Returns whether the task, or the whole job, is done. */
 bool rr_job_task_done(const rr_job *job, uint32_t task);
-/* Whether the job has shrunk to its outcome; *done and *done_count (may be NULL) receive it. */
+/* Returns whether the job has been evicted, and if so stores its outcome in *done and *done_count,
+ * either of which may be NULL. */
 bool rr_job_outcome(const rr_core *core, const char *job_id, bool *done, uint32_t *done_count);
-/* Notes an arrival, for headroom; those of the first load are of any age and don't count. */
+/* Records the arrival of a job, from which the autoscaler derives headroom. Ignored during the
+ * first load of the cache, because jobs loaded then may have arrived at any time. */
 void rr_arrivals_add(rr_core *core, rr_job *job);
-/* Drops arrivals older than RR_ARRIVAL_WINDOW_S. wall: time of day, seconds. */
+/* Removes arrivals older than RR_ARRIVAL_WINDOW_S. wall: time of day, seconds. */
 void rr_arrivals_trim(rr_core *core, double wall);
-/* Returns the configured objective of this kind for a job class, or NULL. */
+/* Returns the configured objective of this kind for the job class, or NULL if there is none. */
 const struct rr_objective *rr_objective_for(const rr_core *core, const char *kind,
                                             const char *job_class);
 
--- a/src/core/state/ledger.h
+++ b/src/core/state/ledger.h
@@ -1,4 +1,4 @@
-/* The ledger of placements in the store cache: decoding and encoding of its records. */
+/* The placement ledger: applies its records to the store cache and encodes them for the store. */
 #ifndef RR_CORE_STATE_LEDGER_H
 #define RR_CORE_STATE_LEDGER_H
 
@@ -6,22 +6,22 @@
 #include "core/state/resources.h"
 #include "wire/wire.h"
 
-/* Takes over a record of this key (after RR_KEY_LEDGER): adds its new placements, removes those it
- * no longer has, and keeps what this process observed of the others. Ignores records older than the
- * one in the store cache. */
+/* Applies a ledger record: adds its new placements, removes those that it no longer contains and
+ * keeps what this process has observed of the others. A version older than the cached one is
+ * ignored. key_suffix: the key after RR_KEY_LEDGER. */
 void rr_ledger_record_put(rr_core *core, const char *key_suffix, const msgpack_object *value,
                           uint64_t version, double now);
-/* Takes over the deletion of a record and with it of its placements. */
+/* Applies the deletion of a ledger record, which removes all of its placements. */
 void rr_ledger_record_delete(rr_core *core, const char *key_suffix, uint64_t version, double now);
-/* Begins a full reload of the store cache: no record has been seen in it yet. */
+/* Begins a full reload of the store cache: marks every ledger record as not seen in it. */
 void rr_ledger_begin_reload(rr_core *core);
-/* Ends a full reload: removes the records that it did not bring, unless they are newer than
- * revision first. */
-void rr_ledger_end_reload(rr_core *core, uint64_t first, double now);
+/* Ends a full reload: removes the ledger records that the reload did not bring, except those
+ * written after first_revision, at which the reload began. */
+void rr_ledger_end_reload(rr_core *core, uint64_t first_revision, double now);
 
-/* Encodes the record of a chunk with these placements (rr_placement_record). done: tasks (uint32_t)
- * completed beside those already known, may be NULL. zone: index of the zone that holds the job,
- * below 0: none. */
+/* Encodes the ledger record of a chunk. placements: rr_placement_record. done: tasks (uint32_t) to
+ * mark as done besides those that the cache knows to be done; may be NULL. zone: index of the zone
+ * that the job is bound to, negative if there is none. */
 void rr_ledger_record_encode(const rr_core *core, rr_encoder *encoder, const rr_job *job,
                              uint32_t chunk, const GArray *placements, const GArray *done,
                              int zone);
--- a/src/core/state/ledger_record.c
+++ b/src/core/state/ledger_record.c
@@ -1,4 +1,4 @@
-/* Ledger records as objects: creation, lookup, keys and sizes. */
+/* Ledger record objects: creation, lookup, store keys and estimated sizes. */
 #include "core/state/ledger_record.h"
 #include "core/core_internal.h"
 #include "core/state/jobs.h"
@@ -6,9 +6,9 @@
 
 #include <string.h>
 
-/* Sizes as JSON, which is what the store counts. */
-#define RECORD_BASE_BYTES 220
-#define PLACEMENT_BYTES 44 /* task, machine name, attempt, worker epoch, preempt mode */
+/* Sizes in bytes of JSON, because the store's limits apply to the JSON form of a value. */
+#define RECORD_BASE_BYTES 220 /* of a record without placements */
+#define PLACEMENT_BYTES 44    /* of task, machine name, attempt, worker epoch and preempt mode */
 #define BYTES_PER_KB 1024
 
 rr_ledger_record *rr_job_ledger_record_find(const rr_job *job, uint32_t chunk) {
@@ -55,7 +55,8 @@
 
 bool rr_ledger_record_key_parse(const char *key_suffix, char *job_id, size_t size,
                                 uint32_t *chunk) {
-    return rr_task_name_parse(key_suffix, job_id, size, chunk); /* both are <job id>/<number> */
+    /* Both a task name and this suffix have the form <job id>/<number>. */
+    return rr_task_name_parse(key_suffix, job_id, size, chunk);
 }
 
 size_t rr_ledger_record_bytes(guint placement_count) {
--- a/src/core/state/placement_accounting.c
+++ b/src/core/state/placement_accounting.c
@@ -1,4 +1,4 @@
-/* Sums over placements, by machine, team and task. */
+/* Running totals over placements, by machine, team and task. */
 #include "core/state/placement_accounting.h"
 #include "core/core_internal.h"
 #include "core/state/jobs.h"
@@ -6,23 +6,24 @@
 #include "core/state/resources.h"
 
 rr_resources rr_team_usage(const rr_core *core, int team) {
-    return team >= 0 && (guint)team < core->stored.team_used->len
-               ? g_array_index(core->stored.team_used, rr_resources, team)
+    return team >= 0 && (guint)team < core->stored.team_usage->len
+               ? g_array_index(core->stored.team_usage, rr_resources, team)
                : (rr_resources){0, 0, 0};
 }
 
-static void count_for_team(rr_core *core, const rr_job *job, int sign) {
+static void update_team_usage(rr_core *core, const rr_job *job, int sign) {
     if (job->team < 0) {
-        return; /* known from its ledger only: the team follows with the job's record */
+        return; /* only the ledger has named the job so far; its record brings the team */
     }
-    if ((guint)job->team >= core->stored.team_used->len) {
-        g_array_set_size(core->stored.team_used, (guint)job->team + 1);
+    if ((guint)job->team >= core->stored.team_usage->len) {
+        g_array_set_size(core->stored.team_usage, (guint)job->team + 1);
     }
-    rr_resources *used = &g_array_index(core->stored.team_used, rr_resources, job->team);
+    rr_resources *used = &g_array_index(core->stored.team_usage, rr_resources, job->team);
     *used = rr_resources_add(*used, job->request, sign);
 }
 
-static void count_for_task(rr_core *core, rr_job *job, uint32_t task, int sign) {
+/* Updates the number of the task's placements, and closes a final job that has none left. */
+static void update_task_placements(rr_core *core, rr_job *job, uint32_t task, int sign) {
     if (!job->placed || task >= job->submission.task_count) {
         return;
     }
@@ -35,21 +36,21 @@
     }
 }
 
-void rr_placement_count(rr_core *core, rr_machine *machine, const rr_placement *placement,
-                        int sign) {
+void rr_account_placement(rr_core *core, rr_machine *machine, const rr_placement *placement,
+                          int sign) {
     rr_job *job = placement->job;
     machine->used = rr_resources_add(machine->used, job->request, sign);
-    count_for_team(core, job, sign);
+    update_team_usage(core, job, sign);
     rr_machine_mark_dirty(core, machine);
-    count_for_task(core, job, placement->task, sign);
+    update_task_placements(core, job, placement->task, sign);
 }
 
 void rr_recount_team_usage(rr_core *core) {
-    g_array_set_size(core->stored.team_used, 0);
+    g_array_set_size(core->stored.team_usage, 0);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         for (guint k = 0; k < machine->placements->len; k++) {
-            count_for_team(core, g_array_index(machine->placements, rr_placement, k).job, 1);
+            update_team_usage(core, g_array_index(machine->placements, rr_placement, k).job, 1);
         }
     }
 }
--- a/src/core/state/stored_state.c
+++ b/src/core/state/stored_state.c
@@ -1,4 +1,4 @@
-/* Creates and frees the tables of the store cache. */
+/* Initialization and destruction of the store cache. */
 #include "core/state/stored_state.h"
 
 static void init_names(struct rr_stored_state *stored, const struct rr_config *config) {
@@ -27,7 +27,7 @@
     stored->machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     g_array_set_clear_func(stored->machine_types, rr_machine_type_clear);
     stored->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rr_job_free);
-    stored->final_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    stored->job_outcomes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     stored->open_jobs = g_ptr_array_new();
     stored->arrivals = g_array_new(FALSE, FALSE, sizeof(rr_job *));
     stored->batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, rr_job_batch_free);
@@ -38,11 +38,11 @@
     stored->gone_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     stored->pages = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     stored->orphan_record_keys = g_ptr_array_new_with_free_func(g_free);
-    stored->team_used = g_array_new(FALSE, TRUE, sizeof(rr_resources));
+    stored->team_usage = g_array_new(FALSE, TRUE, sizeof(rr_resources));
 }
 
 void rr_stored_state_clear(struct rr_stored_state *stored) {
-    g_array_free(stored->team_used, TRUE);
+    g_array_free(stored->team_usage, TRUE);
     g_ptr_array_free(stored->orphan_record_keys, TRUE);
     g_hash_table_destroy(stored->pages);
     g_hash_table_destroy(stored->gone_machines);
@@ -53,7 +53,7 @@
     g_hash_table_destroy(stored->batches);
     g_array_free(stored->arrivals, TRUE);
     g_ptr_array_free(stored->open_jobs, TRUE);
-    g_hash_table_destroy(stored->final_jobs);
+    g_hash_table_destroy(stored->job_outcomes);
     g_hash_table_destroy(stored->jobs);
     g_array_free(stored->machine_types, TRUE);
     clear_names(stored);
--- a/src/core/state/stored_state.h
+++ b/src/core/state/stored_state.h
@@ -1,5 +1,5 @@
-/* The store cache: what the key-value store records, and indices over it. Times are steady seconds
- * unless said otherwise. */
+/* The store cache: a copy of the records in the key-value store, with indices over them. Times are
+ * steady seconds unless said otherwise. */
 #ifndef RR_CORE_STATE_STORED_STATE_H
 #define RR_CORE_STATE_STORED_STATE_H
 
@@ -13,39 +13,41 @@
 #include "core/state/placement_accounting.h"
 
 struct rr_stored_state {
-    uint32_t tasks_per_record; /* of the ledger */
+    uint32_t tasks_per_record; /* tasks in one ledger record */
 
     rr_name_index teams, zones, machine_type_names, job_classes, images;
 
-    GArray *machine_types;  /* rr_machine_type, by index; name empty: not in the catalogue */
-    GHashTable *jobs;       /* job id -> rr_job */
-    GHashTable *final_jobs; /* job id -> outcome: tasks done * 2, + 1 if the job is done */
-    GPtrArray *open_jobs;   /* rr_job*, not final or with placements */
-    GArray *arrivals;       /* rr_job*: within RR_ARRIVAL_WINDOW_S */
-    GHashTable *machines;   /* name -> rr_machine */
-    GPtrArray *machine_list;
+    GArray *machine_types;         /* rr_machine_type, by index; empty name: not in the catalog */
+    GHashTable *jobs;              /* job id -> rr_job, owned; evicted jobs are not in it */
+    GHashTable *job_outcomes;      /* id of an evicted job -> 2 * done tasks, + 1 if it is done */
+    GPtrArray *open_jobs;          /* rr_job*: not final, or with placements */
+    GArray *arrivals;              /* rr_job*: arrived within RR_ARRIVAL_WINDOW_S, oldest first */
+    GHashTable *machines;          /* name -> rr_machine, owned */
+    GPtrArray *machine_list;       /* rr_machine*: all machines */
     GPtrArray *dirty_machines;     /* rr_machine*: to be reconciled */
-    GHashTable *gone_machines;     /* name -> double*: when its record was removed */
-    GHashTable *pages;             /* id -> rr_machine_page */
+    GHashTable *gone_machines;     /* name -> double*: when the machine's record was removed */
+    GHashTable *pages;             /* page id -> rr_machine_page */
     GHashTable *batches;           /* key -> rr_job_batch */
-    GPtrArray *orphan_record_keys; /* char*: ledger records whose jobs are final */
-    GArray *team_used;             /* rr_resources by team: all placements in the ledger */
+    GPtrArray *orphan_record_keys; /* char*: keys of ledger records whose jobs are final */
+    GArray *team_usage;            /* rr_resources in use by the placements of each team */
     GHashTable *cancel_hints;      /* job id -> double*: when the hint expires */
 
-    uint64_t revision;            /* that the cache has reached */
-    uint64_t consistent_revision; /* at which the last reload is one consistent state */
-    double current_at;            /* the cache has every change made before */
-    uint32_t next_page;
+    uint64_t revision;            /* revision of the store up to which the cache is complete */
+    uint64_t consistent_revision; /* the cache is consistent once revision reaches this one */
+    double current_at;            /* the cache has every change made before this time */
+    uint32_t next_page;           /* id for the next new machine page */
     int next_machine_id;
-    bool loaded, reloading;
-    bool catalog_known;
-    bool next_limits_in_force; /* the store has refused what only the present limits allow */
+    bool loaded;               /* a full reload has ended since the start */
+    bool reloading;            /* a full reload is in progress */
+    bool catalog_known;        /* at least one machine type has been received */
+    bool next_limits_in_force; /* the store has refused a transaction that only the present limits
+                                  allow */
 };
 
-/* Initializes an empty cache from zeroed memory. Teams of the settings get the first indices, in
+/* Initializes an empty cache in zeroed memory. The teams of the settings get the first indices, in
  * the order of the settings. */
 void rr_stored_state_init(struct rr_stored_state *stored, const struct rr_config *config);
-/* Frees everything in the cache. */
+/* Frees everything in the cache, but not the struct itself. */
 void rr_stored_state_clear(struct rr_stored_state *stored);
 
 #endif
