--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,4 +1,4 @@
-/* Creates and destroys the core: each part in turn. */
+/* Creates and destroys the core with each of its parts. */
 #include "core/core.h"
 #include "core/autoscaling/rental_records.h"
 #include "core/core_internal.h"
--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -5,43 +5,49 @@
 #include "core/core.h"
 #include "core/state/transaction.h"
 
-/* Sets the lease of this controller's session and the steady time until which it surely lasts:
- * until then this controller may plan. */
+/* Sets the lease of this controller's session. valid_until: steady seconds before which the lease
+ * has certainly not expired; until then this controller may plan. */
 void rr_core_set_session(rr_core *core, uint64_t lease_id, double valid_until);
-/* Encodes this controller's session record. */
+/* Appends this controller's session record to the encoder. */
 void rr_core_encode_session(const struct rr_config *config, rr_encoder *encoder, uint64_t lease_id);
-/* Whether the store cache has this controller's session with this lease; also true during a full
- * reload, which may not have brought it yet. */
+/* Whether the store cache contains this controller's session with this lease. Also true during a
+ * full reload, which may not have reached the session's record yet. */
 bool rr_core_session_seen(const rr_core *core, uint64_t lease_id);
-/* Whether this controller is a member of the term under a lease that surely lasts: only then may it
- * command. */
+/* Whether this controller is a member of the term under a lease that has certainly not expired.
+ * Only then may it plan and send commands. */
 bool rr_core_lease_valid(const rr_core *core, double now);
 
-/* The store cache has every change made before this time. Workers' heartbeats may be answered for
- * rr_heartbeat_reply_s from there, longer than the session lasts. */
+/* Records that the store cache contains every change made before this time, in steady seconds; an
+ * earlier time than the last one is ignored. Workers' heartbeats may be answered for
+ * rr_heartbeat_reply_s() seconds from then on, which is longer than the session lasts. */
 void rr_core_set_cache_current(rr_core *core, double when);
-/* The shell's timers have just fired late: there is more work than processor time. */
+/* Records that the application's timers have just fired late, for lack of processor time. */
 void rr_core_set_timers_late(rr_core *core, double now);
-/* Whether they did so within the last `within` seconds. */
+/* Whether the timers have fired late within the last `within` seconds. */
 bool rr_core_timers_late(const rr_core *core, double now, double within);
 
-/* Adds the next term to the transaction if the sessions differ from the present members or a new
- * term is wanted. False: nothing to change, or not known yet. */
+/* Adds the record of the next term to the transaction if the sessions differ from the present
+ * members or a new term has been requested. Returns false without adding it if neither is the case,
+ * if the store cache is not loaded or if it does not contain this controller's session yet. */
 bool rr_core_next_term(rr_core *core, double now, double wall, rr_transaction *out);
-unsigned rr_core_live_controllers(const rr_core *core); /* members of the term */
+/* Returns the number of members of the present term. */
+unsigned rr_core_live_controllers(const rr_core *core);
+/* Returns the fencing token of the present term, 0 before the first one. */
 uint64_t rr_core_fencing_token(const rr_core *core);
-/* Whether this controller is the term's autoscaler and its lease is valid. */
+/* Whether this controller is the term's autoscaler and its lease is valid (rr_core_lease_valid). */
 bool rr_core_is_autoscaler(const rr_core *core, double now);
 
-/* Shares, 0 to 1, of what the store allows per second: of all requests, and of changes for users,
- * for plans and for the autoscaler's records. */
+/* One controller's shares, 0 to 1, of what the store allows per second in requests and changes. */
 struct rr_budget_shares {
-    double requests, users, plans, autoscaler;
+    double requests;   /* of all requests */
+    double users;      /* of changes, for users' requests */
+    double plans;      /* of changes, for plans */
+    double autoscaler; /* of changes, for the autoscaler's records */
 };
-/* Computes this controller's shares; outside the term it has none for plans and the autoscaler. */
+/* Computes this controller's shares. Outside the term those for plans and the autoscaler are 0. */
 void rr_core_budget_shares(const rr_core *core, struct rr_budget_shares *out);
 
-/* Whether every controller of the term understands records and messages about gangs. */
+/* Whether every member of the term understands records and messages about gangs. */
 bool rr_core_all_gang_capable(const rr_core *core);
 
 #endif
--- a/src/core/planning.h
+++ b/src/core/planning.h
@@ -1,4 +1,5 @@
-/* Plans of a team's owner: one transaction, and the commands that follow from it. */
+/* Planning by the owners of teams. A plan consists of one transaction and the commands to workers
+ * that follow from the recorded state. */
 #ifndef RR_CORE_PLANNING_H
 #define RR_CORE_PLANNING_H
 
@@ -6,57 +7,63 @@
 #include "core/state/transaction.h"
 #include "wire/wire.h"
 
-/* Sets how short this controller's writes to the key-value store are, 0: plentiful, 1: none to
- * spare, and how many changes a plan may make now. Under pressure completions are gathered for
- * longer, so that one change records more of them. A plan never waits for its changes, since other
- * owners reserve the same machines meanwhile. */
+/* Sets the write pressure, from 0 (writes to the key-value store are plentiful) to 1 (none to
+ * spare), and the number of changes that a plan may make now. Under pressure, completions are
+ * collected for longer, so that one change records more of them. A plan is limited to these changes
+ * instead of waiting for more, since other owners could reserve the same machines meanwhile. */
 void rr_core_set_write_pressure(rr_core *core, double pressure, int changes);
 
-/* Commands for one machine, to be sent together. */
+/* Commands for one machine, sent in one request. */
 typedef struct {
     char machine[RR_ID_SIZE], address[RR_ID_SIZE];
-    uint64_t fencing_token, worker_epoch;
-    GArray *commands;  /* rr_command; empty: a probe, which asks for the machine's status */
-    int peer;          /* peer to send through, -1: direct */
-    int fallback;      /* peer to try if nothing could be sent directly, -1: none */
-    bool may_time_out; /* likely to go unanswered: not to be sent before other batches */
+    uint64_t fencing_token; /* of the term that made the plan */
+    uint64_t worker_epoch;  /* of the worker that the commands are meant for */
+    GArray *commands;       /* rr_command; empty: a probe, which asks for the machine's status */
+    int peer;               /* index of the peer to send through, -1: send directly */
+    int fallback;           /* peer to try if nothing could be sent directly, -1: none */
+    bool may_time_out;      /* probably goes unanswered: must not delay other batches */
 } rr_command_batch;
 
-/* Frees a batch with its commands. */
+/* Frees the batch and its commands. */
 void rr_command_batch_free(rr_command_batch *batch);
 
-/* What a team's owner does next. */
+/* The result of planning. */
 typedef struct {
-    bool has_transaction;
-    rr_transaction transaction;
+    bool has_transaction;       /* the transaction is to be committed */
+    rr_transaction transaction; /* owned */
     GPtrArray *command_batches; /* rr_command_batch*, owned */
-    double next_s;              /* plan again after this long at the latest */
+    double next_s;              /* seconds after which to plan again at the latest */
 } rr_plan;
 
-/* Begins an empty plan. Clear it with rr_plan_clear(). */
+/* Initializes an empty plan, which the caller frees with rr_plan_clear(). */
 void rr_plan_init(rr_plan *plan);
 
-/* Frees what the plan owns. */
+/* Frees what the plan owns, but not the struct itself. */
 void rr_plan_clear(rr_plan *plan);
 
-/* Plans for the teams that this controller owns. Leaves *plan empty while the lease is not valid,
- * the store cache is not consistent or a new term is due. Each batch of the plan is to be answered
- * with rr_core_command_result(). Precondition: *plan is initialised and empty. */
+/* Plans for the teams that this controller owns. *plan must be initialized and empty; it stays
+ * empty while the lease is not valid, the store cache is not consistent or a new term is due. The
+ * caller reports the outcome of each command batch with rr_core_command_result(). */
 void rr_core_plan(rr_core *core, double now, double wall, rr_plan *plan);
 
-/* NOT_SENT: the worker can't have received the commands. OUTCOME_UNKNOWN: it may have. */
-enum rr_command_outcome { RR_COMMAND_ANSWERED, RR_COMMAND_NOT_SENT, RR_COMMAND_OUTCOME_UNKNOWN };
+enum rr_command_outcome {
+    RR_COMMAND_ANSWERED,
+    RR_COMMAND_NOT_SENT,       /* the worker cannot have received the commands */
+    RR_COMMAND_OUTCOME_UNKNOWN /* the worker may have received them, but did not answer */
+};
 
-/* Takes the outcome of a command batch, after rr_core_take_heartbeat() of the answer's body if
- * there was one. executed: the worker executed the commands, and did not refuse them. */
+/* Records the outcome of a command batch. If there was an answer, its body has to be passed to
+ * rr_core_take_command_reply() first. executed: the worker executed the commands rather than
+ * refusing them. */
 void rr_core_command_result(rr_core *core, double now, const rr_command_batch *batch,
                             enum rr_command_outcome outcome, bool executed);
 
-/* Takes another controller's finding that a machine sends heartbeats but answers no commands. */
+/* Marks a machine as suspect for a few heartbeat intervals, because another controller has found
+ * that it sends heartbeats but does not answer commands. */
 void rr_core_suspect(rr_core *core, const char *machine_name, double now);
 
-/* Adds the names (char*, to be freed by the caller) of the machines that this controller has found
- * so. */
+/* Appends the names (char*, freed by the caller) of the machines that this controller itself has
+ * found to send heartbeats without answering commands. */
 void rr_core_list_suspects(rr_core *core, double now, GPtrArray *machine_names);
 
 #endif
--- a/src/core/stats.h
+++ b/src/core/stats.h
@@ -1,18 +1,24 @@
-/* Counts for logs and tests. */
+/* Statistics of the core for logs and tests. */
 #ifndef RR_CORE_STATS_H
 #define RR_CORE_STATS_H
 
 #include "core/core.h"
 
+/* Counts of the present state, and where noted of events since the start of this process. */
 typedef struct {
-    unsigned machines, booting, jobs_open, tasks_waiting, tasks_placed;
-    /* since the start */
-    unsigned moves, rented, machines_terminated, leases_lost, spot_notices;
-    unsigned machines_visited; /* machines examined by plans */
-    unsigned unshrunk_jobs;    /* jobs that have not shrunk to their outcome */
+    unsigned machines; /* recorded */
+    unsigned booting;  /* recorded machines without a heartbeat so far */
+    unsigned jobs_open, tasks_waiting, tasks_placed;
+    unsigned moves;  /* since the start: tasks whose move to another machine was started */
+    unsigned rented; /* since the start: machines rented from the cloud */
+    unsigned machines_terminated; /* since the start: marked for release, faulty or idle */
+    unsigned leases_lost;         /* since the start: workers that returned in a new worker epoch */
+    unsigned spot_notices;     /* since the start: spot machines that announced their termination */
+    unsigned machines_visited; /* since the start: machines examined by plans and simulations */
+    unsigned unshrunk_jobs;    /* jobs of which more than the outcome is kept */
     double price_sum;          /* sum of the recorded machines' prices */
 } rr_core_stats;
-/* Fills *out with the present counts. */
+/* Fills *out with the present statistics. */
 void rr_core_get_stats(const rr_core *core, rr_core_stats *out);
 
 #endif
