--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -1,5 +1,6 @@
-/* The struct behind rr_core: one part for each folder. Internal to the core. Decisions rely on what
- * the store records, and on observations only where these prove something. */
+/* Definition of struct rr_core, internal to the core: each member holds the state of one of the
+ * core's folders. Decisions rely on what the store records; observations such as heartbeats count
+ * only where they prove something. */
 #ifndef RR_CORE_CORE_INTERNAL_H
 #define RR_CORE_CORE_INTERNAL_H
 
@@ -11,26 +12,29 @@
 #include "core/state/core_log.h"
 #include "core/state/stored_state.h"
 
+/* A registered watch of the records under a key prefix. */
 typedef struct {
-    char *prefix;
+    char *prefix; /* owned */
     rr_core_record_fn callback;
-    void *user;
+    void *user; /* passed to the callback */
 } rr_record_watch;
 
-/* Set by fair admission and by cells. */
+/* State that fair admission and cells set through core/extensions.h. */
 struct rr_extensions {
-    rr_record_watch record_watches[RR_RECORD_WATCHES];
+    rr_record_watch record_watches[RR_RECORD_WATCHES_MAX];
     guint record_watch_count;
-    GHashTable *transfer_holds;      /* job id -> rr_hold (transfer_holds.c) */
-    bool fair_share_enabled;         /* the next two are in force */
-    double fair_share[RR_TEAMS_MAX]; /* share of total_resources, by team of the settings */
+    GHashTable *transfer_holds;      /* job id -> rr_hold, see state/transfer_holds.c */
+    bool fair_share_enabled;         /* overload: the two fields below limit the teams */
+    double fair_share[RR_TEAMS_MAX]; /* share of total_resources, by team index of the settings */
     rr_resources total_resources;
 };
 
-/* Counts since the start, for logs and tests. */
+/* Counts since the start, for logs and tests; see rr_core_stats. */
 struct rr_counters {
-    unsigned machines_visited; /* examined by plans */
-    unsigned moves_made, probes_in_flight, rented, machines_terminated, leases_lost, spot_notices;
+    unsigned machines_visited; /* machines examined by plans and demand simulations */
+    unsigned moves_made;
+    unsigned probes_in_flight; /* present number of probes without an outcome yet */
+    unsigned rented, machines_terminated, leases_lost, spot_notices;
 };
 
 struct rr_core {
--- a/src/core/membership/attempts.c
+++ b/src/core/membership/attempts.c
@@ -1,5 +1,7 @@
-/* Attempt numbers: fencing token of the term, member index, counter. The member index keeps the
- * numbers of two owners of one term apart, so that a task is never mistaken for another team's. */
+/* Attempt numbers. An attempt number consists of the term's fencing token (upper 32 bits), the
+ * index of the member that reserved the task (8 bits) and a counter (24 bits). The member index
+ * makes the numbers of two owners in one term distinct, so that a task is never mistaken for one of
+ * another team. */
 #include "core/core_internal.h"
 #include "core/membership/membership.h"
 
--- a/src/core/membership/members.c
+++ b/src/core/membership/members.c
@@ -1,4 +1,4 @@
-/* Members of the term, and what their present sessions can do. */
+/* Members of the present term, and the capabilities of their sessions. */
 #include "core/core_internal.h"
 #include "core/extensions.h"
 #include "core/heartbeats.h"
@@ -55,42 +55,45 @@
 
 /* ---- capabilities ---- */
 
-typedef bool (*session_predicate)(const rr_session *session, uint64_t wanted);
+/* Tests a session. capability: the lowest one required; unused by tests of other properties. */
+typedef bool (*session_predicate)(const rr_session *session, uint64_t capability);
 
 static bool has_capability(const rr_session *session, uint64_t capability) {
     return session->capabilities >= capability;
 }
 
-static bool keeps_holds(const rr_session *session, uint64_t unused) {
+static bool has_transfer_holds(const rr_session *session, uint64_t unused) {
     (void)unused;
-    return session->keeps_holds;
+    return session->keeps_transfer_holds;
 }
 
-/* Whether the present session of every member satisfies the predicate; false without members. */
-static bool all_members(const rr_core *core, session_predicate satisfies, uint64_t wanted) {
+/* Whether the present session of every member satisfies the predicate. False without members, and
+ * if a member's session of this term has ended or been replaced. */
+static bool all_members_satisfy(const rr_core *core, session_predicate predicate,
+                                uint64_t capability) {
     const GArray *members = core->membership.term.members;
     for (guint i = 0; i < members->len; i++) {
         const rr_session *member = &g_array_index(members, rr_session, i);
         const rr_session *session = g_hash_table_lookup(core->membership.sessions, member->name);
-        if (!session || session->lease_id != member->lease_id || !satisfies(session, wanted)) {
+        if (!session || session->lease_id != member->lease_id || !predicate(session, capability)) {
             return false;
         }
     }
     return members->len > 0;
 }
 
-bool rr_all_capable(const rr_core *core, uint64_t capability) {
-    return all_members(core, has_capability, capability);
+bool rr_all_members_capable(const rr_core *core, uint64_t capability) {
+    return all_members_satisfy(core, has_capability, capability);
 }
 
 bool rr_core_all_gang_capable(const rr_core *core) {
-    return rr_all_capable(core, RR_CAPABILITY_GANGS);
+    return rr_all_members_capable(core, RR_CAPABILITY_GANGS);
 }
 
 bool rr_core_all_admission_capable(const rr_core *core) {
-    return rr_all_capable(core, RR_CAPABILITY_ADMISSION);
+    return rr_all_members_capable(core, RR_CAPABILITY_ADMISSION);
 }
 
 bool rr_core_all_hold_capable(const rr_core *core) {
-    return all_members(core, keeps_holds, 0);
+    return all_members_satisfy(core, has_transfer_holds, 0);
 }
--- a/src/core/membership/sessions.c
+++ b/src/core/membership/sessions.c
@@ -1,4 +1,5 @@
-/* Sessions: a controller's record under its lease, which names what its version can do. */
+/* Session records. A controller's session record is stored under its lease, so that it disappears
+ * with the lease, and lists the capabilities of the controller's version. */
 #include "core/membership/sessions.h"
 #include "core/core_internal.h"
 #include "core/leadership.h"
@@ -38,7 +39,7 @@
     g_strlcpy(session->name, name, sizeof session->name);
     session->lease_id = lease_id;
     rr_map_get_u64(value, RR_RECORD_CAPABILITIES, &session->capabilities);
-    rr_map_get_bool(value, RR_RECORD_KEEPS_HOLDS, &session->keeps_holds);
+    rr_map_get_bool(value, RR_RECORD_KEEPS_HOLDS, &session->keeps_transfer_holds);
     g_hash_table_replace(core->membership.sessions, session->name, session);
 }
 
--- a/src/core/membership/shards.c
+++ b/src/core/membership/shards.c
@@ -1,6 +1,6 @@
-/* Shards: which member owns which team, which one is the autoscaler, and their shares of the
- * store's limits. Every controller derives the same from the term's members and the settings alone.
- */
+/* Shards: assigns each team to the member that owns it, chooses the autoscaler, and divides the
+ * store's limits between the members. The result depends only on the term's members and the
+ * settings, so that all controllers agree on it without exchanging messages. */
 #include "core/core_internal.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
@@ -8,12 +8,17 @@
 
 #include <string.h>
 
-/* Hashed with a member's name to choose the autoscaler; controllers of every version that share a
- * store hash the same word. */
+/* Key that is hashed with a member's name to choose the autoscaler. It must not change, because
+ * controllers of different versions that share a store have to choose the same member. */
 #define AUTOSCALER_HASH_KEY "/steward"
 
-#define FNV_OFFSET_BASIS 1469598103934665603ULL
+/* The 64-bit offset basis of FNV-1a, 14695981039346656037, lacks its last digit here. It must not
+ * be corrected: controllers of different versions would choose different owners. */
+#define HASH_SEED 1469598103934665603ULL
 #define FNV_PRIME 1099511628211ULL
+/* First multiplier and shift of MurmurHash3's 64-bit finalizer. */
+#define MIX_MULTIPLIER 0xff51afd7ed558ccdULL
+#define MIX_SHIFT 33
 
 static const char *member_name(const rr_core *core, guint member) {
     return g_array_index(core->membership.term.members, rr_session, member).name;
@@ -21,6 +26,7 @@
 
 /* ---- rendezvous hashing ---- */
 
+/* Continues the FNV-1a hash over the bytes of the text. */
 static uint64_t hash_text(uint64_t hash, const char *text) {
     for (; *text; text++) {
         hash = (hash ^ (unsigned char)*text) * FNV_PRIME;
@@ -28,20 +34,21 @@
     return hash;
 }
 
-/* FNV-1a with a final mix: the same on every controller and in every version that shares a store.
- */
+/* Hashes a member's name with a key. The hash must be the same on all controllers and in all
+ * versions that share a store. */
 static uint64_t hash_pair(const char *name, const char *key) {
-    uint64_t hash = hash_text(FNV_OFFSET_BASIS, name);
+    uint64_t hash = hash_text(HASH_SEED, name);
     hash = hash_text(hash, "|");
     hash = hash_text(hash, key);
-    hash ^= hash >> 33;
-    hash *= 0xff51afd7ed558ccdULL;
-    hash ^= hash >> 33;
+    hash ^= hash >> MIX_SHIFT;
+    hash *= MIX_MULTIPLIER;
+    hash ^= hash >> MIX_SHIFT;
     return hash;
 }
 
-/* The member with the highest hash of its name and the team's: a change of the members moves few
- * teams, and a restart none. */
+/* Returns the index of the member whose name has the highest hash with the team's, or -1 without
+ * members. With this rendezvous hashing only few teams change owners when a member joins or leaves,
+ * and none when a member restarts. */
 static int choose_owner(const rr_core *core, const char *team) {
     int best = -1;
     uint64_t highest = 0;
@@ -63,8 +70,8 @@
     return count;
 }
 
-/* The member that owns the fewest teams, since an owner of most of the work has the least processor
- * time to spare; between equals the one with the highest hash. */
+/* Returns the index of the member that owns the fewest teams, or -1 without members: the owner of
+ * most of the work has the least processor time to spare. Ties go to the highest hash. */
 static int choose_autoscaler(const rr_core *core) {
     int best = -1;
     guint fewest = 0;
@@ -81,7 +88,7 @@
     return best;
 }
 
-/* ---- what follows from a term ---- */
+/* ---- assignment in a term ---- */
 
 static void find_own_index(rr_core *core) {
     core->membership.member_index = -1;
@@ -100,6 +107,7 @@
     }
 }
 
+/* Numbers the members that own teams and finds this controller's number. */
 static void number_shards(rr_core *core) {
     core->membership.shard_count = core->membership.shard = 0;
     for (guint i = 0; i < core->membership.term.members->len; i++) {
@@ -110,6 +118,7 @@
     }
 }
 
+/* Returns the index of the configured peer of this name, or -1. */
 static int find_peer(const rr_core *core, const char *name) {
     int peer = -1;
     for (size_t i = 0; i < core->config->peer_count; i++) {
@@ -120,7 +129,7 @@
     return peer;
 }
 
-static void find_peers(rr_core *core) {
+static void map_members_to_peers(rr_core *core) {
     for (guint i = 0; i < core->membership.term.members->len && i < RR_CONTROLLERS_MAX; i++) {
         core->membership.peer_of_member[i] = find_peer(core, member_name(core, i));
     }
@@ -131,16 +140,16 @@
     assign_teams(core);
     core->membership.autoscaler_member = choose_autoscaler(core);
     number_shards(core);
-    find_peers(core);
+    map_members_to_peers(core);
 }
 
-static bool is_own_index(const rr_core *core, int member) {
+static bool is_own_member_index(const rr_core *core, int member) {
     return member >= 0 && member == core->membership.member_index;
 }
 
 bool rr_owns_team(const rr_core *core, int team) {
     return team >= 0 && (guint)team < core->membership.team_owners->len &&
-           is_own_index(core, g_array_index(core->membership.team_owners, int, team));
+           is_own_member_index(core, g_array_index(core->membership.team_owners, int, team));
 }
 
 const char *rr_core_team_owner(const rr_core *core, const char *team) {
@@ -148,40 +157,44 @@
     int owner = index >= 0 && (guint)index < core->membership.team_owners->len
                     ? g_array_index(core->membership.team_owners, int, index)
                     : -1;
-    bool known = owner >= 0 && (guint)owner < core->membership.term.members->len;
-    return known ? member_name(core, (guint)owner) : NULL;
+    bool owner_known = owner >= 0 && (guint)owner < core->membership.term.members->len;
+    return owner_known ? member_name(core, (guint)owner) : NULL;
 }
 
 bool rr_core_is_autoscaler(const rr_core *core, double now) {
-    return rr_core_lease_valid(core, now) && is_own_index(core, core->membership.autoscaler_member);
+    return rr_core_lease_valid(core, now) &&
+           is_own_member_index(core, core->membership.autoscaler_member);
 }
 
 /* ---- shares of the store's limits ---- */
 
-/* Requests: each member follows the store, reads for queries and accepts jobs; owners and the
- * autoscaler add theirs. */
+/* Shares of the limit on requests. The first is divided evenly between the members, each of which
+ * watches the store, reads for queries and commits accepted jobs. Owners receive the second in
+ * proportion to their teams, and the autoscaler the third. */
 #define REQUESTS_SHARE_ALL_MEMBERS 0.65
 #define REQUESTS_SHARE_OWNERS 0.3
 #define REQUESTS_SHARE_AUTOSCALER 0.05
-/* Changes. */
-#define USERS_SHARE 0.35
-#define USERS_SHARE_OUTSIDE_TERM 0.3
-#define PLANS_SHARE 0.5
-#define AUTOSCALER_SHARE 0.15
+/* Shares of the limit on changes: for users' requests, divided evenly between the members, for
+ * plans in proportion to the teams owned, and for the autoscaler's records. A controller that is
+ * not yet a member counts itself as one more and uses a smaller share for users. */
+#define CHANGES_SHARE_USERS 0.35
+#define CHANGES_SHARE_USERS_OUTSIDE_TERM 0.3
+#define CHANGES_SHARE_PLANS 0.5
+#define CHANGES_SHARE_AUTOSCALER 0.15
 
 void rr_core_budget_shares(const rr_core *core, struct rr_budget_shares *out) {
-    double members = core->membership.term.members->len;
-    double teams = core->config->team_count ? (double)core->config->team_count : 1;
+    double member_count = core->membership.term.members->len;
+    double team_count = core->config->team_count ? (double)core->config->team_count : 1;
     if (!rr_is_member(core)) {
-        *out = (struct rr_budget_shares){1 / (members + 1),
-                                         USERS_SHARE_OUTSIDE_TERM / (members + 1), 0, 0};
+        *out = (struct rr_budget_shares){
+            1 / (member_count + 1), CHANGES_SHARE_USERS_OUTSIDE_TERM / (member_count + 1), 0, 0};
         return;
     }
-    double owned = count_owned_teams(core, (int)rr_member_index(core)) / teams;
-    double autoscaler = is_own_index(core, core->membership.autoscaler_member) ? 1 : 0;
-    out->requests = REQUESTS_SHARE_ALL_MEMBERS / members + REQUESTS_SHARE_OWNERS * owned +
-                    REQUESTS_SHARE_AUTOSCALER * autoscaler;
-    out->users = USERS_SHARE / members;
-    out->plans = PLANS_SHARE * owned;
-    out->autoscaler = AUTOSCALER_SHARE * autoscaler;
+    double owned_share = count_owned_teams(core, (int)rr_member_index(core)) / team_count;
+    double autoscaler = is_own_member_index(core, core->membership.autoscaler_member) ? 1 : 0;
+    out->requests = REQUESTS_SHARE_ALL_MEMBERS / member_count +
+                    REQUESTS_SHARE_OWNERS * owned_share + REQUESTS_SHARE_AUTOSCALER * autoscaler;
+    out->users = CHANGES_SHARE_USERS / member_count;
+    out->plans = CHANGES_SHARE_PLANS * owned_share;
+    out->autoscaler = CHANGES_SHARE_AUTOSCALER * autoscaler;
 }
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -1,6 +1,6 @@
-/* Terms: each names the sessions that are its members, under a fencing token one above the last.
- * The next term is committed by compare-and-swap on the term's record, by any controller that sees
- * the sessions change. */
+/* Terms. A term lists the sessions that are its members, under a fencing token one above that of
+ * the term before. Any controller that sees the sessions change commits the next term, with a
+ * compare-and-swap on the version of the term's record. */
 #include "core/membership/term.h"
 #include "core/cache_feed.h"
 #include "core/core_internal.h"
@@ -15,14 +15,16 @@
 
 /* ---- decoding ---- */
 
-static void decode_members(rr_core *core, const msgpack_object *nodes) {
+/* Replaces the members with those of the term's record, pairs of a name and a lease; malformed
+ * pairs are skipped. */
+static void decode_members(rr_core *core, const msgpack_object *member_records) {
     g_array_set_size(core->membership.term.members, 0);
-    for (uint32_t i = 0; i < nodes->via.array.size; i++) {
-        const msgpack_object *node = &nodes->via.array.ptr[i];
+    for (uint32_t i = 0; i < member_records->via.array.size; i++) {
+        const msgpack_object *member_record = &member_records->via.array.ptr[i];
         rr_session session = {0};
-        if (node->type == MSGPACK_OBJECT_ARRAY && node->via.array.size == 2 &&
-            rr_object_text(&node->via.array.ptr[0], session.name, sizeof session.name) &&
-            rr_object_u64(&node->via.array.ptr[1], &session.lease_id)) {
+        if (member_record->type == MSGPACK_OBJECT_ARRAY && member_record->via.array.size == 2 &&
+            rr_object_text(&member_record->via.array.ptr[0], session.name, sizeof session.name) &&
+            rr_object_u64(&member_record->via.array.ptr[1], &session.lease_id)) {
             g_array_append_val(core->membership.term.members, session);
         }
     }
@@ -31,9 +33,9 @@
 void rr_term_put(rr_core *core, const msgpack_object *value, uint64_t version) {
     rr_term *term = &core->membership.term;
     uint64_t token;
-    const msgpack_object *nodes = rr_map_get(value, RR_RECORD_MEMBERS);
+    const msgpack_object *member_records = rr_map_get(value, RR_RECORD_MEMBERS);
     if (version < term->version || !rr_map_get_u64(value, RR_RECORD_FENCING_TOKEN, &token) ||
-        !nodes || nodes->type != MSGPACK_OBJECT_ARRAY) {
+        !member_records || member_records->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
     term->version = version;
@@ -43,20 +45,21 @@
     }
     term->token = token;
     rr_map_get_number(value, RR_RECORD_FIRST_TERM_AT, &term->first_term_at);
-    decode_members(core, nodes);
+    decode_members(core, member_records);
     rr_assign_shards(core);
-    g_array_set_size(core->planning.moves, 0); /* their teams may have another owner now */
+    g_array_set_size(core->planning.moves, 0); /* the jobs' teams may have other owners now */
 }
 
 /* ---- the next term ---- */
 
-static gint by_name(gconstpointer left, gconstpointer right) {
+/* Compares two elements of a GPtrArray of rr_session by name. */
+static gint compare_names(gconstpointer left, gconstpointer right) {
     return strcmp((*(const rr_session *const *)left)->name,
                   (*(const rr_session *const *)right)->name);
 }
 
-/* Returns the sessions (rr_session*, owned by the core) sorted by name; the caller frees the array.
- */
+/* Returns the sessions in the store cache (rr_session*, owned by the core), sorted by name. The
+ * caller frees the array. */
 static GPtrArray *sorted_sessions(const rr_core *core) {
     GPtrArray *sessions = g_ptr_array_new();
     GHashTableIter iter;
@@ -65,7 +68,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &session)) {
         g_ptr_array_add(sessions, session);
     }
-    g_ptr_array_sort(sessions, by_name);
+    g_ptr_array_sort(sessions, compare_names);
     return sessions;
 }
 
@@ -83,6 +86,7 @@
     return false;
 }
 
+/* Adds the record of the next term, guarded by the version of the present one. */
 static void add_next_term(const rr_core *core, const GPtrArray *sessions, double wall,
                           rr_transaction *transaction) {
     const rr_term *term = &core->membership.term;
@@ -111,23 +115,23 @@
         return false;
     }
     GPtrArray *sessions = sorted_sessions(core);
-    bool change = sessions_differ_from_members(core, sessions) ||
-                  (core->membership.new_term_wanted && core->membership.term.token > 0);
-    if (change) {
+    bool term_due = sessions_differ_from_members(core, sessions) ||
+                    (core->membership.new_term_wanted && core->membership.term.token > 0);
+    if (term_due) {
         add_next_term(core, sessions, wall, out);
     }
     g_ptr_array_free(sessions, TRUE);
-    return change;
+    return term_due;
 }
 
 void rr_core_guard_term(const rr_core *core, rr_transaction *transaction) {
     rr_transaction_guard(transaction, RR_KEY_TERM, core->membership.term.version);
 }
 
-void rr_core_next_limits_in_force(rr_core *core, bool in_doubt) {
+void rr_core_next_limits_in_force(rr_core *core, bool outcome_unknown) {
     if (!core->stored.next_limits_in_force) {
         rr_log_at(core, RR_LOG_INFO, "key-value store: the next limits are in force");
     }
     core->stored.next_limits_in_force = true;
-    core->membership.new_term_wanted = core->membership.new_term_wanted || in_doubt;
+    core->membership.new_term_wanted = core->membership.new_term_wanted || outcome_unknown;
 }
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -1,5 +1,5 @@
-/* Dispatches records of the key-value store, as a reload, the watch or an own commit brings them,
- * to the modules that keep them. */
+/* Dispatches records of the key-value store to the modules that keep them. Records arrive with a
+ * full reload, the watch or an own commit. */
 #include "core/autoscaling/rental_records.h"
 #include "core/cache_feed.h"
 #include "core/core_internal.h"
@@ -15,7 +15,7 @@
 #include <string.h>
 
 /* Returns the part of the key after the prefix, or NULL if the key does not begin with it. */
-static const char *after_prefix(const char *key, const char *prefix) {
+static const char *skip_prefix(const char *key, const char *prefix) {
     size_t length = strlen(prefix);
     return strncmp(key, prefix, length) == 0 ? key + length : NULL;
 }
@@ -23,42 +23,42 @@
 void rr_core_cache_put(rr_core *core, const char *key, const msgpack_object *value,
                        uint64_t version, double now) {
     const char *key_suffix;
-    if ((key_suffix = after_prefix(key, RR_KEY_MACHINE_PAGE))) {
+    if ((key_suffix = skip_prefix(key, RR_KEY_MACHINE_PAGE))) {
         rr_machine_page_put(core, key_suffix, value, version, now);
-    } else if ((key_suffix = after_prefix(key, RR_KEY_JOB))) {
+    } else if ((key_suffix = skip_prefix(key, RR_KEY_JOB))) {
         rr_job_put(core, key_suffix, value, version, now);
-    } else if ((key_suffix = after_prefix(key, RR_KEY_LEDGER))) {
+    } else if ((key_suffix = skip_prefix(key, RR_KEY_LEDGER))) {
         rr_ledger_record_put(core, key_suffix, value, version, now);
-    } else if ((key_suffix = after_prefix(key, RR_KEY_SESSION))) {
+    } else if ((key_suffix = skip_prefix(key, RR_KEY_SESSION))) {
         rr_session_put(core, key_suffix, value);
     } else if (strcmp(key, RR_KEY_TERM) == 0) {
         rr_term_put(core, value, version);
-    } else if ((key_suffix = after_prefix(key, RR_KEY_RENTAL))) {
+    } else if ((key_suffix = skip_prefix(key, RR_KEY_RENTAL))) {
         rr_rental_put(core, key_suffix, value, version);
-    } else if (after_prefix(key, RR_KEY_MACHINE_TYPE)) {
+    } else if (skip_prefix(key, RR_KEY_MACHINE_TYPE)) {
         rr_machine_type_put(core, value);
-    } else if (after_prefix(key, RR_KEY_JOB_BATCH)) {
+    } else if (skip_prefix(key, RR_KEY_JOB_BATCH)) {
         rr_job_batch_put(core, key, value, version, now);
-    } else if (!rr_watched_record(core, key, value, version)) {
-        /* Earlier versions kept a ledger by machine, whose records may remain. */
-        rr_log_at(core, RR_LOG_DEBUG, "record %s: unknown kind ignored", key);
+    } else if (!rr_dispatch_watched_record(core, key, value, version)) {
+        /* Such records may remain from earlier versions, which kept a ledger by machine. */
+        rr_log_at(core, RR_LOG_DEBUG, "record %s ignored: unknown kind of key", key);
     }
 }
 
 void rr_core_cache_delete(rr_core *core, const char *key, uint64_t version, double now) {
     const char *key_suffix;
-    if ((key_suffix = after_prefix(key, RR_KEY_MACHINE_PAGE))) {
+    if ((key_suffix = skip_prefix(key, RR_KEY_MACHINE_PAGE))) {
         rr_machine_page_delete(core, key_suffix, version, now);
-    } else if ((key_suffix = after_prefix(key, RR_KEY_LEDGER))) {
+    } else if ((key_suffix = skip_prefix(key, RR_KEY_LEDGER))) {
         rr_ledger_record_delete(core, key_suffix, version, now);
-    } else if ((key_suffix = after_prefix(key, RR_KEY_SESSION))) {
+    } else if ((key_suffix = skip_prefix(key, RR_KEY_SESSION))) {
         rr_session_delete(core, key_suffix);
-    } else if ((key_suffix = after_prefix(key, RR_KEY_RENTAL))) {
+    } else if ((key_suffix = skip_prefix(key, RR_KEY_RENTAL))) {
         rr_rental_delete(core, key_suffix);
-    } else if (after_prefix(key, RR_KEY_JOB_BATCH)) {
+    } else if (skip_prefix(key, RR_KEY_JOB_BATCH)) {
         rr_job_batch_delete(core, key);
     } else {
-        rr_watched_record(core, key, NULL, version);
+        rr_dispatch_watched_record(core, key, NULL, version);
     }
 }
 
@@ -87,11 +87,12 @@
     rr_ledger_begin_reload(core);
 }
 
-void rr_core_cache_end_reload(rr_core *core, uint64_t first, uint64_t last, double now) {
-    core->stored.consistent_revision = last;
-    rr_machine_pages_end_reload(core, first, now);
+void rr_core_cache_end_reload(rr_core *core, uint64_t first_revision, uint64_t last_revision,
+                              double now) {
+    core->stored.consistent_revision = last_revision;
+    rr_machine_pages_end_reload(core, first_revision, now);
     rr_rentals_end_reload(core);
-    rr_ledger_end_reload(core, first, now);
+    rr_ledger_end_reload(core, first_revision, now);
     core->stored.reloading = false;
     core->stored.loaded = true;
 }
--- a/src/core/views/core_stats.c
+++ b/src/core/views/core_stats.c
@@ -1,4 +1,4 @@
-/* Counts over the core's state. */
+/* Statistics: counts over the cached state, and the counters kept since the start. */
 #include "core/core_internal.h"
 #include "core/stats.h"
 
--- a/src/core/views/job_views.c
+++ b/src/core/views/job_views.c
@@ -1,4 +1,4 @@
-/* A job's state as users see it. */
+/* State of a job as reported to users, and whether this controller can serve them. */
 #include "core/core_internal.h"
 #include "core/leadership.h"
 #include "core/membership/membership.h"
@@ -9,15 +9,16 @@
 
 #include <string.h>
 
-/* A task whose machine's heartbeats do not reach this controller counts as running once the ledger
- * has had it for this long; the count is only displayed. */
+/* A task of another owner's team counts as running once the ledger has contained it for this long,
+ * if the machine's heartbeats that reach this controller don't show it. The count is only
+ * displayed. */
 #define ASSUMED_RUNNING_S 20.0
 
-static bool is_running(const rr_core *core, const rr_job *job, const rr_placement_record *recorded,
-                       double now) {
-    const rr_machine *machine = recorded->machine;
+static bool is_running(const rr_core *core, const rr_job *job,
+                       const rr_placement_record *placement_record, double now) {
+    const rr_machine *machine = placement_record->machine;
     const rr_placement *placement =
-        rr_placement_find(machine, recorded->attempt, job, recorded->task);
+        rr_placement_find(machine, placement_record->attempt, job, placement_record->task);
     if (!placement) {
         return false;
     }
--- a/src/core/views/package_views.c
+++ b/src/core/views/package_views.c
@@ -1,4 +1,4 @@
-/* Machines and jobs as fair admission and cells see them, and the changes they make to jobs. */
+/* The interface of the packages beside the core, fair admission and cells, to machines and jobs. */
 #include "core/core_internal.h"
 #include "core/extensions.h"
 #include "core/state/cancel_hints.h"
@@ -34,9 +34,9 @@
         if (!job->version) {
             continue;
         }
-        bool waits = !job->cancelled && !job->done && !rr_job_transferred(core, job);
+        bool schedulable = !job->cancelled && !job->done && !rr_job_transferred(core, job);
         uint32_t waiting =
-            waits ? job->submission.task_count - job->done_count - job->placed_count : 0;
+            schedulable ? job->submission.task_count - job->done_count - job->placed_count : 0;
         callback(user, &job->submission, job->team, waiting, job->placed_count, job->done_count);
     }
 }
@@ -63,20 +63,20 @@
 
 /* ---- changes to a job ---- */
 
-/* Returns the job if its record is known and it is not final, or NULL. */
+/* Returns the job if its record is known and it is neither done nor cancelled, else NULL. */
 static rr_job *find_open_job(const rr_core *core, const char *job_id) {
     rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     return job && job->version && !job->done && !job->cancelled ? job : NULL;
 }
 
-bool rr_core_finish_job(const rr_core *core, const char *job_id, bool placed_are_gone,
+bool rr_core_finish_job(const rr_core *core, const char *job_id, bool placed_tasks_gone,
                         rr_transaction *transaction) {
     const rr_job *job = find_open_job(core, job_id);
-    bool may_end = job && (job->placed_count == 0 || placed_are_gone);
-    if (may_end) {
+    bool can_finish = job && (job->placed_count == 0 || placed_tasks_gone);
+    if (can_finish) {
         rr_job_final_record(job, transaction);
     }
-    return may_end;
+    return can_finish;
 }
 
 bool rr_core_guard_job(const rr_core *core, const char *job_id, rr_transaction *transaction) {
--- a/src/core/views/submission_check.c
+++ b/src/core/views/submission_check.c
@@ -1,4 +1,4 @@
-/* Admission of a submission: whether it is new, and whether it can ever run. */
+/* Checks whether a submission is new and whether its tasks can ever run. */
 #include "core/core_internal.h"
 #include "core/leadership.h"
 #include "core/membership/membership.h"
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-/* zone "": any. */
+/* Whether the machine type is offered in the zone, or with zone "" in any zone at all. */
 static bool offered_in_zone(const rr_machine_type *type, const char *zone) {
     for (guint i = 0; i < type->zones->len; i++) {
         if (!zone[0] || strcmp(g_ptr_array_index(type->zones, i), zone) == 0) {
@@ -20,6 +20,7 @@
     return false;
 }
 
+/* Whether the submission allows the machine type; one that lists no machine types allows all. */
 static bool machine_type_allowed(const rr_submission *submission, const rr_machine_type *type) {
     for (int i = 0; i < submission->machine_type_count; i++) {
         if (strcmp(submission->machine_types[i], type->name) == 0) {
@@ -42,17 +43,21 @@
     return false;
 }
 
+/* limit: 0 means unlimited. */
 static bool exceeds(double amount, double limit) {
     return limit > 0 && amount > limit + RR_RESOURCE_EPSILON;
 }
 
-/* Tasks of an array run one by one if need be; those of services and gangs run together. */
+/* Whether the job alone would exceed its team's limits. All tasks of a service or gang run at the
+ * same time, whereas those of an array can run one after another. */
 static bool exceeds_team_limit(const struct rr_team_config *team, const rr_submission *submission) {
-    double together = submission->kind == RR_JOB_ARRAY ? 1 : submission->task_count;
-    return exceeds(together * submission->cpus, team->cpus_max) ||
-           exceeds(together * submission->gpus, team->gpus_max);
+    double concurrent_tasks = submission->kind == RR_JOB_ARRAY ? 1 : submission->task_count;
+    return exceeds(concurrent_tasks * submission->cpus, team->cpus_max) ||
+           exceeds(concurrent_tasks * submission->gpus, team->gpus_max);
 }
 
+/* Checks what applies to gangs only: one transaction must reserve all tasks, and every controller
+ * of the term must support gangs. */
 static enum rr_submission_check check_gang(const rr_core *core, const rr_submission *submission,
                                            const char **why) {
     if (submission->task_count > rr_gang_tasks_max(core)) {
@@ -70,8 +75,8 @@
                                                   const rr_submission *submission,
                                                   const char **why) {
     int team = rr_config_team(core->config, submission->team);
-    const rr_job *known = g_hash_table_lookup(core->stored.jobs, submission->job_id);
-    if ((known && known->version) || rr_job_outcome(core, submission->job_id, NULL, NULL)) {
+    const rr_job *known_job = g_hash_table_lookup(core->stored.jobs, submission->job_id);
+    if ((known_job && known_job->version) || rr_job_outcome(core, submission->job_id, NULL, NULL)) {
         return RR_SUBMISSION_KNOWN;
     }
     if (team < 0) {
