--- a/src/core/health/contacts.c
+++ b/src/core/health/contacts.c
@@ -1,4 +1,5 @@
-/* Contact with other controllers and with workers over time, and pauses of this process itself. */
+/* Tracks how long this process has been running without a pause and how long it has heard other
+ * controllers and workers without a gap. */
 #include "core/health/contacts.h"
 #include "core/core_internal.h"
 #include "core/heartbeats.h"
@@ -6,14 +7,14 @@
 
 void rr_contact_record(rr_contact *contact, double now) {
     if (contact->last_at <= 0 || now - contact->last_at > RR_CONTACT_GAP_MAX_S) {
-        contact->unbroken_since = now;
+        contact->continuous_since = now;
     }
     contact->last_at = now;
 }
 
-bool rr_contact_unbroken_for(const rr_contact *contact, double now, double seconds) {
+bool rr_contact_continuous_for(const rr_contact *contact, double now, double seconds) {
     return contact->last_at > 0 && now - contact->last_at < RR_CONTACT_GAP_MAX_S &&
-           now - contact->unbroken_since >= seconds;
+           now - contact->continuous_since >= seconds;
 }
 
 void rr_core_peer_contacted(rr_core *core, double now, int peer) {
@@ -29,24 +30,24 @@
     for (guint i = 0; i < core->membership.term.members->len && i < RR_CONTROLLERS_MAX; i++) {
         int peer = core->membership.peer_of_member[i];
         if (peer >= 0 &&
-            !rr_contact_unbroken_for(&core->observed.peer_contacts[peer], now, seconds)) {
+            !rr_contact_continuous_for(&core->observed.peer_contacts[peer], now, seconds)) {
             return false;
         }
     }
     return true;
 }
 
-void rr_record_zone_count(rr_core *core, double now) {
+void rr_record_process_running(rr_core *core, double now) {
     struct rr_observations *observed = &core->observed;
     if (observed->zones_counted_at <= 0 ||
         now - observed->zones_counted_at > RR_CONTACT_GAP_MAX_S) {
-        observed->resumed_at = now;
+        observed->running_since = now;
     }
     observed->zones_counted_at = now;
 }
 
 bool rr_process_running_for(const rr_core *core, double now, double seconds) {
-    return now - core->observed.resumed_at >= seconds;
+    return now - core->observed.running_since >= seconds;
 }
 
 void rr_core_set_timers_late(rr_core *core, double now) {
--- a/src/core/health/failure_detector.c
+++ b/src/core/health/failure_detector.c
@@ -1,11 +1,12 @@
-/* The verdict that a machine is dead or hung. */
+/* Decides whether a machine is dead or hung. */
 #include "core/health/failure_detector.h"
 #include "core/core_internal.h"
 #include "core/leadership.h"
 
-/* Probes in a row that must fail. */
-#define FAILED_PROBES_MIN 2
-/* In leases: a task on a machine without contact for longer has ended with its lease. */
+/* A machine counts as dead only after this many consecutive failed probes. */
+#define DEAD_FAILED_PROBES_MIN 2
+/* Multiple of the lease length. A machine without contact for longer has lost its lease, and its
+ * tasks have ended with it. */
 #define LEASE_EXPIRED_FACTOR 1.2
 
 bool rr_machine_dead(const rr_core *core, const rr_machine *machine, double now) {
@@ -13,24 +14,24 @@
     double limit_s =
         core->config->tuning.dead_heartbeat_intervals * core->config->heartbeat_interval_s;
     if (!rr_machine_was_up(machine) || machine->zone < 0 || age_s < limit_s ||
-        machine->failed_probes < FAILED_PROBES_MIN) {
+        machine->failed_probes < DEAD_FAILED_PROBES_MIN) {
         return false;
     }
-    /* A process that runs late has heartbeats in its sockets that it has not read yet. */
+    /* If timers fire late, heartbeats may be waiting unread in this process's sockets. */
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return false;
     }
-    /* Where most of a zone is dead or hung it looks partitioned; but a partition also separates the
-     * zone's controllers. While one of those is reached, a machine whose lease has expired is dead
-     * however many others are overdue with it. */
+    /* A zone in which most machines are dead or hung looks partitioned, but a partition would cut
+     * off the zone's controllers as well. While one of them is reachable, a machine whose lease has
+     * expired is dead, however many other machines are overdue. */
     if (age_s > LEASE_EXPIRED_FACTOR * core->config->lease_s &&
         rr_zone_controller_reached(core, machine->zone, now)) {
         return true;
     }
-    /* When a partition heals, some machines are heard before the others: each gets the full time to
+    /* After a partition heals, the machines are heard one by one: each has the full time limit to
      * send a heartbeat. */
     double partitioned_at = rr_zone_partitioned_at(core, machine->zone);
-    return !rr_zone_partitioned_besides(core, machine->zone, machine, now) &&
-           !rr_zone_partition_begins(core, machine->zone, machine, now) &&
+    return !rr_zone_partitioned_excluding(core, machine->zone, machine, now) &&
+           !rr_zone_partition_suspected(core, machine->zone, machine, now) &&
            (partitioned_at <= 0 || now - partitioned_at >= limit_s);
 }
--- a/src/core/health/failure_detector.h
+++ b/src/core/health/failure_detector.h
@@ -1,6 +1,6 @@
-/* Failure detection. A missing heartbeat alone proves nothing about a task: these verdicts decide
- * where new work goes and which machines are scaled in. The headers included below have the
- * verdicts on one machine and on zones. */
+/* Failure detection: decides which machines may get new work and which are scaled in. A missing
+ * heartbeat alone does not prove that a task has ended. The headers included below declare the
+ * checks of single machines (machine_health.h) and of zones (partitions.h). */
 #ifndef RR_CORE_HEALTH_FAILURE_DETECTOR_H
 #define RR_CORE_HEALTH_FAILURE_DETECTOR_H
 
@@ -9,10 +9,10 @@
 #include "core/health/observations.h"
 #include "core/health/partitions.h"
 
-/* True: the machine counts as dead or hung and may be scaled in. That takes an old heartbeat,
- * failed probes of this controller, and evidence that its zone is not partitioned. All controllers
- * probe and pass on what they hear, so that a machine which any of them reaches is not dead.
- * Requires a current rr_detect_partitions(). */
+/* Returns whether the machine counts as dead or hung, so that it may be scaled in. This requires an
+ * old heartbeat, failed probes by this controller and evidence that the machine's zone is not
+ * partitioned. All controllers send probes and forward what they receive, so that a machine which
+ * any of them reaches does not count as dead. rr_detect_partitions() must have run just before. */
 bool rr_machine_dead(const rr_core *core, const rr_machine *machine, double now);
 
 #endif
--- a/src/core/health/heartbeat_contents.c
+++ b/src/core/health/heartbeat_contents.c
@@ -1,4 +1,4 @@
-/* What the content of a heartbeat shows about tasks, images and the machine's own state. */
+/* Records what a heartbeat reports about tasks, images and the state of its machine. */
 #include "core/health/heartbeat_contents.h"
 #include "core/core_internal.h"
 #include "core/health/machine_health.h"
@@ -8,12 +8,15 @@
 
 #include <string.h>
 
-/* A machine that refused a task for lack of room takes no new work for so long: what fills it is
- * about to show in the ledger, or is a stray task that is being stopped. */
-#define FULL_MACHINE_PAUSE_S 2.0
-#define NO_SUCH_BACKOFF_S 2.0
-/* The images kept by a machine are guessed by their number, because their sizes are not known once
- * their jobs are gone; a wrong guess costs one fetch. */
+/* A machine that refused a task for lack of free resources gets no new work for this long: the task
+ * that uses them is about to appear in the ledger, or is a stray task that is being stopped. */
+#define FULL_MACHINE_BACKOFF_S 2.0
+/* A job gets no placements for this long after a worker refused to start one of its tasks
+ * because no such job or task exists. */
+#define UNKNOWN_TASK_BACKOFF_S 2.0
+/* The number of images that a machine is assumed to keep in its cache. The cache cannot be modelled
+ * by size, because the size of an image is unknown once its jobs are gone; a wrong assumption costs
+ * one fetch. */
 #define CACHED_IMAGES_MAX 12
 
 static bool is_same_attempt(const rr_task_status *left, const rr_task_status *right) {
@@ -21,23 +24,26 @@
            strcmp(left->job_id, right->job_id) == 0;
 }
 
-/* True: the machine's previous heartbeat already showed the end of this attempt. */
-static bool was_shown_ended(const rr_machine *machine, const rr_task_status *task) {
+/* Returns whether the machine's previous heartbeat already reported the end of this attempt. */
+static bool was_reported_ended(const rr_machine *machine, const rr_task_status *task) {
     for (guint i = 0; machine->heartbeat_seen && i < machine->heartbeat.tasks->len; i++) {
-        const rr_task_status *shown = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
-        if (is_same_attempt(shown, task) && shown->state == RR_TASK_ENDED) {
+        const rr_task_status *reported =
+            &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
+        if (is_same_attempt(reported, task) && reported->state == RR_TASK_ENDED) {
             return true;
         }
     }
     return false;
 }
 
-/* True: the machine's previous heartbeat already showed this attempt past fetching its image. */
-static bool was_shown_started(const rr_machine *machine, const rr_task_status *task) {
+/* Returns whether the machine's previous heartbeat already reported that this attempt had fetched
+ * its image. */
+static bool was_reported_started(const rr_machine *machine, const rr_task_status *task) {
     for (guint i = 0; machine->heartbeat_seen && i < machine->heartbeat.tasks->len; i++) {
-        const rr_task_status *shown = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
-        if (is_same_attempt(shown, task)) {
-            return shown->state != RR_TASK_FETCHING;
+        const rr_task_status *reported =
+            &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
+        if (is_same_attempt(reported, task)) {
+            return reported->state != RR_TASK_FETCHING;
         }
     }
     return false;
@@ -46,18 +52,20 @@
 static void log_machine_events(rr_core *core, const rr_machine *machine,
                                const rr_heartbeat *heartbeat, double now) {
     if (!machine->heartbeat_seen) {
-        rr_log_at(core, RR_LOG_DEBUG, "machine %s is up in %s after %.0f s", machine->name,
-                  heartbeat->zone, now - machine->known_at);
+        rr_log_at(core, RR_LOG_DEBUG,
+                  "machine %s in zone %s sent its first heartbeat %.0f s after it became known",
+                  machine->name, heartbeat->zone, now - machine->known_at);
     }
     if (machine->heartbeat_seen && heartbeat->worker_epoch > machine->heartbeat.worker_epoch) {
-        rr_log_at(core, RR_LOG_DEBUG, "machine %s lost its lease: worker epoch %" G_GUINT64_FORMAT,
+        rr_log_at(core, RR_LOG_DEBUG,
+                  "machine %s lost its lease: worker epoch is now %" G_GUINT64_FORMAT,
                   machine->name, heartbeat->worker_epoch);
         core->counters.leases_lost++;
     }
     if (heartbeat->spot_notice_s >= 0 &&
         (!machine->heartbeat_seen || machine->heartbeat.spot_notice_s < 0)) {
-        rr_log_at(core, RR_LOG_DEBUG, "machine %s has a spot notice: %.0f s left", machine->name,
-                  heartbeat->spot_notice_s);
+        rr_log_at(core, RR_LOG_DEBUG, "machine %s got a spot termination notice: %.0f s left",
+                  machine->name, heartbeat->spot_notice_s);
         core->counters.spot_notices++;
     }
 }
@@ -66,16 +74,16 @@
                                double now) {
     for (guint i = 0; i < heartbeat->tasks->len; i++) {
         const rr_task_status *task = &g_array_index(heartbeat->tasks, rr_task_status, i);
-        if (task->state != RR_TASK_ENDED || was_shown_ended(machine, task)) {
+        if (task->state != RR_TASK_ENDED || was_reported_ended(machine, task)) {
             continue;
         }
         rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
         if (task->exit_reason == RR_EXIT_ERROR && job) {
             rr_record_task_failure(core, machine, job, now);
         } else if (task->exit_reason == RR_EXIT_FULL) {
-            machine->full_until = now + FULL_MACHINE_PAUSE_S;
+            machine->full_until = now + FULL_MACHINE_BACKOFF_S;
         } else if (task->exit_reason == RR_EXIT_NO_SUCH && job) {
-            job->backoff_until = now + NO_SUCH_BACKOFF_S;
+            job->backoff_until = now + UNKNOWN_TASK_BACKOFF_S;
         } else if (task->exit_reason == RR_EXIT_DONE && job && job->failed_machines) {
             g_array_set_size(job->failed_machines, 0);
         }
@@ -88,9 +96,10 @@
         const rr_task_status *task = &g_array_index(heartbeat->tasks, rr_task_status, i);
         const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
         if (job && task->state == RR_TASK_RUNNING && job->team >= 0 &&
-            rr_owns_team(core, job->team) && !was_shown_started(machine, task)) {
+            rr_owns_team(core, job->team) && !was_reported_started(machine, task)) {
             rr_log_at(core, RR_LOG_DEBUG,
-                      "task %s/%u (%s) runs on %s %.1f s after its job was known, image %s",
+                      "task %s/%u (class %s) started on machine %s %.1f s after its job was first "
+                      "seen, image %s",
                       task->job_id, task->task, job->submission.job_class, machine->name,
                       now - job->first_seen,
                       rr_machine_has_image(machine, job->image) ? "cached" : "fetched");
@@ -109,7 +118,7 @@
 
 void rr_record_fetched_images(rr_core *core, rr_machine *machine) {
     const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
-    guint kept_max = type && type->cache_gb > 0 ? CACHED_IMAGES_MAX : 1;
+    guint images_max = type && type->cache_gb > 0 ? CACHED_IMAGES_MAX : 1;
     for (guint i = 0; i < machine->heartbeat.tasks->len; i++) {
         const rr_task_status *task = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
         const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
@@ -118,7 +127,7 @@
             continue;
         }
         g_array_append_val(machine->images, job->image);
-        if (machine->images->len > kept_max) {
+        if (machine->images->len > images_max) {
             g_array_remove_index(machine->images, 0);
         }
     }
--- a/src/core/health/heartbeat_replies.c
+++ b/src/core/health/heartbeat_replies.c
@@ -1,4 +1,4 @@
-/* Replies to workers' heartbeats. */
+/* Composes the replies to workers' heartbeats. */
 #include "core/core_internal.h"
 #include "core/heartbeats.h"
 #include "core/membership/membership.h"
@@ -7,7 +7,8 @@
 
 #include <string.h>
 
-/* NULL: there is no other. Successive heartbeats get different ones. */
+/* Returns the name of another controller of the term, NULL: there is none. Successive heartbeats of
+ * a machine get different controllers. */
 static const char *choose_other_controller(const rr_core *core, const rr_heartbeat *heartbeat) {
     guint count = core->membership.term.members->len;
     guint first = count ? (guint)(heartbeat->sequence % count) : 0;
@@ -21,32 +22,35 @@
     return NULL;
 }
 
-/* A controller that has lost the key-value store renews its workers' leases for longer than it
- * plans, so that a partition does not end their tasks. The fencing token keeps a deposed controller
- * from changing anything; the time runs from the moment up to which the store cache knows every
- * cancellation, so that the tasks of jobs cancelled later still end in time. A token lower than the
- * worker has seen would be ignored by it, and the worker would stay here until its lease expires.
- */
-static bool may_reply(const rr_core *core, double now, const rr_heartbeat *heartbeat) {
+/* Returns whether this controller may renew the worker's lease. A controller that has lost its
+ * connection to the key-value store renews leases for longer than it plans, so that a partition
+ * does not end the workers' tasks. This is safe: the fencing token keeps a deposed controller from
+ * changing anything, and the time limit starts when the store cache last had every cancellation, so
+ * that tasks of jobs cancelled later still end in time. A worker that has seen a higher token than
+ * this term's would ignore the reply and stay with this controller until its lease expired, so it
+ * is refused. */
+static bool may_renew_lease(const rr_core *core, double now, const rr_heartbeat *heartbeat) {
     return rr_is_member(core) &&
            now < core->stored.current_at + rr_heartbeat_reply_s(core->config) &&
            heartbeat->fencing_token <= core->membership.term.token;
 }
 
-static bool is_unwanted(const rr_core *core, const rr_task_status *task, double now) {
+/* Returns whether this controller knows that the task's job is cancelled, or knows only the job's
+ * final outcome. */
+static bool is_cancelled_or_final(const rr_core *core, const rr_task_status *task, double now) {
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
     return (job && job->cancelled && !job->done) ||
            rr_job_outcome(core, task->job_id, NULL, NULL) ||
            rr_has_cancel_hint(core, task->job_id, now);
 }
 
-/* Any controller stops the tasks of cancelled jobs, because their owner may not reach the machine.
- */
+/* Adds commands that stop the tasks of cancelled and final jobs. Every controller does so, not
+ * only the owner of the job, which may be unable to reach the machine. */
 static void add_stop_commands(const rr_core *core, double now, const rr_heartbeat *heartbeat,
                               GArray *commands) {
     for (guint i = 0; i < heartbeat->tasks->len; i++) {
         const rr_task_status *task = &g_array_index(heartbeat->tasks, rr_task_status, i);
-        if (task->state == RR_TASK_ENDED || !is_unwanted(core, task, now)) {
+        if (task->state == RR_TASK_ENDED || !is_cancelled_or_final(core, task, now)) {
             continue;
         }
         rr_command command = {
@@ -59,7 +63,7 @@
 void rr_core_reply_to_heartbeat(rr_core *core, double now, const rr_heartbeat *heartbeat,
                                 struct rr_heartbeat_reply *out) {
     memset(out, 0, sizeof *out);
-    if (!may_reply(core, now, heartbeat)) {
+    if (!may_renew_lease(core, now, heartbeat)) {
         out->peer = choose_other_controller(core, heartbeat);
         out->status =
             out->peer ? RR_HEARTBEAT_REPLY_OTHER_CONTROLLER : RR_HEARTBEAT_REPLY_UNAVAILABLE;
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -1,5 +1,5 @@
-/* Acceptance of heartbeats, of their digests and of answers to commands: which are newer than what
- * is known, and which prove that the machine is reachable now. */
+/* Accepts heartbeats, digests of heartbeats and answers to commands: decides which of them are
+ * newer than what is known, and which prove that the machine is reachable now. */
 #include "core/heartbeats.h"
 #include "core/core_internal.h"
 #include "core/health/contacts.h"
@@ -10,12 +10,15 @@
 
 #include <string.h>
 
-/* Copies of one heartbeat that come over several links arrive within this time. */
-#define COPIES_SPREAD_MAX_S 0.3
+/* Duplicates of one heartbeat that arrive over different links arrive within this time. */
+#define DUPLICATE_DELAY_MAX_S 0.3
 
-/* A machine's own heartbeats arrive while the last is at most so many intervals old. */
-#define OWN_HEARTBEAT_INTERVALS 1.5
+/* A machine's own heartbeats count as arriving while the last one is less than this many heartbeat
+ * intervals old. */
+#define OWN_HEARTBEAT_INTERVALS_MAX 1.5
 
+/* Returns whether the heartbeat is newer than the machine's last one. Each worker epoch has its own
+ * sequence. */
 static bool is_newer(const rr_machine *machine, const rr_heartbeat *heartbeat) {
     if (!machine->heartbeat_seen) {
         return true;
@@ -33,21 +36,23 @@
            strcmp(machine->heartbeat.address, heartbeat->address) == 0;
 }
 
-/* A copy of a heartbeat may arrive late by more than a lease, also at a process that has not heard
- * the machine before and can't tell. One alone therefore verifies a machine only with the present
- * term's token, or if the machine was recorded while this process watched and so can't have sent
- * anything earlier; otherwise a second, newer one does. */
+/* Marks the machine as verified once a heartbeat proves that it is alive. A duplicate may arrive
+ * more than a lease late, even at a process that has not heard the machine before and so cannot
+ * recognize it as old. A single heartbeat is therefore proof only if it carries the present term's
+ * token, or if the machine was recorded while this process watched and thus cannot have sent any
+ * earlier one. Otherwise a second, newer heartbeat is needed. */
 static void update_verified(const rr_core *core, rr_machine *machine, const rr_heartbeat *heartbeat,
                             double now) {
     bool present_token =
         core->membership.term.token > 0 && heartbeat->fencing_token == core->membership.term.token;
     bool second_heartbeat =
-        machine->heartbeat_seen && now - machine->heartbeat_at > COPIES_SPREAD_MAX_S;
+        machine->heartbeat_seen && now - machine->heartbeat_at > DUPLICATE_DELAY_MAX_S;
     machine->verified =
         machine->verified || machine->recorded_while_watching || present_token || second_heartbeat;
 }
 
-/* NULL: the heartbeat is a late copy about a machine that has gone. */
+/* Returns the machine of this name, added if it is new. NULL: the machine has gone, so its
+ * heartbeat is a late duplicate. */
 static rr_machine *find_or_add_machine(rr_core *core, const char *name, double now) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, name);
     if (!machine && !g_hash_table_contains(core->stored.gone_machines, name)) {
@@ -65,8 +70,8 @@
     }
 }
 
-/* Moves the content into the machine. */
-static void store_heartbeat(rr_machine *machine, rr_heartbeat *heartbeat, uint64_t hash) {
+/* Moves the content of the heartbeat into the machine. */
+static void replace_heartbeat(rr_machine *machine, rr_heartbeat *heartbeat, uint64_t hash) {
     rr_heartbeat_clear(&machine->heartbeat);
     machine->heartbeat = *heartbeat;
     machine->heartbeat_hash = hash;
@@ -74,7 +79,8 @@
     heartbeat->tasks = NULL;
 }
 
-static void record_heard(rr_machine *machine, double now, int heard_via) {
+/* heard_via: index of the peer that forwarded the heartbeat, -1: it was sent to this controller. */
+static void record_arrival(rr_machine *machine, double now, int heard_via) {
     machine->heartbeat_at = machine->reported_at = now;
     machine->failed_probes = 0;
     machine->heard_via = heard_via;
@@ -90,7 +96,7 @@
     set_type_and_zone(core, machine, heartbeat);
     update_verified(core, machine, heartbeat, now);
     if (rr_machine_heartbeat_overdue(core, machine, now)) {
-        /* The machine was unreachable as a whole, which explains its unanswered commands. */
+        /* The whole machine was unreachable, which explains why its commands went unanswered. */
         machine->unanswered_commands = machine->failed_suspect_probes = 0;
     }
     uint64_t hash = rr_heartbeat_hash(heartbeat);
@@ -99,8 +105,8 @@
         rr_record_heartbeat_changes(core, machine, heartbeat, now);
         g_strlcpy(machine->address, heartbeat->address, sizeof machine->address);
     }
-    store_heartbeat(machine, heartbeat, hash);
-    record_heard(machine, now, heard_via);
+    replace_heartbeat(machine, heartbeat, hash);
+    record_arrival(machine, now, heard_via);
     machine->stale_answers = 0;
     if (heard_via < 0) {
         rr_contact_record(&core->observed.direct_contact, now);
@@ -112,8 +118,8 @@
     return changed ? RR_HEARTBEAT_CHANGED : RR_HEARTBEAT_UNCHANGED;
 }
 
-/* Answers older than the newest heartbeat are counted: several in a row come from another machine
- * under the same name (rr_machine_name_reused). */
+/* Counts consecutive answers that are older than the newest heartbeat: several in a row come from
+ * another machine of the same name (see rr_machine_name_reused()). */
 void rr_core_verify_machine(rr_core *core, double now, const rr_heartbeat_digest *digest) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest->machine);
     if (!machine) {
@@ -141,10 +147,10 @@
     rr_core_verify_machine(core, now, &digest);
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest.machine);
     if (machine) {
-        /* An answer does not show that the machine's own heartbeats arrive. */
+        /* An answer does not prove that the machine's own heartbeats arrive. */
         machine->reported_at = reported_at;
     }
-    return now - reported_at < OWN_HEARTBEAT_INTERVALS * core->config->heartbeat_interval_s;
+    return now - reported_at < OWN_HEARTBEAT_INTERVALS_MAX * core->config->heartbeat_interval_s;
 }
 
 bool rr_core_take_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
@@ -155,8 +161,8 @@
         digest->sequence <= machine->heartbeat.sequence) {
         return false;
     }
-    machine->verified = machine->verified || now - machine->heartbeat_at > COPIES_SPREAD_MAX_S;
-    record_heard(machine, now, heard_via);
+    machine->verified = machine->verified || now - machine->heartbeat_at > DUPLICATE_DELAY_MAX_S;
+    record_arrival(machine, now, heard_via);
     if (machine->heartbeat_hash == digest->hash) {
         machine->heartbeat.sequence = digest->sequence;
     }
--- a/src/core/health/machine_health.c
+++ b/src/core/health/machine_health.c
@@ -1,5 +1,5 @@
-/* Verdicts on a single machine, from its heartbeats, its answers to commands and the tasks that
- * failed there. */
+/* Assesses a single machine by its heartbeats, its answers to commands and the tasks that failed on
+ * it. */
 #include "core/health/machine_health.h"
 #include "core/core_internal.h"
 #include "core/health/contacts.h"
@@ -8,35 +8,37 @@
 #include <math.h>
 #include <string.h>
 
-/* A heartbeat is overdue after so many intervals, and not before a worker without an answer has
- * sent it to the next controller. */
+/* A heartbeat is overdue after this many heartbeat intervals, but not before a worker that got no
+ * answer has had time to send it to the next controller (OVERDUE_MIN_S). */
 #define OVERDUE_INTERVALS 1.3
 #define OVERDUE_MIN_S 6.5
 
-/* Heartbeats count as lost after so many intervals without one. */
+/* A machine's own heartbeats count as lost after this many heartbeat intervals without one. */
 #define HEARTBEATS_LOST_INTERVALS 2.5
 
-/* Commands in a row without an answer, after which a machine takes no new work. */
+/* A machine gets no new work after this many consecutive commands without an answer. */
 #define COMMANDS_UNANSWERED_MAX 2
 
-/* Answers in a row, over this time, that are older than the newest heartbeat: one or two may be
- * late copies. */
+/* A machine's name counts as reused after this many consecutive answers, over this time, that are
+ * older than its newest heartbeat: one or two may be late duplicates. */
 #define STALE_ANSWERS_MIN 3
 #define STALE_ANSWERS_MIN_S 2.0
 
-/* A machine's failures are forgotten once none has been added for so long. */
-#define FAILURE_MEMORY_S 150.0
-/* Since the last failure; less than the time that a job may wait. */
+/* The failures on a machine are forgotten once none has been added for this long. */
+#define FAILURE_RETENTION_S 150.0
+/* How long a quarantine lasts after the last failure: less than the time that a job may wait. */
 #define QUARANTINE_S 60.0
+/* How long after the last failure a machine counts as failed recently. */
 #define RECENT_FAILURE_S 60.0
-/* Jobs that fail on a machine before it is quarantined. */
+/* A machine is quarantined once tasks of this many jobs have failed on it. */
 #define QUARANTINE_JOBS_MIN 2
-/* A job that failed on more machines than this is itself at fault. */
+/* A job whose tasks failed on more machines than this is itself at fault. */
 #define JOB_FAILED_MACHINES_MAX 2
-/* Failed jobs kept by machine, and failed machines by job. */
+/* The failed jobs kept for a machine, and the machines kept for a job that failed on them. */
 #define FAILURES_KEPT_MAX 16
 
-/* A job's backoff doubles with every failed machine up to this many, then has its maximum. */
+/* A job's backoff doubles with each machine on which it fails and reaches its maximum at this many
+ * machines. */
 #define BACKOFF_MACHINES_MAX 7
 #define BACKOFF_MAX_S 60.0
 
@@ -70,7 +72,7 @@
            now - machine->stale_answers_since > STALE_ANSWERS_MIN_S;
 }
 
-/* Jobs that failed here and are not themselves at fault. */
+/* Counts the jobs that failed on this machine and are not themselves at fault. */
 static guint count_credible_failures(const rr_machine *machine) {
     guint count = 0;
     for (guint i = 0; i < machine->failed_jobs->len; i++) {
@@ -92,8 +94,8 @@
            count_credible_failures(machine) > 0;
 }
 
-/* Only a recent heartbeat makes capacity count, because old ones of a partitioned zone still show
- * free room. */
+/* Requires a recent heartbeat, because the old ones of a partitioned zone still report free
+ * resources. */
 bool rr_machine_schedulable(const rr_core *core, const rr_machine *machine, double now) {
     return machine->recorded && !machine->scaling_in && machine->address[0] && machine->verified &&
            rr_machine_heartbeat_recent(core, machine, now) &&
@@ -112,8 +114,9 @@
     return false;
 }
 
-/* Seconds; the first failures may be the machines' fault and delay nothing. */
-static double backoff_after(guint failed_machines) {
+/* Returns the job's backoff in seconds. The first failures cause no delay, as they may be the fault
+ * of the machines. */
+static double compute_backoff_s(guint failed_machines) {
     if (failed_machines <= JOB_FAILED_MACHINES_MAX) {
         return 0;
     }
@@ -123,7 +126,7 @@
 
 void rr_record_task_failure(rr_core *core, rr_machine *machine, rr_job *job, double now) {
     if (machine->last_task_failure_at > 0 &&
-        now - machine->last_task_failure_at > FAILURE_MEMORY_S) {
+        now - machine->last_task_failure_at > FAILURE_RETENTION_S) {
         g_array_set_size(machine->failed_jobs, 0);
     }
     machine->last_task_failure_at = now;
@@ -138,9 +141,10 @@
         !array_contains(job->failed_machines, &machine->id, sizeof(int))) {
         g_array_append_val(job->failed_machines, machine->id);
     }
-    job->backoff_until = now + backoff_after(job->failed_machines->len);
+    job->backoff_until = now + compute_backoff_s(job->failed_machines->len);
     rr_log_at(core, RR_LOG_DEBUG,
-              "task of %s failed on %s (job on %u machines, machine with %u jobs)",
+              "task of job %s failed on machine %s (job failed on %u machines, %u jobs failed on "
+              "machine)",
               job->submission.job_id, machine->name, job->failed_machines->len,
               machine->failed_jobs->len);
 }
--- a/src/core/health/partitions.c
+++ b/src/core/health/partitions.c
@@ -1,4 +1,4 @@
-/* Partition detection by zone. */
+/* Detects network partitions by zone. */
 #include "core/health/partitions.h"
 #include "core/core_internal.h"
 #include "core/health/contacts.h"
@@ -7,20 +7,22 @@
 
 #include <string.h>
 
-/* The machines of a zone send their heartbeats at different times, so that in a new partition the
- * first of them reach the age of a dead machine while most still count as heard. By then no machine
- * has been heard for the last part of an interval given here, in which most of a healthy zone is. A
- * share below the minimum therefore shows that a partition may have begun. */
-#define RECENT_INTERVALS 0.65
-#define RECENT_SHARE_MIN 0.3
+/* The machines of a zone send their heartbeats at different times. When a partition begins, the
+ * first of them therefore look dead while the heartbeats of most others still count as recent. By
+ * then no machine has been heard within the last CURRENT_HEARTBEAT_INTERVALS heartbeat intervals,
+ * while most machines of a healthy zone have. A share of such machines below CURRENT_SHARE_MIN
+ * therefore shows that a partition may have begun. */
+#define CURRENT_HEARTBEAT_INTERVALS 0.65
+#define CURRENT_SHARE_MIN 0.3
 
 bool rr_machine_was_up(const rr_machine *machine) {
     return machine->recorded && (machine->heartbeat_seen || machine->placements->len > 0);
 }
 
-static bool heard_in_last_interval(const rr_core *core, const rr_machine *machine, double now) {
+static bool has_current_heartbeat(const rr_core *core, const rr_machine *machine, double now) {
     return machine->heartbeat_seen &&
-           now - machine->heartbeat_at <= RECENT_INTERVALS * core->config->heartbeat_interval_s;
+           now - machine->heartbeat_at <=
+               CURRENT_HEARTBEAT_INTERVALS * core->config->heartbeat_interval_s;
 }
 
 static void count_zone_heartbeats(rr_core *core, double now) {
@@ -31,14 +33,14 @@
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->zone >= 0 && rr_machine_was_up(machine)) {
             rr_zone_heartbeats *counts = &g_array_index(zones, rr_zone_heartbeats, machine->zone);
-            counts->machines++;
-            counts->heard += rr_machine_heartbeat_recent(core, machine, now);
-            counts->recent += heard_in_last_interval(core, machine, now);
+            counts->machine_count++;
+            counts->recent_count += rr_machine_heartbeat_recent(core, machine, now);
+            counts->current_count += has_current_heartbeat(core, machine, now);
         }
     }
 }
 
-/* False: the zone was not known at the last count. */
+/* Copies the counts of the zone to *out; returns false if the last count did not include it. */
 static bool get_zone_counts(const rr_core *core, int zone, rr_zone_heartbeats *out) {
     if (zone < 0 || (guint)zone >= core->observed.zone_heartbeats->len) {
         return false;
@@ -47,37 +49,39 @@
     return true;
 }
 
-static bool mostly_overdue(const rr_zone_heartbeats *counts) {
-    return counts->heard * 2 < counts->machines;
+static bool most_machines_overdue(const rr_zone_heartbeats *counts) {
+    return counts->recent_count * 2 < counts->machine_count;
 }
 
 bool rr_zone_partitioned(const rr_core *core, int zone) {
     rr_zone_heartbeats counts;
-    return get_zone_counts(core, zone, &counts) && mostly_overdue(&counts);
+    return get_zone_counts(core, zone, &counts) && most_machines_overdue(&counts);
 }
 
-bool rr_zone_partitioned_besides(const rr_core *core, int zone, const rr_machine *except,
-                                 double now) {
+bool rr_zone_partitioned_excluding(const rr_core *core, int zone, const rr_machine *except,
+                                   double now) {
     rr_zone_heartbeats counts;
     if (!get_zone_counts(core, zone, &counts)) {
         return false;
     }
     if (rr_machine_was_up(except)) {
-        counts.machines--;
-        counts.heard -= rr_machine_heartbeat_recent(core, except, now) && counts.heard > 0;
+        counts.machine_count--;
+        counts.recent_count -=
+            rr_machine_heartbeat_recent(core, except, now) && counts.recent_count > 0;
     }
-    return mostly_overdue(&counts);
+    return most_machines_overdue(&counts);
 }
 
-bool rr_zone_partition_begins(const rr_core *core, int zone, const rr_machine *except, double now) {
+bool rr_zone_partition_suspected(const rr_core *core, int zone, const rr_machine *except,
+                                 double now) {
     rr_zone_heartbeats counts;
     if (!get_zone_counts(core, zone, &counts)) {
         return false;
     }
-    guint others = counts.machines - (counts.machines > 0);
-    guint recent_others =
-        counts.recent - (heard_in_last_interval(core, except, now) && counts.recent > 0);
-    return recent_others < RECENT_SHARE_MIN * others;
+    guint others = counts.machine_count - (counts.machine_count > 0);
+    guint current_others = counts.current_count -
+                           (has_current_heartbeat(core, except, now) && counts.current_count > 0);
+    return current_others < CURRENT_SHARE_MIN * others;
 }
 
 double rr_zone_partitioned_at(const rr_core *core, int zone) {
@@ -93,15 +97,15 @@
     if (!rr_process_running_for(core, now, seconds)) {
         return false;
     }
-    /* This controller counts only while workers send it heartbeats: the partition may separate it
-     * from its own zone. */
+    /* Even in its own zone, this controller counts only while workers send it heartbeats: the
+     * partition may separate it from the rest of the zone. */
     if (strcmp(core->config->zone, name) == 0 &&
-        rr_contact_unbroken_for(&core->observed.direct_contact, now, seconds)) {
+        rr_contact_continuous_for(&core->observed.direct_contact, now, seconds)) {
         return true;
     }
     for (size_t i = 0; i < core->config->peer_count; i++) {
         if (strcmp(core->config->peers[i].zone, name) == 0 &&
-            rr_contact_unbroken_for(&core->observed.peer_contacts[i], now, seconds)) {
+            rr_contact_continuous_for(&core->observed.peer_contacts[i], now, seconds)) {
             return true;
         }
     }
@@ -110,7 +114,7 @@
 
 void rr_detect_partitions(rr_core *core, double now) {
     GArray *partitioned_at = core->observed.partitioned_at;
-    rr_record_zone_count(core, now);
+    rr_record_process_running(core, now);
     count_zone_heartbeats(core, now);
     g_array_set_size(partitioned_at, core->stored.zones.names->len);
     for (guint zone = 0; zone < partitioned_at->len; zone++) {
