--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -1,5 +1,5 @@
-/* The autoscaler's loop: one step at a time, which the shell carries out and answers with a result.
- * Recorded facts come first, then demand, then the calls to the cloud. */
+/* Chooses the autoscaler's next step. The caller carries out one step at a time and passes back its
+ * result. Updates of records come first, then the demand for machines, then calls to the cloud. */
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/autoscaling/capacity_demand.h"
 #include "core/autoscaling/catalog.h"
@@ -24,25 +24,26 @@
     g_ptr_array_free(step->machines, TRUE);
 }
 
-/* Starts over in a term in which this controller is the autoscaler: nothing concluded in an earlier
- * one counts, but what is recorded does. */
+/* Resets the state at the start of a term in which this controller is the autoscaler. Conclusions
+ * of earlier terms no longer count; what the store records does. */
 static void begin_term(rr_core *core, double now) {
     core->autoscaling.term_token = core->membership.term.token;
     core->autoscaling.began_at = now;
-    core->autoscaling.list_at = core->autoscaling.demand_at = 0;
-    core->autoscaling.list_read = false;
-    rr_restart_scale_in(core, now);
-    rr_restart_rentals(core);
-    rr_log_at(core, RR_LOG_INFO, "autoscaler of term %" G_GUINT64_FORMAT,
+    core->autoscaling.machines_listed_at = core->autoscaling.demand_simulated_at = 0;
+    core->autoscaling.machines_listed = false;
+    rr_reset_scale_in(core, now);
+    rr_reset_rentals(core);
+    rr_log_at(core, RR_LOG_INFO, "this controller is the autoscaler of term %" G_GUINT64_FORMAT,
               core->membership.term.token);
 }
 
-static bool step_list(rr_core *core, double now, rr_autoscaler_step *out) {
-    if (core->autoscaling.list_at != 0 &&
-        now - core->autoscaling.list_at <= core->config->tuning.cloud_list_s) {
+/* Has the cloud's machines listed again once cloud_list_s seconds have passed. */
+static bool prepare_list_step(rr_core *core, double now, rr_autoscaler_step *out) {
+    if (core->autoscaling.machines_listed_at != 0 &&
+        now - core->autoscaling.machines_listed_at <= core->config->tuning.cloud_list_s) {
         return false;
     }
-    core->autoscaling.list_at = now;
+    core->autoscaling.machines_listed_at = now;
     out->kind = RR_AUTOSCALER_LIST;
     return true;
 }
@@ -56,10 +57,12 @@
     if (core->autoscaling.term_token != core->membership.term.token) {
         begin_term(core, now);
     }
-    bool found = rr_step_machine_records(core, now, wall, out) ||
-                 rr_step_finished_rentals(core, now, out) || rr_step_catalog(core, now, out) ||
-                 rr_step_demand(core, now, wall, out) || rr_step_scale_out(core, now, wall, out) ||
-                 rr_step_scale_in(core, now, out) || step_list(core, now, out);
+    bool found = rr_prepare_machine_records_step(core, now, wall, out) ||
+                 rr_prepare_finished_rentals_step(core, now, out) ||
+                 rr_prepare_catalog_step(core, now, out) ||
+                 rr_prepare_demand_step(core, now, wall, out) ||
+                 rr_prepare_scale_out_step(core, now, wall, out) ||
+                 rr_prepare_scale_in_step(core, now, out) || prepare_list_step(core, now, out);
     if (found && out->kind == RR_AUTOSCALER_COMMIT) {
         rr_transaction_guard(&out->transaction, RR_KEY_ROOT "term", core->membership.term.version);
     }
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -1,4 +1,4 @@
-/* The demand for machines: work that waits, and headroom for what will arrive. */
+/* Computes the demand for machines: for waiting work, and for headroom for future arrivals. */
 #include "core/autoscaling/capacity_demand.h"
 #include "core/autoscaling/demand_simulation.h"
 #include "core/autoscaling/scale_in.h"
@@ -14,24 +14,27 @@
 #include <math.h>
 #include <string.h>
 
+/* The demand is recomputed at most this often. */
 #define DEMAND_INTERVAL_S 1
 
-/* Tasks of one job for which room is sought at a time. */
-#define JOB_TASKS_MAX 5000
+/* At most this many tasks of a job are simulated at a time. */
+#define SIMULATED_JOB_TASKS_MAX 5000
 
-/* Added to runtimes and start-ups, which are estimates, before a deadline. */
+/* Safety factor on runtimes and start-up times, which are estimates, before a deadline. */
 #define DEADLINE_ESTIMATE_FACTOR 1.3
-/* A job with a deadline gets new machines when it has less time to spare than this. */
+/* New machines are rented for a job with a deadline once it has less time to spare than this. */
 #define DEADLINE_SLACK_MIN_S 40
 
-/* Jobs that came so soon after the first term were waiting before it and show no arrival rate. */
-#define INITIAL_JOBS_S 20.0
-/* The shortest time over which an arrival rate is measured. */
+/* Jobs accepted within this time after the first term began were waiting before it and say nothing
+ * about the arrival rate. */
+#define INITIAL_BACKLOG_S 20.0
+/* An arrival rate is measured over at least this time. */
 #define ARRIVAL_SPAN_MIN_S 60
-/* Headroom covers what arrives during a start-up with this allowance. */
+/* Headroom covers the arrivals during a machine's start-up, which is assumed to take this factor
+ * times its estimate plus this margin. */
 #define HEADROOM_STARTUP_FACTOR 1.2
 #define HEADROOM_STARTUP_MARGIN_S 10
-/* A task that may be preempted for headroom saves its work and then ends within this. */
+/* The time within which a preempted task ends after it has saved its progress. */
 #define PREEMPTION_MARGIN_S 1
 
 static double longest_startup_s(const rr_core *core) {
@@ -43,7 +46,7 @@
     return startup_s;
 }
 
-/* ---- waiting work ---- */
+/* ---- demand of waiting work ---- */
 
 static double longest_image_fetch_s(const rr_core *core, const rr_job *job) {
     double fetch_s = 0;
@@ -56,8 +59,9 @@
     return fetch_s;
 }
 
-/* A job with a deadline waits for room to come free while it can still make it on a new machine. */
-static bool must_scale_out(const rr_core *core, const rr_job *job, double wall) {
+/* Returns whether the job needs new machines now. A job with a deadline waits for resources to
+ * become free as long as a machine rented later would still let it meet the deadline. */
+static bool needs_new_machines(const rr_core *core, const rr_job *job, double wall) {
     if (job->submission.deadline_s < 0) {
         return true;
     }
@@ -68,8 +72,9 @@
     return slack_s < DEADLINE_SLACK_MIN_S;
 }
 
-/* Counts each job's placements on machines that are gone or declared dead: they need room at once,
- * though their owners clear them from the ledger only as the store's limits allow. */
+/* Sets lost_count of each job to its unfinished placements on machines that are gone or declared
+ * dead. These tasks need resources at once, though their owners remove the placements from the
+ * ledger only as fast as the store's limits allow. */
 static void count_lost_tasks(const rr_core *core) {
     for (guint i = 0; i < core->stored.open_jobs->len; i++) {
         rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
@@ -87,9 +92,10 @@
     }
 }
 
-/* Reduces the zones to the one in which most of the gang fits now, or else any that is allowed:
- * room for a gang in one zone is of no use spread over several. */
-static void keep_one_zone(const struct rr_demand_simulation *sim, const rr_job *job, bool *zones) {
+/* Reduces the allowed zones to one: the zone in which most of the gang fits now, or else any of
+ * them. Machines spread over several zones are of no use to a gang that must run in one. */
+static void restrict_to_one_zone(const struct rr_demand_simulation *sim, const rr_job *job,
+                                 bool *zones) {
     int best = rr_zone_with_most_room(sim->core, job, zones, sim->now);
     for (guint zone = 0; zone < sim->core->stored.zones.names->len; zone++) {
         best = best < 0 && zones[zone] ? (int)zone : best;
@@ -97,21 +103,24 @@
     }
 }
 
-static bool needs_room_here(const rr_core *core, const rr_job *job) {
+/* Returns whether the job is unfinished, belongs to a configured team and has to get its resources
+ * in this cell. */
+static bool needs_resources_in_cell(const rr_core *core, const rr_job *job) {
     return job->version && !job->cancelled && !job->done && !rr_job_transferred(core, job) &&
            !rr_job_of_another_cell(core, job) && job->team >= 0 &&
            (size_t)job->team < core->config->team_count;
 }
 
-/* Tasks of the job that need room: no more than the team's limits let run at a time. */
+/* Counts the tasks of the job that need resources, at most one more than the team's limits let
+ * run at a time. */
 static uint32_t count_waiting_tasks(const rr_core *core, const rr_job *job) {
-    if (!needs_room_here(core, job)) {
+    if (!needs_resources_in_cell(core, job)) {
         return 0;
     }
     const struct rr_team_config *team = &core->config->teams[job->team];
     uint32_t unfinished = job->submission.task_count - job->done_count;
     uint32_t count = MIN(unfinished - job->placed_count + job->lost_count, unfinished);
-    count = MIN(count, JOB_TASKS_MAX);
+    count = MIN(count, SIMULATED_JOB_TASKS_MAX);
     if (team->cpus_max > 0 && job->request.cpus > 0) {
         count = MIN(count, (uint32_t)(team->cpus_max / job->request.cpus + 1));
     }
@@ -133,23 +142,24 @@
         }
         rr_job_zones(core, job, zones, NULL);
         if (job->submission.kind == RR_JOB_GANG && job->submission.one_zone) {
-            keep_one_zone(sim, job, zones);
+            restrict_to_one_zone(sim, job, zones);
         }
-        /* A service's replicas run on separate machines. */
+        /* Replicas of a service run on separate machines. */
         struct rr_task_demand demand = {
             .job = job,
             .zones = zones,
             .tasks = tasks,
             .per_machine_max = job->submission.kind == RR_JOB_SERVICE ? 1 : tasks,
-            .may_scale_out = must_scale_out(core, job, sim->wall),
+            .may_scale_out = needs_new_machines(core, job, sim->wall),
         };
         rr_simulate_demand(sim, &demand);
     }
 }
 
-/* ---- headroom ---- */
+/* ---- headroom for future arrivals ---- */
 
-/* True: the placed work makes room for jobs like this one and saves its progress within_s. */
+/* Returns whether the placed task can be preempted for jobs like this one and would save its
+ * progress and end within within_s seconds. */
 static bool is_preemptible_for(const rr_placement *placement, const rr_job *job, double within_s) {
     const rr_submission *submission = &placement->job->submission;
     return submission->kind == RR_JOB_ARRAY && submission->priority < job->submission.priority &&
@@ -158,9 +168,9 @@
            submission->save_s + PREEMPTION_MARGIN_S <= within_s;
 }
 
-/* Counts the room of preemptible work as free: it is as good as headroom. */
-static void credit_preemptible(const struct rr_demand_simulation *sim, const rr_job *job,
-                               double within_s) {
+/* Counts the resources of preemptible tasks as free: they serve as headroom. */
+static void free_preemptible_resources(const struct rr_demand_simulation *sim, const rr_job *job,
+                                       double within_s) {
     const rr_core *core = sim->core;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
@@ -178,7 +188,8 @@
     }
 }
 
-/* Tasks of the class that arrived lately, and in *last the latest of its jobs, NULL: none. */
+/* Returns the number of tasks of the class that arrived recently, without those that were waiting
+ * before the first term. Sets *last to the latest job of the class, NULL: none. */
 static double count_arrived_tasks(const rr_core *core, const char *job_class, const rr_job **last) {
     double tasks = 0;
     *last = NULL;
@@ -186,7 +197,7 @@
         const rr_job *job = g_array_index(core->stored.arrivals, rr_job *, i);
         if (strcmp(job->submission.job_class, job_class) == 0) {
             *last = job;
-            tasks += job->accepted_at > core->membership.term.first_term_at + INITIAL_JOBS_S
+            tasks += job->accepted_at > core->membership.term.first_term_at + INITIAL_BACKLOG_S
                          ? job->submission.task_count
                          : 0;
         }
@@ -194,8 +205,9 @@
     return tasks;
 }
 
-/* Keeps room for what arrives in a class while a machine starts up, with a margin of one standard
- * deviation. The latest job stands for the class. */
+/* Adds headroom for the tasks of a job class that are expected to arrive while a machine starts up,
+ * plus one standard deviation (of a Poisson process). The latest job represents the class.
+ * span_s: time over which the arrivals were counted. */
 static void simulate_headroom_for(struct rr_demand_simulation *sim,
                                   const struct rr_objective *objective, double span_s) {
     const rr_core *core = sim->core;
@@ -213,7 +225,7 @@
             !last->submission.zone[0] ||
             strcmp(last->submission.zone, rr_name_index_at(&core->stored.zones, (int)zone)) == 0;
     }
-    credit_preemptible(sim, last, objective->within_s);
+    free_preemptible_resources(sim, last, objective->within_s);
     rr_list_machines_with_room(sim);
     struct rr_task_demand demand = {.job = last,
                                     .zones = zones,
@@ -236,17 +248,17 @@
     }
 }
 
-bool rr_step_demand(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
+bool rr_prepare_demand_step(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
     struct rr_demand_simulation sim;
-    if (now - core->autoscaling.demand_at < DEMAND_INTERVAL_S || !core->autoscaling.list_read ||
-        !core->stored.catalog_known) {
+    if (now - core->autoscaling.demand_simulated_at < DEMAND_INTERVAL_S ||
+        !core->autoscaling.machines_listed || !core->stored.catalog_known) {
         return false;
     }
-    core->autoscaling.demand_at = now;
+    core->autoscaling.demand_simulated_at = now;
     rr_demand_simulation_init(&sim, core, now, wall);
     simulate_waiting_work(&sim);
     simulate_headroom(&sim);
-    rr_review_machines(core, now, wall);
+    rr_decide_releases(core, now, wall);
     rr_put_rental_intents(core, sim.planned, &out->transaction);
     rr_demand_simulation_clear(&sim);
     if (out->transaction.changes->len == 0) {
--- a/src/core/autoscaling/catalog.c
+++ b/src/core/autoscaling/catalog.c
@@ -1,4 +1,4 @@
-/* The cloud's catalogue of machine types, and its records in the store. */
+/* Keeps the store's records of machine types up to date with the cloud's catalogue. */
 #include "core/autoscaling/catalog.h"
 #include "core/cache_feed.h"
 #include "core/core_internal.h"
@@ -7,12 +7,13 @@
 
 #include <string.h>
 
+/* The catalogue is read again after this time. */
 #define CATALOG_INTERVAL_S 60.0
-/* After a read that failed. */
+/* A failed read is repeated after this time. */
 #define CATALOG_RETRY_S 2.0
 
 void rr_core_catalog_read(rr_core *core, double now, const GArray *machine_types) {
-    core->autoscaling.catalog_at = now;
+    core->autoscaling.catalog_read_at = now;
     g_array_set_size(core->autoscaling.catalog_types, 0);
     for (guint i = 0; i < machine_types->len; i++) {
         const rr_machine_type *type = &g_array_index(machine_types, rr_machine_type, i);
@@ -25,7 +26,7 @@
     }
 }
 
-/* recorded: may be NULL. */
+/* Returns whether the record, NULL if there is none, matches the type read from the cloud. */
 static bool is_same_machine_type(const rr_machine_type *recorded, const rr_machine_type *type) {
     bool same = recorded && recorded->cpus == type->cpus && recorded->gpus == type->gpus &&
                 recorded->mem_gb == type->mem_gb && recorded->cache_gb == type->cache_gb &&
@@ -47,8 +48,9 @@
     rr_transaction_put(transaction, key, &encoder, 0);
 }
 
-/* Writes each type until the store cache shows it, because a change of term may void a transaction.
- */
+/* Adds the machine types whose records differ from the catalogue to the transaction. A type is
+ * written again until the store cache shows it, because a transaction fails if the term changes.
+ * Returns whether the transaction has any changes. */
 static bool record_machine_types(const rr_core *core, rr_transaction *transaction) {
     for (guint i = 0; i < core->autoscaling.catalog_types->len; i++) {
         const rr_machine_type *type =
@@ -64,8 +66,8 @@
     return transaction->changes->len > 0;
 }
 
-bool rr_step_catalog(rr_core *core, double now, rr_autoscaler_step *out) {
-    double *read_at = &core->autoscaling.catalog_at;
+bool rr_prepare_catalog_step(rr_core *core, double now, rr_autoscaler_step *out) {
+    double *read_at = &core->autoscaling.catalog_read_at;
     if (record_machine_types(core, &out->transaction)) {
         out->kind = RR_AUTOSCALER_COMMIT;
         return true;
--- a/src/core/autoscaling/catalog.h
+++ b/src/core/autoscaling/catalog.h
@@ -1,11 +1,11 @@
-/* The cloud's catalogue of machine types, and its records in the store. */
+/* Keeps the store's records of machine types up to date with the cloud's catalogue. */
 #ifndef RR_CORE_AUTOSCALING_CATALOG_H
 #define RR_CORE_AUTOSCALING_CATALOG_H
 
 #include "core/scaling.h"
 
-/* Records machine types that the store does not have as they were read, or has the catalogue read
- * again after a while. True: *out is the step to take. */
-bool rr_step_catalog(rr_core *core, double now, rr_autoscaler_step *out);
+/* Records the machine types whose records differ from the catalogue; if none do and the last read
+ * is too old, requests the catalogue. Returns true if *out is the step to take. */
+bool rr_prepare_catalog_step(rr_core *core, double now, rr_autoscaler_step *out);
 
 #endif
--- a/src/core/autoscaling/cloud_observations.c
+++ b/src/core/autoscaling/cloud_observations.c
@@ -1,21 +1,22 @@
-/* What the cloud has shown lately: machines that have gone, and capacity that it refused. */
+/* Remembers for a while which machines have gone and which capacity the cloud refused. */
 #include "core/autoscaling/cloud_observations.h"
 #include "core/core_internal.h"
 
-/* A machine that has gone stays listed for up to twice the usual lag of lists, and a dead one for
- * half a minute longer. */
+/* The cloud's list names a machine that has gone for up to twice the configured list lag, and a
+ * dead one for half a minute longer. These limits leave a margin. */
 #define GONE_LIST_LAGS 3
 #define GONE_LISTED_MAX_S 40
 
-#define CAPACITY_REFUSED_S 15.0
+/* How long refused capacity is not requested again. */
+#define CAPACITY_REFUSAL_S 15.0
 
-bool rr_recently_gone(const rr_core *core, const char *name, double now) {
+bool rr_machine_recently_gone(const rr_core *core, const char *name, double now) {
     const double *gone_at = g_hash_table_lookup(core->stored.gone_machines, name);
     return gone_at &&
            now - *gone_at < GONE_LIST_LAGS * core->config->list_lag_s + GONE_LISTED_MAX_S;
 }
 
-/* The caller's to free. */
+/* Returns the key in refused_capacity, which the caller has to free. */
 static char *refusal_key(const char *machine_type, const char *zone, bool spot) {
     return g_strdup_printf("%s|%s|%d", machine_type, zone, spot);
 }
@@ -31,7 +32,7 @@
 void rr_record_capacity_refusal(rr_core *core, const char *machine_type, const char *zone,
                                 bool spot, double now) {
     double *until = g_new(double, 1);
-    *until = now + CAPACITY_REFUSED_S;
+    *until = now + CAPACITY_REFUSAL_S;
     g_hash_table_replace(core->autoscaling.refused_capacity, refusal_key(machine_type, zone, spot),
                          until);
 }
--- a/src/core/autoscaling/demand_simulation.c
+++ b/src/core/autoscaling/demand_simulation.c
@@ -1,4 +1,4 @@
-/* A simulation of placing tasks: first onto the machines there are, then onto machines to rent. */
+/* Simulates placing tasks, first on existing machines and then on machines to be rented. */
 #include "core/autoscaling/demand_simulation.h"
 #include "core/autoscaling/rental_choice.h"
 #include "core/core_internal.h"
@@ -8,9 +8,9 @@
 
 #include <math.h>
 
-/* Added to the patience with a machine that starts up. */
+/* Added to the time that a machine may take to start up before it no longer counts as capacity. */
 #define STARTUP_MARGIN_S 5
-/* Costs closer than this are equal. */
+/* Costs that differ by less than this count as equal. */
 #define COST_EPSILON 1e-9
 
 void rr_demand_simulation_init(struct rr_demand_simulation *sim, rr_core *core, double now,
@@ -21,7 +21,7 @@
         .now = now,
         .wall = wall,
         .planned = g_array_new(FALSE, FALSE, sizeof(struct rr_planned_rental)),
-        .with_room = g_ptr_array_new(),
+        .machines_with_room = g_ptr_array_new(),
         .machines_by_zone = g_new0(guint, zone_count + 1),
     };
     rr_reset_free_resources(core);
@@ -37,7 +37,7 @@
 
 void rr_demand_simulation_clear(struct rr_demand_simulation *sim) {
     g_array_free(sim->planned, TRUE);
-    g_ptr_array_free(sim->with_room, TRUE);
+    g_ptr_array_free(sim->machines_with_room, TRUE);
     g_free(sim->machines_by_zone);
 }
 
@@ -56,13 +56,14 @@
             !rr_machine_heartbeats_lost(core, machine, now));
 }
 
-/* ---- machines there are ---- */
+/* ---- existing machines ---- */
 
 static bool has_room(const rr_core *core, const rr_machine *machine) {
     return rr_resources_free_share(machine->free, rr_machine_capacity(core, machine)) >
            RR_RESOURCE_EPSILON;
 }
 
+/* The price of the free share of the machine. */
 static double free_room_cost(const rr_core *core, const rr_machine *machine) {
     return rr_machine_price(core, machine) *
            rr_resources_free_share(machine->free, rr_machine_capacity(core, machine));
@@ -82,72 +83,73 @@
 
 void rr_list_machines_with_room(struct rr_demand_simulation *sim) {
     rr_core *core = sim->core;
-    g_ptr_array_set_size(sim->with_room, 0);
+    g_ptr_array_set_size(sim->machines_with_room, 0);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         core->counters.machines_visited++;
         if (rr_machine_counts_as_capacity(core, machine, sim->now) && has_room(core, machine)) {
-            g_ptr_array_add(sim->with_room, machine);
+            g_ptr_array_add(sim->machines_with_room, machine);
         }
     }
-    g_ptr_array_sort_with_data(sim->with_room, compare_by_cost, core);
+    g_ptr_array_sort_with_data(sim->machines_with_room, compare_by_cost, core);
 }
 
-/* Tasks placed on the machine, `left` at most. */
-static uint32_t fill_machine(const struct rr_demand_simulation *sim, rr_machine *machine,
-                             const struct rr_task_demand *demand, uint32_t left) {
+/* Places up to `remaining` tasks on the machine and returns how many it placed. */
+static uint32_t place_on_machine(const struct rr_demand_simulation *sim, rr_machine *machine,
+                                 const struct rr_task_demand *demand, uint32_t remaining) {
     const rr_job *job = demand->job;
     if (machine->zone < 0 || !demand->zones[machine->zone] ||
         !rr_job_allows(sim->core, job, machine->machine_type, machine->zone, machine->spot)) {
         return 0;
     }
     uint32_t tasks =
-        rr_tasks_fitting(job->request, machine->free, MIN(left, demand->per_machine_max));
+        rr_tasks_fitting(job->request, machine->free, MIN(remaining, demand->per_machine_max));
     machine->free = rr_resources_add(machine->free, job->request, -(double)tasks);
     machine->surplus = machine->surplus && tasks == 0;
     return tasks;
 }
 
-/* Places tasks on machines there are and drops those that are full from the list. Returns how many
- * tasks found no room. */
-static uint32_t fill_machines(struct rr_demand_simulation *sim,
-                              const struct rr_task_demand *demand) {
-    uint32_t left = demand->tasks;
+/* Places tasks on the listed machines and removes machines that are full from the list. Returns how
+ * many tasks could not be placed. */
+static uint32_t place_on_listed_machines(struct rr_demand_simulation *sim,
+                                         const struct rr_task_demand *demand) {
+    uint32_t remaining = demand->tasks;
     guint kept = 0;
     guint i = 0;
-    for (; i < sim->with_room->len && left > 0; i++) {
-        rr_machine *machine = g_ptr_array_index(sim->with_room, i);
+    for (; i < sim->machines_with_room->len && remaining > 0; i++) {
+        rr_machine *machine = g_ptr_array_index(sim->machines_with_room, i);
         sim->core->counters.machines_visited++;
-        left -= fill_machine(sim, machine, demand, left);
+        remaining -= place_on_machine(sim, machine, demand, remaining);
         if (has_room(sim->core, machine)) {
-            sim->with_room->pdata[kept++] = machine;
+            sim->machines_with_room->pdata[kept++] = machine;
         }
     }
-    for (; i < sim->with_room->len; i++) {
-        sim->with_room->pdata[kept++] = sim->with_room->pdata[i];
+    for (; i < sim->machines_with_room->len; i++) {
+        sim->machines_with_room->pdata[kept++] = sim->machines_with_room->pdata[i];
     }
-    g_ptr_array_set_size(sim->with_room, (gint)kept);
-    return left;
+    g_ptr_array_set_size(sim->machines_with_room, (gint)kept);
+    return remaining;
 }
 
 /* ---- machines to rent ---- */
 
-static bool is_same_kind(const struct rr_planned_rental *left,
-                         const struct rr_planned_rental *right) {
+static bool is_same_offer(const struct rr_planned_rental *left,
+                          const struct rr_planned_rental *right) {
     return left->machine_type == right->machine_type && left->zone == right->zone &&
            left->spot == right->spot;
 }
 
-/* Plans one more machine of the chosen type, zone and kind; its room is the whole machine. */
+/* Plans one more machine of the chosen offer, with all of its resources free. Returns its planned
+ * rental, which is valid until the next call. */
 static struct rr_planned_rental *add_planned_machine(struct rr_demand_simulation *sim,
                                                      const struct rr_planned_rental *chosen) {
     sim->machines_by_zone[chosen->zone]++;
     for (guint i = 0; i < sim->planned->len; i++) {
         struct rr_planned_rental *planned =
             &g_array_index(sim->planned, struct rr_planned_rental, i);
-        if (is_same_kind(planned, chosen)) {
+        if (is_same_offer(planned, chosen)) {
             planned->count++;
-            planned->room = chosen->room;
+            planned->free = chosen->free;
             return planned;
         }
     }
@@ -158,15 +160,16 @@
     return added;
 }
 
-/* The planned rental whose last machine has room for a task of the job, NULL: none. */
-static struct rr_planned_rental *find_planned_room(const struct rr_demand_simulation *sim,
-                                                   const rr_job *job, const bool *zones) {
+/* Returns a planned rental whose last machine has enough free resources for a task of the job,
+ * NULL: none. */
+static struct rr_planned_rental *find_planned_rental(const struct rr_demand_simulation *sim,
+                                                     const rr_job *job, const bool *zones) {
     for (guint i = 0; i < sim->planned->len; i++) {
         struct rr_planned_rental *planned =
             &g_array_index(sim->planned, struct rr_planned_rental, i);
         if (zones[planned->zone] &&
             rr_job_allows(sim->core, job, planned->machine_type, planned->zone, planned->spot) &&
-            rr_resources_fit(job->request, planned->room)) {
+            rr_resources_fit(job->request, planned->free)) {
             return planned;
         }
     }
@@ -174,9 +177,9 @@
 }
 
 void rr_simulate_demand(struct rr_demand_simulation *sim, const struct rr_task_demand *demand) {
-    uint32_t left = fill_machines(sim, demand);
-    for (; demand->may_scale_out && left > 0; left--) {
-        struct rr_planned_rental *planned = find_planned_room(sim, demand->job, demand->zones);
+    uint32_t remaining = place_on_listed_machines(sim, demand);
+    for (; demand->may_scale_out && remaining > 0; remaining--) {
+        struct rr_planned_rental *planned = find_planned_rental(sim, demand->job, demand->zones);
         struct rr_planned_rental chosen;
         if (!planned) {
             if (!rr_choose_rental(sim->core, demand->job, demand->zones, sim->machines_by_zone,
@@ -185,6 +188,6 @@
             }
             planned = add_planned_machine(sim, &chosen);
         }
-        planned->room = rr_resources_add(planned->room, demand->job->request, -1);
+        planned->free = rr_resources_add(planned->free, demand->job->request, -1);
     }
 }
--- a/src/core/autoscaling/machine_list.c
+++ b/src/core/autoscaling/machine_list.c
@@ -1,4 +1,4 @@
-/* The cloud's list of machines, compared with the records in the store. */
+/* Compares the cloud's list of machines with the records in the store. */
 #include "core/autoscaling/cloud_observations.h"
 #include "core/core_internal.h"
 #include "core/scaling.h"
@@ -8,31 +8,36 @@
 #include <math.h>
 #include <string.h>
 
-/* A machine created so shortly before the first term was there before it. */
+/* A machine counts as older than the service if it was created more than this before the service's
+ * first term. */
 #define FIRST_TERM_MARGIN_S 5
-/* A machine is gone when it is missing from a list taken so long after it was first listed, or
- * after it became known if it never was. */
-#define LISTED_LAGS 2
-#define LISTED_MARGIN_S 1
-#define UNLISTED_LAGS 3
-#define UNLISTED_MARGIN_S 10
+/* A machine that has been listed is gone if it is missing from a list requested more than this many
+ * list lags, plus the margin, after it was first listed. */
+#define LISTED_GONE_LAGS 2
+#define LISTED_GONE_MARGIN_S 1
+/* The same for a machine that has never been listed, counted from when it became known or this
+ * autoscaler began, whichever is later. */
+#define UNLISTED_GONE_LAGS 3
+#define UNLISTED_GONE_MARGIN_S 10
 
-/* The operators' own machines were there before the service's first term or before it first rented
- * any: a list may give machines that start together no age. */
+/* Returns whether the machine belongs to the operators: it existed before the first term, or before
+ * the service first rented a machine. The second rule is needed because the cloud's list may give
+ * machines that start together no age. */
 static bool is_operator_owned(const rr_core *core, const rr_machine *machine) {
     return !machine->rented &&
            (machine->created_at < core->membership.term.first_term_at - FIRST_TERM_MARGIN_S ||
             !core->autoscaling.ever_rented);
 }
 
-/* The machine to be recorded for a listed one that has no record, NULL: none. */
+/* Returns the machine for a listed one without a record, marked to be recorded. NULL: the machine
+ * has failed or gone and is not recorded. */
 static rr_machine *adopt_listed_machine(rr_core *core, const rr_listed_machine *listed, double now,
                                         double wall) {
     if (listed->state == RR_LISTED_FAILED) {
         g_hash_table_add(core->autoscaling.stray_failed, g_strdup(listed->id));
         return NULL;
     }
-    if (rr_recently_gone(core, listed->id, now)) {
+    if (rr_machine_recently_gone(core, listed->id, now)) {
         return NULL;
     }
     rr_machine *machine = rr_machine_get(core, listed->id, now);
@@ -42,6 +47,7 @@
     return machine;
 }
 
+/* Updates the machine from its entry in the list, or adds it if it has no record. */
 static void record_listed_machine(rr_core *core, const rr_listed_machine *listed, double asked_at,
                                   double now, double wall) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, listed->id);
@@ -67,17 +73,19 @@
     machine->list_failed = listed->state == RR_LISTED_FAILED;
 }
 
-/* True: a machine missing from a list taken at asked_at is gone. A machine listed once stays listed
- * until it is gone. */
+/* Returns whether a machine that is missing from a list requested at asked_at is gone. A machine
+ * that has been listed stays listed until it is gone. */
 static bool missing_means_gone(const rr_core *core, const rr_machine *machine, double asked_at) {
     double lag = core->config->list_lag_s;
-    return machine->listed ? asked_at > machine->listed_at + LISTED_LAGS * lag + LISTED_MARGIN_S
-                           : asked_at > fmax(machine->known_at, core->autoscaling.began_at) +
-                                            UNLISTED_LAGS * lag + UNLISTED_MARGIN_S;
+    return machine->listed
+               ? asked_at > machine->listed_at + LISTED_GONE_LAGS * lag + LISTED_GONE_MARGIN_S
+               : asked_at > fmax(machine->known_at, core->autoscaling.began_at) +
+                                UNLISTED_GONE_LAGS * lag + UNLISTED_GONE_MARGIN_S;
 }
 
-/* names: a set of those in the list. */
-static void check_missing_machines(rr_core *core, double asked_at, GHashTable *names) {
+/* Marks recorded machines that are missing from the list and gone for removal. Machines that are
+ * not recorded yet no longer will be, unless they were rented. names: set of the listed names. */
+static void mark_missing_machines(rr_core *core, double asked_at, GHashTable *names) {
     for (guint i = core->stored.machine_list->len; i > 0; i--) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         if (g_hash_table_contains(names, machine->name)) {
@@ -93,14 +101,14 @@
 void rr_core_machines_listed(rr_core *core, double asked_at, double now, double wall,
                              const GArray *machines) {
     GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
-    core->autoscaling.list_at = now;
-    core->autoscaling.list_read = true;
+    core->autoscaling.machines_listed_at = now;
+    core->autoscaling.machines_listed = true;
     g_hash_table_remove_all(core->autoscaling.stray_failed);
     for (guint i = 0; i < machines->len; i++) {
         const rr_listed_machine *listed = &g_array_index(machines, rr_listed_machine, i);
         g_hash_table_add(names, (gpointer)listed->id);
         record_listed_machine(core, listed, asked_at, now, wall);
     }
-    check_missing_machines(core, asked_at, names);
+    mark_missing_machines(core, asked_at, names);
     g_hash_table_destroy(names);
 }
--- a/src/core/autoscaling/page_changes.c
+++ b/src/core/autoscaling/page_changes.c
@@ -1,19 +1,21 @@
-/* Changes to pages of machine records, gathered for one transaction. */
+/* Collects the changes to pages of machine records for one transaction. */
 #include "core/autoscaling/page_changes.h"
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/core_internal.h"
 
-/* Of the 64 that the store takes in a transaction. */
+/* Limit for the pages of a transaction, of which the store takes 64 KB in total. */
 #define TRANSACTION_KB_MAX 48
-/* Changed in one step, so that none of the other steps waits long. */
+/* Limit for the pages changed in one step, so that the other steps do not wait long. */
 #define CHANGED_PAGES_MAX 8
+/* Large pages are looked for at most this often. */
 #define SPLIT_INTERVAL_S 0.5
 
-/* Of a page without machines. */
+/* The size of a page without machines. */
 #define EMPTY_PAGE_BYTES 64
-/* Kept free, because sizes are estimates. */
+/* Left unused in every page, because sizes are estimates. */
 #define PAGE_MARGIN_BYTES 128
-/* How full a split page is left: it grows as addresses come to be known. */
+/* The share of the maximum size that a page keeps when it is split: it grows later, as addresses of
+ * its machines become known. */
 #define SPLIT_PAGE_FILL 0.75
 
 void rr_page_changes_init(struct rr_page_changes *changes, rr_core *core) {
@@ -44,6 +46,7 @@
     g_hash_table_destroy(changes->changed);
 }
 
+/* Estimated size of a page with these machines. */
 static size_t page_bytes(const rr_core *core, const GPtrArray *machines) {
     size_t bytes = EMPTY_PAGE_BYTES;
     for (guint i = 0; i < machines->len; i++) {
@@ -56,6 +59,7 @@
     return rr_value_kb_max(core->config) * 1024 - PAGE_MARGIN_BYTES;
 }
 
+/* Returns whether the configured next limit of the store is below its present one. */
 static bool limits_will_be_lowered(const rr_core *core) {
     return rr_value_kb_max(core->config) < core->config->value_kb;
 }
@@ -64,7 +68,8 @@
     return machine->recorded && machine->page == id;
 }
 
-static void insert_page(struct rr_page_changes *changes, uint32_t id, GPtrArray *machines) {
+/* Adds a page to the changes, which take over the array of its machines. */
+static void add_changed_page(struct rr_page_changes *changes, uint32_t id, GPtrArray *machines) {
     g_hash_table_insert(changes->changed, GUINT_TO_POINTER(id), machines);
     changes->pages_left--;
 }
@@ -82,13 +87,13 @@
             g_ptr_array_add(machines, machine);
         }
     }
-    /* A page over the limit is left alone only where it will be split: others grow a little over it
-     * as addresses come to be known, and must still change. */
+    /* An oversized page is left for rr_split_large_pages() if that will split it. Otherwise it must
+     * still be changeable: pages grow slightly over the limit as addresses become known. */
     if (limits_will_be_lowered(core) && (double)page_bytes(core, machines) > page_bytes_max(core)) {
         g_ptr_array_free(machines, TRUE);
         return NULL;
     }
-    insert_page(changes, id, machines);
+    add_changed_page(changes, id, machines);
     return machines;
 }
 
@@ -115,9 +120,10 @@
     return rr_change_page(changes, core->stored.next_page++);
 }
 
-/* Writes some of the page's machines to a new page. Once the store cache shows them there, the old
- * page is written without them: no reader of any version sees a machine on no page, which
- * would mean that it has gone. A full read, in key order, finds it on the new page last. */
+/* Writes some of the page's machines to a new page. The old page is rewritten without them only
+ * once the store cache shows them on the new one, so that no reader of any version ever finds a
+ * machine on no page, which would mean that it has gone. A full reload reads pages in key order and
+ * thus finds such a machine on the new page last. */
 static void split_page(struct rr_page_changes *changes, uint32_t id) {
     rr_core *core = changes->core;
     GPtrArray *moved = g_ptr_array_new();
@@ -135,15 +141,17 @@
             moved_bytes += bytes;
         }
     }
-    insert_page(changes, core->stored.next_page++, moved);
+    add_changed_page(changes, core->stored.next_page++, moved);
 }
 
+/* The machines that belong to a page now, whatever its record still names. */
 struct page_contents {
     guint machines;
-    size_t bytes;
+    size_t bytes; /* estimated size */
 };
 
-/* page id -> struct page_contents, of pages with machines; the caller's to destroy. */
+/* Returns a table of page id -> struct page_contents, with all pages that have machines. The caller
+ * has to destroy it. */
 static GHashTable *count_page_contents(const rr_core *core) {
     GHashTable *contents = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
--- a/src/core/autoscaling/rental_choice.c
+++ b/src/core/autoscaling/rental_choice.c
@@ -1,4 +1,4 @@
-/* The choice of machine type, zone and kind for a task that no machine has room for. */
+/* Chooses the machine type, the zone, and on-demand or spot, for a machine to be rented. */
 #include "core/autoscaling/rental_choice.h"
 #include "core/autoscaling/cloud_observations.h"
 #include "core/core_internal.h"
@@ -6,33 +6,37 @@
 #include "core/state/machine_pages.h"
 #include "core/state/name_index.h"
 
-/* Prices closer than this are equal. */
+/* Prices that differ by less than this count as equal. */
 #define PRICE_EPSILON 1e-9
 
+/* A machine type in a zone, on-demand or spot. */
 struct offer {
     struct rr_planned_rental rental; /* machine_type -1: none */
     double price;                    /* of the task's share of the machine */
-    guint zone_machines;
+    guint zone_machine_count;        /* existing and planned machines in the zone */
 };
 
+/* The search for the best offer for a task of a job. */
 struct search {
     const rr_core *core;
     const rr_job *job;
-    const bool *zones;
-    const guint *machines_by_zone;
+    const bool *zones;             /* by zone index: whether the task may run there */
+    const guint *machines_by_zone; /* existing and planned machines */
     double now;
-    struct offer best;
+    struct offer best; /* so far */
 };
 
+/* Returns whether the offer is cheaper or, at equal price, in a zone with fewer machines. */
 static bool is_better_offer(const struct offer *offer, const struct offer *best) {
     if (best->rental.machine_type < 0 || offer->price < best->price - PRICE_EPSILON) {
         return true;
     }
-    return offer->price < best->price + PRICE_EPSILON && offer->zone_machines < best->zone_machines;
+    return offer->price < best->price + PRICE_EPSILON &&
+           offer->zone_machine_count < best->zone_machine_count;
 }
 
-static bool is_available(const struct search *search, const rr_machine_type *type, int machine_type,
-                         int zone, bool spot) {
+static bool is_offer_available(const struct search *search, const rr_machine_type *type,
+                               int machine_type, int zone, bool spot) {
     const rr_core *core = search->core;
     return zone >= 0 && search->zones[zone] &&
            rr_job_allows(core, search->job, machine_type, zone, spot) &&
@@ -40,6 +44,7 @@
                                 search->now);
 }
 
+/* Compares all available offers of the machine type with the best one so far. */
 static void consider_machine_type(struct search *search, int machine_type) {
     const rr_core *core = search->core;
     const rr_machine_type *type = rr_machine_type_at(core, machine_type);
@@ -55,7 +60,7 @@
     for (guint i = 0; i < 2 * type->zones->len; i++) { /* each zone: on-demand, then spot */
         int zone = rr_name_index_find(&core->stored.zones, g_ptr_array_index(type->zones, i / 2));
         bool spot = i % 2 == 1;
-        if (!is_available(search, type, machine_type, zone, spot)) {
+        if (!is_offer_available(search, type, machine_type, zone, spot)) {
             continue;
         }
         struct offer offer = {{machine_type, zone, spot, 0, capacity},
--- a/src/core/autoscaling/rental_records.c
+++ b/src/core/autoscaling/rental_records.c
@@ -1,4 +1,4 @@
-/* Takes rentals' records over into the store cache. */
+/* Applies changes of rental records to the store cache. */
 #include "core/autoscaling/rental_records.h"
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/core_internal.h"
@@ -53,12 +53,12 @@
     }
 }
 
-static gboolean not_seen(gpointer name, gpointer rental, gpointer user) {
+static gboolean was_not_seen(gpointer name, gpointer rental, gpointer user) {
     (void)name;
     (void)user;
     return !((const rr_rental *)rental)->seen_in_reload;
 }
 
 void rr_rentals_end_reload(rr_core *core) {
-    g_hash_table_foreach_remove(core->autoscaling.rentals, not_seen, NULL);
+    g_hash_table_foreach_remove(core->autoscaling.rentals, was_not_seen, NULL);
 }
--- a/src/core/autoscaling/rentals.c
+++ b/src/core/autoscaling/rentals.c
@@ -1,4 +1,5 @@
-/* Rentals: recorded intents to scale out, the calls to the cloud and their results. */
+/* Manages rentals: records intents to scale out, requests them from the cloud and processes the
+ * results. */
 #include "core/autoscaling/rentals.h"
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/autoscaling/cloud_observations.h"
@@ -11,18 +12,20 @@
 
 #include <string.h>
 
-/* Machines in one request: the cloud's limit. */
+/* The cloud's limit for the machines of one request. */
 #define RENTAL_MACHINES_MAX 50
-/* Intents at a time. */
-#define RENTALS_MAX 24
+/* At most this many intents are open at a time. */
+#define OPEN_RENTALS_MAX 24
+/* A request without an answer is repeated after this time. */
 #define RENTAL_RETRY_S 5.0
 
 #define RENTAL_KEY_BYTES (RR_ID_SIZE + 32)
 
-/* ---- intents ---- */
+/* ---- records of intents ---- */
 
-/* Machines asked for and not yet recorded, of this machine type, zone and kind. */
-static int count_pending(const rr_core *core, const struct rr_planned_rental *planned) {
+/* Counts the machines in open intents of the same machine type and zone, and likewise on-demand or
+ * spot. */
+static int count_pending_machines(const rr_core *core, const struct rr_planned_rental *planned) {
     const char *machine_type =
         rr_name_index_at(&core->stored.machine_type_names, planned->machine_type);
     const char *zone = rr_name_index_at(&core->stored.zones, planned->zone);
@@ -40,11 +43,11 @@
     return count;
 }
 
-static void put_intent(rr_core *core, const struct rr_planned_rental *planned, int count,
-                       rr_transaction *transaction) {
+static void put_rental_intent(rr_core *core, const struct rr_planned_rental *planned, int count,
+                              rr_transaction *transaction) {
     char name[RR_ID_SIZE], key[RENTAL_KEY_BYTES];
     rr_encoder encoder;
-    /* Token and counter together are never used again, so that no two requests share a name. */
+    /* A pair of token and counter is never reused, so no two requests have the same name. */
     g_snprintf(name, sizeof name, "rr-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                core->membership.term.token, ++core->membership.attempt_counter);
     rr_rental_key(name, key, sizeof key);
@@ -60,40 +63,41 @@
     rr_transaction_put(transaction, key, &encoder, 0);
 }
 
-static bool takes_another_intent(const rr_core *core, const rr_transaction *transaction) {
+static bool can_add_intent(const rr_core *core, const rr_transaction *transaction) {
     return (int)transaction->changes->len < rr_transaction_changes_max(core->config) &&
-           g_hash_table_size(core->autoscaling.rentals) + transaction->changes->len < RENTALS_MAX;
+           g_hash_table_size(core->autoscaling.rentals) + transaction->changes->len <
+               OPEN_RENTALS_MAX;
 }
 
 void rr_put_rental_intents(rr_core *core, const GArray *planned, rr_transaction *transaction) {
     for (guint i = 0; i < planned->len; i++) {
         const struct rr_planned_rental *rental =
             &g_array_index(planned, struct rr_planned_rental, i);
-        int left = rental->count - count_pending(core, rental);
-        while (left > 0 && takes_another_intent(core, transaction)) {
-            int count = MIN(left, RENTAL_MACHINES_MAX);
-            put_intent(core, rental, count, transaction);
-            left -= count;
+        int missing = rental->count - count_pending_machines(core, rental);
+        while (missing > 0 && can_add_intent(core, transaction)) {
+            int count = MIN(missing, RENTAL_MACHINES_MAX);
+            put_rental_intent(core, rental, count, transaction);
+            missing -= count;
         }
     }
 }
 
-/* True: the cloud refused the rental, or each of its machines is recorded or has gone again. */
-static bool is_finished(const rr_core *core, const rr_rental *rental, double now) {
+/* Returns whether the cloud refused the rental, or all its machines are recorded or have gone. */
+static bool is_rental_finished(const rr_core *core, const rr_rental *rental, double now) {
     if (!rental->answered) {
         return rental->refused;
     }
     for (guint i = 0; i < rental->machine_ids->len; i++) {
         const char *id = g_ptr_array_index(rental->machine_ids, i);
         const rr_machine *machine = g_hash_table_lookup(core->stored.machines, id);
-        if (!(machine && machine->recorded) && !rr_recently_gone(core, id, now)) {
+        if (!(machine && machine->recorded) && !rr_machine_recently_gone(core, id, now)) {
             return false;
         }
     }
     return true;
 }
 
-bool rr_step_finished_rentals(const rr_core *core, double now, rr_autoscaler_step *out) {
+bool rr_prepare_finished_rentals_step(const rr_core *core, double now, rr_autoscaler_step *out) {
     GHashTableIter iter;
     gpointer value;
     char key[RENTAL_KEY_BYTES];
@@ -101,7 +105,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const rr_rental *rental = value;
         if ((int)out->transaction.changes->len < rr_transaction_changes_max(core->config) &&
-            is_finished(core, rental, now)) {
+            is_rental_finished(core, rental, now)) {
             rr_rental_key(rental->name, key, sizeof key);
             rr_transaction_guard(&out->transaction, key, rental->version);
             rr_transaction_delete(&out->transaction, key);
@@ -114,24 +118,24 @@
     return true;
 }
 
-/* ---- calls to the cloud ---- */
+/* ---- requests to the cloud ---- */
 
-static bool is_due(const rr_rental *rental, double now) {
+static bool is_request_due(const rr_rental *rental, double now) {
     return !rental->answered && !rental->refused &&
-           (rental->tried_at <= 0 || now - rental->tried_at >= RENTAL_RETRY_S);
+           (rental->requested_at <= 0 || now - rental->requested_at >= RENTAL_RETRY_S);
 }
 
-bool rr_step_scale_out(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
+bool rr_prepare_scale_out_step(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, core->autoscaling.rentals);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         rr_rental *rental = value;
-        if (!is_due(rental, now)) {
+        if (!is_request_due(rental, now)) {
             continue;
         }
-        rental->tried_at = now;
-        core->autoscaling.rented_at = wall;
+        rental->requested_at = now;
+        core->autoscaling.scale_out_requested_at = wall;
         out->kind = RR_AUTOSCALER_SCALE_OUT;
         g_strlcpy(out->rental, rental->name, sizeof out->rental);
         g_strlcpy(out->machine_type, rental->machine_type, sizeof out->machine_type);
@@ -143,14 +147,14 @@
     return false;
 }
 
-void rr_restart_rentals(rr_core *core) {
+void rr_reset_rentals(rr_core *core) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, core->autoscaling.rentals);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         rr_rental *rental = value;
         rental->answered = rental->refused = false;
-        rental->tried_at = 0;
+        rental->requested_at = 0;
         g_ptr_array_set_size(rental->machine_ids, 0);
     }
 }
@@ -159,7 +163,7 @@
 
 static void record_rented_machine(rr_core *core, double now, const rr_autoscaler_step *step,
                                   const char *id) {
-    if (rr_recently_gone(core, id, now)) {
+    if (rr_machine_recently_gone(core, id, now)) {
         return;
     }
     rr_machine *machine = rr_machine_get(core, id, now);
@@ -167,8 +171,8 @@
     machine->operator_owned = false;
     if (!machine->recorded) {
         machine->to_record = true;
-        machine->created_at =
-            machine->created_at > 0 ? machine->created_at : core->autoscaling.rented_at;
+        machine->created_at = machine->created_at > 0 ? machine->created_at
+                                                      : core->autoscaling.scale_out_requested_at;
         machine->machine_type =
             rr_name_index_add(&core->stored.machine_type_names, step->machine_type);
         machine->zone = rr_name_index_add(&core->stored.zones, step->zone);
@@ -179,15 +183,15 @@
 void rr_core_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step, int status,
                               const GPtrArray *ids) {
     rr_rental *rental = g_hash_table_lookup(core->autoscaling.rentals, step->rental);
-    const char *kind = step->spot ? "spot" : "on-demand";
+    const char *purchase_option = step->spot ? "spot" : "on-demand";
     if (!rental) {
         return;
     }
     if (status == RR_SCALE_OUT_NO_CAPACITY) {
         rental->refused = true;
         rr_record_capacity_refusal(core, step->machine_type, step->zone, step->spot, now);
-        rr_log_at(core, RR_LOG_INFO, "rental %s: no capacity for %s %s in %s", step->rental,
-                  step->machine_type, kind, step->zone);
+        rr_log_at(core, RR_LOG_INFO, "rental %s refused: no capacity for %s %s machines in zone %s",
+                  step->rental, step->machine_type, purchase_option, step->zone);
     }
     if (status != RR_SCALE_OUT_DONE) {
         return;
@@ -202,6 +206,7 @@
         record_rented_machine(core, now, step, id);
     }
     core->counters.rented += ids->len;
-    rr_log_at(core, RR_LOG_DEBUG, "rental %s: %u of %d %s %s in %s", step->rental, ids->len,
-              rental->count, step->machine_type, kind, step->zone);
+    rr_log_at(core, RR_LOG_DEBUG, "rental %s: rented %u of %d %s %s machines in zone %s",
+              step->rental, ids->len, rental->count, step->machine_type, purchase_option,
+              step->zone);
 }
--- a/src/core/autoscaling/scale_in.c
+++ b/src/core/autoscaling/scale_in.c
@@ -1,4 +1,5 @@
-/* Scale-in: release decisions, the calls to the cloud and their results. */
+/* Scale-in: decides which machines to release, has the cloud release them and processes the
+ * results. */
 #include "core/autoscaling/scale_in.h"
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/core_internal.h"
@@ -6,26 +7,30 @@
 #include "core/state/machine_pages.h"
 #include "core/state/machines.h"
 
-/* Probes in a row that fail over this time, while heartbeats arrive. */
+/* Commands do not reach a machine if at least this many consecutive probes failed, over at least
+ * this time, while its heartbeats arrive. */
 #define FAILED_SUSPECT_PROBES_MIN 3
 #define FAILED_SUSPECT_PROBES_MIN_S 4.0
 
-/* A machine without a heartbeat never came up after this time since its creation, and since this
- * autoscaler began. */
+/* A machine without a heartbeat counts as never having come up after NEVER_UP_STARTUPS times its
+ * start-up time, plus the margin, since its creation, but not before this autoscaler has been
+ * running for NEVER_UP_WATCHED_STARTUPS times its start-up time. */
 #define NEVER_UP_STARTUPS 4
 #define NEVER_UP_MARGIN_S 30
 #define NEVER_UP_WATCHED_STARTUPS 2
+/* The start-up time assumed for a machine type without one. */
 #define STARTUP_DEFAULT_S 60
 
 /* A rented machine is kept at least this long. */
-#define RENTED_MIN_S 60
+#define RENTAL_AGE_MIN_S 60
 
-/* A reservation made just before the scale-in was recorded shows in the store cache by then. */
+/* The wait between the record of a scale-in and the release: by then the store cache shows any
+ * reservation made just before the scale-in was recorded. */
 #define SCALE_IN_DELAY_S 0.8
-/* Machines released in one call. */
+/* At most this many machines are released in one call. */
 #define SCALE_IN_MACHINES_MAX 100
 
-/* ---- decisions ---- */
+/* ---- choice of the machines to release ---- */
 
 static bool never_came_up(const rr_core *core, const rr_machine *machine, double now, double wall) {
     const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
@@ -35,15 +40,15 @@
            now - core->autoscaling.began_at > NEVER_UP_WATCHED_STARTUPS * startup_s;
 }
 
-/* Heartbeats arrive, but no command reaches the machine, neither from here nor from the controllers
- * that own its tasks. Its lease will expire. */
+/* Returns whether no command reaches the machine, neither from this controller nor from the owners
+ * of its tasks, although its heartbeats arrive. Its lease will expire. */
 static bool is_unreachable_by_commands(const rr_core *core, const rr_machine *machine, double now) {
     return machine->heartbeat_seen && machine->failed_suspect_probes >= FAILED_SUSPECT_PROBES_MIN &&
            now - machine->suspect_probes_failed_at > FAILED_SUSPECT_PROBES_MIN_S &&
            !rr_machine_heartbeat_overdue(core, machine, now);
 }
 
-/* Why the machine is to be released, for the log; NULL: it has no fault. */
+/* Returns the machine's fault, for which it is to be released, as text for the log; NULL: none. */
 static const char *find_fault(const rr_core *core, const rr_machine *machine, double now,
                               double wall) {
     bool empty = machine->placements->len == 0;
@@ -60,7 +65,7 @@
         return "never came up";
     }
     if (empty && rr_machine_quarantined(machine, now)) {
-        return "quarantined, tasks of several jobs failed";
+        return "quarantined after tasks of several jobs failed";
     }
     return NULL;
 }
@@ -68,21 +73,23 @@
 static bool is_idle(const rr_core *core, const rr_machine *machine, double now, double wall) {
     return machine->surplus && machine->placements->len == 0 && !machine->operator_owned &&
            now - machine->idle_since > core->config->tuning.idle_return_s &&
-           wall - machine->created_at > RENTED_MIN_S;
+           wall - machine->created_at > RENTAL_AGE_MIN_S;
 }
 
-/* True: the machine is heard again, or was idle, and has work. */
-static bool may_stay_after_all(const rr_core *core, const rr_machine *machine, double now) {
+/* Returns whether a release that has not been requested yet can be cancelled: the machine has tasks
+ * and a recent heartbeat. */
+static bool may_cancel_release(const rr_core *core, const rr_machine *machine, double now) {
     return machine->to_release && machine->placements->len > 0 && !machine->releasing &&
            rr_machine_heartbeat_recent(core, machine, now);
 }
 
-static void review_machine(rr_core *core, rr_machine *machine, double now, double wall) {
+/* Decides whether the machine is to be released, or no longer is. */
+static void decide_release(rr_core *core, rr_machine *machine, double now, double wall) {
     if (!machine->recorded) {
         return;
     }
     const char *fault = find_fault(core, machine, now, wall);
-    if (!fault && may_stay_after_all(core, machine, now)) {
+    if (!fault && may_cancel_release(core, machine, now)) {
         machine->to_release = machine->declared_dead = false;
         return;
     }
@@ -93,18 +100,18 @@
     machine->to_release = true;
     machine->declared_dead = fault && machine->placements->len > 0;
     core->counters.machines_terminated++;
-    rr_log_at(core, RR_LOG_DEBUG, "scale in %s (%u tasks): %s", machine->name,
+    rr_log_at(core, RR_LOG_DEBUG, "scaling in machine %s (%u tasks): %s", machine->name,
               machine->placements->len, fault ? fault : "idle");
 }
 
-void rr_review_machines(rr_core *core, double now, double wall) {
+void rr_decide_releases(rr_core *core, double now, double wall) {
     rr_detect_partitions(core, now);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        review_machine(core, g_ptr_array_index(core->stored.machine_list, i), now, wall);
+        decide_release(core, g_ptr_array_index(core->stored.machine_list, i), now, wall);
     }
 }
 
-void rr_restart_scale_in(rr_core *core, double now) {
+void rr_reset_scale_in(rr_core *core, double now) {
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         machine->list_failed = machine->listed = machine->surplus = machine->releasing = false;
@@ -116,17 +123,17 @@
     }
 }
 
-/* ---- calls to the cloud ---- */
+/* ---- requests to the cloud ---- */
 
-/* True: the record shows the scale-in, and the machine is empty or dead: what an owner reserved
- * there in the meantime is kept. */
+/* Returns whether the machine's record shows the scale-in and the machine is empty or dead. A
+ * machine on which an owner has reserved resources in the meantime is kept. */
 static bool may_be_released(const rr_machine *machine, double now) {
     bool empty = machine->placements->len == 0 && now - machine->scaling_in_at > SCALE_IN_DELAY_S;
     return machine->recorded && machine->scaling_in && machine->to_release &&
            !machine->list_failed && (empty || machine->declared_dead);
 }
 
-bool rr_step_scale_in(rr_core *core, double now, rr_autoscaler_step *out) {
+bool rr_prepare_scale_in_step(rr_core *core, double now, rr_autoscaler_step *out) {
     GHashTableIter iter;
     gpointer key;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
@@ -156,12 +163,12 @@
         rr_machine *machine = g_hash_table_lookup(core->stored.machines, id);
         g_hash_table_remove(core->autoscaling.stray_failed, id);
         if (machine && machine->recorded) {
-            machine->list_failed = true; /* gone with everything on it, so the record may go */
-            rr_log_at(core, RR_LOG_DEBUG, "machine %s released %.0f s after it was known", id,
-                      now - machine->known_at);
+            machine->list_failed = true; /* gone with all its tasks: its record can be removed */
+            rr_log_at(core, RR_LOG_DEBUG, "machine %s was released %.0f s after it became known",
+                      id, now - machine->known_at);
         } else if (machine && machine->placements->len == 0) {
-            /* With placements it stays, without a record, until the ledger has none: they refer to
-             * it. */
+            /* A machine with placements is kept without a record while the ledger has any, because
+             * they refer to it. */
             rr_machine_forget(core, machine);
         }
     }
