--- a/tests/test_core_gang_placement.c
+++ b/tests/test_core_gang_placement.c
@@ -1,4 +1,4 @@
-/* Where gangs are placed, what they preempt and what preempts them. */
+/* Placement of gangs: zones, team limits, preemption by and of gangs, and versions without them. */
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
@@ -10,230 +10,236 @@
 
 #include <string.h>
 
-/* A gang without room for all of its tasks holds none: another one that fits is placed. */
-static void a_gang_is_placed_whole_or_not_at_all(void **state) {
+/* A gang whose tasks do not all fit reserves nothing, so that another gang that fits is placed. A
+ * gang that is not bound to one zone may be placed over both. */
+static void gang_is_placed_whole_or_not_at_all(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    struct test_job large = gang_job, small = gang_job, other = gang_job;
-    large.task_count = 4; /* ten CPUs of sixteen each: three machines a zone */
+    test_controller *controller = &fixture->controller;
+    struct test_job large = gang_job, small = gang_job, two_zone = gang_job;
+    large.task_count = 4; /* a zone has room for three: three machines of 16 CPUs, 10 a task */
     small.job_id = "req-2";
     small.task_count = 2;
-    other.job_id = "req-3";
-    other.one_zone = false;
-    other.task_count = 4;
-    gang_show_all(node, "req-1", NULL);
-    fake_store_submit(fixture->store, &large, node->now);
+    two_zone.job_id = "req-3";
+    two_zone.one_zone = false;
+    two_zone.task_count = 4;
+    gang_show_all(controller, "req-1", NULL);
+    fake_store_submit(fixture->store, &large, controller->now);
     submit_gang_job(fixture, &small);
-    gang_plan(node, RR_COMMAND_START, "req-1", NULL);
+    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 2);
-    submit_gang_job(fixture, &other);
-    node->now += 0.1;
-    gang_plan(node, RR_COMMAND_START, "req-3", NULL);
+    submit_gang_job(fixture, &two_zone);
+    controller->now += 0.1;
+    gang_plan(controller, RR_COMMAND_START, "req-3", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-3"), 4); /* over both zones */
-    node->config.teams[0].cpus_max = 90;
-    struct test_job over = gang_job;
-    over.job_id = "req-4";
-    over.one_zone = false;
-    over.cpus = 11;
-    over.task_count = 3;
-    submit_gang_job(fixture, &over);
+    /* 60 CPUs are in use, 33 more exceed the limit, and no machine has 11 free either. */
+    controller->config.teams[0].cpus_max = 90;
+    struct test_job over_limit = gang_job;
+    over_limit.job_id = "req-4";
+    over_limit.one_zone = false;
+    over_limit.cpus = 11;
+    over_limit.task_count = 3;
+    submit_gang_job(fixture, &over_limit);
     for (int i = 0; i < 4; i++) {
-        node->now += 1;
-        gang_plan(node, RR_COMMAND_START, "req-4", NULL);
+        controller->now += 1;
+        gang_plan(controller, RR_COMMAND_START, "req-4", NULL);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-4"), 0);
 }
 
-/* The team's limit leaves room for two of three tasks, and the machines for all: none is placed
- * until the limit is lifted. */
-static void a_team_limit_counts_the_whole_gang(void **state) {
+/* The machines have room for all three tasks of a gang, but its team's limit only for two: none is
+ * placed until the limit is lifted. */
+static void team_limit_counts_whole_gang(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     struct test_job waiting = gang_job;
     gang_start(fixture, &gang_job); /* thirty CPUs in one zone */
-    node->config.teams[0].cpus_max = 60;
+    controller->config.teams[0].cpus_max = 60;
     waiting.job_id = "req-4";
     waiting.cpus = 11;
     submit_gang_job(fixture, &waiting);
     for (int i = 0; i < 4; i++) {
-        node->now += 1;
-        gang_show_all(node, "req-1", "running");
-        gang_plan(node, RR_COMMAND_START, "req-4", NULL);
+        controller->now += 1;
+        gang_show_all(controller, "req-1", "running");
+        gang_plan(controller, RR_COMMAND_START, "req-4", NULL);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-4"), 0);
-    node->config.teams[0].cpus_max = 0;
-    node->now += 1;
-    gang_show_all(node, "req-1", "running");
-    gang_plan(node, RR_COMMAND_START, "req-4", NULL);
+    controller->config.teams[0].cpus_max = 0;
+    controller->now += 1;
+    gang_show_all(controller, "req-1", "running");
+    gang_plan(controller, RR_COMMAND_START, "req-4", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-4"), 3);
 }
 
-/* A gang goes to the zone where some of its tasks find the image, and not to the one with more free
- * resources: the next gang of its kind then finds the image on more machines. */
-static void a_gang_goes_to_the_zone_with_its_image(void **state) {
+/* A gang goes to the zone where a machine has its image in the cache, not to the one with more free
+ * resources: the next gang with that image then finds it on more machines. */
+static void gang_goes_to_zone_with_its_image(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    const char *const one[] = {"req-5"};
+    test_controller *controller = &fixture->controller;
+    const char *const image_job[] = {"req-5"};
     uint64_t attempt;
-    gang_show_all(node, "req-1", NULL);
+    gang_show_all(controller, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5", .zone = "a", .cpus = 1});
-    gang_plan(node, RR_COMMAND_START, "req-5", NULL);
-    gang_show_jobs(node, one, 1, 1, gang_task_runs);
+    gang_plan(controller, RR_COMMAND_START, "req-5", NULL);
+    gang_show_jobs(controller, image_job, 1, 1, gang_task_runs);
     submit_gang_job(fixture, &gang_job);
-    gang_plan(node, RR_COMMAND_START, "req-1", NULL);
+    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
     for (uint32_t task = 0; task < 3; task++) {
         assert_in_range(gang_machine_of(fixture, task, &attempt), 1, 3);
     }
 }
 
-/* The fleet is full of work of low priority. A gang whose class has an objective for its wait
- * preempts as much of it as it needs, in one zone, and is reserved in the same plan; one that needs
- * more than a zone has preempts nothing. */
-static void an_urgent_gang_preempts_only_if_all_of_it_fits(void **state) {
+/* The fleet is full of tasks of low priority. A gang whose class has an objective for its wait
+ * preempts as many of them as it needs, in one zone, and is reserved in the same plan. A gang that
+ * needs more than a zone has preempts nothing. */
+static void gang_with_wait_objective_preempts_only_if_it_fits_whole(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     struct test_job urgent = gang_job, large = gang_job;
-    const char *const arrays[] = {"req-5"};
-    gang_show_all(node, "req-1", NULL);
+    const char *const low_jobs[] = {"req-5"};
+    gang_show_all(controller, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5",
                                                 .priority = "low",
                                                 .cpus = 8,
                                                 .task_count = 12,
                                                 .checkpoint_interval_s = 30});
-    gang_plan(node, RR_COMMAND_START, "req-5", NULL);
+    gang_plan(controller, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), 12);
-    gang_show_jobs(node, arrays, 1, 12, gang_task_runs);
+    gang_show_jobs(controller, low_jobs, 1, 12, gang_task_runs);
     large.job_id = "req-2";
     large.job_class = "live";
-    large.task_count = 4; /* of ten CPUs: three machines a zone */
+    large.task_count = 4; /* a zone has room for three */
     submit_gang_job(fixture, &large);
-    node->now += 1;
-    gang_plan(node, RR_COMMAND_START, "req-2", NULL);
-    node->now += 1;
-    assert_int_equal(gang_plan(node, RR_COMMAND_STOP, "req-5", NULL), 0);
+    controller->now += 1;
+    gang_plan(controller, RR_COMMAND_START, "req-2", NULL);
+    controller->now += 1;
+    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-5", NULL), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 0);
     urgent.job_class = "live";
     urgent.task_count = 2;
     submit_gang_job(fixture, &urgent);
-    gang_plan(node, RR_COMMAND_START, "req-1", NULL);
+    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 2);
     uint64_t attempt;
     assert_int_equal(gang_machine_of(fixture, 0, &attempt) <= 3,
                      gang_machine_of(fixture, 1, &attempt) <= 3);
-    gang_show_jobs(node, arrays, 1, 12, gang_task_runs);
-    node->now += 1;
-    assert_int_equal(gang_plan(node, RR_COMMAND_STOP, "req-5", NULL),
-                     4); /* two machines' worth, no more */
-    assert_int_equal(gang_plan(node, RR_COMMAND_START, "req-1", NULL), 0);
+    gang_show_jobs(controller, low_jobs, 1, 12, gang_task_runs);
+    controller->now += 1;
+    /* Exactly the tasks on two machines are stopped. */
+    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-5", NULL), 4);
+    assert_int_equal(gang_plan(controller, RR_COMMAND_START, "req-1", NULL), 0);
 }
 
-/* A replica takes the room of one task of a gang of lower priority: the whole gang is told to save
- * in the same plan. */
-static void a_gang_is_preempted_whole(void **state) {
+/* A replica preempts one task of a gang of lower priority: the same plan stops all tasks of the
+ * gang, with time to save. */
+static void gang_is_preempted_whole(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    struct test_job all = gang_job;
+    test_controller *controller = &fixture->controller;
+    struct test_job fleet_wide = gang_job;
     uint64_t attempt;
     double grace_s;
-    all.cpus = 16;
-    all.one_zone = false;
-    all.task_count = GANG_MACHINES;
-    all.priority = "standard";
-    gang_start(fixture, &all);
-    gang_show_all(node, "req-1", "running");
+    fleet_wide.cpus = 16;
+    fleet_wide.one_zone = false;
+    fleet_wide.task_count = GANG_MACHINES;
+    fleet_wide.priority = "standard";
+    gang_start(fixture, &fleet_wide);
+    gang_show_all(controller, "req-1", "running");
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-2",
                                                 .priority = "prod",
                                                 .job_class = "live",
                                                 .service = true,
                                                 .cpus = 8});
-    gang_plan(node, RR_COMMAND_START, "req-2", NULL);
+    gang_plan(controller, RR_COMMAND_START, "req-2", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 1);
-    gang_show_all(node, "req-1", "running");
-    node->now += 1;
-    assert_int_equal(gang_plan(node, RR_COMMAND_STOP, "req-1", &grace_s), GANG_MACHINES);
+    gang_show_all(controller, "req-1", "running");
+    controller->now += 1;
+    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", &grace_s), GANG_MACHINES);
     assert_true(grace_s >= 3);
-    assert_int_equal(gang_phase(node, "req-1"), RR_GANG_STOPPING);
+    assert_int_equal(gang_phase(controller, "req-1"), RR_GANG_STOPPING);
     gang_machine_of(fixture, 0, &attempt);
-    node->now += 4;
-    gang_show_all(node, "req-1", "ended:halted");
+    controller->now += 4;
+    gang_show_all(controller, "req-1", "ended:halted");
     for (int i = 0; i < 4; i++) {
-        gang_plan(node, RR_COMMAND_REAP, "req-1", NULL);
-        node->now += 0.5;
+        gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
+        controller->now += 0.5;
     }
-    /* There is room for five of its six tasks now: it waits, and holds none of it. */
+    /* Only five of the gang's six tasks fit now: it waits and reserves nothing. */
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
 }
 
-/* A gang within its team's guarantee preempts work that another team runs beyond its own; a gang
- * beyond the guarantee does not. */
-static void a_guarantee_makes_room_for_a_whole_gang(void **state) {
+/* A gang within its team's guarantee preempts tasks that another team runs beyond its own
+ * guarantee; a gang beyond its team's guarantee preempts nothing. */
+static void gang_within_guarantee_preempts_for_all_its_tasks(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    struct test_job owed = gang_job, beyond = gang_job;
-    const char *const others[] = {"req-5"};
-    node->config.teams[1].cpus = 20; /* blue */
-    gang_show_all(node, "req-1", NULL);
+    test_controller *controller = &fixture->controller;
+    struct test_job within_guarantee = gang_job, beyond_guarantee = gang_job;
+    const char *const other_team_jobs[] = {"req-5"};
+    controller->config.teams[1].cpus = 20; /* blue */
+    gang_show_all(controller, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5",
                                                 .priority = "prod",
                                                 .cpus = 16,
                                                 .task_count = GANG_MACHINES,
                                                 .service = true});
-    gang_plan(node, RR_COMMAND_START, "req-5", NULL);
+    gang_plan(controller, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), GANG_MACHINES);
-    gang_show_jobs(node, others, 1, 12, gang_task_runs);
-    owed.team = beyond.team = "blue";
-    owed.priority = beyond.priority = "low";
-    owed.task_count = 2;
-    beyond.job_id = "req-2";
-    fake_store_submit(fixture->store, &beyond, node->now); /* thirty CPUs */
-    fake_store_sync(fixture->store, node->core, node->now);
-    gang_plan(node, RR_COMMAND_START, "req-2", NULL);
+    gang_show_jobs(controller, other_team_jobs, 1, 12, gang_task_runs);
+    within_guarantee.team = beyond_guarantee.team = "blue";
+    within_guarantee.priority = beyond_guarantee.priority = "low";
+    within_guarantee.task_count = 2;
+    beyond_guarantee.job_id = "req-2";
+    fake_store_submit(fixture->store, &beyond_guarantee, controller->now); /* thirty CPUs */
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    gang_plan(controller, RR_COMMAND_START, "req-2", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 0);
-    submit_gang_job(fixture, &owed);
-    node->now += 0.1;
-    gang_plan(node, RR_COMMAND_START, "req-1", NULL);
+    submit_gang_job(fixture, &within_guarantee);
+    controller->now += 0.1;
+    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 2);
-    gang_show_jobs(node, others, 1, 12, gang_task_runs);
-    node->now += 1;
-    assert_int_equal(gang_plan(node, RR_COMMAND_STOP, "req-5", NULL), 2);
+    gang_show_jobs(controller, other_team_jobs, 1, 12, gang_task_runs);
+    controller->now += 1;
+    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-5", NULL), 2);
 }
 
 #define SMALL_JOBS 40
+#define GANG_START_LIMIT_S 240 /* by which waiting gangs have to be placed */
 
-/* One task of each machine ends with every twelfth heartbeat. */
-static const char *one_in_twelve_heartbeats_ends(int machine, const char *job_id, uint32_t task,
-                                                 int shown, uint64_t sequence) {
+/* The state of a task in a heartbeat: each machine's first one is done in every twelfth. */
+static const char *first_task_done_in_every_twelfth_heartbeat(int machine, const char *job_id,
+                                                              uint32_t task, int shown,
+                                                              uint64_t sequence) {
     (void)job_id;
     (void)task;
     return shown == 0 && (sequence + (uint64_t)machine) % 12 == 0 ? "ended:done" : "running";
 }
 
-static uint32_t done_of(const test_controller *node, const char *const *job_ids, int count) {
+/* Returns how many tasks of these jobs are done. */
+static uint32_t count_done_tasks(const test_controller *controller, const char *const *job_ids,
+                                 int count) {
     uint32_t done = 0;
     for (int i = 0; i < count; i++) {
         rr_job_view view;
-        rr_core_job_view(node->core, job_ids[i], node->now, &view);
+        rr_core_job_view(controller->core, job_ids[i], controller->now, &view);
         done += view.done_count;
     }
     return done;
 }
 
-/* Now and then one of the small tasks that fill the fleet ends, and many more wait. Two gangs, each
- * of which needs a whole zone, start within four minutes, never a part of one, and the small tasks
- * go on meanwhile. */
-static void gangs_start_among_a_stream_of_small_tasks(void **state) {
+/* The fleet is full of small tasks, one of which ends now and then, and many more wait. Two gangs,
+ * each of which needs a whole zone, are placed within four minutes, never in part, and small tasks
+ * still complete meanwhile. */
+static void gangs_are_placed_among_stream_of_small_tasks(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     struct test_job first = gang_job, second = gang_job;
     static char names[SMALL_JOBS][16];
     const char *small[SMALL_JOBS];
-    unsigned begun[2] = {0, 0};
+    unsigned gang_placed[2] = {0, 0};
     first.priority = second.priority = "low";
     first.cpus = second.cpus = 16;
     second.job_id = "req-2";
-    gang_show_all(node, "req-1", NULL);
+    gang_show_all(controller, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
@@ -243,104 +249,117 @@
                                              .cpus = 8,
                                              .task_count = 12,
                                              .deadline_s = 20},
-                          node->now);
+                          controller->now);
     }
-    fake_store_submit(fixture->store, &first, node->now);
+    fake_store_submit(fixture->store, &first, controller->now);
     submit_gang_job(fixture, &second);
-    double began = node->now;
-    while (begun[0] + begun[1] < 2 && node->now - began < 240) {
-        gang_plan(node, RR_COMMAND_START, "req-1", NULL);
-        unsigned held[2] = {fake_store_placed_count(fixture->store, "req-1"),
-                            fake_store_placed_count(fixture->store, "req-2")};
-        assert_true(held[0] % 3 == 0 && held[1] % 3 == 0);
-        begun[0] = held[0] == 3;
-        begun[1] = held[1] == 3;
-        node->now += 1;
-        gang_show_jobs(node, small, SMALL_JOBS, 12, one_in_twelve_heartbeats_ends);
+    double submitted_at = controller->now;
+    while (gang_placed[0] + gang_placed[1] < 2 &&
+           controller->now - submitted_at < GANG_START_LIMIT_S) {
+        gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+        unsigned tasks_placed[2] = {fake_store_placed_count(fixture->store, "req-1"),
+                                    fake_store_placed_count(fixture->store, "req-2")};
+        assert_true(tasks_placed[0] % 3 == 0 && tasks_placed[1] % 3 == 0);
+        gang_placed[0] = tasks_placed[0] == 3;
+        gang_placed[1] = tasks_placed[1] == 3;
+        controller->now += 1;
+        gang_show_jobs(controller, small, SMALL_JOBS, 12,
+                       first_task_done_in_every_twelfth_heartbeat);
     }
-    assert_int_equal(begun[0] + begun[1], 2);
+    assert_int_equal(gang_placed[0] + gang_placed[1], 2);
     /* At least half of the small tasks that could have ended have done so. */
-    assert_true(done_of(node, small, SMALL_JOBS) > (node->now - began) / 12 * GANG_MACHINES / 2);
+    assert_true(count_done_tasks(controller, small, SMALL_JOBS) >
+                (controller->now - submitted_at) / 12 * GANG_MACHINES / 2);
 }
 
-static const char *one_task_in_eight_ends(int machine, const char *job_id, uint32_t task, int shown,
-                                          uint64_t sequence) {
+/* The state of a task in a heartbeat: each is done in every eighth, in turn. */
+static const char *each_task_done_in_every_eighth_heartbeat(int machine, const char *job_id,
+                                                            uint32_t task, int shown,
+                                                            uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)shown;
     return (sequence + task) % 8 == 0 ? "ended:done" : "running";
 }
 
-/* A gang waits for its team's limit: what small tasks of its team give back is kept for the
- * gang. */
-static void a_team_limit_is_kept_for_a_waiting_gang(void **state) {
+/* A gang waits for its team's limit. The share of the limit that small tasks of the team free is
+ * kept for the gang. */
+static void freed_team_limit_is_kept_for_waiting_gang(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     static char names[SMALL_JOBS][16];
     const char *small[SMALL_JOBS];
-    node->config.teams[0].cpus_max = 32;
-    gang_show_all(node, "req-1", NULL);
+    controller->config.teams[0].cpus_max = 32;
+    gang_show_all(controller, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
         fake_store_submit(
             fixture->store,
             &(struct test_job){.job_id = small[i], .priority = "low", .cpus = 8, .task_count = 12},
-            node->now);
+            controller->now);
     }
-    fake_store_sync(fixture->store, node->core, node->now);
-    gang_plan(node, RR_COMMAND_START, "req-100", NULL);
-    fake_store_submit(fixture->store, &gang_job, node->now); /* thirty CPUs */
-    fake_store_sync(fixture->store, node->core, node->now);
-    double began = node->now;
-    while (fake_store_placed_count(fixture->store, "req-1") == 0 && node->now - began < 240) {
-        node->now += 2;
-        gang_show_jobs(node, small, SMALL_JOBS, 12, one_task_in_eight_ends);
-        gang_plan(node, RR_COMMAND_START, "req-1", NULL);
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    gang_plan(controller, RR_COMMAND_START, "req-100", NULL);
+    fake_store_submit(fixture->store, &gang_job, controller->now); /* thirty CPUs */
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    double submitted_at = controller->now;
+    while (fake_store_placed_count(fixture->store, "req-1") == 0 &&
+           controller->now - submitted_at < GANG_START_LIMIT_S) {
+        controller->now += 2;
+        gang_show_jobs(controller, small, SMALL_JOBS, 12, each_task_done_in_every_eighth_heartbeat);
+        gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 3);
 }
 
-static void a_gang_that_can_never_run_is_refused(void **state) {
+/* Refused are gangs beyond their team's limit or with more tasks than one transaction reserves. */
+static void unsatisfiable_gang_is_refused(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_submission submission;
-    const char *why = "";
+    const char *reason = "";
     test_submission(&submission, &gang_job);
-    assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_NEW);
-    node->config.teams[0].cpus_max = 25;
-    assert_int_equal(rr_core_check_submission(node->core, &submission, &why),
+    assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
+                     RR_SUBMISSION_NEW);
+    controller->config.teams[0].cpus_max = 25;
+    assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_UNSATISFIABLE);
-    node->config.teams[0].cpus_max = 30;
-    assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_NEW);
-    node->config.teams[0].cpus_max = 0;
+    controller->config.teams[0].cpus_max = 30;
+    assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
+                     RR_SUBMISSION_NEW);
+    controller->config.teams[0].cpus_max = 0;
     submission.task_count = 5000;
-    assert_int_equal(rr_core_check_submission(node->core, &submission, &why),
+    assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_UNSATISFIABLE);
 }
 
-/* While a version without gangs serves, new gangs are not decided on, and accepted ones stay. */
-static void an_old_version_holds_back_new_gangs(void **state) {
+/* While a controller of a version without gangs is a member, submissions of gangs stay undecided
+ * and accepted gangs keep running. */
+static void old_version_delays_new_gangs(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_submission submission;
     rr_job_view view;
-    const char *why = "";
+    const char *reason = "";
     gang_start(fixture, &gang_job);
-    gang_show_all(node, "req-1", "running");
+    gang_show_all(controller, "req-1", "running");
     test_submission(&submission, &gang_job);
     g_strlcpy(submission.job_id, "req-9", sizeof submission.job_id);
-    test_controller_join_old_version(node);
-    assert_int_equal(rr_core_check_submission(node->core, &submission, &why),
+    test_controller_join_old_version(controller);
+    assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_UNDECIDED);
-    assert_false(rr_core_all_gang_capable(node->core)); /* peers get no frames of gangs either */
-    rr_core_job_view(node->core, "req-1", node->now, &view);
+    /* Peers get no frames about gangs either. */
+    assert_false(rr_core_all_gang_capable(controller->core));
+    rr_core_job_view(controller->core, "req-1", controller->now, &view);
     assert_string_equal(view.state, "running");
-    test_controller_leave_old_version(node);
-    assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_NEW);
+    test_controller_leave_old_version(controller);
+    assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
+                     RR_SUBMISSION_NEW);
 }
 
-/* The record of a gang's job as a version without gangs cancels it, since it can't read the job. */
+/* Writes req-1's record as a version without gangs does on cancellation: with the job id alone, as
+ * it cannot read the rest of a gang's record. */
 static void cancel_in_old_version(core_fixture *fixture, const char *job_id) {
     rr_encoder encoder;
     rr_encoder_init(&encoder);
@@ -352,41 +371,45 @@
     fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
-static void a_cancellation_by_an_old_version_holds(void **state) {
+/* A gang that a version without gangs has cancelled is stopped, and new gangs are accepted after
+ * that version has left. */
+static void cancellation_by_old_version_takes_effect(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_submission submission;
     rr_job_view view;
-    const char *why = "";
+    const char *reason = "";
     gang_start(fixture, &gang_job);
-    gang_show_all(node, "req-1", "running");
-    test_controller_join_old_version(node);
-    rr_core_job_view(node->core, "req-1", node->now, &view);
+    gang_show_all(controller, "req-1", "running");
+    test_controller_join_old_version(controller);
+    rr_core_job_view(controller->core, "req-1", controller->now, &view);
     assert_string_equal(view.state, "running");
     cancel_in_old_version(fixture, "req-1");
-    rr_core_job_view(node->core, "req-1", node->now, &view);
+    rr_core_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.cancelled);
-    test_controller_leave_old_version(node);
-    gang_show_all(node, "req-1", "running");
-    assert_int_equal(gang_plan(node, RR_COMMAND_STOP, "req-1", NULL), 3);
+    test_controller_leave_old_version(controller);
+    gang_show_all(controller, "req-1", "running");
+    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", NULL), 3);
     test_submission(&submission, &gang_job);
     g_strlcpy(submission.job_id, "req-9", sizeof submission.job_id);
-    assert_int_equal(rr_core_check_submission(node->core, &submission, &why), RR_SUBMISSION_NEW);
+    assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
+                     RR_SUBMISSION_NEW);
 }
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, gang_setup, core_fixture_teardown)
 
 int main(void) {
-    const struct CMUnitTest tests[] = {TEST(a_gang_is_placed_whole_or_not_at_all),
-                                       TEST(a_team_limit_counts_the_whole_gang),
-                                       TEST(a_gang_goes_to_the_zone_with_its_image),
-                                       TEST(an_urgent_gang_preempts_only_if_all_of_it_fits),
-                                       TEST(a_gang_is_preempted_whole),
-                                       TEST(a_guarantee_makes_room_for_a_whole_gang),
-                                       TEST(gangs_start_among_a_stream_of_small_tasks),
-                                       TEST(a_team_limit_is_kept_for_a_waiting_gang),
-                                       TEST(a_gang_that_can_never_run_is_refused),
-                                       TEST(an_old_version_holds_back_new_gangs),
-                                       TEST(a_cancellation_by_an_old_version_holds)};
+    const struct CMUnitTest tests[] = {
+        TEST(gang_is_placed_whole_or_not_at_all),
+        TEST(team_limit_counts_whole_gang),
+        TEST(gang_goes_to_zone_with_its_image),
+        TEST(gang_with_wait_objective_preempts_only_if_it_fits_whole),
+        TEST(gang_is_preempted_whole),
+        TEST(gang_within_guarantee_preempts_for_all_its_tasks),
+        TEST(gangs_are_placed_among_stream_of_small_tasks),
+        TEST(freed_team_limit_is_kept_for_waiting_gang),
+        TEST(unsatisfiable_gang_is_refused),
+        TEST(old_version_delays_new_gangs),
+        TEST(cancellation_by_old_version_takes_effect)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
