--- a/tests/test_core_cancellation_faults.c
+++ b/tests/test_core_cancellation_faults.c
@@ -1,6 +1,6 @@
-/* Fault combinations: each test names two facts that must not be combined, brings them together in
- * both orders where there are two, and checks the guard between them. Here, cancellations that meet
- * partitions, late transactions and changes of leader. */
+/* Fault combinations: each test brings together two events that must not take effect together, in
+ * both orders where there are two, and checks the guard between them. This file covers
+ * cancellations that meet partitions, late transactions and changes of leader. */
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
@@ -11,10 +11,10 @@
 
 #include <string.h>
 
-/* Status of the reply to a heartbeat with one running task, and in *stops how many stop commands it
- * carries. */
-static int reply_status_at(const test_controller *node, double when, const char *job_id,
-                           uint64_t attempt, unsigned *stops) {
+/* Replies to a heartbeat with one running task. Returns the status of the reply and sets
+ * *stop_count to the number of stop commands that it carries. */
+static int reply_to_running_task(const test_controller *node, double now, const char *job_id,
+                                 uint64_t attempt, unsigned *stop_count) {
     rr_heartbeat heartbeat = {.worker_epoch = 1,
                               .sequence = 3,
                               .fencing_token = rr_core_fencing_token(node->core),
@@ -24,8 +24,8 @@
     g_strlcpy(task.job_id, job_id, sizeof task.job_id);
     heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     g_array_append_val(heartbeat.tasks, task);
-    rr_core_reply_to_heartbeat(node->core, when, &heartbeat, &reply);
-    *stops = reply.commands ? reply.commands->len : 0;
+    rr_core_reply_to_heartbeat(node->core, now, &heartbeat, &reply);
+    *stop_count = reply.commands ? reply.commands->len : 0;
     if (reply.commands) {
         g_array_free(reply.commands, TRUE);
     }
@@ -33,140 +33,149 @@
     return reply.status;
 }
 
-/* The leader alone loses the key-value store, another controller confirms a cancellation, and the
- * worker goes on sending heartbeats to the leader. A cancellation confirmed at T must not meet a
- * lease that a reply, given without knowing of it, renews beyond T + cancel_s. The guard is a
- * comparison of times, tried on either side; nothing but the store cache moves its moment: no
- * renewal, and no commit of the leader's own. */
-static void isolated_leader_renews_no_lease_past_a_cancellation(void **state) {
+/* Only the leader loses the key-value store; another controller confirms a cancellation, and the
+ * worker keeps sending heartbeats to the leader. After a cancellation confirmed at T, no reply
+ * given without knowledge of it may renew a lease beyond T + cancel_s. The guard compares times, so
+ * the test replies just before and just after its deadline. Only progress of the store cache moves
+ * that deadline: neither a session renewal nor a commit of the leader's own does. */
+static void isolated_leader_renews_no_lease_past_cancellation(void **state) {
     core_fixture *fixture = *state;
-    test_controller *leader = &fixture->controller, other;
+    test_controller *leader = &fixture->controller, peer;
     struct test_job job = {.job_id = "req-1", .service = true};
     uint64_t attempt;
-    unsigned stops;
+    unsigned stop_count;
     const char *machine = run_job(fixture, &job, &attempt);
-    test_controller_init(&other, fixture->store, "n1");
-    fake_store_sync(fixture->store, other.core, other.now);
-    test_controller_join(&other, 9);
+    test_controller_init(&peer, fixture->store, "n1");
+    fake_store_sync(fixture->store, peer.core, peer.now);
+    test_controller_join(&peer, 9);
     test_controller_next_term(leader);
-    double last = leader->now; /* the leader's store cache stops here */
-    other.now = last + 0.001;
-    fake_store_sync(fixture->store, other.core, other.now);
-    test_controller_cancel(&other, job.job_id); /* confirmed at other.now at the earliest */
-    double reply_s = rr_heartbeat_reply_s(&leader->config), tick = 0.001;
-    rr_core_set_session(leader->core, 7,
-                        last + 1e6); /* a renewal proves no knowledge of cancellations */
-    assert_int_equal(reply_status_at(leader, last + reply_s - tick, job.job_id, attempt, &stops),
+    double cache_stalled_at = leader->now; /* the leader's store cache gets no later change */
+    peer.now = cache_stalled_at + 0.001;
+    fake_store_sync(fixture->store, peer.core, peer.now);
+    test_controller_cancel(&peer, job.job_id); /* confirmed at peer.now at the earliest */
+    double reply_s = rr_heartbeat_reply_s(&leader->config), margin_s = 0.001;
+    /* A renewed session does not prove that the leader knows of cancellations. */
+    rr_core_set_session(leader->core, 7, cache_stalled_at + 1e6);
+    assert_int_equal(reply_to_running_task(leader, cache_stalled_at + reply_s - margin_s,
+                                           job.job_id, attempt, &stop_count),
                      200);
-    assert_int_equal(stops, 0);
-    assert_int_not_equal(
-        reply_status_at(leader, last + reply_s + tick, job.job_id, attempt, &stops), 200);
-    /* Its own commit shows its own changes alone. */
-    leader->now = last + 2;
-    rr_transaction own;
+    assert_int_equal(stop_count, 0);
+    assert_int_not_equal(reply_to_running_task(leader, cache_stalled_at + reply_s + margin_s,
+                                               job.job_id, attempt, &stop_count),
+                         200);
+    /* The leader's own commit proves knowledge of its own changes only. */
+    leader->now = cache_stalled_at + 2;
+    rr_transaction own_transaction;
     rr_encoder encoder;
-    rr_transaction_init(&own);
+    rr_transaction_init(&own_transaction);
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 0);
-    rr_transaction_put(&own, RR_KEY_ROOT "hire/none", &encoder, 0);
-    rr_core_apply(leader->core, &own, fixture->store->revision + 1, leader->now);
-    rr_transaction_clear(&own);
-    assert_int_not_equal(
-        reply_status_at(leader, last + reply_s + tick, job.job_id, attempt, &stops), 200);
-    /* The lease renewed last counts at the latest from the reply. The clocks of the worker and of
-     * the leader may both run slow. */
-    double drift = 1.0005, gone = (reply_s + leader->config.lease_s * drift) * drift;
-    assert_true(gone < leader->config.cancel_s);
-    /* The controller that confirmed it stops the task with every reply. */
-    assert_int_equal(
-        reply_status_at(&other, other.now + reply_s - tick, job.job_id, attempt, &stops), 200);
-    assert_int_equal(stops, 1);
-    /* After the outage the leader replies to nobody until its store cache is current, and then it
+    rr_transaction_put(&own_transaction, RR_KEY_ROOT "hire/none", &encoder, 0);
+    rr_core_apply(leader->core, &own_transaction, fixture->store->revision + 1, leader->now);
+    rr_transaction_clear(&own_transaction);
+    assert_int_not_equal(reply_to_running_task(leader, cache_stalled_at + reply_s + margin_s,
+                                               job.job_id, attempt, &stop_count),
+                         200);
+    /* Latest end of the lease that was renewed last, which counts from the reply at the latest. The
+     * clocks of the worker and of the leader may both run slow. */
+    double clock_drift = 1.0005,
+           lease_end_s = (reply_s + leader->config.lease_s * clock_drift) * clock_drift;
+    assert_true(lease_end_s < leader->config.cancel_s);
+    /* The controller that confirmed the cancellation stops the task with every reply. */
+    assert_int_equal(reply_to_running_task(&peer, peer.now + reply_s - margin_s, job.job_id,
+                                           attempt, &stop_count),
+                     200);
+    assert_int_equal(stop_count, 1);
+    /* After the outage the leader refuses heartbeats until its store cache is current, and then it
      * stops the task. */
-    leader->now = last + 90;
-    assert_int_not_equal(reply_status_at(leader, leader->now, job.job_id, attempt, &stops), 200);
+    leader->now = cache_stalled_at + 90;
+    assert_int_not_equal(
+        reply_to_running_task(leader, leader->now, job.job_id, attempt, &stop_count), 200);
     fake_store_sync(fixture->store, leader->core, leader->now);
-    assert_int_equal(reply_status_at(leader, leader->now, job.job_id, attempt, &stops), 200);
-    assert_int_equal(stops, 1);
+    assert_int_equal(reply_to_running_task(leader, leader->now, job.job_id, attempt, &stop_count),
+                     200);
+    assert_int_equal(stop_count, 1);
     assert_non_null(machine);
-    test_controller_clear(&other);
+    test_controller_clear(&peer);
 }
 
-/* A hint from the controller that confirmed a cancellation stops the task with the leader's next
- * reply, while its store cache stands still. It is no record: the job's state, its reservations and
- * its room stay as they were, and the hint expires. */
+/* A hint from the controller that confirmed a cancellation makes the leader stop the task with its
+ * next reply, even while its store cache gets no changes. The hint is not a record: the job's
+ * state, its reservations and their resources stay as they were, and the hint expires. */
 static void cancel_hint_stops_task_and_changes_no_state(void **state) {
     core_fixture *fixture = *state;
     test_controller *leader = &fixture->controller;
     struct test_job job = {.job_id = "req-1", .service = true};
     rr_job_view before, after;
     uint64_t attempt;
-    unsigned stops;
+    unsigned stop_count;
     run_job(fixture, &job, &attempt);
     double now = leader->now;
-    assert_int_equal(reply_status_at(leader, now, job.job_id, attempt, &stops), 200);
-    assert_int_equal(stops, 0);
+    assert_int_equal(reply_to_running_task(leader, now, job.job_id, attempt, &stop_count), 200);
+    assert_int_equal(stop_count, 0);
     rr_core_job_view(leader->core, job.job_id, now, &before);
     rr_core_add_cancel_hint(leader->core, job.job_id, now);
-    rr_core_add_cancel_hint(leader->core, "req-999999",
-                            now); /* of a job that is not known here yet */
-    assert_int_equal(reply_status_at(leader, now, job.job_id, attempt, &stops), 200);
-    assert_int_equal(stops, 1);
-    assert_int_equal(reply_status_at(leader, now, "req-999999", attempt, &stops), 200);
-    assert_int_equal(stops, 1);
-    assert_int_equal(reply_status_at(leader, now, "req-2", attempt, &stops), 200);
-    assert_int_equal(stops, 0);
+    /* A hint may name a job that this controller does not know yet. */
+    rr_core_add_cancel_hint(leader->core, "req-999999", now);
+    assert_int_equal(reply_to_running_task(leader, now, job.job_id, attempt, &stop_count), 200);
+    assert_int_equal(stop_count, 1);
+    assert_int_equal(reply_to_running_task(leader, now, "req-999999", attempt, &stop_count), 200);
+    assert_int_equal(stop_count, 1);
+    assert_int_equal(reply_to_running_task(leader, now, "req-2", attempt, &stop_count), 200);
+    assert_int_equal(stop_count, 0);
     rr_core_job_view(leader->core, job.job_id, now, &after);
     assert_memory_equal(&before, &after, sizeof before);
     assert_int_equal(fake_store_placed_count(fixture->store, job.job_id), 1);
     double expired_at = now + leader->config.cancel_s + 0.001;
     rr_core_set_session(leader->core, 7, expired_at + 100);
     rr_core_set_cache_current(leader->core, expired_at);
-    assert_int_equal(reply_status_at(leader, expired_at, job.job_id, attempt, &stops), 200);
-    assert_int_equal(stops, 0);
+    assert_int_equal(reply_to_running_task(leader, expired_at, job.job_id, attempt, &stop_count),
+                     200);
+    assert_int_equal(stop_count, 0);
 }
 
-/* A reservation without an answer is applied late: after its own repeat, after the task's end,
- * after a cancellation, and when its record is gone. It stands in the ledger once at most. */
-static void late_reservation_is_void_after_newer_changes(void **state) {
+/* A transaction with reservations goes unanswered, and a copy of it arrives late: after its retry,
+ * after the task's end, after a cancellation, and after the ledger record is gone. The store
+ * refuses every late copy, so that a reservation is in the ledger at most once. */
+static void late_reservation_is_refused_after_newer_changes(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
-    struct test_job done = {.job_id = "req-1"}, cancelled = {.job_id = "req-2"};
-    rr_plan late;
+    struct test_job completed_job = {.job_id = "req-1"}, cancelled_job = {.job_id = "req-2"};
+    rr_plan late_plan;
     uint64_t attempt;
     send_heartbeat(node, "vm-1", 1, NULL);
     send_heartbeat(node, "vm-2", 1, NULL);
-    fake_store_submit(fixture->store, &done, node->now);
-    fake_store_submit(fixture->store, &cancelled, node->now);
+    fake_store_submit(fixture->store, &completed_job, node->now);
+    fake_store_submit(fixture->store, &cancelled_job, node->now);
     fake_store_sync(fixture->store, node->core, node->now);
-    rr_plan_init(&late);
-    rr_core_plan(node->core, node->now, node->now, &late);
-    assert_true(late.has_transaction);
-    assert_int_equal(fake_store_commit(fixture->store, &late.transaction),
-                     0); /* the repeat is applied first */
-    assert_int_not_equal(fake_store_commit(fixture->store, &late.transaction), 0);
+    rr_plan_init(&late_plan);
+    rr_core_plan(node->core, node->now, node->now, &late_plan);
+    assert_true(late_plan.has_transaction);
+    /* The retry is applied first. */
+    assert_int_equal(fake_store_commit(fixture->store, &late_plan.transaction), 0);
+    assert_int_not_equal(fake_store_commit(fixture->store, &late_plan.transaction), 0);
     fake_store_sync(fixture->store, node->core, node->now);
-    const char *machine = placed_on(fixture->store, done.job_id, &attempt);
-    char *ended = task_text(done.job_id, attempt, "ended:done");
+    const char *machine = placed_on(fixture->store, completed_job.job_id, &attempt);
+    char *ended_task = task_text(completed_job.job_id, attempt, "ended:done");
     plan_with_outcome(node, RR_COMMAND_ANSWERED);
-    test_controller_cancel(node, cancelled.job_id);
+    test_controller_cancel(node, cancelled_job.job_id);
     node->now += 1;
-    send_heartbeat(node, "vm-1", 2, strcmp(machine, "vm-1") == 0 ? ended : NULL);
-    send_heartbeat(node, "vm-2", 2, strcmp(machine, "vm-2") == 0 ? ended : NULL);
+    send_heartbeat(node, "vm-1", 2, strcmp(machine, "vm-1") == 0 ? ended_task : NULL);
+    send_heartbeat(node, "vm-2", 2, strcmp(machine, "vm-2") == 0 ? ended_task : NULL);
     for (int i = 0; i < 6; i++) {
         node->now += 1;
         plan_with_outcome(node, RR_COMMAND_ANSWERED);
-        assert_int_not_equal(fake_store_commit(fixture->store, &late.transaction), 0);
+        assert_int_not_equal(fake_store_commit(fixture->store, &late_plan.transaction), 0);
     }
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/"), 0);
-    assert_int_not_equal(fake_store_commit(fixture->store, &late.transaction), 0);
-    rr_plan_clear(&late);
-    g_free(ended);
+    assert_int_not_equal(fake_store_commit(fixture->store, &late_plan.transaction), 0);
+    rr_plan_clear(&late_plan);
+    g_free(ended_task);
 }
 
-/* The end of a job's last task meets its cancellation: one of the two changes holds, whichever is
- * applied first, and the job's state shows that one alone. */
-static void either_end_or_cancellation_of_job_holds(void **state) {
+/* A job's last task ends while the job is cancelled. Only the change that is applied first takes
+ * effect, in either order, and the job's state shows only that one. */
+static void only_first_of_completion_and_cancellation_is_applied(void **state) {
     (void)state;
     for (int cancel_first = 0; cancel_first < 2; cancel_first++) {
         core_fixture *fixture;
@@ -174,26 +183,29 @@
         test_controller *node = &fixture->controller;
         struct test_job job = {.job_id = "req-1"};
         uint64_t attempt, version;
-        rr_plan end;
+        rr_plan completion;
         rr_encoder encoder;
-        rr_transaction cancel;
+        rr_transaction cancellation;
         rr_job_view view;
         const char *machine = run_job(fixture, &job, &attempt);
-        char *ended = task_text(job.job_id, attempt, "ended:done");
+        char *ended_task = task_text(job.job_id, attempt, "ended:done");
         node->now += 1;
-        send_heartbeat(node, machine, 3, ended);
-        rr_plan_init(&end);
-        rr_core_plan(node->core, node->now, node->now, &end);
-        assert_true(end.has_transaction);
+        send_heartbeat(node, machine, 3, ended_task);
+        rr_plan_init(&completion);
+        rr_core_plan(node->core, node->now, node->now, &completion);
+        assert_true(completion.has_transaction);
         rr_encoder_init(&encoder);
         assert_true(rr_core_cancel_record(node->core, job.job_id, &encoder, &version));
-        rr_transaction_init(&cancel);
-        rr_transaction_guard(&cancel, RR_KEY_ROOT "job/req-1", version);
-        rr_transaction_put(&cancel, RR_KEY_ROOT "job/req-1", &encoder, 0);
-        assert_int_equal(
-            fake_store_commit(fixture->store, cancel_first ? &cancel : &end.transaction), 0);
-        assert_int_not_equal(
-            fake_store_commit(fixture->store, cancel_first ? &end.transaction : &cancel), 0);
+        rr_transaction_init(&cancellation);
+        rr_transaction_guard(&cancellation, RR_KEY_ROOT "job/req-1", version);
+        rr_transaction_put(&cancellation, RR_KEY_ROOT "job/req-1", &encoder, 0);
+        assert_int_equal(fake_store_commit(fixture->store,
+                                           cancel_first ? &cancellation : &completion.transaction),
+                         0);
+        assert_int_not_equal(fake_store_commit(fixture->store, cancel_first
+                                                                   ? &completion.transaction
+                                                                   : &cancellation),
+                             0);
         fake_store_sync(fixture->store, node->core, node->now);
         for (int i = 0; i < 4; i++) {
             rr_core_job_view(node->core, job.job_id, node->now, &view);
@@ -202,17 +214,18 @@
             node->now += 1;
             plan_with_outcome(node, RR_COMMAND_ANSWERED);
         }
-        rr_transaction_clear(&cancel);
-        rr_plan_clear(&end);
-        g_free(ended);
+        rr_transaction_clear(&cancellation);
+        rr_plan_clear(&completion);
+        g_free(ended_task);
         core_fixture_teardown((void **)&fixture);
     }
 }
 
-/* A team is at its limit, its job is cancelled while the machine hangs, and the leader changes.
- * Room under the limit comes only with proof that the task is over. A heartbeat with the old token
- * is none even if it lacks the task, because the old leader's start may come after it. */
-static void team_limit_holds_across_change_of_leader(void **state) {
+/* A team is at its limit, its job is cancelled while the machine hangs, and the leader changes. The
+ * limit has room again only after proof that the task has ended. A heartbeat with the old token is
+ * no proof even if it lacks the task, because the old leader's start command may arrive after
+ * it. */
+static void team_limit_holds_across_leader_change(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     struct test_job first_job = {.job_id = "req-1", .gpus = 2},
@@ -220,28 +233,28 @@
     uint64_t attempt, second_attempt;
     node->config.teams[0].gpus_max = 2;
     const char *machine = run_job(fixture, &first_job, &attempt),
-               *other = strcmp(machine, "vm-1") == 0 ? "vm-2" : "vm-1";
-    uint64_t old = rr_core_fencing_token(node->core);
+               *other_machine = strcmp(machine, "vm-1") == 0 ? "vm-2" : "vm-1";
+    uint64_t old_token = rr_core_fencing_token(node->core);
     fake_store_submit(fixture->store, &second_job, node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     test_controller_cancel(node, first_job.job_id);
-    test_controller_join(node, 8); /* a new session: what was reserved before is another's */
-    assert_true(rr_core_fencing_token(node->core) > old);
+    test_controller_join(node, 8); /* a new session: earlier reservations belong to the old one */
+    assert_true(rr_core_fencing_token(node->core) > old_token);
     for (uint64_t i = 0; i < 12; i++) {
         node->now += 2;
-        send_heartbeat(node, other, 10 + i, NULL);
+        send_heartbeat(node, other_machine, 10 + i, NULL);
         plan_with_outcome(node, RR_COMMAND_OUTCOME_UNKNOWN);
         assert_null(placed_on(fixture->store, second_job.job_id, &second_attempt));
     }
-    test_controller_heartbeat(node, machine, machine_zone(machine), false, 1, 40, old,
-                              NULL); /* delayed since before the change */
+    /* A heartbeat from before the change of leader arrives late. */
+    test_controller_heartbeat(node, machine, machine_zone(machine), false, 1, 40, old_token, NULL);
     plan_with_outcome(node, RR_COMMAND_OUTCOME_UNKNOWN);
     assert_true(fake_store_attempt(fixture->store, machine, first_job.job_id, 0) == attempt);
     assert_null(placed_on(fixture->store, second_job.job_id, &second_attempt));
     node->now += 3;
-    send_heartbeat(node, machine, 41,
-                   NULL); /* with the present token: what it lacks never starts */
-    send_heartbeat(node, other, 41, NULL);
+    /* A heartbeat with the present token proves that a task it lacks never starts. */
+    send_heartbeat(node, machine, 41, NULL);
+    send_heartbeat(node, other_machine, 41, NULL);
     for (int i = 0; i < 3; i++) {
         node->now += 1;
         plan_with_outcome(node, RR_COMMAND_ANSWERED);
@@ -255,11 +268,11 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        TEST(isolated_leader_renews_no_lease_past_a_cancellation),
+        TEST(isolated_leader_renews_no_lease_past_cancellation),
         TEST(cancel_hint_stops_task_and_changes_no_state),
-        TEST(late_reservation_is_void_after_newer_changes),
-        cmocka_unit_test(either_end_or_cancellation_of_job_holds),
-        TEST(team_limit_holds_across_change_of_leader),
+        TEST(late_reservation_is_refused_after_newer_changes),
+        cmocka_unit_test(only_first_of_completion_and_cancellation_is_applied),
+        TEST(team_limit_holds_across_leader_change),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -1,5 +1,5 @@
-/* Faults beyond missing heartbeats: unanswered commands, late copies, reused names, failed tasks,
- * and controllers that are cut off from the others. */
+/* Failure detection beyond missing heartbeats: unanswered commands, late copies of heartbeats,
+ * reused machine names, failed tasks, and controllers that are cut off from the others. */
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
@@ -10,8 +10,9 @@
 
 #include <string.h>
 
-/* Heartbeats arrive, but commands are not answered. After two the machine takes no new work; then
- * it is released, which proves its task's end and lets it start elsewhere. */
+/* A machine sends heartbeats but does not answer commands. After two unanswered commands it takes
+ * no new work. Later it is released, which proves that its task has ended and lets the task start
+ * on another machine. */
 static void machine_with_unanswered_commands_is_released(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -22,42 +23,41 @@
     fake_store_submit(fixture->store, &first_job, node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     plan_unanswered_by(node, NULL);
-    const char *unreachable = placed_on(fixture->store, "req-1", NULL),
-               *other = strcmp(unreachable, "vm-1") == 0 ? "vm-2" : "vm-1";
+    const char *unresponsive = placed_on(fixture->store, "req-1", NULL),
+               *responsive = strcmp(unresponsive, "vm-1") == 0 ? "vm-2" : "vm-1";
     bool released = false;
     for (uint64_t i = 2; i < 40 && !released; i++) {
         node->now += 1;
-        send_heartbeat(node, unreachable, i, NULL);
-        send_heartbeat(node, other, i, NULL);
-        plan_unanswered_by(node, unreachable);
+        send_heartbeat(node, unresponsive, i, NULL);
+        send_heartbeat(node, responsive, i, NULL);
+        plan_unanswered_by(node, unresponsive);
         if (i == 10) {
             fake_store_submit(fixture->store, &second_job, node->now);
             fake_store_sync(fixture->store, node->core, node->now);
-            plan_unanswered_by(node, unreachable);
-            assert_string_equal(placed_on(fixture->store, "req-2", NULL), other);
+            plan_unanswered_by(node, unresponsive);
+            assert_string_equal(placed_on(fixture->store, "req-2", NULL), responsive);
         }
-        assert_string_equal(placed_on(fixture->store, "req-1", NULL),
-                            unreachable); /* no proof of its end yet */
-        released = step_releases(fixture, unreachable);
-        assert_false(step_releases(fixture, other));
+        /* Nothing proves yet that the task has ended. */
+        assert_string_equal(placed_on(fixture->store, "req-1", NULL), unresponsive);
+        released = step_releases(fixture, unresponsive);
+        assert_false(step_releases(fixture, responsive));
     }
     assert_true(released);
     for (int i = 0; i < 6; i++) {
         node->now += 0.5;
-        step_releases(fixture, unreachable);
+        step_releases(fixture, unresponsive);
         plan_unanswered_by(node, NULL);
     }
-    assert_string_equal(placed_on(fixture->store, "req-1", NULL), other);
+    assert_string_equal(placed_on(fixture->store, "req-1", NULL), responsive);
 }
 
-/* Where only this controller's own path was interrupted, one answer makes the machine usable
- * restarted.
- * */
-static void one_answer_clears_suspect(void **state) {
+/* If only this controller's path to a machine was interrupted, one answer makes the machine usable
+ * again. */
+static void one_answer_clears_suspicion(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
-    GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *suspects = g_ptr_array_new_with_free_func(g_free);
     send_heartbeat(node, "vm-1", 1, NULL);
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1", .service = true},
                       node->now);
@@ -68,25 +68,25 @@
         send_heartbeat(node, "vm-1", i, NULL);
         plan_unanswered_by(node, "vm-1");
     }
-    rr_core_list_suspects(node->core, node->now, names);
-    assert_int_equal(names->len, 1);
-    assert_string_equal(names->pdata[0], "vm-1");
+    rr_core_list_suspects(node->core, node->now, suspects);
+    assert_int_equal(suspects->len, 1);
+    assert_string_equal(suspects->pdata[0], "vm-1");
     node->now += 2;
     send_heartbeat(node, "vm-1", 9, NULL);
-    test_controller_plan(node, &plan); /* the start again, or a probe */
+    test_controller_plan(node, &plan); /* repeats the start or probes the machine */
     assert_non_null(plan_find_batch(&plan, "vm-1"));
     rr_core_command_result(node->core, node->now, plan_find_batch(&plan, "vm-1"),
                            RR_COMMAND_ANSWERED, true);
     rr_plan_clear(&plan);
-    g_ptr_array_set_size(names, 0);
-    rr_core_list_suspects(node->core, node->now, names);
-    assert_int_equal(names->len, 0);
-    g_ptr_array_free(names, TRUE);
+    g_ptr_array_set_size(suspects, 0);
+    rr_core_list_suspects(node->core, node->now, suspects);
+    assert_int_equal(suspects->len, 0);
+    g_ptr_array_free(suspects, TRUE);
 }
 
-/* A controller that has just started can't tell a copy that is late by more than a lease. One
- * heartbeat with an earlier token makes no machine schedulable; a second, newer one does, and so
- * does one with the present token. */
+/* A controller that has just started cannot recognize a copy of a heartbeat that is late by more
+ * than a lease. One heartbeat with the token of an earlier term does not make a machine
+ * schedulable; a second, newer one does, and so does one with the present token. */
 static void heartbeat_of_earlier_term_does_not_verify_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller restarted;
@@ -108,8 +108,8 @@
     test_controller_clear(&restarted);
 }
 
-/* A machine that this controller has seen being recorded can't have sent an earlier heartbeat, so
- * the first one suffices. */
+/* If this controller has seen a machine being recorded, the machine cannot have sent an earlier
+ * heartbeat, so its first one makes it schedulable. */
 static void newly_recorded_machine_takes_work_with_first_heartbeat(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -122,7 +122,7 @@
     assert_true(fake_store_attempt(fixture->store, "vm-3", "req-1", 0) != 0);
 }
 
-/* A newer digest from a peer verifies a machine as a second heartbeat does. */
+/* A newer heartbeat digest from a peer verifies a machine, as a second heartbeat does. */
 static void digest_after_heartbeat_verifies_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller restarted;
@@ -141,8 +141,8 @@
     test_controller_clear(&restarted);
 }
 
-/* A late copy about a machine that has gone does not make it known restarted. */
-static void late_copy_of_gone_machine_is_ignored(void **state) {
+/* A late copy of a heartbeat does not make a removed machine known again. */
+static void late_heartbeat_of_removed_machine_is_ignored(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_core_stats stats;
@@ -162,7 +162,8 @@
     assert_int_equal(stats.machines, 1);
 }
 
-/* A machine that the cloud has not named is recorded only after it has answered. */
+/* A machine that the cloud has not listed is recorded only after it has answered this
+ * controller. */
 static void unverified_machine_is_not_recorded(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -181,9 +182,9 @@
     assert_true(fake_store_has_machine(fixture->store, "vm-7"));
 }
 
-/* A machine comes up under the name of another with its sequence started over. Its heartbeats look
- * old and are ignored, yet it answers. It is released, and until then the first one's task stays
- * reserved. */
+/* A new machine comes up under the name of an earlier one, with its heartbeat sequence started
+ * over. Its heartbeats look old and are ignored, yet it answers commands. It is released, and until
+ * then the earlier machine's task stays reserved. */
 static void machine_with_reused_name_is_released(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -215,47 +216,48 @@
     assert_true(released);
 }
 
-/* A controller that has lost the key-value store and its peers, but not its workers, stops replying
- * to them by its own clock. The others see no heartbeats, probe with the present token, and keep
- * every machine that answers. */
+/* A controller loses the key-value store and its peers but not its workers, and stops replying to
+ * the workers by its own clock. The other controllers receive no heartbeats, probe the machines
+ * with the present token, and keep every machine that answers. */
 static void machines_of_isolated_controller_are_probed_and_kept(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller, alone;
+    test_controller *node = &fixture->controller, isolated;
     fake_store_put_machine(fixture->store, "vm-1", "a", false, true);
     fake_store_put_machine(fixture->store, "vm-2", "b", false, true);
-    test_controller_init(&alone, fixture->store, "n1");
-    fake_store_sync(fixture->store, alone.core, alone.now);
-    test_controller_join(&alone, 9);
+    test_controller_init(&isolated, fixture->store, "n1");
+    fake_store_sync(fixture->store, isolated.core, isolated.now);
+    test_controller_join(&isolated, 9);
     test_controller_next_term(node);
-    fake_store_sync(fixture->store, alone.core, alone.now);
+    fake_store_sync(fixture->store, isolated.core, isolated.now);
     send_heartbeat(node, "vm-1", 1, NULL);
     send_heartbeat(node, "vm-2", 1, NULL);
-    /* Isolated from here on: no renewal, no change of the store cache. */
-    rr_core_set_session(alone.core, 9, alone.now + 10);
+    /* From here on it is isolated: no session renewal and no change of its store cache. */
+    rr_core_set_session(isolated.core, 9, isolated.now + 10);
     rr_heartbeat heartbeat = {.worker_epoch = 1,
                               .sequence = 2,
-                              .fencing_token = rr_core_fencing_token(alone.core),
+                              .fencing_token = rr_core_fencing_token(isolated.core),
                               .spot_notice_s = -1};
     struct rr_heartbeat_reply reply;
     heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    double answers = rr_heartbeat_reply_s(&alone.config);
-    rr_core_reply_to_heartbeat(alone.core, alone.now + answers - 0.1, &heartbeat, &reply);
+    double reply_s = rr_heartbeat_reply_s(&isolated.config);
+    rr_core_reply_to_heartbeat(isolated.core, isolated.now + reply_s - 0.1, &heartbeat, &reply);
     assert_int_equal(reply.status, 200);
     g_array_free(reply.commands, TRUE);
-    assert_false(rr_core_ready(alone.core, alone.now + answers - 0.1));
-    rr_core_reply_to_heartbeat(alone.core, alone.now + answers + 0.1, &heartbeat, &reply);
+    assert_false(rr_core_ready(isolated.core, isolated.now + reply_s - 0.1));
+    rr_core_reply_to_heartbeat(isolated.core, isolated.now + reply_s + 0.1, &heartbeat, &reply);
     assert_int_not_equal(reply.status, 200);
-    /* A late renewal proves no knowledge of cancellations: only the store cache does. */
-    rr_core_set_session(alone.core, 9, alone.now + 1e6);
-    rr_core_reply_to_heartbeat(alone.core, alone.now + answers + 0.1, &heartbeat, &reply);
+    /* A late session renewal does not prove knowledge of cancellations; the store cache does. */
+    rr_core_set_session(isolated.core, 9, isolated.now + 1e6);
+    rr_core_reply_to_heartbeat(isolated.core, isolated.now + reply_s + 0.1, &heartbeat, &reply);
     assert_int_not_equal(reply.status, 200);
-    /* The lease renewed last expires in time for a cancellation made just after the last moment
-     * that this store cache knows. */
-    assert_true(answers + 1.001 * alone.config.lease_s < alone.config.cancel_s - 0.9);
-    assert_true(answers > 0.9 * (alone.config.cancel_s - alone.config.lease_s));
+    /* The lease that was renewed last expires within cancel_s of a cancellation made just after the
+     * last moment that this store cache covers, with 0.1 % of clock drift and 0.9 s to spare. */
+    assert_true(reply_s + 1.001 * isolated.config.lease_s < isolated.config.cancel_s - 0.9);
+    /* Replies continue for most of the time that this leaves. */
+    assert_true(reply_s > 0.9 * (isolated.config.cancel_s - isolated.config.lease_s));
     rr_heartbeat_clear(&heartbeat);
-    /* Its session expires, and the others make a term without it. */
-    test_controller_leave(&alone);
+    /* Its session expires, and the others begin a term without it. */
+    test_controller_leave(&isolated);
     test_controller_next_term(node);
     unsigned probes = 0;
     for (int i = 0; i < 40; i++) {
@@ -275,12 +277,12 @@
         assert_false(step_releases(fixture, "vm-2"));
     }
     assert_true(probes >= 4);
-    test_controller_clear(&alone);
+    test_controller_clear(&isolated);
 }
 
-/* Two jobs failing on one machine show its fault; one job failing on many machines shows the job's.
- * */
-static void job_failing_everywhere_quarantines_no_machine(void **state) {
+/* Failures of two jobs on one machine are the machine's fault; failures of one job on many machines
+ * are the job's fault. */
+static void one_failing_job_quarantines_no_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
@@ -300,7 +302,7 @@
     node->now += 1;
     test_controller_plan(node, &plan);
     rr_plan_clear(&plan);
-    /* req-1 waits; req-3 finds a machine, because the other three are not at fault. */
+    /* req-1 waits; req-3 is placed, because the machines other than vm-1 are not at fault. */
     assert_true(fake_store_attempt(fixture->store, "vm-2", "req-3", 0) ||
                 fake_store_attempt(fixture->store, "vm-3", "req-3", 0) ||
                 fake_store_attempt(fixture->store, "vm-4", "req-3", 0));
@@ -315,16 +317,16 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         TEST(machine_with_unanswered_commands_is_released),
-        TEST(one_answer_clears_suspect),
+        TEST(one_answer_clears_suspicion),
         TEST(heartbeat_of_earlier_term_does_not_verify_machine),
         TEST(newly_recorded_machine_takes_work_with_first_heartbeat),
         TEST(digest_after_heartbeat_verifies_machine),
-        TEST(late_copy_of_gone_machine_is_ignored),
+        TEST(late_heartbeat_of_removed_machine_is_ignored),
         TEST(unverified_machine_is_not_recorded),
         TEST(machine_with_reused_name_is_released),
         TEST(machines_of_isolated_controller_are_probed_and_kept),
-        cmocka_unit_test_setup_teardown(job_failing_everywhere_quarantines_no_machine,
-                                        core_fixture_setup, core_fixture_teardown),
+        cmocka_unit_test_setup_teardown(one_failing_job_quarantines_no_machine, core_fixture_setup,
+                                        core_fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_core_fault_combinations.c
+++ b/tests/test_core_fault_combinations.c
@@ -1,6 +1,6 @@
-/* Fault combinations: each test names two facts that must not be combined, brings them together in
- * both orders where there are two, and checks the guard between them. Here, faults of machines and
- * of the load. docs/fault-combinations.md lists all combinations. */
+/* Fault combinations: each test brings together two events that must not take effect together, in
+ * both orders where there are two, and checks the guard between them. This file covers faults of
+ * machines and of the load. docs/fault-combinations.md lists all combinations. */
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
@@ -10,8 +10,8 @@
 
 #include <string.h>
 
-/* A heartbeat is delayed until the next leader has acted. Older than what the machine has sent
- * since, it proves nothing and brings nothing back. */
+/* A heartbeat is delayed until the next leader has acted. It is older than what the machine has
+ * sent since, so it proves nothing and restores no earlier state. */
 static void delayed_heartbeat_changes_nothing_under_next_leader(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -23,7 +23,8 @@
     node->now += 1;
     send_heartbeat(node, machine, 20, running);
     plan_with_outcome(node, RR_COMMAND_ANSWERED);
-    /* One sent before the task had started, with the token of then, and a late copy. */
+    /* One heartbeat from before the task's start, with the token of that time, and a late copy of
+     * one with the present token. */
     test_controller_heartbeat(node, machine, machine_zone(machine), false, 1, 2,
                               rr_core_fencing_token(node->core) - 1, NULL);
     test_controller_heartbeat(node, machine, machine_zone(machine), false, 1, 19,
@@ -36,17 +37,17 @@
     g_free(running);
 }
 
-/* A machine whose heartbeats reach no controller still answers commands, but these renew no lease,
- * and what starts there is lost within one. It takes no new work, unless a controller that may hear
- * it is itself not connected. */
+/* A machine's heartbeats reach no controller, yet it answers commands. The answers renew no lease,
+ * so a task started there is lost within one lease. The machine takes no new work, unless a peer
+ * that may receive its heartbeats is itself not connected to this controller. */
 static void machine_with_lost_heartbeats_takes_no_work(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller, other;
+    test_controller *node = &fixture->controller, peer;
     uint64_t attempt;
     bool peer_connected = true;
-    test_controller_init(&other, fixture->store, "n1");
-    fake_store_sync(fixture->store, other.core, other.now);
-    test_controller_join(&other, 9);
+    test_controller_init(&peer, fixture->store, "n1");
+    fake_store_sync(fixture->store, peer.core, peer.now);
+    test_controller_join(&peer, 9);
     test_controller_next_term(node);
     for (int run = 0; run < 2; run++, peer_connected = false) {
         const char *job_id = run == 0 ? "req-1" : "req-2";
@@ -77,18 +78,19 @@
         fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-9", .zone = "a"},
                           node->now);
         fake_store_sync(fixture->store, node->core, node->now);
-        fake_store_sync(fixture->store, other.core, node->now);
+        fake_store_sync(fixture->store, peer.core, node->now);
         plan_with_outcome(node, RR_COMMAND_ANSWERED);
         bool placed = placed_on(fixture->store, job_id, &attempt) ||
                       placed_on(fixture->store, "req-9", &attempt);
         assert_true(placed == !peer_connected);
     }
-    test_controller_clear(&other);
+    test_controller_clear(&peer);
 }
 
-/* One zone has more free room, but scattered over machines too small for a task; the other has less
- * of it on one machine. A job bound to one zone goes where it fits as a whole. */
-static void job_bound_to_one_zone_goes_where_it_fits(void **state) {
+/* One zone has more free resources, but spread over machines that are too small for a task; the
+ * other zone has fewer, all on one machine. A job bound to one zone is placed in the zone where all
+ * of its tasks fit. */
+static void job_bound_to_one_zone_is_placed_where_all_tasks_fit(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     uint64_t attempt;
@@ -128,7 +130,8 @@
         node->now += 0.3;
         plan_with_outcome(node, RR_COMMAND_ANSWERED);
     }
-    /* Seven times 7 of 16 CPUs are free in zone a, 8 of 32 in zone b, on one machine. */
+    /* Zone a has 7 of 16 CPUs free on each of seven machines; zone b has 8 of 32 free, all on one
+     * machine. */
     fake_store_submit(fixture->store,
                       &(struct test_job){.job_id = "req-1", .one_zone = true, .cpus = 8},
                       node->now);
@@ -137,7 +140,7 @@
     attempt = fake_store_attempt(fixture->store, "vm-2", "req-1", 0) +
               fake_store_attempt(fixture->store, "vm-9", "req-1", 0);
     assert_true(attempt != 0);
-    /* Three tasks of 6 fit into zone a alone. */
+    /* Three tasks of 6 CPUs fit only into zone a. */
     fake_store_submit(
         fixture->store,
         &(struct test_job){.job_id = "req-2", .one_zone = true, .cpus = 6, .task_count = 3},
@@ -147,19 +150,19 @@
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 3);
 }
 
-/* Commands went unanswered; then the machine lost its lease, and with it the work of this owner,
- * which is not the autoscaler. Only an answer to this owner makes the machine usable again, so it
- * goes on probing. */
+/* Commands to a machine went unanswered, and then it lost its lease and with it the tasks of this
+ * owner, which is not the autoscaler. Only an answer to this owner makes the machine usable again,
+ * so the owner keeps probing it. */
 static void suspect_without_work_is_probed_until_it_answers(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller, second;
+    test_controller *node = &fixture->controller, peer;
     uint64_t attempt;
-    test_controller_init(&second, fixture->store, "n1");
-    fake_store_sync(fixture->store, second.core, second.now);
-    test_controller_join(&second, 9);
+    test_controller_init(&peer, fixture->store, "n1");
+    fake_store_sync(fixture->store, peer.core, peer.now);
+    test_controller_join(&peer, 9);
     test_controller_next_term(node);
-    /* The one of the two that is not the autoscaler; each owns a team. */
-    test_controller *owner = rr_core_is_autoscaler(node->core, node->now) ? &second : node;
+    /* The controller that is not the autoscaler; each of the two owns a team. */
+    test_controller *owner = rr_core_is_autoscaler(node->core, node->now) ? &peer : node;
     for (int team = 0; team < 2; team++) {
         char job_id[16];
         g_snprintf(job_id, sizeof job_id, "req-%d", team + 1);
@@ -175,12 +178,12 @@
         plan_with_outcome(owner, RR_COMMAND_OUTCOME_UNKNOWN);
         send_heartbeat(owner, "vm-1", 2 + i, NULL);
     }
-    GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    rr_core_list_suspects(owner->core, owner->now, names);
-    assert_int_equal(names->len, 1);
+    GPtrArray *suspects = g_ptr_array_new_with_free_func(g_free);
+    rr_core_list_suspects(owner->core, owner->now, suspects);
+    assert_int_equal(suspects->len, 1);
     test_controller_heartbeat(owner, "vm-1", "a", false, 2, 20, rr_core_fencing_token(owner->core),
                               NULL);
-    /* The plan that finds its work terminated comes right after a probe. */
+    /* The plan that finds the machine's tasks terminated comes right after a probe. */
     owner->now += 0.1;
     plan_with_outcome(owner, RR_COMMAND_OUTCOME_UNKNOWN);
     owner->now += 0.1;
@@ -202,16 +205,16 @@
         rr_plan_clear(&plan);
     }
     assert_true(probes > 0);
-    g_ptr_array_set_size(names, 0);
-    rr_core_list_suspects(owner->core, owner->now, names);
-    assert_int_equal(names->len, 0);
-    g_ptr_array_free(names, TRUE);
-    test_controller_clear(&second);
+    g_ptr_array_set_size(suspects, 0);
+    rr_core_list_suspects(owner->core, owner->now, suspects);
+    assert_int_equal(suspects->len, 0);
+    g_ptr_array_free(suspects, TRUE);
+    test_controller_clear(&peer);
 }
 
-/* Tasks of two jobs failed on the only machine there is. It is tried again a minute after the last
- * failure, so that no job waits for 90 s while it has room. */
-static void quarantine_ends_after_a_minute(void **state) {
+/* Tasks of two jobs have failed on the only machine. The machine is tried again a minute after the
+ * last failure, so that no job waits for 90 s while the machine has room for it. */
+static void quarantine_ends_a_minute_after_last_failure(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     uint64_t sequence = 1, attempt;
@@ -248,11 +251,11 @@
     assert_true(started_at > failed_at + 40 && started_at < failed_at + 65);
 }
 
-/* The outcome of a start is unknown, and its task was ended by start and stop under one token: the
- * ended attempt blocks a late copy of the start. It must do so also after the job has been reduced
- * to its final state, when the autoscaler reaps ended attempts: in the attempt's own term it leaves
- * that to the owner. */
-static void ended_attempt_of_forgotten_job_blocks_late_start(void **state) {
+/* The outcome of a start command is unknown, and a start and a stop under the same token then ended
+ * its task. The ended attempt, which the worker keeps, blocks a late copy of the start. It must
+ * still do so after the job has been shrunk to its final state, when the autoscaler reaps ended
+ * attempts: during the attempt's own term the autoscaler leaves that to the owner. */
+static void ended_attempt_of_shrunk_job_blocks_late_start(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     struct test_job job = {.job_id = "req-1", .zone = "a"};
@@ -262,20 +265,20 @@
     fake_store_sync(fixture->store, node->core, node->now);
     plan_with_outcome(node, RR_COMMAND_ANSWERED);
     uint64_t attempt = fake_store_attempt(fixture->store, "vm-1", job.job_id, 0);
-    plan_with_outcome(node, RR_COMMAND_OUTCOME_UNKNOWN); /* the start */
+    plan_with_outcome(node, RR_COMMAND_OUTCOME_UNKNOWN); /* sends the start */
     test_controller_cancel(node, job.job_id);
     node->now += 2;
     send_heartbeat(node, "vm-1", 2, NULL);
-    plan_with_outcome(node, RR_COMMAND_ANSWERED); /* start and stop */
-    char *ended = task_text(job.job_id, attempt, "ended:halted");
-    /* An attempt of another controller, in this term, of a job reduced here. */
-    uint64_t foreign = attempt ^ ((uint64_t)1 << 24);
-    char *theirs = task_text(job.job_id, foreign, "ended:halted");
+    plan_with_outcome(node, RR_COMMAND_ANSWERED); /* sends start and stop */
+    char *ended_task = task_text(job.job_id, attempt, "ended:halted");
+    /* An attempt of another controller in this term, of the job that is shrunk here. */
+    uint64_t foreign_attempt = attempt ^ ((uint64_t)1 << 24);
+    char *foreign_task = task_text(job.job_id, foreign_attempt, "ended:halted");
     rr_core_stats stats;
     rr_plan plan;
     do {
         node->now += 30;
-        send_heartbeat(node, "vm-1", sequence++, ended);
+        send_heartbeat(node, "vm-1", sequence++, ended_task);
         test_controller_plan(node, &plan);
         assert_null(plan_find_command(&plan, "vm-1", RR_COMMAND_REAP, job.job_id, 0));
         for (guint i = 0; i < plan.command_batches->len; i++) {
@@ -287,24 +290,25 @@
         rr_core_get_stats(node->core, &stats);
     } while (stats.unshrunk_jobs > 0 && sequence < 40);
     assert_int_equal(stats.unshrunk_jobs, 0);
-    send_heartbeat(node, "vm-1", sequence++, theirs);
+    send_heartbeat(node, "vm-1", sequence++, foreign_task);
     test_controller_plan(node, &plan);
     assert_null(plan_find_command(&plan, "vm-1", RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan);
-    /* The next term voids every copy, and the autoscaler reaps the attempt. */
+    /* The next term voids every copy of the start, and the autoscaler reaps the attempt. */
     test_controller_join(node, 8);
     node->now += 5;
-    send_heartbeat(node, "vm-1", sequence++, theirs);
+    send_heartbeat(node, "vm-1", sequence++, foreign_task);
     test_controller_plan(node, &plan);
     assert_non_null(plan_find_command(&plan, "vm-1", RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan);
-    g_free(theirs);
-    g_free(ended);
+    g_free(foreign_task);
+    g_free(ended_task);
 }
 
-/* A shown_task_state_fn: jobs 4, 12, 20 and so on are cancelled while they run. */
-static const char *ended_state(int machine, const char *job_id, uint32_t task, int shown,
-                               uint64_t sequence) {
+/* A shown_task_state_fn for ended tasks: jobs 4, 12, 20 and so on were cancelled while they ran,
+ * the others are done. */
+static const char *choose_ended_state(int machine, const char *job_id, uint32_t task, int shown,
+                                      uint64_t sequence) {
     (void)machine;
     (void)task;
     (void)shown;
@@ -312,30 +316,31 @@
     return atoi(job_id + strlen("req-")) % 8 == 4 ? "ended:halted" : "ended:done";
 }
 
-#define LATE_JOBS 24 /* the jobs of the last six seconds */
+#define RECENT_JOBS 24 /* jobs submitted in the last six seconds */
 
-/* All machines show what has ended of the jobs that came last, up to job `last`. */
-static void show_ended(test_controller *node, int last, uint64_t sequence) {
-    static char names[LATE_JOBS][32];
-    const char *refs[LATE_JOBS];
+/* All machines report their ended tasks of the RECENT_JOBS jobs up to number `last_job`. */
+static void report_ended_tasks(test_controller *node, int last_job, uint64_t sequence) {
+    static char id_buffers[RECENT_JOBS][32];
+    const char *job_ids[RECENT_JOBS];
     int jobs = 0;
-    for (int job = last; job > last - LATE_JOBS && job > 0; job--, jobs++) {
-        g_snprintf(names[jobs], sizeof names[jobs], "req-%06d", job);
-        refs[jobs] = names[jobs];
+    for (int job = last_job; job > last_job - RECENT_JOBS && job > 0; job--, jobs++) {
+        g_snprintf(id_buffers[jobs], sizeof id_buffers[jobs], "req-%06d", job);
+        job_ids[jobs] = id_buffers[jobs];
     }
     struct shown_machines show = {.first = 10,
                                   .last = 29,
                                   .last_in_a = 29,
-                                  .job_ids = refs,
+                                  .job_ids = job_ids,
                                   .jobs = jobs,
                                   .tasks = 1,
                                   .task_max = 4,
                                   .worker_epoch = 1,
                                   .sequence = sequence,
-                                  .state = ended_state};
+                                  .state = choose_ended_state};
     test_controller_show_machines(node, &show);
 }
 
+/* Returns the number of changes that the store has committed after this revision. */
 static unsigned count_changes_since(const fake_store *store, uint64_t revision) {
     unsigned changes = 0;
     for (guint i = 0; i < store->log->len; i++) {
@@ -344,18 +349,18 @@
     return changes;
 }
 
-/* One-task jobs come four a second for two minutes, and a quarter of them is cancelled at some
- * moment. Each has a bounded number of changes at the store, and leaves nothing in the ledger and
- * its final state in memory. */
-static void small_jobs_have_bounded_cost_and_leave_nothing(void **state) {
+/* Four one-task jobs are submitted per second for two minutes, and a quarter of them is cancelled,
+ * half of these before their start and half while they run. Each job takes a bounded number of
+ * changes in the store and leaves nothing in the ledger and only its final state in memory. */
+static void small_jobs_cost_few_changes_and_leave_ledger_empty(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     const int jobs = 480;
-    uint64_t sequence = 1, before;
+    uint64_t sequence = 1, revision_before;
     char job_id[32];
     rr_core_stats stats;
     test_controller_add_machines(node, 10, 20, "a");
-    before = fixture->store->revision;
+    revision_before = fixture->store->revision;
     for (int i = 1; i <= jobs; i++) {
         g_snprintf(job_id, sizeof job_id, "req-%06d", i);
         fake_store_submit(fixture->store, &(struct test_job){.job_id = job_id, .cpus = 1},
@@ -370,7 +375,7 @@
             test_controller_cancel(node, job_id); /* while it runs */
         }
         if (i % 4 == 0) { /* every second */
-            show_ended(node, i, ++sequence);
+            report_ended_tasks(node, i, ++sequence);
         }
     }
     for (int i = 0; i < 8; i++) {
@@ -378,8 +383,9 @@
         plan_with_outcome(node, RR_COMMAND_ANSWERED);
     }
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/"), 0);
-    /* Accepted, reserved, ended with its ledger record gone; a cancelled one no more than that. */
-    assert_true(count_changes_since(fixture->store, before) <= 4 * (unsigned)jobs);
+    /* Four changes a job at most: accepted, reserved, ended, and its ledger record deleted. A
+     * cancelled job takes no more than that. */
+    assert_true(count_changes_since(fixture->store, revision_before) <= 4 * (unsigned)jobs);
     for (int i = 0; i < 6; i++) {
         node->now += 61;
         plan_with_outcome(node, RR_COMMAND_ANSWERED);
@@ -401,11 +407,11 @@
     const struct CMUnitTest tests[] = {
         TEST(delayed_heartbeat_changes_nothing_under_next_leader),
         TEST(machine_with_lost_heartbeats_takes_no_work),
-        TEST(job_bound_to_one_zone_goes_where_it_fits),
+        TEST(job_bound_to_one_zone_is_placed_where_all_tasks_fit),
         TEST(suspect_without_work_is_probed_until_it_answers),
-        TEST(quarantine_ends_after_a_minute),
-        TEST(ended_attempt_of_forgotten_job_blocks_late_start),
-        TEST(small_jobs_have_bounded_cost_and_leave_nothing),
+        TEST(quarantine_ends_a_minute_after_last_failure),
+        TEST(ended_attempt_of_shrunk_job_blocks_late_start),
+        TEST(small_jobs_cost_few_changes_and_leave_ledger_empty),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_core_partitions.c
+++ b/tests/test_core_partitions.c
@@ -1,5 +1,5 @@
-/* Which machines without heartbeats are released: dead and hung ones, but none of a partitioned
- * zone, and none because the controller itself paused or ran late. */
+/* Which machines without heartbeats are released: dead and hung ones, but no machine of a
+ * partitioned zone, and none because the controller itself paused or ran late. */
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
@@ -8,28 +8,28 @@
 
 #include <string.h>
 
-/* vm-1 to vm-3 of zone a, listed, recorded and heard once. */
-static void put_three_heard_machines(core_fixture *fixture, GArray *listed) {
+/* Records and lists vm-1 to vm-3 in zone a, each of which has sent one heartbeat. */
+static void add_three_live_machines(core_fixture *fixture, GArray *listed) {
     put_fleet(fixture, 3, listed);
     send_fleet_heartbeats(&fixture->controller, 1, 3, 1);
 }
 
-/* While a whole zone is overdue none of its machines is released; a single overdue machine is, once
- * probes failed, and its record goes only after the release. */
-static void partitioned_zone_stays_and_dead_machine_is_released(void **state) {
+/* While a whole zone is overdue, none of its machines is released. A single overdue machine is
+ * released once probes of it have failed, and its record is deleted only after the release. */
+static void partitioned_zone_is_kept_and_dead_machine_released(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    put_three_heard_machines(fixture, machines);
+    add_three_live_machines(fixture, machines);
     for (int i = 0; i < 20; i++) {
         node->now += 2;
         plan_unreachable(node);
         assert_false(step_until(fixture, RR_AUTOSCALER_SCALE_IN, machines, &step));
         rr_autoscaler_step_clear(&step);
     }
-    /* The partition heals for two of three first: the third is released only after it alone has
-     * been overdue for the full time. */
+    /* The partition heals for vm-1 and vm-2 first. vm-3 is released only after it alone has been
+     * overdue for the full time. */
     bool released = false;
     for (uint64_t i = 2; i < 60 && !released; i++) {
         node->now += 1;
@@ -51,8 +51,8 @@
     g_array_free(machines, TRUE);
 }
 
-/* When a partition begins, the first machines reach the age of a dead one while most of the zone
- * still counts as heard, because heartbeats are staggered. */
+/* Heartbeats are staggered, so at the beginning of a partition the first machines have been silent
+ * for as long as a dead machine while most of the zone still counts as alive. */
 static void beginning_partition_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -82,8 +82,9 @@
     g_array_free(machines, TRUE);
 }
 
-/* An autoscaler that starts while a zone is partitioned has heard only a few of its machines. Those
- * with placements count as up, so that the few do not pass for the whole zone. */
+/* An autoscaler that starts while a zone is partitioned has received heartbeats from only a few of
+ * the zone's machines. Machines with placements count as up, so that those few are not taken for
+ * the whole zone. */
 static void controller_started_during_partition_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -104,20 +105,20 @@
     restarted.now = node->now;
     fake_store_sync(fixture->store, restarted.core, restarted.now);
     test_controller_join(&restarted, 8);
-    core_fixture second_fixture = {fixture->store, restarted};
+    core_fixture restarted_fixture = {fixture->store, restarted};
     for (uint64_t i = 2; i < 40; i++) {
-        second_fixture.controller.now += 1;
-        test_controller_heartbeat(&second_fixture.controller, "vm-1", "a", false, 1, i, 1, NULL);
-        plan_reaching(&second_fixture.controller, "vm-1");
-        assert_false(step_until(&second_fixture, RR_AUTOSCALER_SCALE_IN, machines, &step));
+        restarted_fixture.controller.now += 1;
+        test_controller_heartbeat(&restarted_fixture.controller, "vm-1", "a", false, 1, i, 1, NULL);
+        plan_reaching(&restarted_fixture.controller, "vm-1");
+        assert_false(step_until(&restarted_fixture, RR_AUTOSCALER_SCALE_IN, machines, &step));
         rr_autoscaler_step_clear(&step);
     }
     g_array_free(machines, TRUE);
-    test_controller_clear(&second_fixture.controller);
+    test_controller_clear(&restarted_fixture.controller);
 }
 
-/* Overdue machines are probed, but in a partitioned zone only a sample of two, so that reachable
- * machines need not wait for the senders. */
+/* Overdue machines are probed, but in a partitioned zone only a sample of two, so that commands to
+ * reachable machines need not wait for free senders. */
 static void partitioned_zone_gets_two_probes(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -139,55 +140,56 @@
     assert_int_equal(plan_unreachable(node), 0);
 }
 
-/* The controller pauses for `pause_s`; then machines send heartbeats one after the other within an
- * interval, while probes fail. Returns the releases. */
-static unsigned releases_after_pause(core_fixture *fixture, double pause_s) {
+/* The controller pauses for `pause_s` seconds. Then the machines send heartbeats one after the
+ * other within an interval, while probes fail. Returns the number of scale-in steps. */
+static unsigned count_scale_ins_after_pause(core_fixture *fixture, double pause_s) {
     test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
-    const int count = 12;
+    const int machine_count = 12;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    unsigned released = 0;
-    put_fleet(fixture, count, machines);
-    send_fleet_heartbeats(node, 1, count, 1);
+    unsigned scale_in_steps = 0;
+    put_fleet(fixture, machine_count, machines);
+    send_fleet_heartbeats(node, 1, machine_count, 1);
     test_controller_autoscaler_step(node, machines, &step);
     rr_autoscaler_step_clear(&step);
     node->now += pause_s;
     for (int tick = 0; tick < 60; tick++) {
         node->now += node->config.heartbeat_interval_s / 12;
-        if (tick < count) {
+        if (tick < machine_count) {
             send_fleet_heartbeats(node, tick + 1, tick + 1, 2);
         }
-        if (tick % 12 == 11) { /* all again, once an interval */
-            send_fleet_heartbeats(node, 1, count, 3 + (uint64_t)tick);
+        if (tick % 12 == 11) { /* all machines, once an interval */
+            send_fleet_heartbeats(node, 1, machine_count, 3 + (uint64_t)tick);
         }
         plan_unreachable(node);
         test_controller_autoscaler_step(node, machines, &step);
-        released += step.kind == RR_AUTOSCALER_SCALE_IN;
+        scale_in_steps += step.kind == RR_AUTOSCALER_SCALE_IN;
         rr_autoscaler_step_clear(&step);
     }
     g_array_free(machines, TRUE);
-    return released;
+    return scale_in_steps;
 }
 
-/* After a pause every machine looks overdue because the controller did not listen. */
+/* After a pause every machine looks overdue, because the controller received nothing meanwhile. */
 static void paused_controller_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
-    assert_int_equal(releases_after_pause(fixture, 9),
-                     0); /* shorter than a lease: still the autoscaler */
-    assert_int_equal(releases_after_pause(fixture, 55), 0);
+    /* After a pause shorter than a lease the controller is still the autoscaler. */
+    assert_int_equal(count_scale_ins_after_pause(fixture, 9), 0);
+    assert_int_equal(count_scale_ins_after_pause(fixture, 55), 0);
 }
 
-/* For so many seconds two of three machines are heard, probes fail and, with `late`, timers fire
- * late. Returns the releases. */
-static unsigned releases_without_third_machine(core_fixture *fixture, int seconds,
-                                               uint64_t *sequence, const GArray *machines,
-                                               bool late) {
+/* For `seconds` seconds, or until a machine is released, vm-1 and vm-2 send heartbeats, vm-3 sends
+ * none and probes fail. timers_late: the controller's timers fire late. Returns the number of
+ * machines released. */
+static unsigned count_releases_without_third_machine(core_fixture *fixture, int seconds,
+                                                     uint64_t *sequence, const GArray *machines,
+                                                     bool timers_late) {
     test_controller *node = &fixture->controller;
-    unsigned released = 0;
+    unsigned released_count = 0;
     rr_autoscaler_step step;
-    for (int tick = 0; tick < seconds && !released; tick++) {
+    for (int tick = 0; tick < seconds && !released_count; tick++) {
         node->now += 1;
-        if (late) {
+        if (timers_late) {
             rr_core_set_timers_late(node->core, node->now);
         }
         ++*sequence;
@@ -195,90 +197,95 @@
         test_controller_heartbeat(node, "vm-2", "a", false, 1, *sequence, 1, NULL);
         plan_unreachable(node);
         test_controller_autoscaler_step(node, machines, &step);
-        released += step.kind == RR_AUTOSCALER_SCALE_IN ? step.machines->len : 0;
+        released_count += step.kind == RR_AUTOSCALER_SCALE_IN ? step.machines->len : 0;
         rr_autoscaler_step_clear(&step);
     }
-    return released;
+    return released_count;
 }
 
 /* A controller that runs late may have an unread heartbeat of every machine that seems overdue, for
- * seconds or for longer than a lease, and the probes of that time count for nothing. */
+ * seconds or for longer than a lease. Probes from that time count for nothing. */
 static void late_controller_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     uint64_t sequence = 1;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    put_three_heard_machines(fixture, machines);
-    assert_int_equal(releases_without_third_machine(fixture, (int)(1.5 * node->config.lease_s),
-                                                    &sequence, machines, true),
+    add_three_live_machines(fixture, machines);
+    assert_int_equal(count_releases_without_third_machine(
+                         fixture, (int)(1.5 * node->config.lease_s), &sequence, machines, true),
                      0);
     assert_true(rr_core_timers_late(node->core, node->now, 1));
-    /* The heartbeat is read, and the machine stays ... */
+    /* Once its heartbeat is read, vm-3 is kept. */
     test_controller_heartbeat(node, "vm-3", "a", false, 1, ++sequence, 1, NULL);
-    assert_int_equal(releases_without_third_machine(fixture, (int)node->config.heartbeat_interval_s,
-                                                    &sequence, machines, false),
+    assert_int_equal(count_releases_without_third_machine(fixture,
+                                                          (int)node->config.heartbeat_interval_s,
+                                                          &sequence, machines, false),
                      0);
-    /* ... until it is overdue for long enough while timers are on time. */
-    assert_int_equal(releases_without_third_machine(fixture,
-                                                    (int)(5 * node->config.heartbeat_interval_s),
-                                                    &sequence, machines, false),
-                     1);
+    /* It is released once it has been overdue for long enough while timers are on time. */
+    assert_int_equal(
+        count_releases_without_third_machine(fixture, (int)(5 * node->config.heartbeat_interval_s),
+                                             &sequence, machines, false),
+        1);
     g_array_free(machines, TRUE);
 }
 
-/* Eight of ten machines of a zone hang for good. Returns the releases within three leases, while
- * the zone's controller is connected or not. */
-static unsigned releases_in_hung_zone(core_fixture *fixture, bool controller_connected) {
+/* Eight of a zone's ten machines hang for good, while the zone's controller is connected or not.
+ * Returns the number of machines in the first scale-in step within three leases, or 0 if there is
+ * none. */
+static unsigned count_releases_in_hung_zone(core_fixture *fixture, bool controller_connected) {
     test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
-    const int count = 10, hung = 8;
-    unsigned released = 0;
+    const int machine_count = 10, hung_count = 8;
+    unsigned released_count = 0;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     node->config.peer_count = 1;
     g_strlcpy(node->config.zone, "b", RR_NAME_SIZE);
     g_strlcpy(node->config.peers[0].name, "n1", RR_NAME_SIZE);
     g_strlcpy(node->config.peers[0].zone, "a", RR_NAME_SIZE);
-    put_fleet(fixture, count, machines);
+    put_fleet(fixture, machine_count, machines);
     for (int tick = 0; tick < 3 * node->config.lease_s; tick++) {
         node->now += 1;
-        send_fleet_heartbeats(node, 1, tick == 0 ? count : count - hung, (uint64_t)tick + 1);
+        send_fleet_heartbeats(node, 1, tick == 0 ? machine_count : machine_count - hung_count,
+                              (uint64_t)tick + 1);
         if (controller_connected) {
             rr_core_peer_contacted(node->core, node->now, 0);
         }
         plan_unreachable(node);
         for (int k = 0; k < 3; k++) {
             test_controller_autoscaler_step(node, machines, &step);
-            if (step.kind == RR_AUTOSCALER_SCALE_IN && released == 0) {
+            if (step.kind == RR_AUTOSCALER_SCALE_IN && released_count == 0) {
                 assert_true(tick > node->config.lease_s);
-                released = step.machines->len;
+                released_count = step.machines->len;
             }
             rr_autoscaler_step_clear(&step);
         }
     }
     g_array_free(machines, TRUE);
-    return released;
+    return released_count;
 }
 
-static void hung_zone_with_connected_controller_is_released(void **state) {
-    assert_int_equal(releases_in_hung_zone(*state, true), 8);
+/* A connected controller in the zone shows that the zone is not partitioned. */
+static void hung_machines_of_zone_with_connected_controller_are_released(void **state) {
+    assert_int_equal(count_releases_in_hung_zone(*state, true), 8);
 }
 
-static void hung_zone_without_connected_controller_stays(void **state) {
-    assert_int_equal(releases_in_hung_zone(*state, false), 0);
+/* Without a connected controller in the zone, its silent machines may be partitioned. */
+static void hung_machines_of_zone_without_connected_controller_are_kept(void **state) {
+    assert_int_equal(count_releases_in_hung_zone(*state, false), 0);
 }
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, core_fixture_setup, core_fixture_teardown)
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        TEST(partitioned_zone_stays_and_dead_machine_is_released),
+        TEST(partitioned_zone_is_kept_and_dead_machine_released),
         TEST(beginning_partition_releases_no_machine),
         TEST(controller_started_during_partition_releases_no_machine),
         TEST(partitioned_zone_gets_two_probes),
         TEST(paused_controller_releases_no_machine),
         TEST(late_controller_releases_no_machine),
-        TEST(hung_zone_with_connected_controller_is_released),
-        TEST(hung_zone_without_connected_controller_stays),
+        TEST(hung_machines_of_zone_with_connected_controller_are_released),
+        TEST(hung_machines_of_zone_without_connected_controller_are_kept),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
