--- a/tests/test_core_autoscaler.c
+++ b/tests/test_core_autoscaler.c
@@ -1,5 +1,6 @@
-/* Scale-out, scale-in, machine lists and the catalogue: nothing is rented twice, and no machine or
- * task is lost. */
+/* Tests of the autoscaler: renting and releasing machines, reconciling machine records with the
+ * cloud's machine list, and writing the catalogue. Nothing is rented twice, and no machine or task
+ * is lost. */
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 #include "core/planning.h"
@@ -8,66 +9,70 @@
 
 #include <string.h>
 
-/* The intent is recorded before the cloud is called. A new autoscaler repeats it under the same
- * name, so that the cloud answers as before and rents nothing more. */
-static void new_autoscaler_repeats_rental_under_its_name(void **state) {
+/* The autoscaler records a rental as an intent before it calls the cloud. A new autoscaler retries
+ * the intent under the same name, so that the cloud repeats its earlier answer and rents nothing
+ * more. */
+static void new_autoscaler_retries_rental_under_same_name(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller, other;
+    test_controller *node = &fixture->controller, successor;
     rr_autoscaler_step step;
-    char first[RR_ID_SIZE];
+    char first_rental[RR_ID_SIZE];
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1"}, node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     assert_true(step_until(fixture, RR_AUTOSCALER_SCALE_OUT, NULL, &step));
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "hire/"), 1);
-    g_strlcpy(first, step.rental, sizeof first);
-    rr_autoscaler_step_clear(&step); /* the controller ends without an answer */
+    g_strlcpy(first_rental, step.rental, sizeof first_rental);
+    /* The controller stops before it has the cloud's answer. */
+    rr_autoscaler_step_clear(&step);
     test_controller_leave(node);
-    test_controller_init(&other, fixture->store, "n0");
-    other.now = node->now;
-    fake_store_sync(fixture->store, other.core, other.now);
-    test_controller_join(&other, 8);
-    core_fixture second_fixture = {fixture->store, other};
-    assert_true(step_until(&second_fixture, RR_AUTOSCALER_SCALE_OUT, NULL, &step));
-    assert_string_equal(step.rental, first);
-    GPtrArray *ids = g_ptr_array_new();
-    g_ptr_array_add(ids, "vm-9");
-    rr_core_scale_out_result(second_fixture.controller.core, second_fixture.controller.now, &step,
-                             200, ids);
+    test_controller_init(&successor, fixture->store, "n0");
+    successor.now = node->now;
+    fake_store_sync(fixture->store, successor.core, successor.now);
+    test_controller_join(&successor, 8);
+    core_fixture successor_fixture = {fixture->store, successor};
+    assert_true(step_until(&successor_fixture, RR_AUTOSCALER_SCALE_OUT, NULL, &step));
+    assert_string_equal(step.rental, first_rental);
+    GPtrArray *machine_ids = g_ptr_array_new();
+    g_ptr_array_add(machine_ids, "vm-9");
+    rr_core_scale_out_result(successor_fixture.controller.core, successor_fixture.controller.now,
+                             &step, 200, machine_ids);
     rr_autoscaler_step_clear(&step);
     for (int i = 0; i < 4; i++) {
-        step_until(&second_fixture, RR_AUTOSCALER_NONE, NULL, &step);
+        step_until(&successor_fixture, RR_AUTOSCALER_NONE, NULL, &step);
         rr_autoscaler_step_clear(&step);
     }
     assert_true(fake_store_has_machine(fixture->store, "vm-9"));
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "hire/"), 0);
-    g_ptr_array_free(ids, TRUE);
-    test_controller_clear(&second_fixture.controller);
+    g_ptr_array_free(machine_ids, TRUE);
+    test_controller_clear(&successor_fixture.controller);
 }
 
-/* No two requests share a name, and a zone without capacity is avoided for a while. */
-static void refused_rental_is_repeated_under_new_name_in_other_zone(void **state) {
+/* A rental that the cloud refuses for lack of capacity is retried under a new name, since no two
+ * requests may share one, and in another zone, since a zone without capacity is avoided for a
+ * while. */
+static void refused_rental_is_retried_under_new_name_in_other_zone(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
-    char first[RR_ID_SIZE];
-    GPtrArray *none = g_ptr_array_new();
+    char first_rental[RR_ID_SIZE];
+    GPtrArray *no_machine_ids = g_ptr_array_new();
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1"}, node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     assert_true(step_until(fixture, RR_AUTOSCALER_SCALE_OUT, NULL, &step));
-    g_strlcpy(first, step.rental, sizeof first);
-    rr_core_scale_out_result(node->core, node->now, &step, 503, none);
+    g_strlcpy(first_rental, step.rental, sizeof first_rental);
+    rr_core_scale_out_result(node->core, node->now, &step, 503, no_machine_ids);
     rr_autoscaler_step_clear(&step);
     assert_true(step_until(fixture, RR_AUTOSCALER_SCALE_OUT, NULL, &step));
-    assert_string_not_equal(step.rental, first);
+    assert_string_not_equal(step.rental, first_rental);
     assert_string_equal(step.zone, "b");
     rr_autoscaler_step_clear(&step);
-    g_ptr_array_free(none, TRUE);
+    g_ptr_array_free(no_machine_ids, TRUE);
 }
 
-/* Machines that were up before the first term, or before anything was rented, are the operators'
- * own and stay, even if a list gives them no age. Others are adopted as rented and released when
- * idle. */
-static void operator_machines_stay_and_idle_rented_ones_are_released(void **state) {
+/* Machines that were running before the first term, or before anything was rented, belong to the
+ * operators and are kept, even if the machine list gives no age for them (0). Other machines
+ * without a record are recorded as rented and released when idle. */
+static void operator_machines_are_kept_and_idle_rented_ones_released(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
@@ -77,8 +82,8 @@
     assert_true(step_until(fixture, RR_AUTOSCALER_NONE, machines, &step));
     rr_autoscaler_step_clear(&step);
     assert_true(fake_store_has_machine(fixture->store, "vm-4"));
-    fake_store_put_machine(fixture->store, "vm-3", "b", false,
-                           false); /* now something was rented */
+    /* With a rented machine on record, machines that appear from here on count as rented. */
+    fake_store_put_machine(fixture->store, "vm-3", "b", false, false);
     fake_store_sync(fixture->store, node->core, node->now);
     node->now += 30;
     list_machine(machines, "vm-2", "a", RR_LISTED_RUNNING, 10);
@@ -106,45 +111,46 @@
     g_array_free(machines, TRUE);
 }
 
-/* A machine that was never listed may be missing from a list that lags. One that was listed and is
- * missing for more than twice the lag has gone. */
+/* The cloud's machine list lags. A recorded machine that was never listed may still be missing from
+ * it and keeps its record. One that was listed and has been missing for more than twice the lag is
+ * gone and loses its record. */
 static void machine_missing_from_lagging_list_is_kept(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    GArray *one = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    list_machine(one, "vm-1", "a", RR_LISTED_RUNNING, 3);
+    GArray *no_machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    GArray *one_machine = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    list_machine(one_machine, "vm-1", "a", RR_LISTED_RUNNING, 3);
     fake_store_put_machine(fixture->store, "vm-1", "a", false, false);
     fake_store_sync(fixture->store, node->core, node->now);
-    /* The first step begins the term. */
+    /* The first step begins this autoscaler's term. */
     rr_autoscaler_step_init(&step);
     rr_core_autoscaler_step(node->core, node->now, node->now, &step);
     rr_autoscaler_step_clear(&step);
     node->now += 3;
-    rr_core_machines_listed(node->core, node->now, node->now, node->now, none);
-    step_until(fixture, RR_AUTOSCALER_NONE, none, &step);
+    rr_core_machines_listed(node->core, node->now, node->now, node->now, no_machines);
+    step_until(fixture, RR_AUTOSCALER_NONE, no_machines, &step);
     rr_autoscaler_step_clear(&step);
     assert_true(fake_store_has_machine(fixture->store, "vm-1"));
-    rr_core_machines_listed(node->core, node->now, node->now, node->now, one);
-    rr_core_machines_listed(node->core, node->now + 9, node->now + 9, node->now + 9, none);
+    rr_core_machines_listed(node->core, node->now, node->now, node->now, one_machine);
+    rr_core_machines_listed(node->core, node->now + 9, node->now + 9, node->now + 9, no_machines);
     node->now += 9;
-    step_until(fixture, RR_AUTOSCALER_NONE, one, &step);
+    step_until(fixture, RR_AUTOSCALER_NONE, one_machine, &step);
     rr_autoscaler_step_clear(&step);
     assert_true(fake_store_has_machine(fixture->store, "vm-1"));
     node->now += 5;
-    rr_core_machines_listed(node->core, node->now, node->now, node->now, none);
-    step_until(fixture, RR_AUTOSCALER_NONE, none, &step);
+    rr_core_machines_listed(node->core, node->now, node->now, node->now, no_machines);
+    step_until(fixture, RR_AUTOSCALER_NONE, no_machines, &step);
     rr_autoscaler_step_clear(&step);
     assert_false(fake_store_has_machine(fixture->store, "vm-1"));
-    g_array_free(none, TRUE);
-    g_array_free(one, TRUE);
+    g_array_free(no_machines, TRUE);
+    g_array_free(one_machine, TRUE);
 }
 
-/* A machine is listed as failed, loses its record and is released before the owner of its task has
- * planned repeated_step: the machine stays known while the ledger refers to it, and the task is
- * placed elsewhere. */
-static void failed_machine_released_before_its_owner_plans(void **state) {
+/* The cloud lists a machine as failed, and the autoscaler deletes its record and releases it before
+ * the owner of its task plans again. The machine stays known while the ledger refers to it, and the
+ * task is placed on another machine. */
+static void task_of_machine_released_before_next_plan_is_placed_again(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
@@ -183,8 +189,8 @@
     g_array_free(machines, TRUE);
 }
 
-/* Tasks on machines that are gone need room at once, even if their owner has no writes left to
- * clear them from the ledger. */
+/* Tasks on removed machines need new capacity at once, even if their owner has no writes left to
+ * delete their placements from the ledger. */
 static void lost_tasks_cause_scale_out_before_ledger_is_cleared(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
@@ -207,8 +213,9 @@
     rr_autoscaler_step_clear(&step);
 }
 
-/* Whatever becomes of one transaction, the catalogue is written until the store cache shows it. */
-static void catalogue_is_written_until_cache_shows_it(void **state) {
+/* A transaction that writes the catalogue may be lost, for example when a change of term voids it.
+ * The catalogue is written again until the store cache shows it. */
+static void catalogue_is_rewritten_until_store_cache_shows_it(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_autoscaler_step step;
@@ -229,7 +236,8 @@
     rr_autoscaler_step_init(&step);
     rr_core_autoscaler_step(node->core, node->now, node->now, &step);
     assert_int_equal(step.kind, RR_AUTOSCALER_COMMIT);
-    rr_autoscaler_step_clear(&step); /* not committed, as if voided by a change of term */
+    /* The transaction is dropped, as if a change of term had voided it. */
+    rr_autoscaler_step_clear(&step);
     step_until(fixture, RR_AUTOSCALER_NONE, NULL, &step);
     rr_autoscaler_step_clear(&step);
     assert_true(fake_store_version(fixture->store, RR_KEY_ROOT "build/m2") != 0);
@@ -237,77 +245,78 @@
     g_array_free(machine_types, TRUE);
 }
 
-/* Rented machines may send heartbeats before any record names them, and the autoscaler that rented
- * them may end then. No work goes there until a record exists; the next autoscaler repeats the
- * intent under its name and records each machine once. */
-static void machine_heard_before_its_record_takes_no_work(void **state) {
+/* Rented machines may send heartbeats before they are recorded, and the autoscaler that rented them
+ * may stop at that moment. They take no tasks until they are recorded. The next autoscaler retries
+ * the rental under its name and records each machine once. */
+static void unrecorded_machine_takes_no_tasks(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller, next;
+    test_controller *node = &fixture->controller, successor;
     uint64_t attempt;
     rr_autoscaler_step step;
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    GArray *no_machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     fake_store_delete_machine(fixture->store, "vm-1");
     fake_store_delete_machine(fixture->store, "vm-2");
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1"}, node->now);
     fake_store_sync(fixture->store, node->core, node->now);
     for (int i = 0; i < 40; i++) {
-        test_controller_autoscaler_step(node, none, &step);
-        bool rental = step.kind == RR_AUTOSCALER_SCALE_OUT;
+        test_controller_autoscaler_step(node, no_machines, &step);
+        bool is_rental = step.kind == RR_AUTOSCALER_SCALE_OUT;
         node->now += 0.5;
-        if (rental) {
-            break; /* the cloud has the request, the autoscaler ends without its answer */
+        if (is_rental) {
+            /* The cloud has the request; the autoscaler stops before it has the answer. */
+            break;
         }
         rr_autoscaler_step_clear(&step);
     }
     assert_int_equal(step.kind, RR_AUTOSCALER_SCALE_OUT);
-    test_controller_init(&next, fixture->store, "n1");
-    next.now = node->now;
-    fake_store_reload(fixture->store, next.core, next.now);
+    test_controller_init(&successor, fixture->store, "n1");
+    successor.now = node->now;
+    fake_store_reload(fixture->store, successor.core, successor.now);
     test_controller_leave(node);
-    test_controller_join(&next, 9);
-    test_controller_heartbeat(&next, "vm-7", "a", false, 1, 1, 0, NULL);
-    plan_with_outcome(&next, RR_COMMAND_ANSWERED);
+    test_controller_join(&successor, 9);
+    test_controller_heartbeat(&successor, "vm-7", "a", false, 1, 1, 0, NULL);
+    plan_with_outcome(&successor, RR_COMMAND_ANSWERED);
     assert_true(fake_store_attempt(fixture->store, "vm-7", "req-1", 0) == 0);
-    bool repeated = false;
+    bool retried = false;
     for (int i = 0; i < 60 && !fake_store_has_machine(fixture->store, "vm-7"); i++) {
-        rr_autoscaler_step repeated_step;
-        test_controller_autoscaler_step(&next, none, &repeated_step);
-        if (repeated_step.kind == RR_AUTOSCALER_SCALE_OUT) {
-            GPtrArray *ids = g_ptr_array_new();
-            g_ptr_array_add(ids, (gpointer) "vm-7");
-            assert_string_equal(repeated_step.rental, step.rental);
-            repeated = true;
-            rr_core_scale_out_result(next.core, next.now, &repeated_step, 200, ids);
-            g_ptr_array_free(ids, TRUE);
+        rr_autoscaler_step retry_step;
+        test_controller_autoscaler_step(&successor, no_machines, &retry_step);
+        if (retry_step.kind == RR_AUTOSCALER_SCALE_OUT) {
+            GPtrArray *machine_ids = g_ptr_array_new();
+            g_ptr_array_add(machine_ids, (gpointer) "vm-7");
+            assert_string_equal(retry_step.rental, step.rental);
+            retried = true;
+            rr_core_scale_out_result(successor.core, successor.now, &retry_step, 200, machine_ids);
+            g_ptr_array_free(machine_ids, TRUE);
         }
-        rr_autoscaler_step_clear(&repeated_step);
-        next.now += 0.2;
+        rr_autoscaler_step_clear(&retry_step);
+        successor.now += 0.2;
     }
-    assert_true(repeated);
+    assert_true(retried);
     assert_true(fake_store_has_machine(fixture->store, "vm-7"));
-    test_controller_heartbeat(&next, "vm-7", "a", false, 1, 2, rr_core_fencing_token(next.core),
-                              NULL);
-    plan_with_outcome(&next, RR_COMMAND_ANSWERED);
+    test_controller_heartbeat(&successor, "vm-7", "a", false, 1, 2,
+                              rr_core_fencing_token(successor.core), NULL);
+    plan_with_outcome(&successor, RR_COMMAND_ANSWERED);
     attempt = fake_store_attempt(fixture->store, "vm-7", "req-1", 0);
     assert_true(attempt != 0);
     rr_autoscaler_step_clear(&step);
-    g_array_free(none, TRUE);
-    test_controller_clear(&next);
+    g_array_free(no_machines, TRUE);
+    test_controller_clear(&successor);
 }
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, core_fixture_setup, core_fixture_teardown)
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        TEST(new_autoscaler_repeats_rental_under_its_name),
-        TEST(refused_rental_is_repeated_under_new_name_in_other_zone),
-        TEST(operator_machines_stay_and_idle_rented_ones_are_released),
+        TEST(new_autoscaler_retries_rental_under_same_name),
+        TEST(refused_rental_is_retried_under_new_name_in_other_zone),
+        TEST(operator_machines_are_kept_and_idle_rented_ones_released),
         TEST(machine_missing_from_lagging_list_is_kept),
-        TEST(catalogue_is_written_until_cache_shows_it),
-        TEST(failed_machine_released_before_its_owner_plans),
+        TEST(catalogue_is_rewritten_until_store_cache_shows_it),
+        TEST(task_of_machine_released_before_next_plan_is_placed_again),
         TEST(lost_tasks_cause_scale_out_before_ledger_is_cleared),
-        cmocka_unit_test_setup_teardown(machine_heard_before_its_record_takes_no_work,
-                                        two_own_machines_setup, core_fixture_teardown),
+        cmocka_unit_test_setup_teardown(unrecorded_machine_takes_no_tasks, two_own_machines_setup,
+                                        core_fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -1,6 +1,6 @@
-/* With many machines and jobs, the cost of work must follow what happens and not the size of the
- * fleet. The tests count machines visited, records changed and commands sent, not time, so that a
- * walk over all machines for each event fails them on any computer. */
+/* The cost of work with many machines and jobs: it must depend on what changes and not on the size
+ * of the fleet. The tests count machines visited, records changed and commands sent instead of
+ * time, so that a walk over all machines for each event fails them on any computer. */
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
@@ -14,32 +14,34 @@
 #include <malloc.h>
 #include <stdio.h>
 
-#define FLEET 4500 /* machines, more than any deployment has */
+#define FLEET_SIZE 4500 /* machines; more than any deployment has */
 
-/* Machines that plans have visited since the start. */
-static unsigned machines_visited(const test_controller *node) {
+/* Returns the number of machines that plans have visited since the core was created. */
+static unsigned count_machines_visited(const test_controller *node) {
     rr_core_stats stats;
     rr_core_get_stats(node->core, &stats);
     return stats.machines_visited;
 }
 
-/* Every machine has sent a heartbeat, and nothing is left to plan. */
+/* Adds FLEET_SIZE machines of zone a, each of which has sent a heartbeat, and plans until nothing
+ * is left to do. */
 static void add_settled_fleet(test_controller *node) {
-    test_controller_add_machines(node, 1, FLEET, "a");
+    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
     plan_until_settled(node);
 }
 
-/* Machines that one plan visits. */
+/* Plans once and returns the number of machines that the plan visited. */
 static unsigned plan_and_count_visits(test_controller *node) {
     rr_plan plan;
-    unsigned before = machines_visited(node);
+    unsigned visits_before = count_machines_visited(node);
     test_controller_plan(node, &plan);
     rr_plan_clear(&plan);
-    return machines_visited(node) - before;
+    return count_machines_visited(node) - visits_before;
 }
 
-/* After one heartbeat with news, in a fleet of thousands, a plan visits its machine alone. */
-static void a_plan_costs_what_changed(void **state) {
+/* After one heartbeat with a change, in a fleet of thousands, a plan visits that machine and not
+ * the rest of the fleet. */
+static void plan_visits_only_changed_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     add_settled_fleet(node);
@@ -48,85 +50,87 @@
     assert_true(plan_and_count_visits(node) <= 4);
 }
 
-/* After the most frequent event, a heartbeat without news, a plan visits no machine, changes
- * nothing and commands nothing. */
-static void a_heartbeat_without_news_costs_nothing(void **state) {
+/* After heartbeats without changes, the most frequent event, a plan visits no machine, changes no
+ * record and sends no command. */
+static void unchanged_heartbeats_cause_no_work(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
     add_settled_fleet(node);
-    unsigned before = machines_visited(node);
+    unsigned visits_before = count_machines_visited(node);
     for (uint64_t sequence = 2; sequence < 6; sequence++) {
-        heartbeat_without_tasks(node, 1, FLEET, "a", 1, sequence);
+        heartbeat_without_tasks(node, 1, FLEET_SIZE, "a", 1, sequence);
         test_controller_plan(node, &plan);
         assert_false(plan.has_transaction);
         assert_int_equal(plan.command_batches->len, 0);
         rr_plan_clear(&plan);
     }
-    assert_int_equal(machines_visited(node), before);
+    assert_int_equal(count_machines_visited(node), visits_before);
 }
 
-/* The first plan of a term visits each machine once, and the next one none. */
-static void a_new_term_visits_each_machine_once(void **state) {
+/* The first plan of a term visits each machine once, and the next plan visits none. */
+static void first_plan_of_term_visits_each_machine_once(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     add_settled_fleet(node);
     test_controller_join(node, 9);
-    unsigned first = plan_and_count_visits(node);
-    assert_true(first >= FLEET);
-    assert_true(first <= FLEET + 4);
+    unsigned first_plan_visits = plan_and_count_visits(node);
+    assert_true(first_plan_visits >= FLEET_SIZE);
+    assert_true(first_plan_visits <= FLEET_SIZE + 4);
     assert_true(plan_and_count_visits(node) <= 4);
 }
 
-static size_t allocated_bytes(void) {
+/* Returns the bytes that are allocated on the heap, including memory-mapped blocks. */
+static size_t get_allocated_bytes(void) {
     struct mallinfo2 usage = mallinfo2();
     return usage.uordblks + usage.hblkhd;
 }
 
-/* The sizing in docs/operations.md relies on these figures. Under a sanitizer's allocator they are
- * not known. */
+/* The sizing in docs/operations.md relies on these bounds. They are not checked under a sanitizer,
+ * whose allocator does not report its usage. */
 static void memory_per_machine_and_job_is_bounded(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
-    const int jobs = 500;
-    size_t before = allocated_bytes();
-    test_controller_add_machines(node, 1, FLEET, "a");
-    size_t machine = (allocated_bytes() - before) / FLEET;
+    const int job_count = 500;
+    size_t bytes_before = get_allocated_bytes();
+    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
+    size_t machine_bytes = (get_allocated_bytes() - bytes_before) / FLEET_SIZE;
     plan_until_settled(node);
-    before = allocated_bytes();
-    submit_many(node, 1, jobs, &(struct test_job){.task_count = 4, .cpus = 4, .service = true});
+    bytes_before = get_allocated_bytes();
+    submit_many(node, 1, job_count,
+                &(struct test_job){.task_count = 4, .cpus = 4, .service = true});
     plan_until_settled(node);
-    size_t job = (allocated_bytes() - before) / jobs;
+    size_t job_bytes = (get_allocated_bytes() - bytes_before) / job_count;
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 4);
-    printf("%zu bytes a machine, %zu a job of four replicas\n", machine, job);
+    printf("%zu bytes a machine, %zu a job of four replicas\n", machine_bytes, job_bytes);
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
-    assert_in_range(machine, 500, 4096);
-    assert_in_range(job, 500, 4096);
+    assert_in_range(machine_bytes, 500, 4096);
+    assert_in_range(job_bytes, 500, 4096);
 #else
-    (void)machine;
-    (void)job;
+    (void)machine_bytes;
+    (void)job_bytes;
 #endif
 }
 
-/* However many machines an array runs on, placing it takes one change, recording tasks that end
+/* On however many machines an array runs, placing it takes one change, recording tasks that end
  * together takes one, and ending the job takes two. */
-static void an_array_costs_a_few_changes(void **state) {
+static void array_takes_few_changes(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
     rr_job_view view;
-    test_controller_add_machines(node, 1, FLEET, "a");
+    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
     submit_many(node, 1, 1, &(struct test_job){.task_count = 60, .cpus = 4, .gpus = 1});
     test_controller_plan(node, &plan);
     assert_int_equal(plan_changes(&plan), 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 60);
     rr_plan_clear(&plan);
-    heartbeat_with_job(node, FLEET, "req-000001", 30, "ended:done", 2);
+    heartbeat_with_job(node, FLEET_SIZE, "req-000001", 30, "ended:done", 2);
     test_controller_plan(node, &plan);
     assert_int_equal(plan_changes(&plan), 1);
     rr_plan_clear(&plan);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 30);
-    heartbeat_with_job(node, FLEET, "req-000001", 60, "ended:done", 3);
+    heartbeat_with_job(node, FLEET_SIZE, "req-000001", 60, "ended:done", 3);
     test_controller_plan(node, &plan);
     assert_int_equal(plan_changes(&plan), 2);
     rr_plan_clear(&plan);
@@ -135,22 +139,23 @@
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/"), 0);
 }
 
-/* While writes are short, completions wait to be recorded with others of their job, though their
- * resources are free at once; a job's last completion does not wait. */
-static void completions_are_gathered_while_writes_are_short(void **state) {
+/* Under write pressure, completions wait to be recorded together with others of their job, though
+ * their resources are free at once. A job's last completion does not wait. */
+static void completions_are_batched_under_write_pressure(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
     test_controller_add_machines(node, 1, 1, "a");
     submit_many(node, 1, 1, &(struct test_job){.task_count = 2, .cpus = 8});
     plan_until_settled(node);
-    char *one = g_strdup_printf("req-000001 0 %" G_GUINT64_FORMAT " ended:done",
-                                fake_store_attempt(fixture->store, "vm-1", "req-000001", 0));
-    char *two = g_strdup_printf("req-000001 1 %" G_GUINT64_FORMAT " ended:done",
-                                fake_store_attempt(fixture->store, "vm-1", "req-000001", 1));
+    char *first_task = g_strdup_printf("req-000001 0 %" G_GUINT64_FORMAT " ended:done",
+                                       fake_store_attempt(fixture->store, "vm-1", "req-000001", 0));
+    char *second_task =
+        g_strdup_printf("req-000001 1 %" G_GUINT64_FORMAT " ended:done",
+                        fake_store_attempt(fixture->store, "vm-1", "req-000001", 1));
     rr_core_set_write_pressure(node->core, 1, 8);
     test_controller_heartbeat(node, "vm-1", "a", false, 1, 2, rr_core_fencing_token(node->core),
-                              one, NULL);
+                              first_task, NULL);
     test_controller_plan(node, &plan);
     assert_int_equal(plan_changes(&plan), 0);
     rr_plan_clear(&plan);
@@ -159,29 +164,30 @@
     rr_plan_clear(&plan);
     assert_true(fake_store_attempt(fixture->store, "vm-1", "req-000002", 0) != 0);
     test_controller_heartbeat(node, "vm-1", "a", false, 1, 3, rr_core_fencing_token(node->core),
-                              one, two, NULL);
+                              first_task, second_task, NULL);
     test_controller_plan(node, &plan);
     assert_int_equal(plan_changes(&plan), 2);
     rr_plan_clear(&plan);
-    g_free(one);
-    g_free(two);
+    g_free(first_task);
+    g_free(second_task);
 }
 
-/* Hundreds of jobs that do not fit cost a few walks over the fleet, not one each. */
-static void waiting_jobs_share_a_search(void **state) {
+/* Hundreds of jobs that do not fit cost a few walks over the fleet in all, not one walk each. */
+static void waiting_jobs_share_fleet_searches(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
-    test_controller_add_machines(node, 1, FLEET, "a");
+    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
     submit_many(node, 1, 500, &(struct test_job){.zone = "b"});
-    unsigned before = machines_visited(node);
+    unsigned visits_before = count_machines_visited(node);
     test_controller_plan(node, &plan);
     rr_plan_clear(&plan);
-    assert_true(machines_visited(node) - before <= 4 * FLEET);
+    assert_true(count_machines_visited(node) - visits_before <= 4 * FLEET_SIZE);
 }
 
-/* One plan places all tasks of a spread job, since it keeps the counts by zone as it reserves. */
-static void a_spread_job_is_placed_by_one_plan(void **state) {
+/* One plan places all tasks of a spread job evenly over the zones, since it updates the number of
+ * tasks by zone with each reservation. */
+static void spread_job_is_placed_by_one_plan(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     rr_plan plan;
@@ -205,12 +211,12 @@
 }
 
 /* A thousand running machines are recorded with few changes, and the machines for thousands of
- * waiting tasks are rented in calls of up to fifty. */
+ * waiting tasks are rented in requests for up to 50 each. */
 static void machines_are_recorded_and_rented_in_bulk(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    unsigned changes = 0, rentals = 0, asked = 0;
+    unsigned changes = 0, rental_count = 0, requested = 0;
     for (int i = 1; i <= 1000; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%06d", i);
@@ -228,9 +234,9 @@
         } else if (step.kind == RR_AUTOSCALER_LIST) {
             rr_core_machines_listed(node->core, node->now, node->now, node->now, machines);
         } else if (step.kind == RR_AUTOSCALER_SCALE_OUT) {
-            rentals++;
+            rental_count++;
             assert_true(step.count <= 50);
-            asked += (unsigned)step.count;
+            requested += (unsigned)step.count;
         } else {
             node->now += 0.3;
         }
@@ -239,19 +245,19 @@
     assert_true(fake_store_has_machine(fixture->store, "vm-000001") &&
                 fake_store_has_machine(fixture->store, "vm-001000"));
     assert_true(changes <= 1000 / 20 + 40);
-    assert_true(rentals >= 20 && asked >= 1000);
+    assert_true(rental_count >= 20 && requested >= 1000);
     g_array_free(machines, TRUE);
 }
 
-/* A controller restarts beside a fleet half full of tasks and takes every heartbeat again; half of
- * the fleet has lost its leases. The machines it visits follow what was reported, and each ledger
- * record that lost tasks costs about one change. */
-static void a_restart_and_a_lost_zone_cost_what_changed(void **state) {
+/* A controller restarts beside a fleet that is half full of tasks and receives every heartbeat
+ * again, while one zone, half of the fleet, has lost its leases. The number of machines visited
+ * follows what was reported, and each ledger record that lost tasks takes about one change. */
+static void cost_of_restart_and_lost_zone_follows_changes(void **state) {
     core_fixture *fixture = *state;
-    test_controller again;
-    const int half = FLEET / 2;
+    test_controller restarted;
+    const int half = FLEET_SIZE / 2;
     test_controller_add_machines(&fixture->controller, 1, half, "a");
-    test_controller_add_machines(&fixture->controller, half + 1, FLEET - half, "b");
+    test_controller_add_machines(&fixture->controller, half + 1, FLEET_SIZE - half, "b");
     submit_many(
         &fixture->controller, 1, 100,
         &(struct test_job){
@@ -259,33 +265,33 @@
     submit_many(&fixture->controller, 201, 40,
                 &(struct test_job){.task_count = 60, .cpus = 4, .priority = "low"});
     plan_until_settled(&fixture->controller);
-    unsigned records = fake_store_count(fixture->store, RR_KEY_ROOT "run/");
-    test_controller_init(&again, fixture->store, "n0");
-    again.now = fixture->controller.now;
-    fake_store_reload(fixture->store, again.core, again.now);
-    test_controller_join(&again, 8);
+    unsigned record_count = fake_store_count(fixture->store, RR_KEY_ROOT "run/");
+    test_controller_init(&restarted, fixture->store, "n0");
+    restarted.now = fixture->controller.now;
+    fake_store_reload(fixture->store, restarted.core, restarted.now);
+    test_controller_join(&restarted, 8);
     rr_plan plan;
-    heartbeat_without_tasks(&again, 1, half, "a", 2, 2); /* zone a lost its leases */
-    unsigned before = machines_visited(&again);
-    test_controller_plan(&again, &plan);
+    heartbeat_without_tasks(&restarted, 1, half, "a", 2, 2); /* zone a lost its leases */
+    unsigned visits_before = count_machines_visited(&restarted);
+    test_controller_plan(&restarted, &plan);
     unsigned changes = plan_changes(&plan);
     rr_plan_clear(&plan);
     /* The plan walks over the fleet once for each job that it places. */
-    assert_true(machines_visited(&again) - before <= 32 * FLEET);
-    heartbeat_without_tasks(&again, half + 1, FLEET, "b", 1, 2);
-    changes += plan_until_settled(&again);
-    assert_true(2 * changes <= 3 * records);
+    assert_true(count_machines_visited(&restarted) - visits_before <= 32 * FLEET_SIZE);
+    heartbeat_without_tasks(&restarted, half + 1, FLEET_SIZE, "b", 1, 2);
+    changes += plan_until_settled(&restarted);
+    assert_true(2 * changes <= 3 * record_count);
     for (int i = 1; i <= 100; i++) {
         char job_id[JOB_ID_SIZE];
         job_id_of(i, job_id);
         assert_int_equal(fake_store_placed_count(fixture->store, job_id), 8);
     }
-    test_controller_clear(&again);
+    test_controller_clear(&restarted);
 }
 
-/* From no machine to work for the whole fleet: no limit on rentals, calls or records stops short of
- * it, and the records keep to the store's limits. */
-static void a_cold_start_to_the_whole_fleet(void **state) {
+/* The autoscaler starts without machines and with work for the whole fleet. No limit on rentals,
+ * requests or records stops it short of that fleet, and the records keep to the store's limits. */
+static void cold_start_rents_whole_fleet(void **state) {
     core_fixture *fixture = *state;
     test_controller *node = &fixture->controller;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
@@ -293,8 +299,8 @@
     unsigned steps = 0;
     fixture->store->value_max = (size_t)(node->config.value_kb * 1024);
     fixture->store->ops_max = (guint)node->config.transaction_changes_max;
-    submit_many(node, 1, FLEET / 100, &(struct test_job){.task_count = 100, .cpus = 16});
-    for (; rented < FLEET && steps < 4000; steps++) {
+    submit_many(node, 1, FLEET_SIZE / 100, &(struct test_job){.task_count = 100, .cpus = 16});
+    for (; rented < FLEET_SIZE && steps < 4000; steps++) {
         rr_autoscaler_step step;
         test_controller_autoscaler_step(node, machines, &step);
         if (step.kind == RR_AUTOSCALER_SCALE_OUT) {
@@ -316,27 +322,27 @@
         node->now += 0.1;
         rr_autoscaler_step_clear(&step);
     }
-    assert_int_equal(rented, FLEET);
+    assert_int_equal(rented, FLEET_SIZE);
     assert_true(fake_store_has_machine(fixture->store, "vm-000001"));
     assert_true(fake_store_has_machine(fixture->store, "vm-004500"));
     g_array_free(machines, TRUE);
 }
 
-#define T(test) cmocka_unit_test_setup_teardown(test, core_fixture_setup, core_fixture_teardown)
+#define TEST(name) cmocka_unit_test_setup_teardown(name, core_fixture_setup, core_fixture_teardown)
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        T(a_plan_costs_what_changed),
-        T(a_heartbeat_without_news_costs_nothing),
-        T(a_new_term_visits_each_machine_once),
-        T(memory_per_machine_and_job_is_bounded),
-        T(an_array_costs_a_few_changes),
-        T(completions_are_gathered_while_writes_are_short),
-        T(waiting_jobs_share_a_search),
-        T(a_spread_job_is_placed_by_one_plan),
-        T(machines_are_recorded_and_rented_in_bulk),
-        T(a_restart_and_a_lost_zone_cost_what_changed),
-        T(a_cold_start_to_the_whole_fleet),
+        TEST(plan_visits_only_changed_machine),
+        TEST(unchanged_heartbeats_cause_no_work),
+        TEST(first_plan_of_term_visits_each_machine_once),
+        TEST(memory_per_machine_and_job_is_bounded),
+        TEST(array_takes_few_changes),
+        TEST(completions_are_batched_under_write_pressure),
+        TEST(waiting_jobs_share_fleet_searches),
+        TEST(spread_job_is_placed_by_one_plan),
+        TEST(machines_are_recorded_and_rented_in_bulk),
+        TEST(cost_of_restart_and_lost_zone_follows_changes),
+        TEST(cold_start_rents_whole_fleet),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
