--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -1,5 +1,5 @@
-/* Two versions side by side: what the production version wrote this version reads, and what this
- * one writes the production version reads. */
+/* Two versions side by side: this version reads what the production version wrote, and the
+ * production version reads what this one writes. */
 #include "core/cache_feed.h"
 #include "core/leadership.h"
 #include "core/stats.h"
@@ -11,34 +11,37 @@
 
 #include <string.h>
 
-/* Returns the scene as the production version wrote it; the caller frees it. */
+/* Returns the scene's text as the production version wrote it; the caller frees it. */
 static char *read_production_scene(void) {
     char *text = NULL;
     assert_true(g_file_get_contents(RR_FIXTURES "/production.txt", &text, NULL, NULL));
     return text;
 }
 
-/* Returns the bytes of a line's hexadecimal digits; the caller frees them. */
+/* Returns the bytes that the hexadecimal digits encode and sets *length to their number; the caller
+ * frees them. */
 static guint8 *decode_hex(const char *hex, size_t *length) {
     *length = strlen(hex) / 2;
-    guint8 *out = g_malloc(*length + 1);
+    guint8 *bytes = g_malloc(*length + 1);
     for (size_t i = 0; i < *length; i++) {
-        out[i] =
+        bytes[i] =
             (guint8)(g_ascii_xdigit_value(hex[2 * i]) << 4 | g_ascii_xdigit_value(hex[2 * i + 1]));
     }
-    return out;
+    return bytes;
 }
 
-/* Removes the line of the session's record from the scene and returns it; the caller frees it. */
-static char *take_session_line(GString *scene) {
+/* Removes the line of n0's session record from the scene and returns it; the caller frees it. */
+static char *remove_session_line(GString *scene) {
     const char *line = strstr(scene->str, RR_KEY_ROOT "node/n0 ");
     gssize offset = line - scene->str, length = strchr(line, '\n') - line;
-    char *out = g_strndup(line, (gsize)length);
+    char *session_line = g_strndup(line, (gsize)length);
     g_string_erase(scene, offset, length + 1);
-    return out;
+    return session_line;
 }
 
-static void assert_session_names_gangs(const char *line) {
+/* Asserts that the session record in this line has lease 7 and names support of gangs as this
+ * version's capability. */
+static void assert_session_names_gang_support(const char *line) {
     uint64_t lease_id = 0, capability = 0;
     size_t length;
     rr_document document;
@@ -51,23 +54,25 @@
 }
 
 /* As long as no gang is submitted, this version writes the bytes that the production version
- * writes. The one exception is the session's record, which names this version's capabilities in a
- * field that the production version ignores. */
-static void writes_what_production_writes(void **state) {
+ * writes. The one exception is the session record, in which this version names its capabilities in
+ * a field that the production version ignores. */
+static void writes_same_bytes_as_production_version(void **state) {
     (void)state;
-    char *text = read_production_scene();
-    GString *actual = scene_play(), *expected = g_string_new(text);
-    char *production_session = take_session_line(expected), *session = take_session_line(actual);
+    char *production_text = read_production_scene();
+    GString *actual = scene_play(), *expected = g_string_new(production_text);
+    char *production_session = remove_session_line(expected),
+         *session = remove_session_line(actual);
     assert_string_equal(actual->str, expected->str);
     assert_string_not_equal(production_session, session);
-    assert_session_names_gangs(session);
+    assert_session_names_gang_support(session);
     g_free(production_session);
     g_free(session);
     g_string_free(actual, TRUE);
     g_string_free(expected, TRUE);
-    g_free(text);
+    g_free(production_text);
 }
 
+/* Asserts that the data consists of one frame of each type in `types`, in that order. */
 static void assert_frames_readable(const guint8 *data, size_t length) {
     static const uint8_t types[] = {RR_FRAME_HELLO, RR_FRAME_SENT_AT, RR_FRAME_HEARTBEAT_DIGESTS,
                                     RR_FRAME_SUSPECT};
@@ -83,15 +88,17 @@
     assert_int_equal(offset, length);
 }
 
-static void put_record(test_controller *node, const char *key, const guint8 *data, size_t length,
-                       uint64_t version) {
+/* Puts a record, decoded from its stored bytes, into the controller's store cache. */
+static void put_cached_record(test_controller *node, const char *key, const guint8 *data,
+                              size_t length, uint64_t version) {
     rr_document document;
     assert_int_equal(rr_document_parse(&document, data, length), 0);
     rr_core_cache_put(node->core, key, document.root, version, node->now);
     rr_document_clear(&document);
 }
 
-/* Loads a scene's records in a full reload, and checks its frames. */
+/* Loads the scene's records into the controller's store cache by a full reload, and checks its
+ * frames. */
 static void load_scene(test_controller *node, const char *text) {
     const uint64_t revision = 50;
     char **lines = g_strsplit(text, "\n", 0);
@@ -104,7 +111,7 @@
         if (strcmp(lines[i], "frames") == 0) {
             assert_frames_readable(data, length);
         } else {
-            put_record(node, lines[i], data, length, (uint64_t)i + 1);
+            put_cached_record(node, lines[i], data, length, (uint64_t)i + 1);
         }
         g_free(data);
     }
@@ -113,17 +120,17 @@
     g_strfreev(lines);
 }
 
-/* A controller that starts on production's records knows its term, jobs, machines and placements.
- */
-static void reads_production(void **state) {
+/* A controller that starts with the production version's records knows its term, jobs, machines and
+ * placements. */
+static void reads_records_of_production_version(void **state) {
     (void)state;
-    char *text = read_production_scene();
+    char *production_text = read_production_scene();
     fake_store *store = fake_store_create();
     test_controller node;
     rr_job_view view;
     rr_core_stats stats;
     test_controller_init(&node, store, "n0");
-    load_scene(&node, text);
+    load_scene(&node, production_text);
     rr_core_set_session(node.core, 7, node.now + 100);
     assert_true(rr_core_lease_valid(node.core, node.now));
     rr_core_job_view(node.core, "req-1", node.now, &view);
@@ -135,13 +142,13 @@
     assert_int_equal(stats.tasks_placed, 6);
     test_controller_clear(&node);
     fake_store_destroy(store);
-    g_free(text);
+    g_free(production_text);
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(writes_what_production_writes),
-        cmocka_unit_test(reads_production),
+        cmocka_unit_test(writes_same_bytes_as_production_version),
+        cmocka_unit_test(reads_records_of_production_version),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
