--- a/tests/admission_fixture.h
+++ b/tests/admission_fixture.h
@@ -1,4 +1,4 @@
-/* Builders for tests of admission: submissions, keys and a package instance. */
+/* Builders for admission tests: submissions, admission keys and an rr_admission instance. */
 #ifndef RR_TESTS_ADMISSION_FIXTURE_H
 #define RR_TESTS_ADMISSION_FIXTURE_H
 
@@ -6,15 +6,17 @@
 
 #include "admission/admission.h"
 
-/* The tasks from which a job is of the second and of the third band. */
+/* Task counts at which the second and the third size band of jobs begin. */
 extern const uint32_t test_band_limits[2];
 
-/* Tasks of 1 CPU, 1 GB and 10 s. */
+/* Returns a submission, or the admission key of one, whose tasks each need 1 CPU, 1 GB of memory
+ * and an estimated runtime of 10 s. */
 rr_submission make_submission(const char *team, const char *job_class, const char *job_id,
                               uint32_t tasks);
 rr_admission_key make_key(const char *team, const char *job_class, uint32_t tasks);
 
-/* The package with default settings and the tests' configuration, which a test may change. */
+/* An rr_admission with default settings and the configuration of test_config(). Tests may change
+ * both after admission_fixture_init(); admission_fixture_clear() frees what the fixture owns. */
 struct admission_fixture {
     struct rr_config config;
     rr_admission_settings settings;
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -8,9 +8,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define OLD_VERSION_SESSION RR_KEY_ROOT "node/n1"
-#define OLD_VERSION_LEASE 44
-#define MACHINES_PER_PAGE 40
+#define OLD_VERSION_SESSION_KEY RR_KEY_ROOT "node/n1"
+#define OLD_VERSION_LEASE_ID 44
+#define MACHINES_PER_PAGE 40 /* machines in one record */
 
 void test_config(struct rr_config *config, const char *name) {
     static const char *const names[] = {"n0", "n1", "n2"};
@@ -53,83 +53,84 @@
                                         .cloud_list_s = 4};
 }
 
-void test_controller_init(test_controller *node, fake_store *store, const char *name) {
-    memset(node, 0, sizeof *node);
-    test_config(&node->config, name);
-    node->store = store;
-    node->core = rr_core_create(&node->config);
-    node->now = 1000;
-    node->spot_notice_s = -1;
+void test_controller_init(test_controller *controller, fake_store *store, const char *name) {
+    memset(controller, 0, sizeof *controller);
+    test_config(&controller->config, name);
+    controller->store = store;
+    controller->core = rr_core_create(&controller->config);
+    controller->now = 1000;
+    controller->spot_notice_s = -1;
 }
 
-void test_controller_clear(test_controller *node) {
-    rr_core_destroy(node->core);
+void test_controller_clear(test_controller *controller) {
+    rr_core_destroy(controller->core);
 }
 
-void test_controller_next_term(test_controller *node) {
+void test_controller_next_term(test_controller *controller) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    fake_store_sync(node->store, node->core, node->now);
-    if (rr_core_next_term(node->core, node->now, node->now, &transaction)) {
-        assert_int_equal(fake_store_commit(node->store, &transaction), 0);
+    fake_store_sync(controller->store, controller->core, controller->now);
+    if (rr_core_next_term(controller->core, controller->now, controller->now, &transaction)) {
+        assert_int_equal(fake_store_commit(controller->store, &transaction), 0);
     }
     rr_transaction_clear(&transaction);
-    fake_store_sync(node->store, node->core, node->now);
+    fake_store_sync(controller->store, controller->core, controller->now);
 }
 
-static void session_key(const test_controller *node, char *out, size_t size) {
-    g_snprintf(out, size, RR_KEY_ROOT "node/%s", node->config.node_name);
+static void format_session_key(const test_controller *controller, char *out, size_t size) {
+    g_snprintf(out, size, RR_KEY_ROOT "node/%s", controller->config.node_name);
 }
 
-void test_controller_join(test_controller *node, uint64_t lease_id) {
+void test_controller_join(test_controller *controller, uint64_t lease_id) {
     char key[RR_NAME_SIZE + 16];
     rr_encoder encoder;
-    session_key(node, key, sizeof key);
+    format_session_key(controller, key, sizeof key);
     rr_encoder_init(&encoder);
-    rr_core_encode_session(&node->config, &encoder, lease_id);
-    fake_store_put(node->store, key, &encoder);
-    rr_core_set_session(node->core, lease_id, node->now + 1e6);
-    test_controller_next_term(node);
+    rr_core_encode_session(&controller->config, &encoder, lease_id);
+    fake_store_put(controller->store, key, &encoder);
+    rr_core_set_session(controller->core, lease_id, controller->now + 1e6);
+    test_controller_next_term(controller);
 }
 
-void test_controller_leave(test_controller *node) {
+void test_controller_leave(test_controller *controller) {
     char key[RR_NAME_SIZE + 16];
-    session_key(node, key, sizeof key);
-    fake_store_delete(node->store, key);
+    format_session_key(controller, key, sizeof key);
+    fake_store_delete(controller->store, key);
 }
 
-void test_controller_join_old_version(test_controller *node) {
+void test_controller_join_old_version(test_controller *controller) {
     rr_encoder encoder;
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 1);
-    rr_encode_key_u64(&encoder, "tether", OLD_VERSION_LEASE);
-    fake_store_put(node->store, OLD_VERSION_SESSION, &encoder);
-    test_controller_next_term(node);
+    rr_encode_key_u64(&encoder, "tether", OLD_VERSION_LEASE_ID);
+    fake_store_put(controller->store, OLD_VERSION_SESSION_KEY, &encoder);
+    test_controller_next_term(controller);
 }
 
-void test_controller_leave_old_version(test_controller *node) {
-    fake_store_delete(node->store, OLD_VERSION_SESSION);
-    test_controller_next_term(node);
+void test_controller_leave_old_version(test_controller *controller) {
+    fake_store_delete(controller->store, OLD_VERSION_SESSION_KEY);
+    test_controller_next_term(controller);
 }
 
-void test_controller_cancel(test_controller *node, const char *job_id) {
+void test_controller_cancel(test_controller *controller, const char *job_id) {
     char key[128];
     uint64_t version;
     rr_encoder encoder;
     rr_transaction transaction;
     rr_encoder_init(&encoder);
-    assert_true(rr_core_cancel_record(node->core, job_id, &encoder, &version));
+    assert_true(rr_core_cancel_record(controller->core, job_id, &encoder, &version));
     rr_core_job_key(job_id, key, sizeof key);
     rr_transaction_init(&transaction);
     rr_transaction_guard(&transaction, key, version);
     rr_transaction_put(&transaction, key, &encoder, 0);
-    assert_int_equal(fake_store_commit(node->store, &transaction), 0);
+    assert_int_equal(fake_store_commit(controller->store, &transaction), 0);
     rr_transaction_clear(&transaction);
-    fake_store_sync(node->store, node->core, node->now);
+    fake_store_sync(controller->store, controller->core, controller->now);
 }
 
-/* text: "job-id task attempt state[:exit-reason]", in the words of the wire. */
-static void add_task(rr_heartbeat *heartbeat, const char *text) {
+/* Parses "job-id task attempt state[:exit-reason]", with states and reasons as they are encoded in
+ * heartbeats, and appends the task. */
+static void append_task_status(rr_heartbeat *heartbeat, const char *text) {
     static const char *const states[] = {"fetching", "running", "flushing", "ended", "waiting"};
     static const char *const exit_reasons[] = {"",       "done",    "halted", "error",     "full",
                                                "in_use", "no_such", "peers",  "incomplete"};
@@ -151,14 +152,14 @@
     g_strfreev(fields);
 }
 
-void test_controller_heartbeat(test_controller *node, const char *id, const char *zone, bool spot,
-                               uint64_t worker_epoch, uint64_t sequence, uint64_t fencing_token,
-                               ...) {
+void test_controller_heartbeat(test_controller *controller, const char *id, const char *zone,
+                               bool spot, uint64_t worker_epoch, uint64_t sequence,
+                               uint64_t fencing_token, ...) {
     rr_heartbeat heartbeat = {.spot = spot,
                               .worker_epoch = worker_epoch,
                               .sequence = sequence,
                               .fencing_token = fencing_token,
-                              .spot_notice_s = node->spot_notice_s};
+                              .spot_notice_s = controller->spot_notice_s};
     va_list args;
     const char *text;
     g_strlcpy(heartbeat.machine, id, sizeof heartbeat.machine);
@@ -168,70 +169,75 @@
     heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     va_start(args, fencing_token);
     while ((text = va_arg(args, const char *))) {
-        add_task(&heartbeat, text);
+        append_task_status(&heartbeat, text);
     }
     va_end(args);
-    rr_core_take_heartbeat(node->core, node->now, &heartbeat, -1);
+    rr_core_take_heartbeat(controller->core, controller->now, &heartbeat, -1);
     rr_heartbeat_clear(&heartbeat);
 }
 
-/* Returns how many tasks the machine shows; the caller frees the texts. */
-static int shown_tasks(const test_controller *node, const struct shown_machines *show, int machine,
-                       char **texts) {
+/* Formats the tasks that the ledger has placed on vm-<machine>, as test_controller_heartbeat()
+ * takes them. Returns their number; the caller frees the strings. */
+static int format_reported_tasks(const test_controller *controller,
+                                 const struct shown_machines *show, int machine,
+                                 char **task_texts) {
     char id[16];
-    int shown = 0;
+    int count = 0;
     g_snprintf(id, sizeof id, "vm-%d", machine);
     for (int i = 0; i < show->jobs; i++) {
-        for (uint32_t task = 0; task < show->tasks && shown < show->task_max; task++) {
-            uint64_t attempt = fake_store_attempt(node->store, id, show->job_ids[i], task);
+        for (uint32_t task = 0; task < show->tasks && count < show->task_max; task++) {
+            uint64_t attempt = fake_store_attempt(controller->store, id, show->job_ids[i], task);
             if (attempt) {
-                texts[shown] = g_strdup_printf(
+                task_texts[count] = g_strdup_printf(
                     "%s %u %" G_GUINT64_FORMAT " %s", show->job_ids[i], task, attempt,
-                    show->state(machine, show->job_ids[i], task, shown, show->sequence));
-                shown++;
+                    show->state(machine, show->job_ids[i], task, count, show->sequence));
+                count++;
             }
         }
     }
-    return shown;
+    return count;
 }
 
-void test_controller_show_machines(test_controller *node, const struct shown_machines *show) {
+void test_controller_show_machines(test_controller *controller, const struct shown_machines *show) {
     for (int machine = show->first; machine <= show->last; machine++) {
-        char id[16], *texts[SHOWN_TASKS_MAX + 1] = {NULL};
-        int shown = shown_tasks(node, show, machine, texts);
+        char id[16], *task_texts[SHOWN_TASKS_MAX + 1] = {NULL};
+        int count = format_reported_tasks(controller, show, machine, task_texts);
         g_snprintf(id, sizeof id, "vm-%d", machine);
         test_controller_heartbeat(
-            node, id, machine <= show->last_in_a ? "a" : "b", false, show->worker_epoch,
-            show->sequence, rr_core_fencing_token(node->core), texts[0], texts[1], texts[2],
-            texts[3], texts[4], texts[5], texts[6], texts[7], texts[8], texts[9], texts[10],
-            texts[11], texts[12], texts[13], texts[14], texts[15], NULL);
-        for (int i = 0; i < shown; i++) {
-            g_free(texts[i]);
+            controller, id, machine <= show->last_in_a ? "a" : "b", false, show->worker_epoch,
+            show->sequence, rr_core_fencing_token(controller->core), task_texts[0], task_texts[1],
+            task_texts[2], task_texts[3], task_texts[4], task_texts[5], task_texts[6],
+            task_texts[7], task_texts[8], task_texts[9], task_texts[10], task_texts[11],
+            task_texts[12], task_texts[13], task_texts[14], task_texts[15], NULL);
+        for (int i = 0; i < count; i++) {
+            g_free(task_texts[i]);
         }
     }
 }
 
-void test_controller_add_machines(test_controller *node, int first, int many, const char *zone) {
+void test_controller_add_machines(test_controller *controller, int first, int count,
+                                  const char *zone) {
     char id[32];
-    for (int i = 0; i < many; i += MACHINES_PER_PAGE) {
-        fake_store_put_machine_page(node->store, first + i, MIN(many - i, MACHINES_PER_PAGE), zone);
+    for (int i = 0; i < count; i += MACHINES_PER_PAGE) {
+        fake_store_put_machine_page(controller->store, first + i, MIN(count - i, MACHINES_PER_PAGE),
+                                    zone);
     }
-    fake_store_sync(node->store, node->core, node->now);
-    for (int i = first; i < first + many; i++) {
+    fake_store_sync(controller->store, controller->core, controller->now);
+    for (int i = first; i < first + count; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
-        test_controller_heartbeat(node, id, zone, false, 1, 1, rr_core_fencing_token(node->core),
-                                  NULL);
+        test_controller_heartbeat(controller, id, zone, false, 1, 1,
+                                  rr_core_fencing_token(controller->core), NULL);
     }
 }
 
-int test_controller_plan(test_controller *node, rr_plan *plan) {
+int test_controller_plan(test_controller *controller, rr_plan *plan) {
     int committed = 0;
     rr_plan_init(plan);
-    rr_core_plan(node->core, node->now, node->now, plan);
+    rr_core_plan(controller->core, controller->now, controller->now, plan);
     if (plan->has_transaction) {
-        committed = fake_store_commit(node->store, &plan->transaction) == 0;
+        committed = fake_store_commit(controller->store, &plan->transaction) == 0;
     }
-    fake_store_sync(node->store, node->core, node->now);
+    fake_store_sync(controller->store, controller->core, controller->now);
     return committed;
 }
 
@@ -269,14 +275,15 @@
     g_array_append_val(machines, machine);
 }
 
-void test_controller_autoscaler_step(test_controller *node, const GArray *machines,
+void test_controller_autoscaler_step(test_controller *controller, const GArray *machines,
                                      rr_autoscaler_step *out) {
     rr_autoscaler_step_init(out);
-    rr_core_autoscaler_step(node->core, node->now, node->now, out);
+    rr_core_autoscaler_step(controller->core, controller->now, controller->now, out);
     if (out->kind == RR_AUTOSCALER_COMMIT) {
-        fake_store_commit(node->store, &out->transaction);
-        fake_store_sync(node->store, node->core, node->now);
+        fake_store_commit(controller->store, &out->transaction);
+        fake_store_sync(controller->store, controller->core, controller->now);
     } else if (out->kind == RR_AUTOSCALER_LIST) {
-        rr_core_machines_listed(node->core, node->now, node->now, node->now, machines);
+        rr_core_machines_listed(controller->core, controller->now, controller->now, controller->now,
+                                machines);
     }
 }
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -1,5 +1,5 @@
-/* The fixture of the core's tests: one controller in its first term on a fake store with one
- * machine type. */
+/* Fixture of the core's tests: one controller, n0, in its first term, on a fake store with one
+ * machine type, m1. */
 #ifndef RR_TESTS_CORE_FIXTURE_H
 #define RR_TESTS_CORE_FIXTURE_H
 
@@ -10,6 +10,7 @@
     fake_store *store;
     test_controller controller;
 } core_fixture;
+/* cmocka set-up and teardown; *state is the core_fixture. */
 int core_fixture_setup(void **state);
 int core_fixture_teardown(void **state);
 
--- a/tests/gang_fixture.c
+++ b/tests/gang_fixture.c
@@ -6,7 +6,10 @@
 
 #include <string.h>
 
-#define SHOWN_TASKS 4 /* of the first eight, in one heartbeat */
+/* One heartbeat of gang_show() reports at most REPORTED_TASKS_MAX of the job's tasks 0 to
+ * FIRST_TASKS - 1. */
+#define REPORTED_TASKS_MAX 4
+#define FIRST_TASKS 8
 
 const struct test_job gang_job = {.job_id = "req-1",
                                   .gang = true,
@@ -17,7 +20,7 @@
                                   .save_s = 3,
                                   .priority = "high"};
 
-static uint64_t last_sequence = 1; /* of all heartbeats */
+static uint64_t last_sequence = 1; /* sequence number of the last heartbeat of any machine */
 
 int gang_setup(void **state) {
     core_fixture_setup(state);
@@ -37,69 +40,72 @@
     fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
-void gang_show(test_controller *node, int machine, const char *job_id, const char *state,
+void gang_show(test_controller *controller, int machine, const char *job_id, const char *state,
                uint64_t worker_epoch, double spot_notice_s) {
-    char id[16], *text[SHOWN_TASKS + 1] = {NULL};
-    int k = 0;
+    char id[16], *task_texts[REPORTED_TASKS_MAX + 1] = {NULL};
+    int count = 0;
     g_snprintf(id, sizeof id, "vm-%d", machine);
-    for (uint32_t task = 0; state && task < 8 && k < SHOWN_TASKS; task++) {
-        uint64_t attempt = fake_store_attempt(node->store, id, job_id, task);
+    for (uint32_t task = 0; state && task < FIRST_TASKS && count < REPORTED_TASKS_MAX; task++) {
+        uint64_t attempt = fake_store_attempt(controller->store, id, job_id, task);
         if (attempt) {
-            text[k++] =
+            task_texts[count++] =
                 g_strdup_printf("%s %u %" G_GUINT64_FORMAT " %s", job_id, task, attempt, state);
         }
     }
-    node->spot_notice_s = spot_notice_s;
-    test_controller_heartbeat(node, id, machine <= GANG_MACHINES_IN_A ? "a" : "b", false,
-                              worker_epoch, ++last_sequence, rr_core_fencing_token(node->core),
-                              text[0], text[1], text[2], text[3], NULL);
-    node->spot_notice_s = -1;
-    for (int i = 0; i < k; i++) {
-        g_free(text[i]);
+    controller->spot_notice_s = spot_notice_s;
+    test_controller_heartbeat(controller, id, machine <= GANG_MACHINES_IN_A ? "a" : "b", false,
+                              worker_epoch, ++last_sequence,
+                              rr_core_fencing_token(controller->core), task_texts[0], task_texts[1],
+                              task_texts[2], task_texts[3], NULL);
+    controller->spot_notice_s = -1;
+    for (int i = 0; i < count; i++) {
+        g_free(task_texts[i]);
     }
 }
 
-void gang_show_all(test_controller *node, const char *job_id, const char *state) {
+void gang_show_all(test_controller *controller, const char *job_id, const char *state) {
     for (int machine = 1; machine <= GANG_MACHINES; machine++) {
-        gang_show(node, machine, job_id, state, 1, -1);
+        gang_show(controller, machine, job_id, state, 1, -1);
     }
 }
 
-unsigned gang_plan(test_controller *node, enum rr_command_kind command_kind, const char *job_id,
-                   double *grace_s) {
-    rr_plan next_plan;
-    unsigned found = 0;
-    double least = 1e9;
-    test_controller_plan(node, &next_plan);
-    for (guint i = 0; i < next_plan.command_batches->len; i++) {
-        rr_command_batch *batch = g_ptr_array_index(next_plan.command_batches, i);
+unsigned gang_plan(test_controller *controller, enum rr_command_kind command_kind,
+                   const char *job_id, double *grace_s) {
+    rr_plan plan;
+    unsigned command_count = 0;
+    double shortest_grace_s = 1e9;
+    test_controller_plan(controller, &plan);
+    for (guint i = 0; i < plan.command_batches->len; i++) {
+        rr_command_batch *batch = g_ptr_array_index(plan.command_batches, i);
         for (guint k = 0; k < batch->commands->len; k++) {
             const rr_command *command = &g_array_index(batch->commands, rr_command, k);
             if (command->kind == command_kind && strcmp(command->job_id, job_id) == 0) {
-                found++;
-                least = command->grace_s < least ? command->grace_s : least;
+                command_count++;
+                shortest_grace_s =
+                    command->grace_s < shortest_grace_s ? command->grace_s : shortest_grace_s;
             }
         }
-        rr_core_command_result(node->core, node->now, batch, RR_COMMAND_ANSWERED, true);
+        rr_core_command_result(controller->core, controller->now, batch, RR_COMMAND_ANSWERED, true);
     }
-    rr_plan_clear(&next_plan);
+    rr_plan_clear(&plan);
     if (grace_s) {
-        *grace_s = least;
+        *grace_s = shortest_grace_s;
     }
-    return found;
+    return command_count;
 }
 
-enum rr_gang_phase gang_phase(const test_controller *node, const char *job_id) {
-    return rr_gang_phase(node->core, g_hash_table_lookup(node->core->stored.jobs, job_id),
-                         node->now);
+enum rr_gang_phase gang_phase(const test_controller *controller, const char *job_id) {
+    return rr_gang_phase(controller->core,
+                         g_hash_table_lookup(controller->core->stored.jobs, job_id),
+                         controller->now);
 }
 
 void gang_start(core_fixture *fixture, const struct test_job *job) {
-    test_controller *node = &fixture->controller;
-    gang_show_all(node, job->job_id, NULL);
+    test_controller *controller = &fixture->controller;
+    gang_show_all(controller, job->job_id, NULL);
     submit_gang_job(fixture, job);
-    gang_plan(node, RR_COMMAND_START, job->job_id, NULL);
-    assert_int_equal(gang_plan(node, RR_COMMAND_START, job->job_id, NULL), job->task_count);
+    gang_plan(controller, RR_COMMAND_START, job->job_id, NULL);
+    assert_int_equal(gang_plan(controller, RR_COMMAND_START, job->job_id, NULL), job->task_count);
 }
 
 int gang_machine_of(const core_fixture *fixture, uint32_t task, uint64_t *attempt) {
@@ -124,28 +130,28 @@
     return attempt;
 }
 
-const char *gang_task_runs(int machine, const char *job_id, uint32_t task, int shown,
+const char *gang_task_runs(int machine, const char *job_id, uint32_t task, int position,
                            uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
-    (void)shown;
+    (void)position;
     (void)sequence;
     return "running";
 }
 
-const char *gang_task_is_done(int machine, const char *job_id, uint32_t task, int shown,
+const char *gang_task_is_done(int machine, const char *job_id, uint32_t task, int position,
                               uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
-    (void)shown;
+    (void)position;
     (void)sequence;
     return "ended:done";
 }
 
-void gang_show_jobs(test_controller *node, const char *const *job_ids, int jobs, uint32_t tasks,
-                    shown_task_state_fn state) {
+void gang_show_jobs(test_controller *controller, const char *const *job_ids, int jobs,
+                    uint32_t tasks, shown_task_state_fn state) {
     struct shown_machines show = {.first = 1,
                                   .last = GANG_MACHINES,
                                   .last_in_a = GANG_MACHINES_IN_A,
@@ -156,5 +162,5 @@
                                   .worker_epoch = 1,
                                   .sequence = ++last_sequence,
                                   .state = state};
-    test_controller_show_machines(node, &show);
+    test_controller_show_machines(controller, &show);
 }
--- a/tests/gang_fixture.h
+++ b/tests/gang_fixture.h
@@ -1,4 +1,5 @@
-/* One controller with three machines in each of two zones, and gangs on them. */
+/* Fixture of the gang tests: one controller, three machines in each of two zones, and helpers that
+ * run gangs on them. */
 #ifndef RR_TESTS_GANG_FIXTURE_H
 #define RR_TESTS_GANG_FIXTURE_H
 
@@ -6,42 +7,50 @@
 #include "core_fixture.h"
 
 #define GANG_MACHINES 6
-#define GANG_MACHINES_IN_A 3 /* vm-1 to vm-3 */
+#define GANG_MACHINES_IN_A 3 /* vm-1 to vm-3; the others are in zone b */
 
-/* Three tasks of ten CPUs in one zone, with checkpoints, of high priority. */
+/* Job req-1: a gang of three tasks of ten CPUs in one zone, with checkpoints and high priority. */
 extern const struct test_job gang_job;
 
-/* Fixture set-up: vm-1 to vm-6. */
+/* cmocka set-up: a core_fixture with the operator-owned machines vm-1 to vm-6. Its teardown is
+ * core_fixture_teardown(). */
 int gang_setup(void **state);
 
-/* Submits a job and shows it to the controller. */
+/* Records the job as submitted and updates the controller's store cache. */
 void submit_gang_job(core_fixture *fixture, const struct test_job *job);
 
-/* A heartbeat of the machine, with its tasks of the job in this state; NULL: no task. */
-void gang_show(test_controller *node, int machine, const char *job_id, const char *state,
+/* Sends a heartbeat of machine vm-<machine> that reports its tasks of the job in this state, up to
+ * four of the job's first eight; state NULL: the heartbeat reports no task. spot_notice_s below 0:
+ * no spot notice. */
+void gang_show(test_controller *controller, int machine, const char *job_id, const char *state,
                uint64_t worker_epoch, double spot_notice_s);
-/* The same for all machines, without a notice. */
-void gang_show_all(test_controller *node, const char *job_id, const char *state);
-/* A heartbeat of every machine, with its tasks of these jobs, up to so many of each. */
-void gang_show_jobs(test_controller *node, const char *const *job_ids, int jobs, uint32_t tasks,
-                    shown_task_state_fn state);
-/* States for gang_show_jobs(). */
-const char *gang_task_runs(int machine, const char *job_id, uint32_t task, int shown,
+/* Sends such a heartbeat of every machine, in worker epoch 1 and without a spot notice. */
+void gang_show_all(test_controller *controller, const char *job_id, const char *state);
+/* Sends a heartbeat of every machine with its tasks of these jobs: those of tasks 0 to `tasks` - 1
+ * of each job that are placed on it. `state` returns the state of each. */
+void gang_show_jobs(test_controller *controller, const char *const *job_ids, int jobs,
+                    uint32_t tasks, shown_task_state_fn state);
+/* States for gang_show_jobs(): every task runs, or every task is done. */
+const char *gang_task_runs(int machine, const char *job_id, uint32_t task, int position,
                            uint64_t sequence);
-const char *gang_task_is_done(int machine, const char *job_id, uint32_t task, int shown,
+const char *gang_task_is_done(int machine, const char *job_id, uint32_t task, int position,
                               uint64_t sequence);
 
-/* Plans once, and answers the commands. Returns how many commands of this kind went out for the
- * job; *grace_s, which may be NULL: the least grace among them. */
-unsigned gang_plan(test_controller *node, enum rr_command_kind command_kind, const char *job_id,
-                   double *grace_s);
-/* Submits the gang, reserves and starts it. */
+/* Plans once and reports every command as executed. Returns the number of commands of this kind for
+ * the job. *grace_s, unless grace_s is NULL, receives the shortest grace period among them; 1e9:
+ * there were none. */
+unsigned gang_plan(test_controller *controller, enum rr_command_kind command_kind,
+                   const char *job_id, double *grace_s);
+/* Submits the gang to empty machines and plans twice: the first plan reserves all tasks, the second
+ * starts them. */
 void gang_start(core_fixture *fixture, const struct test_job *job);
 
-enum rr_gang_phase gang_phase(const test_controller *node, const char *job_id);
-/* The machine of a task of req-1 and its attempt; 0: not placed. */
+/* Returns the phase of the job's gang at the controller's present time. */
+enum rr_gang_phase gang_phase(const test_controller *controller, const char *job_id);
+/* Returns the number of the machine on which this task of req-1 is placed, and its attempt in
+ * *attempt; both 0: not placed. */
 int gang_machine_of(const core_fixture *fixture, uint32_t task, uint64_t *attempt);
-/* The attempt of req-1, which all of these tasks have to share. */
+/* Returns the attempt of task 0 of req-1, and asserts that tasks 1 to `tasks` - 1 have the same. */
 uint64_t gang_shared_attempt(const core_fixture *fixture, uint32_t tasks);
 
 #endif
--- a/tests/machine_fixture.c
+++ b/tests/machine_fixture.c
@@ -4,6 +4,9 @@
 
 #include <string.h>
 
+#define AUTOSCALER_STEPS_MAX 60 /* in step_until() */
+#define LISTED_AGE_S 500
+
 static int setup_two_machines(void **state, bool operator_owned) {
     core_fixture_setup(state);
     core_fixture *fixture = *state;
@@ -25,9 +28,10 @@
     return strcmp(id, "vm-2") == 0 ? "b" : "a";
 }
 
-void send_heartbeat(test_controller *node, const char *id, uint64_t sequence, const char *task) {
-    test_controller_heartbeat(node, id, machine_zone(id), false, 1, sequence,
-                              rr_core_fencing_token(node->core), task, NULL);
+void send_heartbeat(test_controller *controller, const char *id, uint64_t sequence,
+                    const char *task) {
+    test_controller_heartbeat(controller, id, machine_zone(id), false, 1, sequence,
+                              rr_core_fencing_token(controller->core), task, NULL);
 }
 
 char *task_text(const char *job_id, uint64_t attempt, const char *state) {
@@ -49,13 +53,13 @@
 }
 
 const char *run_job(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
-    test_controller *node = &fixture->controller;
-    send_heartbeat(node, "vm-1", 1, NULL);
-    send_heartbeat(node, "vm-2", 1, NULL);
-    fake_store_submit(fixture->store, job, node->now);
-    fake_store_sync(fixture->store, node->core, node->now);
-    assert_int_equal(plan_with_outcome(node, RR_COMMAND_ANSWERED), 1);
-    plan_with_outcome(node, RR_COMMAND_ANSWERED);
+    test_controller *controller = &fixture->controller;
+    send_heartbeat(controller, "vm-1", 1, NULL);
+    send_heartbeat(controller, "vm-2", 1, NULL);
+    fake_store_submit(fixture->store, job, controller->now);
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    assert_int_equal(plan_with_outcome(controller, RR_COMMAND_ANSWERED), 1);
+    plan_with_outcome(controller, RR_COMMAND_ANSWERED);
     return placed_on(fixture->store, job->job_id, attempt);
 }
 
@@ -65,46 +69,49 @@
     test_controller_join(restarted, 8);
 }
 
-int plan_with_outcome(test_controller *node, enum rr_command_outcome outcome) {
+int plan_with_outcome(test_controller *controller, enum rr_command_outcome outcome) {
     rr_plan plan;
-    int committed = test_controller_plan(node, &plan);
+    int committed = test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(node->core, node->now, g_ptr_array_index(plan.command_batches, i),
-                               outcome, outcome == RR_COMMAND_ANSWERED);
+        rr_core_command_result(controller->core, controller->now,
+                               g_ptr_array_index(plan.command_batches, i), outcome,
+                               outcome == RR_COMMAND_ANSWERED);
     }
     rr_plan_clear(&plan);
     return committed;
 }
 
-void plan_unanswered_by(test_controller *node, const char *id) {
+void plan_unanswered_by(test_controller *controller, const char *id) {
     rr_plan plan;
-    test_controller_plan(node, &plan);
+    test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *batch = g_ptr_array_index(plan.command_batches, i);
-        bool lost = id && strcmp(batch->machine, id) == 0;
-        rr_core_command_result(node->core, node->now, batch,
-                               lost ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED, !lost);
+        bool is_unanswered = id && strcmp(batch->machine, id) == 0;
+        rr_core_command_result(controller->core, controller->now, batch,
+                               is_unanswered ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED,
+                               !is_unanswered);
     }
     rr_plan_clear(&plan);
 }
 
-unsigned plan_reaching(test_controller *node, const char *id) {
+unsigned plan_reaching(test_controller *controller, const char *id) {
     rr_plan plan;
     unsigned probes = 0;
-    test_controller_plan(node, &plan);
+    test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *batch = g_ptr_array_index(plan.command_batches, i);
         probes += batch->commands->len == 0;
-        bool is_up = id && strcmp(batch->machine, id) == 0;
-        rr_core_command_result(node->core, node->now, batch,
-                               is_up ? RR_COMMAND_ANSWERED : RR_COMMAND_NOT_SENT, is_up);
+        bool is_reachable = id && strcmp(batch->machine, id) == 0;
+        rr_core_command_result(controller->core, controller->now, batch,
+                               is_reachable ? RR_COMMAND_ANSWERED : RR_COMMAND_NOT_SENT,
+                               is_reachable);
     }
     rr_plan_clear(&plan);
     return probes;
 }
 
-unsigned plan_unreachable(test_controller *node) {
-    return plan_reaching(node, NULL);
+unsigned plan_unreachable(test_controller *controller) {
+    return plan_reaching(controller, NULL);
 }
 
 void put_fleet(core_fixture *fixture, int count, GArray *listed) {
@@ -112,66 +119,66 @@
     for (int i = 1; i <= count; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
         fake_store_put_machine(fixture->store, id, "a", false, true);
-        list_machine(listed, id, "a", RR_LISTED_RUNNING, 500);
+        list_machine(listed, id, "a", RR_LISTED_RUNNING, LISTED_AGE_S);
     }
     fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
-void send_fleet_heartbeats(test_controller *node, int first, int last, uint64_t sequence) {
+void send_fleet_heartbeats(test_controller *controller, int first, int last, uint64_t sequence) {
     char id[16];
     for (int i = first; i <= last; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
-        test_controller_heartbeat(node, id, "a", false, 1, sequence,
-                                  rr_core_fencing_token(node->core), NULL);
+        test_controller_heartbeat(controller, id, "a", false, 1, sequence,
+                                  rr_core_fencing_token(controller->core), NULL);
     }
 }
 
 bool step_until(core_fixture *fixture, enum rr_autoscaler_step_kind kind, const GArray *listed,
                 rr_autoscaler_step *out) {
-    test_controller *node = &fixture->controller;
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    test_controller *controller = &fixture->controller;
+    GArray *empty_list = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(rr_machine_type));
     bool found = false;
     rr_autoscaler_step_init(out);
-    for (int i = 0; i < 60 && !found; i++) {
-        rr_core_autoscaler_step(node->core, node->now, node->now, out);
+    for (int i = 0; i < AUTOSCALER_STEPS_MAX && !found; i++) {
+        rr_core_autoscaler_step(controller->core, controller->now, controller->now, out);
         found = out->kind == kind;
         if (found) {
             break;
         }
         if (out->kind == RR_AUTOSCALER_COMMIT) {
             fake_store_commit(fixture->store, &out->transaction);
-            fake_store_sync(fixture->store, node->core, node->now);
+            fake_store_sync(fixture->store, controller->core, controller->now);
         } else if (out->kind == RR_AUTOSCALER_LIST) {
-            rr_core_machines_listed(node->core, node->now, node->now, node->now,
-                                    listed ? listed : none);
+            rr_core_machines_listed(controller->core, controller->now, controller->now,
+                                    controller->now, listed ? listed : empty_list);
         } else if (out->kind == RR_AUTOSCALER_CATALOG) {
-            rr_core_catalog_read(node->core, node->now, machine_types);
+            rr_core_catalog_read(controller->core, controller->now, machine_types);
         } else if (out->kind == RR_AUTOSCALER_NONE && kind == RR_AUTOSCALER_SCALE_IN) {
-            break; /* nothing more to do at this time */
+            break; /* the autoscaler releases nothing at this time */
         } else if (out->kind == RR_AUTOSCALER_NONE) {
-            node->now += 1;
+            controller->now += 1;
         }
         rr_autoscaler_step_clear(out);
         rr_autoscaler_step_init(out);
     }
-    g_array_free(none, TRUE);
+    g_array_free(empty_list, TRUE);
     g_array_free(machine_types, TRUE);
     return found;
 }
 
 bool step_releases(core_fixture *fixture, const char *id) {
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_autoscaler_step step;
     GArray *listed = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     bool released = false;
-    list_machine(listed, "vm-1", "a", RR_LISTED_RUNNING, 500);
-    list_machine(listed, "vm-2", "b", RR_LISTED_RUNNING, 500);
-    test_controller_autoscaler_step(node, listed, &step);
+    list_machine(listed, "vm-1", "a", RR_LISTED_RUNNING, LISTED_AGE_S);
+    list_machine(listed, "vm-2", "b", RR_LISTED_RUNNING, LISTED_AGE_S);
+    test_controller_autoscaler_step(controller, listed, &step);
     if (step.kind == RR_AUTOSCALER_SCALE_IN) {
         released = g_ptr_array_find_with_equal_func(step.machines, id, g_str_equal, NULL);
         if (released) {
-            rr_core_scale_in_result(node->core, node->now, step.machines);
+            rr_core_scale_in_result(controller->core, controller->now, step.machines);
         }
     }
     rr_autoscaler_step_clear(&step);
--- a/tests/machine_fixture.h
+++ b/tests/machine_fixture.h
@@ -1,56 +1,66 @@
-/* Builders for tests about machines: fleets, heartbeats, plans with chosen outcomes, and steps of
- * the autoscaler. */
+/* Fixture of the tests about machines: two machines or a fleet, their heartbeats, plans whose
+ * commands have a chosen outcome, and steps of the autoscaler. */
 #ifndef RR_TESTS_MACHINE_FIXTURE_H
 #define RR_TESTS_MACHINE_FIXTURE_H
 
 #include "core_fixture.h"
 
-/* core_fixture with the recorded machines vm-1 in zone a and vm-2 in zone b, rented or owned by the
- * operators. Torn down with core_fixture_teardown(). */
+/* cmocka set-up: a core_fixture with machine vm-1 recorded in zone a and vm-2 in zone b, both
+ * rented from the cloud or both operator-owned. The teardown is core_fixture_teardown(). */
 int two_rented_machines_setup(void **state);
 int two_own_machines_setup(void **state);
 
-/* The zone of vm-1 and vm-2 there. */
+/* Returns the zone of vm-1 or vm-2. */
 const char *machine_zone(const char *id);
 
-/* A heartbeat of vm-1 or vm-2 with the present token; task: as in test_controller_heartbeat(),
- * NULL: none. */
-void send_heartbeat(test_controller *node, const char *id, uint64_t sequence, const char *task);
+/* Sends a heartbeat of vm-1 or vm-2 with the present fencing token. task: as in
+ * test_controller_heartbeat(); NULL: none. */
+void send_heartbeat(test_controller *controller, const char *id, uint64_t sequence,
+                    const char *task);
 
-/* A task of a heartbeat: task 0 of the job. The caller's to free. */
+/* Formats task 0 of the job for a heartbeat; state: "running" or "ended:done" for example. The
+ * caller frees the string. */
 char *task_text(const char *job_id, uint64_t attempt, const char *state);
 
-/* The machine, vm-1 or vm-2, on which task 0 of the job is placed, NULL: neither. attempt may be
- * NULL. */
+/* Returns the machine, vm-1 or vm-2, on which task 0 of the job is placed; NULL: neither. *attempt,
+ * unless attempt is NULL, receives the task's attempt; 0: not placed. */
 const char *placed_on(const fake_store *store, const char *job_id, uint64_t *attempt);
 
-/* Submits the job to a fleet of vm-1 and vm-2, both heard, and plans until it has started. Returns
- * its machine. */
+/* Sends a heartbeat of vm-1 and of vm-2, submits the job and plans twice: the first plan reserves
+ * task 0, the second starts it. Returns as placed_on(). */
 const char *run_job(core_fixture *fixture, const struct test_job *job, uint64_t *attempt);
 
-/* A new process under the fixture controller's name, with a full read of the store, in a term of
- * its own. test_controller_clear() after. */
+/* Initialises `restarted` as a new process of the fixture's controller: it reads the whole store
+ * and joins with a new session, in a term of its own. The caller clears it with
+ * test_controller_clear(). */
 void restart_controller(core_fixture *fixture, test_controller *restarted);
 
-/* Plans once, with this outcome of every command. 1: a transaction was committed. */
-int plan_with_outcome(test_controller *node, enum rr_command_outcome outcome);
-/* Plans once; the commands to this machine (NULL: none) get no answer, the others do. */
-void plan_unanswered_by(test_controller *node, const char *id);
-/* Plans once; commands to this machine (NULL: none) are answered, the others are not sent. Returns
- * the number of probes. */
-unsigned plan_reaching(test_controller *node, const char *id);
-unsigned plan_unreachable(test_controller *node);
+/* Plans once; every command has this outcome. Returns 1 if a transaction was committed, otherwise
+ * 0. */
+int plan_with_outcome(test_controller *controller, enum rr_command_outcome outcome);
+/* Plans once; commands to machine `id` (NULL: none) get no answer, all others are executed. */
+void plan_unanswered_by(test_controller *controller, const char *id);
+/* Plans once; commands to machine `id` (NULL: none) are executed, all others cannot be sent.
+ * Returns the number of probes, which are batches without a command. */
+unsigned plan_reaching(test_controller *controller, const char *id);
+/* The same with no machine reachable. */
+unsigned plan_unreachable(test_controller *controller);
 
-/* Records and lists machines vm-1 to vm-`count` in zone a as the operators' own. */
+/* Records the operator-owned machines vm-1 to vm-<count> in zone a, and appends them to `listed`
+ * (rr_listed_machine) as running. */
 void put_fleet(core_fixture *fixture, int count, GArray *listed);
-/* Heartbeats of vm-`first` to vm-`last` in zone a. */
-void send_fleet_heartbeats(test_controller *node, int first, int last, uint64_t sequence);
+/* Sends heartbeats without tasks of vm-<first> to vm-<last> in zone a. */
+void send_fleet_heartbeats(test_controller *controller, int first, int last, uint64_t sequence);
 
-/* Takes steps until one of this kind; transactions are committed, lists answered with `listed` (may
- * be NULL) and the catalogue with nothing. False: none came. rr_autoscaler_step_clear() after. */
+/* Takes autoscaler steps, at most 60, until one is of this kind. Transactions are committed, a
+ * request for the machine list is answered with `listed` (NULL: an empty list) and one for the
+ * catalogue with an empty one. When there is nothing to do, the clock advances by 1 s, except in a
+ * search for RR_AUTOSCALER_SCALE_IN, which then ends. Returns whether such a step came. The caller
+ * clears *out with rr_autoscaler_step_clear(). */
 bool step_until(core_fixture *fixture, enum rr_autoscaler_step_kind kind, const GArray *listed,
                 rr_autoscaler_step *out);
-/* One step while vm-1 and vm-2 are listed. True: it releases the machine `id`. */
+/* Takes one autoscaler step, in which the cloud lists vm-1 and vm-2. Returns whether the step
+ * releases machine `id`, and if so tells the core that the release succeeded. */
 bool step_releases(core_fixture *fixture, const char *id);
 
 #endif
--- a/tests/reservation_fixture.c
+++ b/tests/reservation_fixture.c
@@ -22,10 +22,10 @@
     fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
-void heartbeat_with(test_controller *node, const char *machine, uint64_t worker_epoch,
+void heartbeat_with(test_controller *controller, const char *machine, uint64_t worker_epoch,
                     uint64_t sequence, const char *task) {
-    test_controller_heartbeat(node, machine, zone_of(machine), false, worker_epoch, sequence,
-                              rr_core_fencing_token(node->core), task, NULL);
+    test_controller_heartbeat(controller, machine, zone_of(machine), false, worker_epoch, sequence,
+                              rr_core_fencing_token(controller->core), task, NULL);
 }
 
 const char *reserve_one(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
@@ -34,7 +34,7 @@
     heartbeat_with(&fixture->controller, "vm-2", 1, 1, NULL);
     submit_job(fixture, job);
     assert_int_equal(test_controller_plan(&fixture->controller, &plan), 1);
-    /* Nothing is started before the reservation is recorded. */
+    /* No task may be started before its reservation is recorded. */
     assert_int_equal(plan.command_batches->len, 0);
     rr_plan_clear(&plan);
     *attempt = fake_store_attempt(fixture->store, "vm-1", job->job_id, 0);
@@ -50,9 +50,9 @@
     return g_strdup_printf("%s 0 %" G_GUINT64_FORMAT " %s", job_id, attempt, state);
 }
 
-int plan_and_commit(test_controller *node) {
+int plan_and_commit(test_controller *controller) {
     rr_plan plan;
-    int committed = test_controller_plan(node, &plan);
+    int committed = test_controller_plan(controller, &plan);
     rr_plan_clear(&plan);
     return committed;
 }
--- a/tests/reservation_fixture.h
+++ b/tests/reservation_fixture.h
@@ -1,29 +1,34 @@
-/* One controller with a machine in each of two zones, and one job reserved on one of them. */
+/* Fixture of the reservation tests: one controller, a machine in each of two zones, and one job
+ * that is reserved on one of them. */
 #ifndef RR_TESTS_RESERVATION_FIXTURE_H
 #define RR_TESTS_RESERVATION_FIXTURE_H
 
 #include "core_fixture.h"
 
-/* Fixture set-up: vm-1 in zone a, vm-2 in zone b. */
+/* cmocka set-up: a core_fixture with rented machines vm-1 in zone a and vm-2 in zone b. The
+ * teardown is core_fixture_teardown(). */
 int reservation_setup(void **state);
+/* Returns the zone of vm-1 or vm-2. */
 const char *zone_of(const char *machine);
 
-/* Submits a job and shows it to the controller. */
+/* Records the job as submitted and updates the controller's store cache. */
 void submit_job(core_fixture *fixture, const struct test_job *job);
 
-/* Lets both machines report empty and reserves the job's first task. Returns its machine. */
+/* Sends a heartbeat without tasks of both machines, submits the job and plans once, which reserves
+ * its task 0 and starts nothing. Returns the task's machine, and its attempt in *attempt. */
 const char *reserve_one(core_fixture *fixture, const struct test_job *job, uint64_t *attempt);
 
-/* Task 0 of the job as a heartbeat shows it, "running" or "ended:done" for example; the caller
- * frees it. */
+/* Formats task 0 of the job for a heartbeat; state: "running" or "ended:done" for example. The
+ * caller frees the string. */
 char *task_shown(const char *job_id, uint64_t attempt, const char *state);
 
-/* A heartbeat of the machine under the controller's present token, which shows this task; NULL: no
- * task. */
-void heartbeat_with(test_controller *node, const char *machine, uint64_t worker_epoch,
+/* Sends a heartbeat of vm-1 or vm-2 with the present fencing token, which reports this task; NULL:
+ * no task. */
+void heartbeat_with(test_controller *controller, const char *machine, uint64_t worker_epoch,
                     uint64_t sequence, const char *task);
 
-/* Plans once, commits and discards the commands. 1: committed. */
-int plan_and_commit(test_controller *node);
+/* Plans once, commits the transaction and discards the commands. Returns 1 if a transaction was
+ * committed, otherwise 0. */
+int plan_and_commit(test_controller *controller);
 
 #endif
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -6,11 +6,12 @@
 
 #include "peer/frame.h"
 
-#define MACHINES 3
+#define MACHINE_COUNT 3
 
 /* ---- frames ---- */
 
-static void append_frames(GString *out) {
+/* Appends one line with a frame of each of four kinds, as hexadecimal digits. */
+static void append_frames_line(GString *out) {
     GByteArray *buffer = g_byte_array_new();
     guint start = rr_frame_begin(buffer, RR_FRAME_HELLO);
     rr_frame_put_text(buffer, "n0");
@@ -42,76 +43,81 @@
 
 /* ---- records ---- */
 
-static void submit_each_kind(test_controller *node) {
+static void submit_jobs_of_each_kind(test_controller *controller) {
     static const struct test_job jobs[] = {
         {.job_id = "req-1", .task_count = 5, .cpus = 2, .deadline_s = 90},
         {.job_id = "req-2", .service = true, .spread = true},
         {.job_id = "req-3", .one_zone = true, .zone = "b"},
         {.job_id = "req-4", .service = true, .priority = "prod"}};
     for (size_t i = 0; i < G_N_ELEMENTS(jobs); i++) {
-        fake_store_submit(node->store, &jobs[i], node->now);
+        fake_store_submit(controller->store, &jobs[i], controller->now);
     }
-    fake_store_sync(node->store, node->core, node->now);
+    fake_store_sync(controller->store, controller->core, controller->now);
 }
 
-static void plan_and_answer(test_controller *node) {
+/* Plans once; every command is executed. */
+static void plan_and_answer(test_controller *controller) {
     rr_plan plan;
-    test_controller_plan(node, &plan);
+    test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(node->core, node->now, g_ptr_array_index(plan.command_batches, i),
-                               RR_COMMAND_ANSWERED, true);
+        rr_core_command_result(controller->core, controller->now,
+                               g_ptr_array_index(plan.command_batches, i), RR_COMMAND_ANSWERED,
+                               true);
     }
     rr_plan_clear(&plan);
 }
 
-static void plan_without_answers(test_controller *node) {
+/* Plans once; the outcome of the commands is not reported. */
+static void plan_and_drop_commands(test_controller *controller) {
     rr_plan plan;
-    test_controller_plan(node, &plan);
+    test_controller_plan(controller, &plan);
     rr_plan_clear(&plan);
 }
 
-static void complete_first_task(test_controller *node) {
-    for (int machine = 1; machine <= MACHINES; machine++) {
+/* Sends a heartbeat of the machine of req-1's task 0, which reports the task as done. */
+static void complete_first_task(test_controller *controller) {
+    for (int machine = 1; machine <= MACHINE_COUNT; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        uint64_t attempt = fake_store_attempt(node->store, id, "req-1", 0);
+        uint64_t attempt = fake_store_attempt(controller->store, id, "req-1", 0);
         if (attempt) {
-            char *ended = g_strdup_printf("req-1 0 %" G_GUINT64_FORMAT " ended:done", attempt);
-            test_controller_heartbeat(node, id, "a", false, 1, 2, rr_core_fencing_token(node->core),
-                                      ended, NULL);
-            g_free(ended);
+            char *task_text = g_strdup_printf("req-1 0 %" G_GUINT64_FORMAT " ended:done", attempt);
+            test_controller_heartbeat(controller, id, "a", false, 1, 2,
+                                      rr_core_fencing_token(controller->core), task_text, NULL);
+            g_free(task_text);
         }
     }
 }
 
-static void step_until_rental(test_controller *node) {
-    GArray *none = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    for (int i = 0; i < 20 && fake_store_count(node->store, RR_KEY_ROOT "hire/") == 0; i++) {
+/* Steps the autoscaler, for at most 20 s, until it has recorded a rental. */
+static void step_autoscaler_until_rental(test_controller *controller) {
+    GArray *no_machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
+    for (int i = 0; i < 20 && fake_store_count(controller->store, RR_KEY_ROOT "hire/") == 0; i++) {
         rr_autoscaler_step step;
-        test_controller_autoscaler_step(node, none, &step);
+        test_controller_autoscaler_step(controller, no_machines, &step);
         rr_autoscaler_step_clear(&step);
-        node->now += 1;
+        controller->now += 1;
     }
-    g_array_free(none, TRUE);
+    g_array_free(no_machines, TRUE);
 }
 
 GString *scene_play(void) {
     core_fixture *fixture;
     core_fixture_setup((void **)&fixture);
-    test_controller *node = &fixture->controller;
-    test_controller_add_machines(node, 1, MACHINES, "a");
-    submit_each_kind(node);
+    test_controller *controller = &fixture->controller;
+    test_controller_add_machines(controller, 1, MACHINE_COUNT, "a");
+    submit_jobs_of_each_kind(controller);
     for (int i = 0; i < 3; i++) {
-        node->now += 1;
-        plan_and_answer(node);
+        controller->now += 1;
+        plan_and_answer(controller);
     }
-    test_controller_cancel(node, "req-4");
-    complete_first_task(node);
-    node->now += 50;
-    plan_without_answers(node);
-    step_until_rental(node);
+    test_controller_cancel(controller, "req-4");
+    complete_first_task(controller);
+    controller->now += 50;
+    plan_and_drop_commands(controller);
+    step_autoscaler_until_rental(controller);
     GString *out = fake_store_dump(fixture->store);
-    append_frames(out);
+    append_frames_line(out);
     core_fixture_teardown((void **)&fixture);
     return out;
 }
--- a/tests/write_scene.c
+++ b/tests/write_scene.c
@@ -1,5 +1,8 @@
-/* Writes the scene's records and frames as this version makes them, to become the fixture when it
- * goes into production: target/tests/write_scene > tests/fixtures/production.txt */
+/* Prints the records and frames of scene_play() as this version writes them. When a version goes
+ * into production, its output becomes the fixture that later versions must read:
+ *
+ *   target/tests/write_scene > tests/fixtures/production.txt
+ */
 #include "scene.h"
 
 #include <stdio.h>
