--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -1,4 +1,4 @@
-/* The stand-in cloud: one machine type in one zone, and one machine at most. */
+/* The fake cloud: one machine type, offered in the worker's zone, and at most one machine. */
 #include "fake_services_internal.h"
 
 #include <string.h>
@@ -23,7 +23,7 @@
     return 200;
 }
 
-static int answer_machines(const fake_services *services, rr_encoder *out) {
+static int answer_machine_list(const fake_services *services, rr_encoder *out) {
     const struct fake_worker *worker = &services->worker;
     char address[40];
     g_snprintf(address, sizeof address, "127.0.0.1:%u", services->port);
@@ -78,6 +78,6 @@
     if (strcmp(path, "/machines/release") == 0) {
         return answer_release(&services->worker);
     }
-    return strcmp(method, "GET") == 0 ? answer_machines(services, out)
+    return strcmp(method, "GET") == 0 ? answer_machine_list(services, out)
                                       : answer_rental(&services->worker, out);
 }
--- a/tests/fake_controllers.c
+++ b/tests/fake_controllers.c
@@ -1,4 +1,4 @@
-/* Controllers in the stand-in world: their settings, and requests of the tests to them. */
+/* Settings of controllers that use the fake services, and requests of the tests to controllers. */
 #include "fake_services_internal.h"
 
 #include "app/settings.h"
@@ -10,13 +10,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Below the system's own range for outgoing connections (32768 and up), from which a port might be
- * given to a connection before the controller listens on it. */
+/* The ports lie below the system's range for outgoing connections (32768 and up). The system could
+ * give a port of that range to a connection before the controller listens on it. */
 #define FIRST_PORT 10240u
-#define PORTS 20000u
-#define PORTS_PER_PROCESS 131 /* test programs that run side by side begin at different ports */
+#define PORT_COUNT 20000u
+/* Test programs that run at the same time begin their search at different ports. */
+#define PORTS_PER_PROCESS 131
 #define READ_TIMEOUT_S 20
-#define CALL_TIMEOUT_S 6
+#define REQUEST_TIMEOUT_S 6
 
 static bool is_port_free(uint16_t port) {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons(port)};
@@ -27,11 +28,11 @@
 }
 
 uint16_t fake_services_free_port(void) {
-    static unsigned next;
-    next = next ? next : (unsigned)getpid() * PORTS_PER_PROCESS;
+    static unsigned port_offset;
+    port_offset = port_offset ? port_offset : (unsigned)getpid() * PORTS_PER_PROCESS;
     uint16_t port;
     do {
-        port = (uint16_t)(FIRST_PORT + next++ % PORTS);
+        port = (uint16_t)(FIRST_PORT + port_offset++ % PORT_COUNT);
     } while (!is_port_free(port));
     return port;
 }
@@ -74,8 +75,8 @@
     rr_tuning_set_defaults(&config->tuning);
     config->tuning.idle_return_s = 1000;
     pthread_mutex_lock(&services->lock);
-    services->worker.reports_to = config->bind;
-    services->worker.next_controller = services->worker.controllers->len;
+    services->worker.current_controller = config->bind;
+    services->worker.current_controller_index = services->worker.controllers->len;
     g_array_append_val(services->worker.controllers, config->bind);
     pthread_mutex_unlock(&services->lock);
 }
@@ -89,7 +90,7 @@
                                 .path = path,
                                 .body = body,
                                 .len = length,
-                                .timeout_s = CALL_TIMEOUT_S,
+                                .timeout_s = REQUEST_TIMEOUT_S,
                                 .fresh = true};
     int rc = rr_client_call(client, &call, &reply);
     if (rc == 0 && document) {
--- a/tests/fake_services.c
+++ b/tests/fake_services.c
@@ -1,4 +1,5 @@
-/* HTTP endpoints of the stand-in services, their start and end, and the switches for failures. */
+/* HTTP endpoints of the fake services, their start and stop, and the functions that inject
+ * failures. */
 #include "fake_services_internal.h"
 
 #include <arpa/inet.h>
@@ -7,6 +8,7 @@
 
 /* ---- endpoints ---- */
 
+/* Passes the request to the service that the path belongs to. Returns the HTTP status. */
 static int route_request(const struct fake_endpoint *endpoint, struct MHD_Connection *connection,
                          const char *path, const char *method, const msgpack_object *request,
                          rr_encoder *out) {
@@ -16,21 +18,23 @@
     if (fake_worker_serves(path)) {
         return fake_worker_answer(endpoint->services, path, request, out);
     }
-    if (fake_store_serves(path)) {
-        return fake_store_answer(endpoint, connection, path, method, request, out);
+    if (fake_store_service_serves(path)) {
+        return fake_store_service_answer(endpoint, connection, path, method, request, out);
     }
     return 404;
 }
 
-/* Whether the answer to this request is to be lost, if a test has asked for that: a commit of a
- * job's record. */
-static bool drops_answer(struct fake_store *store, const char *path, const GByteArray *body) {
-    bool drops = store->drop_next_answer && strcmp(path, "/commit") == 0 &&
-                 strstr((const char *)body->data, "req-");
-    store->drop_next_answer = store->drop_next_answer && !drops;
-    return drops;
+/* Returns whether the answer to this request is dropped: it is the first commit of a job's record
+ * since a test asked for that. Clears the test's request then. */
+static bool consume_answer_drop(struct fake_store_service *store, const char *path,
+                                const GByteArray *body) {
+    bool is_dropped = store->drop_next_answer && strcmp(path, "/commit") == 0 &&
+                      strstr((const char *)body->data, "req-");
+    store->drop_next_answer = store->drop_next_answer && !is_dropped;
+    return is_dropped;
 }
 
+/* Answers a request whose body is complete. Takes the lock. */
 static enum MHD_Result answer_request(const struct fake_endpoint *endpoint,
                                       struct MHD_Connection *connection, const char *path,
                                       const char *method, const GByteArray *body) {
@@ -41,7 +45,7 @@
     rr_encoder_init(&out);
     pthread_mutex_lock(&services->lock);
     int status = route_request(endpoint, connection, path, method, document.root, &out);
-    bool dropped = drops_answer(&services->store, path, body);
+    bool dropped = consume_answer_drop(&services->store, path, body);
     pthread_mutex_unlock(&services->lock);
     rr_document_clear(&document);
     enum MHD_Result result = MHD_NO; /* closes the connection */
@@ -55,6 +59,8 @@
     return result;
 }
 
+/* libmicrohttpd calls this once for the header, which creates *state, once for each piece of the
+ * body, and once with length 0 at the end. */
 static enum MHD_Result on_request(void *user, struct MHD_Connection *connection, const char *path,
                                   const char *method, const char *version, const char *data,
                                   size_t *length, void **state) {
@@ -72,8 +78,8 @@
     return answer_request(user, connection, path, method, body);
 }
 
-static void on_completed(void *user, struct MHD_Connection *connection, void **state,
-                         enum MHD_RequestTerminationCode reason) {
+static void on_request_completed(void *user, struct MHD_Connection *connection, void **state,
+                                 enum MHD_RequestTerminationCode reason) {
     (void)user;
     (void)connection;
     (void)reason;
@@ -94,13 +100,13 @@
     endpoint->daemon = MHD_start_daemon(
         MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_THREAD_PER_CONNECTION | MHD_USE_POLL, 0, NULL,
         NULL, on_request, endpoint, MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED,
-        on_completed, NULL, MHD_OPTION_END);
+        on_request_completed, NULL, MHD_OPTION_END);
     g_assert(endpoint->daemon);
     g_ptr_array_add(services->endpoints, endpoint);
     return MHD_get_daemon_info(endpoint->daemon, MHD_DAEMON_INFO_BIND_PORT)->port;
 }
 
-/* ---- start and end ---- */
+/* ---- start and stop ---- */
 
 fake_services *fake_services_start(void) {
     fake_services *services = g_new0(fake_services, 1);
@@ -109,7 +115,7 @@
     pthread_condattr_init(&attributes);
     pthread_condattr_setclock(&attributes, CLOCK_MONOTONIC);
     pthread_cond_init(&services->changed, &attributes);
-    fake_store_init(&services->store);
+    fake_store_service_init(&services->store);
     fake_worker_init(&services->worker);
     services->endpoints = g_ptr_array_new();
     services->port = fake_services_add_endpoint(services);
@@ -129,14 +135,14 @@
         g_free(endpoint);
     }
     g_ptr_array_free(services->endpoints, TRUE);
-    fake_store_clear(&services->store);
+    fake_store_service_clear(&services->store);
     fake_worker_clear(&services->worker);
     g_free(services);
 }
 
-/* ---- switches ---- */
+/* ---- injected failures and worker settings ---- */
 
-static void switch_endpoint(fake_services *services, guint index, bool refused, bool frozen) {
+static void set_endpoint_failures(fake_services *services, guint index, bool refused, bool frozen) {
     pthread_mutex_lock(&services->lock);
     struct fake_endpoint *endpoint = g_ptr_array_index(services->endpoints, index);
     endpoint->refused = refused;
@@ -145,25 +151,26 @@
     pthread_mutex_unlock(&services->lock);
 }
 
-void fake_services_refuse(fake_services *services, unsigned endpoint, bool refused) {
-    switch_endpoint(services, endpoint, refused, false);
+void fake_services_refuse_endpoint(fake_services *services, unsigned endpoint, bool refused) {
+    set_endpoint_failures(services, endpoint, refused, false);
 }
 
 void fake_services_freeze_endpoint(fake_services *services, unsigned endpoint, bool frozen) {
-    switch_endpoint(services, endpoint, false, frozen);
+    set_endpoint_failures(services, endpoint, false, frozen);
 }
 
-#define SWITCH(name, type, value, field)                                                           \
+/* Defines function `name`, which sets a field under the lock and wakes up the open watches. */
+#define DEFINE_SETTER(name, type, value, field)                                                    \
     void name(fake_services *services, type value) {                                               \
         pthread_mutex_lock(&services->lock);                                                       \
         services->field = value;                                                                   \
         pthread_cond_broadcast(&services->changed);                                                \
         pthread_mutex_unlock(&services->lock);                                                     \
     }
-SWITCH(fake_services_freeze_watches, bool, frozen, store.watches_frozen)
-SWITCH(fake_services_store_down, bool, down, store.down)
-SWITCH(fake_services_task_seconds, double, seconds, worker.task_s)
-SWITCH(fake_services_worker_lease, double, seconds, worker.lease_s)
+DEFINE_SETTER(fake_services_freeze_watches, bool, frozen, store.watches_frozen)
+DEFINE_SETTER(fake_services_store_down, bool, down, store.down)
+DEFINE_SETTER(fake_services_task_seconds, double, seconds, worker.task_s)
+DEFINE_SETTER(fake_services_worker_lease, double, seconds, worker.lease_s)
 
 void fake_services_drop_next_answer(fake_services *services) {
     pthread_mutex_lock(&services->lock);
--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -1,6 +1,6 @@
-/* Stand-in services on loopback for tests of whole controllers: key-value store, cloud and one
- * worker at one address, with switches for failures. All functions may be called from any thread.
- */
+/* Fake services on loopback for tests of whole controllers: a key-value store, a cloud and one
+ * worker, all at one address, with injected failures. Functions may be called from any thread; each
+ * takes the services' lock as far as it needs it. */
 #ifndef RR_TESTS_FAKE_SERVICES_H
 #define RR_TESTS_FAKE_SERVICES_H
 
@@ -10,65 +10,75 @@
 
 typedef struct fake_services fake_services;
 
+/* Starts the services on a free port. fake_services_stop() stops and frees them. */
 fake_services *fake_services_start(void);
 void fake_services_stop(fake_services *services);
 uint16_t fake_services_port(const fake_services *services);
 
 /* ---- key-value store ---- */
 
-/* The next commit of a job is carried out, but its answer is lost. */
+/* The next commit that mentions a job id (req-...) is carried out, but its connection is closed
+ * without an answer. */
 void fake_services_drop_next_answer(fake_services *services);
-/* While frozen, open watches wait and show nothing new. */
+/* While frozen, watches at all endpoints deliver no changes. */
 void fake_services_freeze_watches(fake_services *services, bool frozen);
-/* While down, every request to the store gets 503. */
+/* While down, the store answers 503 to all requests but watches, which deliver no changes, and no
+ * lease expires. */
 void fake_services_store_down(fake_services *services, bool down);
 
-/* Opens another address of all services and returns its port. Endpoints are counted from 0, which
- * is the one that fake_services_config() names. */
+/* Opens another address of all services and returns its port. Endpoints are numbered from 0, which
+ * is the one in the settings of fake_services_config(). */
 uint16_t fake_services_add_endpoint(fake_services *services);
-/* The store answers 503 at this endpoint. */
-void fake_services_refuse(fake_services *services, unsigned endpoint, bool refused);
-/* Watches at this endpoint show nothing new. */
+/* While refused, the store answers 503 at this endpoint to all requests but watches, which deliver
+ * no changes. Ends a freeze of the endpoint. */
+void fake_services_refuse_endpoint(fake_services *services, unsigned endpoint, bool refused);
+/* While frozen, watches at this endpoint deliver no changes. Ends a refusal at the endpoint. */
 void fake_services_freeze_endpoint(fake_services *services, unsigned endpoint, bool frozen);
 
 /* ---- worker and its machine ---- */
 
-/* The runtime of a task; 0.1 s at first. Tasks of services run until they are stopped. */
+/* Sets the runtime of tasks that start from now on; 0.1 s at first. Tasks of service jobs run until
+ * they are stopped. */
 void fake_services_task_seconds(fake_services *services, double seconds);
-/* The worker ends what runs without an answer for so long; 0, as at first: never. */
+/* Sets the lease of the worker, which stops its tasks when it has had no answer from a controller
+ * for so long; 0, as at first: never. */
 void fake_services_worker_lease(fake_services *services, double seconds);
-/* The zone of the machine; "a" at first. */
+/* Sets the zone of the machine; "a" at first. */
 void fake_services_zone(fake_services *services, const char *zone);
-/* The machine is gone, with all that ran on it. */
+/* Removes the machine and stops all tasks on it. */
 void fake_services_lose_worker(fake_services *services);
-/* The number of tasks that run. */
+/* Returns the number of tasks that run. */
 unsigned fake_services_running_tasks(fake_services *services);
-/* When the task first started, by the steady clock; 0: never. */
+/* Returns when the task first started, in seconds of the steady clock; 0: never. */
 double fake_services_started(fake_services *services, const char *task_name);
-/* The number of starts beyond the first one of each task. */
+/* Returns the number of task starts, not counting the first start of each task. */
 unsigned fake_services_restart_count(fake_services *services);
-/* The number of rentals. */
+/* Returns how often the machine was rented. */
 unsigned fake_services_rented_count(fake_services *services);
 
-/* One run of a task on the worker. Times are steady. */
+/* One run of a task on the worker. Times are seconds of the steady clock. */
 typedef struct {
-    char task_name[80];          /* task name */
-    double started_at, ended_at; /* ended_at 0: it runs */
-    bool done;
+    char task_name[80];
+    double started_at, ended_at; /* ended_at 0: still running */
+    bool done;                   /* ended by itself; false: running or stopped */
 } fake_services_run;
-/* A copy of all runs (fake_services_run) in the order of their starts; the caller frees it. */
+/* Returns a copy of all runs (fake_services_run) in the order of their starts; the caller frees
+ * it. */
 GArray *fake_services_runs(fake_services *services);
 
 /* ---- controllers ---- */
 
-/* A port that nobody listens on. */
+/* Returns a port on which nobody listens. */
 uint16_t fake_services_free_port(void);
-/* Opens a connection, whose reads end after 20 s. The descriptor; -1: refused. */
+/* Opens a connection whose reads time out after 20 s. Returns its descriptor, which the caller
+ * closes; -1: refused. */
 int fake_services_dial(const struct rr_endpoint *endpoint);
-/* Fills the settings of a controller that uses these services; its ports are free ones. */
+/* Fills the settings of a controller that uses these services and listens on free ports. The worker
+ * sends its next heartbeats to this controller. */
 void fake_services_config(fake_services *services, struct rr_config *config, const char *name);
-/* Sends one request to a controller. Its HTTP status; -1: no answer. document may be NULL; it is
- * the caller's to clear if there was an answer. */
+/* Sends one request to a controller and returns the HTTP status of the answer; -1: no answer.
+ * *document receives the answer's body, and the caller clears it, only if there was an answer;
+ * document NULL: not wanted. */
 int fake_services_call(const struct rr_config *config, const char *method, const char *path,
                        const void *body, size_t length, rr_document *document);
 /* Submits a job; returns as fake_services_call(). */
--- a/tests/fake_services_internal.h
+++ b/tests/fake_services_internal.h
@@ -1,5 +1,5 @@
-/* What the files of the stand-in services share. One lock protects everything; functions here
- * expect the caller to hold it unless they say otherwise. */
+/* Structures and functions that the files of the fake services share. The lock of fake_services
+ * protects all fields; callers of the functions here hold it unless a function says otherwise. */
 #ifndef RR_TESTS_FAKE_SERVICES_INTERNAL_H
 #define RR_TESTS_FAKE_SERVICES_INTERNAL_H
 
@@ -10,73 +10,88 @@
 #define FAKE_MACHINE "vm-000001"
 #define FAKE_MACHINE_TYPE "m1"
 
-/* An address of its own for all services, so that one controller can be treated differently. */
+/* One address of all services. Controllers that use different endpoints can be given different
+ * failures. */
 struct fake_endpoint {
     fake_services *services;
     struct MHD_Daemon *daemon;
-    bool refused; /* the store answers 503 here */
-    bool frozen;  /* watches show nothing new here */
+    bool refused; /* the store answers 503 at this endpoint */
+    bool frozen;  /* watches at this endpoint deliver no changes */
 };
 
-struct fake_store {
-    GTree *records; /* key -> struct record (fake_store.c), sorted */
-    GPtrArray *log; /* struct log_entry * (fake_store.c), by revision */
-    uint64_t revision, last_lease_id;
-    GHashTable *leases; /* lease id -> struct lease (fake_store.c) */
-    bool down, watches_frozen, drop_next_answer;
+struct fake_store_service {
+    GTree *records;         /* key -> struct record * (fake_store_service.c), sorted by key */
+    GPtrArray *log;         /* struct log_entry * (fake_store_service.c), by ascending revision */
+    uint64_t revision;      /* of the last change */
+    uint64_t last_lease_id; /* of the last lease that was granted */
+    GHashTable *leases;     /* uint64_t *: lease id -> struct lease * (fake_store_service.c) */
+    bool down;              /* 503 to all requests but watches, and no lease expires */
+    bool watches_frozen;    /* watches deliver no changes */
+    bool drop_next_answer;  /* the answer to the next commit of a job gets lost */
 };
 
 struct fake_worker {
-    bool rented; /* the machine exists */
-    unsigned rental_count;
+    bool rented;           /* the machine exists */
+    unsigned rental_count; /* rentals so far */
     char zone[RR_NAME_SIZE];
-    GArray *tasks; /* struct task (fake_worker.c) */
-    uint64_t fencing_token, sequence;
-    double task_s;           /* runtime of a task */
-    double lease_s;          /* tasks end without an answer for so long; 0: never */
-    double answered_at;      /* steady: last answer to a heartbeat, or command */
-    GHashTable *first_start; /* task name -> double *: steady */
-    unsigned restart_count;
-    GArray *runs; /* fake_services_run */
+    GArray *tasks;            /* struct task (fake_worker.c) */
+    uint64_t fencing_token;   /* highest one received */
+    uint64_t sequence;        /* of the last heartbeat */
+    double task_s;            /* runtime of a task, in seconds */
+    double lease_s;           /* tasks stop after so many seconds without an answer; 0: never */
+    double last_answer_at;    /* steady time of the last commands or answer from a controller */
+    GHashTable *first_starts; /* task name -> double *: steady time */
+    unsigned restart_count;   /* task starts beyond the first one of each task */
+    GArray *runs;             /* fake_services_run, in the order of their starts */
     pthread_t thread;
-    struct rr_endpoint reports_to;
-    GArray *controllers;   /* struct rr_endpoint: all that were ever configured */
-    guint next_controller; /* index */
+    struct rr_endpoint current_controller; /* receives the heartbeats; port 0: none yet */
+    GArray *controllers;                   /* struct rr_endpoint, every controller configured */
+    guint current_controller_index;        /* in controllers */
 };
 
 struct fake_services {
     pthread_mutex_t lock;
-    pthread_cond_t changed; /* the store, or a switch */
+    pthread_cond_t changed; /* signalled when the store, an injected failure or stopping changes */
     bool stopping;
-    uint16_t port;        /* of the first endpoint */
-    GPtrArray *endpoints; /* struct fake_endpoint *; the first is everybody's */
-    struct fake_store store;
+    uint16_t port;        /* of endpoint 0 */
+    GPtrArray *endpoints; /* struct fake_endpoint *; endpoint 0 is the default of all controllers */
+    struct fake_store_service store;
     struct fake_worker worker;
 };
 
-/* fake_store.c: the key-value store. Functions that answer requests return the HTTP status. */
-void fake_store_init(struct fake_store *store);
-void fake_store_clear(struct fake_store *store);
-/* Ends the leases that have run out. */
-void fake_store_expire_leases(fake_services *services);
-/* Whether the path is the store's. */
-bool fake_store_serves(const char *path);
-int fake_store_answer(const struct fake_endpoint *endpoint, struct MHD_Connection *connection,
-                      const char *path, const char *method, const msgpack_object *request,
-                      rr_encoder *out);
+/* ---- fake_store_service.c: the key-value store ---- */
+
+void fake_store_service_init(struct fake_store_service *store);
+void fake_store_service_clear(struct fake_store_service *store);
+/* Deletes the leases that have expired, with their records. */
+void fake_store_service_expire_leases(fake_services *services);
+/* Whether the store answers requests for this path. */
+bool fake_store_service_serves(const char *path);
+/* Carries out a request and encodes the answer's body. Returns the HTTP status. A watch releases
+ * the lock while it waits. */
+int fake_store_service_answer(const struct fake_endpoint *endpoint,
+                              struct MHD_Connection *connection, const char *path,
+                              const char *method, const msgpack_object *request, rr_encoder *out);
 
-/* fake_cloud.c: catalogue, machines, rentals and returns. */
+/* ---- fake_cloud.c: the catalogue, and the machine's rental and release ---- */
+
+/* Whether the cloud answers requests for this path. */
 bool fake_cloud_serves(const char *path);
+/* Carries out a request and encodes the answer's body. Returns the HTTP status. */
 int fake_cloud_answer(fake_services *services, const char *path, const char *method,
                       rr_encoder *out);
 
-/* fake_worker.c: one worker, which runs tasks and sends heartbeats. */
+/* ---- fake_worker.c: one worker, which runs tasks and sends heartbeats ---- */
+
 void fake_worker_init(struct fake_worker *worker);
 void fake_worker_clear(struct fake_worker *worker);
+/* Whether the worker answers requests for this path. */
 bool fake_worker_serves(const char *path);
+/* Carries out a request and encodes a heartbeat as the answer's body. Returns the HTTP status. */
 int fake_worker_answer(fake_services *services, const char *path, const msgpack_object *request,
                        rr_encoder *out);
-/* The worker's thread; argument: the fake_services *. Takes the lock. */
+/* Runs the worker until the services stop. argument: the fake_services *. The caller must not hold
+ * the lock. */
 void *fake_worker_thread(void *argument);
 
 #endif
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -1,4 +1,5 @@
-/* The scripted key-value store: records, and a log of every change for the cores that follow it. */
+/* The in-memory key-value store: its records, and a log of every change for the cores that follow
+ * it. */
 #include "fake_store.h"
 #include "core/cache_feed.h"
 #include "core/leadership.h"
@@ -6,12 +7,14 @@
 #include <errno.h>
 #include <string.h>
 
+/* A stored record. */
 struct fake_value {
     void *data;
     size_t len;
     uint64_t version;
 };
 
+/* A change in the log. */
 struct fake_change {
     char *key;
     void *data; /* NULL: deleted */
@@ -78,8 +81,8 @@
     return count;
 }
 
-/* Size as JSON, which is how the key-value store counts it. */
-static size_t json_size(const void *data, size_t length) {
+/* Returns the size of an encoded value as JSON, which is how the key-value store counts it. */
+static size_t size_as_json(const void *data, size_t length) {
     static char text[256 * 1024];
     rr_document document;
     assert_int_equal(rr_document_parse(&document, data, length), 0);
@@ -90,9 +93,10 @@
 
 size_t fake_store_value_size(const fake_store *store, const char *key) {
     const struct fake_value *value = g_hash_table_lookup(store->records, key);
-    return value ? json_size(value->data, value->len) : 0;
+    return value ? size_as_json(value->data, value->len) : 0;
 }
 
+/* Whether the transaction keeps the store's limits. */
 static bool within_limits(const fake_store *store, const rr_transaction *transaction) {
     if (store->ops_max && (transaction->changes->len > store->ops_max ||
                            transaction->guards->len > 4 * store->ops_max)) {
@@ -100,7 +104,7 @@
     }
     for (guint i = 0; store->value_max && i < transaction->changes->len; i++) {
         const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
-        if (change->value && json_size(change->value, change->length) > store->value_max) {
+        if (change->value && size_as_json(change->value, change->length) > store->value_max) {
             return false;
         }
     }
@@ -120,20 +124,20 @@
     store->revision++;
     for (guint i = 0; i < transaction->changes->len; i++) {
         const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
-        struct fake_change *logged = g_new0(struct fake_change, 1);
-        logged->key = g_strdup(change->key);
-        logged->version = store->revision;
+        struct fake_change *log_entry = g_new0(struct fake_change, 1);
+        log_entry->key = g_strdup(change->key);
+        log_entry->version = store->revision;
         if (change->value) {
             struct fake_value *value = g_new0(struct fake_value, 1);
             value->data = g_memdup2(change->value, change->length);
-            value->len = logged->len = change->length;
+            value->len = log_entry->len = change->length;
             value->version = store->revision;
-            logged->data = g_memdup2(change->value, change->length);
+            log_entry->data = g_memdup2(change->value, change->length);
             g_hash_table_replace(store->records, g_strdup(change->key), value);
         } else {
             g_hash_table_remove(store->records, change->key);
         }
-        g_ptr_array_add(store->log, logged);
+        g_ptr_array_add(store->log, log_entry);
     }
     return 0;
 }
@@ -164,18 +168,18 @@
     rr_core_set_cache_current(core, now);
 }
 
-static gint by_text(gconstpointer left, gconstpointer right) {
+static gint compare_keys(gconstpointer left, gconstpointer right) {
     return strcmp(left, right);
 }
 
 void fake_store_reload(fake_store *store, rr_core *core, double now) {
-    GList *keys = g_list_sort(g_hash_table_get_keys(store->records), by_text);
+    GList *keys = g_list_sort(g_hash_table_get_keys(store->records), compare_keys);
     rr_core_cache_begin_reload(core);
-    for (const GList *node = keys; node; node = node->next) {
-        const struct fake_value *value = g_hash_table_lookup(store->records, node->data);
+    for (const GList *item = keys; item; item = item->next) {
+        const struct fake_value *value = g_hash_table_lookup(store->records, item->data);
         rr_document document;
         assert_int_equal(rr_document_parse(&document, value->data, value->len), 0);
-        rr_core_cache_put(core, node->data, document.root, value->version, now);
+        rr_core_cache_put(core, item->data, document.root, value->version, now);
         rr_document_clear(&document);
     }
     rr_core_cache_end_reload(core, store->revision, store->revision, now);
@@ -186,10 +190,10 @@
 
 GString *fake_store_dump(const fake_store *store) {
     GString *out = g_string_new(NULL);
-    GList *keys = g_list_sort(g_hash_table_get_keys(store->records), by_text);
-    for (const GList *node = keys; node; node = node->next) {
-        const struct fake_value *value = g_hash_table_lookup(store->records, node->data);
-        g_string_append_printf(out, "%s ", (const char *)node->data);
+    GList *keys = g_list_sort(g_hash_table_get_keys(store->records), compare_keys);
+    for (const GList *item = keys; item; item = item->next) {
+        const struct fake_value *value = g_hash_table_lookup(store->records, item->data);
+        g_string_append_printf(out, "%s ", (const char *)item->data);
         for (size_t i = 0; i < value->len; i++) {
             g_string_append_printf(out, "%02x", ((const uint8_t *)value->data)[i]);
         }
@@ -236,7 +240,9 @@
     return found;
 }
 
-static uint64_t attempt_in_record(const struct fake_value *value, const char *id, uint32_t task) {
+/* Returns the attempt of the task on machine `id` in a placement record; 0: none. */
+static uint64_t find_attempt_in_record(const struct fake_value *value, const char *id,
+                                       uint32_t task) {
     uint64_t found = 0;
     rr_document document;
     assert_int_equal(rr_document_parse(&document, value->data, value->len), 0);
@@ -251,9 +257,9 @@
     return found;
 }
 
-#define TASKS_PER_RECORD 64 /* under the settings of test_config() */
+#define TASKS_PER_RECORD 64 /* tasks of one placement record with the settings of test_config() */
 
-/* Searches the record of the task's chunk, then the overflow records that follow it. */
+/* Searches the placement record of the task's chunk, then the overflow records that follow it. */
 uint64_t fake_store_attempt(const fake_store *store, const char *id, const char *job_id,
                             uint32_t task) {
     uint64_t found = 0;
@@ -264,7 +270,7 @@
         if (!value) {
             break;
         }
-        found = attempt_in_record(value, id, task);
+        found = find_attempt_in_record(value, id, task);
     }
     return found;
 }
--- a/tests/fake_store_records.c
+++ b/tests/fake_store_records.c
@@ -1,23 +1,24 @@
-/* Records as controllers write them: machine types, machine pages, jobs. */
+/* Writes records to the in-memory store as controllers do: machine types, machine pages, jobs. */
 #include "core/submissions.h"
 #include "fake_store.h"
 
 #include <stdlib.h>
 #include <string.h>
 
+/* Flags of a machine in its page. */
 #define MACHINE_FLAG_SPOT 1
 #define MACHINE_FLAG_OPERATOR_OWNED 2
-#define SINGLE_PAGES_FROM 100000 /* pages of one machine each */
+#define SINGLE_PAGES_FROM 100000 /* number of the first page with one machine only */
 
-void fake_store_put_machine_type(fake_store *store, const char *type_name, double cpu, double gpu,
-                                 double mem, double price, double spot) {
-    rr_machine_type type = {.cpus = cpu,
-                            .gpus = gpu,
-                            .mem_gb = mem,
+void fake_store_put_machine_type(fake_store *store, const char *type_name, double cpus, double gpus,
+                                 double mem_gb, double price, double spot_price) {
+    rr_machine_type type = {.cpus = cpus,
+                            .gpus = gpus,
+                            .mem_gb = mem_gb,
                             .cache_gb = 100,
                             .pull_rate = 1,
                             .price = price,
-                            .spot_price = spot,
+                            .spot_price = spot_price,
                             .startup_s = 30};
     char key[128];
     rr_encoder encoder;
@@ -57,7 +58,8 @@
     fake_store_put(store, key, encoder);
 }
 
-static int single_page(const char *id) {
+/* Returns the number of the page that fake_store_put_machine() uses for this machine. */
+static int page_of_machine(const char *id) {
     return atoi(id + strlen("vm-")) + SINGLE_PAGES_FROM;
 }
 
@@ -68,13 +70,13 @@
     encode_machine(&encoder, id, zone,
                    (spot ? MACHINE_FLAG_SPOT : 0) |
                        (operator_owned ? MACHINE_FLAG_OPERATOR_OWNED : 0));
-    put_page(store, single_page(id), &encoder);
+    put_page(store, page_of_machine(id), &encoder);
 }
 
 void fake_store_delete_machine(fake_store *store, const char *id) {
     rr_encoder encoder;
     begin_page(&encoder, 0);
-    put_page(store, single_page(id), &encoder);
+    put_page(store, page_of_machine(id), &encoder);
 }
 
 void fake_store_put_machine_page(fake_store *store, int first, int count, const char *zone) {
@@ -114,13 +116,13 @@
     out->deadline_s = job->deadline_s > 0 ? job->deadline_s : -1;
 }
 
-void fake_store_submit(fake_store *store, const struct test_job *job, double when) {
+void fake_store_submit(fake_store *store, const struct test_job *job, double accepted_at) {
     rr_submission submission;
     char key[128];
     rr_encoder encoder;
     test_submission(&submission, job);
     rr_encoder_init(&encoder);
-    rr_core_job_encode(&encoder, &submission, when, false);
+    rr_core_job_encode(&encoder, &submission, accepted_at, false);
     rr_core_job_key(job->job_id, key, sizeof key);
     fake_store_put(store, key, &encoder);
 }
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -1,5 +1,5 @@
-/* The stand-in worker: runs tasks for a fixed time, sends heartbeats to one controller and takes
- * commands from any. */
+/* The fake worker: runs each task for a fixed time, sends heartbeats to one controller at a time
+ * and accepts commands from any. */
 #include "fake_services_internal.h"
 
 #include "common/clock.h"
@@ -7,8 +7,8 @@
 
 #include <string.h>
 
-#define TASK_S 0.1
-#define HEARTBEAT_PERIOD_S 0.05
+#define DEFAULT_TASK_RUNTIME_S 0.1
+#define HEARTBEAT_INTERVAL_S 0.05
 #define HEARTBEAT_TIMEOUT_S 2
 
 enum task_state { TASK_RUNNING = 1, TASK_DONE, TASK_STOPPED };
@@ -16,18 +16,18 @@
 struct task {
     char name[80];
     uint64_t attempt;
-    double ends_at; /* steady; 0: runs until stopped */
+    double ends_at; /* steady time; 0: runs until stopped */
     enum task_state state;
-    guint run; /* index of its fake_services_run */
+    guint run; /* index of its fake_services_run in fake_worker.runs */
 };
 
 void fake_worker_init(struct fake_worker *worker) {
     worker->tasks = g_array_new(FALSE, TRUE, sizeof(struct task));
     worker->runs = g_array_new(FALSE, TRUE, sizeof(fake_services_run));
     worker->controllers = g_array_new(FALSE, TRUE, sizeof(struct rr_endpoint));
-    worker->first_start = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    worker->task_s = TASK_S;
-    worker->answered_at = rr_steady_clock_s();
+    worker->first_starts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    worker->task_s = DEFAULT_TASK_RUNTIME_S;
+    worker->last_answer_at = rr_steady_clock_s();
     g_strlcpy(worker->zone, "a", sizeof worker->zone);
 }
 
@@ -35,25 +35,26 @@
     g_array_free(worker->tasks, TRUE);
     g_array_free(worker->runs, TRUE);
     g_array_free(worker->controllers, TRUE);
-    g_hash_table_destroy(worker->first_start);
+    g_hash_table_destroy(worker->first_starts);
 }
 
 /* ---- tasks ---- */
 
+/* Records when the task first started, or counts a restart. */
 static void record_start(struct fake_worker *worker, const char *task_name) {
-    if (g_hash_table_contains(worker->first_start, task_name)) {
+    if (g_hash_table_contains(worker->first_starts, task_name)) {
         worker->restart_count++;
         return;
     }
     double *started_at = g_new(double, 1);
     *started_at = rr_steady_clock_s();
-    g_hash_table_insert(worker->first_start, g_strdup(task_name), started_at);
+    g_hash_table_insert(worker->first_starts, g_strdup(task_name), started_at);
 }
 
 static void start_task(struct fake_worker *worker, const char *name, uint64_t attempt) {
     struct task task = {.attempt = attempt, .state = TASK_RUNNING};
     fake_services_run run = {.started_at = rr_steady_clock_s()};
-    /* Jobs whose number begins with 5 are services. */
+    /* By convention of the tests, jobs whose number begins with 5 are services. */
     bool is_service = name[strlen("req-")] == '5';
     g_strlcpy(task.name, name, sizeof task.name);
     task.ends_at = is_service ? 0 : rr_steady_clock_s() + worker->task_s;
@@ -72,28 +73,29 @@
     run->done = state == TASK_DONE;
 }
 
-static bool is_over(const struct task *task) {
+static bool task_has_finished(const struct task *task) {
     return task->ends_at > 0 && rr_steady_clock_s() > task->ends_at;
 }
 
-/* As a real worker without an answer: its own lease ends what runs. */
-static void end_tasks_without_lease(struct fake_worker *worker) {
-    if (worker->lease_s <= 0 || rr_steady_clock_s() - worker->answered_at <= worker->lease_s) {
+/* Stops all running tasks once no controller has answered for the worker's lease, as a real worker
+ * does. Tasks whose runtime is over count as done. */
+static void stop_tasks_after_lease(struct fake_worker *worker) {
+    if (worker->lease_s <= 0 || rr_steady_clock_s() - worker->last_answer_at <= worker->lease_s) {
         return;
     }
     for (guint i = 0; i < worker->tasks->len; i++) {
         struct task *task = &g_array_index(worker->tasks, struct task, i);
         if (task->state == TASK_RUNNING) {
-            bool over = is_over(task);
-            end_task(worker, task, over ? TASK_DONE : TASK_STOPPED,
-                     over ? task->ends_at : rr_steady_clock_s());
+            bool finished = task_has_finished(task);
+            end_task(worker, task, finished ? TASK_DONE : TASK_STOPPED,
+                     finished ? task->ends_at : rr_steady_clock_s());
         }
     }
 }
 
 /* ---- commands and heartbeats ---- */
 
-/* The index of an attempt; the number of tasks: unknown. */
+/* Returns the index of a task attempt; the length of the array: unknown. */
 static guint find_task(const struct fake_worker *worker, const char *name, uint64_t attempt) {
     guint found = worker->tasks->len;
     for (guint i = 0; i < worker->tasks->len; i++) {
@@ -105,7 +107,9 @@
     return found;
 }
 
-static void carry_out(struct fake_worker *worker, const msgpack_object *command) {
+/* Starts, stops or forgets a task. A command that does not fit the task's state has no effect, so
+ * that commands may be repeated. */
+static void execute_command(struct fake_worker *worker, const msgpack_object *command) {
     const msgpack_object *kind = rr_map_get(command, "verb");
     char name[80];
     uint64_t attempt = 0;
@@ -123,8 +127,9 @@
     }
 }
 
-/* False: the commands are of an older fencing token. */
-static bool take_commands(struct fake_worker *worker, const msgpack_object *request) {
+/* Executes the commands of a request or answer and renews the worker's lease. Returns false, and
+ * does neither, if the message has no fencing token or one older than the highest received. */
+static bool accept_commands(struct fake_worker *worker, const msgpack_object *request) {
     uint64_t fencing_token = 0;
     const msgpack_object *commands = rr_map_get(request, "orders");
     if (!rr_map_get_u64(request, "warrant", &fencing_token) ||
@@ -132,14 +137,15 @@
         return false;
     }
     worker->fencing_token = fencing_token;
-    worker->answered_at = rr_steady_clock_s();
+    worker->last_answer_at = rr_steady_clock_s();
     for (uint32_t i = 0; commands && i < commands->via.array.size; i++) {
-        carry_out(worker, &commands->via.array.ptr[i]);
+        execute_command(worker, &commands->via.array.ptr[i]);
     }
     return true;
 }
 
 static void encode_task(const struct task *task, rr_encoder *out) {
+    /* Both indexed by enum task_state. */
     static const char *const states[] = {"", "running", "ended", "ended"};
     static const char *const reasons[] = {"", "", "done", "halted"};
     bool ended = task->state != TASK_RUNNING;
@@ -152,6 +158,7 @@
     }
 }
 
+/* Encodes the next heartbeat, in which tasks whose runtime is over have ended. */
 static void encode_heartbeat(fake_services *services, rr_encoder *out) {
     struct fake_worker *worker = &services->worker;
     char address[40];
@@ -169,7 +176,7 @@
     rr_encode_array(out, worker->tasks->len);
     for (guint i = 0; i < worker->tasks->len; i++) {
         struct task *task = &g_array_index(worker->tasks, struct task, i);
-        if (task->state == TASK_RUNNING && is_over(task)) {
+        if (task->state == TASK_RUNNING && task_has_finished(task)) {
             end_task(worker, task, TASK_DONE, task->ends_at);
         }
         encode_task(task, out);
@@ -182,25 +189,29 @@
 
 int fake_worker_answer(fake_services *services, const char *path, const msgpack_object *request,
                        rr_encoder *out) {
-    bool accepted = strcmp(path, "/status") == 0 || take_commands(&services->worker, request);
+    bool accepted = strcmp(path, "/status") == 0 || accept_commands(&services->worker, request);
     encode_heartbeat(services, out);
     return accepted ? 200 : 409;
 }
 
-/* ---- the thread ---- */
+/* ---- worker thread ---- */
 
-static void switch_controller(fake_services *services) {
+/* Directs heartbeats to the next configured controller. Takes the lock. */
+static void select_next_controller(fake_services *services) {
     struct fake_worker *worker = &services->worker;
     pthread_mutex_lock(&services->lock);
-    worker->next_controller = (worker->next_controller + 1) % worker->controllers->len;
-    worker->reports_to =
-        g_array_index(worker->controllers, struct rr_endpoint, worker->next_controller);
+    worker->current_controller_index =
+        (worker->current_controller_index + 1) % worker->controllers->len;
+    worker->current_controller =
+        g_array_index(worker->controllers, struct rr_endpoint, worker->current_controller_index);
     pthread_mutex_unlock(&services->lock);
 }
 
-/* Sends a heartbeat and takes the commands of its answer. */
-static void send_heartbeat(fake_services *services, rr_client *client,
-                           const struct rr_endpoint *controller, const rr_encoder *heartbeat) {
+/* Sends a heartbeat and executes the commands of the answer; without an answer of status 200,
+ * selects the next controller. Takes the lock. */
+static void report_to_controller(fake_services *services, rr_client *client,
+                                 const struct rr_endpoint *controller,
+                                 const rr_encoder *heartbeat) {
     struct rr_http_call call = {.method = "POST",
                                 .endpoint = controller,
                                 .path = "/hello",
@@ -210,34 +221,34 @@
     rr_http_reply reply;
     rr_document document;
     if (rr_client_call(client, &call, &reply) != 0 || reply.status != 200) {
-        switch_controller(services);
+        select_next_controller(services);
         return;
     }
     if (rr_document_parse(&document, reply.body->data, reply.body->len) == 0) {
         pthread_mutex_lock(&services->lock);
-        take_commands(&services->worker, document.root);
+        accept_commands(&services->worker, document.root);
         pthread_mutex_unlock(&services->lock);
     }
     rr_document_clear(&document);
 }
 
-/* Lets leases run out and tasks end, then sends a heartbeat if there is a machine. False: the
- * services are stopping. */
-static bool run_once(fake_services *services, rr_client *client) {
+/* Expires leases of the store, stops tasks after the worker's lease, and sends a heartbeat if the
+ * machine exists. Returns false if the services are stopping. Takes the lock. */
+static bool run_worker_step(fake_services *services, rr_client *client) {
     rr_encoder heartbeat;
     rr_encoder_init(&heartbeat);
     pthread_mutex_lock(&services->lock);
     bool stopping = services->stopping;
-    bool reports = services->worker.rented && services->worker.reports_to.port;
-    struct rr_endpoint controller = services->worker.reports_to;
-    fake_store_expire_leases(services);
-    end_tasks_without_lease(&services->worker);
-    if (reports) {
+    bool sends_heartbeat = services->worker.rented && services->worker.current_controller.port;
+    struct rr_endpoint controller = services->worker.current_controller;
+    fake_store_service_expire_leases(services);
+    stop_tasks_after_lease(&services->worker);
+    if (sends_heartbeat) {
         encode_heartbeat(services, &heartbeat);
     }
     pthread_mutex_unlock(&services->lock);
-    if (!stopping && reports) {
-        send_heartbeat(services, client, &controller, &heartbeat);
+    if (!stopping && sends_heartbeat) {
+        report_to_controller(services, client, &controller, &heartbeat);
     }
     rr_encoder_clear(&heartbeat);
     return !stopping;
@@ -245,14 +256,14 @@
 
 void *fake_worker_thread(void *argument) {
     rr_client *client = rr_client_create(NULL);
-    while (run_once(argument, client)) {
-        rr_sleep(HEARTBEAT_PERIOD_S);
+    while (run_worker_step(argument, client)) {
+        rr_sleep(HEARTBEAT_INTERVAL_S);
     }
     rr_client_destroy(client);
     return NULL;
 }
 
-/* ---- what tests ask and switch ---- */
+/* ---- functions for tests ---- */
 
 void fake_services_lose_worker(fake_services *services) {
     struct fake_worker *worker = &services->worker;
@@ -288,7 +299,7 @@
 
 double fake_services_started(fake_services *services, const char *task_name) {
     pthread_mutex_lock(&services->lock);
-    const double *found = g_hash_table_lookup(services->worker.first_start, task_name);
+    const double *found = g_hash_table_lookup(services->worker.first_starts, task_name);
     double started_at = found ? *found : 0;
     pthread_mutex_unlock(&services->lock);
     return started_at;
