--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -1,25 +1,30 @@
 #!/bin/sh
-# The command line: help, version, checks, and bad use with exit 2 and one line.
+# Checks the command line: help, version, --check-config, and errors, which exit with status 2 and
+# print one line on standard error.
+# Usage: command_line.sh PROGRAM
 bin=$1
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
-fails=0
-expect() { # name, wanted exit, pattern; then the command
-    name=$1 want=$2 pattern=$3
+failures=0
+# expect NAME STATUS PATTERN COMMAND...
+# Fails unless the command exits with this status and its output matches the pattern.
+expect() {
+    name=$1 expected_status=$2 pattern=$3
     shift 3
     "$@" >"$dir/out" 2>"$dir/err"
-    got=$?
-    if [ "$got" != "$want" ] || ! cat "$dir/out" "$dir/err" | grep -q -- "$pattern"; then
-        echo "FAIL $name: exit $got"
+    status=$?
+    if [ "$status" != "$expected_status" ] ||
+        ! cat "$dir/out" "$dir/err" | grep -q -- "$pattern"; then
+        echo "FAIL $name: exit status $status, expected $expected_status; expected output: $pattern"
         cat "$dir/out" "$dir/err"
-        fails=$((fails + 1))
+        failures=$((failures + 1))
     fi
-    if [ "$want" = 2 ] && [ "$(wc -l <"$dir/err")" != 1 ]; then
-        echo "FAIL $name: not one line"
-        fails=$((fails + 1))
+    if [ "$expected_status" = 2 ] && [ "$(wc -l <"$dir/err")" != 1 ]; then
+        echo "FAIL $name: standard error has not exactly one line"
+        failures=$((failures + 1))
     fi
 }
-cat >"$dir/good.toml" <<T
+cat >"$dir/valid.toml" <<T
 node_name = "n0"
 zone = "a"
 bind = "127.0.0.1:1"
@@ -40,30 +45,39 @@
 rps = 1
 list_lag_s = 5
 T
-echo 'rounds = maybe' >"$dir/bad.hcl"
+echo 'rounds = maybe' >"$dir/invalid.hcl"
 expect help 0 check-config "$bin" --help
 expect version 0 'ringrock [0-9]' "$bin" --version
-expect good 0 fine "$bin" --config "$dir/good.toml" --check-config
-expect no-config 2 config "$bin"
-expect unknown 2 bogus "$bin" --bogus
-expect extra 2 argument "$bin" --config "$dir/good.toml" more
-expect missing 2 none.toml "$bin" --config "$dir/none.toml"
-expect level 2 LOG_LEVEL env LOG_LEVEL=loud "$bin" --config "$dir/good.toml" --check-config
-expect operators 2 rounds "$bin" --config "$dir/good.toml" --settings "$dir/bad.hcl" --check-config
-expect environment 2 rounds env RINGROCK_SETTINGS="$dir/bad.hcl" "$bin" --config "$dir/good.toml" --check-config
+expect valid-settings 0 fine "$bin" --config "$dir/valid.toml" --check-config
+expect config-not-given 2 config "$bin"
+expect unknown-option 2 bogus "$bin" --bogus
+expect extra-argument 2 argument "$bin" --config "$dir/valid.toml" more
+expect config-missing 2 none.toml "$bin" --config "$dir/none.toml"
+expect log-level 2 LOG_LEVEL env LOG_LEVEL=loud "$bin" --config "$dir/valid.toml" --check-config
+expect tuning 2 rounds \
+    "$bin" --config "$dir/valid.toml" --settings "$dir/invalid.hcl" --check-config
+expect tuning-environment 2 rounds \
+    env RINGROCK_SETTINGS="$dir/invalid.hcl" "$bin" --config "$dir/valid.toml" --check-config
 admission="$(dirname "$0")/../deploy/admission.conf"
-expect admission 0 fine "$bin" --config "$dir/good.toml" --admission "$admission" --check-config
+expect admission 0 fine "$bin" --config "$dir/valid.toml" --admission "$admission" --check-config
 echo 'interval = 5' >"$dir/admission.conf"
-expect admission-unknown 2 "admission.conf:1: no such option" "$bin" --config "$dir/good.toml" --admission "$dir/admission.conf" --check-config
-expect admission-missing 2 none.conf "$bin" --config "$dir/good.toml" --admission "$dir/none.conf" --check-config
-expect admission-environment 2 admission.conf env RINGROCK_ADMISSION="$dir/admission.conf" "$bin" --config "$dir/good.toml" --check-config
+expect admission-unknown 2 "admission.conf:1: no such option" \
+    "$bin" --config "$dir/valid.toml" --admission "$dir/admission.conf" --check-config
+expect admission-missing 2 none.conf \
+    "$bin" --config "$dir/valid.toml" --admission "$dir/none.conf" --check-config
+expect admission-environment 2 admission.conf \
+    env RINGROCK_ADMISSION="$dir/admission.conf" "$bin" --config "$dir/valid.toml" --check-config
 cells="$(dirname "$0")/../deploy/cells.conf"
-expect cells 0 fine "$bin" --config "$dir/good.toml" --cells "$cells" --check-config
-expect cells-and-admission 0 fine "$bin" --config "$dir/good.toml" --cells "$cells" --admission "$admission" --check-config
+expect cells 0 fine "$bin" --config "$dir/valid.toml" --cells "$cells" --check-config
+expect cells-and-admission 0 fine \
+    "$bin" --config "$dir/valid.toml" --cells "$cells" --admission "$admission" --check-config
 sed 's/10.1.0.0.16/10.1.0.0/' "$cells" >"$dir/cells.conf"
-expect cells-network 2 'cells.conf:21: networks: "10.1.0.0" is no CIDR prefix' "$bin" --config "$dir/good.toml" --cells "$dir/cells.conf" --check-config
-expect cells-environment 2 cells.conf:21 env RINGROCK_CELLS="$dir/cells.conf" "$bin" --config "$dir/good.toml" --check-config
-expect cells-missing 2 none.conf "$bin" --config "$dir/good.toml" --cells "$dir/none.conf" --check-config
-{ cat "$dir/good.toml"; printf '[deployment.limits]\nmax_sockets = 100\n'; } >"$dir/sockets.toml"
-expect no-sockets 2 'no room' "$bin" --config "$dir/sockets.toml" --check-config
-[ "$fails" = 0 ]
+expect cells-network 2 'cells.conf:21: networks: "10.1.0.0" is no CIDR prefix' \
+    "$bin" --config "$dir/valid.toml" --cells "$dir/cells.conf" --check-config
+expect cells-environment 2 cells.conf:21 \
+    env RINGROCK_CELLS="$dir/cells.conf" "$bin" --config "$dir/valid.toml" --check-config
+expect cells-missing 2 none.conf \
+    "$bin" --config "$dir/valid.toml" --cells "$dir/none.conf" --check-config
+{ cat "$dir/valid.toml"; printf '[deployment.limits]\nmax_sockets = 100\n'; } >"$dir/sockets.toml"
+expect max-sockets 2 'no room' "$bin" --config "$dir/sockets.toml" --check-config
+[ "$failures" = 0 ]
--- a/tests/include_direction.sh
+++ b/tests/include_direction.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Folders of src/ depend on each other in one direction: a file includes headers of its own folder and of
-# folders further down (docs/architecture.md has the picture). Argument: the project's root.
+# Checks that folders of src/ depend on each other in one direction only: a file includes headers of
+# its own folder and of folders in lower layers (docs/architecture.md shows the layers).
+# Usage: include_direction.sh PROJECT_ROOT
 set -euo pipefail
 cd "$1/src"
 
-# Lowest first. Folders on one line don't include each other.
+# Lowest layer first. Folders of one layer do not include each other.
 layers=(
   "common wire conf"
   "core/state"
@@ -21,9 +22,9 @@
   "cells"
   "app"
 )
-declare -A rank
+declare -A layer_of
 for i in "${!layers[@]}"; do
-  for folder in ${layers[$i]}; do rank[$folder]=$i; done
+  for folder in ${layers[$i]}; do layer_of[$folder]=$i; done
 done
 
 failed=0
@@ -33,15 +34,15 @@
   from="$(dirname "$file")"
   to="$(dirname "$header")"
   checked=$((checked + 1))
-  if [[ -z "${rank[$from]:-}" || -z "${rank[$to]:-}" ]]; then
-    echo "$file includes $header: a folder without a layer"
+  if [[ -z "${layer_of[$from]:-}" || -z "${layer_of[$to]:-}" ]]; then
+    echo "$file includes $header: no layer is listed for one of their folders"
     failed=1
   elif [[ "$from" == core/* && "$to" == core ]]; then
-    continue # the interface that the folder implements, or the struct with a part for each folder
-  elif [[ "$from" != "$to" && "${rank[$to]}" -ge "${rank[$from]}" ]]; then
-    echo "$file includes $header: against the direction"
+    continue # an interface that the folder implements, or the struct with a part for each folder
+  elif [[ "$from" != "$to" && "${layer_of[$to]}" -ge "${layer_of[$from]}" ]]; then
+    echo "$file includes $header: the header's folder is not in a lower layer"
     failed=1
   fi
 done < <(grep -roE '#include "[^"]+"' --include='*.c' --include='*.h' --include='*.cpp' . | sed -E 's/#include "(.*)"/\1/')
-[ "$checked" -gt 0 ] || { echo "no includes found"; exit 1; }
+[ "$checked" -gt 0 ] || { echo "no includes found below $PWD"; exit 1; }
 exit "$failed"
--- a/tests/processes.c
+++ b/tests/processes.c
@@ -9,14 +9,16 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define ARGUMENTS_MAX 16
-#define READY_WITHIN_S 60
+#define ARGV_SIZE 16 /* program, "--config", file, arguments and the final NULL */
+#define READY_TIMEOUT_S 60
+#define READY_POLL_INTERVAL_S 0.05
 
-static void write_seeds(GString *text, const struct controller_process *controllers, int count,
-                        int own) {
+/* Appends the other controllers as [[seeds]] to the settings. */
+static void append_seeds(GString *text, const struct controller_process *controllers, int count,
+                         int own_index) {
     for (int i = 0; i < count; i++) {
         const struct rr_config *config = &controllers[i].config;
-        if (i != own) {
+        if (i != own_index) {
             g_string_append_printf(
                 text, "[[seeds]]\nnode_name = \"%s\"\nzone = \"%s\"\nendpoint = \"127.0.0.1:%u\"\n",
                 config->node_name, config->zone, config->peer_listen.port);
@@ -24,16 +26,17 @@
     }
 }
 
-static void write_file(const struct controller_process *controllers, int count, int own,
-                       const struct platform *platform) {
-    const struct rr_config *config = &controllers[own].config;
+/* Writes the settings file of controller own_index. */
+static void write_settings_file(const struct controller_process *controllers, int count,
+                                int own_index, const struct platform *platform) {
+    const struct rr_config *config = &controllers[own_index].config;
     GString *text = g_string_new(NULL);
     g_string_append_printf(text,
                            "node_name = \"%s\"\nzone = \"%s\"\nbind = \"127.0.0.1:%u\"\n"
                            "peer_listen = \"127.0.0.1:%u\"\n",
                            config->node_name, config->zone, config->bind.port,
                            config->peer_listen.port);
-    write_seeds(text, controllers, count, own);
+    append_seeds(text, controllers, count, own_index);
     g_string_append_printf(text,
                            "[services]\ncloud = \"127.0.0.1:%u\"\nstate = \"127.0.0.1:%u\"\n"
                            "[deployment]\nclock_off_ms = 10.0\n",
@@ -48,7 +51,8 @@
     g_string_append(text, "[deployment.state]\nrps = 2000.0\nwrite_rps = 1000.0\nvalue_kb = 8.0\n"
                           "txn_ops = 16\n[deployment.cloud]\nrps = 100.0\nlist_lag_s = 0.5\n"
                           "[deployment.limits]\nram_mb = 400.0\nmax_sockets = 1000\n");
-    assert_true(g_file_set_contents(controllers[own].file, text->str, (gssize)text->len, NULL));
+    assert_true(
+        g_file_set_contents(controllers[own_index].file, text->str, (gssize)text->len, NULL));
     g_string_free(text, TRUE);
 }
 
@@ -66,21 +70,21 @@
         g_snprintf(controller->log, sizeof controller->log, "%s/%s.log", folder, name);
     }
     for (int i = 0; i < count; i++) {
-        write_file(controllers, count, i, platform);
+        write_settings_file(controllers, count, i, platform);
     }
 }
 
 void process_start(struct controller_process *controller, const char *program,
                    const char *const *arguments) {
-    char *list[ARGUMENTS_MAX] = {(char *)program, "--config", controller->file};
+    char *argv[ARGV_SIZE] = {(char *)program, "--config", controller->file};
     posix_spawn_file_actions_t actions;
-    for (int i = 0; arguments[i] && i + 4 < ARGUMENTS_MAX; i++) {
-        list[i + 3] = (char *)arguments[i];
+    for (int i = 0; arguments[i] && i + 4 < ARGV_SIZE; i++) {
+        argv[i + 3] = (char *)arguments[i];
     }
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, 2, controller->log, O_CREAT | O_WRONLY | O_APPEND,
-                                     0600);
-    assert_int_equal(posix_spawn(&controller->pid, program, &actions, NULL, list, environ), 0);
+    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, controller->log,
+                                     O_CREAT | O_WRONLY | O_APPEND, 0600);
+    assert_int_equal(posix_spawn(&controller->pid, program, &actions, NULL, argv, environ), 0);
     posix_spawn_file_actions_destroy(&actions);
 }
 
@@ -101,10 +105,10 @@
 }
 
 void process_wait_ready(const struct controller_process *controller) {
-    double until = rr_steady_clock_s() + READY_WITHIN_S;
+    double deadline = rr_steady_clock_s() + READY_TIMEOUT_S;
     while (fake_services_call(&controller->config, "GET", "/ready", NULL, 0, NULL) != 200) {
-        assert_true(rr_steady_clock_s() < until);
-        rr_sleep(0.05);
+        assert_true(rr_steady_clock_s() < deadline);
+        rr_sleep(READY_POLL_INTERVAL_S);
     }
 }
 
--- a/tests/processes.h
+++ b/tests/processes.h
@@ -1,4 +1,4 @@
-/* Controllers as real processes on loopback, started from the program's own files. */
+/* Controllers as separate processes of the ringrock program, on loopback. */
 #ifndef RR_TESTS_PROCESSES_H
 #define RR_TESTS_PROCESSES_H
 
@@ -7,34 +7,37 @@
 #include <sys/types.h>
 
 struct controller_process {
-    struct rr_config config; /* addresses, name and zone, as in its file */
-    char file[256], log[256];
-    pid_t pid; /* 0: not running */
+    struct rr_config config; /* its addresses, name and zone are those in the settings file */
+    char file[256];          /* path of the settings file */
+    char log[256];           /* path of the log file */
+    pid_t pid;               /* 0: not running */
 };
 
-/* What the files of one cell's controllers have in common. */
+/* Settings that the controllers of one cell share. */
 struct platform {
-    const char *const *teams;
+    const char *const *teams; /* names */
     unsigned team_count;
-    double report_s, lease_s, cancel_s;
+    double report_s, lease_s, cancel_s; /* of [deployment.workers], in seconds */
 };
 
-/* Gives `count` controllers their ports and names (prefix and number), and an endpoint of their own
- * for the key-value store, and writes their settings files into the folder. */
+/* Gives `count` controllers their ports, their names (prefix and index) and an endpoint each of the
+ * fake services for the key-value store, and writes their settings files into the folder. Each file
+ * lists the other controllers as seeds. */
 void processes_configure(fake_services *services, const char *folder, const char *prefix,
                          const char *zone, const struct platform *platform,
                          struct controller_process *controllers, int count);
-/* Starts the program. arguments: what follows "--config FILE", ended by NULL. */
+/* Starts the program as "program --config FILE arguments", with standard error appended to the log
+ * file. arguments: at most 12, ended by NULL. */
 void process_start(struct controller_process *controller, const char *program,
                    const char *const *arguments);
-/* Sends the signal and waits for the end. Unless killed, the process must exit with 0, which
- * includes that no sanitizer has found anything. */
+/* Sends the signal and waits until the process has ended. Unless the signal is SIGKILL, asserts
+ * exit status 0, which also means that no sanitizer has reported an error. */
 void process_end(struct controller_process *controller, int signal);
-/* Kills the process, if it runs, without a check; for the end of failed tests. */
+/* Kills the process if it runs, and checks nothing. For the teardown of tests, also failed ones. */
 void process_kill(struct controller_process *controller);
-/* Waits until /ready is answered 200. */
+/* Waits until the controller answers /ready with 200; asserts that it does so within 60 s. */
 void process_wait_ready(const struct controller_process *controller);
-/* Removes its settings file and log. */
+/* Removes the controller's settings file and log file. */
 void process_remove_files(const struct controller_process *controller);
 
 #endif
