--- a/src/app/admission.c
+++ b/src/app/admission.c
@@ -57,9 +57,9 @@
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->lock);
     rr_admission_context context = {.lease_valid = rr_core_lease_valid(app->core, now),
-                                    .all_capable = rr_core_all_admission_capable(app->core),
+                                    .all_capable = rr_core_all_members_support_admission(app->core),
                                     .cache_age_s = rr_core_cache_age(app->core, now),
-                                    .controllers = rr_core_live_controllers(app->core)};
+                                    .controllers = rr_core_count_members(app->core)};
     pthread_mutex_unlock(&app->lock);
     return context;
 }
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -48,7 +48,7 @@
     state->announced_interval = interval_start;
     settle_accepted_jobs(app);
     pthread_mutex_lock(&app->lock);
-    bool capable = rr_core_all_admission_capable(app->core);
+    bool capable = rr_core_all_members_support_admission(app->core);
     uint64_t token = rr_core_fencing_token(app->core);
     pthread_mutex_unlock(&app->lock);
     GByteArray *view = g_byte_array_new();
@@ -78,11 +78,11 @@
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->lock);
     bool writes = rr_core_cache_consistent(app->core) && rr_core_is_autoscaler(app->core, now) &&
-                  rr_core_all_admission_capable(app->core);
+                  rr_core_all_members_support_admission(app->core);
     if (writes) {
         rr_offered_load_begin(&state->load);
-        rr_core_each_machine(app->core, visit_machine, &state->load);
-        rr_core_each_job(app->core, visit_job, &state->load);
+        rr_core_foreach_machine(app->core, visit_machine, &state->load);
+        rr_core_foreach_job(app->core, visit_job, &state->load);
         rr_core_guard_term(app->core, transaction);
         pthread_mutex_lock(&state->lock);
         const rr_admission_table *table = rr_admission_newest(state->admission);
@@ -150,13 +150,13 @@
 }
 
 /* Caller holds both locks. */
-static void set_rooms_of_table(struct rr_app *app, const rr_admission_table *table) {
-    double rooms[RR_TEAMS_MAX];
+static void set_fair_shares(struct rr_app *app, const rr_admission_table *table) {
+    double fair_shares[RR_TEAMS_MAX];
     for (size_t i = 0; i < app->config.team_count; i++) {
         const rr_admission_team *team = rr_admission_table_team(table, app->config.teams[i].name);
-        rooms[i] = team ? team->fair_room : 1;
+        fair_shares[i] = team ? team->fair_room : 1;
     }
-    rr_core_set_fair_shares(app->core, rooms, table->cpus, table->gpus, table->mem_gb);
+    rr_core_set_fair_shares(app->core, fair_shares, table->cpus, table->gpus, table->mem_gb);
 }
 
 /* Hands the rooms of the table in force to the core, for this controller's own plans; once for each
@@ -166,11 +166,11 @@
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
     const rr_admission_table *table = rr_admission_table_at(state->admission, wall);
-    bool fresh = table && table->active && rr_core_all_admission_capable(app->core) &&
+    bool fresh = table && table->active && rr_core_all_members_support_admission(app->core) &&
                  wall < table->starts_at + rr_admission_valid_s(table->length_s);
     uint64_t room_table = fresh ? table->sequence : 0;
     if (fresh && room_table != state->room_table) {
-        set_rooms_of_table(app, table);
+        set_fair_shares(app, table);
     } else if (!fresh && state->room_table != 0) {
         rr_core_set_fair_shares(app->core, NULL, 0, 0, 0);
     }
--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -23,7 +23,7 @@
     int rc = rr_cloud_catalog(cloud, machine_types);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
-        rr_core_catalog_read(app->core, rr_steady_clock_s(), machine_types);
+        rr_core_apply_catalog(app->core, rr_steady_clock_s(), machine_types);
         pthread_mutex_unlock(&app->lock);
     }
     g_array_free(machine_types, TRUE);
@@ -36,8 +36,8 @@
     int rc = rr_cloud_list(cloud, machines);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
-        rr_core_machines_listed(app->core, asked_at, rr_steady_clock_s(), rr_wall_clock_s(),
-                                machines);
+        rr_core_apply_machine_list(app->core, asked_at, rr_steady_clock_s(), rr_wall_clock_s(),
+                                   machines);
         pthread_mutex_unlock(&app->lock);
     }
     g_array_free(machines, TRUE);
@@ -50,7 +50,7 @@
     int rc = rr_cloud_rental(cloud, step->rental, step->machine_type, step->zone, step->spot,
                              step->count, &status, ids);
     pthread_mutex_lock(&app->lock);
-    rr_core_scale_out_result(app->core, rr_steady_clock_s(), step, status, ids);
+    rr_core_record_scale_out_result(app->core, rr_steady_clock_s(), step, status, ids);
     pthread_mutex_unlock(&app->lock);
     g_ptr_array_free(ids, TRUE);
     return status == NO_CAPACITY_STATUS ? 0 : rc;
@@ -60,7 +60,7 @@
     int rc = rr_cloud_release(cloud, step->machines);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
-        rr_core_scale_in_result(app->core, rr_steady_clock_s(), step->machines);
+        rr_core_record_scale_in_result(app->core, rr_steady_clock_s(), step->machines);
         pthread_mutex_unlock(&app->lock);
     }
     return rc;
@@ -85,9 +85,9 @@
 static int run_step(struct rr_app *app, rr_store *store, rr_cloud *cloud,
                     const rr_autoscaler_step *step, uint64_t *needed_revision) {
     switch (step->kind) {
-    case RR_AUTOSCALER_CATALOG:
+    case RR_AUTOSCALER_READ_CATALOG:
         return read_catalog(app, cloud);
-    case RR_AUTOSCALER_LIST:
+    case RR_AUTOSCALER_LIST_MACHINES:
         return list_machines(app, cloud);
     case RR_AUTOSCALER_SCALE_OUT:
         return scale_out(app, cloud, step);
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -38,7 +38,7 @@
         if (decoded) {
             digest = rr_app_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
-            share = rr_core_take_command_reply(app->core, rr_steady_clock_s(), &heartbeat, peer) &&
+            share = rr_core_apply_command_reply(app->core, rr_steady_clock_s(), &heartbeat, peer) &&
                     share;
             subscribers = rr_core_heartbeat_subscribers(app->core, digest.machine, &occasional);
             pthread_mutex_unlock(&app->lock);
@@ -70,8 +70,8 @@
     delivery->rc =
         rr_worker_call(client, batch->address, status_only ? NULL : encoder->buffer.data,
                        status_only ? 0 : encoder->buffer.size, batch_timeout_s(batch), &reply);
-    if (delivery->rc == -ENOTCONN && batch->fallback >= 0) {
-        delivery->peer = batch->fallback;
+    if (delivery->rc == -ENOTCONN && batch->fallback_peer >= 0) {
+        delivery->peer = batch->fallback_peer;
     } else if (delivery->rc == 0) {
         delivery->status = reply.status;
         delivery->heartbeat =
@@ -132,7 +132,8 @@
     rr_log(RR_DEBUG_LEVEL, "commands to %s: %u, via peer %d: %s %ld", batch->machine,
            batch->commands->len, delivery.peer, outcome_name(outcome), delivery.status);
     pthread_mutex_lock(&app->lock);
-    rr_core_command_result(app->core, rr_steady_clock_s(), batch, outcome, delivery.status == 200);
+    rr_core_record_command_result(app->core, rr_steady_clock_s(), batch, outcome,
+                                  delivery.status == 200);
     rr_app_wake_planner(app);
     pthread_mutex_unlock(&app->lock);
 }
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -46,8 +46,8 @@
            "%u tasks placed, %u waiting, so far %u moves, %u machines rented, "
            "%u declared dead or returned, %u leases lost, %u notices",
            line, rr_http_server_connections(app->http_server), stats.machines, stats.booting,
-           stats.jobs_open, stats.tasks_placed, stats.tasks_waiting, stats.moves, stats.rented,
-           stats.machines_terminated, stats.leases_lost, stats.spot_notices);
+           stats.jobs_open, stats.tasks_placed, stats.tasks_waiting, stats.tasks_moved,
+           stats.machines_rented, stats.machines_terminated, stats.leases_lost, stats.spot_notices);
 }
 
 /* Takes the store's budget shares from the core. Prepares a transaction if the term is to change;
@@ -55,9 +55,10 @@
 static bool prepare_term(struct rr_app *app, rr_transaction *transaction, uint64_t *logged_token) {
     struct rr_budget_shares shares;
     pthread_mutex_lock(&app->lock);
-    bool change = rr_core_next_term(app->core, rr_steady_clock_s(), rr_wall_clock_s(), transaction);
+    bool change = rr_core_add_next_term_record(app->core, rr_steady_clock_s(), rr_wall_clock_s(),
+                                               transaction);
     uint64_t token = rr_core_fencing_token(app->core);
-    unsigned controllers = rr_core_live_controllers(app->core);
+    unsigned controllers = rr_core_count_members(app->core);
     rr_core_budget_shares(app->core, &shares);
     if (!change) {
         rr_app_cond_wait(&app->cache_advanced, &app->lock, CACHE_WAIT_S);
--- a/src/app/peer_events.c
+++ b/src/app/peer_events.c
@@ -23,10 +23,10 @@
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
     if (hops == 0) {
-        rr_core_peer_contacted(app->core, now, peer);
+        rr_core_record_peer_contact(app->core, now, peer);
     }
     for (size_t i = 0; i < count; i++) {
-        rr_core_take_heartbeat_digest(app->core, now, &digests[i], peer);
+        rr_core_apply_heartbeat_digest(app->core, now, &digests[i], peer);
     }
     pthread_mutex_unlock(&app->lock);
     if (hops == 0) {
@@ -37,7 +37,7 @@
 static void on_suspect(void *user, const char *machine) {
     struct rr_app *app = user;
     pthread_mutex_lock(&app->lock);
-    rr_core_suspect(app->core, machine, rr_steady_clock_s());
+    rr_core_mark_suspect(app->core, machine, rr_steady_clock_s());
     pthread_mutex_unlock(&app->lock);
 }
 
--- a/src/app/read_barrier_thread.c
+++ b/src/app/read_barrier_thread.c
@@ -51,7 +51,7 @@
  * the previous read. */
 static void wait_for_request_share(struct rr_app *app, double read_at) {
     pthread_mutex_lock(&app->lock);
-    unsigned controllers = rr_core_live_controllers(app->core);
+    unsigned controllers = rr_core_count_members(app->core);
     pthread_mutex_unlock(&app->lock);
     rr_sleep(read_at + REQUESTS_PER_READ * (controllers ? controllers : 1) / app->config.state_rps -
              rr_steady_clock_s());
--- a/src/app/request_router.c
+++ b/src/app/request_router.c
@@ -12,7 +12,7 @@
 
 static void answer_ready(struct rr_app *app, struct rr_http_response *response) {
     pthread_mutex_lock(&app->lock);
-    bool is_ready = rr_core_ready(app->core, rr_steady_clock_s());
+    bool is_ready = rr_core_is_ready(app->core, rr_steady_clock_s());
     pthread_mutex_unlock(&app->lock);
     if (is_ready) {
         response->status = 200;
--- a/src/app/thread_loop.c
+++ b/src/app/thread_loop.c
@@ -23,7 +23,7 @@
     atomic_store(&app->timer_lag_ms, lag_ms);
     if (late_s > TIMER_LATE_S) {
         pthread_mutex_lock(&app->lock);
-        rr_core_set_timers_late(app->core, now);
+        rr_core_record_late_timers(app->core, now);
         pthread_mutex_unlock(&app->lock);
     }
 }
@@ -78,7 +78,7 @@
 static void switch_to_next_limits(struct rr_app *app, bool outcome_unknown) {
     rr_budget_put_next_limits_in_force(app->budget);
     pthread_mutex_lock(&app->lock);
-    rr_core_next_limits_in_force(app->core, outcome_unknown);
+    rr_core_activate_next_limits(app->core, outcome_unknown);
     pthread_cond_broadcast(&app->cache_advanced);
     pthread_mutex_unlock(&app->lock);
 }
@@ -112,6 +112,6 @@
 void rr_app_apply_committed(struct rr_app *app, const rr_transaction *transaction,
                             enum rr_commit_status outcome, uint64_t revision) {
     if (outcome == RR_COMMIT_DONE) {
-        rr_core_apply(app->core, transaction, revision, rr_steady_clock_s());
+        rr_core_cache_apply_transaction(app->core, transaction, revision, rr_steady_clock_s());
     }
 }
--- a/src/app/user_batch.c
+++ b/src/app/user_batch.c
@@ -71,12 +71,12 @@
         return;
     }
     rr_encoder_init(&encoder);
-    rr_core_batch_begin(&encoder, count);
+    rr_core_begin_job_batch(&encoder, count);
     for (guint i = 0; i < count; i++) {
         msgpack_sbuffer_write(&encoder.buffer, entries[i]->value.buffer.data,
                               entries[i]->value.buffer.size);
     }
-    rr_core_batch_key(lease_id, ++*batch_count, key, sizeof key);
+    rr_core_job_batch_key(lease_id, ++*batch_count, key, sizeof key);
     rr_transaction_guard(transaction, key, 0);
     rr_transaction_put(transaction, key, &encoder, 0);
 }
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -27,7 +27,7 @@
 
 static void read_view(struct rr_app *app, const char *job_id, rr_job_view *view) {
     pthread_mutex_lock(&app->lock);
-    rr_core_job_view(app->core, job_id, rr_steady_clock_s(), view);
+    rr_core_get_job_view(app->core, job_id, rr_steady_clock_s(), view);
     pthread_mutex_unlock(&app->lock);
 }
 
@@ -84,7 +84,7 @@
     }
     rr_core_job_key(submission->job_id, commit.key, sizeof commit.key);
     rr_encoder_init(&commit.value);
-    rr_core_job_encode(&commit.value, submission, rr_wall_clock_s(), false);
+    rr_core_encode_job(&commit.value, submission, rr_wall_clock_s(), false);
     if (JSON_OVERHEAD * (double)commit.value.buffer.size > rr_value_kb_max(&app->config) * 1024) {
         rr_app_refuse(response, 400, "too large", 0);
     } else if (!rr_user_commit_run(app, &commit)) {
@@ -252,7 +252,8 @@
     rr_encoder_init(&commit.value);
     rr_core_job_key(job_id, commit.key, sizeof commit.key);
     pthread_mutex_lock(&app->lock);
-    bool can_cancel = rr_core_cancel_record(app->core, job_id, &commit.value, &commit.version);
+    bool can_cancel =
+        rr_core_encode_cancelled_job(app->core, job_id, &commit.value, &commit.version);
     bool is_local = !can_cancel || rr_app_cells_guard_cancel(app, job_id, &commit);
     pthread_mutex_unlock(&app->lock);
     enum cancel_progress progress = CANCEL_ANSWERED;
--- a/src/app/watch_thread.c
+++ b/src/app/watch_thread.c
@@ -151,7 +151,7 @@
     rr_document document;
     pthread_mutex_lock(&app->lock);
     uint64_t revision = rr_core_revision(app->core);
-    unsigned controllers = rr_core_live_controllers(app->core);
+    unsigned controllers = rr_core_count_members(app->core);
     pthread_mutex_unlock(&app->lock);
     rr_app_pause(app,
                  *opened_at +
--- a/src/app/worker_requests.c
+++ b/src/app/worker_requests.c
@@ -18,7 +18,7 @@
 /* Takes the heartbeat, and wakes the planner if it changes something. Caller holds `lock`. */
 static enum rr_heartbeat_effect take_and_wake(struct rr_app *app, double now,
                                               rr_heartbeat *heartbeat, int peer) {
-    enum rr_heartbeat_effect effect = rr_core_take_heartbeat(app->core, now, heartbeat, peer);
+    enum rr_heartbeat_effect effect = rr_core_apply_heartbeat(app->core, now, heartbeat, peer);
     if (effect == RR_HEARTBEAT_CHANGED) {
         rr_app_wake_planner(app);
     }
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -103,14 +103,14 @@
     (void)done;
     if (rr_core_find_job(visit->absent->cache, submission->job_id, &job) && !job.done &&
         !job.cancelled) {
-        visit->callback(visit->user, submission, job.at,
+        visit->callback(visit->user, submission, job.accepted_at,
                         rr_absent_out_of(visit->absent, submission->job_id));
     }
 }
 
 void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn callback, void *user) {
     struct visit visit = {absent, callback, user};
-    rr_core_each_job(absent->cache, visit_job, &visit);
+    rr_core_foreach_job(absent->cache, visit_job, &visit);
 }
 
 /* ---- changes ---- */
@@ -128,7 +128,7 @@
     const rr_absent_out *before = rr_absent_out_of(absent, job_id);
     rr_out_record record = {.state = RR_HOME_OFFERED, .claim = 1};
     if ((before && before->record.state != RR_HOME_LOCAL) ||
-        !rr_core_guard_job(absent->cache, job_id, out)) {
+        !rr_core_guard_open_job(absent->cache, job_id, out)) {
         return false;
     }
     record.claim += before ? before->record.claim : 0;
@@ -139,7 +139,7 @@
 }
 
 bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out) {
-    if (!rr_core_finish_job(absent->cache, job_id, true, out)) {
+    if (!rr_core_add_finished_job_record(absent->cache, job_id, true, out)) {
         return false;
     }
     change_out(absent, job_id, NULL, out);
--- a/src/cells/incoming_offers.c
+++ b/src/cells/incoming_offers.c
@@ -39,8 +39,8 @@
         return;
     }
     rr_cells_room sum = {0};
-    rr_core_each_machine(transfers->core, add_machine, &sum);
-    rr_core_each_job(transfers->core, subtract_job, &sum);
+    rr_core_foreach_machine(transfers->core, add_machine, &sum);
+    rr_core_foreach_job(transfers->core, subtract_job, &sum);
     double share = transfers->settings->guest_share;
     transfers->room = (rr_cells_room){share * sum.cpus, share * sum.gpus, share * sum.mem_gb};
     transfers->room_at = now;
@@ -50,7 +50,7 @@
 static bool takes_jobs(const rr_transfers *transfers) {
     return !transfers->spill.spilling &&
            transfers->longest_wait_s <= transfers->settings->end_wait_s &&
-           rr_core_all_hold_capable(transfers->core);
+           rr_core_all_members_support_holds(transfers->core);
 }
 
 rr_cells_room rr_transfers_room(rr_transfers *transfers, double now) {
@@ -87,7 +87,7 @@
     rr_encoder encoder;
     rr_incoming_make_write(transfers, entry, write);
     rr_encoder_init(&encoder);
-    rr_core_job_encode(&encoder, submission, accepted_at, false);
+    rr_core_encode_job(&encoder, submission, accepted_at, false);
     rr_core_job_key(entry->local_id, key, sizeof key);
     rr_transaction_guard(&write->transaction, key, 0);
     rr_transaction_put(&write->transaction, key, &encoder, 0);
--- a/src/cells/incoming_records.c
+++ b/src/cells/incoming_records.c
@@ -93,10 +93,10 @@
 void rr_incoming_plan_end_of_copy(rr_transfers *transfers, const rr_incoming *entry,
                                   rr_transfers_plan *plan) {
     rr_transfer_write write;
-    rr_core_revoke_job(transfers->core, entry->local_id);
+    rr_core_revoke_job_release(transfers->core, entry->local_id);
     begin_write(transfers, entry, &write);
     write.ends_copy = true;
-    if (rr_core_abandon_job(transfers->core, entry->local_id, &write.transaction)) {
+    if (rr_core_add_cancelled_job_record(transfers->core, entry->local_id, &write.transaction)) {
         rr_transfers_plan_add(plan, &write);
     } else {
         rr_transfer_write_clear(&write);
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -60,7 +60,7 @@
     rr_cells_add_item(items, submission->job_id, offer);
     rr_cells_item *item = &g_array_index(items, rr_cells_item, items->len - 1);
     rr_encoder_init(&packed);
-    rr_core_job_encode(&packed, submission, accepted_at, false);
+    rr_core_encode_job(&packed, submission, accepted_at, false);
     item->submission = g_byte_array_new();
     g_byte_array_append(item->submission, (const guint8 *)packed.buffer.data,
                         (guint)packed.buffer.size);
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -34,7 +34,7 @@
     entry->offered_at = now;
     rr_cells_request *request =
         rr_transfers_plan_request(transfers, plan, neighbour, entry->record.team);
-    rr_cells_add_offer(request->items, &step.message, job.submission, job.at);
+    rr_cells_add_offer(request->items, &step.message, job.submission, job.accepted_at);
 }
 
 static bool guest_is_lost(const rr_transfers *transfers, const rr_outgoing *entry, double now) {
--- a/src/cells/outgoing_offers.c
+++ b/src/cells/outgoing_offers.c
@@ -104,7 +104,7 @@
                        rr_transfers_plan *plan) {
     struct choice choice = {
         .transfers = transfers, .cell = &transfers->settings->neighbours[neighbour], .wall = wall};
-    rr_core_each_spillable(transfers->core, now, consider_job, &choice);
+    rr_core_foreach_spillable_job(transfers->core, now, consider_job, &choice);
     transfers->longest_wait_s = choice.longest_wait_s;
     if (!rr_spill_update(&transfers->spill, transfers->settings, choice.longest_wait_s) ||
         !rr_spill_may_ask(&transfers->pauses[neighbour], now) || choice.count == 0) {
--- a/src/cells/outgoing_records.c
+++ b/src/cells/outgoing_records.c
@@ -114,7 +114,8 @@
 static bool add_end(rr_transfers *transfers, const rr_outgoing *entry,
                     rr_transaction *transaction) {
     bool done = entry->home.writing.answer == RR_ANSWER_DONE;
-    bool possible = !done || rr_core_finish_job(transfers->core, entry->job_id, false, transaction);
+    bool possible = !done || rr_core_add_finished_job_record(transfers->core, entry->job_id, false,
+                                                             transaction);
     rr_cells_out_write(transaction, entry->job_id, entry->version, NULL);
     return possible;
 }
@@ -125,7 +126,7 @@
                             rr_transaction *transaction) {
     bool offers = entry->home.writing.state == RR_HOME_OFFERED;
     rr_out_record record = next_record(transfers, entry, wall);
-    bool possible = !offers || rr_core_guard_job(transfers->core, entry->job_id, transaction);
+    bool possible = !offers || rr_core_guard_open_job(transfers->core, entry->job_id, transaction);
     rr_cells_out_write(transaction, entry->job_id, entry->version, &record);
     return possible;
 }
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -47,7 +47,7 @@
     }
     rr_incoming_look(transfers, neighbour, now, plan);
     rr_outgoing_look(transfers, neighbour, now, wall, plan);
-    if (may_offer && rr_core_all_hold_capable(transfers->core)) {
+    if (may_offer && rr_core_all_members_support_holds(transfers->core)) {
         rr_outgoing_offer(transfers, neighbour, now, wall, plan);
     }
 }
--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -44,14 +44,14 @@
         return false;
     }
     core->autoscaling.machines_listed_at = now;
-    out->kind = RR_AUTOSCALER_LIST;
+    out->kind = RR_AUTOSCALER_LIST_MACHINES;
     return true;
 }
 
 void rr_core_autoscaler_step(rr_core *core, double now, double wall, rr_autoscaler_step *out) {
     out->kind = RR_AUTOSCALER_NONE;
     if (!rr_core_is_autoscaler(core, now) || !rr_core_cache_consistent(core) ||
-        core->membership.new_term_wanted) {
+        core->membership.new_term_due) {
         return;
     }
     if (core->autoscaling.term_token != core->membership.term.token) {
--- a/src/core/autoscaling/autoscaling_state.h
+++ b/src/core/autoscaling/autoscaling_state.h
@@ -20,12 +20,12 @@
 
 /* The recorded rentals, and what the autoscaler has observed of the cloud. */
 struct rr_autoscaling {
-    GHashTable *rentals;          /* name -> rr_rental: all recorded intents */
-    GArray *catalog_types;        /* rr_machine_type: the catalogue as last read from the cloud */
-    GHashTable *refused_capacity; /* "type|zone|spot" -> double*: steady, requested again then */
-    GHashTable *stray_failed;     /* set of names: machines listed as failed that have no record */
-    uint64_t term_token;          /* of the last term in which this controller was the autoscaler */
-    double began_at;              /* steady: when this controller became autoscaler of that term */
+    GHashTable *rentals;         /* name -> rr_rental: all recorded intents */
+    GArray *cloud_machine_types; /* rr_machine_type: the catalogue as last read from the cloud */
+    GHashTable *capacity_refused_until; /* "type|zone|spot" -> double*: steady, asked again then */
+    GHashTable *failed_unrecorded_machines; /* set of names: listed as failed, without a record */
+    uint64_t term_token; /* of the last term in which this controller was the autoscaler */
+    double began_at;     /* steady: when this controller became autoscaler of that term */
     /* When the machines were last listed, or their list was last requested: steady, 0: never in
      * this term. */
     double machines_listed_at;
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -96,7 +96,7 @@
  * them. Machines spread over several zones are of no use to a gang that must run in one. */
 static void restrict_to_one_zone(const struct rr_demand_simulation *sim, const rr_job *job,
                                  bool *zones) {
-    int best = rr_zone_with_most_room(sim->core, job, zones, sim->now);
+    int best = rr_choose_zone(sim->core, job, zones, sim->now);
     for (guint zone = 0; zone < sim->core->stored.zones.names->len; zone++) {
         best = best < 0 && zones[zone] ? (int)zone : best;
         zones[zone] = (int)zone == best;
@@ -140,7 +140,7 @@
         if (tasks == 0) {
             continue;
         }
-        rr_job_zones(core, job, zones, NULL);
+        rr_compute_allowed_zones(core, job, zones, NULL);
         if (job->submission.kind == RR_JOB_GANG && job->submission.one_zone) {
             restrict_to_one_zone(sim, job, zones);
         }
@@ -176,7 +176,8 @@
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->placements->len == 0 ||
             !rr_machine_counts_as_capacity(core, machine, sim->now) ||
-            !rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot)) {
+            !rr_job_allows_machine(core, job, machine->machine_type, machine->zone,
+                                   machine->spot)) {
             continue;
         }
         for (guint k = 0; k < machine->placements->len; k++) {
@@ -193,8 +194,8 @@
 static double count_arrived_tasks(const rr_core *core, const char *job_class, const rr_job **last) {
     double tasks = 0;
     *last = NULL;
-    for (guint i = 0; i < core->stored.arrivals->len; i++) {
-        const rr_job *job = g_array_index(core->stored.arrivals, rr_job *, i);
+    for (guint i = 0; i < core->stored.recent_arrivals->len; i++) {
+        const rr_job *job = g_array_index(core->stored.recent_arrivals, rr_job *, i);
         if (strcmp(job->submission.job_class, job_class) == 0) {
             *last = job;
             tasks += job->accepted_at > core->membership.term.first_term_at + INITIAL_BACKLOG_S
--- a/src/core/autoscaling/catalog.c
+++ b/src/core/autoscaling/catalog.c
@@ -12,9 +12,9 @@
 /* A failed read is repeated after this time. */
 #define CATALOG_RETRY_S 2.0
 
-void rr_core_catalog_read(rr_core *core, double now, const GArray *machine_types) {
+void rr_core_apply_catalog(rr_core *core, double now, const GArray *machine_types) {
     core->autoscaling.catalog_read_at = now;
-    g_array_set_size(core->autoscaling.catalog_types, 0);
+    g_array_set_size(core->autoscaling.cloud_machine_types, 0);
     for (guint i = 0; i < machine_types->len; i++) {
         const rr_machine_type *type = &g_array_index(machine_types, rr_machine_type, i);
         rr_machine_type copy = *type;
@@ -22,7 +22,7 @@
         for (guint k = 0; k < type->zones->len; k++) {
             g_ptr_array_add(copy.zones, g_strdup(g_ptr_array_index(type->zones, k)));
         }
-        g_array_append_val(core->autoscaling.catalog_types, copy);
+        g_array_append_val(core->autoscaling.cloud_machine_types, copy);
     }
 }
 
@@ -52,9 +52,9 @@
  * written again until the store cache shows it, because a transaction fails if the term changes.
  * Returns whether the transaction has any changes. */
 static bool record_machine_types(const rr_core *core, rr_transaction *transaction) {
-    for (guint i = 0; i < core->autoscaling.catalog_types->len; i++) {
+    for (guint i = 0; i < core->autoscaling.cloud_machine_types->len; i++) {
         const rr_machine_type *type =
-            &g_array_index(core->autoscaling.catalog_types, rr_machine_type, i);
+            &g_array_index(core->autoscaling.cloud_machine_types, rr_machine_type, i);
         if ((int)transaction->changes->len >= rr_transaction_changes_max(core->config)) {
             break;
         }
@@ -74,7 +74,7 @@
     }
     if (*read_at == 0 || now - *read_at > CATALOG_INTERVAL_S) {
         *read_at = now - CATALOG_INTERVAL_S + CATALOG_RETRY_S;
-        out->kind = RR_AUTOSCALER_CATALOG;
+        out->kind = RR_AUTOSCALER_READ_CATALOG;
         return true;
     }
     return false;
--- a/src/core/autoscaling/cloud_observations.c
+++ b/src/core/autoscaling/cloud_observations.c
@@ -16,7 +16,7 @@
            now - *gone_at < GONE_LIST_LAGS * core->config->list_lag_s + GONE_LISTED_MAX_S;
 }
 
-/* Returns the key in refused_capacity, which the caller has to free. */
+/* Returns the key in capacity_refused_until, which the caller has to free. */
 static char *refusal_key(const char *machine_type, const char *zone, bool spot) {
     return g_strdup_printf("%s|%s|%d", machine_type, zone, spot);
 }
@@ -24,7 +24,7 @@
 bool rr_capacity_refused(const rr_core *core, const char *machine_type, const char *zone, bool spot,
                          double now) {
     char *key = refusal_key(machine_type, zone, spot);
-    const double *until = g_hash_table_lookup(core->autoscaling.refused_capacity, key);
+    const double *until = g_hash_table_lookup(core->autoscaling.capacity_refused_until, key);
     g_free(key);
     return until && now < *until;
 }
@@ -33,6 +33,6 @@
                                 bool spot, double now) {
     double *until = g_new(double, 1);
     *until = now + CAPACITY_REFUSAL_S;
-    g_hash_table_replace(core->autoscaling.refused_capacity, refusal_key(machine_type, zone, spot),
-                         until);
+    g_hash_table_replace(core->autoscaling.capacity_refused_until,
+                         refusal_key(machine_type, zone, spot), until);
 }
--- a/src/core/autoscaling/demand_simulation.c
+++ b/src/core/autoscaling/demand_simulation.c
@@ -86,7 +86,7 @@
     g_ptr_array_set_size(sim->machines_with_room, 0);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        core->counters.machines_visited++;
+        core->counters.machines_examined++;
         if (rr_machine_counts_as_capacity(core, machine, sim->now) && has_room(core, machine)) {
             g_ptr_array_add(sim->machines_with_room, machine);
         }
@@ -99,11 +99,12 @@
                                  const struct rr_task_demand *demand, uint32_t remaining) {
     const rr_job *job = demand->job;
     if (machine->zone < 0 || !demand->zones[machine->zone] ||
-        !rr_job_allows(sim->core, job, machine->machine_type, machine->zone, machine->spot)) {
+        !rr_job_allows_machine(sim->core, job, machine->machine_type, machine->zone,
+                               machine->spot)) {
         return 0;
     }
-    uint32_t tasks =
-        rr_tasks_fitting(job->request, machine->free, MIN(remaining, demand->per_machine_max));
+    uint32_t tasks = rr_count_fitting_tasks(job->request, machine->free,
+                                            MIN(remaining, demand->per_machine_max));
     machine->free = rr_resources_add(machine->free, job->request, -(double)tasks);
     machine->surplus = machine->surplus && tasks == 0;
     return tasks;
@@ -118,7 +119,7 @@
     guint i = 0;
     for (; i < sim->machines_with_room->len && remaining > 0; i++) {
         rr_machine *machine = g_ptr_array_index(sim->machines_with_room, i);
-        sim->core->counters.machines_visited++;
+        sim->core->counters.machines_examined++;
         remaining -= place_on_machine(sim, machine, demand, remaining);
         if (has_room(sim->core, machine)) {
             sim->machines_with_room->pdata[kept++] = machine;
@@ -168,7 +169,8 @@
         struct rr_planned_rental *planned =
             &g_array_index(sim->planned, struct rr_planned_rental, i);
         if (zones[planned->zone] &&
-            rr_job_allows(sim->core, job, planned->machine_type, planned->zone, planned->spot) &&
+            rr_job_allows_machine(sim->core, job, planned->machine_type, planned->zone,
+                                  planned->spot) &&
             rr_resources_fit(job->request, planned->free)) {
             return planned;
         }
--- a/src/core/autoscaling/machine_list.c
+++ b/src/core/autoscaling/machine_list.c
@@ -34,7 +34,7 @@
 static rr_machine *adopt_listed_machine(rr_core *core, const rr_listed_machine *listed, double now,
                                         double wall) {
     if (listed->state == RR_LISTED_FAILED) {
-        g_hash_table_add(core->autoscaling.stray_failed, g_strdup(listed->id));
+        g_hash_table_add(core->autoscaling.failed_unrecorded_machines, g_strdup(listed->id));
         return NULL;
     }
     if (rr_machine_recently_gone(core, listed->id, now)) {
@@ -66,19 +66,19 @@
     if (!machine->address[0]) {
         g_strlcpy(machine->address, listed->address, sizeof machine->address);
     }
-    if (!machine->listed) {
-        machine->listed = true;
-        machine->listed_at = asked_at;
+    if (!machine->cloud_listed) {
+        machine->cloud_listed = true;
+        machine->cloud_listed_at = asked_at;
     }
-    machine->list_failed = listed->state == RR_LISTED_FAILED;
+    machine->gone_from_cloud = listed->state == RR_LISTED_FAILED;
 }
 
 /* Returns whether a machine that is missing from a list requested at asked_at is gone. A machine
  * that has been listed stays listed until it is gone. */
 static bool missing_means_gone(const rr_core *core, const rr_machine *machine, double asked_at) {
     double lag = core->config->list_lag_s;
-    return machine->listed
-               ? asked_at > machine->listed_at + LISTED_GONE_LAGS * lag + LISTED_GONE_MARGIN_S
+    return machine->cloud_listed
+               ? asked_at > machine->cloud_listed_at + LISTED_GONE_LAGS * lag + LISTED_GONE_MARGIN_S
                : asked_at > fmax(machine->known_at, core->autoscaling.began_at) +
                                 UNLISTED_GONE_LAGS * lag + UNLISTED_GONE_MARGIN_S;
 }
@@ -93,17 +93,17 @@
         }
         machine->to_record = machine->to_record && machine->rented;
         if (machine->recorded && missing_means_gone(core, machine, asked_at)) {
-            machine->list_failed = true;
+            machine->gone_from_cloud = true;
         }
     }
 }
 
-void rr_core_machines_listed(rr_core *core, double asked_at, double now, double wall,
-                             const GArray *machines) {
+void rr_core_apply_machine_list(rr_core *core, double asked_at, double now, double wall,
+                                const GArray *machines) {
     GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
     core->autoscaling.machines_listed_at = now;
     core->autoscaling.machines_listed = true;
-    g_hash_table_remove_all(core->autoscaling.stray_failed);
+    g_hash_table_remove_all(core->autoscaling.failed_unrecorded_machines);
     for (guint i = 0; i < machines->len; i++) {
         const rr_listed_machine *listed = &g_array_index(machines, rr_listed_machine, i);
         g_hash_table_add(names, (gpointer)listed->id);
--- a/src/core/autoscaling/machine_records.c
+++ b/src/core/autoscaling/machine_records.c
@@ -44,7 +44,7 @@
 /* Adds the change that the machine's record needs, if any. */
 static void update_record(struct rr_page_changes *changes, rr_machine *machine, double now,
                           double wall) {
-    if (machine->recorded && machine->list_failed) {
+    if (machine->recorded && machine->gone_from_cloud) {
         remove_from_page(changes, machine);
     } else if (machine->recorded && machine->to_release != machine->scaling_in) {
         rr_change_page(changes, machine->page); /* the record's flag follows to_release */
--- a/src/core/autoscaling/page_changes.c
+++ b/src/core/autoscaling/page_changes.c
@@ -117,7 +117,7 @@
             return rr_change_page(changes, GPOINTER_TO_UINT(id));
         }
     }
-    return rr_change_page(changes, core->stored.next_page++);
+    return rr_change_page(changes, core->stored.next_page_id++);
 }
 
 /* Writes some of the page's machines to a new page. The old page is rewritten without them only
@@ -141,7 +141,7 @@
             moved_bytes += bytes;
         }
     }
-    add_changed_page(changes, core->stored.next_page++, moved);
+    add_changed_page(changes, core->stored.next_page_id++, moved);
 }
 
 /* The machines that belong to a page now, whatever its record still names. */
--- a/src/core/autoscaling/rental_choice.c
+++ b/src/core/autoscaling/rental_choice.c
@@ -39,7 +39,7 @@
                                int machine_type, int zone, bool spot) {
     const rr_core *core = search->core;
     return zone >= 0 && search->zones[zone] &&
-           rr_job_allows(core, search->job, machine_type, zone, spot) &&
+           rr_job_allows_machine(core, search->job, machine_type, zone, spot) &&
            !rr_capacity_refused(core, type->name, rr_name_index_at(&core->stored.zones, zone), spot,
                                 search->now);
 }
--- a/src/core/autoscaling/rentals.c
+++ b/src/core/autoscaling/rentals.c
@@ -180,8 +180,8 @@
     }
 }
 
-void rr_core_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step, int status,
-                              const GPtrArray *ids) {
+void rr_core_record_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step,
+                                     int status, const GPtrArray *ids) {
     rr_rental *rental = g_hash_table_lookup(core->autoscaling.rentals, step->rental);
     const char *purchase_option = step->spot ? "spot" : "on-demand";
     if (!rental) {
@@ -205,7 +205,7 @@
         g_ptr_array_add(rental->machine_ids, g_strdup(id));
         record_rented_machine(core, now, step, id);
     }
-    core->counters.rented += ids->len;
+    core->counters.machines_rented += ids->len;
     rr_log_at(core, RR_LOG_DEBUG, "rental %s: rented %u of %d %s %s machines in zone %s",
               step->rental, ids->len, rental->count, step->machine_type, purchase_option,
               step->zone);
--- a/src/core/autoscaling/scale_in.c
+++ b/src/core/autoscaling/scale_in.c
@@ -79,7 +79,7 @@
 /* Returns whether a release that has not been requested yet can be cancelled: the machine has tasks
  * and a recent heartbeat. */
 static bool may_cancel_release(const rr_core *core, const rr_machine *machine, double now) {
-    return machine->to_release && machine->placements->len > 0 && !machine->releasing &&
+    return machine->to_release && machine->placements->len > 0 && !machine->release_requested &&
            rr_machine_heartbeat_recent(core, machine, now);
 }
 
@@ -114,7 +114,8 @@
 void rr_reset_scale_in(rr_core *core, double now) {
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        machine->list_failed = machine->listed = machine->surplus = machine->releasing = false;
+        machine->gone_from_cloud = machine->cloud_listed = machine->surplus =
+            machine->release_requested = false;
         machine->to_release = machine->scaling_in;
         machine->declared_dead = machine->scaling_in && machine->placements->len > 0 &&
                                  !rr_machine_heartbeat_recent(core, machine, now);
@@ -130,7 +131,7 @@
 static bool may_be_released(const rr_machine *machine, double now) {
     bool empty = machine->placements->len == 0 && now - machine->scaling_in_at > SCALE_IN_DELAY_S;
     return machine->recorded && machine->scaling_in && machine->to_release &&
-           !machine->list_failed && (empty || machine->declared_dead);
+           !machine->gone_from_cloud && (empty || machine->declared_dead);
 }
 
 bool rr_prepare_scale_in_step(rr_core *core, double now, rr_autoscaler_step *out) {
@@ -140,10 +141,10 @@
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (out->machines->len < SCALE_IN_MACHINES_MAX && may_be_released(machine, now)) {
             g_ptr_array_add(out->machines, g_strdup(machine->name));
-            machine->releasing = true;
+            machine->release_requested = true;
         }
     }
-    g_hash_table_iter_init(&iter, core->autoscaling.stray_failed);
+    g_hash_table_iter_init(&iter, core->autoscaling.failed_unrecorded_machines);
     while (g_hash_table_iter_next(&iter, &key, NULL) &&
            out->machines->len < SCALE_IN_MACHINES_MAX) {
         g_ptr_array_add(out->machines, g_strdup(key));
@@ -157,13 +158,14 @@
 
 /* ---- results ---- */
 
-void rr_core_scale_in_result(rr_core *core, double now, const GPtrArray *ids) {
+void rr_core_record_scale_in_result(rr_core *core, double now, const GPtrArray *ids) {
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
         rr_machine *machine = g_hash_table_lookup(core->stored.machines, id);
-        g_hash_table_remove(core->autoscaling.stray_failed, id);
+        g_hash_table_remove(core->autoscaling.failed_unrecorded_machines, id);
         if (machine && machine->recorded) {
-            machine->list_failed = true; /* gone with all its tasks: its record can be removed */
+            machine->gone_from_cloud =
+                true; /* gone with all its tasks: its record can be removed */
             rr_log_at(core, RR_LOG_DEBUG, "machine %s was released %.0f s after it became known",
                       id, now - machine->known_at);
         } else if (machine && machine->placements->len == 0) {
--- a/src/core/cache_feed.h
+++ b/src/core/cache_feed.h
@@ -20,7 +20,8 @@
 void rr_core_cache_delete(rr_core *core, const char *key, uint64_t version, double now);
 /* Applies this controller's own transaction, committed at this revision, so that planning need not
  * wait for the watch to deliver it. */
-void rr_core_apply(rr_core *core, const rr_transaction *transaction, uint64_t revision, double now);
+void rr_core_cache_apply_transaction(rr_core *core, const rr_transaction *transaction,
+                                     uint64_t revision, double now);
 
 /* Whether at least one full reload has ended since the start. */
 bool rr_core_cache_loaded(const rr_core *core);
@@ -37,6 +38,6 @@
  * transaction that is valid under the present limits. outcome_unknown: an earlier copy of the
  * transaction went unanswered and may still be committed. A new term is then requested to void that
  * copy, since every plan is guarded by the term's record. */
-void rr_core_next_limits_in_force(rr_core *core, bool outcome_unknown);
+void rr_core_activate_next_limits(rr_core *core, bool outcome_unknown);
 
 #endif
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -6,17 +6,17 @@
 
 static void init_planning(struct rr_planning *planning, const struct rr_config *config) {
     planning->changes_allowed = rr_transaction_changes_max(config);
-    planning->moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
+    planning->planned_moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
     planning->team_reserved = g_array_new(FALSE, TRUE, sizeof(rr_resources));
 }
 
 static void clear_planning(struct rr_planning *planning) {
     g_array_free(planning->team_reserved, TRUE);
-    g_array_free(planning->moves, TRUE);
+    g_array_free(planning->planned_moves, TRUE);
 }
 
 static void init_observations(struct rr_observations *observed) {
-    observed->zone_heartbeats = g_array_new(FALSE, TRUE, sizeof(rr_zone_heartbeats));
+    observed->zone_heartbeats = g_array_new(FALSE, TRUE, sizeof(rr_zone_heartbeat_counts));
     observed->partitioned_at = g_array_new(FALSE, TRUE, sizeof(double));
 }
 
@@ -27,16 +27,18 @@
 
 static void init_autoscaling(struct rr_autoscaling *autoscaling) {
     autoscaling->rentals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rr_rental_free);
-    autoscaling->refused_capacity = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    autoscaling->stray_failed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    autoscaling->catalog_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
-    g_array_set_clear_func(autoscaling->catalog_types, rr_machine_type_clear);
+    autoscaling->capacity_refused_until =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    autoscaling->failed_unrecorded_machines =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    autoscaling->cloud_machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
+    g_array_set_clear_func(autoscaling->cloud_machine_types, rr_machine_type_clear);
 }
 
 static void clear_autoscaling(struct rr_autoscaling *autoscaling) {
-    g_array_free(autoscaling->catalog_types, TRUE);
-    g_hash_table_destroy(autoscaling->stray_failed);
-    g_hash_table_destroy(autoscaling->refused_capacity);
+    g_array_free(autoscaling->cloud_machine_types, TRUE);
+    g_hash_table_destroy(autoscaling->failed_unrecorded_machines);
+    g_hash_table_destroy(autoscaling->capacity_refused_until);
     g_hash_table_destroy(autoscaling->rentals);
 }
 
--- a/src/core/core_internal.h
+++ b/src/core/core_internal.h
@@ -31,10 +31,10 @@
 
 /* Counts since the start, for logs and tests; see rr_core_stats. */
 struct rr_counters {
-    unsigned machines_visited; /* machines examined by plans and demand simulations */
-    unsigned moves_made;
+    unsigned machines_examined; /* machines examined by plans and demand simulations */
+    unsigned tasks_moved;
     unsigned probes_in_flight; /* present number of probes without an outcome yet */
-    unsigned rented, machines_terminated, leases_lost, spot_notices;
+    unsigned machines_rented, machines_terminated, leases_lost, spot_notices;
 };
 
 struct rr_core {
--- a/src/core/extensions.h
+++ b/src/core/extensions.h
@@ -26,9 +26,9 @@
 /* ---- capabilities of the term's members ---- */
 
 /* Whether every member of the term takes part in fair admission. */
-bool rr_core_all_admission_capable(const rr_core *core);
+bool rr_core_all_members_support_admission(const rr_core *core);
 /* Whether every member of the term supports transfer holds. */
-bool rr_core_all_hold_capable(const rr_core *core);
+bool rr_core_all_members_support_holds(const rr_core *core);
 
 /* ---- machines and fair shares ---- */
 
@@ -37,12 +37,12 @@
                                    double gpus, double mem_gb);
 /* Calls back for each recorded machine that is neither gone nor being scaled in and whose type and
  * zone are known. */
-void rr_core_each_machine(const rr_core *core, rr_core_machine_fn callback, void *user);
+void rr_core_foreach_machine(const rr_core *core, rr_core_machine_fn callback, void *user);
 /* Limits each team to its share of the given total resources while other teams wait, as long as the
- * deployment is overloaded. rooms: shares by team index of the settings, copied; NULL: no overload,
- * no limit. */
-void rr_core_set_fair_shares(rr_core *core, const double *rooms, double cpu, double gpu,
-                             double mem);
+ * deployment is overloaded. fair_shares: shares by team index of the settings, copied; NULL: no
+ * overload, no limit. */
+void rr_core_set_fair_shares(rr_core *core, const double *fair_shares, double cpus, double gpus,
+                             double mem_gb);
 
 /* ---- jobs ---- */
 
@@ -53,7 +53,7 @@
                                uint32_t waiting, uint32_t placed, uint32_t done);
 /* Calls back for each job whose record is known. Final jobs of which only the outcome is kept are
  * left out. */
-void rr_core_each_job(const rr_core *core, rr_core_job_fn callback, void *user);
+void rr_core_foreach_job(const rr_core *core, rr_core_job_fn callback, void *user);
 /* Whether the job's record or its outcome is known. */
 bool rr_core_job_known(const rr_core *core, const char *job_id);
 /* Whether the job's cancellation is confirmed, by its record, its outcome or a hint from a peer. */
@@ -62,7 +62,7 @@
 /* The state of a job that a transfer between cells depends on. */
 typedef struct {
     const rr_submission *submission; /* the core's; valid while the caller holds the core's lock */
-    double at;                       /* wall seconds: when the job was accepted */
+    double accepted_at;              /* wall seconds: when the job was accepted */
     bool known;                      /* its record is known */
     bool done, cancelled;
     uint32_t placed;     /* tasks placed on machines */
@@ -77,21 +77,22 @@
 /* Adds the job's final record, as done, to the transaction. Returns false without adding it if the
  * job is not open, or if tasks of it are placed in this cell and placed_tasks_gone does not say
  * that these have ended. */
-bool rr_core_finish_job(const rr_core *core, const char *job_id, bool placed_tasks_gone,
-                        rr_transaction *transaction);
+bool rr_core_add_finished_job_record(const rr_core *core, const char *job_id,
+                                     bool placed_tasks_gone, rr_transaction *transaction);
 /* Guards the transaction with the version of the job's own record. Returns false without a guard if
  * the job is not open. */
-bool rr_core_guard_job(const rr_core *core, const char *job_id, rr_transaction *transaction);
+bool rr_core_guard_open_job(const rr_core *core, const char *job_id, rr_transaction *transaction);
 /* Adds the job's record, as cancelled, to the transaction. Returns false without adding it if the
  * job is not open. */
-bool rr_core_abandon_job(const rr_core *core, const char *job_id, rr_transaction *transaction);
+bool rr_core_add_cancelled_job_record(const rr_core *core, const char *job_id,
+                                      rr_transaction *transaction);
 /* Receives a job that may be offered to another cell. accepted_at: wall seconds. */
 typedef void (*rr_core_spillable_fn)(void *user, const rr_submission *submission,
                                      double accepted_at);
 /* Calls back for each waiting job that this controller plans, that has no task placed or done and
  * that did not come from another cell. */
-void rr_core_each_spillable(const rr_core *core, double now, rr_core_spillable_fn callback,
-                            void *user);
+void rr_core_foreach_spillable_job(const rr_core *core, double now, rr_core_spillable_fn callback,
+                                   void *user);
 
 /* ---- transfer holds ---- */
 
@@ -112,6 +113,6 @@
  * job that is not held. */
 void rr_core_release_job(rr_core *core, const char *job_id, double until);
 /* Ends the job's release and has its running tasks stopped by the next plan. */
-void rr_core_revoke_job(rr_core *core, const char *job_id);
+void rr_core_revoke_job_release(rr_core *core, const char *job_id);
 
 #endif
--- a/src/core/health/contacts.c
+++ b/src/core/health/contacts.c
@@ -17,7 +17,7 @@
            now - contact->continuous_since >= seconds;
 }
 
-void rr_core_peer_contacted(rr_core *core, double now, int peer) {
+void rr_core_record_peer_contact(rr_core *core, double now, int peer) {
     if (peer >= 0 && peer < RR_CONTROLLERS_MAX) {
         rr_contact_record(&core->observed.peer_contacts[peer], now);
     }
@@ -28,7 +28,7 @@
         return false;
     }
     for (guint i = 0; i < core->membership.term.members->len && i < RR_CONTROLLERS_MAX; i++) {
-        int peer = core->membership.peer_of_member[i];
+        int peer = core->membership.peer_by_member[i];
         if (peer >= 0 &&
             !rr_contact_continuous_for(&core->observed.peer_contacts[peer], now, seconds)) {
             return false;
@@ -50,7 +50,7 @@
     return now - core->observed.running_since >= seconds;
 }
 
-void rr_core_set_timers_late(rr_core *core, double now) {
+void rr_core_record_late_timers(rr_core *core, double now) {
     core->observed.timers_late_at = now;
 }
 
--- a/src/core/health/heartbeat_forwarding.c
+++ b/src/core/health/heartbeat_forwarding.c
@@ -8,8 +8,8 @@
  * is no peer of its own and adds nothing. */
 static void add_member_peer(const rr_core *core, int member, uint32_t *peers) {
     if (member >= 0 && (guint)member < core->membership.term.members->len &&
-        member < RR_CONTROLLERS_MAX && core->membership.peer_of_member[member] >= 0) {
-        *peers |= 1u << core->membership.peer_of_member[member];
+        member < RR_CONTROLLERS_MAX && core->membership.peer_by_member[member] >= 0) {
+        *peers |= 1u << core->membership.peer_by_member[member];
     }
 }
 
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -79,15 +79,16 @@
     heartbeat->tasks = NULL;
 }
 
-/* heard_via: index of the peer that forwarded the heartbeat, -1: it was sent to this controller. */
-static void record_arrival(rr_machine *machine, double now, int heard_via) {
-    machine->heartbeat_at = machine->reported_at = now;
+/* forwarding_peer: index of the peer that forwarded the heartbeat, -1: it was sent to this
+ * controller. */
+static void record_arrival(rr_machine *machine, double now, int forwarding_peer) {
+    machine->heartbeat_at = machine->last_own_heartbeat_at = now;
     machine->failed_probes = 0;
-    machine->heard_via = heard_via;
+    machine->forwarding_peer = forwarding_peer;
 }
 
-enum rr_heartbeat_effect rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
-                                                int heard_via) {
+enum rr_heartbeat_effect rr_core_apply_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
+                                                 int forwarding_peer) {
     rr_machine *machine = find_or_add_machine(core, heartbeat->machine, now);
     if (!machine || !is_newer(machine, heartbeat)) {
         rr_heartbeat_clear(heartbeat);
@@ -106,9 +107,9 @@
         g_strlcpy(machine->address, heartbeat->address, sizeof machine->address);
     }
     replace_heartbeat(machine, heartbeat, hash);
-    record_arrival(machine, now, heard_via);
+    record_arrival(machine, now, forwarding_peer);
     machine->stale_answers = 0;
-    if (heard_via < 0) {
+    if (forwarding_peer < 0) {
         rr_contact_record(&core->observed.direct_contact, now);
     }
     if (changed) {
@@ -120,7 +121,7 @@
 
 /* Counts consecutive answers that are older than the newest heartbeat: several in a row come from
  * another machine of the same name (see rr_machine_name_reused()). */
-void rr_core_verify_machine(rr_core *core, double now, const rr_heartbeat_digest *digest) {
+void rr_core_record_machine_answer(rr_core *core, double now, const rr_heartbeat_digest *digest) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest->machine);
     if (!machine) {
         return;
@@ -137,24 +138,25 @@
     }
 }
 
-bool rr_core_take_command_reply(rr_core *core, double now, rr_heartbeat *heartbeat, int heard_via) {
+bool rr_core_apply_command_reply(rr_core *core, double now, rr_heartbeat *heartbeat,
+                                 int forwarding_peer) {
     rr_heartbeat_digest digest = {.worker_epoch = heartbeat->worker_epoch,
                                   .sequence = heartbeat->sequence};
     g_strlcpy(digest.machine, heartbeat->machine, sizeof digest.machine);
     const rr_machine *known = g_hash_table_lookup(core->stored.machines, heartbeat->machine);
-    double reported_at = known && known->heartbeat_seen ? known->reported_at : now;
-    rr_core_take_heartbeat(core, now, heartbeat, heard_via);
-    rr_core_verify_machine(core, now, &digest);
+    double reported_at = known && known->heartbeat_seen ? known->last_own_heartbeat_at : now;
+    rr_core_apply_heartbeat(core, now, heartbeat, forwarding_peer);
+    rr_core_record_machine_answer(core, now, &digest);
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest.machine);
     if (machine) {
         /* An answer does not prove that the machine's own heartbeats arrive. */
-        machine->reported_at = reported_at;
+        machine->last_own_heartbeat_at = reported_at;
     }
     return now - reported_at < OWN_HEARTBEAT_INTERVALS_MAX * core->config->heartbeat_interval_s;
 }
 
-bool rr_core_take_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
-                                   int heard_via) {
+bool rr_core_apply_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
+                                    int forwarding_peer) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, digest->machine);
     if (!machine || !machine->heartbeat_seen ||
         machine->heartbeat.worker_epoch != digest->worker_epoch ||
@@ -162,7 +164,7 @@
         return false;
     }
     machine->verified = machine->verified || now - machine->heartbeat_at > DUPLICATE_DELAY_MAX_S;
-    record_arrival(machine, now, heard_via);
+    record_arrival(machine, now, forwarding_peer);
     if (machine->heartbeat_hash == digest->hash) {
         machine->heartbeat.sequence = digest->sequence;
     }
--- a/src/core/health/machine_health.c
+++ b/src/core/health/machine_health.c
@@ -59,7 +59,7 @@
 
 bool rr_machine_heartbeats_lost(const rr_core *core, const rr_machine *machine, double now) {
     double limit_s = HEARTBEATS_LOST_INTERVALS * core->config->heartbeat_interval_s;
-    return machine->heartbeat_seen && now - machine->reported_at > limit_s &&
+    return machine->heartbeat_seen && now - machine->last_own_heartbeat_at > limit_s &&
            rr_peers_connected_for(core, now, limit_s);
 }
 
--- a/src/core/health/observations.h
+++ b/src/core/health/observations.h
@@ -16,11 +16,11 @@
     guint machine_count;
     guint recent_count;  /* of those: rr_machine_heartbeat_recent() */
     guint current_count; /* of those: heard within the last part of a heartbeat interval */
-} rr_zone_heartbeats;
+} rr_zone_heartbeat_counts;
 
 struct rr_observations {
     GArray *partitioned_at;  /* double by zone: when most machines were last overdue, 0: never */
-    GArray *zone_heartbeats; /* rr_zone_heartbeats by zone, as of zones_counted_at */
+    GArray *zone_heartbeats; /* rr_zone_heartbeat_counts by zone, as of zones_counted_at */
     rr_contact peer_contacts[RR_CONTROLLERS_MAX]; /* by peer index: messages from that peer */
     rr_contact direct_contact; /* heartbeats that workers sent to this controller */
     double zones_counted_at;   /* 0: never */
--- a/src/core/health/partitions.c
+++ b/src/core/health/partitions.c
@@ -32,7 +32,8 @@
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         if (machine->zone >= 0 && rr_machine_was_up(machine)) {
-            rr_zone_heartbeats *counts = &g_array_index(zones, rr_zone_heartbeats, machine->zone);
+            rr_zone_heartbeat_counts *counts =
+                &g_array_index(zones, rr_zone_heartbeat_counts, machine->zone);
             counts->machine_count++;
             counts->recent_count += rr_machine_heartbeat_recent(core, machine, now);
             counts->current_count += has_current_heartbeat(core, machine, now);
@@ -41,26 +42,26 @@
 }
 
 /* Copies the counts of the zone to *out; returns false if the last count did not include it. */
-static bool get_zone_counts(const rr_core *core, int zone, rr_zone_heartbeats *out) {
+static bool get_zone_counts(const rr_core *core, int zone, rr_zone_heartbeat_counts *out) {
     if (zone < 0 || (guint)zone >= core->observed.zone_heartbeats->len) {
         return false;
     }
-    *out = g_array_index(core->observed.zone_heartbeats, rr_zone_heartbeats, zone);
+    *out = g_array_index(core->observed.zone_heartbeats, rr_zone_heartbeat_counts, zone);
     return true;
 }
 
-static bool most_machines_overdue(const rr_zone_heartbeats *counts) {
+static bool most_machines_overdue(const rr_zone_heartbeat_counts *counts) {
     return counts->recent_count * 2 < counts->machine_count;
 }
 
 bool rr_zone_partitioned(const rr_core *core, int zone) {
-    rr_zone_heartbeats counts;
+    rr_zone_heartbeat_counts counts;
     return get_zone_counts(core, zone, &counts) && most_machines_overdue(&counts);
 }
 
 bool rr_zone_partitioned_excluding(const rr_core *core, int zone, const rr_machine *except,
                                    double now) {
-    rr_zone_heartbeats counts;
+    rr_zone_heartbeat_counts counts;
     if (!get_zone_counts(core, zone, &counts)) {
         return false;
     }
@@ -74,7 +75,7 @@
 
 bool rr_zone_partition_suspected(const rr_core *core, int zone, const rr_machine *except,
                                  double now) {
-    rr_zone_heartbeats counts;
+    rr_zone_heartbeat_counts counts;
     if (!get_zone_counts(core, zone, &counts)) {
         return false;
     }
--- a/src/core/heartbeats.h
+++ b/src/core/heartbeats.h
@@ -12,28 +12,29 @@
 };
 
 /* Updates the machine's state from the heartbeat. Its content is moved into the core and the struct
- * left cleared. heard_via: index of the peer that forwarded the heartbeat, -1: the worker sent it
- * to this controller. */
-enum rr_heartbeat_effect rr_core_take_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
-                                                int heard_via);
+ * left cleared. forwarding_peer: index of the peer that forwarded the heartbeat, -1: the worker
+ * sent it to this controller. */
+enum rr_heartbeat_effect rr_core_apply_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
+                                                 int forwarding_peer);
 
 /* Updates the machine's state from the answer to a command or probe, as from a heartbeat, and marks
  * the machine as verified. Returns true if the machine's own heartbeats arrive as well, so that
  * peers may treat this answer as a heartbeat. */
-bool rr_core_take_command_reply(rr_core *core, double now, rr_heartbeat *heartbeat, int heard_via);
+bool rr_core_apply_command_reply(rr_core *core, double now, rr_heartbeat *heartbeat,
+                                 int forwarding_peer);
 
 /* Marks the machine as verified: it has just answered this process, whereas heartbeats alone may be
  * late copies. */
-void rr_core_verify_machine(rr_core *core, double now, const rr_heartbeat_digest *digest);
+void rr_core_record_machine_answer(rr_core *core, double now, const rr_heartbeat_digest *digest);
 
 /* Records that a peer has just sent something over its link to this controller. peer: index in the
  * settings; one out of range is ignored. */
-void rr_core_peer_contacted(rr_core *core, double now, int peer);
+void rr_core_record_peer_contact(rr_core *core, double now, int peer);
 
 /* Updates the machine's state from a peer's digest of a newer heartbeat. Returns false if no
  * heartbeat of the machine's present worker epoch is known here, or if the digest is not newer. */
-bool rr_core_take_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
-                                   int heard_via);
+bool rr_core_apply_heartbeat_digest(rr_core *core, double now, const rr_heartbeat_digest *digest,
+                                    int forwarding_peer);
 
 /* Returns the peers that need every change of the machine's heartbeats in full, as a bit mask of
  * peer indices: the owners of its tasks and the autoscaler. *occasional receives the mask of all
--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -20,18 +20,18 @@
 /* Records that the store cache contains every change made before this time, in steady seconds; an
  * earlier time than the last one is ignored. Workers' heartbeats may be answered for
  * rr_heartbeat_reply_s() seconds from then on, which is longer than the session lasts. */
-void rr_core_set_cache_current(rr_core *core, double when);
+void rr_core_set_cache_current(rr_core *core, double current_as_of);
 /* Records that the application's timers have just fired late, for lack of processor time. */
-void rr_core_set_timers_late(rr_core *core, double now);
+void rr_core_record_late_timers(rr_core *core, double now);
 /* Whether the timers have fired late within the last `within` seconds. */
 bool rr_core_timers_late(const rr_core *core, double now, double within);
 
 /* Adds the record of the next term to the transaction if the sessions differ from the present
  * members or a new term has been requested. Returns false without adding it if neither is the case,
  * if the store cache is not loaded or if it does not contain this controller's session yet. */
-bool rr_core_next_term(rr_core *core, double now, double wall, rr_transaction *out);
+bool rr_core_add_next_term_record(rr_core *core, double now, double wall, rr_transaction *out);
 /* Returns the number of members of the present term. */
-unsigned rr_core_live_controllers(const rr_core *core);
+unsigned rr_core_count_members(const rr_core *core);
 /* Returns the fencing token of the present term, 0 before the first one. */
 uint64_t rr_core_fencing_token(const rr_core *core);
 /* Whether this controller is the term's autoscaler and its lease is valid (rr_core_lease_valid). */
@@ -48,6 +48,6 @@
 void rr_core_budget_shares(const rr_core *core, struct rr_budget_shares *out);
 
 /* Whether every member of the term understands records and messages about gangs. */
-bool rr_core_all_gang_capable(const rr_core *core);
+bool rr_core_all_members_support_gangs(const rr_core *core);
 
 #endif
--- a/src/core/membership/members.c
+++ b/src/core/membership/members.c
@@ -45,7 +45,7 @@
     return rr_is_member(core) && now < core->membership.lease_valid_until;
 }
 
-unsigned rr_core_live_controllers(const rr_core *core) {
+unsigned rr_core_count_members(const rr_core *core) {
     return core->membership.term.members->len;
 }
 
@@ -86,14 +86,14 @@
     return all_members_satisfy(core, has_capability, capability);
 }
 
-bool rr_core_all_gang_capable(const rr_core *core) {
+bool rr_core_all_members_support_gangs(const rr_core *core) {
     return rr_all_members_capable(core, RR_CAPABILITY_GANGS);
 }
 
-bool rr_core_all_admission_capable(const rr_core *core) {
+bool rr_core_all_members_support_admission(const rr_core *core) {
     return rr_all_members_capable(core, RR_CAPABILITY_ADMISSION);
 }
 
-bool rr_core_all_hold_capable(const rr_core *core) {
+bool rr_core_all_members_support_holds(const rr_core *core) {
     return all_members_satisfy(core, has_transfer_holds, 0);
 }
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -29,11 +29,11 @@
 struct rr_membership {
     rr_term term;
     GHashTable *sessions; /* controller name -> rr_session, owned: sessions in the store cache */
-    bool new_term_wanted; /* a new term is due even if its members would be the same */
+    bool new_term_due;    /* a new term is due even if its members would be the same */
     uint64_t lease_id;    /* of this controller's session, 0: it has none */
     double lease_valid_until; /* steady seconds: until then the lease has certainly not expired */
     uint64_t attempt_counter; /* last number used for an attempt or a rental's name in this term */
-    uint64_t all_dirty_token; /* token of the last term for which all machines were marked dirty */
+    uint64_t fully_dirty_token; /* token of the last term that marked all machines dirty */
 
     /* Derived from the term by rr_assign_shards(). */
     GArray *team_owners;   /* int by team index of the settings: member index of the team's owner */
@@ -41,7 +41,7 @@
     guint shard;           /* this controller's position among them, from 0 */
     int autoscaler_member; /* member index of the autoscaler, -1: none */
     int member_index;      /* this controller's, -1: not a member */
-    int peer_of_member[RR_CONTROLLERS_MAX]; /* peer index by member index, -1: none, as for this
+    int peer_by_member[RR_CONTROLLERS_MAX]; /* peer index by member index, -1: none, as for this
                                                controller itself */
 };
 
--- a/src/core/membership/shards.c
+++ b/src/core/membership/shards.c
@@ -131,7 +131,7 @@
 
 static void map_members_to_peers(rr_core *core) {
     for (guint i = 0; i < core->membership.term.members->len && i < RR_CONTROLLERS_MAX; i++) {
-        core->membership.peer_of_member[i] = find_peer(core, member_name(core, i));
+        core->membership.peer_by_member[i] = find_peer(core, member_name(core, i));
     }
 }
 
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -41,13 +41,14 @@
     term->version = version;
     if (token != term->token) {
         core->membership.attempt_counter = 0;
-        core->membership.new_term_wanted = false;
+        core->membership.new_term_due = false;
     }
     term->token = token;
     rr_map_get_number(value, RR_RECORD_FIRST_TERM_AT, &term->first_term_at);
     decode_members(core, member_records);
     rr_assign_shards(core);
-    g_array_set_size(core->planning.moves, 0); /* the jobs' teams may have other owners now */
+    g_array_set_size(core->planning.planned_moves,
+                     0); /* the jobs' teams may have other owners now */
 }
 
 /* ---- the next term ---- */
@@ -108,7 +109,7 @@
     rr_transaction_put(transaction, RR_KEY_TERM, &encoder, 0);
 }
 
-bool rr_core_next_term(rr_core *core, double now, double wall, rr_transaction *out) {
+bool rr_core_add_next_term_record(rr_core *core, double now, double wall, rr_transaction *out) {
     (void)now;
     if (!core->stored.loaded || core->stored.reloading ||
         !rr_core_session_seen(core, core->membership.lease_id)) {
@@ -116,7 +117,7 @@
     }
     GPtrArray *sessions = sorted_sessions(core);
     bool term_due = sessions_differ_from_members(core, sessions) ||
-                    (core->membership.new_term_wanted && core->membership.term.token > 0);
+                    (core->membership.new_term_due && core->membership.term.token > 0);
     if (term_due) {
         add_next_term(core, sessions, wall, out);
     }
@@ -128,10 +129,10 @@
     rr_transaction_guard(transaction, RR_KEY_TERM, core->membership.term.version);
 }
 
-void rr_core_next_limits_in_force(rr_core *core, bool outcome_unknown) {
+void rr_core_activate_next_limits(rr_core *core, bool outcome_unknown) {
     if (!core->stored.next_limits_in_force) {
         rr_log_at(core, RR_LOG_INFO, "key-value store: the next limits are in force");
     }
     core->stored.next_limits_in_force = true;
-    core->membership.new_term_wanted = core->membership.new_term_wanted || outcome_unknown;
+    core->membership.new_term_due = core->membership.new_term_due || outcome_unknown;
 }
--- a/src/core/planning.h
+++ b/src/core/planning.h
@@ -20,7 +20,7 @@
     uint64_t worker_epoch;  /* of the worker that the commands are meant for */
     GArray *commands;       /* rr_command; empty: a probe, which asks for the machine's status */
     int peer;               /* index of the peer to send through, -1: send directly */
-    int fallback;           /* peer to try if nothing could be sent directly, -1: none */
+    int fallback_peer;      /* peer to try if nothing could be sent directly, -1: none */
     bool may_time_out;      /* probably goes unanswered: must not delay other batches */
 } rr_command_batch;
 
@@ -32,7 +32,7 @@
     bool has_transaction;       /* the transaction is to be committed */
     rr_transaction transaction; /* owned */
     GPtrArray *command_batches; /* rr_command_batch*, owned */
-    double next_s;              /* seconds after which to plan again at the latest */
+    double next_plan_s;         /* seconds after which to plan again at the latest */
 } rr_plan;
 
 /* Initializes an empty plan, which the caller frees with rr_plan_clear(). */
@@ -43,7 +43,7 @@
 
 /* Plans for the teams that this controller owns. *plan must be initialized and empty; it stays
  * empty while the lease is not valid, the store cache is not consistent or a new term is due. The
- * caller reports the outcome of each command batch with rr_core_command_result(). */
+ * caller reports the outcome of each command batch with rr_core_record_command_result(). */
 void rr_core_plan(rr_core *core, double now, double wall, rr_plan *plan);
 
 enum rr_command_outcome {
@@ -53,14 +53,14 @@
 };
 
 /* Records the outcome of a command batch. If there was an answer, its body has to be passed to
- * rr_core_take_command_reply() first. executed: the worker executed the commands rather than
+ * rr_core_apply_command_reply() first. executed: the worker executed the commands rather than
  * refusing them. */
-void rr_core_command_result(rr_core *core, double now, const rr_command_batch *batch,
-                            enum rr_command_outcome outcome, bool executed);
+void rr_core_record_command_result(rr_core *core, double now, const rr_command_batch *batch,
+                                   enum rr_command_outcome outcome, bool executed);
 
 /* Marks a machine as suspect for a few heartbeat intervals, because another controller has found
  * that it sends heartbeats but does not answer commands. */
-void rr_core_suspect(rr_core *core, const char *machine_name, double now);
+void rr_core_mark_suspect(rr_core *core, const char *machine_name, double now);
 
 /* Appends the names (char*, freed by the caller) of the machines that this controller itself has
  * found to send heartbeats without answering commands. */
--- a/src/core/scaling.h
+++ b/src/core/scaling.h
@@ -9,12 +9,12 @@
 #include "wire/wire.h"
 
 enum rr_autoscaler_step_kind {
-    RR_AUTOSCALER_NONE,      /* nothing to do now */
-    RR_AUTOSCALER_CATALOG,   /* read the cloud's catalogue, then rr_core_catalog_read() */
-    RR_AUTOSCALER_LIST,      /* list the cloud's machines, then rr_core_machines_listed() */
-    RR_AUTOSCALER_COMMIT,    /* commit the transaction */
-    RR_AUTOSCALER_SCALE_OUT, /* rent machines, then rr_core_scale_out_result() */
-    RR_AUTOSCALER_SCALE_IN   /* release machines, then rr_core_scale_in_result() */
+    RR_AUTOSCALER_NONE,          /* nothing to do now */
+    RR_AUTOSCALER_READ_CATALOG,  /* read the cloud's catalogue, then rr_core_apply_catalog() */
+    RR_AUTOSCALER_LIST_MACHINES, /* list the cloud's machines, then rr_core_apply_machine_list() */
+    RR_AUTOSCALER_COMMIT,        /* commit the transaction */
+    RR_AUTOSCALER_SCALE_OUT,     /* rent machines, then rr_core_record_scale_out_result() */
+    RR_AUTOSCALER_SCALE_IN       /* release machines, then rr_core_record_scale_in_result() */
 };
 
 typedef struct {
@@ -39,12 +39,12 @@
 void rr_core_autoscaler_step(rr_core *core, double now, double wall, rr_autoscaler_step *out);
 
 /* Stores a copy of the machine types that the cloud's catalogue listed. */
-void rr_core_catalog_read(rr_core *core, double now,
-                          const GArray *machine_types /* rr_machine_type */);
+void rr_core_apply_catalog(rr_core *core, double now,
+                           const GArray *machine_types /* rr_machine_type */);
 
 /* Updates the machines from the cloud's list. asked_at: steady seconds, when it was requested. */
-void rr_core_machines_listed(rr_core *core, double asked_at, double now, double wall,
-                             const GArray *machines /* rr_listed_machine */);
+void rr_core_apply_machine_list(rr_core *core, double asked_at, double now, double wall,
+                                const GArray *machines /* rr_listed_machine */);
 
 /* HTTP status codes of the cloud's answer to a rental. With any other status the outcome is
  * unknown, and the rental is requested again under the same name. */
@@ -52,10 +52,10 @@
 
 /* Records the cloud's answer to an RR_AUTOSCALER_SCALE_OUT step. ids: char*, names of the machines
  * rented; read only with RR_SCALE_OUT_DONE. */
-void rr_core_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step, int status,
-                              const GPtrArray *ids);
+void rr_core_record_scale_out_result(rr_core *core, double now, const rr_autoscaler_step *step,
+                                     int status, const GPtrArray *ids);
 
 /* Records that the cloud has released these machines. ids: char*, their names. */
-void rr_core_scale_in_result(rr_core *core, double now, const GPtrArray *ids);
+void rr_core_record_scale_in_result(rr_core *core, double now, const GPtrArray *ids);
 
 #endif
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -25,7 +25,7 @@
 #define MACHINE_FAILED_PENALTY 1.0 /* a task of any job has recently failed on the machine */
 #define FOREIGN_SHARD_PENALTY 0.5
 
-uint32_t rr_tasks_fitting(rr_resources request, rr_resources available, uint32_t count_max) {
+uint32_t rr_count_fitting_tasks(rr_resources request, rr_resources available, uint32_t count_max) {
     uint32_t count = 0;
     while (count < count_max && rr_resources_fit(request, available)) {
         available = rr_resources_add(available, request, -1);
@@ -109,7 +109,7 @@
  * a job bound to one zone. */
 static double compute_effective_price(const rr_core *core, const rr_job *job,
                                       const rr_machine *machine, bool urgent, double fetch_s) {
-    if (rr_job_zone_bound(job)) {
+    if (rr_job_requires_one_zone(job)) {
         return 1;
     }
     double price = rr_machine_price(core, machine);
@@ -150,7 +150,7 @@
     g_array_set_size(candidates, 0);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        core->counters.machines_visited++;
+        core->counters.machines_examined++;
         if (!rr_resources_fit(job->request, machine->free) ||
             !rr_machine_accepts_job(core, machine, job, constraints->zones, now)) {
             continue;
@@ -234,7 +234,7 @@
     for (guint i = 0; i < candidates->len;) {
         const rr_candidate *candidate = &g_array_index(candidates, rr_candidate, i);
         rr_machine *machine = candidate->machine;
-        core->counters.machines_visited++;
+        core->counters.machines_examined++;
         if (no_longer_fits(constraints, job, machine)) {
             g_array_remove_index_fast(candidates, i);
             continue;
@@ -252,8 +252,8 @@
     return best;
 }
 
-rr_machine *rr_bin_pack(rr_core *core, const rr_job *job,
-                        const struct rr_placement_constraints *constraints, double now) {
+rr_machine *rr_choose_machine(rr_core *core, const rr_job *job,
+                              const struct rr_placement_constraints *constraints, double now) {
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
     rr_list_candidates(core, job, constraints, now, candidates);
     rr_machine *machine = rr_choose_candidate(core, job, constraints, candidates);
--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -25,7 +25,7 @@
 double rr_estimate_image_fetch_s(const rr_core *core, const rr_job *job, const rr_machine *machine);
 
 /* Returns how many tasks with this request fit into the available resources, up to count_max. */
-uint32_t rr_tasks_fitting(rr_resources request, rr_resources available, uint32_t count_max);
+uint32_t rr_count_fitting_tasks(rr_resources request, rr_resources available, uint32_t count_max);
 
 /* Sets every machine's free resources to its capacity minus its placements in the ledger, except
  * those proven terminated. Also forgets which image each machine last got a reservation for. */
@@ -45,7 +45,7 @@
                                 GArray *candidates);
 
 /* Returns the best of all machines for one task of the job, or NULL if none fits. */
-rr_machine *rr_bin_pack(rr_core *core, const rr_job *job,
-                        const struct rr_placement_constraints *constraints, double now);
+rr_machine *rr_choose_machine(rr_core *core, const rr_job *job,
+                              const struct rr_placement_constraints *constraints, double now);
 
 #endif
--- a/src/core/scheduling/command_batches.c
+++ b/src/core/scheduling/command_batches.c
@@ -24,8 +24,8 @@
     batch->fencing_token = planner->core->membership.term.token;
     batch->worker_epoch = machine->heartbeat.worker_epoch;
     batch->commands = g_array_new(FALSE, TRUE, sizeof(rr_command));
-    batch->fallback = machine->heard_via;
-    batch->peer = machine->heard_via >= 0 && direct_path_bad ? machine->heard_via : -1;
+    batch->fallback_peer = machine->forwarding_peer;
+    batch->peer = machine->forwarding_peer >= 0 && direct_path_bad ? machine->forwarding_peer : -1;
     batch->may_time_out =
         machine->unanswered_commands > 0 ||
         rr_heartbeat_age(machine, planner->now) >
@@ -50,6 +50,6 @@
         rr_machine *machine = g_hash_table_lookup(planner->core->stored.machines, batch->machine);
         machine->command_inflight = true;
         machine->plan_commands = NULL;
-        machine->reap_at = 0;
+        machine->reap_deferred_since = 0;
     }
 }
--- a/src/core/scheduling/fair_share.c
+++ b/src/core/scheduling/fair_share.c
@@ -13,12 +13,12 @@
 /* A job that has waited longer is not limited, as other teams evidently don't use what is free. */
 #define FAIR_SHARE_WAIT_MAX_S 60.0
 
-void rr_core_set_fair_shares(rr_core *core, const double *rooms, double cpu, double gpu,
-                             double mem) {
-    core->extensions.fair_share_enabled = rooms != NULL;
-    core->extensions.total_resources = (rr_resources){cpu, gpu, mem};
-    for (size_t i = 0; rooms && i < core->config->team_count; i++) {
-        core->extensions.fair_share[i] = rooms[i];
+void rr_core_set_fair_shares(rr_core *core, const double *fair_shares, double cpus, double gpus,
+                             double mem_gb) {
+    core->extensions.fair_share_enabled = fair_shares != NULL;
+    core->extensions.total_resources = (rr_resources){cpus, gpus, mem_gb};
+    for (size_t i = 0; fair_shares && i < core->config->team_count; i++) {
+        core->extensions.fair_share[i] = fair_shares[i];
     }
 }
 
--- a/src/core/scheduling/gang_phase.c
+++ b/src/core/scheduling/gang_phase.c
@@ -134,15 +134,15 @@
            !counts->preempted_at_once && job->submission.checkpoint_interval_s > 0;
 }
 
-enum rr_gang_stop rr_gang_stop(const rr_core *core, const rr_job *job, double now) {
+enum rr_gang_stop_mode rr_gang_stop_mode(const rr_core *core, const rr_job *job, double now) {
     struct gang_counts counts;
     count_placements(core, job, now, &counts);
     switch (derive_phase(job, &counts)) {
     case RR_GANG_STOPPING:
-        return can_save_checkpoint(job, &counts) ? RR_GANG_STOPS_SAVING : RR_GANG_STOP_AT_ONCE;
+        return can_save_checkpoint(job, &counts) ? RR_GANG_STOP_SAVING : RR_GANG_STOP_AT_ONCE;
     case RR_GANG_ENDING:
         return RR_GANG_STOP_AT_ONCE;
     default:
-        return RR_GANG_STAYS;
+        return RR_GANG_STOP_NONE;
     }
 }
--- a/src/core/scheduling/gang_phase.h
+++ b/src/core/scheduling/gang_phase.h
@@ -14,10 +14,10 @@
 };
 
 /* Whether all tasks of a gang must stop, and how. */
-enum rr_gang_stop {
-    RR_GANG_STAYS,        /* no stop */
+enum rr_gang_stop_mode {
+    RR_GANG_STOP_NONE,    /* no stop */
     RR_GANG_STOP_AT_ONCE, /* without a checkpoint */
-    RR_GANG_STOPS_SAVING  /* after saving a checkpoint */
+    RR_GANG_STOP_SAVING   /* after saving a checkpoint */
 };
 
 /* Returns the gang's phase. It is derived from the job, the ledger and the heartbeats alone, so
@@ -25,7 +25,7 @@
 enum rr_gang_phase rr_gang_phase(const rr_core *core, const rr_job *job, double now);
 
 /* Returns whether all tasks of the gang must stop now, and how, as its phase requires. */
-enum rr_gang_stop rr_gang_stop(const rr_core *core, const rr_job *job, double now);
+enum rr_gang_stop_mode rr_gang_stop_mode(const rr_core *core, const rr_job *job, double now);
 
 /* Returns the largest number of tasks that a gang may have: a single transaction has to reserve or
  * end all of them. */
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -27,7 +27,7 @@
     uint32_t task_count = job->submission.task_count, fitting = 0;
     for (guint i = 0; i < planner->candidates->len && fitting < task_count; i++) {
         const rr_machine *machine = g_array_index(planner->candidates, rr_candidate, i).machine;
-        fitting += rr_tasks_fitting(job->request, machine->free, task_count - fitting);
+        fitting += rr_count_fitting_tasks(job->request, machine->free, task_count - fitting);
     }
     return fitting >= task_count;
 }
@@ -92,7 +92,8 @@
 static bool add_slots(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                       struct rr_preemption *preemption, GArray *slots) {
     double fetch_s = rr_estimate_image_fetch_s(planner->core, job, machine);
-    uint32_t free_slots = rr_tasks_fitting(job->request, machine->free, job->submission.task_count);
+    uint32_t free_slots =
+        rr_count_fitting_tasks(job->request, machine->free, job->submission.task_count);
     bool preempts = false;
     for (uint32_t count = 1; count <= job->submission.task_count; count++) {
         struct slot slot = {machine, count, fetch_s};
@@ -118,7 +119,7 @@
     for (guint i = 0; i < core->stored.machine_list->len && compared < RR_PREEMPTION_MACHINES_MAX;
          i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        core->counters.machines_visited++;
+        core->counters.machines_examined++;
         if (rr_machine_accepts_job(core, machine, job, zones, planner->now)) {
             compared += add_slots(planner, machine, job, &preemption, slots);
         }
@@ -180,7 +181,7 @@
     for (guint i = 0; i < slots->len && preempted; i++) {
         rr_machine *machine = g_array_index(slots, struct slot, i).machine;
         uint32_t count = count_slots_on(slots, machine);
-        if (rr_tasks_fitting(job->request, machine->free, count) < count) {
+        if (rr_count_fitting_tasks(job->request, machine->free, count) < count) {
             preempted = rr_preemption_find(planner, machine, job, count, &preemption) &&
                         rr_preemption_apply(planner, machine, job, &preemption);
         }
@@ -240,10 +241,11 @@
     /* Checked first, as partial reservations of a gang that doesn't fit would use up the
      * transaction. */
     if ((candidates_fit_gang(planner, job) && reserve_on_free_resources(planner, job, zones)) ||
-        (!planner->full && reserve_on_preempted_resources(planner, job, allowed_by_job))) {
+        (!planner->transaction_full &&
+         reserve_on_preempted_resources(planner, job, allowed_by_job))) {
         return true;
     }
-    if (!planner->full) {
+    if (!planner->transaction_full) {
         rr_record_failed_search(planner, job, zone_mask);
     }
     return false;
--- a/src/core/scheduling/gang_reservation.c
+++ b/src/core/scheduling/gang_reservation.c
@@ -53,7 +53,7 @@
             available = rr_resources_add(available, other->request, -1);
         }
     }
-    return rr_tasks_fitting(job->request, available, job->submission.task_count);
+    return rr_count_fitting_tasks(job->request, available, job->submission.task_count);
 }
 
 /* Returns all machines of these zones that will take tasks of the gang, those with the largest free
@@ -64,7 +64,7 @@
     GArray *capacities = g_array_new(FALSE, FALSE, sizeof(struct future_capacity));
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        core->counters.machines_visited++;
+        core->counters.machines_examined++;
         if (!rr_machine_accepts_job(core, machine, job, zones, planner->now)) {
             continue;
         }
@@ -94,8 +94,8 @@
         const struct future_capacity *capacity =
             &g_array_index(capacities, struct future_capacity, needed_count);
         future_tasks += capacity->task_count;
-        tasks_now +=
-            rr_tasks_fitting(job->request, capacity->machine->free, job->submission.task_count);
+        tasks_now += rr_count_fitting_tasks(job->request, capacity->machine->free,
+                                            job->submission.task_count);
         free_share += capacity->free_share;
     }
     g_array_set_size(capacities, needed_count);
--- a/src/core/scheduling/job_search.c
+++ b/src/core/scheduling/job_search.c
@@ -39,10 +39,10 @@
     for (guint zone = 0; zone < zone_count; zone++) {
         allowed_count += zones->allowed[zone];
     }
-    if (!rr_job_zone_bound(job) || allowed_count <= 1) {
+    if (!rr_job_requires_one_zone(job) || allowed_count <= 1) {
         return;
     }
-    int best = rr_zone_with_most_room(core, job, zones->allowed, planner->now);
+    int best = rr_choose_zone(core, job, zones->allowed, planner->now);
     for (guint zone = 0; zone < zone_count; zone++) {
         zones->allowed[zone] = (int)zone == best;
     }
@@ -65,7 +65,7 @@
     memset(all_zones, true, sizeof all_zones);
     struct rr_placement_constraints wide_constraints = *constraints;
     wide_constraints.zones =
-        zones->counts_placements && !rr_job_zone_bound(job) ? all_zones : zones->allowed;
+        zones->counts_placements && !rr_job_requires_one_zone(job) ? all_zones : zones->allowed;
     rr_list_candidates(planner->core, job, &wide_constraints, planner->now, planner->candidates);
 }
 
@@ -116,13 +116,13 @@
     if (!has_failed_before(planner, job, zone_mask)) {
         return false;
     }
-    job->failed_at = planner->now;
+    job->search_failed_at = planner->now;
     return true;
 }
 
 void rr_record_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
     struct rr_failed_search failed = {job, zone_mask};
-    job->failed_at = planner->now;
+    job->search_failed_at = planner->now;
     if (planner->failed_searches->len < FAILED_SEARCHES_MAX) {
         g_array_append_val(planner->failed_searches, failed);
     }
--- a/src/core/scheduling/job_search.h
+++ b/src/core/scheduling/job_search.h
@@ -44,10 +44,10 @@
 
 /* Returns whether the search can be skipped: an earlier search of this plan, which covered all of
  * these zones, found no machine for a similar job that requests no more than this one. If so, sets
- * the job's failed_at. */
+ * the job's search_failed_at. */
 bool rr_skip_repeated_search(const struct rr_planner *planner, rr_job *job, uint64_t zone_mask);
 
-/* Records that a search of these zones found no machine for the job, and sets its failed_at. */
+/* Records that a search of these zones found no machine for the job: sets its search_failed_at. */
 void rr_record_failed_search(struct rr_planner *planner, rr_job *job, uint64_t zone_mask);
 
 #endif
--- a/src/core/scheduling/moves.c
+++ b/src/core/scheduling/moves.c
@@ -29,7 +29,7 @@
                              const rr_placement *source) {
     const rr_core *core = planner->core;
     bool zones[core->stored.zones.names->len + 1];
-    rr_job_zones(core, move->job, zones, source);
+    rr_compute_allowed_zones(core, move->job, zones, source);
     return source && !move->job->cancelled && !rr_job_held(core, move->job, planner->now) &&
            rr_machine_schedulable(core, move->to, planner->now) &&
            rr_resources_fit(move->job->request, move->to->free) && zones[move->to->zone] &&
@@ -47,7 +47,7 @@
     if (!edit || !rr_reserve(planner, move->to, move->job, move->task)) {
         return false;
     }
-    rr_placement_record *record = rr_record_edit_find(edit, source->attempt, move->task);
+    rr_placement_record *record = rr_record_edit_find_placement(edit, source->attempt, move->task);
     if (record) {
         record->preempt = RR_PREEMPT_SAVING;
     }
@@ -56,7 +56,7 @@
 
 void rr_start_planned_moves(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    GArray *moves = core->planning.moves;
+    GArray *moves = core->planning.planned_moves;
     while (moves->len > 0 && core->planning.rebalance_moves_left > 0 &&
            planner->change_count + 1 <= planner->change_limit) {
         rr_move move = g_array_index(moves, rr_move, 0);
@@ -66,7 +66,7 @@
             g_array_set_size(moves, 0);
             return;
         }
-        core->counters.moves_made++;
+        core->counters.tasks_moved++;
         rr_log_at(core, RR_LOG_DEBUG, "move task %s/%u from machine %s to machine %s",
                   move.job->submission.job_id, move.task, move.from->name, move.to->name);
     }
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -105,7 +105,7 @@
  * if there is none. */
 static bool find_unplaced_task(const rr_job *job, uint32_t *task) {
     while (*task < job->submission.task_count &&
-           (job->placed[*task] || rr_job_task_done(job, *task))) {
+           (job->placements_per_task[*task] || rr_job_task_done(job, *task))) {
         (*task)++;
     }
     return *task < job->submission.task_count;
@@ -152,22 +152,23 @@
         .zones = zones->allowed, .distinct_machines = job->submission.kind == RR_JOB_SERVICE};
     rr_list_job_candidates(planner, job, zones, &constraints);
     uint32_t task = job->next_task_hint;
-    if (!planner->full && *placements_left > 0 && find_unplaced_task(job, &task)) {
+    if (!planner->transaction_full && *placements_left > 0 && find_unplaced_task(job, &task)) {
         job->next_task_hint = task;
     }
-    for (; !planner->full && *placements_left > 0 && find_reservable_task(planner, job, &task);
+    for (; !planner->transaction_full && *placements_left > 0 &&
+           find_reservable_task(planner, job, &task);
          task++) {
         if (!may_place_more(planner, job)) {
             return;
         }
         if (!place_task(planner, job, task, &constraints)) {
-            if (!planner->full) {
+            if (!planner->transaction_full) {
                 rr_record_failed_search(planner, job, rr_zone_mask(core, zones->allowed));
             }
             return;
         }
         (*placements_left)--;
-        rr_zone_tracker_add_placement(planner, job, planner->last_reserved, zones);
+        rr_zone_tracker_add_placement(planner, job, planner->last_reserved_machine, zones);
     }
 }
 
@@ -209,12 +210,12 @@
  * last search failed less than RETRY_MAX_S ago. */
 static rr_job *find_overdue_job(const struct rr_planner *planner, const GPtrArray *waiting) {
     rr_job *oldest = NULL;
-    bool take_any = planner->core->planning.plan_count % OLDEST_JOB_PERIOD_PLANS == 0;
+    bool take_any = planner->core->planning.placement_plan_count % OLDEST_JOB_PERIOD_PLANS == 0;
     for (guint i = 0; i < waiting->len; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
         bool overdue =
             job->done_count + job->placed_count == 0 && has_waited_too_long(planner, job);
-        if ((overdue || take_any) && planner->now - job->failed_at >= RETRY_MAX_S &&
+        if ((overdue || take_any) && planner->now - job->search_failed_at >= RETRY_MAX_S &&
             (!oldest || job->accepted_at < oldest->accepted_at)) {
             oldest = job;
         }
@@ -235,7 +236,7 @@
                                           double retry_s, int *placements_left) {
     rr_job *gang = find_overdue_gang(planner, waiting);
     struct early_jobs early = {.gang = gang};
-    bool gang_placed = gang && planner->now - gang->failed_at >= retry_s &&
+    bool gang_placed = gang && planner->now - gang->search_failed_at >= retry_s &&
                        rr_place_gang(planner, gang, placements_left);
     if (gang && !gang_placed) {
         if (planner->wall - gang->accepted_at > GANG_RESERVE_FIRST_WAIT_S) {
@@ -256,18 +257,18 @@
 void rr_place_waiting_jobs(struct rr_planner *planner, GPtrArray *waiting) {
     int placements_left = PLACEMENTS_MAX;
     double retry_s = fmin(RETRY_BASE_S + RETRY_PER_JOB_S * waiting->len, RETRY_MAX_S);
-    planner->core->planning.plan_count++;
+    planner->core->planning.placement_plan_count++;
     struct early_jobs early = place_early_jobs(planner, waiting, retry_s, &placements_left);
     rr_sort_waiting_jobs(planner, waiting);
-    for (guint i = 0; i < waiting->len && !planner->full && placements_left > 0; i++) {
+    for (guint i = 0; i < waiting->len && !planner->transaction_full && placements_left > 0; i++) {
         rr_job *job = g_ptr_array_index(waiting, i);
         if (early.reserve_for &&
             job->submission.priority <= early.reserve_for->submission.priority) {
             rr_reserve_gang_capacity(planner, early.reserve_for);
             early.reserve_for = NULL;
         }
-        if (planner->now - job->failed_at >= retry_s && job != early.gang && job != early.job &&
-            rr_within_fair_share(planner, job)) {
+        if (planner->now - job->search_failed_at >= retry_s && job != early.gang &&
+            job != early.job && rr_within_fair_share(planner, job)) {
             place_job(planner, job, &placements_left);
         }
     }
--- a/src/core/scheduling/placement_constraints.c
+++ b/src/core/scheduling/placement_constraints.c
@@ -14,11 +14,12 @@
     return strcmp(job->submission.zone, rr_name_index_at(&core->stored.zones, zone)) == 0;
 }
 
-bool rr_job_zone_bound(const rr_job *job) {
+bool rr_job_requires_one_zone(const rr_job *job) {
     return job->submission.one_zone || job->submission.zone[0];
 }
 
-bool rr_job_allows(const rr_core *core, const rr_job *job, int machine_type, int zone, bool spot) {
+bool rr_job_allows_machine(const rr_core *core, const rr_job *job, int machine_type, int zone,
+                           bool spot) {
     if (spot && !job->submission.spot) {
         return false;
     }
@@ -87,8 +88,8 @@
     }
 }
 
-void rr_job_zones(const rr_core *core, const rr_job *job, bool *allowed,
-                  const rr_placement *except) {
+void rr_compute_allowed_zones(const rr_core *core, const rr_job *job, bool *allowed,
+                              const rr_placement *except) {
     guint zone_count = core->stored.zones.names->len;
     uint32_t by_zone[zone_count + 1];
     memset(by_zone, 0, sizeof by_zone);
@@ -116,6 +117,6 @@
 bool rr_machine_accepts_job(const rr_core *core, const rr_machine *machine, const rr_job *job,
                             const bool *allowed, double now) {
     return machine->zone >= 0 && allowed[machine->zone] &&
-           rr_job_allows(core, job, machine->machine_type, machine->zone, machine->spot) &&
+           rr_job_allows_machine(core, job, machine->machine_type, machine->zone, machine->spot) &&
            rr_machine_schedulable(core, machine, now);
 }
--- a/src/core/scheduling/placement_constraints.h
+++ b/src/core/scheduling/placement_constraints.h
@@ -16,16 +16,17 @@
 
 /* Whether the job's submission allows a machine of this type in this zone. spot: whether it is a
  * spot machine. */
-bool rr_job_allows(const rr_core *core, const rr_job *job, int machine_type, int zone, bool spot);
+bool rr_job_allows_machine(const rr_core *core, const rr_job *job, int machine_type, int zone,
+                           bool spot);
 
 /* Whether all tasks of the job have to be in the same zone, named in its submission or not. */
-bool rr_job_zone_bound(const rr_job *job);
+bool rr_job_requires_one_zone(const rr_job *job);
 
 /* Sets allowed[zone] to whether one more task of the job may start in the zone, given the job's
  * placements in the ledger. `except` is a placement that does not count, since it is being moved;
  * NULL: all count. */
-void rr_job_zones(const rr_core *core, const rr_job *job, bool *allowed,
-                  const rr_placement *except);
+void rr_compute_allowed_zones(const rr_core *core, const rr_job *job, bool *allowed,
+                              const rr_placement *except);
 
 /* Adds the job's placements in the ledger to by_zone[zone], except terminated ones, those on
  * machines that are gone or in an unknown zone, and those with the attempt of `except` (NULL:
@@ -34,8 +35,8 @@
 uint32_t rr_count_placements_by_zone(const rr_job *job, const rr_placement *except,
                                      uint32_t *by_zone);
 
-/* Sets allowed[zone] as rr_job_zones() does, from the caller's counts: by_zone[zone], and their sum
- * placement_count. */
+/* Sets allowed[zone] as rr_compute_allowed_zones() does, from the caller's counts: by_zone[zone],
+ * and their sum placement_count. */
 void rr_compute_allowed_zones_from(const rr_core *core, const rr_job *job, const uint32_t *by_zone,
                                    uint32_t placement_count, bool *allowed);
 
--- a/src/core/scheduling/placement_verdict.c
+++ b/src/core/scheduling/placement_verdict.c
@@ -50,15 +50,15 @@
  * its destination first, and the newer placement waits until the older one is terminated. */
 static bool has_older_attempt(const rr_placement *placement) {
     rr_job *job = placement->job;
-    if (!job->placed || placement->task >= job->submission.task_count ||
-        job->placed[placement->task] < 2) {
+    if (!job->placements_per_task || placement->task >= job->submission.task_count ||
+        job->placements_per_task[placement->task] < 2) {
         return false;
     }
     uint32_t chunk = placement->task / job->tasks_per_record;
     if (record_has_older_attempt(rr_job_ledger_record_get(job, chunk), placement)) {
         return true;
     }
-    for (guint i = rr_job_chunks(job); i < job->records->len; i++) { /* overflow records */
+    for (guint i = rr_job_count_chunks(job); i < job->records->len; i++) { /* overflow records */
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
         if (record && record_has_older_attempt(record, placement)) {
             return true;
@@ -86,16 +86,16 @@
 
 /* Whether the placement's task must not run, or not any longer. */
 static bool must_stop(const struct rr_planner *planner, const rr_machine *machine,
-                      const rr_placement *placement, enum rr_gang_stop gang_stop) {
+                      const rr_placement *placement, enum rr_gang_stop_mode gang_stop) {
     const rr_job *job = placement->job;
-    return gang_stop != RR_GANG_STAYS || job->cancelled || rr_job_revoked(planner->core, job) ||
+    return gang_stop != RR_GANG_STOP_NONE || job->cancelled || rr_job_revoked(planner->core, job) ||
            rr_job_task_done(job, placement->task) || placement->preempt ||
            machine->heartbeat.spot_notice_s >= 0;
 }
 
 /* Returns the time that a stopped task gets to save its state, 0: none. */
 static double stop_grace_s(const struct rr_planner *planner, const rr_machine *machine,
-                           const rr_placement *placement, enum rr_gang_stop gang_stop) {
+                           const rr_placement *placement, enum rr_gang_stop_mode gang_stop) {
     const rr_job *job = placement->job;
     if (job->cancelled || job->done || rr_job_revoked(planner->core, job) ||
         job->submission.checkpoint_interval_s <= 0) {
@@ -103,7 +103,7 @@
     }
     /* A gang's task that has saved its state waits for the tasks that got the command last. */
     if (job->submission.kind == RR_JOB_GANG) {
-        return gang_stop == RR_GANG_STOPS_SAVING
+        return gang_stop == RR_GANG_STOP_SAVING
                    ? job->submission.save_s + planner->core->config->gang_peer_s
                    : 0;
     }
@@ -157,7 +157,7 @@
                                                 const rr_machine *machine,
                                                 const rr_placement *placement,
                                                 const rr_task_status *task,
-                                                enum rr_gang_stop gang_stop) {
+                                                enum rr_gang_stop_mode gang_stop) {
     bool start_may_arrive = rr_start_may_arrive(planner->core, machine, placement->attempt);
     /* The machine refuses commands with older fencing tokens, and no start under the present token
      * may still arrive: the task can't start there any more. */
@@ -191,9 +191,9 @@
     if (ended) {
         return terminated_verdict(completed, exit_reason_name(task->exit_reason));
     }
-    enum rr_gang_stop gang_stop = job->submission.kind == RR_JOB_GANG
-                                      ? rr_gang_stop(planner->core, job, planner->now)
-                                      : RR_GANG_STAYS;
+    enum rr_gang_stop_mode gang_stop = job->submission.kind == RR_JOB_GANG
+                                           ? rr_gang_stop_mode(planner->core, job, planner->now)
+                                           : RR_GANG_STOP_NONE;
     bool stop = must_stop(planner, machine, placement, gang_stop);
     if (task && !stop) {
         return make_verdict(RR_PLACEMENT_KEEP);
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -57,11 +57,11 @@
  * transaction, and resets the planner's `full`. The number of allowed changes alone does not show a
  * shortage, since unused changes accumulate between two plans. */
 static void record_write_shortage(struct rr_planner *planner) {
-    if (planner->full && planner->core->planning.changes_allowed <
-                             rr_transaction_changes_max(planner->core->config)) {
+    if (planner->transaction_full && planner->core->planning.changes_allowed <
+                                         rr_transaction_changes_max(planner->core->config)) {
         planner->core->planning.write_shortage_at = planner->now;
     }
-    planner->full = false;
+    planner->transaction_full = false;
 }
 
 /* Reconciles machines and edits the ledger records of terminated placements. While jobs wait, these
@@ -81,7 +81,8 @@
     rr_core *core = planner->core;
     GPtrArray *waiting = rr_list_waiting_jobs(planner);
     bool rebalance = rr_check_rebalancing_due(core, planner->now);
-    if (planner->change_limit > 0 && (waiting->len || rebalance || core->planning.moves->len)) {
+    if (planner->change_limit > 0 &&
+        (waiting->len || rebalance || core->planning.planned_moves->len)) {
         rr_reset_free_resources(core);
         if (rebalance) {
             rr_plan_rebalancing_moves(core, planner->now);
@@ -126,7 +127,7 @@
 
 void rr_core_plan(rr_core *core, double now, double wall, rr_plan *plan) {
     if (!rr_core_lease_valid(core, now) || !rr_core_cache_consistent(core) ||
-        core->membership.new_term_wanted) {
+        core->membership.new_term_due) {
         return;
     }
     struct rr_planner planner;
@@ -148,7 +149,7 @@
         rr_recount_team_usage(core);
     }
     rr_planner_clear(&planner);
-    if (begin_period_if_due(&core->planning.last_job_shrink_at, now, JOBS_SHRINK_PERIOD_S)) {
-        rr_jobs_shrink(core, wall);
+    if (begin_period_if_due(&core->planning.last_job_eviction_at, now, JOBS_SHRINK_PERIOD_S)) {
+        rr_jobs_evict_final(core, wall);
     }
 }
--- a/src/core/scheduling/plan_edits.c
+++ b/src/core/scheduling/plan_edits.c
@@ -66,8 +66,8 @@
            all_terminated(planner, job);
 }
 
-rr_placement_record *rr_record_edit_find(const struct rr_record_edit *edit, uint64_t attempt,
-                                         uint32_t task) {
+rr_placement_record *rr_record_edit_find_placement(const struct rr_record_edit *edit,
+                                                   uint64_t attempt, uint32_t task) {
     for (guint i = 0; i < edit->placements->len; i++) {
         rr_placement_record *record = &g_array_index(edit->placements, rr_placement_record, i);
         if (record->attempt == attempt && record->task == task) {
@@ -137,7 +137,8 @@
         !add_completion(planner, edit, terminated)) {
         return;
     }
-    rr_placement_record *record = rr_record_edit_find(edit, terminated->attempt, terminated->task);
+    rr_placement_record *record =
+        rr_record_edit_find_placement(edit, terminated->attempt, terminated->task);
     if (record) {
         const rr_placement_record *first = (rr_placement_record *)(void *)edit->placements->data;
         g_array_remove_index(edit->placements, (guint)(record - first));
@@ -166,7 +167,7 @@
     }
     size_t bytes = rr_ledger_record_bytes(record->placements->len + 1) + RECORD_OVERHEAD_BYTES;
     if (!transaction_has_room(planner, 1, bytes)) {
-        planner->full = true;
+        planner->transaction_full = true;
         return NULL;
     }
     struct rr_record_edit *edit = g_new0(struct rr_record_edit, 1);
@@ -216,9 +217,9 @@
  * placement can place it again. */
 static void requeue_task(struct rr_planner *planner, rr_job *job, uint32_t task) {
     struct rr_requeued_task requeued = {job, task};
-    if (job->placed && task < job->submission.task_count && job->placed[task] == 1 &&
-        !job->cancelled && !rr_job_task_done(job, task)) {
-        job->placed[task] = 0;
+    if (job->placements_per_task && task < job->submission.task_count &&
+        job->placements_per_task[task] == 1 && !job->cancelled && !rr_job_task_done(job, task)) {
+        job->placements_per_task[task] = 0;
         job->placed_count--;
         job->next_task_hint = MIN(job->next_task_hint, task);
         g_array_append_val(planner->requeued, requeued);
@@ -277,7 +278,7 @@
 }
 
 void rr_plan_remove_lost(struct rr_planner *planner) {
-    for (guint i = 0; i < planner->terminated->len && !planner->full; i++) {
+    for (guint i = 0; i < planner->terminated->len && !planner->transaction_full; i++) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i);
         if (task_was_lost(terminated) && !terminated->removal_may_wait) {
--- a/src/core/scheduling/plan_edits.h
+++ b/src/core/scheduling/plan_edits.h
@@ -15,14 +15,14 @@
 
 /* Returns this plan's edit of the chunk's record, creating it if need be. A new edit starts with
  * the record's placements, except those known to be terminated. Returns NULL if the record can't be
- * written now or the transaction is full; in the latter case it also sets planner->full. The
- * planner owns the edit. */
+ * written now or the transaction is full; in the latter case it also sets
+ * planner->transaction_full. The planner owns the edit. */
 struct rr_record_edit *rr_plan_edit_record(struct rr_planner *planner, rr_job *job, uint32_t chunk);
 
 /* Returns the placement of this attempt and task in the edit, or NULL. The pointer is valid until
  * the edit's placements change. */
-rr_placement_record *rr_record_edit_find(const struct rr_record_edit *edit, uint64_t attempt,
-                                         uint32_t task);
+rr_placement_record *rr_record_edit_find_placement(const struct rr_record_edit *edit,
+                                                   uint64_t attempt, uint32_t task);
 
 /* Returns the number of the record's placements that this plan knows to be terminated. */
 guint rr_plan_count_terminated(const struct rr_planner *planner, const rr_ledger_record *record);
--- a/src/core/scheduling/plan_transaction.c
+++ b/src/core/scheduling/plan_transaction.c
@@ -19,7 +19,7 @@
 
 /* Adds the final record of a completed job. */
 static void put_final_record(struct rr_planner *planner, const rr_job *job) {
-    rr_job_final_record(job, &planner->plan->transaction);
+    rr_job_add_final_record(job, &planner->plan->transaction);
     rr_log_at(planner->core, RR_LOG_DEBUG,
               "job %s done: %u tasks, %.0f s after acceptance, deadline %.0f s, "
               "runtime estimate %.0f s",
@@ -82,7 +82,7 @@
     for (guint i = 0; i < planner->guarded_jobs->len; i++) {
         const rr_job *job = g_ptr_array_index(planner->guarded_jobs, i);
         rr_core_job_key(job->submission.job_id, key, sizeof key);
-        rr_transaction_guard(&planner->plan->transaction, key, job->own_version);
+        rr_transaction_guard(&planner->plan->transaction, key, job->own_record_version);
     }
 }
 
@@ -113,7 +113,7 @@
 /* Whether every job of the batch has its own record, which makes the batch record obsolete. */
 static bool is_batch_obsolete(const rr_job_batch *batch) {
     for (guint i = 0; i < batch->jobs->len; i++) {
-        if (((const rr_job *)g_ptr_array_index(batch->jobs, i))->own_version == 0) {
+        if (((const rr_job *)g_ptr_array_index(batch->jobs, i))->own_record_version == 0) {
             return false;
         }
     }
@@ -132,7 +132,7 @@
         return;
     }
     core->planning.last_batch_deletion_at = planner->now;
-    g_hash_table_iter_init(&iter, core->stored.batches);
+    g_hash_table_iter_init(&iter, core->stored.job_batches);
     while (planner->change_count < planner->change_limit &&
            g_hash_table_iter_next(&iter, &key, &value)) {
         if (is_batch_obsolete(value)) {
--- a/src/core/scheduling/planner.c
+++ b/src/core/scheduling/planner.c
@@ -29,7 +29,7 @@
     g_array_set_size(core->planning.team_reserved, (guint)core->config->team_count);
 }
 
-void rr_planner_use_machine(struct rr_planner *planner, rr_machine *machine) {
+void rr_planner_track_machine(struct rr_planner *planner, rr_machine *machine) {
     if (!machine->reserved_jobs) {
         machine->reserved_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
         g_ptr_array_add(planner->used_machines, machine);
@@ -59,7 +59,7 @@
     g_array_free(machine->reserved_jobs, TRUE);
     machine->reserved_jobs = NULL;
     for (guint i = 0; i < machine->placements->len; i++) {
-        g_array_index(machine->placements, rr_placement, i).leaving = false;
+        g_array_index(machine->placements, rr_placement, i).preempted_by_plan = false;
     }
 }
 
@@ -68,7 +68,7 @@
 static void restore_requeued_tasks(const GArray *requeued) {
     for (guint i = 0; i < requeued->len; i++) {
         const struct rr_requeued_task *entry = &g_array_index(requeued, struct rr_requeued_task, i);
-        entry->job->placed[entry->task] = 1;
+        entry->job->placements_per_task[entry->task] = 1;
         entry->job->placed_count++;
     }
 }
--- a/src/core/scheduling/planner.h
+++ b/src/core/scheduling/planner.h
@@ -55,22 +55,22 @@
 /* A plan under construction. Times are in seconds. */
 struct rr_planner {
     rr_core *core;
-    double now;                /* steady time */
-    double wall;               /* time of day */
-    rr_plan *plan;             /* the caller's plan, to be filled in */
-    GHashTable *job_progress;  /* rr_job* -> struct rr_job_progress, owned */
-    GPtrArray *edits;          /* struct rr_record_edit*, owned */
-    GArray *terminated;        /* struct rr_terminated_placement */
-    GArray *requeued;          /* struct rr_requeued_task */
-    GPtrArray *used_machines;  /* rr_machine*: those on which this plan reserves or preempts */
-    GPtrArray *guarded_jobs;   /* rr_job*: the transaction fails if the record of one has changed */
-    GArray *failed_searches;   /* struct rr_failed_search */
-    GArray *candidates;        /* rr_candidate: machines for the job being placed */
-    int change_count;          /* changes in the transaction so far */
-    int change_limit;          /* maximum of change_count */
-    size_t transaction_bytes;  /* estimated size of the transaction */
-    bool full;                 /* a record edit was refused because the transaction is full */
-    rr_machine *last_reserved; /* machine of the latest reservation, NULL: none */
+    double now;               /* steady time */
+    double wall;              /* time of day */
+    rr_plan *plan;            /* the caller's plan, to be filled in */
+    GHashTable *job_progress; /* rr_job* -> struct rr_job_progress, owned */
+    GPtrArray *edits;         /* struct rr_record_edit*, owned */
+    GArray *terminated;       /* struct rr_terminated_placement */
+    GArray *requeued;         /* struct rr_requeued_task */
+    GPtrArray *used_machines; /* rr_machine*: those on which this plan reserves or preempts */
+    GPtrArray *guarded_jobs;  /* rr_job*: the transaction fails if the record of one has changed */
+    GArray *failed_searches;  /* struct rr_failed_search */
+    GArray *candidates;       /* rr_candidate: machines for the job being placed */
+    int change_count;         /* changes in the transaction so far */
+    int change_limit;         /* maximum of change_count */
+    size_t transaction_bytes; /* estimated size of the transaction */
+    bool transaction_full;    /* a record edit was refused because the transaction is full */
+    rr_machine *last_reserved_machine; /* machine of the latest reservation, NULL: none */
 };
 
 /* Initializes the planner for an empty plan, whose results go into *plan. now: steady time; wall:
@@ -83,7 +83,7 @@
 
 /* Registers a machine on which the plan reserves or preempts, so that rr_planner_clear() resets its
  * per-plan state. */
-void rr_planner_use_machine(struct rr_planner *planner, rr_machine *machine);
+void rr_planner_track_machine(struct rr_planner *planner, rr_machine *machine);
 
 /* Returns the plan's state of the job, creating it zeroed if need be. Owned by the planner and
  * valid until rr_planner_clear(). */
--- a/src/core/scheduling/planning_state.h
+++ b/src/core/scheduling/planning_state.h
@@ -14,13 +14,13 @@
     double last_machine_cleanup_at; /* removal of machines without a record */
     double last_batch_deletion_at;  /* deletion of obsolete batch records */
     double last_usage_recount_at;   /* recount of team usage */
-    double last_job_shrink_at;      /* shrinking of closed jobs */
-    GArray *moves;                  /* rr_move: planned by rebalancing, not started */
+    double last_job_eviction_at;    /* eviction of final jobs */
+    GArray *planned_moves;          /* rr_move: planned by rebalancing, not started */
     double last_rebalancing_at;     /* last rebalancing, or set to time the next stability check */
     double stable_since;            /* time of the last observed disturbance, 0: none */
     uint64_t stability_check_token; /* fencing token of the term at the last stability check */
     int rebalance_moves_left;       /* moves that may start until the next rebalancing */
-    unsigned plan_count;            /* plans that placed waiting jobs */
+    unsigned placement_plan_count;  /* plans that placed waiting jobs */
     GArray *team_reserved;          /* rr_resources by team: reserved by the present plan */
 };
 
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -87,7 +87,7 @@
         return true;
     }
     return job_guaranteed && victim->team >= 0 && victim->team != job->team &&
-           rr_beyond_guarantee(planner, victim->team, freed);
+           rr_team_exceeds_guarantee(planner, victim->team, freed);
 }
 
 /* Returns the machine's placements (struct victim) that may be preempted for the job, in order of
@@ -101,7 +101,7 @@
     for (guint i = 0; i < machine->placements->len; i++) {
         rr_placement *placement = &g_array_index(machine->placements, rr_placement, i);
         /* The machine's free resources already include those of this placement. */
-        if (placement->leaving || placement->terminated_at > 0) {
+        if (placement->preempted_by_plan || placement->terminated_at > 0) {
             continue;
         }
         if (placement->preempt) {
@@ -193,8 +193,8 @@
     GArray *possible = list_possible_victims(planner, machine, job, guaranteed, &available);
     g_array_set_size(preemption->victims, 0);
     preemption->loss_s = 0;
-    for (guint i = 0;
-         i < possible->len && rr_tasks_fitting(job->request, available, task_count) < task_count;
+    for (guint i = 0; i < possible->len &&
+                      rr_count_fitting_tasks(job->request, available, task_count) < task_count;
          i++) {
         const struct victim *victim = &g_array_index(possible, struct victim, i);
         const rr_placement *placement = victim->placement;
@@ -208,7 +208,7 @@
         add_victim(possible, victim, preemption->victims, &available);
     }
     g_array_free(possible, TRUE);
-    return rr_tasks_fitting(job->request, available, task_count) >= task_count;
+    return rr_count_fitting_tasks(job->request, available, task_count) >= task_count;
 }
 
 /* Returns the plan's edit of the victim's ledger record, or NULL if the transaction is full or the
@@ -221,13 +221,13 @@
 /* Marks one victim as preempted, and adds its resources to the machine's free ones. */
 static void preempt_placement(struct rr_planner *planner, rr_machine *machine, rr_placement *victim,
                               enum rr_preempt_mode mode) {
-    rr_placement_record *record =
-        rr_record_edit_find(edit_victim_record(planner, victim), victim->attempt, victim->task);
+    rr_placement_record *record = rr_record_edit_find_placement(edit_victim_record(planner, victim),
+                                                                victim->attempt, victim->task);
     if (record) {
         record->preempt = mode;
     }
-    victim->leaving = true;
-    rr_planner_use_machine(planner, machine);
+    victim->preempted_by_plan = true;
+    rr_planner_track_machine(planner, machine);
     machine->free = rr_resources_add(machine->free, victim->job->request, 1);
 }
 
@@ -281,7 +281,7 @@
     double least_loss_s = 0;
     for (guint i = 0; i < count && compared < RR_PREEMPTION_MACHINES_MAX; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, (start + i) % count);
-        core->counters.machines_visited++;
+        core->counters.machines_examined++;
         if (!may_preempt_on(planner, machine, job, constraints) ||
             !rr_preemption_find(planner, machine, job, 1, preemption)) {
             continue;
@@ -301,7 +301,7 @@
     rr_preemption_init(&preemption);
     rr_machine *best = find_cheapest_machine(planner, job, constraints, &preemption);
     bool reserved = best && rr_preemption_find(planner, best, job, 1, &preemption) &&
-                    rr_reservation_record(planner, job, task) &&
+                    rr_edit_reservation_record(planner, job, task) &&
                     rr_preemption_apply(planner, best, job, &preemption) &&
                     rr_reserve(planner, best, job, task);
     rr_preemption_clear(&preemption);
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -137,7 +137,7 @@
 
 /* ---- recording outcomes ---- */
 
-void rr_core_suspect(rr_core *core, const char *machine_name, double now) {
+void rr_core_mark_suspect(rr_core *core, const char *machine_name, double now) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, machine_name);
     if (machine) {
         machine->suspect_until = now + SUSPECT_INTERVALS * core->config->heartbeat_interval_s;
@@ -161,9 +161,10 @@
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* this process may not have read the answer yet */
     }
-    machine->unanswered_at = machine->unanswered_commands++ == 0 ? now : machine->unanswered_at;
+    machine->commands_unanswered_since =
+        machine->unanswered_commands++ == 0 ? now : machine->commands_unanswered_since;
     if (machine->unanswered_commands >= SUSPECT_UNANSWERED_MIN) {
-        rr_core_suspect(core, machine->name, now);
+        rr_core_mark_suspect(core, machine->name, now);
     }
 }
 
@@ -219,8 +220,8 @@
     }
 }
 
-void rr_core_command_result(rr_core *core, double now, const rr_command_batch *batch,
-                            enum rr_command_outcome outcome, bool executed) {
+void rr_core_record_command_result(rr_core *core, double now, const rr_command_batch *batch,
+                                   enum rr_command_outcome outcome, bool executed) {
     rr_machine *machine = g_hash_table_lookup(core->stored.machines, batch->machine);
     bool is_probe = batch->commands->len == 0;
     bool answered = outcome == RR_COMMAND_ANSWERED;
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -50,9 +50,11 @@
                        const rr_placement *placement, double now) {
     const rr_job *job = placement->job;
     if (job->submission.kind != RR_JOB_SERVICE || job->cancelled || job->done ||
-        placement->preempt || !job->placed || placement->task >= job->submission.task_count ||
-        job->placed[placement->task] != 1 || job->team < 0 || !rr_owns_team(core, job->team) ||
-        !rr_machine_schedulable(core, machine, now) || rr_job_held(core, job, now)) {
+        placement->preempt || !job->placements_per_task ||
+        placement->task >= job->submission.task_count ||
+        job->placements_per_task[placement->task] != 1 || job->team < 0 ||
+        !rr_owns_team(core, job->team) || !rr_machine_schedulable(core, machine, now) ||
+        rr_job_held(core, job, now)) {
         return false;
     }
     const rr_task_status *task = rr_task_status_find(machine, placement);
@@ -93,13 +95,13 @@
     const struct rr_tuning *tuning = &core->config->tuning;
     if (!tuning->rebalance ||
         now - core->planning.last_rebalancing_at < tuning->rebalance_period_s) {
-        if (core->planning.moves->len > 0 && !check_fleet_stable(core, now)) {
-            g_array_set_size(core->planning.moves, 0);
+        if (core->planning.planned_moves->len > 0 && !check_fleet_stable(core, now)) {
+            g_array_set_size(core->planning.planned_moves, 0);
         }
         return false;
     }
     if (!check_fleet_stable(core, now)) {
-        g_array_set_size(core->planning.moves, 0);
+        g_array_set_size(core->planning.planned_moves, 0);
         double next_check_s = fmin(STABILITY_CHECK_PERIOD_S, tuning->rebalance_period_s);
         core->planning.last_rebalancing_at = now - tuning->rebalance_period_s + next_check_s;
         return false;
@@ -176,7 +178,8 @@
  * shift replicas between full machines. */
 static gint compare_placement_order(gconstpointer left_replica, gconstpointer right_replica) {
     const struct movable_replica *left = left_replica, *right = right_replica;
-    bool left_bound = rr_job_zone_bound(left->job), right_bound = rr_job_zone_bound(right->job);
+    bool left_bound = rr_job_requires_one_zone(left->job),
+         right_bound = rr_job_requires_one_zone(right->job);
     if (left_bound != right_bound) {
         return left_bound ? -1 : 1;
     }
@@ -232,8 +235,8 @@
         bool named = !job->submission.zone[0] || strcmp(job->submission.zone, name) == 0;
         zones[zone] = keeps_zone ? (int)zone == replica->source->zone : named;
     }
-    if (!keeps_zone && rr_job_zone_bound(job)) {
-        int best = rr_zone_with_most_room(core, job, zones, now);
+    if (!keeps_zone && rr_job_requires_one_zone(job)) {
+        int best = rr_choose_zone(core, job, zones, now);
         for (guint zone = 0; zone < zone_count; zone++) {
             zones[zone] = (int)zone == best;
         }
@@ -265,7 +268,7 @@
                                                        replica->job->submission.task_count > 1,
                                                    .need_image = true,
                                                    .current = replica->source};
-    rr_machine *machine = rr_bin_pack(core, replica->job, &constraints, now);
+    rr_machine *machine = rr_choose_machine(core, replica->job, &constraints, now);
     if (!machine || (machine != replica->source &&
                      has_earlier_replica_on(replicas, index, replica->job, machine))) {
         return replica->source;
@@ -375,7 +378,7 @@
     for (guint i = 0; i < moves->len; i++) {
         const rr_move *move = &g_array_index(moves, rr_move, i);
         if (count_moves_from(moves, move->from) == move->from->placements->len) {
-            g_array_append_val(core->planning.moves, *move);
+            g_array_append_val(core->planning.planned_moves, *move);
         }
     }
     g_array_free(moves, TRUE);
@@ -384,7 +387,7 @@
 void rr_plan_rebalancing_moves(rr_core *core, double now) {
     core->planning.last_rebalancing_at = now;
     core->planning.rebalance_moves_left = compute_move_limit(core);
-    if (core->planning.moves->len > 0) {
+    if (core->planning.planned_moves->len > 0) {
         return;
     }
     GArray *replicas = list_movable_replicas(core, now);
@@ -397,10 +400,10 @@
             order_moves(core, replicas, changes);
         }
         g_free(changes);
-        if (core->planning.moves->len > 0) {
+        if (core->planning.planned_moves->len > 0) {
             rr_log_at(core, RR_LOG_INFO,
                       "rebalance: %u replicas examined, %u machines to empty, %u moves planned",
-                      replicas->len, emptied_count, core->planning.moves->len);
+                      replicas->len, emptied_count, core->planning.planned_moves->len);
         }
         rr_reset_free_resources(core);
     }
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -70,8 +70,10 @@
         machine->heartbeat.tasks->len > DEFERRED_REAP_TASKS_MAX) {
         return false;
     }
-    machine->reap_at = machine->reap_at > 0 ? machine->reap_at : planner->now;
-    return planner->now - machine->reap_at < planner->core->config->heartbeat_interval_s;
+    machine->reap_deferred_since =
+        machine->reap_deferred_since > 0 ? machine->reap_deferred_since : planner->now;
+    return planner->now - machine->reap_deferred_since <
+           planner->core->config->heartbeat_interval_s;
 }
 
 /* Whether this controller cleans up a task of a final job, whose team is not known any more. The
@@ -158,7 +160,7 @@
     rr_core *core = planner->core;
     /* Only machines with a record get reservations, so one without a record is proven gone. */
     bool gone = !machine->recorded;
-    core->counters.machines_visited++;
+    core->counters.machines_examined++;
     if (!gone && (!machine->heartbeat_seen ||
                   machine->heartbeat.fencing_token > core->membership.term.token)) {
         return false; /* a heartbeat or the next term will mark it dirty */
@@ -201,7 +203,7 @@
 static void reconcile_gangs(struct rr_planner *planner, const GPtrArray *gangs) {
     for (guint i = 0; i < gangs->len; i++) {
         const rr_job *job = g_ptr_array_index(gangs, i);
-        if (rr_gang_stop(planner->core, job, planner->now) == RR_GANG_STAYS) {
+        if (rr_gang_stop_mode(planner->core, job, planner->now) == RR_GANG_STOP_NONE) {
             continue;
         }
         for (guint chunk = 0; chunk < job->records->len; chunk++) {
@@ -212,10 +214,10 @@
 
 /* Marks every machine dirty once per term, since the ownership of teams changes with the term. */
 static void mark_all_machines_in_new_term(rr_core *core) {
-    if (core->membership.all_dirty_token == core->membership.term.token) {
+    if (core->membership.fully_dirty_token == core->membership.term.token) {
         return;
     }
-    core->membership.all_dirty_token = core->membership.term.token;
+    core->membership.fully_dirty_token = core->membership.term.token;
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine_mark_dirty(core, g_ptr_array_index(core->stored.machine_list, i));
     }
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -50,7 +50,7 @@
            used.gpus <= guarantee.gpus + RR_RESOURCE_EPSILON;
 }
 
-bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_resources returned) {
+bool rr_team_exceeds_guarantee(const struct rr_planner *planner, int team, rr_resources returned) {
     rr_resources guarantee = team_guarantee(planner->core, team);
     rr_resources used = rr_resources_add(rr_team_usage_in_plan(planner, team), returned, -1);
     return used.cpus > guarantee.cpus + RR_RESOURCE_EPSILON ||
@@ -89,11 +89,11 @@
  * controller of the term can read them. */
 static int64_t find_reservation_chunk(const struct rr_planner *planner, rr_job *job,
                                       uint32_t task) {
-    uint32_t home_chunk = task / job->tasks_per_record, first_overflow = rr_job_chunks(job);
+    uint32_t home_chunk = task / job->tasks_per_record, first_overflow = rr_job_count_chunks(job);
     if (has_room_for_placement(planner, rr_job_ledger_record_get(job, home_chunk))) {
         return home_chunk;
     }
-    if (!rr_core_all_gang_capable(planner->core)) {
+    if (!rr_core_all_members_support_gangs(planner->core)) {
         return NO_CHUNK;
     }
     uint32_t end = MIN(first_overflow + OVERFLOW_RECORDS_MAX,
@@ -120,12 +120,12 @@
 /* Returns the number of records that may hold placements of one task: that of its chunk and the
  * overflow records. The others are not searched, since a job may have hundreds of records. */
 static guint count_task_records(const rr_job *job) {
-    return rr_job_overflows(job) ? 1 + job->records->len - rr_job_chunks(job) : 1;
+    return rr_job_has_overflow_records(job) ? 1 + job->records->len - rr_job_count_chunks(job) : 1;
 }
 
 /* Returns the chunk of the i-th record that may hold placements of the task. */
 static uint32_t task_record_chunk(const rr_job *job, uint32_t task, guint i) {
-    return i == 0 ? task / job->tasks_per_record : rr_job_chunks(job) + i - 1;
+    return i == 0 ? task / job->tasks_per_record : rr_job_count_chunks(job) + i - 1;
 }
 
 enum rr_reservable rr_reservable(const struct rr_planner *planner, rr_job *job, uint32_t task) {
@@ -154,8 +154,8 @@
     return true;
 }
 
-struct rr_record_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job,
-                                             uint32_t task) {
+struct rr_record_edit *rr_edit_reservation_record(struct rr_planner *planner, rr_job *job,
+                                                  uint32_t task) {
     if (!edit_earlier_placements(planner, job, task)) {
         return NULL;
     }
@@ -167,7 +167,7 @@
 
 bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
                         uint64_t attempt) {
-    struct rr_record_edit *edit = rr_reservation_record(planner, job, task);
+    struct rr_record_edit *edit = rr_edit_reservation_record(planner, job, task);
     if (!edit || !rr_ledger_record_fits(planner->core, edit->placements->len + 1)) {
         return false;
     }
@@ -176,13 +176,13 @@
                                   .attempt = attempt,
                                   .worker_epoch = machine->heartbeat.worker_epoch};
     g_array_append_val(edit->placements, record);
-    rr_planner_use_machine(planner, machine);
+    rr_planner_track_machine(planner, machine);
     g_array_append_val(machine->reserved_jobs, job);
     machine->free = rr_resources_add(machine->free, job->request, -1);
     machine->reserved_image = job->image;
     rr_reserve_team_usage(planner, job, 1);
     rr_planner_guard_job(planner, job);
-    planner->last_reserved = machine;
+    planner->last_reserved_machine = machine;
     rr_log_at(planner->core, RR_LOG_DEBUG,
               "reserve task %s/%u attempt %" G_GUINT64_FORMAT " on machine %s",
               job->submission.job_id, task, attempt, machine->name);
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -18,7 +18,7 @@
 bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t task_count);
 
 /* Whether the team uses more than its guarantee even after giving back `returned`. */
-bool rr_beyond_guarantee(const struct rr_planner *planner, int team, rr_resources returned);
+bool rr_team_exceeds_guarantee(const struct rr_planner *planner, int team, rr_resources returned);
 
 /* ---- reservations ---- */
 
@@ -36,8 +36,8 @@
 /* Returns the edit of the record that has room for one more placement of the task, after editing
  * the records that hold earlier placements of it. Returns NULL if there is no such record, one of
  * them can't be written now or the transaction is full. The planner owns the edit. */
-struct rr_record_edit *rr_reservation_record(struct rr_planner *planner, rr_job *job,
-                                             uint32_t task);
+struct rr_record_edit *rr_edit_reservation_record(struct rr_planner *planner, rr_job *job,
+                                                  uint32_t task);
 
 /* Reserves the task on the machine under this attempt. Returns false if the ledger has no room for
  * the placement or the transaction is full. */
--- a/src/core/scheduling/waiting_jobs.c
+++ b/src/core/scheduling/waiting_jobs.c
@@ -45,8 +45,8 @@
     return waiting;
 }
 
-void rr_core_each_spillable(const rr_core *core, double now, rr_core_spillable_fn callback,
-                            void *user) {
+void rr_core_foreach_spillable_job(const rr_core *core, double now, rr_core_spillable_fn callback,
+                                   void *user) {
     for (guint i = 0; i < core->stored.open_jobs->len; i++) {
         const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
         if (is_waiting(core, job, now) && job->placed_count == 0 && job->done_count == 0 &&
--- a/src/core/scheduling/zone_choice.c
+++ b/src/core/scheduling/zone_choice.c
@@ -58,7 +58,7 @@
                         uint32_t waiting_tasks, struct zone_resources *zone) {
     zone->free = rr_resources_add(zone->free, machine->free, 1);
     zone->capacity = rr_resources_add(zone->capacity, rr_machine_capacity(core, machine), 1);
-    uint32_t fitting = rr_tasks_fitting(job->request, machine->free, waiting_tasks);
+    uint32_t fitting = rr_count_fitting_tasks(job->request, machine->free, waiting_tasks);
     zone->fitting_tasks = MIN(zone->fitting_tasks + fitting, waiting_tasks);
     if (job->submission.kind == RR_JOB_GANG && rr_machine_has_image(machine, job->image)) {
         zone->fitting_tasks_with_image =
@@ -66,7 +66,7 @@
     }
 }
 
-int rr_zone_with_most_room(rr_core *core, const rr_job *job, const bool *allowed, double now) {
+int rr_choose_zone(rr_core *core, const rr_job *job, const bool *allowed, double now) {
     guint zone_count = core->stored.zones.names->len;
     struct zone_resources by_zone[zone_count + 1];
     uint32_t waiting_tasks = job->submission.task_count -
@@ -74,7 +74,7 @@
     memset(by_zone, 0, sizeof by_zone);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
-        core->counters.machines_visited++;
+        core->counters.machines_examined++;
         if (rr_machine_accepts_job(core, machine, job, allowed, now)) {
             add_machine(core, job, machine, waiting_tasks, &by_zone[machine->zone]);
         }
--- a/src/core/scheduling/zone_choice.h
+++ b/src/core/scheduling/zone_choice.h
@@ -6,6 +6,6 @@
 
 /* Returns the allowed zone that suits the job's waiting tasks best, or -1 if no allowed zone has a
  * machine that may take them. */
-int rr_zone_with_most_room(rr_core *core, const rr_job *job, const bool *allowed, double now);
+int rr_choose_zone(rr_core *core, const rr_job *job, const bool *allowed, double now);
 
 #endif
--- a/src/core/state/cache_progress.c
+++ b/src/core/state/cache_progress.c
@@ -21,10 +21,11 @@
     return core->stored.revision;
 }
 
-void rr_core_set_cache_current(rr_core *core, double when) {
-    core->stored.current_at = when > core->stored.current_at ? when : core->stored.current_at;
+void rr_core_set_cache_current(rr_core *core, double current_as_of) {
+    core->stored.current_as_of =
+        current_as_of > core->stored.current_as_of ? current_as_of : core->stored.current_as_of;
 }
 
 double rr_core_cache_age(const rr_core *core, double now) {
-    return now - core->stored.current_at;
+    return now - core->stored.current_as_of;
 }
--- a/src/core/state/job_records.c
+++ b/src/core/state/job_records.c
@@ -15,26 +15,26 @@
     g_snprintf(out, size, RR_KEY_JOB "%s", job_id);
 }
 
-void rr_core_job_encode(rr_encoder *encoder, const rr_submission *submission, double when,
+void rr_core_encode_job(rr_encoder *encoder, const rr_submission *submission, double accepted_at,
                         bool cancelled) {
     rr_encode_map(encoder, rr_submission_field_count(submission) + 2);
     rr_submission_encode_fields(encoder, submission);
-    rr_encode_key_number(encoder, RR_RECORD_ACCEPTED_AT, when);
+    rr_encode_key_number(encoder, RR_RECORD_ACCEPTED_AT, accepted_at);
     rr_encode_key_bool(encoder, RR_RECORD_CANCELLED, cancelled);
 }
 
-bool rr_core_cancel_record(const rr_core *core, const char *job_id, rr_encoder *encoder,
-                           uint64_t *version) {
+bool rr_core_encode_cancelled_job(const rr_core *core, const char *job_id, rr_encoder *encoder,
+                                  uint64_t *version) {
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     if (!job || job->done || job->cancelled) {
         return false;
     }
-    rr_core_job_encode(encoder, &job->submission, job->accepted_at, true);
-    *version = job->own_version;
+    rr_core_encode_job(encoder, &job->submission, job->accepted_at, true);
+    *version = job->own_record_version;
     return true;
 }
 
-void rr_job_final_record(const rr_job *job, rr_transaction *transaction) {
+void rr_job_add_final_record(const rr_job *job, rr_transaction *transaction) {
     char key[RR_KEY_SIZE];
     rr_encoder encoder;
     rr_encoder_init(&encoder);
@@ -44,17 +44,17 @@
     rr_encode_key_text(&encoder, RR_WORD_TEAM, job->submission.team);
     rr_encode_key_u64(&encoder, RR_WORD_TASKS, job->submission.task_count);
     rr_core_job_key(job->submission.job_id, key, sizeof key);
-    rr_transaction_guard(transaction, key, job->own_version);
+    rr_transaction_guard(transaction, key, job->own_record_version);
     rr_transaction_put(transaction, key, &encoder, 0);
 }
 
-void rr_core_batch_begin(rr_encoder *encoder, size_t count) {
+void rr_core_begin_job_batch(rr_encoder *encoder, size_t count) {
     rr_encode_map(encoder, 1);
     rr_encode_text(encoder, RR_RECORD_JOBS);
     rr_encode_array(encoder, count);
 }
 
-void rr_core_batch_key(uint64_t lease_id, uint64_t number, char *out, size_t size) {
+void rr_core_job_batch_key(uint64_t lease_id, uint64_t number, char *out, size_t size) {
     g_snprintf(out, size, RR_KEY_JOB_BATCH "%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, lease_id,
                number);
 }
@@ -146,10 +146,10 @@
     }
     rr_job *job = rr_job_get(core, job_id, now);
     bool is_new = job->version == 0;
-    if (version < job->own_version) {
+    if (version < job->own_record_version) {
         return;
     }
-    job->version = job->own_version = version;
+    job->version = job->own_record_version = version;
     if (rr_map_get(value, RR_RECORD_FINAL)) {
         apply_final_record(core, job, value);
     } else {
@@ -167,7 +167,7 @@
     }
     rr_job *job = rr_job_get(core, job_id, now);
     g_ptr_array_add(batch->jobs, job);
-    if (job->own_version == 0 && (job->version == 0 || batch->version < job->version)) {
+    if (job->own_record_version == 0 && (job->version == 0 || batch->version < job->version)) {
         bool is_new = job->version == 0;
         job->version = batch->version;
         apply_submission(core, job, entry, is_new);
@@ -180,7 +180,7 @@
     rr_job_batch *batch = g_new0(rr_job_batch, 1);
     batch->version = version;
     batch->jobs = g_ptr_array_new();
-    g_hash_table_replace(core->stored.batches, g_strdup(key), batch);
+    g_hash_table_replace(core->stored.job_batches, g_strdup(key), batch);
     if (!entries || entries->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
@@ -196,9 +196,9 @@
 }
 
 void rr_job_batch_delete(rr_core *core, const char *key) {
-    g_hash_table_remove(core->stored.batches, key);
+    g_hash_table_remove(core->stored.job_batches, key);
 }
 
 void rr_job_batches_begin_reload(rr_core *core) {
-    g_hash_table_remove_all(core->stored.batches);
+    g_hash_table_remove_all(core->stored.job_batches);
 }
--- a/src/core/state/job_records.h
+++ b/src/core/state/job_records.h
@@ -29,6 +29,6 @@
 void rr_job_batches_begin_reload(rr_core *core);
 /* Adds the final record of a completed job to the transaction, guarded by the version of the job's
  * own record. */
-void rr_job_final_record(const rr_job *job, rr_transaction *transaction);
+void rr_job_add_final_record(const rr_job *job, rr_transaction *transaction);
 
 #endif
--- a/src/core/state/job_retention.c
+++ b/src/core/state/job_retention.c
@@ -35,15 +35,15 @@
     GHashTable *referenced = g_hash_table_new(NULL, NULL);
     GHashTableIter iter;
     gpointer value;
-    add_to_set(referenced, core->stored.arrivals);
+    add_to_set(referenced, core->stored.recent_arrivals);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         add_to_set(referenced, machine->failed_jobs);
     }
-    for (guint i = 0; i < core->planning.moves->len; i++) {
-        g_hash_table_add(referenced, g_array_index(core->planning.moves, rr_move, i).job);
+    for (guint i = 0; i < core->planning.planned_moves->len; i++) {
+        g_hash_table_add(referenced, g_array_index(core->planning.planned_moves, rr_move, i).job);
     }
-    g_hash_table_iter_init(&iter, core->stored.batches);
+    g_hash_table_iter_init(&iter, core->stored.job_batches);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GPtrArray *jobs = ((const rr_job_batch *)value)->jobs;
         for (guint i = 0; i < jobs->len; i++) {
@@ -56,15 +56,15 @@
 /* Returns whether the job is final by its own record and closed, and the watch has passed every
  * record that may still name it. */
 static bool is_evictable(const rr_core *core, rr_job *job) {
-    if (!(job->done || job->cancelled) || job->open || job->own_version == 0 ||
-        job->own_version > core->stored.revision) {
+    if (!(job->done || job->cancelled) || job->open || job->own_record_version == 0 ||
+        job->own_record_version > core->stored.revision) {
         return false;
     }
     rr_job_free_unused_records(core, job);
     return job->records == NULL;
 }
 
-void rr_jobs_shrink(rr_core *core, double wall) {
+void rr_jobs_evict_final(rr_core *core, double wall) {
     GHashTableIter iter;
     gpointer value;
     rr_arrivals_trim(core, wall);
--- a/src/core/state/job_retention.h
+++ b/src/core/state/job_retention.h
@@ -11,6 +11,6 @@
 /* Evicts every job that was evictable at the previous call and still is: only its outcome
  * (rr_job_outcome) stays in the cache. Calls must be at least a minute apart, or a late record
  * could bring back a job that the cache no longer has. wall: time of day, seconds. */
-void rr_jobs_shrink(rr_core *core, double wall);
+void rr_jobs_evict_final(rr_core *core, double wall);
 
 #endif
--- a/src/core/state/jobs.c
+++ b/src/core/state/jobs.c
@@ -25,7 +25,7 @@
     rr_job *job = data;
     rr_submission_clear(&job->submission);
     g_free(job->done_bitmap);
-    g_free(job->placed);
+    g_free(job->placements_per_task);
     if (job->failed_machines) {
         g_array_free(job->failed_machines, TRUE);
     }
@@ -40,8 +40,8 @@
         job->open = true;
         g_ptr_array_add(core->stored.open_jobs, job);
     }
-    if (!job->placed) {
-        job->placed = g_malloc0(job->submission.task_count);
+    if (!job->placements_per_task) {
+        job->placements_per_task = g_malloc0(job->submission.task_count);
     }
     if (!job->done_bitmap && !job->done) {
         job->done_bitmap = g_malloc0((job->submission.task_count + 7) / 8);
@@ -55,7 +55,7 @@
     job->open = false;
     g_ptr_array_remove_fast(core->stored.open_jobs, job);
     g_clear_pointer(&job->done_bitmap, g_free);
-    g_clear_pointer(&job->placed, g_free);
+    g_clear_pointer(&job->placements_per_task, g_free);
     for (guint i = 0; job->records && i < job->records->len; i++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
         if (record && record->version) {
@@ -90,21 +90,21 @@
     if (core->stored.reloading && core->membership.term.token == 0) {
         return;
     }
-    g_array_append_val(core->stored.arrivals, job);
-    if (core->stored.arrivals->len > ARRIVALS_MAX) {
-        g_array_remove_range(core->stored.arrivals, 0, ARRIVALS_DROP_COUNT);
+    g_array_append_val(core->stored.recent_arrivals, job);
+    if (core->stored.recent_arrivals->len > ARRIVALS_MAX) {
+        g_array_remove_range(core->stored.recent_arrivals, 0, ARRIVALS_DROP_COUNT);
     }
 }
 
 void rr_arrivals_trim(rr_core *core, double wall) {
-    const GArray *arrivals = core->stored.arrivals;
+    const GArray *arrivals = core->stored.recent_arrivals;
     guint expired = 0;
     while (expired < arrivals->len &&
            wall - g_array_index(arrivals, rr_job *, expired)->accepted_at > RR_ARRIVAL_WINDOW_S) {
         expired++;
     }
     if (expired > 0) {
-        g_array_remove_range(core->stored.arrivals, 0, expired);
+        g_array_remove_range(core->stored.recent_arrivals, 0, expired);
     }
 }
 
--- a/src/core/state/jobs.h
+++ b/src/core/state/jobs.h
@@ -15,24 +15,24 @@
     rr_submission submission;   /* task_count 0: not known yet */
     int team, job_class, image; /* name indices, -1: not known yet */
     rr_resources request;       /* resources of one task */
-    uint64_t version;     /* of the record that the job is known from, 0: from its ledger only */
-    uint64_t own_version; /* of the job's own record, 0: none has arrived */
-    double accepted_at;   /* time of day, seconds */
+    uint64_t version; /* of the record that the job is known from, 0: from its ledger only */
+    uint64_t own_record_version; /* of the job's own record, 0: none has arrived */
+    double accepted_at;          /* time of day, seconds */
     bool cancelled, done, open;
-    guint8 *done_bitmap;     /* one bit per task, set once the task is done; NULL while closed */
-    guint8 *placed;          /* number of placements in the ledger, by task; NULL while closed */
-    uint32_t done_count;     /* tasks that are done */
-    uint32_t placed_count;   /* tasks with at least one placement */
-    uint32_t next_task_hint; /* index at which the search for an unplaced task begins */
+    guint8 *done_bitmap; /* one bit per task, set once the task is done; NULL while closed */
+    guint8 *placements_per_task; /* number in the ledger, by task; NULL while closed */
+    uint32_t done_count;         /* tasks that are done */
+    uint32_t placed_count;       /* tasks with at least one placement */
+    uint32_t next_task_hint;     /* index at which the search for an unplaced task begins */
     uint32_t tasks_per_record;
     GPtrArray *records; /* rr_ledger_record* by chunk, entries may be NULL; NULL: none at all */
     int zone;           /* zone index of a one-zone job, as the ledger records it, -1: none */
     /* Observed by this process; not stored. */
     double first_seen;       /* when the job became known; steady time */
-    double failed_at;        /* when a search last found no room for the job; steady time */
+    double search_failed_at; /* when a search last found no room for the job; steady time */
     double backoff_until;    /* the job is not placed before this steady time */
     GArray *failed_machines; /* int: ids of machines on which a task failed; NULL: none */
-    bool evictable;          /* could have been evicted at the last rr_jobs_shrink() */
+    bool evictable;          /* could have been evicted at the last rr_jobs_evict_final() */
     /* Scratch of one demand simulation. */
     uint32_t lost_count; /* unfinished tasks placed on machines that are gone */
 };
--- a/src/core/state/ledger_record.c
+++ b/src/core/state/ledger_record.c
@@ -41,12 +41,12 @@
     }
 }
 
-uint32_t rr_job_chunks(const rr_job *job) {
+uint32_t rr_job_count_chunks(const rr_job *job) {
     return (job->submission.task_count + job->tasks_per_record - 1) / job->tasks_per_record;
 }
 
-bool rr_job_overflows(const rr_job *job) {
-    return job->records && job->records->len > rr_job_chunks(job);
+bool rr_job_has_overflow_records(const rr_job *job) {
+    return job->records && job->records->len > rr_job_count_chunks(job);
 }
 
 void rr_ledger_record_key(const char *job_id, uint32_t chunk, char *out, size_t size) {
--- a/src/core/state/ledger_record.h
+++ b/src/core/state/ledger_record.h
@@ -29,12 +29,12 @@
     uint64_t attempt, worker_epoch;
     enum rr_preempt_mode preempt; /* whether it is stopped for a higher priority or for a move */
     /* Observed by this process; not stored. */
-    double seen_at;       /* when the placement entered the store cache */
-    double start_at;      /* when the last start command was sent, 0: never */
-    double stop_at;       /* when the last stop command was sent, 0: never */
-    double stop_grace_s;  /* time to save that the last stop command allowed, seconds */
-    double terminated_at; /* when the task was found to have terminated, 0: it has not */
-    bool leaving;         /* scratch of one plan: the plan preempts this placement */
+    double seen_at;         /* when the placement entered the store cache */
+    double start_at;        /* when the last start command was sent, 0: never */
+    double stop_at;         /* when the last stop command was sent, 0: never */
+    double stop_grace_s;    /* time to save that the last stop command allowed, seconds */
+    double terminated_at;   /* when the task was found to have terminated, 0: it has not */
+    bool preempted_by_plan; /* scratch of one plan: the plan preempts this placement */
 } rr_placement;
 
 /* A placement as a ledger record stores it. */
@@ -67,9 +67,9 @@
 /* Returns the job's ledger record of this chunk, or NULL if there is none. */
 rr_ledger_record *rr_job_ledger_record_find(const rr_job *job, uint32_t chunk);
 /* Returns how many chunks the job has. The first overflow record has this as its number. */
-uint32_t rr_job_chunks(const rr_job *job);
+uint32_t rr_job_count_chunks(const rr_job *job);
 /* Returns whether the job has overflow records. */
-bool rr_job_overflows(const rr_job *job);
+bool rr_job_has_overflow_records(const rr_job *job);
 /* Frees a ledger record and its placements; ignores NULL. Has the signature of GDestroyNotify. */
 void rr_ledger_record_free(gpointer data);
 
--- a/src/core/state/machine_pages.c
+++ b/src/core/state/machine_pages.c
@@ -233,7 +233,8 @@
     page->version = version;
     page->seen_in_reload = true;
     page->entry_count = entries->via.array.size;
-    core->stored.next_page = id >= core->stored.next_page ? id + 1 : core->stored.next_page;
+    core->stored.next_page_id =
+        id >= core->stored.next_page_id ? id + 1 : core->stored.next_page_id;
     mark_machines_unseen(core, id);
     for (uint32_t i = 0; i < entries->via.array.size; i++) {
         machine_entry entry;
--- a/src/core/state/machines.c
+++ b/src/core/state/machines.c
@@ -19,7 +19,7 @@
     machine->failed_jobs = g_array_new(FALSE, FALSE, sizeof(rr_job *));
     machine->unanswered_starts = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     machine->known_at = machine->idle_since = now;
-    machine->heard_via = -1;
+    machine->forwarding_peer = -1;
     g_hash_table_insert(core->stored.machines, machine->name, machine);
     g_ptr_array_add(core->stored.machine_list, machine);
     return machine;
@@ -40,10 +40,10 @@
 
 /* Drops all planned moves from or to the machine. */
 static void drop_moves(rr_core *core, const rr_machine *machine) {
-    for (guint i = core->planning.moves->len; i > 0; i--) {
-        const rr_move *move = &g_array_index(core->planning.moves, rr_move, i - 1);
+    for (guint i = core->planning.planned_moves->len; i > 0; i--) {
+        const rr_move *move = &g_array_index(core->planning.planned_moves, rr_move, i - 1);
         if (move->from == machine || move->to == machine) {
-            g_array_remove_index(core->planning.moves, i - 1);
+            g_array_remove_index(core->planning.planned_moves, i - 1);
         }
     }
 }
--- a/src/core/state/machines.h
+++ b/src/core/state/machines.h
@@ -34,7 +34,7 @@
     unsigned stale_answers;       /* answers in a row that were older than the newest heartbeat */
     double stale_answers_since;   /* when the first of them arrived */
     unsigned unanswered_commands; /* commands in a row without an answer */
-    double unanswered_at;         /* when the first of them timed out */
+    double commands_unanswered_since; /* when the first of them timed out */
     double suspect_until; /* until then the machine is probed, since a controller's commands to it
                              went unanswered */
     unsigned failed_suspect_probes;  /* failed probes in a row while heartbeats arrived */
@@ -44,31 +44,30 @@
     double heartbeat_at;             /* when the last heartbeat, digest or answer arrived */
     double known_at;                 /* when the machine or its record became known */
     double direct_path_bad_until;    /* until then commands are sent through a peer */
-    double
-        reported_at; /* when its last own heartbeat to any controller came; answers don't count */
-    int heard_via;   /* index of the peer that forwarded the last heartbeat, -1: none did */
-    GArray *images;  /* int: name indices of the images that the machine has, oldest first */
-    GArray *failed_jobs;         /* rr_job*: jobs of which a task failed here */
+    double last_own_heartbeat_at;    /* to any controller; answers don't count */
+    int forwarding_peer; /* index of the peer that forwarded the last heartbeat, -1: none did */
+    GArray *images;      /* int: name indices of the images that the machine has, oldest first */
+    GArray *failed_jobs; /* rr_job*: jobs of which a task failed here */
     double last_task_failure_at; /* when a task last failed here */
     double full_until; /* no new work is placed before this time, since the worker was full */
     GHashTable *unanswered_starts;    /* uint64_t*: attempts whose start command may still arrive */
     uint64_t unanswered_starts_token; /* fencing token of these commands */
     uint64_t unanswered_starts_epoch; /* worker epoch of these commands */
     double next_command_at;           /* no command is sent before this time */
-    double reap_at;                   /* since when the reaping of an exited task is deferred */
+    double reap_deferred_since;       /* since when the reaping of an exited task is deferred */
     /* Used by the autoscaler. */
-    bool listed;        /* the cloud's list has contained the machine */
-    bool list_failed;   /* failed, released or missing in the cloud: its record is to be removed */
-    bool to_record;     /* a record is to be written */
-    bool rented;        /* rented by this process */
-    bool to_release;    /* to be released; the record follows as scaling_in */
-    bool declared_dead; /* to be released for a fault, in spite of its placements */
-    bool releasing;     /* the call to the cloud that releases it has been made */
-    bool surplus;       /* no task of the demand simulation needs the machine */
-    int failed_probes;  /* in a row */
-    double listed_at;   /* when the first list that contains the machine was requested */
-    double idle_since;  /* when it became known or its last placement ended */
-    double probed_at;   /* when the last probe was sent */
+    bool cloud_listed;      /* the cloud's list has contained the machine */
+    bool gone_from_cloud;   /* failed, released or missing there: its record is to be removed */
+    bool to_record;         /* a record is to be written */
+    bool rented;            /* rented by this process */
+    bool to_release;        /* to be released; the record follows as scaling_in */
+    bool declared_dead;     /* to be released for a fault, in spite of its placements */
+    bool release_requested; /* the call to the cloud that releases it has been made */
+    bool surplus;           /* no task of the demand simulation needs the machine */
+    int failed_probes;      /* in a row */
+    double cloud_listed_at; /* when the first list that contains the machine was requested */
+    double idle_since;      /* when it became known or its last placement ended */
+    double probed_at;       /* when the last probe was sent */
     /* Scratch of one plan or simulation. */
     void *plan_commands;   /* rr_command_batch of the present plan, NULL: none */
     rr_resources free;     /* capacity that is not in use or reserved */
--- a/src/core/state/placement_accounting.c
+++ b/src/core/state/placement_accounting.c
@@ -24,13 +24,13 @@
 
 /* Updates the number of the task's placements, and closes a final job that has none left. */
 static void update_task_placements(rr_core *core, rr_job *job, uint32_t task, int sign) {
-    if (!job->placed || task >= job->submission.task_count) {
+    if (!job->placements_per_task || task >= job->submission.task_count) {
         return;
     }
     if (sign > 0) {
-        job->placed_count += job->placed[task]++ == 0;
-    } else if (job->placed[task] > 0) {
-        job->placed_count -= --job->placed[task] == 0;
+        job->placed_count += job->placements_per_task[task]++ == 0;
+    } else if (job->placements_per_task[task] > 0) {
+        job->placed_count -= --job->placements_per_task[task] == 0;
         job->next_task_hint = MIN(task, job->next_task_hint);
         rr_job_close_if_final(core, job);
     }
--- a/src/core/state/stored_state.c
+++ b/src/core/state/stored_state.c
@@ -23,14 +23,14 @@
 void rr_stored_state_init(struct rr_stored_state *stored, const struct rr_config *config) {
     init_names(stored, config);
     stored->tasks_per_record = rr_tasks_per_record(config->value_kb);
-    stored->next_page = 1;
+    stored->next_page_id = 1;
     stored->machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     g_array_set_clear_func(stored->machine_types, rr_machine_type_clear);
     stored->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rr_job_free);
     stored->job_outcomes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     stored->open_jobs = g_ptr_array_new();
-    stored->arrivals = g_array_new(FALSE, FALSE, sizeof(rr_job *));
-    stored->batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, rr_job_batch_free);
+    stored->recent_arrivals = g_array_new(FALSE, FALSE, sizeof(rr_job *));
+    stored->job_batches = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, rr_job_batch_free);
     stored->cancel_hints = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     stored->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, rr_machine_free);
     stored->machine_list = g_ptr_array_new();
@@ -50,8 +50,8 @@
     g_ptr_array_free(stored->machine_list, TRUE);
     g_hash_table_destroy(stored->machines);
     g_hash_table_destroy(stored->cancel_hints);
-    g_hash_table_destroy(stored->batches);
-    g_array_free(stored->arrivals, TRUE);
+    g_hash_table_destroy(stored->job_batches);
+    g_array_free(stored->recent_arrivals, TRUE);
     g_ptr_array_free(stored->open_jobs, TRUE);
     g_hash_table_destroy(stored->job_outcomes);
     g_hash_table_destroy(stored->jobs);
--- a/src/core/state/stored_state.h
+++ b/src/core/state/stored_state.h
@@ -21,21 +21,21 @@
     GHashTable *jobs;              /* job id -> rr_job, owned; evicted jobs are not in it */
     GHashTable *job_outcomes;      /* id of an evicted job -> 2 * done tasks, + 1 if it is done */
     GPtrArray *open_jobs;          /* rr_job*: not final, or with placements */
-    GArray *arrivals;              /* rr_job*: arrived within RR_ARRIVAL_WINDOW_S, oldest first */
+    GArray *recent_arrivals;       /* rr_job*: arrived within RR_ARRIVAL_WINDOW_S, oldest first */
     GHashTable *machines;          /* name -> rr_machine, owned */
     GPtrArray *machine_list;       /* rr_machine*: all machines */
     GPtrArray *dirty_machines;     /* rr_machine*: to be reconciled */
     GHashTable *gone_machines;     /* name -> double*: when the machine's record was removed */
     GHashTable *pages;             /* page id -> rr_machine_page */
-    GHashTable *batches;           /* key -> rr_job_batch */
+    GHashTable *job_batches;       /* key -> rr_job_batch */
     GPtrArray *orphan_record_keys; /* char*: keys of ledger records whose jobs are final */
     GArray *team_usage;            /* rr_resources in use by the placements of each team */
     GHashTable *cancel_hints;      /* job id -> double*: when the hint expires */
 
     uint64_t revision;            /* revision of the store up to which the cache is complete */
     uint64_t consistent_revision; /* the cache is consistent once revision reaches this one */
-    double current_at;            /* the cache has every change made before this time */
-    uint32_t next_page;           /* id for the next new machine page */
+    double current_as_of;         /* the cache has every change made before this time */
+    uint32_t next_page_id;        /* id for the next new machine page */
     int next_machine_id;
     bool loaded;               /* a full reload has ended since the start */
     bool reloading;            /* a full reload is in progress */
--- a/src/core/state/transfer_holds.c
+++ b/src/core/state/transfer_holds.c
@@ -49,7 +49,7 @@
     }
 }
 
-void rr_core_revoke_job(rr_core *core, const char *job_id) {
+void rr_core_revoke_job_release(rr_core *core, const char *job_id) {
     rr_hold *hold = g_hash_table_lookup(core->extensions.transfer_holds, job_id);
     const rr_job *job = g_hash_table_lookup(core->stored.jobs, job_id);
     if (hold) {
--- a/src/core/stats.h
+++ b/src/core/stats.h
@@ -9,14 +9,14 @@
     unsigned machines; /* recorded */
     unsigned booting;  /* recorded machines without a heartbeat so far */
     unsigned jobs_open, tasks_waiting, tasks_placed;
-    unsigned moves;  /* since the start: tasks whose move to another machine was started */
-    unsigned rented; /* since the start: machines rented from the cloud */
+    unsigned tasks_moved;     /* since the start: tasks whose move to another machine was started */
+    unsigned machines_rented; /* since the start: machines rented from the cloud */
     unsigned machines_terminated; /* since the start: marked for release, faulty or idle */
     unsigned leases_lost;         /* since the start: workers that returned in a new worker epoch */
-    unsigned spot_notices;     /* since the start: spot machines that announced their termination */
-    unsigned machines_visited; /* since the start: machines examined by plans and simulations */
-    unsigned unshrunk_jobs;    /* jobs of which more than the outcome is kept */
-    double price_sum;          /* sum of the recorded machines' prices */
+    unsigned spot_notices; /* since the start: spot machines that announced their termination */
+    unsigned machines_examined; /* since the start: machines examined by plans and simulations */
+    unsigned retained_jobs;     /* jobs of which more than the outcome is kept */
+    double total_price;         /* sum of the recorded machines' prices */
 } rr_core_stats;
 /* Fills *out with the present statistics. */
 void rr_core_get_stats(const rr_core *core, rr_core_stats *out);
--- a/src/core/store_cache.c
+++ b/src/core/store_cache.c
@@ -62,8 +62,8 @@
     }
 }
 
-void rr_core_apply(rr_core *core, const rr_transaction *transaction, uint64_t revision,
-                   double now) {
+void rr_core_cache_apply_transaction(rr_core *core, const rr_transaction *transaction,
+                                     uint64_t revision, double now) {
     for (guint i = 0; i < transaction->changes->len; i++) {
         const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
         rr_document document;
--- a/src/core/submissions.h
+++ b/src/core/submissions.h
@@ -27,24 +27,24 @@
 } rr_job_view;
 /* Fills *out with the job's state. For an unknown job known is false and the state that of a queued
  * job. */
-void rr_core_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out);
+void rr_core_get_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out);
 
 /* Writes the key of the job's own record to out, which holds size bytes. */
 void rr_core_job_key(const char *job_id, char *out, size_t size);
-/* Appends a job's own record to the encoder. when: wall seconds when the job was accepted. */
-void rr_core_job_encode(rr_encoder *encoder, const rr_submission *submission, double when,
+/* Appends a job's own record to the encoder. accepted_at: wall seconds. */
+void rr_core_encode_job(rr_encoder *encoder, const rr_submission *submission, double accepted_at,
                         bool cancelled);
 /* Begins the record of a batch of jobs, which are accepted with one change. The caller completes it
- * with `count` calls of rr_core_job_encode(). */
-void rr_core_batch_begin(rr_encoder *encoder, size_t count);
+ * with `count` calls of rr_core_encode_job(). */
+void rr_core_begin_job_batch(rr_encoder *encoder, size_t count);
 /* Writes the key of a job batch to out. The lease and the number of the batch together make it
  * unique. */
-void rr_core_batch_key(uint64_t lease_id, uint64_t number, char *out, size_t size);
+void rr_core_job_batch_key(uint64_t lease_id, uint64_t number, char *out, size_t size);
 /* Appends the job's own record, as cancelled, to the encoder; *version receives the version to
  * guard it with. Returns false without appending it if the job is unknown, done or cancelled. */
-bool rr_core_cancel_record(const rr_core *core, const char *job_id, rr_encoder *encoder,
-                           uint64_t *version);
+bool rr_core_encode_cancelled_job(const rr_core *core, const char *job_id, rr_encoder *encoder,
+                                  uint64_t *version);
 /* Whether this controller can serve users: its lease is valid and the catalogue known. */
-bool rr_core_ready(const rr_core *core, double now);
+bool rr_core_is_ready(const rr_core *core, double now);
 
 #endif
--- a/src/core/views/core_stats.c
+++ b/src/core/views/core_stats.c
@@ -10,7 +10,7 @@
         out->machines += machine->recorded;
         out->booting += machine->recorded && !machine->heartbeat_seen;
         out->tasks_placed += machine->placements->len;
-        out->price_sum += machine->recorded ? rr_machine_price(core, machine) : 0;
+        out->total_price += machine->recorded ? rr_machine_price(core, machine) : 0;
     }
 }
 
@@ -22,17 +22,17 @@
             out->tasks_waiting += job->submission.task_count - job->done_count - job->placed_count;
         }
     }
-    out->unshrunk_jobs = g_hash_table_size(core->stored.jobs);
+    out->retained_jobs = g_hash_table_size(core->stored.jobs);
 }
 
 void rr_core_get_stats(const rr_core *core, rr_core_stats *out) {
     memset(out, 0, sizeof *out);
     count_machines(core, out);
     count_jobs(core, out);
-    out->moves = core->counters.moves_made;
-    out->rented = core->counters.rented;
+    out->tasks_moved = core->counters.tasks_moved;
+    out->machines_rented = core->counters.machines_rented;
     out->machines_terminated = core->counters.machines_terminated;
     out->leases_lost = core->counters.leases_lost;
     out->spot_notices = core->counters.spot_notices;
-    out->machines_visited = core->counters.machines_visited;
+    out->machines_examined = core->counters.machines_examined;
 }
--- a/src/core/views/job_views.c
+++ b/src/core/views/job_views.c
@@ -42,7 +42,7 @@
     return count;
 }
 
-void rr_core_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out) {
+void rr_core_get_job_view(const rr_core *core, const char *job_id, double now, rr_job_view *out) {
     memset(out, 0, sizeof *out);
     out->state = RR_WORD_QUEUED;
     if (rr_job_outcome(core, job_id, &out->done, &out->done_count)) {
@@ -69,6 +69,6 @@
     }
 }
 
-bool rr_core_ready(const rr_core *core, double now) {
+bool rr_core_is_ready(const rr_core *core, double now) {
     return rr_core_lease_valid(core, now) && core->stored.catalog_known;
 }
--- a/src/core/views/package_views.c
+++ b/src/core/views/package_views.c
@@ -14,7 +14,7 @@
 
 /* ---- machines and jobs ---- */
 
-void rr_core_each_machine(const rr_core *core, rr_core_machine_fn callback, void *user) {
+void rr_core_foreach_machine(const rr_core *core, rr_core_machine_fn callback, void *user) {
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
@@ -25,7 +25,7 @@
     }
 }
 
-void rr_core_each_job(const rr_core *core, rr_core_job_fn callback, void *user) {
+void rr_core_foreach_job(const rr_core *core, rr_core_job_fn callback, void *user) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, core->stored.jobs);
@@ -52,7 +52,7 @@
         return false;
     }
     *out = (rr_core_job){.submission = &job->submission,
-                         .at = job->accepted_at,
+                         .accepted_at = job->accepted_at,
                          .known = true,
                          .done = job->done,
                          .cancelled = job->cancelled,
@@ -69,27 +69,28 @@
     return job && job->version && !job->done && !job->cancelled ? job : NULL;
 }
 
-bool rr_core_finish_job(const rr_core *core, const char *job_id, bool placed_tasks_gone,
-                        rr_transaction *transaction) {
+bool rr_core_add_finished_job_record(const rr_core *core, const char *job_id,
+                                     bool placed_tasks_gone, rr_transaction *transaction) {
     const rr_job *job = find_open_job(core, job_id);
     bool can_finish = job && (job->placed_count == 0 || placed_tasks_gone);
     if (can_finish) {
-        rr_job_final_record(job, transaction);
+        rr_job_add_final_record(job, transaction);
     }
     return can_finish;
 }
 
-bool rr_core_guard_job(const rr_core *core, const char *job_id, rr_transaction *transaction) {
+bool rr_core_guard_open_job(const rr_core *core, const char *job_id, rr_transaction *transaction) {
     const rr_job *job = find_open_job(core, job_id);
     if (job) {
         char key[RR_KEY_SIZE];
         rr_core_job_key(job_id, key, sizeof key);
-        rr_transaction_guard(transaction, key, job->own_version);
+        rr_transaction_guard(transaction, key, job->own_record_version);
     }
     return job != NULL;
 }
 
-bool rr_core_abandon_job(const rr_core *core, const char *job_id, rr_transaction *transaction) {
+bool rr_core_add_cancelled_job_record(const rr_core *core, const char *job_id,
+                                      rr_transaction *transaction) {
     char key[RR_KEY_SIZE];
     uint64_t version;
     rr_encoder encoder;
@@ -97,7 +98,7 @@
         return false;
     }
     rr_encoder_init(&encoder);
-    rr_core_cancel_record(core, job_id, &encoder, &version);
+    rr_core_encode_cancelled_job(core, job_id, &encoder, &version);
     rr_core_job_key(job_id, key, sizeof key);
     rr_transaction_guard(transaction, key, version);
     rr_transaction_put(transaction, key, &encoder, 0);
--- a/src/core/views/submission_check.c
+++ b/src/core/views/submission_check.c
@@ -64,7 +64,7 @@
         *why = "more linked tasks than one transaction books";
         return RR_SUBMISSION_UNSATISFIABLE;
     }
-    if (!rr_core_all_gang_capable(core)) {
+    if (!rr_core_all_members_support_gangs(core)) {
         *why = "an older version still serves";
         return RR_SUBMISSION_UNDECIDED;
     }
--- a/tests/admission_fixture.c
+++ b/tests/admission_fixture.c
@@ -20,7 +20,7 @@
 }
 
 void admission_fixture_init(struct admission_fixture *fixture) {
-    test_config(&fixture->config, "n0");
+    test_config_init(&fixture->config, "n0");
     rr_admission_settings_init(&fixture->settings);
     fixture->admission = rr_admission_create(&fixture->config, &fixture->settings);
 }
--- a/tests/admission_fixture.h
+++ b/tests/admission_fixture.h
@@ -15,8 +15,9 @@
                               uint32_t tasks);
 rr_admission_key make_key(const char *team, const char *job_class, uint32_t tasks);
 
-/* An rr_admission with default settings and the configuration of test_config(). Tests may change
- * both after admission_fixture_init(); admission_fixture_clear() frees what the fixture owns. */
+/* An rr_admission with default settings and the configuration of test_config_init(). Tests may
+ * change both after admission_fixture_init(); admission_fixture_clear() frees what the fixture
+ * owns. */
 struct admission_fixture {
     struct rr_config config;
     rr_admission_settings settings;
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -103,27 +103,28 @@
 
 unsigned cell_plan_with(struct test_cell *cell, const char *job_id, const char *task_state) {
     rr_plan plan;
-    struct shown_machines show = {.first = 1,
-                                  .last = cell->machines,
-                                  .last_in_a = cell->machines,
-                                  .job_ids = &job_id,
-                                  .jobs = 1,
-                                  .tasks = 9,
-                                  .task_max = SHOWN_TASKS_MAX,
-                                  .worker_epoch = 1,
-                                  .sequence = 10 + ++cell->sequence,
-                                  .state = state_of};
+    struct reporting_machines reporting = {.first = 1,
+                                           .last = cell->machines,
+                                           .last_in_zone_a = cell->machines,
+                                           .job_ids = &job_id,
+                                           .job_count = 1,
+                                           .tasks_per_job = 9,
+                                           .heartbeat_tasks_max = HEARTBEAT_TASKS_MAX,
+                                           .worker_epoch = 1,
+                                           .sequence = 10 + ++cell->sequence,
+                                           .state = state_of};
     shown_state = task_state;
-    test_controller_show_machines(&cell->node, &show);
+    test_controller_send_heartbeats(&cell->node, &reporting);
     unsigned stops = 0;
     test_controller_plan(&cell->node, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *command = g_ptr_array_index(plan.command_batches, i);
-        for (uint32_t task = 0; task < show.tasks; task++) {
+        for (uint32_t task = 0; task < reporting.tasks_per_job; task++) {
             stops +=
                 plan_find_command(&plan, command->machine, RR_COMMAND_STOP, job_id, task) != NULL;
         }
-        rr_core_command_result(cell->node.core, cell->node.now, command, RR_COMMAND_ANSWERED, true);
+        rr_core_record_command_result(cell->node.core, cell->node.now, command, RR_COMMAND_ANSWERED,
+                                      true);
     }
     rr_plan_clear(&plan);
     return stops;
@@ -259,7 +260,7 @@
     GPtrArray *there = hold_back ? hold_back : g_ptr_array_new();
     bool none = fake_store_count(pair->home.store, "rr/node/") == 0;
     rr_absent_begin(absent);
-    fake_store_each(pair->home.store, read_record, &reading);
+    fake_store_foreach(pair->home.store, read_record, &reading);
     rr_absent_end(absent, now);
     rr_absent_confirm(absent, none, now);
     rr_transfers_plan_init(&here);
--- a/tests/cells_run.c
+++ b/tests/cells_run.c
@@ -72,7 +72,7 @@
 
 void run_begin(unsigned seed) {
     static const char *const teams[] = {"red"};
-    static const struct platform platform = {teams, 1, 0.3, WORKER_LEASE_S, CANCEL_S};
+    static const struct cell_settings cell_settings = {teams, 1, 0.3, WORKER_LEASE_S, CANCEL_S};
     memset(&run, 0, sizeof run);
     g_strlcpy(run.folder, "/tmp/cells-XXXXXX", sizeof run.folder);
     assert_non_null(g_mkdtemp(run.folder));
@@ -81,11 +81,11 @@
     for (int i = 0; i < RUN_CELLS; i++) {
         struct run_cell *cell = &run.cells[i];
         cell->services = fake_services_start();
-        fake_services_zone(cell->services, run_cell_names[i]);
-        fake_services_task_seconds(cell->services, TASK_S);
-        fake_services_worker_lease(cell->services, WORKER_LEASE_S);
+        fake_services_set_zone(cell->services, run_cell_names[i]);
+        fake_services_set_task_runtime(cell->services, TASK_S);
+        fake_services_set_worker_lease(cell->services, WORKER_LEASE_S);
         processes_configure(cell->services, run.folder, run_cell_names[i], run_cell_names[i],
-                            &platform, cell->controllers, RUN_CONTROLLERS);
+                            &cell_settings, cell->controllers, RUN_CONTROLLERS);
         g_snprintf(cell->file, sizeof cell->file, "%s/%s.conf", run.folder, run_cell_names[i]);
         for (int k = 0; k < RUN_CONTROLLERS; k++) {
             cell->ports[k] = fake_services_free_port();
@@ -116,7 +116,7 @@
         struct run_cell *cell = &run.cells[i];
         for (int k = 0; k < RUN_CONTROLLERS; k++) {
             if (cell->controllers[k].pid > 0) {
-                process_end(&cell->controllers[k], SIGTERM);
+                process_stop(&cell->controllers[k], SIGTERM);
             }
             process_remove_files(&cell->controllers[k]);
         }
@@ -130,7 +130,7 @@
 
 void run_kill_controllers(int cell) {
     for (int k = 0; k < RUN_CONTROLLERS; k++) {
-        process_end(&run.cells[cell].controllers[k], SIGKILL);
+        process_stop(&run.cells[cell].controllers[k], SIGKILL);
     }
     run.cells[cell].dead = true;
 }
@@ -146,12 +146,12 @@
     struct run_job *job = g_new0(struct run_job, 1);
     rr_submission submission;
     g_snprintf(job->id, sizeof job->id, "req-1%d%06u", home, run.next_id++);
-    test_submission(&submission, &(struct test_job){.job_id = job->id,
-                                                    .team = "red",
-                                                    .job_class = "small",
-                                                    .task_count = 2,
-                                                    .cpus = 1,
-                                                    .mem_gb = 1});
+    test_submission_init(&submission, &(struct test_job){.job_id = job->id,
+                                                         .team = "red",
+                                                         .job_class = "small",
+                                                         .task_count = 2,
+                                                         .cpus = 1,
+                                                         .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
     job->home = home;
     job->submitted_at = rr_steady_clock_s();
@@ -186,7 +186,7 @@
     char path[96];
     rr_document document = {0};
     g_snprintf(path, sizeof path, "/submissions/%s%s", id, action);
-    int status = fake_services_call(some_controller(cell), method, path, NULL, 0, &document);
+    int status = fake_services_request(some_controller(cell), method, path, NULL, 0, &document);
     state[0] = 0;
     if (status > 0 && document.root) {
         rr_map_get_text(document.root, "standing", state, 32);
@@ -205,7 +205,8 @@
     bool started = false;
     for (unsigned task = 0; task < 2; task++) {
         g_snprintf(task_name, sizeof task_name, "%s/%u", job->id, task);
-        started = started || fake_services_started(run.cells[job->home].services, task_name) > 0;
+        started =
+            started || fake_services_find_first_start(run.cells[job->home].services, task_name) > 0;
     }
     return started;
 }
@@ -340,7 +341,7 @@
             rr_cells_local_id(run_cell_names[job->home], job->id, claim, id, sizeof id);
             g_snprintf(task_name, sizeof task_name, "%s/%u", home ? job->id : id, task);
             for (guint i = 0; i < runs[cell]->len; i++) {
-                const fake_services_run *entry = &g_array_index(runs[cell], fake_services_run, i);
+                const fake_task_run *entry = &g_array_index(runs[cell], fake_task_run, i);
                 if (strcmp(entry->task_name, task_name) == 0) {
                     struct span span = {entry->started_at,
                                         entry->ended_at > 0 ? entry->ended_at : INFINITY, cell};
--- a/tests/cells_run.h
+++ b/tests/cells_run.h
@@ -8,7 +8,7 @@
 
 #include "core_fixture.h"
 
-#include "processes.h"
+#include "controller_process.h"
 
 #define RUN_CELLS 4
 #define RUN_CONTROLLERS 2 /* of a cell */
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -12,7 +12,7 @@
 #define OLD_VERSION_LEASE_ID 44
 #define MACHINES_PER_PAGE 40 /* machines in one record */
 
-void test_config(struct rr_config *config, const char *name) {
+void test_config_init(struct rr_config *config, const char *name) {
     static const char *const names[] = {"n0", "n1", "n2"};
     memset(config, 0, sizeof *config);
     g_strlcpy(config->node_name, name, RR_NAME_SIZE);
@@ -55,7 +55,7 @@
 
 void test_controller_init(test_controller *controller, fake_store *store, const char *name) {
     memset(controller, 0, sizeof *controller);
-    test_config(&controller->config, name);
+    test_config_init(&controller->config, name);
     controller->store = store;
     controller->core = rr_core_create(&controller->config);
     controller->now = 1000;
@@ -70,7 +70,8 @@
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     fake_store_sync(controller->store, controller->core, controller->now);
-    if (rr_core_next_term(controller->core, controller->now, controller->now, &transaction)) {
+    if (rr_core_add_next_term_record(controller->core, controller->now, controller->now,
+                                     &transaction)) {
         assert_int_equal(fake_store_commit(controller->store, &transaction), 0);
     }
     rr_transaction_clear(&transaction);
@@ -118,7 +119,7 @@
     rr_encoder encoder;
     rr_transaction transaction;
     rr_encoder_init(&encoder);
-    assert_true(rr_core_cancel_record(controller->core, job_id, &encoder, &version));
+    assert_true(rr_core_encode_cancelled_job(controller->core, job_id, &encoder, &version));
     rr_core_job_key(job_id, key, sizeof key);
     rr_transaction_init(&transaction);
     rr_transaction_guard(&transaction, key, version);
@@ -172,25 +173,28 @@
         append_task_status(&heartbeat, text);
     }
     va_end(args);
-    rr_core_take_heartbeat(controller->core, controller->now, &heartbeat, -1);
+    rr_core_apply_heartbeat(controller->core, controller->now, &heartbeat, -1);
     rr_heartbeat_clear(&heartbeat);
 }
 
 /* Formats the tasks that the ledger has placed on vm-<machine>, as test_controller_heartbeat()
  * takes them. Returns their number; the caller frees the strings. */
 static int format_reported_tasks(const test_controller *controller,
-                                 const struct shown_machines *show, int machine,
+                                 const struct reporting_machines *reporting, int machine,
                                  char **task_texts) {
     char id[16];
     int count = 0;
     g_snprintf(id, sizeof id, "vm-%d", machine);
-    for (int i = 0; i < show->jobs; i++) {
-        for (uint32_t task = 0; task < show->tasks && count < show->task_max; task++) {
-            uint64_t attempt = fake_store_attempt(controller->store, id, show->job_ids[i], task);
+    for (int i = 0; i < reporting->job_count; i++) {
+        for (uint32_t task = 0;
+             task < reporting->tasks_per_job && count < reporting->heartbeat_tasks_max; task++) {
+            uint64_t attempt =
+                fake_store_find_attempt(controller->store, id, reporting->job_ids[i], task);
             if (attempt) {
                 task_texts[count] = g_strdup_printf(
-                    "%s %u %" G_GUINT64_FORMAT " %s", show->job_ids[i], task, attempt,
-                    show->state(machine, show->job_ids[i], task, count, show->sequence));
+                    "%s %u %" G_GUINT64_FORMAT " %s", reporting->job_ids[i], task, attempt,
+                    reporting->state(machine, reporting->job_ids[i], task, count,
+                                     reporting->sequence));
                 count++;
             }
         }
@@ -198,17 +202,19 @@
     return count;
 }
 
-void test_controller_show_machines(test_controller *controller, const struct shown_machines *show) {
-    for (int machine = show->first; machine <= show->last; machine++) {
-        char id[16], *task_texts[SHOWN_TASKS_MAX + 1] = {NULL};
-        int count = format_reported_tasks(controller, show, machine, task_texts);
+void test_controller_send_heartbeats(test_controller *controller,
+                                     const struct reporting_machines *reporting) {
+    for (int machine = reporting->first; machine <= reporting->last; machine++) {
+        char id[16], *task_texts[HEARTBEAT_TASKS_MAX + 1] = {NULL};
+        int count = format_reported_tasks(controller, reporting, machine, task_texts);
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        test_controller_heartbeat(
-            controller, id, machine <= show->last_in_a ? "a" : "b", false, show->worker_epoch,
-            show->sequence, rr_core_fencing_token(controller->core), task_texts[0], task_texts[1],
-            task_texts[2], task_texts[3], task_texts[4], task_texts[5], task_texts[6],
-            task_texts[7], task_texts[8], task_texts[9], task_texts[10], task_texts[11],
-            task_texts[12], task_texts[13], task_texts[14], task_texts[15], NULL);
+        test_controller_heartbeat(controller, id, machine <= reporting->last_in_zone_a ? "a" : "b",
+                                  false, reporting->worker_epoch, reporting->sequence,
+                                  rr_core_fencing_token(controller->core), task_texts[0],
+                                  task_texts[1], task_texts[2], task_texts[3], task_texts[4],
+                                  task_texts[5], task_texts[6], task_texts[7], task_texts[8],
+                                  task_texts[9], task_texts[10], task_texts[11], task_texts[12],
+                                  task_texts[13], task_texts[14], task_texts[15], NULL);
         for (int i = 0; i < count; i++) {
             g_free(task_texts[i]);
         }
@@ -219,8 +225,8 @@
                                   const char *zone) {
     char id[32];
     for (int i = 0; i < count; i += MACHINES_PER_PAGE) {
-        fake_store_put_machine_page(controller->store, first + i, MIN(count - i, MACHINES_PER_PAGE),
-                                    zone);
+        fake_store_put_machines(controller->store, first + i, MIN(count - i, MACHINES_PER_PAGE),
+                                zone);
     }
     fake_store_sync(controller->store, controller->core, controller->now);
     for (int i = first; i < first + count; i++) {
@@ -265,8 +271,8 @@
     return NULL;
 }
 
-void list_machine(GArray *machines, const char *id, const char *zone, enum rr_listed_state state,
-                  double age_s) {
+void append_listed_machine(GArray *machines, const char *id, const char *zone,
+                           enum rr_listed_state state, double age_s) {
     rr_listed_machine machine = {.state = state, .age_s = age_s};
     g_strlcpy(machine.id, id, sizeof machine.id);
     g_strlcpy(machine.machine_type, "m1", sizeof machine.machine_type);
@@ -282,8 +288,8 @@
     if (out->kind == RR_AUTOSCALER_COMMIT) {
         fake_store_commit(controller->store, &out->transaction);
         fake_store_sync(controller->store, controller->core, controller->now);
-    } else if (out->kind == RR_AUTOSCALER_LIST) {
-        rr_core_machines_listed(controller->core, controller->now, controller->now, controller->now,
-                                machines);
+    } else if (out->kind == RR_AUTOSCALER_LIST_MACHINES) {
+        rr_core_apply_machine_list(controller->core, controller->now, controller->now,
+                                   controller->now, machines);
     }
 }
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -18,7 +18,7 @@
 
 /* Fills the settings of a controller named n0, n1 or n2, with the other two as its peers, the teams
  * red and blue, and zone a. */
-void test_config(struct rr_config *config, const char *name);
+void test_config_init(struct rr_config *config, const char *name);
 /* Creates the controller's core; test_controller_clear() frees it. */
 void test_controller_init(test_controller *controller, fake_store *store, const char *name);
 void test_controller_clear(test_controller *controller);
@@ -46,21 +46,23 @@
                                uint64_t fencing_token, ...);
 /* Returns the state, "state[:exit-reason]", that machine vm-<machine> reports for a task.
  * `position` is the task's index in the heartbeat. */
-typedef const char *(*shown_task_state_fn)(int machine, const char *job_id, uint32_t task,
-                                           int position, uint64_t sequence);
+typedef const char *(*reported_task_state_fn)(int machine, const char *job_id, uint32_t task,
+                                              int position, uint64_t sequence);
 /* Machines that report the tasks which the ledger has placed on them. */
-struct shown_machines {
-    int first, last, last_in_a; /* vm-<first> to vm-<last>; those after last_in_a are in zone b */
+struct reporting_machines {
+    int first, last;            /* vm-<first> to vm-<last> */
+    int last_in_zone_a;         /* those after it are in zone b */
     const char *const *job_ids; /* the jobs whose tasks are reported */
-    int jobs;                   /* length of job_ids */
-    uint32_t tasks;             /* tasks 0 to tasks - 1 of each job are looked up in the ledger */
-    int task_max;               /* most tasks in one heartbeat, at most SHOWN_TASKS_MAX */
+    int job_count;              /* length of job_ids */
+    uint32_t tasks_per_job;     /* the first tasks of each job, looked up in the ledger */
+    int heartbeat_tasks_max;    /* most tasks in one heartbeat, at most HEARTBEAT_TASKS_MAX */
     uint64_t worker_epoch, sequence;
-    shown_task_state_fn state; /* called for each reported task */
+    reported_task_state_fn state; /* called for each reported task */
 };
-#define SHOWN_TASKS_MAX 16
+#define HEARTBEAT_TASKS_MAX 16
 /* Passes one heartbeat of each of these machines to the core. */
-void test_controller_show_machines(test_controller *controller, const struct shown_machines *show);
+void test_controller_send_heartbeats(test_controller *controller,
+                                     const struct reporting_machines *reporting);
 /* Records `count` operator-owned machines from vm-<first> on, and passes a heartbeat without tasks
  * of each to the core. */
 void test_controller_add_machines(test_controller *controller, int first, int count,
@@ -93,7 +95,7 @@
 void test_controller_autoscaler_step(test_controller *controller, const GArray *machines,
                                      rr_autoscaler_step *out);
 /* Appends a machine of type m1 to an array of rr_listed_machine. */
-void list_machine(GArray *machines, const char *id, const char *zone, enum rr_listed_state state,
-                  double age_s);
+void append_listed_machine(GArray *machines, const char *id, const char *zone,
+                           enum rr_listed_state state, double age_s);
 
 #endif
--- a/tests/fake_controllers.c
+++ b/tests/controller_requests.c
@@ -37,7 +37,7 @@
     return port;
 }
 
-int fake_services_dial(const struct rr_endpoint *endpoint) {
+int fake_services_connect(const struct rr_endpoint *endpoint) {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons(endpoint->port)};
     struct timeval timeout = {READ_TIMEOUT_S, 0};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -50,7 +50,8 @@
     return fd;
 }
 
-void fake_services_config(fake_services *services, struct rr_config *config, const char *name) {
+void fake_services_init_config(fake_services *services, struct rr_config *config,
+                               const char *name) {
     struct rr_endpoint local = {.host = "127.0.0.1"};
     memset(config, 0, sizeof *config);
     g_strlcpy(config->node_name, name, RR_NAME_SIZE);
@@ -81,8 +82,8 @@
     pthread_mutex_unlock(&services->lock);
 }
 
-int fake_services_call(const struct rr_config *config, const char *method, const char *path,
-                       const void *body, size_t length, rr_document *document) {
+int fake_services_request(const struct rr_config *config, const char *method, const char *path,
+                          const void *body, size_t length, rr_document *document) {
     rr_client *client = rr_client_create(NULL);
     rr_http_reply reply;
     struct rr_http_call call = {.method = method,
@@ -105,8 +106,8 @@
     rr_encoder_init(&out);
     rr_encode_map(&out, rr_submission_field_count(submission));
     rr_submission_encode_fields(&out, submission);
-    int status =
-        fake_services_call(config, "POST", "/submissions", out.buffer.data, out.buffer.size, NULL);
+    int status = fake_services_request(config, "POST", "/submissions", out.buffer.data,
+                                       out.buffer.size, NULL);
     rr_encoder_clear(&out);
     return status;
 }
--- a/tests/fake_services.c
+++ b/tests/fake_services.c
@@ -168,9 +168,9 @@
         pthread_mutex_unlock(&services->lock);                                                     \
     }
 DEFINE_SETTER(fake_services_freeze_watches, bool, frozen, store.watches_frozen)
-DEFINE_SETTER(fake_services_store_down, bool, down, store.down)
-DEFINE_SETTER(fake_services_task_seconds, double, seconds, worker.task_s)
-DEFINE_SETTER(fake_services_worker_lease, double, seconds, worker.lease_s)
+DEFINE_SETTER(fake_services_set_store_down, bool, down, store.down)
+DEFINE_SETTER(fake_services_set_task_runtime, double, seconds, worker.task_s)
+DEFINE_SETTER(fake_services_set_worker_lease, double, seconds, worker.lease_s)
 
 void fake_services_drop_next_answer(fake_services *services) {
     pthread_mutex_lock(&services->lock);
@@ -178,7 +178,7 @@
     pthread_mutex_unlock(&services->lock);
 }
 
-void fake_services_zone(fake_services *services, const char *zone) {
+void fake_services_set_zone(fake_services *services, const char *zone) {
     pthread_mutex_lock(&services->lock);
     g_strlcpy(services->worker.zone, zone, sizeof services->worker.zone);
     pthread_mutex_unlock(&services->lock);
