--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -24,10 +24,10 @@
 void fake_services_freeze_watches(fake_services *services, bool frozen);
 /* While down, the store answers 503 to all requests but watches, which deliver no changes, and no
  * lease expires. */
-void fake_services_store_down(fake_services *services, bool down);
+void fake_services_set_store_down(fake_services *services, bool down);
 
 /* Opens another address of all services and returns its port. Endpoints are numbered from 0, which
- * is the one in the settings of fake_services_config(). */
+ * is the one in the settings of fake_services_init_config(). */
 uint16_t fake_services_add_endpoint(fake_services *services);
 /* While refused, the store answers 503 at this endpoint to all requests but watches, which deliver
  * no changes. Ends a freeze of the endpoint. */
@@ -39,30 +39,30 @@
 
 /* Sets the runtime of tasks that start from now on; 0.1 s at first. Tasks of service jobs run until
  * they are stopped. */
-void fake_services_task_seconds(fake_services *services, double seconds);
+void fake_services_set_task_runtime(fake_services *services, double seconds);
 /* Sets the lease of the worker, which stops its tasks when it has had no answer from a controller
  * for so long; 0, as at first: never. */
-void fake_services_worker_lease(fake_services *services, double seconds);
+void fake_services_set_worker_lease(fake_services *services, double seconds);
 /* Sets the zone of the machine; "a" at first. */
-void fake_services_zone(fake_services *services, const char *zone);
+void fake_services_set_zone(fake_services *services, const char *zone);
 /* Removes the machine and stops all tasks on it. */
-void fake_services_lose_worker(fake_services *services);
+void fake_services_remove_machine(fake_services *services);
 /* Returns the number of tasks that run. */
-unsigned fake_services_running_tasks(fake_services *services);
+unsigned fake_services_count_running_tasks(fake_services *services);
 /* Returns when the task first started, in seconds of the steady clock; 0: never. */
-double fake_services_started(fake_services *services, const char *task_name);
+double fake_services_find_first_start(fake_services *services, const char *task_name);
 /* Returns the number of task starts, not counting the first start of each task. */
 unsigned fake_services_restart_count(fake_services *services);
 /* Returns how often the machine was rented. */
-unsigned fake_services_rented_count(fake_services *services);
+unsigned fake_services_count_rentals(fake_services *services);
 
 /* One run of a task on the worker. Times are seconds of the steady clock. */
 typedef struct {
     char task_name[80];
     double started_at, ended_at; /* ended_at 0: still running */
     bool done;                   /* ended by itself; false: running or stopped */
-} fake_services_run;
-/* Returns a copy of all runs (fake_services_run) in the order of their starts; the caller frees
+} fake_task_run;
+/* Returns a copy of all runs (fake_task_run) in the order of their starts; the caller frees
  * it. */
 GArray *fake_services_runs(fake_services *services);
 
@@ -72,16 +72,16 @@
 uint16_t fake_services_free_port(void);
 /* Opens a connection whose reads time out after 20 s. Returns its descriptor, which the caller
  * closes; -1: refused. */
-int fake_services_dial(const struct rr_endpoint *endpoint);
+int fake_services_connect(const struct rr_endpoint *endpoint);
 /* Fills the settings of a controller that uses these services and listens on free ports. The worker
  * sends its next heartbeats to this controller. */
-void fake_services_config(fake_services *services, struct rr_config *config, const char *name);
+void fake_services_init_config(fake_services *services, struct rr_config *config, const char *name);
 /* Sends one request to a controller and returns the HTTP status of the answer; -1: no answer.
  * *document receives the answer's body, and the caller clears it, only if there was an answer;
  * document NULL: not wanted. */
-int fake_services_call(const struct rr_config *config, const char *method, const char *path,
-                       const void *body, size_t length, rr_document *document);
-/* Submits a job; returns as fake_services_call(). */
+int fake_services_request(const struct rr_config *config, const char *method, const char *path,
+                          const void *body, size_t length, rr_document *document);
+/* Submits a job; returns as fake_services_request(). */
 int fake_services_submit(const struct rr_config *config, const rr_submission *submission);
 
 #endif
--- a/tests/fake_services_internal.h
+++ b/tests/fake_services_internal.h
@@ -42,7 +42,7 @@
     double last_answer_at;    /* steady time of the last commands or answer from a controller */
     GHashTable *first_starts; /* task name -> double *: steady time */
     unsigned restart_count;   /* task starts beyond the first one of each task */
-    GArray *runs;             /* fake_services_run, in the order of their starts */
+    GArray *runs;             /* fake_task_run, in the order of their starts */
     pthread_t thread;
     struct rr_endpoint current_controller; /* receives the heartbeats; port 0: none yet */
     GArray *controllers;                   /* struct rr_endpoint, every controller configured */
--- a/tests/fake_store.c
+++ b/tests/fake_store.c
@@ -57,7 +57,7 @@
     return ((const struct fake_change *)g_ptr_array_index(store->log, i))->version;
 }
 
-void fake_store_each(const fake_store *store, fake_store_record_fn callback, void *user) {
+void fake_store_foreach(const fake_store *store, fake_store_record_fn callback, void *user) {
     GHashTableIter iter;
     gpointer key, value;
     g_hash_table_iter_init(&iter, store->records);
@@ -98,13 +98,13 @@
 
 /* Whether the transaction keeps the store's limits. */
 static bool within_limits(const fake_store *store, const rr_transaction *transaction) {
-    if (store->ops_max && (transaction->changes->len > store->ops_max ||
-                           transaction->guards->len > 4 * store->ops_max)) {
+    if (store->change_count_max && (transaction->changes->len > store->change_count_max ||
+                                    transaction->guards->len > 4 * store->change_count_max)) {
         return false;
     }
-    for (guint i = 0; store->value_max && i < transaction->changes->len; i++) {
+    for (guint i = 0; store->value_bytes_max && i < transaction->changes->len; i++) {
         const rr_change *change = &g_array_index(transaction->changes, rr_change, i);
-        if (change->value && size_as_json(change->value, change->length) > store->value_max) {
+        if (change->value && size_as_json(change->value, change->length) > store->value_bytes_max) {
             return false;
         }
     }
@@ -257,11 +257,12 @@
     return found;
 }
 
-#define TASKS_PER_RECORD 64 /* tasks of one placement record with the settings of test_config() */
+#define TASKS_PER_RECORD                                                                           \
+    64 /* tasks of one placement record with the settings of test_config_init() */
 
 /* Searches the placement record of the task's chunk, then the overflow records that follow it. */
-uint64_t fake_store_attempt(const fake_store *store, const char *id, const char *job_id,
-                            uint32_t task) {
+uint64_t fake_store_find_attempt(const fake_store *store, const char *id, const char *job_id,
+                                 uint32_t task) {
     uint64_t found = 0;
     for (uint32_t chunk = task / TASKS_PER_RECORD; found == 0; chunk++) {
         char key[128];
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -14,11 +14,11 @@
 #include "core/state/transaction.h"
 
 typedef struct {
-    GHashTable *records; /* key -> struct fake_value * */
-    GPtrArray *log;      /* struct fake_change *: all changes, by ascending revision */
-    uint64_t revision;   /* of the last change */
-    size_t value_max;    /* most bytes of a value as JSON; 0: no limit */
-    guint ops_max;       /* most changes per transaction, 4 times as many guards; 0: no limit */
+    GHashTable *records;    /* key -> struct fake_value * */
+    GPtrArray *log;         /* struct fake_change *: all changes, by ascending revision */
+    uint64_t revision;      /* of the last change */
+    size_t value_bytes_max; /* most bytes of a value as JSON; 0: no limit */
+    guint change_count_max; /* most changes per transaction, 4 times as many guards; 0: no limit */
 } fake_store;
 
 fake_store *fake_store_create(void);
@@ -48,7 +48,7 @@
 /* Calls back for every record, decoded, in no particular order. */
 typedef void (*fake_store_record_fn)(void *user, const char *key, const msgpack_object *value,
                                      uint64_t version);
-void fake_store_each(const fake_store *store, fake_store_record_fn callback, void *user);
+void fake_store_foreach(const fake_store *store, fake_store_record_fn callback, void *user);
 /* Returns the number of keys with this prefix. */
 unsigned fake_store_count(const fake_store *store, const char *prefix);
 
@@ -57,8 +57,8 @@
 /* Returns the number of placements of a job. */
 unsigned fake_store_placed_count(const fake_store *store, const char *job_id);
 /* Returns the attempt of this task that is placed on machine `id`; 0: none. */
-uint64_t fake_store_attempt(const fake_store *store, const char *id, const char *job_id,
-                            uint32_t task);
+uint64_t fake_store_find_attempt(const fake_store *store, const char *id, const char *job_id,
+                                 uint32_t task);
 
 /* ---- machine types, machines and jobs ---- */
 
@@ -71,11 +71,11 @@
 /* Removes a machine that fake_store_put_machine() recorded. */
 void fake_store_delete_machine(fake_store *store, const char *id);
 /* Records `count` operator-owned machines from vm-<first> on in page `first`. */
-void fake_store_put_machine_page(fake_store *store, int first, int count, const char *zone);
+void fake_store_put_machines(fake_store *store, int first, int count, const char *zone);
 /* Whether any machine page contains the machine. */
 bool fake_store_has_machine(const fake_store *store, const char *id);
 
-/* A job to submit. Fields that are 0 or NULL get the defaults of test_submission(). */
+/* A job to submit. Fields that are 0 or NULL get the defaults of test_submission_init(). */
 struct test_job {
     const char *job_id, *team, *job_class, *image, *zone, *priority;
     bool service, gang, one_zone, spread, spot;
@@ -84,7 +84,7 @@
 };
 /* Fills *out with the job's submission. Defaults: team red, class plain, image img-1, standard
  * priority, an array of one task, 4 CPUs and 8 GB of memory; no zone and no deadline. */
-void test_submission(rr_submission *out, const struct test_job *job);
+void test_submission_init(rr_submission *out, const struct test_job *job);
 /* Records the job as accepted at this time of day, in seconds. */
 void fake_store_submit(fake_store *store, const struct test_job *job, double accepted_at);
 
--- a/tests/fake_store_records.c
+++ b/tests/fake_store_records.c
@@ -79,7 +79,7 @@
     put_page(store, page_of_machine(id), &encoder);
 }
 
-void fake_store_put_machine_page(fake_store *store, int first, int count, const char *zone) {
+void fake_store_put_machines(fake_store *store, int first, int count, const char *zone) {
     rr_encoder encoder;
     begin_page(&encoder, count);
     for (int i = first; i < first + count; i++) {
@@ -90,7 +90,7 @@
     put_page(store, first, &encoder);
 }
 
-void test_submission(rr_submission *out, const struct test_job *job) {
+void test_submission_init(rr_submission *out, const struct test_job *job) {
     static const char *const priorities[] = {"low", "standard", "high", "prod"};
     memset(out, 0, sizeof *out);
     g_strlcpy(out->job_id, job->job_id, sizeof out->job_id);
@@ -120,9 +120,9 @@
     rr_submission submission;
     char key[128];
     rr_encoder encoder;
-    test_submission(&submission, job);
+    test_submission_init(&submission, job);
     rr_encoder_init(&encoder);
-    rr_core_job_encode(&encoder, &submission, accepted_at, false);
+    rr_core_encode_job(&encoder, &submission, accepted_at, false);
     rr_core_job_key(job->job_id, key, sizeof key);
     fake_store_put(store, key, &encoder);
 }
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -18,12 +18,12 @@
     uint64_t attempt;
     double ends_at; /* steady time; 0: runs until stopped */
     enum task_state state;
-    guint run; /* index of its fake_services_run in fake_worker.runs */
+    guint run; /* index of its fake_task_run in fake_worker.runs */
 };
 
 void fake_worker_init(struct fake_worker *worker) {
     worker->tasks = g_array_new(FALSE, TRUE, sizeof(struct task));
-    worker->runs = g_array_new(FALSE, TRUE, sizeof(fake_services_run));
+    worker->runs = g_array_new(FALSE, TRUE, sizeof(fake_task_run));
     worker->controllers = g_array_new(FALSE, TRUE, sizeof(struct rr_endpoint));
     worker->first_starts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     worker->task_s = DEFAULT_TASK_RUNTIME_S;
@@ -53,7 +53,7 @@
 
 static void start_task(struct fake_worker *worker, const char *name, uint64_t attempt) {
     struct task task = {.attempt = attempt, .state = TASK_RUNNING};
-    fake_services_run run = {.started_at = rr_steady_clock_s()};
+    fake_task_run run = {.started_at = rr_steady_clock_s()};
     /* By convention of the tests, jobs whose number begins with 5 are services. */
     bool is_service = name[strlen("req-")] == '5';
     g_strlcpy(task.name, name, sizeof task.name);
@@ -67,7 +67,7 @@
 
 static void end_task(struct fake_worker *worker, struct task *task, enum task_state state,
                      double ended_at) {
-    fake_services_run *run = &g_array_index(worker->runs, fake_services_run, task->run);
+    fake_task_run *run = &g_array_index(worker->runs, fake_task_run, task->run);
     task->state = state;
     run->ended_at = ended_at;
     run->done = state == TASK_DONE;
@@ -265,7 +265,7 @@
 
 /* ---- functions for tests ---- */
 
-void fake_services_lose_worker(fake_services *services) {
+void fake_services_remove_machine(fake_services *services) {
     struct fake_worker *worker = &services->worker;
     pthread_mutex_lock(&services->lock);
     for (guint i = 0; i < worker->tasks->len; i++) {
@@ -286,7 +286,7 @@
     return copy;
 }
 
-unsigned fake_services_running_tasks(fake_services *services) {
+unsigned fake_services_count_running_tasks(fake_services *services) {
     const struct fake_worker *worker = &services->worker;
     unsigned count = 0;
     pthread_mutex_lock(&services->lock);
@@ -297,7 +297,7 @@
     return count;
 }
 
-double fake_services_started(fake_services *services, const char *task_name) {
+double fake_services_find_first_start(fake_services *services, const char *task_name) {
     pthread_mutex_lock(&services->lock);
     const double *found = g_hash_table_lookup(services->worker.first_starts, task_name);
     double started_at = found ? *found : 0;
@@ -312,7 +312,7 @@
     return count;
 }
 
-unsigned fake_services_rented_count(fake_services *services) {
+unsigned fake_services_count_rentals(fake_services *services) {
     pthread_mutex_lock(&services->lock);
     unsigned count = services->worker.rental_count;
     pthread_mutex_unlock(&services->lock);
--- a/tests/scene.c
+++ b/tests/format_scenario.c
@@ -1,4 +1,4 @@
-#include "scene.h"
+#include "format_scenario.h"
 #include "core/leadership.h"
 #include "core/planning.h"
 #include "core/scaling.h"
@@ -60,9 +60,9 @@
     rr_plan plan;
     test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(controller->core, controller->now,
-                               g_ptr_array_index(plan.command_batches, i), RR_COMMAND_ANSWERED,
-                               true);
+        rr_core_record_command_result(controller->core, controller->now,
+                                      g_ptr_array_index(plan.command_batches, i),
+                                      RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
 }
@@ -79,7 +79,7 @@
     for (int machine = 1; machine <= MACHINE_COUNT; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        uint64_t attempt = fake_store_attempt(controller->store, id, "req-1", 0);
+        uint64_t attempt = fake_store_find_attempt(controller->store, id, "req-1", 0);
         if (attempt) {
             char *task_text = g_strdup_printf("req-1 0 %" G_GUINT64_FORMAT " ended:done", attempt);
             test_controller_heartbeat(controller, id, "a", false, 1, 2,
@@ -101,7 +101,7 @@
     g_array_free(no_machines, TRUE);
 }
 
-GString *scene_play(void) {
+GString *run_format_scenario(void) {
     core_fixture *fixture;
     core_fixture_setup((void **)&fixture);
     test_controller *controller = &fixture->controller;
--- a/tests/gang_fixture.c
+++ b/tests/gang_fixture.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* One heartbeat of gang_show() reports at most REPORTED_TASKS_MAX of the job's tasks 0 to
+/* One heartbeat of gang_send_heartbeat() reports at most REPORTED_TASKS_MAX of the job's tasks 0 to
  * FIRST_TASKS - 1. */
 #define REPORTED_TASKS_MAX 4
 #define FIRST_TASKS 8
@@ -25,10 +25,10 @@
 int gang_setup(void **state) {
     core_fixture_setup(state);
     core_fixture *fixture = *state;
-    for (int i = 1; i <= GANG_MACHINES; i++) {
+    for (int i = 1; i <= GANG_MACHINE_COUNT; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", i);
-        fake_store_put_machine(fixture->store, id, i <= GANG_MACHINES_IN_A ? "a" : "b", false,
+        fake_store_put_machine(fixture->store, id, i <= GANG_MACHINES_IN_ZONE_A ? "a" : "b", false,
                                true);
     }
     fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
@@ -40,20 +40,20 @@
     fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
 
-void gang_show(test_controller *controller, int machine, const char *job_id, const char *state,
-               uint64_t worker_epoch, double spot_notice_s) {
+void gang_send_heartbeat(test_controller *controller, int machine, const char *job_id,
+                         const char *state, uint64_t worker_epoch, double spot_notice_s) {
     char id[16], *task_texts[REPORTED_TASKS_MAX + 1] = {NULL};
     int count = 0;
     g_snprintf(id, sizeof id, "vm-%d", machine);
     for (uint32_t task = 0; state && task < FIRST_TASKS && count < REPORTED_TASKS_MAX; task++) {
-        uint64_t attempt = fake_store_attempt(controller->store, id, job_id, task);
+        uint64_t attempt = fake_store_find_attempt(controller->store, id, job_id, task);
         if (attempt) {
             task_texts[count++] =
                 g_strdup_printf("%s %u %" G_GUINT64_FORMAT " %s", job_id, task, attempt, state);
         }
     }
     controller->spot_notice_s = spot_notice_s;
-    test_controller_heartbeat(controller, id, machine <= GANG_MACHINES_IN_A ? "a" : "b", false,
+    test_controller_heartbeat(controller, id, machine <= GANG_MACHINES_IN_ZONE_A ? "a" : "b", false,
                               worker_epoch, ++last_sequence,
                               rr_core_fencing_token(controller->core), task_texts[0], task_texts[1],
                               task_texts[2], task_texts[3], NULL);
@@ -63,14 +63,14 @@
     }
 }
 
-void gang_show_all(test_controller *controller, const char *job_id, const char *state) {
-    for (int machine = 1; machine <= GANG_MACHINES; machine++) {
-        gang_show(controller, machine, job_id, state, 1, -1);
+void gang_send_heartbeats(test_controller *controller, const char *job_id, const char *state) {
+    for (int machine = 1; machine <= GANG_MACHINE_COUNT; machine++) {
+        gang_send_heartbeat(controller, machine, job_id, state, 1, -1);
     }
 }
 
-unsigned gang_plan(test_controller *controller, enum rr_command_kind command_kind,
-                   const char *job_id, double *grace_s) {
+unsigned gang_plan_and_answer(test_controller *controller, enum rr_command_kind command_kind,
+                              const char *job_id, double *grace_s) {
     rr_plan plan;
     unsigned command_count = 0;
     double shortest_grace_s = 1e9;
@@ -85,7 +85,8 @@
                     command->grace_s < shortest_grace_s ? command->grace_s : shortest_grace_s;
             }
         }
-        rr_core_command_result(controller->core, controller->now, batch, RR_COMMAND_ANSWERED, true);
+        rr_core_record_command_result(controller->core, controller->now, batch, RR_COMMAND_ANSWERED,
+                                      true);
     }
     rr_plan_clear(&plan);
     if (grace_s) {
@@ -94,25 +95,26 @@
     return command_count;
 }
 
-enum rr_gang_phase gang_phase(const test_controller *controller, const char *job_id) {
+enum rr_gang_phase gang_get_phase(const test_controller *controller, const char *job_id) {
     return rr_gang_phase(controller->core,
                          g_hash_table_lookup(controller->core->stored.jobs, job_id),
                          controller->now);
 }
 
-void gang_start(core_fixture *fixture, const struct test_job *job) {
+void gang_submit_and_start(core_fixture *fixture, const struct test_job *job) {
     test_controller *controller = &fixture->controller;
-    gang_show_all(controller, job->job_id, NULL);
+    gang_send_heartbeats(controller, job->job_id, NULL);
     submit_gang_job(fixture, job);
-    gang_plan(controller, RR_COMMAND_START, job->job_id, NULL);
-    assert_int_equal(gang_plan(controller, RR_COMMAND_START, job->job_id, NULL), job->task_count);
+    gang_plan_and_answer(controller, RR_COMMAND_START, job->job_id, NULL);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_START, job->job_id, NULL),
+                     job->task_count);
 }
 
-int gang_machine_of(const core_fixture *fixture, uint32_t task, uint64_t *attempt) {
-    for (int machine = 1; machine <= GANG_MACHINES; machine++) {
+int gang_find_machine(const core_fixture *fixture, uint32_t task, uint64_t *attempt) {
+    for (int machine = 1; machine <= GANG_MACHINE_COUNT; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        *attempt = fake_store_attempt(fixture->store, id, "req-1", task);
+        *attempt = fake_store_find_attempt(fixture->store, id, "req-1", task);
         if (*attempt) {
             return machine;
         }
@@ -122,16 +124,16 @@
 
 uint64_t gang_shared_attempt(const core_fixture *fixture, uint32_t tasks) {
     uint64_t attempt, other;
-    gang_machine_of(fixture, 0, &attempt);
+    gang_find_machine(fixture, 0, &attempt);
     for (uint32_t task = 1; task < tasks; task++) {
-        gang_machine_of(fixture, task, &other);
+        gang_find_machine(fixture, task, &other);
         assert_true(other == attempt);
     }
     return attempt;
 }
 
-const char *gang_task_runs(int machine, const char *job_id, uint32_t task, int position,
-                           uint64_t sequence) {
+const char *gang_task_running(int machine, const char *job_id, uint32_t task, int position,
+                              uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
@@ -140,8 +142,8 @@
     return "running";
 }
 
-const char *gang_task_is_done(int machine, const char *job_id, uint32_t task, int position,
-                              uint64_t sequence) {
+const char *gang_task_done(int machine, const char *job_id, uint32_t task, int position,
+                           uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
@@ -150,17 +152,17 @@
     return "ended:done";
 }
 
-void gang_show_jobs(test_controller *controller, const char *const *job_ids, int jobs,
-                    uint32_t tasks, shown_task_state_fn state) {
-    struct shown_machines show = {.first = 1,
-                                  .last = GANG_MACHINES,
-                                  .last_in_a = GANG_MACHINES_IN_A,
-                                  .job_ids = job_ids,
-                                  .jobs = jobs,
-                                  .tasks = tasks,
-                                  .task_max = SHOWN_TASKS_MAX,
-                                  .worker_epoch = 1,
-                                  .sequence = ++last_sequence,
-                                  .state = state};
-    test_controller_show_machines(controller, &show);
+void gang_report_jobs(test_controller *controller, const char *const *job_ids, int jobs,
+                      uint32_t tasks, reported_task_state_fn state) {
+    struct reporting_machines reporting = {.first = 1,
+                                           .last = GANG_MACHINE_COUNT,
+                                           .last_in_zone_a = GANG_MACHINES_IN_ZONE_A,
+                                           .job_ids = job_ids,
+                                           .job_count = jobs,
+                                           .tasks_per_job = tasks,
+                                           .heartbeat_tasks_max = HEARTBEAT_TASKS_MAX,
+                                           .worker_epoch = 1,
+                                           .sequence = ++last_sequence,
+                                           .state = state};
+    test_controller_send_heartbeats(controller, &reporting);
 }
--- a/tests/machine_fixture.c
+++ b/tests/machine_fixture.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define AUTOSCALER_STEPS_MAX 60 /* in step_until() */
+#define AUTOSCALER_STEPS_MAX 60 /* in step_autoscaler_until() */
 #define LISTED_AGE_S 500
 
 static int setup_two_machines(void **state, bool operator_owned) {
@@ -20,28 +20,28 @@
     return setup_two_machines(state, false);
 }
 
-int two_own_machines_setup(void **state) {
+int two_operator_owned_machines_setup(void **state) {
     return setup_two_machines(state, true);
 }
 
-const char *machine_zone(const char *id) {
+const char *fixture_machine_zone(const char *id) {
     return strcmp(id, "vm-2") == 0 ? "b" : "a";
 }
 
 void send_heartbeat(test_controller *controller, const char *id, uint64_t sequence,
                     const char *task) {
-    test_controller_heartbeat(controller, id, machine_zone(id), false, 1, sequence,
+    test_controller_heartbeat(controller, id, fixture_machine_zone(id), false, 1, sequence,
                               rr_core_fencing_token(controller->core), task, NULL);
 }
 
-char *task_text(const char *job_id, uint64_t attempt, const char *state) {
+char *format_heartbeat_task(const char *job_id, uint64_t attempt, const char *state) {
     return g_strdup_printf("%s 0 %" G_GUINT64_FORMAT " %s", job_id, attempt, state);
 }
 
-const char *placed_on(const fake_store *store, const char *job_id, uint64_t *attempt) {
+const char *find_task_machine(const fake_store *store, const char *job_id, uint64_t *attempt) {
     static const char *const ids[] = {"vm-1", "vm-2"};
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
-        uint64_t found = fake_store_attempt(store, ids[i], job_id, 0);
+        uint64_t found = fake_store_find_attempt(store, ids[i], job_id, 0);
         if (attempt) {
             *attempt = found;
         }
@@ -52,7 +52,7 @@
     return NULL;
 }
 
-const char *run_job(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
+const char *submit_and_start(core_fixture *fixture, const struct test_job *job, uint64_t *attempt) {
     test_controller *controller = &fixture->controller;
     send_heartbeat(controller, "vm-1", 1, NULL);
     send_heartbeat(controller, "vm-2", 1, NULL);
@@ -60,7 +60,7 @@
     fake_store_sync(fixture->store, controller->core, controller->now);
     assert_int_equal(plan_with_outcome(controller, RR_COMMAND_ANSWERED), 1);
     plan_with_outcome(controller, RR_COMMAND_ANSWERED);
-    return placed_on(fixture->store, job->job_id, attempt);
+    return find_task_machine(fixture->store, job->job_id, attempt);
 }
 
 void restart_controller(core_fixture *fixture, test_controller *restarted) {
@@ -73,28 +73,28 @@
     rr_plan plan;
     int committed = test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(controller->core, controller->now,
-                               g_ptr_array_index(plan.command_batches, i), outcome,
-                               outcome == RR_COMMAND_ANSWERED);
+        rr_core_record_command_result(controller->core, controller->now,
+                                      g_ptr_array_index(plan.command_batches, i), outcome,
+                                      outcome == RR_COMMAND_ANSWERED);
     }
     rr_plan_clear(&plan);
     return committed;
 }
 
-void plan_unanswered_by(test_controller *controller, const char *id) {
+void plan_without_answer_from(test_controller *controller, const char *id) {
     rr_plan plan;
     test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *batch = g_ptr_array_index(plan.command_batches, i);
         bool is_unanswered = id && strcmp(batch->machine, id) == 0;
-        rr_core_command_result(controller->core, controller->now, batch,
-                               is_unanswered ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED,
-                               !is_unanswered);
+        rr_core_record_command_result(
+            controller->core, controller->now, batch,
+            is_unanswered ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED, !is_unanswered);
     }
     rr_plan_clear(&plan);
 }
 
-unsigned plan_reaching(test_controller *controller, const char *id) {
+unsigned plan_with_one_reachable(test_controller *controller, const char *id) {
     rr_plan plan;
     unsigned probes = 0;
     test_controller_plan(controller, &plan);
@@ -102,24 +102,24 @@
         rr_command_batch *batch = g_ptr_array_index(plan.command_batches, i);
         probes += batch->commands->len == 0;
         bool is_reachable = id && strcmp(batch->machine, id) == 0;
-        rr_core_command_result(controller->core, controller->now, batch,
-                               is_reachable ? RR_COMMAND_ANSWERED : RR_COMMAND_NOT_SENT,
-                               is_reachable);
+        rr_core_record_command_result(controller->core, controller->now, batch,
+                                      is_reachable ? RR_COMMAND_ANSWERED : RR_COMMAND_NOT_SENT,
+                                      is_reachable);
     }
     rr_plan_clear(&plan);
     return probes;
 }
 
-unsigned plan_unreachable(test_controller *controller) {
-    return plan_reaching(controller, NULL);
+unsigned plan_with_none_reachable(test_controller *controller) {
+    return plan_with_one_reachable(controller, NULL);
 }
 
-void put_fleet(core_fixture *fixture, int count, GArray *listed) {
+void record_fleet(core_fixture *fixture, int count, GArray *listed) {
     char id[16];
     for (int i = 1; i <= count; i++) {
         g_snprintf(id, sizeof id, "vm-%d", i);
         fake_store_put_machine(fixture->store, id, "a", false, true);
-        list_machine(listed, id, "a", RR_LISTED_RUNNING, LISTED_AGE_S);
+        append_listed_machine(listed, id, "a", RR_LISTED_RUNNING, LISTED_AGE_S);
     }
     fake_store_sync(fixture->store, fixture->controller.core, fixture->controller.now);
 }
@@ -133,8 +133,8 @@
     }
 }
 
-bool step_until(core_fixture *fixture, enum rr_autoscaler_step_kind kind, const GArray *listed,
-                rr_autoscaler_step *out) {
+bool step_autoscaler_until(core_fixture *fixture, enum rr_autoscaler_step_kind kind,
+                           const GArray *listed, rr_autoscaler_step *out) {
     test_controller *controller = &fixture->controller;
     GArray *empty_list = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(rr_machine_type));
@@ -149,11 +149,11 @@
         if (out->kind == RR_AUTOSCALER_COMMIT) {
             fake_store_commit(fixture->store, &out->transaction);
             fake_store_sync(fixture->store, controller->core, controller->now);
-        } else if (out->kind == RR_AUTOSCALER_LIST) {
-            rr_core_machines_listed(controller->core, controller->now, controller->now,
-                                    controller->now, listed ? listed : empty_list);
-        } else if (out->kind == RR_AUTOSCALER_CATALOG) {
-            rr_core_catalog_read(controller->core, controller->now, machine_types);
+        } else if (out->kind == RR_AUTOSCALER_LIST_MACHINES) {
+            rr_core_apply_machine_list(controller->core, controller->now, controller->now,
+                                       controller->now, listed ? listed : empty_list);
+        } else if (out->kind == RR_AUTOSCALER_READ_CATALOG) {
+            rr_core_apply_catalog(controller->core, controller->now, machine_types);
         } else if (out->kind == RR_AUTOSCALER_NONE && kind == RR_AUTOSCALER_SCALE_IN) {
             break; /* the autoscaler releases nothing at this time */
         } else if (out->kind == RR_AUTOSCALER_NONE) {
@@ -167,18 +167,18 @@
     return found;
 }
 
-bool step_releases(core_fixture *fixture, const char *id) {
+bool autoscaler_step_releases(core_fixture *fixture, const char *id) {
     test_controller *controller = &fixture->controller;
     rr_autoscaler_step step;
     GArray *listed = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     bool released = false;
-    list_machine(listed, "vm-1", "a", RR_LISTED_RUNNING, LISTED_AGE_S);
-    list_machine(listed, "vm-2", "b", RR_LISTED_RUNNING, LISTED_AGE_S);
+    append_listed_machine(listed, "vm-1", "a", RR_LISTED_RUNNING, LISTED_AGE_S);
+    append_listed_machine(listed, "vm-2", "b", RR_LISTED_RUNNING, LISTED_AGE_S);
     test_controller_autoscaler_step(controller, listed, &step);
     if (step.kind == RR_AUTOSCALER_SCALE_IN) {
         released = g_ptr_array_find_with_equal_func(step.machines, id, g_str_equal, NULL);
         if (released) {
-            rr_core_scale_in_result(controller->core, controller->now, step.machines);
+            rr_core_record_scale_in_result(controller->core, controller->now, step.machines);
         }
     }
     rr_autoscaler_step_clear(&step);
--- a/tests/machine_fixture.h
+++ b/tests/machine_fixture.h
@@ -8,10 +8,10 @@
 /* cmocka set-up: a core_fixture with machine vm-1 recorded in zone a and vm-2 in zone b, both
  * rented from the cloud or both operator-owned. The teardown is core_fixture_teardown(). */
 int two_rented_machines_setup(void **state);
-int two_own_machines_setup(void **state);
+int two_operator_owned_machines_setup(void **state);
 
 /* Returns the zone of vm-1 or vm-2. */
-const char *machine_zone(const char *id);
+const char *fixture_machine_zone(const char *id);
 
 /* Sends a heartbeat of vm-1 or vm-2 with the present fencing token. task: as in
  * test_controller_heartbeat(); NULL: none. */
@@ -20,15 +20,15 @@
 
 /* Formats task 0 of the job for a heartbeat; state: "running" or "ended:done" for example. The
  * caller frees the string. */
-char *task_text(const char *job_id, uint64_t attempt, const char *state);
+char *format_heartbeat_task(const char *job_id, uint64_t attempt, const char *state);
 
 /* Returns the machine, vm-1 or vm-2, on which task 0 of the job is placed; NULL: neither. *attempt,
  * unless attempt is NULL, receives the task's attempt; 0: not placed. */
-const char *placed_on(const fake_store *store, const char *job_id, uint64_t *attempt);
+const char *find_task_machine(const fake_store *store, const char *job_id, uint64_t *attempt);
 
 /* Sends a heartbeat of vm-1 and of vm-2, submits the job and plans twice: the first plan reserves
- * task 0, the second starts it. Returns as placed_on(). */
-const char *run_job(core_fixture *fixture, const struct test_job *job, uint64_t *attempt);
+ * task 0, the second starts it. Returns as find_task_machine(). */
+const char *submit_and_start(core_fixture *fixture, const struct test_job *job, uint64_t *attempt);
 
 /* Initialises `restarted` as a new process of the fixture's controller: it reads the whole store
  * and joins with a new session, in a term of its own. The caller clears it with
@@ -39,16 +39,16 @@
  * 0. */
 int plan_with_outcome(test_controller *controller, enum rr_command_outcome outcome);
 /* Plans once; commands to machine `id` (NULL: none) get no answer, all others are executed. */
-void plan_unanswered_by(test_controller *controller, const char *id);
+void plan_without_answer_from(test_controller *controller, const char *id);
 /* Plans once; commands to machine `id` (NULL: none) are executed, all others cannot be sent.
  * Returns the number of probes, which are batches without a command. */
-unsigned plan_reaching(test_controller *controller, const char *id);
+unsigned plan_with_one_reachable(test_controller *controller, const char *id);
 /* The same with no machine reachable. */
-unsigned plan_unreachable(test_controller *controller);
+unsigned plan_with_none_reachable(test_controller *controller);
 
 /* Records the operator-owned machines vm-1 to vm-<count> in zone a, and appends them to `listed`
  * (rr_listed_machine) as running. */
-void put_fleet(core_fixture *fixture, int count, GArray *listed);
+void record_fleet(core_fixture *fixture, int count, GArray *listed);
 /* Sends heartbeats without tasks of vm-<first> to vm-<last> in zone a. */
 void send_fleet_heartbeats(test_controller *controller, int first, int last, uint64_t sequence);
 
@@ -57,10 +57,10 @@
  * catalogue with an empty one. When there is nothing to do, the clock advances by 1 s, except in a
  * search for RR_AUTOSCALER_SCALE_IN, which then ends. Returns whether such a step came. The caller
  * clears *out with rr_autoscaler_step_clear(). */
-bool step_until(core_fixture *fixture, enum rr_autoscaler_step_kind kind, const GArray *listed,
-                rr_autoscaler_step *out);
+bool step_autoscaler_until(core_fixture *fixture, enum rr_autoscaler_step_kind kind,
+                           const GArray *listed, rr_autoscaler_step *out);
 /* Takes one autoscaler step, in which the cloud lists vm-1 and vm-2. Returns whether the step
  * releases machine `id`, and if so tells the core that the release succeeded. */
-bool step_releases(core_fixture *fixture, const char *id);
+bool autoscaler_step_releases(core_fixture *fixture, const char *id);
 
 #endif
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -80,7 +80,7 @@
     assert_true(fd >= 0);
     assert_int_equal(write(fd, text, strlen(text)), strlen(text));
     close(fd);
-    test_config(&config, "n0");
+    test_config_init(&config, "n0");
     config.clock_off_s = 0.1;
     bool loaded = rr_admission_settings_load(path, &config, &settings, &refusal);
     unlink(path);
@@ -125,65 +125,65 @@
  * the session's record as before. */
 static void admission_waits_until_all_controllers_take_part(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    assert_false(rr_core_all_admission_capable(node->core));
-    node->config.admission = true;
-    test_controller_leave(node);
-    test_controller_join(node, 12);
-    assert_true(rr_core_all_admission_capable(node->core));
-    assert_true(rr_core_all_gang_capable(node->core));
-    test_controller_join_old_version(node);
-    assert_false(rr_core_all_admission_capable(node->core));
-    test_controller_leave_old_version(node);
-    assert_true(rr_core_all_admission_capable(node->core));
+    test_controller *controller = &fixture->controller;
+    assert_false(rr_core_all_members_support_admission(controller->core));
+    controller->config.admission = true;
+    test_controller_leave(controller);
+    test_controller_join(controller, 12);
+    assert_true(rr_core_all_members_support_admission(controller->core));
+    assert_true(rr_core_all_members_support_gangs(controller->core));
+    test_controller_join_old_version(controller);
+    assert_false(rr_core_all_members_support_admission(controller->core));
+    test_controller_leave_old_version(controller);
+    assert_true(rr_core_all_members_support_admission(controller->core));
 }
 
-static guint placed_after_plan(test_controller *node, const char *id) {
+static guint placed_after_plan(test_controller *controller, const char *id) {
     rr_plan plan;
-    test_controller_plan(node, &plan);
+    test_controller_plan(controller, &plan);
     rr_plan_clear(&plan);
-    return fake_store_placed_count(node->store, id);
+    return fake_store_placed_count(controller->store, id);
 }
 
 /* Under overload an owner leaves what is beyond its team's fair room to others, but not for its
  * prod replicas, and only while a table is in force. */
 static void owner_leaves_room_beyond_its_fair_room(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    const double rooms[] = {0.25, 1};
-    test_controller_add_machines(node, 1, 4, "a");
+    test_controller *controller = &fixture->controller;
+    const double fair_shares[] = {0.25, 1};
+    test_controller_add_machines(controller, 1, 4, "a");
     fake_store_submit(
         fixture->store,
         &(struct test_job){
             .job_id = "req-1", .team = "red", .task_count = 64, .cpus = 1, .mem_gb = 1},
-        node->now);
-    fake_store_sync(fixture->store, node->core, node->now);
-    rr_core_set_fair_shares(node->core, rooms, 64, 16, 256);
-    assert_int_equal(placed_after_plan(node, "req-1"), 16);
+        controller->now);
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    rr_core_set_fair_shares(controller->core, fair_shares, 64, 16, 256);
+    assert_int_equal(placed_after_plan(controller, "req-1"), 16);
     fake_store_submit(
         fixture->store,
         &(struct test_job){.job_id = "req-2", .team = "red", .service = true, .priority = "prod"},
-        node->now);
+        controller->now);
     fake_store_submit(
         fixture->store,
         &(struct test_job){
             .job_id = "req-3", .team = "blue", .task_count = 8, .cpus = 1, .mem_gb = 1},
-        node->now);
-    fake_store_sync(fixture->store, node->core, node->now);
-    node->now += 3;
-    assert_int_equal(placed_after_plan(node, "req-2"), 1);
+        controller->now);
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    controller->now += 3;
+    assert_int_equal(placed_after_plan(controller, "req-2"), 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-3"), 8);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 16);
     /* No table is in force any more. */
-    rr_core_set_fair_shares(node->core, NULL, 0, 0, 0);
+    rr_core_set_fair_shares(controller->core, NULL, 0, 0, 0);
     for (int machine = 1; machine <= 4; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        test_controller_heartbeat(node, id, "a", false, 1, 9, rr_core_fencing_token(node->core),
-                                  NULL);
+        test_controller_heartbeat(controller, id, "a", false, 1, 9,
+                                  rr_core_fencing_token(controller->core), NULL);
     }
-    node->now += 3;
-    assert_true(placed_after_plan(node, "req-1") > 16);
+    controller->now += 3;
+    assert_true(placed_after_plan(controller, "req-1") > 16);
 }
 
 #define CORE_TEST(name)                                                                            \
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -8,8 +8,8 @@
 #include "core_fixture.h"
 
 #include "common/clock.h"
+#include "controller_process.h"
 #include "fair_cluster.h"
-#include "processes.h"
 
 #include <math.h>
 #include <signal.h>
@@ -92,8 +92,8 @@
     for (int i = 0; i < SHORT_STREAMS; i++) {
         teams[i] = streams[i].team;
     }
-    struct platform platform = {teams, SHORT_STREAMS, 0.5, 10, 25};
-    processes_configure(run->w, run->folder, "n", "a", &platform, list, CONTROLLERS);
+    struct cell_settings cell_settings = {teams, SHORT_STREAMS, 0.5, 10, 25};
+    processes_configure(run->w, run->folder, "n", "a", &cell_settings, list, CONTROLLERS);
     for (int i = 0; i < CONTROLLERS; i++) {
         run->controllers[i].controller = list[i];
         start_process(run, i);
@@ -107,12 +107,13 @@
 
 static int submit(const struct process *target, const struct job *job) {
     rr_submission submission;
-    test_submission(&submission, &(struct test_job){.job_id = job->id,
-                                                    .team = streams[job->stream].team,
-                                                    .job_class = streams[job->stream].job_class,
-                                                    .task_count = streams[job->stream].tasks,
-                                                    .cpus = 1,
-                                                    .mem_gb = 1});
+    test_submission_init(&submission,
+                         &(struct test_job){.job_id = job->id,
+                                            .team = streams[job->stream].team,
+                                            .job_class = streams[job->stream].job_class,
+                                            .task_count = streams[job->stream].tasks,
+                                            .cpus = 1,
+                                            .mem_gb = 1});
     submission.runtime_estimate_s = TASK_S;
     return fake_services_submit(&target->controller.config, &submission);
 }
@@ -188,7 +189,7 @@
         const struct job *job = g_ptr_array_index(run->accepted, i);
         char task_name[48];
         g_snprintf(task_name, sizeof task_name, "%s/0", job->id);
-        double started = fake_services_started(run->w, task_name);
+        double started = fake_services_find_first_start(run->w, task_name);
         if (job->stream == stream) {
             outcome.accepted++;
             outcome.begun += started > 0;
@@ -256,7 +257,7 @@
     run->asking = g_ptr_array_new();
     run->accepted = g_ptr_array_new_with_free_func(g_free);
     run->fair = fair_cluster_create(SLOTS, teams, stream_count);
-    fake_services_task_seconds(run->w, TASK_S);
+    fake_services_set_task_runtime(run->w, TASK_S);
 }
 
 /* Only where all went well; else the logs stay. */
@@ -270,7 +271,7 @@
 
 static void run_end(struct run *run) {
     for (int i = 0; i < CONTROLLERS; i++) {
-        process_end(&run->controllers[i].controller, SIGTERM);
+        process_stop(&run->controllers[i].controller, SIGTERM);
     }
     remove_files(run);
     for (guint i = 0; i < run->asking->len; i++) {
@@ -293,7 +294,7 @@
     start_all(&current);
     play_for(&current, submissions_s / 2);
     /* The second of them dies and comes back while the flood goes on. */
-    process_end(&current.controllers[1].controller, SIGKILL);
+    process_stop(&current.controllers[1].controller, SIGKILL);
     play_for(&current, 2);
     start_process(&current, 1);
     play_for(&current, submissions_s / 2 - 2);
@@ -386,12 +387,12 @@
     play_for(&current, 6);
     assert_int_equal(current.refused, 0);
     current.controllers[2].without = false;
-    process_end(&current.controllers[2].controller, SIGTERM);
+    process_stop(&current.controllers[2].controller, SIGTERM);
     start_process(&current, 2);
     process_wait_ready(&current.controllers[2].controller);
     play_until_limited(&current);
     current.controllers[2].without = true;
-    process_end(&current.controllers[2].controller, SIGTERM);
+    process_stop(&current.controllers[2].controller, SIGTERM);
     start_process(&current, 2);
     process_wait_ready(&current.controllers[2].controller);
     play_for(&current, 2);
--- a/tests/test_admission_shares.c
+++ b/tests/test_admission_shares.c
@@ -143,7 +143,7 @@
 /* 100 CPUs, overload, and a flood of the first team's. */
 static void writer_fixture_init(struct writer_fixture *fixture) {
     memset(fixture, 0, sizeof *fixture);
-    test_config(&fixture->config, "n0");
+    test_config_init(&fixture->config, "n0");
     rr_admission_settings_init(&fixture->settings);
     fixture->writer = rr_admission_writer_create(&fixture->config, &fixture->settings);
     rr_offered_load_init(&fixture->load, &fixture->settings);
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -116,12 +116,12 @@
     cell_pair *pair = *state;
     unsigned at_home = 0, at_guest = 0;
     cell_pair_wait_at_home(pair, &cell_pair_job);
-    rr_core_each_job(pair->home.node.core, sum_waiting, &at_home);
+    rr_core_foreach_job(pair->home.node.core, sum_waiting, &at_home);
     assert_int_equal(at_home, 2);
     cell_pair_play(pair, 3);
     at_home = 0;
-    rr_core_each_job(pair->home.node.core, sum_waiting, &at_home);
-    rr_core_each_job(pair->guest.node.core, sum_waiting, &at_guest);
+    rr_core_foreach_job(pair->home.node.core, sum_waiting, &at_home);
+    rr_core_foreach_job(pair->guest.node.core, sum_waiting, &at_guest);
     assert_int_equal(at_home, 0);
     assert_int_equal(at_guest, 2);
 }
--- a/tests/test_cells_cancellation.c
+++ b/tests/test_cells_cancellation.c
@@ -50,7 +50,7 @@
     cell_pair_wait_at_home(pair, &cell_pair_job);
     cell_pair_step(pair); /* asks for room */
     rr_encoder_init(&out);
-    assert_true(rr_core_cancel_record(pair->home.node.core, CELL_PAIR_JOB, &out, &version));
+    assert_true(rr_core_encode_cancelled_job(pair->home.node.core, CELL_PAIR_JOB, &out, &version));
     fake_store_put(pair->home.store, "rr/job/" CELL_PAIR_JOB, &out);
     cell_pair_advance(pair, 0.5);
     cell_pair_step(pair);
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -4,9 +4,9 @@
 
 #include "cells/links.h"
 #include "common/clock.h"
+#include "controller_process.h"
 #include "peer/frame.h"
 #include "peer/stream.h"
-#include "processes.h"
 
 #include <arpa/inet.h>
 #include <stdlib.h>
--- a/tests/test_cells_partitions.c
+++ b/tests/test_cells_partitions.c
@@ -172,7 +172,7 @@
     request.rest_s = 80;
     rr_transfer_message offer = {.kind = RR_TRANSFER_OFFER, .claim = 1};
     rr_submission submission;
-    test_submission(&submission, &cell_pair_job);
+    test_submission_init(&submission, &cell_pair_job);
     rr_cells_add_offer(request.items, &offer, &submission, 1000);
     rr_submission_clear(&submission);
     double now = pair->guest.node.now;
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -57,8 +57,8 @@
         run_submit_for(run_options.submissions_s * 2 / 3);
         run_kill_controllers(3);
         if (seed % 2 == 0) {
-            fake_services_store_down(run.cells[3].services, true);
-            fake_services_lose_worker(run.cells[3].services);
+            fake_services_set_store_down(run.cells[3].services, true);
+            fake_services_remove_machine(run.cells[3].services);
         }
         run_submit_for(run_options.submissions_s / 3);
         double settle_s = run_poll_until_settled();
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -22,7 +22,7 @@
     struct rr_config config;
     char name[] = "/tmp/cells-settings-XXXXXX";
     int fd = mkstemp(name);
-    test_config(&config, "n0");
+    test_config_init(&config, "n0");
     assert_true(fd >= 0);
     close(fd);
     assert_true(g_file_set_contents(name, text, -1, NULL));
--- a/tests/test_core_cancellation_faults.c
+++ b/tests/test_core_cancellation_faults.c
@@ -13,18 +13,18 @@
 
 /* Replies to a heartbeat with one running task. Returns the status of the reply and sets
  * *stop_count to the number of stop commands that it carries. */
-static int reply_to_running_task(const test_controller *node, double now, const char *job_id,
+static int reply_to_running_task(const test_controller *controller, double now, const char *job_id,
                                  uint64_t attempt, unsigned *stop_count) {
     rr_heartbeat heartbeat = {.worker_epoch = 1,
                               .sequence = 3,
-                              .fencing_token = rr_core_fencing_token(node->core),
+                              .fencing_token = rr_core_fencing_token(controller->core),
                               .spot_notice_s = -1};
     rr_task_status task = {.attempt = attempt, .state = RR_TASK_RUNNING};
     struct rr_heartbeat_reply reply;
     g_strlcpy(task.job_id, job_id, sizeof task.job_id);
     heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     g_array_append_val(heartbeat.tasks, task);
-    rr_core_reply_to_heartbeat(node->core, now, &heartbeat, &reply);
+    rr_core_reply_to_heartbeat(controller->core, now, &heartbeat, &reply);
     *stop_count = reply.commands ? reply.commands->len : 0;
     if (reply.commands) {
         g_array_free(reply.commands, TRUE);
@@ -44,7 +44,7 @@
     struct test_job job = {.job_id = "req-1", .service = true};
     uint64_t attempt;
     unsigned stop_count;
-    const char *machine = run_job(fixture, &job, &attempt);
+    const char *machine = submit_and_start(fixture, &job, &attempt);
     test_controller_init(&peer, fixture->store, "n1");
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_join(&peer, 9);
@@ -71,7 +71,8 @@
     rr_encoder_init(&encoder);
     rr_encode_map(&encoder, 0);
     rr_transaction_put(&own_transaction, RR_KEY_ROOT "hire/none", &encoder, 0);
-    rr_core_apply(leader->core, &own_transaction, fixture->store->revision + 1, leader->now);
+    rr_core_cache_apply_transaction(leader->core, &own_transaction, fixture->store->revision + 1,
+                                    leader->now);
     rr_transaction_clear(&own_transaction);
     assert_int_not_equal(reply_to_running_task(leader, cache_stalled_at + reply_s + margin_s,
                                                job.job_id, attempt, &stop_count),
@@ -109,11 +110,11 @@
     rr_job_view before, after;
     uint64_t attempt;
     unsigned stop_count;
-    run_job(fixture, &job, &attempt);
+    submit_and_start(fixture, &job, &attempt);
     double now = leader->now;
     assert_int_equal(reply_to_running_task(leader, now, job.job_id, attempt, &stop_count), 200);
     assert_int_equal(stop_count, 0);
-    rr_core_job_view(leader->core, job.job_id, now, &before);
+    rr_core_get_job_view(leader->core, job.job_id, now, &before);
     rr_core_add_cancel_hint(leader->core, job.job_id, now);
     /* A hint may name a job that this controller does not know yet. */
     rr_core_add_cancel_hint(leader->core, "req-999999", now);
@@ -123,7 +124,7 @@
     assert_int_equal(stop_count, 1);
     assert_int_equal(reply_to_running_task(leader, now, "req-2", attempt, &stop_count), 200);
     assert_int_equal(stop_count, 0);
-    rr_core_job_view(leader->core, job.job_id, now, &after);
+    rr_core_get_job_view(leader->core, job.job_id, now, &after);
     assert_memory_equal(&before, &after, sizeof before);
     assert_int_equal(fake_store_placed_count(fixture->store, job.job_id), 1);
     double expired_at = now + leader->config.cancel_s + 0.001;
@@ -139,32 +140,32 @@
  * refuses every late copy, so that a reservation is in the ledger at most once. */
 static void late_reservation_is_refused_after_newer_changes(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     struct test_job completed_job = {.job_id = "req-1"}, cancelled_job = {.job_id = "req-2"};
     rr_plan late_plan;
     uint64_t attempt;
-    send_heartbeat(node, "vm-1", 1, NULL);
-    send_heartbeat(node, "vm-2", 1, NULL);
-    fake_store_submit(fixture->store, &completed_job, node->now);
-    fake_store_submit(fixture->store, &cancelled_job, node->now);
-    fake_store_sync(fixture->store, node->core, node->now);
+    send_heartbeat(controller, "vm-1", 1, NULL);
+    send_heartbeat(controller, "vm-2", 1, NULL);
+    fake_store_submit(fixture->store, &completed_job, controller->now);
+    fake_store_submit(fixture->store, &cancelled_job, controller->now);
+    fake_store_sync(fixture->store, controller->core, controller->now);
     rr_plan_init(&late_plan);
-    rr_core_plan(node->core, node->now, node->now, &late_plan);
+    rr_core_plan(controller->core, controller->now, controller->now, &late_plan);
     assert_true(late_plan.has_transaction);
     /* The retry is applied first. */
     assert_int_equal(fake_store_commit(fixture->store, &late_plan.transaction), 0);
     assert_int_not_equal(fake_store_commit(fixture->store, &late_plan.transaction), 0);
-    fake_store_sync(fixture->store, node->core, node->now);
-    const char *machine = placed_on(fixture->store, completed_job.job_id, &attempt);
-    char *ended_task = task_text(completed_job.job_id, attempt, "ended:done");
-    plan_with_outcome(node, RR_COMMAND_ANSWERED);
-    test_controller_cancel(node, cancelled_job.job_id);
-    node->now += 1;
-    send_heartbeat(node, "vm-1", 2, strcmp(machine, "vm-1") == 0 ? ended_task : NULL);
-    send_heartbeat(node, "vm-2", 2, strcmp(machine, "vm-2") == 0 ? ended_task : NULL);
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    const char *machine = find_task_machine(fixture->store, completed_job.job_id, &attempt);
+    char *ended_task = format_heartbeat_task(completed_job.job_id, attempt, "ended:done");
+    plan_with_outcome(controller, RR_COMMAND_ANSWERED);
+    test_controller_cancel(controller, cancelled_job.job_id);
+    controller->now += 1;
+    send_heartbeat(controller, "vm-1", 2, strcmp(machine, "vm-1") == 0 ? ended_task : NULL);
+    send_heartbeat(controller, "vm-2", 2, strcmp(machine, "vm-2") == 0 ? ended_task : NULL);
     for (int i = 0; i < 6; i++) {
-        node->now += 1;
-        plan_with_outcome(node, RR_COMMAND_ANSWERED);
+        controller->now += 1;
+        plan_with_outcome(controller, RR_COMMAND_ANSWERED);
         assert_int_not_equal(fake_store_commit(fixture->store, &late_plan.transaction), 0);
     }
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/"), 0);
@@ -179,23 +180,23 @@
     (void)state;
     for (int cancel_first = 0; cancel_first < 2; cancel_first++) {
         core_fixture *fixture;
-        two_own_machines_setup((void **)&fixture);
-        test_controller *node = &fixture->controller;
+        two_operator_owned_machines_setup((void **)&fixture);
+        test_controller *controller = &fixture->controller;
         struct test_job job = {.job_id = "req-1"};
         uint64_t attempt, version;
         rr_plan completion;
         rr_encoder encoder;
         rr_transaction cancellation;
         rr_job_view view;
-        const char *machine = run_job(fixture, &job, &attempt);
-        char *ended_task = task_text(job.job_id, attempt, "ended:done");
-        node->now += 1;
-        send_heartbeat(node, machine, 3, ended_task);
+        const char *machine = submit_and_start(fixture, &job, &attempt);
+        char *ended_task = format_heartbeat_task(job.job_id, attempt, "ended:done");
+        controller->now += 1;
+        send_heartbeat(controller, machine, 3, ended_task);
         rr_plan_init(&completion);
-        rr_core_plan(node->core, node->now, node->now, &completion);
+        rr_core_plan(controller->core, controller->now, controller->now, &completion);
         assert_true(completion.has_transaction);
         rr_encoder_init(&encoder);
-        assert_true(rr_core_cancel_record(node->core, job.job_id, &encoder, &version));
+        assert_true(rr_core_encode_cancelled_job(controller->core, job.job_id, &encoder, &version));
         rr_transaction_init(&cancellation);
         rr_transaction_guard(&cancellation, RR_KEY_ROOT "job/req-1", version);
         rr_transaction_put(&cancellation, RR_KEY_ROOT "job/req-1", &encoder, 0);
@@ -206,13 +207,13 @@
                                                                    ? &completion.transaction
                                                                    : &cancellation),
                              0);
-        fake_store_sync(fixture->store, node->core, node->now);
+        fake_store_sync(fixture->store, controller->core, controller->now);
         for (int i = 0; i < 4; i++) {
-            rr_core_job_view(node->core, job.job_id, node->now, &view);
+            rr_core_get_job_view(controller->core, job.job_id, controller->now, &view);
             assert_true(view.done == !cancel_first);
             assert_true(view.cancelled == (bool)cancel_first);
-            node->now += 1;
-            plan_with_outcome(node, RR_COMMAND_ANSWERED);
+            controller->now += 1;
+            plan_with_outcome(controller, RR_COMMAND_ANSWERED);
         }
         rr_transaction_clear(&cancellation);
         rr_plan_clear(&completion);
@@ -227,44 +228,46 @@
  * it. */
 static void team_limit_holds_across_leader_change(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     struct test_job first_job = {.job_id = "req-1", .gpus = 2},
                     second_job = {.job_id = "req-2", .gpus = 2};
     uint64_t attempt, second_attempt;
-    node->config.teams[0].gpus_max = 2;
-    const char *machine = run_job(fixture, &first_job, &attempt),
+    controller->config.teams[0].gpus_max = 2;
+    const char *machine = submit_and_start(fixture, &first_job, &attempt),
                *other_machine = strcmp(machine, "vm-1") == 0 ? "vm-2" : "vm-1";
-    uint64_t old_token = rr_core_fencing_token(node->core);
-    fake_store_submit(fixture->store, &second_job, node->now);
-    fake_store_sync(fixture->store, node->core, node->now);
-    test_controller_cancel(node, first_job.job_id);
-    test_controller_join(node, 8); /* a new session: earlier reservations belong to the old one */
-    assert_true(rr_core_fencing_token(node->core) > old_token);
+    uint64_t old_token = rr_core_fencing_token(controller->core);
+    fake_store_submit(fixture->store, &second_job, controller->now);
+    fake_store_sync(fixture->store, controller->core, controller->now);
+    test_controller_cancel(controller, first_job.job_id);
+    test_controller_join(controller,
+                         8); /* a new session: earlier reservations belong to the old one */
+    assert_true(rr_core_fencing_token(controller->core) > old_token);
     for (uint64_t i = 0; i < 12; i++) {
-        node->now += 2;
-        send_heartbeat(node, other_machine, 10 + i, NULL);
-        plan_with_outcome(node, RR_COMMAND_OUTCOME_UNKNOWN);
-        assert_null(placed_on(fixture->store, second_job.job_id, &second_attempt));
+        controller->now += 2;
+        send_heartbeat(controller, other_machine, 10 + i, NULL);
+        plan_with_outcome(controller, RR_COMMAND_OUTCOME_UNKNOWN);
+        assert_null(find_task_machine(fixture->store, second_job.job_id, &second_attempt));
     }
     /* A heartbeat from before the change of leader arrives late. */
-    test_controller_heartbeat(node, machine, machine_zone(machine), false, 1, 40, old_token, NULL);
-    plan_with_outcome(node, RR_COMMAND_OUTCOME_UNKNOWN);
-    assert_true(fake_store_attempt(fixture->store, machine, first_job.job_id, 0) == attempt);
-    assert_null(placed_on(fixture->store, second_job.job_id, &second_attempt));
-    node->now += 3;
+    test_controller_heartbeat(controller, machine, fixture_machine_zone(machine), false, 1, 40,
+                              old_token, NULL);
+    plan_with_outcome(controller, RR_COMMAND_OUTCOME_UNKNOWN);
+    assert_true(fake_store_find_attempt(fixture->store, machine, first_job.job_id, 0) == attempt);
+    assert_null(find_task_machine(fixture->store, second_job.job_id, &second_attempt));
+    controller->now += 3;
     /* A heartbeat with the present token proves that a task it lacks never starts. */
-    send_heartbeat(node, machine, 41, NULL);
-    send_heartbeat(node, other_machine, 41, NULL);
+    send_heartbeat(controller, machine, 41, NULL);
+    send_heartbeat(controller, other_machine, 41, NULL);
     for (int i = 0; i < 3; i++) {
-        node->now += 1;
-        plan_with_outcome(node, RR_COMMAND_ANSWERED);
+        controller->now += 1;
+        plan_with_outcome(controller, RR_COMMAND_ANSWERED);
     }
-    assert_non_null(placed_on(fixture->store, second_job.job_id, &second_attempt));
-    assert_true(fake_store_attempt(fixture->store, machine, first_job.job_id, 0) == 0);
+    assert_non_null(find_task_machine(fixture->store, second_job.job_id, &second_attempt));
+    assert_true(fake_store_find_attempt(fixture->store, machine, first_job.job_id, 0) == 0);
 }
 
 #define TEST(name)                                                                                 \
-    cmocka_unit_test_setup_teardown(name, two_own_machines_setup, core_fixture_teardown)
+    cmocka_unit_test_setup_teardown(name, two_operator_owned_machines_setup, core_fixture_teardown)
 
 int main(void) {
     const struct CMUnitTest tests[] = {
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -18,9 +18,9 @@
     rr_plan plan;
     test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(controller->core, controller->now,
-                               g_ptr_array_index(plan.command_batches, i), RR_COMMAND_ANSWERED,
-                               true);
+        rr_core_record_command_result(controller->core, controller->now,
+                                      g_ptr_array_index(plan.command_batches, i),
+                                      RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
 }
@@ -40,11 +40,11 @@
     send_empty_heartbeat(&fixture->controller, "vm-1", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-1", .cpus = 8});
     plan_once(&fixture->controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
     send_empty_heartbeat(&fixture->controller, "vm-2", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-2", .cpus = 4});
     plan_once(&fixture->controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
 }
 
 /* Of two empty machines the spot machine costs 4 and the on-demand one 10. A job that allows spot
@@ -58,8 +58,8 @@
     submit(fixture, &(struct test_job){.job_id = "req-1", .spot = true});
     submit(fixture, &(struct test_job){.job_id = "req-2"});
     plan_once(&fixture->controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-2", "req-1", 0) != 0);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-2", "req-1", 0) != 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-2", 0) != 0);
 }
 
 /* Zone b has two empty machines; zone a has an empty one and one with 8 of 16 CPUs in use. Both
@@ -83,8 +83,8 @@
     plan_once(&fixture->controller);
     unsigned in_b = 0;
     for (uint32_t task = 0; task < 2; task++) {
-        in_b += fake_store_attempt(fixture->store, "vm-3", "req-2", task) != 0;
-        in_b += fake_store_attempt(fixture->store, "vm-4", "req-2", task) != 0;
+        in_b += fake_store_find_attempt(fixture->store, "vm-3", "req-2", task) != 0;
+        in_b += fake_store_find_attempt(fixture->store, "vm-4", "req-2", task) != 0;
     }
     assert_int_equal(in_b, 2);
 }
@@ -106,10 +106,10 @@
     for (uint32_t task = 0; task < 3; task++) {
         unsigned machines_in_a = 0;
         for (int i = 0; i < 3; i++) {
-            machines_in_a += fake_store_attempt(fixture->store, ids[i], "req-1", task) != 0;
+            machines_in_a += fake_store_find_attempt(fixture->store, ids[i], "req-1", task) != 0;
         }
         in_a += machines_in_a;
-        in_b += fake_store_attempt(fixture->store, "vm-4", "req-1", task) != 0;
+        in_b += fake_store_find_attempt(fixture->store, "vm-4", "req-1", task) != 0;
     }
     assert_int_equal(in_a, 2);
     assert_int_equal(in_b, 1);
@@ -124,11 +124,11 @@
     fixture->controller.now += 7;
     submit(fixture, &(struct test_job){.job_id = "req-1"});
     plan_once(&fixture->controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-1", 0) == 0);
     send_empty_heartbeat(&fixture->controller, "vm-1", "a", false, 2);
     fixture->controller.now += 0.5; /* a job without room is not tried again in every plan */
     plan_once(&fixture->controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-1", 0) != 0);
 }
 
 /* Returns the text of a heartbeat's task: task 0 of the job, running. The caller frees it. */
@@ -157,8 +157,8 @@
     send_empty_heartbeat(controller, "vm-2", "a", false, 1);
     submit(fixture, &(struct test_job){.job_id = "req-2", .service = true, .cpus = 4});
     plan_once(controller);
-    replicas->first_attempt = fake_store_attempt(fixture->store, "vm-1", "req-1", 0);
-    replicas->second_attempt = fake_store_attempt(fixture->store, "vm-2", "req-2", 0);
+    replicas->first_attempt = fake_store_find_attempt(fixture->store, "vm-1", "req-1", 0);
+    replicas->second_attempt = fake_store_find_attempt(fixture->store, "vm-2", "req-2", 0);
     assert_true(replicas->first_attempt && replicas->second_attempt);
     replicas->first_text = running_task_text("req-1", replicas->first_attempt);
     replicas->second_text = running_task_text("req-2", replicas->second_attempt);
@@ -193,10 +193,11 @@
     uint64_t moved = 0;
     for (int i = 0; i < 15 && !moved; i++) {
         plan_with_replicas(controller, &replicas, 10 + (uint64_t)i);
-        moved = fake_store_attempt(fixture->store, "vm-1", "req-2", 0);
+        moved = fake_store_find_attempt(fixture->store, "vm-1", "req-2", 0);
     }
     assert_true(moved > replicas.second_attempt);
-    assert_true(fake_store_attempt(fixture->store, "vm-2", "req-2", 0) == replicas.second_attempt);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-2", "req-2", 0) ==
+                replicas.second_attempt);
     test_controller_plan(controller, &plan);
     assert_null(plan_find_command(&plan, "vm-1", RR_COMMAND_START, "req-2", 0));
     rr_plan_clear(&plan);
@@ -206,7 +207,7 @@
     test_controller_heartbeat(controller, "vm-2", "a", false, 1, 90,
                               rr_core_fencing_token(controller->core), ended_text, NULL);
     plan_once(controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-2", "req-2", 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-2", "req-2", 0) == 0);
     test_controller_plan(controller, &plan);
     assert_non_null(plan_find_command(&plan, "vm-1", RR_COMMAND_START, "req-2", 0));
     rr_plan_clear(&plan);
@@ -224,7 +225,7 @@
         plan_with_replicas(&fixture->controller, &replicas, 10 + (uint64_t)i);
     }
     rr_core_get_stats(fixture->controller.core, &stats);
-    assert_int_equal(stats.moves, 0);
+    assert_int_equal(stats.tasks_moved, 0);
     free_two_replicas(&replicas);
 }
 
@@ -243,19 +244,19 @@
                                        .checkpoint_interval_s = 30,
                                        .save_s = 2});
     plan_once(controller);
-    uint64_t low_attempt = fake_store_attempt(fixture->store, "vm-1", "req-1", 0);
+    uint64_t low_attempt = fake_store_find_attempt(fixture->store, "vm-1", "req-1", 0);
     char *low_task_text = running_task_text("req-1", low_attempt);
     test_controller_heartbeat(controller, "vm-1", "a", false, 1, 2,
                               rr_core_fencing_token(controller->core), low_task_text, NULL);
     submit(fixture, &(struct test_job){
                         .job_id = "req-2", .priority = "low", .job_class = "live", .cpus = 16});
     plan_once(controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-2", 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-2", 0) == 0);
     submit(fixture,
            &(struct test_job){
                .job_id = "req-3", .priority = "prod", .job_class = "live", .service = true});
     plan_once(controller);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-3", 0) != 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-3", 0) != 0);
     controller->now += 2;
     test_controller_plan(controller, &plan);
     const rr_command *stop = plan_find_command(&plan, "vm-1", RR_COMMAND_STOP, "req-1", 0);
@@ -283,21 +284,21 @@
     }
     plan_once(controller);
     for (int i = 0; i < 4; i++) {
-        assert_true(fake_store_attempt(fixture->store, "vm-1", job_ids[i], 0) != 0);
+        assert_true(fake_store_find_attempt(fixture->store, "vm-1", job_ids[i], 0) != 0);
     }
     submit(fixture,
            &(struct test_job){.job_id = "req-5", .team = "blue", .priority = "low", .cpus = 4});
     submit(fixture,
            &(struct test_job){.job_id = "req-6", .team = "blue", .priority = "prod", .cpus = 4});
     plan_once(controller);
-    bool fifth_placed = fake_store_attempt(fixture->store, "vm-1", "req-5", 0) != 0;
-    bool sixth_placed = fake_store_attempt(fixture->store, "vm-1", "req-6", 0) != 0;
+    bool fifth_placed = fake_store_find_attempt(fixture->store, "vm-1", "req-5", 0) != 0;
+    bool sixth_placed = fake_store_find_attempt(fixture->store, "vm-1", "req-6", 0) != 0;
     assert_true(fifth_placed != sixth_placed);
     controller->now += 2;
     char *task_texts[4];
     for (int i = 0; i < 4; i++) {
         task_texts[i] = running_task_text(
-            job_ids[i], fake_store_attempt(fixture->store, "vm-1", job_ids[i], 0));
+            job_ids[i], fake_store_find_attempt(fixture->store, "vm-1", job_ids[i], 0));
     }
     test_controller_heartbeat(controller, "vm-1", "a", false, 1, 9,
                               rr_core_fencing_token(controller->core), task_texts[0], task_texts[1],
@@ -325,10 +326,10 @@
                                        .service = true});
     submit(fixture, &(struct test_job){.job_id = "req-2", .cpus = 8, .priority = "low"});
     plan_once(&fixture->controller);
-    uint64_t low_attempt = fake_store_attempt(fixture->store, "vm-1", "req-2", 0);
+    uint64_t low_attempt = fake_store_find_attempt(fixture->store, "vm-1", "req-2", 0);
     assert_true(low_attempt != 0);
     char *first_text =
-        running_task_text("req-1", fake_store_attempt(fixture->store, "vm-1", "req-1", 0));
+        running_task_text("req-1", fake_store_find_attempt(fixture->store, "vm-1", "req-1", 0));
     char *second_text = running_task_text("req-2", low_attempt);
     test_controller_heartbeat(&fixture->controller, "vm-1", "a", false, 1, 2,
                               rr_core_fencing_token(fixture->controller.core), first_text,
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -13,11 +13,12 @@
 static void gang_is_reserved_in_one_zone_under_one_attempt(void **state) {
     core_fixture *fixture = *state;
     uint64_t first_attempt, attempt;
-    gang_start(fixture, &gang_job);
+    gang_submit_and_start(fixture, &gang_job);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 3);
-    int in_zone_a = gang_machine_of(fixture, 0, &first_attempt) <= GANG_MACHINES_IN_A;
+    int in_zone_a = gang_find_machine(fixture, 0, &first_attempt) <= GANG_MACHINES_IN_ZONE_A;
     for (uint32_t task = 1; task < 3; task++) {
-        assert_int_equal(gang_machine_of(fixture, task, &attempt) <= GANG_MACHINES_IN_A, in_zone_a);
+        assert_int_equal(gang_find_machine(fixture, task, &attempt) <= GANG_MACHINES_IN_ZONE_A,
+                         in_zone_a);
         assert_true(attempt == first_attempt);
     }
 }
@@ -51,25 +52,25 @@
     case EVENT_COUNT:
         break;
     case TASK_LOST:
-        gang_show(controller, machine, "req-1", "ended:peers", 1, -1);
+        gang_send_heartbeat(controller, machine, "req-1", "ended:peers", 1, -1);
         break;
     case TASK_COMPLETED:
-        gang_show(controller, machine, "req-1", "ended:done", 1, -1);
+        gang_send_heartbeat(controller, machine, "req-1", "ended:done", 1, -1);
         break;
     case LATER_EPOCH:
-        gang_show(controller, machine, "req-1", NULL, 2, -1);
+        gang_send_heartbeat(controller, machine, "req-1", NULL, 2, -1);
         break;
     case MACHINE_DELETED:
         fake_store_delete_machine(fixture->store, id);
         fake_store_sync(fixture->store, controller->core, controller->now);
         break;
     case SPOT_NOTICE:
-        gang_show(controller, machine, "req-1", state_in_phase[before], 1, 20);
+        gang_send_heartbeat(controller, machine, "req-1", state_in_phase[before], 1, 20);
         break;
     case TASK_ABSENT:
         controller->now += controller->config.gang_wait_s * 0.6;
-        gang_show_all(controller, "req-1", state_in_phase[before]);
-        gang_show(controller, machine, "req-1", NULL, 1, -1);
+        gang_send_heartbeats(controller, "req-1", state_in_phase[before]);
+        gang_send_heartbeat(controller, machine, "req-1", NULL, 1, -1);
         break;
     case CANCELLED:
         test_controller_cancel(controller, "req-1");
@@ -117,18 +118,18 @@
         double grace_s;
         gang_setup((void **)&fixture);
         test_controller *controller = &fixture->controller;
-        gang_start(fixture, &gang_job);
-        assert_int_equal(gang_phase(controller, "req-1"), RR_GANG_RESERVED);
+        gang_submit_and_start(fixture, &gang_job);
+        assert_int_equal(gang_get_phase(controller, "req-1"), RR_GANG_RESERVED);
         if (before != RR_GANG_RESERVED) {
-            gang_show_all(controller, "req-1", state_in_phase[before]);
+            gang_send_heartbeats(controller, "req-1", state_in_phase[before]);
         }
-        assert_int_equal(gang_phase(controller, "req-1"), before);
-        int machine = gang_machine_of(fixture, 1, &attempt);
+        assert_int_equal(gang_get_phase(controller, "req-1"), before);
+        int machine = gang_find_machine(fixture, 1, &attempt);
         controller->now += 2;
-        gang_show_all(controller, "req-1", state_in_phase[before]);
+        gang_send_heartbeats(controller, "req-1", state_in_phase[before]);
         apply_event(fixture, event, machine, before);
-        assert_int_equal(gang_phase(controller, "req-1"), phase_after(event, before));
-        unsigned stops = gang_plan(controller, RR_COMMAND_STOP, "req-1", &grace_s);
+        assert_int_equal(gang_get_phase(controller, "req-1"), phase_after(event, before));
+        unsigned stops = gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", &grace_s);
         assert_int_equal(stops, stops_after(event, before));
         if (stops > 0) {
             assert_true(event == SPOT_NOTICE ? grace_s >= 3 : grace_s == 0);
@@ -144,34 +145,35 @@
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
     uint64_t first_attempt, attempt;
-    gang_start(fixture, &gang_job);
-    gang_show_all(controller, "req-1", "running");
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
-    int lost_machine = gang_machine_of(fixture, 1, &first_attempt);
+    gang_submit_and_start(fixture, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
+    int lost_machine = gang_find_machine(fixture, 1, &first_attempt);
     controller->now += 1;
-    gang_show(controller, lost_machine, "req-1", NULL, 2, -1);
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", NULL), 2);
+    gang_send_heartbeat(controller, lost_machine, "req-1", NULL, 2, -1);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", NULL), 2);
     for (int i = 0; i < 6; i++) { /* the machine of task 2 is unreachable */
         controller->now += 1;
-        int unreported_machine = gang_machine_of(fixture, 2, &attempt);
-        for (int k = 1; k <= GANG_MACHINES; k++) {
+        int unreported_machine = gang_find_machine(fixture, 2, &attempt);
+        for (int k = 1; k <= GANG_MACHINE_COUNT; k++) {
             if (k != unreported_machine) {
-                gang_show(controller, k, "req-1", k == lost_machine ? NULL : "ended:peers",
-                          k == lost_machine ? 2 : 1, -1);
+                gang_send_heartbeat(controller, k, "req-1",
+                                    k == lost_machine ? NULL : "ended:peers",
+                                    k == lost_machine ? 2 : 1, -1);
             }
         }
-        gang_plan(controller, RR_COMMAND_STOP, "req-1", NULL);
+        gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", NULL);
         assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 3);
-        assert_true(gang_machine_of(fixture, 2, &attempt) == unreported_machine &&
+        assert_true(gang_find_machine(fixture, 2, &attempt) == unreported_machine &&
                     attempt == first_attempt);
     }
     controller->now += 1;
-    for (int k = 1; k <= GANG_MACHINES; k++) {
-        gang_show(controller, k, "req-1", k == lost_machine ? NULL : "ended:peers",
-                  k == lost_machine ? 2 : 1, -1);
+    for (int k = 1; k <= GANG_MACHINE_COUNT; k++) {
+        gang_send_heartbeat(controller, k, "req-1", k == lost_machine ? NULL : "ended:peers",
+                            k == lost_machine ? 2 : 1, -1);
     }
     for (int i = 0; i < 3; i++) {
-        gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
+        gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
         controller->now += 0.5;
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 3);
@@ -185,21 +187,21 @@
     test_controller *controller = &fixture->controller;
     rr_job_view view;
     uint64_t attempt;
-    gang_start(fixture, &gang_job);
-    gang_show_all(controller, "req-1", "running");
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    gang_submit_and_start(fixture, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_string_equal(view.state, "running");
     controller->now += 30;
-    gang_show_all(controller, "req-1", "running");
-    int machine = gang_machine_of(fixture, 0, &attempt);
+    gang_send_heartbeats(controller, "req-1", "running");
+    int machine = gang_find_machine(fixture, 0, &attempt);
     uint64_t revision_before = fixture->store->revision;
-    gang_show(controller, machine, "req-1", "ended:done", 1, -1);
-    gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
+    gang_send_heartbeat(controller, machine, "req-1", "ended:done", 1, -1);
+    gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
     controller->now += 0.5;
-    gang_show_all(controller, "req-1", "ended:done");
-    gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    gang_send_heartbeats(controller, "req-1", "ended:done");
+    gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.done && view.done_count == 3);
     assert_int_equal(fixture->store->revision, revision_before + 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
@@ -212,20 +214,21 @@
     test_controller *controller = &fixture->controller;
     rr_job_view view;
     uint64_t attempt;
-    gang_start(fixture, &gang_job);
-    gang_show_all(controller, "req-1", "running");
+    gang_submit_and_start(fixture, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
     controller->now += 30;
-    gang_show_all(controller, "req-1", "running");
-    gang_show(controller, gang_machine_of(fixture, 0, &attempt), "req-1", "ended:done", 1, -1);
+    gang_send_heartbeats(controller, "req-1", "running");
+    gang_send_heartbeat(controller, gang_find_machine(fixture, 0, &attempt), "req-1", "ended:done",
+                        1, -1);
     for (int i = 0; i < 4; i++) {
-        gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
+        gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
         controller->now += 0.5;
     }
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.done);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 2);
-    gang_show_all(controller, "req-1", "ended:done");
-    gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", "ended:done");
+    gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
 }
 
@@ -236,19 +239,19 @@
     test_controller *controller = &fixture->controller;
     uint64_t attempt;
     double grace_s;
-    gang_start(fixture, &gang_job);
-    gang_show_all(controller, "req-1", "running");
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
-    int machine = gang_machine_of(fixture, 0, &attempt);
-    gang_show(controller, machine, "req-1", "running", 1, 20);
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", &grace_s), 3);
+    gang_submit_and_start(fixture, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
+    int machine = gang_find_machine(fixture, 0, &attempt);
+    gang_send_heartbeat(controller, machine, "req-1", "running", 1, 20);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", &grace_s), 3);
     assert_true(grace_s >= 3 && grace_s <= 3 + controller->config.gang_peer_s);
     controller->now += 1.6;
-    gang_show_all(controller, "req-1", "flushing");
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", NULL), 0);
+    gang_send_heartbeats(controller, "req-1", "flushing");
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", NULL), 0);
     controller->now += 1.6;
-    gang_show(controller, machine, "req-1", "ended:halted", 1, 18);
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", NULL), 0);
+    gang_send_heartbeat(controller, machine, "req-1", "ended:halted", 1, 18);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", NULL), 0);
 }
 
 /* A gang stops while the start of one of its tasks is unanswered and may still arrive. The
@@ -259,45 +262,47 @@
     test_controller *controller = &fixture->controller;
     uint64_t first_attempt, attempt;
     rr_plan plan;
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     submit_gang_job(fixture, &gang_job);
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
-    int machine = gang_machine_of(fixture, 0, &first_attempt);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
+    int machine = gang_find_machine(fixture, 0, &first_attempt);
     char id[16];
     g_snprintf(id, sizeof id, "vm-%d", machine);
     test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *batch = g_ptr_array_index(plan.command_batches, i);
         bool unanswered = strcmp(batch->machine, id) == 0;
-        rr_core_command_result(controller->core, controller->now, batch,
-                               unanswered ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED,
-                               !unanswered);
+        rr_core_record_command_result(controller->core, controller->now, batch,
+                                      unanswered ? RR_COMMAND_OUTCOME_UNKNOWN : RR_COMMAND_ANSWERED,
+                                      !unanswered);
     }
     rr_plan_clear(&plan);
-    for (int k = 1; k <= GANG_MACHINES; k++) {
-        gang_show(controller, k, "req-1", k == machine ? NULL : "ended:incomplete", 1, -1);
+    for (int k = 1; k <= GANG_MACHINE_COUNT; k++) {
+        gang_send_heartbeat(controller, k, "req-1", k == machine ? NULL : "ended:incomplete", 1,
+                            -1);
     }
     controller->now += 1.6;
-    for (int k = 1; k <= GANG_MACHINES; k++) {
-        gang_show(controller, k, "req-1", k == machine ? NULL : "ended:incomplete", 1, -1);
+    for (int k = 1; k <= GANG_MACHINE_COUNT; k++) {
+        gang_send_heartbeat(controller, k, "req-1", k == machine ? NULL : "ended:incomplete", 1,
+                            -1);
     }
     test_controller_plan(controller, &plan);
     assert_non_null(plan_find_command(&plan, id, RR_COMMAND_START, "req-1", 0));
     assert_non_null(plan_find_command(&plan, id, RR_COMMAND_STOP, "req-1", 0));
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(controller->core, controller->now,
-                               g_ptr_array_index(plan.command_batches, i), RR_COMMAND_ANSWERED,
-                               true);
+        rr_core_record_command_result(controller->core, controller->now,
+                                      g_ptr_array_index(plan.command_batches, i),
+                                      RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
-    assert_true(gang_machine_of(fixture, 0, &attempt) == machine && attempt == first_attempt);
+    assert_true(gang_find_machine(fixture, 0, &attempt) == machine && attempt == first_attempt);
     controller->now += 1;
-    gang_show_all(controller, "req-1", "ended:halted");
+    gang_send_heartbeats(controller, "req-1", "ended:halted");
     for (int i = 0; i < 3; i++) {
-        gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
+        gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
         controller->now += 0.5;
     }
-    gang_machine_of(fixture, 0, &attempt);
+    gang_find_machine(fixture, 0, &attempt);
     assert_true(attempt > first_attempt);
 }
 
@@ -306,21 +311,22 @@
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller, new_owner;
     uint64_t attempt;
-    gang_start(fixture, &gang_job);
-    gang_show_all(controller, "req-1", "running");
-    int machine = gang_machine_of(fixture, 1, &attempt);
-    gang_show(controller, machine, "req-1", "ended:peers", 1, -1);
-    assert_int_equal(gang_phase(controller, "req-1"), RR_GANG_STOPPING);
+    gang_submit_and_start(fixture, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
+    int machine = gang_find_machine(fixture, 1, &attempt);
+    gang_send_heartbeat(controller, machine, "req-1", "ended:peers", 1, -1);
+    assert_int_equal(gang_get_phase(controller, "req-1"), RR_GANG_STOPPING);
     test_controller_init(&new_owner, fixture->store, "n1");
     new_owner.now = controller->now;
     fake_store_reload(fixture->store, new_owner.core, new_owner.now);
     test_controller_leave(controller);
     test_controller_join(&new_owner, 9);
-    for (int k = 1; k <= GANG_MACHINES; k++) {
-        gang_show(&new_owner, k, "req-1", k == machine ? "ended:peers" : "running", 1, -1);
+    for (int k = 1; k <= GANG_MACHINE_COUNT; k++) {
+        gang_send_heartbeat(&new_owner, k, "req-1", k == machine ? "ended:peers" : "running", 1,
+                            -1);
     }
-    assert_int_equal(gang_phase(&new_owner, "req-1"), RR_GANG_STOPPING);
-    assert_int_equal(gang_plan(&new_owner, RR_COMMAND_STOP, "req-1", NULL), 2);
+    assert_int_equal(gang_get_phase(&new_owner, "req-1"), RR_GANG_STOPPING);
+    assert_int_equal(gang_plan_and_answer(&new_owner, RR_COMMAND_STOP, "req-1", NULL), 2);
     test_controller_clear(&new_owner);
 }
 
@@ -334,26 +340,26 @@
     rr_job_view view;
     controller->config.next_value_kb = 2;
     controller->config.next_transaction_changes_max = 4;
-    fixture->store->value_max = (size_t)2 * 1024;
-    fixture->store->ops_max = 4;
+    fixture->store->value_bytes_max = (size_t)2 * 1024;
+    fixture->store->change_count_max = 4;
     large.cpus = large.mem_gb = 1;
     large.one_zone = false;
     large.task_count = 60;
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     submit_gang_job(fixture, &large);
     uint64_t revision_before = fixture->store->revision;
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 60);
     assert_int_equal(fixture->store->revision, revision_before + 1);
     assert_true(fake_store_count(fixture->store, RR_KEY_ROOT "run/req-1/") == 2);
     gang_shared_attempt(fixture, 60);
-    gang_show_jobs(controller, job_ids, 1, 60, gang_task_runs);
-    assert_int_equal(gang_phase(controller, "req-1"), RR_GANG_RUNNING);
+    gang_report_jobs(controller, job_ids, 1, 60, gang_task_running);
+    assert_int_equal(gang_get_phase(controller, "req-1"), RR_GANG_RUNNING);
     controller->now += 20;
-    gang_show_jobs(controller, job_ids, 1, 60, gang_task_is_done);
+    gang_report_jobs(controller, job_ids, 1, 60, gang_task_done);
     revision_before = fixture->store->revision;
-    gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.done);
     assert_int_equal(fixture->store->revision, revision_before + 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
--- a/tests/test_core_gang_placement.c
+++ b/tests/test_core_gang_placement.c
@@ -22,15 +22,15 @@
     two_zone.job_id = "req-3";
     two_zone.one_zone = false;
     two_zone.task_count = 4;
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     fake_store_submit(fixture->store, &large, controller->now);
     submit_gang_job(fixture, &small);
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 2);
     submit_gang_job(fixture, &two_zone);
     controller->now += 0.1;
-    gang_plan(controller, RR_COMMAND_START, "req-3", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-3", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-3"), 4); /* over both zones */
     /* 60 CPUs are in use, 33 more exceed the limit, and no machine has 11 free either. */
     controller->config.teams[0].cpus_max = 90;
@@ -42,7 +42,7 @@
     submit_gang_job(fixture, &over_limit);
     for (int i = 0; i < 4; i++) {
         controller->now += 1;
-        gang_plan(controller, RR_COMMAND_START, "req-4", NULL);
+        gang_plan_and_answer(controller, RR_COMMAND_START, "req-4", NULL);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-4"), 0);
 }
@@ -53,21 +53,21 @@
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
     struct test_job waiting = gang_job;
-    gang_start(fixture, &gang_job); /* thirty CPUs in one zone */
+    gang_submit_and_start(fixture, &gang_job); /* thirty CPUs in one zone */
     controller->config.teams[0].cpus_max = 60;
     waiting.job_id = "req-4";
     waiting.cpus = 11;
     submit_gang_job(fixture, &waiting);
     for (int i = 0; i < 4; i++) {
         controller->now += 1;
-        gang_show_all(controller, "req-1", "running");
-        gang_plan(controller, RR_COMMAND_START, "req-4", NULL);
+        gang_send_heartbeats(controller, "req-1", "running");
+        gang_plan_and_answer(controller, RR_COMMAND_START, "req-4", NULL);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-4"), 0);
     controller->config.teams[0].cpus_max = 0;
     controller->now += 1;
-    gang_show_all(controller, "req-1", "running");
-    gang_plan(controller, RR_COMMAND_START, "req-4", NULL);
+    gang_send_heartbeats(controller, "req-1", "running");
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-4", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-4"), 3);
 }
 
@@ -78,14 +78,14 @@
     test_controller *controller = &fixture->controller;
     const char *const image_job[] = {"req-5"};
     uint64_t attempt;
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5", .zone = "a", .cpus = 1});
-    gang_plan(controller, RR_COMMAND_START, "req-5", NULL);
-    gang_show_jobs(controller, image_job, 1, 1, gang_task_runs);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-5", NULL);
+    gang_report_jobs(controller, image_job, 1, 1, gang_task_running);
     submit_gang_job(fixture, &gang_job);
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     for (uint32_t task = 0; task < 3; task++) {
-        assert_in_range(gang_machine_of(fixture, task, &attempt), 1, 3);
+        assert_in_range(gang_find_machine(fixture, task, &attempt), 1, 3);
     }
 }
 
@@ -97,37 +97,37 @@
     test_controller *controller = &fixture->controller;
     struct test_job urgent = gang_job, large = gang_job;
     const char *const low_jobs[] = {"req-5"};
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5",
                                                 .priority = "low",
                                                 .cpus = 8,
                                                 .task_count = 12,
                                                 .checkpoint_interval_s = 30});
-    gang_plan(controller, RR_COMMAND_START, "req-5", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), 12);
-    gang_show_jobs(controller, low_jobs, 1, 12, gang_task_runs);
+    gang_report_jobs(controller, low_jobs, 1, 12, gang_task_running);
     large.job_id = "req-2";
     large.job_class = "live";
     large.task_count = 4; /* a zone has room for three */
     submit_gang_job(fixture, &large);
     controller->now += 1;
-    gang_plan(controller, RR_COMMAND_START, "req-2", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-2", NULL);
     controller->now += 1;
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-5", NULL), 0);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-5", NULL), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 0);
     urgent.job_class = "live";
     urgent.task_count = 2;
     submit_gang_job(fixture, &urgent);
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 2);
     uint64_t attempt;
-    assert_int_equal(gang_machine_of(fixture, 0, &attempt) <= 3,
-                     gang_machine_of(fixture, 1, &attempt) <= 3);
-    gang_show_jobs(controller, low_jobs, 1, 12, gang_task_runs);
+    assert_int_equal(gang_find_machine(fixture, 0, &attempt) <= 3,
+                     gang_find_machine(fixture, 1, &attempt) <= 3);
+    gang_report_jobs(controller, low_jobs, 1, 12, gang_task_running);
     controller->now += 1;
     /* Exactly the tasks on two machines are stopped. */
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-5", NULL), 4);
-    assert_int_equal(gang_plan(controller, RR_COMMAND_START, "req-1", NULL), 0);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-5", NULL), 4);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL), 0);
 }
 
 /* A replica preempts one task of a gang of lower priority: the same plan stops all tasks of the
@@ -140,27 +140,28 @@
     double grace_s;
     fleet_wide.cpus = 16;
     fleet_wide.one_zone = false;
-    fleet_wide.task_count = GANG_MACHINES;
+    fleet_wide.task_count = GANG_MACHINE_COUNT;
     fleet_wide.priority = "standard";
-    gang_start(fixture, &fleet_wide);
-    gang_show_all(controller, "req-1", "running");
+    gang_submit_and_start(fixture, &fleet_wide);
+    gang_send_heartbeats(controller, "req-1", "running");
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-2",
                                                 .priority = "prod",
                                                 .job_class = "live",
                                                 .service = true,
                                                 .cpus = 8});
-    gang_plan(controller, RR_COMMAND_START, "req-2", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-2", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 1);
-    gang_show_all(controller, "req-1", "running");
+    gang_send_heartbeats(controller, "req-1", "running");
     controller->now += 1;
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", &grace_s), GANG_MACHINES);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", &grace_s),
+                     GANG_MACHINE_COUNT);
     assert_true(grace_s >= 3);
-    assert_int_equal(gang_phase(controller, "req-1"), RR_GANG_STOPPING);
-    gang_machine_of(fixture, 0, &attempt);
+    assert_int_equal(gang_get_phase(controller, "req-1"), RR_GANG_STOPPING);
+    gang_find_machine(fixture, 0, &attempt);
     controller->now += 4;
-    gang_show_all(controller, "req-1", "ended:halted");
+    gang_send_heartbeats(controller, "req-1", "ended:halted");
     for (int i = 0; i < 4; i++) {
-        gang_plan(controller, RR_COMMAND_REAP, "req-1", NULL);
+        gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
         controller->now += 0.5;
     }
     /* Only five of the gang's six tasks fit now: it waits and reserves nothing. */
@@ -176,30 +177,30 @@
     struct test_job within_guarantee = gang_job, beyond_guarantee = gang_job;
     const char *const other_team_jobs[] = {"req-5"};
     controller->config.teams[1].cpus = 20; /* blue */
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5",
                                                 .priority = "prod",
                                                 .cpus = 16,
-                                                .task_count = GANG_MACHINES,
+                                                .task_count = GANG_MACHINE_COUNT,
                                                 .service = true});
-    gang_plan(controller, RR_COMMAND_START, "req-5", NULL);
-    assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), GANG_MACHINES);
-    gang_show_jobs(controller, other_team_jobs, 1, 12, gang_task_runs);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-5", NULL);
+    assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), GANG_MACHINE_COUNT);
+    gang_report_jobs(controller, other_team_jobs, 1, 12, gang_task_running);
     within_guarantee.team = beyond_guarantee.team = "blue";
     within_guarantee.priority = beyond_guarantee.priority = "low";
     within_guarantee.task_count = 2;
     beyond_guarantee.job_id = "req-2";
     fake_store_submit(fixture->store, &beyond_guarantee, controller->now); /* thirty CPUs */
     fake_store_sync(fixture->store, controller->core, controller->now);
-    gang_plan(controller, RR_COMMAND_START, "req-2", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-2", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 0);
     submit_gang_job(fixture, &within_guarantee);
     controller->now += 0.1;
-    gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 2);
-    gang_show_jobs(controller, other_team_jobs, 1, 12, gang_task_runs);
+    gang_report_jobs(controller, other_team_jobs, 1, 12, gang_task_running);
     controller->now += 1;
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-5", NULL), 2);
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-5", NULL), 2);
 }
 
 #define SMALL_JOBS 40
@@ -220,7 +221,7 @@
     uint32_t done = 0;
     for (int i = 0; i < count; i++) {
         rr_job_view view;
-        rr_core_job_view(controller->core, job_ids[i], controller->now, &view);
+        rr_core_get_job_view(controller->core, job_ids[i], controller->now, &view);
         done += view.done_count;
     }
     return done;
@@ -239,7 +240,7 @@
     first.priority = second.priority = "low";
     first.cpus = second.cpus = 16;
     second.job_id = "req-2";
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
@@ -256,20 +257,20 @@
     double submitted_at = controller->now;
     while (gang_placed[0] + gang_placed[1] < 2 &&
            controller->now - submitted_at < GANG_START_LIMIT_S) {
-        gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+        gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
         unsigned tasks_placed[2] = {fake_store_placed_count(fixture->store, "req-1"),
                                     fake_store_placed_count(fixture->store, "req-2")};
         assert_true(tasks_placed[0] % 3 == 0 && tasks_placed[1] % 3 == 0);
         gang_placed[0] = tasks_placed[0] == 3;
         gang_placed[1] = tasks_placed[1] == 3;
         controller->now += 1;
-        gang_show_jobs(controller, small, SMALL_JOBS, 12,
-                       first_task_done_in_every_twelfth_heartbeat);
+        gang_report_jobs(controller, small, SMALL_JOBS, 12,
+                         first_task_done_in_every_twelfth_heartbeat);
     }
     assert_int_equal(gang_placed[0] + gang_placed[1], 2);
     /* At least half of the small tasks that could have ended have done so. */
     assert_true(count_done_tasks(controller, small, SMALL_JOBS) >
-                (controller->now - submitted_at) / 12 * GANG_MACHINES / 2);
+                (controller->now - submitted_at) / 12 * GANG_MACHINE_COUNT / 2);
 }
 
 /* The state of a task in a heartbeat: each is done in every eighth, in turn. */
@@ -290,7 +291,7 @@
     static char names[SMALL_JOBS][16];
     const char *small[SMALL_JOBS];
     controller->config.teams[0].cpus_max = 32;
-    gang_show_all(controller, "req-1", NULL);
+    gang_send_heartbeats(controller, "req-1", NULL);
     for (int i = 0; i < SMALL_JOBS; i++) {
         g_snprintf(names[i], sizeof names[i], "req-1%02d", i);
         small[i] = names[i];
@@ -300,15 +301,16 @@
             controller->now);
     }
     fake_store_sync(fixture->store, controller->core, controller->now);
-    gang_plan(controller, RR_COMMAND_START, "req-100", NULL);
+    gang_plan_and_answer(controller, RR_COMMAND_START, "req-100", NULL);
     fake_store_submit(fixture->store, &gang_job, controller->now); /* thirty CPUs */
     fake_store_sync(fixture->store, controller->core, controller->now);
     double submitted_at = controller->now;
     while (fake_store_placed_count(fixture->store, "req-1") == 0 &&
            controller->now - submitted_at < GANG_START_LIMIT_S) {
         controller->now += 2;
-        gang_show_jobs(controller, small, SMALL_JOBS, 12, each_task_done_in_every_eighth_heartbeat);
-        gang_plan(controller, RR_COMMAND_START, "req-1", NULL);
+        gang_report_jobs(controller, small, SMALL_JOBS, 12,
+                         each_task_done_in_every_eighth_heartbeat);
+        gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 3);
 }
@@ -319,7 +321,7 @@
     test_controller *controller = &fixture->controller;
     rr_submission submission;
     const char *reason = "";
-    test_submission(&submission, &gang_job);
+    test_submission_init(&submission, &gang_job);
     assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_NEW);
     controller->config.teams[0].cpus_max = 25;
@@ -342,16 +344,16 @@
     rr_submission submission;
     rr_job_view view;
     const char *reason = "";
-    gang_start(fixture, &gang_job);
-    gang_show_all(controller, "req-1", "running");
-    test_submission(&submission, &gang_job);
+    gang_submit_and_start(fixture, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
+    test_submission_init(&submission, &gang_job);
     g_strlcpy(submission.job_id, "req-9", sizeof submission.job_id);
     test_controller_join_old_version(controller);
     assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_UNDECIDED);
     /* Peers get no frames about gangs either. */
-    assert_false(rr_core_all_gang_capable(controller->core));
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    assert_false(rr_core_all_members_support_gangs(controller->core));
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_string_equal(view.state, "running");
     test_controller_leave_old_version(controller);
     assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
@@ -379,18 +381,18 @@
     rr_submission submission;
     rr_job_view view;
     const char *reason = "";
-    gang_start(fixture, &gang_job);
-    gang_show_all(controller, "req-1", "running");
+    gang_submit_and_start(fixture, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
     test_controller_join_old_version(controller);
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_string_equal(view.state, "running");
     cancel_in_old_version(fixture, "req-1");
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.cancelled);
     test_controller_leave_old_version(controller);
-    gang_show_all(controller, "req-1", "running");
-    assert_int_equal(gang_plan(controller, RR_COMMAND_STOP, "req-1", NULL), 3);
-    test_submission(&submission, &gang_job);
+    gang_send_heartbeats(controller, "req-1", "running");
+    assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", NULL), 3);
+    test_submission_init(&submission, &gang_job);
     g_strlcpy(submission.job_id, "req-9", sizeof submission.job_id);
     assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_NEW);
--- a/tests/test_core_growth.c
+++ b/tests/test_core_growth.c
@@ -17,67 +17,68 @@
 #define FLEET_SIZE 4500 /* machines; more than any deployment has */
 
 /* Returns the number of machines that plans have visited since the core was created. */
-static unsigned count_machines_visited(const test_controller *node) {
+static unsigned count_machines_examined(const test_controller *controller) {
     rr_core_stats stats;
-    rr_core_get_stats(node->core, &stats);
-    return stats.machines_visited;
+    rr_core_get_stats(controller->core, &stats);
+    return stats.machines_examined;
 }
 
 /* Adds FLEET_SIZE machines of zone a, each of which has sent a heartbeat, and plans until nothing
  * is left to do. */
-static void add_settled_fleet(test_controller *node) {
-    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
-    plan_until_settled(node);
+static void add_settled_fleet(test_controller *controller) {
+    test_controller_add_machines(controller, 1, FLEET_SIZE, "a");
+    plan_until_settled(controller);
 }
 
 /* Plans once and returns the number of machines that the plan visited. */
-static unsigned plan_and_count_visits(test_controller *node) {
+static unsigned plan_and_count_visits(test_controller *controller) {
     rr_plan plan;
-    unsigned visits_before = count_machines_visited(node);
-    test_controller_plan(node, &plan);
+    unsigned visits_before = count_machines_examined(controller);
+    test_controller_plan(controller, &plan);
     rr_plan_clear(&plan);
-    return count_machines_visited(node) - visits_before;
+    return count_machines_examined(controller) - visits_before;
 }
 
 /* After one heartbeat with a change, in a fleet of thousands, a plan visits that machine and not
  * the rest of the fleet. */
 static void plan_visits_only_changed_machine(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    add_settled_fleet(node);
-    test_controller_heartbeat(node, "vm-77", "a", false, 1, 2, rr_core_fencing_token(node->core),
-                              "req-000001 0 3 running", NULL);
-    assert_true(plan_and_count_visits(node) <= 4);
+    test_controller *controller = &fixture->controller;
+    add_settled_fleet(controller);
+    test_controller_heartbeat(controller, "vm-77", "a", false, 1, 2,
+                              rr_core_fencing_token(controller->core), "req-000001 0 3 running",
+                              NULL);
+    assert_true(plan_and_count_visits(controller) <= 4);
 }
 
 /* After heartbeats without changes, the most frequent event, a plan visits no machine, changes no
  * record and sends no command. */
 static void unchanged_heartbeats_cause_no_work(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_plan plan;
-    add_settled_fleet(node);
-    unsigned visits_before = count_machines_visited(node);
+    add_settled_fleet(controller);
+    unsigned visits_before = count_machines_examined(controller);
     for (uint64_t sequence = 2; sequence < 6; sequence++) {
-        heartbeat_without_tasks(node, 1, FLEET_SIZE, "a", 1, sequence);
-        test_controller_plan(node, &plan);
+        send_heartbeats_without_tasks(controller, 1, FLEET_SIZE, "a", 1, sequence);
+        test_controller_plan(controller, &plan);
         assert_false(plan.has_transaction);
         assert_int_equal(plan.command_batches->len, 0);
         rr_plan_clear(&plan);
     }
-    assert_int_equal(count_machines_visited(node), visits_before);
+    assert_int_equal(count_machines_examined(controller), visits_before);
 }
 
 /* The first plan of a term visits each machine once, and the next plan visits none. */
 static void first_plan_of_term_visits_each_machine_once(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    add_settled_fleet(node);
-    test_controller_join(node, 9);
-    unsigned first_plan_visits = plan_and_count_visits(node);
+    test_controller *controller = &fixture->controller;
+    add_settled_fleet(controller);
+    test_controller_join(controller, 9);
+    unsigned first_plan_visits = plan_and_count_visits(controller);
     assert_true(first_plan_visits >= FLEET_SIZE);
     assert_true(first_plan_visits <= FLEET_SIZE + 4);
-    assert_true(plan_and_count_visits(node) <= 4);
+    assert_true(plan_and_count_visits(controller) <= 4);
 }
 
 /* Returns the bytes that are allocated on the heap, including memory-mapped blocks. */
@@ -90,16 +91,16 @@
  * whose allocator does not report its usage. */
 static void memory_per_machine_and_job_is_bounded(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     const int job_count = 500;
     size_t bytes_before = get_allocated_bytes();
-    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
+    test_controller_add_machines(controller, 1, FLEET_SIZE, "a");
     size_t machine_bytes = (get_allocated_bytes() - bytes_before) / FLEET_SIZE;
-    plan_until_settled(node);
+    plan_until_settled(controller);
     bytes_before = get_allocated_bytes();
-    submit_many(node, 1, job_count,
+    submit_jobs(controller, 1, job_count,
                 &(struct test_job){.task_count = 4, .cpus = 4, .service = true});
-    plan_until_settled(node);
+    plan_until_settled(controller);
     size_t job_bytes = (get_allocated_bytes() - bytes_before) / job_count;
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 4);
     printf("%zu bytes a machine, %zu a job of four replicas\n", machine_bytes, job_bytes);
@@ -116,25 +117,25 @@
  * together takes one, and ending the job takes two. */
 static void array_takes_few_changes(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_plan plan;
     rr_job_view view;
-    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
-    submit_many(node, 1, 1, &(struct test_job){.task_count = 60, .cpus = 4, .gpus = 1});
-    test_controller_plan(node, &plan);
-    assert_int_equal(plan_changes(&plan), 1);
+    test_controller_add_machines(controller, 1, FLEET_SIZE, "a");
+    submit_jobs(controller, 1, 1, &(struct test_job){.task_count = 60, .cpus = 4, .gpus = 1});
+    test_controller_plan(controller, &plan);
+    assert_int_equal(count_plan_changes(&plan), 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 60);
     rr_plan_clear(&plan);
-    heartbeat_with_job(node, FLEET_SIZE, "req-000001", 30, "ended:done", 2);
-    test_controller_plan(node, &plan);
-    assert_int_equal(plan_changes(&plan), 1);
+    send_heartbeats_with_job(controller, FLEET_SIZE, "req-000001", 30, "ended:done", 2);
+    test_controller_plan(controller, &plan);
+    assert_int_equal(count_plan_changes(&plan), 1);
     rr_plan_clear(&plan);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 30);
-    heartbeat_with_job(node, FLEET_SIZE, "req-000001", 60, "ended:done", 3);
-    test_controller_plan(node, &plan);
-    assert_int_equal(plan_changes(&plan), 2);
+    send_heartbeats_with_job(controller, FLEET_SIZE, "req-000001", 60, "ended:done", 3);
+    test_controller_plan(controller, &plan);
+    assert_int_equal(count_plan_changes(&plan), 2);
     rr_plan_clear(&plan);
-    rr_core_job_view(node->core, "req-000001", node->now, &view);
+    rr_core_get_job_view(controller->core, "req-000001", controller->now, &view);
     assert_true(view.done);
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/"), 0);
 }
@@ -143,30 +144,32 @@
  * their resources are free at once. A job's last completion does not wait. */
 static void completions_are_batched_under_write_pressure(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_plan plan;
-    test_controller_add_machines(node, 1, 1, "a");
-    submit_many(node, 1, 1, &(struct test_job){.task_count = 2, .cpus = 8});
-    plan_until_settled(node);
-    char *first_task = g_strdup_printf("req-000001 0 %" G_GUINT64_FORMAT " ended:done",
-                                       fake_store_attempt(fixture->store, "vm-1", "req-000001", 0));
+    test_controller_add_machines(controller, 1, 1, "a");
+    submit_jobs(controller, 1, 1, &(struct test_job){.task_count = 2, .cpus = 8});
+    plan_until_settled(controller);
+    char *first_task =
+        g_strdup_printf("req-000001 0 %" G_GUINT64_FORMAT " ended:done",
+                        fake_store_find_attempt(fixture->store, "vm-1", "req-000001", 0));
     char *second_task =
         g_strdup_printf("req-000001 1 %" G_GUINT64_FORMAT " ended:done",
-                        fake_store_attempt(fixture->store, "vm-1", "req-000001", 1));
-    rr_core_set_write_pressure(node->core, 1, 8);
-    test_controller_heartbeat(node, "vm-1", "a", false, 1, 2, rr_core_fencing_token(node->core),
-                              first_task, NULL);
-    test_controller_plan(node, &plan);
-    assert_int_equal(plan_changes(&plan), 0);
+                        fake_store_find_attempt(fixture->store, "vm-1", "req-000001", 1));
+    rr_core_set_write_pressure(controller->core, 1, 8);
+    test_controller_heartbeat(controller, "vm-1", "a", false, 1, 2,
+                              rr_core_fencing_token(controller->core), first_task, NULL);
+    test_controller_plan(controller, &plan);
+    assert_int_equal(count_plan_changes(&plan), 0);
     rr_plan_clear(&plan);
-    submit_many(node, 2, 1, &(struct test_job){.cpus = 8});
-    test_controller_plan(node, &plan);
+    submit_jobs(controller, 2, 1, &(struct test_job){.cpus = 8});
+    test_controller_plan(controller, &plan);
     rr_plan_clear(&plan);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", "req-000002", 0) != 0);
-    test_controller_heartbeat(node, "vm-1", "a", false, 1, 3, rr_core_fencing_token(node->core),
-                              first_task, second_task, NULL);
-    test_controller_plan(node, &plan);
-    assert_int_equal(plan_changes(&plan), 2);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", "req-000002", 0) != 0);
+    test_controller_heartbeat(controller, "vm-1", "a", false, 1, 3,
+                              rr_core_fencing_token(controller->core), first_task, second_task,
+                              NULL);
+    test_controller_plan(controller, &plan);
+    assert_int_equal(count_plan_changes(&plan), 2);
     rr_plan_clear(&plan);
     g_free(first_task);
     g_free(second_task);
@@ -175,28 +178,28 @@
 /* Hundreds of jobs that do not fit cost a few walks over the fleet in all, not one walk each. */
 static void waiting_jobs_share_fleet_searches(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_plan plan;
-    test_controller_add_machines(node, 1, FLEET_SIZE, "a");
-    submit_many(node, 1, 500, &(struct test_job){.zone = "b"});
-    unsigned visits_before = count_machines_visited(node);
-    test_controller_plan(node, &plan);
+    test_controller_add_machines(controller, 1, FLEET_SIZE, "a");
+    submit_jobs(controller, 1, 500, &(struct test_job){.zone = "b"});
+    unsigned visits_before = count_machines_examined(controller);
+    test_controller_plan(controller, &plan);
     rr_plan_clear(&plan);
-    assert_true(count_machines_visited(node) - visits_before <= 4 * FLEET_SIZE);
+    assert_true(count_machines_examined(controller) - visits_before <= 4 * FLEET_SIZE);
 }
 
 /* One plan places all tasks of a spread job evenly over the zones, since it updates the number of
  * tasks by zone with each reservation. */
 static void spread_job_is_placed_by_one_plan(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_plan plan;
-    test_controller_add_machines(node, 1, 200, "a");
-    test_controller_add_machines(node, 201, 200, "b");
-    submit_many(node, 1, 1,
+    test_controller_add_machines(controller, 1, 200, "a");
+    test_controller_add_machines(controller, 201, 200, "b");
+    submit_jobs(controller, 1, 1,
                 &(struct test_job){.task_count = 12, .service = true, .spread = true, .gpus = 1});
-    test_controller_plan(node, &plan);
-    assert_int_equal(plan_changes(&plan), 1);
+    test_controller_plan(controller, &plan);
+    assert_int_equal(count_plan_changes(&plan), 1);
     rr_plan_clear(&plan);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-000001"), 12);
     unsigned in_a = 0;
@@ -204,7 +207,7 @@
         for (int machine = 1; machine <= 200; machine++) {
             char id[32];
             g_snprintf(id, sizeof id, "vm-%d", machine);
-            in_a += fake_store_attempt(fixture->store, id, "req-000001", task) != 0;
+            in_a += fake_store_find_attempt(fixture->store, id, "req-000001", task) != 0;
         }
     }
     assert_int_equal(in_a, 6);
@@ -214,31 +217,32 @@
  * waiting tasks are rented in requests for up to 50 each. */
 static void machines_are_recorded_and_rented_in_bulk(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     unsigned changes = 0, rental_count = 0, requested = 0;
     for (int i = 1; i <= 1000; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%06d", i);
-        list_machine(machines, id, "a", RR_LISTED_RUNNING, 100);
+        append_listed_machine(machines, id, "a", RR_LISTED_RUNNING, 100);
     }
-    submit_many(node, 1, 100, &(struct test_job){.task_count = 40, .cpus = 8, .zone = "b"});
+    submit_jobs(controller, 1, 100, &(struct test_job){.task_count = 40, .cpus = 8, .zone = "b"});
     for (int i = 0; i < 120; i++) {
         rr_autoscaler_step step;
         rr_autoscaler_step_init(&step);
-        rr_core_autoscaler_step(node->core, node->now, node->now, &step);
+        rr_core_autoscaler_step(controller->core, controller->now, controller->now, &step);
         if (step.kind == RR_AUTOSCALER_COMMIT) {
             changes += step.transaction.changes->len;
             assert_int_equal(fake_store_commit(fixture->store, &step.transaction), 0);
-            fake_store_sync(fixture->store, node->core, node->now);
-        } else if (step.kind == RR_AUTOSCALER_LIST) {
-            rr_core_machines_listed(node->core, node->now, node->now, node->now, machines);
+            fake_store_sync(fixture->store, controller->core, controller->now);
+        } else if (step.kind == RR_AUTOSCALER_LIST_MACHINES) {
+            rr_core_apply_machine_list(controller->core, controller->now, controller->now,
+                                       controller->now, machines);
         } else if (step.kind == RR_AUTOSCALER_SCALE_OUT) {
             rental_count++;
             assert_true(step.count <= 50);
             requested += (unsigned)step.count;
         } else {
-            node->now += 0.3;
+            controller->now += 0.3;
         }
         rr_autoscaler_step_clear(&step);
     }
@@ -258,11 +262,11 @@
     const int half = FLEET_SIZE / 2;
     test_controller_add_machines(&fixture->controller, 1, half, "a");
     test_controller_add_machines(&fixture->controller, half + 1, FLEET_SIZE - half, "b");
-    submit_many(
+    submit_jobs(
         &fixture->controller, 1, 100,
         &(struct test_job){
             .task_count = 8, .cpus = 4, .service = true, .spread = true, .priority = "prod"});
-    submit_many(&fixture->controller, 201, 40,
+    submit_jobs(&fixture->controller, 201, 40,
                 &(struct test_job){.task_count = 60, .cpus = 4, .priority = "low"});
     plan_until_settled(&fixture->controller);
     unsigned record_count = fake_store_count(fixture->store, RR_KEY_ROOT "run/");
@@ -271,19 +275,19 @@
     fake_store_reload(fixture->store, restarted.core, restarted.now);
     test_controller_join(&restarted, 8);
     rr_plan plan;
-    heartbeat_without_tasks(&restarted, 1, half, "a", 2, 2); /* zone a lost its leases */
-    unsigned visits_before = count_machines_visited(&restarted);
+    send_heartbeats_without_tasks(&restarted, 1, half, "a", 2, 2); /* zone a lost its leases */
+    unsigned visits_before = count_machines_examined(&restarted);
     test_controller_plan(&restarted, &plan);
-    unsigned changes = plan_changes(&plan);
+    unsigned changes = count_plan_changes(&plan);
     rr_plan_clear(&plan);
     /* The plan walks over the fleet once for each job that it places. */
-    assert_true(count_machines_visited(&restarted) - visits_before <= 32 * FLEET_SIZE);
-    heartbeat_without_tasks(&restarted, half + 1, FLEET_SIZE, "b", 1, 2);
+    assert_true(count_machines_examined(&restarted) - visits_before <= 32 * FLEET_SIZE);
+    send_heartbeats_without_tasks(&restarted, half + 1, FLEET_SIZE, "b", 1, 2);
     changes += plan_until_settled(&restarted);
     assert_true(2 * changes <= 3 * record_count);
     for (int i = 1; i <= 100; i++) {
         char job_id[JOB_ID_SIZE];
-        job_id_of(i, job_id);
+        format_job_id(i, job_id);
         assert_int_equal(fake_store_placed_count(fixture->store, job_id), 8);
     }
     test_controller_clear(&restarted);
@@ -293,33 +297,33 @@
  * requests or records stops it short of that fleet, and the records keep to the store's limits. */
 static void cold_start_rents_whole_fleet(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     int rented = 0;
     unsigned steps = 0;
-    fixture->store->value_max = (size_t)(node->config.value_kb * 1024);
-    fixture->store->ops_max = (guint)node->config.transaction_changes_max;
-    submit_many(node, 1, FLEET_SIZE / 100, &(struct test_job){.task_count = 100, .cpus = 16});
+    fixture->store->value_bytes_max = (size_t)(controller->config.value_kb * 1024);
+    fixture->store->change_count_max = (guint)controller->config.transaction_changes_max;
+    submit_jobs(controller, 1, FLEET_SIZE / 100, &(struct test_job){.task_count = 100, .cpus = 16});
     for (; rented < FLEET_SIZE && steps < 4000; steps++) {
         rr_autoscaler_step step;
-        test_controller_autoscaler_step(node, machines, &step);
+        test_controller_autoscaler_step(controller, machines, &step);
         if (step.kind == RR_AUTOSCALER_SCALE_OUT) {
             GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
             for (int i = 0; i < step.count; i++) {
                 g_ptr_array_add(ids, g_strdup_printf("vm-%06d", ++rented));
-                list_machine(machines, g_ptr_array_index(ids, ids->len - 1), step.zone,
-                             RR_LISTED_STARTING, 1);
+                append_listed_machine(machines, g_ptr_array_index(ids, ids->len - 1), step.zone,
+                                      RR_LISTED_STARTING, 1);
             }
-            rr_core_scale_out_result(node->core, node->now, &step, 200, ids);
+            rr_core_record_scale_out_result(controller->core, controller->now, &step, 200, ids);
             g_ptr_array_free(ids, TRUE);
         }
-        node->now += step.kind == RR_AUTOSCALER_NONE ? 0.5 : 0.05;
+        controller->now += step.kind == RR_AUTOSCALER_NONE ? 0.5 : 0.05;
         rr_autoscaler_step_clear(&step);
     }
     for (int i = 0; i < 200; i++) {
         rr_autoscaler_step step;
-        test_controller_autoscaler_step(node, machines, &step);
-        node->now += 0.1;
+        test_controller_autoscaler_step(controller, machines, &step);
+        controller->now += 0.1;
         rr_autoscaler_step_clear(&step);
     }
     assert_int_equal(rented, FLEET_SIZE);
--- a/tests/test_core_next_limits.c
+++ b/tests/test_core_next_limits.c
@@ -29,28 +29,29 @@
 
 /* Makes the store enforce its next limits from here on. */
 static void enforce_next_limits(fake_store *store) {
-    store->value_max = (size_t)(NEXT_VALUE_KB * 1024);
-    store->ops_max = NEXT_TRANSACTION_CHANGES;
+    store->value_bytes_max = (size_t)(NEXT_VALUE_KB * 1024);
+    store->change_count_max = NEXT_TRANSACTION_CHANGES;
 }
 
 /* Plans once, commits the transaction and answers every command. If the store refuses the
  * transaction as invalid, the core puts the next limits in force, as src/app makes it do. Returns
  * the result of the commit, or 0 if there was no transaction. */
-static int plan_and_commit(test_controller *node) {
+static int plan_and_commit(test_controller *controller) {
     rr_plan plan;
     int rc = 0;
     rr_plan_init(&plan);
-    rr_core_plan(node->core, node->now, node->now, &plan);
+    rr_core_plan(controller->core, controller->now, controller->now, &plan);
     if (plan.has_transaction) {
-        rc = fake_store_commit(node->store, &plan.transaction);
+        rc = fake_store_commit(controller->store, &plan.transaction);
         if (rc == -EINVAL) {
-            rr_core_next_limits_in_force(node->core, false);
+            rr_core_activate_next_limits(controller->core, false);
         }
     }
-    fake_store_sync(node->store, node->core, node->now);
+    fake_store_sync(controller->store, controller->core, controller->now);
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(node->core, node->now, g_ptr_array_index(plan.command_batches, i),
-                               RR_COMMAND_ANSWERED, true);
+        rr_core_record_command_result(controller->core, controller->now,
+                                      g_ptr_array_index(plan.command_batches, i),
+                                      RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
     return rc;
@@ -61,35 +62,35 @@
     for (int chunk = 0; chunk < 8; chunk++) {
         char key[64];
         g_snprintf(key, sizeof key, RR_KEY_ROOT "run/%s/%d", job_id, chunk);
-        assert_true(fake_store_value_size(store, key) <= store->value_max);
+        assert_true(fake_store_value_size(store, key) <= store->value_bytes_max);
     }
 }
 
 /* Machines vm-1 to vm-<last> send a heartbeat without tasks. A higher worker epoch than before
  * means that their workers have lost their leases. */
-static void send_empty_heartbeats(test_controller *node, int last, uint64_t worker_epoch,
+static void send_empty_heartbeats(test_controller *controller, int last, uint64_t worker_epoch,
                                   uint64_t sequence) {
     for (int machine = 1; machine <= last; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        test_controller_heartbeat(node, id, "a", false, worker_epoch, sequence,
-                                  rr_core_fencing_token(node->core), NULL);
+        test_controller_heartbeat(controller, id, "a", false, worker_epoch, sequence,
+                                  rr_core_fencing_token(controller->core), NULL);
     }
 }
 
 /* Plans `plan_count` times, `interval_s` seconds apart. Asserts that the store refuses no
  * transaction as invalid. */
-static void plan_within_limits(test_controller *node, int plan_count, double interval_s) {
+static void plan_within_limits(test_controller *controller, int plan_count, double interval_s) {
     for (int i = 0; i < plan_count; i++) {
-        node->now += interval_s;
-        assert_int_not_equal(plan_and_commit(node), -EINVAL);
+        controller->now += interval_s;
+        assert_int_not_equal(plan_and_commit(controller), -EINVAL);
     }
 }
 
 /* Submits the job and brings the core's store cache up to date. */
-static void submit_job(test_controller *node, const struct test_job *job) {
-    fake_store_submit(node->store, job, node->now);
-    fake_store_sync(node->store, node->core, node->now);
+static void submit_job(test_controller *controller, const struct test_job *job) {
+    fake_store_submit(controller->store, job, controller->now);
+    fake_store_sync(controller->store, controller->core, controller->now);
 }
 
 /* An array of more tasks than one record within the next limits holds. */
@@ -101,7 +102,7 @@
     for (int machine = 1; machine <= MACHINE_COUNT; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        placements += fake_store_attempt(store, id, job_id, task) != 0;
+        placements += fake_store_find_attempt(store, id, job_id, task) != 0;
     }
     return placements;
 }
@@ -112,31 +113,31 @@
  * once, in overflow records, as soon as every controller reads these. */
 static void writes_keep_to_next_limits(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    test_controller_join_old_version(node);
-    test_controller_add_machines(node, 1, MACHINE_COUNT, "a"); /* in pages of the old size */
+    test_controller *controller = &fixture->controller;
+    test_controller_join_old_version(controller);
+    test_controller_add_machines(controller, 1, MACHINE_COUNT, "a"); /* in pages of the old size */
     enforce_next_limits(fixture->store);
-    submit_job(node, &large_array);
-    plan_within_limits(node, 12, 0.5);
+    submit_job(controller, &large_array);
+    plan_within_limits(controller, 12, 0.5);
     unsigned placed = fake_store_placed_count(fixture->store, "req-1");
     /* The other tasks have no room in the record. */
     assert_true(placed >= 30 && placed < TASK_COUNT);
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/req-1/"), 1);
-    test_controller_leave_old_version(node);
-    send_empty_heartbeats(node, MACHINE_COUNT, 1, 8);
-    plan_within_limits(node, 4, 0.5);
+    test_controller_leave_old_version(controller);
+    send_empty_heartbeats(controller, MACHINE_COUNT, 1, 8);
+    plan_within_limits(controller, 4, 0.5);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), TASK_COUNT);
     assert_true(fake_store_count(fixture->store, RR_KEY_ROOT "run/req-1/") > 1);
     assert_records_within_limit(fixture->store, "req-1");
-    test_controller_cancel(node, "req-1");
-    send_empty_heartbeats(node, MACHINE_COUNT, 1, 9);
-    plan_within_limits(node, 4, 0.5);
+    test_controller_cancel(controller, "req-1");
+    send_empty_heartbeats(controller, MACHINE_COUNT, 1, 9);
+    plan_within_limits(controller, 4, 0.5);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
 }
 
 static int done_task_count; /* choose_done_or_running() takes tasks below this number for done */
 
-/* A shown_task_state_fn: tasks below done_task_count are done, the others run. */
+/* A reported_task_state_fn: tasks below done_task_count are done, the others run. */
 static const char *choose_done_or_running(int machine, const char *job_id, uint32_t task, int shown,
                                           uint64_t sequence) {
     (void)machine;
@@ -148,20 +149,20 @@
 
 /* All machines report the job's tasks that the ledger places on them: those below `done_count` as
  * done, the others as running. */
-static void report_tasks(test_controller *node, const char *job_id, int task_count, int done_count,
-                         uint64_t worker_epoch, uint64_t sequence) {
-    struct shown_machines show = {.first = 1,
-                                  .last = MACHINE_COUNT,
-                                  .last_in_a = MACHINE_COUNT,
-                                  .job_ids = &job_id,
-                                  .jobs = 1,
-                                  .tasks = (uint32_t)task_count,
-                                  .task_max = SHOWN_TASKS_MAX,
-                                  .worker_epoch = worker_epoch,
-                                  .sequence = sequence,
-                                  .state = choose_done_or_running};
+static void report_tasks(test_controller *controller, const char *job_id, int task_count,
+                         int done_count, uint64_t worker_epoch, uint64_t sequence) {
+    struct reporting_machines reporting = {.first = 1,
+                                           .last = MACHINE_COUNT,
+                                           .last_in_zone_a = MACHINE_COUNT,
+                                           .job_ids = &job_id,
+                                           .job_count = 1,
+                                           .tasks_per_job = (uint32_t)task_count,
+                                           .heartbeat_tasks_max = HEARTBEAT_TASKS_MAX,
+                                           .worker_epoch = worker_epoch,
+                                           .sequence = sequence,
+                                           .state = choose_done_or_running};
     done_task_count = done_count;
-    test_controller_show_machines(node, &show);
+    test_controller_send_heartbeats(controller, &reporting);
 }
 
 /* Asserts that the task has one placement, under an attempt after `previous_attempt`. */
@@ -170,34 +171,34 @@
     for (int machine = 1; machine <= MACHINE_COUNT; machine++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", machine);
-        uint64_t attempt = fake_store_attempt(store, id, "req-1", task);
+        uint64_t attempt = fake_store_find_attempt(store, id, "req-1", task);
         assert_true(attempt == 0 || attempt > previous_attempt);
     }
 }
 
 /* Plans `plan_count` times within the limits. Asserts that the array never has more placements than
  * tasks, which it would have if a task had two. */
-static void plan_large_array(test_controller *node, int plan_count) {
+static void plan_large_array(test_controller *controller, int plan_count) {
     for (int i = 0; i < plan_count; i++) {
-        plan_within_limits(node, 1, 0.5);
-        assert_true(fake_store_placed_count(node->store, "req-1") <= TASK_COUNT);
+        plan_within_limits(controller, 1, 0.5);
+        assert_true(fake_store_placed_count(controller->store, "req-1") <= TASK_COUNT);
     }
 }
 
 /* Places the whole array under the next limits, for which it needs overflow records. */
 static void place_large_array(core_fixture *fixture) {
-    test_controller *node = &fixture->controller;
-    test_controller_add_machines(node, 1, MACHINE_COUNT, "a");
+    test_controller *controller = &fixture->controller;
+    test_controller_add_machines(controller, 1, MACHINE_COUNT, "a");
     enforce_next_limits(fixture->store);
-    submit_job(node, &large_array);
-    plan_large_array(node, 4);
+    submit_job(controller, &large_array);
+    plan_large_array(controller, 4);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), TASK_COUNT);
 }
 
 /* All machines lose their leases, and every task is placed again. Returns the attempt that task 0
  * had on vm-1 before. */
 static uint64_t lose_leases_and_place_again(core_fixture *fixture) {
-    uint64_t previous_attempt = fake_store_attempt(fixture->store, "vm-1", "req-1", 0);
+    uint64_t previous_attempt = fake_store_find_attempt(fixture->store, "vm-1", "req-1", 0);
     send_empty_heartbeats(&fixture->controller, MACHINE_COUNT, 2, 1); /* every lease was lost */
     plan_large_array(&fixture->controller, 12);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), TASK_COUNT);
@@ -220,25 +221,25 @@
  * recorded in the record of their chunk. */
 static void new_owner_completes_tasks_of_overflow_records(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller, new_owner;
+    test_controller *controller = &fixture->controller, new_owner;
     rr_job_view view;
     place_large_array(fixture);
     lose_leases_and_place_again(fixture);
     test_controller_init(&new_owner, fixture->store, "n1");
     new_owner.config.next_value_kb = NEXT_VALUE_KB;
     new_owner.config.next_transaction_changes_max = NEXT_TRANSACTION_CHANGES;
-    new_owner.now = node->now;
+    new_owner.now = controller->now;
     fake_store_reload(fixture->store, new_owner.core, new_owner.now);
-    test_controller_leave(node);
+    test_controller_leave(controller);
     test_controller_join(&new_owner, 9);
     report_tasks(&new_owner, "req-1", TASK_COUNT, 50, 2, 2);
     plan_large_array(&new_owner, 6);
-    rr_core_job_view(new_owner.core, "req-1", new_owner.now, &view);
+    rr_core_get_job_view(new_owner.core, "req-1", new_owner.now, &view);
     assert_int_equal(view.done_count, 50);
     assert_false(view.done);
     report_tasks(&new_owner, "req-1", TASK_COUNT, TASK_COUNT, 2, 3);
     plan_large_array(&new_owner, 6);
-    rr_core_job_view(new_owner.core, "req-1", new_owner.now, &view);
+    rr_core_get_job_view(new_owner.core, "req-1", new_owner.now, &view);
     assert_true(view.done);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
     test_controller_clear(&new_owner);
@@ -283,27 +284,27 @@
  * must not be taken for a lack of room, which would make other jobs of its size wait as well. */
 static void task_of_unwritable_record_blocks_no_other_job(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    test_controller_add_machines(node, 1, MACHINE_COUNT, "a");
+    test_controller *controller = &fixture->controller;
+    test_controller_add_machines(controller, 1, MACHINE_COUNT, "a");
     fake_store_submit(fixture->store,
                       &(struct test_job){
                           .job_id = "req-1", .task_count = TASK_COUNT, .cpus = 1, .deadline_s = 10},
-                      node->now);
+                      controller->now);
     put_oversized_ledger_record(fixture);
     enforce_next_limits(fixture->store);
-    rr_core_next_limits_in_force(node->core, false);
-    report_tasks(node, "req-1", TASK_COUNT, 0, 1, 2);
-    test_controller_heartbeat(node, "vm-1", "a", false, 2, 1, rr_core_fencing_token(node->core),
-                              NULL);
-    node->now += 1;
-    assert_int_not_equal(plan_and_commit(node), -EINVAL);
+    rr_core_activate_next_limits(controller->core, false);
+    report_tasks(controller, "req-1", TASK_COUNT, 0, 1, 2);
+    test_controller_heartbeat(controller, "vm-1", "a", false, 2, 1,
+                              rr_core_fencing_token(controller->core), NULL);
+    controller->now += 1;
+    assert_int_not_equal(plan_and_commit(controller), -EINVAL);
     for (int i = 0; i < 10; i++) {
         char job_id[16];
         g_snprintf(job_id, sizeof job_id, "req-2%02d", i);
-        submit_job(node, &(struct test_job){.job_id = job_id, .cpus = 1, .deadline_s = 100});
-        node->now += 2; /* long enough for the plan to retry the blocked task as well */
-        report_tasks(node, "req-1", TASK_COUNT, 0, 1, (uint64_t)i + 3);
-        assert_int_not_equal(plan_and_commit(node), -EINVAL);
+        submit_job(controller, &(struct test_job){.job_id = job_id, .cpus = 1, .deadline_s = 100});
+        controller->now += 2; /* long enough for the plan to retry the blocked task as well */
+        report_tasks(controller, "req-1", TASK_COUNT, 0, 1, (uint64_t)i + 3);
+        assert_int_not_equal(plan_and_commit(controller), -EINVAL);
         assert_int_equal(fake_store_placed_count(fixture->store, job_id), 1);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), TASK_COUNT);
@@ -313,14 +314,14 @@
  * newer placement in the record of its chunk does not start. */
 static void task_waits_for_older_placement_in_overflow_record(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_plan plan;
-    test_controller_add_machines(node, 1, MACHINE_COUNT, "a");
-    fake_store_submit(fixture->store, &large_array, node->now);
+    test_controller_add_machines(controller, 1, MACHINE_COUNT, "a");
+    fake_store_submit(fixture->store, &large_array, controller->now);
     put_ledger_record(fixture, "req-1", 1, 50, 1, OLD_ATTEMPT_BASE);
     put_ledger_record(fixture, "req-1", 0, 50, 1, OLD_ATTEMPT_BASE + 100);
-    node->now += 1;
-    test_controller_plan(node, &plan);
+    controller->now += 1;
+    test_controller_plan(controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         const rr_command_batch *batch = g_ptr_array_index(plan.command_batches, i);
         for (guint k = 0; k < batch->commands->len; k++) {
@@ -336,25 +337,25 @@
  * by then, and the same change removes the old placement. */
 static void lost_task_moves_back_to_record_of_its_chunk(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
-    test_controller_add_machines(node, 1, MACHINE_COUNT, "a");
+    test_controller *controller = &fixture->controller;
+    test_controller_add_machines(controller, 1, MACHINE_COUNT, "a");
     enforce_next_limits(fixture->store);
-    fake_store_submit(fixture->store, &large_array, node->now);
+    fake_store_submit(fixture->store, &large_array, controller->now);
     put_ledger_record(fixture, "req-1", 0, 0, 41, OLD_ATTEMPT_BASE);
     put_ledger_record(fixture, "req-1", 1, 41, 19, OLD_ATTEMPT_BASE);
-    report_tasks(node, "req-1", TASK_COUNT, 10, 1, 2);
-    node->now += 1;
-    assert_int_equal(plan_and_commit(node), 0);
+    report_tasks(controller, "req-1", TASK_COUNT, 10, 1, 2);
+    controller->now += 1;
+    assert_int_equal(plan_and_commit(controller), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 50);
     /* Task 50 runs on vm-11, which loses its lease. Under write pressure, lost placements are not
      * removed by changes of their own. */
-    rr_core_set_write_pressure(node->core, 1, NEXT_TRANSACTION_CHANGES);
-    uint64_t lost_attempt = fake_store_attempt(fixture->store, "vm-11", "req-1", 50);
+    rr_core_set_write_pressure(controller->core, 1, NEXT_TRANSACTION_CHANGES);
+    uint64_t lost_attempt = fake_store_find_attempt(fixture->store, "vm-11", "req-1", 50);
     assert_true(lost_attempt != 0);
-    test_controller_heartbeat(node, "vm-11", "a", false, 2, 1, rr_core_fencing_token(node->core),
-                              NULL);
+    test_controller_heartbeat(controller, "vm-11", "a", false, 2, 1,
+                              rr_core_fencing_token(controller->core), NULL);
     for (int i = 0; i < 6; i++) {
-        plan_within_limits(node, 1, 0.5);
+        plan_within_limits(controller, 1, 0.5);
         assert_true(count_placements(fixture->store, "req-1", 50) <= 1);
         assert_true(fake_store_placed_count(fixture->store, "req-1") <= 50);
     }
@@ -366,38 +367,38 @@
  * lost, and other jobs are placed meanwhile. */
 static void oversized_record_is_rewritten_once_it_fits(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_job_view view;
-    test_controller_add_machines(node, 1, MACHINE_COUNT, "a");
-    fake_store_submit(fixture->store, &large_array, node->now);
+    test_controller_add_machines(controller, 1, MACHINE_COUNT, "a");
+    fake_store_submit(fixture->store, &large_array, controller->now);
     put_oversized_ledger_record(fixture);
     assert_true(fake_store_value_size(fixture->store, RR_KEY_ROOT "run/req-1/0") >
                 (size_t)(NEXT_VALUE_KB * 1024));
     /* The next limits are not in force yet: the record may be written again as long as it does not
      * grow. */
-    report_tasks(node, "req-1", TASK_COUNT, 2, 1, 2);
-    node->now += 1;
-    assert_int_equal(plan_and_commit(node), 0);
+    report_tasks(controller, "req-1", TASK_COUNT, 2, 1, 2);
+    controller->now += 1;
+    assert_int_equal(plan_and_commit(controller), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 58);
     enforce_next_limits(fixture->store);
-    report_tasks(node, "req-1", TASK_COUNT, 4, 1, 3);
-    node->now += 1;
-    assert_int_equal(plan_and_commit(node), -EINVAL);
-    plan_within_limits(node, 3, 1);
+    report_tasks(controller, "req-1", TASK_COUNT, 4, 1, 3);
+    controller->now += 1;
+    assert_int_equal(plan_and_commit(controller), -EINVAL);
+    plan_within_limits(controller, 3, 1);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 58);
-    submit_job(node, &(struct test_job){.job_id = "req-2", .cpus = 1});
-    report_tasks(node, "req-1", TASK_COUNT, 30, 1, 4);
-    node->now += 1;
-    assert_int_equal(plan_and_commit(node), 0);
+    submit_job(controller, &(struct test_job){.job_id = "req-2", .cpus = 1});
+    report_tasks(controller, "req-1", TASK_COUNT, 30, 1, 4);
+    controller->now += 1;
+    assert_int_equal(plan_and_commit(controller), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 30);
     for (int i = 0; i < 3; i++) {
-        node->now += 1;
-        plan_and_commit(node);
+        controller->now += 1;
+        plan_and_commit(controller);
     }
     assert_int_equal(fake_store_placed_count(fixture->store, "req-2"), 1);
-    report_tasks(node, "req-1", TASK_COUNT, TASK_COUNT, 1, 5);
-    plan_within_limits(node, 3, 1);
-    rr_core_job_view(node->core, "req-1", node->now, &view);
+    report_tasks(controller, "req-1", TASK_COUNT, TASK_COUNT, 1, 5);
+    plan_within_limits(controller, 3, 1);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.done);
 }
 
@@ -406,25 +407,25 @@
  * machine of the page. */
 static void oversized_machine_page_is_split_without_losing_machines(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller, follower;
+    test_controller *controller = &fixture->controller, follower;
     rr_core_stats stats;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
     test_controller_init(&follower, fixture->store, "n1");
-    test_controller_add_machines(node, 1, 40, "a");
+    test_controller_add_machines(controller, 1, 40, "a");
     fake_store_sync(fixture->store, follower.core, follower.now);
     for (int i = 1; i <= 40; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", i);
-        list_machine(machines, id, "a", RR_LISTED_RUNNING, 500);
+        append_listed_machine(machines, id, "a", RR_LISTED_RUNNING, 500);
     }
     assert_true(fake_store_value_size(fixture->store, RR_KEY_ROOT "fleet/00000001") >
                 (size_t)(NEXT_VALUE_KB * 1024));
     enforce_next_limits(fixture->store);
     for (int i = 0; i < 20; i++) {
-        test_controller_autoscaler_step(node, machines, &step);
+        test_controller_autoscaler_step(controller, machines, &step);
         rr_autoscaler_step_clear(&step);
-        node->now += 0.6;
+        controller->now += 0.6;
         test_controller reloaded;
         test_controller_init(&reloaded, fixture->store, "n2");
         fake_store_reload(fixture->store, reloaded.core, reloaded.now);
@@ -433,7 +434,7 @@
         assert_int_equal(stats.machines, 40);
         rr_core_get_stats(follower.core, &stats);
         assert_int_equal(stats.machines, 40);
-        rr_core_get_stats(node->core, &stats);
+        rr_core_get_stats(controller->core, &stats);
         assert_int_equal(stats.machines, 40);
         assert_int_equal(stats.booting, 0); /* no machine's heartbeats are forgotten */
         test_controller_clear(&reloaded);
@@ -442,7 +443,7 @@
     for (int i = 1; i <= (int)fake_store_count(fixture->store, RR_KEY_ROOT "fleet/"); i++) {
         char key[64];
         g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d", i);
-        assert_true(fake_store_value_size(fixture->store, key) <= fixture->store->value_max);
+        assert_true(fake_store_value_size(fixture->store, key) <= fixture->store->value_bytes_max);
     }
     g_array_free(machines, TRUE);
     test_controller_clear(&follower);
@@ -453,23 +454,23 @@
  * machines would stay rented for good. */
 static void overfull_machine_page_is_still_written(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_autoscaler_step step;
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(rr_listed_machine));
-    node->config.next_value_kb = node->config.next_transaction_changes_max = 0;
-    test_controller_add_machines(node, 1, 40, "a");
-    node->config.value_kb =
+    controller->config.next_value_kb = controller->config.next_transaction_changes_max = 0;
+    test_controller_add_machines(controller, 1, 40, "a");
+    controller->config.value_kb =
         (double)fake_store_value_size(fixture->store, RR_KEY_ROOT "fleet/00000001") / 1024;
     for (int i = 2; i <= 40; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "vm-%d", i);
-        list_machine(machines, id, "a", RR_LISTED_RUNNING, 500);
+        append_listed_machine(machines, id, "a", RR_LISTED_RUNNING, 500);
     }
-    list_machine(machines, "vm-1", "a", RR_LISTED_FAILED, 0);
+    append_listed_machine(machines, "vm-1", "a", RR_LISTED_FAILED, 0);
     for (int i = 0; i < 20 && fake_store_has_machine(fixture->store, "vm-1"); i++) {
-        test_controller_autoscaler_step(node, machines, &step);
+        test_controller_autoscaler_step(controller, machines, &step);
         rr_autoscaler_step_clear(&step);
-        node->now += 0.6;
+        controller->now += 0.6;
     }
     assert_false(fake_store_has_machine(fixture->store, "vm-1"));
     assert_true(fake_store_has_machine(fixture->store, "vm-2"));
@@ -480,27 +481,27 @@
  * committed, so nothing is planned until a new term has voided it. */
 static void nothing_is_planned_until_new_term_voids_unanswered_transaction(void **state) {
     core_fixture *fixture = *state;
-    test_controller *node = &fixture->controller;
+    test_controller *controller = &fixture->controller;
     rr_plan unanswered_plan;
-    test_controller_add_machines(node, 1, 4, "a");
-    submit_job(node, &(struct test_job){.job_id = "req-1"});
+    test_controller_add_machines(controller, 1, 4, "a");
+    submit_job(controller, &(struct test_job){.job_id = "req-1"});
     rr_plan_init(&unanswered_plan);
-    rr_core_plan(node->core, node->now, node->now, &unanswered_plan);
+    rr_core_plan(controller->core, controller->now, controller->now, &unanswered_plan);
     assert_true(unanswered_plan.has_transaction);
-    rr_core_next_limits_in_force(node->core, true);
-    uint64_t first_token = rr_core_fencing_token(node->core);
-    assert_int_equal(plan_and_commit(node), 0);
+    rr_core_activate_next_limits(controller->core, true);
+    uint64_t first_token = rr_core_fencing_token(controller->core);
+    assert_int_equal(plan_and_commit(controller), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
-    test_controller_next_term(node);
-    assert_true(rr_core_fencing_token(node->core) == first_token + 1);
+    test_controller_next_term(controller);
+    assert_true(rr_core_fencing_token(controller->core) == first_token + 1);
     assert_int_not_equal(fake_store_commit(fixture->store, &unanswered_plan.transaction), 0);
-    send_empty_heartbeats(node, 4, 1, 9);
-    node->now += 1;
-    assert_int_equal(plan_and_commit(node), 0);
+    send_empty_heartbeats(controller, 4, 1, 9);
+    controller->now += 1;
+    assert_int_equal(plan_and_commit(controller), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 1);
-    test_controller_next_term(node);
+    test_controller_next_term(controller);
     /* No second new term is made. */
-    assert_true(rr_core_fencing_token(node->core) == first_token + 1);
+    assert_true(rr_core_fencing_token(controller->core) == first_token + 1);
     rr_plan_clear(&unanswered_plan);
 }
 
--- a/tests/test_core_ownership.c
+++ b/tests/test_core_ownership.c
@@ -15,7 +15,7 @@
     test_controller *controller = &fixture->controller, peer;
     struct test_job job = {.job_id = "req-000004"};
     rr_plan plan;
-    heartbeat_with(controller, "vm-1", 1, 1, NULL);
+    send_heartbeat_with_task(controller, "vm-1", 1, 1, NULL);
     submit_job(fixture, &job);
     rr_plan_init(&plan);
     rr_core_plan(controller->core, controller->now, controller->now, &plan);
@@ -24,7 +24,7 @@
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_join(&peer, 9);
     assert_true(fake_store_commit(fixture->store, &plan.transaction) != 0);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", job.job_id, 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", job.job_id, 0) == 0);
     rr_plan_clear(&plan);
     test_controller_clear(&peer);
 }
@@ -38,21 +38,23 @@
     struct test_job job = {.job_id = "req-000005", .service = true};
     uint64_t attempt, old_token = rr_core_fencing_token(controller->core);
     rr_plan plan;
-    const char *machine = reserve_one(fixture, &job, &attempt);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
     test_controller_plan(controller, &plan); /* sends the start, which goes unanswered */
-    rr_core_command_result(controller->core, controller->now, plan_find_batch(&plan, machine),
-                           RR_COMMAND_OUTCOME_UNKNOWN, false);
+    rr_core_record_command_result(controller->core, controller->now,
+                                  plan_find_batch(&plan, machine), RR_COMMAND_OUTCOME_UNKNOWN,
+                                  false);
     rr_plan_clear(&plan);
     test_controller_join(controller, 8); /* restarted: a new session and a new term */
     assert_true(rr_core_fencing_token(controller->core) > old_token);
     test_controller_cancel(controller, job.job_id);
     controller->now += 2;
-    test_controller_heartbeat(controller, machine, zone_of(machine), false, 1, 2, old_token, NULL);
+    test_controller_heartbeat(controller, machine, reservation_machine_zone(machine), false, 1, 2,
+                              old_token, NULL);
     plan_and_commit(controller);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
-    heartbeat_with(controller, machine, 1, 3, NULL);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    send_heartbeat_with_task(controller, machine, 1, 3, NULL);
     plan_and_commit(controller);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == 0);
 }
 
 /* Reservations of the old owner count against the team's limit, whether or not their tasks are
@@ -63,20 +65,20 @@
     struct test_job job = {.job_id = "req-000011", .task_count = 3, .cpus = 1, .gpus = 1};
     uint64_t attempt;
     controller->config.teams[0].gpus_max = 2;
-    reserve_one(fixture, &job, &attempt);
+    submit_and_reserve(fixture, &job, &attempt);
     unsigned reserved = 0;
     for (uint32_t task = 0; task < 3; task++) {
-        reserved += fake_store_attempt(fixture->store, "vm-1", job.job_id, task) != 0;
-        reserved += fake_store_attempt(fixture->store, "vm-2", job.job_id, task) != 0;
+        reserved += fake_store_find_attempt(fixture->store, "vm-1", job.job_id, task) != 0;
+        reserved += fake_store_find_attempt(fixture->store, "vm-2", job.job_id, task) != 0;
     }
     assert_int_equal(reserved, 2);
     test_controller_join(controller, 8);
-    heartbeat_with(controller, "vm-1", 1, 5, NULL);
-    heartbeat_with(controller, "vm-2", 1, 5, NULL);
+    send_heartbeat_with_task(controller, "vm-1", 1, 5, NULL);
+    send_heartbeat_with_task(controller, "vm-2", 1, 5, NULL);
     plan_and_commit(controller);
     for (uint32_t task = 0; task < 3; task++) {
-        reserved -= fake_store_attempt(fixture->store, "vm-1", job.job_id, task) != 0;
-        reserved -= fake_store_attempt(fixture->store, "vm-2", job.job_id, task) != 0;
+        reserved -= fake_store_find_attempt(fixture->store, "vm-1", job.job_id, task) != 0;
+        reserved -= fake_store_find_attempt(fixture->store, "vm-2", job.job_id, task) != 0;
     }
     assert_int_equal(reserved, 0);
 }
@@ -116,9 +118,9 @@
         }
     }
     for (guint i = 0; i < plan.command_batches->len; i++) {
-        rr_core_command_result(controller->core, controller->now,
-                               g_ptr_array_index(plan.command_batches, i), RR_COMMAND_ANSWERED,
-                               true);
+        rr_core_record_command_result(controller->core, controller->now,
+                                      g_ptr_array_index(plan.command_batches, i),
+                                      RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
     return start_count;
@@ -145,23 +147,23 @@
     int owner[2] = {-1, -1}, start_count = 0;
     plan_concurrently(controllers, fixture->store);
     for (int k = 0; k < 2; k++) {
-        attempts[k] = fake_store_attempt(fixture->store, "vm-1", job_ids[k], 0);
+        attempts[k] = fake_store_find_attempt(fixture->store, "vm-1", job_ids[k], 0);
         assert_true(attempts[k] != 0);
         for (int i = 0; i < 2; i++) {
             start_count += count_starts(controllers[i], job_ids, i, owner);
         }
     }
     assert_int_equal(start_count, 2);
-    char *running_task = task_shown(job_ids[0], attempts[0], "running"),
-         *refused_task = task_shown(job_ids[1], attempts[1], "ended:full");
+    char *running_task = format_reported_task(job_ids[0], attempts[0], "running"),
+         *refused_task = format_reported_task(job_ids[1], attempts[1], "ended:full");
     for (int i = 0; i < 2; i++) {
         test_controller_heartbeat(controllers[i], "vm-1", "a", false, 1, 9,
                                   rr_core_fencing_token(controller->core), running_task,
                                   refused_task, NULL);
     }
     plan_and_commit(controllers[owner[1]]);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", job_ids[0], 0) == attempts[0]);
-    assert_true(fake_store_attempt(fixture->store, "vm-1", job_ids[1], 0) != attempts[1]);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", job_ids[0], 0) == attempts[0]);
+    assert_true(fake_store_find_attempt(fixture->store, "vm-1", job_ids[1], 0) != attempts[1]);
     g_free(running_task);
     g_free(refused_task);
     test_controller_clear(&peer);
@@ -187,9 +189,9 @@
                           controller->now);
         for (int i = 0; i < 2 && !attempts[team]; i++) {
             fake_store_sync(fixture->store, controllers[i]->core, controllers[i]->now);
-            heartbeat_with(controllers[i], "vm-1", 1, 1, NULL);
+            send_heartbeat_with_task(controllers[i], "vm-1", 1, 1, NULL);
             plan_and_commit(controllers[i]);
-            attempts[team] = fake_store_attempt(fixture->store, "vm-1", job_id, 0);
+            attempts[team] = fake_store_find_attempt(fixture->store, "vm-1", job_id, 0);
         }
         assert_true(attempts[team] != 0);
     }
@@ -204,7 +206,7 @@
     test_controller *controller = &fixture->controller;
     struct test_job job = {.job_id = "req-000014"};
     rr_plan plan;
-    heartbeat_with(controller, "vm-1", 1, 1, NULL);
+    send_heartbeat_with_task(controller, "vm-1", 1, 1, NULL);
     submit_job(fixture, &job);
     rr_plan_init(&plan);
     rr_core_plan(controller->core, controller->now, controller->now, &plan);
--- a/tests/test_core_progress.c
+++ b/tests/test_core_progress.c
@@ -19,13 +19,13 @@
 static int add_done_tasks(const test_controller *controller, const char *id, int job,
                           char **tasks_shown, int count) {
     char job_id[JOB_ID_SIZE];
-    job_id_of(job, job_id);
+    format_job_id(job, job_id);
     uint32_t tasks = job == LARGE_JOB ? LARGE_JOB_TASKS_SHOWN : 1;
     if (job == LARGE_JOB && fake_store_placed_count(controller->store, job_id) == 0) {
         return count;
     }
     for (uint32_t task = 0; task < tasks && count < TASKS_SHOWN_MAX; task++) {
-        uint64_t attempt = fake_store_attempt(controller->store, id, job_id, task);
+        uint64_t attempt = fake_store_find_attempt(controller->store, id, job_id, task);
         if (attempt) {
             tasks_shown[count++] =
                 g_strdup_printf("%s %u %" G_GUINT64_FORMAT " ended:done", job_id, task, attempt);
@@ -60,13 +60,13 @@
     test_controller *controller = &fixture->controller;
     unsigned small_done = 0;
     test_controller_add_machines(controller, 1, 2, "a"); /* room for eight tasks */
-    submit_many(controller, 1, 1,
+    submit_jobs(controller, 1, 1,
                 &(struct test_job){.task_count = 3000, .cpus = 4, .deadline_s = 5000});
     int next_job = 2;
     for (uint64_t turn = 2; turn < 100; turn++) {
         rr_plan plan;
         controller->now += 1;
-        submit_many(controller, next_job, 9, &(struct test_job){.cpus = 4, .deadline_s = 60});
+        submit_jobs(controller, next_job, 9, &(struct test_job){.cpus = 4, .deadline_s = 60});
         next_job += 9;
         for (int i = 0; i < 3; i++) {
             controller->now += 0.4;
@@ -77,18 +77,18 @@
         test_controller_plan(controller, &plan);
         rr_plan_clear(&plan);
         rr_job_view view;
-        rr_core_job_view(controller->core, "req-000001", controller->now, &view);
+        rr_core_get_job_view(controller->core, "req-000001", controller->now, &view);
         if (view.done_count > 0 && turn > 40) {
             break;
         }
     }
     rr_job_view view;
-    rr_core_job_view(controller->core, "req-000001", controller->now, &view);
+    rr_core_get_job_view(controller->core, "req-000001", controller->now, &view);
     assert_true(view.done_count > 0);
     for (int job = 2; job < next_job; job++) {
         char job_id[JOB_ID_SIZE];
-        job_id_of(job, job_id);
-        rr_core_job_view(controller->core, job_id, controller->now, &view);
+        format_job_id(job, job_id);
+        rr_core_get_job_view(controller->core, job_id, controller->now, &view);
         small_done += view.done;
     }
     assert_true(small_done * 2 >= (unsigned)(next_job - 2));
@@ -102,14 +102,14 @@
     controller->config.teams[0].cpus_max = 48;
     controller->config.teams[1].cpus = 16;
     test_controller_add_machines(controller, 1, 4, "a");
-    submit_many(controller, 1, 300, &(struct test_job){.team = "red", .cpus = 4, .deadline_s = 10});
+    submit_jobs(controller, 1, 300, &(struct test_job){.team = "red", .cpus = 4, .deadline_s = 10});
     plan_until_settled(controller);
-    submit_many(controller, 500, 4, &(struct test_job){.team = "blue", .cpus = 4});
+    submit_jobs(controller, 500, 4, &(struct test_job){.team = "blue", .cpus = 4});
     controller->now += 3;
     plan_until_settled(controller);
     for (int job = 500; job < 504; job++) {
         char job_id[JOB_ID_SIZE];
-        job_id_of(job, job_id);
+        format_job_id(job, job_id);
         assert_int_equal(fake_store_placed_count(fixture->store, job_id), 1);
     }
 }
@@ -124,7 +124,7 @@
         char id[32];
         g_snprintf(id, sizeof id, "vm-%d", machine);
         for (uint32_t task = 0; task < task_count; task++) {
-            uint64_t attempt = fake_store_attempt(controller->store, id, job_id, task);
+            uint64_t attempt = fake_store_find_attempt(controller->store, id, job_id, task);
             count += attempt > 0 && attempt <= limit;
             *highest = MAX(*highest, attempt);
         }
@@ -143,21 +143,21 @@
     char job_id[JOB_ID_SIZE];
     test_controller_add_machines(controller, 1, zone_machines, "a");
     test_controller_add_machines(controller, zone_machines + 1, zone_machines, "b");
-    submit_many(controller, 1, 10,
+    submit_jobs(controller, 1, 10,
                 &(struct test_job){
                     .task_count = 10, .cpus = 1, .priority = "low", .checkpoint_interval_s = 30});
-    submit_many(
+    submit_jobs(
         controller, 101, services,
         &(struct test_job){
             .task_count = 2, .cpus = 1, .service = true, .spread = true, .priority = "prod"});
-    submit_many(
+    submit_jobs(
         controller, 201, 1,
         &(struct test_job){
             .task_count = 8, .cpus = 1, .service = true, .spread = true, .priority = "prod"});
     plan_until_settled(controller);
     uint64_t lost_attempt = 0, highest = 0;
     for (int i = 101; i < 101 + services; i++) {
-        job_id_of(i, job_id);
+        format_job_id(i, job_id);
         count_old_placements(controller, job_id, 2, zone_machines, 0, &lost_attempt);
     }
     count_old_placements(controller, "req-000201", 8, zone_machines, 0, &lost_attempt);
@@ -165,15 +165,15 @@
         count_old_placements(controller, "req-000201", 8, zone_machines, lost_attempt, &highest),
         4);
     controller->now += 5;
-    heartbeat_without_tasks(controller, 1, zone_machines, "a", 2, 2);
-    heartbeat_without_tasks(controller, zone_machines + 1, 2 * zone_machines, "b", 1, 2);
+    send_heartbeats_without_tasks(controller, 1, zone_machines, "a", 2, 2);
+    send_heartbeats_without_tasks(controller, zone_machines + 1, 2 * zone_machines, "b", 1, 2);
     unsigned changes = 0;
     for (int i = 0; i < 5; i++) {
         rr_plan plan;
         controller->now += 0.3;
         rr_core_set_write_pressure(controller->core, 0, 3);
         test_controller_plan(controller, &plan);
-        changes += plan_changes(&plan);
+        changes += count_plan_changes(&plan);
         rr_plan_clear(&plan);
         if (i == 1) { /* the first plan only detects that writes are short */
             assert_int_equal(count_old_placements(controller, "req-000201", 8, zone_machines,
@@ -183,7 +183,7 @@
     }
     assert_true(changes <= 15);
     for (int i = 101; i < 101 + services; i++) {
-        job_id_of(i, job_id);
+        format_job_id(i, job_id);
         assert_int_equal(
             count_old_placements(controller, job_id, 2, zone_machines, lost_attempt, &highest), 0);
         assert_int_equal(fake_store_placed_count(controller->store, job_id), 2);
--- a/tests/test_core_record_order.c
+++ b/tests/test_core_record_order.c
@@ -30,8 +30,8 @@
         /* The old process prepares the next term and exits. */
         fake_store_sync(fixture->store, controller->core, controller->now);
         rr_transaction_init(&old_transaction);
-        assert_true(rr_core_next_term(controller->core, controller->now, controller->now,
-                                      &old_transaction));
+        assert_true(rr_core_add_next_term_record(controller->core, controller->now, controller->now,
+                                                 &old_transaction));
         if (commit_point == 0) { /* committed before the new process registers */
             assert_int_equal(fake_store_commit(fixture->store, &old_transaction), 0);
         }
@@ -43,8 +43,8 @@
         fake_store_sync(fixture->store, restarted.core, restarted.now);
         if (commit_point == 1) { /* committed while the new process's transaction is in flight */
             rr_transaction_init(&new_transaction);
-            assert_true(
-                rr_core_next_term(restarted.core, restarted.now, restarted.now, &new_transaction));
+            assert_true(rr_core_add_next_term_record(restarted.core, restarted.now, restarted.now,
+                                                     &new_transaction));
             assert_int_equal(fake_store_commit(fixture->store, &old_transaction), 0);
             assert_true(fake_store_commit(fixture->store, &new_transaction) != 0);
             rr_transaction_clear(&new_transaction);
@@ -76,11 +76,11 @@
     rr_encoder encoder, job_encoder;
     rr_submission submission;
     rr_encoder_init(&encoder);
-    rr_core_batch_begin(&encoder, count);
+    rr_core_begin_job_batch(&encoder, count);
     for (size_t i = 0; i < count; i++) {
         rr_encoder_init(&job_encoder);
-        test_submission(&submission, &jobs[i]);
-        rr_core_job_encode(&job_encoder, &submission, fixture->controller.now, false);
+        test_submission_init(&submission, &jobs[i]);
+        rr_core_encode_job(&job_encoder, &submission, fixture->controller.now, false);
         msgpack_sbuffer_write(&encoder.buffer, job_encoder.buffer.data, job_encoder.buffer.size);
         rr_encoder_clear(&job_encoder);
     }
@@ -98,9 +98,9 @@
     rr_plan plan;
     send_heartbeat(controller, "vm-1", 1, NULL);
     put_batch(fixture, RR_KEY_ROOT "batch/7-1", jobs, 2);
-    plan_unanswered_by(controller, NULL);
-    assert_non_null(placed_on(fixture->store, "req-1", NULL));
-    assert_non_null(placed_on(fixture->store, "req-2", NULL));
+    plan_without_answer_from(controller, NULL);
+    assert_non_null(find_task_machine(fixture->store, "req-1", NULL));
+    assert_non_null(find_task_machine(fixture->store, "req-2", NULL));
     /* A reservation planned before the job's cancellation fails after it. */
     struct test_job late_jobs[] = {{.job_id = "req-3"}, {.job_id = "req-4"}};
     put_batch(fixture, RR_KEY_ROOT "batch/7-2", late_jobs, 2);
@@ -113,12 +113,12 @@
     test_controller_cancel(controller, "req-1");
     test_controller_init(&restarted, fixture->store, "n1");
     fake_store_reload(fixture->store, restarted.core, restarted.now);
-    rr_core_job_view(restarted.core, "req-1", restarted.now, &view);
+    rr_core_get_job_view(restarted.core, "req-1", restarted.now, &view);
     assert_true(view.known && view.cancelled);
-    rr_core_job_view(restarted.core, "req-4", restarted.now, &view);
+    rr_core_get_job_view(restarted.core, "req-4", restarted.now, &view);
     assert_true(view.known && !view.cancelled);
     put_batch(fixture, RR_KEY_ROOT "batch/7-1", jobs, 2); /* an older copy, read later */
-    rr_core_job_view(controller->core, "req-1", controller->now, &view);
+    rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.cancelled);
     test_controller_clear(&restarted);
 }
@@ -146,11 +146,12 @@
     rr_core_plan(controller->core, controller->now, controller->now, &plan);
     assert_true(plan.has_transaction);
     assert_int_equal(fake_store_commit(fixture->store, &plan.transaction), 0);
-    rr_core_apply(controller->core, &plan.transaction, fixture->store->revision, controller->now);
+    rr_core_cache_apply_transaction(controller->core, &plan.transaction, fixture->store->revision,
+                                    controller->now);
     rr_plan_clear(&plan);
     assert_true(fake_store_version(fixture->store, key) == 0);
     /* As a late watch event does. */
-    rr_core_apply(controller->core, &reservation, reserved_at, controller->now);
+    rr_core_cache_apply_transaction(controller->core, &reservation, reserved_at, controller->now);
     rr_core_stats stats;
     rr_core_get_stats(controller->core, &stats);
     assert_int_equal(stats.tasks_placed, 0);
@@ -185,14 +186,14 @@
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-1", .service = true},
                       controller->now);
     fake_store_sync(fixture->store, controller->core, controller->now);
-    plan_unanswered_by(controller, NULL);
-    assert_string_equal(placed_on(fixture->store, "req-1", NULL), "vm-1");
+    plan_without_answer_from(controller, NULL);
+    assert_string_equal(find_task_machine(fixture->store, "req-1", NULL), "vm-1");
     fake_store_delete_machine(fixture->store, "vm-1");
     restart_controller(fixture, &restarted);
     send_heartbeat(&restarted, "vm-2", 1, NULL);
-    plan_unanswered_by(&restarted, NULL);
-    plan_unanswered_by(&restarted, NULL);
-    assert_string_equal(placed_on(fixture->store, "req-1", NULL), "vm-2");
+    plan_without_answer_from(&restarted, NULL);
+    plan_without_answer_from(&restarted, NULL);
+    assert_string_equal(find_task_machine(fixture->store, "req-1", NULL), "vm-2");
     test_controller_clear(&restarted);
 }
 
@@ -268,14 +269,14 @@
             rr_plan_init(&plan);
             rr_core_plan(controller->core, controller->now, controller->now, &plan);
             rr_plan_clear(&plan);
-            step_releases(fixture, "");
+            autoscaler_step_releases(fixture, "");
         }
     }
     g_rand_free(random);
     fake_store_submit(fixture->store, &(struct test_job){.job_id = "req-777"}, controller->now);
     fake_store_sync(fixture->store, controller->core, controller->now);
     rr_job_view view;
-    rr_core_job_view(controller->core, "req-777", controller->now, &view);
+    rr_core_get_job_view(controller->core, "req-777", controller->now, &view);
     assert_true(view.known);
 }
 
--- a/tests/test_core_rules.c
+++ b/tests/test_core_rules.c
@@ -20,39 +20,39 @@
     struct test_job job = {.job_id = "req-000001", .service = true};
     uint64_t attempt;
     rr_plan plan;
-    const char *machine = reserve_one(fixture, &job, &attempt);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
     test_controller_plan(controller, &plan);
     rr_command_batch *batch = plan_find_batch(&plan, machine);
     assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_START, job.job_id, 0));
-    rr_core_command_result(controller->core, controller->now, batch, RR_COMMAND_OUTCOME_UNKNOWN,
-                           false);
+    rr_core_record_command_result(controller->core, controller->now, batch,
+                                  RR_COMMAND_OUTCOME_UNKNOWN, false);
     rr_plan_clear(&plan);
     test_controller_cancel(controller, job.job_id);
     controller->now += 3;
-    heartbeat_with(controller, machine, 1, 2, NULL);
+    send_heartbeat_with_task(controller, machine, 1, 2, NULL);
     test_controller_plan(controller, &plan);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == attempt);
     const rr_command *start = plan_find_command(&plan, machine, RR_COMMAND_START, job.job_id, 0);
     const rr_command *stop = plan_find_command(&plan, machine, RR_COMMAND_STOP, job.job_id, 0);
     assert_non_null(start);
     assert_non_null(stop);
     assert_true(start < stop);
-    rr_core_command_result(controller->core, controller->now, plan_find_batch(&plan, machine),
-                           RR_COMMAND_ANSWERED, true);
+    rr_core_record_command_result(controller->core, controller->now,
+                                  plan_find_batch(&plan, machine), RR_COMMAND_ANSWERED, true);
     rr_plan_clear(&plan);
     /* The task has exited: its reservation is deleted, the worker keeps the attempt as a block. */
-    char *ended = task_shown(job.job_id, attempt, "ended:halted");
+    char *ended = format_reported_task(job.job_id, attempt, "ended:halted");
     controller->now += 1;
-    heartbeat_with(controller, machine, 1, 3, ended);
+    send_heartbeat_with_task(controller, machine, 1, 3, ended);
     assert_int_equal(plan_and_commit(controller), 1);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == 0);
     test_controller_plan(controller, &plan);
     assert_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan);
     /* The next term's token voids the late start, so that the attempt may be reaped. */
     test_controller_join(controller, 8);
     controller->now += 1;
-    heartbeat_with(controller, machine, 1, 4, ended);
+    send_heartbeat_with_task(controller, machine, 1, 4, ended);
     test_controller_plan(controller, &plan);
     assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan);
@@ -68,26 +68,26 @@
     uint64_t attempt;
     rr_plan plan;
     rr_job_view view;
-    const char *machine = reserve_one(fixture, &job, &attempt);
-    char *ended = task_shown(job.job_id, attempt, "ended:done");
-    heartbeat_with(controller, machine, 1, 2, ended);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
+    char *ended = format_reported_task(job.job_id, attempt, "ended:done");
+    send_heartbeat_with_task(controller, machine, 1, 2, ended);
     rr_plan_init(&plan);
     rr_core_plan(controller->core, controller->now, controller->now, &plan);
     assert_true(plan.has_transaction);
     assert_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan); /* as if the controller crashed here: nothing is lost */
-    rr_core_job_view(controller->core, job.job_id, controller->now, &view);
+    rr_core_get_job_view(controller->core, job.job_id, controller->now, &view);
     assert_false(view.done);
     assert_int_equal(plan_and_commit(controller), 1);
-    rr_core_job_view(controller->core, job.job_id, controller->now, &view);
+    rr_core_get_job_view(controller->core, job.job_id, controller->now, &view);
     assert_true(view.done);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == 0);
     /* The reap waits for another command to the machine, one heartbeat interval at most. */
     test_controller_plan(controller, &plan);
     assert_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan);
     controller->now += controller->config.heartbeat_interval_s;
-    heartbeat_with(controller, machine, 1, 3, ended);
+    send_heartbeat_with_task(controller, machine, 1, 3, ended);
     test_controller_plan(controller, &plan);
     assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_REAP, job.job_id, 0));
     rr_plan_clear(&plan);
@@ -101,13 +101,13 @@
     struct test_job job = {.job_id = "req-000002"}, next = {.job_id = "req-000003"};
     uint64_t attempt;
     rr_plan plan;
-    const char *machine = reserve_one(fixture, &job, &attempt);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
     const char *other = strcmp(machine, "vm-1") == 0 ? "vm-2" : "vm-1";
-    char *ended = task_shown(job.job_id, attempt, "ended:done");
-    heartbeat_with(controller, machine, 1, 2, ended);
-    heartbeat_with(controller, other, 1, 2, NULL);
+    char *ended = format_reported_task(job.job_id, attempt, "ended:done");
+    send_heartbeat_with_task(controller, machine, 1, 2, ended);
+    send_heartbeat_with_task(controller, other, 1, 2, NULL);
     assert_int_equal(plan_and_commit(controller), 1);
-    next.zone = zone_of(machine);
+    next.zone = reservation_machine_zone(machine);
     submit_job(fixture, &next);
     assert_int_equal(plan_and_commit(controller), 1);
     test_controller_plan(controller, &plan);
@@ -125,11 +125,11 @@
     struct test_job job = {.job_id = "req-000003", .task_count = 2, .cpus = 1};
     uint64_t attempt;
     rr_job_view view;
-    const char *machine = reserve_one(fixture, &job, &attempt);
-    char *ended = task_shown(job.job_id, attempt, "ended:done");
-    heartbeat_with(controller, machine, 1, 2, ended);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
+    char *ended = format_reported_task(job.job_id, attempt, "ended:done");
+    send_heartbeat_with_task(controller, machine, 1, 2, ended);
     plan_and_commit(controller);
-    rr_core_job_view(controller->core, job.job_id, controller->now, &view);
+    rr_core_get_job_view(controller->core, job.job_id, controller->now, &view);
     assert_false(view.done);
     assert_int_equal(view.done_count, 1);
     g_free(ended);
@@ -142,18 +142,18 @@
     test_controller *controller = &fixture->controller;
     struct test_job job = {.job_id = "req-000006", .service = true};
     uint64_t attempt;
-    const char *machine = reserve_one(fixture, &job, &attempt),
+    const char *machine = submit_and_reserve(fixture, &job, &attempt),
                *other = strcmp(machine, "vm-1") == 0 ? "vm-2" : "vm-1";
     controller->now += 600;
-    heartbeat_with(controller, other, 1, 2, NULL);
+    send_heartbeat_with_task(controller, other, 1, 2, NULL);
     plan_and_commit(controller);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
-    assert_true(fake_store_attempt(fixture->store, other, job.job_id, 0) == 0);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    assert_true(fake_store_find_attempt(fixture->store, other, job.job_id, 0) == 0);
     fake_store_delete_machine(fixture->store, machine);
     fake_store_sync(fixture->store, controller->core, controller->now);
     plan_and_commit(controller); /* deletes the reservation */
     plan_and_commit(controller);
-    assert_true(fake_store_attempt(fixture->store, other, job.job_id, 0) > attempt);
+    assert_true(fake_store_find_attempt(fixture->store, other, job.job_id, 0) > attempt);
 }
 
 /* A worker with a later epoch has lost its lease and forgotten its tasks. */
@@ -162,11 +162,11 @@
     test_controller *controller = &fixture->controller;
     struct test_job job = {.job_id = "req-000007", .service = true};
     uint64_t attempt;
-    const char *machine = reserve_one(fixture, &job, &attempt);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
     controller->now += 40;
-    heartbeat_with(controller, machine, 2, 9, NULL);
+    send_heartbeat_with_task(controller, machine, 2, 9, NULL);
     plan_and_commit(controller);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) != attempt);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) != attempt);
 }
 
 /* A heartbeat older than the newest one known is ignored: a task that it lacks is not taken as
@@ -177,13 +177,13 @@
     struct test_job job = {.job_id = "req-000008", .service = true};
     uint64_t attempt;
     rr_plan plan;
-    const char *machine = reserve_one(fixture, &job, &attempt);
-    char *running = task_shown(job.job_id, attempt, "running");
-    heartbeat_with(controller, machine, 1, 20, running);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
+    char *running = format_reported_task(job.job_id, attempt, "running");
+    send_heartbeat_with_task(controller, machine, 1, 20, running);
     test_controller_cancel(controller, job.job_id);
-    heartbeat_with(controller, machine, 1, 5, NULL);
+    send_heartbeat_with_task(controller, machine, 1, 5, NULL);
     test_controller_plan(controller, &plan);
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == attempt);
     assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_STOP, job.job_id, 0));
     rr_plan_clear(&plan);
     g_free(running);
@@ -197,20 +197,20 @@
     struct test_job job = {.job_id = "req-000009", .service = true};
     uint64_t attempt;
     rr_plan plan, next_plan;
-    const char *machine = reserve_one(fixture, &job, &attempt);
+    const char *machine = submit_and_reserve(fixture, &job, &attempt);
     test_controller_plan(controller, &plan);
     assert_non_null(plan_find_command(&plan, machine, RR_COMMAND_START, job.job_id, 0));
     test_controller_cancel(controller, job.job_id);
     controller->now += 2;
-    heartbeat_with(controller, machine, 1, 2, NULL);
+    send_heartbeat_with_task(controller, machine, 1, 2, NULL);
     test_controller_plan(controller, &next_plan);
     assert_null(plan_find_batch(&next_plan, machine));
-    assert_true(fake_store_attempt(fixture->store, machine, job.job_id, 0) == attempt);
+    assert_true(fake_store_find_attempt(fixture->store, machine, job.job_id, 0) == attempt);
     rr_plan_clear(&next_plan);
-    char *running = task_shown(job.job_id, attempt, "running");
-    heartbeat_with(controller, machine, 1, 3, running);
-    rr_core_command_result(controller->core, controller->now, plan_find_batch(&plan, machine),
-                           RR_COMMAND_ANSWERED, true);
+    char *running = format_reported_task(job.job_id, attempt, "running");
+    send_heartbeat_with_task(controller, machine, 1, 3, running);
+    rr_core_record_command_result(controller->core, controller->now,
+                                  plan_find_batch(&plan, machine), RR_COMMAND_ANSWERED, true);
     test_controller_plan(controller, &next_plan);
     const rr_command *stop = plan_find_command(&next_plan, machine, RR_COMMAND_STOP, job.job_id, 0);
     assert_non_null(stop);
@@ -226,7 +226,7 @@
     test_controller *controller = &fixture->controller;
     struct test_job job = {.job_id = "req-000010", .service = true};
     uint64_t attempt;
-    reserve_one(fixture, &job, &attempt);
+    submit_and_reserve(fixture, &job, &attempt);
     test_controller_cancel(controller, job.job_id);
     rr_heartbeat heartbeat = {.worker_epoch = 1,
                               .sequence = 3,
@@ -275,8 +275,8 @@
     fake_store_submit(fixture->store, &job, controller->now);
     controller->now += 100;
     fake_store_sync(fixture->store, controller->core, controller->now);
-    heartbeat_with(controller, "vm-1", 1, 1, NULL);
-    heartbeat_with(controller, "vm-2", 1, 1, NULL);
+    send_heartbeat_with_task(controller, "vm-1", 1, 1, NULL);
+    send_heartbeat_with_task(controller, "vm-2", 1, 1, NULL);
     plan_and_commit(controller);
     assert_int_equal(fake_store_placed_count(fixture->store, job.job_id), 4);
 }
@@ -289,7 +289,7 @@
     struct test_job job = {.job_id = "req-000015"};
     rr_submission submission;
     const char *reason = NULL;
-    test_submission(&submission, &job);
+    test_submission_init(&submission, &job);
     assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_NEW);
     submission.cpus = 17;
@@ -301,7 +301,7 @@
     submit_job(fixture, &job);
     assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_KNOWN);
-    test_submission(
+    test_submission_init(
         &submission,
         &(struct test_job){.job_id = "req-000016", .service = true, .task_count = 3, .gpus = 1});
     controller->config.teams[0].gpus_max = 2;
@@ -331,13 +331,13 @@
     rr_plan_clear(&plan);
     rr_core_get_stats(controller->core, &stats);
     assert_int_equal(stats.machines, 2);
-    rr_core_job_view(controller->core, job.job_id, controller->now, &view);
+    rr_core_get_job_view(controller->core, job.job_id, controller->now, &view);
     assert_int_equal(view.running_count, 0);
     /* Once the machine is forgotten, an older heartbeat counts as the first of a new machine. */
     rr_heartbeat heartbeat = {.worker_epoch = 1, .sequence = 1, .spot_notice_s = -1};
     g_strlcpy(heartbeat.machine, "vm-77", sizeof heartbeat.machine);
     heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    assert_true(rr_core_take_heartbeat(controller->core, controller->now, &heartbeat, -1) !=
+    assert_true(rr_core_apply_heartbeat(controller->core, controller->now, &heartbeat, -1) !=
                 RR_HEARTBEAT_IGNORED);
 }
 
--- a/tests/test_core_store_cache.c
+++ b/tests/test_core_store_cache.c
@@ -12,7 +12,7 @@
 
 #define MACHINES 10
 #define JOBS 20
-#define SHRINK_PERIOD_S 61 /* just over the 60 s between calls of rr_jobs_shrink() */
+#define SHRINK_PERIOD_S 61 /* just over the 60 s between calls of rr_jobs_evict_final() */
 
 /* ---- final jobs ---- */
 
@@ -20,23 +20,23 @@
 static unsigned count_unshrunk_jobs(const test_controller *controller) {
     rr_core_stats stats;
     rr_core_get_stats(controller->core, &stats);
-    return stats.unshrunk_jobs;
+    return stats.retained_jobs;
 }
 
 /* Runs jobs 1 to JOBS until they are final: odd numbers complete, even ones are cancelled. */
 static void run_jobs(test_controller *controller) {
     test_controller_add_machines(controller, 1, MACHINES, "a");
-    submit_many(controller, 1, JOBS, &(struct test_job){.task_count = 1, .cpus = 1});
+    submit_jobs(controller, 1, JOBS, &(struct test_job){.task_count = 1, .cpus = 1});
     plan_until_settled(controller);
     for (int i = 1; i <= JOBS; i++) {
         char job_id[JOB_ID_SIZE];
         bool cancelled = i % 2 == 0;
-        job_id_of(i, job_id);
+        format_job_id(i, job_id);
         if (cancelled) {
             test_controller_cancel(controller, job_id);
         }
-        heartbeat_with_job(controller, MACHINES, job_id, 1,
-                           cancelled ? "ended:halted" : "ended:done", (uint64_t)i + 1);
+        send_heartbeats_with_job(controller, MACHINES, job_id, 1,
+                                 cancelled ? "ended:halted" : "ended:done", (uint64_t)i + 1);
         plan_until_settled(controller);
     }
     assert_int_equal(count_unshrunk_jobs(controller), JOBS);
@@ -57,8 +57,8 @@
     for (int i = 1; i <= JOBS; i++) {
         char job_id[JOB_ID_SIZE];
         rr_job_view view;
-        job_id_of(i, job_id);
-        rr_core_job_view(controller->core, job_id, controller->now, &view);
+        format_job_id(i, job_id);
+        rr_core_get_job_view(controller->core, job_id, controller->now, &view);
         assert_true(view.known);
         assert_true(i % 2 ? view.done && view.done_count == 1 : view.cancelled);
     }
@@ -140,9 +140,9 @@
     rr_autoscaler_step step;
     rr_transaction transaction;
     test_controller_add_machines(controller, 1, 4, "a");
-    submit_many(controller, 1, 4, &(struct test_job){.task_count = 1, .cpus = 1});
+    submit_jobs(controller, 1, 4, &(struct test_job){.task_count = 1, .cpus = 1});
     plan_until_settled(controller);
-    submit_many(controller, 5, 4, &(struct test_job){.task_count = 1, .cpus = 1});
+    submit_jobs(controller, 5, 4, &(struct test_job){.task_count = 1, .cpus = 1});
     rr_core_cache_begin_reload(controller->core);
     controller->now += 3;
     rr_plan_init(&plan);
@@ -155,8 +155,8 @@
     assert_int_equal(step.kind, RR_AUTOSCALER_NONE);
     rr_autoscaler_step_clear(&step);
     rr_transaction_init(&transaction);
-    assert_false(
-        rr_core_next_term(controller->core, controller->now, controller->now, &transaction));
+    assert_false(rr_core_add_next_term_record(controller->core, controller->now, controller->now,
+                                              &transaction));
     rr_transaction_clear(&transaction);
     assert_true(rr_core_session_seen(controller->core, 7)); /* the reload may still bring it */
     fake_store_reload(fixture->store, controller->core, controller->now);
