--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -5,13 +5,13 @@
 #include "core/stats.h"
 #include "core/submissions.h"
 #include "core_fixture.h"
-#include "scene.h"
+#include "format_scenario.h"
 
 #include "peer/frame.h"
 
 #include <string.h>
 
-/* Returns the scene's text as the production version wrote it; the caller frees it. */
+/* Returns the scenario's records as the production version wrote it; the caller frees it. */
 static char *read_production_scene(void) {
     char *text = NULL;
     assert_true(g_file_get_contents(RR_FIXTURES "/production.txt", &text, NULL, NULL));
@@ -30,12 +30,12 @@
     return bytes;
 }
 
-/* Removes the line of n0's session record from the scene and returns it; the caller frees it. */
-static char *remove_session_line(GString *scene) {
-    const char *line = strstr(scene->str, RR_KEY_ROOT "node/n0 ");
-    gssize offset = line - scene->str, length = strchr(line, '\n') - line;
+/* Removes the line of n0's session record from the text and returns it; the caller frees it. */
+static char *remove_session_line(GString *scenario) {
+    const char *line = strstr(scenario->str, RR_KEY_ROOT "node/n0 ");
+    gssize offset = line - scenario->str, length = strchr(line, '\n') - line;
     char *session_line = g_strndup(line, (gsize)length);
-    g_string_erase(scene, offset, length + 1);
+    g_string_erase(scenario, offset, length + 1);
     return session_line;
 }
 
@@ -59,7 +59,7 @@
 static void writes_same_bytes_as_production_version(void **state) {
     (void)state;
     char *production_text = read_production_scene();
-    GString *actual = scene_play(), *expected = g_string_new(production_text);
+    GString *actual = run_format_scenario(), *expected = g_string_new(production_text);
     char *production_session = remove_session_line(expected),
          *session = remove_session_line(actual);
     assert_string_equal(actual->str, expected->str);
@@ -89,20 +89,20 @@
 }
 
 /* Puts a record, decoded from its stored bytes, into the controller's store cache. */
-static void put_cached_record(test_controller *node, const char *key, const guint8 *data,
+static void put_cached_record(test_controller *controller, const char *key, const guint8 *data,
                               size_t length, uint64_t version) {
     rr_document document;
     assert_int_equal(rr_document_parse(&document, data, length), 0);
-    rr_core_cache_put(node->core, key, document.root, version, node->now);
+    rr_core_cache_put(controller->core, key, document.root, version, controller->now);
     rr_document_clear(&document);
 }
 
-/* Loads the scene's records into the controller's store cache by a full reload, and checks its
+/* Loads the scenario's records into the controller's store cache by a full reload, and checks its
  * frames. */
-static void load_scene(test_controller *node, const char *text) {
+static void load_format_scenario(test_controller *controller, const char *text) {
     const uint64_t revision = 50;
     char **lines = g_strsplit(text, "\n", 0);
-    rr_core_cache_begin_reload(node->core);
+    rr_core_cache_begin_reload(controller->core);
     for (int i = 0; lines[i] && lines[i][0]; i++) {
         char *hex = strchr(lines[i], ' ');
         size_t length;
@@ -111,12 +111,12 @@
         if (strcmp(lines[i], "frames") == 0) {
             assert_frames_readable(data, length);
         } else {
-            put_cached_record(node, lines[i], data, length, (uint64_t)i + 1);
+            put_cached_record(controller, lines[i], data, length, (uint64_t)i + 1);
         }
         g_free(data);
     }
-    rr_core_cache_end_reload(node->core, revision, revision, node->now);
-    rr_core_set_revision(node->core, revision);
+    rr_core_cache_end_reload(controller->core, revision, revision, controller->now);
+    rr_core_set_revision(controller->core, revision);
     g_strfreev(lines);
 }
 
@@ -126,21 +126,21 @@
     (void)state;
     char *production_text = read_production_scene();
     fake_store *store = fake_store_create();
-    test_controller node;
+    test_controller controller;
     rr_job_view view;
     rr_core_stats stats;
-    test_controller_init(&node, store, "n0");
-    load_scene(&node, production_text);
-    rr_core_set_session(node.core, 7, node.now + 100);
-    assert_true(rr_core_lease_valid(node.core, node.now));
-    rr_core_job_view(node.core, "req-1", node.now, &view);
+    test_controller_init(&controller, store, "n0");
+    load_format_scenario(&controller, production_text);
+    rr_core_set_session(controller.core, 7, controller.now + 100);
+    assert_true(rr_core_lease_valid(controller.core, controller.now));
+    rr_core_get_job_view(controller.core, "req-1", controller.now, &view);
     assert_true(view.known && !view.done && view.done_count == 1);
-    rr_core_job_view(node.core, "req-4", node.now, &view);
+    rr_core_get_job_view(controller.core, "req-4", controller.now, &view);
     assert_true(view.cancelled);
-    rr_core_get_stats(node.core, &stats);
+    rr_core_get_stats(controller.core, &stats);
     assert_int_equal(stats.machines, 3);
     assert_int_equal(stats.tasks_placed, 6);
-    test_controller_clear(&node);
+    test_controller_clear(&controller);
     fake_store_destroy(store);
     g_free(production_text);
 }
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -41,7 +41,7 @@
 
 static int setup(void **state) {
     struct fixture *fixture = g_new0(struct fixture, 1);
-    test_config(&fixture->config, "n0");
+    test_config_init(&fixture->config, "n0");
     g_strlcpy(fixture->config.bind.host, "127.0.0.1", sizeof fixture->config.bind.host);
     fixture->config.bind.port = fake_services_free_port();
     sem_init(&fixture->resume, 0, 0);
@@ -68,7 +68,7 @@
 }
 
 static int dial(const struct fixture *fixture) {
-    int fd = fake_services_dial(&fixture->config.bind);
+    int fd = fake_services_connect(&fixture->config.bind);
     assert_true(fd >= 0);
     return fd;
 }
@@ -176,7 +176,7 @@
 static void the_scarcest_resource_limits_connections(void **state) {
     (void)state;
     struct rr_config config;
-    test_config(&config, "n0");
+    test_config_init(&config, "n0");
     config.ram_mb = 188;
     config.max_sockets = 4064;
     config.tuning.max_threads = 2000;
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -33,7 +33,7 @@
 
 static int submit(const struct rr_config *config, const char *job_id) {
     rr_submission submission;
-    test_submission(&submission, &(struct test_job){.job_id = job_id, .cpus = 1, .mem_gb = 1});
+    test_submission_init(&submission, &(struct test_job){.job_id = job_id, .cpus = 1, .mem_gb = 1});
     return fake_services_submit(config, &submission);
 }
 
@@ -41,7 +41,7 @@
     char path[64], state[32] = "";
     rr_document document;
     g_snprintf(path, sizeof path, "/submissions/%s", job_id);
-    int status = fake_services_call(config, "GET", path, NULL, 0, &document);
+    int status = fake_services_request(config, "GET", path, NULL, 0, &document);
     if (status > 0) {
         if (status == 200) {
             rr_map_get_text(document.root, "standing", state, sizeof state);
@@ -94,7 +94,7 @@
 static void start_ready(struct rr_app *app) {
     double until = rr_steady_clock_s() + 60;
     assert_int_equal(rr_app_start(app), 0);
-    while (fake_services_call(&app->config, "GET", "/ready", NULL, 0, NULL) != 200) {
+    while (fake_services_request(&app->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.02);
     }
@@ -105,7 +105,7 @@
     fake_services *services = fake_services_start();
     struct rr_app *app = g_new0(struct rr_app, 1);
     struct user users[USERS];
-    fake_services_config(services, &app->config, "n0");
+    fake_services_init_config(services, &app->config, "n0");
     app->config.state_rps = app->config.state_write_rps = 1000;
     start_ready(app);
     double began = rr_steady_clock_s();
@@ -202,7 +202,7 @@
     fake_services *services = fake_services_start();
     struct rr_app *app = g_new0(struct rr_app, 1);
     int *fds = g_new0(int, workers);
-    fake_services_config(services, &app->config, "n0");
+    fake_services_init_config(services, &app->config, "n0");
     app->config.max_sockets = 100000;
     app->config.tuning.max_connections = (int)workers / 3;
     start_ready(app);
@@ -210,7 +210,7 @@
     long before = resident_kb();
     unsigned retries = 0;
     for (unsigned i = 0; i < workers; i++) {
-        while ((fds[i] = fake_services_dial(&app->config.bind)) < 0 ||
+        while ((fds[i] = fake_services_connect(&app->config.bind)) < 0 ||
                send_heartbeat(fds[i], i, 1, 0, "") != 200) {
             assert_true(rr_steady_clock_s() < until);
             if (fds[i] >= 0) {
@@ -229,7 +229,7 @@
 #endif
     assert_true(open <= app->config.tuning.max_connections);
     assert_true(open >= app->config.tuning.max_connections / 2);
-    assert_int_equal(fake_services_call(&app->config, "GET", "/ready", NULL, 0, NULL), 200);
+    assert_int_equal(fake_services_request(&app->config, "GET", "/ready", NULL, 0, NULL), 200);
     int status = 0;
     until = rr_steady_clock_s() + 60;
     while ((status = submit(&app->config, "req-190001")) != 201 && status != 200) {
@@ -288,16 +288,16 @@
     struct rr_app *app = g_new0(struct rr_app, 1);
     unsigned count = workers < 300 ? workers : 300, rounds = rounds_of_requests;
     int *fds = g_new(int, count);
-    fake_services_config(services, &app->config, "n0");
+    fake_services_init_config(services, &app->config, "n0");
     app->config.max_sockets = 100000;
     start_ready(app);
     assert_int_equal(submit(&app->config, "req-170000"), 201);
     assert_int_equal(submit(&app->config, "req-170001"), 201);
-    assert_int_equal(
-        fake_services_call(&app->config, "POST", "/submissions/req-170000/cancel", NULL, 0, NULL),
-        200);
+    assert_int_equal(fake_services_request(&app->config, "POST", "/submissions/req-170000/cancel",
+                                           NULL, 0, NULL),
+                     200);
     for (unsigned i = 0; i < count; i++) {
-        fds[i] = fake_services_dial(&app->config.bind);
+        fds[i] = fake_services_connect(&app->config.bind);
         assert_true(fds[i] >= 0);
     }
     for (int k = 0; k < KINDS; k++) {
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -94,7 +94,7 @@
 }
 
 static void dial_us_as_peer(struct fixture *fixture) {
-    fixture->to_us = fake_services_dial(&fixture->config.peer_listen);
+    fixture->to_us = fake_services_connect(&fixture->config.peer_listen);
     assert_true(fixture->to_us >= 0);
     GByteArray *buffer = g_byte_array_new();
     guint start = rr_frame_begin(buffer, RR_FRAME_HELLO);
@@ -107,7 +107,7 @@
 static int setup(void **state) {
     struct fixture *fixture = g_new0(struct fixture, 1);
     struct rr_config *config = &fixture->config;
-    test_config(config, "n0");
+    test_config_init(config, "n0");
     config->peer_count = 1;
     g_strlcpy(config->peers[0].name, "n1", RR_NAME_SIZE);
     config->peers[0].endpoint = listen_as_peer(fixture);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -18,7 +18,7 @@
 
 static struct rr_app *start_app(fake_services *services, const char *name) {
     struct rr_app *app = g_new0(struct rr_app, 1);
-    fake_services_config(services, &app->config, name);
+    fake_services_init_config(services, &app->config, name);
     assert_int_equal(rr_app_start(app), 0);
     return app;
 }
@@ -30,7 +30,7 @@
 
 static void wait_ready(const struct rr_app *app) {
     double until = rr_steady_clock_s() + 30;
-    while (fake_services_call(&app->config, "GET", "/ready", NULL, 0, NULL) != 200) {
+    while (fake_services_request(&app->config, "GET", "/ready", NULL, 0, NULL) != 200) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.02);
     }
@@ -55,9 +55,9 @@
 
 static int submit(const struct rr_app *app, const char *job_id, uint32_t task_count, bool service) {
     rr_submission sub;
-    test_submission(&sub,
-                    &(struct test_job){
-                        .job_id = job_id, .task_count = task_count, .cpus = 1, .service = service});
+    test_submission_init(
+        &sub, &(struct test_job){
+                  .job_id = job_id, .task_count = task_count, .cpus = 1, .service = service});
     return fake_services_submit(&app->config, &sub);
 }
 
@@ -68,7 +68,7 @@
     rr_document document;
     g_snprintf(path, sizeof path, "/submissions/%s", job_id);
     out[0] = 0;
-    int status = fake_services_call(&app->config, "GET", path, NULL, 0, &document);
+    int status = fake_services_request(&app->config, "GET", path, NULL, 0, &document);
     if (status > 0) {
         if (status == 200) {
             rr_map_get_text(document.root, "standing", out, size);
@@ -90,7 +90,7 @@
 static int cancel(const struct rr_app *app, const char *job_id) {
     char path[96];
     g_snprintf(path, sizeof path, "/submissions/%s/cancel", job_id);
-    return fake_services_call(&app->config, "POST", path, "", 0, NULL);
+    return fake_services_request(&app->config, "POST", path, "", 0, NULL);
 }
 
 static void runs_an_array_and_cancels_a_service(void **state) {
@@ -103,7 +103,7 @@
     assert_int_equal(cancel(service->app, "req-500001"), 200);
     assert_int_equal(cancel(service->app, "req-500001"), 200);
     double until = rr_steady_clock_s() + 20;
-    while (fake_services_running_tasks(service->services) > 0) {
+    while (fake_services_count_running_tasks(service->services) > 0) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.05);
     }
@@ -111,7 +111,7 @@
     /* A done job stays done. */
     assert_int_equal(cancel(service->app, "req-100001"), 200);
     wait_for_state(service->app, "req-100001", "done");
-    assert_int_equal(fake_services_rented_count(service->services), 1);
+    assert_int_equal(fake_services_count_rentals(service->services), 1);
 }
 
 static void malformed_requests_get_4xx(void **state) {
@@ -120,23 +120,24 @@
     static char large[RR_BODY_BYTES_MAX + 1];
     uint8_t deep[2000];
     memset(deep, 0x91, sizeof deep);
-    assert_int_equal(fake_services_call(config, "POST", "/submissions", "junk!", 5, NULL), 400);
-    assert_int_equal(fake_services_call(config, "POST", "/submissions", deep, sizeof deep, NULL),
+    assert_int_equal(fake_services_request(config, "POST", "/submissions", "junk!", 5, NULL), 400);
+    assert_int_equal(fake_services_request(config, "POST", "/submissions", deep, sizeof deep, NULL),
                      400);
     assert_int_equal(
-        fake_services_call(config, "POST", "/submissions", "\xdd\xff\xff\xff\xff", 5, NULL), 400);
-    assert_int_equal(fake_services_call(config, "POST", "/submissions", large, sizeof large, NULL),
-                     413);
-    assert_int_equal(fake_services_call(config, "GET", "/submissions", NULL, 0, NULL), 405);
-    assert_int_equal(fake_services_call(config, "POST", "/ready", "", 0, NULL), 405);
-    assert_int_equal(fake_services_call(config, "GET", "/nothing", NULL, 0, NULL), 404);
-    assert_int_equal(fake_services_call(config, "GET", "/submissions/req-999999", NULL, 0, NULL),
+        fake_services_request(config, "POST", "/submissions", "\xdd\xff\xff\xff\xff", 5, NULL),
+        400);
+    assert_int_equal(
+        fake_services_request(config, "POST", "/submissions", large, sizeof large, NULL), 413);
+    assert_int_equal(fake_services_request(config, "GET", "/submissions", NULL, 0, NULL), 405);
+    assert_int_equal(fake_services_request(config, "POST", "/ready", "", 0, NULL), 405);
+    assert_int_equal(fake_services_request(config, "GET", "/nothing", NULL, 0, NULL), 404);
+    assert_int_equal(fake_services_request(config, "GET", "/submissions/req-999999", NULL, 0, NULL),
                      404);
-    assert_int_equal(fake_services_call(config, "GET", "/submissions/nonsense", NULL, 0, NULL),
+    assert_int_equal(fake_services_request(config, "GET", "/submissions/nonsense", NULL, 0, NULL),
                      404);
     assert_int_equal(cancel(service->app, "req-999999"), 404);
-    assert_int_equal(fake_services_call(config, "POST", "/hello", "\x80", 1, NULL), 400);
-    assert_int_equal(fake_services_call(config, "GET", "/ready", NULL, 0, NULL), 200);
+    assert_int_equal(fake_services_request(config, "POST", "/hello", "\x80", 1, NULL), 400);
+    assert_int_equal(fake_services_request(config, "GET", "/ready", NULL, 0, NULL), 200);
 }
 
 /* The store carries the commit out, but its answer is lost: the job is accepted once, and its user
@@ -268,8 +269,8 @@
             rr_encode_key_bool(&encoder, flags[i], false);
         }
     }
-    int status = fake_services_call(&app->config, "POST", "/submissions", encoder.buffer.data,
-                                    encoder.buffer.size, NULL);
+    int status = fake_services_request(&app->config, "POST", "/submissions", encoder.buffer.data,
+                                       encoder.buffer.size, NULL);
     rr_encoder_clear(&encoder);
     return status;
 }
@@ -309,12 +310,12 @@
     struct service *service = *state;
     assert_int_equal(submit_without(service->app, "req-620004", NULL, 0), 201);
     wait_for_state(service->app, "req-620004", "done");
-    fake_services_store_down(service->services, true);
+    fake_services_set_store_down(service->services, true);
     assert_int_equal(submit_without(service->app, "req-620003", "ref", 0), 400);
     assert_int_equal(submit_without(service->app, "req-620003", "rank", 0), 503);
     assert_int_equal(submit_without(service->app, "req-620004", "rank", 0), 200);
     assert_int_equal(cancel(service->app, "req-620003"), 503);
-    fake_services_store_down(service->services, false);
+    fake_services_set_store_down(service->services, false);
 }
 
 /* During an outage of the store, submissions are refused and final states are still answered. */
@@ -323,12 +324,12 @@
     char got[32];
     assert_int_equal(submit(service->app, "req-100003", 1, false), 201);
     wait_for_state(service->app, "req-100003", "done");
-    fake_services_store_down(service->services, true);
+    fake_services_set_store_down(service->services, true);
     assert_int_equal(submit(service->app, "req-100004", 1, false), 503);
     assert_int_equal(cancel(service->app, "req-100003"), 200);
     assert_string_equal(poll_state(service->app, "req-100003", got, sizeof got), "done");
     assert_string_equal(poll_state(service->app, "req-100004", got, sizeof got), "");
-    fake_services_store_down(service->services, false);
+    fake_services_set_store_down(service->services, false);
     double until = rr_steady_clock_s() + 30;
     int status;
     while ((status = submit(service->app, "req-100004", 1, false)) != 201 && status != 200) {
@@ -348,9 +349,9 @@
     service->app = start_app(service->services, "n0");
     wait_ready(service->app);
     wait_for_state(service->app, "req-500003", "running");
-    assert_int_equal(fake_services_running_tasks(service->services), 1);
+    assert_int_equal(fake_services_count_running_tasks(service->services), 1);
     assert_int_equal(cancel(service->app, "req-500003"), 200);
-    assert_int_equal(fake_services_rented_count(service->services), 1);
+    assert_int_equal(fake_services_count_rentals(service->services), 1);
 }
 
 /* Every third job ends by itself; the worker runs the others until they are stopped. */
@@ -374,13 +375,14 @@
         make_job_id(i, job_id, sizeof job_id);
         wait_for_state(service->app, job_id, "done");
     }
-    fake_services_store_down(service->services, true);
+    fake_services_set_store_down(service->services, true);
     stop_app(service->app);
     service->app = start_app(service->services, "n0");
     /* The HTTP server does not open before the store cache is loaded, for the time of a lease. */
-    assert_int_equal(fake_services_call(&service->app->config, "GET", "/ready", NULL, 0, NULL), -1);
+    assert_int_equal(fake_services_request(&service->app->config, "GET", "/ready", NULL, 0, NULL),
+                     -1);
     assert_string_equal(poll_state(service->app, "req-170000", got, sizeof got), "");
-    fake_services_store_down(service->services, false);
+    fake_services_set_store_down(service->services, false);
     double until = rr_steady_clock_s() + 75;
     for (int i = 0; i < 24; i++) {
         make_job_id(i, job_id, sizeof job_id);
@@ -407,7 +409,7 @@
     assert_true(rr_steady_clock_s() - began < 1);
     atomic_store(&service->app->timer_lag_ms, 1000000);
     assert_string_equal(poll_state(service->app, "req-500040", got, sizeof got), "running");
-    assert_int_equal(fake_services_call(&service->app->config, "GET", "/ready", NULL, 0, NULL),
+    assert_int_equal(fake_services_request(&service->app->config, "GET", "/ready", NULL, 0, NULL),
                      200);
     atomic_store(&service->app->timer_lag_ms, 1000000);
     assert_int_equal(cancel(service->app, "req-500040"), 200);
@@ -462,7 +464,7 @@
     fake_services_freeze_watches(service->services, true);
     assert_int_equal(submit(service->app, "req-500010", 1, true), 201);
     for (int i = 0; i < WAITERS; i++) {
-        fds[i] = fake_services_dial(&service->app->config.bind);
+        fds[i] = fake_services_connect(&service->app->config.bind);
         assert_true(fds[i] >= 0);
         assert_int_equal(send(fds[i], ask, sizeof ask - 1, MSG_NOSIGNAL), sizeof ask - 1);
     }
--- a/tests/test_user_batch.c
+++ b/tests/test_user_batch.c
@@ -28,7 +28,7 @@
 static void changes_of_one_key_never_share_a_transaction(void **state) {
     (void)state;
     struct rr_config settings;
-    test_config(&settings, "n0");
+    test_config_init(&settings, "n0");
     for (int cancel_first = 0; cancel_first < 2; cancel_first++) {
         struct rr_user_commit commits[3];
         struct rr_user_batch batch;
@@ -60,7 +60,7 @@
 static void transactions_keep_to_the_smaller_of_present_and_later_limits(void **state) {
     (void)state;
     struct rr_config settings;
-    test_config(&settings, "n0");
+    test_config_init(&settings, "n0");
     for (int next = 0; next < 2; next++) {
         static struct rr_user_commit commits[64];
         struct rr_user_batch batch;
@@ -106,7 +106,7 @@
     uint64_t batch_count = 0;
     rr_transaction transaction;
     (void)state;
-    test_config(&settings, "n0");
+    test_config_init(&settings, "n0");
     memset(&batch, 0, sizeof batch);
     make_commit(&commit, "req-1", false, 4, 100);
     g_strlcpy(commit.also_key, "rr/cells/out/req-1", sizeof commit.also_key);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -59,8 +59,8 @@
 
 static void encode_job(rr_encoder *encoder) {
     rr_submission submission;
-    test_submission(&submission,
-                    &(struct test_job){.job_id = "req-000001", .deadline_s = 90, .zone = "a"});
+    test_submission_init(&submission,
+                         &(struct test_job){.job_id = "req-000001", .deadline_s = 90, .zone = "a"});
     rr_encoder_init(encoder);
     rr_encode_map(encoder, rr_submission_field_count(&submission));
     rr_submission_encode_fields(encoder, &submission);
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -42,7 +42,7 @@
         }
         g_array_append_val(machine_types, type);
     }
-    rr_core_catalog_read(controller->node.core, world->now, machine_types);
+    rr_core_apply_catalog(controller->node.core, world->now, machine_types);
     for (guint i = 0; i < machine_types->len; i++) {
         rr_machine_type_clear(&g_array_index(machine_types, rr_machine_type, i));
     }
@@ -69,8 +69,8 @@
         g_strlcpy(entry.zone, machine->zone, sizeof entry.zone);
         g_array_append_val(list, entry);
     }
-    rr_core_machines_listed(controller->node.core, world->now - 0.2, world->now, trace_wall(world),
-                            list);
+    rr_core_apply_machine_list(controller->node.core, world->now - 0.2, world->now,
+                               trace_wall(world), list);
     g_array_free(list, TRUE);
 }
 
@@ -125,8 +125,8 @@
     bool refused = world->zone_empty_until > world->now;
     GPtrArray *ids = refused ? NULL : rent(world, step);
     int status = trace_chance(world, 0.1) ? 0 : ids ? 200 : 503;
-    rr_core_scale_out_result(controller->node.core, world->now, step, status,
-                             status == 200 ? ids : none);
+    rr_core_record_scale_out_result(controller->node.core, world->now, step, status,
+                                    status == 200 ? ids : none);
     g_ptr_array_free(none, TRUE);
 }
 
@@ -141,7 +141,7 @@
         }
     }
     if (!trace_chance(world, 0.1)) {
-        rr_core_scale_in_result(controller->node.core, world->now, step->machines);
+        rr_core_record_scale_in_result(controller->node.core, world->now, step->machines);
     }
 }
 
@@ -150,10 +150,10 @@
     rr_core_autoscaler_step(controller->node.core, world->now, trace_wall(world), step);
     trace_step(&world->hash, step);
     switch (step->kind) {
-    case RR_AUTOSCALER_CATALOG:
+    case RR_AUTOSCALER_READ_CATALOG:
         answer_catalogue(world, controller);
         break;
-    case RR_AUTOSCALER_LIST:
+    case RR_AUTOSCALER_LIST_MACHINES:
         answer_list(world, controller);
         break;
     case RR_AUTOSCALER_COMMIT:
--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -74,7 +74,7 @@
 
 static void configure(const struct trace_world *world, int index, struct rr_config *config) {
     const struct trace_scenario *scenario = &world->scenario;
-    test_config(config, node_names[index]);
+    test_config_init(config, node_names[index]);
     g_strlcpy(config->zone, trace_zone_names[index], sizeof config->zone);
     for (int i = 0, peer = 0; i < TRACE_CONTROLLERS; i++) {
         if (i != index) {
@@ -185,11 +185,11 @@
     trace_int(&world->hash, (uint64_t)(int64_t)rc);
     if (rc == -EINVAL) {
         assert_true(world->lowered);
-        rr_core_next_limits_in_force(core, trace_chance(world, 0.3));
+        rr_core_activate_next_limits(core, trace_chance(world, 0.3));
         return false;
     }
     if (rc == 0 && !trace_chance(world, world->scenario.lost_answers)) {
-        rr_core_apply(core, transaction, world->store->revision, world->now);
+        rr_core_cache_apply_transaction(core, transaction, world->store->revision, world->now);
     } else {
         controller->need = world->store->revision;
     }
@@ -230,7 +230,8 @@
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     if (has_store(world, controller) &&
-        rr_core_next_term(controller->node.core, world->now, trace_wall(world), &transaction)) {
+        rr_core_add_next_term_record(controller->node.core, world->now, trace_wall(world),
+                                     &transaction)) {
         trace_commit(world, controller, &transaction);
     }
     rr_transaction_clear(&transaction);
@@ -241,8 +242,8 @@
         const struct trace_controller *peer = &world->controllers[i];
         if (peer != controller && peer->running &&
             reaches(world, zone_of(peer), zone_of(controller))) {
-            rr_core_peer_contacted(controller->node.core, world->now,
-                                   trace_peer_index(controller, peer));
+            rr_core_record_peer_contact(controller->node.core, world->now,
+                                        trace_peer_index(controller, peer));
         }
     }
 }
@@ -316,15 +317,15 @@
     rr_heartbeat heartbeat;
     trace_report_of(world, machine, &heartbeat);
     rr_heartbeat copy = copy_report(&heartbeat);
-    bool others = rr_core_take_command_reply(controller->node.core, world->now, &heartbeat, via);
+    bool others = rr_core_apply_command_reply(controller->node.core, world->now, &heartbeat, via);
     trace_int(&world->hash, others);
     for (int i = 0; others && i < world->scenario.controllers; i++) {
         struct trace_controller *peer = &world->controllers[i];
         if (peer != controller && peer->running &&
             reaches(world, zone_of(peer), zone_of(controller))) {
             rr_heartbeat passed = copy_report(&copy);
-            trace_int(&world->hash, rr_core_take_heartbeat(peer->node.core, world->now, &passed,
-                                                           trace_peer_index(peer, controller)));
+            trace_int(&world->hash, rr_core_apply_heartbeat(peer->node.core, world->now, &passed,
+                                                            trace_peer_index(peer, controller)));
             rr_heartbeat_clear(&passed);
         }
     }
@@ -348,11 +349,11 @@
     if (answered) {
         take_answer(world, controller, machine, flight->command->peer);
     }
-    rr_core_command_result(controller->node.core, world->now, flight->command,
-                           answered       ? RR_COMMAND_ANSWERED
-                           : flight->sent ? RR_COMMAND_OUTCOME_UNKNOWN
-                                          : RR_COMMAND_NOT_SENT,
-                           executed);
+    rr_core_record_command_result(controller->node.core, world->now, flight->command,
+                                  answered       ? RR_COMMAND_ANSWERED
+                                  : flight->sent ? RR_COMMAND_OUTCOME_UNKNOWN
+                                                 : RR_COMMAND_NOT_SENT,
+                                  executed);
     flight->judged = true;
 }
 
@@ -385,7 +386,7 @@
         for (int k = 0; k < world->scenario.controllers; k++) {
             struct trace_controller *peer = &world->controllers[k];
             if (peer != controller && peer->running && trace_chance(world, 0.7)) {
-                rr_core_suspect(peer->node.core, g_ptr_array_index(names, i), world->now);
+                rr_core_mark_suspect(peer->node.core, g_ptr_array_index(names, i), world->now);
             }
         }
     }
@@ -403,16 +404,16 @@
 }
 
 static void set_fair_room(struct trace_world *world, struct trace_controller *controller) {
-    double rooms[RR_TEAMS_MAX] = {0};
+    double fair_shares[RR_TEAMS_MAX] = {0};
     double machines = world->scenario.own_machines + world->scenario.cloud_machines;
     if (!world->scenario.fair_room || !trace_chance(world, 0.2)) {
         return;
     }
     for (int i = 0; i < world->scenario.teams; i++) {
-        rooms[i] = trace_between(world, 0, 1.5 / world->scenario.teams);
+        fair_shares[i] = trace_between(world, 0, 1.5 / world->scenario.teams);
     }
     bool active = trace_chance(world, 0.8);
-    rr_core_set_fair_shares(controller->node.core, active ? rooms : NULL, 16 * machines,
+    rr_core_set_fair_shares(controller->node.core, active ? fair_shares : NULL, 16 * machines,
                             4 * machines, 64 * machines);
 }
 
@@ -488,7 +489,7 @@
         g_ptr_array_index(world->copies, (guint)trace_roll(world, (int)world->copies->len));
     rr_heartbeat heartbeat = copy_report(&copy->report);
     trace_int(&world->hash,
-              rr_core_take_heartbeat(controller->node.core, world->now, &heartbeat, copy->via));
+              rr_core_apply_heartbeat(controller->node.core, world->now, &heartbeat, copy->via));
     rr_heartbeat_clear(&heartbeat);
 }
 
@@ -516,11 +517,11 @@
             ((now_and_then & bit) && trace_chance(world, 0.2))) {
             rr_heartbeat copy = copy_report(heartbeat);
             trace_int(&world->hash,
-                      rr_core_take_heartbeat(peer->node.core, world->now, &copy, via));
+                      rr_core_apply_heartbeat(peer->node.core, world->now, &copy, via));
             rr_heartbeat_clear(&copy);
         } else {
             trace_int(&world->hash,
-                      rr_core_take_heartbeat_digest(peer->node.core, world->now, &heard, via));
+                      rr_core_apply_heartbeat_digest(peer->node.core, world->now, &heard, via));
         }
     }
 }
@@ -554,7 +555,7 @@
     trace_report_of(world, machine, &heartbeat);
     rr_heartbeat copy = copy_report(&heartbeat);
     enum rr_heartbeat_effect news =
-        rr_core_take_heartbeat(controller->node.core, world->now, &copy, -1);
+        rr_core_apply_heartbeat(controller->node.core, world->now, &copy, -1);
     trace_int(&world->hash, news);
     pass_on(world, controller, &heartbeat, news);
     answer(world, controller, machine, &heartbeat);
--- a/tests/trace_core.c
+++ b/tests/trace_core.c
@@ -244,7 +244,7 @@
         world->zone_empty_until = until;
         break;
     default:
-        rr_core_set_timers_late(world->controllers[0].node.core, world->now);
+        rr_core_record_late_timers(world->controllers[0].node.core, world->now);
     }
 }
 
@@ -276,8 +276,8 @@
         }
     }
     if (world->steps == TRACE_STEPS / 3) {
-        world->store->value_max = (size_t)(config->next_value_kb * 1024);
-        world->store->ops_max = (guint)config->next_transaction_changes_max;
+        world->store->value_bytes_max = (size_t)(config->next_value_kb * 1024);
+        world->store->change_count_max = (guint)config->next_transaction_changes_max;
         world->lowered = true;
     }
 }
@@ -356,8 +356,9 @@
     }
     /* To see that they are kept takes time. */
     if (world->scenario.lowered_limits || seed % 4 == 0) {
-        world->store->value_max = (size_t)(world->controllers[0].node.config.value_kb * 1024);
-        world->store->ops_max = (guint)world->controllers[0].node.config.transaction_changes_max;
+        world->store->value_bytes_max = (size_t)(world->controllers[0].node.config.value_kb * 1024);
+        world->store->change_count_max =
+            (guint)world->controllers[0].node.config.transaction_changes_max;
     }
 }
 
--- a/tests/trace_hash.c
+++ b/tests/trace_hash.c
@@ -73,7 +73,7 @@
     trace_int(hash, command->worker_epoch);
     trace_orders(hash, command->commands);
     trace_int(hash, (uint64_t)(int64_t)command->peer);
-    trace_int(hash, (uint64_t)(int64_t)command->fallback);
+    trace_int(hash, (uint64_t)(int64_t)command->fallback_peer);
     trace_int(hash, command->may_time_out);
 }
 
@@ -84,7 +84,7 @@
     for (guint i = 0; i < plan->command_batches->len; i++) {
         trace_command(hash, g_ptr_array_index(plan->command_batches, i));
     }
-    trace_decimal(hash, plan->next_s);
+    trace_decimal(hash, plan->next_plan_s);
 }
 
 void trace_step(trace_hash *hash, const rr_autoscaler_step *step) {
@@ -123,20 +123,20 @@
 void trace_submission(trace_hash *hash, const rr_submission *submission) {
     rr_encoder out;
     rr_encoder_init(&out);
-    rr_core_job_encode(&out, submission, 0, false);
+    rr_core_encode_job(&out, submission, 0, false);
     trace_bytes(hash, out.buffer.data, out.buffer.size);
     rr_encoder_clear(&out);
 }
 
 void trace_stats(trace_hash *hash, const rr_core_stats *stats) {
-    const unsigned counts[] = {stats->machines,         stats->booting,
-                               stats->jobs_open,        stats->tasks_waiting,
-                               stats->tasks_placed,     stats->moves,
-                               stats->rented,           stats->machines_terminated,
-                               stats->leases_lost,      stats->spot_notices,
-                               stats->machines_visited, stats->unshrunk_jobs};
+    const unsigned counts[] = {stats->machines,          stats->booting,
+                               stats->jobs_open,         stats->tasks_waiting,
+                               stats->tasks_placed,      stats->tasks_moved,
+                               stats->machines_rented,   stats->machines_terminated,
+                               stats->leases_lost,       stats->spot_notices,
+                               stats->machines_examined, stats->retained_jobs};
     for (size_t i = 0; i < G_N_ELEMENTS(counts); i++) {
         trace_int(hash, counts[i]);
     }
-    trace_decimal(hash, stats->price_sum);
+    trace_decimal(hash, stats->total_price);
 }
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -125,7 +125,7 @@
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     rr_encoder_init(&out);
-    rr_core_job_encode(&out, submission, trace_wall(world), trace_chance(world, 0.02));
+    rr_core_encode_job(&out, submission, trace_wall(world), trace_chance(world, 0.02));
     rr_core_job_key(submission->job_id, key, sizeof key);
     rr_transaction_guard(&transaction, key, 0);
     rr_transaction_put(&transaction, key, &out, 0);
@@ -143,11 +143,11 @@
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     rr_encoder_init(&out);
-    rr_core_batch_begin(&out, count);
+    rr_core_begin_job_batch(&out, count);
     for (size_t i = 0; i < count; i++) {
-        rr_core_job_encode(&out, &submissions[i], trace_wall(world), false);
+        rr_core_encode_job(&out, &submissions[i], trace_wall(world), false);
     }
-    rr_core_batch_key(controller->session, ++controller->batches, key, sizeof key);
+    rr_core_job_batch_key(controller->session, ++controller->batches, key, sizeof key);
     rr_transaction_guard(&transaction, key, 0);
     rr_transaction_put(&transaction, key, &out, 0);
     trace_commit(world, controller, &transaction);
@@ -225,7 +225,7 @@
     }
     rr_transaction_init(&transaction);
     rr_encoder_init(&out);
-    bool possible = rr_core_cancel_record(controller->node.core, job->id, &out, &version);
+    bool possible = rr_core_encode_cancelled_job(controller->node.core, job->id, &out, &version);
     trace_int(&world->hash, possible);
     if (possible) {
         rr_core_job_key(job->id, key, sizeof key);
@@ -259,7 +259,7 @@
         rr_core_release_job(core, job->id, world->now + trace_between(world, 5, 60));
         break;
     case 3:
-        rr_core_revoke_job(core, job->id);
+        rr_core_revoke_job_release(core, job->id);
         break;
     default:
         rr_core_unhold_job(core, job->id);
@@ -276,15 +276,16 @@
     rr_core *core = controller->node.core;
     rr_transaction_init(&transaction);
     bool finishes = trace_chance(world, 0.3);
-    bool changes = finishes
-                       ? rr_core_finish_job(core, job->id, trace_chance(world, 0.2), &transaction)
-                       : rr_core_abandon_job(core, job->id, &transaction);
+    bool changes =
+        finishes
+            ? rr_core_add_finished_job_record(core, job->id, trace_chance(world, 0.2), &transaction)
+            : rr_core_add_cancelled_job_record(core, job->id, &transaction);
     trace_int(&world->hash, changes);
     if (changes) {
         rr_core_guard_term(core, &transaction);
         trace_commit(world, controller, &transaction);
     } else {
-        trace_int(&world->hash, rr_core_guard_job(core, job->id, &transaction));
+        trace_int(&world->hash, rr_core_guard_open_job(core, job->id, &transaction));
         trace_txn(&world->hash, &transaction);
     }
     rr_transaction_clear(&transaction);
@@ -416,13 +417,13 @@
     rr_job_view view;
     rr_core_job job;
     trace_hash *hash = &world->hash;
-    rr_core_job_view(core, job_id, world->now, &view);
+    rr_core_get_job_view(core, job_id, world->now, &view);
     trace_job_view(hash, &view);
     trace_int(hash, rr_core_job_known(core, job_id));
     trace_int(hash, rr_core_job_cancelled(core, job_id, world->now));
     if (rr_core_find_job(core, job_id, &job)) {
         trace_submission(hash, job.submission);
-        trace_decimal(hash, job.at);
+        trace_decimal(hash, job.accepted_at);
         trace_int(hash, job.done);
         trace_int(hash, job.cancelled);
         trace_int(hash, job.placed);
@@ -442,11 +443,11 @@
     uint64_t jobs = 0, machines = 0;
     struct rr_budget_shares shares;
     rr_core_stats stats;
-    rr_core_each_job(core, add_job, &jobs);
-    rr_core_each_machine(core, add_machine, &machines);
+    rr_core_foreach_job(core, add_job, &jobs);
+    rr_core_foreach_machine(core, add_machine, &machines);
     trace_int(hash, jobs);
     trace_int(hash, machines);
-    rr_core_each_spillable(core, world->now, add_spillable, hash);
+    rr_core_foreach_spillable_job(core, world->now, add_spillable, hash);
     trace_polls(world, controller);
     rr_core_budget_shares(core, &shares);
     trace_decimal(hash, shares.requests);
@@ -456,12 +457,12 @@
     for (int i = 0; i < world->scenario.teams; i++) {
         trace_text(hash, rr_core_team_owner(core, team_names[i]));
     }
-    trace_int(hash, rr_core_live_controllers(core));
+    trace_int(hash, rr_core_count_members(core));
     trace_int(hash, rr_core_fencing_token(core));
-    trace_int(hash, rr_core_ready(core, world->now));
-    trace_int(hash, rr_core_all_gang_capable(core));
-    trace_int(hash, rr_core_all_admission_capable(core));
-    trace_int(hash, rr_core_all_hold_capable(core));
+    trace_int(hash, rr_core_is_ready(core, world->now));
+    trace_int(hash, rr_core_all_members_support_gangs(core));
+    trace_int(hash, rr_core_all_members_support_admission(core));
+    trace_int(hash, rr_core_all_members_support_holds(core));
     trace_decimal(hash, rr_core_cache_age(core, world->now));
     rr_core_get_stats(core, &stats);
     trace_stats(hash, &stats);
