--- a/src/net/client.c
+++ b/src/net/client.c
@@ -5,43 +5,47 @@
 #include <stdio.h>
 #include <string.h>
 
-#define URL_SIZE 512
-#define HEADER_LINE_SIZE 128
-#define KEPT_CONNECTIONS_MAX 2L
+#define URL_SIZE 512         /* bytes, with the NUL */
+#define HEADER_LINE_SIZE 128 /* bytes that are read of a header line, with the NUL */
+#define CACHED_CONNECTIONS_MAX 2L
 #define RETRY_AFTER_HEADER "Retry-After:"
 
 struct rr_client {
     CURL *curl;
-    struct curl_slist *headers; /* of every request */
-    const atomic_bool *stop;
-    /* Of the running call: */
+    struct curl_slist *headers; /* sent with every request */
+    const atomic_bool *stop;    /* aborts the running call when true; NULL: never */
+
+    /* State of the running call. */
     GByteArray *reply_body;
-    size_t reply_body_max; /* 0: no bound */
-    double retry_after_s;
-    const char *unsent; /* rest of the request's body */
-    size_t unsent_bytes;
+    size_t reply_body_max;   /* in bytes; 0: unlimited */
+    double retry_after_s;    /* from the reply's Retry-After header; 0: none */
+    const char *unsent_body; /* the part of the request body that libcurl has not read yet */
+    size_t unsent_body_bytes;
 };
 
 int rr_net_init(void) {
     return curl_global_init(CURL_GLOBAL_DEFAULT) == CURLE_OK ? 0 : -EIO;
 }
 
-/* libcurl's callbacks; a write callback that takes less than it is given ends the call. */
+/* Callbacks for libcurl; `user` is the rr_client. */
 
-static size_t receive_body(char *cursor, size_t size, size_t count, void *user) {
+/* Appends received bytes to the reply's body. Returns 0, which aborts the call, if the body would
+ * exceed its limit. */
+static size_t receive_body(char *data, size_t size, size_t count, void *user) {
     rr_client *client = user;
     if (client->reply_body_max && client->reply_body->len + size * count > client->reply_body_max) {
         return 0;
     }
-    g_byte_array_append(client->reply_body, (const guint8 *)cursor, (guint)(size * count));
+    g_byte_array_append(client->reply_body, (const guint8 *)data, (guint)(size * count));
     return size * count;
 }
 
-static size_t receive_header(char *cursor, size_t size, size_t count, void *user) {
+/* Reads the Retry-After header and ignores all others. */
+static size_t receive_header(char *data, size_t size, size_t count, void *user) {
     rr_client *client = user;
     char line[HEADER_LINE_SIZE];
     size_t length = size * count < sizeof line - 1 ? size * count : sizeof line - 1;
-    memcpy(line, cursor, length);
+    memcpy(line, data, length);
     line[length] = 0;
     const size_t name_length = strlen(RETRY_AFTER_HEADER);
     if (g_ascii_strncasecmp(line, RETRY_AFTER_HEADER, name_length) == 0) {
@@ -50,21 +54,24 @@
     return size * count;
 }
 
-/* The body comes from a callback that can't seek, on purpose. When a kept-alive connection fails
- * during a request, libcurl would send the request again by itself, while a first copy held up by
- * the network could still be executed later. Since it can't go back to the start of the body, it
- * reports the failure, and the caller knows that the outcome is unknown. */
-static size_t send_body(char *cursor, size_t size, size_t count, void *user) {
+/* Copies the next part of the request body into libcurl's buffer. The body is passed by a callback
+ * without a seek function to prevent automatic retries: when a kept-alive connection fails during a
+ * request, libcurl would resend it, although the first copy may be delayed in the network and still
+ * be executed later. As libcurl can't rewind the body, it reports the failure instead, and the
+ * caller knows that the outcome is unknown. */
+static size_t send_body(char *buffer, size_t size, size_t count, void *user) {
     rr_client *client = user;
-    size_t length = size * count < client->unsent_bytes ? size * count : client->unsent_bytes;
-    memcpy(cursor, client->unsent, length);
-    client->unsent += length;
-    client->unsent_bytes -= length;
+    size_t length =
+        size * count < client->unsent_body_bytes ? size * count : client->unsent_body_bytes;
+    memcpy(buffer, client->unsent_body, length);
+    client->unsent_body += length;
+    client->unsent_body_bytes -= length;
     return length;
 }
 
-static int check_stop(void *user, curl_off_t download_total, curl_off_t downloaded,
-                      curl_off_t upload_total, curl_off_t uploaded) {
+/* Progress callback: a nonzero return value aborts the call. */
+static int abort_if_stopped(void *user, curl_off_t download_total, curl_off_t downloaded,
+                            curl_off_t upload_total, curl_off_t uploaded) {
     const rr_client *client = user;
     (void)download_total;
     (void)downloaded;
@@ -104,8 +111,8 @@
         curl_easy_setopt(client->curl, CURLOPT_HTTPGET, 1L);
         return;
     }
-    client->unsent = call->body;
-    client->unsent_bytes = call->len;
+    client->unsent_body = call->body;
+    client->unsent_body_bytes = call->len;
     curl_easy_setopt(client->curl, CURLOPT_POST, 1L);
     curl_easy_setopt(client->curl, CURLOPT_READFUNCTION, send_body);
     curl_easy_setopt(client->curl, CURLOPT_READDATA, client);
@@ -115,7 +122,7 @@
     }
 }
 
-static void set_target(rr_client *client, const struct rr_http_call *call) {
+static void set_url_and_protocol(rr_client *client, const struct rr_http_call *call) {
     char url[URL_SIZE];
     g_snprintf(url, sizeof url, "http://%s:%u%s", call->endpoint->host, call->endpoint->port,
                call->path);
@@ -125,12 +132,12 @@
     curl_easy_setopt(client->curl, CURLOPT_PROXY, "");
 }
 
-static void set_connection(rr_client *client, const struct rr_http_call *call) {
+static void set_connection_options(rr_client *client, const struct rr_http_call *call) {
     long timeout_ms = (long)(call->timeout_s * 1000);
     curl_easy_setopt(client->curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(client->curl, CURLOPT_TIMEOUT_MS, timeout_ms);
     curl_easy_setopt(client->curl, CURLOPT_CONNECTTIMEOUT_MS, timeout_ms);
-    curl_easy_setopt(client->curl, CURLOPT_MAXCONNECTS, KEPT_CONNECTIONS_MAX);
+    curl_easy_setopt(client->curl, CURLOPT_MAXCONNECTS, CACHED_CONNECTIONS_MAX);
     if (call->fresh) {
         curl_easy_setopt(client->curl, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(client->curl, CURLOPT_FORBID_REUSE, 1L);
@@ -142,21 +149,22 @@
     curl_easy_setopt(client->curl, CURLOPT_WRITEDATA, client);
     curl_easy_setopt(client->curl, CURLOPT_HEADERFUNCTION, receive_header);
     curl_easy_setopt(client->curl, CURLOPT_HEADERDATA, client);
-    curl_easy_setopt(client->curl, CURLOPT_XFERINFOFUNCTION, check_stop);
+    curl_easy_setopt(client->curl, CURLOPT_XFERINFOFUNCTION, abort_if_stopped);
     curl_easy_setopt(client->curl, CURLOPT_XFERINFODATA, client);
     curl_easy_setopt(client->curl, CURLOPT_NOPROGRESS, 0L);
 }
 
-/* As rr_client_call(). A fresh connection that timed out before a byte of the request was sent has
- * certainly not sent it; of a kept one that is not known. */
-static int error_of(rr_client *client, CURLcode code, bool fresh) {
+/* Returns the error of rr_client_call() for a failed transfer. A timeout before any byte of the
+ * request was sent proves only on a new connection that the request was not sent; on a reused one
+ * it proves nothing. */
+static int error_from_curl_code(rr_client *client, CURLcode code, bool new_connection) {
     long request_bytes = 0;
     curl_easy_getinfo(client->curl, CURLINFO_REQUEST_SIZE, &request_bytes);
     switch (code) {
     case CURLE_COULDNT_CONNECT:
         return -ENOTCONN;
     case CURLE_OPERATION_TIMEDOUT:
-        return fresh && request_bytes == 0 ? -ENOTCONN : -ETIMEDOUT;
+        return new_connection && request_bytes == 0 ? -ENOTCONN : -ETIMEDOUT;
     case CURLE_ABORTED_BY_CALLBACK:
         return -ECANCELED;
     default:
@@ -164,22 +172,22 @@
     }
 }
 
-int rr_client_call(rr_client *client, const struct rr_http_call *call, rr_http_reply *out) {
-    curl_easy_reset(client->curl); /* options only: connections stay */
+int rr_client_call(rr_client *client, const struct rr_http_call *call, rr_http_reply *reply) {
+    curl_easy_reset(client->curl); /* resets options, keeps connections open */
     g_byte_array_set_size(client->reply_body, 0);
     client->reply_body_max = call->reply_bytes_max;
     client->retry_after_s = 0;
-    set_target(client, call);
-    set_connection(client, call);
+    set_url_and_protocol(client, call);
+    set_connection_options(client, call);
     set_callbacks(client);
     set_method_and_body(client, call);
     CURLcode code = curl_easy_perform(client->curl);
     if (code != CURLE_OK) {
-        return error_of(client, code, call->fresh);
+        return error_from_curl_code(client, code, call->fresh);
     }
-    out->status = 0;
-    curl_easy_getinfo(client->curl, CURLINFO_RESPONSE_CODE, &out->status);
-    out->body = client->reply_body;
-    out->retry_after_s = client->retry_after_s;
+    reply->status = 0;
+    curl_easy_getinfo(client->curl, CURLINFO_RESPONSE_CODE, &reply->status);
+    reply->body = client->reply_body;
+    reply->retry_after_s = client->retry_after_s;
     return 0;
 }
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -1,5 +1,5 @@
-/* A blocking HTTP client on libcurl's easy interface. One object a thread: it owns a handle with
- * its kept-alive connections and takes no lock. */
+/* A blocking HTTP/1.1 client on libcurl's easy interface. Each thread uses its own client, which
+ * owns a libcurl handle with its kept-alive connections and takes no lock. */
 #ifndef RR_NET_CLIENT_H
 #define RR_NET_CLIENT_H
 
@@ -8,36 +8,40 @@
 #include <glib.h>
 #include <stdatomic.h>
 
-/* Initialises libcurl: once in a process, before any thread starts. 0 or -EIO. */
+/* Initialises libcurl. Call once per process, before any thread starts. Returns 0 or -EIO. */
 int rr_net_init(void);
 
+/* An HTTP client with its connections. */
 typedef struct rr_client rr_client;
 
-/* *stop (stop may be NULL) ends running calls soon after it becomes true; it is borrowed. NULL: no
- * handle is to be had. */
+/* Creates a client that the caller destroys; NULL if libcurl has no handle. stop is borrowed and
+ * may be NULL; a running call is aborted soon after *stop becomes true. */
 rr_client *rr_client_create(const atomic_bool *stop);
-/* Closes its connections. NULL is allowed. */
+/* Closes the client's connections and frees it. NULL is allowed. */
 void rr_client_destroy(rr_client *client);
 
+/* A request; all pointers are borrowed for the call. */
 struct rr_http_call {
     const char *method; /* GET, POST or DELETE */
     const struct rr_endpoint *endpoint;
-    const char *path; /* with its query */
-    const void *body; /* NULL: none; a GET has none */
-    size_t len;
-    double timeout_s;       /* of the whole call */
-    bool fresh;             /* over a connection of its own, closed afterwards */
-    size_t reply_bytes_max; /* bytes of the reply's body; 0: no bound */
+    const char *path;       /* with its query string */
+    const void *body;       /* NULL: none; ignored with GET */
+    size_t len;             /* of the request body, in bytes */
+    double timeout_s;       /* of the whole call, connecting included */
+    bool fresh;             /* uses a new connection, which is closed after the call */
+    size_t reply_bytes_max; /* of the reply body; a longer one fails the call; 0: unlimited */
 };
 
+/* The reply to a request, whatever its status. */
 typedef struct {
-    long status;
+    long status;          /* HTTP status code */
     GByteArray *body;     /* owned by the client, valid until its next call */
-    double retry_after_s; /* 0: the reply does not say */
+    double retry_after_s; /* from the Retry-After header; 0: none */
 } rr_http_reply;
 
-/* 0 with a reply of any status; -ENOTCONN: certainly not sent; -EIO, -ETIMEDOUT or, if stopped,
- * -ECANCELED: the request may have been executed, or may still be. */
-int rr_client_call(rr_client *client, const struct rr_http_call *call, rr_http_reply *out);
+/* Sends the request and waits for its reply. Returns 0 with *reply set, whatever its status;
+ * -ENOTCONN if the request was certainly not sent; or -EIO, -ETIMEDOUT or -ECANCELED (*stop was
+ * set), after which the request may have been executed or may still be. */
+int rr_client_call(rr_client *client, const struct rr_http_call *call, rr_http_reply *reply);
 
 #endif
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-/* TCP sockets of IPv4: addresses, binding, listening. */
+/* IPv4 TCP sockets: address conversion, bind and listen. */
 #ifndef RR_NET_SOCKET_H
 #define RR_NET_SOCKET_H
 
@@ -6,13 +6,14 @@
 
 #include <netinet/in.h>
 
-/* host has to be an IPv4 address in digits; another one becomes 0.0.0.0. */
-void rr_sockaddr(const struct rr_endpoint *endpoint, struct sockaddr_in *out);
+/* Converts an endpoint to a socket address. A host that is not an IPv4 address in dotted-decimal
+ * notation becomes 0.0.0.0. */
+void rr_endpoint_to_sockaddr(const struct rr_endpoint *endpoint, struct sockaddr_in *address);
 
-/* A listening socket for the caller to close, or -errno. */
+/* Opens a listening socket. Returns its descriptor, which the caller closes, or -errno. */
 int rr_socket_listen(const struct rr_endpoint *endpoint, int backlog);
-/* A socket bound to the address, not listening; flags: of socket(), beside SOCK_CLOEXEC. For the
- * caller to close, or -errno. */
+/* Opens a socket bound to the endpoint that does not listen yet. flags are passed to socket() in
+ * addition to SOCK_CLOEXEC. Returns the descriptor, which the caller closes, or -errno. */
 int rr_socket_bind(const struct rr_endpoint *endpoint, int flags);
 
 #endif
--- a/src/peer/stream.c
+++ b/src/peer/stream.c
@@ -8,23 +8,23 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define RECEIVE_BYTES_MIN 16384 /* room for one recv() */
-#define STOP_CHECK_S 2          /* longest wait without a look at the stop flag */
+#define RECEIVE_BYTES_MIN 16384 /* free space for one recv() */
+#define STOP_CHECK_S 2          /* longest wait between two checks of the stop flag */
 
 void rr_peer_set_timeouts(int fd, double seconds) {
     struct timeval timeout = {(time_t)seconds,
                               (suseconds_t)((seconds - (double)(time_t)seconds) * 1e6)};
-    int one = 1;
+    int enabled = 1;
     setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
-/* Linux bounds a blocking connect() by the send timeout. */
+/* On Linux, the send timeout also limits a blocking connect(). */
 int rr_peer_dial(const struct rr_endpoint *from, const struct rr_endpoint *endpoint,
                  double timeout_s) {
     struct sockaddr_in address;
-    rr_sockaddr(endpoint, &address);
+    rr_endpoint_to_sockaddr(endpoint, &address);
     struct rr_endpoint local = {.port = 0};
     if (from) {
         g_strlcpy(local.host, from->host, sizeof local.host);
@@ -68,40 +68,42 @@
     g_byte_array_free(inbox->buffer, TRUE);
 }
 
-/* 0: readable; -EAGAIN: not yet; -EIO: stopped, or too late. */
-static int wait_readable(const atomic_bool *stop, int fd, double until) {
+/* Waits until the socket is readable, at most STOP_CHECK_S. Returns 0 if it is (or has failed),
+ * -EAGAIN if not yet, -EIO if *stop is set or the deadline (steady clock) has passed. */
+static int wait_readable(const atomic_bool *stop, int fd, double deadline) {
     struct pollfd poll_fd = {fd, POLLIN, 0};
-    double left_s = until - rr_steady_clock_s();
-    if (atomic_load(stop) || left_s <= 0) {
+    double remaining_s = deadline - rr_steady_clock_s();
+    if (atomic_load(stop) || remaining_s <= 0) {
         return -EIO;
     }
-    int wait_ms = left_s < STOP_CHECK_S ? (int)(left_s * 1000) + 1 : STOP_CHECK_S * 1000;
+    int wait_ms = remaining_s < STOP_CHECK_S ? (int)(remaining_s * 1000) + 1 : STOP_CHECK_S * 1000;
     int count = poll(&poll_fd, 1, wait_ms);
     return count == 0 || (count < 0 && errno == EINTR) ? -EAGAIN : 0;
 }
 
-/* Appends what one recv() brings. 0, or -EIO at the end of the stream. */
-static int receive_some(struct rr_inbox *inbox, guint wanted) {
+/* Appends the bytes of one recv(). Returns 0, or -EIO at the end of the stream or on an error. */
+static int receive_once(struct rr_inbox *inbox, guint wanted) {
     guint filled = inbox->buffer->len;
-    guint room = wanted > RECEIVE_BYTES_MIN ? wanted : RECEIVE_BYTES_MIN;
-    g_byte_array_set_size(inbox->buffer, filled + room);
-    ssize_t received = recv(inbox->fd, inbox->buffer->data + filled, room, 0);
+    guint capacity = wanted > RECEIVE_BYTES_MIN ? wanted : RECEIVE_BYTES_MIN;
+    g_byte_array_set_size(inbox->buffer, filled + capacity);
+    ssize_t received = recv(inbox->fd, inbox->buffer->data + filled, capacity, 0);
     g_byte_array_set_size(inbox->buffer, filled + (received > 0 ? (guint)received : 0));
     return received > 0 ? 0 : -EIO;
 }
 
-/* Receives until `length` unread bytes are there. 0 or -EIO, as rr_peer_receive(). */
-static int inbox_fill(const atomic_bool *stop, struct rr_inbox *inbox, guint length,
-                      double timeout_s) {
-    double until = rr_steady_clock_s() + timeout_s;
+/* Receives until the buffer holds at least `length` unread bytes. Returns 0 or -EIO, as
+ * rr_peer_receive(). */
+static int receive_at_least(const atomic_bool *stop, struct rr_inbox *inbox, guint length,
+                            double timeout_s) {
+    double deadline = rr_steady_clock_s() + timeout_s;
     if (inbox->offset > 0 && inbox->buffer->len - inbox->offset < length) {
         g_byte_array_remove_range(inbox->buffer, 0, inbox->offset);
         inbox->offset = 0;
     }
     while (inbox->buffer->len - inbox->offset < length) {
-        int rc = wait_readable(stop, inbox->fd, until);
+        int rc = wait_readable(stop, inbox->fd, deadline);
         if (rc == 0) {
-            rc = receive_some(inbox, length);
+            rc = receive_once(inbox, length);
         }
         if (rc != 0 && rc != -EAGAIN) {
             return rc;
@@ -113,12 +115,12 @@
 int rr_peer_receive(const atomic_bool *stop, struct rr_inbox *inbox, uint8_t *type,
                     rr_frame_reader *reader, double timeout_s) {
     uint32_t length = 0;
-    int rc = inbox_fill(stop, inbox, RR_FRAME_HEADER_BYTES, timeout_s);
+    int rc = receive_at_least(stop, inbox, RR_FRAME_HEADER_BYTES, timeout_s);
     if (rc == 0) {
         rc = rr_frame_head(inbox->buffer->data + inbox->offset, type, &length);
     }
     if (rc == 0) {
-        rc = inbox_fill(stop, inbox, RR_FRAME_HEADER_BYTES + length, timeout_s);
+        rc = receive_at_least(stop, inbox, RR_FRAME_HEADER_BYTES + length, timeout_s);
     }
     if (rc == 0) {
         *reader = (rr_frame_reader){inbox->buffer->data + inbox->offset + RR_FRAME_HEADER_BYTES,
--- a/src/peer/stream.h
+++ b/src/peer/stream.h
@@ -1,5 +1,5 @@
-/* Frames over blocking sockets, bounded in time: for links between controllers of one cell and
- * between cells. */
+/* Sends and receives frames over blocking sockets with timeouts, for the links between controllers
+ * of one cell and for those between cells. */
 #ifndef RR_PEER_STREAM_H
 #define RR_PEER_STREAM_H
 
@@ -8,30 +8,34 @@
 
 #include <stdatomic.h>
 
-/* Bytes received from a connection and not read yet: one recv() may bring many frames. Belongs to
- * the connection's thread; the descriptor stays the caller's to close. */
+/* The receive buffer of a connection, as one recv() may return many frames. Used by the
+ * connection's thread only; the caller closes the descriptor. */
 struct rr_inbox {
     int fd;
-    GByteArray *buffer;
-    guint offset; /* of the first byte not read */
+    GByteArray *buffer; /* received bytes; those before `offset` have been read */
+    guint offset;       /* of the first unread byte */
 };
 
-/* An empty inbox of a connection; fd may be negative if nothing is received. */
+/* Initialises an empty buffer. fd may be negative if nothing is received. */
 void rr_inbox_init(struct rr_inbox *inbox, int fd);
-/* Frees the buffer. */
+/* Frees the buffer; the descriptor stays open. */
 void rr_inbox_clear(struct rr_inbox *inbox);
 
-/* Waits for the next frame. 0 with its payload in *reader, borrowed from the inbox until the next
- * call; -EIO: the stream or the time has ended, or *stop is set; -EBADMSG: not a frame. */
+/* Waits for the next frame. Returns 0 with a reader of its payload, which is borrowed from the
+ * inbox until the next call; -EIO if the connection ended, the time ran out or *stop is set;
+ * -EBADMSG if the header is not that of a frame. The header and the payload may each take
+ * timeout_s. */
 int rr_peer_receive(const atomic_bool *stop, struct rr_inbox *inbox, uint8_t *type,
                     rr_frame_reader *reader, double timeout_s);
-/* Bounds each send and receive, and sends small frames without delay. */
+/* Sets the timeout of each send and receive, and disables Nagle's algorithm (TCP_NODELAY) so that
+ * small frames are sent at once. */
 void rr_peer_set_timeouts(int fd, double seconds);
-/* Connects. from: the local address, with any port; NULL: the system's choice. A socket for the
- * caller to close, or -errno. */
+/* Connects to an endpoint. `from` is the local address to use, with any port; NULL leaves it to the
+ * system. Returns a socket with timeout_s as its send and receive timeout, which the caller closes,
+ * or -errno. */
 int rr_peer_dial(const struct rr_endpoint *from, const struct rr_endpoint *endpoint,
                  double timeout_s);
-/* Sends all of it: 0 or -EIO. */
+/* Sends all the data. Returns 0, or -EIO after an error or a timeout. */
 int rr_peer_send(int fd, const void *data, size_t length);
 
 #endif
