--- a/src/peer/cancellations.h
+++ b/src/peer/cancellations.h
@@ -1,6 +1,6 @@
-/* Confirmed cancellations to announce to a peer. Each is announced once over each connection to
- * the peer, since a lost connection may not have delivered it, until it expires. No lock of its
- * own: the caller holds that of the peers. */
+/* The confirmed cancellations to announce to a peer. Until it expires, each is announced once in
+ * every delivery generation of the link (see peer_state.h), because a lost connection may not have
+ * delivered it. Has no lock of its own: the caller holds the peers' lock. */
 #ifndef RR_PEER_CANCELLATIONS_H
 #define RR_PEER_CANCELLATIONS_H
 
@@ -9,17 +9,20 @@
 
 typedef struct rr_cancellations rr_cancellations;
 
-/* An empty list. */
+/* Creates an empty list, which the caller destroys. */
 rr_cancellations *rr_cancellations_create(void);
-/* NULL is allowed. */
+/* Frees the list and its entries. NULL is allowed. */
 void rr_cancellations_destroy(rr_cancellations *list);
 
-/* Adds a job whose cancellation is announced until this time of the steady clock. A full list drops
- * its oldest entry, which peers also learn from the key-value store. */
-void rr_cancellations_add(rr_cancellations *list, const char *job_id, double until);
-/* Whether some have not been announced over this connection. Removes expired ones. */
-bool rr_cancellations_pending(rr_cancellations *list, unsigned connection, double now);
-/* Appends those as one frame and marks them as announced over this connection. */
-void rr_cancellations_put(rr_cancellations *list, unsigned connection, GByteArray *out);
+/* Adds a job whose cancellation is announced until expires_at (steady clock). A full list drops its
+ * oldest entry; peers also learn of that cancellation from the key-value store. */
+void rr_cancellations_add(rr_cancellations *list, const char *job_id, double expires_at);
+/* Removes expired entries, and returns whether any that is left has not been announced in this
+ * delivery generation. */
+bool rr_cancellations_has_pending(rr_cancellations *list, unsigned delivery_generation, double now);
+/* Appends one frame with the entries not announced in this delivery generation, and marks them as
+ * announced. */
+void rr_cancellations_put_frame(rr_cancellations *list, unsigned delivery_generation,
+                                GByteArray *out);
 
 #endif
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -1,5 +1,5 @@
-/* The thread of an outgoing link: collects what waits for the peer and sends it over a connection,
- * which it replaces when the peer does not confirm that frames arrive. */
+/* The thread of an outgoing link. It sends the queued output over one connection to the peer, and
+ * replaces the connection when the peer does not confirm that frames arrive. */
 #include "peer/link.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -9,17 +9,17 @@
 #include <errno.h>
 #include <unistd.h>
 
-/* Part of a heartbeat interval for which the link waits for more output to send along. */
-#define COLLECT_PART 0.0125
-#define DIGEST_INTERVAL_S 0.5
-#define CONFIRM_TIMEOUT_MAX_S 30.0
-#define DIAL_TIMEOUT_S 1.0
-#define RETRY_PAUSE_STEPS 5 /* of STOP_CHECK_S */
-#define STOP_CHECK_S 0.1
+/* Delay after the first output, so that more can be sent with it; in heartbeat intervals. */
+#define BATCH_DELAY_INTERVALS 0.0125
+#define DIGEST_INTERVAL_S 0.5      /* between the periodic digests */
+#define CONFIRM_TIMEOUT_MAX_S 30.0 /* limit of the growing timeout */
+#define CONNECT_TIMEOUT_S 1.0
+#define STOP_CHECK_S 0.1     /* between checks of the stop flag during a pause */
+#define RETRY_PAUSE_CHECKS 5 /* pause before reconnecting, in units of STOP_CHECK_S */
 
-void rr_peer_link_init(struct rr_peer_link *link, rr_peers *owner, int index,
+void rr_peer_link_init(struct rr_peer_link *link, rr_peers *peers, int index,
                        const pthread_condattr_t *steady) {
-    link->owner = owner;
+    link->peers = peers;
     link->index = index;
     g_queue_init(&link->heartbeats);
     pthread_cond_init(&link->wake, steady);
@@ -28,7 +28,7 @@
     }
     link->suspects = g_ptr_array_new_with_free_func(g_free);
     link->cancellations = rr_cancellations_create();
-    link->confirm_timeout_s = RR_PEER_RECEIVED_S;
+    link->confirm_timeout_s = RR_PEER_RECEIVED_TIMEOUT_S;
 }
 
 void rr_peer_link_clear(struct rr_peer_link *link) {
@@ -42,29 +42,31 @@
     pthread_cond_destroy(&link->wake);
 }
 
-static void wait_until(pthread_cond_t *condition, pthread_mutex_t *mutex, double until) {
-    struct timespec time = {(time_t)until, (long)((until - (double)(time_t)until) * 1e9)};
+/* Waits for a signal or until the deadline (steady clock). The caller holds the mutex. */
+static void wait_on_condition(pthread_cond_t *condition, pthread_mutex_t *mutex, double deadline) {
+    struct timespec time = {(time_t)deadline, (long)((deadline - (double)(time_t)deadline) * 1e9)};
     pthread_cond_timedwait(condition, mutex, &time);
 }
 
-/* Waits until there is something to send or digests are due. */
+/* Waits until output is queued, digests are due or the peers are stopped. After output was queued,
+ * waits for BATCH_DELAY_INTERVALS more, without the lock. */
 static void wait_for_output(struct rr_peer_link *link, double digests_sent_at) {
-    rr_peers *peers = link->owner;
+    rr_peers *peers = link->peers;
     pthread_mutex_lock(&peers->lock);
     while (!atomic_load(peers->stop) && !rr_peer_link_has_output(link, rr_steady_clock_s()) &&
            rr_steady_clock_s() - digests_sent_at < DIGEST_INTERVAL_S) {
-        wait_until(&link->wake, &peers->lock, digests_sent_at + DIGEST_INTERVAL_S);
+        wait_on_condition(&link->wake, &peers->lock, digests_sent_at + DIGEST_INTERVAL_S);
     }
     bool has_output = rr_peer_link_has_output(link, rr_steady_clock_s());
     pthread_mutex_unlock(&peers->lock);
     if (has_output) {
-        rr_sleep(COLLECT_PART * peers->config->heartbeat_interval_s);
+        rr_sleep(BATCH_DELAY_INTERVALS * peers->config->heartbeat_interval_s);
     }
 }
 
-/* Waits for output and moves it to `frames`. False: the peers are stopped. */
-static bool collect(struct rr_peer_link *link, GByteArray *frames, double *digests_sent_at) {
-    rr_peers *peers = link->owner;
+/* Waits for output and moves it to `frames`. Returns false once the peers are stopped. */
+static bool collect_frames(struct rr_peer_link *link, GByteArray *frames, double *digests_sent_at) {
+    rr_peers *peers = link->peers;
     wait_for_output(link, *digests_sent_at);
     pthread_mutex_lock(&peers->lock);
     double now = rr_steady_clock_s();
@@ -77,31 +79,33 @@
     return !atomic_load(peers->stop);
 }
 
-/* Drops what waits. A heartbeat that waited for the peer to come back would pass for a fresh one
- * there, and a dead machine for a live one. */
+/* Drops all queued output but cancellations, and begins a new delivery generation. A heartbeat that
+ * stayed queued until the peer is reachable again would be taken there for a recent one, and a dead
+ * machine for a live one. */
 static void discard_output(struct rr_peer_link *link) {
-    pthread_mutex_lock(&link->owner->lock);
+    pthread_mutex_lock(&link->peers->lock);
     g_queue_clear_full(&link->heartbeats, (GDestroyNotify)g_bytes_unref);
     for (int hops = 0; hops < RR_PEER_HOPS_COUNT; hops++) {
         g_hash_table_remove_all(link->digests[hops]);
     }
     g_ptr_array_set_size(link->suspects, 0);
     g_clear_pointer(&link->demand, g_bytes_unref);
-    link->generation++;
-    pthread_mutex_unlock(&link->owner->lock);
+    link->delivery_generation++;
+    pthread_mutex_unlock(&link->peers->lock);
 }
 
-/* Whether the connection has to be replaced because the peer does not confirm it. After a network
- * partition a connection may accept all that is sent and deliver nothing, without a reset. So the
- * peer has to report that it receives from us; where it does not, or where nothing is received from
- * it, connections are replaced at growing intervals. */
-static bool is_unconfirmed(struct rr_peer_link *link, double now) {
-    rr_peers *peers = link->owner;
+/* Whether the connection has to be replaced because the peer has not confirmed it in time. After a
+ * network partition a connection may accept everything that is sent and deliver nothing, without a
+ * reset. So the peer has to report that it receives from this controller; while it does not, or
+ * while nothing is received from it, connections are replaced at intervals that double up to
+ * CONFIRM_TIMEOUT_MAX_S. */
+static bool confirmation_timed_out(struct rr_peer_link *link, double now) {
+    rr_peers *peers = link->peers;
     pthread_mutex_lock(&peers->lock);
-    bool confirmed = rr_peer_received_lately(link, now) && link->peer_receives_us;
+    bool confirmed = rr_peer_received_recently(link, now) && link->peer_receives_from_us;
     bool timed_out = !confirmed && now - link->connected_at > link->confirm_timeout_s;
     if (confirmed) {
-        link->confirm_timeout_s = RR_PEER_RECEIVED_S;
+        link->confirm_timeout_s = RR_PEER_RECEIVED_TIMEOUT_S;
     } else if (timed_out) {
         link->confirm_timeout_s = MIN(2 * link->confirm_timeout_s, CONFIRM_TIMEOUT_MAX_S);
     }
@@ -109,10 +113,11 @@
     return timed_out;
 }
 
-/* Connects and says hello. 0 with the socket in *fd, also if only the hello failed; or -EIO. */
+/* Connects and sends the HELLO frame. Returns 0 or -EIO; *fd is the socket, which stays open if
+ * only sending failed, or negative. */
 static int connect_to_peer(struct rr_peer_link *link, int *fd) {
-    rr_peers *peers = link->owner;
-    *fd = rr_peer_dial(NULL, &peers->config->peers[link->index].endpoint, DIAL_TIMEOUT_S);
+    rr_peers *peers = link->peers;
+    *fd = rr_peer_dial(NULL, &peers->config->peers[link->index].endpoint, CONNECT_TIMEOUT_S);
     if (*fd < 0) {
         return -EIO;
     }
@@ -126,23 +131,26 @@
     return rc;
 }
 
-/* Sends the frames, over a new connection if there is none (*fd < 0). 0 or -EIO. */
+/* Sends the frames, over a new connection if none is open (*fd < 0). Returns 0 or -EIO. */
 static int send_frames(struct rr_peer_link *link, int *fd, const GByteArray *frames) {
     int rc = *fd < 0 ? connect_to_peer(link, fd) : 0;
     return rc == 0 ? rr_peer_send(*fd, frames->data, frames->len) : rc;
 }
 
+/* Closes the connection, if one is open, and logs it. */
 static void close_connection(const struct rr_peer_link *link, int *fd, bool unconfirmed) {
     if (*fd >= 0) {
         close(*fd);
-        rr_log(RR_INFO_LEVEL, "link to %s lost%s", link->owner->config->peers[link->index].name,
-               unconfirmed ? ": it does not confirm that it receives from this controller" : "");
+        rr_log(RR_INFO_LEVEL, "connection to peer %s lost%s; reconnecting",
+               link->peers->config->peers[link->index].name,
+               unconfirmed ? " (the peer does not confirm that it receives from this controller)"
+                           : "");
     }
     *fd = -1;
 }
 
 static void pause_before_retry(const struct rr_peer_link *link) {
-    for (int i = 0; i < RETRY_PAUSE_STEPS && !atomic_load(link->owner->stop); i++) {
+    for (int i = 0; i < RETRY_PAUSE_CHECKS && !atomic_load(link->peers->stop); i++) {
         rr_sleep(STOP_CHECK_S);
     }
 }
@@ -153,8 +161,8 @@
     GByteArray *frames = g_byte_array_new();
     double digests_sent_at = 0;
     int fd = -1;
-    while (collect(link, frames, &digests_sent_at)) {
-        bool unconfirmed = fd >= 0 && is_unconfirmed(link, rr_steady_clock_s());
+    while (collect_frames(link, frames, &digests_sent_at)) {
+        bool unconfirmed = fd >= 0 && confirmation_timed_out(link, rr_steady_clock_s());
         if (unconfirmed || send_frames(link, &fd, frames) != 0) {
             close_connection(link, &fd, unconfirmed);
             discard_output(link);
--- a/src/peer/link.h
+++ b/src/peer/link.h
@@ -1,22 +1,24 @@
-/* Inside the package only: the outgoing link to a peer, and the frames that it sends. */
+/* Internal to src/peer: the outgoing link to a peer, and the frames that it sends. */
 #ifndef RR_PEER_LINK_H
 #define RR_PEER_LINK_H
 
 #include "peer/peer_state.h"
 
-/* steady: attributes of a condition that waits by the steady clock. */
-void rr_peer_link_init(struct rr_peer_link *link, rr_peers *owner, int index,
+/* Initialises the link to the peer of this index. steady: condition attributes that select the
+ * steady clock. */
+void rr_peer_link_init(struct rr_peer_link *link, rr_peers *peers, int index,
                        const pthread_condattr_t *steady);
-/* Frees what waits to be sent; the thread has ended, or was never started. */
+/* Frees the queued output. The link's thread has ended or was never started. */
 void rr_peer_link_clear(struct rr_peer_link *link);
-/* Thread of a link: arg is the struct rr_peer_link. Ends at the peers' stop. */
+/* The thread of a link: arg is the struct rr_peer_link. Returns after *stop is set. */
 void *rr_peer_link_main(void *arg);
 
-/* link_frames.c. Caller holds the lock for both. */
+/* ---- In link_frames.c; the caller holds the peers' lock. ---- */
 
-/* Whether anything but the periodic digests waits to be sent. */
+/* Whether anything but the periodic digests is queued. Removes expired cancellations. */
 bool rr_peer_link_has_output(struct rr_peer_link *link, double now);
-/* Moves all that waits to `out`, as frames. with_digests: also the periodic digests. */
+/* Moves the queued output to `out` as frames; the periodic digests only if with_digests is set.
+ * Heartbeats beyond RR_FRAME_BYTES_MAX stay queued for the next call. */
 void rr_peer_link_take_output(struct rr_peer_link *link, bool with_digests, GByteArray *out);
 
 #endif
--- a/src/peer/link_frames.c
+++ b/src/peer/link_frames.c
@@ -1,18 +1,20 @@
-/* Packs what waits for a peer into frames. */
+/* Packs the queued output of a link into frames. */
 #include "common/clock.h"
 #include "peer/link.h"
 
 bool rr_peer_link_has_output(struct rr_peer_link *link, double now) {
     return !g_queue_is_empty(&link->heartbeats) || link->suspects->len > 0 || link->demand ||
-           rr_cancellations_pending(link->cancellations, link->generation, now);
+           rr_cancellations_has_pending(link->cancellations, link->delivery_generation, now);
 }
 
+/* Appends the present time, by which the receiver recognises stale frames. */
 static void put_sent_at(GByteArray *out) {
     guint start = rr_frame_begin(out, RR_FRAME_SENT_AT);
     rr_frame_put_u64(out, (uint64_t)(rr_wall_clock_s() * 1000));
     rr_frame_end(out, start);
 }
 
+/* Moves queued heartbeats to `out`, until it holds RR_FRAME_BYTES_MAX bytes. */
 static void put_heartbeats(struct rr_peer_link *link, GByteArray *out) {
     GBytes *payload;
     while (out->len < RR_FRAME_BYTES_MAX && (payload = g_queue_pop_head(&link->heartbeats))) {
@@ -25,12 +27,13 @@
     }
 }
 
+/* Appends the names of the peers that this controller has recently received from. */
 static void put_nodes_received_from(const rr_peers *peers, GByteArray *out, double now) {
     uint16_t count = 0;
     guint count_offset = out->len;
     rr_frame_put_u16(out, 0);
     for (size_t i = 0; i < peers->config->peer_count; i++) {
-        if (rr_peer_received_lately(&peers->links[i], now)) {
+        if (rr_peer_received_recently(&peers->links[i], now)) {
             rr_frame_put_text(out, peers->config->peers[i].name);
             count++;
         }
@@ -45,19 +48,19 @@
     rr_frame_put_u64(out, digest->hash);
 }
 
-/* One frame, with as many machines as it may hold. */
+/* Moves queued digests of these hops to one frame, as many as it may hold. */
 static void put_digest_frame(struct rr_peer_link *link, unsigned hops, GByteArray *out,
                              double now) {
     guint start = rr_frame_begin(out, RR_FRAME_HEARTBEAT_DIGESTS);
     rr_frame_put_u8(out, (uint8_t)hops);
-    put_nodes_received_from(link->owner, out, now);
+    put_nodes_received_from(link->peers, out, now);
     uint16_t count = 0;
     guint count_offset = out->len;
     rr_frame_put_u16(out, 0);
     GHashTableIter iterator;
     gpointer digest;
     g_hash_table_iter_init(&iterator, link->digests[hops]);
-    while (count < RR_PEER_DIGESTS_MAX && g_hash_table_iter_next(&iterator, NULL, &digest)) {
+    while (count < RR_PEER_FRAME_MACHINES_MAX && g_hash_table_iter_next(&iterator, NULL, &digest)) {
         put_digest(digest, out);
         g_hash_table_iter_remove(&iterator);
         count++;
@@ -66,8 +69,9 @@
     rr_frame_end(out, start);
 }
 
-/* Always at least one frame, as it names the nodes that we receive from. A large fleet takes
- * several, which go together so that no machine's digest is delayed. */
+/* Moves all queued digests to frames. There is always at least one, since it also names the nodes
+ * that this controller receives from. A large fleet needs several, which are sent together so that
+ * no machine's digest is delayed to a later interval. */
 static void put_digests(struct rr_peer_link *link, GByteArray *out) {
     double now = rr_steady_clock_s();
     put_digest_frame(link, RR_PEER_DIRECT, out, now);
@@ -109,7 +113,8 @@
     if (link->demand) {
         put_demand(link, out);
     }
-    if (rr_cancellations_pending(link->cancellations, link->generation, rr_steady_clock_s())) {
-        rr_cancellations_put(link->cancellations, link->generation, out);
+    if (rr_cancellations_has_pending(link->cancellations, link->delivery_generation,
+                                     rr_steady_clock_s())) {
+        rr_cancellations_put_frame(link->cancellations, link->delivery_generation, out);
     }
 }
--- a/src/peer/peer.c
+++ b/src/peer/peer.c
@@ -1,4 +1,4 @@
-/* Creation, start and stop of the links between controllers. */
+/* Creates, starts and stops the links between controllers. */
 #include "common/thread.h"
 #include "net/socket.h"
 #include "peer/link.h"
@@ -7,7 +7,7 @@
 #include <errno.h>
 #include <unistd.h>
 
-#define LISTEN_BACKLOG 64
+#define LISTEN_BACKLOG 64 /* connections that wait to be accepted */
 
 rr_peers *rr_peers_create(const struct rr_config *config, const struct rr_peer_events *events,
                           const atomic_bool *stop) {
@@ -15,7 +15,7 @@
     peers->config = config;
     peers->events = *events;
     peers->stop = stop;
-    peers->listener = -1;
+    peers->listener_fd = -1;
     pthread_mutex_init(&peers->lock, NULL);
     pthread_cond_init(&peers->connection_ended, NULL);
     peers->sent_heartbeats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -34,15 +34,17 @@
     if (fd < 0) {
         return fd;
     }
-    peers->listener = fd;
-    peers->accepting = rr_thread_start(&peers->acceptor, rr_peer_listener_main, peers, false) == 0;
+    peers->listener_fd = fd;
+    peers->listener_started =
+        rr_thread_start(&peers->listener_thread, rr_peer_listener_main, peers, false) == 0;
     for (size_t i = 0; i < peers->config->peer_count; i++) {
         struct rr_peer_link *link = &peers->links[i];
-        link->started = rr_thread_start(&link->thread, rr_peer_link_main, link, false) == 0;
+        link->thread_started = rr_thread_start(&link->thread, rr_peer_link_main, link, false) == 0;
     }
-    return peers->accepting ? 0 : -EAGAIN;
+    return peers->listener_started ? 0 : -EAGAIN;
 }
 
+/* Wakes the threads of all links, so that they see the stop flag. */
 static void wake_links(rr_peers *peers) {
     pthread_mutex_lock(&peers->lock);
     for (size_t i = 0; i < peers->config->peer_count; i++) {
@@ -51,7 +53,8 @@
     pthread_mutex_unlock(&peers->lock);
 }
 
-/* Connection threads are detached: their count says when the last has ended. */
+/* Waits until all connection threads have ended. They are detached and can't be joined, so they are
+ * counted instead. */
 static void wait_for_connections(rr_peers *peers) {
     pthread_mutex_lock(&peers->lock);
     while (peers->connection_count > 0) {
@@ -62,11 +65,11 @@
 
 void rr_peers_stop(rr_peers *peers) {
     wake_links(peers);
-    if (peers->accepting) {
-        pthread_join(peers->acceptor, NULL);
+    if (peers->listener_started) {
+        pthread_join(peers->listener_thread, NULL);
     }
     for (size_t i = 0; i < peers->config->peer_count; i++) {
-        if (peers->links[i].started) {
+        if (peers->links[i].thread_started) {
             pthread_join(peers->links[i].thread, NULL);
         }
     }
@@ -77,8 +80,8 @@
     if (!peers) {
         return;
     }
-    if (peers->listener >= 0) {
-        close(peers->listener);
+    if (peers->listener_fd >= 0) {
+        close(peers->listener_fd);
     }
     for (int i = 0; i < RR_CONTROLLERS_MAX; i++) {
         rr_peer_link_clear(&peers->links[i]);
--- a/src/peer/relay.c
+++ b/src/peer/relay.c
@@ -1,25 +1,27 @@
-/* Requests to one peer, each over a connection of its own: to end a lease, or to call a worker. */
+/* Requests to one peer, each over its own connection: about ending this controller's lease, or to
+ * call a worker. */
 #include "peer/peer_state.h"
 #include "peer/stream.h"
 
 #include <errno.h>
 #include <unistd.h>
 
-#define DIAL_TIMEOUT_S 1.0
+#define CONNECT_TIMEOUT_S 1.0
 #define RESIGN_TIMEOUT_S 2.0
-#define RELAY_EXTRA_TIMEOUT_S 1 /* beyond the time that the peer waits for the worker */
+#define RELAY_EXTRA_TIMEOUT_S 1 /* in addition to the time that the peer waits for the worker */
 
-/* A connection to one peer with a request on it. */
+/* A connection to one peer for one request. */
 struct request {
-    int fd;             /* -errno: no connection */
-    GByteArray *frames; /* to send; the hello is the first */
-    struct rr_inbox inbox;
+    int fd;                /* -errno: no connection */
+    GByteArray *frames;    /* to send, beginning with HELLO */
+    struct rr_inbox inbox; /* receives the reply */
 };
 
-/* 0 or -errno; request_clear() is due either way. */
-static int request_open(struct request *request, const rr_peers *peers, int peer) {
+/* Connects and appends the HELLO frame. Returns 0 or -errno; the caller calls close_request() in
+ * either case. */
+static int open_request(struct request *request, const rr_peers *peers, int peer) {
     request->frames = g_byte_array_new();
-    request->fd = rr_peer_dial(NULL, &peers->config->peers[peer].endpoint, DIAL_TIMEOUT_S);
+    request->fd = rr_peer_dial(NULL, &peers->config->peers[peer].endpoint, CONNECT_TIMEOUT_S);
     rr_inbox_init(&request->inbox, request->fd);
     if (request->fd < 0) {
         return request->fd;
@@ -28,7 +30,7 @@
     return 0;
 }
 
-static void request_clear(struct request *request) {
+static void close_request(struct request *request) {
     if (request->fd >= 0) {
         close(request->fd);
     }
@@ -36,48 +38,49 @@
     g_byte_array_free(request->frames, TRUE);
 }
 
-/* Sends the request and waits for the answer, borrowed from the request. 0 or -EIO. */
-static int request_answer(struct request *request, const rr_peers *peers, double timeout_s,
-                          rr_frame_reader *answer) {
+/* Sends the frames and waits for the reply, whose payload is borrowed from the request. Returns 0
+ * or -EIO. */
+static int exchange_frames(struct request *request, const rr_peers *peers, double timeout_s,
+                           rr_frame_reader *reply) {
     uint8_t type;
     if (rr_peer_send(request->fd, request->frames->data, request->frames->len) != 0 ||
-        rr_peer_receive(peers->stop, &request->inbox, &type, answer, timeout_s) != 0 ||
-        type != RR_FRAME_ANSWER) {
+        rr_peer_receive(peers->stop, &request->inbox, &type, reply, timeout_s) != 0 ||
+        type != RR_FRAME_REPLY) {
         return -EIO;
     }
     return 0;
 }
 
-bool rr_peers_ask_resign(rr_peers *peers, int peer, uint64_t lease_id, bool end) {
+bool rr_peers_ask_resign(rr_peers *peers, int peer, uint64_t lease_id, bool end_lease) {
     struct request request;
-    rr_frame_reader answer;
-    bool yes = false;
-    if (request_open(&request, peers, peer) == 0) {
+    rr_frame_reader reply;
+    bool agreed = false;
+    if (open_request(&request, peers, peer) == 0) {
         guint start = rr_frame_begin(request.frames, RR_FRAME_RESIGN);
-        rr_frame_put_u8(request.frames, end ? RR_RESIGN_END_LEASE : RR_RESIGN_STORE_REACHABLE);
+        rr_frame_put_u8(request.frames, end_lease ? RR_RESIGN_END_LEASE : RR_RESIGN_CHECK_STORE);
         rr_frame_put_u64(request.frames, lease_id);
         rr_frame_end(request.frames, start);
-        yes = request_answer(&request, peers, RESIGN_TIMEOUT_S, &answer) == 0 &&
-              rr_frame_read_u8(&answer) == RR_RESIGN_YES && !answer.malformed;
+        agreed = exchange_frames(&request, peers, RESIGN_TIMEOUT_S, &reply) == 0 &&
+                 rr_frame_read_u8(&reply) == RR_RESIGN_YES && !reply.malformed;
     }
-    request_clear(&request);
-    return yes;
+    close_request(&request);
+    return agreed;
 }
 
-/* As rr_peers_relay_commands(). */
-static int read_relay_answer(rr_frame_reader *answer, rr_relayed_reply *out) {
+/* Reads the reply to RELAY. Returns as rr_peers_relay_commands(). */
+static int read_relay_reply(rr_frame_reader *frame, rr_relayed_reply *reply) {
     uint32_t length;
-    uint8_t outcome = rr_frame_read_u8(answer);
-    uint16_t status = rr_frame_read_u16(answer);
-    const uint8_t *body = rr_frame_read_bytes(answer, &length);
-    if (answer->malformed) {
+    uint8_t outcome = rr_frame_read_u8(frame);
+    uint16_t status = rr_frame_read_u16(frame);
+    const uint8_t *body = rr_frame_read_bytes(frame, &length);
+    if (frame->malformed) {
         return -EIO;
     }
     switch (outcome) {
     case RR_RELAY_ANSWERED:
-        out->status = status;
-        out->body = g_byte_array_new();
-        g_byte_array_append(out->body, body, length);
+        reply->status = status;
+        reply->body = g_byte_array_new();
+        g_byte_array_append(reply->body, body, length);
         return 0;
     case RR_RELAY_NOT_SENT:
         return -ENOTCONN;
@@ -87,22 +90,22 @@
 }
 
 int rr_peers_relay_commands(rr_peers *peers, int peer, const char *address, const void *body,
-                            size_t length, double timeout_s, rr_relayed_reply *out) {
+                            size_t length, double timeout_s, rr_relayed_reply *reply) {
     struct request request;
-    rr_frame_reader answer;
+    rr_frame_reader frame;
     int rc = -ENOTCONN;
-    out->body = NULL;
-    if (request_open(&request, peers, peer) == 0) {
+    reply->body = NULL;
+    if (open_request(&request, peers, peer) == 0) {
         guint start = rr_frame_begin(request.frames, RR_FRAME_RELAY);
         rr_frame_put_text(request.frames, address);
         rr_frame_put_u32(request.frames, (uint32_t)(timeout_s * 1000));
         rr_frame_put_bytes(request.frames, body, (uint32_t)length);
         rr_frame_end(request.frames, start);
-        rc = request_answer(&request, peers, timeout_s + RELAY_EXTRA_TIMEOUT_S, &answer);
+        rc = exchange_frames(&request, peers, timeout_s + RELAY_EXTRA_TIMEOUT_S, &frame);
         if (rc == 0) {
-            rc = read_relay_answer(&answer, out);
+            rc = read_relay_reply(&frame, reply);
         }
     }
-    request_clear(&request);
+    close_request(&request);
     return rc;
 }
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -1,4 +1,4 @@
-/* Packed frames between controllers. */
+/* Tests the encoding of the frames that controllers exchange. */
 #include "core_fixture.h"
 
 #include "peer/frame.h"
@@ -6,7 +6,7 @@
 #include <errno.h>
 #include <string.h>
 
-static void a_written_frame_reads_the_same(void **state) {
+static void a_frame_round_trips(void **state) {
     (void)state;
     GByteArray *buffer = g_byte_array_new();
     uint8_t type;
@@ -35,24 +35,26 @@
     g_byte_array_free(buffer, TRUE);
 }
 
-static void a_wrong_magic_version_or_length_is_refused(void **state) {
+static void a_header_with_wrong_magic_version_or_length_is_rejected(void **state) {
     (void)state;
     uint8_t type;
     uint32_t length;
     uint8_t magic[8] = {'X', 'r', RR_FRAME_VERSION, 1}, version[8] = {'R', 'r', 99, 1};
-    uint8_t large[8] = {'R', 'r', RR_FRAME_VERSION, 1, 0xff, 0xff, 0xff, 0xff};
+    uint8_t too_long[8] = {'R', 'r', RR_FRAME_VERSION, 1, 0xff, 0xff, 0xff, 0xff};
     assert_int_equal(rr_frame_head(magic, &type, &length), -EBADMSG);
     assert_int_equal(rr_frame_head(version, &type, &length), -EBADMSG);
-    assert_int_equal(rr_frame_head(large, &type, &length), -EBADMSG);
+    assert_int_equal(rr_frame_head(too_long, &type, &length), -EBADMSG);
 }
 
-/* Lengths beyond the end, and texts that are too long or hold zeros, make the reader malformed. */
-static void reading_stays_within_the_payload(void **state) {
+/* Random payloads must not make the reader read past their end. Their lengths often exceed the
+ * payload, and strings are too long or hold NUL bytes; the reader rejects both. */
+static void a_reader_stays_within_its_payload(void **state) {
     (void)state;
     GRand *random = g_rand_new_with_seed(7);
     for (int i = 0; i < 50000; i++) {
         size_t count = (size_t)g_rand_int_range(random, 0, 48);
-        uint8_t *data = g_malloc(count ? count : 1); /* exact size: an overrun is seen */
+        /* Of the exact size, so that sanitizers detect an overrun. */
+        uint8_t *data = g_malloc(count ? count : 1);
         for (size_t k = 0; k < count; k++) {
             data[k] = (uint8_t)(g_rand_int_range(random, 0, 3) ? g_rand_int_range(random, 0, 12)
                                                                : g_rand_int_range(random, 0, 256));
@@ -74,8 +76,9 @@
 }
 
 int main(void) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(a_written_frame_reads_the_same),
-                                       cmocka_unit_test(a_wrong_magic_version_or_length_is_refused),
-                                       cmocka_unit_test(reading_stays_within_the_payload)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(a_frame_round_trips),
+        cmocka_unit_test(a_header_with_wrong_magic_version_or_length_is_rejected),
+        cmocka_unit_test(a_reader_stays_within_its_payload)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
