--- a/src/common/log.c
+++ b/src/common/log.c
@@ -8,12 +8,14 @@
 #include <time.h>
 #include <unistd.h>
 
-#define NODE_NAME_BYTES 64
-#define MESSAGE_BYTES 640
-#define LINE_BYTES 768
+/* Buffer sizes in bytes, with the NUL. */
+#define NODE_NAME_SIZE 64
+#define MESSAGE_SIZE 640
+#define LINE_SIZE 768
 
 static int max_level = RR_INFO_LEVEL;
-static char node[NODE_NAME_BYTES] = "ringrock";
+static char logged_node_name[NODE_NAME_SIZE] = "ringrock";
+/* Indexed by enum rr_log_severity. */
 static const char *const level_names[] = {"error", "info", "debug"};
 
 int rr_log_set_level(const char *name) {
@@ -31,29 +33,31 @@
 }
 
 void rr_log_node(const char *node_name) {
-    g_strlcpy(node, node_name, sizeof node);
+    g_strlcpy(logged_node_name, node_name, sizeof logged_node_name);
 }
 
 void rr_log(int level, const char *fmt, ...) {
     if (level > max_level) {
         return;
     }
-    char line[MESSAGE_BYTES];
+    char message[MESSAGE_SIZE];
     va_list args;
     va_start(args, fmt);
-    vsnprintf(line, sizeof line, fmt, args);
+    vsnprintf(message, sizeof message, fmt, args);
     va_end(args);
-    double wall = rr_wall_clock_s();
-    time_t seconds = (time_t)wall;
-    struct tm local_time;
-    gmtime_r(&seconds, &local_time);
-    char out[LINE_BYTES];
-    int count = snprintf(out, sizeof out, "%02d:%02d:%02d.%03d %s %s %s\n", local_time.tm_hour,
-                         local_time.tm_min, local_time.tm_sec,
-                         (int)((wall - (double)seconds) * 1000), node, level_names[level], line);
-    /* One write() for each line keeps the lines of different threads apart. */
-    size_t length = count < (int)sizeof out ? (size_t)count : sizeof out - 1;
-    if (write(STDERR_FILENO, out, length) < 0) {
+    double wall_s = rr_wall_clock_s();
+    time_t seconds = (time_t)wall_s;
+    struct tm utc_time;
+    gmtime_r(&seconds, &utc_time);
+    char line[LINE_SIZE];
+    int length =
+        snprintf(line, sizeof line, "%02d:%02d:%02d.%03d %s %s %s\n", utc_time.tm_hour,
+                 utc_time.tm_min, utc_time.tm_sec, (int)((wall_s - (double)seconds) * 1000),
+                 logged_node_name, level_names[level], message);
+    size_t written_length = length < (int)sizeof line ? (size_t)length : sizeof line - 1;
+    /* A single write() per line keeps lines of different threads from mixing. A failed write is
+     * ignored, since there is nowhere else to report it. */
+    if (write(STDERR_FILENO, line, written_length) < 0) {
         return;
     }
 }
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -1,21 +1,24 @@
-/* Log lines with a level, on standard error. Levels are set before threads start; rr_log() may be
- * called from any thread. */
+/* Writes log lines with a level to standard error. The level and the node name are set before any
+ * other thread starts; rr_log() and rr_log_line() may be called from any thread. */
 #ifndef RR_COMMON_LOG_H
 #define RR_COMMON_LOG_H
 
 #include <glib.h>
 
-enum rr_level { RR_ERROR_LEVEL, RR_INFO_LEVEL, RR_DEBUG_LEVEL };
+/* Severities, the most severe first. The values equal the core's RR_LOG_ERROR to RR_LOG_DEBUG. */
+enum rr_log_severity { RR_ERROR_LEVEL, RR_INFO_LEVEL, RR_DEBUG_LEVEL };
 
-/* The most verbose level that is written. */
+/* Returns the most verbose level that is written; RR_INFO_LEVEL by default. */
 int rr_log_level(void);
-/* name: "error", "info" or "debug"; NULL: unchanged, info at first. 0 or -EINVAL. */
+/* Sets the most verbose level that is written. name: "error", "info" or "debug"; NULL leaves it
+ * unchanged. Returns 0, or -EINVAL for another name. */
 int rr_log_set_level(const char *name);
-/* Sets the name that every line carries. */
+/* Sets the node name in every line; "ringrock" by default. Longer names are truncated. */
 void rr_log_node(const char *node_name);
-/* Writes one line with time, node name and level. */
+/* Writes one line with the time of day (UTC), the node name and the level, unless the level is more
+ * verbose than the set one. Long lines are truncated. */
 void rr_log(int level, const char *fmt, ...) G_GNUC_PRINTF(2, 3);
-/* The same for a finished line; an rr_core_log_fn. */
+/* Writes a formatted line as rr_log() does. An rr_core_log_fn, for the core's log lines. */
 void rr_log_line(int level, const char *line);
 
 #endif
--- a/src/common/thread.h
+++ b/src/common/thread.h
@@ -1,4 +1,5 @@
-/* Starts threads with small stacks, since the process has many. */
+/* Starts threads with small stacks, because the process has one thread per HTTP connection and its
+ * memory is limited. */
 #ifndef RR_COMMON_THREAD_H
 #define RR_COMMON_THREAD_H
 
@@ -7,7 +8,8 @@
 
 #define RR_THREAD_STACK_BYTES ((size_t)256 * 1024)
 
-/* Starts a thread that runs entry(argument). thread may be NULL if it is detached. 0 or -errno. */
+/* Starts a thread that runs entry(argument) and stores its handle in *thread. If detached is true,
+ * thread may be NULL; otherwise the caller joins the thread. Returns 0 or -errno. */
 int rr_thread_start(pthread_t *thread, void *(*entry)(void *), void *argument, bool detached);
 
 #endif
--- a/src/common/usage.h
+++ b/src/common/usage.h
@@ -1,30 +1,32 @@
-/* Processor time by kind of thread, for the log. Long-lived threads register their kind; time that
- * no registered thread used belongs to the HTTP server's connections, which are too short-lived to
- * register. Has a lock of its own. */
+/* Measures CPU time by kind of thread, for the log. Long-lived threads register under their kind.
+ * CPU time that no registered thread used is mostly that of the HTTP server's connections, whose
+ * threads are too short-lived to register. The module has its own lock. */
 #ifndef RR_COMMON_USAGE_H
 #define RR_COMMON_USAGE_H
 
 #include <stddef.h>
 
+/* The kinds of threads that are reported separately. */
 enum rr_usage_kind {
-    RR_USAGE_SESSION, /* session and membership */
+    RR_USAGE_SESSION, /* the session and membership threads */
     RR_USAGE_STORE_CACHE,
-    RR_USAGE_USERS, /* group commit and read barrier */
+    RR_USAGE_USERS, /* the commit and read barrier threads, which serve users' requests */
     RR_USAGE_PLANNER,
     RR_USAGE_AUTOSCALER,
     RR_USAGE_COMMANDS,
     RR_USAGE_PEERS,
     RR_USAGE_ADMISSION,
     RR_USAGE_CELLS,
-    RR_USAGE_KINDS /* their number */
+    RR_USAGE_KIND_COUNT
 };
 
-/* Registers the calling thread, and names it after its kind for tools like top -H. */
+/* Registers the calling thread, and names it after its kind for tools such as top -H. */
 void rr_usage_enter(enum rr_usage_kind kind);
-/* Ends the registration; before the thread returns. */
+/* Unregisters the calling thread. A registered thread must call this before it returns. */
 void rr_usage_leave(void);
-/* Writes the milliseconds of processor time by kind since the last call; "not known" where the
- * system's clocks are inconsistent. One thread at a time may call this. */
+/* Writes the CPU time since the last call, in milliseconds by kind, to out as text; "not known"
+ * where the system's thread clocks are inconsistent with the process's. Must not be called by two
+ * threads at the same time. */
 void rr_usage_line(char *out, size_t size);
 
 #endif
