--- a/src/conf/endpoint.c
+++ b/src/conf/endpoint.c
@@ -6,6 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define PORT_MAX 65535
+
 int rr_endpoint_parse(const char *text, struct rr_endpoint *out) {
     const char *colon = strrchr(text, ':');
     struct in_addr address;
@@ -16,7 +18,7 @@
     out->host[colon - text] = 0;
     char *end;
     unsigned long port = strtoul(colon + 1, &end, 10);
-    if (*end || port == 0 || port > 65535 || inet_pton(AF_INET, out->host, &address) != 1) {
+    if (*end || port == 0 || port > PORT_MAX || inet_pton(AF_INET, out->host, &address) != 1) {
         return -EINVAL;
     }
     out->port = (uint16_t)port;
--- a/src/conf/settings_file.c
+++ b/src/conf/settings_file.c
@@ -4,18 +4,21 @@
 #include <stdio.h>
 #include <string.h>
 
-#define MESSAGE_BYTES_MAX 200
+#define MESSAGE_SIZE 200 /* buffer size in bytes, with the NUL */
 
+/* The state of the file that is being read. */
 static const char *file_name;
-static GError *first_error;                   /* of the file that is read */
-static enum rr_settings_error rejection_code; /* of the rejection under way, */
-static bool rejecting;                        /* if there is one */
+static GError *first_error; /* NULL: none so far */
+/* Whether rr_settings_reject() is reporting an error, and that error's code. */
+static bool rejecting;
+static enum rr_settings_error reject_code;
+/* The numbers whose ranges are checked during parsing. */
 static const rr_number_setting *checked_numbers;
 static size_t checked_count;
 
-/* ---- errors ---- */
+/* ---- parser errors ---- */
 
-/* libconfuse gives only a text. */
+/* Derives the error code from the message, because libconfuse reports nothing else. */
 static enum rr_settings_error classify_parser_message(const char *message) {
     if (strstr(message, RR_SETTINGS_END_MARK)) {
         return RR_SETTINGS_ERROR_SYNTAX;
@@ -29,37 +32,39 @@
     return RR_SETTINGS_ERROR_SYNTAX;
 }
 
+/* Keeps the first error of a file; libconfuse calls this for each. */
 static void on_parser_error(cfg_t *config, const char *format, va_list arguments) {
-    char message[MESSAGE_BYTES_MAX];
+    char message[MESSAGE_SIZE];
     vsnprintf(message, sizeof message, format, arguments);
     if (!first_error) {
         const char *reason =
             strstr(message, RR_SETTINGS_END_MARK) ? "a section is not closed" : message;
         g_set_error(&first_error, RR_SETTINGS_ERROR,
-                    (int)(rejecting ? rejection_code : classify_parser_message(message)),
-                    "%s:%d: %s", file_name, config ? config->line : 0, reason);
+                    (int)(rejecting ? reject_code : classify_parser_message(message)), "%s:%d: %s",
+                    file_name, config ? config->line : 0, reason);
     }
 }
 
 int rr_settings_reject(cfg_t *config, enum rr_settings_error code, const char *format, ...) {
-    char message[MESSAGE_BYTES_MAX];
+    char message[MESSAGE_SIZE];
     va_list arguments;
     va_start(arguments, format);
     vsnprintf(message, sizeof message, format, arguments);
     va_end(arguments);
     rejecting = true;
-    rejection_code = code;
+    reject_code = code;
     cfg_error(config, "%s", message);
     rejecting = false;
     return -1;
 }
 
-/* ---- numbers ---- */
+/* ---- numeric settings ---- */
 
 static bool is_in_range(const rr_number_setting *number, double value) {
     return value >= number->min && value <= number->max;
 }
 
+/* Validation callback of libconfuse: checks the range of the number just read. */
 static int check_number(cfg_t *config, cfg_opt_t *option) {
     double value = cfg_opt_getnfloat(option, cfg_opt_size(option) - 1);
     for (size_t i = 0; i < checked_count; i++) {
@@ -93,7 +98,7 @@
     }
 }
 
-static double parsed_value(cfg_t *config, const rr_number_setting *number) {
+static double get_parsed_number(cfg_t *config, const rr_number_setting *number) {
     return number->type == RR_NUMBER_INTEGER ? (double)cfg_getint(config, number->name)
                                              : cfg_getfloat(config, number->name);
 }
@@ -107,7 +112,7 @@
 void rr_settings_copy_numbers(cfg_t *config, const rr_number_setting *numbers, size_t count,
                               void *out) {
     for (size_t i = 0; i < count; i++) {
-        set_number(&numbers[i], out, parsed_value(config, &numbers[i]));
+        set_number(&numbers[i], out, get_parsed_number(config, &numbers[i]));
     }
 }
 
@@ -115,14 +120,14 @@
                                                        const rr_number_setting *numbers,
                                                        size_t count) {
     for (size_t i = 0; i < count; i++) {
-        if (!is_in_range(&numbers[i], parsed_value(config, &numbers[i]))) {
+        if (!is_in_range(&numbers[i], get_parsed_number(config, &numbers[i]))) {
             return &numbers[i];
         }
     }
     return NULL;
 }
 
-/* ---- files ---- */
+/* ---- parsing ---- */
 
 void rr_settings_begin(cfg_t *config, const char *file) {
     file_name = file;
@@ -139,7 +144,7 @@
     }
 }
 
-/* Hands the kept error over. */
+/* Moves the kept error to *error if parsing has failed. Returns whether it succeeded. */
 static bool finish_parse(int result, GError **error) {
     if (result != CFG_SUCCESS && !first_error) {
         g_set_error(&first_error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_SYNTAX, "%s: syntax error",
@@ -155,15 +160,15 @@
 bool rr_settings_parse(cfg_t *config, GError **error) {
     int result = cfg_parse(config, file_name);
     if (result == CFG_FILE_ERROR) {
-        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE, "%s: can't be read: %s",
-                    file_name, strerror(errno));
+        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE,
+                    "%s: cannot be read: %s", file_name, strerror(errno));
         return false;
     }
     return finish_parse(result, error);
 }
 
-/* libconfuse counts lines wrongly after comments from "#" or "//" to the end of a line, so that
- * these are blanked before it reads them. */
+/* Overwrites comments that extend from "#" or "//" to the end of the line with spaces, because
+ * libconfuse miscounts lines after them. Leaves quoted strings unchanged. */
 static void blank_comments(char *text) {
     char quote = 0;
     bool in_comment = false;
@@ -191,15 +196,15 @@
     char *text = NULL;
     GError *read_error = NULL;
     if (!g_file_get_contents(file_name, &text, NULL, &read_error)) {
-        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE, "%s: can't be read: %s",
-                    file_name, read_error->message);
+        g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE,
+                    "%s: cannot be read: %s", file_name, read_error->message);
         g_error_free(read_error);
         return false;
     }
     blank_comments(text);
-    char *marked = g_strconcat(text, "\n" RR_SETTINGS_END_MARK " = true\n", NULL);
-    int result = cfg_parse_buf(config, marked);
-    g_free(marked);
+    char *text_with_marker = g_strconcat(text, "\n" RR_SETTINGS_END_MARK " = true\n", NULL);
+    int result = cfg_parse_buf(config, text_with_marker);
+    g_free(text_with_marker);
     g_free(text);
     return finish_parse(result, error);
 }
