--- a/src/app/toml.cpp
+++ b/src/app/toml.cpp
@@ -7,13 +7,13 @@
 #include <string>
 #include <toml++/toml.h>
 
-struct rr_toml {
-    toml::table root;
+struct rr_toml_document {
+    toml::table root; // the top-level table
 };
 
-extern "C" rr_toml *rr_toml_load(const char *file, GError **error) {
+extern "C" rr_toml_document *rr_toml_load(const char *file, GError **error) {
     try {
-        return new rr_toml{toml::parse_file(file)};
+        return new rr_toml_document{toml::parse_file(file)};
     } catch (const toml::parse_error &failure) {
         const auto line = static_cast<unsigned>(failure.source().begin.line);
         const std::string reason(failure.description());
@@ -31,12 +31,13 @@
     return nullptr;
 }
 
-extern "C" void rr_toml_destroy(rr_toml *table) {
-    delete table;
+extern "C" void rr_toml_destroy(rr_toml_document *document) {
+    delete document;
 }
 
-extern "C" int rr_toml_text(const rr_toml *table, const char *path, char *out, size_t size) {
-    const auto node = table->root.at_path(path);
+extern "C" int rr_toml_read_string(const rr_toml_document *document, const char *path, char *out,
+                                   size_t size) {
+    const auto node = document->root.at_path(path);
     if (!node) {
         return -ENOENT;
     }
@@ -48,8 +49,9 @@
     return 0;
 }
 
-extern "C" int rr_toml_number(const rr_toml *table, const char *path, double *out) {
-    const auto node = table->root.at_path(path);
+extern "C" int rr_toml_read_number(const rr_toml_document *document, const char *path,
+                                   double *out) {
+    const auto node = document->root.at_path(path);
     if (!node) {
         return -ENOENT;
     }
@@ -64,16 +66,16 @@
     return 0;
 }
 
-extern "C" int rr_toml_table(const rr_toml *table, const char *path) {
-    const auto node = table->root.at_path(path);
+extern "C" int rr_toml_check_table(const rr_toml_document *document, const char *path) {
+    const auto node = document->root.at_path(path);
     if (!node) {
         return -ENOENT;
     }
     return node.is_table() ? 0 : -EINVAL;
 }
 
-extern "C" int rr_toml_count(const rr_toml *table, const char *path) {
-    const auto node = table->root.at_path(path);
+extern "C" int rr_toml_count_tables(const rr_toml_document *document, const char *path) {
+    const auto node = document->root.at_path(path);
     if (!node) {
         return 0;
     }
@@ -89,7 +91,7 @@
     return static_cast<int>(array->size());
 }
 
-extern "C" unsigned rr_toml_line(const rr_toml *table, const char *path) {
-    const auto node = table->root.at_path(path);
+extern "C" unsigned rr_toml_find_line(const rr_toml_document *document, const char *path) {
+    const auto node = document->root.at_path(path);
     return node ? static_cast<unsigned>(node.node()->source().begin.line) : 0;
 }
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,5 +1,5 @@
-/* Loading of the platform's settings and the operators' tuning file. Errors have the code of what
- * is wrong and name file and field. */
+/* Tests that the platform's file and the operators' tuning file are loaded, and that errors have
+ * the code of the fault and name the file and the setting. */
 #include "core_fixture.h"
 
 #include "app/settings.h"
@@ -8,6 +8,7 @@
 #include <string.h>
 #include <unistd.h>
 
+/* A platform file without errors. The loader ignores the settings that it doesn't know. */
 static const char valid_platform[] =
     "node_name = \"n0\"\nzone = \"a\"\nbind = \"127.0.0.1:8080\"\n"
     "peer_listen = \"127.0.0.1:8081\"\nnew_field = 1\n"
@@ -22,7 +23,8 @@
     "[deployment.state]\nrps = 250.0\nwrite_rps = 100.0\nvalue_kb = 8.0\n"
     "txn_ops = 32\n[deployment.cloud]\nrps = 10.0\nlist_lag_s = 6.0\n";
 
-static char *write_temp(const char *text) {
+/* Writes a temporary file and returns its path. The caller deletes the file and frees the path. */
+static char *write_temp_file(const char *text) {
     char *path = NULL;
     int fd = g_file_open_tmp("rr-test-XXXXXX", &path, NULL);
     assert_true(fd >= 0);
@@ -31,10 +33,11 @@
     return path;
 }
 
-/* tuning: NULL: no such file. */
-static bool load(const char *platform, const char *tuning, struct rr_config *config,
-                 GError **error) {
-    char *platform_file = write_temp(platform), *tuning_file = tuning ? write_temp(tuning) : NULL;
+/* Loads files with these texts; without a tuning file if tuning is NULL. */
+static bool load_files(const char *platform, const char *tuning, struct rr_config *config,
+                       GError **error) {
+    char *platform_file = write_temp_file(platform),
+         *tuning_file = tuning ? write_temp_file(tuning) : NULL;
     bool loaded = rr_settings_load(platform_file, tuning_file, config, error);
     unlink(platform_file);
     if (tuning_file) {
@@ -47,29 +50,30 @@
 
 static void load_valid(const char *platform, const char *tuning, struct rr_config *config) {
     GError *error = NULL;
-    if (!load(platform, tuning, config, &error)) {
+    if (!load_files(platform, tuning, config, &error)) {
         fail_msg("%s", error->message);
     }
     assert_null(error);
 }
 
-/* The files must be refused with this code, and a message of one line that has this text. */
+/* Checks that loading fails with this code and a single-line message that contains this text. */
 static void expect_error(const char *platform, const char *tuning, enum rr_settings_error code,
                          const char *text) {
     struct rr_config config;
     GError *error = NULL;
-    assert_false(load(platform, tuning, &config, &error));
+    assert_false(load_files(platform, tuning, &config, &error));
     assert_non_null(error);
     if (!g_error_matches(error, RR_SETTINGS_ERROR, (int)code) || !strstr(error->message, text)) {
-        fail_msg("\"%s\" with code %d, not \"%s\" with code %d", error->message, error->code, text,
-                 (int)code);
+        fail_msg("error \"%s\" with code %d instead of \"%s\" with code %d", error->message,
+                 error->code, text, (int)code);
     }
     assert_null(strchr(error->message, '\n'));
     g_error_free(error);
 }
 
-/* The valid platform file with one change. */
-static char *platform_with(const char *from, const char *replacement) {
+/* Returns the valid platform file with the first occurrence of `from`, which must exist, replaced.
+ * The caller frees it. */
+static char *replace_in_platform(const char *from, const char *replacement) {
     GString *text = g_string_new(valid_platform);
     assert_int_equal(g_string_replace(text, from, replacement, 1), 1);
     return g_string_free(text, FALSE);
@@ -87,7 +91,7 @@
     assert_true(rr_session_lease_s(&config) + config.lease_s < config.cancel_s);
 }
 
-static void later_limits_default_to_the_present_ones(void **state) {
+static void next_limits_default_to_the_present_ones(void **state) {
     (void)state;
     struct rr_config config;
     load_valid(valid_platform, NULL, &config);
@@ -95,18 +99,19 @@
                 config.next_write_rps == 100);
 }
 
-static void smaller_later_limits_apply_at_once(void **state) {
+static void smaller_next_limits_apply_at_once(void **state) {
     (void)state;
     struct rr_config config;
-    char *text = platform_with("txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\n"
-                                                 "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
+    char *text =
+        replace_in_platform("txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\n"
+                                              "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
     load_valid(text, NULL, &config);
     assert_true(rr_value_kb_max(&config) == 2 && rr_transaction_changes_max(&config) == 32);
     assert_true(config.next_write_rps == 24 && config.next_rps == config.state_rps);
     g_free(text);
 }
 
-static void faults_of_the_platform_file_are_named(void **state) {
+static void platform_file_errors_name_the_setting(void **state) {
     (void)state;
     static const struct {
         const char *from, *replacement;
@@ -145,16 +150,17 @@
          "deployment.teams[0].gpus_max"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        char *text = platform_with(cases[i].from, cases[i].replacement);
+        char *text = replace_in_platform(cases[i].from, cases[i].replacement);
         expect_error(text, NULL, cases[i].code, cases[i].field);
         g_free(text);
     }
 }
 
-static void a_fault_of_a_value_names_its_line(void **state) {
+static void a_value_error_names_its_line(void **state) {
     (void)state;
-    char *text = platform_with("zone = \"a\"", "zone = 7");
-    expect_error(text, NULL, RR_SETTINGS_ERROR_WRONG_TYPE, ":2: zone: must be text");
+    char *text = replace_in_platform("zone = \"a\"", "zone = 7");
+    expect_error(text, NULL, RR_SETTINGS_ERROR_WRONG_TYPE,
+                 ":2: zone: must be a string and not too long");
     g_free(text);
 }
 
@@ -163,7 +169,7 @@
     expect_error("node_name = ", NULL, RR_SETTINGS_ERROR_SYNTAX, ":1:");
 }
 
-static void a_missing_file_is_named(void **state) {
+static void a_missing_file_is_named_in_the_error(void **state) {
     (void)state;
     struct rr_config config;
     GError *error = NULL;
@@ -171,7 +177,7 @@
     assert_true(g_error_matches(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE));
     assert_non_null(strstr(error->message, "/nonexistent/x.toml"));
     g_clear_error(&error);
-    char *platform_file = write_temp(valid_platform);
+    char *platform_file = write_temp_file(valid_platform);
     assert_false(rr_settings_load(platform_file, "/nonexistent/x.hcl", &config, &error));
     assert_true(g_error_matches(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_UNREADABLE));
     assert_non_null(strstr(error->message, "/nonexistent/x.hcl"));
@@ -199,7 +205,7 @@
     assert_true(config.tuning.recent_heartbeat_intervals > 1); /* a default */
 }
 
-static void faults_of_the_tuning_file_are_named(void **state) {
+static void tuning_file_errors_name_the_setting(void **state) {
     (void)state;
     static const struct {
         const char *text;
@@ -221,15 +227,15 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(valid_settings_are_loaded),
-        cmocka_unit_test(later_limits_default_to_the_present_ones),
-        cmocka_unit_test(smaller_later_limits_apply_at_once),
-        cmocka_unit_test(faults_of_the_platform_file_are_named),
-        cmocka_unit_test(a_fault_of_a_value_names_its_line),
+        cmocka_unit_test(next_limits_default_to_the_present_ones),
+        cmocka_unit_test(smaller_next_limits_apply_at_once),
+        cmocka_unit_test(platform_file_errors_name_the_setting),
+        cmocka_unit_test(a_value_error_names_its_line),
         cmocka_unit_test(a_syntax_error_names_its_line),
-        cmocka_unit_test(a_missing_file_is_named),
+        cmocka_unit_test(a_missing_file_is_named_in_the_error),
         cmocka_unit_test(an_error_does_not_affect_the_next_load),
         cmocka_unit_test(tuning_replaces_defaults),
-        cmocka_unit_test(faults_of_the_tuning_file_are_named),
+        cmocka_unit_test(tuning_file_errors_name_the_setting),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
