--- a/src/http/listeners.c
+++ b/src/http/listeners.c
@@ -1,4 +1,5 @@
-/* Listeners accept connections; a watcher adds another listener when all have stalled. */
+/* The listeners, which accept connections, and the watcher, which adds a listener when all of them
+ * have stalled. */
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/thread.h"
@@ -7,27 +8,32 @@
 #include <poll.h>
 #include <unistd.h>
 
-/* Of a connection, for a request's headers and the part of its body that is being read; the library
- * touches all of it. */
+/* A connection's buffer for a request's headers and the part of its body that is being read. It
+ * counts in full towards the process's memory, because libmicrohttpd touches all of it. */
 #define CONNECTION_MEMORY_BYTES ((size_t)8 * 1024)
 #define IDLE_CONNECTION_TIMEOUT_S 90u
+/* A listener added after a stall may have at least this many connections, however many are open. */
 #define ADDED_LISTENER_CONNECTIONS_MIN 8
-#define CHECK_PERIOD_S 0.5
-#define CHECKS_UNTIL_STALLED 6 /* in a row with connections waiting and none accepted */
+#define STALL_CHECK_PERIOD_S 0.5
+/* The listeners count as stalled after this many consecutive checks with connections waiting and
+ * none accepted. */
+#define STALLED_CHECKS_MAX 6
 
-static void on_connection(void *user, struct MHD_Connection *connection, void **state,
-                          enum MHD_ConnectionNotificationCode event) {
-    struct rr_listener *listener = user;
+/* Callback of libmicrohttpd for the start and the end of a connection. */
+static void on_connection_event(void *user_data, struct MHD_Connection *connection,
+                                void **connection_state,
+                                enum MHD_ConnectionNotificationCode event) {
+    struct rr_listener *listener = user_data;
     rr_http_server *server = listener->server;
     (void)connection;
-    (void)state;
+    (void)connection_state;
     if (event != MHD_CONNECTION_NOTIFY_STARTED) {
         atomic_fetch_sub(&server->open_connections, 1);
         return;
     }
     atomic_fetch_add(&server->open_connections, 1);
     if (server->on_accept) {
-        server->on_accept(server->user);
+        server->on_accept(server->user_data);
     }
     atomic_fetch_add(&listener->accepted, 1);
 }
@@ -45,12 +51,13 @@
         MHD_OPTION_THREAD_STACK_SIZE, RR_THREAD_STACK_BYTES, MHD_OPTION_CONNECTION_LIMIT,
         (unsigned)connections_max, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_CONNECTION_TIMEOUT_S,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, CONNECTION_MEMORY_BYTES, MHD_OPTION_NOTIFY_COMPLETED,
-        rr_http_on_completed, NULL, MHD_OPTION_NOTIFY_CONNECTION, on_connection, listener,
+        rr_http_on_completed, NULL, MHD_OPTION_NOTIFY_CONNECTION, on_connection_event, listener,
         MHD_OPTION_END);
     atomic_fetch_add(&server->listener_count, listener->daemon != NULL);
     return listener->daemon != NULL;
 }
 
+/* Returns the number of connections that all listeners have accepted so far. */
 static unsigned count_accepted(const rr_http_server *server) {
     unsigned sum = 0;
     for (unsigned i = 0; i < atomic_load(&server->listener_count); i++) {
@@ -59,37 +66,39 @@
     return sum;
 }
 
-static void replace_stalled_listeners(rr_http_server *server) {
+/* Marks all listeners as stalled and starts another one, which may use the connections that are
+ * left. */
+static void add_listener_after_stall(rr_http_server *server) {
     for (unsigned i = 0; i < atomic_load(&server->listener_count); i++) {
         struct rr_listener *listener = &server->listeners[i];
         listener->stalled = true;
         listener->accepted_at_stall = atomic_load(&listener->accepted);
     }
-    int left = server->connections_max - atomic_load(&server->open_connections);
-    bool added =
-        rr_http_add_listener(server, dup(server->fd), MAX(left, ADDED_LISTENER_CONNECTIONS_MIN));
-    rr_log(RR_ERROR_LEVEL, "connections wait and none is accepted: %s",
-           added ? "another listener begins" : "no listener can be added");
+    int connections_left = server->connections_max - atomic_load(&server->open_connections);
+    bool added = rr_http_add_listener(server, dup(server->listen_fd),
+                                      MAX(connections_left, ADDED_LISTENER_CONNECTIONS_MIN));
+    rr_log(RR_ERROR_LEVEL, "HTTP listeners stalled with connections waiting: %s",
+           added ? "started another listener" : "could not start another listener");
 }
 
-/* A library daemon's single thread may stop accepting connections for good while the rest of the
- * process is well. Whatever the cause, connections that wait on the socket show it, and another
- * listener goes on with the same socket. */
+/* The watcher thread. The single accepting thread of a libmicrohttpd daemon may stop accepting
+ * connections for good while the rest of the process works. Whatever the cause, it shows as
+ * connections that wait on the socket; another listener then accepts from the same socket. */
 static void *watch_listeners(void *argument) {
     rr_http_server *server = argument;
     unsigned accepted_before = 0, stalled_checks = 0;
-    while (!atomic_load(&server->stop)) {
-        struct pollfd poll_fd = {server->fd, POLLIN, 0};
-        rr_sleep(CHECK_PERIOD_S);
+    while (!atomic_load(&server->stopping)) {
+        struct pollfd poll_fd = {server->listen_fd, POLLIN, 0};
+        rr_sleep(STALL_CHECK_PERIOD_S);
         unsigned accepted = count_accepted(server);
         bool waiting = poll(&poll_fd, 1, 0) > 0 && (poll_fd.revents & POLLIN) != 0;
-        /* Beyond the maximum connections are closed at once without being counted. */
-        bool full = atomic_load(&server->open_connections) >= server->connections_max;
-        bool stalled = waiting && !full && accepted == accepted_before;
+        /* At the limit, further connections are closed at once and not counted as accepted. */
+        bool at_limit = atomic_load(&server->open_connections) >= server->connections_max;
+        bool stalled = waiting && !at_limit && accepted == accepted_before;
         stalled_checks = stalled ? stalled_checks + 1 : 0;
         accepted_before = accepted;
-        if (stalled_checks == CHECKS_UNTIL_STALLED) {
-            replace_stalled_listeners(server);
+        if (stalled_checks == STALLED_CHECKS_MAX) {
+            add_listener_after_stall(server);
             stalled_checks = 0;
         }
     }
@@ -108,7 +117,7 @@
     }
     for (unsigned i = atomic_load(&server->listener_count); i > 0; i--) {
         struct rr_listener *listener = &server->listeners[i - 1];
-        /* Stopping a daemon joins its thread, which would not return. */
+        /* MHD_stop_daemon() joins the daemon's thread, so it would block on a stalled one. */
         if (listener->stalled && listener->accepted_at_stall == atomic_load(&listener->accepted)) {
             all_stopped = false;
         } else {
--- a/src/http/requests.c
+++ b/src/http/requests.c
@@ -1,19 +1,20 @@
-/* Reads one request, has the handler answer it and sends the response. */
+/* Reads requests, calls the handler for each and sends its response. */
 #include "http/server_internal.h"
 
 #include <string.h>
 
-/* Of the connections: with more, workers' connections are closed after their response, so that
- * users and health checks get in. */
+/* The server is crowded if more than this share of its connections is in use. Workers' connections
+ * are then closed after their responses, so that users and health checks can still connect. */
 #define CROWDED_SHARE 0.75
-#define PAYLOAD_TOO_LARGE 413
+#define STATUS_PAYLOAD_TOO_LARGE 413
 
-/* A request's body as it arrives. */
+/* The body of a request while it is being received. */
 struct upload {
     GByteArray *body;
-    bool too_large;
+    bool too_large; /* larger than RR_BODY_BYTES_MAX, as declared or as received */
 };
 
+/* Queues the response; close: the connection is closed after it. */
 static enum MHD_Result send_response(struct MHD_Connection *connection,
                                      const struct rr_http_response *response, bool close) {
     struct MHD_Response *reply = MHD_create_response_from_buffer(
@@ -25,9 +26,9 @@
         MHD_add_response_header(reply, "Content-Type", "application/msgpack");
     }
     if (response->retry_after_s > 0) {
-        char text[16];
-        g_snprintf(text, sizeof text, "%d", response->retry_after_s);
-        MHD_add_response_header(reply, "Retry-After", text);
+        char seconds[16];
+        g_snprintf(seconds, sizeof seconds, "%d", response->retry_after_s);
+        MHD_add_response_header(reply, "Retry-After", seconds);
     }
     if (response->allow) {
         MHD_add_response_header(reply, "Allow", response->allow);
@@ -40,18 +41,19 @@
     return result;
 }
 
-static bool is_declared_too_large(struct MHD_Connection *connection) {
+static bool declares_too_large_body(struct MHD_Connection *connection) {
     const char *length = MHD_lookup_connection_value(connection, MHD_HEADER_KIND, "Content-Length");
     return length && g_ascii_strtoull(length, NULL, 10) > RR_BODY_BYTES_MAX;
 }
 
-static struct upload *begin_upload(struct MHD_Connection *connection) {
+static struct upload *create_upload(struct MHD_Connection *connection) {
     struct upload *upload = g_new0(struct upload, 1);
     upload->body = g_byte_array_new();
-    upload->too_large = is_declared_too_large(connection);
+    upload->too_large = declares_too_large_body(connection);
     return upload;
 }
 
+/* Appends received data; of a body that is too large nothing more is kept. */
 static void append_data(struct upload *upload, const char *data, size_t length) {
     if (!upload->too_large && upload->body->len + length <= RR_BODY_BYTES_MAX) {
         g_byte_array_append(upload->body, (const guint8 *)data, (guint)length);
@@ -60,17 +62,18 @@
     }
 }
 
-static enum MHD_Result answer_request(rr_http_server *server, struct MHD_Connection *connection,
+/* Responds to a request that was received whole, or whose body is too large. */
+static enum MHD_Result handle_request(rr_http_server *server, struct MHD_Connection *connection,
                                       const char *path, const char *method,
                                       const struct upload *upload) {
     struct rr_http_request request = {method, path, upload->body->data, upload->body->len};
-    struct rr_http_response response = {.status = PAYLOAD_TOO_LARGE};
-    if (atomic_load(&server->stop)) {
+    struct rr_http_response response = {.status = STATUS_PAYLOAD_TOO_LARGE};
+    if (atomic_load(&server->stopping)) {
         return MHD_NO;
     }
     rr_encoder_init(&response.body);
     if (!upload->too_large) {
-        server->handler(server->user, &request, &response);
+        server->handler(server->user_data, &request, &response);
     }
     bool crowded = atomic_load(&server->open_connections) > CROWDED_SHARE * server->connections_max;
     enum MHD_Result result = send_response(connection, &response, response.yields && crowded);
@@ -78,17 +81,16 @@
     return result;
 }
 
-/* libmicrohttpd calls this first for the headers, then for each part of the body, then with no
- * data.
- */
-enum MHD_Result rr_http_on_request(void *user, struct MHD_Connection *connection, const char *path,
-                                   const char *method, const char *version, const char *data,
-                                   size_t *length, void **state) {
-    struct upload *upload = *state;
+/* libmicrohttpd calls this once after the headers, then for each part of the body, and once without
+ * data at the end. */
+enum MHD_Result rr_http_on_request(void *user_data, struct MHD_Connection *connection,
+                                   const char *path, const char *method, const char *version,
+                                   const char *data, size_t *length, void **request_state) {
+    struct upload *upload = *request_state;
     (void)version;
     if (!upload) {
-        *state = upload = begin_upload(connection);
-        /* A body that is declared too large is refused before it is read. */
+        *request_state = upload = create_upload(connection);
+        /* A body whose declared length is too large is refused before it is read. */
         if (!upload->too_large) {
             return MHD_YES;
         }
@@ -97,18 +99,18 @@
         *length = 0;
         return MHD_YES;
     }
-    return answer_request(user, connection, path, method, upload);
+    return handle_request(user_data, connection, path, method, upload);
 }
 
-void rr_http_on_completed(void *user, struct MHD_Connection *connection, void **state,
+void rr_http_on_completed(void *user_data, struct MHD_Connection *connection, void **request_state,
                           enum MHD_RequestTerminationCode reason) {
-    struct upload *upload = *state;
-    (void)user;
+    struct upload *upload = *request_state;
+    (void)user_data;
     (void)connection;
     (void)reason;
     if (upload) {
         g_byte_array_free(upload->body, TRUE);
         g_free(upload);
-        *state = NULL;
+        *request_state = NULL;
     }
 }
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -1,4 +1,5 @@
-/* Limits of the HTTP server, with a handler and clients of the test's own on loopback sockets. */
+/* Tests the connection limits and the listeners of the HTTP server, with a handler of the test and
+ * clients on loopback sockets. */
 #include "core_fixture.h"
 
 #include "common/clock.h"
@@ -15,11 +16,14 @@
 #include <unistd.h>
 
 #define CONNECTIONS_MAX 8
-#define CROWDED_FROM 7 /* connections; more than 75% of CONNECTIONS_MAX */
-
-static void answer(void *user, const struct rr_http_request *request,
-                   struct rr_http_response *response) {
-    (void)user;
+/* The least number of connections with which the server is crowded: more than 75% of
+ * CONNECTIONS_MAX. */
+#define CROWDED_FROM 7
+
+/* Handler that responds as to a worker on /hello and as to a user on other paths. */
+static void handle_request(void *user_data, const struct rr_http_request *request,
+                           struct rr_http_response *response) {
+    (void)user_data;
     response->status = 200;
     response->yields = strcmp(request->path, "/hello") == 0;
     rr_encode_map(&response->body, 0);
@@ -28,12 +32,12 @@
 struct fixture {
     struct rr_config config;
     rr_http_server *server;
-    atomic_bool stall_next; /* the accepting thread is to stall at the next connection */
-    sem_t resume;
+    atomic_bool stall_next; /* the accepting thread stalls at the next connection */
+    sem_t resume;           /* ends the stall */
 };
 
-static void on_accept(void *user) {
-    struct fixture *fixture = user;
+static void on_accept(void *user_data) {
+    struct fixture *fixture = user_data;
     if (atomic_exchange(&fixture->stall_next, false)) {
         sem_wait(&fixture->resume);
     }
@@ -45,16 +49,16 @@
     g_strlcpy(fixture->config.bind.host, "127.0.0.1", sizeof fixture->config.bind.host);
     fixture->config.bind.port = fake_services_free_port();
     sem_init(&fixture->resume, 0, 0);
-    fixture->server =
-        rr_http_server_create(&fixture->config, CONNECTIONS_MAX, answer, on_accept, fixture);
+    fixture->server = rr_http_server_create(&fixture->config, CONNECTIONS_MAX, handle_request,
+                                            on_accept, fixture);
     assert_non_null(fixture->server);
-    int early = socket(AF_INET, SOCK_STREAM, 0);
+    int refused = socket(AF_INET, SOCK_STREAM, 0);
     struct sockaddr_in address = {.sin_family = AF_INET,
                                   .sin_port = htons(fixture->config.bind.port)};
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    assert_int_equal(connect(early, (struct sockaddr *)&address, sizeof address), -1);
+    assert_int_equal(connect(refused, (struct sockaddr *)&address, sizeof address), -1);
     assert_int_equal(errno, ECONNREFUSED);
-    close(early);
+    close(refused);
     assert_int_equal(rr_http_server_listen(fixture->server), 0);
     *state = fixture;
     return 0;
@@ -67,53 +71,56 @@
     return 0;
 }
 
-static int dial(const struct fixture *fixture) {
+static int connect_client(const struct fixture *fixture) {
     int fd = fake_services_dial(&fixture->config.bind);
     assert_true(fd >= 0);
     return fd;
 }
 
-/* Sends a request and reads its answer, which has a body of one byte. False: closed instead. */
-static bool ask(int fd, const char *path, char *into, size_t size) {
+/* Sends a request and reads the response, which has a body of one byte, into a buffer. Returns
+ * whether its status is 200; false too if the connection was closed instead. */
+static bool request_path(int fd, const char *path, char *response, size_t size) {
     char text[128];
     size_t count = 0;
     int length = g_snprintf(text, sizeof text, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path);
     if (send(fd, text, (size_t)length, MSG_NOSIGNAL) != length) {
         return false;
     }
-    memset(into, 0, size);
-    while (count + 1 < size && !(count > 4 && memcmp(into + count - 5, "\r\n\r\n", 4) == 0)) {
-        ssize_t received = recv(fd, into + count, 1, 0);
+    memset(response, 0, size);
+    while (count + 1 < size && !(count > 4 && memcmp(response + count - 5, "\r\n\r\n", 4) == 0)) {
+        ssize_t received = recv(fd, response + count, 1, 0);
         if (received <= 0) {
             return false;
         }
         count++;
     }
-    return strncmp(into, "HTTP/1.1 200", 12) == 0;
+    return strncmp(response, "HTTP/1.1 200", 12) == 0;
 }
 
-static bool announces_close(const char *answer_text) {
-    char *low = g_ascii_strdown(answer_text, -1);
-    bool announced = strstr(low, "connection: close") != NULL;
-    g_free(low);
-    return announced;
+/* Whether the response announces that the connection will be closed. */
+static bool has_connection_close(const char *response) {
+    char *lower_case = g_ascii_strdown(response, -1);
+    bool found = strstr(lower_case, "connection: close") != NULL;
+    g_free(lower_case);
+    return found;
 }
 
-/* Near the limit workers are answered and their connections closed, so that users still get in and
- * keep theirs; beyond the limit a connection is closed at once. */
+/* Guards against workers' connections keeping users out. Near the limit, workers are answered and
+ * their connections closed, so that users can connect and stay connected; beyond the limit a
+ * connection is closed at once. */
 static void workers_make_room_for_users_near_the_limit(void **state) {
     struct fixture *fixture = *state;
     char text[1024], byte;
     int fds[CONNECTIONS_MAX];
     for (int i = 0; i < CROWDED_FROM - 1; i++) {
-        fds[i] = dial(fixture);
-        assert_true(ask(fds[i], "/hello", text, sizeof text));
-        assert_false(announces_close(text)); /* there is room: workers keep their connections */
+        fds[i] = connect_client(fixture);
+        assert_true(request_path(fds[i], "/hello", text, sizeof text));
+        assert_false(has_connection_close(text)); /* not crowded: workers stay connected */
     }
     for (int i = 0; i < 20; i++) {
-        int worker = dial(fixture);
-        assert_true(ask(worker, "/hello", text, sizeof text));
-        assert_true(announces_close(text));
+        int worker = connect_client(fixture);
+        assert_true(request_path(worker, "/hello", text, sizeof text));
+        assert_true(has_connection_close(text));
         assert_int_equal(recv(worker, &byte, 1, 0), 0);
         close(worker);
         while (rr_http_server_connections(fixture->server) > CROWDED_FROM - 1) {
@@ -121,58 +128,60 @@
         }
     }
     for (int i = CROWDED_FROM - 1; i < CONNECTIONS_MAX; i++) {
-        fds[i] = dial(fixture);
-        assert_true(ask(fds[i], "/ready", text, sizeof text));
-        assert_false(announces_close(text));
+        fds[i] = connect_client(fixture);
+        assert_true(request_path(fds[i], "/ready", text, sizeof text));
+        assert_false(has_connection_close(text));
     }
     assert_int_equal(rr_http_server_connections(fixture->server), CONNECTIONS_MAX);
-    int more = dial(fixture);
-    assert_false(ask(more, "/ready", text, sizeof text));
-    close(more);
-    assert_true(ask(fds[CONNECTIONS_MAX - 1], "/ready", text,
-                    sizeof text)); /* the others are still served */
+    int excess = connect_client(fixture);
+    assert_false(request_path(excess, "/ready", text, sizeof text));
+    close(excess);
+    /* Open connections are still served. */
+    assert_true(request_path(fds[CONNECTIONS_MAX - 1], "/ready", text, sizeof text));
     for (int i = 0; i < CONNECTIONS_MAX; i++) {
         close(fds[i]);
     }
 }
 
-/* Guards against an accepting thread that stalls for good while the rest of the process is well. */
+/* Guards against an accepting thread that stops accepting for good while the rest of the process
+ * works: a second listener must serve the connections that wait. */
 static void another_listener_replaces_a_stalled_one(void **state) {
     struct fixture *fixture = *state;
     char text[1024];
     atomic_store(&fixture->stall_next, true);
-    int first = dial(fixture), second = dial(fixture);
-    assert_true(ask(second, "/ready", text, sizeof text));
-    assert_int_equal(rr_http_server_listeners(fixture->server), 2);
-    sem_post(&fixture->resume); /* resumes, so that it can be stopped */
-    assert_true(ask(first, "/ready", text, sizeof text));
+    int first = connect_client(fixture), second = connect_client(fixture);
+    assert_true(request_path(second, "/ready", text, sizeof text));
+    assert_int_equal(rr_http_server_listener_count(fixture->server), 2);
+    sem_post(&fixture->resume); /* so that the first listener can be stopped */
+    assert_true(request_path(first, "/ready", text, sizeof text));
     close(first);
     close(second);
 }
 
-/* At the limit connections are closed without being counted as accepted. That is not a stall:
- * another listener would accept more than the limit. */
+/* Guards against taking a full server for a stalled one. At the limit, connections are closed
+ * without being counted as accepted; another listener would accept connections beyond the limit. */
 static void a_full_server_is_not_stalled(void **state) {
     struct fixture *fixture = *state;
     char text[1024];
     int fds[CONNECTIONS_MAX + 1];
     for (int i = 0; i < CONNECTIONS_MAX - 1; i++) {
-        fds[i] = dial(fixture);
-        assert_true(ask(fds[i], "/ready", text, sizeof text));
+        fds[i] = connect_client(fixture);
+        assert_true(request_path(fds[i], "/ready", text, sizeof text));
     }
     atomic_store(&fixture->stall_next, true);
-    fds[CONNECTIONS_MAX - 1] = dial(fixture); /* the last one: held while it is being accepted, */
-    fds[CONNECTIONS_MAX] = dial(fixture);     /* so that this one waits */
-    rr_sleep(5);                              /* longer than the watcher takes to find a stall */
-    assert_int_equal(rr_http_server_listeners(fixture->server), 1);
+    /* The last allowed connection is held while it is accepted; the next one waits meanwhile. */
+    fds[CONNECTIONS_MAX - 1] = connect_client(fixture);
+    fds[CONNECTIONS_MAX] = connect_client(fixture);
+    rr_sleep(5); /* longer than the watcher needs to detect a stall */
+    assert_int_equal(rr_http_server_listener_count(fixture->server), 1);
     sem_post(&fixture->resume);
-    assert_true(ask(fds[CONNECTIONS_MAX - 1], "/ready", text, sizeof text));
+    assert_true(request_path(fds[CONNECTIONS_MAX - 1], "/ready", text, sizeof text));
     for (int i = 0; i <= CONNECTIONS_MAX; i++) {
         close(fds[i]);
     }
 }
 
-/* What the rest of the process needs is subtracted first. */
+/* The threads and sockets of the rest of the process are subtracted from the limits first. */
 static void the_scarcest_resource_limits_connections(void **state) {
     (void)state;
     struct rr_config config;
