--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -1,4 +1,5 @@
-/* Carries out the autoscaler's steps: catalogue, list of machines, records, rentals, returns. */
+/* The autoscaler thread: executes the steps that the core decides on. It reads the cloud's
+ * catalogue and list of machines, commits records, rents machines and releases them. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
 #include "cloud/cloud.h"
@@ -10,13 +11,14 @@
 #include <errno.h>
 #include <string.h>
 
-#define NO_CAPACITY_STATUS 503 /* of the cloud, to a rental */
-#define REVISION_WAIT_S 1.0
-#define IDLE_WAIT_S 0.3
-/* The jitter keeps controllers from retrying in step. */
+#define NO_CAPACITY_STATUS 503 /* HTTP status of the cloud: the type is not available */
+#define REVISION_WAIT_S 1.0    /* longest wait for the store cache to show the last commit */
+#define IDLE_WAIT_S 0.3        /* longest wait before the core is asked for a step again */
+/* Pause after a failed step. The jitter keeps controllers from retrying at the same time. */
 #define RETRY_PAUSE_S 0.3
 #define RETRY_JITTER_MAX_S 0.4
 
+/* Reads the cloud's machine types into the core. Returns 0 or -errno. */
 static int read_catalog(struct rr_app *app, rr_cloud *cloud) {
     GArray *machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     g_array_set_clear_func(machine_types, rr_machine_type_clear);
@@ -30,13 +32,14 @@
     return rc;
 }
 
+/* Reads the cloud's list of machines into the core. Returns 0 or -errno. */
 static int list_machines(struct rr_app *app, rr_cloud *cloud) {
     GArray *machines = g_array_new(FALSE, TRUE, sizeof(rr_listed_machine));
-    double asked_at = rr_steady_clock_s();
+    double requested_at = rr_steady_clock_s();
     int rc = rr_cloud_list(cloud, machines);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
-        rr_core_machines_listed(app->core, asked_at, rr_steady_clock_s(), rr_wall_clock_s(),
+        rr_core_machines_listed(app->core, requested_at, rr_steady_clock_s(), rr_wall_clock_s(),
                                 machines);
         pthread_mutex_unlock(&app->lock);
     }
@@ -44,7 +47,9 @@
     return rc;
 }
 
-static int scale_out(struct rr_app *app, rr_cloud *cloud, const rr_autoscaler_step *step) {
+/* Rents machines and passes the result to the core. Returns 0 or -errno; missing capacity of the
+ * cloud is a result, not an error. */
+static int rent_machines(struct rr_app *app, rr_cloud *cloud, const rr_autoscaler_step *step) {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     int status;
     int rc = rr_cloud_rental(cloud, step->rental, step->machine_type, step->zone, step->spot,
@@ -56,7 +61,8 @@
     return status == NO_CAPACITY_STATUS ? 0 : rc;
 }
 
-static int scale_in(struct rr_app *app, rr_cloud *cloud, const rr_autoscaler_step *step) {
+/* Returns rented machines to the cloud. Returns 0 or -errno. */
+static int release_machines(struct rr_app *app, rr_cloud *cloud, const rr_autoscaler_step *step) {
     int rc = rr_cloud_release(cloud, step->machines);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
@@ -66,22 +72,25 @@
     return rc;
 }
 
-/* *needed_revision is set to the revision that shows the outcome. */
-static int commit_records(struct rr_app *app, rr_store *store, const rr_autoscaler_step *step,
-                          uint64_t *needed_revision) {
+/* Commits the step's records. Returns 0 once the outcome is known, committed or conflict, and sets
+ * *needed_revision to the store revision that the cache must reach before the next step; returns
+ * -EAGAIN otherwise. */
+static int commit_step_records(struct rr_app *app, rr_store *store, const rr_autoscaler_step *step,
+                               uint64_t *needed_revision) {
     uint64_t revision;
     enum rr_commit_status outcome =
         rr_app_commit(app, store, RR_REQUEST_AUTOSCALER, &step->transaction, &revision);
     if (outcome != RR_COMMIT_DONE && outcome != RR_COMMIT_CONFLICT) {
         return -EAGAIN;
     }
-    rr_log(RR_DEBUG_LEVEL, "autoscaler: %u records %s", step->transaction.changes->len,
-           outcome == RR_COMMIT_DONE ? "written" : "in conflict");
+    rr_log(RR_DEBUG_LEVEL, "autoscaler: transaction with %u records %s",
+           step->transaction.changes->len,
+           outcome == RR_COMMIT_DONE ? "committed" : "met a conflict");
     *needed_revision = revision;
     return 0;
 }
 
-/* 0 or -errno: the step is to be repeated after a pause. */
+/* Executes the step. Returns 0, or -errno: then the caller pauses before the next step. */
 static int run_step(struct rr_app *app, rr_store *store, rr_cloud *cloud,
                     const rr_autoscaler_step *step, uint64_t *needed_revision) {
     switch (step->kind) {
@@ -90,18 +99,19 @@
     case RR_AUTOSCALER_LIST:
         return list_machines(app, cloud);
     case RR_AUTOSCALER_SCALE_OUT:
-        return scale_out(app, cloud, step);
+        return rent_machines(app, cloud, step);
     case RR_AUTOSCALER_SCALE_IN:
-        return scale_in(app, cloud, step);
+        return release_machines(app, cloud, step);
     case RR_AUTOSCALER_COMMIT:
-        return commit_records(app, store, step, needed_revision);
+        return commit_step_records(app, store, step, needed_revision);
     default:
         return 0;
     }
 }
 
-/* Asks the core for the next step; waits a while if there is none. */
-static void next_step(struct rr_app *app, uint64_t needed_revision, rr_autoscaler_step *step) {
+/* Sets *step to the core's next step, once the store cache has reached needed_revision. If there is
+ * none, waits up to IDLE_WAIT_S for a change of the store cache. */
+static void wait_for_step(struct rr_app *app, uint64_t needed_revision, rr_autoscaler_step *step) {
     pthread_mutex_lock(&app->lock);
     if (rr_app_wait_revision(app, needed_revision, rr_steady_clock_s() + REVISION_WAIT_S)) {
         rr_core_autoscaler_step(app->core, rr_steady_clock_s(), rr_wall_clock_s(), step);
@@ -121,10 +131,11 @@
     while (!rr_app_stopping(app)) {
         rr_autoscaler_step step;
         rr_autoscaler_step_init(&step);
-        next_step(app, needed_revision, &step);
+        wait_for_step(app, needed_revision, &step);
         int rc = run_step(app, store, cloud, &step, &needed_revision);
         if (rc != 0) {
-            rr_log(RR_DEBUG_LEVEL, "autoscaler step %d: %s", (int)step.kind, strerror(-rc));
+            rr_log(RR_DEBUG_LEVEL, "autoscaler: step of kind %d failed: %s", (int)step.kind,
+                   strerror(-rc));
             rr_app_pause(app, RETRY_PAUSE_S + g_random_double_range(0, RETRY_JITTER_MAX_S));
         }
         rr_autoscaler_step_clear(&step);
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -1,4 +1,4 @@
-/* Sends commands to workers, directly or through a peer. */
+/* The command threads: send command batches to workers, directly or relayed by a peer. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
 #include "app/worker_requests.h"
@@ -14,20 +14,23 @@
 #define COMMAND_TIMEOUT_S 2.0
 #define PROBE_TIMEOUT_S 0.8
 #define IDLE_WAIT_S 5.0
-#define DIRECT (-1) /* in place of a peer's index */
-#define STALE_TOKEN_STATUS 409
+#define DIRECT (-1)            /* in place of a peer's index: not relayed */
+#define STALE_TOKEN_STATUS 409 /* HTTP status of a worker that refuses a stale fencing token */
 
-/* What came of sending a batch. */
+/* Result of sending a batch. */
 struct delivery {
-    int rc;         /* of the last attempt; -ENOTCONN: surely not sent */
-    int peer;       /* the one used, or DIRECT */
-    long status;    /* HTTP status of the worker; 0: no answer */
-    bool heartbeat; /* the answer held the worker's heartbeat */
+    int rc;             /* 0 or -errno of the last attempt; -ENOTCONN: certainly not sent */
+    int peer;           /* index of the peer that relayed the batch, or DIRECT */
+    long status;        /* HTTP status of the worker's answer; 0: no answer */
+    bool has_heartbeat; /* the answer contained the worker's heartbeat */
 };
 
-/* Takes the heartbeat in a worker's answer, which verifies the machine. share: peers may take it
- * for one that the machine sent by itself. False: the answer holds none. */
-static bool take_answer(struct rr_app *app, const void *body, size_t length, int peer, bool share) {
+/* Passes the heartbeat in a worker's answer to the core, which marks the machine as verified. peer:
+ * the peer that relayed the answer, or DIRECT. share_with_peers: also sends the heartbeat to the
+ * peers, which treat it as one that the machine sent by itself; only done if the machine's own
+ * heartbeats arrive, too. Returns false if the answer contains no heartbeat. */
+static bool process_worker_answer(struct rr_app *app, const void *body, size_t length, int peer,
+                                  bool share_with_peers) {
     rr_document document;
     rr_heartbeat heartbeat;
     rr_heartbeat_digest digest = {0};
@@ -38,73 +41,80 @@
         if (decoded) {
             digest = rr_app_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
-            share = rr_core_take_command_reply(app->core, rr_steady_clock_s(), &heartbeat, peer) &&
-                    share;
+            share_with_peers =
+                rr_core_take_command_reply(app->core, rr_steady_clock_s(), &heartbeat, peer) &&
+                share_with_peers;
             subscribers = rr_core_heartbeat_subscribers(app->core, digest.machine, &occasional);
             pthread_mutex_unlock(&app->lock);
         }
         rr_heartbeat_clear(&heartbeat);
     }
     rr_document_clear(&document);
-    if (decoded && share) {
+    if (decoded && share_with_peers) {
         rr_peers_send_heartbeat(app->peers, subscribers, occasional, &digest, body, length);
     }
     return decoded;
 }
 
-/* A batch without commands is a probe: it only brings the present fencing token. */
+/* Returns whether the batch has no commands: it then only carries the present fencing token and
+ * asks for the machine's status. */
 static bool is_probe(const rr_command_batch *batch) {
     return batch->commands->len == 0;
 }
 
-static double batch_timeout_s(const rr_command_batch *batch) {
+static double get_batch_timeout_s(const rr_command_batch *batch) {
     return is_probe(batch) ? PROBE_TIMEOUT_S : COMMAND_TIMEOUT_S;
 }
 
-/* If the batch was surely not sent, delivery->peer becomes the batch's fallback. */
+/* Sends the batch over a connection to the worker. If it certainly was not sent, sets
+ * delivery->peer to the batch's fallback peer, if there is one. */
 static void send_directly(struct rr_app *app, rr_client *client, const rr_command_batch *batch,
                           const rr_encoder *encoder, struct delivery *delivery) {
     rr_http_reply reply = {0};
-    /* The epoch of a worker that was never heard is unknown: only its status can be asked for. */
+    /* The epoch of a worker that has never sent a heartbeat is unknown: the worker can only be
+     * asked for its status. */
     bool status_only = is_probe(batch) && batch->worker_epoch == 0;
     delivery->rc =
         rr_worker_call(client, batch->address, status_only ? NULL : encoder->buffer.data,
-                       status_only ? 0 : encoder->buffer.size, batch_timeout_s(batch), &reply);
+                       status_only ? 0 : encoder->buffer.size, get_batch_timeout_s(batch), &reply);
     if (delivery->rc == -ENOTCONN && batch->fallback >= 0) {
         delivery->peer = batch->fallback;
     } else if (delivery->rc == 0) {
         delivery->status = reply.status;
-        delivery->heartbeat =
-            take_answer(app, reply.body->data, reply.body->len, DIRECT, is_probe(batch));
+        delivery->has_heartbeat =
+            process_worker_answer(app, reply.body->data, reply.body->len, DIRECT, is_probe(batch));
     }
 }
 
-static void send_through_peer(struct rr_app *app, const rr_command_batch *batch,
-                              const rr_encoder *encoder, struct delivery *delivery) {
+/* Has the peer delivery->peer relay the batch to the worker. */
+static void relay_through_peer(struct rr_app *app, const rr_command_batch *batch,
+                               const rr_encoder *encoder, struct delivery *delivery) {
     rr_relayed_reply relayed = {0};
     delivery->rc =
         rr_peers_relay_commands(app->peers, delivery->peer, batch->address, encoder->buffer.data,
-                                encoder->buffer.size, batch_timeout_s(batch), &relayed);
+                                encoder->buffer.size, get_batch_timeout_s(batch), &relayed);
     if (delivery->rc == 0) {
         delivery->status = relayed.status;
-        delivery->heartbeat =
-            take_answer(app, relayed.body->data, relayed.body->len, delivery->peer, false);
+        delivery->has_heartbeat = process_worker_answer(app, relayed.body->data, relayed.body->len,
+                                                        delivery->peer, false);
     }
     if (relayed.body) {
         g_byte_array_free(relayed.body, TRUE);
     }
 }
 
-static enum rr_command_outcome outcome_of(const struct delivery *delivery) {
+/* A batch counts as answered only if the answer contains a heartbeat and shows that the worker
+ * executed the commands or refused their fencing token. */
+static enum rr_command_outcome get_delivery_outcome(const struct delivery *delivery) {
     if (delivery->rc == -ENOTCONN) {
         return RR_COMMAND_NOT_SENT;
     }
-    bool answered = delivery->rc == 0 && delivery->heartbeat &&
+    bool answered = delivery->rc == 0 && delivery->has_heartbeat &&
                     (delivery->status == 200 || delivery->status == STALE_TOKEN_STATUS);
     return answered ? RR_COMMAND_ANSWERED : RR_COMMAND_OUTCOME_UNKNOWN;
 }
 
-static const char *outcome_name(enum rr_command_outcome outcome) {
+static const char *get_outcome_name(enum rr_command_outcome outcome) {
     switch (outcome) {
     case RR_COMMAND_ANSWERED:
         return "answered";
@@ -115,6 +125,8 @@
     }
 }
 
+/* Sends the batch, directly or through a peer, and reports the outcome to the core. Takes
+ * rr_app.lock; caller holds no lock. */
 static void send_command_batch(struct rr_app *app, rr_client *client,
                                const rr_command_batch *batch) {
     struct delivery delivery = {.rc = -ENOTCONN, .peer = batch->peer};
@@ -125,18 +137,22 @@
         send_directly(app, client, batch, &encoder, &delivery);
     }
     if (delivery.peer >= 0) {
-        send_through_peer(app, batch, &encoder, &delivery);
+        relay_through_peer(app, batch, &encoder, &delivery);
     }
     rr_encoder_clear(&encoder);
-    enum rr_command_outcome outcome = outcome_of(&delivery);
-    rr_log(RR_DEBUG_LEVEL, "commands to %s: %u, via peer %d: %s %ld", batch->machine,
-           batch->commands->len, delivery.peer, outcome_name(outcome), delivery.status);
+    enum rr_command_outcome outcome = get_delivery_outcome(&delivery);
+    rr_log(RR_DEBUG_LEVEL,
+           "commands to machine %s: %u, via peer %d (-1: direct): %s, HTTP status %ld",
+           batch->machine, batch->commands->len, delivery.peer, get_outcome_name(outcome),
+           delivery.status);
     pthread_mutex_lock(&app->lock);
     rr_core_command_result(app->core, rr_steady_clock_s(), batch, outcome, delivery.status == 200);
     rr_app_wake_planner(app);
     pthread_mutex_unlock(&app->lock);
 }
 
+/* Sends the batches of one of the queues until the process stops. wake: signalled when a batch is
+ * added to the queue. Ends at once if no HTTP client can be created. */
 static void send_queued_commands(struct rr_app *app, GQueue *queue, pthread_cond_t *wake) {
     rr_usage_enter(RR_USAGE_COMMANDS);
     rr_client *client = rr_client_create(&app->stop);
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -1,4 +1,5 @@
-/* Writes a new term when sessions have come or gone, and logs the state of each minute. */
+/* The membership thread: writes a new term when sessions have begun or ended, and logs a summary
+ * every minute. */
 #include "app/admission.h"
 #include "app/cells.h"
 #include "app/thread_loop.h"
@@ -12,26 +13,26 @@
 #include <malloc.h>
 
 #define LOG_PERIOD_S 60.0
-#define FREE_HEAP_SHARE_MAX                                                                        \
-    0.05 /* of the process's memory limit, before free pages are returned                          \
-          */
+/* Free heap above this share of the process's memory limit is returned to the system. */
+#define FREE_HEAP_SHARE_MAX 0.05
 #define COMMIT_TIMEOUT_S 1.5
-#define CACHE_WAIT_S 1.0
+#define CACHE_WAIT_S 1.0 /* longest wait for a change of the store cache */
 #define RETRY_PAUSE_S 0.3
 
-/* Logs processor time and heap, and returns the free pages that a peak has left. */
-static void log_resources(const struct rr_app *app) {
-    char used[256];
-    rr_usage_line(used, sizeof used);
+/* Logs processor time and heap use, and returns free heap that a peak has left to the system. */
+static void log_and_trim_resources(const struct rr_app *app) {
+    char usage[256];
+    rr_usage_line(usage, sizeof usage);
     struct mallinfo2 heap = mallinfo2();
-    rr_log(RR_INFO_LEVEL, "processor, last minute: %s; heap %.1f MB, %.1f of it free", used,
-           (double)(heap.arena + heap.hblkhd) / 1e6, (double)heap.fordblks / 1e6);
+    rr_log(RR_INFO_LEVEL, "processor time, last minute: %s; heap %.1f MB, %.1f MB of it free",
+           usage, (double)(heap.arena + heap.hblkhd) / 1e6, (double)heap.fordblks / 1e6);
     if ((double)heap.fordblks > FREE_HEAP_SHARE_MAX * app->config.ram_mb * 1e6) {
         malloc_trim(0);
     }
 }
 
-static void log_minute(struct rr_app *app) {
+/* Logs the summary of the last minute. Takes rr_app.lock; caller holds no lock. */
+static void log_minute_summary(struct rr_app *app) {
     char line[160];
     rr_core_stats stats;
     rr_stats_line(app->stats, line, sizeof line);
@@ -40,18 +41,19 @@
     pthread_mutex_unlock(&app->lock);
     rr_app_admission_log(app);
     rr_app_cells_log(app);
-    log_resources(app);
+    log_and_trim_resources(app);
     rr_log(RR_INFO_LEVEL,
-           "last minute: %s; %d connections, %u machines (%u not heard), %u jobs open, "
-           "%u tasks placed, %u waiting, so far %u moves, %u machines rented, "
-           "%u declared dead or returned, %u leases lost, %u notices",
+           "last minute: %s; %d connections, %u machines (%u without a heartbeat), %u jobs open, "
+           "%u tasks placed, %u tasks waiting; since start %u moves, %u machines rented, "
+           "%u machines declared dead or returned, %u leases lost, %u spot notices",
            line, rr_http_server_connections(app->http_server), stats.machines, stats.booting,
            stats.jobs_open, stats.tasks_placed, stats.tasks_waiting, stats.moves, stats.rented,
            stats.machines_terminated, stats.leases_lost, stats.spot_notices);
 }
 
-/* Takes the store's budget shares from the core. Prepares a transaction if the term is to change;
- * otherwise waits a while for a change of the store cache. */
+/* Updates the budget with this controller's shares of the store's limits, and logs a new fencing
+ * token. Returns true with the transaction filled if a new term is to be written; otherwise waits
+ * up to CACHE_WAIT_S for a change of the store cache. */
 static bool prepare_term(struct rr_app *app, rr_transaction *transaction, uint64_t *logged_token) {
     struct rr_budget_shares shares;
     pthread_mutex_lock(&app->lock);
@@ -66,11 +68,13 @@
     rr_budget_set_shares(app->budget, &shares);
     if (token != *logged_token) {
         *logged_token = token;
-        rr_log(RR_INFO_LEVEL, "term %" G_GUINT64_FORMAT " with %u controllers", token, controllers);
+        rr_log(RR_INFO_LEVEL, "term %" G_GUINT64_FORMAT " has %u controllers", token, controllers);
     }
     return change;
 }
 
+/* Writes the new term, then waits until the store cache shows it or the change that it conflicted
+ * with. Pauses if the outcome is unknown or the store refused. */
 static void commit_term(struct rr_app *app, rr_store *store, const rr_transaction *transaction) {
     uint64_t revision;
     enum rr_commit_status outcome =
@@ -93,7 +97,7 @@
     while (!rr_app_stopping(app)) {
         if (rr_steady_clock_s() - logged_at >= LOG_PERIOD_S) {
             logged_at = rr_steady_clock_s();
-            log_minute(app);
+            log_minute_summary(app);
         }
         rr_transaction transaction;
         rr_transaction_init(&transaction);
--- a/src/app/session_thread.c
+++ b/src/app/session_thread.c
@@ -1,5 +1,6 @@
-/* The session with the key-value store: taken, renewed, and resigned where the store is unreachable
- * from this controller alone. */
+/* The session thread: acquires and renews this process's session, a record in the key-value store
+ * under a lease, and resigns it if the store is unreachable from this controller but not from its
+ * peers. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
 #include "common/clock.h"
@@ -10,33 +11,39 @@
 
 #include <errno.h>
 
-/* This process's clock may run slower than the store's: the lease counts as a little shorter. */
+/* This process's clock may run slower than the store's: the lease is assumed to be a little shorter
+ * than granted. */
 #define LEASE_DRIFT_FACTOR 0.998
 #define LEASE_MARGIN_S 0.1
 #define RENEWALS_PER_LEASE 8
 #define RENEWAL_PERIOD_MIN_S 0.3
 #define RETRY_PAUSE_S 0.3
 #define COMMIT_TIMEOUT_S 1.5
-/* A store cache that has been current for SESSION_SEEN_WAIT_S must show the session's record. */
+/* A store cache that is current must show the session's record this long after it was written. */
 #define SESSION_SEEN_WAIT_S 3.0
-#define STORE_CURRENT_MAX_AGE_S 1.0
-/* Without a renewal for so long the peers are asked whether they reach the store. */
+/* The store cache counts as current if the store has answered this recently. */
+#define STORE_ANSWER_AGE_MAX_S 1.0
+/* Time without a renewal after which the peers are asked whether they reach the store. */
 #define RESIGN_AFTER_S 3.0
 
-/* lease_id 0: no session. sent: steady, when the lease was requested. */
-static void set_session(struct rr_app *app, uint64_t lease_id, double sent) {
-    double until = sent + rr_session_lease_s(&app->config) * LEASE_DRIFT_FACTOR - LEASE_MARGIN_S;
+/* Tells the core and the commit thread of the session's lease. lease_id 0: there is no session.
+ * requested_at: steady time at which the grant or renewal was requested; its length is
+ * counted from there. Takes both locks, one after the other; caller holds no lock. */
+static void set_session(struct rr_app *app, uint64_t lease_id, double requested_at) {
+    double valid_until =
+        requested_at + rr_session_lease_s(&app->config) * LEASE_DRIFT_FACTOR - LEASE_MARGIN_S;
     pthread_mutex_lock(&app->user_lock);
     app->lease_id = lease_id;
     pthread_mutex_unlock(&app->user_lock);
     pthread_mutex_lock(&app->lock);
-    rr_core_set_session(app->core, lease_id, lease_id ? until : 0);
+    rr_core_set_session(app->core, lease_id, lease_id ? valid_until : 0);
     rr_app_wake_planner(app);
     pthread_cond_broadcast(&app->cache_advanced);
     pthread_mutex_unlock(&app->lock);
 }
 
-/* Replaces the session's record of this version. 0, or -EAGAIN if that was not done for sure. */
+/* Writes the session's record, replacing the one of this version (0: none). Returns 0, or -EAGAIN
+ * if the record is not known to be written. */
 static int write_session(struct rr_app *app, rr_store *store, const char *key, uint64_t version,
                          uint64_t lease_id) {
     rr_transaction transaction;
@@ -53,9 +60,10 @@
     return outcome == RR_COMMIT_DONE ? 0 : -EAGAIN;
 }
 
-/* Takes a new session. The record of this controller's previous incarnation is replaced in the same
- * change, so that a restart costs one term; the previous lease is ended after that. */
-static int take_session(struct rr_app *app, rr_store *store, uint64_t *lease_id) {
+/* Acquires a new session and sets *lease_id. The record of this controller's previous incarnation
+ * is replaced in the same change, so that a restart causes a single new term; the previous lease is
+ * ended after that. Returns 0, or -errno with *lease_id undefined. */
+static int acquire_session(struct rr_app *app, rr_store *store, uint64_t *lease_id) {
     char key[RR_NAME_SIZE + 16];
     uint64_t version = 0, previous_lease_id = 0;
     double lease_s = rr_session_lease_s(&app->config);
@@ -67,7 +75,7 @@
     } else if (rc != -ENOENT) {
         return rc;
     }
-    double sent = rr_steady_clock_s();
+    double requested_at = rr_steady_clock_s();
     rc = rr_store_grant_lease(store, lease_s, lease_id);
     if (rc != 0) {
         return rc;
@@ -80,28 +88,31 @@
     if (previous_lease_id) {
         rr_store_end_lease(store, previous_lease_id);
     }
-    set_session(app, *lease_id, sent);
-    rr_log(RR_INFO_LEVEL, "session %" G_GUINT64_FORMAT " for %.1f s", *lease_id, lease_s);
+    set_session(app, *lease_id, requested_at);
+    rr_log(RR_INFO_LEVEL, "session %" G_GUINT64_FORMAT " acquired, lease %.1f s", *lease_id,
+           lease_s);
     return 0;
 }
 
-/* Whether the session's record is gone, though its lease lives: a late change of an earlier
- * incarnation may have overwritten it. taken_at: steady. */
-static bool session_overwritten(struct rr_app *app, uint64_t lease_id, double taken_at) {
+/* Returns whether the session's record is gone although its lease has not ended: a delayed write of
+ * an earlier incarnation may have overwritten it. acquired_at: steady time. */
+static bool is_session_overwritten(struct rr_app *app, uint64_t lease_id, double acquired_at) {
     pthread_mutex_lock(&app->lock);
     bool overwritten = rr_core_cache_loaded(app->core) &&
-                       rr_steady_clock_s() - taken_at > SESSION_SEEN_WAIT_S &&
+                       rr_steady_clock_s() - acquired_at > SESSION_SEEN_WAIT_S &&
                        !rr_core_session_seen(app->core, lease_id) &&
-                       rr_steady_clock_s() - app->store_ok_at < STORE_CURRENT_MAX_AGE_S;
+                       rr_steady_clock_s() - app->store_ok_at < STORE_ANSWER_AGE_MAX_S;
     pthread_mutex_unlock(&app->lock);
     return overwritten;
 }
 
+/* Renews the session's lease. Returns 0; -ENOENT if the lease has ended; -EAGAIN if the store gave
+ * no answer or refused. */
 static int renew_session(struct rr_app *app, rr_store *store, uint64_t lease_id) {
-    double sent = rr_steady_clock_s();
+    double requested_at = rr_steady_clock_s();
     int rc = rr_store_renew_lease(store, lease_id);
     if (rc == 0) {
-        set_session(app, lease_id, sent);
+        set_session(app, lease_id, requested_at);
         pthread_mutex_lock(&app->lock);
         app->store_ok_at = rr_steady_clock_s();
         pthread_mutex_unlock(&app->lock);
@@ -109,23 +120,24 @@
     return rc;
 }
 
-/* Whether missed renewals may be this process's own fault: without processor time it does not read
- * the answers, and resigning would move its teams for nothing. */
-static bool timers_are_late(struct rr_app *app) {
+/* Returns whether this process has lately been short of processor time. Renewals may then be missed
+ * because it does not read the answers, and resigning would move its teams for nothing. */
+static bool are_timers_late(struct rr_app *app) {
     pthread_mutex_lock(&app->lock);
     bool late = rr_core_timers_late(app->core, rr_steady_clock_s(), RESIGN_AFTER_S);
     pthread_mutex_unlock(&app->lock);
     return late;
 }
 
-/* Resigns if a peer reaches the store, so that others take over now and not when the lease runs
- * out. This controller stops commanding first; then the peer ends the lease. While no peer reaches
- * the store, all controllers keep their sessions. */
-static bool resign_if_alone(struct rr_app *app, uint64_t lease_id) {
+/* Resigns the session if a peer reaches the store, so that other controllers take over now and not
+ * only when the lease expires. This controller stops sending commands first; then the peer ends the
+ * lease. While no peer reaches the store, all controllers keep their sessions. Returns whether the
+ * session was resigned. */
+static bool resign_if_peer_reaches_store(struct rr_app *app, uint64_t lease_id) {
     for (size_t i = 0; i < app->config.peer_count && !rr_app_stopping(app); i++) {
         if (rr_peers_ask_resign(app->peers, (int)i, lease_id, false)) {
             rr_log(RR_INFO_LEVEL,
-                   "key-value store unreachable from here alone: resigning session "
+                   "key-value store unreachable from here but not from a peer: resigning session "
                    "%" G_GUINT64_FORMAT,
                    lease_id);
             set_session(app, 0, 0);
@@ -142,26 +154,27 @@
     rr_store *store = rr_app_open_store(app);
     double renewal_period_s = rr_session_lease_s(&app->config) / RENEWALS_PER_LEASE;
     renewal_period_s = MAX(renewal_period_s, RENEWAL_PERIOD_MIN_S);
-    double taken_at = 0, renewed_at = 0;
-    uint64_t lease_id = 0; /* 0: no session */
+    double acquired_at = 0, renewed_at = 0; /* steady */
+    uint64_t lease_id = 0;                  /* 0: no session */
     while (!rr_app_stopping(app)) {
         if (!lease_id) {
-            if (take_session(app, store, &lease_id) != 0) {
+            if (acquire_session(app, store, &lease_id) != 0) {
                 lease_id = 0;
                 rr_app_pause(app, RETRY_PAUSE_S);
                 continue;
             }
-            renewed_at = taken_at = rr_steady_clock_s();
+            renewed_at = acquired_at = rr_steady_clock_s();
         }
         rr_app_pause(app, renewal_period_s);
         int rc = renew_session(app, store, lease_id);
         renewed_at = rc == 0 ? rr_steady_clock_s() : renewed_at;
-        if (rc == -ENOENT || session_overwritten(app, lease_id, taken_at)) {
-            rr_log(RR_INFO_LEVEL, "session %" G_GUINT64_FORMAT " has ended", lease_id);
+        if (rc == -ENOENT || is_session_overwritten(app, lease_id, acquired_at)) {
+            rr_log(RR_INFO_LEVEL, "session %" G_GUINT64_FORMAT " has ended, acquiring a new one",
+                   lease_id);
             set_session(app, 0, 0);
             lease_id = 0;
         } else if (rc != 0 && rr_steady_clock_s() - renewed_at > RESIGN_AFTER_S &&
-                   !timers_are_late(app) && resign_if_alone(app, lease_id)) {
+                   !are_timers_late(app) && resign_if_peer_reaches_store(app, lease_id)) {
             lease_id = 0;
         }
     }
--- a/src/app/startup_thread.c
+++ b/src/app/startup_thread.c
@@ -1,4 +1,4 @@
-/* Opens the HTTP server once requests can be answered. */
+/* The startup thread: opens the HTTP server once requests can be answered, then ends. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
 #include "common/clock.h"
@@ -7,12 +7,13 @@
 
 #include <string.h>
 
-#define LISTEN_RETRY_S 1.0
+#define LISTEN_RETRY_PAUSE_S 1.0
 
-/* Connections are refused until this controller is in the term with its store cache loaded. A
- * refused connection sends users and workers on to another controller and costs nothing, whereas
- * answering 503 would take a thread for each and delay the loading. If the key-value store is down,
- * the server opens after a session's lease all the same, so that users get an answer. */
+/* Connections are refused until this controller is a member of the term and has loaded its store
+ * cache. A refused connection costs nothing and makes users and workers try another controller,
+ * whereas answering 503 would take a thread for each connection and delay the loading. If the
+ * key-value store is down, the server nevertheless opens after the length of a session's lease, so
+ * that users get an answer. */
 void *rr_startup_thread(void *argument) {
     struct rr_app *app = argument;
     double until = rr_steady_clock_s() + rr_session_lease_s(&app->config);
@@ -24,8 +25,8 @@
     pthread_mutex_unlock(&app->lock);
     int rc;
     while (!rr_app_stopping(app) && (rc = rr_http_server_listen(app->http_server)) != 0) {
-        rr_log(RR_ERROR_LEVEL, "bind: can't listen: %s", strerror(-rc));
-        rr_app_pause(app, LISTEN_RETRY_S);
+        rr_log(RR_ERROR_LEVEL, "bind: HTTP server cannot listen, retrying: %s", strerror(-rc));
+        rr_app_pause(app, LISTEN_RETRY_PAUSE_S);
     }
     return NULL;
 }
--- a/src/app/watch_thread.c
+++ b/src/app/watch_thread.c
@@ -1,4 +1,5 @@
-/* Keeps the store cache current: one full read, then watches from its revision on. */
+/* The watch thread: keeps the store cache current by one full read, then watches from its revision
+ * on. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
 #include "common/clock.h"
@@ -9,45 +10,48 @@
 
 #include <errno.h>
 
-/* An open watch proves nothing about the time since it was opened, and answers to workers depend on
- * the age of the store cache: watches are short. */
+/* Watches are short, because an open watch does not show that the store cache has every change
+ * since the watch was opened, and answers to workers depend on the age of the store cache. */
 #define WATCH_TIMEOUT_MS 2000
-/* Watches take one in so many requests of the store's limit, over all controllers. */
+/* The watches of all controllers together take one in this many of the requests that the store
+ * allows. */
 #define REQUESTS_PER_WATCH 4.0
-#define LOAD_RETRY_S 0.3
-#define WATCH_RETRY_S 0.25
-#define KEY_CHUNK_BYTES 1024
+#define LOAD_RETRY_PAUSE_S 0.3
+#define WATCH_RETRY_PAUSE_S 0.25
+#define KEY_CHUNK_BYTES 1024 /* block size for the copied keys of one answer */
 
 /* One change in the answer to a watch. */
-struct log_row {
+struct record_change {
     const char *key;
-    const msgpack_object *value; /* NULL: deleted */
-    uint64_t version;
+    const msgpack_object *value; /* NULL: the record is deleted */
+    uint64_t version;            /* of the record after the change */
 };
 
 static gint compare_versions(gconstpointer left_item, gconstpointer right_item) {
-    const struct log_row *left = left_item, *right = right_item;
+    const struct record_change *left = left_item, *right = right_item;
     return left->version < right->version ? -1 : left->version > right->version;
 }
 
 /* ---- full read ---- */
 
+/* Arguments of cache_page_row(). */
 struct page_context {
     rr_core *core;
-    double now;
+    double now; /* steady */
 };
 
-static void put_page_row(void *user, const char *key, const msgpack_object *value,
-                         uint64_t version) {
+/* Puts a row of a page into the store cache; an rr_store_row_fn. Caller holds rr_app.lock. */
+static void cache_page_row(void *user, const char *key, const msgpack_object *value,
+                           uint64_t version) {
     const struct page_context *page = user;
     rr_core_cache_put(page->core, key, value, version, page->now);
 }
 
-/* Reads all records page by page, so that the state is never in memory twice. Until the end the
- * core decides nothing on it. Changes made since the first page come with the watch; records of
- * older versions never replace newer ones. 0 or -errno. */
+/* Reads all records into the store cache, page by page, so that the state is never in memory twice.
+ * The core decides nothing until the read has ended. Changes made since the first page come with
+ * the watch; records of older versions never replace newer ones. Returns 0 or -errno. */
 static int load_cache(struct rr_app *app, rr_store *store) {
-    double began = rr_steady_clock_s();
+    double started_at = rr_steady_clock_s();
     rr_store_cursor cursor = {.more = true};
     uint64_t first_revision = 0, last_revision = 0;
     int rc = 0;
@@ -62,7 +66,7 @@
         }
         pthread_mutex_lock(&app->lock);
         struct page_context page = {app->core, rr_steady_clock_s()};
-        rr_store_each_row(&document, &cursor, put_page_row, &page);
+        rr_store_each_row(&document, &cursor, cache_page_row, &page);
         pthread_mutex_unlock(&app->lock);
         rr_document_clear(&document);
         first_revision = first_revision ? first_revision : cursor.revision;
@@ -72,7 +76,7 @@
     if (rc == 0 && !rr_app_stopping(app)) {
         rr_core_cache_end_reload(app->core, first_revision, last_revision, rr_steady_clock_s());
         rr_core_set_revision(app->core, first_revision);
-        rr_core_set_cache_current(app->core, began);
+        rr_core_set_cache_current(app->core, started_at);
         pthread_cond_broadcast(&app->cache_advanced);
         rr_app_wake_planner(app);
     }
@@ -82,46 +86,52 @@
 
 /* ---- watches ---- */
 
-/* False: the row is malformed. The key is copied into `keys`; the value stays the document's. */
-static bool decode_log_row(const msgpack_object *object, GStringChunk *keys, struct log_row *row) {
+/* Decodes one change. Its key is copied into `keys`; its value remains owned by the document.
+ * Returns false if the change is malformed. */
+static bool decode_change(const msgpack_object *object, GStringChunk *keys,
+                          struct record_change *change) {
     char key[256];
     bool put = rr_map_get(object, "put") != NULL;
     if (!rr_map_get_text(object, put ? "put" : "delete", key, sizeof key) ||
-        !rr_map_get_u64(object, "mark", &row->version) || (put && !rr_map_get(object, "v"))) {
+        !rr_map_get_u64(object, "mark", &change->version) || (put && !rr_map_get(object, "v"))) {
         return false;
     }
-    row->key = g_string_chunk_insert(keys, key);
-    row->value = put ? rr_map_get(object, "v") : NULL;
+    change->key = g_string_chunk_insert(keys, key);
+    change->value = put ? rr_map_get(object, "v") : NULL;
     return true;
 }
 
-/* Puts the rows into the store cache, which then has every change up to `revision` and every change
- * made before `asked_at`. */
-static void apply_rows(struct rr_app *app, const GArray *rows, uint64_t revision, double asked_at) {
+/* Applies the changes (struct record_change) to the store cache, which then has every change up to
+ * `revision` and every change made before the steady time `requested_at`. Takes rr_app.lock; caller
+ * holds no lock. */
+static void apply_changes(struct rr_app *app, const GArray *changes, uint64_t revision,
+                          double requested_at) {
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
-    for (guint i = 0; i < rows->len; i++) {
-        const struct log_row *row = &g_array_index(rows, struct log_row, i);
-        if (row->value) {
-            rr_core_cache_put(app->core, row->key, row->value, row->version, now);
+    for (guint i = 0; i < changes->len; i++) {
+        const struct record_change *change = &g_array_index(changes, struct record_change, i);
+        if (change->value) {
+            rr_core_cache_put(app->core, change->key, change->value, change->version, now);
         } else {
-            rr_core_cache_delete(app->core, row->key, row->version, now);
+            rr_core_cache_delete(app->core, change->key, change->version, now);
         }
     }
     rr_core_set_revision(app->core, revision);
-    rr_core_set_cache_current(app->core, asked_at);
+    rr_core_set_cache_current(app->core, requested_at);
     app->store_ok_at = now;
     pthread_cond_broadcast(&app->cache_advanced);
-    if (rows->len) {
+    if (changes->len) {
         rr_app_wake_planner(app);
     }
     pthread_mutex_unlock(&app->lock);
 }
 
-/* Applies the answer to a watch that was sent at the steady time `asked_at`. The log is in no
- * promised order, but a record may refer to an older one: changes are applied by version. 0 or
- * -EBADMSG. */
-static int apply_log(struct rr_app *app, const rr_document *document, double asked_at) {
+/* Applies the answer to a watch that was sent at the steady time `requested_at`. The store promises
+ * no order of the changes, but a record may refer to an older one: they are applied in the order of
+ * their versions. Malformed changes are skipped. Returns 0, or -EBADMSG if the answer itself is
+ * malformed. */
+static int apply_watch_answer(struct rr_app *app, const rr_document *document,
+                              double requested_at) {
     const msgpack_object *log = rr_map_get(document->root, "log");
     uint64_t revision;
     if (!rr_map_get_u64(document->root, "epoch", &revision) ||
@@ -129,24 +139,26 @@
         return -EBADMSG;
     }
     uint32_t count = log ? log->via.array.size : 0;
-    GArray *rows = g_array_new(FALSE, FALSE, sizeof(struct log_row));
+    GArray *changes = g_array_new(FALSE, FALSE, sizeof(struct record_change));
     GStringChunk *keys = g_string_chunk_new(KEY_CHUNK_BYTES);
     for (uint32_t i = 0; i < count; i++) {
-        struct log_row row = {0};
-        if (decode_log_row(&log->via.array.ptr[i], keys, &row)) {
-            g_array_append_val(rows, row);
+        struct record_change change = {0};
+        if (decode_change(&log->via.array.ptr[i], keys, &change)) {
+            g_array_append_val(changes, change);
         }
     }
-    g_array_sort(rows, compare_versions);
-    apply_rows(app, rows, revision, asked_at);
-    g_array_free(rows, TRUE);
+    g_array_sort(changes, compare_versions);
+    apply_changes(app, changes, revision, requested_at);
+    g_array_free(changes, TRUE);
     g_string_chunk_free(keys);
     return 0;
 }
 
-/* Watches for changes and applies them. A watch ends with the first change, and the next one is a
- * request of its own: changes gather while the thread waits for its share of the store's request
- * limit. *opened_at: steady, of the previous watch, then of this one. 0 or -errno. */
+/* Sends one watch and applies the changes that it returns. A watch ends with the first change, and
+ * the next one is another request: changes gather in the store while this thread first waits for
+ * its share of the store's request limit. *opened_at: steady time at which the previous watch was
+ * sent; set to that of this one. Returns 0 or -errno; -ESTALE if the store no longer has all
+ * changes since the cache's revision. */
 static int watch_once(struct rr_app *app, rr_store *store, double *opened_at) {
     rr_document document;
     pthread_mutex_lock(&app->lock);
@@ -160,7 +172,7 @@
     *opened_at = rr_steady_clock_s();
     int rc = rr_store_watch(store, RR_KEY_ROOT, revision, WATCH_TIMEOUT_MS, &document);
     if (rc == 0) {
-        rc = apply_log(app, &document, *opened_at);
+        rc = apply_watch_answer(app, &document, *opened_at);
         rr_document_clear(&document);
     }
     return rc;
@@ -176,16 +188,17 @@
         if (!loaded) {
             loaded = load_cache(app, store) == 0;
             if (!loaded) {
-                rr_app_pause(app, LOAD_RETRY_S);
+                rr_app_pause(app, LOAD_RETRY_PAUSE_S);
             }
             continue;
         }
         int rc = watch_once(app, store, &opened_at);
         if (rc == -ESTALE) {
-            rr_log(RR_INFO_LEVEL, "store cache too old for a watch: reading all again");
+            rr_log(RR_INFO_LEVEL,
+                   "store cache too old to watch from its revision, reading all records again");
             loaded = false;
         } else if (rc != 0) {
-            rr_app_pause(app, WATCH_RETRY_S);
+            rr_app_pause(app, WATCH_RETRY_PAUSE_S);
         }
     }
     rr_store_destroy(store);
