--- a/src/app/admission.c
+++ b/src/app/admission.c
@@ -1,3 +1,4 @@
+/* Fair admission in this process; the admission thread is in admission_thread.c. */
 #include "app/admission.h"
 #include "app/admission_state.h"
 #include "common/clock.h"
@@ -8,8 +9,11 @@
 
 #include <errno.h>
 
-/* Takes a record of the package as the store cache learns of it. Caller holds rr_app.lock. */
-static void on_record(void *user, const char *rest, const msgpack_object *value, uint64_t version) {
+/* Passes a record under RR_ADMISSION_PREFIX from the store cache to the admission package, and logs
+ * the first one that could not be read. An rr_core_record_fn; user is the struct rr_app_admission.
+ * Caller holds rr_app.lock. */
+static void on_admission_record(void *user, const char *key_suffix, const msgpack_object *value,
+                                uint64_t version) {
     struct rr_app_admission *state = user;
     rr_admission_stats before, after;
     if (!value) {
@@ -17,16 +21,16 @@
     }
     pthread_mutex_lock(&state->lock);
     rr_admission_get_stats(state->admission, &before);
-    rr_admission_put_record(state->admission, rest, value, version);
+    rr_admission_put_record(state->admission, key_suffix, value, version);
     rr_admission_get_stats(state->admission, &after);
     pthread_mutex_unlock(&state->lock);
     if (after.records_unread != before.records_unread && before.records_unread == 0) {
         rr_log(RR_ERROR_LEVEL,
-               "admission: a table of an unknown format; further ones are only counted");
+               "admission: ignored a table of unknown format; further ones are only counted");
     }
 }
 
-int rr_app_admission_start(struct rr_app *app) {
+int rr_app_admission_create(struct rr_app *app) {
     if (!app->config.admission) {
         return 0;
     }
@@ -34,16 +38,16 @@
     pthread_mutex_init(&state->lock, NULL);
     state->admission = rr_admission_create(&app->config, &app->admission_settings);
     state->writer = rr_admission_writer_create(&app->config, &app->admission_settings);
-    rr_offered_load_init(&state->load, &app->admission_settings);
-    rr_core_watch_records(app->core, RR_ADMISSION_PREFIX, on_record, state);
+    rr_offered_load_init(&state->offered_load, &app->admission_settings);
+    rr_core_watch_records(app->core, RR_ADMISSION_PREFIX, on_admission_record, state);
     app->admission = state;
     return 0;
 }
 
-void rr_app_admission_stop(struct rr_app *app) {
+void rr_app_admission_destroy(struct rr_app *app) {
     struct rr_app_admission *state = app->admission;
     if (state) {
-        rr_offered_load_clear(&state->load);
+        rr_offered_load_clear(&state->offered_load);
         rr_admission_writer_destroy(state->writer);
         rr_admission_destroy(state->admission);
         pthread_mutex_destroy(&state->lock);
@@ -53,7 +57,8 @@
     rr_admission_settings_clear(&app->admission_settings);
 }
 
-static rr_admission_context read_context(struct rr_app *app) {
+/* Returns what the admission verdict depends on besides the table. Takes rr_app.lock. */
+static rr_admission_context read_admission_context(struct rr_app *app) {
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->lock);
     rr_admission_context context = {.lease_valid = rr_core_lease_valid(app->core, now),
@@ -70,7 +75,7 @@
     if (!state) {
         return true;
     }
-    rr_admission_context context = read_context(app);
+    rr_admission_context context = read_admission_context(app);
     pthread_mutex_lock(&state->lock);
     rr_admission_verdict verdict = rr_admission_check(state->admission, submission, &context,
                                                       rr_wall_clock_s(), rr_steady_clock_s());
@@ -87,7 +92,8 @@
     }
 }
 
-void rr_app_admission_take_demand(struct rr_app *app, int peer, const void *data, size_t length) {
+void rr_app_admission_receive_demand(struct rr_app *app, int peer, const void *data,
+                                     size_t length) {
     struct rr_app_admission *state = app->admission;
     if (!state) {
         return;
@@ -100,7 +106,7 @@
                                       rr_steady_clock_s());
     pthread_mutex_unlock(&state->lock);
     if (rc == -EBADMSG) {
-        rr_log(RR_DEBUG_LEVEL, "admission: a malformed view of the demand was dropped");
+        rr_log(RR_DEBUG_LEVEL, "admission: dropped a peer's malformed demand view");
     }
 }
 
@@ -117,10 +123,11 @@
     rr_admission_get_stats(state->admission, &stats);
     pthread_mutex_unlock(&state->lock);
     rr_log(RR_INFO_LEVEL,
-           "admission: %s, backlog %.0f s, asked for %.0f s, %u rows; so far %" G_GUINT64_FORMAT
-           " admitted, %" G_GUINT64_FORMAT " refused, %" G_GUINT64_FORMAT
-           " of them without a fresh table, %" G_GUINT64_FORMAT " views dropped, %" G_GUINT64_FORMAT
-           " records unread, %" G_GUINT64_FORMAT " shares by filling",
+           "admission: %s, backlog %.0f s, demand %.0f s, table of %u rows; since start "
+           "%" G_GUINT64_FORMAT " admitted, %" G_GUINT64_FORMAT " refused, %" G_GUINT64_FORMAT
+           " of them without a valid table, %" G_GUINT64_FORMAT
+           " demand views dropped, %" G_GUINT64_FORMAT " records unreadable, %" G_GUINT64_FORMAT
+           " tables computed by progressive filling",
            active ? "limits" : "admits all", writer_stats.backlog_s, writer_stats.asked_s,
            writer_stats.rows, stats.admitted, stats.refused, stats.refused_stale,
            stats.frames_dropped, stats.records_unread, writer_stats.fallbacks);
--- a/src/app/admission.h
+++ b/src/app/admission.h
@@ -1,25 +1,29 @@
-/* Fair admission in this process: questions of request handlers and peers to the admission package.
- * Every function does nothing where admission is switched off. */
+/* Fair admission in this process: passes questions of request handlers and messages of peers to the
+ * admission package (src/admission/). Where admission is switched off, every submission is admitted
+ * and the other functions do nothing. */
 #ifndef RR_APP_ADMISSION_H
 #define RR_APP_ADMISSION_H
 
 #include "app/app.h"
 
-/* Creates app->admission; before any thread starts. 0 or -errno. */
-int rr_app_admission_start(struct rr_app *app);
-/* Frees app->admission and its settings; after all threads have ended. */
-void rr_app_admission_stop(struct rr_app *app);
+/* Creates app->admission if admission is switched on; to be called before any thread starts.
+ * Returns 0 or -errno. */
+int rr_app_admission_create(struct rr_app *app);
+/* Frees app->admission and clears its settings; to be called after all threads have ended. */
+void rr_app_admission_destroy(struct rr_app *app);
 
-/* Whether a valid submission of an unknown job is admitted; if not, *retry_after_s is when its user
- * is to come back. Takes `lock`; caller holds no lock. */
+/* Returns whether a valid submission of a job that is not known yet is admitted. If it is not,
+ * *retry_after_s is set to the number of seconds after which the user is to retry. Takes `lock`;
+ * caller holds no lock. */
 bool rr_app_admission_check(struct rr_app *app, const rr_submission *submission,
                             int *retry_after_s);
-/* Records that an admitted job is in the key-value store. */
+/* Records that an admitted job has been written to the key-value store. Caller does not hold the
+ * lock of admission. */
 void rr_app_admission_accepted(struct rr_app *app, const rr_submission *submission);
-/* Takes a peer's view of the demand; a malformed one is dropped. Takes `lock`; caller holds no
- * lock. */
-void rr_app_admission_take_demand(struct rr_app *app, int peer, const void *data, size_t length);
-/* Logs the state of admission, once a minute. */
+/* Stores a peer's view of the demand; drops a malformed one. peer: index in the configuration.
+ * Takes `lock`; caller holds no lock. */
+void rr_app_admission_receive_demand(struct rr_app *app, int peer, const void *data, size_t length);
+/* Logs the state of admission; called once a minute. */
 void rr_app_admission_log(struct rr_app *app);
 
 #endif
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -1,5 +1,6 @@
-/* Announces this controller's demand and, where the autoscaler runs, writes the admission tables.
- * The linear programs run without any lock. */
+/* The admission thread: announces this controller's demand to its peers and, on the controller that
+ * is the autoscaler, writes the admission tables. The linear programs that compute a table run
+ * without any lock. "wall" is the present wall-clock time, in seconds. */
 #include "app/admission_state.h"
 #include "app/thread_loop.h"
 #include "app/threads.h"
@@ -13,40 +14,44 @@
 #include <math.h>
 #include <string.h>
 
-/* Part of an interval after which demand is announced: a little before tables are made. */
-#define ANNOUNCE_AT 0.45
+/* Share of an interval after which demand is announced: shortly before a table is computed. */
+#define ANNOUNCE_INTERVAL_SHARE 0.45
+/* Passes of the thread's loop in one interval, unless PASS_PAUSE_MAX_S makes them more frequent. */
 #define PASSES_PER_INTERVAL 40.0
 #define PASS_PAUSE_MAX_S 0.25
 #define COMMIT_TIMEOUT_S 1.0
-#define TABLE_RETRY_SHARE 0.1 /* of an interval, between attempts to write a table */
+/* Shortest time between two attempts to write a table, as a share of an interval. */
+#define TABLE_RETRY_INTERVAL_SHARE 0.1
 
-/* Caller holds rr_app.lock. */
-static bool job_known(void *user, const char *job_id) {
+/* Returns whether the core knows the job; an rr_job_known_fn. Caller holds rr_app.lock. */
+static bool is_job_known(void *user, const char *job_id) {
     const struct rr_app *app = user;
     return rr_core_job_known(app->core, job_id);
 }
 
-/* Drops accepted jobs that the core knows by now from the count of those under way. */
-static void settle_accepted_jobs(struct rr_app *app) {
+/* Removes jobs from the demand that were refused here and have since been accepted by another
+ * controller: the core knows them. */
+static void forget_accepted_jobs(struct rr_app *app) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
-    rr_admission_forget_accepted(state->admission, job_known, app);
+    rr_admission_forget_accepted(state->admission, is_job_known, app);
     pthread_mutex_unlock(&state->lock);
     pthread_mutex_unlock(&app->lock);
 }
 
-/* Announces the demand once an interval, and only while every controller can read it. wall: now. */
+/* Sends this controller's view of the demand to the peers, once in each interval. Nothing is sent
+ * unless every controller of the term takes part in admission and the newest table limits it. */
 static void announce_demand(struct rr_app *app, double wall) {
     struct rr_app_admission *state = app->admission;
     double length_s = app->admission_settings.interval_s;
     double interval_start = floor(wall / length_s) * length_s;
-    if (interval_start == state->announced_interval ||
-        wall - interval_start < ANNOUNCE_AT * length_s) {
+    if (interval_start == state->announced_interval_start ||
+        wall - interval_start < ANNOUNCE_INTERVAL_SHARE * length_s) {
         return;
     }
-    state->announced_interval = interval_start;
-    settle_accepted_jobs(app);
+    state->announced_interval_start = interval_start;
+    forget_accepted_jobs(app);
     pthread_mutex_lock(&app->lock);
     bool capable = rr_core_all_admission_capable(app->core);
     uint64_t token = rr_core_fencing_token(app->core);
@@ -61,28 +66,32 @@
     g_byte_array_free(view, TRUE);
 }
 
-static void visit_machine(void *user, const char *type, const char *zone, double cpu, double gpu,
-                          double mem) {
+/* Adds a machine to the offered load; an rr_core_machine_fn. */
+static void add_machine(void *user, const char *type, const char *zone, double cpu, double gpu,
+                        double mem) {
     rr_offered_load_add_machine(user, type, zone, (rr_amount){cpu, gpu, mem});
 }
 
-static void visit_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
-                      uint32_t placed, uint32_t done) {
+/* Adds a job to the offered load; an rr_core_job_fn. */
+static void add_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
+                    uint32_t placed, uint32_t done) {
     rr_offered_load_add_job(user, submission, team, waiting, placed, done);
 }
 
-/* Reads the input of a table at one moment. False: this controller is not to write one now. */
-static bool gather_input(struct rr_app *app, GArray *demand, rr_admission_table *newest,
-                         rr_transaction *transaction) {
+/* Reads the input for a table in one critical section: the offered load, the demand and a copy of
+ * the newest table, which the caller clears. Adds the guard of the term to the transaction. Returns
+ * false if this controller must not write a table now; then nothing is read. */
+static bool gather_table_input(struct rr_app *app, GArray *demand, rr_admission_table *newest,
+                               rr_transaction *transaction) {
     struct rr_app_admission *state = app->admission;
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->lock);
     bool writes = rr_core_cache_consistent(app->core) && rr_core_is_autoscaler(app->core, now) &&
                   rr_core_all_admission_capable(app->core);
     if (writes) {
-        rr_offered_load_begin(&state->load);
-        rr_core_each_machine(app->core, visit_machine, &state->load);
-        rr_core_each_job(app->core, visit_job, &state->load);
+        rr_offered_load_begin(&state->offered_load);
+        rr_core_each_machine(app->core, add_machine, &state->offered_load);
+        rr_core_each_job(app->core, add_job, &state->offered_load);
         rr_core_guard_term(app->core, transaction);
         pthread_mutex_lock(&state->lock);
         const rr_admission_table *table = rr_admission_newest(state->admission);
@@ -96,6 +105,8 @@
     return writes;
 }
 
+/* Writes the table to the key-value store. The transaction already has the guard of the term.
+ * Returns whether it was committed. */
 static bool commit_table(struct rr_app *app, rr_store *store, const rr_admission_table *table,
                          rr_transaction *transaction) {
     struct rr_app_admission *state = app->admission;
@@ -113,28 +124,29 @@
         rr_app_apply_committed(app, transaction, outcome, revision);
         pthread_mutex_unlock(&app->lock);
     } else {
-        rr_log(RR_INFO_LEVEL, "admission: table %" G_GUINT64_FORMAT " was not written (%d)",
+        rr_log(RR_INFO_LEVEL,
+               "admission: table %" G_GUINT64_FORMAT " was not written, commit status %d",
                table->sequence, (int)outcome);
     }
     return outcome == RR_COMMIT_DONE;
 }
 
-/* Makes and writes the next table, if one is needed. A failed attempt is repeated with newer input;
- * after an unknown outcome the guards of the records keep it from being written twice. */
+/* Computes the next table and writes it if it is needed. A failed attempt is retried later with
+ * newer input; if its outcome is unknown, the guards of the records prevent a second write. */
 static void write_table(struct rr_app *app, rr_store *store, double interval_start) {
     struct rr_app_admission *state = app->admission;
     rr_admission_table newest, table;
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    if (gather_input(app, demand, &newest, &transaction)) {
-        bool wanted = rr_admission_writer_next(state->writer, &state->load, demand, &newest,
+    if (gather_table_input(app, demand, &newest, &transaction)) {
+        bool needed = rr_admission_writer_next(state->writer, &state->offered_load, demand, &newest,
                                                rr_wall_clock_s(), rr_steady_clock_s(), &table);
-        rr_log(RR_DEBUG_LEVEL, "admission: table %" G_GUINT64_FORMAT ", %u rows%s", table.sequence,
-               table.rows->len, wanted ? "" : ", not needed");
-        bool settled = !wanted || commit_table(app, store, &table, &transaction);
+        rr_log(RR_DEBUG_LEVEL, "admission: computed table %" G_GUINT64_FORMAT ", %u rows%s",
+               table.sequence, table.rows->len, needed ? "" : ", not needed");
+        bool settled = !needed || commit_table(app, store, &table, &transaction);
         if (settled) {
-            state->settled_interval = interval_start;
+            state->settled_interval_start = interval_start;
         }
         if (settled && table.active != newest.active) {
             rr_log(RR_INFO_LEVEL, "admission: overload %s", table.active ? "begins" : "is over");
@@ -149,38 +161,41 @@
     g_array_free(demand, TRUE);
 }
 
-/* Caller holds both locks. */
-static void set_rooms_of_table(struct rr_app *app, const rr_admission_table *table) {
-    double rooms[RR_TEAMS_MAX];
+/* Passes the fair share of each team in the table to the core; a team without an entry gets 1,
+ * which is no limit. Caller holds rr_app.lock and the lock of admission. */
+static void set_fair_shares(struct rr_app *app, const rr_admission_table *table) {
+    double shares[RR_TEAMS_MAX];
     for (size_t i = 0; i < app->config.team_count; i++) {
         const rr_admission_team *team = rr_admission_table_team(table, app->config.teams[i].name);
-        rooms[i] = team ? team->fair_room : 1;
+        shares[i] = team ? team->fair_room : 1;
     }
-    rr_core_set_fair_shares(app->core, rooms, table->cpus, table->gpus, table->mem_gb);
+    rr_core_set_fair_shares(app->core, shares, table->cpus, table->gpus, table->mem_gb);
 }
 
-/* Hands the rooms of the table in force to the core, for this controller's own plans; once for each
- * table. */
-static void update_fair_room(struct rr_app *app, double wall) {
+/* Applies the fair shares of the table in force to this controller's own plans, once for each
+ * table. Removes them if no valid table limits admission any more. */
+static void update_fair_shares(struct rr_app *app, double wall) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
     const rr_admission_table *table = rr_admission_table_at(state->admission, wall);
-    bool fresh = table && table->active && rr_core_all_admission_capable(app->core) &&
-                 wall < table->starts_at + rr_admission_valid_s(table->length_s);
-    uint64_t room_table = fresh ? table->sequence : 0;
-    if (fresh && room_table != state->room_table) {
-        set_rooms_of_table(app, table);
-    } else if (!fresh && state->room_table != 0) {
+    bool in_force = table && table->active && rr_core_all_admission_capable(app->core) &&
+                    wall < table->starts_at + rr_admission_valid_s(table->length_s);
+    uint64_t sequence = in_force ? table->sequence : 0;
+    if (in_force && sequence != state->fair_shares_sequence) {
+        set_fair_shares(app, table);
+    } else if (!in_force && state->fair_shares_sequence != 0) {
         rr_core_set_fair_shares(app->core, NULL, 0, 0, 0);
     }
-    state->room_table = room_table;
+    state->fair_shares_sequence = sequence;
     pthread_mutex_unlock(&state->lock);
     pthread_mutex_unlock(&app->lock);
 }
 
+/* Returns whether the next table is due and has neither been written nor found unnecessary in the
+ * present interval, which began at wall-clock time interval_start. */
 static bool is_table_due(struct rr_app_admission *state, double wall, double interval_start) {
-    if (interval_start == state->settled_interval) {
+    if (interval_start == state->settled_interval_start) {
         return false;
     }
     pthread_mutex_lock(&state->lock);
@@ -194,7 +209,7 @@
     struct rr_app_admission *state = app->admission;
     rr_usage_enter(RR_USAGE_ADMISSION);
     rr_store *store = rr_app_open_store(app);
-    double length_s = app->admission_settings.interval_s, tried_at = 0;
+    double length_s = app->admission_settings.interval_s, attempted_at = 0;
     while (!rr_app_stopping(app)) {
         rr_sleep(fmin(length_s / PASSES_PER_INTERVAL, PASS_PAUSE_MAX_S));
         double wall = rr_wall_clock_s();
@@ -204,11 +219,11 @@
         announce_demand(app, wall);
         double interval_start = floor(wall / length_s) * length_s;
         if (is_table_due(state, wall, interval_start) &&
-            rr_steady_clock_s() - tried_at > TABLE_RETRY_SHARE * length_s) {
-            tried_at = rr_steady_clock_s();
+            rr_steady_clock_s() - attempted_at > TABLE_RETRY_INTERVAL_SHARE * length_s) {
+            attempted_at = rr_steady_clock_s();
             write_table(app, store, interval_start);
         }
-        update_fair_room(app, wall);
+        update_fair_shares(app, wall);
     }
     rr_store_destroy(store);
     rr_usage_leave();
--- a/src/app/peer_events.c
+++ b/src/app/peer_events.c
@@ -1,3 +1,5 @@
+/* Handlers for the messages of peers. They run on the threads of the peer connections; `user` is
+ * the struct rr_app, and `peer` the sender's index in the configuration. */
 #include "app/peer_events.h"
 #include "app/admission.h"
 #include "app/thread_loop.h"
@@ -8,15 +10,17 @@
 
 #include <errno.h>
 
-#define STORE_REACHED_MAX_AGE_S 2.0
+/* The key-value store counts as reachable if it has answered this recently. */
+#define STORE_ANSWER_AGE_MAX_S 2.0
 
 static void on_heartbeat(void *user, int peer, unsigned hops, const void *body, size_t length) {
     rr_app_take_heartbeat(user, body, length, peer, hops);
 }
 
-/* Where two zones can't reach each other, a third may reach both. A digest from its first sender is
- * therefore forwarded once to the peers that do not hear that sender, so that no controller
- * declares a machine dead that another one hears. */
+/* Passes the digests to the core and forwards those of their first sender (hops 0) once, to the
+ * peers that receive nothing from that sender. Where two zones can't reach each other, a third may
+ * reach both: without forwarding, a controller could declare a machine dead whose heartbeats
+ * another one receives. */
 static void on_heartbeat_digests(void *user, int peer, unsigned hops,
                                  const rr_heartbeat_digest *digests, size_t count) {
     struct rr_app *app = user;
@@ -34,6 +38,7 @@
     }
 }
 
+/* A peer has found that the machine sends heartbeats but answers no commands. */
 static void on_suspect(void *user, const char *machine) {
     struct rr_app *app = user;
     pthread_mutex_lock(&app->lock);
@@ -41,6 +46,7 @@
     pthread_mutex_unlock(&app->lock);
 }
 
+/* A peer has confirmed the job's cancellation to its user. */
 static void on_cancelled(void *user, const char *job_id) {
     struct rr_app *app = user;
     pthread_mutex_lock(&app->lock);
@@ -49,18 +55,18 @@
 }
 
 static void on_demand(void *user, int peer, const void *data, size_t length) {
-    rr_app_admission_take_demand(user, peer, data, length);
+    rr_app_admission_receive_demand(user, peer, data, length);
 }
 
-/* A peer that can't reach the key-value store asks whether this controller can, and with `end` has
- * it end the peer's session. */
+/* A peer has lost the key-value store. Without `end`, returns whether this controller reaches the
+ * store. With `end`, also ends the peer's lease there, and returns whether it has ended. */
 static bool on_resign(void *user, uint64_t lease_id, bool end) {
     struct rr_app *app = user;
     pthread_mutex_lock(&app->lock);
-    bool reached = rr_steady_clock_s() - app->store_ok_at < STORE_REACHED_MAX_AGE_S;
+    bool reachable = rr_steady_clock_s() - app->store_ok_at < STORE_ANSWER_AGE_MAX_S;
     pthread_mutex_unlock(&app->lock);
-    if (!reached || !end) {
-        return reached;
+    if (!reachable || !end) {
+        return reachable;
     }
     rr_store *store = rr_app_open_store(app);
     int rc = store ? rr_store_end_lease(store, lease_id) : -ENOMEM;
--- a/src/app/planner_thread.c
+++ b/src/app/planner_thread.c
@@ -1,5 +1,5 @@
-/* Makes plans for the teams that this controller owns, commits them and hands their commands to the
- * command threads. */
+/* The planner thread: makes plans for the teams that this controller owns, commits them, and queues
+ * their commands for the command threads. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
 #include "common/clock.h"
@@ -9,34 +9,39 @@
 
 #include <math.h>
 
-#define WORK_WAIT_S 0.5     /* between plans without a wake */
-#define CONFLICT_WAIT_S 1.0 /* for the store cache to show the conflicting change */
+/* Longest wait for a wake-up before the next plan. */
+#define WAKE_WAIT_MAX_S 0.5
+/* Longest wait for the store cache to show the change that a plan conflicted with. */
+#define CONFLICT_WAIT_MAX_S 1.0
 #define COMMIT_FAILED_PAUSE_S 0.2
+/* Time between two messages to the peers about suspect machines. */
 #define SUSPECTS_PERIOD_S 2.0
 
-/* A transaction costs a request however few changes it has: fewer than CHANGES_MIN wait until
- * FEW_CHANGES_WAIT_S have passed since the last commit. */
+/* A transaction costs a request however few changes it has: while the budget allows fewer changes
+ * than CHANGES_MIN, a plan gets none until FEW_CHANGES_WAIT_S have passed since the last commit. */
 #define CHANGES_MIN 3
 #define FEW_CHANGES_WAIT_S 0.3
 
-/* The pause after a plan: at least a share of the heartbeat interval, since peers batch heartbeats;
- * longer after slow plans and while timers are late, so that heartbeats and commands come first. */
+/* The pause after a plan lasts at least PAUSE_HEARTBEAT_SHARE of the heartbeat interval, since
+ * peers send heartbeats in batches. It is longer after slow plans and while timers fire late, so
+ * that heartbeats and commands get processor time first. */
 #define PAUSE_HEARTBEAT_SHARE 0.0125
 #define PAUSE_PLAN_TIME_FACTOR 12
 #define PAUSE_PLAN_TIME_MAX_S 0.25
 #define PAUSE_LAG_FACTOR 4
 #define PAUSE_LAG_MAX_S 1.0
 
-/* State that the planner keeps from plan to plan. */
+/* State that the planner thread keeps between plans. */
 struct planner {
-    uint64_t seen_wakes;      /* value of rr_app.wake_count before the last plan */
-    uint64_t needed_revision; /* the store cache must reach it before the next plan */
-    double committed_at;      /* steady: of the last transaction */
-    double suspects_sent_at;  /* steady */
-    double plan_time_pause_s; /* after the last plan */
+    uint64_t seen_wake_count; /* value of rr_app.planner_wake_count before the last plan */
+    uint64_t needed_revision; /* the store cache must reach it before the next plan; 0: none */
+    double committed_at;      /* steady time of the last transaction's outcome; 0: none yet */
+    double suspects_sent_at;  /* steady time of the last message about suspects; 0: none yet */
+    double plan_time_pause_s; /* pause that the last plan's duration asks for */
 };
 
-/* Moves the plan's command batches to the queues. Caller holds `lock`. */
+/* Moves the plan's command batches to the queues, which own them from then on. Caller holds
+ * rr_app.lock. */
 static void queue_command_batches(struct rr_app *app, rr_plan *plan) {
     for (guint i = 0; i < plan->command_batches->len; i++) {
         rr_command_batch *batch = g_ptr_array_index(plan->command_batches, i);
@@ -50,34 +55,39 @@
     }
 }
 
+/* Returns how many changes the next plan may write. */
 static int count_affordable_changes(const struct rr_app *app, const struct planner *planner) {
     int changes = rr_budget_plan_writes(app->budget);
-    bool wait =
+    bool defer =
         changes < CHANGES_MIN && rr_steady_clock_s() - planner->committed_at < FEW_CHANGES_WAIT_S;
-    return wait ? 0 : changes;
+    return defer ? 0 : changes;
 }
 
-/* Waits for work and makes a plan, none if the store cache is still behind a conflict. */
+/* Waits up to WAKE_WAIT_MAX_S for a wake-up, then makes a plan and queues its commands. *plan
+ * remains empty if the store cache does not yet show the change that the last plan conflicted with.
+ * Takes rr_app.lock; caller holds no lock. */
 static void make_plan(struct rr_app *app, struct planner *planner, rr_plan *plan) {
     pthread_mutex_lock(&app->lock);
-    if (app->wake_count == planner->seen_wakes) {
-        rr_app_cond_wait(&app->work, &app->lock, WORK_WAIT_S);
+    if (app->planner_wake_count == planner->seen_wake_count) {
+        rr_app_cond_wait(&app->planner_wake, &app->lock, WAKE_WAIT_MAX_S);
     }
-    planner->seen_wakes = app->wake_count;
+    planner->seen_wake_count = app->planner_wake_count;
     if (rr_app_wait_revision(app, planner->needed_revision,
-                             rr_steady_clock_s() + CONFLICT_WAIT_S)) {
+                             rr_steady_clock_s() + CONFLICT_WAIT_MAX_S)) {
         int changes = count_affordable_changes(app, planner);
         rr_core_set_write_pressure(app->core, rr_budget_pressure(app->budget), changes);
-        double began = rr_steady_clock_s();
-        rr_core_plan(app->core, began, rr_wall_clock_s(), plan);
+        double started_at = rr_steady_clock_s();
+        rr_core_plan(app->core, started_at, rr_wall_clock_s(), plan);
         queue_command_batches(app, plan);
         app->planning = plan->has_transaction;
-        planner->plan_time_pause_s =
-            fmin(PAUSE_PLAN_TIME_FACTOR * (rr_steady_clock_s() - began), PAUSE_PLAN_TIME_MAX_S);
+        planner->plan_time_pause_s = fmin(
+            PAUSE_PLAN_TIME_FACTOR * (rr_steady_clock_s() - started_at), PAUSE_PLAN_TIME_MAX_S);
     }
     pthread_mutex_unlock(&app->lock);
 }
 
+/* Commits the plan's transaction and applies it to the store cache. Takes rr_app.lock; caller holds
+ * no lock. */
 static void commit_plan(struct rr_app *app, rr_store *store, struct planner *planner,
                         const rr_plan *plan) {
     uint64_t revision = 0;
@@ -90,13 +100,15 @@
     planner->needed_revision = outcome == RR_COMMIT_CONFLICT ? revision : 0;
     planner->committed_at = rr_steady_clock_s();
     if (outcome == RR_COMMIT_DONE) {
-        planner->seen_wakes--; /* plans again at once, to start what this plan has reserved */
+        /* Skip the wait before the next plan: it starts what this plan has reserved. */
+        planner->seen_wake_count--;
     } else if (outcome != RR_COMMIT_CONFLICT) {
-        rr_log(RR_DEBUG_LEVEL, "plan not committed");
+        rr_log(RR_DEBUG_LEVEL, "plan: transaction not committed, planning again after a pause");
         rr_app_pause(app, COMMIT_FAILED_PAUSE_S);
     }
 }
 
+/* Tells the peers every SUSPECTS_PERIOD_S which machines send heartbeats but answer no commands. */
 static void send_suspects(struct rr_app *app, struct planner *planner) {
     if (rr_steady_clock_s() - planner->suspects_sent_at < SUSPECTS_PERIOD_S) {
         return;
--- a/src/app/thread_loop.c
+++ b/src/app/thread_loop.c
@@ -5,9 +5,9 @@
 
 #include <time.h>
 
-#define PAUSE_SLICE_S 0.5      /* time until a stop is noticed */
-#define TIMER_LATE_S 0.4       /* half the time that a probe may take */
-#define TIMER_LAG_OLD_WEIGHT 3 /* of the smoothed lag, against 1 of the new sample */
+#define PAUSE_SLICE_S 0.5      /* longest time until a sleeping thread notices a stop */
+#define TIMER_LATE_S 0.4       /* half the timeout of a probe (command_thread.c) */
+#define TIMER_LAG_OLD_WEIGHT 3 /* weight of the moving average; a new sample weighs 1 */
 #define COMMIT_TIMEOUT_S 2.0   /* of one attempt */
 #define COMMIT_RETRY_PAUSE_S 0.2
 
@@ -15,8 +15,9 @@
     return atomic_load(&app->stop);
 }
 
-/* A late timer means that messages are read late, too: silence then says nothing about peers and
- * machines. */
+/* Updates the moving average of the timer lag, and reports a delay above TIMER_LATE_S to the core.
+ * If timers fire late, messages are read late, too: silence then does not show that a peer or
+ * machine has failed. now: steady time. */
 static void record_timer_lag(struct rr_app *app, double now, double late_s) {
     int lag_ms = (TIMER_LAG_OLD_WEIGHT * atomic_load(&app->timer_lag_ms) + (int)(1000 * late_s)) /
                  (TIMER_LAG_OLD_WEIGHT + 1);
@@ -31,10 +32,10 @@
 void rr_app_pause(struct rr_app *app, double seconds) {
     while (seconds > 0 && !rr_app_stopping(app)) {
         double slice_s = seconds < PAUSE_SLICE_S ? seconds : PAUSE_SLICE_S;
-        double began = rr_steady_clock_s();
+        double started_at = rr_steady_clock_s();
         rr_sleep(slice_s);
         double now = rr_steady_clock_s();
-        record_timer_lag(app, now, now - began - slice_s);
+        record_timer_lag(app, now, now - started_at - slice_s);
         seconds -= slice_s;
     }
 }
@@ -54,17 +55,17 @@
 }
 
 void rr_app_wake_planner(struct rr_app *app) {
-    app->wake_count++;
-    pthread_cond_broadcast(&app->work);
+    app->planner_wake_count++;
+    pthread_cond_broadcast(&app->planner_wake);
 }
 
 bool rr_app_wait_revision(struct rr_app *app, uint64_t revision, double until) {
     while (rr_core_revision(app->core) < revision) {
-        double left = until - rr_steady_clock_s();
-        if (left <= 0 || rr_app_stopping(app)) {
+        double remaining_s = until - rr_steady_clock_s();
+        if (remaining_s <= 0 || rr_app_stopping(app)) {
             return false;
         }
-        rr_app_cond_wait(&app->cache_advanced, &app->lock, left);
+        rr_app_cond_wait(&app->cache_advanced, &app->lock, remaining_s);
     }
     return true;
 }
@@ -73,8 +74,9 @@
     return rr_store_create(&app->config.state, app->budget, &app->stop);
 }
 
-/* The key-value store has rejected a transaction that is within its present limits: the lower
- * limits that the settings announce are in force from now on. */
+/* Puts the lower limits that the settings announce in force: the key-value store has rejected a
+ * transaction that is valid under the present ones. outcome_unknown: an earlier attempt of the
+ * transaction may still be executed. */
 static void switch_to_next_limits(struct rr_app *app, bool outcome_unknown) {
     rr_budget_put_next_limits_in_force(app->budget);
     pthread_mutex_lock(&app->lock);
@@ -83,9 +85,9 @@
     pthread_mutex_unlock(&app->lock);
 }
 
-/* An unanswered transaction may still be carried out late, and a task that is placed again
- * meanwhile would then be in the ledger twice. Sending the same transaction again settles the
- * outcome: it changes the keys that it guards, so its guards hold at most once. */
+/* A transaction without an answer may still be executed late; a task that is placed again meanwhile
+ * would then be recorded twice. Sending the same transaction again makes the outcome certain: it
+ * changes the keys that it guards, so its guards hold at most once. */
 enum rr_commit_status rr_app_commit(struct rr_app *app, rr_store *store,
                                     enum rr_request_priority priority,
                                     const rr_transaction *transaction, uint64_t *revision) {
