--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -182,7 +182,7 @@
     if (!app->cells) {
         return true;
     }
-    rr_cells_out_key(job_id, commit->also_key, sizeof commit->also_key);
+    rr_cells_out_key(job_id, commit->extra_guard_key, sizeof commit->extra_guard_key);
     return rr_transfers_may_cancel(app->cells->transfers, job_id, rr_wall_clock_s(),
-                                   &commit->also_version);
+                                   &commit->extra_guard_version);
 }
--- a/src/app/commit_thread.c
+++ b/src/app/commit_thread.c
@@ -1,4 +1,4 @@
-/* Group commit: one thread writes users' changes, many in one transaction. */
+/* Group commit: this thread writes all users' changes, many in one transaction. */
 #include "app/thread_loop.h"
 #include "app/threads.h"
 #include "app/user_batch.h"
@@ -9,13 +9,13 @@
 #include <math.h>
 #include <string.h>
 
-#define COMMIT_TIMEOUT_S 1.0
-#define RETRY_PAUSE_S 0.1
-#define IDLE_WAIT_S 1.0
-#define COMMIT_TIME_MIN_S 0.001 /* bounds the measured rate */
+#define COMMIT_TIMEOUT_S 1.0    /* of one transaction */
+#define RETRY_PAUSE_S 0.1       /* after a failed transaction */
+#define IDLE_WAIT_S 1.0         /* longest wait for commits before the stop is checked again */
+#define COMMIT_TIME_MIN_S 0.001 /* bounds the computed commit rate */
 
-/* Fails expired commits before the next transaction, so their callers are not delayed further.
- * Caller holds `user_lock`. */
+/* Finishes expired commits at the head of the queue as failed, so that the next transaction does
+ * not delay their callers further. The caller holds rr_app.user_lock. */
 static void fail_expired_commits(struct rr_app *app) {
     struct rr_user_commit *commit;
     double now = rr_steady_clock_s();
@@ -26,9 +26,10 @@
     }
 }
 
-/* Waits for commits and moves as many into the batch as one transaction takes; none if the wait
- * timed out. Returns the lease of the session at that moment, which makes the batch's key unique.
- */
+/* Waits for queued commits and moves as many into the batch as fit into one transaction. The batch
+ * stays empty if the process stops while nothing is queued, if all commits have expired, or if the
+ * first one does not fit into any transaction. Returns the lease of the session at that moment,
+ * which makes the keys of job batches unique. */
 static uint64_t take_batch(struct rr_app *app, struct rr_user_batch *batch) {
     memset(batch, 0, sizeof *batch);
     pthread_mutex_lock(&app->user_lock);
@@ -55,29 +56,31 @@
     return false;
 }
 
+/* Returns whether the transaction was refused or got no answer; the store then counts as down. */
 static bool store_failed(enum rr_commit_status outcome) {
     return outcome == RR_COMMIT_REFUSED || outcome == RR_COMMIT_OUTCOME_UNKNOWN;
 }
 
-/* Whether the commit goes into another transaction. A conflict names the keys in conflict; commits
- * that only shared the transaction with these are repeated. */
+/* Returns whether the commit goes into another transaction. After a conflict, `conflicts` has the
+ * keys whose guards failed; commits of other keys only shared the transaction and are retried. */
 static bool should_retry(const struct rr_user_commit *commit, guint batch_size,
                          enum rr_commit_status outcome, const GPtrArray *conflicts, double now) {
     if (outcome == RR_COMMIT_CONFLICT) {
         return batch_size > 1 && !contains_key(conflicts, commit->key) &&
-               !(commit->also_key[0] && contains_key(conflicts, commit->also_key));
+               !(commit->extra_guard_key[0] && contains_key(conflicts, commit->extra_guard_key));
     }
     return (store_failed(outcome) || outcome == RR_COMMIT_INVALID) && now < commit->deadline;
 }
 
-/* Finishes or queues again every commit of the batch. */
-static void settle_batch(struct rr_app *app, const struct rr_user_batch *batch,
-                         enum rr_commit_status outcome, uint64_t revision,
-                         const GPtrArray *conflicts, double took_s) {
+/* Finishes or queues again every commit of the batch, and updates the commit rate. duration_s:
+ * duration of the transaction. */
+static void finish_or_requeue_batch(struct rr_app *app, const struct rr_user_batch *batch,
+                                    enum rr_commit_status outcome, uint64_t revision,
+                                    const GPtrArray *conflicts, double duration_s) {
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->user_lock);
     if (outcome == RR_COMMIT_DONE) {
-        app->commit_rate = batch->entry_count / fmax(took_s, COMMIT_TIME_MIN_S);
+        app->commit_rate = batch->entry_count / fmax(duration_s, COMMIT_TIME_MIN_S);
     }
     for (guint i = 0; i < batch->entry_count; i++) {
         struct rr_user_commit *commit = batch->entries[i];
@@ -93,7 +96,8 @@
     pthread_mutex_unlock(&app->user_lock);
 }
 
-static void record_store_state(struct rr_app *app, enum rr_commit_status outcome) {
+/* Records whether the key-value store is reachable. */
+static void record_store_reachability(struct rr_app *app, enum rr_commit_status outcome) {
     pthread_mutex_lock(&app->lock);
     app->store_down = store_failed(outcome);
     if (!app->store_down) {
@@ -102,23 +106,26 @@
     pthread_mutex_unlock(&app->lock);
 }
 
+/* Makes one attempt to commit the batch, and finishes or queues again its commits. */
 static enum rr_commit_status commit_batch(struct rr_app *app, rr_store *store,
                                           const struct rr_user_batch *batch, uint64_t lease_id) {
     rr_transaction transaction;
     GPtrArray *conflicts = g_ptr_array_new_with_free_func(g_free);
     uint64_t revision = 0;
     rr_transaction_init(&transaction);
-    rr_user_batch_transaction(batch, lease_id, &app->batch_count, &transaction);
-    double began = rr_steady_clock_s();
+    rr_user_batch_build_transaction(batch, lease_id, &app->batch_count, &transaction);
+    double started_at = rr_steady_clock_s();
     enum rr_commit_status outcome = rr_store_commit(store, RR_REQUEST_USER, &transaction,
                                                     COMMIT_TIMEOUT_S, &revision, conflicts);
     rr_transaction_clear(&transaction);
-    record_store_state(app, outcome);
-    settle_batch(app, batch, outcome, revision, conflicts, rr_steady_clock_s() - began);
+    record_store_reachability(app, outcome);
+    finish_or_requeue_batch(app, batch, outcome, revision, conflicts,
+                            rr_steady_clock_s() - started_at);
     g_ptr_array_free(conflicts, TRUE);
     return outcome;
 }
 
+/* Finishes all queued commits as refused, when the process stops. */
 static void refuse_queued_commits(struct rr_app *app) {
     struct rr_user_commit *commit;
     pthread_mutex_lock(&app->user_lock);
--- a/src/app/user_batch.h
+++ b/src/app/user_batch.h
@@ -1,30 +1,36 @@
-/* Users' changes that share one transaction: which may be combined, and the transaction itself.
- * Plain data of the commit thread; no lock. */
+/* Batches of users' changes for group commit: which changes may share a transaction, and how that
+ * transaction is built. Only the commit thread uses a batch, so it needs no lock. */
 #ifndef RR_APP_USER_BATCH_H
 #define RR_APP_USER_BATCH_H
 
 #include "app/user_commit.h"
 #include "core/state/transaction.h"
 
-/* The changes of one transaction. The numbers of changes, guards and bytes are bounded; new jobs
- * share records (job batches). Zeroed when empty. */
+/* The users' changes of one transaction. Their number, their guards and their size in bytes are
+ * bounded. Several new jobs may share one record, a job batch. A zeroed struct is an empty
+ * batch. */
 struct rr_user_batch {
-    struct rr_user_commit *entries[RR_USER_BATCH_MAX]; /* not owned */
-    bool joins_previous[RR_USER_BATCH_MAX]; /* shares the record of the new job before it */
+    struct rr_user_commit *entries[RR_USER_BATCH_MAX]; /* borrowed from the waiting threads */
+    /* Whether the entry is stored in the record of the previous new job. */
+    bool joins_previous_record[RR_USER_BATCH_MAX];
     guint entry_count;
-    guint record_count;       /* changes in the transaction */
-    guint extra_guard_count;  /* beyond one for each entry */
-    size_t bytes;             /* of all records, as JSON */
-    size_t open_record_bytes; /* of the job batch that new jobs still join; 0: none */
+    guint record_count;      /* records that the transaction writes */
+    guint extra_guard_count; /* entries with an extra_guard_key */
+    size_t json_bytes;       /* estimated JSON size of all changes */
+    /* Estimated JSON size of the record that the next new job may join; 0: there is none. */
+    size_t open_record_bytes;
 };
 
-/* Adds a change. False: it does not fit, or a change of the same key is in the batch already; it is
- * to go into a later batch. An empty batch takes any change. */
+/* Adds a change, which the batch borrows. Returns false without adding it if it does not fit, or if
+ * the batch already has a change of the same key: the change must then wait for a later batch. With
+ * an empty batch the function returns true even if the change does not fit and is not added;
+ * callers check entry_count. */
 bool rr_user_batch_add(const struct rr_config *config, struct rr_user_batch *batch,
                        struct rr_user_commit *commit);
-/* Adds the batch's guards and changes to the transaction. lease_id and *batch_count, which counts
- * up for each shared record, make the keys of shared records unique. */
-void rr_user_batch_transaction(const struct rr_user_batch *batch, uint64_t lease_id,
-                               uint64_t *batch_count, rr_transaction *transaction);
+/* Adds the batch's guards and changes to the transaction. The key of each job batch is made unique
+ * by lease_id, the lease of this process's session, and by *batch_count, which the function
+ * increments for each job batch. */
+void rr_user_batch_build_transaction(const struct rr_user_batch *batch, uint64_t lease_id,
+                                     uint64_t *batch_count, rr_transaction *transaction);
 
 #endif
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -76,7 +76,7 @@
 
 static void commit_submission(struct rr_app *app, const rr_submission *submission,
                               struct rr_http_response *response) {
-    struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_SUBMISSION_WAIT_MAX_S,
+    struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_USER_COMMIT_WAIT_MAX_S,
                                     .is_submission = true};
     if (store_known_down(app)) {
         rr_app_refuse(response, 503, store_unreachable, RETRY_OVERLOADED_S);
@@ -87,7 +87,7 @@
     rr_core_job_encode(&commit.value, submission, rr_wall_clock_s(), false);
     if (JSON_OVERHEAD * (double)commit.value.buffer.size > rr_value_kb_max(&app->config) * 1024) {
         rr_app_refuse(response, 400, "too large", 0);
-    } else if (!rr_user_commit_run(app, &commit)) {
+    } else if (!rr_user_commit_enqueue_and_wait(app, &commit)) {
         rr_app_refuse(response, 503, "overloaded", RETRY_OVERLOADED_S);
     } else if (commit.status == RR_COMMIT_DONE) {
         rr_app_answer_job_state(response, 201, submission->job_id, "queued");
@@ -223,7 +223,7 @@
 static enum cancel_progress commit_cancellation(struct rr_app *app, const char *job_id,
                                                 struct rr_user_commit *commit,
                                                 struct rr_http_response *response) {
-    if (!rr_user_commit_run(app, commit)) {
+    if (!rr_user_commit_enqueue_and_wait(app, commit)) {
         rr_app_refuse(response, 503, "overloaded", RETRY_SOON_S);
         return CANCEL_ANSWERED;
     }
@@ -270,11 +270,11 @@
 /* Whether no other cell can have the job any more. If one has it, the transfer is withdrawn; the
  * user is to come back after *retry_after_s. */
 static bool bring_job_home(struct rr_app *app, const char *job_id, int *retry_after_s) {
-    struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_SUBMISSION_WAIT_MAX_S};
+    struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_USER_COMMIT_WAIT_MAX_S};
     rr_encoder_init(&commit.value);
     enum rr_cancel_precondition first = rr_app_cells_cancel(app, job_id, &commit, retry_after_s);
     if (first == RR_CANCEL_WITHDRAW) {
-        rr_user_commit_run(app, &commit);
+        rr_user_commit_enqueue_and_wait(app, &commit);
     }
     rr_encoder_clear(&commit.value);
     return first == RR_CANCEL_FREE;
