--- a/src/app/cancellations.c
+++ b/src/app/cancellations.c
@@ -5,9 +5,9 @@
 
 void rr_app_announce_cancellation(struct rr_app *app, const char *job_id) {
     pthread_mutex_lock(&app->lock);
-    bool capable = rr_core_all_gang_capable(app->core);
+    bool all_capable = rr_core_all_gang_capable(app->core);
     pthread_mutex_unlock(&app->lock);
-    if (capable) {
+    if (all_capable) {
         rr_peers_send_cancellation(app->peers, job_id, rr_steady_clock_s() + app->config.cancel_s);
     }
 }
--- a/src/app/cancellations.h
+++ b/src/app/cancellations.h
@@ -4,10 +4,10 @@
 
 #include "app/app.h"
 
-/* Has the other controllers stop the job's tasks in their answers to workers from now on. This also
- * reaches a controller that the key-value store refuses, whose store cache will not show the
- * cancellation. Does nothing while some controller can't read the message. Takes `lock`; caller
- * holds no lock. */
+/* Tells the other controllers to stop the job's tasks in their answers to workers from now on. This
+ * also reaches a controller whose requests the key-value store refuses, and whose store cache
+ * therefore never shows the cancellation. Does nothing while some controller's version can't read
+ * the message. Takes rr_app.lock; the caller must hold no lock. */
 void rr_app_announce_cancellation(struct rr_app *app, const char *job_id);
 
 #endif
--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -106,8 +106,8 @@
     rr_cells_request_clear(&request);
     if (!known && !all_answered) {
         msgpack_sbuffer_clear(&response->body.buffer);
-        rr_app_refuse(response, 503, "a cell that may know the job is not reachable",
-                      RELAY_RETRY_S);
+        rr_app_answer_error(response, 503, "a cell that may know the job is not reachable",
+                            RELAY_RETRY_S);
     }
     return known || !all_answered;
 }
--- a/src/app/http_responses.c
+++ b/src/app/http_responses.c
@@ -1,7 +1,7 @@
 #include "app/http_responses.h"
 
-void rr_app_refuse(struct rr_http_response *response, int status, const char *reason,
-                   int retry_after_s) {
+void rr_app_answer_error(struct rr_http_response *response, int status, const char *reason,
+                         int retry_after_s) {
     response->status = status;
     response->retry_after_s = retry_after_s;
     rr_encode_map(&response->body, 1);
--- a/src/app/read_barrier_thread.c
+++ b/src/app/read_barrier_thread.c
@@ -6,11 +6,12 @@
 #include "core/cache_feed.h"
 #include "core/leadership.h"
 
-#define POLL_WAIT_MAX_S 1.6 /* users wait for 2 s */
+#define POLL_WAIT_MAX_S 1.6 /* users wait 2 s for an answer */
 #define REVISION_TIMEOUT_S 0.8
-#define CACHE_WAIT_MAX_S 1.2 /* from the request for the revision */
-#define IDLE_WAIT_S 5.0
-/* Reads of the revision take one in so many requests of the store's limit, over all controllers. */
+#define CACHE_WAIT_MAX_S 1.2 /* from the start of the revision's read */
+#define IDLE_WAIT_S 5.0      /* longest wait for polls before the stop is checked again */
+/* Over all controllers, reads of the revision use one in so many requests of the store's request
+ * limit. */
 #define REQUESTS_PER_READ 6.0
 
 void rr_read_barriers_init(struct rr_app *app) {
@@ -21,7 +22,7 @@
 }
 
 bool rr_read_barrier_wait(struct rr_app *app) {
-    double until = rr_steady_clock_s() + POLL_WAIT_MAX_S;
+    double deadline = rr_steady_clock_s() + POLL_WAIT_MAX_S;
     pthread_mutex_lock(&app->user_lock);
     uint64_t group = app->gathering_group;
     struct rr_read_barrier *barrier = &app->read_barriers[group % 2];
@@ -29,15 +30,18 @@
     if (barrier->waiting_polls++ == 0) {
         pthread_cond_signal(&app->barrier_wake);
     }
-    while (!rr_app_stopping(app) && barrier->served_group < group && rr_steady_clock_s() < until) {
-        rr_app_cond_wait(&barrier->served, &app->user_lock, until - rr_steady_clock_s());
+    while (!rr_app_stopping(app) && barrier->served_group < group &&
+           rr_steady_clock_s() < deadline) {
+        rr_app_cond_wait(&barrier->served, &app->user_lock, deadline - rr_steady_clock_s());
     }
-    /* If a later group was served here meanwhile, its read is newer and serves as well. */
+    /* A later group may have been served by this barrier meanwhile; its read is newer, so its
+     * result is valid for this poll, too. */
     bool succeeded = barrier->served_group >= group && barrier->succeeded;
     pthread_mutex_unlock(&app->user_lock);
     return succeeded;
 }
 
+/* Waits until a poll joins the gathering group or the process is stopping. */
 static void wait_for_polls(struct rr_app *app) {
     pthread_mutex_lock(&app->user_lock);
     while (!rr_app_stopping(app) &&
@@ -47,8 +51,8 @@
     pthread_mutex_unlock(&app->user_lock);
 }
 
-/* Polls gather while the thread waits for its share of the store's request limit. read_at: steady,
- * the previous read. */
+/* Waits until this controller's share of the store's request limit allows another read; polls
+ * gather meanwhile. read_at: time of the previous read, steady clock. */
 static void wait_for_request_share(struct rr_app *app, double read_at) {
     pthread_mutex_lock(&app->lock);
     unsigned controllers = rr_core_live_controllers(app->core);
@@ -57,7 +61,8 @@
              rr_steady_clock_s());
 }
 
-/* Closes the gathering group and opens the next. NULL: no poll waits. */
+/* Closes the gathering group and opens the next one. Returns the closed group's barrier, or NULL if
+ * no poll waits. */
 static struct rr_read_barrier *close_group(struct rr_app *app) {
     pthread_mutex_lock(&app->user_lock);
     struct rr_read_barrier *barrier = &app->read_barriers[app->gathering_group % 2];
@@ -67,19 +72,22 @@
     return barrier;
 }
 
-/* Waits until the store cache has every change that was committed before this call. */
+/* Waits until the store cache has every change that was committed before this call. Returns false
+ * if the store did not answer or the cache did not catch up in time. */
 static bool wait_until_cache_is_current(struct rr_app *app, rr_store *store) {
     uint64_t revision = 0;
-    double until = rr_steady_clock_s() + CACHE_WAIT_MAX_S;
+    double deadline = rr_steady_clock_s() + CACHE_WAIT_MAX_S;
     if (rr_store_revision(store, &revision, REVISION_TIMEOUT_S) != 0) {
         return false;
     }
     pthread_mutex_lock(&app->lock);
-    bool succeeded = rr_core_cache_loaded(app->core) && rr_app_wait_revision(app, revision, until);
+    bool succeeded =
+        rr_core_cache_loaded(app->core) && rr_app_wait_revision(app, revision, deadline);
     pthread_mutex_unlock(&app->lock);
     return succeeded;
 }
 
+/* Wakes the polls of the barrier's group with the result. */
 static void release_polls(struct rr_app *app, struct rr_read_barrier *barrier, bool succeeded) {
     pthread_mutex_lock(&app->user_lock);
     barrier->served_group = barrier->group;
@@ -89,8 +97,8 @@
     pthread_mutex_unlock(&app->user_lock);
 }
 
-/* Only this thread waits for the store cache: if every poll did, each change would wake them all.
- */
+/* Only this thread waits for the store cache. If every poll did, each change would wake all of
+ * them. */
 void *rr_read_barrier_thread(void *argument) {
     struct rr_app *app = argument;
     rr_usage_enter(RR_USAGE_USERS);
--- a/src/app/request_router.c
+++ b/src/app/request_router.c
@@ -10,6 +10,7 @@
 
 #define SUBMISSIONS_PATH "/submissions/"
 
+/* GET /ready: answers 200 while this controller can serve users, otherwise 503. */
 static void answer_ready(struct rr_app *app, struct rr_http_response *response) {
     pthread_mutex_lock(&app->lock);
     bool is_ready = rr_core_ready(app->core, rr_steady_clock_s());
@@ -17,32 +18,33 @@
     if (is_ready) {
         response->status = 200;
     } else {
-        rr_app_refuse(response, 503, "not ready", 1);
+        rr_app_answer_error(response, 503, "not ready", 1);
     }
 }
 
-/* False: another method, which is answered. */
+/* Returns whether the request has this method; otherwise answers 405. */
 static bool require_method(const struct rr_http_request *request, const char *method,
                            struct rr_http_response *response) {
     if (strcmp(request->method, method) == 0) {
         return true;
     }
-    rr_app_refuse(response, 405, "wrong method", 0);
+    rr_app_answer_error(response, 405, "wrong method", 0);
     response->allow = method;
     return false;
 }
 
-/* rest: the path after SUBMISSIONS_PATH, JOB_ID or JOB_ID/cancel. */
+/* Routes a request about one job. subpath: the path after SUBMISSIONS_PATH; valid are JOB_ID and
+ * JOB_ID/cancel. */
 static void route_job_request(struct rr_app *app, const struct rr_http_request *request,
-                              struct rr_http_response *response, const char *rest) {
+                              struct rr_http_response *response, const char *subpath) {
     char job_id[RR_ID_SIZE];
-    const char *slash = strchr(rest, '/');
-    size_t length = slash ? (size_t)(slash - rest) : strlen(rest);
+    const char *slash = strchr(subpath, '/');
+    size_t length = slash ? (size_t)(slash - subpath) : strlen(subpath);
     if (length >= sizeof job_id || (slash && strcmp(slash, "/cancel") != 0)) {
-        rr_app_refuse(response, 404, "no such path", 0);
+        rr_app_answer_error(response, 404, "no such path", 0);
         return;
     }
-    memcpy(job_id, rest, length);
+    memcpy(job_id, subpath, length);
     job_id[length] = 0;
     if (slash) {
         if (require_method(request, "POST", response)) {
@@ -71,6 +73,6 @@
     } else if (strncmp(request->path, SUBMISSIONS_PATH, strlen(SUBMISSIONS_PATH)) == 0) {
         route_job_request(app, request, response, request->path + strlen(SUBMISSIONS_PATH));
     } else {
-        rr_app_refuse(response, 404, "no such path", 0);
+        rr_app_answer_error(response, 404, "no such path", 0);
     }
 }
--- a/src/app/stats.c
+++ b/src/app/stats.c
@@ -5,23 +5,28 @@
 #include <math.h>
 #include <pthread.h>
 
-/* Bins of the histogram, in the logarithm to base 10 of seconds: 0.1 ms to 100 s, ten for each
- * power of ten. */
-#define BINS 60
-#define LOG_MIN (-4)
-#define LOG_MAX 2
+/* The histogram's bins cover 0.1 ms to 100 s, as log10 of seconds, with ten bins for each power of
+ * ten. */
+#define HISTOGRAM_BINS 60
+#define HISTOGRAM_LOG10_MIN (-4)
+#define HISTOGRAM_LOG10_MAX 2
+/* Durations outside the histogram's range count in its first or last bin. */
+#define DURATION_MIN_S 1e-4
+#define DURATION_IN_FIRST_BIN_S 1.01e-4
+#define DURATION_LOG10_IN_LAST_BIN 1.99
 
 struct rr_stats {
     pthread_mutex_t lock;
     gsl_histogram *durations; /* log10 of seconds */
-    unsigned answered, refused;
+    unsigned answered;        /* submissions, including the refused ones */
+    unsigned refused;         /* answered with a status of 500 or more */
 };
 
 rr_stats *rr_stats_create(void) {
     rr_stats *stats = g_new0(rr_stats, 1);
     pthread_mutex_init(&stats->lock, NULL);
-    stats->durations = gsl_histogram_alloc(BINS);
-    gsl_histogram_set_ranges_uniform(stats->durations, LOG_MIN, LOG_MAX);
+    stats->durations = gsl_histogram_alloc(HISTOGRAM_BINS);
+    gsl_histogram_set_ranges_uniform(stats->durations, HISTOGRAM_LOG10_MIN, HISTOGRAM_LOG10_MAX);
     return stats;
 }
 
@@ -33,19 +38,21 @@
     }
 }
 
-void rr_stats_submission(rr_stats *stats, int status, double seconds) {
-    double logarithm = log10(seconds > 1e-4 ? seconds : 1.01e-4);
+void rr_stats_record_submission(rr_stats *stats, int status, double seconds) {
+    double logarithm = log10(seconds > DURATION_MIN_S ? seconds : DURATION_IN_FIRST_BIN_S);
     pthread_mutex_lock(&stats->lock);
     stats->answered++;
     stats->refused += status >= 500;
-    gsl_histogram_increment(stats->durations, logarithm < 1.99 ? logarithm : 1.99);
+    gsl_histogram_increment(stats->durations, logarithm < DURATION_LOG10_IN_LAST_BIN
+                                                  ? logarithm
+                                                  : DURATION_LOG10_IN_LAST_BIN);
     pthread_mutex_unlock(&stats->lock);
 }
 
-/* The upper edge of the bin that holds the quantile. */
+/* Returns the upper edge of the bin that holds the quantile, in milliseconds. */
 static double quantile_ms(const gsl_histogram *histogram, double quantile) {
     double sum = 0, total = gsl_histogram_sum(histogram), low = 0, high = 0;
-    for (size_t i = 0; i < BINS && sum < quantile * total; i++) {
+    for (size_t i = 0; i < HISTOGRAM_BINS && sum < quantile * total; i++) {
         sum += gsl_histogram_get(histogram, i);
         gsl_histogram_get_range(histogram, i, &low, &high);
     }
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -13,48 +13,51 @@
 
 #include <string.h>
 
-/* With a larger lag the request's user has given up before it is answered. */
+/* With a larger lag, submissions are refused: their users would give up before the answer. */
 #define SUBMISSION_TIMER_LAG_MAX_MS 1000
-#define SLOW_SUBMISSION_S 0.15 /* logged */
-#define CANCEL_WAIT_MAX_S 2.5
-#define STORE_DOWN_CONFIRMED_S 2.0 /* without an answer from the store since so long */
-#define JSON_OVERHEAD 1.4          /* the store limits the size of the value as JSON */
+#define SLOW_SUBMISSION_S 0.15     /* submissions that take longer are logged */
+#define CANCEL_WAIT_MAX_S 2.5      /* for all attempts at one cancellation */
+#define STORE_DOWN_CONFIRMED_S 2.0 /* without an answer, after which the store counts as down */
+#define JSON_SIZE_FACTOR 1.4       /* JSON bytes per MessagePack byte; the store limits JSON */
+/* Retry-After values. */
 #define RETRY_SOON_S 1
 #define RETRY_OVERLOADED_S 2
 
 static const char store_unreachable[] = "state not reachable";
 static const char may_run_elsewhere[] = "another cell may still run the job";
 
-static void read_view(struct rr_app *app, const char *job_id, rr_job_view *view) {
+/* Copies the job's state from the store cache. */
+static void copy_job_view(struct rr_app *app, const char *job_id, rr_job_view *view) {
     pthread_mutex_lock(&app->lock);
     rr_core_job_view(app->core, job_id, rr_steady_clock_s(), view);
     pthread_mutex_unlock(&app->lock);
 }
 
 /* Reads the job's state as of some moment after this call began, so that no answer is older than an
- * earlier one from another controller. Final states can't change and need no barrier. False: the
- * store cache did not catch up in time. */
-static bool read_current_view(struct rr_app *app, const char *job_id, rr_job_view *view) {
-    read_view(app, job_id, view);
+ * earlier one from another controller. Final states can't change, so they skip the read barrier.
+ * Returns false if the store cache did not catch up in time. */
+static bool read_current_job_view(struct rr_app *app, const char *job_id, rr_job_view *view) {
+    copy_job_view(app, job_id, view);
     if (view->known && (view->done || view->cancelled)) {
         return true;
     }
     bool current = rr_read_barrier_wait(app);
     if (current) {
-        read_view(app, job_id, view);
+        copy_job_view(app, job_id, view);
     }
     return current;
 }
 
-/* ---- submissions ---- */
+/* ---- submitting jobs ---- */
 
-/* Answers for a job that was accepted before: 200, whatever the repeated submission says. False:
- * the job is not known, and nothing is answered. */
+/* Answers 200 if the job was accepted before, whatever the repeated submission contains, or 503 if
+ * the store cache did not catch up in time. Returns false, with no answer, if the job is
+ * unknown. */
 static bool answer_if_known(struct rr_app *app, const char *job_id,
                             struct rr_http_response *response) {
     rr_job_view view;
-    if (!read_current_view(app, job_id, &view)) {
-        rr_app_refuse(response, 503, store_unreachable, RETRY_SOON_S);
+    if (!read_current_job_view(app, job_id, &view)) {
+        rr_app_answer_error(response, 503, store_unreachable, RETRY_SOON_S);
         return true;
     }
     if (view.known) {
@@ -63,9 +66,9 @@
     return view.known;
 }
 
-/* While the store is known to be down, submissions are refused at once instead of waiting in vain.
- * The renewals of the session show when it is up again. */
-static bool store_known_down(struct rr_app *app) {
+/* Returns whether the key-value store is known to be down. Submissions are then refused at once, as
+ * waiting would be in vain. Renewals of the session show when the store is up again. */
+static bool is_store_known_down(struct rr_app *app) {
     pthread_mutex_lock(&app->lock);
     bool down =
         !rr_core_cache_loaded(app->core) ||
@@ -74,35 +77,38 @@
     return down;
 }
 
+/* Writes the job's record to the key-value store and answers with the outcome. */
 static void commit_submission(struct rr_app *app, const rr_submission *submission,
                               struct rr_http_response *response) {
     struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_USER_COMMIT_WAIT_MAX_S,
                                     .is_submission = true};
-    if (store_known_down(app)) {
-        rr_app_refuse(response, 503, store_unreachable, RETRY_OVERLOADED_S);
+    if (is_store_known_down(app)) {
+        rr_app_answer_error(response, 503, store_unreachable, RETRY_OVERLOADED_S);
         return;
     }
     rr_core_job_key(submission->job_id, commit.key, sizeof commit.key);
     rr_encoder_init(&commit.value);
     rr_core_job_encode(&commit.value, submission, rr_wall_clock_s(), false);
-    if (JSON_OVERHEAD * (double)commit.value.buffer.size > rr_value_kb_max(&app->config) * 1024) {
-        rr_app_refuse(response, 400, "too large", 0);
+    if (JSON_SIZE_FACTOR * (double)commit.value.buffer.size >
+        rr_value_kb_max(&app->config) * 1024) {
+        rr_app_answer_error(response, 400, "too large", 0);
     } else if (!rr_user_commit_enqueue_and_wait(app, &commit)) {
-        rr_app_refuse(response, 503, "overloaded", RETRY_OVERLOADED_S);
+        rr_app_answer_error(response, 503, "overloaded", RETRY_OVERLOADED_S);
     } else if (commit.status == RR_COMMIT_DONE) {
         rr_app_answer_job_state(response, 201, submission->job_id, "queued");
     } else if (commit.status != RR_COMMIT_CONFLICT ||
                !answer_if_known(app, submission->job_id, response)) {
-        rr_app_refuse(response, 503, store_unreachable, RETRY_SOON_S);
+        rr_app_answer_error(response, 503, store_unreachable, RETRY_SOON_S);
     }
     rr_encoder_clear(&commit.value);
 }
 
+/* Commits the submission if its team's fair share allows it. */
 static void admit_submission(struct rr_app *app, const rr_submission *submission,
                              struct rr_http_response *response) {
     int retry_after_s = 0;
     if (!rr_app_admission_check(app, submission, &retry_after_s)) {
-        rr_app_refuse(response, 503, "the fair share is used up", retry_after_s);
+        rr_app_answer_error(response, 503, "the fair share is used up", retry_after_s);
         return;
     }
     commit_submission(app, submission, response);
@@ -111,7 +117,9 @@
     }
 }
 
-/* Reads the job's id, as far as there is one, even where the rest is malformed. */
+/* Decodes the request's body. job_id is filled in whenever the body contains an id, even if the
+ * rest is malformed. Returns 0, or a negative error code with the reason for the answer in
+ * *reason. */
 static int decode_submission(const struct rr_http_request *request, char job_id[RR_ID_SIZE],
                              rr_submission *submission, const char **reason) {
     rr_document document;
@@ -134,7 +142,8 @@
     return check;
 }
 
-static void decide_submission(struct rr_app *app, const struct rr_http_request *request,
+/* Decodes, checks and commits the submission, and answers it. */
+static void handle_submission(struct rr_app *app, const struct rr_http_request *request,
                               struct rr_http_response *response) {
     rr_submission submission = {0};
     char job_id[RR_ID_SIZE] = "";
@@ -147,47 +156,50 @@
     if (rc == 0 && check == RR_SUBMISSION_NEW) {
         admit_submission(app, &submission, response);
     } else if (rr_job_id_valid(job_id) && answer_if_known(app, job_id, response)) {
-        /* The job was accepted by another controller; the store cache had lagged behind. */
+        /* Already answered: the job was accepted before, possibly by another controller while this
+         * controller's store cache lagged behind. */
     } else if (rc != 0) {
-        rr_app_refuse(response, 400, reason, 0);
+        rr_app_answer_error(response, 400, reason, 0);
     } else if (check == RR_SUBMISSION_UNSATISFIABLE) {
-        rr_app_refuse(response, 422, reason, 0);
+        rr_app_answer_error(response, 422, reason, 0);
     } else {
-        rr_app_refuse(response, 503, reason, RETRY_SOON_S);
+        rr_app_answer_error(response, 503, reason, RETRY_SOON_S);
     }
     rr_submission_clear(&submission);
 }
 
 void rr_app_submit_job(struct rr_app *app, const struct rr_http_request *request,
                        struct rr_http_response *response) {
-    double began = rr_steady_clock_s();
-    /* Submissions are shed first, before their body is decoded. */
+    double started_at = rr_steady_clock_s();
+    /* Under overload, submissions are the first requests to be refused, before their body is
+     * decoded. */
     if (atomic_load(&app->timer_lag_ms) > SUBMISSION_TIMER_LAG_MAX_MS) {
-        rr_app_refuse(response, 503, "overloaded", RETRY_OVERLOADED_S);
+        rr_app_answer_error(response, 503, "overloaded", RETRY_OVERLOADED_S);
     } else {
-        decide_submission(app, request, response);
+        handle_submission(app, request, response);
     }
-    double took_s = rr_steady_clock_s() - began;
-    rr_stats_submission(app->stats, response->status, took_s);
-    if (response->status >= 500 || took_s > SLOW_SUBMISSION_S) {
-        rr_log(RR_DEBUG_LEVEL, "submission answered %d after %.0f ms", response->status,
-               took_s * 1000);
+    double duration_s = rr_steady_clock_s() - started_at;
+    rr_stats_record_submission(app->stats, response->status, duration_s);
+    if (response->status >= 500 || duration_s > SLOW_SUBMISSION_S) {
+        rr_log(RR_DEBUG_LEVEL, "answered a submission with status %d after %.0f ms",
+               response->status, duration_s * 1000);
     }
 }
 
-/* ---- polls ---- */
+/* ---- polling jobs ---- */
 
 void rr_app_poll_local_job(struct rr_app *app, const char *job_id,
                            struct rr_http_response *response) {
     rr_job_view view = {0};
     bool valid = rr_job_id_valid(job_id);
-    if (valid && !read_current_view(app, job_id, &view)) {
-        rr_app_refuse(response, 503, store_unreachable, RETRY_SOON_S);
+    if (valid && !read_current_job_view(app, job_id, &view)) {
+        rr_app_answer_error(response, 503, store_unreachable, RETRY_SOON_S);
     } else if (!view.known) {
-        rr_app_refuse(response, 404, "no such job", 0);
+        rr_app_answer_error(response, 404, "no such job", 0);
     } else if (!view.done && !view.cancelled &&
                !rr_app_cells_view_transferred(app, job_id, &view)) {
-        rr_app_refuse(response, 503, "the cell that has the job is not reachable", RETRY_SOON_S);
+        rr_app_answer_error(response, 503, "the cell that has the job is not reachable",
+                            RETRY_SOON_S);
     } else {
         rr_app_answer_job_view(response, job_id, view.state, view.done_count, view.running_count);
     }
@@ -200,35 +212,39 @@
     }
 }
 
-/* ---- cancellations ---- */
+/* ---- cancelling jobs ---- */
 
+/* Whether an attempt at a cancellation has answered the request or must be repeated. */
 enum cancel_progress { CANCEL_ANSWERED, CANCEL_RETRY };
 
-/* The store cache shows no running job that could be cancelled. */
-static enum cancel_progress answer_without_record(struct rr_app *app, const char *job_id,
-                                                  struct rr_http_response *response) {
+/* Answers for a job that is unknown or final in the store cache, so that there is nothing to
+ * cancel. */
+static enum cancel_progress answer_nothing_to_cancel(struct rr_app *app, const char *job_id,
+                                                     struct rr_http_response *response) {
     rr_job_view view;
-    if (!read_current_view(app, job_id, &view)) {
-        rr_app_refuse(response, 503, store_unreachable, RETRY_SOON_S);
+    if (!read_current_job_view(app, job_id, &view)) {
+        rr_app_answer_error(response, 503, store_unreachable, RETRY_SOON_S);
     } else if (!view.known) {
-        rr_app_refuse(response, 404, "no such job", 0);
+        rr_app_answer_error(response, 404, "no such job", 0);
     } else if (view.done || view.cancelled) {
         rr_app_answer_job_state(response, 200, job_id, view.state);
     } else {
-        return CANCEL_RETRY; /* the store cache has just learned of the job */
+        return CANCEL_RETRY; /* the job has just arrived in the store cache */
     }
     return CANCEL_ANSWERED;
 }
 
+/* Commits a cancellation, announces it to the other controllers and answers the request. After a
+ * conflict, waits until the store cache shows the conflicting change. */
 static enum cancel_progress commit_cancellation(struct rr_app *app, const char *job_id,
                                                 struct rr_user_commit *commit,
                                                 struct rr_http_response *response) {
     if (!rr_user_commit_enqueue_and_wait(app, commit)) {
-        rr_app_refuse(response, 503, "overloaded", RETRY_SOON_S);
+        rr_app_answer_error(response, 503, "overloaded", RETRY_SOON_S);
         return CANCEL_ANSWERED;
     }
     if (commit->status == RR_COMMIT_DONE) {
-        rr_log(RR_DEBUG_LEVEL, "job %s is cancelled", job_id);
+        rr_log(RR_DEBUG_LEVEL, "job %s: cancellation committed", job_id);
         rr_app_announce_cancellation(app, job_id);
         rr_app_answer_job_state(response, 200, job_id, "aborted");
         return CANCEL_ANSWERED;
@@ -241,14 +257,14 @@
             return CANCEL_RETRY;
         }
     }
-    rr_app_refuse(response, 503, store_unreachable, RETRY_SOON_S);
+    rr_app_answer_error(response, 503, store_unreachable, RETRY_SOON_S);
     return CANCEL_ANSWERED;
 }
 
-/* One attempt to record the cancellation. until: steady. */
-static enum cancel_progress try_cancel(struct rr_app *app, const char *job_id, double until,
+/* Makes one attempt to record the cancellation. deadline: steady clock. */
+static enum cancel_progress try_cancel(struct rr_app *app, const char *job_id, double deadline,
                                        struct rr_http_response *response) {
-    struct rr_user_commit commit = {.deadline = until};
+    struct rr_user_commit commit = {.deadline = deadline};
     rr_encoder_init(&commit.value);
     rr_core_job_key(job_id, commit.key, sizeof commit.key);
     pthread_mutex_lock(&app->lock);
@@ -257,9 +273,9 @@
     pthread_mutex_unlock(&app->lock);
     enum cancel_progress progress = CANCEL_ANSWERED;
     if (!is_local) {
-        rr_app_refuse(response, 503, may_run_elsewhere, RETRY_SOON_S);
+        rr_app_answer_error(response, 503, may_run_elsewhere, RETRY_SOON_S);
     } else if (!can_cancel) {
-        progress = answer_without_record(app, job_id, response);
+        progress = answer_nothing_to_cancel(app, job_id, response);
     } else {
         progress = commit_cancellation(app, job_id, &commit, response);
     }
@@ -267,34 +283,35 @@
     return progress;
 }
 
-/* Whether no other cell can have the job any more. If one has it, the transfer is withdrawn; the
- * user is to come back after *retry_after_s. */
-static bool bring_job_home(struct rr_app *app, const char *job_id, int *retry_after_s) {
+/* Returns whether no other cell can run the job any more. Otherwise begins to withdraw its transfer
+ * where that is possible, and sets *retry_after_s to when the user should retry. */
+static bool withdraw_transfer(struct rr_app *app, const char *job_id, int *retry_after_s) {
     struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_USER_COMMIT_WAIT_MAX_S};
     rr_encoder_init(&commit.value);
-    enum rr_cancel_precondition first = rr_app_cells_cancel(app, job_id, &commit, retry_after_s);
-    if (first == RR_CANCEL_WITHDRAW) {
+    enum rr_cancel_precondition precondition =
+        rr_app_cells_cancel(app, job_id, &commit, retry_after_s);
+    if (precondition == RR_CANCEL_WITHDRAW) {
         rr_user_commit_enqueue_and_wait(app, &commit);
     }
     rr_encoder_clear(&commit.value);
-    return first == RR_CANCEL_FREE;
+    return precondition == RR_CANCEL_FREE;
 }
 
 void rr_app_cancel_local_job(struct rr_app *app, const char *job_id,
                              struct rr_http_response *response) {
-    double until = rr_steady_clock_s() + CANCEL_WAIT_MAX_S;
+    double deadline = rr_steady_clock_s() + CANCEL_WAIT_MAX_S;
     int retry_after_s = 0;
     if (!rr_job_id_valid(job_id)) {
-        rr_app_refuse(response, 404, "no such job", 0);
+        rr_app_answer_error(response, 404, "no such job", 0);
         return;
     }
-    if (!bring_job_home(app, job_id, &retry_after_s)) {
-        rr_app_refuse(response, 503, may_run_elsewhere, retry_after_s);
+    if (!withdraw_transfer(app, job_id, &retry_after_s)) {
+        rr_app_answer_error(response, 503, may_run_elsewhere, retry_after_s);
         return;
     }
-    while (try_cancel(app, job_id, until, response) == CANCEL_RETRY) {
-        if (rr_steady_clock_s() > until || rr_app_stopping(app)) {
-            rr_app_refuse(response, 503, "busy", RETRY_SOON_S);
+    while (try_cancel(app, job_id, deadline, response) == CANCEL_RETRY) {
+        if (rr_steady_clock_s() > deadline || rr_app_stopping(app)) {
+            rr_app_answer_error(response, 503, "busy", RETRY_SOON_S);
             return;
         }
     }
--- a/src/app/worker_requests.c
+++ b/src/app/worker_requests.c
@@ -5,7 +5,7 @@
 #include "common/log.h"
 #include "core/heartbeats.h"
 
-#define HEARD_HERE (-1) /* in place of a peer's index */
+#define NOT_FORWARDED (-1) /* instead of a peer's index: the worker sent it to this controller */
 
 rr_heartbeat_digest rr_app_heartbeat_digest(const rr_heartbeat *heartbeat) {
     rr_heartbeat_digest digest = {.worker_epoch = heartbeat->worker_epoch,
@@ -15,9 +15,10 @@
     return digest;
 }
 
-/* Takes the heartbeat, and wakes the planner if it changes something. Caller holds `lock`. */
-static enum rr_heartbeat_effect take_and_wake(struct rr_app *app, double now,
-                                              rr_heartbeat *heartbeat, int peer) {
+/* Applies the heartbeat, and wakes the planner if its content has changed. peer: index of the peer
+ * that forwarded it, or NOT_FORWARDED. The caller holds rr_app.lock. */
+static enum rr_heartbeat_effect apply_heartbeat(struct rr_app *app, double now,
+                                                rr_heartbeat *heartbeat, int peer) {
     enum rr_heartbeat_effect effect = rr_core_take_heartbeat(app->core, now, heartbeat, peer);
     if (effect == RR_HEARTBEAT_CHANGED) {
         rr_app_wake_planner(app);
@@ -34,7 +35,7 @@
             rr_heartbeat_digest digest = rr_app_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
             enum rr_heartbeat_effect effect =
-                take_and_wake(app, rr_steady_clock_s(), &heartbeat, peer);
+                apply_heartbeat(app, rr_steady_clock_s(), &heartbeat, peer);
             pthread_mutex_unlock(&app->lock);
             if (effect != RR_HEARTBEAT_IGNORED && hops == 0) {
                 rr_peers_forward_heartbeats(app->peers, peer, &digest, 1, body, length);
@@ -45,6 +46,7 @@
     rr_document_clear(&document);
 }
 
+/* Returns 0 or a negative error code; *heartbeat must be cleared after either. */
 static int decode_heartbeat(const struct rr_http_request *request, rr_heartbeat *heartbeat) {
     rr_document document;
     int rc = rr_document_parse(&document, request->body, request->len);
@@ -55,7 +57,7 @@
     return rc;
 }
 
-/* Frees the reply's commands. */
+/* Encodes the reply as the HTTP response, and frees the reply's commands. */
 static void encode_reply(struct rr_http_response *response, struct rr_heartbeat_reply *reply) {
     response->status = reply->status;
     if (reply->status == 200) {
@@ -76,21 +78,23 @@
     response->yields = true;
     if (decode_heartbeat(request, &heartbeat) != 0) {
         rr_heartbeat_clear(&heartbeat);
-        rr_log(RR_INFO_LEVEL, "malformed heartbeat of %zu bytes", request->len);
-        rr_app_refuse(response, 400, "unreadable report", 0);
+        rr_log(RR_INFO_LEVEL, "rejected a malformed heartbeat of %zu bytes from a worker",
+               request->len);
+        rr_app_answer_error(response, 400, "unreadable report", 0);
         return;
     }
     rr_heartbeat_digest digest = rr_app_heartbeat_digest(&heartbeat);
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
     rr_core_reply_to_heartbeat(app->core, now, &heartbeat, &reply);
-    enum rr_heartbeat_effect effect = take_and_wake(app, now, &heartbeat, HEARD_HERE);
-    uint32_t occasional,
-        subscribers = rr_core_heartbeat_subscribers(app->core, digest.machine, &occasional);
+    enum rr_heartbeat_effect effect = apply_heartbeat(app, now, &heartbeat, NOT_FORWARDED);
+    uint32_t occasional_subscribers;
+    uint32_t subscribers =
+        rr_core_heartbeat_subscribers(app->core, digest.machine, &occasional_subscribers);
     pthread_mutex_unlock(&app->lock);
     if (effect != RR_HEARTBEAT_IGNORED) {
-        rr_peers_send_heartbeat(app->peers, subscribers, occasional, &digest, request->body,
-                                request->len);
+        rr_peers_send_heartbeat(app->peers, subscribers, occasional_subscribers, &digest,
+                                request->body, request->len);
     }
     encode_reply(response, &reply);
 }
--- a/src/app/worker_requests.h
+++ b/src/app/worker_requests.h
@@ -1,19 +1,20 @@
-/* Heartbeats of workers: direct ones, which are answered with commands, and those that peers pass
- * on. */
+/* Handlers of workers' heartbeats: those that workers send to this controller, which are answered
+ * with commands, and those that peers forward. */
 #ifndef RR_APP_WORKER_REQUESTS_H
 #define RR_APP_WORKER_REQUESTS_H
 
 #include "app/app.h"
 
-/* POST /hello: takes the heartbeat, forwards it to the peers that want it, and answers with
- * commands. Takes `lock`; caller holds no lock. */
+/* POST /hello: applies the heartbeat, forwards it to the peers that need it, and answers with
+ * commands. Takes rr_app.lock; the caller must hold no lock. */
 void rr_app_answer_heartbeat(struct rr_app *app, const struct rr_http_request *request,
                              struct rr_http_response *response);
-/* Takes a heartbeat that a peer has passed on over `hops` other controllers. peer: its index. A
- * malformed one is ignored. Takes `lock`; caller holds no lock. */
+/* Applies a heartbeat that the peer with index `peer` has forwarded; a malformed one is ignored.
+ * hops: the number of other controllers it passed before that peer; with 0, it may be forwarded
+ * once more. Takes rr_app.lock; the caller must hold no lock. */
 void rr_app_take_heartbeat(struct rr_app *app, const void *body, size_t length, int peer,
                            unsigned hops);
-/* The digest by which peers recognise a heartbeat. */
+/* Returns the digest by which peers recognise the heartbeat. */
 rr_heartbeat_digest rr_app_heartbeat_digest(const rr_heartbeat *heartbeat);
 
 #endif
