--- a/src/app/cells.c
+++ b/src/app/cells.c
@@ -9,48 +9,53 @@
 
 #include <string.h>
 
-/* Of the request limits of a neighbour's key-value store, which are assumed to be this cell's. */
+/* The share that this process may use of the request limits of a neighbour's key-value store. These
+ * limits are assumed to equal those of this cell's store. */
 #define NEIGHBOUR_STORE_SHARE 0.25
 
-/* Takes a record of the package as the store cache learns of it. Caller holds rr_app.lock. */
-static void on_record(void *user, const char *rest, const msgpack_object *value, uint64_t version) {
+/* Applies a transfer record when it reaches the store cache. The caller holds rr_app.lock. */
+static void apply_transfer_record(void *user, const char *key_suffix, const msgpack_object *value,
+                                  uint64_t version) {
     struct rr_app_cells *cells = user;
-    if (!rr_transfers_put(cells->transfers, rest, value, version)) {
-        rr_log(RR_DEBUG_LEVEL, "cells: a record of an unknown format is ignored");
+    if (!rr_transfers_put(cells->transfers, key_suffix, value, version)) {
+        rr_log(RR_DEBUG_LEVEL, "cells: ignoring a transfer record of unknown format");
     }
 }
 
-/* NULL: the settings name no key-value store of the neighbour. */
+/* Returns NULL if the settings name no key-value store of the neighbour. */
 static rr_budget *create_neighbour_budget(const struct rr_app *app, size_t neighbour) {
-    struct rr_budget_shares all = {1, 1, 1, 1};
+    struct rr_budget_shares all_shares = {1, 1, 1, 1};
     if (!app->cells_settings.neighbours[neighbour].claimable) {
         return NULL;
     }
     rr_budget *budget = rr_budget_create(NEIGHBOUR_STORE_SHARE * app->config.state_rps,
                                          NEIGHBOUR_STORE_SHARE * app->config.state_write_rps);
-    rr_budget_set_shares(budget, &all);
+    rr_budget_set_shares(budget, &all_shares);
     return budget;
 }
 
 static void create_state(struct rr_app *app) {
     struct rr_app_cells *cells = g_new0(struct rr_app_cells, 1);
-    /* Distinguishes this process's grants from those of an earlier one. */
-    uint64_t process = (uint64_t)g_random_int() << 32 | g_random_int();
-    cells->transfers = rr_transfers_create(&app->cells_settings, &app->config, app->core, process);
-    rr_core_watch_records(app->core, RR_CELLS_PREFIX, on_record, cells);
+    /* Distinguishes grants to this process from grants to an earlier one. */
+    uint64_t process_id = (uint64_t)g_random_int() << 32 | g_random_int();
+    cells->transfers =
+        rr_transfers_create(&app->cells_settings, &app->config, app->core, process_id);
+    rr_core_watch_records(app->core, RR_CELLS_PREFIX, apply_transfer_record, cells);
     app->cells = cells;
     for (size_t i = 0; i < app->cells_settings.neighbour_count; i++) {
         cells->neighbour_budgets[i] = create_neighbour_budget(app, i);
     }
 }
 
+/* Starts one thread for each neighbour. Returns 0 or -errno. */
 static int start_neighbour_threads(struct rr_app *app) {
     int rc = 0;
     for (size_t i = 0; rc == 0 && i < app->cells_settings.neighbour_count; i++) {
-        struct rr_neighbour_thread *entry = &app->cells->neighbour_threads[i];
-        *entry = (struct rr_neighbour_thread){.app = app, .neighbour = i};
-        rc = rr_thread_start(&entry->thread, rr_cells_neighbour_thread, entry, false);
-        entry->started = rc == 0;
+        struct rr_neighbour_thread *neighbour_thread = &app->cells->neighbour_threads[i];
+        *neighbour_thread = (struct rr_neighbour_thread){.app = app, .neighbour = i};
+        rc = rr_thread_start(&neighbour_thread->thread, rr_cells_neighbour_thread, neighbour_thread,
+                             false);
+        neighbour_thread->started = rc == 0;
     }
     return rc;
 }
@@ -60,12 +65,13 @@
         return 0;
     }
     create_state(app);
-    int rc = rr_cells_links_start(&app->cells_settings, &app->stop, rr_app_cells_serve,
-                                  rr_app_cells_end_connection, app, &app->cells->links);
+    int rc = rr_cells_links_start(&app->cells_settings, &app->stop, rr_app_cells_handle_request,
+                                  rr_app_cells_free_connection_context, app, &app->cells->links);
     rc = rc == 0 ? start_neighbour_threads(app) : rc;
     if (rc != 0) {
-        rr_log(RR_ERROR_LEVEL, "cells: %s:%u: %s", app->cells_settings.listen.host,
-               app->cells_settings.listen.port, strerror(-rc));
+        rr_log(RR_ERROR_LEVEL,
+               "cells: can't start the listener on %s:%u or a neighbour's thread: %s",
+               app->cells_settings.listen.host, app->cells_settings.listen.port, strerror(-rc));
     }
     return rc;
 }
@@ -106,12 +112,13 @@
     pthread_mutex_unlock(&app->lock);
     rr_cells_links_get_stats(app->cells->links, &links);
     rr_log(RR_INFO_LEVEL,
-           "cells: %s, %u of our jobs transferred or returned, %u of others here; so far offered "
-           "%" G_GUINT64_FORMAT ", taken %" G_GUINT64_FORMAT ", refused %" G_GUINT64_FORMAT
-           ", ended elsewhere %" G_GUINT64_FORMAT ", withdrawn %" G_GUINT64_FORMAT
-           "; accepted %" G_GUINT64_FORMAT ", given back %" G_GUINT64_FORMAT
-           ", lapsed %" G_GUINT64_FORMAT "; granted %" G_GUINT64_FORMAT
-           ", claimed %" G_GUINT64_FORMAT "; unknown peers %" G_GUINT64_FORMAT
+           "cells: %s; %u jobs of this cell transferred or returned, %u jobs of other cells here; "
+           "totals of this cell's jobs: offered %" G_GUINT64_FORMAT ", taken %" G_GUINT64_FORMAT
+           ", refused %" G_GUINT64_FORMAT ", finished by other cells %" G_GUINT64_FORMAT
+           ", withdrawn %" G_GUINT64_FORMAT "; of other cells' jobs: accepted %" G_GUINT64_FORMAT
+           ", given back %" G_GUINT64_FORMAT ", grants lapsed %" G_GUINT64_FORMAT
+           "; grants given %" G_GUINT64_FORMAT ", jobs claimed %" G_GUINT64_FORMAT
+           "; connections of unknown peers %" G_GUINT64_FORMAT
            ", refused requests %" G_GUINT64_FORMAT,
            stats.spilling ? "spilling" : "not spilling", stats.outgoing, stats.incoming,
            stats.offered, stats.taken, stats.refused, stats.finished, stats.withdrawn,
--- a/src/app/cells_absent_reader.c
+++ b/src/app/cells_absent_reader.c
@@ -9,7 +9,8 @@
 #define COMMIT_TIMEOUT_S 1.5
 #define SESSION_PREFIX RR_KEY_ROOT "node/"
 
-void rr_absent_reader_init(struct rr_app *app, size_t neighbour, struct rr_absent_reader *reader) {
+void rr_neighbour_store_reader_init(struct rr_app *app, size_t neighbour,
+                                    struct rr_neighbour_store_reader *reader) {
     memset(reader, 0, sizeof *reader);
     if (app->cells_settings.neighbours[neighbour].claimable) {
         reader->store = rr_app_cells_open_neighbour_store(app, neighbour);
@@ -17,7 +18,7 @@
     }
 }
 
-void rr_absent_reader_clear(struct rr_absent_reader *reader) {
+void rr_neighbour_store_reader_clear(struct rr_neighbour_store_reader *reader) {
     rr_absent_destroy(reader->absent);
     rr_store_destroy(reader->store);
 }
@@ -26,16 +27,18 @@
                           uint64_t version) {
     (void)value;
     (void)version;
-    *(unsigned *)user += g_str_has_prefix(key, SESSION_PREFIX);
+    unsigned *session_count = user;
+    *session_count += g_str_has_prefix(key, SESSION_PREFIX);
 }
 
-static void put_record(void *user, const char *key, const msgpack_object *value, uint64_t version) {
+static void add_record(void *user, const char *key, const msgpack_object *value, uint64_t version) {
     rr_absent_put(user, key, value, version, rr_steady_clock_s());
 }
 
-/* Reads all rows under the prefix. 0, -ECANCELED if the process is stopping, or -errno. */
-static int read_all(struct rr_app *app, struct rr_absent_reader *reader, const char *prefix,
-                    rr_store_row_fn callback, void *user) {
+/* Reads all rows under the prefix. Returns 0, -ECANCELED if the process is stopping, or another
+ * -errno. */
+static int read_all(struct rr_app *app, struct rr_neighbour_store_reader *reader,
+                    const char *prefix, rr_store_row_fn callback, void *user) {
     rr_store_cursor cursor = {.more = true};
     int rc = 0;
     while (rc == 0 && cursor.more && !rr_app_stopping(app)) {
@@ -49,29 +52,30 @@
     return rr_app_stopping(app) ? -ECANCELED : rc;
 }
 
-/* Reads sessions, all records, and sessions again: the records count only if there was no session
- * before and after. False: there was one, or the store could not be read. */
-static bool read_records(struct rr_app *app, struct rr_absent_reader *reader) {
-    unsigned sessions = 0;
+/* Reads the sessions, all records, and the sessions again. The records are valid only if there was
+ * no session before and after they were read. Returns false if there was a session, or if the store
+ * could not be read. */
+static bool read_neighbour_records(struct rr_app *app, struct rr_neighbour_store_reader *reader) {
+    unsigned session_count = 0;
     reader->read_started_at = rr_steady_clock_s();
-    int rc = read_all(app, reader, SESSION_PREFIX, count_session, &sessions);
-    if (rc == 0 && sessions == 0) {
+    int rc = read_all(app, reader, SESSION_PREFIX, count_session, &session_count);
+    if (rc == 0 && session_count == 0) {
         rr_absent_begin(reader->absent);
-        rc = read_all(app, reader, RR_KEY_ROOT, put_record, reader->absent);
+        rc = read_all(app, reader, RR_KEY_ROOT, add_record, reader->absent);
         rr_absent_end(reader->absent, rr_steady_clock_s());
     }
-    if (rc == 0 && sessions == 0) {
-        rc = read_all(app, reader, SESSION_PREFIX, count_session, &sessions);
+    if (rc == 0 && session_count == 0) {
+        rc = read_all(app, reader, SESSION_PREFIX, count_session, &session_count);
     }
-    bool confirmed = rc == 0 && sessions == 0;
+    bool confirmed = rc == 0 && session_count == 0;
     rr_absent_confirm(reader->absent, confirmed, rr_steady_clock_s());
     return confirmed;
 }
 
-/* Commits a change to the neighbour's store, once. After an unknown outcome the next read shows
- * whether it was made, and its guards keep it from being made twice. */
-static void commit_there(struct rr_app *app, struct rr_absent_reader *reader,
-                         const rr_transfer_write *write) {
+/* Makes one attempt to commit a change to the neighbour's store. After an unknown outcome, the next
+ * read shows whether the change was made, and its guards prevent it from being made twice. */
+static void commit_to_neighbour(struct rr_app *app, struct rr_neighbour_store_reader *reader,
+                                const rr_transfer_write *write) {
     uint64_t revision;
     enum rr_commit_status outcome = rr_store_commit(
         reader->store, RR_REQUEST_USER, &write->transaction, COMMIT_TIMEOUT_S, &revision, NULL);
@@ -82,36 +86,38 @@
     }
 }
 
-static bool is_due(const struct rr_app *app, const struct rr_absent_reader *reader) {
+/* Returns whether the controllers have been silent for half a lease and the last read is old
+ * enough. */
+static bool is_read_due(const struct rr_app *app, const struct rr_neighbour_store_reader *reader) {
     double lease_s = app->cells_settings.lease_s;
     return reader->store && reader->unanswered_since > 0 &&
            rr_steady_clock_s() - reader->unanswered_since >= lease_s / 2 &&
-           rr_steady_clock_s() - reader->read_at >= lease_s / RR_CELLS_READS_PER_LEASE;
+           rr_steady_clock_s() - reader->read_at >= lease_s / RR_CELLS_CHECKS_PER_LEASE;
 }
 
-void rr_absent_reader_run(struct rr_app *app, rr_store *own_store, struct rr_absent_reader *reader,
-                          size_t neighbour) {
-    if (!is_due(app, reader)) {
+void rr_neighbour_store_reader_run(struct rr_app *app, rr_store *own_store,
+                                   struct rr_neighbour_store_reader *reader, size_t neighbour) {
+    if (!is_read_due(app, reader)) {
         return;
     }
     reader->read_at = rr_steady_clock_s();
-    if (!read_records(app, reader)) {
+    if (!read_neighbour_records(app, reader)) {
         return;
     }
-    rr_transfers_plan here;
-    GPtrArray *there = g_ptr_array_new();
-    rr_transfers_plan_init(&here);
+    rr_transfers_plan own_plan;
+    GPtrArray *neighbour_writes = g_ptr_array_new();
+    rr_transfers_plan_init(&own_plan);
     pthread_mutex_lock(&app->lock);
     rr_transfers_advance_absent(app->cells->transfers, neighbour, reader->absent,
                                 reader->read_started_at, rr_steady_clock_s(), rr_wall_clock_s(),
-                                &here, there);
+                                &own_plan, neighbour_writes);
     pthread_mutex_unlock(&app->lock);
-    for (guint i = 0; i < here.writes->len; i++) {
-        rr_app_cells_commit(app, own_store, g_ptr_array_index(here.writes, i));
+    for (guint i = 0; i < own_plan.writes->len; i++) {
+        rr_app_cells_commit_write(app, own_store, g_ptr_array_index(own_plan.writes, i));
     }
-    for (guint i = 0; i < there->len && !rr_app_stopping(app); i++) {
-        commit_there(app, reader, g_ptr_array_index(there, i));
+    for (guint i = 0; i < neighbour_writes->len && !rr_app_stopping(app); i++) {
+        commit_to_neighbour(app, reader, g_ptr_array_index(neighbour_writes, i));
     }
-    g_ptr_array_free(there, TRUE);
-    rr_transfers_plan_clear(&here);
+    g_ptr_array_free(neighbour_writes, TRUE);
+    rr_transfers_plan_clear(&own_plan);
 }
--- a/src/app/cells_absent_reader.h
+++ b/src/app/cells_absent_reader.h
@@ -1,32 +1,33 @@
-/* Reads the key-value store of a neighbour cell while no controller answers there, and writes what
- * claims its jobs. */
+/* Reads the key-value store of a neighbour cell while none of its controllers answers, and commits
+ * the changes that follow, such as claims of its jobs. */
 #ifndef RR_APP_CELLS_ABSENT_READER_H
 #define RR_APP_CELLS_ABSENT_READER_H
 
 #include "app/app.h"
 #include "cells/absent.h"
 
-/* Reads and heartbeats of a neighbour in each lease. */
-#define RR_CELLS_READS_PER_LEASE 6.0
+/* How often a neighbour's store is read, or a heartbeat is sent to it, during one grant lease. */
+#define RR_CELLS_CHECKS_PER_LEASE 6.0
 
-/* Belongs to the neighbour's thread. Times are steady. */
-struct rr_absent_reader {
-    rr_store *store; /* the neighbour's; NULL: the settings name none */
-    rr_absent *absent;
-    double unanswered_since; /* 0: the neighbour's controllers answer */
-    double request_sent_at;  /* the last one to its controllers */
-    double read_started_at;
-    double read_at;
+/* Belongs to the neighbour's thread. Times are of the steady clock. */
+struct rr_neighbour_store_reader {
+    rr_store *store;         /* of the neighbour; NULL: the settings name none */
+    rr_absent *absent;       /* records of the last read; NULL if `store` is */
+    double unanswered_since; /* time of the first unanswered request; 0: controllers answer */
+    double request_sent_at;  /* time of the last request to its controllers */
+    double read_started_at;  /* start of the last read */
+    double read_at;          /* when a read was last due; bounds the rate of reads */
 };
 
-/* Opens the neighbour's store, if the settings name one. */
-void rr_absent_reader_init(struct rr_app *app, size_t neighbour, struct rr_absent_reader *reader);
-/* Frees what rr_absent_reader_init() created. */
-void rr_absent_reader_clear(struct rr_absent_reader *reader);
-/* Reads the neighbour's records, if no controller there has answered for half a lease and a read is
- * due, and commits what follows from them to both key-value stores. own_store: this cell's. Takes
- * `lock`; caller holds no lock. */
-void rr_absent_reader_run(struct rr_app *app, rr_store *own_store, struct rr_absent_reader *reader,
-                          size_t neighbour);
+/* Initialises the reader, and opens the neighbour's store if the settings name one. */
+void rr_neighbour_store_reader_init(struct rr_app *app, size_t neighbour,
+                                    struct rr_neighbour_store_reader *reader);
+/* Frees what rr_neighbour_store_reader_init() has created. */
+void rr_neighbour_store_reader_clear(struct rr_neighbour_store_reader *reader);
+/* Reads the neighbour's records if none of its controllers has answered for half a lease and a read
+ * is due, and commits the changes that follow to both cells' key-value stores. own_store: client of
+ * this cell's store. Takes rr_app.lock; the caller must hold no lock. */
+void rr_neighbour_store_reader_run(struct rr_app *app, rr_store *own_store,
+                                   struct rr_neighbour_store_reader *reader, size_t neighbour);
 
 #endif
--- a/src/app/cells_server.c
+++ b/src/app/cells_server.c
@@ -7,40 +7,44 @@
 
 #include <string.h>
 
-/* *message: the reply. */
-static void serve_item(struct rr_app *app, void **context, size_t neighbour,
-                       const rr_cells_request *request, const rr_cells_item *item,
-                       rr_transfer_message *message) {
+/* Handles one item of a transfer request and fills *message with its reply. A write that the item
+ * causes is committed first, with the connection's store client in *context, which is created on
+ * first use. */
+static void handle_item(struct rr_app *app, void **context, size_t neighbour,
+                        const rr_cells_request *request, const rr_cells_item *item,
+                        rr_transfer_message *message) {
     rr_transfer_write write;
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
-    bool speaks = rr_transfers_speaks_for(app->cells->transfers, request->team, now);
-    bool writes = speaks && rr_transfers_receive(app->cells->transfers, neighbour, request, item,
-                                                 now, rr_wall_clock_s(), message, &write);
+    bool may_answer = rr_transfers_speaks_for(app->cells->transfers, request->team, now);
+    bool has_write =
+        may_answer && rr_transfers_receive(app->cells->transfers, neighbour, request, item, now,
+                                           rr_wall_clock_s(), message, &write);
     pthread_mutex_unlock(&app->lock);
-    if (writes) {
+    if (has_write) {
         if (!*context) {
             *context = rr_app_open_store(app);
         }
-        *message = rr_app_cells_commit(app, *context, &write);
+        *message = rr_app_cells_commit_write(app, *context, &write);
         rr_transfer_write_clear(&write);
     }
 }
 
-/* Names the team's owner in the reply, unless that is this controller. False: this controller does
- * not speak for the team. */
+/* Puts the name of the controller that owns the team into the reply, unless it is this one. Returns
+ * false if this controller may not answer for the team. */
 static bool check_owner(struct rr_app *app, const char *team, rr_cells_reply *reply) {
     pthread_mutex_lock(&app->lock);
-    bool speaks = rr_transfers_speaks_for(app->cells->transfers, team, rr_steady_clock_s());
+    bool may_answer = rr_transfers_speaks_for(app->cells->transfers, team, rr_steady_clock_s());
     const char *owner = rr_core_team_owner(app->core, team);
     g_strlcpy(reply->owner, owner && strcmp(owner, app->config.node_name) != 0 ? owner : "",
               sizeof reply->owner);
     pthread_mutex_unlock(&app->lock);
-    return speaks;
+    return may_answer;
 }
 
-static void serve_transfers(struct rr_app *app, void **context, size_t neighbour,
-                            const rr_cells_request *request, rr_cells_reply *reply) {
+/* Answers transfer messages about jobs of one team. */
+static void handle_transfers(struct rr_app *app, void **context, size_t neighbour,
+                             const rr_cells_request *request, rr_cells_reply *reply) {
     if (!check_owner(app, request->team, reply)) {
         reply->status = RR_CELLS_NOT_OWNER;
         return;
@@ -48,7 +52,7 @@
     for (guint i = 0; i < request->items->len; i++) {
         const rr_cells_item *item = &g_array_index(request->items, rr_cells_item, i);
         rr_transfer_message message = {.kind = RR_TRANSFER_NOTHING};
-        serve_item(app, context, neighbour, request, item, &message);
+        handle_item(app, context, neighbour, request, item, &message);
         rr_cells_add_item(reply->items, item->job_id, &message);
     }
     pthread_mutex_lock(&app->lock);
@@ -56,9 +60,10 @@
     pthread_mutex_unlock(&app->lock);
 }
 
-/* A user of another cell asks for a job that this cell may have accepted. */
-static void serve_user_request(struct rr_app *app, const rr_cells_request *request,
-                               rr_cells_reply *reply) {
+/* Answers a user's poll or cancellation, relayed by a neighbour, of a job that this cell may have
+ * accepted. */
+static void handle_user_request(struct rr_app *app, const rr_cells_request *request,
+                                rr_cells_reply *reply) {
     struct rr_http_response response = {0};
     rr_encoder_init(&response.body);
     if (request->kind == RR_CELLS_POLL) {
@@ -73,15 +78,15 @@
     rr_encoder_clear(&response.body);
 }
 
-void rr_app_cells_serve(void *user, void **context, size_t neighbour,
-                        const rr_cells_request *request, rr_cells_reply *reply) {
+void rr_app_cells_handle_request(void *user, void **context, size_t neighbour,
+                                 const rr_cells_request *request, rr_cells_reply *reply) {
     if (request->kind == RR_CELLS_TRANSFERS) {
-        serve_transfers(user, context, neighbour, request, reply);
+        handle_transfers(user, context, neighbour, request, reply);
     } else {
-        serve_user_request(user, request, reply);
+        handle_user_request(user, request, reply);
     }
 }
 
-void rr_app_cells_end_connection(void *context) {
+void rr_app_cells_free_connection_context(void *context) {
     rr_store_destroy(context);
 }
--- a/src/app/cells_state.c
+++ b/src/app/cells_state.c
@@ -5,22 +5,23 @@
 #include "common/log.h"
 #include "core/heartbeats.h"
 
-#define CONFLICT_WAIT_S 1.0 /* for the store cache to show the conflicting change */
-#define UNREACHABLE_S 5.0   /* after an unanswered request */
+#define CONFLICT_WAIT_S 1.0 /* for the conflicting change to reach the store cache */
+#define UNREACHABLE_S 5.0   /* how long a neighbour counts as unreachable after not answering */
 
-/* All controllers stop the tasks of a copy in their answers to workers from now on. */
-static void announce_end_of_copy(struct rr_app *app, const char *local_id) {
+/* Makes all controllers stop the tasks of this cell's copy of another cell's job, through their
+ * answers to workers from now on. */
+static void cancel_local_copy(struct rr_app *app, const char *local_id) {
     pthread_mutex_lock(&app->lock);
     rr_core_add_cancel_hint(app->core, local_id, rr_steady_clock_s());
     pthread_mutex_unlock(&app->lock);
     rr_app_announce_cancellation(app, local_id);
 }
 
-rr_transfer_message rr_app_cells_commit(struct rr_app *app, rr_store *store,
-                                        const rr_transfer_write *write) {
+rr_transfer_message rr_app_cells_commit_write(struct rr_app *app, rr_store *store,
+                                              const rr_transfer_write *write) {
     uint64_t revision = 0;
     if (write->ends_copy) {
-        announce_end_of_copy(app, write->id);
+        cancel_local_copy(app, write->id);
     }
     enum rr_commit_status outcome =
         rr_app_commit(app, store, RR_REQUEST_USER, &write->transaction, &revision);
@@ -34,13 +35,13 @@
     rr_app_wake_planner(app);
     pthread_mutex_unlock(&app->lock);
     if (outcome != RR_COMMIT_DONE) {
-        rr_log(RR_DEBUG_LEVEL, "cells: a change of %s was not committed (%d)", write->id,
-               (int)outcome);
+        rr_log(RR_DEBUG_LEVEL, "cells: transfer of job %s: write not committed (commit status %d)",
+               write->id, (int)outcome);
     }
     return message;
 }
 
-void rr_app_cells_record_answer(struct rr_app *app, size_t neighbour, bool answered) {
+void rr_app_cells_record_reachability(struct rr_app *app, size_t neighbour, bool answered) {
     pthread_mutex_lock(&app->lock);
     app->cells->unreachable_until[neighbour] = answered ? 0 : rr_steady_clock_s() + UNREACHABLE_S;
     if (!answered) {
--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -7,7 +7,7 @@
 #include <math.h>
 #include <string.h>
 
-#define RELAY_RETRY_S 2
+#define RELAY_RETRY_S 2 /* Retry-After value */
 
 static bool is_reachable(struct rr_app *app, size_t neighbour) {
     pthread_mutex_lock(&app->lock);
@@ -16,8 +16,8 @@
     return reachable;
 }
 
-/* Sends one request on a connection of its own. *reply is to be cleared in any case. 0 or -errno.
- */
+/* Sends one request on a new connection. Returns 0 or -errno; *reply must be cleared after
+ * either. */
 static int send_request(struct rr_app *app, size_t neighbour, const rr_cells_request *request,
                         rr_cells_reply *reply) {
     rr_cells_client *client = rr_cells_client_create(&app->cells_settings, neighbour, &app->stop);
@@ -26,11 +26,12 @@
     return rc;
 }
 
-/* ---- jobs that other cells accepted ---- */
+/* ---- relaying requests about jobs that other cells accepted ---- */
 
-/* True: the neighbour has answered, which includes that it does not know the job. */
-static bool relay_to(struct rr_app *app, size_t neighbour, const rr_cells_request *request,
-                     struct rr_http_response *response) {
+/* Relays the request to one neighbour. Returns true with its answer in *response if it has
+ * answered, even if it does not know the job. */
+static bool relay_to_neighbour(struct rr_app *app, size_t neighbour,
+                               const rr_cells_request *request, struct rr_http_response *response) {
     rr_cells_reply reply;
     if (!is_reachable(app, neighbour)) {
         return false;
@@ -38,7 +39,7 @@
     int rc = send_request(app, neighbour, request, &reply);
     bool answered = rc == 0 && reply.status == RR_CELLS_OK && reply.http_status > 0;
     if (rc != 0) {
-        rr_app_cells_record_answer(app, neighbour, false);
+        rr_app_cells_record_reachability(app, neighbour, false);
     }
     if (answered) {
         response->status = reply.http_status;
@@ -51,7 +52,7 @@
     return answered;
 }
 
-/* Answers from a job's record if its state is final. False: it is not. */
+/* Answers from a job's record if the job's state is final; otherwise returns false. */
 static bool answer_final_state(const msgpack_object *record, const char *job_id,
                                struct rr_http_response *response) {
     uint64_t task_count = 0;
@@ -66,10 +67,11 @@
     return done || cancelled;
 }
 
-/* Reads the job in the neighbour's key-value store, for the time when no controller answers there.
- * A final state can't change any more and may be answered. False: there is none. */
-static bool relay_final_state(struct rr_app *app, size_t neighbour, const char *job_id,
-                              struct rr_http_response *response) {
+/* Answers from the job's record in the neighbour's key-value store, for when none of its
+ * controllers answers. Only a final state may be answered, as it can't change any more. Returns
+ * false if none was found. */
+static bool answer_from_neighbour_store(struct rr_app *app, size_t neighbour, const char *job_id,
+                                        struct rr_http_response *response) {
     char key[RR_ID_SIZE + 64];
     uint64_t version, lease_id;
     rr_document document;
@@ -87,9 +89,9 @@
     return answered;
 }
 
-/* A job counts as unknown only when every cell was asked. */
-bool rr_app_cells_relay(struct rr_app *app, enum rr_cells_request_kind kind, const char *job_id,
-                        struct rr_http_response *response) {
+/* The job counts as unknown only if every cell has answered. */
+bool rr_app_cells_relay_request(struct rr_app *app, enum rr_cells_request_kind kind,
+                                const char *job_id, struct rr_http_response *response) {
     rr_cells_request request;
     bool all_answered = true, known = false;
     if (!app->cells) {
@@ -99,8 +101,9 @@
     g_strlcpy(request.job_id, job_id, sizeof request.job_id);
     for (size_t i = 0; i < app->cells_settings.neighbour_count && !known; i++) {
         rr_cells_request_address(&request, &app->cells_settings, i);
-        bool answered = relay_to(app, i, &request, response);
-        known = answered ? response->status != 404 : relay_final_state(app, i, job_id, response);
+        bool answered = relay_to_neighbour(app, i, &request, response);
+        known = answered ? response->status != 404
+                         : answer_from_neighbour_store(app, i, job_id, response);
         all_answered = all_answered && answered;
     }
     rr_cells_request_clear(&request);
@@ -112,17 +115,18 @@
     return known || !all_answered;
 }
 
-/* ---- jobs of this cell that others have ---- */
+/* ---- jobs of this cell that are transferred to others ---- */
 
-/* Only running tasks are taken from the guest cell's answer: tasks that are done there count once
- * the home cell has recorded the end. False: the answer can't be used. */
-static bool read_transferred_view(const rr_cells_reply *reply, rr_job_view *view) {
+/* Updates the view from the answer of the guest cell, the neighbour that runs the job. Only running
+ * tasks are taken from it: done tasks count once this cell has recorded the job's end. Returns
+ * false if the answer can't be used. */
+static bool apply_guest_answer(const rr_cells_reply *reply, rr_job_view *view) {
     rr_document document;
     char state[32] = "";
     uint64_t running = 0;
     if (reply->status != RR_CELLS_OK || reply->http_status != 200 ||
         rr_document_parse(&document, reply->body->data, reply->body->len) != 0) {
-        /* 404: the guest cell has not taken the job yet. */
+        /* With 404, the guest cell has not accepted the job yet, and the view stays as it is. */
         return reply->status == RR_CELLS_OK && reply->http_status == 404;
     }
     rr_map_get_text(document.root, "standing", state, sizeof state);
@@ -135,7 +139,8 @@
     return true;
 }
 
-bool rr_app_cells_view_transferred(struct rr_app *app, const char *job_id, rr_job_view *view) {
+bool rr_app_cells_update_transferred_view(struct rr_app *app, const char *job_id,
+                                          rr_job_view *view) {
     rr_cells_request request;
     rr_cells_reply reply;
     size_t neighbour = 0;
@@ -150,35 +155,37 @@
     bool complete = !transferred;
     if (transferred && is_reachable(app, neighbour)) {
         rr_cells_request_address(&request, &app->cells_settings, neighbour);
-        complete = send_request(app, neighbour, &request, &reply) == 0 &&
-                   read_transferred_view(&reply, view);
+        complete =
+            send_request(app, neighbour, &request, &reply) == 0 && apply_guest_answer(&reply, view);
         rr_cells_reply_clear(&reply);
     }
     rr_cells_request_clear(&request);
     return complete;
 }
 
-enum rr_cancel_precondition rr_app_cells_cancel(struct rr_app *app, const char *job_id,
-                                                struct rr_user_commit *commit, int *retry_after_s) {
+enum rr_cancel_precondition rr_app_cells_prepare_cancellation(struct rr_app *app,
+                                                              const char *job_id,
+                                                              struct rr_user_commit *commit,
+                                                              int *retry_after_s) {
     rr_out_record withdrawn;
     double wait_s = 0;
     if (!app->cells) {
         return RR_CANCEL_FREE;
     }
     pthread_mutex_lock(&app->lock);
-    enum rr_cancel_precondition first = rr_transfers_cancel(
+    enum rr_cancel_precondition precondition = rr_transfers_cancel(
         app->cells->transfers, job_id, rr_wall_clock_s(), &wait_s, &withdrawn, &commit->version);
     pthread_mutex_unlock(&app->lock);
-    if (first == RR_CANCEL_WITHDRAW) {
+    if (precondition == RR_CANCEL_WITHDRAW) {
         rr_cells_out_key(job_id, commit->key, sizeof commit->key);
         rr_cells_out_encode(&withdrawn, &commit->value);
     }
     *retry_after_s = (int)fmax(1, fmin(ceil(wait_s), RR_RETRY_AFTER_MAX_S));
-    return first;
+    return precondition;
 }
 
-bool rr_app_cells_guard_cancel(const struct rr_app *app, const char *job_id,
-                               struct rr_user_commit *commit) {
+bool rr_app_cells_guard_cancellation(const struct rr_app *app, const char *job_id,
+                                     struct rr_user_commit *commit) {
     if (!app->cells) {
         return true;
     }
--- a/src/app/cells_user_requests.h
+++ b/src/app/cells_user_requests.h
@@ -1,4 +1,4 @@
-/* Users' requests for jobs that may be in other cells. */
+/* Users' requests about jobs that other cells may have accepted, or may hold by a transfer. */
 #ifndef RR_APP_CELLS_USER_REQUESTS_H
 #define RR_APP_CELLS_USER_REQUESTS_H
 
@@ -8,21 +8,28 @@
 #include "cells/transfers.h"
 #include "core/submissions.h"
 
-/* Asks the other cells for a job that is not known here: kind is RR_CELLS_POLL or RR_CELLS_CANCEL.
- * False: none of them knows it, and *response is unchanged. Takes `lock`; caller holds no lock. */
-bool rr_app_cells_relay(struct rr_app *app, enum rr_cells_request_kind kind, const char *job_id,
-                        struct rr_http_response *response);
-/* Adds to the view of one of this cell's jobs what the neighbour says that has it now. False: the
- * neighbour can't be asked. Takes `lock`; caller holds no lock. */
-bool rr_app_cells_view_transferred(struct rr_app *app, const char *job_id, rr_job_view *view);
-/* What must happen before a job's cancellation may be recorded. With RR_CANCEL_WITHDRAW, *commit is
- * to be committed, which withdraws the transfer; unless RR_CANCEL_FREE, the user is to come back
- * after *retry_after_s. Takes `lock`; caller holds no lock. */
-enum rr_cancel_precondition rr_app_cells_cancel(struct rr_app *app, const char *job_id,
-                                                struct rr_user_commit *commit, int *retry_after_s);
-/* Guards a cancellation by the record of the job's transfer. False: another cell has the job, or
- * had a moment ago. Caller holds `lock`. */
-bool rr_app_cells_guard_cancel(const struct rr_app *app, const char *job_id,
-                               struct rr_user_commit *commit);
+/* Relays a user's request about a job that is not known here to the other cells. kind:
+ * RR_CELLS_POLL or RR_CELLS_CANCEL. Returns false if none of them knows the job; *response then
+ * still answers 404. Returns true with another answer in *response if one knows it, or if a cell
+ * that may know it is not reachable. Takes rr_app.lock; the caller must hold no lock. */
+bool rr_app_cells_relay_request(struct rr_app *app, enum rr_cells_request_kind kind,
+                                const char *job_id, struct rr_http_response *response);
+/* If one of this cell's jobs is transferred, asks the neighbour that has it and updates *view with
+ * its running tasks. Returns false if that neighbour is unreachable or gave no usable answer. Takes
+ * rr_app.lock; the caller must hold no lock. */
+bool rr_app_cells_update_transferred_view(struct rr_app *app, const char *job_id,
+                                          rr_job_view *view);
+/* Returns what must happen before a job's cancellation may be recorded. With RR_CANCEL_WITHDRAW,
+ * *commit is filled in, and committing it withdraws the transfer. Unless RR_CANCEL_FREE is
+ * returned, the user should retry after *retry_after_s. Takes rr_app.lock; the caller must hold no
+ * lock. */
+enum rr_cancel_precondition rr_app_cells_prepare_cancellation(struct rr_app *app,
+                                                              const char *job_id,
+                                                              struct rr_user_commit *commit,
+                                                              int *retry_after_s);
+/* Adds a guard on the record of the job's transfer to the commit of its cancellation. Returns false
+ * if another cell has the job, or may have it still. The caller holds rr_app.lock. */
+bool rr_app_cells_guard_cancellation(const struct rr_app *app, const char *job_id,
+                                     struct rr_user_commit *commit);
 
 #endif
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -197,7 +197,7 @@
     } else if (!view.known) {
         rr_app_answer_error(response, 404, "no such job", 0);
     } else if (!view.done && !view.cancelled &&
-               !rr_app_cells_view_transferred(app, job_id, &view)) {
+               !rr_app_cells_update_transferred_view(app, job_id, &view)) {
         rr_app_answer_error(response, 503, "the cell that has the job is not reachable",
                             RETRY_SOON_S);
     } else {
@@ -208,7 +208,7 @@
 void rr_app_poll_job(struct rr_app *app, const char *job_id, struct rr_http_response *response) {
     rr_app_poll_local_job(app, job_id, response);
     if (response->status == 404 && rr_job_id_valid(job_id)) {
-        rr_app_cells_relay(app, RR_CELLS_POLL, job_id, response);
+        rr_app_cells_relay_request(app, RR_CELLS_POLL, job_id, response);
     }
 }
 
@@ -269,7 +269,7 @@
     rr_core_job_key(job_id, commit.key, sizeof commit.key);
     pthread_mutex_lock(&app->lock);
     bool can_cancel = rr_core_cancel_record(app->core, job_id, &commit.value, &commit.version);
-    bool is_local = !can_cancel || rr_app_cells_guard_cancel(app, job_id, &commit);
+    bool is_local = !can_cancel || rr_app_cells_guard_cancellation(app, job_id, &commit);
     pthread_mutex_unlock(&app->lock);
     enum cancel_progress progress = CANCEL_ANSWERED;
     if (!is_local) {
@@ -289,7 +289,7 @@
     struct rr_user_commit commit = {.deadline = rr_steady_clock_s() + RR_USER_COMMIT_WAIT_MAX_S};
     rr_encoder_init(&commit.value);
     enum rr_cancel_precondition precondition =
-        rr_app_cells_cancel(app, job_id, &commit, retry_after_s);
+        rr_app_cells_prepare_cancellation(app, job_id, &commit, retry_after_s);
     if (precondition == RR_CANCEL_WITHDRAW) {
         rr_user_commit_enqueue_and_wait(app, &commit);
     }
@@ -320,6 +320,6 @@
 void rr_app_cancel_job(struct rr_app *app, const char *job_id, struct rr_http_response *response) {
     rr_app_cancel_local_job(app, job_id, response);
     if (response->status == 404 && rr_job_id_valid(job_id)) {
-        rr_app_cells_relay(app, RR_CELLS_CANCEL, job_id, response);
+        rr_app_cells_relay_request(app, RR_CELLS_CANCEL, job_id, response);
     }
 }
