--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,4 +1,4 @@
-/* The client object and the call that all requests share. */
+/* Creation of store clients, and the function that sends every request. */
 #include "store/store_internal.h"
 
 #include <errno.h>
@@ -23,7 +23,8 @@
     }
 }
 
-int rr_store_call(rr_store *store, const struct rr_store_request *request, rr_http_reply *reply) {
+int rr_store_send_request(rr_store *store, const struct rr_store_request *request,
+                          rr_http_reply *reply) {
     if (rr_budget_take(store->budget, request->priority, request->writes, request->timeout_s) !=
         0) {
         return -ENOTCONN;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,6 +1,6 @@
-/* The client of the key-value store: transactions, reads, watches, leases. A client object belongs
- * to one thread and takes no lock; every call blocks, first for the budget that all threads of the
- * process share, then for the store. */
+/* The client of the key-value store: transactions, reads, watches and leases. A client belongs to
+ * one thread and takes no lock. Every call blocks, first until the rate limiter (the budget, which
+ * threads share) allows the request, then until the store replies. */
 #ifndef RR_STORE_STORE_H
 #define RR_STORE_STORE_H
 
@@ -10,75 +10,85 @@
 #include "store/budget.h"
 #include "wire/wire.h"
 
-#define RR_STORE_KEY_SIZE 256 /* longest key (200 bytes by the protocol) with its end */
+/* Buffer size for a key, which has at most 200 bytes by the protocol, and its terminating zero. */
+#define RR_STORE_KEY_SIZE 256
 
 typedef struct rr_store rr_store;
 
-/* The budget and the stop flag are borrowed and outlive the object; a set flag ends running calls.
- * NULL if there is no HTTP client to be had. */
+/* Creates a client, which the caller owns. The budget and the stop flag are borrowed and have to
+ * outlive the client; setting the flag ends running calls. Returns NULL if no HTTP client can be
+ * created. */
 rr_store *rr_store_create(const struct rr_endpoint *endpoint, rr_budget *budget,
                           const atomic_bool *stop);
-/* NULL is allowed. */
+/* Closes the connections and frees the client. NULL is allowed. */
 void rr_store_destroy(rr_store *store);
 
-/* ---- transactions ---- */
+/* ---- Transactions ---- */
 
+/* The outcome of a transaction. */
 enum rr_commit_status {
-    RR_COMMIT_DONE,
-    RR_COMMIT_CONFLICT, /* a guard did not hold: not executed */
-    RR_COMMIT_REFUSED,  /* not executed, for want of budget or by the store: may be retried */
+    RR_COMMIT_DONE,            /* executed */
+    RR_COMMIT_CONFLICT,        /* not executed: a guard did not hold */
+    RR_COMMIT_REFUSED,         /* not executed: not sent, or refused by the store; may be retried */
     RR_COMMIT_OUTCOME_UNKNOWN, /* may have been executed, or may still be */
-    RR_COMMIT_NO_LEASE,        /* the lease of a put has ended: not executed */
-    RR_COMMIT_INVALID          /* beyond the store's limits: no retry can succeed */
+    RR_COMMIT_NO_LEASE,        /* not executed: the lease of a put has ended */
+    RR_COMMIT_INVALID          /* not executed: beyond the store's limits; no retry can succeed */
 };
 
-/* One attempt. *revision is set with RR_COMMIT_DONE and RR_COMMIT_CONFLICT. failed (may be NULL)
- * gets the keys (char*, owned by the array) whose guards did not hold. */
+/* Sends a transaction to the store, once. *revision receives the store's revision with
+ * RR_COMMIT_DONE and RR_COMMIT_CONFLICT. With RR_COMMIT_CONFLICT, copies of the keys whose guards
+ * did not hold (char*) are appended to failed_keys, which may be NULL. */
 enum rr_commit_status rr_store_commit(rr_store *store, enum rr_request_priority priority,
                                       const rr_transaction *transaction, double timeout_s,
-                                      uint64_t *revision, GPtrArray *failed);
+                                      uint64_t *revision, GPtrArray *failed_keys);
 
-/* ---- reads and watches: a document is the caller's to clear, after 0 only ---- */
+/* ---- Reads and watches ----
+ *
+ * After a return of 0, and only then, the caller has to clear the document. -EAGAIN means that
+ * there was no usable reply. */
 
-/* The store's revision. 0, or -EAGAIN: no answer. */
+/* Reads the store's revision. Returns 0 or -EAGAIN. */
 int rr_store_revision(rr_store *store, uint64_t *revision, double timeout_s);
 
-/* 0 with the key's row in *document, its version and its lease (0: none); -ENOENT: no such key;
- * -EAGAIN: no answer. */
+/* Reads one key. Returns 0 with the key's row in *document, its version in *version and the lease
+ * that it is attached to (0: none) in *lease_id; -ENOENT if the key does not exist; or -EAGAIN. */
 int rr_store_get(rr_store *store, const char *key, rr_document *document, uint64_t *version,
                  uint64_t *lease_id);
 
-/* Reads all keys with a prefix, page by page. */
+/* The position in a read of all keys with a prefix, page by page. */
 typedef struct {
-    bool more;                        /* the caller sets it to true before the first page */
-    char from_key[RR_STORE_KEY_SIZE]; /* the last key read; empty before the first page */
-    uint64_t revision;                /* of the last page */
+    bool more;                        /* there are more pages; true before the first one */
+    char last_key[RR_STORE_KEY_SIZE]; /* the last key read; empty before the first page */
+    uint64_t revision;                /* the store's revision, as of the last page read */
 } rr_store_cursor;
 
-/* 0 with the page in *document, which goes to rr_store_each_row(); or -EAGAIN: no answer. */
+/* Reads the next page of keys with the prefix. Returns 0 with the page in *document, to be passed
+ * to rr_store_each_row(); or -EAGAIN. */
 int rr_store_next_page(rr_store *store, const char *prefix, rr_store_cursor *cursor,
                        rr_document *document);
 
-/* key and value are borrowed for the call. */
-typedef void (*rr_store_row_fn)(void *user, const char *key, const msgpack_object *value,
+/* Called for each row of a page; key and value are valid during the call only. */
+typedef void (*rr_store_row_fn)(void *user_data, const char *key, const msgpack_object *value,
                                 uint64_t version);
-/* Hands each row of a page to callback and moves the cursor behind the last. */
+/* Calls the callback for each row of a page and moves the cursor past the last one. */
 void rr_store_each_row(const rr_document *document, rr_store_cursor *cursor,
-                       rr_store_row_fn callback, void *user);
+                       rr_store_row_fn callback, void *user_data);
 
-/* Waits up to hold_ms for changes of keys with the prefix after revision `from`. 0 with the changes
- * in *document; -ESTALE: the store no longer has them all, the keys have to be read again;
- * -EAGAIN: no answer. */
-int rr_store_watch(rr_store *store, const char *prefix, uint64_t from, int hold_ms,
+/* Waits up to hold_ms for changes to keys with the prefix after this revision. Returns 0 with the
+ * changes in *document; -ESTALE if the store no longer has all of them, so that the keys have to be
+ * read again; or -EAGAIN. */
+int rr_store_watch(rr_store *store, const char *prefix, uint64_t after_revision, int hold_ms,
                    rr_document *document);
 
-/* ---- leases ---- */
+/* ---- Leases ---- */
 
-/* A new lease that ends life_s after its last renewal. 0, or -EAGAIN: no answer or refused. */
-int rr_store_grant_lease(rr_store *store, double life_s, uint64_t *lease_id);
-/* 0; -ENOENT: the lease has ended; -EAGAIN: no answer or refused. */
+/* Creates a lease that expires ttl_s after its last renewal. Returns 0, or -EAGAIN if the request
+ * was refused or had no usable reply. */
+int rr_store_grant_lease(rr_store *store, double ttl_s, uint64_t *lease_id);
+/* Renews a lease. Returns 0; -ENOENT if the lease has ended; or -EAGAIN if the request was refused
+ * or had no usable reply. */
 int rr_store_renew_lease(rr_store *store, uint64_t lease_id);
-/* Ends a lease, with which its keys go. Returns as rr_store_renew_lease(). */
+/* Ends a lease; the store deletes the keys attached to it. Returns as rr_store_renew_lease(). */
 int rr_store_end_lease(rr_store *store, uint64_t lease_id);
 
 #endif
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -1,4 +1,4 @@
-/* Inside the package only: the client object and the call that all requests share. */
+/* Internal to the package: the store client's state and the function that sends every request. */
 #ifndef RR_STORE_STORE_INTERNAL_H
 #define RR_STORE_STORE_INTERNAL_H
 
@@ -6,8 +6,8 @@
 
 struct rr_store {
     struct rr_endpoint endpoint;
-    rr_budget *budget;
-    rr_client *client;
+    rr_budget *budget; /* borrowed */
+    rr_client *client; /* owned */
 };
 
 enum rr_http_status {
@@ -20,19 +20,22 @@
     RR_HTTP_UNAVAILABLE = 503
 };
 
+/* A request to the store, with what the rate limiter has to know about it. */
 struct rr_store_request {
     enum rr_request_priority priority;
-    int writes; /* changes that it makes */
-    const char *method, *path;
-    const rr_encoder *body; /* NULL: none */
-    double timeout_s;       /* for the budget, then for the store */
+    int writes;                /* puts and deletes in the request */
+    const char *method, *path; /* the path includes the query */
+    const rr_encoder *body;    /* NULL: none */
+    double timeout_s;          /* of the wait for the budget, and again of the HTTP call */
 };
 
-/* Sends the request once the budget allows it. As rr_client_call(); -ENOTCONN also when the budget
- * did not allow it in time. */
-int rr_store_call(rr_store *store, const struct rr_store_request *request, rr_http_reply *reply);
+/* Sends the request as soon as the budget allows it. Returns as rr_client_call(); -ENOTCONN (not
+ * sent) also if the budget did not allow it in time. */
+int rr_store_send_request(rr_store *store, const struct rr_store_request *request,
+                          rr_http_reply *reply);
 
-/* 0 with the reply's body, a map, in *document; or -EAGAIN, and nothing is to be cleared. */
+/* Decodes the reply's body, which has to be a map. Returns 0 with *document for the caller to
+ * clear; or -EAGAIN, after which there is nothing to clear. */
 int rr_store_parse_reply(const rr_http_reply *reply, rr_document *document);
 
 #endif
--- a/src/store/store_lease.c
+++ b/src/store/store_lease.c
@@ -1,4 +1,4 @@
-/* Leases: keys attached to one go when it ends. */
+/* Leases. When a lease ends, the store deletes the keys attached to it. */
 #include "store/store_internal.h"
 #include "wire/wire_words.h"
 
@@ -7,11 +7,11 @@
 #define LEASE_PATH_SIZE 96
 #define LEASE_TIMEOUT_S 1.5
 
-int rr_store_grant_lease(rr_store *store, double life_s, uint64_t *lease_id) {
+int rr_store_grant_lease(rr_store *store, double ttl_s, uint64_t *lease_id) {
     rr_encoder body;
     rr_encoder_init(&body);
     rr_encode_map(&body, 1);
-    rr_encode_key_u64(&body, RR_WORD_LEASE_MS, (uint64_t)(life_s * 1000));
+    rr_encode_key_u64(&body, RR_WORD_LEASE_MS, (uint64_t)(ttl_s * 1000));
     struct rr_store_request request = {.priority = RR_REQUEST_SESSION,
                                        .method = "POST",
                                        .path = RR_PATH_LEASES,
@@ -19,7 +19,7 @@
                                        .timeout_s = LEASE_TIMEOUT_S};
     rr_http_reply reply;
     rr_document document;
-    int rc = rr_store_call(store, &request, &reply);
+    int rc = rr_store_send_request(store, &request, &reply);
     rr_encoder_clear(&body);
     if (rc != 0 || reply.status != RR_HTTP_OK || rr_store_parse_reply(&reply, &document) != 0) {
         return -EAGAIN;
@@ -29,9 +29,10 @@
     return rc;
 }
 
-/* A call on an existing lease, with an empty map for a body. */
-static int call_on_lease(rr_store *store, const char *method, uint64_t lease_id,
-                         const char *sub_path) {
+/* Sends a request for an existing lease, with an empty map as the body. sub_path is appended to the
+ * lease's path. Returns as rr_store_renew_lease(). */
+static int send_lease_request(rr_store *store, const char *method, uint64_t lease_id,
+                              const char *sub_path) {
     char path[LEASE_PATH_SIZE];
     g_snprintf(path, sizeof path, RR_PATH_LEASES "/%" G_GUINT64_FORMAT "%s", lease_id, sub_path);
     rr_encoder body;
@@ -43,7 +44,7 @@
                                        .body = &body,
                                        .timeout_s = LEASE_TIMEOUT_S};
     rr_http_reply reply;
-    int rc = rr_store_call(store, &request, &reply);
+    int rc = rr_store_send_request(store, &request, &reply);
     rr_encoder_clear(&body);
     if (rc != 0) {
         return -EAGAIN;
@@ -59,9 +60,9 @@
 }
 
 int rr_store_renew_lease(rr_store *store, uint64_t lease_id) {
-    return call_on_lease(store, "POST", lease_id, RR_PATH_RENEW);
+    return send_lease_request(store, "POST", lease_id, RR_PATH_RENEW);
 }
 
 int rr_store_end_lease(rr_store *store, uint64_t lease_id) {
-    return call_on_lease(store, "DELETE", lease_id, "");
+    return send_lease_request(store, "DELETE", lease_id, "");
 }
--- a/src/store/store_read.c
+++ b/src/store/store_read.c
@@ -1,4 +1,4 @@
-/* Reads of one key, of a prefix in pages, and watches. */
+/* Reads of one key, paged reads of all keys with a prefix, and watches. */
 #include "store/store_internal.h"
 #include "wire/wire_words.h"
 
@@ -7,19 +7,19 @@
 #define GET_TIMEOUT_S 2
 #define PAGE_TIMEOUT_S 5
 #define PAGE_ROWS_MAX 1000
-#define WATCH_EXTRA_TIMEOUT_S 3 /* beyond the time that the store holds a watch open */
+#define WATCH_EXTRA_TIMEOUT_S 3 /* added to the time for which the store holds a watch open */
 
-/* The 404 of a key that never exists carries the store's revision. */
-#define ABSENT_KEY "rr-epoch"
+/* A key that never exists. The store's 404 for it contains the store's revision. */
+#define NONEXISTENT_KEY "rr-epoch"
 
 int rr_store_revision(rr_store *store, uint64_t *revision, double timeout_s) {
     struct rr_store_request request = {.priority = RR_REQUEST_READ,
                                        .method = "GET",
-                                       .path = RR_PATH_STORE "/" ABSENT_KEY,
+                                       .path = RR_PATH_STORE "/" NONEXISTENT_KEY,
                                        .timeout_s = timeout_s};
     rr_http_reply reply;
     rr_document document;
-    if (rr_store_call(store, &request, &reply) != 0 || reply.status != RR_HTTP_NOT_FOUND) {
+    if (rr_store_send_request(store, &request, &reply) != 0 || reply.status != RR_HTTP_NOT_FOUND) {
         return -EAGAIN;
     }
     int rc = rr_store_parse_reply(&reply, &document);
@@ -38,7 +38,7 @@
     struct rr_store_request request = {
         .priority = RR_REQUEST_SESSION, .method = "GET", .path = path, .timeout_s = GET_TIMEOUT_S};
     rr_http_reply reply;
-    if (rr_store_call(store, &request, &reply) != 0) {
+    if (rr_store_send_request(store, &request, &reply) != 0) {
         return -EAGAIN;
     }
     if (reply.status == RR_HTTP_NOT_FOUND) {
@@ -60,12 +60,12 @@
                        rr_document *document) {
     char path[2 * RR_STORE_KEY_SIZE];
     g_snprintf(path, sizeof path, RR_PATH_STORE "?" RR_WORD_PREFIX "=%s%s%s&" RR_WORD_LIMIT "=%d",
-               prefix, cursor->from_key[0] ? "&" RR_WORD_FROM "=" : "", cursor->from_key,
+               prefix, cursor->last_key[0] ? "&" RR_WORD_FROM "=" : "", cursor->last_key,
                PAGE_ROWS_MAX);
     struct rr_store_request request = {
         .priority = RR_REQUEST_SESSION, .method = "GET", .path = path, .timeout_s = PAGE_TIMEOUT_S};
     rr_http_reply reply;
-    if (rr_store_call(store, &request, &reply) != 0 || reply.status != RR_HTTP_OK) {
+    if (rr_store_send_request(store, &request, &reply) != 0 || reply.status != RR_HTTP_OK) {
         return -EAGAIN;
     }
     int rc = rr_store_parse_reply(&reply, document);
@@ -84,32 +84,32 @@
 }
 
 void rr_store_each_row(const rr_document *document, rr_store_cursor *cursor,
-                       rr_store_row_fn callback, void *user) {
+                       rr_store_row_fn callback, void *user_data) {
     const msgpack_object *rows = rr_map_get(document->root, RR_WORD_ROWS);
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
         const msgpack_object *row = &rows->via.array.ptr[i];
         const msgpack_object *value = rr_map_get(row, RR_WORD_VALUE);
         uint64_t version;
-        if (rr_map_get_text(row, RR_WORD_KEY, cursor->from_key, sizeof cursor->from_key) &&
+        if (rr_map_get_text(row, RR_WORD_KEY, cursor->last_key, sizeof cursor->last_key) &&
             rr_map_get_u64(row, RR_WORD_VERSION, &version) && value) {
-            callback(user, cursor->from_key, value, version);
+            callback(user_data, cursor->last_key, value, version);
         }
     }
 }
 
-int rr_store_watch(rr_store *store, const char *prefix, uint64_t from, int hold_ms,
+int rr_store_watch(rr_store *store, const char *prefix, uint64_t after_revision, int hold_ms,
                    rr_document *document) {
     char path[RR_STORE_KEY_SIZE];
     g_snprintf(path, sizeof path,
                RR_PATH_WATCH "?" RR_WORD_PREFIX "=%s&" RR_WORD_FROM "=%" G_GUINT64_FORMAT
                              "&" RR_WORD_WATCH_MS "=%d",
-               prefix, from, hold_ms);
+               prefix, after_revision, hold_ms);
     struct rr_store_request request = {.priority = RR_REQUEST_SESSION,
                                        .method = "GET",
                                        .path = path,
                                        .timeout_s = hold_ms / 1000.0 + WATCH_EXTRA_TIMEOUT_S};
     rr_http_reply reply;
-    if (rr_store_call(store, &request, &reply) != 0) {
+    if (rr_store_send_request(store, &request, &reply) != 0) {
         return -EAGAIN;
     }
     if (reply.status == RR_HTTP_GONE) {
--- a/src/store/token_buckets.c
+++ b/src/store/token_buckets.c
@@ -2,26 +2,31 @@
 
 #include <math.h>
 
-/* Of a limit that other clients count against too. */
-#define LIMIT_PART_USED 0.9
+/* Only this fraction of each limit is used, since other clients count against the limits, too. */
+#define USED_LIMIT_FRACTION 0.9
+
+/* Lower bounds of the rates, in tokens per second. */
 #define REQUEST_RATE_MIN 0.5
 #define USER_WRITE_RATE_MIN 0.2
 #define OTHER_WRITE_RATE_MIN 0.05
-#define TOKEN_ROUNDING 1e-9
-/* The most that a bucket of changes owes, in seconds of its rate; other controllers' unused parts
- * cover that much, and the store refuses what they don't. */
+
+#define TOKEN_TOLERANCE 1e-9 /* tolerance for rounding errors in token counts */
+
+/* The largest debt of a write bucket, in seconds of its rate or, if that is lower, of one token per
+ * second. The unused shares of other controllers cover a debt of this size; what they don't cover
+ * the store refuses. */
 #define DEBT_MAX_S 2
-#define WAIT_MIN_S 0.002
+#define DELAY_MIN_S 0.002 /* shortest wait between two attempts to take tokens */
 
 void rr_token_buckets_set_rates(struct rr_token_buckets *buckets, double rps, double write_rps,
                                 const struct rr_budget_shares *shares) {
-    buckets->requests.rate = fmax(LIMIT_PART_USED * rps * shares->requests, REQUEST_RATE_MIN);
+    buckets->requests.rate = fmax(USED_LIMIT_FRACTION * rps * shares->requests, REQUEST_RATE_MIN);
     buckets->writes[RR_WRITER_USERS].rate =
-        fmax(LIMIT_PART_USED * write_rps * shares->users, USER_WRITE_RATE_MIN);
+        fmax(USED_LIMIT_FRACTION * write_rps * shares->users, USER_WRITE_RATE_MIN);
     buckets->writes[RR_WRITER_PLANS].rate =
-        fmax(LIMIT_PART_USED * write_rps * shares->plans, OTHER_WRITE_RATE_MIN);
+        fmax(USED_LIMIT_FRACTION * write_rps * shares->plans, OTHER_WRITE_RATE_MIN);
     buckets->writes[RR_WRITER_AUTOSCALER].rate =
-        fmax(LIMIT_PART_USED * write_rps * shares->autoscaler, OTHER_WRITE_RATE_MIN);
+        fmax(USED_LIMIT_FRACTION * write_rps * shares->autoscaler, OTHER_WRITE_RATE_MIN);
 }
 
 static double total_write_rate(const struct rr_token_buckets *buckets) {
@@ -34,17 +39,18 @@
     buckets->refilled_at = now;
     struct rr_token_bucket *requests = &buckets->requests;
     requests->tokens = fmin(requests->tokens + requests->rate * elapsed_s, requests->rate);
-    double unused = 0;
+    double overflow = 0;
     for (int i = 0; i < RR_WRITER_COUNT; i++) {
         struct rr_token_bucket *bucket = &buckets->writes[i];
         double tokens = bucket->tokens + bucket->rate * elapsed_s;
-        unused += fmax(tokens - bucket->rate, 0);
+        overflow += fmax(tokens - bucket->rate, 0);
         bucket->tokens = fmin(tokens, bucket->rate);
     }
-    buckets->pool = fmin(buckets->pool + unused, total_write_rate(buckets));
+    buckets->shared_pool = fmin(buckets->shared_pool + overflow, total_write_rate(buckets));
 }
 
-static enum rr_writer writer_of(enum rr_request_priority priority) {
+/* Sessions have no write bucket of their own: their few writes count against the users' one. */
+static enum rr_writer select_writer(enum rr_request_priority priority) {
     switch (priority) {
     case RR_REQUEST_PLAN:
         return RR_WRITER_PLANS;
@@ -55,51 +61,55 @@
     }
 }
 
-/* Seconds until the request itself may go, whatever it changes; 0: now. */
-static double request_wait_s(const struct rr_token_bucket *bucket,
-                             enum rr_request_priority priority) {
-    /* Left to requests of higher priority, as a part of a second's tokens. */
+/* Returns the seconds until a request token is available, without regard to the request's writes;
+ * 0: now. */
+static double request_token_delay_s(const struct rr_token_bucket *bucket,
+                                    enum rr_request_priority priority) {
+    /* Tokens left to requests of higher priority, as a fraction of one second's tokens. */
     static const double reserved[] = {[RR_REQUEST_SESSION] = 0,
                                       [RR_REQUEST_USER] = 0.1,
                                       [RR_REQUEST_READ] = 0.1,
                                       [RR_REQUEST_PLAN] = 0.2,
                                       [RR_REQUEST_AUTOSCALER] = 0.2};
     double needed = fmin(1 + reserved[priority] * bucket->rate, fmax(bucket->rate, 1));
-    return bucket->tokens >= needed - TOKEN_ROUNDING ? 0 : (needed - bucket->tokens) / bucket->rate;
+    return bucket->tokens >= needed - TOKEN_TOLERANCE ? 0
+                                                      : (needed - bucket->tokens) / bucket->rate;
 }
 
-/* Seconds until that many changes may go; 0: now. A transaction larger than what a second brings
- * waits for that much and leaves a debt. Users' changes are few and come in bursts that somebody
- * waits for: they may owe a second's worth, which the store's own burst allowance covers. */
-static double writes_wait_s(const struct rr_token_buckets *buckets, enum rr_writer writer,
-                            int writes) {
+/* Returns the seconds until this many write tokens may be taken; 0: now. A transaction with more
+ * writes than one second's tokens waits for one second's tokens only and leaves a debt. Users'
+ * writes are few, come in bursts, and somebody waits for them: they may also go into debt by one
+ * second's tokens, which the store's own burst allowance covers. */
+static double write_token_delay_s(const struct rr_token_buckets *buckets, enum rr_writer writer,
+                                  int writes) {
     const struct rr_token_bucket *bucket = &buckets->writes[writer];
     double rate = fmax(bucket->rate, USER_WRITE_RATE_MIN);
     double needed = fmin(writes, fmax(rate, 1));
     double credit = writer == RR_WRITER_USERS ? rate : 0;
-    double available = bucket->tokens + buckets->pool + credit;
-    return available >= needed - TOKEN_ROUNDING ? 0 : (needed - available) / rate;
+    double available = bucket->tokens + buckets->shared_pool + credit;
+    return available >= needed - TOKEN_TOLERANCE ? 0 : (needed - available) / rate;
 }
 
-/* Takes changes from the writer's own tokens, then from the pool; the rest becomes its debt. */
+/* Takes write tokens from the writer's own bucket, then from the shared pool. The rest becomes a
+ * debt of the bucket, which DEBT_MAX_S limits. */
 static void take_writes(struct rr_token_buckets *buckets, enum rr_writer writer, int writes) {
     struct rr_token_bucket *bucket = &buckets->writes[writer];
-    double own = fmin(fmax(bucket->tokens, 0), writes);
-    double rest = writes - own;
-    double pooled = fmin(buckets->pool, rest);
-    bucket->tokens -= own + rest - pooled;
-    buckets->pool -= pooled;
+    double from_bucket = fmin(fmax(bucket->tokens, 0), writes);
+    double remaining = writes - from_bucket;
+    double from_pool = fmin(buckets->shared_pool, remaining);
+    bucket->tokens -= from_bucket + remaining - from_pool;
+    buckets->shared_pool -= from_pool;
     bucket->tokens = fmax(bucket->tokens, -DEBT_MAX_S * fmax(bucket->rate, 1));
 }
 
 double rr_token_buckets_try_take(struct rr_token_buckets *buckets,
                                  enum rr_request_priority priority, int writes) {
-    enum rr_writer writer = writer_of(priority);
-    bool budgeted = writes && priority != RR_REQUEST_SESSION;
-    double for_request_s = request_wait_s(&buckets->requests, priority);
-    double for_writes_s = budgeted ? writes_wait_s(buckets, writer, writes) : 0;
-    if (for_request_s > 0 || for_writes_s > 0) {
-        return fmax(fmax(for_request_s, for_writes_s), WAIT_MIN_S);
+    enum rr_writer writer = select_writer(priority);
+    bool waits_for_writes = writes && priority != RR_REQUEST_SESSION;
+    double request_delay_s = request_token_delay_s(&buckets->requests, priority);
+    double writes_delay_s = waits_for_writes ? write_token_delay_s(buckets, writer, writes) : 0;
+    if (request_delay_s > 0 || writes_delay_s > 0) {
+        return fmax(fmax(request_delay_s, writes_delay_s), DELAY_MIN_S);
     }
     buckets->requests.tokens -= 1;
     if (writes) {
@@ -108,6 +118,6 @@
     return 0;
 }
 
-double rr_token_buckets_plan_writes(const struct rr_token_buckets *buckets) {
-    return buckets->writes[RR_WRITER_PLANS].tokens + buckets->pool;
+double rr_token_buckets_available_plan_writes(const struct rr_token_buckets *buckets) {
+    return buckets->writes[RR_WRITER_PLANS].tokens + buckets->shared_pool;
 }
