--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -4,11 +4,11 @@
 
 #include <errno.h>
 
-#define LIST_PAGE_MACHINES 500
+#define LIST_PAGE_MACHINES 500 /* machines per page */
 #define LIST_PAGES_MAX 100
-#define TIMEOUT_S 4.0
+#define CALL_TIMEOUT_S 4.0
 #define REPLY_BYTES_MAX ((size_t)4 * 1024 * 1024)
-#define LIMIT_PART_USED 0.8
+#define USED_LIMIT_FRACTION 0.8 /* fraction of the cloud's request rate limit that is used */
 #define PATH_SIZE 160
 
 #define HTTP_OK 200
@@ -17,14 +17,14 @@
 struct rr_cloud {
     struct rr_endpoint endpoint;
     rr_client *client;
-    double call_interval_s;
-    double next_call_at;
+    double call_interval_s; /* shortest time between the starts of two calls */
+    double next_call_at;    /* earliest start of the next call; steady clock, seconds */
 };
 
 rr_cloud *rr_cloud_create(const struct rr_endpoint *endpoint, double rps, const atomic_bool *stop) {
     rr_cloud *cloud = g_new0(rr_cloud, 1);
     cloud->endpoint = *endpoint;
-    cloud->call_interval_s = 1.0 / (LIMIT_PART_USED * rps);
+    cloud->call_interval_s = 1.0 / (USED_LIMIT_FRACTION * rps);
     cloud->client = rr_client_create(stop);
     if (!cloud->client) {
         g_free(cloud);
@@ -40,22 +40,24 @@
     }
 }
 
-static void wait_for_turn(rr_cloud *cloud) {
+/* Sleeps until the request rate limit allows the next call. */
+static void wait_for_rate_limit(rr_cloud *cloud) {
     rr_sleep(cloud->next_call_at - rr_steady_clock_s());
     cloud->next_call_at = rr_steady_clock_s() + cloud->call_interval_s;
 }
 
-/* One call; body may be NULL. 0 with the map of a 200 in *document, for the caller to clear;
- * otherwise as declared for all calls, with *reply set if there was one. */
-static int call_cloud(rr_cloud *cloud, const char *method, const char *path, const rr_encoder *body,
-                      rr_http_reply *reply, rr_document *document) {
-    wait_for_turn(cloud);
+/* Sends one request; body may be NULL. Returns 0 if the status is 200 and the body a map, which is
+ * then in *document for the caller to clear. Otherwise returns an error as described in cloud.h for
+ * all calls, with nothing to clear; *reply is set if there was a reply. */
+static int send_request(rr_cloud *cloud, const char *method, const char *path,
+                        const rr_encoder *body, rr_http_reply *reply, rr_document *document) {
+    wait_for_rate_limit(cloud);
     struct rr_http_call call = {.method = method,
                                 .endpoint = &cloud->endpoint,
                                 .path = path,
                                 .body = body ? body->buffer.data : NULL,
                                 .len = body ? body->buffer.size : 0,
-                                .timeout_s = TIMEOUT_S,
+                                .timeout_s = CALL_TIMEOUT_S,
                                 .reply_bytes_max = REPLY_BYTES_MAX};
     int rc = rr_client_call(cloud->client, &call, reply);
     if (rc != 0) {
@@ -72,7 +74,7 @@
     return 0;
 }
 
-/* NULL: the key is missing, or not a list. */
+/* Returns the list at a key, or NULL if the key is missing or its value is not a list. */
 static const msgpack_object_array *get_list(const rr_document *document, const char *key) {
     const msgpack_object *list = rr_map_get(document->root, key);
     return list && list->type == MSGPACK_OBJECT_ARRAY ? &list->via.array : NULL;
@@ -81,7 +83,7 @@
 int rr_cloud_catalog(rr_cloud *cloud, GArray *machine_types) {
     rr_http_reply reply;
     rr_document document;
-    int rc = call_cloud(cloud, "GET", RR_PATH_CATALOG, NULL, &reply, &document);
+    int rc = send_request(cloud, "GET", RR_PATH_CATALOG, NULL, &reply, &document);
     if (rc != 0) {
         return rc;
     }
@@ -100,14 +102,16 @@
     return rc;
 }
 
-/* The machines after *from, which becomes the last one. */
-static int list_page(rr_cloud *cloud, char *from, size_t size, GArray *machines, bool *more) {
+/* Reads one page of the list, with the machines after last_id (empty: from the start), and appends
+ * them. last_id is set to the page's last machine, *more to whether further pages follow. */
+static int read_list_page(rr_cloud *cloud, char *last_id, size_t size, GArray *machines,
+                          bool *more) {
     char path[PATH_SIZE];
     rr_http_reply reply;
     rr_document document;
     g_snprintf(path, sizeof path, RR_PATH_MACHINES "?" RR_WORD_LIMIT "=%d%s%s", LIST_PAGE_MACHINES,
-               from[0] ? "&" RR_WORD_FROM "=" : "", from);
-    int rc = call_cloud(cloud, "GET", path, NULL, &reply, &document);
+               last_id[0] ? "&" RR_WORD_FROM "=" : "", last_id);
+    int rc = send_request(cloud, "GET", path, NULL, &reply, &document);
     if (rc != 0) {
         return rc;
     }
@@ -118,7 +122,7 @@
         rc = rr_listed_machine_decode(&list->ptr[i], &listed);
         if (rc == 0) {
             g_array_append_val(machines, listed);
-            g_strlcpy(from, listed.id, size);
+            g_strlcpy(last_id, listed.id, size);
         }
     }
     *more = false;
@@ -128,27 +132,29 @@
 }
 
 int rr_cloud_list(rr_cloud *cloud, GArray *machines) {
-    char from[RR_ID_SIZE] = "";
+    char last_id[RR_ID_SIZE] = "";
     bool more = true;
     int rc = 0;
     for (int page = 0; more && rc == 0; page++) {
-        rc = page < LIST_PAGES_MAX ? list_page(cloud, from, sizeof from, machines, &more) : -E2BIG;
+        rc = page < LIST_PAGES_MAX ? read_list_page(cloud, last_id, sizeof last_id, machines, &more)
+                                   : -E2BIG;
     }
     return rc;
 }
 
-static void encode_rental(rr_encoder *body, const char *rental, const char *machine_type,
-                          const char *zone, bool spot, int how_many) {
+static void encode_rental_request(rr_encoder *body, const char *rental, const char *machine_type,
+                                  const char *zone, bool spot, int count) {
     rr_encode_map(body, 5);
     rr_encode_key_text(body, RR_WORD_RENTAL, rental);
     rr_encode_key_text(body, RR_WORD_MACHINE_TYPE, machine_type);
     rr_encode_key_text(body, RR_WORD_ZONE, zone);
     rr_encode_key_bool(body, RR_WORD_SPOT, spot);
-    rr_encode_key_u64(body, RR_WORD_RENTAL_COUNT, (uint64_t)how_many);
+    rr_encode_key_u64(body, RR_WORD_RENTAL_COUNT, (uint64_t)count);
 }
 
-/* A 503 also comes in an outage, after which the outcome is unknown; its text tells them apart. */
-static bool says_no_capacity(const rr_http_reply *reply) {
+/* Returns whether a 503 means that the cloud has no capacity. An outage causes a 503, too, but then
+ * the outcome is unknown; the error text tells the two apart. */
+static bool is_no_capacity(const rr_http_reply *reply) {
     rr_document document;
     rr_document_parse(&document, reply->body->data, reply->body->len);
     const msgpack_object *error = rr_map_get(document.root, RR_WORD_ERROR);
@@ -157,7 +163,7 @@
     return no_capacity;
 }
 
-static void copy_machine_names(const rr_document *document, GPtrArray *ids) {
+static void append_machine_names(const rr_document *document, GPtrArray *ids) {
     const msgpack_object_array *list = get_list(document, RR_WORD_MACHINES);
     for (uint32_t i = 0; list && i < list->size; i++) {
         char id[RR_ID_SIZE];
@@ -168,20 +174,20 @@
 }
 
 int rr_cloud_rental(rr_cloud *cloud, const char *rental, const char *machine_type, const char *zone,
-                    bool spot, int how_many, int *status, GPtrArray *ids) {
+                    bool spot, int count, int *status, GPtrArray *ids) {
     rr_http_reply reply = {0};
     rr_document document;
     rr_encoder body;
     rr_encoder_init(&body);
-    encode_rental(&body, rental, machine_type, zone, spot, how_many);
-    int rc = call_cloud(cloud, "POST", RR_PATH_MACHINES, &body, &reply, &document);
+    encode_rental_request(&body, rental, machine_type, zone, spot, count);
+    int rc = send_request(cloud, "POST", RR_PATH_MACHINES, &body, &reply, &document);
     rr_encoder_clear(&body);
     *status = 0;
     if (rc == 0) {
-        copy_machine_names(&document, ids);
+        append_machine_names(&document, ids);
         rr_document_clear(&document);
         *status = HTTP_OK;
-    } else if (rc == -EAGAIN && reply.status == HTTP_UNAVAILABLE && says_no_capacity(&reply)) {
+    } else if (rc == -EAGAIN && reply.status == HTTP_UNAVAILABLE && is_no_capacity(&reply)) {
         *status = HTTP_UNAVAILABLE;
     }
     return rc;
@@ -198,11 +204,11 @@
     for (guint i = 0; i < ids->len; i++) {
         rr_encode_text(&body, g_ptr_array_index(ids, i));
     }
-    int rc = call_cloud(cloud, "POST", RR_PATH_RELEASE, &body, &reply, &document);
+    int rc = send_request(cloud, "POST", RR_PATH_RELEASE, &body, &reply, &document);
     rr_encoder_clear(&body);
     if (rc == 0) {
         rr_document_clear(&document);
     }
-    /* The status decides; nothing in the reply's body is needed. */
+    /* A 200 is a success even if its body can't be decoded: nothing in the body is needed. */
     return rc == -EBADMSG && reply.status == HTTP_OK ? 0 : rc;
 }
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -1,6 +1,6 @@
-/* The client of the cloud: catalogue, rentals, releases and the list of machines. One object
- * belongs to one thread and takes no lock; every call blocks, first to keep below the cloud's limit
- * of requests. */
+/* The client of the cloud API: catalogue, rentals, releases and the list of machines. A client
+ * belongs to one thread and takes no lock. Every call blocks, first to stay below the cloud's
+ * request rate limit, then until the cloud replies. */
 #ifndef RR_CLOUD_CLOUD_H
 #define RR_CLOUD_CLOUD_H
 
@@ -9,27 +9,32 @@
 
 typedef struct rr_cloud rr_cloud;
 
-/* rps: the cloud's limit in requests a second. stop is borrowed. NULL: no HTTP client is to be had.
- */
+/* Creates a client, which the caller owns. rps is the cloud's limit in requests per second. The
+ * stop flag is borrowed and has to outlive the client; setting it ends running calls. Returns NULL
+ * if no HTTP client can be created. */
 rr_cloud *rr_cloud_create(const struct rr_endpoint *endpoint, double rps, const atomic_bool *stop);
-/* NULL is allowed. */
+/* Closes the connections and frees the client. NULL is allowed. */
 void rr_cloud_destroy(rr_cloud *cloud);
 
-/* All calls return 0; -EAGAIN: a status other than 200; -EBADMSG: not readable; or an error of
- * rr_client_call(). */
+/* ---- Calls ----
+ *
+ * Each returns 0; -EAGAIN for a status other than 200; -EBADMSG for a reply that can't be decoded;
+ * or an error of rr_client_call(). */
 
-/* Appends the machine types (rr_machine_type, each for rr_machine_type_clear()); on failure those
- * read so far. */
+/* Reads the catalogue and appends its machine types (rr_machine_type); each has to be cleared with
+ * rr_machine_type_clear(). On failure the types decoded so far have been appended. */
 int rr_cloud_catalog(rr_cloud *cloud, GArray *machine_types);
-/* Appends all machines (rr_listed_machine). The list counts only with 0: a part of it would prove
- * nothing about missing machines. -E2BIG: too long. */
+/* Reads the list of machines, page by page, and appends them (rr_listed_machine). After an error
+ * the array may hold a part of the list and must not be used: a partial list does not prove that a
+ * machine is gone. Returns -E2BIG if the list has too many pages. */
 int rr_cloud_list(rr_cloud *cloud, GArray *machines);
 
-/* Rents up to how_many machines under a rental name that no other request has used. *status: 200
- * with the machines' names (char*) appended to ids; 503: there is no capacity; 0: not known. */
+/* Rents up to count machines under a rental name that no other request has used. *status is 200
+ * with copies of the machines' names (char*) appended to ids; 503 if the cloud has no capacity; or
+ * 0 if the outcome is unknown. */
 int rr_cloud_rental(rr_cloud *cloud, const char *rental, const char *machine_type, const char *zone,
-                    bool spot, int how_many, int *status, GPtrArray *ids);
-/* Gives up to 100 machines (char*) back; with 0 they are gone. */
+                    bool spot, int count, int *status, GPtrArray *ids);
+/* Releases up to 100 machines, given by name (char*). After a return of 0 they are gone. */
 int rr_cloud_release(rr_cloud *cloud, const GPtrArray *ids);
 
 #endif
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -5,11 +5,11 @@
 
 #include <errno.h>
 
-/* Beyond what a worker should send, for one with many ended tasks. */
+/* Larger than the usual limit of a body, for a worker that lists many ended tasks. */
 #define REPLY_BYTES_MAX (4 * RR_BODY_BYTES_MAX)
 
 int rr_worker_call(rr_client *client, const char *address, const void *body, size_t length,
-                   double timeout_s, rr_http_reply *out) {
+                   double timeout_s, rr_http_reply *reply) {
     struct rr_endpoint endpoint;
     if (rr_endpoint_parse(address, &endpoint) != 0) {
         return -ENOTCONN;
@@ -22,5 +22,5 @@
                                 .timeout_s = timeout_s,
                                 .fresh = true,
                                 .reply_bytes_max = REPLY_BYTES_MAX};
-    return rr_client_call(client, &call, out);
+    return rr_client_call(client, &call, reply);
 }
