--- a/src/wire/cloud_messages.c
+++ b/src/wire/cloud_messages.c
@@ -4,7 +4,7 @@
 #include <errno.h>
 #include <string.h>
 
-/* ---- machine types ---- */
+/* ---- Machine types ---- */
 
 static bool decode_zones(const msgpack_object *list, GPtrArray *zones) {
     char zone[RR_TEXT_SIZE];
@@ -29,10 +29,10 @@
         zones->type != MSGPACK_OBJECT_ARRAY) {
         return -EBADMSG;
     }
-    type->spot_price = type->price; /* unless the catalogue has one */
+    type->spot_price = type->price; /* unless the catalogue has a spot price */
     rr_map_get_number(object, RR_WORD_SPOT_PRICE, &type->spot_price);
-    rr_map_get_number(object, RR_WORD_CACHE_GB, &type->cache_gb);
-    rr_map_get_number(object, RR_WORD_PULL_RATE, &type->pull_rate);
+    rr_map_get_number(object, RR_WORD_IMAGE_CACHE_GB, &type->cache_gb);
+    rr_map_get_number(object, RR_WORD_IMAGE_PULL_GB_PER_S, &type->pull_rate);
     rr_map_get_number(object, RR_WORD_STARTUP_S, &type->startup_s);
     return decode_zones(zones, type->zones) ? 0 : -EBADMSG;
 }
@@ -43,8 +43,8 @@
     rr_encode_key_number(encoder, RR_WORD_CPUS, type->cpus);
     rr_encode_key_number(encoder, RR_WORD_GPUS, type->gpus);
     rr_encode_key_number(encoder, RR_WORD_MEM_GB, type->mem_gb);
-    rr_encode_key_number(encoder, RR_WORD_CACHE_GB, type->cache_gb);
-    rr_encode_key_number(encoder, RR_WORD_PULL_RATE, type->pull_rate);
+    rr_encode_key_number(encoder, RR_WORD_IMAGE_CACHE_GB, type->cache_gb);
+    rr_encode_key_number(encoder, RR_WORD_IMAGE_PULL_GB_PER_S, type->pull_rate);
     rr_encode_key_number(encoder, RR_WORD_PRICE, type->price);
     rr_encode_key_number(encoder, RR_WORD_SPOT_PRICE, type->spot_price);
     rr_encode_key_number(encoder, RR_WORD_STARTUP_S, type->startup_s);
@@ -63,7 +63,7 @@
     }
 }
 
-/* ---- listed machines ---- */
+/* ---- Listed machines ---- */
 
 static enum rr_listed_state decode_listed_state(const msgpack_object *object) {
     if (rr_object_text_equals(object, RR_WORD_RUNNING)) {
--- a/src/wire/document.c
+++ b/src/wire/document.c
@@ -8,13 +8,13 @@
 int rr_document_parse(rr_document *document, const void *data, size_t length) {
     msgpack_unpacked_init(&document->unpacked);
     document->root = NULL;
-    document->copy = NULL;
+    document->bytes = NULL;
     if (!rr_document_check(data, length, RR_NESTING_DEPTH_MAX)) {
         return -EBADMSG;
     }
     size_t offset = 0;
-    document->copy = g_memdup2(data, length);
-    if (msgpack_unpack_next(&document->unpacked, document->copy, length, &offset) !=
+    document->bytes = g_memdup2(data, length);
+    if (msgpack_unpack_next(&document->unpacked, document->bytes, length, &offset) !=
             MSGPACK_UNPACK_SUCCESS ||
         offset != length) {
         return -EBADMSG;
@@ -25,8 +25,8 @@
 
 void rr_document_clear(rr_document *document) {
     msgpack_unpacked_destroy(&document->unpacked);
-    g_free(document->copy);
-    document->copy = NULL;
+    g_free(document->bytes);
+    document->bytes = NULL;
     document->root = NULL;
 }
 
--- a/src/wire/document.h
+++ b/src/wire/document.h
@@ -1,5 +1,5 @@
-/* MessagePack documents from outside. Pure functions. Objects belong to their document; texts are
- * copied out. */
+/* Decoding of MessagePack documents from untrusted sources. Pure functions. Objects belong to their
+ * document and are valid until it is cleared; strings are copied out. */
 #ifndef RR_WIRE_DOCUMENT_H
 #define RR_WIRE_DOCUMENT_H
 
@@ -8,46 +8,50 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RR_NESTING_DEPTH_MAX 16
+#define RR_NESTING_DEPTH_MAX 16 /* of maps and arrays */
 
+/* A decoded document. */
 typedef struct {
     msgpack_unpacked unpacked;
-    void *copy; /* of the bytes, into which libmsgpack's texts point */
-    const msgpack_object *root;
+    void *bytes;                /* owned copy of the encoded bytes; decoded strings point into it */
+    const msgpack_object *root; /* the decoded value; NULL if decoding failed */
 } rr_document;
 
-/* Decodes one value that must fill the buffer, after a check of declared lengths and depth, before
- * which nothing is allocated. The buffer is copied. 0, or -EBADMSG; rr_document_clear() is safe
- * after either. */
+/* Decodes a buffer that must contain exactly one value, and copies it. Declared lengths and nesting
+ * depth are checked first, before anything is allocated. Returns 0 or -EBADMSG; rr_document_clear()
+ * is safe after both. */
 int rr_document_parse(rr_document *document, const void *data, size_t length);
-/* Its objects are no longer valid. */
+/* Frees a document. Its objects become invalid. */
 void rr_document_clear(rr_document *document);
 
-/* The functions below take NULL for an object and return false, or NULL, for it and for an object
- * of another type. */
+/* ---- Reading values ----
+ *
+ * These functions accept NULL as the object. They return false, -1 or NULL for it and for an object
+ * of a different type. On success the value is in *out. */
 
-/* Whether the object is a map. */
+/* Returns whether the object is a map. */
 bool rr_object_is_map(const msgpack_object *object);
-/* Integers from 0 on. */
+/* Reads a non-negative integer. */
 bool rr_object_u64(const msgpack_object *object, uint64_t *out);
-/* Integers and finite decimals. */
+/* Reads an integer or a finite floating-point number. */
 bool rr_object_number(const msgpack_object *object, double *out);
-/* Texts without a zero byte that fit with their end. */
+/* Copies a string to out. Returns false also if the string contains a zero byte, or does not fit
+ * into size bytes with its terminating zero. */
 bool rr_object_text(const msgpack_object *object, char *out, size_t size);
-/* Whether the object is exactly this text. */
+/* Returns whether the object is a string equal to text. */
 bool rr_object_text_equals(const msgpack_object *object, const char *text);
-/* The index of the name that the object's text equals, or -1. */
+/* Returns the index of the name that is equal to the object's string, or -1 if none is. */
 int rr_object_name_index(const msgpack_object *object, const char *const *names, int count);
 
-/* The value of a key. A key that is missing and one that is null are the same: NULL. */
+/* Returns the value of a key, or NULL if the key is missing or its value is null. */
 const msgpack_object *rr_map_get(const msgpack_object *map, const char *key);
-/* The value of a key as rr_object_u64() reads it; false leaves *out as it is. */
+/* Reads the value of a key as rr_object_u64(). If it returns false, *out is unchanged. */
 bool rr_map_get_u64(const msgpack_object *map, const char *key, uint64_t *out);
-/* The value of a key as rr_object_number() reads it. */
+/* Reads the value of a key as rr_object_number(). */
 bool rr_map_get_number(const msgpack_object *map, const char *key, double *out);
-/* The value of a key as rr_object_text() reads it. */
+/* Reads the value of a key as rr_object_text(). */
 bool rr_map_get_text(const msgpack_object *map, const char *key, char *out, size_t size);
-/* The value of a key that is true or false. */
+/* Reads a boolean value of a key. If it returns false, *out is unchanged. */
 bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out);
 
 #endif
--- a/src/wire/document_check.c
+++ b/src/wire/document_check.c
@@ -2,9 +2,10 @@
 
 #include <stdint.h>
 
-/* First bytes of MessagePack values. In the ranges of fixed forms the low bits are a count, a
- * length or the value itself. */
-enum format {
+/* The first byte of a MessagePack value. In the ranges of the fixed forms (positive integers below
+ * FORMAT_FIXMAP, FIXMAP, FIXARRAY, FIXSTR, NEGATIVE_FIXINT) the low bits are a count, a length or
+ * the value itself. */
+enum msgpack_format {
     FORMAT_FIXMAP = 0x80,
     FORMAT_FIXARRAY = 0x90,
     FORMAT_FIXSTR = 0xa0,
@@ -36,72 +37,79 @@
 #define FIXSTR_LENGTH_MASK 0x1f
 #define EXT_TYPE_BYTES 1
 
-/* Of values from FORMAT_FLOAT32 to FORMAT_INT64: floats, unsigned and signed integers. */
-static const uint8_t number_bytes[] = {4, 8, 1, 2, 4, 8, 1, 2, 4, 8};
+/* Sizes in bytes of the values from FORMAT_FLOAT32 to FORMAT_INT64: floats of 4 and 8 bytes, then
+ * unsigned and signed integers of 1 to 8 bytes. */
+static const uint8_t number_sizes[] = {4, 8, 1, 2, 4, 8, 1, 2, 4, 8};
 
-struct scan {
+/* The bytes that have not been checked yet. */
+struct scanner {
     const uint8_t *next, *end;
 };
 
-static uint64_t bytes_left(const struct scan *scan) {
-    return (uint64_t)(scan->end - scan->next);
+static uint64_t bytes_left(const struct scanner *scanner) {
+    return (uint64_t)(scanner->end - scanner->next);
 }
 
-static bool skip_bytes(struct scan *scan, uint64_t count) {
-    if (bytes_left(scan) < count) {
+static bool skip_bytes(struct scanner *scanner, uint64_t count) {
+    if (bytes_left(scanner) < count) {
         return false;
     }
-    scan->next += count;
+    scanner->next += count;
     return true;
 }
 
-/* A big-endian integer of up to 8 bytes. */
-static bool read_integer(struct scan *scan, int bytes, uint64_t *out) {
+/* Reads a big-endian integer of up to 8 bytes. */
+static bool read_integer(struct scanner *scanner, int bytes, uint64_t *out) {
     *out = 0;
-    if (bytes_left(scan) < (uint64_t)bytes) {
+    if (bytes_left(scanner) < (uint64_t)bytes) {
         return false;
     }
     for (int i = 0; i < bytes; i++) {
-        *out = *out << 8 | *scan->next++;
+        *out = *out << 8 | *scanner->next++;
     }
     return true;
 }
 
-static bool check_value(struct scan *scan, int depth);
+static bool check_value(struct scanner *scanner, int depth);
 
-static bool check_items(struct scan *scan, uint64_t count, int depth) {
-    if (count > bytes_left(scan) || depth <= 0) {
+/* Checks the elements of a container. depth is the number of nesting levels left. */
+static bool check_elements(struct scanner *scanner, uint64_t count, int depth) {
+    if (count > bytes_left(scanner) || depth <= 0) {
         return false;
     }
     for (uint64_t i = 0; i < count; i++) {
-        if (!check_value(scan, depth - 1)) {
+        if (!check_value(scanner, depth - 1)) {
             return false;
         }
     }
     return true;
 }
 
-/* A length of so many bytes, then that much data and `extra` bytes. */
-static bool check_data(struct scan *scan, int length_bytes, uint64_t extra) {
+/* Checks a length of length_bytes bytes that is followed by that many bytes of data and by `extra`
+ * further bytes. */
+static bool check_data(struct scanner *scanner, int length_bytes, uint64_t extra) {
     uint64_t length;
-    return read_integer(scan, length_bytes, &length) && skip_bytes(scan, length + extra);
+    return read_integer(scanner, length_bytes, &length) && skip_bytes(scanner, length + extra);
 }
 
-/* A count of so many bytes, then that many times `items_each` values. */
-static bool check_container(struct scan *scan, int count_bytes, uint64_t items_each, int depth) {
+/* Checks a count of count_bytes bytes that is followed by that many entries. An entry consists of
+ * values_per_entry values: one in an array, two in a map. */
+static bool check_container(struct scanner *scanner, int count_bytes, uint64_t values_per_entry,
+                            int depth) {
     uint64_t count;
-    return read_integer(scan, count_bytes, &count) && check_items(scan, count * items_each, depth);
+    return read_integer(scanner, count_bytes, &count) &&
+           check_elements(scanner, count * values_per_entry, depth);
 }
 
-/* The rest of a value whose first byte names its type, not a fixed form. */
-static bool check_typed_value(struct scan *scan, uint8_t byte, int depth) {
-    if (byte >= FORMAT_FLOAT32 && byte <= FORMAT_INT64) {
-        return skip_bytes(scan, number_bytes[byte - FORMAT_FLOAT32]);
+/* Checks the rest of a value whose first byte is none of the fixed forms. */
+static bool check_typed_value(struct scanner *scanner, uint8_t first_byte, int depth) {
+    if (first_byte >= FORMAT_FLOAT32 && first_byte <= FORMAT_INT64) {
+        return skip_bytes(scanner, number_sizes[first_byte - FORMAT_FLOAT32]);
     }
-    if (byte >= FORMAT_FIXEXT1 && byte <= FORMAT_FIXEXT16) {
-        return skip_bytes(scan, (1u << (byte - FORMAT_FIXEXT1)) + EXT_TYPE_BYTES);
+    if (first_byte >= FORMAT_FIXEXT1 && first_byte <= FORMAT_FIXEXT16) {
+        return skip_bytes(scanner, (1u << (first_byte - FORMAT_FIXEXT1)) + EXT_TYPE_BYTES);
     }
-    switch (byte) {
+    switch (first_byte) {
     case FORMAT_NIL:
     case FORMAT_FALSE:
     case FORMAT_TRUE:
@@ -109,52 +117,53 @@
     case FORMAT_BIN8:
     case FORMAT_BIN16:
     case FORMAT_BIN32:
-        return check_data(scan, 1 << (byte - FORMAT_BIN8), 0);
+        return check_data(scanner, 1 << (first_byte - FORMAT_BIN8), 0);
     case FORMAT_EXT8:
     case FORMAT_EXT16:
     case FORMAT_EXT32:
-        return check_data(scan, 1 << (byte - FORMAT_EXT8), EXT_TYPE_BYTES);
+        return check_data(scanner, 1 << (first_byte - FORMAT_EXT8), EXT_TYPE_BYTES);
     case FORMAT_STR8:
     case FORMAT_STR16:
     case FORMAT_STR32:
-        return check_data(scan, 1 << (byte - FORMAT_STR8), 0);
+        return check_data(scanner, 1 << (first_byte - FORMAT_STR8), 0);
     case FORMAT_ARRAY16:
-        return check_container(scan, 2, 1, depth);
+        return check_container(scanner, 2, 1, depth);
     case FORMAT_ARRAY32:
-        return check_container(scan, 4, 1, depth);
+        return check_container(scanner, 4, 1, depth);
     case FORMAT_MAP16:
-        return check_container(scan, 2, 2, depth);
+        return check_container(scanner, 2, 2, depth);
     case FORMAT_MAP32:
-        return check_container(scan, 4, 2, depth);
+        return check_container(scanner, 4, 2, depth);
     default:
         return false;
     }
 }
 
-static bool check_value(struct scan *scan, int depth) {
-    if (bytes_left(scan) == 0) {
+/* Checks one value with everything that it contains. */
+static bool check_value(struct scanner *scanner, int depth) {
+    if (bytes_left(scanner) == 0) {
         return false;
     }
-    uint8_t byte = *scan->next++;
-    if (byte < FORMAT_FIXMAP || byte >= FORMAT_NEGATIVE_FIXINT) {
+    uint8_t first_byte = *scanner->next++;
+    if (first_byte < FORMAT_FIXMAP || first_byte >= FORMAT_NEGATIVE_FIXINT) {
         return true;
     }
-    if (byte < FORMAT_FIXARRAY) {
-        return check_items(scan, (uint64_t)(byte & FIXMAP_COUNT_MASK) * 2, depth);
+    if (first_byte < FORMAT_FIXARRAY) {
+        return check_elements(scanner, (uint64_t)(first_byte & FIXMAP_COUNT_MASK) * 2, depth);
     }
-    if (byte < FORMAT_FIXSTR) {
-        return check_items(scan, byte & FIXARRAY_COUNT_MASK, depth);
+    if (first_byte < FORMAT_FIXSTR) {
+        return check_elements(scanner, first_byte & FIXARRAY_COUNT_MASK, depth);
     }
-    if (byte < FORMAT_NIL) {
-        return skip_bytes(scan, byte & FIXSTR_LENGTH_MASK);
+    if (first_byte < FORMAT_NIL) {
+        return skip_bytes(scanner, first_byte & FIXSTR_LENGTH_MASK);
     }
-    return check_typed_value(scan, byte, depth);
+    return check_typed_value(scanner, first_byte, depth);
 }
 
 bool rr_document_check(const void *data, size_t length, int depth_max) {
     if (length == 0) {
         return false;
     }
-    struct scan scan = {data, (const uint8_t *)data + length};
-    return check_value(&scan, depth_max) && scan.next == scan.end;
+    struct scanner scanner = {data, (const uint8_t *)data + length};
+    return check_value(&scanner, depth_max) && scanner.next == scanner.end;
 }
--- a/src/wire/document_check.h
+++ b/src/wire/document_check.h
@@ -1,16 +1,18 @@
-/* Inside the package only: a check of a MessagePack document's form before it is decoded.
+/* Internal to the package: a check that a MessagePack document is well formed, made before it is
+ * decoded.
  *
- * libmsgpack allocates a container's whole declared length before it has seen one element, so that
- * a body of five bytes could ask for gigabytes. The check follows the format's lengths and
- * allocates nothing: every element takes at least one byte, hence a declared count above what is
- * left is false. */
+ * libmsgpack allocates the whole declared length of a container before it has decoded one element,
+ * so a body of five bytes could make it allocate gigabytes. The check walks over the encoded values
+ * and allocates nothing. Since every element takes at least one byte, it rejects a container that
+ * declares more elements than there are bytes left. */
 #ifndef RR_WIRE_DOCUMENT_CHECK_H
 #define RR_WIRE_DOCUMENT_CHECK_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Whether the data is exactly one value with containers nested at most this deep. */
+/* Returns whether the data is exactly one value, with maps and arrays nested at most depth_max
+ * levels deep. */
 bool rr_document_check(const void *data, size_t length, int depth_max);
 
 #endif
--- a/src/wire/user_messages.c
+++ b/src/wire/user_messages.c
@@ -5,14 +5,14 @@
 #include <errno.h>
 #include <string.h>
 
-#define AMOUNT_MAX 1e9
+#define AMOUNT_MAX 1e9 /* upper limit of resources, sizes and times */
 #define JOB_ID_PREFIX "req-"
-#define JOB_ID_LENGTH_MAX 40
+#define JOB_ID_LENGTH_MAX 40 /* with the prefix */
 
-static const char *const kind_words[] = {[RR_JOB_ARRAY] = RR_WORD_KIND_ARRAY,
-                                         [RR_JOB_SERVICE] = RR_WORD_KIND_SERVICE,
-                                         [RR_JOB_GANG] = RR_WORD_KIND_GANG};
-static const char *const priority_words[] = {[RR_PRIORITY_LOW] = RR_WORD_PRIORITY_LOW,
+static const char *const job_kind_names[] = {[RR_JOB_ARRAY] = RR_WORD_KIND_ARRAY,
+                                             [RR_JOB_SERVICE] = RR_WORD_KIND_SERVICE,
+                                             [RR_JOB_GANG] = RR_WORD_KIND_GANG};
+static const char *const priority_names[] = {[RR_PRIORITY_LOW] = RR_WORD_PRIORITY_LOW,
                                              [RR_PRIORITY_STANDARD] = RR_WORD_PRIORITY_STANDARD,
                                              [RR_PRIORITY_HIGH] = RR_WORD_PRIORITY_HIGH,
                                              [RR_PRIORITY_PROD] = RR_WORD_PRIORITY_PROD};
@@ -32,9 +32,9 @@
     return true;
 }
 
-/* ---- reading one field: false if it is missing or wrong ---- */
+/* ---- Decoding one field: false if it is invalid, or missing though required ---- */
 
-/* A name is not empty, and has no spaces or control characters. */
+/* Reads a name, which must not be empty and must not contain spaces or control characters. */
 static bool get_name(const msgpack_object *object, const char *key, char *out, size_t size) {
     if (!rr_map_get_text(object, key, out, size) || !out[0]) {
         return false;
@@ -57,15 +57,15 @@
 }
 
 static bool get_kind(const msgpack_object *object, rr_submission *submission) {
-    int kind = rr_object_name_index(rr_map_get(object, RR_WORD_JOB_KIND), kind_words,
-                                    G_N_ELEMENTS(kind_words));
+    int kind = rr_object_name_index(rr_map_get(object, RR_WORD_JOB_KIND), job_kind_names,
+                                    G_N_ELEMENTS(job_kind_names));
     submission->kind = kind >= 0 ? (enum rr_job_kind)kind : RR_JOB_ARRAY;
     return kind >= 0;
 }
 
 static bool get_priority(const msgpack_object *object, rr_submission *submission) {
-    int priority = rr_object_name_index(rr_map_get(object, RR_WORD_PRIORITY), priority_words,
-                                        G_N_ELEMENTS(priority_words));
+    int priority = rr_object_name_index(rr_map_get(object, RR_WORD_PRIORITY), priority_names,
+                                        G_N_ELEMENTS(priority_names));
     submission->priority = priority >= 0 ? (enum rr_priority)priority : RR_PRIORITY_LOW;
     return priority >= 0;
 }
@@ -93,18 +93,19 @@
 }
 
 static bool get_machine_types(const msgpack_object *object, rr_submission *submission) {
-    const msgpack_object *listed = rr_map_get(object, RR_WORD_MACHINE_TYPES);
-    if (!listed) {
+    const msgpack_object *type_names = rr_map_get(object, RR_WORD_MACHINE_TYPES);
+    if (!type_names) {
         return true;
     }
-    if (listed->type != MSGPACK_OBJECT_ARRAY || listed->via.array.size == 0 ||
-        listed->via.array.size > RR_MACHINE_TYPES_MAX) {
+    if (type_names->type != MSGPACK_OBJECT_ARRAY || type_names->via.array.size == 0 ||
+        type_names->via.array.size > RR_MACHINE_TYPES_MAX) {
         return false;
     }
-    uint32_t count = listed->via.array.size;
+    uint32_t count = type_names->via.array.size;
     submission->machine_types = g_malloc0(count * sizeof *submission->machine_types);
     for (uint32_t i = 0; i < count; i++) {
-        if (!rr_object_text(&listed->via.array.ptr[i], submission->machine_types[i], RR_ID_SIZE)) {
+        if (!rr_object_text(&type_names->via.array.ptr[i], submission->machine_types[i],
+                            RR_ID_SIZE)) {
             rr_submission_clear(submission);
             return false;
         }
@@ -113,7 +114,7 @@
     return true;
 }
 
-/* ---- submissions: each part returns the name of the first wrong field, or NULL ---- */
+/* ---- Submissions: each decoder returns the name of the first invalid field, or NULL ---- */
 
 static const char *decode_identity(const msgpack_object *object, rr_submission *submission) {
     if (!get_job_id(object, submission)) {
@@ -148,8 +149,8 @@
                    {RR_WORD_MEM_GB, &submission->mem_gb},
                    {RR_WORD_IMAGE_SIZE_GB, &submission->image_size_gb},
                    {RR_WORD_RUNTIME_ESTIMATE_S, &submission->runtime_estimate_s},
-                   {RR_WORD_CHECKPOINT_S, &submission->checkpoint_interval_s},
-                   {RR_WORD_SAVE_S, &submission->save_s}};
+                   {RR_WORD_CHECKPOINT_INTERVAL_S, &submission->checkpoint_interval_s},
+                   {RR_WORD_CHECKPOINT_SAVE_S, &submission->save_s}};
     for (size_t i = 0; i < G_N_ELEMENTS(amounts); i++) {
         if (!get_amount(object, amounts[i].word, amounts[i].amount)) {
             return amounts[i].word;
@@ -173,25 +174,25 @@
             return flags[i].word;
         }
     }
-    /* Last, since it allocates: no later field can fail. */
+    /* Last, because it allocates: no later field can be invalid and leave something to free. */
     return get_machine_types(object, submission) ? NULL : RR_WORD_MACHINE_TYPES;
 }
 
 int rr_submission_decode(const msgpack_object *object, rr_submission *submission,
-                         const char **field) {
+                         const char **invalid_field) {
     memset(submission, 0, sizeof *submission);
-    const char *wrong = rr_object_is_map(object) ? NULL : "body";
-    if (!wrong) {
-        wrong = decode_identity(object, submission);
+    const char *first_invalid = rr_object_is_map(object) ? NULL : "body";
+    if (!first_invalid) {
+        first_invalid = decode_identity(object, submission);
     }
-    if (!wrong) {
-        wrong = decode_amounts(object, submission);
+    if (!first_invalid) {
+        first_invalid = decode_amounts(object, submission);
     }
-    if (!wrong) {
-        wrong = decode_constraints(object, submission);
+    if (!first_invalid) {
+        first_invalid = decode_constraints(object, submission);
     }
-    if (wrong) {
-        *field = wrong;
+    if (first_invalid) {
+        *invalid_field = first_invalid;
         return -EINVAL;
     }
     return 0;
@@ -204,8 +205,8 @@
 }
 
 size_t rr_submission_field_count(const rr_submission *submission) {
-    const size_t always = 17;
-    return always + (submission->deadline_s >= 0) + (submission->zone[0] != 0) +
+    const size_t required = 17;
+    return required + (submission->deadline_s >= 0) + (submission->zone[0] != 0) +
            (submission->machine_type_count > 0);
 }
 
@@ -222,16 +223,16 @@
     rr_encode_key_text(encoder, RR_WORD_JOB_CLASS, submission->job_class);
     rr_encode_key_text(encoder, RR_WORD_TEAM, submission->team);
     rr_encode_key_text(encoder, RR_WORD_IMAGE, submission->image);
-    rr_encode_key_text(encoder, RR_WORD_JOB_KIND, kind_words[submission->kind]);
-    rr_encode_key_text(encoder, RR_WORD_PRIORITY, priority_words[submission->priority]);
+    rr_encode_key_text(encoder, RR_WORD_JOB_KIND, job_kind_names[submission->kind]);
+    rr_encode_key_text(encoder, RR_WORD_PRIORITY, priority_names[submission->priority]);
     rr_encode_key_u64(encoder, RR_WORD_TASKS, submission->task_count);
     rr_encode_key_number(encoder, RR_WORD_CPUS, submission->cpus);
     rr_encode_key_number(encoder, RR_WORD_GPUS, submission->gpus);
     rr_encode_key_number(encoder, RR_WORD_MEM_GB, submission->mem_gb);
     rr_encode_key_number(encoder, RR_WORD_IMAGE_SIZE_GB, submission->image_size_gb);
     rr_encode_key_number(encoder, RR_WORD_RUNTIME_ESTIMATE_S, submission->runtime_estimate_s);
-    rr_encode_key_number(encoder, RR_WORD_CHECKPOINT_S, submission->checkpoint_interval_s);
-    rr_encode_key_number(encoder, RR_WORD_SAVE_S, submission->save_s);
+    rr_encode_key_number(encoder, RR_WORD_CHECKPOINT_INTERVAL_S, submission->checkpoint_interval_s);
+    rr_encode_key_number(encoder, RR_WORD_CHECKPOINT_SAVE_S, submission->save_s);
     if (submission->deadline_s >= 0) {
         rr_encode_key_number(encoder, RR_WORD_DEADLINE_S, submission->deadline_s);
     }
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -1,4 +1,4 @@
-/* Jobs as users submit them. */
+/* Job submissions from users. */
 #ifndef RR_WIRE_USER_MESSAGES_H
 #define RR_WIRE_USER_MESSAGES_H
 
@@ -6,44 +6,49 @@
 #include "wire/encoder.h"
 #include "wire/wire_limits.h"
 
-/* A job array's tasks are independent; a service's run until it is cancelled; of a gang all tasks
- * run at the same time, or none does. */
+/* The tasks of a job array are independent of each other. Those of a service run until it is
+ * cancelled. Those of a gang run all at the same time, or none does. */
 enum rr_job_kind { RR_JOB_ARRAY, RR_JOB_SERVICE, RR_JOB_GANG };
 enum rr_priority { RR_PRIORITY_LOW, RR_PRIORITY_STANDARD, RR_PRIORITY_HIGH, RR_PRIORITY_PROD };
 
+/* A job as its user submits it. */
 typedef struct {
     char job_id[RR_ID_SIZE], job_class[RR_TEXT_SIZE], team[RR_TEXT_SIZE], image[RR_TEXT_SIZE];
     enum rr_job_kind kind;
     enum rr_priority priority;
-    uint32_t task_count;
+    uint32_t task_count; /* 1 to RR_TASKS_MAX */
 
-    /* What each task takes, in cores, devices, GB and seconds. */
+    /* Resources and times of each task, in cores, devices, GB and seconds. */
     double cpus, gpus, mem_gb, image_size_gb;
-    double runtime_estimate_s;    /* without the image fetch; 0 for services */
-    double checkpoint_interval_s; /* 0: it never saves */
-    double save_s;
-    double deadline_s; /* from the submission; <0: none */
-
-    /* Where tasks may run. */
-    char zone[RR_TEXT_SIZE];           /* empty: any */
-    char (*machine_types)[RR_ID_SIZE]; /* owned and exactly as long as needed: jobs are kept */
-    int machine_type_count;            /* 0: any */
-    bool one_zone, spread, spot;
+    double runtime_estimate_s;    /* without the image fetch; 0 for a service */
+    double checkpoint_interval_s; /* 0: the task saves no checkpoints */
+    double save_s;                /* time to save a checkpoint */
+    double deadline_s;            /* from the submission; <0: none */
+
+    /* Placement constraints. */
+    char zone[RR_TEXT_SIZE];           /* empty: any zone */
+    char (*machine_types)[RR_ID_SIZE]; /* owned; no longer than needed, since jobs stay in memory */
+    int machine_type_count;            /* 0: any machine type */
+    bool one_zone;                     /* all tasks have to run in the same zone */
+    bool spread;                       /* at most half of the tasks, rounded up, in one zone */
+    bool spot;                         /* spot machines are allowed */
 } rr_submission;
 
-/* 0 with a submission for rr_submission_clear(); or -EINVAL with the wire's name of the first wrong
- * field, a constant, in *field, and nothing is to be cleared. */
+/* Decodes and validates a submission. Returns 0 with a submission that the caller has to pass to
+ * rr_submission_clear(); or -EINVAL, with nothing to clear and the name on the wire of the first
+ * invalid field, a string constant, in *invalid_field. */
 int rr_submission_decode(const msgpack_object *object, rr_submission *submission,
-                         const char **field);
-/* Frees the machine types. May be repeated. */
+                         const char **invalid_field);
+/* Frees the machine types. May be called more than once. */
 void rr_submission_clear(rr_submission *submission);
 
-/* Appends a submission's fields to an open map; rr_submission_field_count() says how many. */
+/* Appends the submission's fields to a map that the caller has begun. rr_submission_field_count()
+ * returns their number. */
 void rr_submission_encode_fields(rr_encoder *encoder, const rr_submission *submission);
-/* It depends on the optional fields that are set. */
+/* Returns the number of fields to encode, which depends on the optional fields that are set. */
 size_t rr_submission_field_count(const rr_submission *submission);
 
-/* Whether a text has the form of all job ids: "req-" and up to 36 digits. */
+/* Returns whether a string is a valid job id: "req-" and 1 to 36 digits. */
 bool rr_job_id_valid(const char *job_id);
 
 #endif
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,5 +1,5 @@
-/* All messages of the protocol to and from structs, and the documents that carry them. Pure
- * functions: no I/O, no clock, no locks. */
+/* Includes all of the wire package: conversion of the protocol's messages to and from structs, and
+ * the MessagePack documents that carry them. Its functions are pure: no I/O, no clock, no locks. */
 #ifndef RR_WIRE_WIRE_H
 #define RR_WIRE_WIRE_H
 
--- a/src/wire/worker_messages.c
+++ b/src/wire/worker_messages.c
@@ -6,18 +6,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const state_words[] = {[RR_TASK_FETCHING] = RR_WORD_FETCHING,
-                                          [RR_TASK_RUNNING] = RR_WORD_RUNNING,
-                                          [RR_TASK_SAVING] = RR_WORD_SAVING,
-                                          [RR_TASK_ENDED] = RR_WORD_ENDED,
-                                          [RR_TASK_WAITING] = RR_WORD_WAITING};
-
-/* From RR_EXIT_DONE on: RR_EXIT_NONE has no word. */
-static const char *const exit_reason_words[] = {
-    RR_WORD_DONE,        RR_WORD_EXIT_STOPPED, RR_WORD_EXIT_ERROR, RR_WORD_EXIT_FULL,
-    RR_WORD_EXIT_IN_USE, RR_WORD_EXIT_NO_SUCH, RR_WORD_EXIT_PEERS, RR_WORD_EXIT_INCOMPLETE};
-
-static const char *const command_words[] = {[RR_COMMAND_START] = RR_WORD_COMMAND_START,
+static const char *const task_state_names[] = {[RR_TASK_FETCHING] = RR_WORD_FETCHING,
+                                               [RR_TASK_RUNNING] = RR_WORD_RUNNING,
+                                               [RR_TASK_SAVING] = RR_WORD_SAVING,
+                                               [RR_TASK_ENDED] = RR_WORD_ENDED,
+                                               [RR_TASK_WAITING] = RR_WORD_WAITING};
+
+/* Names of the exit reasons from RR_EXIT_DONE on; RR_EXIT_NONE has none. */
+static const char *const exit_reason_names[] = {RR_WORD_DONE,
+                                                RR_WORD_EXIT_STOPPED,
+                                                RR_WORD_EXIT_ERROR,
+                                                RR_WORD_EXIT_NO_RESOURCES,
+                                                RR_WORD_EXIT_ATTEMPT_CONFLICT,
+                                                RR_WORD_EXIT_UNKNOWN_TASK,
+                                                RR_WORD_EXIT_GANG_PEER_LOST,
+                                                RR_WORD_EXIT_GANG_INCOMPLETE};
+
+static const char *const command_names[] = {[RR_COMMAND_START] = RR_WORD_COMMAND_START,
                                             [RR_COMMAND_STOP] = RR_WORD_COMMAND_STOP,
                                             [RR_COMMAND_REAP] = RR_WORD_COMMAND_REAP};
 
@@ -38,16 +43,16 @@
     return true;
 }
 
-/* ---- heartbeats ---- */
+/* ---- Heartbeats ---- */
 
-/* An unknown state counts as one in which the task is on the machine. */
+/* An unknown state counts as RR_TASK_FETCHING, so that the task is taken to be on the machine. */
 static enum rr_task_state decode_state(const msgpack_object *object) {
-    int state = rr_object_name_index(object, state_words, G_N_ELEMENTS(state_words));
+    int state = rr_object_name_index(object, task_state_names, G_N_ELEMENTS(task_state_names));
     return state < 0 ? RR_TASK_FETCHING : (enum rr_task_state)state;
 }
 
 static enum rr_exit_reason decode_exit_reason(const msgpack_object *object) {
-    int i = rr_object_name_index(object, exit_reason_words, G_N_ELEMENTS(exit_reason_words));
+    int i = rr_object_name_index(object, exit_reason_names, G_N_ELEMENTS(exit_reason_names));
     return i < 0 ? RR_EXIT_OTHER : (enum rr_exit_reason)(RR_EXIT_DONE + i);
 }
 
@@ -110,9 +115,9 @@
     memset(heartbeat, 0, sizeof *heartbeat);
     heartbeat->tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
     heartbeat->spot_notice_s = -1;
-    bool readable = decode_machine(object, heartbeat) && decode_counters(object, heartbeat) &&
-                    decode_spot_notice(object, heartbeat) && decode_tasks(object, heartbeat);
-    return readable ? 0 : -EBADMSG;
+    bool valid = decode_machine(object, heartbeat) && decode_counters(object, heartbeat) &&
+                 decode_spot_notice(object, heartbeat) && decode_tasks(object, heartbeat);
+    return valid ? 0 : -EBADMSG;
 }
 
 void rr_heartbeat_clear(rr_heartbeat *heartbeat) {
@@ -122,8 +127,12 @@
     }
 }
 
-/* ---- hashes of heartbeats: FNV-1a; peers compare them, so that they must stay the same ---- */
+/* ---- Hashes of heartbeats ----
+ *
+ * The hash is FNV-1a. Controllers compare hashes with their peers, so all versions have to compute
+ * the same ones. */
 
+/* Not the standard offset basis, 14695981039346656037, but its first 19 digits. */
 #define FNV_OFFSET_BASIS 1469598103934665603ULL
 #define FNV_PRIME 1099511628211ULL
 
@@ -154,17 +163,17 @@
     return hash;
 }
 
-/* ---- commands ---- */
+/* ---- Commands ---- */
 
 static void encode_command(rr_encoder *encoder, const rr_command *command) {
-    bool stops = command->kind == RR_COMMAND_STOP;
+    bool is_stop = command->kind == RR_COMMAND_STOP;
     char task_name[RR_TASK_NAME_SIZE];
     g_snprintf(task_name, sizeof task_name, "%s/%u", command->job_id, command->task);
-    rr_encode_map(encoder, stops ? 4 : 3);
-    rr_encode_key_text(encoder, RR_WORD_COMMAND_KIND, command_words[command->kind]);
+    rr_encode_map(encoder, is_stop ? 4 : 3);
+    rr_encode_key_text(encoder, RR_WORD_COMMAND_KIND, command_names[command->kind]);
     rr_encode_key_text(encoder, RR_WORD_TASK, task_name);
     rr_encode_key_u64(encoder, RR_WORD_ATTEMPT, command->attempt);
-    if (stops) {
+    if (is_stop) {
         rr_encode_key_number(encoder, RR_WORD_GRACE_S, command->grace_s);
     }
 }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,5 +1,6 @@
-/* Documents and messages from outside: limits and validation. Words of the wire stand here as text
- * on purpose, so that a changed constant is noticed. */
+/* Tests of the limits and the validation of documents and messages. The names of the wire protocol
+ * are string literals here, not the constants of wire_words.h, so that a changed constant makes a
+ * test fail. */
 #include "core_fixture.h"
 
 #include <errno.h>
@@ -13,30 +14,32 @@
     return rc;
 }
 
-/* Five bytes that declare four billion elements must not make libmsgpack allocate them. */
-static void huge_lengths_cost_nothing(void **state) {
+/* libmsgpack allocates the declared length of a container at once: five bytes that declare four
+ * billion elements have to be rejected before it decodes them. */
+static void huge_declared_lengths_are_rejected(void **state) {
     (void)state;
-    static const uint8_t heads[][5] = {{0xdd, 0xff, 0xff, 0xff, 0xff},
-                                       {0xdf, 0xff, 0xff, 0xff, 0xff},
-                                       {0xdb, 0xff, 0xff, 0xff, 0xff},
-                                       {0xc6, 0xff, 0xff, 0xff, 0xff},
-                                       {0xc9, 0xff, 0xff, 0xff, 0xff}};
-    for (size_t i = 0; i < sizeof heads / sizeof heads[0]; i++) {
-        assert_int_equal(parse(heads[i], 5), -EBADMSG);
+    static const uint8_t headers[][5] = {{0xdd, 0xff, 0xff, 0xff, 0xff},
+                                         {0xdf, 0xff, 0xff, 0xff, 0xff},
+                                         {0xdb, 0xff, 0xff, 0xff, 0xff},
+                                         {0xc6, 0xff, 0xff, 0xff, 0xff},
+                                         {0xc9, 0xff, 0xff, 0xff, 0xff}};
+    for (size_t i = 0; i < sizeof headers / sizeof headers[0]; i++) {
+        assert_int_equal(parse(headers[i], 5), -EBADMSG);
     }
 }
 
-static void deep_nesting_is_refused(void **state) {
+static void deep_nesting_is_rejected(void **state) {
     (void)state;
     uint8_t deep[RR_BODY_BYTES_MAX];
     memset(deep, 0x91, sizeof deep);
     assert_int_equal(parse(deep, sizeof deep), -EBADMSG);
-    uint8_t fine[] = {0x91, 0x91, 0x91, 0x01};
-    assert_int_equal(parse(fine, sizeof fine), 0);
+    uint8_t shallow[] = {0x91, 0x91, 0x91, 0x01};
+    assert_int_equal(parse(shallow, sizeof shallow), 0);
 }
 
-/* The documents of several pages are kept while the client's buffer takes the next reply. */
-static void a_document_outlives_its_buffer(void **state) {
+/* Documents of earlier pages stay in use while the client's buffer receives the next reply, so that
+ * a document must not refer to the buffer that it was parsed from. */
+static void a_document_does_not_depend_on_its_buffer(void **state) {
     (void)state;
     char buffer[] = "\x81\xa1k\xa3"
                     "abc",
@@ -49,7 +52,7 @@
     rr_document_clear(&document);
 }
 
-static void a_document_is_exactly_one_value(void **state) {
+static void trailing_and_missing_bytes_are_rejected(void **state) {
     (void)state;
     uint8_t two[] = {0x01, 0x02}, cut[] = {0x92, 0x01};
     assert_int_equal(parse(two, 2), -EBADMSG);
@@ -84,7 +87,7 @@
 
 enum replacement { MISSING, NIL, TEXT, NEGATIVE, NOT_FINITE, INTEGER, TOO_MANY };
 
-static void put_replacement(rr_encoder *encoder, enum replacement replacement) {
+static void encode_replacement(rr_encoder *encoder, enum replacement replacement) {
     switch (replacement) {
     case NIL:
         msgpack_pack_nil(&encoder->packer);
@@ -102,11 +105,12 @@
         rr_encode_u64(encoder, 4);
         break;
     default:
-        rr_encode_u64(encoder, 100001); /* one more than allowed */
+        rr_encode_u64(encoder, 100001); /* RR_TASKS_MAX + 1 */
     }
 }
 
-/* A copy of the map with the value of one key replaced or, if MISSING, without the key. */
+/* Encodes a copy of the map in which the value of one key is replaced or, with MISSING, the key is
+ * left out. */
 static void copy_with_replacement(rr_encoder *out, const msgpack_object_map *map, const char *name,
                                   enum replacement replacement) {
     rr_encode_map(out, replacement == MISSING ? map->size - 1 : map->size);
@@ -117,14 +121,14 @@
         }
         msgpack_pack_object(&out->packer, map->ptr[i].key);
         if (replaced) {
-            put_replacement(out, replacement);
+            encode_replacement(out, replacement);
         } else {
             msgpack_pack_object(&out->packer, map->ptr[i].val);
         }
     }
 }
 
-/* Decodes a valid submission with one field replaced. */
+/* Decodes an otherwise valid submission with one field replaced or left out. */
 static int decode_with(const char *name, enum replacement replacement, const char **field) {
     rr_encoder valid, changed;
     rr_document document, original;
@@ -143,7 +147,7 @@
     return rc;
 }
 
-static void a_missing_or_null_field_is_named(void **state) {
+static void a_missing_or_null_field_is_reported(void **state) {
     (void)state;
     static const char *const required[] = {
         "ref",  "lane",    "crew",     "shape", "rank",    "pieces",  "vcpus",   "cards",  "mem_gb",
@@ -156,7 +160,7 @@
     }
 }
 
-static void amounts_are_finite_numbers_from_zero(void **state) {
+static void amounts_must_be_finite_and_not_negative(void **state) {
     (void)state;
     static const char *const amounts[] = {"vcpus",   "cards",   "mem_gb",
                                           "pull_gb", "guess_s", "due_s"};
@@ -169,7 +173,7 @@
     }
 }
 
-static void values_outside_their_set_are_refused(void **state) {
+static void values_outside_their_range_are_rejected(void **state) {
     (void)state;
     const char *field;
     assert_int_equal(decode_with("pieces", TOO_MANY, &field), -EINVAL);
@@ -186,7 +190,7 @@
     assert_int_equal(decode_with("ward", NIL, &field), 0);
 }
 
-static void job_ids_are_req_and_digits(void **state) {
+static void job_ids_must_be_req_and_digits(void **state) {
     (void)state;
     assert_true(rr_job_id_valid("req-000412"));
     assert_false(rr_job_id_valid("req-"));
@@ -195,7 +199,7 @@
     assert_false(rr_job_id_valid("req-1/../2"));
 }
 
-static void task_names_are_a_job_id_and_a_number(void **state) {
+static void task_names_must_be_a_job_id_and_a_number(void **state) {
     (void)state;
     char job_id[RR_ID_SIZE];
     uint32_t task;
@@ -206,7 +210,7 @@
     assert_false(rr_task_name_parse("/3", job_id, sizeof job_id, &task));
 }
 
-/* Decodes a heartbeat with one task of this name. */
+/* Decodes an otherwise valid heartbeat with one task of this name. */
 static int decode_heartbeat_with_task(const char *task_name) {
     rr_encoder encoder;
     rr_document document;
@@ -235,15 +239,15 @@
     return rc;
 }
 
-/* A task list that can't be read completely proves nothing about absent tasks. */
-static void a_heartbeat_with_an_unreadable_task_is_refused(void **state) {
+/* A task list that can't be decoded completely does not prove that other tasks are absent. */
+static void a_heartbeat_with_an_invalid_task_is_rejected(void **state) {
     (void)state;
     assert_int_equal(decode_heartbeat_with_task("req-1/0"), 0);
     assert_int_equal(decode_heartbeat_with_task("nonsense"), -EBADMSG);
 }
 
-/* Fills the buffer with random bytes that begin with a map; returns their count. */
-static size_t random_map(GRand *random, uint8_t *buffer, size_t size) {
+/* Fills the buffer with the first byte of a small map and random bytes. Returns their count. */
+static size_t fill_with_random_map(GRand *random, uint8_t *buffer, size_t size) {
     size_t count = (size_t)g_rand_int_range(random, 1, (gint)size);
     for (size_t i = 0; i < count; i++) {
         buffer[i] = (uint8_t)g_rand_int(random);
@@ -252,9 +256,10 @@
     return count;
 }
 
-/* Fills the buffer with a submission of which some bytes are replaced; returns their count. */
-static size_t damaged_submission(GRand *random, const rr_encoder *job, uint8_t *buffer,
-                                 size_t size) {
+/* Fills the buffer with an encoded submission and replaces some of its bytes at random. Returns
+ * their count. */
+static size_t fill_with_corrupted_submission(GRand *random, const rr_encoder *job, uint8_t *buffer,
+                                             size_t size) {
     size_t count = job->buffer.size < size ? job->buffer.size : size;
     memcpy(buffer, job->buffer.data, count);
     for (int i = g_rand_int_range(random, 1, 6); i > 0; i--) {
@@ -263,7 +268,7 @@
     return count;
 }
 
-/* What a decoder accepts lies within its bounds. */
+/* Runs each decoder. Checks that a submission that is accepted is within its limits. */
 static void run_all_decoders(const msgpack_object *root) {
     rr_submission submission;
     rr_heartbeat heartbeat;
@@ -283,16 +288,16 @@
     rr_listed_machine_decode(root, &listed);
 }
 
-/* Nothing may crash; the sanitizers' builds see accesses out of bounds. */
-static void random_and_damaged_documents_do_no_harm(void **state) {
+/* No input may crash a decoder; the sanitizer builds detect accesses out of bounds, too. */
+static void random_and_corrupted_documents_are_handled_safely(void **state) {
     (void)state;
     GRand *random = g_rand_new_with_seed(20);
     uint8_t buffer[512] = {0};
     rr_encoder job;
     encode_job(&job);
     for (int i = 0; i < 40000; i++) {
-        size_t count = i % 2 ? damaged_submission(random, &job, buffer, sizeof buffer)
-                             : random_map(random, buffer, sizeof buffer);
+        size_t count = i % 2 ? fill_with_corrupted_submission(random, &job, buffer, sizeof buffer)
+                             : fill_with_random_map(random, buffer, sizeof buffer);
         rr_document document;
         if (rr_document_parse(&document, buffer, count) == 0) {
             run_all_decoders(document.root);
@@ -305,18 +310,18 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(huge_lengths_cost_nothing),
-        cmocka_unit_test(deep_nesting_is_refused),
-        cmocka_unit_test(a_document_outlives_its_buffer),
-        cmocka_unit_test(a_document_is_exactly_one_value),
+        cmocka_unit_test(huge_declared_lengths_are_rejected),
+        cmocka_unit_test(deep_nesting_is_rejected),
+        cmocka_unit_test(a_document_does_not_depend_on_its_buffer),
+        cmocka_unit_test(trailing_and_missing_bytes_are_rejected),
         cmocka_unit_test(an_encoded_submission_decodes_to_the_same),
-        cmocka_unit_test(a_missing_or_null_field_is_named),
-        cmocka_unit_test(amounts_are_finite_numbers_from_zero),
-        cmocka_unit_test(values_outside_their_set_are_refused),
+        cmocka_unit_test(a_missing_or_null_field_is_reported),
+        cmocka_unit_test(amounts_must_be_finite_and_not_negative),
+        cmocka_unit_test(values_outside_their_range_are_rejected),
         cmocka_unit_test(optional_fields_may_be_null_or_missing),
-        cmocka_unit_test(job_ids_are_req_and_digits),
-        cmocka_unit_test(task_names_are_a_job_id_and_a_number),
-        cmocka_unit_test(a_heartbeat_with_an_unreadable_task_is_refused),
-        cmocka_unit_test(random_and_damaged_documents_do_no_harm)};
+        cmocka_unit_test(job_ids_must_be_req_and_digits),
+        cmocka_unit_test(task_names_must_be_a_job_id_and_a_number),
+        cmocka_unit_test(a_heartbeat_with_an_invalid_task_is_rejected),
+        cmocka_unit_test(random_and_corrupted_documents_are_handled_safely)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
