--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -9,46 +9,48 @@
 struct rr_absent {
     const struct rr_config *config;
     const char *own_cell;
-    rr_core *cache;      /* a store cache of that cell; NULL: nothing was read */
-    GHashTable *outs;    /* job id -> rr_absent_out */
-    uint64_t token;      /* of the term that was read */
-    double gone_since;   /* steady clock; 0: it may have controllers */
-    uint64_t gone_token; /* of the term for which gone_since counts */
+    rr_core *cache;              /* store cache of the absent cell; NULL: nothing was read */
+    GHashTable *transfers;       /* job id -> rr_absent_transfer; owned */
+    uint64_t token;              /* fencing token of the term that was read */
+    double absent_since;         /* steady clock, seconds; 0: the cell may have controllers */
+    uint64_t absent_since_token; /* fencing token of the term to which absent_since applies */
 };
 
 rr_absent *rr_absent_create(const struct rr_config *config, const char *own_cell) {
     rr_absent *absent = g_new0(rr_absent, 1);
     absent->config = config;
     absent->own_cell = own_cell;
-    absent->outs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    absent->transfers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return absent;
 }
 
 void rr_absent_destroy(rr_absent *absent) {
     if (absent) {
         rr_core_destroy(absent->cache);
-        g_hash_table_destroy(absent->outs);
+        g_hash_table_destroy(absent->transfers);
         g_free(absent);
     }
 }
 
-/* ---- reading ---- */
+/* ---- reading the store ---- */
 
-static void on_record(void *user, const char *rest, const msgpack_object *value, uint64_t version) {
+/* Keeps the transfer records of the absent cell's own jobs and ignores all others. */
+static void store_transfer(void *user, const char *key_suffix, const msgpack_object *value,
+                           uint64_t version) {
     rr_absent *absent = user;
-    rr_absent_out out = {.version = version};
-    if (value && g_str_has_prefix(rest, RR_CELLS_OUT) &&
-        rr_cells_out_decode(value, &out.record) == 0) {
-        g_hash_table_replace(absent->outs, g_strdup(rest + strlen(RR_CELLS_OUT)),
-                             g_memdup2(&out, sizeof out));
+    rr_absent_transfer transfer = {.version = version};
+    if (value && g_str_has_prefix(key_suffix, RR_CELLS_OUT) &&
+        rr_cells_out_decode(value, &transfer.record) == 0) {
+        g_hash_table_replace(absent->transfers, g_strdup(key_suffix + strlen(RR_CELLS_OUT)),
+                             g_memdup2(&transfer, sizeof transfer));
     }
 }
 
 void rr_absent_begin(rr_absent *absent) {
     rr_core_destroy(absent->cache);
-    g_hash_table_remove_all(absent->outs);
+    g_hash_table_remove_all(absent->transfers);
     absent->cache = rr_core_create(absent->config);
-    rr_core_watch_records(absent->cache, RR_CELLS_PREFIX, on_record, absent);
+    rr_core_watch_records(absent->cache, RR_CELLS_PREFIX, store_transfer, absent);
     rr_core_cache_begin_reload(absent->cache);
 }
 
@@ -58,44 +60,49 @@
 }
 
 void rr_absent_end(rr_absent *absent, double now) {
+    /* The revisions do not matter: the cache is new, and no watch follows the read. */
     rr_core_cache_end_reload(absent->cache, 1, 1, now);
     absent->token = rr_core_fencing_token(absent->cache);
 }
 
 void rr_absent_confirm(rr_absent *absent, bool no_sessions, double now) {
     if (!no_sessions) {
-        absent->gone_since = 0;
+        absent->absent_since = 0;
         return;
     }
-    if (absent->gone_since <= 0 || absent->gone_token != absent->token) {
-        absent->gone_since = now;
-        absent->gone_token = absent->token;
+    if (absent->absent_since <= 0 || absent->absent_since_token != absent->token) {
+        absent->absent_since = now;
+        absent->absent_since_token = absent->token;
     }
 }
 
+/* ---- queries ---- */
+
 double rr_absent_for(const rr_absent *absent, double now) {
-    return absent->gone_since > 0 ? now - absent->gone_since : 0;
+    return absent->absent_since > 0 ? now - absent->absent_since : 0;
 }
 
-const rr_absent_out *rr_absent_out_of(const rr_absent *absent, const char *job_id) {
-    return g_hash_table_lookup(absent->outs, job_id);
+const rr_absent_transfer *rr_absent_find_transfer(const rr_absent *absent, const char *job_id) {
+    return g_hash_table_lookup(absent->transfers, job_id);
 }
 
-bool rr_absent_holds(const rr_absent *absent, const char *job_id, uint32_t claim) {
-    const rr_absent_out *out = rr_absent_out_of(absent, job_id);
-    return out && out->record.state == RR_HOME_OFFERED && out->record.claim == claim &&
-           strcmp(out->record.guest, absent->own_cell) == 0;
+bool rr_absent_has_claim(const rr_absent *absent, const char *job_id, uint32_t claim) {
+    const rr_absent_transfer *transfer = rr_absent_find_transfer(absent, job_id);
+    return transfer && transfer->record.state == RR_HOME_OFFERED &&
+           transfer->record.claim == claim && strcmp(transfer->record.guest, absent->own_cell) == 0;
 }
 
-struct visit {
+/* Arguments of rr_absent_each_open_job(). */
+struct job_visit {
     const rr_absent *absent;
     rr_absent_job_fn callback;
     void *user;
 };
 
+/* Passes the job on if it is open. */
 static void visit_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
                       uint32_t placed, uint32_t done) {
-    const struct visit *visit = user;
+    const struct job_visit *visit = user;
     rr_core_job job;
     (void)team;
     (void)waiting;
@@ -104,55 +111,57 @@
     if (rr_core_find_job(visit->absent->cache, submission->job_id, &job) && !job.done &&
         !job.cancelled) {
         visit->callback(visit->user, submission, job.at,
-                        rr_absent_out_of(visit->absent, submission->job_id));
+                        rr_absent_find_transfer(visit->absent, submission->job_id));
     }
 }
 
-void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn callback, void *user) {
-    struct visit visit = {absent, callback, user};
+void rr_absent_each_open_job(const rr_absent *absent, rr_absent_job_fn callback, void *user) {
+    struct job_visit visit = {absent, callback, user};
     rr_core_each_job(absent->cache, visit_job, &visit);
 }
 
-/* ---- changes ---- */
+/* ---- changes to the absent cell's store ---- */
 
-/* Guarded by the term and by the record that was read. */
-static void change_out(const rr_absent *absent, const char *job_id, const rr_out_record *record,
-                       rr_transaction *out) {
-    const rr_absent_out *before = rr_absent_out_of(absent, job_id);
-    rr_core_guard_term(absent->cache, out);
-    rr_cells_out_write(out, job_id, before ? before->version : 0, record);
+/* Adds a write of the job's transfer record, guarded by the term and by the record that was read.
+ * record NULL: deletes it. */
+static void add_guarded_write(const rr_absent *absent, const char *job_id,
+                              const rr_out_record *record, rr_transaction *transaction) {
+    const rr_absent_transfer *current = rr_absent_find_transfer(absent, job_id);
+    rr_core_guard_term(absent->cache, transaction);
+    rr_cells_out_write(transaction, job_id, current ? current->version : 0, record);
 }
 
 bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
-                     rr_transaction *out) {
-    const rr_absent_out *before = rr_absent_out_of(absent, job_id);
+                     rr_transaction *transaction) {
+    const rr_absent_transfer *current = rr_absent_find_transfer(absent, job_id);
     rr_out_record record = {.state = RR_HOME_OFFERED, .claim = 1};
-    if ((before && before->record.state != RR_HOME_LOCAL) ||
-        !rr_core_guard_job(absent->cache, job_id, out)) {
+    if ((current && current->record.state != RR_HOME_LOCAL) ||
+        !rr_core_guard_job(absent->cache, job_id, transaction)) {
         return false;
     }
-    record.claim += before ? before->record.claim : 0;
+    record.claim += current ? current->record.claim : 0;
     g_strlcpy(record.team, team, sizeof record.team);
     g_strlcpy(record.guest, absent->own_cell, sizeof record.guest);
-    change_out(absent, job_id, &record, out);
+    add_guarded_write(absent, job_id, &record, transaction);
     return true;
 }
 
-bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out) {
-    if (!rr_core_finish_job(absent->cache, job_id, true, out)) {
+bool rr_absent_finish_job(const rr_absent *absent, const char *job_id,
+                          rr_transaction *transaction) {
+    if (!rr_core_finish_job(absent->cache, job_id, true, transaction)) {
         return false;
     }
-    change_out(absent, job_id, NULL, out);
+    add_guarded_write(absent, job_id, NULL, transaction);
     return true;
 }
 
-bool rr_absent_give_back(const rr_absent *absent, const char *job_id, double wall,
-                         rr_transaction *out) {
-    const rr_absent_out *before = rr_absent_out_of(absent, job_id);
-    if (!before) {
+bool rr_absent_give_back_job(const rr_absent *absent, const char *job_id, double wall,
+                             rr_transaction *transaction) {
+    const rr_absent_transfer *current = rr_absent_find_transfer(absent, job_id);
+    if (!current) {
         return false;
     }
-    rr_out_record record = rr_cells_out_withdrawn(&before->record, wall);
-    change_out(absent, job_id, &record, out);
+    rr_out_record record = rr_cells_out_withdrawn(&current->record, wall);
+    add_guarded_write(absent, job_id, &record, transaction);
     return true;
 }
--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -1,9 +1,9 @@
-/* Another cell as its key-value store alone shows it, while it has no controllers: read completely
- * by a cell that holds jobs of it or may claim some. Belongs to one thread; no I/O of its own.
+/* A neighbour cell without controllers, as read from its key-value store by a cell that holds jobs
+ * of it or may claim some. An object belongs to one thread and does no I/O of its own.
  *
- * A reading counts only between two checks that found no session, one before and one after it. Then
- * no controller of the term that was read has a valid lease, and a change that is guarded by that
- * term's record is made before any other controller's (docs/cells.md). */
+ * A read counts only if a check before it and a check after it both found no controller session.
+ * Then no controller of the term that was read has a valid lease, and a change that is guarded by
+ * that term's record is committed before any other controller makes one (docs/cells.md). */
 #ifndef RR_CELLS_ABSENT_H
 #define RR_CELLS_ABSENT_H
 
@@ -12,51 +12,64 @@
 
 typedef struct rr_absent rr_absent;
 
-/* own_cell: the reader's name. Both are borrowed and outlive the object. */
+/* own_cell: name of the cell that reads. Both arguments are borrowed and outlive the object. */
 rr_absent *rr_absent_create(const struct rr_config *config, const char *own_cell);
-/* NULL is allowed. */
+/* Frees the object. NULL is allowed. */
 void rr_absent_destroy(rr_absent *absent);
 
-/* One reading: begin, put for all records, end. */
+/* ---- reading: begin, put for each record, end, confirm; now is the steady clock in seconds ----
+ */
+
+/* Starts a read and discards the records of the previous one. */
 void rr_absent_begin(rr_absent *absent);
-/* One record; it is borrowed for the call. */
+/* Adds one record. key and value are borrowed for the call. */
 void rr_absent_put(rr_absent *absent, const char *key, const msgpack_object *value,
                    uint64_t version, double now);
-/* The reading is complete: its term is the one that later changes are guarded by. */
+/* Completes the read. Later changes are guarded by the term that it contains. */
 void rr_absent_end(rr_absent *absent, double now);
-
-/* Takes the outcome of the two checks; no_sessions: neither found one. */
+/* Takes the result of the session checks before and after the read. no_sessions: both were made and
+ * found no session. */
 void rr_absent_confirm(rr_absent *absent, bool no_sessions, double now);
-/* For how many seconds it has had no controllers, in one term; 0: it may have some. */
+
+/* ---- queries ---- */
+
+/* Returns for how many seconds the cell has had no controllers within one term; 0: it may have
+ * some. */
 double rr_absent_for(const rr_absent *absent, double now);
 
+/* The record that the absent cell keeps of the transfer of one of its jobs. */
 typedef struct {
     rr_out_record record;
-    uint64_t version;
-} rr_absent_out;
+    uint64_t version; /* of the record in the absent cell's store */
+} rr_absent_transfer;
 
-/* NULL: the job was never offered, or its transfer has ended. Borrowed until the next reading. */
-const rr_absent_out *rr_absent_out_of(const rr_absent *absent, const char *job_id);
-/* Whether the record says that this cell holds the job under this claim. */
-bool rr_absent_holds(const rr_absent *absent, const char *job_id, uint32_t claim);
+/* Returns the job's transfer, borrowed until the next read. NULL: the job was never offered, or its
+ * transfer has ended. */
+const rr_absent_transfer *rr_absent_find_transfer(const rr_absent *absent, const char *job_id);
+/* Returns whether the absent cell's record assigns the job to the reading cell under this claim. */
+bool rr_absent_has_claim(const rr_absent *absent, const char *job_id, uint32_t claim);
 
-/* accepted_at: time of day. All pointers are borrowed for the call. */
+/* accepted_at: time of day. transfer is NULL as in rr_absent_find_transfer(). All pointers are
+ * borrowed for the call. */
 typedef void (*rr_absent_job_fn)(void *user, const rr_submission *submission, double accepted_at,
-                                 const rr_absent_out *out);
-/* Visits the jobs that are open there. */
-void rr_absent_each_open(const rr_absent *absent, rr_absent_job_fn callback, void *user);
+                                 const rr_absent_transfer *transfer);
+/* Calls back for every job of the absent cell that is neither done nor cancelled. */
+void rr_absent_each_open_job(const rr_absent *absent, rr_absent_job_fn callback, void *user);
 
-/* Changes to its key-value store, guarded by its term and the records that were read. False: the
- * change is not possible, and *out is of no use. */
+/* ---- changes to the absent cell's store ----
+ *
+ * They are guarded by its term and by the records that were read. False: the change is not
+ * possible, and the transaction must not be committed. */
 
-/* Claims an open job for the reader; its user's cancellation makes the commit fail. */
+/* Claims an open job for the reading cell. A cancellation by the job's user makes the commit fail.
+ */
 bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
-                     rr_transaction *out);
-/* Records a held job as done. Tasks that its ledger has placed there are gone: their workers have
- * had no controllers. */
-bool rr_absent_finish(const rr_absent *absent, const char *job_id, rr_transaction *out);
-/* Withdraws a held job from the reader. */
-bool rr_absent_give_back(const rr_absent *absent, const char *job_id, double wall,
-                         rr_transaction *out);
+                     rr_transaction *transaction);
+/* Records a claimed job as done. Its tasks that are placed in the absent cell according to that
+ * cell's ledger count as gone, since their workers have had no controllers. */
+bool rr_absent_finish_job(const rr_absent *absent, const char *job_id, rr_transaction *transaction);
+/* Withdraws a claimed job from the reading cell. wall: time of day. */
+bool rr_absent_give_back_job(const rr_absent *absent, const char *job_id, double wall,
+                             rr_transaction *transaction);
 
 #endif
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -1,6 +1,6 @@
-/* Jobs of a neighbour that has no controllers. Those that this cell holds are granted by their
- * records in the neighbour's key-value store, and their answers are written there; open ones are
- * claimed. */
+/* Handles the jobs of a neighbour that has no controllers. For jobs that this cell holds, the
+ * records in the neighbour's key-value store serve as grants, and the jobs' outcomes are written
+ * there. Jobs that are open there are claimed. */
 #include "cells/incoming.h"
 #include "core/cache_feed.h"
 #include "core/state/transaction.h"
@@ -8,23 +8,24 @@
 
 #include <string.h>
 
-#define CLAIMS_AT_ONCE_MAX 16u /* in one look */
+#define CLAIMS_PER_PASS_MAX 16u
 
-struct look {
+/* One pass over the jobs of an absent neighbour. */
+struct absent_pass {
     rr_transfers *transfers;
-    size_t neighbour;
+    size_t neighbour; /* index of the settings */
     const rr_absent *absent;
-    double asked; /* when the reading began, on the steady clock */
-    double now, wall;
-    rr_transfers_plan *here;
-    GPtrArray *there; /* rr_transfer_write* */
-    guint claims;     /* planned in this look */
+    double read_started_at;        /* steady clock, seconds */
+    double now, wall;              /* steady clock and time of day, seconds */
+    rr_transfers_plan *local_plan; /* writes to this cell's store */
+    GPtrArray *neighbour_writes;   /* rr_transfer_write *: writes to the neighbour's store */
+    guint claims;                  /* claims added to neighbour_writes in this pass */
 };
 
-/* Moves the transaction into a write there if the change is possible, and clears it otherwise.
- * Returns whether it is possible. */
-static bool add_there(struct look *look, bool possible, const char *id, bool ends_claim,
-                      rr_transaction *transaction) {
+/* Moves the transaction into a write to the neighbour's store if the change is possible, and clears
+ * it otherwise. id: the job's id in this cell. Returns `possible`. */
+static bool add_neighbour_write(struct absent_pass *pass, bool possible, const char *id,
+                                bool ends_claim, rr_transaction *transaction) {
     if (!possible) {
         rr_transaction_clear(transaction);
         return false;
@@ -33,49 +34,54 @@
     write->ends_claim = ends_claim;
     write->transaction = *transaction;
     g_strlcpy(write->id, id, sizeof write->id);
-    g_ptr_array_add(look->there, write);
+    g_ptr_array_add(pass->neighbour_writes, write);
     return true;
 }
 
-/* ---- jobs that this cell holds ---- */
+/* ---- jobs held by this cell ---- */
 
-/* As if the home had sent the message, in reply to one from when the reading began. */
-static void receive(const struct look *look, rr_incoming *entry, enum rr_transfer_kind kind) {
+/* Updates the guest as if the home had sent this message in reply to one that was sent when the
+ * read started. */
+static void apply_home_message(const struct absent_pass *pass, rr_incoming *entry,
+                               enum rr_transfer_kind kind) {
     rr_transfer_message message = {.kind = kind,
                                    .claim = entry->guest.record.claim,
-                                   .sent_at = look->asked,
-                                   .asker = look->transfers->process};
-    rr_guest_receive(&entry->guest, &message, false, &look->transfers->settings->times);
+                                   .sent_at = pass->read_started_at,
+                                   .asker = pass->transfers->process};
+    rr_guest_receive(&entry->guest, &message, false, &pass->transfers->settings->times);
 }
 
-static void write_answer(struct look *look, const rr_incoming *entry) {
+/* Records the job as done in the neighbour's store. */
+static void write_answer(struct absent_pass *pass, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    bool possible = rr_absent_finish(look->absent, entry->record.job_id, &transaction);
-    add_there(look, possible, entry->local_id, true, &transaction);
+    bool possible = rr_absent_finish_job(pass->absent, entry->record.job_id, &transaction);
+    add_neighbour_write(pass, possible, entry->local_id, true, &transaction);
 }
 
-static void give_back(struct look *look, const rr_incoming *entry) {
+/* Withdraws the job from this cell in the neighbour's store. */
+static void give_back(struct absent_pass *pass, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     bool possible =
-        rr_absent_give_back(look->absent, entry->record.job_id, look->wall, &transaction);
-    add_there(look, possible, entry->local_id, true, &transaction);
+        rr_absent_give_back_job(pass->absent, entry->record.job_id, pass->wall, &transaction);
+    add_neighbour_write(pass, possible, entry->local_id, true, &transaction);
 }
 
-static void look_at_held(struct look *look, rr_incoming *entry) {
-    if (!rr_incoming_ready(look->transfers, entry, look->now)) {
+/* Renews or ends a held job's claim, by its record in the neighbour's store. */
+static void process_held_job(struct absent_pass *pass, rr_incoming *entry) {
+    if (!rr_incoming_ready(pass->transfers, entry, pass->now)) {
         return;
     }
-    if (!rr_absent_holds(look->absent, entry->record.job_id, entry->guest.record.claim)) {
-        receive(look, entry, RR_TRANSFER_VOID);
+    if (!rr_absent_has_claim(pass->absent, entry->record.job_id, entry->guest.record.claim)) {
+        apply_home_message(pass, entry, RR_TRANSFER_VOID);
     } else if (entry->guest.record.state == RR_GUEST_ENDED) {
-        write_answer(look, entry);
+        write_answer(pass, entry);
     } else if (entry->returning && !entry->guest.running) {
-        give_back(look, entry);
+        give_back(pass, entry);
     } else if (!entry->returning) {
-        receive(look, entry, RR_TRANSFER_GRANT);
-        entry->sent_at = look->now;
+        apply_home_message(pass, entry, RR_TRANSFER_GRANT);
+        entry->sent_at = pass->now;
     }
 }
 
@@ -87,73 +93,75 @@
     transfers->stats.claimed += !write->ends_claim;
 }
 
-/* ---- jobs that it may claim ---- */
+/* ---- open jobs of the neighbour ---- */
 
-/* The record says that the job is offered to this cell: taken as if the offer had come by a link.
- */
-static void take_offered(struct look *look, const rr_submission *submission, double accepted_at,
-                         const rr_absent_out *out) {
+/* Accepts a job whose record says that it is offered to this cell, as if the offer had been
+ * received over a connection. */
+static void accept_offer(struct absent_pass *pass, const rr_submission *submission,
+                         double accepted_at, const rr_absent_transfer *transfer) {
     rr_cells_request request;
-    rr_transfer_message reply, offer = {.kind = RR_TRANSFER_OFFER, .claim = out->record.claim};
+    rr_transfer_message reply, offer = {.kind = RR_TRANSFER_OFFER, .claim = transfer->record.claim};
     rr_transfer_write write;
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     g_strlcpy(request.team, submission->team, sizeof request.team);
-    request.lease_s = look->transfers->settings->times.lease_s;
-    request.rest_s = look->transfers->settings->times.rest_s;
+    request.lease_s = pass->transfers->settings->times.lease_s;
+    request.rest_s = pass->transfers->settings->times.rest_s;
     rr_cells_add_offer(request.items, &offer, submission, accepted_at);
     const rr_cells_item *item = &g_array_index(request.items, rr_cells_item, 0);
-    if (rr_transfers_receive(look->transfers, look->neighbour, &request, item, look->now,
-                             look->wall, &reply, &write)) {
-        rr_transfers_plan_add(look->here, &write);
+    if (rr_transfers_receive(pass->transfers, pass->neighbour, &request, item, pass->now,
+                             pass->wall, &reply, &write)) {
+        rr_transfers_plan_add(pass->local_plan, &write);
     }
     rr_cells_request_clear(&request);
 }
 
-/* After rest_s without controllers everything that ran there has ended. */
-static bool may_claim(const struct look *look, const rr_submission *submission) {
-    const rr_transfers *transfers = look->transfers;
-    rr_cells_room room = rr_transfers_room(look->transfers, look->now);
+/* Returns whether the job may be claimed: the neighbour has had no controllers for rest_s, after
+ * which everything that ran there has ended, and this cell has capacity for the job. */
+static bool may_claim(const struct absent_pass *pass, const rr_submission *submission) {
+    const rr_transfers *transfers = pass->transfers;
+    rr_cells_room room = rr_transfers_room(pass->transfers, pass->now);
     const char *reason;
-    return look->claims < CLAIMS_AT_ONCE_MAX &&
-           rr_absent_for(look->absent, look->now) > transfers->settings->times.rest_s &&
+    return pass->claims < CLAIMS_PER_PASS_MAX &&
+           rr_absent_for(pass->absent, pass->now) > transfers->settings->times.rest_s &&
            rr_cells_room_take(&room, submission) &&
            rr_core_check_submission(transfers->core, submission, &reason) == RR_SUBMISSION_NEW;
 }
 
-static void look_at_job(void *user, const rr_submission *submission, double accepted_at,
-                        const rr_absent_out *out) {
-    struct look *look = user;
+/* Accepts the job if it is offered to this cell, or claims it. */
+static void process_open_job(void *user, const rr_submission *submission, double accepted_at,
+                             const rr_absent_transfer *transfer) {
+    struct absent_pass *pass = user;
     rr_transaction transaction;
-    if (!rr_transfers_owns(look->transfers, submission->team, look->now)) {
+    if (!rr_transfers_owns(pass->transfers, submission->team, pass->now)) {
         return;
     }
-    if (out && rr_absent_holds(look->absent, submission->job_id, out->record.claim)) {
-        take_offered(look, submission, accepted_at, out);
+    if (transfer && rr_absent_has_claim(pass->absent, submission->job_id, transfer->record.claim)) {
+        accept_offer(pass, submission, accepted_at, transfer);
         return;
     }
-    if (!may_claim(look, submission)) {
+    if (!may_claim(pass, submission)) {
         return;
     }
     rr_transaction_init(&transaction);
     bool possible =
-        rr_absent_claim(look->absent, submission->job_id, submission->team, &transaction);
-    if (add_there(look, possible, submission->job_id, false, &transaction)) {
-        rr_cells_room_take(&look->transfers->room, submission);
-        look->claims++;
+        rr_absent_claim(pass->absent, submission->job_id, submission->team, &transaction);
+    if (add_neighbour_write(pass, possible, submission->job_id, false, &transaction)) {
+        rr_cells_room_take(&pass->transfers->room, submission);
+        pass->claims++;
     }
 }
 
 void rr_transfers_advance_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
                                  double asked, double now, double wall, rr_transfers_plan *here,
                                  GPtrArray *there) {
-    struct look look = {.transfers = transfers,
-                        .neighbour = neighbour,
-                        .absent = absent,
-                        .asked = asked,
-                        .now = now,
-                        .wall = wall,
-                        .here = here,
-                        .there = there};
+    struct absent_pass pass = {.transfers = transfers,
+                               .neighbour = neighbour,
+                               .absent = absent,
+                               .read_started_at = asked,
+                               .now = now,
+                               .wall = wall,
+                               .local_plan = here,
+                               .neighbour_writes = there};
     GHashTableIter iterator;
     gpointer value;
     g_ptr_array_set_free_func(there, rr_transfer_write_free);
@@ -164,8 +172,8 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         rr_incoming *entry = value;
         if (entry->neighbour == (int)neighbour) {
-            look_at_held(&look, entry);
+            process_held_job(&pass, entry);
         }
     }
-    rr_absent_each_open(absent, look_at_job, &look);
+    rr_absent_each_open_job(absent, process_open_job, &pass);
 }
