--- a/src/cells/links.c
+++ b/src/cells/links.c
@@ -1,4 +1,4 @@
-/* Serves the requests of neighbours. */
+/* Listens for connections of neighbours and serves their requests. */
 #include "cells/links.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -14,68 +14,71 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define IDLE_TIMEOUT_S 60.0
-#define TRANSFER_TIMEOUT_S 5.0 /* of one send or receive */
+#define IDLE_TIMEOUT_S 60.0  /* a connection without requests is closed */
+#define SOCKET_TIMEOUT_S 5.0 /* for one send or receive */
 #define LISTEN_BACKLOG 64
-#define STOP_CHECK_MS 500
-#define ACCEPT_RETRY_S 0.1 /* after a failure, such as having no free descriptors */
-#define LOG_INTERVAL_S 10.0
+#define STOP_CHECK_MS 500  /* interval between checks of *stop while listening */
+#define ACCEPT_RETRY_S 0.1 /* after a failed accept, such as for lack of file descriptors */
+#define UNKNOWN_PEER_LOG_INTERVAL_S 10.0
 
 struct rr_cells_links {
     const rr_cells_settings *settings;
     const atomic_bool *stop;
     rr_cells_serve_fn serve;
-    rr_cells_context_fn end;
+    rr_cells_context_free_fn free_context;
     void *user;
-    int listener;
-    pthread_t acceptor;
-    bool accepting;
-    double logged_at; /* used by the acceptor only */
+    int listener; /* socket, or -errno if it could not be opened */
+    pthread_t accept_thread;
+    bool accept_thread_started;
+    double unknown_peer_logged_at; /* steady clock, seconds; used by the accept thread only */
     pthread_mutex_t lock;
-    /* Under the lock: */
+    /* Guarded by the lock: */
     pthread_cond_t connection_ended;
     int connection_count;
     rr_cells_links_stats stats;
 };
 
+/* An incoming connection, owned by its thread. */
 struct connection {
     rr_cells_links *links;
     int fd;
-    size_t neighbour;
+    size_t neighbour; /* index of the settings */
 };
 
-static void count(rr_cells_links *links, uint64_t *counter) {
+/* Takes the lock. */
+static void increment_counter(rr_cells_links *links, uint64_t *counter) {
     pthread_mutex_lock(&links->lock);
     (*counter)++;
     pthread_mutex_unlock(&links->lock);
 }
 
-/* ---- serving ---- */
+/* ---- serving requests ---- */
 
-/* OK if the request is readable, for this cell, and from the cell whose networks it comes from. */
-static enum rr_cells_status check_request(const struct connection *connection, int unpacked,
+/* Returns OK if the request could be unpacked, is for this cell, and is from the cell whose
+ * networks the connection comes from. */
+static enum rr_cells_status check_request(const struct connection *connection, int unpack_result,
                                           const rr_cells_request *request) {
     const rr_cells_settings *settings = connection->links->settings;
-    if (unpacked != 0) {
-        return unpacked == -EPROTO ? RR_CELLS_VERSION_UNKNOWN : RR_CELLS_MALFORMED;
+    if (unpack_result != 0) {
+        return unpack_result == -EPROTO ? RR_CELLS_VERSION_UNKNOWN : RR_CELLS_MALFORMED;
     }
     bool names_match = strcmp(request->to, settings->name) == 0 &&
                        strcmp(request->from, settings->neighbours[connection->neighbour].name) == 0;
     return names_match ? RR_CELLS_OK : RR_CELLS_WRONG_CELL;
 }
 
-/* Sets the reply's status and, if it is OK, has the request answered. */
+/* Sets the reply's status. If it is OK, calls back for the rest of the reply. */
 static void answer_request(struct connection *connection, void **context,
                            const rr_frame_reader *payload, rr_cells_reply *reply) {
     rr_cells_links *links = connection->links;
     rr_cells_request request;
-    int unpacked = rr_cells_request_unpack(payload->next, payload->bytes_left, &request);
-    reply->status = check_request(connection, unpacked, &request);
+    int unpack_result = rr_cells_request_unpack(payload->next, payload->bytes_left, &request);
+    reply->status = check_request(connection, unpack_result, &request);
     if (reply->status == RR_CELLS_OK) {
         links->serve(links->user, context, connection->neighbour, &request, reply);
     } else {
-        count(links, &links->stats.refused);
-        rr_log(RR_DEBUG_LEVEL, "cells: a request from %s is refused: %s",
+        increment_counter(links, &links->stats.refused);
+        rr_log(RR_DEBUG_LEVEL, "cells: refused a request from neighbour %s: %s",
                links->settings->neighbours[connection->neighbour].name,
                rr_cells_status_name(reply->status));
     }
@@ -90,11 +93,11 @@
     return sent;
 }
 
-/* False: the connection is to be closed. */
+/* Answers one frame. False: the connection has to be closed. */
 static bool serve_frame(struct connection *connection, void **context, uint8_t type,
                         const rr_frame_reader *payload) {
     if (type != RR_FRAME_CELLS) {
-        count(connection->links, &connection->links->stats.refused);
+        increment_counter(connection->links, &connection->links->stats.refused);
         return false;
     }
     rr_cells_reply reply;
@@ -105,13 +108,17 @@
     return sent;
 }
 
-static void connection_ended(rr_cells_links *links) {
+/* Makes room for another connection. Called last by a connection's thread, as
+ * rr_cells_links_destroy() frees the object once no connection is left. */
+static void release_connection(rr_cells_links *links) {
     pthread_mutex_lock(&links->lock);
     links->connection_count--;
     pthread_cond_broadcast(&links->connection_ended);
     pthread_mutex_unlock(&links->lock);
 }
 
+/* ---- connections ---- */
+
 static void *connection_main(void *argument) {
     struct connection *connection = argument;
     rr_cells_links *links = connection->links;
@@ -121,23 +128,24 @@
     void *context = NULL;
     rr_usage_enter(RR_USAGE_CELLS);
     rr_inbox_init(&inbox, connection->fd);
-    rr_peer_set_timeouts(connection->fd, TRANSFER_TIMEOUT_S);
+    rr_peer_set_timeouts(connection->fd, SOCKET_TIMEOUT_S);
     while (rr_peer_receive(links->stop, &inbox, &type, &payload, IDLE_TIMEOUT_S) == 0 &&
            serve_frame(connection, &context, type, &payload)) {
     }
     close(connection->fd);
     rr_inbox_clear(&inbox);
     if (context) {
-        links->end(context);
+        links->free_context(context);
     }
     rr_usage_leave();
     g_free(connection);
-    connection_ended(links);
+    release_connection(links);
     return NULL;
 }
 
-/* The neighbour whose networks contain the address, or -1. */
-static int neighbour_at(const rr_cells_settings *settings, const struct in_addr *address) {
+/* Returns the index of the neighbour whose networks contain the address, or -1. */
+static int find_neighbour_by_address(const rr_cells_settings *settings,
+                                     const struct in_addr *address) {
     for (size_t i = 0; i < settings->neighbour_count; i++) {
         if (rr_networks_contain(settings->neighbours[i].networks, address)) {
             return (int)i;
@@ -146,16 +154,18 @@
     return -1;
 }
 
+/* Logs the address, at most once in UNKNOWN_PEER_LOG_INTERVAL_S. */
 static void log_unknown_peer(rr_cells_links *links, const struct in_addr *address) {
     char text[INET_ADDRSTRLEN] = "";
-    if (rr_steady_clock_s() - links->logged_at >= LOG_INTERVAL_S) {
-        links->logged_at = rr_steady_clock_s();
+    if (rr_steady_clock_s() - links->unknown_peer_logged_at >= UNKNOWN_PEER_LOG_INTERVAL_S) {
+        links->unknown_peer_logged_at = rr_steady_clock_s();
         inet_ntop(AF_INET, address, text, sizeof text);
-        rr_log(RR_INFO_LEVEL, "cells: %s is in no neighbour's networks; connection closed", text);
+        rr_log(RR_INFO_LEVEL,
+               "cells: closed a connection from %s, an address in no neighbour's networks", text);
     }
 }
 
-/* Counts one more connection if there may be one. */
+/* Counts one more connection, unless RR_CELLS_CONNECTIONS are open. Returns whether it did. */
 static bool reserve_connection(rr_cells_links *links) {
     pthread_mutex_lock(&links->lock);
     bool reserved = links->connection_count < RR_CELLS_CONNECTIONS;
@@ -165,11 +175,12 @@
     return reserved;
 }
 
-/* Starts the connection's thread, or closes the socket. */
+/* Starts a thread for the connection, or closes the socket if the address belongs to no neighbour,
+ * too many connections are open, or the thread can't be started. */
 static void start_connection(rr_cells_links *links, int fd, const struct in_addr *address) {
-    int neighbour = neighbour_at(links->settings, address);
+    int neighbour = find_neighbour_by_address(links->settings, address);
     if (neighbour < 0) {
-        count(links, &links->stats.unknown_peers);
+        increment_counter(links, &links->stats.unknown_peers);
         log_unknown_peer(links, address);
         close(fd);
         return;
@@ -183,17 +194,19 @@
     if (rr_thread_start(NULL, connection_main, connection, true) != 0) {
         close(fd);
         g_free(connection);
-        connection_ended(links);
+        release_connection(links);
     }
 }
 
+/* ---- listener ---- */
+
 static void *accept_main(void *argument) {
     rr_cells_links *links = argument;
     while (!atomic_load(links->stop)) {
-        struct pollfd ready = {links->listener, POLLIN, 0};
+        struct pollfd listener_poll = {links->listener, POLLIN, 0};
         struct sockaddr_in from;
         socklen_t size = sizeof from;
-        if (poll(&ready, 1, STOP_CHECK_MS) <= 0) {
+        if (poll(&listener_poll, 1, STOP_CHECK_MS) <= 0) {
             continue;
         }
         int fd = accept4(links->listener, (struct sockaddr *)&from, &size, SOCK_CLOEXEC);
@@ -207,22 +220,22 @@
 }
 
 int rr_cells_links_start(const rr_cells_settings *settings, const atomic_bool *stop,
-                         rr_cells_serve_fn serve, rr_cells_context_fn end, void *user,
+                         rr_cells_serve_fn serve, rr_cells_context_free_fn free_context, void *user,
                          rr_cells_links **out) {
     rr_cells_links *links = g_new0(rr_cells_links, 1);
     links->settings = settings;
     links->stop = stop;
     links->serve = serve;
-    links->end = end;
+    links->free_context = free_context;
     links->user = user;
-    links->logged_at = -LOG_INTERVAL_S;
+    links->unknown_peer_logged_at = -UNKNOWN_PEER_LOG_INTERVAL_S;
     pthread_mutex_init(&links->lock, NULL);
     pthread_cond_init(&links->connection_ended, NULL);
     links->listener = rr_socket_listen(&settings->listen, LISTEN_BACKLOG);
     int rc = links->listener < 0 ? links->listener : 0;
     if (rc == 0) {
-        rc = rr_thread_start(&links->acceptor, accept_main, links, false);
-        links->accepting = rc == 0;
+        rc = rr_thread_start(&links->accept_thread, accept_main, links, false);
+        links->accept_thread_started = rc == 0;
     }
     if (rc != 0) {
         rr_cells_links_destroy(links);
@@ -236,8 +249,8 @@
     if (!links) {
         return;
     }
-    if (links->accepting) {
-        pthread_join(links->acceptor, NULL);
+    if (links->accept_thread_started) {
+        pthread_join(links->accept_thread, NULL);
     }
     pthread_mutex_lock(&links->lock);
     while (links->connection_count > 0) {
--- a/src/cells/links.h
+++ b/src/cells/links.h
@@ -1,6 +1,6 @@
-/* Connections between cells: a listener for the neighbours' requests with a thread for each
- * connection, and clients that ask a neighbour's controllers. Blocking sockets, every wait bounded.
- */
+/* Connections between cells: a listener that serves the neighbours' requests with one thread for
+ * each connection, and clients that send requests to a neighbour's controllers. Sockets are
+ * blocking, and every wait has a timeout. */
 #ifndef RR_CELLS_LINKS_H
 #define RR_CELLS_LINKS_H
 
@@ -8,50 +8,55 @@
 
 #include <stdatomic.h>
 
-/* ---- serving: links.c ---- */
+/* ---- serving requests: links.c ---- */
 
-/* Answers a request from a neighbour, on the connection's thread. *context belongs to the
- * connection and is NULL at first. */
+/* Answers a request from a neighbour, on the connection's thread. neighbour: index of the settings.
+ * *context belongs to the connection and is NULL at its first request. */
 typedef void (*rr_cells_serve_fn)(void *user, void **context, size_t neighbour,
                                   const rr_cells_request *request, rr_cells_reply *reply);
-/* Frees a connection's context, unless it is NULL, when the connection ends. */
-typedef void (*rr_cells_context_fn)(void *context);
+/* Frees a connection's context when the connection ends. Not called if the context is NULL. */
+typedef void (*rr_cells_context_free_fn)(void *context);
 
+/* The listener and its connections. */
 typedef struct rr_cells_links rr_cells_links;
 
+/* Counters since the start. */
 typedef struct {
-    uint64_t unknown_peers; /* connections from outside every neighbour's networks */
-    uint64_t refused;       /* requests that were malformed, of another cell or version */
-    uint64_t crowded;       /* connections beyond the bound */
+    uint64_t unknown_peers; /* connections closed: from an address in no neighbour's networks */
+    uint64_t refused; /* requests refused: malformed, of unknown version, or with wrong cells */
+    uint64_t crowded; /* connections closed: RR_CELLS_CONNECTIONS were open */
 } rr_cells_links_stats;
 
-#define RR_CELLS_CONNECTIONS 64 /* incoming ones at a time; a further one is closed at once */
+/* Incoming connections at a time; a further one is closed at once. */
+#define RR_CELLS_CONNECTIONS 64
 
-/* Listens and serves until *stop. settings and stop are borrowed and outlive the object. 0 with
- * *out; or -errno, with NULL. */
+/* Listens on the settings' endpoint and serves until *stop is set. settings, stop and user are
+ * borrowed and outlive the object. Returns 0 with *out, or -errno with *out NULL. */
 int rr_cells_links_start(const rr_cells_settings *settings, const atomic_bool *stop,
-                         rr_cells_serve_fn serve, rr_cells_context_fn end, void *user,
+                         rr_cells_serve_fn serve, rr_cells_context_free_fn free_context, void *user,
                          rr_cells_links **out);
-/* Joins all threads, after *stop is set. */
+/* Waits for all threads to end and frees the object. Call it after *stop is set. NULL is allowed.
+ */
 void rr_cells_links_destroy(rr_cells_links *links);
-/* Copies the counters; from any thread. */
+/* Copies the counters. May be called from any thread. */
 void rr_cells_links_get_stats(rr_cells_links *links, rr_cells_links_stats *out);
 
-/* ---- asking: link_client.c ---- */
+/* ---- sending requests: link_client.c ---- */
 
-/* Asks one neighbour; belongs to one thread. It keeps a connection to each controller that it
- * asked, and remembers which one plans which team. */
+/* A client for one neighbour; it belongs to one thread. It keeps a connection open to each
+ * controller that it has sent a request to, and remembers which controller plans which team. */
 typedef struct rr_cells_client rr_cells_client;
 
-/* settings and stop are borrowed and outlive the object. */
+/* neighbour: index of the settings. settings and stop are borrowed and outlive the client. */
 rr_cells_client *rr_cells_client_create(const rr_cells_settings *settings, size_t neighbour,
                                         const atomic_bool *stop);
-/* Closes its connections. NULL is allowed. */
+/* Closes the connections and frees the client. NULL is allowed. */
 void rr_cells_client_destroy(rr_cells_client *client);
 
-/* Sends the request to the controller that plans its team, as far as is known, and waits for the
- * reply. 0 with *reply of any status; -errno, mostly -EIO or -EBADMSG: no answer, and the next
- * request goes to another controller. *reply is to be cleared after either. */
+/* Sends the request to the controller that plans its team, or to any if that one is not known, and
+ * waits for the reply. Returns 0 with *reply, whose status may be any; or -errno, mostly -EIO or
+ * -EBADMSG, if there was no valid reply: the next request then goes to another controller. The
+ * caller clears *reply in either case. */
 int rr_cells_ask(rr_cells_client *client, const rr_cells_request *request, rr_cells_reply *reply);
 
 #endif
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 #define MICROSECONDS_PER_S 1e6
-#define ROOM_UNITS 1e3 /* room is sent in thousandths */
-#define BODY_BYTES_MAX ((uint32_t)RR_BODY_BYTES_MAX)
+#define THOUSANDTHS_PER_UNIT 1e3 /* free capacity is sent in thousandths */
+#define REPLY_BODY_BYTES_MAX ((uint32_t)RR_BODY_BYTES_MAX)
 #define SUBMISSION_BYTES_MAX (16u * 1024)
 
 static void clear_item(gpointer data) {
@@ -17,7 +17,8 @@
     }
 }
 
-static GArray *new_items(void) {
+/* An array of rr_cells_item that frees their submissions. */
+static GArray *create_items(void) {
     GArray *items = g_array_new(FALSE, TRUE, sizeof(rr_cells_item));
     g_array_set_clear_func(items, clear_item);
     return items;
@@ -27,7 +28,7 @@
     memset(request, 0, sizeof *request);
     request->version = RR_CELLS_VERSION;
     request->kind = kind;
-    request->items = new_items();
+    request->items = create_items();
 }
 
 void rr_cells_request_clear(rr_cells_request *request) {
@@ -37,7 +38,7 @@
 
 void rr_cells_reply_init(rr_cells_reply *reply) {
     memset(reply, 0, sizeof *reply);
-    reply->items = new_items();
+    reply->items = create_items();
     reply->body = g_byte_array_new();
 }
 
@@ -75,6 +76,7 @@
 
 /* ---- packing ---- */
 
+/* Appends the item behind its length, so that unpack_item() can skip fields of later versions. */
 static void pack_item(const rr_cells_item *item, GByteArray *out) {
     GByteArray *packed = g_byte_array_new();
     rr_frame_put_u8(packed, (uint8_t)item->message.kind);
@@ -113,8 +115,9 @@
     rr_frame_end(out, start);
 }
 
-static void pack_amount(double amount, GByteArray *out) {
-    rr_frame_put_u64(out, amount > 0 ? (uint64_t)(amount * ROOM_UNITS) : 0);
+/* Negative amounts are sent as 0. */
+static void pack_thousandths(double amount, GByteArray *out) {
+    rr_frame_put_u64(out, amount > 0 ? (uint64_t)(amount * THOUSANDTHS_PER_UNIT) : 0);
 }
 
 void rr_cells_reply_pack(const rr_cells_reply *reply, GByteArray *out) {
@@ -126,24 +129,25 @@
     rr_frame_put_u16(out, (uint16_t)reply->http_status);
     rr_frame_put_u16(out, (uint16_t)reply->retry_after_s);
     rr_frame_put_bytes(out, reply->body->data, reply->body->len);
-    pack_amount(reply->room.cpus, out);
-    pack_amount(reply->room.gpus, out);
-    pack_amount(reply->room.mem_gb, out);
+    pack_thousandths(reply->room.cpus, out);
+    pack_thousandths(reply->room.gpus, out);
+    pack_thousandths(reply->room.mem_gb, out);
     rr_frame_end(out, start);
 }
 
 /* ---- unpacking ---- */
 
-static bool known_message(uint8_t kind) {
+static bool is_known_kind(uint8_t kind) {
     return kind <= RR_TRANSFER_ACK;
 }
 
-/* NULL: malformed, or too long, which counts as malformed. Owned by the caller. */
-static GByteArray *unpack_bytes(rr_frame_reader *from, uint32_t length_max) {
+/* Returns bytes owned by the caller. NULL: malformed, or longer than length_max, which counts as
+ * malformed. */
+static GByteArray *unpack_bytes(rr_frame_reader *reader, uint32_t length_max) {
     uint32_t length;
-    const uint8_t *data = rr_frame_read_bytes(from, &length);
-    if (from->malformed || length > length_max) {
-        from->malformed = true;
+    const uint8_t *data = rr_frame_read_bytes(reader, &length);
+    if (reader->malformed || length > length_max) {
+        reader->malformed = true;
         return NULL;
     }
     GByteArray *out = g_byte_array_new();
@@ -153,11 +157,11 @@
     return out;
 }
 
-/* An item has its own length, so that fields of later versions are skipped. */
-static bool unpack_item(rr_frame_reader *from, rr_cells_item *item) {
+/* Reads an item, skipping fields that later versions have appended. False: it is malformed. */
+static bool unpack_item(rr_frame_reader *reader, rr_cells_item *item) {
     uint32_t length;
-    const uint8_t *data = rr_frame_read_bytes(from, &length);
-    rr_frame_reader fields = {data, length, from->malformed};
+    const uint8_t *data = rr_frame_read_bytes(reader, &length);
+    rr_frame_reader fields = {data, length, reader->malformed};
     uint8_t kind = rr_frame_read_u8(&fields);
     rr_frame_read_text(&fields, item->job_id, sizeof item->job_id);
     item->message.claim = rr_frame_read_u32(&fields);
@@ -168,29 +172,30 @@
     item->message.kind = (enum rr_transfer_kind)kind;
     item->message.answer = (enum rr_job_answer)answer;
     bool empty = kind == RR_TRANSFER_NOTHING;
-    return !fields.malformed && known_message(kind) && answer <= RR_ANSWER_CANCELLED &&
+    return !fields.malformed && is_known_kind(kind) && answer <= RR_ANSWER_CANCELLED &&
            (empty || rr_job_id_valid(item->job_id));
 }
 
-static bool unpack_items(rr_frame_reader *from, GArray *items) {
-    uint16_t count = rr_frame_read_u16(from);
-    bool readable = !from->malformed && count <= RR_CELLS_ITEMS_MAX;
+/* Appends the items read so far also if one is malformed, so that they are freed with the array. */
+static bool unpack_items(rr_frame_reader *reader, GArray *items) {
+    uint16_t count = rr_frame_read_u16(reader);
+    bool readable = !reader->malformed && count <= RR_CELLS_ITEMS_MAX;
     for (uint16_t i = 0; readable && i < count; i++) {
         rr_cells_item item = {0};
-        readable = unpack_item(from, &item);
+        readable = unpack_item(reader, &item);
         g_array_append_val(items, item);
     }
     return readable;
 }
 
 int rr_cells_request_unpack(const void *data, size_t length, rr_cells_request *out) {
-    rr_frame_reader from = {data, length, false};
+    rr_frame_reader reader = {data, length, false};
     rr_cells_request_init(out, RR_CELLS_TRANSFERS);
-    out->version = rr_frame_read_u8(&from);
-    uint8_t kind = rr_frame_read_u8(&from);
-    rr_frame_read_text(&from, out->from, sizeof out->from);
-    rr_frame_read_text(&from, out->to, sizeof out->to);
-    if (from.malformed) {
+    out->version = rr_frame_read_u8(&reader);
+    uint8_t kind = rr_frame_read_u8(&reader);
+    rr_frame_read_text(&reader, out->from, sizeof out->from);
+    rr_frame_read_text(&reader, out->to, sizeof out->to);
+    if (reader.malformed) {
         return -EBADMSG;
     }
     if (out->version < RR_CELLS_VERSION || kind < RR_CELLS_TRANSFERS || kind > RR_CELLS_CANCEL) {
@@ -199,44 +204,44 @@
     out->kind = (enum rr_cells_request_kind)kind;
     bool readable = true;
     if (out->kind == RR_CELLS_TRANSFERS) {
-        out->lease_s = (double)rr_frame_read_u64(&from) / MICROSECONDS_PER_S;
-        out->rest_s = (double)rr_frame_read_u64(&from) / MICROSECONDS_PER_S;
-        rr_frame_read_text(&from, out->team, sizeof out->team);
-        readable = unpack_items(&from, out->items);
+        out->lease_s = (double)rr_frame_read_u64(&reader) / MICROSECONDS_PER_S;
+        out->rest_s = (double)rr_frame_read_u64(&reader) / MICROSECONDS_PER_S;
+        rr_frame_read_text(&reader, out->team, sizeof out->team);
+        readable = unpack_items(&reader, out->items);
     } else {
-        rr_frame_read_text(&from, out->job_id, sizeof out->job_id);
+        rr_frame_read_text(&reader, out->job_id, sizeof out->job_id);
         readable = rr_job_id_valid(out->job_id);
     }
-    return readable && !from.malformed ? 0 : -EBADMSG;
+    return readable && !reader.malformed ? 0 : -EBADMSG;
 }
 
 int rr_cells_reply_unpack(const void *data, size_t length, rr_cells_reply *out) {
-    rr_frame_reader from = {data, length, false};
+    rr_frame_reader reader = {data, length, false};
     rr_cells_reply_init(out);
-    uint8_t version = rr_frame_read_u8(&from), status = rr_frame_read_u8(&from);
-    if (!from.malformed && (version < RR_CELLS_VERSION || status >= RR_CELLS_STATUSES)) {
+    uint8_t version = rr_frame_read_u8(&reader), status = rr_frame_read_u8(&reader);
+    if (!reader.malformed && (version < RR_CELLS_VERSION || status >= RR_CELLS_STATUS_COUNT)) {
         return -EPROTO;
     }
     out->status = (enum rr_cells_status)status;
-    rr_frame_read_text(&from, out->owner, sizeof out->owner);
-    if (!unpack_items(&from, out->items)) {
+    rr_frame_read_text(&reader, out->owner, sizeof out->owner);
+    if (!unpack_items(&reader, out->items)) {
         return -EBADMSG;
     }
-    out->http_status = rr_frame_read_u16(&from);
-    out->retry_after_s = rr_frame_read_u16(&from);
-    GByteArray *body = unpack_bytes(&from, BODY_BYTES_MAX);
+    out->http_status = rr_frame_read_u16(&reader);
+    out->retry_after_s = rr_frame_read_u16(&reader);
+    GByteArray *body = unpack_bytes(&reader, REPLY_BODY_BYTES_MAX);
     if (body) {
         g_byte_array_free(out->body, TRUE);
         out->body = body;
     }
-    out->room.cpus = (double)rr_frame_read_u64(&from) / ROOM_UNITS;
-    out->room.gpus = (double)rr_frame_read_u64(&from) / ROOM_UNITS;
-    out->room.mem_gb = (double)rr_frame_read_u64(&from) / ROOM_UNITS;
-    return from.malformed ? -EBADMSG : 0;
+    out->room.cpus = (double)rr_frame_read_u64(&reader) / THOUSANDTHS_PER_UNIT;
+    out->room.gpus = (double)rr_frame_read_u64(&reader) / THOUSANDTHS_PER_UNIT;
+    out->room.mem_gb = (double)rr_frame_read_u64(&reader) / THOUSANDTHS_PER_UNIT;
+    return reader.malformed ? -EBADMSG : 0;
 }
 
 const char *rr_cells_status_name(enum rr_cells_status status) {
-    static const char *const names[RR_CELLS_STATUSES] = {
+    static const char *const names[RR_CELLS_STATUS_COUNT] = {
         "ok", "not the owner", "busy", "version unknown", "malformed", "wrong cell"};
-    return status < RR_CELLS_STATUSES ? names[status] : "unknown";
+    return status < RR_CELLS_STATUS_COUNT ? names[status] : "unknown";
 }
--- a/src/cells/networks.c
+++ b/src/cells/networks.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 struct rr_networks {
-    GPtrArray *prefixes; /* CIDR* */
+    GPtrArray *prefixes; /* CIDR *, no two of which overlap; owned */
 };
 
 static void free_prefix(gpointer prefix) {
@@ -26,35 +26,38 @@
     }
 }
 
-/* One of two prefixes that overlap contains the other. */
-static bool overlap(const CIDR *left, const CIDR *right) {
+/* Two prefixes overlap only if one contains the other. */
+static bool prefixes_overlap(const CIDR *left, const CIDR *right) {
     return cidr_contains(left, right) == 0 || cidr_contains(right, left) == 0;
 }
 
-static bool overlaps_any(const rr_networks *networks, const CIDR *prefix) {
+static bool overlaps_any_network(const rr_networks *networks, const CIDR *prefix) {
     for (guint i = 0; i < networks->prefixes->len; i++) {
-        if (overlap(g_ptr_array_index(networks->prefixes, i), prefix)) {
+        if (prefixes_overlap(g_ptr_array_index(networks->prefixes, i), prefix)) {
             return true;
         }
     }
     return false;
 }
 
-/* An address with bits beyond its prefix is refused: it is unclear which of the two is meant. */
-static bool is_network(const CIDR *prefix) {
+/* Returns false for an address with bits set beyond its prefix length. Such a setting is refused,
+ * since it is unclear whether the address or the network is meant. */
+static bool has_no_host_bits(const CIDR *prefix) {
     CIDR *network = cidr_addr_network(prefix);
-    bool same = network && cidr_equals(network, prefix) == 0;
+    bool equal = network && cidr_equals(network, prefix) == 0;
     if (network) {
         cidr_free(network);
     }
-    return same;
+    return equal;
 }
 
-#define PREFIX_SIZE 64
-/* libcidr looks for the ends of long names, before the beginning of short ones: it gets blanks. */
+#define PREFIX_SIZE 64 /* bytes of a prefix's text, with the NUL */
+/* cidr_from_str() compares the end of its argument with long suffixes and reads before the start of
+ * a shorter argument. Blanks in front of the text keep these reads inside the buffer. */
 #define LEADING_BLANKS 16
 
-static CIDR *parse(const char *prefix) {
+/* Returns a prefix to be freed with cidr_free(), or NULL if the text is not a CIDR prefix. */
+static CIDR *parse_prefix(const char *prefix) {
     char padded[LEADING_BLANKS + PREFIX_SIZE];
     size_t length = strlen(prefix);
     if (length >= PREFIX_SIZE || !strchr(prefix, '/')) {
@@ -66,12 +69,12 @@
 }
 
 int rr_networks_add(rr_networks *networks, const char *prefix) {
-    CIDR *parsed = parse(prefix);
+    CIDR *parsed = parse_prefix(prefix);
     if (!parsed) {
         return -EINVAL;
     }
-    int rc = is_network(parsed) ? 0 : -EINVAL;
-    rc = rc == 0 && overlaps_any(networks, parsed) ? -EEXIST : rc;
+    int rc = has_no_host_bits(parsed) ? 0 : -EINVAL;
+    rc = rc == 0 && overlaps_any_network(networks, parsed) ? -EEXIST : rc;
     if (rc == 0) {
         g_ptr_array_add(networks->prefixes, parsed);
     } else {
@@ -82,7 +85,7 @@
 
 bool rr_networks_overlap(const rr_networks *left, const rr_networks *right) {
     for (guint i = 0; i < left->prefixes->len; i++) {
-        if (overlaps_any(right, g_ptr_array_index(left->prefixes, i))) {
+        if (overlaps_any_network(right, g_ptr_array_index(left->prefixes, i))) {
             return true;
         }
     }
