--- a/src/cells/incoming_records.c
+++ b/src/cells/incoming_records.c
@@ -1,9 +1,12 @@
-/* Entries of other cells' jobs here, their records in the key-value store, and writes. */
+/* Entries of other cells' jobs that this cell holds: their records in the key-value store, and the
+ * writes that change these. */
 #include "cells/incoming.h"
 #include "core/extensions.h"
 
 #include <string.h>
 
+/* ---- entries and their records ---- */
+
 static const rr_transfer_message no_message = {.kind = RR_TRANSFER_NOTHING};
 
 rr_incoming *rr_incoming_get(rr_transfers *transfers, const char *local_id) {
@@ -17,7 +20,8 @@
     return entry;
 }
 
-static void forget(rr_transfers *transfers, const char *local_id) {
+/* Removes the entry and the hold on its job. */
+static void remove_entry(rr_transfers *transfers, const char *local_id) {
     rr_core_unhold_job(transfers->core, local_id);
     g_hash_table_remove(transfers->incoming, local_id);
 }
@@ -31,7 +35,7 @@
     }
     if (!value) {
         if (entry && !entry->guest.writes) {
-            forget(transfers, local_id);
+            remove_entry(transfers, local_id);
         }
         return;
     }
@@ -51,9 +55,9 @@
 
 /* ---- writes ---- */
 
-/* Guarded by the term and by the record's version. */
-static void begin_write(rr_transfers *transfers, const rr_incoming *entry,
-                        rr_transfer_write *write) {
+/* Initialises a write that is guarded by the term and by the version of the entry's record. */
+static void init_guarded_write(rr_transfers *transfers, const rr_incoming *entry,
+                               rr_transfer_write *write) {
     char key[RR_CELLS_KEY_SIZE];
     memset(write, 0, sizeof *write);
     g_strlcpy(write->id, entry->local_id, sizeof write->id);
@@ -67,7 +71,7 @@
                             rr_transfer_write *write) {
     const rr_guest_record *next = &entry->guest.writing;
     char key[RR_CELLS_KEY_SIZE];
-    begin_write(transfers, entry, write);
+    init_guarded_write(transfers, entry, write);
     rr_cells_in_key(entry->local_id, key, sizeof key);
     if (next->state == RR_GUEST_NONE) {
         rr_transaction_delete(&write->transaction, key);
@@ -94,7 +98,7 @@
                                   rr_transfers_plan *plan) {
     rr_transfer_write write;
     rr_core_revoke_job(transfers->core, entry->local_id);
-    begin_write(transfers, entry, &write);
+    init_guarded_write(transfers, entry, &write);
     write.ends_copy = true;
     if (rr_core_abandon_job(transfers->core, entry->local_id, &write.transaction)) {
         rr_transfers_plan_add(plan, &write);
@@ -109,18 +113,19 @@
     if (!entry || write->ends_copy) {
         return no_message;
     }
-    bool accepts = entry->guest.writing.state == RR_GUEST_HELD;
+    bool accepts_offer = entry->guest.writing.state == RR_GUEST_HELD;
     rr_guest_written(&entry->guest, committed);
     if (!committed) {
         entry->token = 0;
         if (entry->version == 0) {
-            forget(transfers, write->id); /* its offer was not taken */
+            /* The acceptance was not written, so that there is no record. */
+            remove_entry(transfers, write->id);
         }
         return no_message;
     }
-    transfers->stats.accepted += accepts;
+    transfers->stats.accepted += accepts_offer;
     if (entry->guest.record.state == RR_GUEST_NONE) {
-        forget(transfers, write->id);
+        remove_entry(transfers, write->id);
     }
     return no_message;
 }
--- a/src/cells/outgoing_records.c
+++ b/src/cells/outgoing_records.c
@@ -1,10 +1,13 @@
-/* Entries of this cell's jobs at others, their records in the key-value store, and writes. */
+/* Entries of this cell's jobs that were offered to other cells: their records in the key-value
+ * store, and the writes that change these. */
 #include "cells/outgoing.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
 
 #include <string.h>
 
+/* ---- entries ---- */
+
 static const rr_transfer_message no_message = {.kind = RR_TRANSFER_NOTHING};
 
 rr_outgoing *rr_outgoing_get(rr_transfers *transfers, const char *job_id) {
@@ -23,18 +26,19 @@
     g_hash_table_remove(transfers->outgoing, job_id);
 }
 
-/* ---- records ---- */
+/* ---- reading records ---- */
 
-/* Keeps the job from being placed here, as its record says. */
-static void hold_by_record(rr_transfers *transfers, const rr_outgoing *entry) {
+/* Holds the job, so that none of its tasks is placed here; its record decides which kind of hold
+ * applies. */
+static void set_hold_from_record(rr_transfers *transfers, const rr_outgoing *entry) {
     bool offered = entry->record.state == RR_HOME_OFFERED;
     rr_core_hold_job(transfers->core, entry->job_id,
                      offered ? RR_HOLD_TRANSFERRED : RR_HOLD_RETURNED);
 }
 
-/* Whether the record differs from what the state machine knows: another controller has written it,
- * such as one that takes a user's cancellation. */
-static bool written_by_another(const rr_outgoing *entry) {
+/* Returns whether the record differs from the state machine's: another controller has written it,
+ * such as one that has received a user's cancellation. */
+static bool was_changed_elsewhere(const rr_outgoing *entry) {
     return !entry->home.writes && (entry->home.record.state != entry->record.state ||
                                    entry->home.record.claim != entry->record.claim);
 }
@@ -60,15 +64,16 @@
     entry->record = record;
     entry->version = version;
     entry->neighbour = rr_cells_neighbour(transfers->settings, record.guest);
-    hold_by_record(transfers, entry);
-    if (written_by_another(entry)) {
+    set_hold_from_record(transfers, entry);
+    if (was_changed_elsewhere(entry)) {
         entry->token = 0;
     }
 }
 
-/* ---- loading ---- */
+/* ---- loading the state machine ---- */
 
-static rr_home_record home_record(const rr_outgoing *entry) {
+/* Returns the state machine's form of the entry's record. guest UINT32_MAX: no known neighbour. */
+static rr_home_record make_home_record(const rr_outgoing *entry) {
     bool known = entry->neighbour != RR_CELLS_NO_NEIGHBOUR;
     return (rr_home_record){.state = entry->record.state,
                             .claim = entry->record.claim,
@@ -86,18 +91,19 @@
     }
     rr_core_job job;
     bool running = rr_core_find_job(transfers->core, entry->job_id, &job) && job.placed > 0;
-    rr_home_record record = home_record(entry);
+    rr_home_record record = make_home_record(entry);
     rr_home_load(&entry->home, &record, running, now, &transfers->settings->times);
     entry->token = token;
     entry->last_message_at = now;
-    entry->taken = true; /* unknown; taken jobs get more time */
+    entry->taken = true; /* not known, and an accepted job gets more time */
     return true;
 }
 
 /* ---- writes ---- */
 
-static rr_out_record next_record(const rr_transfers *transfers, const rr_outgoing *entry,
-                                 double wall) {
+/* Returns the record that the state machine wants written. */
+static rr_out_record make_next_record(const rr_transfers *transfers, const rr_outgoing *entry,
+                                      double wall) {
     const rr_home_record *next = &entry->home.writing;
     if (next->state == RR_HOME_LOCAL) {
         return rr_cells_out_withdrawn(&entry->record, wall);
@@ -110,21 +116,23 @@
     return record;
 }
 
-/* The transfer's end: its record goes, and the job's final record comes with it. */
-static bool add_end(rr_transfers *transfers, const rr_outgoing *entry,
-                    rr_transaction *transaction) {
+/* Ends the transfer: deletes its record and, if the guest has finished the job, adds the job's
+ * final record. False: the job is not open, or tasks of it are placed here. */
+static bool add_final_changes(rr_transfers *transfers, const rr_outgoing *entry,
+                              rr_transaction *transaction) {
     bool done = entry->home.writing.answer == RR_ANSWER_DONE;
     bool possible = !done || rr_core_finish_job(transfers->core, entry->job_id, false, transaction);
     rr_cells_out_write(transaction, entry->job_id, entry->version, NULL);
     return possible;
 }
 
-/* An offer is guarded by the job's own record: its user may have cancelled it, unknown to this
- * store cache. */
-static bool add_next_record(rr_transfers *transfers, const rr_outgoing *entry, double wall,
-                            rr_transaction *transaction) {
+/* Adds a write of the transfer's next record. An offer is also guarded by the job's own record, as
+ * the job's user may have cancelled it without this store cache showing it yet. False: the job is
+ * not open. */
+static bool add_record_change(rr_transfers *transfers, const rr_outgoing *entry, double wall,
+                              rr_transaction *transaction) {
     bool offers = entry->home.writing.state == RR_HOME_OFFERED;
-    rr_out_record record = next_record(transfers, entry, wall);
+    rr_out_record record = make_next_record(transfers, entry, wall);
     bool possible = !offers || rr_core_guard_job(transfers->core, entry->job_id, transaction);
     rr_cells_out_write(transaction, entry->job_id, entry->version, &record);
     return possible;
@@ -138,8 +146,8 @@
     rr_transaction_init(&write->transaction);
     rr_core_guard_term(transfers->core, &write->transaction);
     bool ends = entry->home.writing.state == RR_HOME_FINAL;
-    bool possible = ends ? add_end(transfers, entry, &write->transaction)
-                         : add_next_record(transfers, entry, wall, &write->transaction);
+    bool possible = ends ? add_final_changes(transfers, entry, &write->transaction)
+                         : add_record_change(transfers, entry, wall, &write->transaction);
     if (!possible) {
         rr_home_written(&entry->home, false);
         rr_transfer_write_clear(write);
@@ -157,13 +165,15 @@
     return true;
 }
 
-/* The record may have been changed by another: it is read again before anything else. */
-static void write_failed(rr_transfers *transfers, rr_outgoing *entry) {
+/* Has the state machine loaded again before its next step, as another controller may have changed
+ * the record. */
+static void handle_failed_write(rr_transfers *transfers, rr_outgoing *entry) {
     entry->token = 0;
     if (entry->version == 0) {
-        rr_outgoing_forget(transfers, entry->job_id); /* its first offer was not made */
+        /* The first offer was not written, so that there is no record. */
+        rr_outgoing_forget(transfers, entry->job_id);
     } else {
-        hold_by_record(transfers, entry);
+        set_hold_from_record(transfers, entry);
     }
 }
 
@@ -176,7 +186,7 @@
     enum rr_home_state before = entry->home.record.state;
     rr_home_step step = rr_home_written(&entry->home, committed);
     if (!committed) {
-        write_failed(transfers, entry);
+        handle_failed_write(transfers, entry);
         return no_message;
     }
     enum rr_home_state state = entry->home.record.state;
--- a/src/cells/records.c
+++ b/src/cells/records.c
@@ -7,6 +7,7 @@
 
 #define SHA256_BYTES 32
 
+/* Names of the stored fields. */
 #define FIELD_GUEST "guest"
 #define FIELD_HOME "home"
 #define FIELD_STATE "state"
@@ -14,11 +15,12 @@
 #define FIELD_WITHDRAWN_AT "withdrawn"
 #define FIELD_ANSWER "answer"
 
-static const char *const home_states[] = {"local", "offered", "final"};
-static const char *const guest_states[] = {"none", "held", "ended"};
-static const char *const answers[] = {"none", "done", "cancelled"};
+/* Stored values, in the order of enum rr_home_state, rr_guest_state and rr_job_answer. */
+static const char *const home_state_names[] = {"local", "offered", "final"};
+static const char *const guest_state_names[] = {"none", "held", "ended"};
+static const char *const answer_names[] = {"none", "done", "cancelled"};
 
-/* The index of the name under this key, or -1. */
+/* Returns the index among `names` of the text under this key, or -1. */
 static int get_name_index(const msgpack_object *value, const char *key, const char *const *names,
                           int count) {
     return rr_object_name_index(rr_map_get(value, key), names, count);
@@ -36,7 +38,7 @@
     rr_encode_map(out, 5);
     rr_encode_key_text(out, RR_WORD_TEAM, record->team);
     rr_encode_key_text(out, FIELD_GUEST, record->guest);
-    rr_encode_key_text(out, FIELD_STATE, home_states[record->state]);
+    rr_encode_key_text(out, FIELD_STATE, home_state_names[record->state]);
     rr_encode_key_u64(out, FIELD_CLAIM, record->claim);
     rr_encode_key_number(out, FIELD_WITHDRAWN_AT, record->withdrawn_at);
 }
@@ -46,9 +48,9 @@
     rr_encode_key_text(out, RR_WORD_TEAM, record->team);
     rr_encode_key_text(out, FIELD_HOME, record->home);
     rr_encode_key_text(out, RR_WORD_JOB_ID, record->job_id);
-    rr_encode_key_text(out, FIELD_STATE, guest_states[record->state]);
+    rr_encode_key_text(out, FIELD_STATE, guest_state_names[record->state]);
     rr_encode_key_u64(out, FIELD_CLAIM, record->claim);
-    rr_encode_key_text(out, FIELD_ANSWER, answers[record->answer]);
+    rr_encode_key_text(out, FIELD_ANSWER, answer_names[record->answer]);
 }
 
 void rr_cells_out_write(rr_transaction *transaction, const char *job_id, uint64_t version,
@@ -75,7 +77,8 @@
 
 int rr_cells_out_decode(const msgpack_object *value, rr_out_record *out) {
     uint64_t claim = 0;
-    int state = get_name_index(value, FIELD_STATE, home_states, G_N_ELEMENTS(home_states));
+    int state =
+        get_name_index(value, FIELD_STATE, home_state_names, G_N_ELEMENTS(home_state_names));
     memset(out, 0, sizeof *out);
     bool readable = state >= 0 && rr_map_get_u64(value, FIELD_CLAIM, &claim) &&
                     claim <= UINT32_MAX &&
@@ -89,8 +92,9 @@
 
 int rr_cells_in_decode(const msgpack_object *value, rr_in_record *out) {
     uint64_t claim = 0;
-    int state = get_name_index(value, FIELD_STATE, guest_states, G_N_ELEMENTS(guest_states));
-    int answer = get_name_index(value, FIELD_ANSWER, answers, G_N_ELEMENTS(answers));
+    int state =
+        get_name_index(value, FIELD_STATE, guest_state_names, G_N_ELEMENTS(guest_state_names));
+    int answer = get_name_index(value, FIELD_ANSWER, answer_names, G_N_ELEMENTS(answer_names));
     memset(out, 0, sizeof *out);
     bool readable = state >= 0 && answer >= 0 && rr_map_get_u64(value, FIELD_CLAIM, &claim) &&
                     claim <= UINT32_MAX &&
@@ -106,16 +110,16 @@
 
 void rr_cells_local_id(const char *home, const char *job_id, uint32_t claim, char *out,
                        size_t size) {
-    char *full_name = g_strdup_printf("%s/%s/%u", home, job_id, claim);
-    GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
+    char *claim_name = g_strdup_printf("%s/%s/%u", home, job_id, claim);
+    GChecksum *checksum = g_checksum_new(G_CHECKSUM_SHA256);
     guint8 digest[SHA256_BYTES];
     gsize length = sizeof digest;
-    uint64_t number = 0;
-    g_checksum_update(sum, (const guchar *)full_name, -1);
-    g_checksum_get_digest(sum, digest, &length);
-    memcpy(&number, digest, sizeof number);
-    /* Of the form of all job ids, with as many digits as a number of 64 bits may have. */
-    g_snprintf(out, size, "req-8%020" G_GUINT64_FORMAT, GUINT64_FROM_BE(number));
-    g_checksum_free(sum);
-    g_free(full_name);
+    uint64_t digest_prefix = 0;
+    g_checksum_update(checksum, (const guchar *)claim_name, -1);
+    g_checksum_get_digest(checksum, digest, &length);
+    memcpy(&digest_prefix, digest, sizeof digest_prefix);
+    /* The form of every job id, with the 20 digits that a 64-bit number may have. */
+    g_snprintf(out, size, "req-8%020" G_GUINT64_FORMAT, GUINT64_FROM_BE(digest_prefix));
+    g_checksum_free(checksum);
+    g_free(claim_name);
 }
