--- a/src/cells/spill.h
+++ b/src/cells/spill.h
@@ -1,30 +1,32 @@
-/* When work is offered to neighbours. Pure functions: times and waits in, decisions out. */
+/* Spilling over: when a cell offers jobs to its neighbours, and how long it backs off from one that
+ * refuses them. The functions read no clock: they take times and waits, and return decisions. */
 #ifndef RR_CELLS_SPILL_H
 #define RR_CELLS_SPILL_H
 
 #include "cells/settings.h"
 
-/* Whether this cell offers work: from a wait of begin_wait_s on until nothing waits longer than
- * end_wait_s. Two limits keep it from switching back and forth. */
+/* Whether this cell offers jobs. It begins when a job has waited longer than begin_wait_s and stops
+ * when none has waited longer than end_wait_s: two limits keep it from switching back and forth. */
 typedef struct {
     bool spilling;
 } rr_spill;
 
-/* longest_wait_s: of the jobs that could run elsewhere. Returns whether the cell offers work now.
- */
+/* Updates and returns whether this cell offers jobs. longest_wait_s: the longest wait of a job that
+ * could run elsewhere. */
 bool rr_spill_update(rr_spill *spill, const rr_cells_settings *settings, double longest_wait_s);
 
-/* Pauses before a neighbour that refused or did not answer is asked again: doubled each time. */
+/* Exponential backoff before a neighbour that refused or did not answer is asked again. */
 typedef struct {
-    double until; /* steady clock */
-    double pause_s;
+    double retry_at; /* steady clock, in seconds; 0: at once */
+    double delay_s;  /* the last delay; 0: the next one is the shortest */
 } rr_spill_pause;
 
-/* Whether the pause is over. */
-bool rr_spill_may_ask(const rr_spill_pause *pause, double now);
-/* Also for a request without an answer. */
-void rr_spill_refused(rr_spill_pause *pause, double now);
-/* Ends the pause: the neighbour has taken a job. */
-void rr_spill_taken(rr_spill_pause *pause);
+/* Returns whether the backoff is over and the neighbour may be asked. */
+bool rr_spill_may_ask(const rr_spill_pause *backoff, double now);
+/* Starts a backoff twice as long as the last one, up to a limit, after a refusal or a request
+ * without an answer. */
+void rr_spill_refused(rr_spill_pause *backoff, double now);
+/* Ends the backoff, after the neighbour has taken a job. */
+void rr_spill_taken(rr_spill_pause *backoff);
 
 #endif
--- a/src/cells/transfer_guest.c
+++ b/src/cells/transfer_guest.c
@@ -1,19 +1,20 @@
-/* The guest that may run a job of another cell: its side of the transfer. */
+/* The guest's side of a transfer: the state machine of a cell that may run another cell's job. */
 #include "cells/transfer.h"
 
-static rr_guest_step nothing(void) {
+static rr_guest_step no_step(void) {
     return (rr_guest_step){.action = RR_GUEST_NOTHING, .message = {.kind = RR_TRANSFER_NOTHING}};
 }
 
-static rr_guest_step send_message(enum rr_transfer_kind kind, uint32_t claim) {
-    rr_guest_step step = nothing();
+static rr_guest_step make_message_step(enum rr_transfer_kind kind, uint32_t claim) {
+    rr_guest_step step = no_step();
     step.message = (rr_transfer_message){.kind = kind, .claim = claim};
     return step;
 }
 
-static rr_guest_step write_record(rr_guest *guest, enum rr_guest_state state, uint32_t claim,
-                                  enum rr_job_answer answer) {
-    rr_guest_step step = nothing();
+/* Makes the write of this record pending, and returns the step that asks for it. */
+static rr_guest_step request_write(rr_guest *guest, enum rr_guest_state state, uint32_t claim,
+                                   enum rr_job_answer answer) {
+    rr_guest_step step = no_step();
     guest->writing = (rr_guest_record){state, claim, answer};
     guest->writes = true;
     step.action = RR_GUEST_WRITE;
@@ -29,22 +30,22 @@
            now < guest->granted_until;
 }
 
-/* Takes an offer by recording its claim; the job runs only once the home has granted a lease. An
- * offer of a later claim is taken when the earlier one has ended and its record is gone. */
-static rr_guest_step take_offer(rr_guest *guest, uint32_t claim, bool room) {
+/* Accepts an offer by recording its claim; the job runs only once the home has given a grant. An
+ * offer with a later claim is accepted once the earlier one has ended and its record is deleted. */
+static rr_guest_step accept_offer(rr_guest *guest, uint32_t claim, bool can_accept) {
     if (guest->writes) {
-        return nothing();
+        return no_step();
     }
     if (guest->record.state != RR_GUEST_NONE) {
-        /* A later claim than the one held shows that the home has withdrawn that one. */
+        /* A claim later than the one held shows that the home has withdrawn the job from it. */
         guest->terminated = guest->terminated || claim > guest->record.claim;
-        return nothing();
+        return no_step();
     }
     if (claim <= guest->record.claim) {
-        return nothing(); /* a late copy of an offer whose claim has ended */
+        return no_step(); /* a delayed duplicate of an offer whose claim has ended */
     }
-    return room ? write_record(guest, RR_GUEST_HELD, claim, RR_ANSWER_NONE)
-                : send_message(RR_TRANSFER_REFUSE, claim);
+    return can_accept ? request_write(guest, RR_GUEST_HELD, claim, RR_ANSWER_NONE)
+                      : make_message_step(RR_TRANSFER_REFUSE, claim);
 }
 
 static void extend_grant(rr_guest *guest, double until) {
@@ -53,54 +54,56 @@
     }
 }
 
-rr_guest_step rr_guest_receive(rr_guest *guest, const rr_transfer_message *message, bool room,
+rr_guest_step rr_guest_receive(rr_guest *guest, const rr_transfer_message *message, bool can_accept,
                                const rr_transfer_times *times) {
-    bool ours = guest->record.state != RR_GUEST_NONE && message->claim == guest->record.claim;
+    bool is_held_claim =
+        guest->record.state != RR_GUEST_NONE && message->claim == guest->record.claim;
     switch (message->kind) {
     case RR_TRANSFER_OFFER:
-        return take_offer(guest, message->claim, room);
+        return accept_offer(guest, message->claim, can_accept);
     case RR_TRANSFER_GRANT:
-        if (ours && guest->record.state == RR_GUEST_HELD && message->asker == guest->process) {
+        if (is_held_claim && guest->record.state == RR_GUEST_HELD &&
+            message->asker == guest->process) {
             extend_grant(guest, message->sent_at + times->lease_s * (1 - times->drift));
         }
-        return nothing();
+        return no_step();
     case RR_TRANSFER_VOID:
     case RR_TRANSFER_ACK:
-        guest->terminated = guest->terminated || ours;
-        return nothing();
+        guest->terminated = guest->terminated || is_held_claim;
+        return no_step();
     default:
-        return nothing();
+        return no_step();
     }
 }
 
-rr_guest_step rr_guest_written(rr_guest *guest, bool done) {
-    if (guest->writes && done) {
+rr_guest_step rr_guest_written(rr_guest *guest, bool committed) {
+    if (guest->writes && committed) {
         guest->record = guest->writing;
         guest->terminated = guest->terminated && guest->record.state != RR_GUEST_NONE;
         guest->granted_until = 0;
     }
     guest->writes = false;
-    return nothing();
+    return no_step();
 }
 
 rr_guest_step rr_guest_end(rr_guest *guest, enum rr_job_answer answer) {
-    bool ends = guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->terminated;
-    return ends ? write_record(guest, RR_GUEST_ENDED, guest->record.claim, answer) : nothing();
+    bool may_end = guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->terminated;
+    return may_end ? request_write(guest, RR_GUEST_ENDED, guest->record.claim, answer) : no_step();
 }
 
 rr_guest_step rr_guest_repeat(rr_guest *guest, double now) {
-    rr_guest_step step = nothing();
+    rr_guest_step step = no_step();
     if (guest->record.state == RR_GUEST_NONE || guest->writes) {
         return step;
     }
     if (guest->terminated) {
-        /* The claim's number is kept, so that a late copy of its offer is not taken again. */
+        /* The claim's number is kept, so that a delayed duplicate of its offer is not accepted. */
         return guest->running
                    ? step
-                   : write_record(guest, RR_GUEST_NONE, guest->record.claim, RR_ANSWER_NONE);
+                   : request_write(guest, RR_GUEST_NONE, guest->record.claim, RR_ANSWER_NONE);
     }
     bool held = guest->record.state == RR_GUEST_HELD;
-    step = send_message(held ? RR_TRANSFER_RENEW : RR_TRANSFER_ENDED, guest->record.claim);
+    step = make_message_step(held ? RR_TRANSFER_RENEW : RR_TRANSFER_ENDED, guest->record.claim);
     step.message.sent_at = now;
     step.message.asker = guest->process;
     step.message.answer = guest->record.answer;
