--- a/src/cells/cancellation.c
+++ b/src/cells/cancellation.c
@@ -1,5 +1,5 @@
-/* Users' requests about jobs that may be at a neighbour: where a job is, and when its cancellation
- * may be recorded. */
+/* Users' requests about jobs that may be at a neighbour: finds out where a job is, and when its
+ * cancellation may be recorded. */
 #include "cells/transfer_table.h"
 
 #include <math.h>
@@ -16,29 +16,32 @@
     return true;
 }
 
-/* How long a grant may last after its job was withdrawn: one by a controller whose store cache did
- * not show the withdrawal yet, by the clocks of two machines. */
-static double grants_last_s(const rr_transfers *transfers) {
+/* Returns how many seconds after a job's withdrawal a grant of it may still last. The grant may
+ * come from a controller whose store cache did not show the withdrawal yet, and the wall clocks of
+ * two machines may differ by clock_off_s. */
+static double max_grant_lifetime_s(const rr_transfers *transfers) {
     const rr_transfer_times *times = &transfers->settings->times;
     return RR_CELLS_CACHE_AGE_MAX_S + times->lease_s * (1 + 2 * times->drift) +
            2 * transfers->config->clock_off_s;
 }
 
-/* entry NULL: the job was never offered. */
-static enum rr_cancel_precondition cancel_state(const rr_transfers *transfers,
-                                                const rr_outgoing *entry, double wall,
-                                                double *wait_s) {
+/* Returns what has to happen before a job may be cancelled, and sets *wait_s to the seconds for
+ * which a grant may still last (0 or less: none does). entry NULL: the job was never offered, or
+ * its transfer has ended. */
+static enum rr_cancel_precondition get_cancel_precondition(const rr_transfers *transfers,
+                                                           const rr_outgoing *entry, double wall,
+                                                           double *wait_s) {
     *wait_s = 0;
     if (!entry) {
         return RR_CANCEL_FREE;
     }
-    double lasts_s = grants_last_s(transfers);
+    double lifetime_s = max_grant_lifetime_s(transfers);
     bool being_offered = entry->version == 0;
     if (being_offered || entry->record.state == RR_HOME_OFFERED) {
-        *wait_s = lasts_s;
+        *wait_s = lifetime_s;
         return being_offered ? RR_CANCEL_WAIT : RR_CANCEL_WITHDRAW;
     }
-    *wait_s = fmin(entry->record.withdrawn_at + lasts_s - wall, lasts_s);
+    *wait_s = fmin(entry->record.withdrawn_at + lifetime_s - wall, lifetime_s);
     return *wait_s > 0 ? RR_CANCEL_WAIT : RR_CANCEL_FREE;
 }
 
@@ -47,17 +50,18 @@
     const rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
     double wait_s;
     *version = entry ? entry->version : 0;
-    return cancel_state(transfers, entry, wall, &wait_s) == RR_CANCEL_FREE;
+    return get_cancel_precondition(transfers, entry, wall, &wait_s) == RR_CANCEL_FREE;
 }
 
 enum rr_cancel_precondition rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
                                                 double wall, double *wait_s,
                                                 rr_out_record *withdrawn, uint64_t *version) {
     const rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
-    enum rr_cancel_precondition first = cancel_state(transfers, entry, wall, wait_s);
-    if (first == RR_CANCEL_WITHDRAW) {
+    enum rr_cancel_precondition precondition =
+        get_cancel_precondition(transfers, entry, wall, wait_s);
+    if (precondition == RR_CANCEL_WITHDRAW) {
         *withdrawn = rr_cells_out_withdrawn(&entry->record, wall);
         *version = entry->version;
     }
-    return first;
+    return precondition;
 }
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -1,16 +1,16 @@
-/* Drives other cells' jobs here: asks their homes for grants, reports what they came to, and gives
- * them back when a grant lapses or they can't start. */
+/* Advances other cells' jobs that are held here: asks their homes for grants, reports how they
+ * ended, and gives them back when a grant lapses or they can't start. */
 #include "cells/incoming.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
 
 #include <math.h>
 
-#define RENEWALS_PER_LEASE 4.0
+#define RENEWALS_PER_LEASE 4.0 /* requests for the next grant */
 
-/* Makes sure that the state machine is loaded for the present term. False: a write of an earlier
- * one is under way. */
-static bool load(rr_transfers *transfers, rr_incoming *entry, bool running, double now) {
+/* Loads the entry's state machine for the present term unless it is loaded already. Returns false
+ * if it can't be, since a write of an earlier term is pending. */
+static bool load_entry(rr_transfers *transfers, rr_incoming *entry, bool running, double now) {
     uint64_t token = rr_core_fencing_token(transfers->core);
     if (entry->token != token && !entry->guest.writes) {
         rr_guest_record record = {entry->record.state, entry->record.claim, entry->record.answer};
@@ -23,28 +23,32 @@
     return entry->token == token;
 }
 
-/* Whether the grant ran out. A new owner, which knows of none, waits as long as one would last. */
-static bool has_lapsed(const rr_transfers *transfers, const rr_incoming *entry, double now) {
+/* Returns whether the last grant has run out. A controller that has just loaded the entry knows of
+ * no grant, and waits for as long as one would last. */
+static bool grant_has_lapsed(const rr_transfers *transfers, const rr_incoming *entry, double now) {
     double first_grant_until = entry->loaded_at + transfers->settings->lease_s;
     return now >= fmax(entry->guest.granted_until, first_grant_until);
 }
 
+/* Returns whether no task of the job has started within give_back_s. */
 static bool cannot_start(const rr_transfers *transfers, const rr_incoming *entry, double now) {
     return !entry->started && now - entry->loaded_at > transfers->settings->give_back_s;
 }
 
-/* Adds the message to a request to the home, unless it is empty or the home is unknown. */
-static void send_message(rr_transfers *transfers, rr_incoming *entry,
+/* Adds the message to the plan's request to the home, unless there is no message or the home is no
+ * longer in the settings. */
+static void plan_message(rr_transfers *transfers, rr_incoming *entry,
                          const rr_transfer_message *message, double now, rr_transfers_plan *plan) {
     if (entry->neighbour == RR_CELLS_NO_NEIGHBOUR || message->kind == RR_TRANSFER_NOTHING) {
         return;
     }
-    rr_cells_request *request =
-        rr_transfers_plan_request(transfers, plan, (size_t)entry->neighbour, entry->record.team);
+    rr_cells_request *request = rr_transfers_plan_get_request(
+        transfers, plan, (size_t)entry->neighbour, entry->record.team);
     rr_cells_add_item(request->items, entry->record.job_id, message);
     entry->sent_at = now;
 }
 
+/* Adds the write to the plan if the step asks for one. */
 static void plan_step(rr_transfers *transfers, const rr_incoming *entry, rr_guest_step step,
                       rr_transfers_plan *plan) {
     if (step.action == RR_GUEST_WRITE) {
@@ -52,9 +56,10 @@
     }
 }
 
-/* The claim has ended or is given back. The copy ends first, then its tasks; then the record goes,
- * as soon as the home knows. */
-static void drive_end(rr_transfers *transfers, rr_incoming *entry, bool copy_open, double now,
+/* Ends a claim that the home has ended, or gives it back: cancels the copy of the job, waits until
+ * its tasks have stopped, tells the home, and deletes the record once the home knows. copy_open:
+ * the copy is not cancelled or done yet. */
+static void end_claim(rr_transfers *transfers, rr_incoming *entry, bool copy_open, double now,
                       rr_transfers_plan *plan) {
     if (copy_open) {
         rr_incoming_plan_end_of_copy(transfers, entry, plan);
@@ -64,63 +69,69 @@
         return;
     }
     if (entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
-        entry->guest.terminated = true; /* there is no home to notify */
+        entry->guest.terminated = true; /* no home is left to be told */
     }
     if (entry->guest.terminated) {
         plan_step(transfers, entry, rr_guest_repeat(&entry->guest, now), plan);
-    } else if (now - entry->sent_at >= RR_CELLS_REPEAT_S) {
+    } else if (now - entry->sent_at >= RR_CELLS_RESEND_INTERVAL_S) {
         rr_transfer_message refuse = {.kind = RR_TRANSFER_REFUSE,
                                       .claim = entry->guest.record.claim};
-        send_message(transfers, entry, &refuse, now, plan);
+        plan_message(transfers, entry, &refuse, now, plan);
     }
 }
 
-/* Seconds between two requests for a grant; an unanswered one is repeated sooner. */
-static double renewal_pause_s(const rr_transfers *transfers, const rr_incoming *entry) {
+/* Returns the seconds between two requests for a grant; one without an answer is sent again
+ * sooner. */
+static double renewal_interval_s(const rr_transfers *transfers, const rr_incoming *entry) {
     const rr_cells_settings *settings = transfers->settings;
     double granted_s = settings->lease_s * (1 - settings->drift);
-    bool answered = entry->guest.granted_until > entry->sent_at + granted_s - RR_CELLS_REPEAT_S;
-    double pause_s = settings->lease_s / RENEWALS_PER_LEASE;
-    return answered ? pause_s : fmin(pause_s, RR_CELLS_REPEAT_S);
+    bool answered =
+        entry->guest.granted_until > entry->sent_at + granted_s - RR_CELLS_RESEND_INTERVAL_S;
+    double interval_s = settings->lease_s / RENEWALS_PER_LEASE;
+    return answered ? interval_s : fmin(interval_s, RR_CELLS_RESEND_INTERVAL_S);
 }
 
-static void drive_held(rr_transfers *transfers, rr_incoming *entry, double now,
-                       rr_transfers_plan *plan) {
-    double pause_s = renewal_pause_s(transfers, entry);
+/* Lets the core place the job's tasks while a grant lasts, and asks for the next one in time. */
+static void renew_grant(rr_transfers *transfers, rr_incoming *entry, double now,
+                        rr_transfers_plan *plan) {
+    double interval_s = renewal_interval_s(transfers, entry);
     if (rr_guest_may_run(&entry->guest, now)) {
         rr_core_release_job(transfers->core, entry->local_id, entry->guest.granted_until);
     }
-    if (now - entry->sent_at >= pause_s) {
+    if (now - entry->sent_at >= interval_s) {
         rr_guest_step step = rr_guest_repeat(&entry->guest, now);
-        send_message(transfers, entry, &step.message, now, plan);
+        plan_message(transfers, entry, &step.message, now, plan);
     }
 }
 
-static void drive_ended(rr_transfers *transfers, rr_incoming *entry, double now,
-                        rr_transfers_plan *plan) {
-    if (now - entry->sent_at >= RR_CELLS_REPEAT_S) {
+/* Reports to the home how the job ended, again and again until the home has acknowledged it. */
+static void report_answer(rr_transfers *transfers, rr_incoming *entry, double now,
+                          rr_transfers_plan *plan) {
+    if (now - entry->sent_at >= RR_CELLS_RESEND_INTERVAL_S) {
         rr_guest_step step = rr_guest_repeat(&entry->guest, now);
-        send_message(transfers, entry, &step.message, now, plan);
+        plan_message(transfers, entry, &step.message, now, plan);
     }
 }
 
-/* Decides whether a held job that is not done goes back. A lapsed copy gets no second chance. */
-static void check_return(rr_transfers *transfers, rr_incoming *entry, bool cancelled, double now) {
-    bool lapsed = has_lapsed(transfers, entry, now);
+/* Decides whether a held job that is not done is given back. This is final: a later grant does not
+ * revoke it. */
+static void decide_return(rr_transfers *transfers, rr_incoming *entry, bool cancelled, double now) {
+    bool lapsed = grant_has_lapsed(transfers, entry, now);
     entry->returning = cancelled || lapsed || cannot_start(transfers, entry, now);
     transfers->stats.lapsed += lapsed;
     transfers->stats.given_back += entry->returning;
 }
 
-/* What the core knows of the copy. */
+/* What the core knows of the copy of a job in this cell. */
 struct copy_state {
-    bool known; /* not final: the core has the job itself */
-    bool cancelled, done, open;
+    bool known; /* the core has the job itself, not only its outcome */
+    bool cancelled, done;
+    bool open;    /* known, and neither done nor cancelled */
     bool running; /* tasks of it are placed */
     bool started; /* tasks of it are placed or done */
 };
 
-/* False: the core knows nothing of the copy yet. */
+/* Returns false if the core does not know the copy yet. */
 static bool get_copy_state(const rr_transfers *transfers, const rr_incoming *entry, double now,
                            struct copy_state *out) {
     rr_core_job job = {0};
@@ -133,12 +144,13 @@
     return out->known || rr_core_job_known(transfers->core, entry->local_id);
 }
 
-static void drive(rr_transfers *transfers, rr_incoming *entry, double now,
-                  rr_transfers_plan *plan) {
+/* Does what is due for one held job, if this controller owns it and no write is pending. */
+static void advance_entry(rr_transfers *transfers, rr_incoming *entry, double now,
+                          rr_transfers_plan *plan) {
     struct copy_state copy;
     if (!get_copy_state(transfers, entry, now, &copy) ||
         !rr_transfers_owns(transfers, entry->record.team, now) ||
-        !load(transfers, entry, copy.running, now) || entry->guest.writes) {
+        !load_entry(transfers, entry, copy.running, now) || entry->guest.writes) {
         return;
     }
     bool held = entry->guest.record.state == RR_GUEST_HELD;
@@ -149,14 +161,14 @@
         return;
     }
     if (held && !entry->returning && !copy.done) {
-        check_return(transfers, entry, copy.cancelled, now);
+        decide_return(transfers, entry, copy.cancelled, now);
     }
     if (entry->guest.terminated || entry->returning || entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
-        drive_end(transfers, entry, copy.open, now, plan);
+        end_claim(transfers, entry, copy.open, now, plan);
     } else if (held) {
-        drive_held(transfers, entry, now, plan);
+        renew_grant(transfers, entry, now, plan);
     } else {
-        drive_ended(transfers, entry, now, plan);
+        report_answer(transfers, entry, now, plan);
     }
 }
 
@@ -165,24 +177,24 @@
            entry->token == rr_core_fencing_token(transfers->core) && !entry->guest.writes;
 }
 
-void rr_incoming_look(rr_transfers *transfers, size_t neighbour, double now,
-                      rr_transfers_plan *plan) {
+void rr_incoming_advance(rr_transfers *transfers, size_t neighbour, double now,
+                         rr_transfers_plan *plan) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, transfers->incoming);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         rr_incoming *entry = value;
-        if (rr_transfers_concerns(entry->neighbour, neighbour)) {
-            drive(transfers, entry, now, plan);
+        if (rr_transfers_pass_includes(entry->neighbour, neighbour)) {
+            advance_entry(transfers, entry, now, plan);
         }
     }
 }
 
-void rr_incoming_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *asked,
-                         const rr_transfer_message *reply) {
+void rr_incoming_receive_reply(rr_transfers *transfers, size_t neighbour,
+                               const rr_cells_item *sent_item, const rr_transfer_message *reply) {
     char local_id[RR_ID_SIZE];
-    rr_cells_local_id(transfers->settings->neighbours[neighbour].name, asked->job_id,
-                      asked->message.claim, local_id, sizeof local_id);
+    rr_cells_local_id(transfers->settings->neighbours[neighbour].name, sent_item->job_id,
+                      sent_item->message.claim, local_id, sizeof local_id);
     rr_incoming *entry = g_hash_table_lookup(transfers->incoming, local_id);
     if (entry && entry->token == rr_core_fencing_token(transfers->core)) {
         rr_guest_receive(&entry->guest, reply, false, &transfers->settings->times);
--- a/src/cells/incoming.h
+++ b/src/cells/incoming.h
@@ -1,5 +1,6 @@
-/* Inside the package only: other cells' jobs here. incoming_records.c has entries, their records
- * and writes; incoming_offers.c takes or refuses offers; incoming.c drives what is held. */
+/* Package-internal: jobs of other cells in this one. incoming_records.c has their entries, records
+ * and writes; incoming_offers.c accepts or refuses offers; incoming.c advances the jobs that are
+ * held. */
 #ifndef RR_CELLS_INCOMING_H
 #define RR_CELLS_INCOMING_H
 
@@ -7,42 +8,44 @@
 
 /* ---- incoming_records.c ---- */
 
-/* The entry of the job of this local name; made if there is none. */
+/* Returns the entry of the job with this local id; creates it if there is none. The table owns it.
+ */
 rr_incoming *rr_incoming_get(rr_transfers *transfers, const char *local_id);
-/* Takes a record from the store cache; value NULL: it is deleted. */
+/* Takes a record from the store cache; value NULL: it was deleted. */
 void rr_incoming_put(rr_transfers *transfers, const char *local_id, const msgpack_object *value,
                      uint64_t version);
-/* What the entry's state machine wants written. */
+/* Makes the write that the entry's state machine has requested. The caller owns *write. */
 void rr_incoming_make_write(rr_transfers *transfers, const rr_incoming *entry,
                             rr_transfer_write *write);
-/* The same, added to the plan. */
+/* Adds the write that the entry's state machine has requested to the plan. */
 void rr_incoming_plan_write(rr_transfers *transfers, const rr_incoming *entry,
                             rr_transfers_plan *plan);
-/* Ends the copy of the job: its leases here at once, its tasks as any cancellation does, by a write
- * that is added to the plan. */
+/* Cancels the copy of the job in this cell: its leases are revoked at once, and a write that is
+ * added to the plan ends its tasks as any cancellation does. */
 void rr_incoming_plan_end_of_copy(rr_transfers *transfers, const rr_incoming *entry,
                                   rr_transfers_plan *plan);
-/* As rr_transfers_written(). */
+/* As rr_transfers_written(), for a write of an incoming job. */
 rr_transfer_message rr_incoming_written(rr_transfers *transfers, const rr_transfer_write *write,
                                         bool committed);
 
 /* ---- incoming_offers.c ---- */
 
 /* As rr_transfers_receive(), for an offer. */
-bool rr_incoming_offered(rr_transfers *transfers, size_t neighbour, const rr_cells_request *request,
-                         const rr_cells_item *item, double now, double wall,
-                         rr_transfer_message *reply, rr_transfer_write *write);
+bool rr_incoming_receive_offer(rr_transfers *transfers, size_t neighbour,
+                               const rr_cells_request *request, const rr_cells_item *item,
+                               double now, double wall, rr_transfer_message *reply,
+                               rr_transfer_write *write);
 
 /* ---- incoming.c ---- */
 
-/* Whether the entry is loaded for the present term, this controller is its owner, and no write is
- * under way. */
+/* Returns whether this controller owns the entry, its state machine is loaded for the present term,
+ * and no write is pending. */
 bool rr_incoming_ready(rr_transfers *transfers, const rr_incoming *entry, double now);
-/* As rr_transfers_advance(), for the jobs of this neighbour here. */
-void rr_incoming_look(rr_transfers *transfers, size_t neighbour, double now,
-                      rr_transfers_plan *plan);
-/* The home's reply to a message about a job that is held here. */
-void rr_incoming_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *asked,
-                         const rr_transfer_message *reply);
+/* As rr_transfers_advance(), for the jobs of this neighbour that are held here. */
+void rr_incoming_advance(rr_transfers *transfers, size_t neighbour, double now,
+                         rr_transfers_plan *plan);
+/* Takes the home's reply to a message about a job that is held here. */
+void rr_incoming_receive_reply(rr_transfers *transfers, size_t neighbour,
+                               const rr_cells_item *sent_item, const rr_transfer_message *reply);
 
 #endif
--- a/src/cells/incoming_offers.c
+++ b/src/cells/incoming_offers.c
@@ -1,4 +1,4 @@
-/* Takes or refuses other cells' offers, by the room that is free here. */
+/* Accepts or refuses other cells' offers, according to the free room in this cell. */
 #include "cells/incoming.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
@@ -7,13 +7,13 @@
 
 #include <string.h>
 
-#define ROOM_AGE_MAX_S 1.0 /* before free room is summed up again */
-#define TIMES_TOLERANCE_S 1e-3
+#define ROOM_AGE_MAX_S 1.0     /* the free room is summed up again after this */
+#define TIMES_TOLERANCE_S 1e-3 /* between a duration here and the same one in an offer */
 
 /* ---- free room ---- */
 
-static void add_machine(void *user, const char *type, const char *zone, double cpus, double gpus,
-                        double mem_gb) {
+static void add_machine_room(void *user, const char *type, const char *zone, double cpus,
+                             double gpus, double mem_gb) {
     rr_cells_room *sum = user;
     (void)type;
     (void)zone;
@@ -22,8 +22,8 @@
     sum->mem_gb += mem_gb;
 }
 
-static void subtract_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
-                         uint32_t placed, uint32_t done) {
+static void subtract_job_demand(void *user, const rr_submission *submission, int team,
+                                uint32_t waiting, uint32_t placed, uint32_t done) {
     rr_cells_room *sum = user;
     double tasks = (double)waiting + placed;
     (void)team;
@@ -33,21 +33,23 @@
     sum->mem_gb -= tasks * submission->mem_gb;
 }
 
-/* Guests' share of what all machines have beyond all that runs or waits. */
+/* Sums up the free room again if its last sum is old: guest_share of what all machines have beyond
+ * the demand of all tasks that wait or are placed. */
 static void update_room(rr_transfers *transfers, double now) {
-    if (transfers->room_at > 0 && now - transfers->room_at < ROOM_AGE_MAX_S) {
+    if (transfers->room_updated_at > 0 && now - transfers->room_updated_at < ROOM_AGE_MAX_S) {
         return;
     }
     rr_cells_room sum = {0};
-    rr_core_each_machine(transfers->core, add_machine, &sum);
-    rr_core_each_job(transfers->core, subtract_job, &sum);
+    rr_core_each_machine(transfers->core, add_machine_room, &sum);
+    rr_core_each_job(transfers->core, subtract_job_demand, &sum);
     double share = transfers->settings->guest_share;
     transfers->room = (rr_cells_room){share * sum.cpus, share * sum.gpus, share * sum.mem_gb};
-    transfers->room_at = now;
+    transfers->room_updated_at = now;
 }
 
-/* A cell whose own jobs wait takes none of others. */
-static bool takes_jobs(const rr_transfers *transfers) {
+/* Returns whether this cell takes jobs of others: not while its own jobs wait, or while a
+ * controller of the term does not keep transfer holds. */
+static bool accepts_jobs(const rr_transfers *transfers) {
     return !transfers->spill.spilling &&
            transfers->longest_wait_s <= transfers->settings->end_wait_s &&
            rr_core_all_hold_capable(transfers->core);
@@ -55,34 +57,36 @@
 
 rr_cells_room rr_transfers_room(rr_transfers *transfers, double now) {
     update_room(transfers, now);
-    return takes_jobs(transfers) ? transfers->room : (rr_cells_room){0, 0, 0};
+    return accepts_jobs(transfers) ? transfers->room : (rr_cells_room){0, 0, 0};
 }
 
 /* ---- offers ---- */
 
-/* Whether the home counts on a lease and a rest that are not shorter than this cell's. */
-static bool times_agree(const rr_transfers *transfers, const rr_cells_request *request) {
+/* Returns whether the home's lease_s and rest_s are not shorter than this cell's: otherwise tasks
+ * here might go on for longer than the home waits. */
+static bool home_times_suffice(const rr_transfers *transfers, const rr_cells_request *request) {
     const rr_transfer_times *own = &transfers->settings->times;
     return own->lease_s <= request->lease_s + TIMES_TOLERANCE_S &&
            own->rest_s <= request->rest_s + TIMES_TOLERANCE_S;
 }
 
-/* Takes the job's demand off the room if it may be taken. The room may be in parts that are too
- * small for its tasks: then it does not start, and goes back. */
+/* Returns whether the offered job may be accepted, and if so subtracts its demand from the free
+ * room. The room may be split among machines that are each too small for the job's tasks: then the
+ * job does not start, and is given back. */
 static bool reserve_room(rr_transfers *transfers, const rr_cells_request *request,
                          const rr_submission *submission, double now) {
     const char *reason;
     update_room(transfers, now);
-    return times_agree(transfers, request) && takes_jobs(transfers) &&
+    return home_times_suffice(transfers, request) && accepts_jobs(transfers) &&
            strcmp(submission->team, request->team) == 0 &&
            rr_core_check_submission(transfers->core, submission, &reason) == RR_SUBMISSION_NEW &&
            rr_cells_room_take(&transfers->room, submission);
 }
 
-/* The claim's record and the copy of the job, in one transaction. */
-static void make_copy_write(rr_transfers *transfers, const rr_incoming *entry,
-                            const rr_submission *submission, double accepted_at,
-                            rr_transfer_write *write) {
+/* Makes the write that stores the claim's record and the copy of the job in one transaction. */
+static void make_acceptance_write(rr_transfers *transfers, const rr_incoming *entry,
+                                  const rr_submission *submission, double accepted_at,
+                                  rr_transfer_write *write) {
     char key[RR_CELLS_KEY_SIZE];
     rr_encoder encoder;
     rr_incoming_make_write(transfers, entry, write);
@@ -93,6 +97,7 @@
     rr_transaction_put(&write->transaction, key, &encoder, 0);
 }
 
+/* Adds an entry for an offer that is being accepted. The table owns it. */
 static rr_incoming *add_entry(rr_transfers *transfers, size_t neighbour, const rr_cells_item *item,
                               const char *team, const char *local_id, const rr_guest *guest,
                               double now) {
@@ -108,8 +113,9 @@
     return entry;
 }
 
-/* The offered job under its local name, for rr_submission_clear(), and when its home accepted it;
- * *accepted_at stays if the offer does not say. False: not readable. */
+/* Reads the offered job under its local id, for rr_submission_clear(), and the time of day at which
+ * its home accepted it; *accepted_at stays as it is if the offer has none. Returns false if the
+ * offer can't be read. */
 static bool read_offer(const rr_cells_item *item, const char *local_id, rr_submission *submission,
                        double *accepted_at) {
     rr_document document;
@@ -128,31 +134,32 @@
     return readable;
 }
 
-bool rr_incoming_offered(rr_transfers *transfers, size_t neighbour, const rr_cells_request *request,
-                         const rr_cells_item *item, double now, double wall,
-                         rr_transfer_message *reply, rr_transfer_write *write) {
+bool rr_incoming_receive_offer(rr_transfers *transfers, size_t neighbour,
+                               const rr_cells_request *request, const rr_cells_item *item,
+                               double now, double wall, rr_transfer_message *reply,
+                               rr_transfer_write *write) {
     char local_id[RR_ID_SIZE];
     rr_cells_local_id(transfers->settings->neighbours[neighbour].name, item->job_id,
                       item->message.claim, local_id, sizeof local_id);
     if (g_hash_table_contains(transfers->incoming, local_id)) {
-        return false; /* a repeated offer: the job is held, or being taken */
+        return false; /* an offer sent again: the job is held already, or being accepted */
     }
-    /* A late copy of an offer names a claim that has ended. Its copy of the job is known here, so
-     * that the submission is not new and is refused. */
+    /* A delayed duplicate of an offer may have a claim that has ended. The copy of its job is still
+     * known here, so that the submission is not new and the offer is refused. */
     rr_submission submission = {0};
     double accepted_at = wall;
     rr_guest guest = {.process = transfers->process};
-    bool room = read_offer(item, local_id, &submission, &accepted_at) &&
-                reserve_room(transfers, request, &submission, now);
+    bool can_accept = read_offer(item, local_id, &submission, &accepted_at) &&
+                      reserve_room(transfers, request, &submission, now);
     rr_guest_step step =
-        rr_guest_receive(&guest, &item->message, room, &transfers->settings->times);
+        rr_guest_receive(&guest, &item->message, can_accept, &transfers->settings->times);
     *reply = step.message;
-    bool taken = step.action == RR_GUEST_WRITE;
-    if (taken) {
+    bool accepted = step.action == RR_GUEST_WRITE;
+    if (accepted) {
         const rr_incoming *entry =
             add_entry(transfers, neighbour, item, request->team, local_id, &guest, now);
-        make_copy_write(transfers, entry, &submission, accepted_at, write);
+        make_acceptance_write(transfers, entry, &submission, accepted_at, write);
     }
     rr_submission_clear(&submission);
-    return taken;
+    return accepted;
 }
--- a/src/cells/outgoing.h
+++ b/src/cells/outgoing.h
@@ -1,6 +1,6 @@
-/* Inside the package only: this cell's jobs at others. outgoing_records.c has entries, their
- * records and writes; outgoing_offers.c chooses what to offer; outgoing.c drives what is offered.
- */
+/* Package-internal: jobs of this cell at other cells. outgoing_records.c has their entries, records
+ * and writes; outgoing_offers.c chooses the jobs to offer; outgoing.c advances those that were
+ * offered. */
 #ifndef RR_CELLS_OUTGOING_H
 #define RR_CELLS_OUTGOING_H
 
@@ -8,45 +8,48 @@
 
 /* ---- outgoing_records.c ---- */
 
-/* The job's entry; made if there is none. */
+/* Returns the job's entry; creates it if there is none. The table owns it. */
 rr_outgoing *rr_outgoing_get(rr_transfers *transfers, const char *job_id);
 /* Removes the entry, and the hold that keeps the job from being placed here. */
 void rr_outgoing_forget(rr_transfers *transfers, const char *job_id);
-/* Takes a record from the store cache; value NULL: it is deleted. */
+/* Takes a record from the store cache; value NULL: it was deleted. */
 void rr_outgoing_put(rr_transfers *transfers, const char *job_id, const msgpack_object *value,
                      uint64_t version);
-/* Makes sure that the entry's state machine is loaded for the present term. False: a write of an
- * earlier one is under way. */
+/* Loads the entry's state machine for the present term unless it is loaded already. Returns false
+ * if it can't be, since a write of an earlier term is pending. */
 bool rr_outgoing_load(rr_transfers *transfers, rr_outgoing *entry, double now);
-/* What the state machine wants written. False: there is nothing to write after all, and the state
- * machine knows. */
+/* Makes the write that the entry's state machine has requested; the caller owns *write. Returns
+ * false if the write is not possible any more: the state machine has then been told that it failed,
+ * and *write is cleared. */
 bool rr_outgoing_make_write(rr_transfers *transfers, rr_outgoing *entry, double wall,
                             rr_transfer_write *write);
-/* The same, added to the plan. */
+/* Adds the write that the entry's state machine has requested to the plan. Returns as
+ * rr_outgoing_make_write(). */
 bool rr_outgoing_plan_write(rr_transfers *transfers, rr_outgoing *entry, double wall,
                             rr_transfers_plan *plan);
-/* As rr_transfers_written(). */
+/* As rr_transfers_written(), for a write of an outgoing job. */
 rr_transfer_message rr_outgoing_written(rr_transfers *transfers, const rr_transfer_write *write,
                                         bool committed);
 
 /* ---- outgoing_offers.c ---- */
 
-/* Offers jobs to the neighbour if this cell's own wait too long. No plan is under way. */
-void rr_outgoing_offer(rr_transfers *transfers, size_t neighbour, double now, double wall,
-                       rr_transfers_plan *plan);
+/* Offers jobs to the neighbour if this cell's own jobs wait too long. Not to be called while a
+ * change that places tasks is incomplete. */
+void rr_outgoing_offer_jobs(rr_transfers *transfers, size_t neighbour, double now, double wall,
+                            rr_transfers_plan *plan);
 
 /* ---- outgoing.c ---- */
 
-/* As rr_transfers_advance(), for this cell's jobs at the neighbour. */
-void rr_outgoing_look(rr_transfers *transfers, size_t neighbour, double now, double wall,
-                      rr_transfers_plan *plan);
-/* As rr_transfers_receive(), for messages of guests. */
-bool rr_outgoing_receive(rr_transfers *transfers, size_t neighbour, const rr_cells_item *item,
-                         double now, double wall, rr_transfer_message *reply,
-                         rr_transfer_write *write);
-/* The neighbour refuses an offer. As rr_transfers_replied(). */
-bool rr_outgoing_refused(rr_transfers *transfers, size_t neighbour, const char *job_id,
-                         const rr_transfer_message *message, double now, double wall,
-                         rr_transfer_write *write);
+/* As rr_transfers_advance(), for jobs of this cell at the neighbour. */
+void rr_outgoing_advance(rr_transfers *transfers, size_t neighbour, double now, double wall,
+                         rr_transfers_plan *plan);
+/* As rr_transfers_receive(), for a guest's message about a job of this cell. */
+bool rr_outgoing_receive_message(rr_transfers *transfers, size_t neighbour,
+                                 const rr_cells_item *item, double now, double wall,
+                                 rr_transfer_message *reply, rr_transfer_write *write);
+/* As rr_transfers_replied(), for the neighbour's refusal of an offer. */
+bool rr_outgoing_receive_refusal(rr_transfers *transfers, size_t neighbour, const char *job_id,
+                                 const rr_transfer_message *message, double now, double wall,
+                                 rr_transfer_write *write);
 
 #endif
--- a/src/cells/outgoing_offers.c
+++ b/src/cells/outgoing_offers.c
@@ -1,29 +1,33 @@
-/* Chooses which of this cell's jobs are offered to a neighbour: those that wait longest. */
+/* Chooses the jobs of this cell that are offered to a neighbour: those that have waited longest. */
 #include "cells/outgoing.h"
 #include "core/extensions.h"
 
 #include <math.h>
 #include <string.h>
 
-#define OFFERS_AT_ONCE_MAX 8u        /* to one neighbour in one look */
-#define NEIGHBOUR_ROOM_AGE_MAX_S 1.0 /* for an announced room to count */
-#define CLAIMS_MAX 3u                /* a job that was offered so often stays */
+#define OFFERS_PER_PASS_MAX 8u       /* to one neighbour */
+#define NEIGHBOUR_ROOM_AGE_MAX_S 1.0 /* an announced room is not relied on after this */
+#define OFFERS_PER_JOB_MAX 3u        /* a job offered this often is not offered again */
 
+/* A job that may be offered to the neighbour. */
 struct candidate {
-    const rr_submission *submission; /* the core's, which is locked */
-    double wait_s;
+    const rr_submission *submission; /* the core's; valid while it is locked */
+    double wait_s;                   /* since its submission was accepted */
 };
 
-struct choice {
+/* The jobs to offer in one pass, while they are being chosen. */
+struct offer_selection {
     const rr_transfers *transfers;
-    const rr_cell *cell;
+    const rr_cell *cell; /* the neighbour */
     double wall;
-    double longest_wait_s; /* of jobs that some cell takes */
-    guint count;
-    struct candidate candidates[OFFERS_AT_ONCE_MAX]; /* longest wait first */
+    double longest_wait_s; /* of the jobs that any neighbour would take */
+    guint count;           /* of candidates */
+    struct candidate candidates[OFFERS_PER_PASS_MAX]; /* longest wait first */
 };
 
-static bool some_cell_takes(const rr_cells_settings *settings, const rr_submission *submission) {
+/* Returns whether the settings allow the job to go to at least one neighbour. */
+static bool any_neighbour_takes(const rr_cells_settings *settings,
+                                const rr_submission *submission) {
     for (size_t i = 0; i < settings->neighbour_count; i++) {
         if (rr_cell_takes(&settings->neighbours[i], submission->team, submission->zone)) {
             return true;
@@ -32,43 +36,48 @@
     return false;
 }
 
-/* Whether the job has come back too often, or is being written. */
-static bool stays(const rr_transfers *transfers, const char *job_id) {
+/* Returns whether the job must not be offered: it was offered too often, or a write of its transfer
+ * is pending. */
+static bool must_not_be_offered(const rr_transfers *transfers, const char *job_id) {
     const rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
-    return entry && (entry->record.claim >= CLAIMS_MAX || entry->home.writes);
+    return entry && (entry->record.claim >= OFFERS_PER_JOB_MAX || entry->home.writes);
 }
 
-/* Keeps the candidates sorted; one that waits less than all of a full list is dropped. */
-static void insert_candidate(struct choice *choice, const struct candidate *candidate) {
-    guint place = choice->count;
-    while (place > 0 && choice->candidates[place - 1].wait_s < candidate->wait_s) {
-        place--;
+/* Inserts a candidate so that the longest wait stays first. If the list is full, the candidate with
+ * the shortest wait is dropped. */
+static void insert_candidate(struct offer_selection *selection, const struct candidate *candidate) {
+    guint position = selection->count;
+    while (position > 0 && selection->candidates[position - 1].wait_s < candidate->wait_s) {
+        position--;
     }
-    if (place == OFFERS_AT_ONCE_MAX) {
+    if (position == OFFERS_PER_PASS_MAX) {
         return;
     }
-    guint last = MIN(choice->count, OFFERS_AT_ONCE_MAX - 1);
-    memmove(&choice->candidates[place + 1], &choice->candidates[place],
-            (last - place) * sizeof choice->candidates[0]);
-    choice->count = last + 1;
-    choice->candidates[place] = *candidate;
+    guint last = MIN(selection->count, OFFERS_PER_PASS_MAX - 1);
+    memmove(&selection->candidates[position + 1], &selection->candidates[position],
+            (last - position) * sizeof selection->candidates[0]);
+    selection->count = last + 1;
+    selection->candidates[position] = *candidate;
 }
 
+/* Adds the job to the candidates if it may be offered and has waited long enough. */
 static void consider_job(void *user, const rr_submission *submission, double accepted_at) {
-    struct choice *choice = user;
-    const rr_cells_settings *settings = choice->transfers->settings;
-    if (!some_cell_takes(settings, submission) || stays(choice->transfers, submission->job_id)) {
+    struct offer_selection *selection = user;
+    const rr_cells_settings *settings = selection->transfers->settings;
+    if (!any_neighbour_takes(settings, submission) ||
+        must_not_be_offered(selection->transfers, submission->job_id)) {
         return;
     }
-    struct candidate candidate = {submission, choice->wall - accepted_at};
-    choice->longest_wait_s = fmax(choice->longest_wait_s, candidate.wait_s);
+    struct candidate candidate = {submission, selection->wall - accepted_at};
+    selection->longest_wait_s = fmax(selection->longest_wait_s, candidate.wait_s);
     if (candidate.wait_s > settings->end_wait_s &&
-        rr_cell_takes(choice->cell, submission->team, submission->zone)) {
-        insert_candidate(choice, &candidate);
+        rr_cell_takes(selection->cell, submission->team, submission->zone)) {
+        insert_candidate(selection, &candidate);
     }
 }
 
-/* Plans the write of the offer. The job is held from here on, so that no later plan places it. */
+/* Adds the write of the offer's record to the plan. The job is put on hold at once, so that it is
+ * no longer placed here. */
 static void offer_job(rr_transfers *transfers, const struct candidate *candidate, size_t neighbour,
                       double now, double wall, rr_transfers_plan *plan) {
     rr_outgoing *entry = rr_outgoing_get(transfers, candidate->submission->job_id);
@@ -90,31 +99,32 @@
     }
 }
 
-static void offer_candidates(rr_transfers *transfers, const struct choice *choice, size_t neighbour,
-                             double now, rr_transfers_plan *plan) {
-    for (guint i = 0; i < choice->count; i++) {
-        const struct candidate *candidate = &choice->candidates[i];
+/* Offers the candidates for which the neighbour still has room. */
+static void offer_candidates(rr_transfers *transfers, const struct offer_selection *selection,
+                             size_t neighbour, double now, rr_transfers_plan *plan) {
+    for (guint i = 0; i < selection->count; i++) {
+        const struct candidate *candidate = &selection->candidates[i];
         if (rr_cells_room_take(&transfers->neighbour_rooms[neighbour], candidate->submission)) {
-            offer_job(transfers, candidate, neighbour, now, choice->wall, plan);
+            offer_job(transfers, candidate, neighbour, now, selection->wall, plan);
         }
     }
 }
 
-void rr_outgoing_offer(rr_transfers *transfers, size_t neighbour, double now, double wall,
-                       rr_transfers_plan *plan) {
-    struct choice choice = {
+void rr_outgoing_offer_jobs(rr_transfers *transfers, size_t neighbour, double now, double wall,
+                            rr_transfers_plan *plan) {
+    struct offer_selection selection = {
         .transfers = transfers, .cell = &transfers->settings->neighbours[neighbour], .wall = wall};
-    rr_core_each_spillable(transfers->core, now, consider_job, &choice);
-    transfers->longest_wait_s = choice.longest_wait_s;
-    if (!rr_spill_update(&transfers->spill, transfers->settings, choice.longest_wait_s) ||
-        !rr_spill_may_ask(&transfers->pauses[neighbour], now) || choice.count == 0) {
+    rr_core_each_spillable(transfers->core, now, consider_job, &selection);
+    transfers->longest_wait_s = selection.longest_wait_s;
+    if (!rr_spill_update(&transfers->spill, transfers->settings, selection.longest_wait_s) ||
+        !rr_spill_may_ask(&transfers->offer_backoff[neighbour], now) || selection.count == 0) {
         return;
     }
-    if (now - transfers->neighbour_rooms_at[neighbour] > NEIGHBOUR_ROOM_AGE_MAX_S) {
-        /* An empty request asks for the room, which every reply announces. */
-        rr_transfers_plan_request(transfers, plan, neighbour,
-                                  choice.candidates[0].submission->team);
+    if (now - transfers->neighbour_rooms_updated_at[neighbour] > NEIGHBOUR_ROOM_AGE_MAX_S) {
+        /* Every reply announces the neighbour's free room: a request without items asks for it. */
+        rr_transfers_plan_get_request(transfers, plan, neighbour,
+                                      selection.candidates[0].submission->team);
         return;
     }
-    offer_candidates(transfers, &choice, neighbour, now, plan);
+    offer_candidates(transfers, &selection, neighbour, now, plan);
 }
--- a/src/cells/transfer_table.c
+++ b/src/cells/transfer_table.c
@@ -1,3 +1,5 @@
+/* Helpers that both directions of transfers share: ownership of teams, free room, and the writes
+ * and requests of a plan. */
 #include "cells/transfer_table.h"
 #include "core/cache_feed.h"
 #include "core/extensions.h"
@@ -31,7 +33,7 @@
     return true;
 }
 
-bool rr_transfers_concerns(int entry_neighbour, size_t neighbour) {
+bool rr_transfers_pass_includes(int entry_neighbour, size_t neighbour) {
     return entry_neighbour == (int)neighbour ||
            (entry_neighbour == RR_CELLS_NO_NEIGHBOUR && neighbour == 0);
 }
@@ -66,7 +68,7 @@
     g_ptr_array_add(plan->writes, g_memdup2(write, sizeof *write));
 }
 
-/* The team's last request in the plan, unless it is full; NULL: none. */
+/* Returns the team's last request in the plan; NULL if there is none, or it is full. */
 static rr_cells_request *find_request(const rr_transfers_plan *plan, const char *team) {
     for (guint i = plan->requests->len; i > 0; i--) {
         rr_cells_request *request = g_ptr_array_index(plan->requests, i - 1);
@@ -77,8 +79,9 @@
     return NULL;
 }
 
-rr_cells_request *rr_transfers_plan_request(const rr_transfers *transfers, rr_transfers_plan *plan,
-                                            size_t neighbour, const char *team) {
+rr_cells_request *rr_transfers_plan_get_request(const rr_transfers *transfers,
+                                                rr_transfers_plan *plan, size_t neighbour,
+                                                const char *team) {
     rr_cells_request *request = find_request(plan, team);
     if (request) {
         return request;
--- a/src/cells/transfer_table.h
+++ b/src/cells/transfer_table.h
@@ -1,77 +1,84 @@
-/* Inside the package only: the tables of transfers that the package's other files share, and what
- * all of them need. All of it is under the lock that guards the core. */
+/* Package-internal: the tables of transfers, and helpers that the package's other files share. All
+ * functions are called, and all data is used, under the lock that guards the core. */
 #ifndef RR_CELLS_TRANSFER_TABLE_H
 #define RR_CELLS_TRANSFER_TABLE_H
 
 #include "cells/spill.h"
 #include "cells/transfers.h"
 
-/* A store cache that is older may miss that a job was withdrawn: nothing is granted by it. */
+/* Grants are given only by a store cache younger than this: an older one may miss that a job was
+ * withdrawn. */
 #define RR_CELLS_CACHE_AGE_MAX_S 5.0
-/* Between two attempts to send a message that is not urgent. */
-#define RR_CELLS_REPEAT_S 1.0
-/* No neighbour of the settings: the other cell has been removed from them. */
+/* Interval at which a message that is not urgent is sent again. */
+#define RR_CELLS_RESEND_INTERVAL_S 1.0
+/* In place of a neighbour's index: the other cell has been removed from the settings. */
 #define RR_CELLS_NO_NEIGHBOUR (-1)
 
 /* A job of this cell that was offered to another. */
 typedef struct {
     char job_id[RR_ID_SIZE];
     rr_out_record record; /* as the store cache has it */
-    uint64_t version;     /* of the record; 0: it does not exist yet */
+    uint64_t version;     /* the record's; 0: it does not exist yet */
     rr_home home;
-    uint64_t token; /* of the term for which `home` is loaded; 0: it has to be loaded first */
-    int neighbour;  /* the guest */
-    bool taken;     /* the guest has asked for a grant under this claim */
+    uint64_t token; /* fencing token of the term for which `home` was loaded; 0: load it first */
+    int neighbour;  /* index of the guest, or RR_CELLS_NO_NEIGHBOUR */
+    bool taken;     /* the guest has answered under this claim; also set after a load, when this is
+                       unknown */
+    /* Steady time of the guest's last message under this claim, or of the offer or a later load. */
     double last_message_at;
-    double offered_at; /* when the offer was last sent */
+    double offered_at; /* steady time at which the offer was last sent; 0: not yet */
 } rr_outgoing;
 
 /* A job of another cell that this one holds. */
 typedef struct {
-    char local_id[RR_ID_SIZE];
-    rr_in_record record;
-    uint64_t version;
+    char local_id[RR_ID_SIZE]; /* the job's id in this cell: rr_cells_local_id() */
+    rr_in_record record; /* as the store cache has it; team, home and job_id if version is 0 */
+    uint64_t version;    /* the record's; 0: it does not exist yet */
     rr_guest guest;
-    uint64_t token; /* as in rr_outgoing, for `guest` */
-    int neighbour;  /* the home */
-    bool started;   /* a task of it has been placed here */
-    bool returning; /* it is being given back: its copy ends first */
-    double loaded_at;
-    double sent_at; /* when a message about it was last sent */
+    uint64_t token;   /* fencing token of the term for which `guest` was loaded; 0: load it first */
+    int neighbour;    /* index of the home, or RR_CELLS_NO_NEIGHBOUR */
+    bool started;     /* a task of the job has been placed here */
+    bool returning;   /* the job is being given back: its copy here is cancelled first */
+    double loaded_at; /* steady time at which `guest` was loaded */
+    double sent_at;   /* steady time of the last message to the home; 0: none since the load */
 } rr_incoming;
 
 struct rr_transfers {
     const rr_cells_settings *settings;
     const struct rr_config *config;
     rr_core *core;
-    uint64_t process;
-    GHashTable *outgoing; /* job id -> rr_outgoing */
-    GHashTable *incoming; /* local id -> rr_incoming */
-    rr_spill spill;
-    double longest_wait_s; /* of this cell's own jobs */
-    rr_cells_room room;    /* free here at room_at, less what was taken since */
-    double room_at;
-    rr_spill_pause pauses[RR_CELLS_MAX]; /* by neighbour */
-    rr_cells_room
-        neighbour_rooms[RR_CELLS_MAX]; /* as last announced, less what was offered since */
-    double neighbour_rooms_at[RR_CELLS_MAX];
+    uint64_t process;       /* unique for this process: see rr_transfers_create() */
+    GHashTable *outgoing;   /* job id -> rr_outgoing, owned */
+    GHashTable *incoming;   /* local id -> rr_incoming, owned */
+    rr_spill spill;         /* whether this cell offers jobs */
+    double longest_wait_s;  /* of this cell's own jobs that a neighbour would take */
+    rr_cells_room room;     /* free here at room_updated_at, less what was taken since */
+    double room_updated_at; /* steady time; 0: never */
+    rr_spill_pause offer_backoff[RR_CELLS_MAX]; /* by neighbour */
+    /* By neighbour, as last announced, less what was offered since. */
+    rr_cells_room neighbour_rooms[RR_CELLS_MAX];
+    double neighbour_rooms_updated_at[RR_CELLS_MAX]; /* steady time; 0: never */
     rr_transfers_stats stats;
 };
 
-/* Whether this controller plans the team in the present term, certainly still. */
+/* Returns whether this controller plans the team in the present term, by a consistent store cache
+ * and under a lease that is certainly still valid. */
 bool rr_transfers_owns(const rr_transfers *transfers, const char *team, double now);
 
-/* Subtracts the job's demand from the room if it fits; false: it does not. */
+/* Subtracts the demand of the job's tasks from the room and returns true if it fits; otherwise
+ * returns false and leaves the room as it is. */
 bool rr_cells_room_take(rr_cells_room *room, const rr_submission *submission);
 
-/* The plan's request to the neighbour for this team, with room for one more item; borrowed. */
-rr_cells_request *rr_transfers_plan_request(const rr_transfers *transfers, rr_transfers_plan *plan,
-                                            size_t neighbour, const char *team);
-/* Moves a write into the plan. */
+/* Returns the plan's request to the neighbour for this team, to which at least one more item may be
+ * added; creates one if there is none. The plan owns it. */
+rr_cells_request *rr_transfers_plan_get_request(const rr_transfers *transfers,
+                                                rr_transfers_plan *plan, size_t neighbour,
+                                                const char *team);
+/* Moves the write into the plan, which then owns its transaction. */
 void rr_transfers_plan_add(rr_transfers_plan *plan, const rr_transfer_write *write);
 
-/* Whether a look at this neighbour takes care of the entry: its own neighbour's does; for an entry
- * without one the first neighbour's does. */
-bool rr_transfers_concerns(int entry_neighbour, size_t neighbour);
+/* Returns whether a pass over this neighbour's transfers includes an entry: each entry belongs to
+ * the pass of its own neighbour, or of the first one if it has none (RR_CELLS_NO_NEIGHBOUR). */
+bool rr_transfers_pass_includes(int entry_neighbour, size_t neighbour);
 
 #endif
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -1,4 +1,4 @@
-/* Routes records, messages and outcomes to the two sides of transfers. */
+/* Passes records, messages and outcomes of writes on to outgoing and incoming transfers. */
 #include "cells/incoming.h"
 #include "cells/outgoing.h"
 #include "core/cache_feed.h"
@@ -27,17 +27,17 @@
     }
 }
 
-bool rr_transfers_put(rr_transfers *transfers, const char *rest, const msgpack_object *value,
+bool rr_transfers_put(rr_transfers *transfers, const char *key_suffix, const msgpack_object *value,
                       uint64_t version) {
-    uint64_t unread = transfers->stats.records_unread;
-    if (g_str_has_prefix(rest, RR_CELLS_OUT)) {
-        rr_outgoing_put(transfers, rest + strlen(RR_CELLS_OUT), value, version);
-    } else if (g_str_has_prefix(rest, RR_CELLS_IN)) {
-        rr_incoming_put(transfers, rest + strlen(RR_CELLS_IN), value, version);
+    uint64_t unread_before = transfers->stats.records_unread;
+    if (g_str_has_prefix(key_suffix, RR_CELLS_OUT)) {
+        rr_outgoing_put(transfers, key_suffix + strlen(RR_CELLS_OUT), value, version);
+    } else if (g_str_has_prefix(key_suffix, RR_CELLS_IN)) {
+        rr_incoming_put(transfers, key_suffix + strlen(RR_CELLS_IN), value, version);
     } else {
         transfers->stats.records_unread++;
     }
-    return transfers->stats.records_unread == unread;
+    return transfers->stats.records_unread == unread_before;
 }
 
 void rr_transfers_advance(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
@@ -45,10 +45,10 @@
     if (!rr_core_cache_consistent(transfers->core) || !rr_core_lease_valid(transfers->core, now)) {
         return;
     }
-    rr_incoming_look(transfers, neighbour, now, plan);
-    rr_outgoing_look(transfers, neighbour, now, wall, plan);
+    rr_incoming_advance(transfers, neighbour, now, plan);
+    rr_outgoing_advance(transfers, neighbour, now, wall, plan);
     if (may_offer && rr_core_all_hold_capable(transfers->core)) {
-        rr_outgoing_offer(transfers, neighbour, now, wall, plan);
+        rr_outgoing_offer_jobs(transfers, neighbour, now, wall, plan);
     }
 }
 
@@ -64,39 +64,41 @@
     memset(reply, 0, sizeof *reply);
     switch (item->message.kind) {
     case RR_TRANSFER_OFFER:
-        return rr_incoming_offered(transfers, neighbour, request, item, now, wall, reply, write);
+        return rr_incoming_receive_offer(transfers, neighbour, request, item, now, wall, reply,
+                                         write);
     case RR_TRANSFER_REFUSE:
     case RR_TRANSFER_RENEW:
     case RR_TRANSFER_ENDED:
-        return rr_outgoing_receive(transfers, neighbour, item, now, wall, reply, write);
+        return rr_outgoing_receive_message(transfers, neighbour, item, now, wall, reply, write);
     default:
         return false;
     }
 }
 
-bool rr_transfers_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *asked,
+bool rr_transfers_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *sent_item,
                           const rr_transfer_message *reply, double now, double wall,
                           rr_transfer_write *write) {
-    if (asked->message.kind != RR_TRANSFER_OFFER) {
-        rr_incoming_replied(transfers, neighbour, asked, reply);
+    if (sent_item->message.kind != RR_TRANSFER_OFFER) {
+        rr_incoming_receive_reply(transfers, neighbour, sent_item, reply);
         return false;
     }
     if (reply->kind != RR_TRANSFER_REFUSE) {
-        rr_spill_taken(&transfers->pauses[neighbour]);
+        rr_spill_taken(&transfers->offer_backoff[neighbour]);
         return false;
     }
-    rr_spill_refused(&transfers->pauses[neighbour], now);
-    return rr_outgoing_refused(transfers, neighbour, asked->job_id, reply, now, wall, write);
+    rr_spill_refused(&transfers->offer_backoff[neighbour], now);
+    return rr_outgoing_receive_refusal(transfers, neighbour, sent_item->job_id, reply, now, wall,
+                                       write);
 }
 
 void rr_transfers_room_announced(rr_transfers *transfers, size_t neighbour,
                                  const rr_cells_room *room, double now) {
     transfers->neighbour_rooms[neighbour] = *room;
-    transfers->neighbour_rooms_at[neighbour] = now;
+    transfers->neighbour_rooms_updated_at[neighbour] = now;
 }
 
 void rr_transfers_unanswered(rr_transfers *transfers, size_t neighbour, double now) {
-    rr_spill_refused(&transfers->pauses[neighbour], now);
+    rr_spill_refused(&transfers->offer_backoff[neighbour], now);
 }
 
 void rr_transfers_get_stats(const rr_transfers *transfers, rr_transfers_stats *out) {
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -1,13 +1,13 @@
-/* All transfers that a controller knows of, from the records of its cell: those of its own jobs
- * (outgoing) and those that it holds for other cells (incoming), each driven by its state machine
- * (transfer.h). Only the controller that plans a job's team drives its transfer.
+/* All transfers that a controller knows of from the records of its cell: those of its own jobs
+ * (outgoing) and those of jobs that it holds for other cells (incoming). Each has a state machine
+ * (transfer.h), which only the controller that plans the job's team advances.
  *
- * No I/O and no clock. All functions are called under the lock that guards the core, from which
- * they read jobs and which they tell what may be placed. Writes are handed out as transactions, and
- * their outcome is handed back.
+ * The functions do no I/O and read no clock. All of them are called under the lock that guards the
+ * core; they read jobs from the core and tell it which ones it may place. Writes are returned as
+ * transactions for the caller to commit, and the caller reports their outcome.
  *
- * now is the steady clock and wall the time of day, in seconds; neighbour is an index of the
- * settings. */
+ * now is the steady clock and wall the time of day, both in seconds; neighbour is an index into
+ * settings->neighbours. */
 #ifndef RR_CELLS_TRANSFERS_H
 #define RR_CELLS_TRANSFERS_H
 
@@ -19,127 +19,141 @@
 
 typedef struct rr_transfers rr_transfers;
 
-/* process: unique for this process, so that grants to it differ from those to an earlier one.
- * settings, config and core are borrowed and outlive the object. */
+/* Returns an object without transfers, for rr_transfers_destroy(). process: unique for this
+ * process, so that grants to it differ from those to an earlier one. settings, config and core are
+ * borrowed and outlive the object. */
 rr_transfers *rr_transfers_create(const rr_cells_settings *settings, const struct rr_config *config,
                                   rr_core *core, uint64_t process);
 /* NULL is allowed. */
 void rr_transfers_destroy(rr_transfers *transfers);
 
-/* Takes a record of the package from the core's store cache; rest: its key after RR_CELLS_PREFIX.
- * value NULL: it is deleted. False: it can't be read. */
-bool rr_transfers_put(rr_transfers *transfers, const char *rest, const msgpack_object *value,
+/* Takes a record of a transfer from the core's store cache. key_suffix: its key after
+ * RR_CELLS_PREFIX. value NULL: the record was deleted. Returns false if it can't be read. */
+bool rr_transfers_put(rr_transfers *transfers, const char *key_suffix, const msgpack_object *value,
                       uint64_t version);
 
 /* ---- writes and plans ---- */
 
-/* What is to be written for one transfer. */
+/* A transaction to be committed for one transfer. */
 typedef struct {
-    bool outgoing;
-    char id[RR_ID_SIZE]; /* the job's, as this cell calls it */
+    bool outgoing;       /* the transfer is of a job of this cell */
+    char id[RR_ID_SIZE]; /* the job's id in this cell */
     bool ends_copy;      /* cancels the copy of another cell's job: peers need an announcement */
-    bool ends_claim;     /* at a cell without controllers: its record holds the claim no longer */
+    bool ends_claim;     /* at a cell without controllers: its record no longer has the claim */
     rr_transaction transaction;
 } rr_transfer_write;
 
-/* Clears a write (rr_transfer_write *), or also frees it. */
+/* Frees what a write (rr_transfer_write *) owns. */
 void rr_transfer_write_clear(gpointer write);
-/* As a GDestroyNotify for writes on the heap. */
+/* Clears and frees a write on the heap; a GDestroyNotify. */
 void rr_transfer_write_free(gpointer write);
 
-/* What a look at the transfers with one neighbour asks for. */
+/* What is due in one pass over the transfers with one neighbour. */
 typedef struct {
-    GPtrArray *writes;   /* rr_transfer_write*, owned */
-    GPtrArray *requests; /* rr_cells_request*, owned: each for one team, not larger than allowed */
+    GPtrArray *writes;   /* rr_transfer_write *, owned */
+    GPtrArray *requests; /* rr_cells_request *, owned: each for one team, and with
+                            RR_CELLS_ITEMS_MAX items at most */
 } rr_transfers_plan;
 
-/* An empty plan, for rr_transfers_plan_clear(). */
+/* Makes an empty plan, for rr_transfers_plan_clear(). */
 void rr_transfers_plan_init(rr_transfers_plan *plan);
-/* Frees its writes and requests. */
+/* Frees the plan's writes and requests. */
 void rr_transfers_plan_clear(rr_transfers_plan *plan);
 
-/* Adds to the plan what is due with this neighbour. may_offer: no change that places tasks is under
- * way. */
+/* Advances the transfers with this neighbour and adds to the plan what is due. may_offer false: no
+ * job is offered, as tasks are being placed by a change that is not complete yet. */
 void rr_transfers_advance(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
                           double wall, rr_transfers_plan *plan);
 
 /* Takes a write's outcome, after the core has taken its changes. Returns the message that follows;
- * NOTHING: none. It goes into the reply to what caused the write; otherwise it may be dropped, as
- * the next look repeats it. */
+ * NOTHING: none. If a message caused the write, the returned one goes into the reply to it;
+ * otherwise it may be dropped, as the next pass sends it again. */
 rr_transfer_message rr_transfers_written(rr_transfers *transfers, const rr_transfer_write *write,
                                          bool committed);
 
 /* ---- messages ---- */
 
-/* Takes a message about a job of a team that this controller plans. True: *write is to be
- * committed, and the message that follows it is the reply. False: *reply is; its kind may be
- * NOTHING. */
+/* Takes a message about a job of a team that this controller plans. Returns true if *write is to be
+ * committed first: the message that rr_transfers_written() returns is then the reply. Returns false
+ * if *reply is the reply; its kind may be NOTHING. */
 bool rr_transfers_receive(rr_transfers *transfers, size_t neighbour,
                           const rr_cells_request *request, const rr_cells_item *item, double now,
                           double wall, rr_transfer_message *reply, rr_transfer_write *write);
-/* Takes the neighbour's reply to a message; its kind may be NOTHING. True: *write is to be
- * committed. */
-bool rr_transfers_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *asked,
+/* Takes the neighbour's reply to the message in sent_item; its kind may be NOTHING. Returns whether
+ * *write is to be committed. */
+bool rr_transfers_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *sent_item,
                           const rr_transfer_message *reply, double now, double wall,
                           rr_transfer_write *write);
-/* The neighbour did not answer. */
+/* Records that the neighbour did not answer: no job is offered to it for a while. */
 void rr_transfers_unanswered(rr_transfers *transfers, size_t neighbour, double now);
 
-/* Takes the free room that the neighbour announced with a reply. */
+/* Takes the free room that the neighbour announced in a reply. */
 void rr_transfers_room_announced(rr_transfers *transfers, size_t neighbour,
                                  const rr_cells_room *room, double now);
-/* The free room that this cell announces. */
+/* Returns the free room that this cell announces; zero while it takes no jobs of other cells. */
 rr_cells_room rr_transfers_room(rr_transfers *transfers, double now);
 
-/* Whether the team's messages may be answered here: this controller plans it, certainly still, and
- * its store cache is recent. */
+/* Returns whether messages about the team's jobs may be answered here: this controller plans the
+ * team, under a lease that is certainly still valid, and its store cache is recent. */
 bool rr_transfers_speaks_for(const rr_transfers *transfers, const char *team, double now);
 
 /* ---- neighbours without controllers ---- */
 
-/* As rr_transfers_advance(), with a neighbour as its key-value store shows it. Changes to that
- * store are added to `there` (rr_transfer_write*), which gets a function to free them. asked: when
- * the reading began. */
+/* As rr_transfers_advance(), for a neighbour of which only the key-value store can be reached.
+ * Writes to this cell's store go into the plan `here`; those to the neighbour's store are added to
+ * `there` (rr_transfer_write *), whose free function is set. asked: steady time at which reading
+ * the neighbour's store began. */
 void rr_transfers_advance_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
                                  double asked, double now, double wall, rr_transfers_plan *here,
                                  GPtrArray *there);
-/* A change to that store is committed. */
+/* Takes a write to the neighbour's store that has been committed. */
 void rr_transfers_absent_written(rr_transfers *transfers, const rr_transfer_write *write);
 
 /* ---- users' requests ---- */
 
-/* Whether a job of this cell is at a neighbour, which, and what it is called there. */
+/* Returns whether a job of this cell is at a neighbour. If so, sets *neighbour and the job's id
+ * there, local_id, which has `size` bytes. */
 bool rr_transfers_transferred(const rr_transfers *transfers, const char *job_id, size_t *neighbour,
                               char *local_id, size_t size);
 
-/* What has to happen before a user's cancellation is recorded. */
+/* What has to happen before a user's cancellation may be recorded. */
 enum rr_cancel_precondition {
     RR_CANCEL_FREE,     /* nothing */
-    RR_CANCEL_WITHDRAW, /* the transfer's record of *version becomes *withdrawn */
-    RR_CANCEL_WAIT      /* *wait_s pass: grants may last so long */
+    RR_CANCEL_WITHDRAW, /* the transfer's record of *version has to become *withdrawn */
+    RR_CANCEL_WAIT      /* *wait_s have to pass, as grants may last so long */
 };
-/* By the store cache; rr_transfers_may_cancel() guards against its lag. */
+/* Returns what has to happen before the job may be cancelled, according to the store cache, which
+ * may lag: rr_transfers_may_cancel() guards against that. Sets *wait_s to the seconds for which a
+ * grant may still last (0 or less: none does), and *withdrawn and *version with RR_CANCEL_WITHDRAW
+ * only. */
 enum rr_cancel_precondition rr_transfers_cancel(const rr_transfers *transfers, const char *job_id,
                                                 double wall, double *wait_s,
                                                 rr_out_record *withdrawn, uint64_t *version);
-/* Whether a cancellation may be recorded now, if the transfer's record still has *version (0: there
- * is none). The guard is needed because a store cache may lag behind an offer. */
+/* Returns whether a cancellation may be recorded now. The transaction that records it has to be
+ * guarded by *version of the transfer's record (0: there is none), as the store cache may not show
+ * an offer yet. */
 bool rr_transfers_may_cancel(const rr_transfers *transfers, const char *job_id, double wall,
                              uint64_t *version);
 
 /* ---- statistics ---- */
 
 typedef struct {
-    unsigned outgoing, incoming;      /* present transfers */
-    uint64_t offered, taken, refused; /* counters: this cell's jobs at others, */
-    uint64_t finished, withdrawn;     /* finished by other cells, and withdrawn from them; */
-    uint64_t accepted, given_back;    /* other cells' jobs here; */
-    uint64_t granted, lapsed;         /* grants given, and lapsed here; */
-    uint64_t claimed;                 /* jobs claimed of cells without controllers; */
-    uint64_t records_unread;          /* records that could not be read */
-    bool spilling;
+    /* Transfers that exist now. */
+    unsigned outgoing, incoming;
+    /* Counters of this cell's jobs at other cells. */
+    uint64_t offered, taken, refused;
+    uint64_t finished;  /* ended while offered to another cell */
+    uint64_t withdrawn; /* taken back from another cell */
+    /* Counters of other cells' jobs here. */
+    uint64_t accepted, given_back;
+    /* Other counters. */
+    uint64_t granted;        /* grants given to other cells */
+    uint64_t lapsed;         /* jobs given back because their grant had run out */
+    uint64_t claimed;        /* jobs claimed from cells without controllers */
+    uint64_t records_unread; /* records that could not be read */
+    bool spilling;           /* this cell offers jobs now */
 } rr_transfers_stats;
-/* Copies the counters and the present state. */
+/* Copies the counters and the present state to *out. */
 void rr_transfers_get_stats(const rr_transfers *transfers, rr_transfers_stats *out);
 
 #endif
