--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -1,3 +1,4 @@
+/* See cell_pair.h. */
 #include "cell_pair.h"
 #include "core/extensions.h"
 #include "core/planning.h"
@@ -9,7 +10,8 @@
     rr_transfers_put(cell->transfers, rest, value, version);
 }
 
-static void neighbour_init(rr_cells_settings *settings, const char *name, const char *zone) {
+/* Adds a neighbour with one zone, without networks, controllers or a list of teams. */
+static void add_neighbour(rr_cells_settings *settings, const char *name, const char *zone) {
     rr_cell *cell = &settings->neighbours[settings->neighbour_count++];
     g_strlcpy(cell->name, name, sizeof cell->name);
     cell->networks = rr_networks_create();
@@ -18,6 +20,7 @@
     g_ptr_array_add(cell->zones, g_strdup(zone));
 }
 
+/* Starts a cell with one machine type, one neighbour and a controller in its first term. */
 static void cell_init(struct test_cell *cell, const char *name, const char *neighbour) {
     cell->store = fake_store_create();
     fake_store_put_machine_type(cell->store, "m1", 16, 4, 64, 10, 4);
@@ -32,13 +35,13 @@
                                          .guest_share = 1,
                                          .times = {.lease_s = 10, .rest_s = 80, .drift = 0}};
     g_strlcpy(cell->settings.name, name, sizeof cell->settings.name);
-    neighbour_init(&cell->settings, neighbour, "far");
-    cell->process = 100;
-    cell->session = 7;
+    add_neighbour(&cell->settings, neighbour, "far");
+    cell->process_id = 100;
+    cell->session_id = 7;
     cell->transfers =
-        rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core, cell->process);
+        rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core, cell->process_id);
     rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
-    test_controller_join(&cell->node, cell->session);
+    test_controller_join(&cell->node, cell->session_id);
 }
 
 static void cell_clear(struct test_cell *cell) {
@@ -75,58 +78,59 @@
         test_controller_init(&cell->node, cell->store, "n0");
         cell->node.config.cells = true;
         cell->node.now = now;
-        cell->process++;
+        cell->process_id++;
         cell->transfers = rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core,
-                                              cell->process);
+                                              cell->process_id);
         rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
         fake_store_reload(cell->store, cell->node.core, now);
     }
-    test_controller_join(&cell->node, ++cell->session);
+    test_controller_join(&cell->node, ++cell->session_id);
 }
 
 void cell_fleet(struct test_cell *cell, int machines) {
-    cell->machines = machines;
+    cell->machine_count = machines;
     test_controller_add_machines(&cell->node, 1, machines, "a");
 }
 
-static const char *shown_state;
+/* State of all tasks in the present heartbeats; the callback gets no user data. */
+static const char *shown_task_state;
 
-static const char *state_of(int machine, const char *job_id, uint32_t task, int shown,
-                            uint64_t sequence) {
+static const char *show_task_state(int machine, const char *job_id, uint32_t task, int shown,
+                                   uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
     (void)shown;
     (void)sequence;
-    return shown_state;
+    return shown_task_state;
 }
 
 unsigned cell_plan_with(struct test_cell *cell, const char *job_id, const char *task_state) {
     rr_plan plan;
     struct shown_machines show = {.first = 1,
-                                  .last = cell->machines,
-                                  .last_in_a = cell->machines,
+                                  .last = cell->machine_count,
+                                  .last_in_a = cell->machine_count,
                                   .job_ids = &job_id,
                                   .jobs = 1,
                                   .tasks = 9,
                                   .task_max = SHOWN_TASKS_MAX,
                                   .worker_epoch = 1,
-                                  .sequence = 10 + ++cell->sequence,
-                                  .state = state_of};
-    shown_state = task_state;
+                                  .sequence = 10 + ++cell->heartbeat_sequence,
+                                  .state = show_task_state};
+    shown_task_state = task_state;
     test_controller_show_machines(&cell->node, &show);
-    unsigned stops = 0;
+    unsigned stopped_tasks = 0;
     test_controller_plan(&cell->node, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *command = g_ptr_array_index(plan.command_batches, i);
         for (uint32_t task = 0; task < show.tasks; task++) {
-            stops +=
+            stopped_tasks +=
                 plan_find_command(&plan, command->machine, RR_COMMAND_STOP, job_id, task) != NULL;
         }
         rr_core_command_result(cell->node.core, cell->node.now, command, RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
-    return stops;
+    return stopped_tasks;
 }
 
 void cell_plan(struct test_cell *cell, const char *job_id) {
@@ -149,21 +153,24 @@
     return id;
 }
 
-/* ---- what a controller's threads do ---- */
+/* ---- commits and message delivery ---- */
 
-static rr_transfer_message commit(struct test_cell *cell, const rr_transfer_write *write,
-                                  bool refuse) {
+/* Commits a write to the cell's own store and returns the message that follows. refuse: the commit
+ * fails. */
+static rr_transfer_message commit_write(struct test_cell *cell, const rr_transfer_write *write,
+                                        bool refuse) {
     if (cell->on_write) {
         cell->on_write(cell->watcher, write);
     }
-    bool done = !refuse && fake_store_commit(cell->store, &write->transaction) == 0;
+    bool succeeded = !refuse && fake_store_commit(cell->store, &write->transaction) == 0;
     fake_store_sync(cell->store, cell->node.core, cell->node.now);
-    return rr_transfers_written(cell->transfers, write, done);
+    return rr_transfers_written(cell->transfers, write, succeeded);
 }
 
-/* The request goes over the wire as bytes. */
-static void carry(cell_pair *pair, struct test_cell *from, struct test_cell *target,
-                  const rr_cells_request *sent) {
+/* Delivers a request as a packed frame. The target handles its messages and commits what follows;
+ * the sender takes the replies and the announced room, unless the link drops them. */
+static void deliver_request(cell_pair *pair, struct test_cell *from, struct test_cell *target,
+                            const rr_cells_request *sent) {
     GByteArray *frame = g_byte_array_new();
     rr_cells_request request;
     rr_cells_request_pack(sent, frame);
@@ -177,9 +184,9 @@
         rr_transfer_message reply;
         rr_transfer_write write;
         double now = target->node.now;
-        pair->offers += item->message.kind == RR_TRANSFER_OFFER;
+        pair->offers_delivered += item->message.kind == RR_TRANSFER_OFFER;
         if (rr_transfers_receive(target->transfers, 0, &request, item, now, now, &reply, &write)) {
-            reply = commit(target, &write, refuse);
+            reply = commit_write(target, &write, refuse);
             rr_transfer_write_clear(&write);
         }
         if (target->on_reply) {
@@ -187,7 +194,7 @@
         }
         if (!pair->lose_replies && rr_transfers_replied(from->transfers, 0, item, &reply,
                                                         from->node.now, from->node.now, &write)) {
-            commit(from, &write, false);
+            commit_write(from, &write, false);
             rr_transfer_write_clear(&write);
         }
     }
@@ -199,19 +206,21 @@
     g_byte_array_free(frame, TRUE);
 }
 
-static void look(cell_pair *pair, struct test_cell *own, struct test_cell *other) {
+/* Commits what is due at one cell and sends its requests to the other. */
+static void advance_transfers(cell_pair *pair, struct test_cell *own, struct test_cell *other) {
     rr_transfers_plan plan;
     bool under_way = pair->plan_under_way && own == &pair->home;
     rr_transfers_plan_init(&plan);
     rr_transfers_advance(own->transfers, 0, !under_way, own->node.now, own->node.now, &plan);
     for (guint i = 0; i < plan.writes->len; i++) {
-        commit(own, g_ptr_array_index(plan.writes, i), pair->refuse_commit && own == &pair->guest);
+        commit_write(own, g_ptr_array_index(plan.writes, i),
+                     pair->refuse_commit && own == &pair->guest);
     }
     for (guint i = 0; i < plan.requests->len; i++) {
         if (pair->cut) {
             rr_transfers_unanswered(own->transfers, 0, own->node.now);
         } else {
-            carry(pair, own, other, g_ptr_array_index(plan.requests, i));
+            deliver_request(pair, own, other, g_ptr_array_index(plan.requests, i));
         }
     }
     rr_transfers_plan_clear(&plan);
@@ -219,9 +228,9 @@
 
 void cell_pair_step(cell_pair *pair) {
     if (!pair->home_dead) {
-        look(pair, &pair->home, &pair->guest);
+        advance_transfers(pair, &pair->home, &pair->guest);
     }
-    look(pair, &pair->guest, &pair->home);
+    advance_transfers(pair, &pair->guest, &pair->home);
 }
 
 void cell_pair_home_dies(cell_pair *pair) {
@@ -229,61 +238,62 @@
     pair->home_dead = pair->cut = true;
 }
 
-struct reading {
+/* Context of put_record(). */
+struct store_reading {
     rr_absent *absent;
-    double now;
+    double now; /* of the guest's clock, in seconds */
 };
 
-static void read_record(void *user, const char *key, const msgpack_object *value,
-                        uint64_t version) {
-    const struct reading *reading = user;
+static void put_record(void *user, const char *key, const msgpack_object *value, uint64_t version) {
+    const struct store_reading *reading = user;
     rr_absent_put(reading->absent, key, value, version, reading->now);
 }
 
-void cell_pair_commit_there(cell_pair *pair, GPtrArray *writes, unsigned *made) {
+void cell_pair_commit_to_home(cell_pair *pair, GPtrArray *writes, unsigned *committed) {
     for (guint i = 0; i < writes->len; i++) {
         const rr_transfer_write *write = g_ptr_array_index(writes, i);
-        bool done = fake_store_commit(pair->home.store, &write->transaction) == 0;
-        *made += done;
-        if (done) {
+        bool succeeded = fake_store_commit(pair->home.store, &write->transaction) == 0;
+        *committed += succeeded;
+        if (succeeded) {
             rr_transfers_absent_written(pair->guest.transfers, write);
         }
     }
 }
 
-void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *hold_back) {
+void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *held_back) {
     double now = pair->guest.node.now;
-    struct reading reading = {absent, now};
-    rr_transfers_plan here;
-    unsigned made = 0;
-    GPtrArray *there = hold_back ? hold_back : g_ptr_array_new();
-    bool none = fake_store_count(pair->home.store, "rr/node/") == 0;
+    struct store_reading reading = {absent, now};
+    rr_transfers_plan guest_plan;
+    unsigned committed = 0;
+    GPtrArray *home_writes = held_back ? held_back : g_ptr_array_new();
+    bool no_sessions = fake_store_count(pair->home.store, "rr/node/") == 0;
     rr_absent_begin(absent);
-    fake_store_each(pair->home.store, read_record, &reading);
+    fake_store_each(pair->home.store, put_record, &reading);
     rr_absent_end(absent, now);
-    rr_absent_confirm(absent, none, now);
-    rr_transfers_plan_init(&here);
-    rr_transfers_advance_absent(pair->guest.transfers, 0, absent, now, now, now, &here, there);
-    for (guint i = 0; i < here.writes->len; i++) {
-        commit(&pair->guest, g_ptr_array_index(here.writes, i), false);
+    rr_absent_confirm(absent, no_sessions, now);
+    rr_transfers_plan_init(&guest_plan);
+    rr_transfers_advance_absent(pair->guest.transfers, 0, absent, now, now, now, &guest_plan,
+                                home_writes);
+    for (guint i = 0; i < guest_plan.writes->len; i++) {
+        commit_write(&pair->guest, g_ptr_array_index(guest_plan.writes, i), false);
     }
-    if (!hold_back) {
-        cell_pair_commit_there(pair, there, &made);
-        g_ptr_array_free(there, TRUE);
+    if (!held_back) {
+        cell_pair_commit_to_home(pair, home_writes, &committed);
+        g_ptr_array_free(home_writes, TRUE);
     }
-    rr_transfers_plan_clear(&here);
+    rr_transfers_plan_clear(&guest_plan);
 }
 
-void cell_pair_play(cell_pair *pair, double seconds) {
+void cell_pair_run_for(cell_pair *pair, double seconds) {
     for (int i = 0; i < (int)(2 * seconds); i++) {
         cell_pair_advance(pair, 0.5);
         cell_pair_step(pair);
     }
 }
 
-/* ---- for test programs ---- */
+/* ---- fixtures and common scenarios ---- */
 
-const struct test_job cell_pair_job = {.job_id = CELL_PAIR_JOB, .task_count = 2, .cpus = 4};
+const struct test_job cell_pair_job = {.job_id = CELL_PAIR_JOB_ID, .task_count = 2, .cpus = 4};
 
 int cell_pair_setup(void **state) {
     *state = cell_pair_create();
@@ -295,26 +305,26 @@
     return 0;
 }
 
-void cell_pair_wait_at_home(cell_pair *pair, const struct test_job *job) {
+void cell_pair_submit_overdue_job(cell_pair *pair, const struct test_job *job) {
     cell_fleet(&pair->guest, 2);
     cell_submit(&pair->home, job);
     cell_pair_advance(pair, 31);
 }
 
-unsigned cell_placed(const struct test_cell *cell, const char *job_id) {
+unsigned cell_count_placed_tasks(const struct test_cell *cell, const char *job_id) {
     return fake_store_placed_count(cell->store, job_id);
 }
 
-const char *cell_pair_spill(cell_pair *pair) {
-    cell_pair_wait_at_home(pair, &cell_pair_job);
-    cell_pair_play(pair, 3);
-    cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB, 1));
-    const char *local = cell_pair_local(pair, CELL_PAIR_JOB, 1);
-    assert_int_equal(cell_placed(&pair->guest, local), 2);
+const char *cell_pair_transfer_job(cell_pair *pair) {
+    cell_pair_submit_overdue_job(pair, &cell_pair_job);
+    cell_pair_run_for(pair, 3);
+    cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1));
+    const char *local = cell_pair_local(pair, CELL_PAIR_JOB_ID, 1);
+    assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 2);
     return local;
 }
 
-void cell_pair_end_at_guest(cell_pair *pair, const char *local) {
+void cell_pair_finish_at_guest(cell_pair *pair, const char *local) {
     for (int i = 0; i < 3; i++) {
         cell_plan_with(&pair->guest, local, "ended:done");
     }
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -1,6 +1,6 @@
-/* Two cells in one process for the tests of transfers: a core and a scripted key-value store each,
- * the package's transfers over them, and a link that can be cut or lose replies. Time is a number
- * that the test advances. */
+/* Two cells in one process for tests of job transfers. The home, cell h, submits jobs; the guest,
+ * cell g, may run them. Each has a core, a scripted key-value store and the transfers module under
+ * test. The link between them can be cut or drop replies, and the test advances the clock. */
 #ifndef RR_TESTS_CELL_PAIR_H
 #define RR_TESTS_CELL_PAIR_H
 
@@ -9,79 +9,97 @@
 
 #include "cells/transfers.h"
 
+/* One cell with a single controller. */
 struct test_cell {
     fake_store *store;
     test_controller node;
     rr_cells_settings settings;
     rr_transfers *transfers;
-    uint64_t process, session;
-    int machines;      /* vm-1 and so on, which send a heartbeat with each plan */
-    uint64_t sequence; /* of their heartbeats */
-    /* If set, these are called with the output of the cell's package: writes, requests as they go
-     * over the wire, and its replies to requests. */
+    uint64_t process_id; /* rises with each new process of the controller */
+    uint64_t session_id; /* rises with each restart of the controller */
+    int machine_count;   /* vm-1 to vm-<machine_count>, which send a heartbeat before each plan */
+    uint64_t heartbeat_sequence;
+    /* Optional callbacks for what the transfers module puts out: its writes, its requests as packed
+     * frames, and its replies to requests. NULL: not called. */
     void (*on_write)(void *watcher, const rr_transfer_write *write);
     void (*on_request)(void *watcher, const GByteArray *frame);
     void (*on_reply)(void *watcher, const rr_transfer_message *reply);
-    void *watcher;
+    void *watcher; /* passed to the callbacks */
 };
 
 typedef struct {
     struct test_cell home, guest;
-    bool home_dead;      /* it has no controllers */
-    bool cut;            /* the link delivers nothing */
-    bool lose_replies;   /* requests arrive, replies do not */
-    bool refuse_commit;  /* changes at the guest are not made */
-    bool plan_under_way; /* at the home */
-    unsigned offers;     /* delivered so far */
+    bool home_dead;            /* the home has no controllers */
+    bool cut;                  /* the link delivers neither requests nor replies */
+    bool lose_replies;         /* the link delivers requests, but drops the replies */
+    bool refuse_commit;        /* the guest's commits fail, except those that follow a reply */
+    bool plan_under_way;       /* the home is planning, so it must not offer jobs */
+    unsigned offers_delivered; /* offers that have reached either cell */
 } cell_pair;
 
-/* ---- for test programs ---- */
+/* ---- fixtures and common scenarios ---- */
 
-/* Fixtures of a test whose state is a cell_pair. */
+/* Setup and teardown of a test whose state is a cell_pair. */
 int cell_pair_setup(void **state);
 int cell_pair_teardown(void **state);
 #define CELL_PAIR_TEST(name)                                                                       \
     cmocka_unit_test_setup_teardown(name, cell_pair_setup, cell_pair_teardown)
 
-/* A job of two tasks. */
-#define CELL_PAIR_JOB "req-1"
+/* A job of two tasks with four CPUs each, submitted at the home. */
+#define CELL_PAIR_JOB_ID "req-1"
 extern const struct test_job cell_pair_job;
 
-/* The home has no machine and the guest two; the job waits for longer than begin_wait_s. */
-void cell_pair_wait_at_home(cell_pair *pair, const struct test_job *job);
-/* cell_pair_job is offered, taken, granted, and runs at the guest; its name there. */
-const char *cell_pair_spill(cell_pair *pair);
-/* All its tasks end there as done. */
-void cell_pair_end_at_guest(cell_pair *pair, const char *local);
-/* Number of tasks of the job that the cell's ledger has placed. */
-unsigned cell_placed(const struct test_cell *cell, const char *job_id);
+/* Adds two machines to the guest, submits the job at the home, and advances the clock by more than
+ * begin_wait_s, so that the job is due to be offered. */
+void cell_pair_submit_overdue_job(cell_pair *pair, const struct test_job *job);
+/* Submits cell_pair_job at the home, transfers it and starts its tasks at the guest. Returns the
+ * guest's id of it, as cell_pair_local(). */
+const char *cell_pair_transfer_job(cell_pair *pair);
+/* Ends all tasks of a transferred job as done. local: the guest's id of the job. */
+void cell_pair_finish_at_guest(cell_pair *pair, const char *local);
+/* Returns the number of the job's tasks that the cell's ledger has placed. */
+unsigned cell_count_placed_tasks(const struct test_cell *cell, const char *job_id);
 
-/* ---- the two cells ---- */
+/* ---- the pair and its link ---- */
 
+/* Returns a pair whose cells have one running controller and no machines each. Owned by the caller,
+ * who frees it with cell_pair_destroy(). */
 cell_pair *cell_pair_create(void);
 void cell_pair_destroy(cell_pair *pair);
+/* Advances the clocks of both cells. */
 void cell_pair_advance(cell_pair *pair, double seconds);
-/* Each side looks at its transfers once, and all that follows is carried out. */
+/* Advances the transfers of each cell once, commits their writes and delivers their requests. The
+ * home is left out while it has no controllers. */
 void cell_pair_step(cell_pair *pair);
-/* So many seconds, in steps of half a one. */
-void cell_pair_play(cell_pair *pair, double seconds);
-/* The home's controllers are gone: their session has ended, and the link delivers nothing. */
+/* Lets time pass in steps of half a second. */
+void cell_pair_run_for(cell_pair *pair, double seconds);
+/* Ends the session of the home's controller and cuts the link. */
 void cell_pair_home_dies(cell_pair *pair);
-/* The guest reads the home's key-value store, looks at its jobs, and makes the changes at both, or,
- * with hold_back, leaves those at the home to the caller. */
-void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *hold_back);
-/* Commits the guest's changes to the home's store, and adds to *made how many succeed. */
-void cell_pair_commit_there(cell_pair *pair, GPtrArray *writes, unsigned *made);
-/* The cell's controller restarts: another session and term; new_process: with an empty memory. */
+/* Reads the home's key-value store from the guest, as while the home has no controllers, and
+ * commits the changes that follow at both cells. held_back: if not NULL, changes of the home's
+ * store are added to it (rr_transfer_write *) instead of committed. */
+void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *held_back);
+/* Commits the guest's writes to the home's store. Adds the number that succeeded to *committed. */
+void cell_pair_commit_to_home(cell_pair *pair, GPtrArray *writes, unsigned *committed);
+
+/* ---- one cell ---- */
+
+/* Restarts the cell's controller with a new session and term. new_process: its memory is lost, too,
+ * and loaded again from the store. */
 void cell_restart(struct test_cell *cell, bool new_process);
+/* Adds operator-owned machines vm-1 and so on in zone a. */
 void cell_fleet(struct test_cell *cell, int machines);
-/* All machines send heartbeats with the job's tasks, as the ledger has them, in this state; one
- * plan follows and its commands are executed. Returns how many tasks of the job it stops. */
+/* Sends a heartbeat of each machine that shows the job's placed tasks in this state, then plans
+ * once and reports all commands as executed. Returns how many tasks of the job the plan stops. */
 unsigned cell_plan_with(struct test_cell *cell, const char *job_id, const char *task_state);
-void cell_plan(struct test_cell *cell, const char *job_id); /* with running tasks */
+/* As cell_plan_with(), with running tasks. */
+void cell_plan(struct test_cell *cell, const char *job_id);
+/* Stores a submission of the job and brings the cell's core up to date. */
 void cell_submit(struct test_cell *cell, const struct test_job *job);
+/* Copies the core's state of the job to *out. Returns false if the core has no such job. */
 bool cell_job(const struct test_cell *cell, const char *job_id, rr_core_job *out);
-/* The guest's name for the job under this claim. */
+/* Returns the guest's id of a job of the home under this claim, in a buffer that the next call
+ * overwrites. */
 const char *cell_pair_local(const cell_pair *pair, const char *job_id, uint32_t claim);
 
 #endif
--- a/tests/test_cells_cancellation.c
+++ b/tests/test_cells_cancellation.c
@@ -1,90 +1,95 @@
-/* Users' cancellations of jobs that may be at another cell. */
+/* Cancellation of jobs that may be held by another cell. */
 #include "cell_pair.h"
 #include "core/extensions.h"
 #include "core/state/transaction.h"
 #include "core/submissions.h"
 
-/* Asks as a controller does for a user, and records a withdrawal that has to come first. */
-static enum rr_cancel_precondition ask_to_cancel(cell_pair *pair, double *wait_s) {
+/* Asks what has to happen before cell_pair_job can be cancelled, as a controller does for a user.
+ * If the job has to be withdrawn first, records that. *wait_s: set with RR_CANCEL_WAIT. */
+static enum rr_cancel_precondition prepare_cancellation(cell_pair *pair, double *wait_s) {
     test_controller *home = &pair->home.node;
     rr_out_record withdrawn;
     uint64_t version;
-    enum rr_cancel_precondition first = rr_transfers_cancel(
-        pair->home.transfers, CELL_PAIR_JOB, home->now, wait_s, &withdrawn, &version);
-    if (first == RR_CANCEL_WITHDRAW) {
+    enum rr_cancel_precondition precondition = rr_transfers_cancel(
+        pair->home.transfers, CELL_PAIR_JOB_ID, home->now, wait_s, &withdrawn, &version);
+    if (precondition == RR_CANCEL_WITHDRAW) {
         rr_transaction transaction;
         rr_transaction_init(&transaction);
-        rr_cells_out_write(&transaction, CELL_PAIR_JOB, version, &withdrawn);
+        rr_cells_out_write(&transaction, CELL_PAIR_JOB_ID, version, &withdrawn);
         assert_int_equal(fake_store_commit(home->store, &transaction), 0);
         rr_transaction_clear(&transaction);
         fake_store_sync(home->store, home->core, home->now);
     }
-    return first;
+    return precondition;
 }
 
-/* The guest's own bound, cancel_s, follows. */
+/* The home waits until the guest's grant has ended and its copy is cancelled. The copy's tasks then
+ * stop within the guest's cancel_s. */
 static void a_cancellation_waits_until_the_guests_copy_has_ended(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
     double wait_s;
-    const char *local = cell_pair_spill(pair);
-    assert_int_equal(ask_to_cancel(pair, &wait_s), RR_CANCEL_WITHDRAW);
+    const char *local = cell_pair_transfer_job(pair);
+    assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_WITHDRAW);
     pair->cut = true;
-    double asked_at = pair->home.node.now;
-    while (ask_to_cancel(pair, &wait_s) == RR_CANCEL_WAIT) {
+    double requested_at = pair->home.node.now;
+    while (prepare_cancellation(pair, &wait_s) == RR_CANCEL_WAIT) {
         assert_true(wait_s > 0 && wait_s <= 15.5);
-        cell_pair_play(pair, 0.5);
+        cell_pair_run_for(pair, 0.5);
     }
-    assert_true(pair->home.node.now - asked_at <= 16);
+    assert_true(pair->home.node.now - requested_at <= 16);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
-    test_controller_cancel(&pair->home.node, CELL_PAIR_JOB);
+    test_controller_cancel(&pair->home.node, CELL_PAIR_JOB_ID);
     pair->cut = false;
-    cell_pair_play(pair, 5);
+    cell_pair_run_for(pair, 5);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
 
-static void a_job_cancelled_unknown_to_the_store_cache_is_not_offered(void **state) {
+/* The cancellation is in the store, but not yet in the store cache from which the home offers. */
+static void a_job_whose_cancellation_is_not_yet_cached_is_not_offered(void **state) {
     cell_pair *pair = *state;
     rr_encoder out;
     uint64_t version;
-    cell_pair_wait_at_home(pair, &cell_pair_job);
-    cell_pair_step(pair); /* asks for room */
+    cell_pair_submit_overdue_job(pair, &cell_pair_job);
+    cell_pair_step(pair); /* the home learns the guest's free room */
     rr_encoder_init(&out);
-    assert_true(rr_core_cancel_record(pair->home.node.core, CELL_PAIR_JOB, &out, &version));
-    fake_store_put(pair->home.store, "rr/job/" CELL_PAIR_JOB, &out);
+    assert_true(rr_core_cancel_record(pair->home.node.core, CELL_PAIR_JOB_ID, &out, &version));
+    fake_store_put(pair->home.store, "rr/job/" CELL_PAIR_JOB_ID, &out);
     cell_pair_advance(pair, 0.5);
     cell_pair_step(pair);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
-    cell_pair_play(pair, 5);
-    assert_int_equal(pair->offers, 0);
+    cell_pair_run_for(pair, 5);
+    assert_int_equal(pair->offers_delivered, 0);
 }
 
+/* The commit of a cancellation is guarded by the version of the transfer's record, 0 before an
+ * offer. A store cache that lags behind an offer can't cause an unguarded cancellation. */
 static void a_cancellation_is_guarded_by_the_transfers_version(void **state) {
     cell_pair *pair = *state;
     uint64_t before = 9, after = 9;
-    cell_pair_wait_at_home(pair, &cell_pair_job);
+    cell_pair_submit_overdue_job(pair, &cell_pair_job);
     double now = pair->home.node.now;
-    assert_true(rr_transfers_may_cancel(pair->home.transfers, CELL_PAIR_JOB, now, &before));
+    assert_true(rr_transfers_may_cancel(pair->home.transfers, CELL_PAIR_JOB_ID, now, &before));
     assert_int_equal(before, 0);
-    cell_pair_play(pair, 3);
-    assert_false(rr_transfers_may_cancel(pair->home.transfers, CELL_PAIR_JOB, now, &after));
-    assert_int_equal(after, fake_store_version(pair->home.store, "rr/cells/out/" CELL_PAIR_JOB));
+    cell_pair_run_for(pair, 3);
+    assert_false(rr_transfers_may_cancel(pair->home.transfers, CELL_PAIR_JOB_ID, now, &after));
+    assert_int_equal(after, fake_store_version(pair->home.store, "rr/cells/out/" CELL_PAIR_JOB_ID));
 }
 
 static void a_job_that_was_never_offered_may_be_cancelled_at_once(void **state) {
     cell_pair *pair = *state;
     double wait_s;
     cell_submit(&pair->home, &cell_pair_job);
-    assert_int_equal(ask_to_cancel(pair, &wait_s), RR_CANCEL_FREE);
+    assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_FREE);
 }
 
-/* An older version records a cancellation without asking about transfers. */
+/* A controller of an older version records a cancellation without withdrawing the transfer. */
 static void grants_end_for_a_job_cancelled_by_an_older_version(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
-    test_controller_cancel(&pair->home.node, CELL_PAIR_JOB);
-    cell_pair_play(pair, 4);
+    const char *local = cell_pair_transfer_job(pair);
+    test_controller_cancel(&pair->home.node, CELL_PAIR_JOB_ID);
+    cell_pair_run_for(pair, 4);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
@@ -92,7 +97,7 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         CELL_PAIR_TEST(a_cancellation_waits_until_the_guests_copy_has_ended),
-        CELL_PAIR_TEST(a_job_cancelled_unknown_to_the_store_cache_is_not_offered),
+        CELL_PAIR_TEST(a_job_whose_cancellation_is_not_yet_cached_is_not_offered),
         CELL_PAIR_TEST(a_cancellation_is_guarded_by_the_transfers_version),
         CELL_PAIR_TEST(a_job_that_was_never_offered_may_be_cancelled_at_once),
         CELL_PAIR_TEST(grants_end_for_a_job_cancelled_by_an_older_version),
--- a/tests/test_cells_partitions.c
+++ b/tests/test_cells_partitions.c
@@ -1,171 +1,184 @@
-/* Transfers in partitions, restarts and changes of owners: a job never runs in two cells. */
+/* Job transfers under partitions, restarts and changes of the controller that plans a team: a job
+ * never runs in two cells at a time. */
 #include "cell_pair.h"
 #include "core/extensions.h"
 
 #include <string.h>
 
-/* The guest's copy ends with its grant; the home waits until nothing of it can be left there. */
+/* The guest's copy ends with its grant. The home places the job only once no task of it can be left
+ * at the guest. */
 static void after_a_lasting_partition_the_home_runs_the_job_once_the_guest_cannot(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
+    const char *local = cell_pair_transfer_job(pair);
     pair->cut = true;
     double cut_at = pair->home.node.now;
     cell_fleet(&pair->home, 2);
-    while (cell_placed(&pair->home, CELL_PAIR_JOB) == 0) {
-        cell_pair_play(pair, 1);
-        cell_plan(&pair->home, CELL_PAIR_JOB);
+    while (cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID) == 0) {
+        cell_pair_run_for(pair, 1);
+        cell_plan(&pair->home, CELL_PAIR_JOB_ID);
         double passed = pair->home.node.now - cut_at;
         assert_true(cell_job(&pair->guest, local, &job));
         assert_true(job.cancelled || passed <= 10.5);
         assert_true(!job.cancelled || passed >= 5);
         assert_true(passed < 120);
     }
-    /* The last grant was given up to 2.5 s before the cut; a lease and the rest follow. */
+    /* The last grant was given up to 2.5 s before the cut. The home waits for its lease of 10 s and
+     * for rest_s, 80 s. */
     assert_true(pair->home.node.now - cut_at >= 87);
 }
 
+/* The copy goes on, and is granted again after the partition. */
 static void a_partition_shorter_than_the_grant_changes_nothing(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
+    const char *local = cell_pair_transfer_job(pair);
     pair->cut = true;
-    cell_pair_play(pair, 6);
+    cell_pair_run_for(pair, 6);
     pair->cut = false;
-    cell_pair_play(pair, 30);
+    cell_pair_run_for(pair, 30);
     assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
-    assert_int_equal(cell_placed(&pair->guest, local), 2);
+    assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 2);
 }
 
-/* Until it has asked for a grant of its own. */
+/* A new controller knows of no grant. It keeps running tasks until it gets a grant of its own. */
 static void a_new_owner_at_the_guest_keeps_running_tasks(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
+    const char *local = cell_pair_transfer_job(pair);
     cell_restart(&pair->guest, true);
     for (int i = 0; i < 20; i++) {
-        cell_pair_play(pair, 1);
+        cell_pair_run_for(pair, 1);
         cell_plan(&pair->guest, local);
         assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
-        assert_int_equal(cell_placed(&pair->guest, local), 2);
+        assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 2);
     }
 }
 
+/* The home can't be reached, so the new controller gets no grant and cancels the copy. */
 static void a_new_owner_without_a_grant_ends_the_copy_within_a_lease(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
+    const char *local = cell_pair_transfer_job(pair);
     pair->cut = true;
     cell_restart(&pair->guest, true);
-    cell_pair_play(pair, 9);
+    cell_pair_run_for(pair, 9);
     assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
-    cell_pair_play(pair, 2);
+    cell_pair_run_for(pair, 2);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
 }
 
+/* The new process of the home does not know which grants an earlier one gave: it waits for a whole
+ * lease and rest_s before it places the job. */
 static void a_restarted_home_waits_for_grants_it_does_not_know(void **state) {
     cell_pair *pair = *state;
-    cell_pair_spill(pair);
+    cell_pair_transfer_job(pair);
     pair->cut = true;
     cell_restart(&pair->home, true);
     cell_fleet(&pair->home, 2);
     double started_at = pair->home.node.now;
-    while (cell_placed(&pair->home, CELL_PAIR_JOB) == 0) {
-        cell_pair_play(pair, 1);
-        cell_plan(&pair->home, CELL_PAIR_JOB);
+    while (cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID) == 0) {
+        cell_pair_run_for(pair, 1);
+        cell_plan(&pair->home, CELL_PAIR_JOB_ID);
         assert_true(pair->home.node.now - started_at < 150);
     }
     assert_true(pair->home.node.now - started_at >= 90);
 }
 
-/* It does not know when the last grant was given. */
+/* The new controller reads the withdrawal, but does not know when the last grant was given. */
 static void a_new_owner_of_a_withdrawn_job_waits_too(void **state) {
     cell_pair *pair = *state;
-    cell_pair_spill(pair);
+    cell_pair_transfer_job(pair);
     pair->cut = true;
-    cell_pair_play(pair, 25); /* longer than two leases: withdrawn */
+    cell_pair_run_for(pair, 25); /* after two leases without an answer the home withdraws the job */
     cell_fleet(&pair->home, 2);
     cell_restart(&pair->home, false);
     double started_at = pair->home.node.now;
-    while (cell_placed(&pair->home, CELL_PAIR_JOB) == 0) {
-        cell_plan(&pair->home, CELL_PAIR_JOB);
-        cell_pair_play(pair, 1);
+    while (cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID) == 0) {
+        cell_plan(&pair->home, CELL_PAIR_JOB_ID);
+        cell_pair_run_for(pair, 1);
         assert_true(pair->home.node.now - started_at < 150);
     }
     assert_true(pair->home.node.now - started_at >= 90);
 }
 
+/* The guest can't record the end of its copy, but its plan stops the copy's tasks. */
 static void a_lapsed_copy_is_stopped_though_the_store_refuses_writes(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
+    const char *local = cell_pair_transfer_job(pair);
     cell_plan(&pair->guest, local);
     pair->cut = pair->refuse_commit = true;
-    cell_pair_play(pair, 12);
+    cell_pair_run_for(pair, 12);
     assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
     assert_int_equal(cell_plan_with(&pair->guest, local, "running"), 2);
 }
 
-/* The next term's owner does not know that the job has ended elsewhere. */
+/* A refused offer lets the home place the job again within its term. A controller of the next term
+ * does not know of the refusal, so it places nothing yet. */
 static void a_release_ends_with_its_term(void **state) {
     cell_pair *pair = *state;
     rr_cells_room plenty = {100, 10, 1000};
-    cell_pair_wait_at_home(pair,
-                           &(struct test_job){.job_id = CELL_PAIR_JOB, .task_count = 9, .cpus = 4});
+    cell_pair_submit_overdue_job(
+        pair, &(struct test_job){.job_id = CELL_PAIR_JOB_ID, .task_count = 9, .cpus = 4});
     rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
     for (int i = 0; i < 3; i++) {
-        cell_pair_step(pair); /* offered, refused, released */
+        cell_pair_step(pair); /* the offer is recorded, refused and released */
     }
     cell_restart(&pair->home, false);
     cell_fleet(&pair->home, 2);
-    cell_plan(&pair->home, CELL_PAIR_JOB);
-    assert_int_equal(cell_placed(&pair->home, CELL_PAIR_JOB), 0);
+    cell_plan(&pair->home, CELL_PAIR_JOB_ID);
+    assert_int_equal(cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID), 0);
 }
 
+/* The guest finishes the job in a partition, but the home has withdrawn it before the answer
+ * arrives. */
 static void an_answer_after_the_withdrawal_does_not_count(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
-    cell_pair_end_at_guest(pair, local);
+    const char *local = cell_pair_transfer_job(pair);
+    cell_pair_finish_at_guest(pair, local);
     pair->cut = true;
-    cell_pair_play(pair, 25);
+    cell_pair_run_for(pair, 25);
     pair->cut = false;
-    cell_pair_play(pair, 5);
-    assert_true(cell_job(&pair->home, CELL_PAIR_JOB, &job) && !job.done);
+    cell_pair_run_for(pair, 5);
+    assert_true(cell_job(&pair->home, CELL_PAIR_JOB_ID, &job) && !job.done);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 0);
 }
 
+/* Operators have removed the guest from the home's settings. */
 static void a_home_withdraws_from_a_guest_removed_from_its_settings(void **state) {
     cell_pair *pair = *state;
     rr_transfers_stats stats;
-    cell_pair_spill(pair);
+    cell_pair_transfer_job(pair);
     g_strlcpy(pair->home.settings.neighbours[0].name, "other", RR_CELL_NAME);
     cell_restart(&pair->home, true);
     pair->cut = true;
-    cell_pair_play(pair, 1);
+    cell_pair_run_for(pair, 1);
     rr_transfers_get_stats(pair->home.transfers, &stats);
     assert_int_equal(stats.withdrawn, 1);
 }
 
+/* Operators have removed the home from the guest's settings. */
 static void a_guest_ends_jobs_of_a_home_removed_from_its_settings(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
-    const char *local = cell_pair_spill(pair);
+    const char *local = cell_pair_transfer_job(pair);
     g_strlcpy(pair->guest.settings.neighbours[0].name, "other", RR_CELL_NAME);
     cell_restart(&pair->guest, true);
-    cell_pair_play(pair, 2);
+    cell_pair_run_for(pair, 2);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
 }
 
-/* Its claim has ended. */
-static void a_late_copy_of_an_offer_is_refused(void **state) {
+/* The network delivers an offer again after its claim has ended. */
+static void a_duplicate_of_an_ended_offer_is_refused(void **state) {
     cell_pair *pair = *state;
     rr_cells_request request;
     rr_transfer_message reply;
     rr_transfer_write write;
-    const char *local = cell_pair_spill(pair);
-    cell_pair_end_at_guest(pair, local);
-    cell_pair_play(pair, 5);
+    const char *local = cell_pair_transfer_job(pair);
+    cell_pair_finish_at_guest(pair, local);
+    cell_pair_run_for(pair, 5);
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     g_strlcpy(request.team, "red", sizeof request.team);
     request.lease_s = 10;
@@ -183,18 +196,19 @@
     rr_cells_request_clear(&request);
 }
 
+/* Renewals of an earlier claim, of one that was never made and of a job that does not exist. */
 static void unknown_and_ended_claims_are_void(void **state) {
     cell_pair *pair = *state;
     rr_transfer_message reply;
     rr_transfer_write write;
     rr_cells_request request;
-    cell_pair_spill(pair);
+    cell_pair_transfer_job(pair);
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     g_strlcpy(request.team, "red", sizeof request.team);
     rr_transfer_message renew = {.kind = RR_TRANSFER_RENEW, .claim = 0};
-    rr_cells_add_item(request.items, CELL_PAIR_JOB, &renew);
+    rr_cells_add_item(request.items, CELL_PAIR_JOB_ID, &renew);
     renew.claim = 5;
-    rr_cells_add_item(request.items, CELL_PAIR_JOB, &renew);
+    rr_cells_add_item(request.items, CELL_PAIR_JOB_ID, &renew);
     rr_cells_add_item(request.items, "req-99", &renew);
     double now = pair->home.node.now;
     for (guint i = 0; i < 3; i++) {
@@ -219,7 +233,7 @@
         CELL_PAIR_TEST(an_answer_after_the_withdrawal_does_not_count),
         CELL_PAIR_TEST(a_home_withdraws_from_a_guest_removed_from_its_settings),
         CELL_PAIR_TEST(a_guest_ends_jobs_of_a_home_removed_from_its_settings),
-        CELL_PAIR_TEST(a_late_copy_of_an_offer_is_refused),
+        CELL_PAIR_TEST(a_duplicate_of_an_ended_offer_is_refused),
         CELL_PAIR_TEST(unknown_and_ended_claims_are_void),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
