--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -1,8 +1,10 @@
-/* Cells as real processes: faults of whole cells while users submit, poll and cancel (cells_run.h).
+/* Failures of whole cells, with controllers as processes, while simulated users submit, poll and
+ * cancel jobs (cells_run.h).
  *
- * Arguments: the program; seconds of submissions (9 if not given); the first seed (1) and their
- * number (1); "off" to start the controllers without cells, for comparison, when nothing can run
- * elsewhere; a pattern of tests. */
+ * Arguments, all but the first optional: the controller's program; the seconds of submissions
+ * (default 9); the first seed (1); the number of seeds (1); "on" or "off", where "off" starts the
+ * controllers without cells, so that jobs run only at home, for comparison; a pattern of test
+ * names. */
 #include "cells_run.h"
 
 #include "common/clock.h"
@@ -12,166 +14,177 @@
 #include <stdlib.h>
 #include <string.h>
 
-static unsigned first_seed = 1, seeds = 1;
+static unsigned first_seed = 1;
+static unsigned seeds = 1; /* number of seeds, each with a run of its own */
 
-/* A user may cancel at a cell that knows nothing of the job. */
+/* Submits a job at one cell and cancels it at another one, which has to forward the request. A job
+ * that no cell knows gets a 404. */
 static void cancel_at_another_cell(void) {
     char state[32];
-    double until = rr_steady_clock_s() + 20;
-    run_submit(0);
+    double deadline = rr_steady_clock_s() + 20;
+    run_submit_job(0);
     struct run_job *job = g_ptr_array_index(run.jobs, run.jobs->len - 1);
     job->wants_cancel = false;
-    while (run_ask(2, "POST", job->id, "/cancel", state, NULL) != 200) {
-        assert_true(rr_steady_clock_s() < until);
+    while (run_send_job_request(2, "POST", job->id, "/cancel", state, NULL) != 200) {
+        assert_true(rr_steady_clock_s() < deadline);
         rr_sleep(0.2);
     }
-    run_poll_at(job, 0);
+    run_poll_job(job, 0);
     assert_true(job->cancelled || job->done);
     job->cancelled_at = job->cancelled ? rr_steady_clock_s() : 0;
-    assert_int_equal(run_ask(2, "POST", "req-777", "/cancel", state, NULL), 404);
+    assert_int_equal(run_send_job_request(2, "POST", "req-777", "/cancel", state, NULL), 404);
 }
 
+/* Every job gets a final answer, and no rule of the checker is broken, while no process fails. */
 static void every_job_settles_and_keeps_the_rules(void **state) {
     (void)state;
     for (unsigned seed = first_seed; seed < first_seed + seeds; seed++) {
         run_begin(seed);
-        run_submit_for(run_options.submissions_s);
+        run_submit_jobs_for(run_options.submit_duration_s);
         double settle_s = run_poll_until_settled();
-        if (run_options.cells_on) {
+        if (run_options.cells_enabled) {
             cancel_at_another_cell();
         }
-        struct run_findings found = run_check();
-        run_report("four cells", seed, &found, settle_s);
-        assert_int_equal(found.done + found.cancelled, found.jobs);
-        assert_true(!run_options.cells_on || found.transferred > 0);
-        assert_true(!run_options.cells_on || run.running_elsewhere > 0);
+        struct run_findings findings = run_check_jobs();
+        run_report_findings("no failure", seed, &findings, settle_s);
+        assert_int_equal(findings.done + findings.cancelled, findings.jobs);
+        assert_true(!run_options.cells_enabled || findings.transferred > 0);
+        assert_true(!run_options.cells_enabled || run.polls_running_elsewhere > 0);
         run_end();
     }
 }
 
-/* The guest dies with all that it holds; with even seeds its store and its machine do, too. */
+/* The controllers of a guest are killed while it holds jobs. With even seeds its store and its
+ * machine fail, too. */
 static void homes_take_jobs_back_from_a_dead_guest(void **state) {
     (void)state;
     for (unsigned seed = first_seed; seed < first_seed + seeds; seed++) {
         run_begin(seed);
-        run_submit_for(run_options.submissions_s * 2 / 3);
+        run_submit_jobs_for(run_options.submit_duration_s * 2 / 3);
         run_kill_controllers(3);
         if (seed % 2 == 0) {
             fake_services_store_down(run.cells[3].services, true);
             fake_services_lose_worker(run.cells[3].services);
         }
-        run_submit_for(run_options.submissions_s / 3);
+        run_submit_jobs_for(run_options.submit_duration_s / 3);
         double settle_s = run_poll_until_settled();
-        struct run_findings found = run_check();
-        run_report("a guest dies", seed, &found, settle_s);
+        struct run_findings findings = run_check_jobs();
+        run_report_findings("guest killed", seed, &findings, settle_s);
         run_end();
     }
 }
 
-/* Meanwhile its jobs end elsewhere by their leases, and users who ask elsewhere get a 503, not a
- * 404. */
+/* The home's controllers are killed and restarted. In between, its transferred jobs end as their
+ * grants expire, and users who ask other cells about its jobs get a 503, not a 404. */
 static void a_home_that_returns_answers_all_its_jobs(void **state) {
     (void)state;
-    if (!run_options.cells_on) {
+    if (!run_options.cells_enabled) {
         skip();
     }
     run_begin(first_seed);
-    run_submit_for(run_options.submissions_s * 2 / 3);
+    run_submit_jobs_for(run_options.submit_duration_s * 2 / 3);
     run_kill_controllers(0);
-    const struct run_job *lost = NULL;
-    for (guint i = 0; i < run.jobs->len && !lost; i++) {
+    const struct run_job *unfinished_job = NULL;
+    for (guint i = 0; i < run.jobs->len && !unfinished_job; i++) {
         const struct run_job *job = g_ptr_array_index(run.jobs, i);
-        lost = job->home == 0 && !job->done ? job : NULL;
+        unfinished_job = job->home == 0 && !job->done ? job : NULL;
     }
     char job_state[32];
-    assert_non_null(lost);
-    assert_int_equal(run_ask(2, "GET", lost->id, "", job_state, NULL), 503);
-    assert_int_equal(run_ask(2, "POST", lost->id, "/cancel", job_state, NULL), 503);
-    double until = rr_steady_clock_s() + 5;
-    while (rr_steady_clock_s() < until) {
-        run_poll_all();
+    assert_non_null(unfinished_job);
+    assert_int_equal(run_send_job_request(2, "GET", unfinished_job->id, "", job_state, NULL), 503);
+    assert_int_equal(
+        run_send_job_request(2, "POST", unfinished_job->id, "/cancel", job_state, NULL), 503);
+    double deadline = rr_steady_clock_s() + 5;
+    while (rr_steady_clock_s() < deadline) {
+        run_poll_open_jobs();
         rr_sleep(RUN_POLL_S);
     }
     run_start_controllers(0);
     process_wait_ready(&run.cells[0].controllers[0]);
     double settle_s = run_poll_until_settled();
-    struct run_findings found = run_check();
-    run_report("a home dies and returns", first_seed, &found, settle_s);
-    assert_int_equal(found.done + found.cancelled, found.jobs);
+    struct run_findings findings = run_check_jobs();
+    run_report_findings("home killed and restarted", first_seed, &findings, settle_s);
+    assert_int_equal(findings.done + findings.cancelled, findings.jobs);
     run_end();
 }
 
-/* With odd seeds the controllers never return, with even seeds while others claim the home's jobs.
- * Its key-value store is there, and every job gets one answer, at any cell. */
+/* The home's controllers are killed, while its key-value store stays up. With odd seeds they never
+ * return, with even seeds they return while other cells claim the home's jobs. Every job gets one
+ * answer, which is the same at any cell. */
 static void jobs_of_a_home_without_controllers_are_claimed(void **state) {
     (void)state;
-    if (!run_options.cells_on) {
+    if (!run_options.cells_enabled) {
         skip();
     }
-    run_options.claims_on = true;
+    run_options.claims_enabled = true;
     for (unsigned seed = first_seed; seed < first_seed + seeds; seed++) {
         run_begin(seed);
-        run_submit_for(run_options.submissions_s * 2 / 3);
+        run_submit_jobs_for(run_options.submit_duration_s * 2 / 3);
         run_kill_controllers(0);
-        double back_at = rr_steady_clock_s() + 14, started_at = rr_steady_clock_s();
-        while (run_poll_all() > 0) {
-            if (seed % 2 == 0 && run.cells[0].dead && rr_steady_clock_s() > back_at) {
+        double restart_at = rr_steady_clock_s() + 14, started_at = rr_steady_clock_s();
+        while (run_poll_open_jobs() > 0) {
+            if (seed % 2 == 0 && run.cells[0].controllers_down &&
+                rr_steady_clock_s() > restart_at) {
                 run_start_controllers(0);
             }
-            run_assert_in_time(started_at);
+            run_assert_settle_deadline(started_at);
             rr_sleep(RUN_POLL_S);
         }
-        struct run_findings found = run_check();
-        run_report(seed % 2 ? "a home dies for good" : "a home dies, returns while claimed", seed,
-                   &found, rr_steady_clock_s() - started_at);
-        assert_int_equal(found.done + found.cancelled, found.jobs);
+        struct run_findings findings = run_check_jobs();
+        run_report_findings(seed % 2 ? "home killed" : "home killed, restarted during claims", seed,
+                            &findings, rr_steady_clock_s() - started_at);
+        assert_int_equal(findings.done + findings.cancelled, findings.jobs);
         run_end();
     }
-    run_options.claims_on = false;
+    run_options.claims_enabled = false;
 }
 
-/* An unknown job gets a 503 then, as a neighbour may know it, and a 404 while all answer. */
+/* A poll of an unknown job gets a 404 while all neighbours answer, and a 503 while one that may
+ * know the job does not. */
 static void a_cell_serves_alone_while_its_neighbours_are_down(void **state) {
     (void)state;
-    if (!run_options.cells_on) {
+    if (!run_options.cells_enabled) {
         skip();
     }
     char job_state[32];
     run_begin(first_seed);
-    assert_int_equal(run_ask(0, "GET", "req-777", "", job_state, NULL), 404);
+    assert_int_equal(run_send_job_request(0, "GET", "req-777", "", job_state, NULL), 404);
     for (int i = 1; i < RUN_CELLS; i++) {
         run_kill_controllers(i);
     }
-    run_submit_for(3);
-    assert_int_equal(run_ask(0, "GET", "req-777", "", job_state, NULL), 503);
+    run_submit_jobs_for(3);
+    assert_int_equal(run_send_job_request(0, "GET", "req-777", "", job_state, NULL), 503);
     double settle_s = run_poll_until_settled();
-    struct run_findings found = run_check();
-    run_report("neighbours down", first_seed, &found, settle_s);
-    assert_int_equal(found.done + found.cancelled, found.jobs);
-    assert_int_equal(run.refused, 0);
+    struct run_findings findings = run_check_jobs();
+    run_report_findings("neighbours killed", first_seed, &findings, settle_s);
+    assert_int_equal(findings.done + findings.cancelled, findings.jobs);
+    assert_int_equal(run.refused_submissions, 0);
     run_end();
 }
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_teardown(every_job_settles_and_keeps_the_rules, run_kill_leftovers),
-        cmocka_unit_test_teardown(homes_take_jobs_back_from_a_dead_guest, run_kill_leftovers),
-        cmocka_unit_test_teardown(a_home_that_returns_answers_all_its_jobs, run_kill_leftovers),
+        cmocka_unit_test_teardown(every_job_settles_and_keeps_the_rules,
+                                  run_kill_remaining_processes),
+        cmocka_unit_test_teardown(homes_take_jobs_back_from_a_dead_guest,
+                                  run_kill_remaining_processes),
+        cmocka_unit_test_teardown(a_home_that_returns_answers_all_its_jobs,
+                                  run_kill_remaining_processes),
         cmocka_unit_test_teardown(jobs_of_a_home_without_controllers_are_claimed,
-                                  run_kill_leftovers),
+                                  run_kill_remaining_processes),
         cmocka_unit_test_teardown(a_cell_serves_alone_while_its_neighbours_are_down,
-                                  run_kill_leftovers)};
+                                  run_kill_remaining_processes)};
     if (argc < 2) {
         fprintf(stderr, "usage: %s PROGRAM [SECONDS [FIRST_SEED [SEEDS [on|off [TEST]]]]]\n",
                 argv[0]);
         return 2;
     }
     run_options.program = argv[1];
-    run_options.submissions_s =
-        argc > 2 ? g_ascii_strtod(argv[2], NULL) : run_options.submissions_s;
+    run_options.submit_duration_s =
+        argc > 2 ? g_ascii_strtod(argv[2], NULL) : run_options.submit_duration_s;
     first_seed = argc > 3 ? (unsigned)atoi(argv[3]) : first_seed;
     seeds = argc > 4 ? (unsigned)atoi(argv[4]) : seeds;
-    run_options.cells_on = argc <= 5 || strcmp(argv[5], "off") != 0;
+    run_options.cells_enabled = argc <= 5 || strcmp(argv[5], "off") != 0;
     if (argc > 6) {
         cmocka_set_test_filter(argv[6]);
     }
