--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -1,5 +1,5 @@
-/* Links between cells over real sockets on loopback: who is served, what malformed input does, and
- * how a client finds the controller that plans a team. */
+/* Connections between cells over loopback sockets: which peers are served, how malformed input is
+ * handled, and how a client finds the controller that plans a team. */
 #include "core_fixture.h"
 
 #include "cells/links.h"
@@ -14,26 +14,28 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-static atomic_bool stop;
+static atomic_bool stop; /* ends the servers' threads and the clients' waits */
 
-struct served {
+/* One controller of cell b. */
+struct test_server {
     rr_cells_settings settings;
     rr_cells_links *links;
-    char planner[RR_NAME_SIZE]; /* what it answers with NOT_OWNER; empty: it plans all */
-    unsigned requests;
+    char planner[RR_NAME_SIZE]; /* owner named in NOT_OWNER replies; empty: this one plans all */
+    unsigned requests;          /* served so far */
 };
 
-static struct served servers[2];
+static struct test_server servers[2];
 
+/* Returns every message of the request in the reply. */
 static void serve(void *user, void **context, size_t neighbour, const rr_cells_request *request,
                   rr_cells_reply *reply) {
-    struct served *own = user;
+    struct test_server *server = user;
     (void)context;
     (void)neighbour;
-    own->requests++;
-    if (own->planner[0]) {
+    server->requests++;
+    if (server->planner[0]) {
         reply->status = RR_CELLS_NOT_OWNER;
-        g_strlcpy(reply->owner, own->planner, sizeof reply->owner);
+        g_strlcpy(reply->owner, server->planner, sizeof reply->owner);
     }
     for (guint i = 0; i < request->items->len; i++) {
         const rr_cells_item *item = &g_array_index(request->items, rr_cells_item, i);
@@ -41,11 +43,13 @@
     }
 }
 
-static void end(void *context) {
+/* Connections have no context to free. */
+static void ignore_context(void *context) {
     (void)context;
 }
 
-static void add_cell(rr_cells_settings *settings, const char *name, const char *network) {
+/* Adds a neighbour whose controllers connect from this network (a CIDR prefix). */
+static void add_neighbour(rr_cells_settings *settings, const char *name, const char *network) {
     rr_cell *cell = &settings->neighbours[settings->neighbour_count++];
     g_strlcpy(cell->name, name, sizeof cell->name);
     cell->networks = rr_networks_create();
@@ -54,22 +58,23 @@
     assert_int_equal(rr_networks_add(cell->networks, network), 0);
 }
 
-static void listen_at(rr_cells_settings *settings, const char *address) {
+/* Sets this address and a free port as the one to listen at. */
+static void set_listen_address(rr_cells_settings *settings, const char *address) {
     g_strlcpy(settings->listen.host, address, sizeof settings->listen.host);
     settings->listen.port = fake_services_free_port();
 }
 
-/* Cell b with two controllers, whose neighbour a is at 127.0.1.x. */
+/* Starts two controllers of cell b, whose neighbour, cell a, connects from 127.0.1.0/24. */
 static int setup(void **state) {
     (void)state;
     atomic_store(&stop, false);
     for (int i = 0; i < 2; i++) {
         memset(&servers[i], 0, sizeof servers[i]);
         g_strlcpy(servers[i].settings.name, "b", RR_CELL_NAME);
-        listen_at(&servers[i].settings, "127.0.2.1");
-        add_cell(&servers[i].settings, "a", "127.0.1.0/24");
-        assert_int_equal(rr_cells_links_start(&servers[i].settings, &stop, serve, end, &servers[i],
-                                              &servers[i].links),
+        set_listen_address(&servers[i].settings, "127.0.2.1");
+        add_neighbour(&servers[i].settings, "a", "127.0.1.0/24");
+        assert_int_equal(rr_cells_links_start(&servers[i].settings, &stop, serve, ignore_context,
+                                              &servers[i], &servers[i].links),
                          0);
     }
     return 0;
@@ -85,12 +90,13 @@
     return 0;
 }
 
-/* Cell a with both controllers of cell b as neighbours, connecting from this address. */
+/* Makes the settings of cell a, which connects from this address and has cell b with both its
+ * controllers as its neighbour. */
 static void configure_client(rr_cells_settings *settings, const char *from) {
     memset(settings, 0, sizeof *settings);
     g_strlcpy(settings->name, "a", RR_CELL_NAME);
     g_strlcpy(settings->listen.host, from, sizeof settings->listen.host);
-    add_cell(settings, "b", "127.0.2.0/24");
+    add_neighbour(settings, "b", "127.0.2.0/24");
     rr_cell *cell = &settings->neighbours[0];
     cell->controller_count = 2;
     for (int i = 0; i < 2; i++) {
@@ -99,8 +105,9 @@
     }
 }
 
-static int ask(rr_cells_client *client, const char *from, const char *target,
-               rr_cells_reply *reply) {
+/* Sends a renewal of a job of team red between these cells. Returns as rr_cells_ask(). */
+static int ask_to_renew(rr_cells_client *client, const char *from, const char *target,
+                        rr_cells_reply *reply) {
     rr_cells_request request;
     rr_transfer_message renew = {.kind = RR_TRANSFER_RENEW, .claim = 3};
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
@@ -113,7 +120,7 @@
     return rc;
 }
 
-/* Three requests over one connection are answered in full. */
+/* Three requests over one connection get a reply with every message. */
 static void requests_of_a_neighbour_are_served(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
@@ -121,7 +128,7 @@
     configure_client(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
     for (int i = 0; i < 3; i++) {
-        assert_int_equal(ask(client, "a", "b", &reply), 0);
+        assert_int_equal(ask_to_renew(client, "a", "b", &reply), 0);
         assert_int_equal(reply.status, RR_CELLS_OK);
         assert_int_equal(reply.items->len, 1);
         assert_int_equal(g_array_index(reply.items, rr_cells_item, 0).message.claim, 3);
@@ -132,24 +139,25 @@
     rr_cells_settings_clear(&settings);
 }
 
+/* Waits until the server has counted so many connections from unknown networks; fails after 5 s. */
 static void wait_for_unknown_peers(uint64_t expected) {
     rr_cells_links_stats stats = {0};
-    double until = rr_steady_clock_s() + 5;
+    double deadline = rr_steady_clock_s() + 5;
     while (stats.unknown_peers != expected) {
-        assert_true(rr_steady_clock_s() < until);
+        assert_true(rr_steady_clock_s() < deadline);
         rr_sleep(0.01);
         rr_cells_links_get_stats(servers[0].links, &stats);
     }
 }
 
-/* Without an answer; the connection is counted. */
+/* Such a connection gets no answer and is counted. */
 static void connections_from_unknown_networks_are_closed(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     (void)state;
     configure_client(&settings, "127.0.9.1");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
-    assert_int_not_equal(ask(client, "a", "b", &reply), 0);
+    assert_int_not_equal(ask_to_renew(client, "a", "b", &reply), 0);
     rr_cells_reply_clear(&reply);
     wait_for_unknown_peers(1);
     assert_int_equal(servers[0].requests, 0);
@@ -157,17 +165,18 @@
     rr_cells_settings_clear(&settings);
 }
 
-/* The request names another sender than its network belongs to, or another cell than this one. */
+/* The first request's `from` is not the cell of the network that it comes from; the second one's
+ * `to` is not the cell that got it. */
 static void requests_with_wrong_cell_names_are_refused(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     (void)state;
     configure_client(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
-    assert_int_equal(ask(client, "c", "b", &reply), 0);
+    assert_int_equal(ask_to_renew(client, "c", "b", &reply), 0);
     assert_int_equal(reply.status, RR_CELLS_WRONG_CELL);
     rr_cells_reply_clear(&reply);
-    assert_int_equal(ask(client, "a", "c", &reply), 0);
+    assert_int_equal(ask_to_renew(client, "a", "c", &reply), 0);
     assert_int_equal(reply.status, RR_CELLS_WRONG_CELL);
     rr_cells_reply_clear(&reply);
     assert_int_equal(servers[0].requests, 0);
@@ -175,21 +184,23 @@
     rr_cells_settings_clear(&settings);
 }
 
-static int dial(void) {
-    struct rr_endpoint own = {.host = "127.0.1.7"};
-    int fd = rr_peer_dial(&own, &servers[0].settings.listen, 2);
+/* Returns a connection to the first server from cell a's network; the caller closes it. */
+static int dial_server(void) {
+    struct rr_endpoint source = {.host = "127.0.1.7"};
+    int fd = rr_peer_dial(&source, &servers[0].settings.listen, 2);
     assert_true(fd >= 0);
     return fd;
 }
 
-/* Other connections go on. */
-static void bytes_that_are_no_frame_end_their_connection(void **state) {
+/* Bytes that are no frame, a frame that is too long and one of another version. Requests over other
+ * connections are still served. */
+static void invalid_frames_close_their_connection(void **state) {
     char byte;
     (void)state;
     static const char *const garbage[] = {"GET / HTTP/1.0\r\n\r\n", "Rr\003\013\377\377\377\377",
                                           "Rr\002\013\0\0\0\0"};
     for (int i = 0; i < 3; i++) {
-        int fd = dial();
+        int fd = dial_server();
         assert_int_equal(rr_peer_send(fd, garbage[i], i == 0 ? 18 : 8), 0);
         assert_true(recv(fd, &byte, 1, 0) <= 0);
         close(fd);
@@ -197,15 +208,15 @@
     requests_of_a_neighbour_are_served(state);
 }
 
-/* Frames of the links inside a cell are not taken from other cells. */
-static void other_frame_types_end_their_connection(void **state) {
+/* Frames between controllers of one cell are not accepted from another cell. */
+static void frames_of_other_types_close_their_connection(void **state) {
     GByteArray *frame = g_byte_array_new();
     char byte;
     (void)state;
     guint start = rr_frame_begin(frame, RR_FRAME_HELLO);
     rr_frame_put_text(frame, "n1");
     rr_frame_end(frame, start);
-    int fd = dial();
+    int fd = dial_server();
     assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
     assert_true(recv(fd, &byte, 1, 0) <= 0);
     close(fd);
@@ -215,8 +226,8 @@
     g_byte_array_free(frame, TRUE);
 }
 
-/* The connection goes on. */
-static void malformed_requests_get_a_status(void **state) {
+/* A valid frame with a malformed request gets a reply, and its connection stays open. */
+static void malformed_requests_are_answered_as_malformed(void **state) {
     struct rr_inbox inbox;
     rr_frame_reader payload;
     uint8_t type;
@@ -224,7 +235,7 @@
     static const uint8_t payloads[][6] = {{1, 1, 0xff, 0xff, 0xff, 0xff}, {0, 1, 0, 0, 0, 0}};
     static const enum rr_cells_status expected[] = {RR_CELLS_MALFORMED, RR_CELLS_MALFORMED};
     (void)state;
-    int fd = dial();
+    int fd = dial_server();
     rr_inbox_init(&inbox, fd);
     for (int i = 0; i < 2; i++) {
         GByteArray *frame = g_byte_array_new();
@@ -242,7 +253,7 @@
     rr_inbox_clear(&inbox);
 }
 
-static void an_unknown_version_gets_its_own_status(void **state) {
+static void requests_of_unknown_versions_are_answered_as_such(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     rr_cells_request request;
@@ -261,7 +272,8 @@
     rr_cells_settings_clear(&settings);
 }
 
-/* And another controller when that one is not there. */
+/* A NOT_OWNER reply sends the client's next requests to the controller that it names. A client
+ * whose second controller does not listen is served by the first. */
 static void a_client_learns_which_controller_plans_a_team(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
@@ -269,57 +281,59 @@
     g_strlcpy(servers[0].planner, "b1", RR_NAME_SIZE);
     configure_client(&settings, "127.0.1.9");
     rr_cells_client *client = rr_cells_client_create(&settings, 0, &stop);
-    assert_int_equal(ask(client, "a", "b", &reply), 0);
+    assert_int_equal(ask_to_renew(client, "a", "b", &reply), 0);
     assert_int_equal(reply.status, RR_CELLS_NOT_OWNER);
     rr_cells_reply_clear(&reply);
     for (int i = 0; i < 2; i++) {
-        assert_int_equal(ask(client, "a", "b", &reply), 0);
+        assert_int_equal(ask_to_renew(client, "a", "b", &reply), 0);
         assert_int_equal(reply.status, RR_CELLS_OK);
         rr_cells_reply_clear(&reply);
     }
     assert_int_equal(servers[0].requests, 1);
     assert_int_equal(servers[1].requests, 2);
     settings.neighbours[0].controllers[1].endpoint.port =
-        fake_services_free_port(); /* nobody there */
-    rr_cells_client *next = rr_cells_client_create(&settings, 0, &stop);
+        fake_services_free_port(); /* no listener */
+    rr_cells_client *other_client = rr_cells_client_create(&settings, 0, &stop);
     servers[0].planner[0] = 0;
-    assert_int_equal(ask(next, "a", "b", &reply), 0);
+    assert_int_equal(ask_to_renew(other_client, "a", "b", &reply), 0);
     rr_cells_reply_clear(&reply);
-    rr_cells_client_destroy(next);
+    rr_cells_client_destroy(other_client);
     rr_cells_client_destroy(client);
     rr_cells_settings_clear(&settings);
 }
 
-static void connections_beyond_the_bound_are_closed(void **state) {
-    int open[RR_CELLS_CONNECTIONS + 4];
+/* A listener closes connections beyond RR_CELLS_CONNECTIONS at once and counts them. */
+static void connections_beyond_the_limit_are_closed(void **state) {
+    int connections[RR_CELLS_CONNECTIONS + 4];
     rr_cells_links_stats stats = {0};
     (void)state;
     for (int i = 0; i < RR_CELLS_CONNECTIONS + 4; i++) {
-        open[i] = dial();
+        connections[i] = dial_server();
     }
-    double until = rr_steady_clock_s() + 5;
+    double deadline = rr_steady_clock_s() + 5;
     while (stats.crowded < 4) {
-        assert_true(rr_steady_clock_s() < until);
+        assert_true(rr_steady_clock_s() < deadline);
         rr_sleep(0.01);
         rr_cells_links_get_stats(servers[0].links, &stats);
     }
     assert_int_equal(stats.crowded, 4);
     for (int i = 0; i < RR_CELLS_CONNECTIONS + 4; i++) {
-        close(open[i]);
+        close(connections[i]);
     }
 }
 
 #define LINKS_TEST(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
 
 int main(void) {
-    const struct CMUnitTest tests[] = {LINKS_TEST(requests_of_a_neighbour_are_served),
-                                       LINKS_TEST(connections_from_unknown_networks_are_closed),
-                                       LINKS_TEST(requests_with_wrong_cell_names_are_refused),
-                                       LINKS_TEST(bytes_that_are_no_frame_end_their_connection),
-                                       LINKS_TEST(other_frame_types_end_their_connection),
-                                       LINKS_TEST(malformed_requests_get_a_status),
-                                       LINKS_TEST(an_unknown_version_gets_its_own_status),
-                                       LINKS_TEST(a_client_learns_which_controller_plans_a_team),
-                                       LINKS_TEST(connections_beyond_the_bound_are_closed)};
+    const struct CMUnitTest tests[] = {
+        LINKS_TEST(requests_of_a_neighbour_are_served),
+        LINKS_TEST(connections_from_unknown_networks_are_closed),
+        LINKS_TEST(requests_with_wrong_cell_names_are_refused),
+        LINKS_TEST(invalid_frames_close_their_connection),
+        LINKS_TEST(frames_of_other_types_close_their_connection),
+        LINKS_TEST(malformed_requests_are_answered_as_malformed),
+        LINKS_TEST(requests_of_unknown_versions_are_answered_as_such),
+        LINKS_TEST(a_client_learns_which_controller_plans_a_team),
+        LINKS_TEST(connections_beyond_the_limit_are_closed)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
