--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -1,7 +1,7 @@
-/* A model of a cluster under fair admission, with a fake clock: controllers with the real package,
- * users who retry as the protocol says, machines as one pool of CPUs, and failures that a test
- * switches on. A perfectly fair cluster of the same size gets the same submissions, for comparison.
- */
+/* A simulation of a cluster under fair admission, with a fake clock. The controllers run the real
+ * admission package, users retry as the protocol says, and the machines are one pool of CPUs. A
+ * test can inject failures. A perfectly fair cluster of the same size gets the same submissions,
+ * for comparison. Times are in seconds of the fake clock, from 0. */
 #ifndef RR_TESTS_ADMISSION_MODEL_H
 #define RR_TESTS_ADMISSION_MODEL_H
 
@@ -9,68 +9,85 @@
 #include "fair_cluster.h"
 
 #define MODEL_CONTROLLERS 3
-#define MODEL_STREAMS FAIR_STREAMS_MAX
+#define MODEL_STREAMS_MAX FAIR_STREAMS_MAX
 
-/* Jobs of one team and class that arrive at random. */
+/* A stream of jobs of one team and class, which arrive at random. */
 struct model_stream {
     const char *team, *job_class;
-    double jobs_per_s;
-    double runtime_s;
-    double estimate_factor; /* the estimate as a multiple of the runtime */
-    double from_s, to_s;    /* while jobs arrive; to_s 0: to the end */
-    uint32_t tasks;
-    int controller; /* the only one its users submit to, -1: any */
+    double jobs_per_s;      /* mean arrival rate */
+    double runtime_s;       /* of each task */
+    double estimate_factor; /* the users' runtime estimate as a multiple of the runtime */
+    double from_s, to_s;    /* period in which jobs arrive; to_s 0: until the end of the run */
+    uint32_t tasks;         /* per job, of one CPU each */
+    int controller;         /* index of the only one that its users submit to; -1: any */
 };
 
+/* Totals of one stream. A wait lasts from a job's first submission to the start of its first
+ * task. */
 struct model_result {
-    unsigned offered, accepted, abandoned, begun;
-    double asked_s;           /* sum of the times until jobs were accepted */
-    double wait_s, longest_s; /* of jobs that began, from the first try: sum and longest */
-    double served;            /* CPU seconds */
-    struct fair_result fair;  /* the same jobs in the fair cluster */
-    unsigned waits[8];        /* under 1, 5, 15, 30, 60, 120, 240 s, and longer */
+    unsigned offered;           /* jobs that arrived */
+    unsigned accepted;          /* jobs that a controller admitted */
+    unsigned abandoned;         /* jobs whose users stopped retrying */
+    unsigned begun;             /* jobs of which a task started */
+    double time_to_accept_s;    /* sum over accepted jobs, from the first submission */
+    double wait_s;              /* sum over started jobs */
+    double wait_max_s;          /* longest wait of a started job */
+    double served_cpu_s;        /* CPU seconds of the tasks that started */
+    struct fair_result fair;    /* the same jobs in the fair cluster */
+    unsigned wait_histogram[8]; /* waits under 1, 5, 15, 30, 60, 120, 240 s, and longer ones */
 };
 
 struct model {
-    /* Set by the test before the run. */
+    /* Parameters: the test sets them between model_init() and model_run(). */
     unsigned seed;
-    double seconds, cpus;
+    double seconds; /* length of the run */
+    double cpus;    /* of all machines */
     bool admission; /* false: every job is accepted and placed in order of arrival */
-    struct model_stream streams[MODEL_STREAMS];
+    struct model_stream streams[MODEL_STREAMS_MAX];
     unsigned stream_count;
-    void (*each_second)(struct model *model, double now);
+    void (*each_second)(struct model *model, double now); /* NULL: none */
 
-    /* Failures, switched by each_second. */
-    bool cache_frozen[MODEL_CONTROLLERS]; /* its store cache gets no changes */
-    double clock_off_s[MODEL_CONTROLLERS];
-    int autoscaler;    /* -1: none */
-    bool answers_lost; /* tables are written, but the writer gets no answer */
-    bool views_lost;   /* no view of the demand reaches a peer */
+    /* Failures, which each_second() switches on and off. */
+    bool cache_frozen[MODEL_CONTROLLERS];  /* this controller's store cache gets no changes */
+    double clock_off_s[MODEL_CONTROLLERS]; /* added to this controller's wall clock */
+    int autoscaler;    /* index of the controller that writes tables; -1: none */
+    bool answers_lost; /* commits succeed, but the writer gets no reply */
+    bool views_lost;   /* no controller's view of the demand reaches its peers */
 
-    /* Results. */
-    struct rr_config config;
+    /* Defaults of model_init(), which the test may change. */
+    struct rr_config config; /* of all controllers */
     rr_admission_settings settings[MODEL_CONTROLLERS];
+
+    /* State and results, valid from model_run() to model_clear(). */
     struct rr_admission *controllers[MODEL_CONTROLLERS];
-    struct model_result results[MODEL_STREAMS];
-    unsigned running[MODEL_STREAMS]; /* tasks at present */
-    unsigned conflicts, lost_answers;
-    unsigned tables_written, disagreements, admitted_at[MODEL_CONTROLLERS];
-    double admitted_work_at[MODEL_CONTROLLERS];
-    double peak_backlog; /* CPU seconds accepted and not begun */
-    struct model_state *state;
+    struct model_result results[MODEL_STREAMS_MAX];
+    unsigned running[MODEL_STREAMS_MAX]; /* tasks that run at present */
+    unsigned conflicts;                  /* commits of tables that the guards refused */
+    unsigned lost_replies;               /* commits whose reply was lost */
+    unsigned tables_written;             /* successful commits */
+    unsigned verdict_mismatches; /* verdicts in which controllers with equal state differed */
+    unsigned admitted_jobs_by_controller[MODEL_CONTROLLERS];
+    double admitted_cpu_s_by_controller[MODEL_CONTROLLERS]; /* by the users' estimates */
+    double peak_backlog_cpu_s; /* most CPU seconds accepted and not started at a time */
+    struct model_state *state; /* private to the model */
 };
 
-/* Sets the defaults: three controllers, 100 CPUs, an hour, every team of weight 1. teams: ends with
- * NULL. */
+/* Sets the defaults: three controllers, 100 CPUs, one hour, seed 1, admission on, every team of
+ * weight 1, and no stream. teams: names, ended by NULL. */
 void model_init(struct model *model, const char *const *teams);
+/* Frees what model_run() allocated. Call it once after each run. */
 void model_clear(struct model *model);
+/* Simulates the whole run. Call it once after model_init(). */
 void model_run(struct model *model);
-/* Restarts a controller, which then knows only what the key-value store has. */
+/* Restarts a controller, which then knows only what the key-value store holds. For use in
+ * each_second(). */
 void model_restart(struct model *model, int controller);
-/* Mean wait as a multiple of the fair cluster's, of a stream or of all of a team's jobs. Waits
- * count as an interval at least, the shortest that admission can tell apart. */
+/* Returns the mean wait of a stream's jobs as a multiple of the fair cluster's. Both means count as
+ * one admission interval at least, as admission cannot tell shorter waits apart. */
 double model_wait_ratio(const struct model *model, unsigned stream);
-double model_team_ratio(const struct model *model, const char *team);
+/* Returns the same ratio for all jobs of a team. */
+double model_team_wait_ratio(const struct model *model, const char *team);
+/* Prints the results of each stream to stdout. */
 void model_print(const struct model *model, const char *title);
 
 #endif
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -1,10 +1,12 @@
-/* Three real controllers, started from the program's own file with an admission file each, against
- * the stand-in key-value store, cloud and worker on loopback, under skewed submissions; one of them
- * is killed on the way and comes back. All times are a tenth of what they are in earnest: intervals
- * of a second, tasks of two, users who ask for six.
+/* Three controllers as real processes with fair admission, against the fake key-value store, cloud
+ * and worker on loopback, under skewed submissions. Covered are a controller that is killed and
+ * restarted, one whose watch is stuck, and one that runs without admission. All durations are a
+ * tenth of those in production: admission intervals of 1 s, tasks of 2 s, users who retry for 6 s.
  *
- * Arguments: the program; seconds of submissions (24 if not given: an hour is 360); "off" to start
- * the controllers without admission, for comparison: then nothing is checked, only printed. */
+ * Usage: test_admission_processes PROGRAM [SECONDS [off]]. With SECONDS, the duration of
+ * submissions, only the first test runs, as a measurement with more streams; 360 s stand for an
+ * hour. Without it submissions last 24 s. With "off" the controllers run without admission, for
+ * comparison: waits and service are printed and not checked. */
 #include "core_fixture.h"
 
 #include "common/clock.h"
@@ -20,23 +22,25 @@
 
 #define CONTROLLERS 3
 #define STREAMS 5
-#define SHORT_STREAMS 3 /* in a short run: the others are too rare for it */
-#define SLOTS 16.0      /* processors of the stand-in's one machine; a task takes one */
-#define TASK_S 2.0
-#define PATIENCE_S 6.0
-#define LEAST_WAIT_S 3.0 /* an interval of admission, two report intervals, and their commands */
-#define LOOK_S 0.01
-
-static const char *program;
+#define SHORT_STREAMS 3   /* used in a short run, in which the others would have too few jobs */
+#define MACHINE_CPUS 16.0 /* of the fake cloud's only machine; a task takes one */
+#define TASK_S 2.0        /* runtime of a task */
+#define USER_PATIENCE_S 6.0
+#define MIN_WAIT_S 3.0 /* one admission interval, two report intervals, and their commands */
+#define POLL_INTERVAL_S 0.01
+#define START_TIMEOUT_S 60.0 /* until the last accepted job starts, after the submissions */
+
+static const char *program; /* path of the controller's executable */
 static double submissions_s = 24;
-static bool admission = true;
+static bool admission_enabled = true;
 
-/* Offered: 16 processors serve 8 tasks a second. */
+/* Streams of jobs that arrive at random. The 16 CPUs serve 8 tasks a
+ * second, far fewer than arrive. */
 static const struct stream {
     const char *team, *job_class;
-    double jobs_per_s;
-    uint32_t tasks;
-    int controller; /* the only one that its users ask, -1: any */
+    double jobs_per_s; /* mean arrival rate */
+    uint32_t tasks;    /* per job */
+    int controller;    /* index of the only one that its users submit to; -1: any */
 } streams[STREAMS] = {{"red", "flood", 20, 1, 0},
                       {"blue", "small", 1, 1, -1},
                       {"gold", "small", 1, 1, 2},
@@ -47,23 +51,26 @@
 struct job {
     char id[32];
     unsigned stream;
-    double came_at, next_try;
+    double arrived_at, next_attempt_at; /* steady clock */
 };
 
 struct process {
     struct controller_process controller;
-    bool without; /* started without admission */
-    unsigned accepted, refused;
+    bool admission_disabled;    /* started without admission, whatever admission_enabled says */
+    unsigned accepted, refused; /* submissions, as the users saw them */
 };
 
+/* The state of one test. */
 struct run {
-    fake_services *w;
-    char folder[64], admission[128];
+    fake_services *services;
+    char directory[64];      /* of settings files and logs */
+    char settings_path[128]; /* of the admission settings of all controllers */
     struct process controllers[CONTROLLERS];
     GRand *random;
-    GPtrArray *asking, *accepted; /* struct job*; accepted owns */
-    unsigned offered[STREAMS], given_up[STREAMS], untold[STREAMS];
-    unsigned refused;
+    GPtrArray *unaccepted; /* struct job*, whose users still submit them; freed by end_run() */
+    GPtrArray *accepted;   /* struct job*, owned */
+    unsigned offered[STREAMS], abandoned[STREAMS]; /* jobs */
+    unsigned refused;                              /* submissions answered 503 */
     fair_cluster *fair;
 };
 
@@ -74,28 +81,32 @@
 }
 
 static void start_process(struct run *run, int i) {
-    const char *with[] = {"--admission", run->admission, NULL}, *without[] = {NULL};
-    bool enabled = admission && !run->controllers[i].without;
-    process_start(&run->controllers[i].controller, program, enabled ? with : without);
+    const char *admission_arguments[] = {"--admission", run->settings_path, NULL};
+    const char *no_arguments[] = {NULL};
+    bool enabled = admission_enabled && !run->controllers[i].admission_disabled;
+    process_start(&run->controllers[i].controller, program,
+                  enabled ? admission_arguments : no_arguments);
 }
 
+/* Writes all settings files, starts the controllers and waits until they are ready. */
 static void start_all(struct run *run) {
     GString *text = g_string_new("interval_s = 1\nenter_backlog_s = 6\nleave_backlog_s = 2\n"
                                  "target_backlog_s = 3\npatience_s = 6\n");
-    g_strlcpy(run->folder, "/tmp/admission-XXXXXX", sizeof run->folder);
-    assert_non_null(g_mkdtemp(run->folder));
-    g_snprintf(run->admission, sizeof run->admission, "%s/admission.conf", run->folder);
-    write_file(run->admission, text);
+    g_strlcpy(run->directory, "/tmp/admission-XXXXXX", sizeof run->directory);
+    assert_non_null(g_mkdtemp(run->directory));
+    g_snprintf(run->settings_path, sizeof run->settings_path, "%s/admission.conf", run->directory);
+    write_file(run->settings_path, text);
     g_string_free(text, TRUE);
-    struct controller_process list[CONTROLLERS] = {0};
-    const char *teams[SHORT_STREAMS]; /* the first ones are of different teams */
+    struct controller_process configured[CONTROLLERS] = {0};
+    const char *teams[SHORT_STREAMS]; /* each short stream has a team of its own */
     for (int i = 0; i < SHORT_STREAMS; i++) {
         teams[i] = streams[i].team;
     }
     struct platform platform = {teams, SHORT_STREAMS, 0.5, 10, 25};
-    processes_configure(run->w, run->folder, "n", "a", &platform, list, CONTROLLERS);
+    processes_configure(run->services, run->directory, "n", "a", &platform, configured,
+                        CONTROLLERS);
     for (int i = 0; i < CONTROLLERS; i++) {
-        run->controllers[i].controller = list[i];
+        run->controllers[i].controller = configured[i];
         start_process(run, i);
     }
     for (int i = 0; i < CONTROLLERS; i++) {
@@ -105,7 +116,8 @@
 
 /* ---- users ---- */
 
-static int submit(const struct process *target, const struct job *job) {
+/* Submits the job to a controller. Returns the HTTP status, -1: no answer. */
+static int submit_job(const struct process *target, const struct job *job) {
     rr_submission submission;
     test_submission(&submission, &(struct test_job){.job_id = job->id,
                                                     .team = streams[job->stream].team,
@@ -117,12 +129,14 @@
     return fake_services_submit(&target->controller.config, &submission);
 }
 
-/* True: this user asks no more. Retries come a second after a refusal; the stand-in's caller does
- * not see Retry-After, which is in whole seconds and so most often just that here. */
-static bool try_job(struct run *run, struct job *job) {
-    int only = streams[job->stream].controller;
-    int target = only >= 0 ? only : g_rand_int_range(run->random, 0, CONTROLLERS);
-    int status = submit(&run->controllers[target], job);
+/* Submits the job once. True: it was accepted, or its user abandons it; false: the user retries.
+ * Retries come a second after a refusal: fake_services_submit() does not return Retry-After, which
+ * is in whole seconds and here usually 1. */
+static bool attempt_job(struct run *run, struct job *job) {
+    int fixed_controller = streams[job->stream].controller;
+    int target =
+        fixed_controller >= 0 ? fixed_controller : g_rand_int_range(run->random, 0, CONTROLLERS);
+    int status = submit_job(&run->controllers[target], job);
     run->controllers[target].accepted += status == 201;
     run->controllers[target].refused += status == 503;
     if (status == 201 || status == 200) {
@@ -132,112 +146,122 @@
     assert_true(status == 503 || status == -1);
     run->refused += status == 503;
     double now = rr_steady_clock_s();
-    job->next_try = now + 1 + g_rand_double_range(run->random, 0, 0.2);
-    if (job->next_try - job->came_at <= PATIENCE_S) {
+    job->next_attempt_at = now + 1 + g_rand_double_range(run->random, 0, 0.2);
+    if (job->next_attempt_at - job->arrived_at <= USER_PATIENCE_S) {
         return false;
     }
-    run->given_up[job->stream]++;
+    run->abandoned[job->stream]++;
     g_free(job);
     return true;
 }
 
-static void new_jobs(struct run *run, double now, double passed) {
+/* Creates the jobs that arrive within elapsed_s, for the controllers and the fair cluster. */
+static void create_arrivals(struct run *run, double now, double elapsed_s) {
     for (unsigned i = 0; i < stream_count; i++) {
-        double expected = streams[i].jobs_per_s * passed;
+        double expected = streams[i].jobs_per_s * elapsed_s;
         while (g_rand_double(run->random) < expected) {
             struct job *job = g_new0(struct job, 1);
             g_snprintf(job->id, sizeof job->id, "req-1%u%05u", i, run->offered[i]++);
             job->stream = i;
-            job->came_at = job->next_try = now;
-            g_ptr_array_add(run->asking, job);
+            job->arrived_at = job->next_attempt_at = now;
+            g_ptr_array_add(run->unaccepted, job);
             fair_cluster_submit(run->fair, i, streams[i].tasks * TASK_S, now);
             expected -= 1;
         }
     }
 }
 
-static void play_users(struct run *run, double until, bool new_ones) {
-    double last = rr_steady_clock_s();
-    while (rr_steady_clock_s() < until) {
+/* Simulates the users until the deadline (steady clock). with_arrivals: also new jobs arrive. */
+static void run_users(struct run *run, double deadline, bool with_arrivals) {
+    double last_step = rr_steady_clock_s();
+    while (rr_steady_clock_s() < deadline) {
         double now = rr_steady_clock_s();
-        if (new_ones) {
-            new_jobs(run, now, now - last);
+        if (with_arrivals) {
+            create_arrivals(run, now, now - last_step);
         }
-        fair_cluster_step(run->fair, now, now - last);
-        last = now;
-        for (guint i = run->asking->len; i > 0; i--) {
-            struct job *job = g_ptr_array_index(run->asking, i - 1);
-            if (job->next_try <= now && try_job(run, job)) {
-                g_ptr_array_remove_index_fast(run->asking, i - 1);
+        fair_cluster_step(run->fair, now, now - last_step);
+        last_step = now;
+        for (guint i = run->unaccepted->len; i > 0; i--) {
+            struct job *job = g_ptr_array_index(run->unaccepted, i - 1);
+            if (job->next_attempt_at <= now && attempt_job(run, job)) {
+                g_ptr_array_remove_index_fast(run->unaccepted, i - 1);
             }
         }
-        rr_sleep(LOOK_S);
+        rr_sleep(POLL_INTERVAL_S);
     }
 }
 
-/* ---- what came of it ---- */
+/* ---- results ---- */
 
+/* Totals of a stream's accepted jobs. A wait lasts from arrival to the start of task 0. */
 struct outcome {
-    unsigned accepted, begun;
-    double wait_s, longest_s;
+    unsigned accepted, started; /* jobs */
+    double wait_s, wait_max_s;  /* of started jobs: sum, and longest */
 };
 
-static struct outcome outcome_of(const struct run *run, unsigned stream) {
+static struct outcome collect_outcome(const struct run *run, unsigned stream) {
     struct outcome outcome = {0};
     for (guint i = 0; i < run->accepted->len; i++) {
         const struct job *job = g_ptr_array_index(run->accepted, i);
         char task_name[48];
         g_snprintf(task_name, sizeof task_name, "%s/0", job->id);
-        double started = fake_services_started(run->w, task_name);
+        double started_at = fake_services_started(run->services, task_name);
         if (job->stream == stream) {
             outcome.accepted++;
-            outcome.begun += started > 0;
-            outcome.wait_s += started > 0 ? started - job->came_at : 0;
-            outcome.longest_s = fmax(outcome.longest_s, started > 0 ? started - job->came_at : 0);
+            outcome.started += started_at > 0;
+            outcome.wait_s += started_at > 0 ? started_at - job->arrived_at : 0;
+            outcome.wait_max_s =
+                fmax(outcome.wait_max_s, started_at > 0 ? started_at - job->arrived_at : 0);
         }
     }
     return outcome;
 }
 
-static void wait_all_begun(const struct run *run) {
-    double until = rr_steady_clock_s() + 60;
+/* Waits until every accepted job has started; fails after START_TIMEOUT_S. */
+static void wait_all_started(const struct run *run) {
+    double deadline = rr_steady_clock_s() + START_TIMEOUT_S;
     for (unsigned i = 0; i < stream_count; i++) {
-        struct outcome outcome = outcome_of(run, i);
-        while (outcome.begun < outcome.accepted) {
-            assert_true(rr_steady_clock_s() < until);
+        struct outcome outcome = collect_outcome(run, i);
+        while (outcome.started < outcome.accepted) {
+            assert_true(rr_steady_clock_s() < deadline);
             rr_sleep(0.2);
-            outcome = outcome_of(run, i);
+            outcome = collect_outcome(run, i);
         }
     }
 }
 
-static void check(const struct run *run) {
+/* Prints the results of each stream. With admission, asserts that no stream waits more than twice
+ * as long as in the fair cluster or is served less than half as much, and that jobs were refused.
+ * No task may have started twice. */
+static void check_outcomes(const struct run *run) {
     for (unsigned i = 0; i < stream_count; i++) {
-        struct outcome outcome = outcome_of(run, i);
+        struct outcome outcome = collect_outcome(run, i);
         struct fair_result fair = fair_cluster_result(run->fair, i);
-        double ratio = fair_wait_ratio(outcome.wait_s, outcome.begun, &fair, LEAST_WAIT_S);
-        double served = outcome.begun * TASK_S * streams[i].tasks;
+        double ratio = fair_wait_ratio(outcome.wait_s, outcome.started, &fair, MIN_WAIT_S);
+        double served = outcome.started * TASK_S * streams[i].tasks;
         printf(
-            "%-5s %-5s offered %u accepted %u given up %u; wait mean %.2f s longest %.2f s, fair "
-            "%.2f s, ratio %.2f; served %.0f of fair %.0f\n",
+            "%-5s %-5s offered %u accepted %u abandoned %u; wait mean %.2f s max %.2f s, fair mean "
+            "%.2f s, ratio %.2f; served %.0f of fair %.0f CPU s\n",
             streams[i].team, streams[i].job_class, run->offered[i], outcome.accepted,
-            run->given_up[i], outcome.begun ? outcome.wait_s / outcome.begun : 0, outcome.longest_s,
-            fair.started ? fair.wait_s / fair.started : 0, ratio, served, fair.served);
-        assert_true(!admission || ratio <= 2);
-        assert_true(!admission || served >= 0.5 * fair.served);
+            run->abandoned[i], outcome.started ? outcome.wait_s / outcome.started : 0,
+            outcome.wait_max_s, fair.started ? fair.wait_s / fair.started : 0, ratio, served,
+            fair.served_cpu_s);
+        assert_true(!admission_enabled || ratio <= 2);
+        assert_true(!admission_enabled || served >= 0.5 * fair.served_cpu_s);
     }
-    printf("refusals %u, starts beyond a task's first %u; logs in %s\n", run->refused,
-           fake_services_restart_count(run->w), run->folder);
-    assert_true(!admission || run->refused > 0);
-    assert_int_equal(fake_services_restart_count(run->w), 0);
+    printf("refused submissions %u, task restarts %u; logs in %s\n", run->refused,
+           fake_services_restart_count(run->services), run->directory);
+    assert_true(!admission_enabled || run->refused > 0);
+    assert_int_equal(fake_services_restart_count(run->services), 0);
 }
 
-/* One at a time; not on a test's stack, which a failed one leaves. */
+/* The current test's state. It is static because kill_controllers() needs it after a failed test,
+ * whose stack frame is gone by then. */
 static struct run current;
 
-/* A failed test leaves its controllers: they would disturb the next one, and keep the output open.
- */
-static int end_leftovers(void **state) {
+/* Kills the controllers that a failed test left running: they would disturb the next test, and keep
+ * the output open. */
+static int kill_controllers(void **state) {
     (void)state;
     for (int i = 0; i < CONTROLLERS; i++) {
         process_kill(&current.controllers[i].controller);
@@ -245,177 +269,186 @@
     return 0;
 }
 
-static void run_begin(struct run *run) {
+static void begin_run(struct run *run) {
     const char *teams[STREAMS];
     memset(run, 0, sizeof *run);
-    run->w = fake_services_start();
+    run->services = fake_services_start();
     run->random = g_rand_new_with_seed(1);
     for (unsigned i = 0; i < stream_count; i++) {
         teams[i] = streams[i].team;
     }
-    run->asking = g_ptr_array_new();
+    run->unaccepted = g_ptr_array_new();
     run->accepted = g_ptr_array_new_with_free_func(g_free);
-    run->fair = fair_cluster_create(SLOTS, teams, stream_count);
-    fake_services_task_seconds(run->w, TASK_S);
+    run->fair = fair_cluster_create(MACHINE_CPUS, teams, stream_count);
+    fake_services_task_seconds(run->services, TASK_S);
 }
 
-/* Only where all went well; else the logs stay. */
+/* Removes settings and logs. Called only after a passed test, as a failed one needs its logs. */
 static void remove_files(const struct run *run) {
     for (int i = 0; i < CONTROLLERS; i++) {
         process_remove_files(&run->controllers[i].controller);
     }
-    unlink(run->admission);
-    rmdir(run->folder);
+    unlink(run->settings_path);
+    rmdir(run->directory);
 }
 
-static void run_end(struct run *run) {
+static void end_run(struct run *run) {
     for (int i = 0; i < CONTROLLERS; i++) {
         process_end(&run->controllers[i].controller, SIGTERM);
     }
     remove_files(run);
-    for (guint i = 0; i < run->asking->len; i++) {
-        g_free(g_ptr_array_index(run->asking, i));
+    for (guint i = 0; i < run->unaccepted->len; i++) {
+        g_free(g_ptr_array_index(run->unaccepted, i));
     }
-    g_ptr_array_free(run->asking, TRUE);
+    g_ptr_array_free(run->unaccepted, TRUE);
     g_ptr_array_free(run->accepted, TRUE);
     fair_cluster_destroy(run->fair);
     g_rand_free(run->random);
-    fake_services_stop(run->w);
+    fake_services_stop(run->services);
 }
 
-static void play_for(struct run *run, double seconds) {
-    play_users(run, rr_steady_clock_s() + seconds, true);
+/* Simulates users and new jobs for this long. */
+static void run_users_for(struct run *run, double seconds) {
+    run_users(run, rr_steady_clock_s() + seconds, true);
 }
 
-static void three_controllers_on_loopback(void **state) {
+/* Waits and service stay near those of the fair cluster while a controller is killed and comes
+ * back. */
+static void service_stays_fair_when_controller_is_killed(void **state) {
     (void)state;
-    run_begin(&current);
+    begin_run(&current);
     start_all(&current);
-    play_for(&current, submissions_s / 2);
-    /* The second of them dies and comes back while the flood goes on. */
+    run_users_for(&current, submissions_s / 2);
+    /* The second controller is down for 2 s while the flood continues. */
     process_end(&current.controllers[1].controller, SIGKILL);
-    play_for(&current, 2);
+    run_users_for(&current, 2);
     start_process(&current, 1);
-    play_for(&current, submissions_s / 2 - 2);
-    play_users(&current, rr_steady_clock_s() + PATIENCE_S + 1, false);
-    if (admission) {
-        wait_all_begun(&current);
+    run_users_for(&current, submissions_s / 2 - 2);
+    run_users(&current, rr_steady_clock_s() + USER_PATIENCE_S + 1, false);
+    if (admission_enabled) {
+        wait_all_started(&current);
     }
-    check(&current);
-    run_end(&current);
+    check_outcomes(&current);
+    end_run(&current);
 }
 
-/* ---- one that knows less than the others ---- */
+/* ---- a controller with a stuck watch or without admission ---- */
 
-#define LIMITS_WITHIN_S 20.0 /* a flood is limited */
-#define BACK_WITHIN_S 10.0   /* a controller that sees again is in step */
-#define TABLE_ENDS_S 5.0     /* its own interval and three more, and one look */
+#define LIMITING_TIMEOUT_S 20.0 /* until a flood is refused in part */
+#define RECOVERY_TIMEOUT_S 10.0 /* until a controller admits jobs after its watch recovers */
+#define TABLE_EXPIRY_S 5.0      /* the table's interval and three more, and a margin of one */
 
-static void play_until_limited(struct run *run) {
-    double until = rr_steady_clock_s() + LIMITS_WITHIN_S;
-    unsigned before = run->refused;
-    while (run->refused == before) {
-        assert_true(rr_steady_clock_s() < until);
-        play_for(run, 0.5);
+/* Simulates users until a submission is refused. */
+static void run_users_until_refused(struct run *run) {
+    double deadline = rr_steady_clock_s() + LIMITING_TIMEOUT_S;
+    unsigned refused_before = run->refused;
+    while (run->refused == refused_before) {
+        assert_true(rr_steady_clock_s() < deadline);
+        run_users_for(run, 0.5);
     }
 }
 
-/* One job of a team that asks for little: other users come too seldom for a test that lasts
- * seconds. */
-static int probe(struct run *run, int controller) {
-    static unsigned probes;
+/* Submits one job of a team with little load, whose own users submit too rarely for a test that
+ * lasts seconds. Returns as submit_job(). */
+static int submit_probe(struct run *run, int controller) {
+    static unsigned probe_count;
     struct job job = {.stream = 1};
-    g_snprintf(job.id, sizeof job.id, "req-19%05u", probes++);
-    return submit(&run->controllers[controller], &job);
+    g_snprintf(job.id, sizeof job.id, "req-19%05u", probe_count++);
+    return submit_job(&run->controllers[controller], &job);
 }
 
-/* Asked directly: a count of what the users' own jobs came to could be none by luck. */
-static void probe_others(struct run *run, int controller, unsigned accepted[CONTROLLERS]) {
+/* Submits a probe to each other controller, and counts the accepted ones. The users' own jobs could
+ * by chance all be refused. */
+static void submit_probe_to_others(struct run *run, int controller,
+                                   unsigned accepted[CONTROLLERS]) {
     for (int i = 0; i < CONTROLLERS; i++) {
-        accepted[i] += i != controller && probe(run, i) == 201;
+        accepted[i] += i != controller && submit_probe(run, i) == 201;
     }
 }
 
-/* One controller's watch stands still, while its changes still pass: once its table has ended it
- * accepts nothing more, as no team is guaranteed anything; each of the others goes on. Then it sees
- * again. (The third one writes the tables and takes its own from its changes' answers.) */
-static void watch_stands_still(int controller) {
-    run_begin(&current);
+/* One controller's watch is stuck while its writes still succeed. Once its table has expired it
+ * must accept no job, as no team has a guarantee, and each other controller must still accept some.
+ * It admits jobs again after the watch recovers. Not for the third controller: as the autoscaler it
+ * writes the tables, and learns its own from the replies to its writes. */
+static void check_stuck_watch(int controller) {
+    begin_run(&current);
     start_all(&current);
-    play_until_limited(&current);
-    fake_services_freeze_endpoint(current.w, (unsigned)controller + 1, true);
-    play_for(&current, TABLE_ENDS_S);
-    unsigned own = current.controllers[controller].accepted;
-    unsigned elsewhere[CONTROLLERS] = {0};
+    run_users_until_refused(&current);
+    fake_services_freeze_endpoint(current.services, (unsigned)controller + 1, true);
+    run_users_for(&current, TABLE_EXPIRY_S);
+    unsigned accepted_before = current.controllers[controller].accepted;
+    unsigned accepted_elsewhere[CONTROLLERS] = {0};
     for (int i = 0; i < 10; i++) {
-        assert_int_equal(probe(&current, controller), 503);
-        probe_others(&current, controller, elsewhere);
-        play_for(&current, 0.5);
+        assert_int_equal(submit_probe(&current, controller), 503);
+        submit_probe_to_others(&current, controller, accepted_elsewhere);
+        run_users_for(&current, 0.5);
     }
-    assert_int_equal(current.controllers[controller].accepted, own);
+    assert_int_equal(current.controllers[controller].accepted, accepted_before);
     for (int i = 0; i < CONTROLLERS; i++) {
-        assert_true(i == controller || elsewhere[i] > 0);
+        assert_true(i == controller || accepted_elsewhere[i] > 0);
     }
-    fake_services_freeze_endpoint(current.w, (unsigned)controller + 1, false);
-    double until = rr_steady_clock_s() + BACK_WITHIN_S;
-    while (probe(&current, controller) != 201) {
-        assert_true(rr_steady_clock_s() < until);
-        play_for(&current, 0.5);
+    fake_services_freeze_endpoint(current.services, (unsigned)controller + 1, false);
+    double deadline = rr_steady_clock_s() + RECOVERY_TIMEOUT_S;
+    while (submit_probe(&current, controller) != 201) {
+        assert_true(rr_steady_clock_s() < deadline);
+        run_users_for(&current, 0.5);
     }
-    assert_int_equal(fake_services_restart_count(current.w), 0);
-    run_end(&current);
+    assert_int_equal(fake_services_restart_count(current.services), 0);
+    end_run(&current);
 }
 
-static void first_watch_stands_still(void **state) {
+static void first_controller_with_stuck_watch_admits_nothing(void **state) {
     (void)state;
-    watch_stands_still(0);
+    check_stuck_watch(0);
 }
 
-static void second_watch_stands_still(void **state) {
+static void second_controller_with_stuck_watch_admits_nothing(void **state) {
     (void)state;
-    watch_stands_still(1);
+    check_stuck_watch(1);
 }
 
-/* One controller runs without admission: nobody is refused for a share. It comes back with it, and
- * the flood is limited; it comes back without, and that ends. */
-static void one_controller_without_admission(void **state) {
+/* While one controller runs without admission, no controller refuses jobs. After its restart with
+ * admission the flood is limited, and after one more restart without it that ends. */
+static void admission_requires_all_controllers(void **state) {
     (void)state;
-    run_begin(&current);
-    current.controllers[2].without = true;
+    begin_run(&current);
+    current.controllers[2].admission_disabled = true;
     start_all(&current);
-    play_for(&current, 6);
+    run_users_for(&current, 6);
     assert_int_equal(current.refused, 0);
-    current.controllers[2].without = false;
+    current.controllers[2].admission_disabled = false;
     process_end(&current.controllers[2].controller, SIGTERM);
     start_process(&current, 2);
     process_wait_ready(&current.controllers[2].controller);
-    play_until_limited(&current);
-    current.controllers[2].without = true;
+    run_users_until_refused(&current);
+    current.controllers[2].admission_disabled = true;
     process_end(&current.controllers[2].controller, SIGTERM);
     start_process(&current, 2);
     process_wait_ready(&current.controllers[2].controller);
-    play_for(&current, 2);
+    run_users_for(&current, 2);
     unsigned refused = current.refused;
-    play_for(&current, 4);
+    run_users_for(&current, 4);
     assert_int_equal(current.refused, refused);
-    run_end(&current);
+    end_run(&current);
 }
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_teardown(three_controllers_on_loopback, end_leftovers),
-        cmocka_unit_test_teardown(first_watch_stands_still, end_leftovers),
-        cmocka_unit_test_teardown(second_watch_stands_still, end_leftovers),
-        cmocka_unit_test_teardown(one_controller_without_admission, end_leftovers)};
+        cmocka_unit_test_teardown(service_stays_fair_when_controller_is_killed, kill_controllers),
+        cmocka_unit_test_teardown(first_controller_with_stuck_watch_admits_nothing,
+                                  kill_controllers),
+        cmocka_unit_test_teardown(second_controller_with_stuck_watch_admits_nothing,
+                                  kill_controllers),
+        cmocka_unit_test_teardown(admission_requires_all_controllers, kill_controllers)};
     const struct CMUnitTest measurement[] = {
-        cmocka_unit_test_teardown(three_controllers_on_loopback, end_leftovers)};
+        cmocka_unit_test_teardown(service_stays_fair_when_controller_is_killed, kill_controllers)};
     if (argc < 2) {
         fprintf(stderr, "usage: %s PROGRAM [SECONDS]\n", argv[0]);
         return 2;
     }
     program = argv[1];
     submissions_s = argc > 2 ? g_ascii_strtod(argv[2], NULL) : submissions_s;
-    admission = argc <= 3 || strcmp(argv[3], "off") != 0;
+    admission_enabled = argc <= 3 || strcmp(argv[3], "off") != 0;
     rr_net_init();
     if (argc > 2) {
         stream_count = STREAMS;
