--- a/tests/test_admission_shares.c
+++ b/tests/test_admission_shares.c
@@ -1,4 +1,4 @@
-/* The division of room among teams and keys, and the tables that the writer makes of it. */
+/* The division of capacity among teams and keys, and the tables that the writer derives from it. */
 #include "admission/shares.h"
 #include "admission_fixture.h"
 
@@ -7,80 +7,84 @@
 
 /* ---- shares ---- */
 
+/* What a problem of two teams and two pools points to. */
 struct shares {
     rr_share_row rows[3];
     rr_share_pool pools[2];
     rr_share_team teams[2];
-    bool any[2], second[2];
+    bool any_pool[2], second_pool[2]; /* the pools that a row may use */
 };
 
-/* Two pools. Team 0 may use both and asks for more than there is; team 1 has one row restricted to
- * the second pool, and one that takes memory only. */
-static rr_share_problem make_two_teams(struct shares *shares) {
-    *shares = (struct shares){.any = {true, true}, .second = {false, true}};
+/* Returns a problem with two pools. Team 0 may use both and demands more than there is. Team 1 has
+ * one row restricted to the second pool, and one that uses memory only. */
+static rr_share_problem make_two_team_problem(struct shares *shares) {
+    *shares = (struct shares){.any_pool = {true, true}, .second_pool = {false, true}};
     shares->pools[0] = (rr_share_pool){{6, 0, 6}};
     shares->pools[1] = (rr_share_pool){{4, 0, 4}};
     shares->teams[0] = shares->teams[1] = (rr_share_team){1, 0};
-    shares->rows[0] = (rr_share_row){0, 1, 50, {1, 0, 0.5}, shares->any, 0};
-    shares->rows[1] = (rr_share_row){1, 1, 9, {1, 0, 0.1}, shares->second, 0};
-    shares->rows[2] = (rr_share_row){1, 1, 1, {0, 0, 1}, shares->any, 0};
+    shares->rows[0] = (rr_share_row){0, 1, 50, {1, 0, 0.5}, shares->any_pool, 0};
+    shares->rows[1] = (rr_share_row){1, 1, 9, {1, 0, 0.1}, shares->second_pool, 0};
+    shares->rows[2] = (rr_share_row){1, 1, 1, {0, 0, 1}, shares->any_pool, 0};
     return (rr_share_problem){shares->rows, 3, shares->pools, 2, shares->teams, 2};
 }
 
-/* By linear programs, and within a step by progressive filling. */
-static void room_is_divided_by_weighted_max_min(void **state) {
+/* Linear programs give the exact allocation, progressive filling one within its step size. */
+static void capacity_is_divided_by_weighted_max_min(void **state) {
     (void)state;
     struct shares shares;
     for (int by_filling = 0; by_filling < 2; by_filling++) {
-        rr_share_problem problem = make_two_teams(&shares);
+        rr_share_problem problem = make_two_team_problem(&shares);
         double slack = by_filling ? 0.3 : 1e-3;
         if (by_filling) {
             rr_share_fill(&problem);
         } else {
             assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
         }
-        /* Team 1 gets all of the second pool's CPUs and its memory, team 0 the rest. */
+        /* Team 1 gets all CPUs of the second pool and the memory that it demands, team 0 gets the
+         * rest. */
         assert_true(fabs(shares.rows[0].allocation - 6) <= slack);
         assert_true(fabs(shares.rows[1].allocation - 4) <= slack);
         assert_true(fabs(shares.rows[2].allocation - 1) <= slack);
     }
 }
 
-static void teams_get_room_by_their_weights(void **state) {
+static void teams_get_capacity_by_their_weights(void **state) {
     (void)state;
     struct shares shares;
-    rr_share_problem problem = make_two_teams(&shares);
-    shares.rows[1].pools = shares.any;
+    rr_share_problem problem = make_two_team_problem(&shares);
+    shares.rows[1].pools = shares.any_pool;
     shares.teams[0].weight = 3;
     assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
     assert_true(fabs(shares.rows[0].allocation -
                      3 * (shares.rows[1].allocation + shares.rows[2].allocation)) < 0.05);
 }
 
-/* Also a team of next to no weight gets what it is guaranteed. */
+/* Even a team with hardly any weight gets its guarantee. */
 static void team_gets_its_guaranteed_share(void **state) {
     (void)state;
     struct shares shares;
-    rr_share_problem problem = make_two_teams(&shares);
-    shares.rows[1].pools = shares.any;
+    rr_share_problem problem = make_two_team_problem(&shares);
+    shares.rows[1].pools = shares.any_pool;
     shares.teams[0].weight = 3;
     shares.teams[1] = (rr_share_team){1e-3, 5};
     assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
     assert_true(shares.rows[1].allocation + shares.rows[2].allocation >= 5 - 1e-3);
 }
 
-/* The fallback is reported, and its result is as good within a step. */
-static void progressive_filling_without_time_for_programs(void **state) {
+/* Without time for the linear programs, progressive filling is used and reported as the method. Its
+ * result is the same within its step size. */
+static void progressive_filling_is_used_without_solver_time(void **state) {
     (void)state;
     struct shares shares;
-    rr_share_problem problem = make_two_teams(&shares);
+    rr_share_problem problem = make_two_team_problem(&shares);
     assert_int_equal(rr_share_solve(&problem, 0), RR_SHARE_BY_FILLING);
     assert_true(fabs(shares.rows[0].allocation - 6) < 0.3 &&
                 fabs(shares.rows[1].allocation - 4) < 0.3);
 }
 
-/* Rows and pools as of a fleet of several machine types in several zones: no row gets more than it
- * asks for, no pool is exceeded, and both methods agree on the teams. */
+/* With rows and pools like those of a fleet of several machine types in several zones, no row gets
+ * more than it demands, the pools' total is not exceeded, and both methods give each team nearly
+ * the same. */
 static void programs_and_filling_agree_on_many_rows(void **state) {
     (void)state;
     enum { ROWS = 60, POOLS = 12, TEAMS = 10 };
@@ -89,7 +93,7 @@
     rr_share_pool pools[POOLS];
     rr_share_team teams[TEAMS];
     GRand *random = g_rand_new_with_seed(7);
-    double by_team[2][TEAMS] = {{0}};
+    double team_totals[2][TEAMS] = {{0}};
     for (int pool = 0; pool < POOLS; pool++) {
         pools[pool] = (rr_share_pool){{40.0 / POOLS, 40.0 / POOLS, 40.0 / POOLS}};
     }
@@ -118,29 +122,31 @@
         }
         for (int i = 0; i < ROWS; i++) {
             assert_true(rows[i].allocation <= rows[i].demand + 1e-6);
-            by_team[by_filling][i % TEAMS] += rows[i].allocation;
+            team_totals[by_filling][i % TEAMS] += rows[i].allocation;
             sum += rows[i].allocation;
         }
         assert_true(sum <= 40 + 1e-6);
     }
     for (int team = 0; team < TEAMS; team++) {
-        assert_true(fabs(by_team[0][team] - by_team[1][team]) < 0.8);
+        assert_true(fabs(team_totals[0][team] - team_totals[1][team]) < 0.8);
     }
     g_rand_free(random);
 }
 
 /* ---- the writer ---- */
 
+/* A writer, its input, and the table that it wrote last. */
 struct writer_fixture {
     struct rr_config config;
     rr_admission_settings settings;
     rr_admission_writer *writer;
     rr_offered_load load;
     GArray *demand;
-    rr_admission_table newest, made;
+    rr_admission_table newest;  /* the table in force when the writer runs */
+    rr_admission_table written; /* empty before write_active_table() */
 };
 
-/* 100 CPUs, overload, and a flood of the first team's. */
+/* Sets up 100 CPUs under overload, with a flood of small jobs from the first team. */
 static void writer_fixture_init(struct writer_fixture *fixture) {
     memset(fixture, 0, sizeof *fixture);
     test_config(&fixture->config, "n0");
@@ -160,32 +166,34 @@
     fixture->newest.length_s = 10;
 }
 
-static const rr_admission_table *write_table(struct writer_fixture *fixture) {
+/* Writes the table of the interval that begins at 1000 s, which must be active. The fixture owns
+ * it. */
+static const rr_admission_table *write_active_table(struct writer_fixture *fixture) {
     assert_true(rr_admission_writer_next(fixture->writer, &fixture->load, fixture->demand,
-                                         &fixture->newest, 995, 995, &fixture->made));
-    assert_true(fixture->made.active);
-    assert_true(fixture->made.starts_at == 1000);
-    return &fixture->made;
+                                         &fixture->newest, 995, 995, &fixture->written));
+    assert_true(fixture->written.active);
+    assert_true(fixture->written.starts_at == 1000);
+    return &fixture->written;
 }
 
 static void writer_fixture_clear(struct writer_fixture *fixture) {
     rr_admission_table_clear(&fixture->newest);
-    rr_admission_table_clear(&fixture->made);
+    rr_admission_table_clear(&fixture->written);
     g_array_free(fixture->demand, TRUE);
     rr_offered_load_clear(&fixture->load);
     rr_admission_writer_destroy(fixture->writer);
     rr_admission_settings_clear(&fixture->settings);
 }
 
-/* A job larger than all that its team may have waiting is admitted where nothing of its key waits;
- * many such jobs, each in a class of its own, are not. */
-static void job_larger_than_its_share_is_admitted_once(void **state) {
+/* A job that exceeds the backlog allowed to its team is still admitted if no job of its key waits
+ * to be placed. Of many such jobs, each in a class of its own, only one is admitted. */
+static void only_one_oversized_job_is_admitted(void **state) {
     (void)state;
     struct writer_fixture fixture;
     writer_fixture_init(&fixture);
     rr_demand_total large = {make_key("blue", "large", 99), 1, {50000, 0, 50000}};
     g_array_append_val(fixture.demand, large);
-    const rr_admission_table *table = write_table(&fixture);
+    const rr_admission_table *table = write_active_table(&fixture);
     assert_true(rr_admission_table_row(table, large.key.id)->share >= RR_ADMISSION_FULL - 1);
     assert_true(rr_admission_table_row(table, make_key("red", "flood", 1).id)->share <
                 RR_ADMISSION_FULL / 50);
@@ -197,45 +205,46 @@
         large.key = make_key("blue", name, 99);
         g_array_append_val(fixture.demand, large);
     }
-    table = write_table(&fixture);
-    unsigned full = 0;
+    table = write_active_table(&fixture);
+    unsigned full_share_rows = 0;
     for (guint i = 0; i < table->rows->len; i++) {
-        full += g_array_index(table->rows, rr_admission_row, i).share >= RR_ADMISSION_FULL - 1;
+        full_share_rows +=
+            g_array_index(table->rows, rr_admission_row, i).share >= RR_ADMISSION_FULL - 1;
     }
-    assert_int_equal(full, 1);
+    assert_int_equal(full_share_rows, 1);
     writer_fixture_clear(&fixture);
 }
 
-/* A controller that was not the autoscaler for an hour does not count that hour as use by its
- * teams' tasks, so that right estimates stay right. */
-static void autoscaler_after_a_pause_keeps_corrections(void **state) {
+/* A controller that becomes the autoscaler again after an hour does not count that hour as CPU time
+ * used by the running tasks, so the correction of accurate estimates stays near 1. */
+static void corrections_survive_a_pause_as_autoscaler(void **state) {
     (void)state;
     struct writer_fixture fixture;
     rr_submission job = make_submission("red", "flood", "req-1", 4000);
     writer_fixture_init(&fixture);
     rr_offered_load_add_job(&fixture.load, &job, 0, 0, 100, 10);
-    write_table(&fixture);
+    write_active_table(&fixture);
     rr_offered_load_begin(&fixture.load);
     rr_offered_load_add_machine(&fixture.load, "m1", "a", (rr_amount){100, 0, 400});
     rr_offered_load_add_job(&fixture.load, &job, 0, 2000, 100, 60);
-    rr_admission_table before = fixture.made;
-    assert_true(rr_admission_writer_next(fixture.writer, &fixture.load, fixture.demand, &before,
-                                         4595, 4595, &fixture.made));
-    double correction = rr_admission_table_team(&fixture.made, "red")->correction;
+    rr_admission_table previous = fixture.written;
+    assert_true(rr_admission_writer_next(fixture.writer, &fixture.load, fixture.demand, &previous,
+                                         4595, 4595, &fixture.written));
+    double correction = rr_admission_table_team(&fixture.written, "red")->correction;
     assert_true(correction > 0.9 && correction < 1.1);
-    rr_admission_table_clear(&before);
+    rr_admission_table_clear(&previous);
     writer_fixture_clear(&fixture);
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(room_is_divided_by_weighted_max_min),
-        cmocka_unit_test(teams_get_room_by_their_weights),
+        cmocka_unit_test(capacity_is_divided_by_weighted_max_min),
+        cmocka_unit_test(teams_get_capacity_by_their_weights),
         cmocka_unit_test(team_gets_its_guaranteed_share),
-        cmocka_unit_test(progressive_filling_without_time_for_programs),
+        cmocka_unit_test(progressive_filling_is_used_without_solver_time),
         cmocka_unit_test(programs_and_filling_agree_on_many_rows),
-        cmocka_unit_test(job_larger_than_its_share_is_admitted_once),
-        cmocka_unit_test(autoscaler_after_a_pause_keeps_corrections),
+        cmocka_unit_test(only_one_oversized_job_is_admitted),
+        cmocka_unit_test(corrections_survive_a_pause_as_autoscaler),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
