--- a/src/admission/estimates.h
+++ b/src/admission/estimates.h
@@ -1,23 +1,24 @@
-/* The correction of runtime estimates: by team, what its tasks have used as a multiple of what they
- * were estimated to take. */
+/* The correction of runtime estimates: for each team, the ratio of the work that its tasks have
+ * actually used to the work that they were estimated to take. */
 #ifndef RR_ADMISSION_ESTIMATES_H
 #define RR_ADMISSION_ESTIMATES_H
 
 #include "admission/offered_load.h"
 #include "admission/table.h"
 
-/* Zero-initialized: nothing is known. Amounts are in dominant share times seconds, the last ones
- * weighing most. */
+/* What is known of each team's estimates; zero-initialized, nothing is. Amounts of work are in
+ * seconds of dominant share and decay with each table, so that the latest weigh most. */
 typedef struct {
-    double used[RR_TEAMS_MAX];       /* by tasks that end by themselves */
-    double done[RR_TEAMS_MAX];       /* estimated work of tasks that have ended */
-    double correction[RR_TEAMS_MAX]; /* 0: not known */
+    double actual_work[RR_TEAMS_MAX];    /* used by tasks that end by themselves */
+    double estimated_work[RR_TEAMS_MAX]; /* the estimate for such tasks that have ended */
+    double correction[RR_TEAMS_MAX];     /* factor on the team's estimates; 0: not known */
 } rr_admission_estimates;
 
-/* Updates the corrections after a visit. passed_s: since the last visit, 0: there was none. newest:
- * where another autoscaler's corrections are taken from (sequence 0: nowhere). */
+/* Updates the corrections from a snapshot of the load. elapsed_s: seconds since the last snapshot;
+ * 0 if there was none. newest: the newest table, from which the corrections of another autoscaler
+ * are taken if there are none here yet (sequence 0: there is no table). */
 void rr_admission_estimates_update(rr_admission_estimates *estimates,
                                    const struct rr_config *config, const rr_offered_load *load,
-                                   const rr_admission_table *newest, double passed_s);
+                                   const rr_admission_table *newest, double elapsed_s);
 
 #endif
--- a/src/admission/offered_load.c
+++ b/src/admission/offered_load.c
@@ -1,10 +1,11 @@
-/* The load that the autoscaler knows of when it writes a table. */
+/* The load that the autoscaler knows of when it writes an admission table. */
 #include "admission/offered_load.h"
 
 #include <math.h>
 #include <string.h>
 
-static GHashTable *create_counts(void) {
+/* Returns an empty map from job hashes (uint64_t, owned) to numbers of tasks. */
+static GHashTable *create_done_counts(void) {
     return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 }
 
@@ -13,16 +14,16 @@
     load->settings = settings;
     load->pools = g_array_new(FALSE, TRUE, sizeof(rr_load_pool));
     load->keys = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    load->done = create_counts();
-    load->done_before = NULL;
+    load->done_counts = create_done_counts();
+    load->previous_done_counts = NULL;
 }
 
 void rr_offered_load_clear(rr_offered_load *load) {
     g_array_free(load->pools, TRUE);
     g_hash_table_destroy(load->keys);
-    g_hash_table_destroy(load->done);
-    if (load->done_before) {
-        g_hash_table_destroy(load->done_before);
+    g_hash_table_destroy(load->done_counts);
+    if (load->previous_done_counts) {
+        g_hash_table_destroy(load->previous_done_counts);
     }
 }
 
@@ -30,15 +31,16 @@
     g_array_set_size(load->pools, 0);
     g_hash_table_remove_all(load->keys);
     memset(load->teams, 0, sizeof load->teams);
-    if (load->done_before) {
-        g_hash_table_destroy(load->done_before);
+    if (load->previous_done_counts) {
+        g_hash_table_destroy(load->previous_done_counts);
     }
-    load->done_before = load->done;
-    load->done = create_counts();
-    load->visits++;
+    load->previous_done_counts = load->done_counts;
+    load->done_counts = create_done_counts();
+    load->snapshot_count++;
 }
 
-static rr_amount add_amount(rr_amount left, rr_amount right, double factor) {
+/* Returns left + factor * right. */
+static rr_amount add_scaled_amount(rr_amount left, rr_amount right, double factor) {
     return (rr_amount){left.cpus + factor * right.cpus, left.gpus + factor * right.gpus,
                        left.mem_gb + factor * right.mem_gb};
 }
@@ -48,7 +50,7 @@
     for (guint i = 0; i < load->pools->len; i++) {
         rr_load_pool *pool = &g_array_index(load->pools, rr_load_pool, i);
         if (strcmp(pool->type, type) == 0 && strcmp(pool->zone, zone) == 0) {
-            pool->amount = add_amount(pool->amount, amount, 1);
+            pool->amount = add_scaled_amount(pool->amount, amount, 1);
             return;
         }
     }
@@ -61,27 +63,30 @@
 rr_amount rr_load_capacity(const rr_offered_load *load) {
     rr_amount capacity = {0, 0, 0};
     for (guint i = 0; i < load->pools->len; i++) {
-        capacity = add_amount(capacity, g_array_index(load->pools, rr_load_pool, i).amount, 1);
+        capacity =
+            add_scaled_amount(capacity, g_array_index(load->pools, rr_load_pool, i).amount, 1);
     }
     return capacity;
 }
 
-/* Returns the job's tasks that ended since the last visit, and records those done. A job missing at
- * the last visit is new; at the first visit nothing is known of what ended when. */
+/* Records the number of the job's done tasks and returns how many of them are new since the last
+ * snapshot. A job that the last snapshot lacks is new, so all of them are. In the first snapshot
+ * none count, because nothing is known of when they ended. */
 static uint32_t count_newly_done(rr_offered_load *load, const char *job_id, uint32_t done) {
     uint64_t hash = rr_admission_job_hash(job_id);
     gpointer recorded = NULL;
-    uint32_t before = load->visits > 1 ? 0 : done;
-    if (load->done_before &&
-        g_hash_table_lookup_extended(load->done_before, &hash, NULL, &recorded)) {
-        before = GPOINTER_TO_UINT(recorded);
+    uint32_t previously_done = load->snapshot_count > 1 ? 0 : done;
+    if (load->previous_done_counts &&
+        g_hash_table_lookup_extended(load->previous_done_counts, &hash, NULL, &recorded)) {
+        previously_done = GPOINTER_TO_UINT(recorded);
     }
     uint64_t *key = g_new(uint64_t, 1);
     *key = hash;
-    g_hash_table_replace(load->done, key, GUINT_TO_POINTER(done));
-    return done > before ? done - before : 0;
+    g_hash_table_replace(load->done_counts, key, GUINT_TO_POINTER(done));
+    return done > previously_done ? done - previously_done : 0;
 }
 
+/* Adds work to the waiting work of the submission's key. */
 static void add_waiting_work(rr_offered_load *load, const rr_submission *submission, rr_work work) {
     rr_admission_key key;
     rr_admission_key_of(submission, load->settings->band_limits, &key);
@@ -99,15 +104,16 @@
     if (team < 0 || team >= RR_TEAMS_MAX) {
         return;
     }
-    rr_load_team *of_team = &load->teams[team];
+    rr_load_team *team_load = &load->teams[team];
     rr_amount request = {submission->cpus, submission->gpus, submission->mem_gb};
     rr_work work = rr_work_of_task(submission, load->settings->service_estimate_s);
     bool ends_by_itself = submission->kind != RR_JOB_SERVICE;
-    of_team->used = add_amount(of_team->used, request, placed);
-    of_team->batch = add_amount(of_team->batch, request, ends_by_itself ? placed : 0);
-    of_team->waiting = add_amount(of_team->waiting, request, waiting);
+    team_load->used = add_scaled_amount(team_load->used, request, placed);
+    team_load->batch_used =
+        add_scaled_amount(team_load->batch_used, request, ends_by_itself ? placed : 0);
+    team_load->waiting = add_scaled_amount(team_load->waiting, request, waiting);
     uint32_t newly_done = count_newly_done(load, submission->job_id, ends_by_itself ? done : 0);
-    of_team->done = rr_work_add(of_team->done, work, newly_done);
+    team_load->completed_work = rr_work_add(team_load->completed_work, work, newly_done);
     if (waiting > 0) {
         add_waiting_work(load, submission, rr_work_scale(work, waiting));
     }
