--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -1,4 +1,4 @@
-/* Fair admission: tables, verdicts and demand of one controller. */
+/* Fair admission at one controller: its tables, its verdicts and the demand it knows of. */
 #include "admission/admission.h"
 #include "core/state/transaction.h"
 #include "peer/frame.h"
@@ -8,27 +8,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of a view in a frame, beside the frame's other fields. */
+/* Leaves room in the frame for its header and the fields around the view. */
 #define VIEW_BYTES_MAX (RR_FRAME_BYTES_MAX - 1024)
-/* In intervals: a peer's view counts as fresh, and counts at all. */
+/* Age, in intervals, up to which a peer's view counts in full, and from which it is ignored. */
 #define VIEW_FRESH_INTERVALS 1.5
-#define VIEW_KEPT_INTERVALS 6
+#define VIEW_EXPIRY_INTERVALS 6
 
+/* The last demand view received from a peer. */
 struct peer_view {
     rr_demand_view view;
-    double received_at; /* steady, 0: never */
+    double received_at; /* steady clock; 0: none received yet */
 };
 
 struct rr_admission {
     const struct rr_config *config;
     const rr_admission_settings *settings;
     rr_admission_slot slots[RR_ADMISSION_SLOTS];
-    bool whole[RR_ADMISSION_SLOTS]; /* the slot's table is complete */
-    rr_admission_table none;        /* the empty table */
-    rr_demand *demand;
-    double interval_at; /* wall: beginning of the interval that is being counted */
-    struct peer_view peers[RR_CONTROLLERS_MAX];
-    rr_work admitted_unchecked[RR_TEAMS_MAX]; /* without a valid table, in this interval */
+    bool complete[RR_ADMISSION_SLOTS]; /* every record of the slot's table has been read */
+    rr_admission_table empty_table;    /* stands in for the table of an incomplete slot */
+    rr_demand *demand;                 /* seen by this controller */
+    double interval_start;             /* wall clock: start of the current counting interval */
+    struct peer_view peers[RR_CONTROLLERS_MAX];   /* by index in config->peers */
+    rr_work admitted_without_table[RR_TEAMS_MAX]; /* by team: work admitted in the current interval
+                                                     while there was no valid table */
     rr_admission_stats stats;
 };
 
@@ -38,7 +40,7 @@
     admission->config = config;
     admission->settings = settings;
     admission->demand = rr_demand_create(settings->patience_s);
-    rr_admission_table_init(&admission->none);
+    rr_admission_table_init(&admission->empty_table);
     rr_admission_table_init(&admission->slots[0].table);
     rr_admission_table_init(&admission->slots[1].table);
     return admission;
@@ -53,7 +55,7 @@
     }
     rr_admission_table_clear(&admission->slots[0].table);
     rr_admission_table_clear(&admission->slots[1].table);
-    rr_admission_table_clear(&admission->none);
+    rr_admission_table_clear(&admission->empty_table);
     rr_demand_destroy(admission->demand);
     g_free(admission);
 }
@@ -64,28 +66,30 @@
 
 /* ---- tables ---- */
 
-void rr_admission_put_record(rr_admission *admission, const char *rest, const msgpack_object *value,
-                             uint64_t version) {
+void rr_admission_put_record(rr_admission *admission, const char *key_suffix,
+                             const msgpack_object *value, uint64_t version) {
     char *end;
-    unsigned long slot = strtoul(rest, &end, 10);
+    unsigned long slot = strtoul(key_suffix, &end, 10);
     unsigned long part = *end == '/' ? strtoul(end + 1, &end, 10) : RR_ADMISSION_PARTS_MAX;
     int rc = -EPROTO;
     if (*end == 0 && slot < RR_ADMISSION_SLOTS && part < RR_ADMISSION_PARTS_MAX) {
-        uint64_t before = admission->slots[slot].table.sequence;
+        uint64_t previous_sequence = admission->slots[slot].table.sequence;
         rc = rr_admission_slot_put(&admission->slots[slot], (guint)part, value, version);
-        bool newer = admission->slots[slot].table.sequence != before;
-        admission->whole[slot] = rc == 1 || (admission->whole[slot] && !newer);
+        bool replaced = admission->slots[slot].table.sequence != previous_sequence;
+        admission->complete[slot] = rc == 1 || (admission->complete[slot] && !replaced);
     }
     admission->stats.records_unread += rc < 0;
 }
 
-static const rr_admission_table *slot_table(const rr_admission *admission, int slot) {
-    return admission->whole[slot] ? &admission->slots[slot].table : &admission->none;
+/* Returns the slot's table, or the empty one while records of it are missing. */
+static const rr_admission_table *get_slot_table(const rr_admission *admission, int slot) {
+    return admission->complete[slot] ? &admission->slots[slot].table : &admission->empty_table;
 }
 
+/* Returns the tables of both slots, ordered by sequence. */
 static rr_admission_tables get_tables(const rr_admission *admission) {
-    const rr_admission_table *first = slot_table(admission, 0);
-    const rr_admission_table *second = slot_table(admission, 1);
+    const rr_admission_table *first = get_slot_table(admission, 0);
+    const rr_admission_table *second = get_slot_table(admission, 1);
     bool first_is_newest = first->sequence > second->sequence;
     return (rr_admission_tables){.newest = first_is_newest ? first : second,
                                  .previous = first_is_newest ? second : first};
@@ -97,39 +101,41 @@
 
 const rr_admission_table *rr_admission_table_at(const rr_admission *admission, double wall) {
     rr_admission_tables tables = get_tables(admission);
-    return rr_admission_in_force(&tables, wall);
+    return rr_admission_table_in_force(&tables, wall);
 }
 
-/* Guards the records of both slots, so that an autoscaler that has not read the newest table writes
- * none. */
+/* Guards records of both slots, so that the commit fails for an autoscaler that has not read the
+ * newest table. */
 bool rr_admission_put_table(const rr_admission *admission, const rr_admission_table *table,
-                            rr_transaction *out) {
+                            rr_transaction *transaction) {
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
     char key[64];
-    size_t bytes = (size_t)(rr_value_kb_max(admission->config) * 1024);
+    size_t value_bytes_max = (size_t)(rr_value_kb_max(admission->config) * 1024);
     guint records_max = (guint)rr_transaction_changes_max(admission->config);
-    guint parts = rr_admission_table_encode(table, bytes, records_max, records);
+    guint parts = rr_admission_table_encode(table, value_bytes_max, records_max, records);
     const rr_admission_slot *slot = &admission->slots[table->sequence % RR_ADMISSION_SLOTS];
     const rr_admission_slot *other = &admission->slots[(table->sequence + 1) % RR_ADMISSION_SLOTS];
     rr_admission_record_key(table->sequence + 1, 0, key, sizeof key);
-    rr_transaction_guard(out, key, other->versions[0]);
+    rr_transaction_guard(transaction, key, other->versions[0]);
     for (guint i = 0; i < parts; i++) {
         rr_admission_record_key(table->sequence, i, key, sizeof key);
-        rr_transaction_guard(out, key, slot->versions[i]);
-        rr_transaction_put(out, key, &records[i], 0);
+        rr_transaction_guard(transaction, key, slot->versions[i]);
+        rr_transaction_put(transaction, key, &records[i], 0);
     }
     return parts > 0;
 }
 
 /* ---- submissions ---- */
 
-static rr_work job_work(const rr_admission *admission, const rr_submission *submission) {
+/* Returns the work of all the job's tasks, by its runtime estimate. */
+static rr_work estimate_job_work(const rr_admission *admission, const rr_submission *submission) {
     rr_work task = rr_work_of_task(submission, admission->settings->service_estimate_s);
     return rr_work_scale(task, submission->task_count);
 }
 
-/* Without a valid table a controller admits its part, among those of the last known term, of what
- * the team is guaranteed in an interval: all of them together stay within the guarantee. */
+/* Returns whether the job fits into what this controller may admit without a valid table, and if so
+ * counts its work. Each of the last known term's controllers may admit an equal part of the team's
+ * guarantee for the interval, so that together they stay within it. */
 static bool admit_within_guarantee(rr_admission *admission, const rr_submission *submission,
                                    unsigned controllers) {
     int team = rr_config_team(admission->config, submission->team);
@@ -137,16 +143,18 @@
         return false;
     }
     const struct rr_team_config *guarantee = &admission->config->teams[team];
-    double part_s = admission->settings->interval_s / MAX(controllers, 1);
-    rr_work admitted =
-        rr_work_add(admission->admitted_unchecked[team], job_work(admission, submission), 1);
-    if (admitted.cpu_s > guarantee->cpus * part_s || admitted.gpu_s > guarantee->gpus * part_s) {
+    double controller_share_s = admission->settings->interval_s / MAX(controllers, 1);
+    rr_work admitted = rr_work_add(admission->admitted_without_table[team],
+                                   estimate_job_work(admission, submission), 1);
+    if (admitted.cpu_s > guarantee->cpus * controller_share_s ||
+        admitted.gpu_s > guarantee->gpus * controller_share_s) {
         return false;
     }
-    admission->admitted_unchecked[team] = admitted;
+    admission->admitted_without_table[team] = admitted;
     return true;
 }
 
+/* Admits within the team's guarantee; otherwise asks for a retry after one interval. */
 static rr_admission_verdict decide_without_table(rr_admission *admission,
                                                  const rr_submission *submission,
                                                  unsigned controllers) {
@@ -183,7 +191,7 @@
     if (verdict.kind != RR_ADMISSION_ADMIT) {
         admission->stats.refused++;
         rr_demand_refused(admission->demand, &key, submission->job_id,
-                          job_work(admission, submission), now);
+                          estimate_job_work(admission, submission), now);
     }
     return verdict;
 }
@@ -192,24 +200,25 @@
     rr_admission_key key;
     rr_admission_key_of(submission, admission->settings->band_limits, &key);
     admission->stats.admitted++;
-    rr_demand_admitted(admission->demand, &key, submission->job_id,
-                       job_work(admission, submission));
+    rr_demand_record_admission(admission->demand, &key, submission->job_id,
+                               estimate_job_work(admission, submission));
 }
 
-/* ---- demand ---- */
+/* ---- demand, here and at the peers ---- */
 
 void rr_admission_update_interval(rr_admission *admission, double wall, double now) {
     double length_s = admission->settings->interval_s;
-    double edge = floor(wall / length_s) * length_s;
-    if (edge != admission->interval_at) {
-        admission->interval_at = edge;
-        memset(admission->admitted_unchecked, 0, sizeof admission->admitted_unchecked);
+    double current_start = floor(wall / length_s) * length_s;
+    if (current_start != admission->interval_start) {
+        admission->interval_start = current_start;
+        memset(admission->admitted_without_table, 0, sizeof admission->admitted_without_table);
         rr_demand_next_interval(admission->demand, now);
     }
 }
 
-void rr_admission_forget_accepted(rr_admission *admission, rr_job_known_fn known, void *user) {
-    rr_demand_forget_accepted(admission->demand, known, user);
+void rr_admission_forget_accepted(rr_admission *admission, rr_job_accepted_fn is_accepted,
+                                  void *user) {
+    rr_demand_forget_accepted(admission->demand, is_accepted, user);
 }
 
 bool rr_admission_announce(const rr_admission *admission, uint64_t fencing_token, GByteArray *out) {
@@ -252,7 +261,7 @@
     for (size_t i = 0; i < admission->config->peer_count; i++) {
         const struct peer_view *peer = &admission->peers[i];
         double age = (now - peer->received_at) / admission->settings->interval_s;
-        if (peer->received_at > 0 && age < VIEW_KEPT_INTERVALS) {
+        if (peer->received_at > 0 && age < VIEW_EXPIRY_INTERVALS) {
             views[count] = &peer->view;
             ages[count++] = age < VIEW_FRESH_INTERVALS ? 0 : (unsigned)age;
         }
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -1,8 +1,9 @@
-/* Fair admission: under overload every controller reaches the same verdict on a submission, so that
- * each team, class and size of job keeps its share. docs/admission.md has the reasons.
+/* Fair admission: under overload, every controller reaches the same verdict on a submission, so
+ * that each team, job class and size band keeps its share. See docs/admission.md for the design.
  *
- * No I/O, clock, thread or lock: the caller (app/admission_thread.c) holds a lock of its own. Times
- * are in seconds: `wall` of the wall clock, `now` of the steady clock. */
+ * This module does no I/O, reads no clock, and uses no threads or locks: callers serialize all
+ * calls (rr_app_admission.lock). Times are in seconds; `wall` is wall-clock time and `now` is time
+ * of the steady clock. */
 #ifndef RR_ADMISSION_ADMISSION_H
 #define RR_ADMISSION_ADMISSION_H
 
@@ -14,74 +15,87 @@
 
 typedef struct rr_admission rr_admission;
 
-/* Both arguments must outlive the object. */
+/* Creates the admission state of one controller. Borrows both arguments, which must outlive it. */
 rr_admission *rr_admission_create(const struct rr_config *config,
                                   const rr_admission_settings *settings);
-/* NULL is allowed. */
+/* Frees the admission state. NULL is allowed. */
 void rr_admission_destroy(rr_admission *admission);
 
-/* ---- tables, as the key-value store has them ---- */
+/* ---- admission tables from the key-value store ---- */
 
-/* Takes a record under RR_ADMISSION_PREFIX. rest: its key after the prefix. */
-void rr_admission_put_record(rr_admission *admission, const char *rest, const msgpack_object *value,
-                             uint64_t version);
+/* Takes a stored record into the table of its slot. key_suffix: the record's key after
+ * RR_ADMISSION_PREFIX, "SLOT/PART". An unreadable record is counted in records_unread. */
+void rr_admission_put_record(rr_admission *admission, const char *key_suffix,
+                             const msgpack_object *value, uint64_t version);
 
-/* The newest whole table; sequence 0: none. Valid until the next record. */
+/* Returns the newest complete table, with sequence 0 if there is none. Valid until the next
+ * rr_admission_put_record(). */
 const rr_admission_table *rr_admission_newest(const rr_admission *admission);
-/* The table in force; NULL: none. Valid until the next record. */
+/* Returns the table in force at `wall`, or NULL if there is none. Valid until the next
+ * rr_admission_put_record(). */
 const rr_admission_table *rr_admission_table_at(const rr_admission *admission, double wall);
 
-/* Adds the table's records to the transaction, guarded against another autoscaler's; the term's
- * guard is the caller's. False: the table does not fit. */
+/* Adds the table's records to the transaction, with guards against a concurrent write by another
+ * autoscaler. The caller adds the guard of the term. Returns false if the table does not fit. */
 bool rr_admission_put_table(const rr_admission *admission, const rr_admission_table *table,
-                            rr_transaction *out);
+                            rr_transaction *transaction);
 
 /* ---- submissions ---- */
 
-/* What a controller knows of its own state. */
+/* The state of the controller that a verdict depends on. */
 typedef struct {
-    bool lease_valid;     /* its session is valid, and the term has it as a member */
-    bool all_capable;     /* every controller of the term takes part in admission */
-    double cache_age_s;   /* since the store cache surely had every change */
-    unsigned controllers; /* of the last known term */
+    bool lease_valid;     /* the controller's session is valid and it is a member of the term */
+    bool all_capable;     /* every controller of the term supports admission */
+    double cache_age_s;   /* time since the store cache was known to hold every change */
+    unsigned controllers; /* number of controllers in the last known term */
 } rr_admission_context;
 
-/* The verdict on a submission that is valid and not yet known. A refused job counts as demand. */
+/* Returns the verdict on a submission that is valid and whose job is not yet known. Records a
+ * refused job as demand. Every submission is admitted unless context->all_capable. */
 rr_admission_verdict rr_admission_check(rr_admission *admission, const rr_submission *submission,
                                         const rr_admission_context *context, double wall,
                                         double now);
 
-/* Records that the submission was admitted and its acceptance committed. */
+/* Records a submission that was admitted and whose acceptance was committed. */
 void rr_admission_accepted(rr_admission *admission, const rr_submission *submission);
 
-/* ---- demand of all controllers ---- */
+/* ---- demand, here and at the peers ---- */
 
-/* Begins a new interval of counting when it is time. */
+/* Starts a new counting interval if `wall` lies in another one than at the last call. Intervals
+ * begin at multiples of the interval_s setting, the same on every controller. */
 void rr_admission_update_interval(rr_admission *admission, double wall, double now);
 
-/* Removes jobs from the demand that were refused here and accepted by another controller since. */
-void rr_admission_forget_accepted(rr_admission *admission, rr_job_known_fn known, void *user);
+/* Removes from the demand the jobs that were refused here and have been accepted since, by any
+ * controller. */
+void rr_admission_forget_accepted(rr_admission *admission, rr_job_accepted_fn is_accepted,
+                                  void *user);
 
-/* Packs this controller's view for its peers. False: nothing is to be announced. */
+/* Appends this controller's encoded demand view to *out, for its peers. fencing_token: that of the
+ * current term. Returns false if there is nothing to announce, because the newest table does not
+ * limit admission. */
 bool rr_admission_announce(const rr_admission *admission, uint64_t fencing_token, GByteArray *out);
 
-/* Takes a peer's view. -EBADMSG: it is malformed; -ESTALE: it is of an earlier term than
- * fencing_token. Either is ignored and counted. */
+/* Replaces the demand view of a peer. peer: index in rr_config.peers. fencing_token: that of the
+ * current term. Returns 0, -EBADMSG if the view is malformed or the index out of range, or -ESTALE
+ * if the view is from an earlier term. After an error the previous view stays and the new one is
+ * counted in frames_dropped. */
 int rr_admission_take_demand(rr_admission *admission, size_t peer, uint64_t fencing_token,
                              const void *data, size_t length, double now);
 
-/* Appends the demand of all controllers, for the writer. */
+/* Appends the combined demand of this controller and its peers, for the table writer. */
 void rr_admission_demand(const rr_admission *admission, double now,
                          GArray *out /* rr_demand_total */);
 
-/* Counts since the start. */
+/* Counters since rr_admission_create(). */
 typedef struct {
-    uint64_t admitted, refused;
-    uint64_t refused_stale; /* of those refused, without a valid table */
-    uint64_t frames_dropped, records_unread;
+    uint64_t admitted;       /* submissions whose acceptance was committed */
+    uint64_t refused;        /* refused submissions; each retry counts */
+    uint64_t refused_stale;  /* those of `refused` that were decided without a valid table */
+    uint64_t frames_dropped; /* demand views that were malformed or from an earlier term */
+    uint64_t records_unread; /* table records with an unknown key or format */
 } rr_admission_stats;
 
-/* Copies the counts. */
+/* Copies the counters. */
 void rr_admission_get_stats(const rr_admission *admission, rr_admission_stats *out);
 
 #endif
--- a/src/admission/demand_total.c
+++ b/src/admission/demand_total.c
@@ -1,37 +1,41 @@
-/* The demand of all controllers together, from their views. */
+/* The combined demand of all controllers, merged from their demand views. */
 #include "admission/demand_total.h"
 
 #include <math.h>
 
-#define AGE_FACTOR 0.5
+/* Factor on the demand in a view for each interval of its age. */
+#define AGE_DECAY 0.5
+/* Prevents a division by zero for keys without jobs. */
 #define WEIGHT_MIN 1e-9
 
+/* One key's entry in one view. */
 struct aged_entry {
-    const rr_demand_entry *entry;
-    unsigned age; /* intervals */
+    const rr_demand_entry *entry; /* borrowed from the view */
+    unsigned age;                 /* of the view, in intervals */
 };
 
+/* The entries of one key in all views, while they are summed up. */
 struct key_sum {
-    rr_demand_total total;
-    GArray *entries; /* struct aged_entry, freshest first */
-    double weight;   /* of the mean */
+    rr_demand_total total; /* its mean is a weighted sum until compute_total() */
+    GArray *entries;       /* struct aged_entry, freshest first */
+    double mean_weight;    /* sum of the weights in total.mean */
 };
 
 static const struct aged_entry *entry_at(const GArray *entries, guint i) {
     return &g_array_index(entries, struct aged_entry, i);
 }
 
-/* Jobs known to the first `count` entries together: the union of their samples below the lowest
- * bound, scaled up to all hashes. */
+/* Estimates how many distinct jobs wait according to the first `count` entries: the number of
+ * distinct hashes below the lowest sample bound, scaled up to the whole range of hashes. */
 static double count_distinct_jobs(const struct key_sum *sum, guint count) {
     uint64_t bound = UINT64_MAX;
     GArray *hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (guint i = 0; i < count; i++) {
         const rr_demand_entry *entry = entry_at(sum->entries, i)->entry;
-        bound = MIN(bound, entry->bound);
+        bound = MIN(bound, entry->sample_bound);
         g_array_append_vals(hashes, entry->sample->data, entry->sample->len);
     }
-    g_array_sort(hashes, rr_compare_hashes);
+    g_array_sort(hashes, rr_compare_job_hashes);
     double found = 0;
     for (guint i = 0; i < hashes->len; i++) {
         uint64_t hash = g_array_index(hashes, uint64_t, i);
@@ -53,34 +57,37 @@
     return sum;
 }
 
+/* Adds an entry of a view of this age to its key's sum. */
 static void add_entry(GHashTable *sums, const rr_demand_entry *entry, unsigned age) {
     struct key_sum *sum = find_or_add_sum(sums, &entry->key);
-    guint place = 0;
-    while (place < sum->entries->len && entry_at(sum->entries, place)->age <= age) {
-        place++;
+    guint index = 0;
+    while (index < sum->entries->len && entry_at(sum->entries, index)->age <= age) {
+        index++;
     }
     struct aged_entry aged = {entry, age};
-    g_array_insert_val(sum->entries, place, aged);
-    double known_jobs = (double)entry->admitted + entry->sample->len;
-    sum->total.mean = rr_work_add(sum->total.mean, entry->mean, known_jobs);
-    sum->weight += known_jobs;
+    g_array_insert_val(sum->entries, index, aged);
+    double jobs_in_entry = (double)entry->admitted + entry->sample->len;
+    sum->total.mean = rr_work_add(sum->total.mean, entry->mean_work, jobs_in_entry);
+    sum->mean_weight += jobs_in_entry;
 }
 
-static rr_demand_total finish_sum(struct key_sum *sum) {
-    double counted = 0;
+/* Returns the key's total and frees sum->entries. Each waiting job counts with the age of the
+ * freshest view that knows it. */
+static rr_demand_total compute_total(struct key_sum *sum) {
+    double waiting_counted = 0;
     for (guint i = 0; i < sum->entries->len; i++) {
         const struct aged_entry *aged = entry_at(sum->entries, i);
-        double known = fmax(counted, count_distinct_jobs(sum, i + 1));
-        sum->total.count +=
-            pow(AGE_FACTOR, aged->age) * (known - counted + (double)aged->entry->admitted);
-        counted = known;
+        double waiting_known = fmax(waiting_counted, count_distinct_jobs(sum, i + 1));
+        sum->total.count += pow(AGE_DECAY, aged->age) *
+                            (waiting_known - waiting_counted + (double)aged->entry->admitted);
+        waiting_counted = waiting_known;
     }
-    sum->total.mean = rr_work_scale(sum->total.mean, 1 / fmax(sum->weight, WEIGHT_MIN));
+    sum->total.mean = rr_work_scale(sum->total.mean, 1 / fmax(sum->mean_weight, WEIGHT_MIN));
     g_array_free(sum->entries, TRUE);
     return sum->total;
 }
 
-static gint compare_by_key(gconstpointer left_item, gconstpointer right_item) {
+static gint compare_by_key_id(gconstpointer left_item, gconstpointer right_item) {
     const rr_demand_total *left = left_item, *right = right_item;
     return left->key.id < right->key.id ? -1 : left->key.id > right->key.id;
 }
@@ -97,9 +104,9 @@
     }
     g_hash_table_iter_init(&iterator, sums);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        rr_demand_total total = finish_sum(value);
+        rr_demand_total total = compute_total(value);
         g_array_append_val(out, total);
     }
     g_hash_table_destroy(sums);
-    g_array_sort(out, compare_by_key);
+    g_array_sort(out, compare_by_key_id);
 }
--- a/src/admission/demand_total.h
+++ b/src/admission/demand_total.h
@@ -1,17 +1,20 @@
-/* The demand of all controllers together, from their views. */
+/* The combined demand of all controllers, merged from their demand views. */
 #ifndef RR_ADMISSION_DEMAND_TOTAL_H
 #define RR_ADMISSION_DEMAND_TOTAL_H
 
 #include "admission/demand_view.h"
 
+/* The combined demand for one key. */
 typedef struct {
     rr_admission_key key;
-    double count; /* jobs that wait, and those admitted in the last interval */
-    rr_work mean; /* of one job */
+    double count; /* estimated number of jobs: waiting, and admitted in the last interval */
+    rr_work mean; /* mean work of one job */
 } rr_demand_total;
 
-/* Appends the totals by key, ordered by the keys' ids. ages[i]: intervals since views[i] was made.
- * What only old views know counts half as much for each interval of their age, not for nothing. */
+/* Appends the totals of all keys to *out and sorts it by key id. ages[i] is the age of views[i] in
+ * intervals. The admissions in a view, and the waiting jobs that no fresher view knows, count half
+ * as much for each interval of its age, instead of not at all once a controller's view is overdue.
+ */
 void rr_demand_merge(const rr_demand_view *const *views, const unsigned *ages, guint count,
                      GArray *out /* rr_demand_total */);
 
--- a/src/admission/demand_view.c
+++ b/src/admission/demand_view.c
@@ -1,13 +1,15 @@
-/* Views: what a controller announces to its peers of the demand it has seen. */
+/* Building demand views from a controller's demand. */
 #include "admission/demand_view.h"
 
 #include <string.h>
 
-/* Hashes in one view, and for each key at least and at most. */
-#define VIEW_HASHES 4096u
-#define KEY_HASHES_MIN 16u
-#define KEY_HASHES_MAX 256u
+/* Hashes in one view, divided evenly among its keys within the limits for one key. The lower limit
+ * takes precedence, so that a view of very many keys exceeds the budget. */
+#define VIEW_HASH_BUDGET 4096u
+#define SAMPLE_HASHES_MIN 16u
+#define SAMPLE_HASHES_MAX 256u
 
+/* The clear function of rr_demand_view.entries. */
 static void clear_entry(gpointer data) {
     rr_demand_entry *entry = data;
     if (entry->sample) {
@@ -28,32 +30,33 @@
     memset(view, 0, sizeof *view);
 }
 
-gint rr_compare_hashes(gconstpointer left_item, gconstpointer right_item) {
+gint rr_compare_job_hashes(gconstpointer left_item, gconstpointer right_item) {
     uint64_t left = *(const uint64_t *)left_item, right = *(const uint64_t *)right_item;
     return left < right ? -1 : left > right;
 }
 
-/* Keeps the smallest hashes, `count` at most. */
-static void reduce_sample(rr_demand_entry *entry, guint count) {
-    g_array_sort(entry->sample, rr_compare_hashes);
-    entry->bound = UINT64_MAX;
-    if (entry->sample->len > count) {
-        entry->bound = g_array_index(entry->sample, uint64_t, count);
-        g_array_set_size(entry->sample, count);
+/* Sorts the sample and keeps the `count_max` smallest hashes. */
+static void truncate_sample(rr_demand_entry *entry, guint count_max) {
+    g_array_sort(entry->sample, rr_compare_job_hashes);
+    entry->sample_bound = UINT64_MAX;
+    if (entry->sample->len > count_max) {
+        entry->sample_bound = g_array_index(entry->sample, uint64_t, count_max);
+        g_array_set_size(entry->sample, count_max);
     }
 }
 
+/* A view that is being built. */
 struct view_builder {
     rr_demand_view *view;
-    GHashTable *samples; /* key id -> the entry's sample; ids are the demand's */
+    GHashTable *samples; /* key id -> its entry's sample; ids borrowed from the demand */
 };
 
-static void add_entry(void *user, const rr_demand_of_key *of_key) {
+static void add_entry(void *user, const rr_demand_key_summary *summary) {
     const struct view_builder *builder = user;
     rr_demand_entry entry = {
-        .key = *of_key->key, .admitted = of_key->admitted, .mean = of_key->mean};
+        .key = *summary->key, .admitted = summary->admitted, .mean_work = summary->mean_work};
     entry.sample = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    g_hash_table_insert(builder->samples, (gpointer)&of_key->key->id, entry.sample);
+    g_hash_table_insert(builder->samples, (gpointer)&summary->key->id, entry.sample);
     g_array_append_val(builder->view->entries, entry);
 }
 
@@ -72,9 +75,9 @@
     rr_demand_each_key(demand, add_entry, &builder);
     rr_demand_each_waiting(demand, add_hash, &builder);
     g_hash_table_destroy(builder.samples);
-    guint each = VIEW_HASHES / MAX(out->entries->len, 1);
+    guint hashes_per_key = VIEW_HASH_BUDGET / MAX(out->entries->len, 1);
     for (guint i = 0; i < out->entries->len; i++) {
-        reduce_sample(&g_array_index(out->entries, rr_demand_entry, i),
-                      CLAMP(each, KEY_HASHES_MIN, KEY_HASHES_MAX));
+        truncate_sample(&g_array_index(out->entries, rr_demand_entry, i),
+                        CLAMP(hashes_per_key, SAMPLE_HASHES_MIN, SAMPLE_HASHES_MAX));
     }
 }
--- a/src/admission/demand_view.h
+++ b/src/admission/demand_view.h
@@ -1,46 +1,52 @@
-/* Views: what a controller announces to its peers of the demand it has seen.
+/* Demand views: the summary of the demand it has seen that a controller announces to its peers.
  *
- * A user who was refused asks again, perhaps at another controller. So that no job is counted
- * twice, a view has a sample of each key's waiting jobs: the smallest hashes of their ids. Samples
- * taken so agree on which jobs are in them, and their union is a sample of all demand. Keys with
- * few jobs are in the view whole, so that a flood of one key does not hide another's single job. */
+ * A refused user retries, perhaps at another controller, and the job must not be counted twice. A
+ * view therefore holds a bottom-k sample of each key's waiting jobs: the smallest hashes of their
+ * ids. All controllers select jobs by the same hashes, so that the union of their samples is a
+ * sample of the whole demand. The sample of a key with few jobs holds all of them, so that a flood
+ * of jobs of one key does not hide the single job of another. */
 #ifndef RR_ADMISSION_DEMAND_VIEW_H
 #define RR_ADMISSION_DEMAND_VIEW_H
 
 #include "admission/demand.h"
 
-#define RR_DEMAND_VERSION 1
+/* Version of the encoding between controllers. */
+#define RR_DEMAND_VIEW_VERSION 1
 
-/* One key's part of a view. */
+/* The demand for one key in a view. */
 typedef struct {
     rr_admission_key key;
-    uint64_t admitted; /* in the last whole interval */
-    rr_work mean;      /* of one job */
-    uint64_t bound;    /* every waiting job with a smaller hash is in the sample */
-    GArray *sample;    /* uint64_t, sorted */
+    uint64_t admitted;     /* jobs admitted in the last complete interval */
+    rr_work mean_work;     /* of one job */
+    uint64_t sample_bound; /* every waiting job with a smaller hash is in the sample; UINT64_MAX:
+                              the sample holds all waiting jobs */
+    GArray *sample;        /* uint64_t: hashes of waiting jobs, sorted; owned */
 } rr_demand_entry;
 
+/* The demand that one controller has seen. */
 typedef struct {
-    uint64_t fencing_token; /* of the term in which it was made */
-    GArray *entries;        /* rr_demand_entry */
+    uint64_t fencing_token; /* of the term in which the view was made */
+    GArray *entries;        /* rr_demand_entry, owned */
 } rr_demand_view;
 
-/* An empty view. */
+/* Initializes an empty view, which the caller clears. */
 void rr_demand_view_init(rr_demand_view *view);
-/* Frees the entries. Allowed on a zero-initialized view, and twice. */
+/* Frees the entries and zeroes the view. Allowed on a zeroed view, and so more than once. */
 void rr_demand_view_clear(rr_demand_view *view);
 
-/* Makes a view of the demand; *out is the caller's to clear. */
+/* Builds a view of the demand. The caller clears *out. */
 void rr_demand_view_of(const rr_demand *demand, uint64_t fencing_token, rr_demand_view *out);
 
-/* Packs a view into at most bytes_max. Entries that do not fit are left out of all teams in turn.
- */
+/* Appends the encoded view to *out, with at most bytes_max bytes of entries after its header.
+ * Entries that do not fit are dropped evenly across teams, the least important ones of each team
+ * first. */
 void rr_demand_view_pack(const rr_demand_view *view, GByteArray *out, size_t bytes_max);
 
-/* 0, and *out is the caller's to clear; -EBADMSG: malformed, too long or of an unknown version. */
+/* Decodes a view. Returns 0, and the caller clears *out; or -EBADMSG if the data is malformed, too
+ * long or of an unknown version. */
 int rr_demand_view_unpack(const void *data, size_t length, rr_demand_view *out);
 
-/* Orders hashes of jobs, for g_array_sort(). */
-gint rr_compare_hashes(gconstpointer left_item, gconstpointer right_item);
+/* Compares two job hashes (uint64_t), for g_array_sort(). */
+gint rr_compare_job_hashes(gconstpointer left_item, gconstpointer right_item);
 
 #endif
--- a/src/admission/verdict.c
+++ b/src/admission/verdict.c
@@ -1,13 +1,14 @@
-/* The verdict on one submission. */
+/* The verdict on one submission, by the position of its job on the hash ring. */
 #include "admission/verdict.h"
 
 #include <math.h>
 
-/* The part of an interval in which the jobs come back whose turn it is: those later in the window
- * later, so that they do not all come at the interval's edge. */
+/* Part of an interval over which the retries of its window's jobs are spread, in the order of their
+ * positions, so that they do not all arrive at the interval's start. */
 #define RETRY_SPREAD 0.5
 
-const rr_admission_table *rr_admission_in_force(const rr_admission_tables *tables, double wall) {
+const rr_admission_table *rr_admission_table_in_force(const rr_admission_tables *tables,
+                                                      double wall) {
     if (tables->newest->sequence && wall >= tables->newest->starts_at) {
         return tables->newest;
     }
@@ -17,40 +18,45 @@
     return NULL;
 }
 
-static uint32_t position_on_circle(const char *job_id) {
+/* Returns the job's position on the hash ring. */
+static uint32_t get_ring_position(const char *job_id) {
     return (uint32_t)(rr_admission_job_hash(job_id) >> 32);
 }
 
-/* The key's row, else that of its team's other jobs of its band; NULL: not limited. */
+/* Returns the key's row, or else the row for the remaining keys of its team and band. NULL: the
+ * table does not limit the key. */
 static const rr_admission_row *find_row(const rr_admission_table *table,
                                         const rr_admission_key *key) {
     const rr_admission_row *row = rr_admission_table_row(table, key->id);
     return row ? row : rr_admission_table_row(table, rr_admission_rest_id(key->team, key->band));
 }
 
-/* How far past the window's beginning the job stands, `intervals` after the table's own. */
-static uint32_t distance_past_window(const rr_admission_row *row, uint32_t position,
-                                     double intervals) {
-    uint64_t moved = (uint64_t)intervals * row->share;
-    return position - row->phase - (uint32_t)moved;
+/* Returns the distance on the ring from the start of the window to the job. `intervals`: whole
+ * intervals since the table's start, in each of which the window advanced by its width. */
+static uint32_t distance_from_window_start(const rr_admission_row *row, uint32_t position,
+                                           double intervals) {
+    uint64_t advance = (uint64_t)intervals * row->share;
+    return position - row->phase - (uint32_t)advance;
 }
 
-/* Intervals until the job comes back. Jobs of a key with no share come back in the next interval,
- * when there may be room. */
+/* Returns the number of intervals, from the start of the current one, until the job should retry.
+ * Jobs of a key without a share retry in the next interval, when there may be capacity for them. */
 static double intervals_until_retry(const rr_admission_row *row, uint32_t distance) {
     if (row->share == 0) {
         return 1 + RETRY_SPREAD * (double)distance / (double)RR_ADMISSION_FULL;
     }
-    double windows = (double)distance / (double)row->share;
-    return floor(windows) + RETRY_SPREAD * (windows - floor(windows));
+    double windows_ahead = (double)distance / (double)row->share;
+    return floor(windows_ahead) + RETRY_SPREAD * (windows_ahead - floor(windows_ahead));
 }
 
+/* A verdict by one table at one time. */
 struct table_verdict {
     bool admit;
-    double wait_s; /* until the job's turn, if not */
+    double wait_s; /* time until the job should retry; 0 if admitted */
 };
 
-/* table: in force at `wall`, or NULL. */
+/* Decides on the job at `position` by the table in force at `wall`; NULL: there is none, and every
+ * job is admitted. */
 static struct table_verdict decide_by_table(const rr_admission_table *table, double wall,
                                             const rr_admission_key *key, uint32_t position) {
     struct table_verdict verdict = {true, 0};
@@ -59,7 +65,7 @@
         return verdict;
     }
     double intervals = floor((wall - table->starts_at) / table->length_s);
-    uint32_t distance = distance_past_window(row, position, intervals);
+    uint32_t distance = distance_from_window_start(row, position, intervals);
     verdict.admit = distance < row->share;
     if (!verdict.admit) {
         double retry_at =
@@ -73,21 +79,22 @@
                                          double clock_error_s, const rr_admission_key *key,
                                          const char *job_id) {
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
-    const rr_admission_table *table = rr_admission_in_force(tables, wall);
+    const rr_admission_table *table = rr_admission_table_in_force(tables, wall);
     if (table && table->active && wall > table->starts_at + rr_admission_valid_s(table->length_s)) {
         verdict.kind = RR_ADMISSION_STALE;
         return verdict;
     }
-    uint32_t position = position_on_circle(job_id);
+    uint32_t position = get_ring_position(job_id);
     double earliest = wall - clock_error_s, latest = wall + clock_error_s;
-    struct table_verdict now = decide_by_table(table, wall, key, position);
+    struct table_verdict current = decide_by_table(table, wall, key, position);
     bool admit =
-        now.admit &&
-        decide_by_table(rr_admission_in_force(tables, earliest), earliest, key, position).admit &&
-        decide_by_table(rr_admission_in_force(tables, latest), latest, key, position).admit;
+        current.admit &&
+        decide_by_table(rr_admission_table_in_force(tables, earliest), earliest, key, position)
+            .admit &&
+        decide_by_table(rr_admission_table_in_force(tables, latest), latest, key, position).admit;
     if (!admit) {
-        /* Past the interval's edge by the error of both clocks. */
-        double wait_s = ceil(now.wait_s + 2 * clock_error_s);
+        /* Adds the error of both clocks, so that the retry arrives after the interval boundary. */
+        double wait_s = ceil(current.wait_s + 2 * clock_error_s);
         verdict.kind = RR_ADMISSION_WAIT;
         verdict.retry_after_s = (int)fmax(1, fmin(wait_s, RR_RETRY_AFTER_MAX_S));
     }
