--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -4,10 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FNV_BASIS 1469598103934665603ULL
+/* FNV-1a's offset basis without its last digit. All controllers must derive the same ids, so it has
+ * to stay. */
+#define HASH_BASIS 1469598103934665603ULL
 #define FNV_PRIME 1099511628211ULL
-#define SEPARATOR 0x1f /* occurs in no name */
+#define SEPARATOR 0x1f /* does not occur in names */
 
+/* Continues an FNV-1a hash with a text and a separator. */
 static uint64_t hash_text(uint64_t hash, const char *text) {
     for (; *text; text++) {
         hash = (hash ^ (unsigned char)*text) * FNV_PRIME;
@@ -15,8 +18,9 @@
     return (hash ^ SEPARATOR) * FNV_PRIME;
 }
 
-/* FNV-1a keeps similar texts close together, but positions on the circle must be spread. */
-static uint64_t spread_bits(uint64_t hash) {
+/* The finalizer of MurmurHash3. FNV-1a maps similar texts to nearby values, but positions on the
+ * hash ring must be spread evenly. */
+static uint64_t mix_bits(uint64_t hash) {
     hash ^= hash >> 33;
     hash *= 0xff51afd7ed558ccdULL;
     hash ^= hash >> 33;
@@ -25,25 +29,25 @@
 }
 
 uint64_t rr_admission_job_hash(const char *job_id) {
-    return spread_bits(hash_text(FNV_BASIS, job_id));
+    return mix_bits(hash_text(HASH_BASIS, job_id));
 }
 
 uint64_t rr_admission_rest_id(const char *team, unsigned band) {
-    return spread_bits((hash_text(hash_text(FNV_BASIS, "rest"), team) ^ band) * FNV_PRIME);
+    return mix_bits((hash_text(hash_text(HASH_BASIS, "rest"), team) ^ band) * FNV_PRIME);
 }
 
 void rr_admission_key_hash(rr_admission_key *key) {
-    uint64_t hash = hash_text(hash_text(FNV_BASIS, key->team), key->job_class);
+    uint64_t hash = hash_text(hash_text(HASH_BASIS, key->team), key->job_class);
     hash = hash_text(hash_text(hash, key->zone), key->types);
-    key->id = spread_bits((hash ^ key->band) * FNV_PRIME);
+    key->id = mix_bits((hash ^ key->band) * FNV_PRIME);
 }
 
 static int compare_texts(const void *left, const void *right) {
     return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* If the types do not fit, the key allows any type: its share is then too high, which the backlog
- * corrects. */
+/* Sets the key's machine types. If they do not fit, the key allows any type. Its share is then too
+ * high at first; later tables lower it as its backlog grows. */
 static void set_types(const rr_submission *submission, rr_admission_key *out) {
     const char *types[RR_MACHINE_TYPES_MAX];
     int count = submission->machine_type_count;
--- a/src/admission/key.h
+++ b/src/admission/key.h
@@ -1,38 +1,40 @@
-/* Admission keys: a team, a job class, a size band, and the zone and machine types to which a job
- * is restricted. Every controller derives the same key from the same submission. */
+/* Admission keys. Jobs with the same team, job class, size band, zone and machine types share a key
+ * and are admitted by the same row of the admission table. Every controller derives the same key
+ * from the same submission. */
 #ifndef RR_ADMISSION_KEY_H
 #define RR_ADMISSION_KEY_H
 
 #include "conf/config.h"
 #include "wire/wire.h"
 
-#define RR_ADMISSION_BANDS 3 /* small, medium and large jobs */
-#define RR_ADMISSION_TYPES 256
+#define RR_ADMISSION_BANDS 3        /* size bands: small, medium and large jobs */
+#define RR_ADMISSION_TYPES_SIZE 256 /* bytes */
 
 typedef struct {
-    uint64_t id; /* hash of the rest */
+    uint64_t id; /* hash of the other fields */
     char team[RR_NAME_SIZE], job_class[RR_TEXT_SIZE];
-    char zone[RR_TEXT_SIZE];        /* empty: any */
-    char types[RR_ADMISSION_TYPES]; /* sorted, each followed by a comma; empty: any */
-    unsigned band;
+    char zone[RR_TEXT_SIZE];             /* empty: any zone */
+    char types[RR_ADMISSION_TYPES_SIZE]; /* sorted, each followed by a comma; empty: any type */
+    unsigned band;                       /* from 0 (small jobs) to RR_ADMISSION_BANDS - 1 */
 } rr_admission_key;
 
-/* Derives a submission's key. band_limits: the numbers of tasks from which a job is of the second
- * and of the third band. */
+/* Derives a submission's key. band_limits: the task counts at which the second and the third band
+ * begin. */
 void rr_admission_key_of(const rr_submission *submission, const uint32_t band_limits[2],
                          rr_admission_key *out);
 
 /* Sets the id of a key whose other fields are set. */
 void rr_admission_key_hash(rr_admission_key *key);
 
-/* The id that stands for those of a team's keys in this band that a table has no row for. */
+/* Returns the id of the default row of a team's band, which applies to those of its keys that have
+ * no row of their own in the table. */
 uint64_t rr_admission_rest_id(const char *team, unsigned band);
 
-/* True: machines of this type and zone may take jobs of the key. */
+/* Returns whether jobs of the key may run on machines of this type in this zone. */
 bool rr_admission_key_allows(const rr_admission_key *key, const char *type, const char *zone);
 
-/* A job's hash: by it demand is counted, and its upper half is the job's position on the circle of
- * admission (verdict.h). */
+/* Returns a job's hash. It identifies the job where demand is counted, and its upper 32 bits are
+ * the job's position on the hash ring (verdict.h). */
 uint64_t rr_admission_job_hash(const char *job_id);
 
 #endif
--- a/src/admission/table.c
+++ b/src/admission/table.c
@@ -1,4 +1,4 @@
-/* The admission table. */
+/* The admission table: memory and lookups. */
 #include "admission/table.h"
 
 #include <string.h>
--- a/src/admission/table_records.c
+++ b/src/admission/table_records.c
@@ -1,19 +1,19 @@
-/* Admission tables as records of the key-value store. */
+/* Encodes admission tables as records of the key-value store and assembles them again. */
 #include "admission/table_records.h"
 
 #include <errno.h>
 #include <string.h>
 
-/* Upper bounds on the JSON of a record beside its lists, of a row (three integers), and of a team
- * beside its name. */
-#define RECORD_HEAD_BYTES_MAX 256
+/* Upper bounds of the JSON size of a record without its lists, of a row (three integers), and of a
+ * team without its name. */
+#define RECORD_HEADER_BYTES_MAX 256
 #define ROW_BYTES_MAX 56
 #define TEAM_BYTES_MAX 64
 
-#define TABLE_LENGTH_MAX_S 86400.0
+#define TABLE_LENGTH_MAX_S 86400.0 /* records with longer intervals are rejected */
 
-/* Rooms and corrections are written as integers, in these parts of 1. */
-#define ROOM_UNITS 1e6
+/* Fair shares and corrections are stored as integers, as multiples of 1 / units. */
+#define FAIR_SHARE_UNITS 1e6
 #define CORRECTION_UNITS 1000.0
 
 void rr_admission_record_key(uint64_t sequence, guint part, char *out, size_t size) {
@@ -23,6 +23,7 @@
 
 /* ---- encoding ---- */
 
+/* Orders rows by share, the smallest first. */
 static gint compare_by_share(gconstpointer left_item, gconstpointer right_item) {
     const rr_admission_row *left = left_item, *right = right_item;
     if (left->share != right->share) {
@@ -31,12 +32,13 @@
     return left->id < right->id ? -1 : left->id > right->id;
 }
 
-/* The teams and rows of one record: the first and the number of each. */
-struct record_content {
-    guint team, team_count;
-    guint row, row_count;
+/* The teams and rows of the table that one record holds. */
+struct record_range {
+    guint first_team, team_count;
+    guint first_row, row_count;
 };
 
+/* Returns how many teams from `first` on fit into *bytes_left, and subtracts their size from it. */
 static guint count_teams_that_fit(const rr_admission_table *table, guint first,
                                   size_t *bytes_left) {
     guint count = 0;
@@ -57,17 +59,19 @@
     return (guint)MIN(bytes_left / ROW_BYTES_MAX, table->rows->len - first);
 }
 
-/* Divides the table into records, teams first. Returns their number. */
+/* Divides the table into records, teams before rows. Stops early if records_max is reached or
+ * nothing more fits into a record. Returns the number of records, which is at least 1 unless
+ * records_max is 0. */
 static guint divide_table(const rr_admission_table *table, size_t value_bytes, guint records_max,
-                          struct record_content *records) {
+                          struct record_range *records) {
     guint count = 0, team = 0, row = 0;
     records_max = MIN(records_max, RR_ADMISSION_PARTS_MAX);
     while (count < records_max &&
            (count == 0 || team < table->teams->len || row < table->rows->len)) {
         size_t bytes_left =
-            value_bytes > RECORD_HEAD_BYTES_MAX ? value_bytes - RECORD_HEAD_BYTES_MAX : 0;
-        struct record_content *record = &records[count++];
-        *record = (struct record_content){.team = team, .row = row};
+            value_bytes > RECORD_HEADER_BYTES_MAX ? value_bytes - RECORD_HEADER_BYTES_MAX : 0;
+        struct record_range *record = &records[count++];
+        *record = (struct record_range){.first_team = team, .first_row = row};
         record->team_count = count_teams_that_fit(table, team, &bytes_left);
         team += record->team_count;
         if (team == table->teams->len) {
@@ -81,21 +85,21 @@
     return count;
 }
 
-static void put_team(rr_encoder *out, const rr_admission_team *team) {
+static void encode_team(rr_encoder *out, const rr_admission_team *team) {
     rr_encode_array(out, 3);
     rr_encode_text(out, team->name);
-    rr_encode_u64(out, (uint64_t)(team->fair_room * ROOM_UNITS));
+    rr_encode_u64(out, (uint64_t)(team->fair_room * FAIR_SHARE_UNITS));
     rr_encode_u64(out, (uint64_t)(team->correction * CORRECTION_UNITS));
 }
 
-static void put_row(rr_encoder *out, const rr_admission_row *row) {
+static void encode_row(rr_encoder *out, const rr_admission_row *row) {
     rr_encode_array(out, 3);
     rr_encode_u64(out, row->id);
     rr_encode_u64(out, row->phase);
     rr_encode_u64(out, row->share);
 }
 
-static void encode_record(const rr_admission_table *table, const struct record_content *content,
+static void encode_record(const rr_admission_table *table, const struct record_range *range,
                           guint record_count, rr_encoder *out) {
     rr_encoder_init(out);
     rr_encode_map(out, 11);
@@ -109,20 +113,20 @@
     rr_encode_key_number(out, "gpu", table->gpus);
     rr_encode_key_number(out, "mem", table->mem_gb);
     rr_encode_text(out, "teams");
-    rr_encode_array(out, content->team_count);
-    for (guint i = 0; i < content->team_count; i++) {
-        put_team(out, &g_array_index(table->teams, rr_admission_team, content->team + i));
+    rr_encode_array(out, range->team_count);
+    for (guint i = 0; i < range->team_count; i++) {
+        encode_team(out, &g_array_index(table->teams, rr_admission_team, range->first_team + i));
     }
     rr_encode_text(out, "rows");
-    rr_encode_array(out, content->row_count);
-    for (guint i = 0; i < content->row_count; i++) {
-        put_row(out, &g_array_index(table->rows, rr_admission_row, content->row + i));
+    rr_encode_array(out, range->row_count);
+    for (guint i = 0; i < range->row_count; i++) {
+        encode_row(out, &g_array_index(table->rows, rr_admission_row, range->first_row + i));
     }
 }
 
 guint rr_admission_table_encode(const rr_admission_table *table, size_t value_bytes,
                                 guint records_max, rr_encoder *out) {
-    struct record_content records[RR_ADMISSION_PARTS_MAX];
+    struct record_range records[RR_ADMISSION_PARTS_MAX];
     rr_admission_table sorted = *table;
     sorted.rows = g_array_copy(table->rows);
     g_array_sort(sorted.rows, compare_by_share);
@@ -136,13 +140,13 @@
 
 /* ---- decoding ---- */
 
-static bool is_triple(const msgpack_object *object) {
+static bool is_array_of_three(const msgpack_object *object) {
     return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == 3;
 }
 
 static bool read_row(const msgpack_object *object, rr_admission_row *row) {
     uint64_t phase;
-    if (!is_triple(object) || !rr_object_u64(&object->via.array.ptr[0], &row->id) ||
+    if (!is_array_of_three(object) || !rr_object_u64(&object->via.array.ptr[0], &row->id) ||
         !rr_object_u64(&object->via.array.ptr[1], &phase) ||
         !rr_object_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
         row->share > RR_ADMISSION_FULL) {
@@ -153,25 +157,26 @@
 }
 
 static bool read_team(const msgpack_object *object, rr_admission_team *team) {
-    uint64_t room, correction;
-    if (!is_triple(object) ||
+    uint64_t fair_share, correction;
+    if (!is_array_of_three(object) ||
         !rr_object_text(&object->via.array.ptr[0], team->name, sizeof team->name) ||
-        !rr_object_u64(&object->via.array.ptr[1], &room) ||
+        !rr_object_u64(&object->via.array.ptr[1], &fair_share) ||
         !rr_object_u64(&object->via.array.ptr[2], &correction)) {
         return false;
     }
-    team->fair_room = (double)room / ROOM_UNITS;
+    team->fair_room = (double)fair_share / FAIR_SHARE_UNITS;
     team->correction = (double)correction / CORRECTION_UNITS;
     return true;
 }
 
-/* NULL: not there, or not an array. */
+/* Returns the array with this key; NULL if it is missing or not an array. */
 static const msgpack_object_array *get_array(const msgpack_object *map, const char *key) {
     const msgpack_object *object = rr_map_get(map, key);
     return object && object->type == MSGPACK_OBJECT_ARRAY ? &object->via.array : NULL;
 }
 
-static bool read_head(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
+/* Reads everything except the lists. Returns false if a value is missing or not allowed. */
+static bool read_header(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
     uint64_t version;
     return rr_map_get_u64(value, "v", &version) && version == RR_ADMISSION_VERSION &&
            rr_map_get_u64(value, "sequence", &table->sequence) && table->sequence != 0 &&
@@ -186,11 +191,11 @@
            rr_map_get_number(value, "mem", &table->mem_gb);
 }
 
-/* Reads a record into an empty table. */
+/* Reads a record into an empty table. Returns false if it is malformed. */
 static bool read_record(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
     const msgpack_object_array *rows = get_array(value, "rows");
     const msgpack_object_array *teams = get_array(value, "teams");
-    if (!rows || !teams || !read_head(value, table, parts)) {
+    if (!rows || !teams || !read_header(value, table, parts)) {
         return false;
     }
     for (uint32_t i = 0; i < rows->size; i++) {
@@ -211,34 +216,35 @@
     return true;
 }
 
-/* Begins an empty table with the head of one of its records. */
-static void begin_table(rr_admission_slot *slot, const rr_admission_table *head, guint parts) {
+/* Replaces the slot's table by an empty one with the header of one of its records. */
+static void start_table(rr_admission_slot *slot, const rr_admission_table *header, guint parts) {
     rr_admission_table_clear(&slot->table);
     rr_admission_table_init(&slot->table);
-    slot->table.sequence = head->sequence;
-    slot->table.starts_at = head->starts_at;
-    slot->table.length_s = head->length_s;
-    slot->table.active = head->active;
-    slot->table.cpus = head->cpus;
-    slot->table.gpus = head->gpus;
-    slot->table.mem_gb = head->mem_gb;
+    slot->table.sequence = header->sequence;
+    slot->table.starts_at = header->starts_at;
+    slot->table.length_s = header->length_s;
+    slot->table.active = header->active;
+    slot->table.cpus = header->cpus;
+    slot->table.gpus = header->gpus;
+    slot->table.mem_gb = header->mem_gb;
     slot->parts = parts;
-    slot->have = 0;
+    slot->received_parts = 0;
 }
 
-/* Adds a part to the slot's table, or begins a newer one with it. True: the table is whole. */
+/* Adds a part to the slot's table, or starts a newer table with it. Parts of older tables and parts
+ * that were already received are ignored. Returns whether the part completed the table. */
 static bool add_part(rr_admission_slot *slot, guint part, const rr_admission_table *read,
-                     guint parts, bool known) {
+                     guint parts, bool already_received) {
     if (read->sequence > slot->table.sequence) {
-        begin_table(slot, read, parts);
+        start_table(slot, read, parts);
     }
-    if (read->sequence != slot->table.sequence || parts != slot->parts || known) {
+    if (read->sequence != slot->table.sequence || parts != slot->parts || already_received) {
         return false;
     }
     g_array_append_vals(slot->table.rows, read->rows->data, read->rows->len);
     g_array_append_vals(slot->table.teams, read->teams->data, read->teams->len);
-    slot->have |= 1U << part;
-    if (slot->have != (1U << slot->parts) - 1) {
+    slot->received_parts |= 1U << part;
+    if (slot->received_parts != (1U << slot->parts) - 1) {
         return false;
     }
     rr_admission_table_sort(&slot->table);
@@ -252,12 +258,12 @@
     if (part >= RR_ADMISSION_PARTS_MAX) {
         return -EPROTO;
     }
-    bool known = slot->versions[part] == version && slot->have >> part & 1;
+    bool already_received = slot->versions[part] == version && slot->received_parts >> part & 1;
     slot->versions[part] = version;
     rr_admission_table_init(&read);
     int rc = -EPROTO;
     if (read_record(value, &read, &parts) && part < parts) {
-        rc = add_part(slot, part, &read, (guint)parts, known);
+        rc = add_part(slot, part, &read, (guint)parts, already_received);
     }
     rr_admission_table_clear(&read);
     return rc;
