--- a/src/admission/allocations.c
+++ b/src/admission/allocations.c
@@ -49,7 +49,8 @@
     for (guint band = 0; band < RR_ADMISSION_BANDS; band++) {
         bands += keys->in_band[band] > 0;
     }
-    double weight = rr_admission_class_weight(&settings->teams[entry->team], entry->key->job_class);
+    double weight =
+        rr_admission_get_class_weight(&settings->teams[entry->team], entry->key->job_class);
     return weight / bands / keys->in_band[entry->band];
 }
 
--- a/src/admission/settings.c
+++ b/src/admission/settings.c
@@ -1,3 +1,4 @@
+/* Reads the settings of fair admission with libconfuse. */
 #include "admission/settings.h"
 #include "conf/settings_file.h"
 
@@ -6,23 +7,26 @@
 
 #define NUMBER(field, default_value, min, max)                                                     \
     { #field, RR_NUMBER_REAL, default_value, min, max, offsetof(rr_admission_settings, field) }
-static const rr_number_setting numbers[] = {
+static const rr_number_setting number_settings[] = {
     NUMBER(interval_s, 10, 0.2, 3600),       NUMBER(enter_backlog_s, 60, 0.1, 86400),
     NUMBER(leave_backlog_s, 20, 0, 86400),   NUMBER(target_backlog_s, 30, 0.1, 86400),
     NUMBER(service_estimate_s, 600, 1, 1e7), NUMBER(patience_s, 60, 1, 3600),
     NUMBER(solver_s, 0.3, 0.001, 60),
 };
-#define NUMBERS G_N_ELEMENTS(numbers)
+#define NUMBER_COUNT G_N_ELEMENTS(number_settings)
 #define WEIGHT_MAX 1e6
 #define BAND_LIMIT_MIN 2
-#define CLOCK_OFF_PER_INTERVAL_MAX 8 /* controllers must agree on the interval they are in */
+/* The interval is longer than this many clock errors, so that controllers agree on the interval
+ * that they are in. */
+#define INTERVAL_PER_CLOCK_OFF_MIN 8
 
 static const uint32_t default_band_limits[2] = {8, 64};
-static const char default_band_text[] = "{8, 64}";
+/* The same in libconfuse's syntax for lists. */
+static const char default_band_limits_text[] = "{8, 64}";
 
 void rr_admission_settings_init(rr_admission_settings *settings) {
     memset(settings, 0, sizeof *settings);
-    rr_settings_set_defaults(numbers, NUMBERS, settings);
+    rr_settings_set_defaults(number_settings, NUMBER_COUNT, settings);
     memcpy(settings->band_limits, default_band_limits, sizeof default_band_limits);
     for (size_t i = 0; i < RR_TEAMS_MAX; i++) {
         settings->teams[i].weight = 1;
@@ -38,16 +42,18 @@
     memset(settings, 0, sizeof *settings);
 }
 
-double rr_admission_class_weight(const rr_admission_team_settings *team, const char *job_class) {
+double rr_admission_get_class_weight(const rr_admission_team_settings *team,
+                                     const char *job_class) {
     const double *weight =
         team->class_weights ? g_hash_table_lookup(team->class_weights, job_class) : NULL;
     return weight ? *weight : 1;
 }
 
-/* ---- checks during parsing, whose errors name the line ---- */
+/* ---- validation while parsing, where errors carry the line number ---- */
 
-/* Settings whose names are checked. Static, since libconfuse's callbacks have no user pointer. */
-static const struct rr_config *platform;
+/* The configuration whose teams and classes the file may name. It is static because libconfuse's
+ * callbacks take no user pointer. rr_admission_settings_load sets it. */
+static const struct rr_config *platform_config;
 
 static int check_weight(cfg_t *config, cfg_opt_t *option) {
     double value = cfg_opt_getnfloat(option, cfg_opt_size(option) - 1);
@@ -69,30 +75,31 @@
 
 static int check_team(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
-    if (rr_config_team(platform, name) < 0) {
+    if (rr_config_team(platform_config, name) < 0) {
         return rr_settings_reject(config, RR_SETTINGS_ERROR_UNKNOWN_NAME,
                                   "team \"%s\": the platform's settings have no such team", name);
     }
     return 0;
 }
 
-/* Users may submit jobs of any class. Where the platform's settings name classes, a class that they
- * do not name is taken for a mistake. */
+/* Rejects a class that no objective names, provided that some objective names a class: it is then
+ * taken for a misspelling. Without such objectives every class is valid, as users may submit jobs
+ * of any class. */
 static int check_class(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
-    bool known = false, any = false;
-    for (size_t i = 0; i < platform->objective_count; i++) {
-        any = any || platform->objectives[i].job_class[0];
-        known = known || strcmp(platform->objectives[i].job_class, name) == 0;
+    bool known = false, any_named = false;
+    for (size_t i = 0; i < platform_config->objective_count; i++) {
+        any_named = any_named || platform_config->objectives[i].job_class[0];
+        known = known || strcmp(platform_config->objectives[i].job_class, name) == 0;
     }
-    if (any && !known) {
+    if (any_named && !known) {
         return rr_settings_reject(config, RR_SETTINGS_ERROR_UNKNOWN_NAME,
-                                  "class \"%s\": no objective names such a class", name);
+                                  "class \"%s\": no objective names this job class", name);
     }
     return 0;
 }
 
-/* ---- reading ---- */
+/* ---- reading the parsed values ---- */
 
 static void read_team(cfg_t *section, rr_admission_team_settings *team) {
     team->weight = cfg_getfloat(section, "weight");
@@ -110,14 +117,14 @@
                        GError **error) {
     if (cfg_size(config, "bands") != 2) {
         g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_WRONG_TYPE,
-                    "%s: bands: must be two numbers of tasks", file);
+                    "%s: bands: must be two task counts", file);
         return false;
     }
     long second = cfg_getnint(config, "bands", 0), third = cfg_getnint(config, "bands", 1);
-    if (second < BAND_LIMIT_MIN || third <= second || third > RR_ADMISSION_TASKS_MAX) {
+    if (second < BAND_LIMIT_MIN || third <= second || third > RR_ADMISSION_BAND_LIMIT_MAX) {
         g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_OUT_OF_RANGE,
-                    "%s: bands: must rise, from %d to %d", file, BAND_LIMIT_MIN,
-                    RR_ADMISSION_TASKS_MAX);
+                    "%s: bands: must rise and lie between %d and %d", file, BAND_LIMIT_MIN,
+                    RR_ADMISSION_BAND_LIMIT_MAX);
         return false;
     }
     out->band_limits[0] = (uint32_t)second;
@@ -125,29 +132,30 @@
     return true;
 }
 
-/* Returns the sum of the teams' least shares. */
+/* Reads all teams and returns the sum of their least shares. */
 static double read_teams(cfg_t *config, rr_admission_settings *out) {
-    double least_shares = 0;
+    double least_share_sum = 0;
     for (unsigned i = 0; i < cfg_size(config, "team"); i++) {
         cfg_t *section = cfg_getnsec(config, "team", i);
         rr_admission_team_settings *team =
-            &out->teams[rr_config_team(platform, cfg_title(section))];
+            &out->teams[rr_config_team(platform_config, cfg_title(section))];
         read_team(section, team);
-        least_shares += team->least_share;
+        least_share_sum += team->least_share;
     }
-    return least_shares;
+    return least_share_sum;
 }
 
-/* Reads the parsed values, and checks what no single value shows. */
+/* Reads the parsed values and checks the conditions between several of them. Returns false and sets
+ * *error if one does not hold. */
 static bool read_values(cfg_t *config, const char *file, rr_admission_settings *out,
                         GError **error) {
     const char *conflict = NULL;
-    rr_settings_copy_numbers(config, numbers, NUMBERS, out);
+    rr_settings_copy_numbers(config, number_settings, NUMBER_COUNT, out);
     if (read_teams(config, out) > 1) {
         conflict = "least_share: the teams' sum must not be above 1";
     } else if (out->leave_backlog_s >= out->enter_backlog_s) {
         conflict = "leave_backlog_s: must be below enter_backlog_s";
-    } else if (out->interval_s <= CLOCK_OFF_PER_INTERVAL_MAX * platform->clock_off_s) {
+    } else if (out->interval_s <= INTERVAL_PER_CLOCK_OFF_MIN * platform_config->clock_off_s) {
         conflict = "interval_s: must be above eight times the platform's clock_off_ms";
     }
     if (conflict) {
@@ -157,8 +165,8 @@
     return read_bands(config, file, out, error);
 }
 
-static void set_checks(cfg_t *config) {
-    rr_settings_check_ranges(config, numbers, NUMBERS);
+static void register_validators(cfg_t *config) {
+    rr_settings_check_ranges(config, number_settings, NUMBER_COUNT);
     cfg_set_validate_func(config, "team", check_team);
     cfg_set_validate_func(config, "team|weight", check_weight);
     cfg_set_validate_func(config, "team|least_share", check_least_share);
@@ -172,19 +180,20 @@
     cfg_opt_t team[] = {CFG_FLOAT("weight", 1, CFGF_NONE), CFG_FLOAT("least_share", 0, CFGF_NONE),
                         CFG_SEC("class", job_class, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
                         CFG_END()};
-    cfg_opt_t others[] = {CFG_INT_LIST("bands", (char *)default_band_text, CFGF_NONE),
-                          CFG_SEC("team", team, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
-                          CFG_BOOL(RR_SETTINGS_END_MARK, cfg_false, CFGF_NONE), CFG_END()};
-    cfg_opt_t options[NUMBERS + G_N_ELEMENTS(others)];
-    rr_settings_list_numbers(numbers, NUMBERS, options);
-    memcpy(&options[NUMBERS], others, sizeof others);
+    cfg_opt_t other_options[] = {
+        CFG_INT_LIST("bands", (char *)default_band_limits_text, CFGF_NONE),
+        CFG_SEC("team", team, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+        CFG_BOOL(RR_SETTINGS_END_MARK, cfg_false, CFGF_NONE), CFG_END()};
+    cfg_opt_t options[NUMBER_COUNT + G_N_ELEMENTS(other_options)];
+    rr_settings_list_numbers(number_settings, NUMBER_COUNT, options);
+    memcpy(&options[NUMBER_COUNT], other_options, sizeof other_options);
     rr_admission_settings_init(out);
-    platform = config;
+    platform_config = config;
     cfg_t *parser = cfg_init(options, CFGF_NONE);
     rr_settings_begin(parser, file);
-    set_checks(parser);
-    out->on =
+    register_validators(parser);
+    out->enabled =
         rr_settings_parse_with_sections(parser, error) && read_values(parser, file, out, error);
     cfg_free(parser);
-    return out->on;
+    return out->enabled;
 }
