--- a/src/admission/allocations.c
+++ b/src/admission/allocations.c
@@ -1,21 +1,23 @@
-/* How much of each entry may wait. */
+/* Allocations: how much work of each entry may be queued. */
 #include "admission/allocations.h"
 
-#define EPSILON 1e-9
+#define EPSILON 1e-9 /* smaller amounts count as zero */
 
 /* ---- weights ---- */
 
-/* How many keys of a team's class there are in each band. */
-struct class_keys {
+/* The number of keys of one job class of one team, by size band. */
+struct class_key_counts {
     guint in_band[RR_ADMISSION_BANDS];
 };
 
-/* The caller's to free. */
-static char *class_name(const rr_admission_entry *entry) {
+/* Returns a string that identifies the entry's team and job class, which the caller frees. The
+ * entry must have a key. */
+static char *create_class_id(const rr_admission_entry *entry) {
     return g_strdup_printf("%u/%s", entry->team, entry->key->job_class);
 }
 
-/* Class name -> struct class_keys; the caller's to destroy. */
+/* Returns a map from class id (create_class_id) to struct class_key_counts, which the caller
+ * destroys. */
 static GHashTable *count_class_keys(const GArray *entries) {
     GHashTable *classes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     for (guint i = 0; i < entries->len; i++) {
@@ -23,54 +25,61 @@
         if (!entry->key) {
             continue;
         }
-        char *name = class_name(entry);
-        struct class_keys *keys = g_hash_table_lookup(classes, name);
+        char *class_id = create_class_id(entry);
+        struct class_key_counts *keys = g_hash_table_lookup(classes, class_id);
         if (!keys) {
-            keys = g_new0(struct class_keys, 1);
-            g_hash_table_insert(classes, g_strdup(name), keys);
+            keys = g_new0(struct class_key_counts, 1);
+            g_hash_table_insert(classes, g_strdup(class_id), keys);
         }
         keys->in_band[entry->band]++;
-        g_free(name);
+        g_free(class_id);
     }
     return classes;
 }
 
-/* A class's weight counts once, however many bands and restrictions its jobs are split into: each
- * band has an equal part of it, so that large jobs have a share that small ones can't take. */
-static double entry_weight(const rr_admission_settings *settings, GHashTable *classes,
-                           const rr_admission_entry *entry) {
+/* Returns the weight of an entry among its team's entries. A job class's weight counts once,
+ * however many bands and restrictions its jobs are split into. Each band gets an equal part of it,
+ * so that small jobs cannot use up the share of large ones; the keys of a band divide its
+ * part equally. An entry without a key weighs 1. */
+static double compute_entry_weight(const rr_admission_settings *settings, GHashTable *classes,
+                                   const rr_admission_entry *entry) {
     if (!entry->key) {
         return 1;
     }
-    char *name = class_name(entry);
-    const struct class_keys *keys = g_hash_table_lookup(classes, name);
-    guint bands = 0;
-    g_free(name);
+    char *class_id = create_class_id(entry);
+    const struct class_key_counts *keys = g_hash_table_lookup(classes, class_id);
+    guint band_count = 0;
+    g_free(class_id);
     for (guint band = 0; band < RR_ADMISSION_BANDS; band++) {
-        bands += keys->in_band[band] > 0;
+        band_count += keys->in_band[band] > 0;
     }
     double weight =
         rr_admission_get_class_weight(&settings->teams[entry->team], entry->key->job_class);
-    return weight / bands / keys->in_band[entry->band];
+    return weight / band_count / keys->in_band[entry->band];
 }
 
-/* ---- the problem ---- */
+/* ---- building the division problem ---- */
 
-static double part_of(double amount, double all) {
-    return all > 0 ? amount / all : 0;
+static double divide_or_zero(double amount, double total) {
+    return total > 0 ? amount / total : 0;
 }
 
-static void set_use(const rr_admission_entry *entry, rr_amount capacity, rr_share_row *row) {
+/* Sets how much of each resource one unit of the row's demand uses. */
+static void set_resource_use(const rr_admission_entry *entry, rr_amount capacity,
+                             rr_share_row *row) {
     double dominant = rr_dominant_work(entry->work, capacity);
     const double work[] = {entry->work.cpu_s, entry->work.gpu_s, entry->work.mem_s};
-    const double all[] = {capacity.cpus, capacity.gpus, capacity.mem_gb};
+    const double total[] = {capacity.cpus, capacity.gpus, capacity.mem_gb};
     for (guint resource = 0; resource < RR_SHARE_RESOURCES; resource++) {
-        row->use[resource] =
-            dominant > EPSILON && all[resource] > 0 ? work[resource] / all[resource] / dominant : 0;
+        row->resource_use[resource] = dominant > EPSILON && total[resource] > 0
+                                          ? work[resource] / total[resource] / dominant
+                                          : 0;
     }
 }
 
-/* By entry and pool; the caller's to free. */
+/* Returns for each entry and pool whether the entry's jobs may run in the pool, in an array indexed
+ * by entry * pool count + pool, which the caller frees. Entries without a key may use every
+ * pool. */
 static bool *find_allowed_pools(const rr_offered_load *load, const GArray *entries) {
     bool *allowed = g_new0(bool, (size_t)entries->len * load->pools->len + 1);
     for (guint i = 0; i < entries->len; i++) {
@@ -84,8 +93,7 @@
     return allowed;
 }
 
-/* The arrays below are the caller's to free. */
-
+/* Returns one row per entry, in an array that the caller frees. The rows refer to `allowed`. */
 static rr_share_row *create_rows(const rr_offered_load *load, const GArray *entries,
                                  const bool *allowed) {
     rr_amount capacity = rr_load_capacity(load);
@@ -94,23 +102,25 @@
     for (guint i = 0; i < entries->len; i++) {
         const rr_admission_entry *entry = &g_array_index(entries, rr_admission_entry, i);
         rows[i] = (rr_share_row){.team = entry->team,
-                                 .weight = entry_weight(load->settings, classes, entry),
-                                 .demand = entry->backlog + entry->asked,
+                                 .weight = compute_entry_weight(load->settings, classes, entry),
+                                 .demand = entry->backlog + entry->requested,
                                  .pools = &allowed[(size_t)i * load->pools->len]};
-        set_use(entry, capacity, &rows[i]);
+        set_resource_use(entry, capacity, &rows[i]);
     }
     g_hash_table_destroy(classes);
     return rows;
 }
 
+/* Returns the pools' capacities over the horizon, as fractions of the total, in an array that the
+ * caller frees. */
 static rr_share_pool *create_pools(const rr_offered_load *load, double horizon_s) {
     rr_amount capacity = rr_load_capacity(load);
     rr_share_pool *pools = g_new0(rr_share_pool, load->pools->len + 1);
     for (guint i = 0; i < load->pools->len; i++) {
         rr_amount amount = g_array_index(load->pools, rr_load_pool, i).amount;
-        pools[i].capacity[0] = part_of(amount.cpus, capacity.cpus) * horizon_s;
-        pools[i].capacity[1] = part_of(amount.gpus, capacity.gpus) * horizon_s;
-        pools[i].capacity[2] = part_of(amount.mem_gb, capacity.mem_gb) * horizon_s;
+        pools[i].capacity[0] = divide_or_zero(amount.cpus, capacity.cpus) * horizon_s;
+        pools[i].capacity[1] = divide_or_zero(amount.gpus, capacity.gpus) * horizon_s;
+        pools[i].capacity[2] = divide_or_zero(amount.mem_gb, capacity.mem_gb) * horizon_s;
     }
     return pools;
 }
@@ -119,7 +129,7 @@
                                            const rr_offered_load *load, const GArray *entries,
                                            double *allocations) {
     const rr_admission_settings *settings = load->settings;
-    double horizon_s = rr_admission_horizon_s(settings);
+    double horizon_s = rr_admission_compute_horizon_s(settings);
     bool *allowed = find_allowed_pools(load, entries);
     rr_share_row *rows = create_rows(load, entries, allowed);
     rr_share_pool *pools = create_pools(load, horizon_s);
@@ -144,26 +154,26 @@
     return method;
 }
 
-/* ---- fair rooms ---- */
+/* ---- fair shares of the teams ---- */
 
-void rr_admission_fair_rooms(const struct rr_config *config, const rr_offered_load *load,
-                             double *rooms) {
+void rr_admission_compute_fair_shares(const struct rr_config *config, const rr_offered_load *load,
+                                      double *fair_shares) {
     rr_amount capacity = rr_load_capacity(load);
     double demands[RR_TEAMS_MAX] = {0}, weights[RR_TEAMS_MAX] = {0};
-    double guaranteed[RR_TEAMS_MAX] = {0};
-    guint count = (guint)config->team_count;
-    for (guint i = 0; i < count; i++) {
+    double guaranteed_shares[RR_TEAMS_MAX] = {0};
+    guint team_count = (guint)config->team_count;
+    for (guint i = 0; i < team_count; i++) {
         const rr_load_team *team = &load->teams[i];
-        rr_amount wanted = {team->used.cpus + team->waiting.cpus,
+        rr_amount demand = {team->used.cpus + team->waiting.cpus,
                             team->used.gpus + team->waiting.gpus,
                             team->used.mem_gb + team->waiting.mem_gb};
-        demands[i] = rr_dominant_amount(wanted, capacity);
+        demands[i] = rr_dominant_amount(demand, capacity);
         weights[i] = load->settings->teams[i].weight;
-        guaranteed[i] = load->settings->teams[i].least_share;
+        guaranteed_shares[i] = load->settings->teams[i].least_share;
     }
-    rr_share_water_fill_guaranteed(demands, weights, guaranteed, count, 1, rooms);
-    for (guint i = 0; i < count; i++) {
-        /* A team that has all it asks for may also take what is free. */
-        rooms[i] = rooms[i] > demands[i] - EPSILON ? 1 : rooms[i];
+    rr_share_water_fill_guaranteed(demands, weights, guaranteed_shares, team_count, 1, fair_shares);
+    for (guint i = 0; i < team_count; i++) {
+        /* A team whose demand is met may also use capacity that is free. */
+        fair_shares[i] = fair_shares[i] > demands[i] - EPSILON ? 1 : fair_shares[i];
     }
 }
--- a/src/admission/entries.h
+++ b/src/admission/entries.h
@@ -1,28 +1,33 @@
-/* The entries of a table to be written: accepted work that waits and jobs that ask, by key. */
+/* The input of one admission table: by key, the accepted work that waits and the jobs that request
+ * admission. */
 #ifndef RR_ADMISSION_ENTRIES_H
 #define RR_ADMISSION_ENTRIES_H
 
 #include "admission/demand_total.h"
 #include "admission/offered_load.h"
 
-/* One key under consideration. */
+/* The load of one key, or of several keys of one team and band together. */
 typedef struct {
-    const rr_admission_key *key; /* NULL: the rest of a team's band */
-    uint64_t id;
-    guint team, band;
-    rr_work work;   /* waiting and asked for, by resource */
-    double backlog; /* accepted work that waits, in dominant share times seconds */
-    double count;   /* jobs that ask */
-    double asked;   /* what they ask for, in dominant share times seconds */
+    const rr_admission_key *key; /* NULL: the keys of the group that have no entry of their own */
+    uint64_t id;                 /* of the key, or rr_admission_rest_id */
+    guint team;                  /* index in the configuration */
+    guint band;                  /* size band, from 0 */
+    rr_work work;                /* waiting and requested work, by resource */
+    double backlog;              /* accepted work that waits, in dominant share times seconds */
+    double job_count;            /* jobs that request admission */
+    double requested;            /* their work, in dominant share times seconds */
 } rr_admission_entry;
 
-/* All entries, grouped by team and band, the largest first; of each group as many as a table has
- * room for, and one for its rest. correction: by team, what its tasks take as a multiple of their
- * estimates. The array is the caller's; the keys belong to the load and the demand. */
-GArray *rr_admission_entries(const struct rr_config *config, const rr_offered_load *load,
-                             const GArray *demand /* rr_demand_total */, const double *correction);
+/* Returns an array of rr_admission_entry, sorted by group (team and band) and, in each group, with
+ * the largest first. A group has as many entries as its part of a table allows; its other keys
+ * are merged into one last entry without a key. correction: by team, the work of its tasks as a
+ * multiple of their estimates. The caller frees the array; the keys belong to the load and the
+ * demand. */
+GArray *rr_admission_collect_entries(const struct rr_config *config, const rr_offered_load *load,
+                                     const GArray *demand /* rr_demand_total */,
+                                     const double *correction);
 
-/* True: both are of one team and band. left may be NULL. */
-bool rr_admission_same_group(const rr_admission_entry *left, const rr_admission_entry *right);
+/* Returns whether both entries are of the same group (team and band). False if left is NULL. */
+bool rr_admission_is_same_group(const rr_admission_entry *left, const rr_admission_entry *right);
 
 #endif
--- a/src/admission/level_program.h
+++ b/src/admission/level_program.h
@@ -1,5 +1,6 @@
-/* One linear program of the division of room: how far the common level of all growing entities can
- * be raised. Entities are teams, or rows by themselves. */
+/* One linear program of weighted max-min fairness. It maximizes the common level (allocation
+ * divided by weight) of all entities that can still grow. Entities are either teams or single rows
+ * of the problem. */
 #ifndef RR_ADMISSION_LEVEL_PROGRAM_H
 #define RR_ADMISSION_LEVEL_PROGRAM_H
 
@@ -7,46 +8,49 @@
 
 #include <glpk.h>
 
-/* Amounts closer than this are equal: the programs' results are not exact. */
+/* Tolerance for comparing amounts, since the solver's results are not exact. */
 #define RR_LEVEL_EPSILON 1e-7
 
-/* The entities whose level is common. The arrays are the caller's. */
+/* The entities among which capacity is divided. The caller owns the arrays. */
 struct rr_level_entities {
     const rr_share_problem *problem;
     guint entity_count;
-    guint *entity_of;         /* by row of the problem */
-    double *weight;           /* by entity */
-    double *demand;           /* by entity */
-    double *guaranteed;       /* by entity */
-    double *fixed;            /* by entity: its allocation once it can't grow; <0: it grows */
-    const double *team_total; /* by team: what its rows have in all; NULL: not given */
+    guint *row_entity;         /* the entity of each row of the problem */
+    double *weights;           /* by entity */
+    double *demands;           /* by entity */
+    double *guarantees;        /* by entity: granted first, as far as its demand goes */
+    double *fixed_allocations; /* by entity: set once it cannot grow further; below 0: it grows */
+    const double *team_totals; /* by team: lower bound of the sum of its rows; NULL: none */
 };
 
 struct rr_level_program {
     const struct rr_level_entities *entities;
     glp_prob *glpk;
-    /* Numbers of GLPK, from 1 on. */
+    /* GLPK counts rows and columns from 1. */
     int level_column;
-    int *columns; /* by row of the problem and pool; 0: none */
-    int first_entity_row;
-    GArray *rows, *cols, *values; /* int, int, double: the matrix; element 0 is unused */
+    int *columns;         /* by row of the problem and pool; 0: the row may not run in the pool */
+    int first_entity_row; /* the entities' rows follow one another */
+    /* The non-zero elements of the matrix: int, int, double. GLPK ignores element 0. */
+    GArray *matrix_rows, *matrix_columns, *matrix_values;
 };
 
-/* Builds the program over the entities, which must outlive it. level_max: where the next entity has
- * all that it asks for. */
+/* Builds the program over the entities, which must outlive it. level_max: the upper bound of the
+ * level, at which the demand of the next growing entity is met. */
 void rr_level_program_init(struct rr_level_program *program,
                            const struct rr_level_entities *entities, double level_max);
-/* Frees the program, not the entities. */
+/* Frees the program, but not the entities. */
 void rr_level_program_clear(struct rr_level_program *program);
 
-/* Solves the program within seconds. False: no solution in that time. */
+/* Solves the program within `seconds`. Returns false if no optimum was found in that time. The
+ * functions below require a solved program. */
 bool rr_level_program_solve(const struct rr_level_program *program, double seconds);
 
-/* The level reached. */
-double rr_level_program_level(const struct rr_level_program *program);
-/* True: the entity can't grow without another at the level losing. */
-bool rr_level_program_is_bound(const struct rr_level_program *program, guint entity);
-/* The allocation of a row of the problem. */
-double rr_level_program_allocation(const struct rr_level_program *program, guint row);
+/* Returns the level reached. */
+double rr_level_program_get_level(const struct rr_level_program *program);
+/* Returns whether the entity's row is binding: it cannot grow unless another entity at the common
+ * level gets less. */
+bool rr_level_program_is_binding(const struct rr_level_program *program, guint entity);
+/* Returns the allocation of a row of the problem, over all pools. */
+double rr_level_program_get_allocation(const struct rr_level_program *program, guint row);
 
 #endif
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -1,6 +1,7 @@
-/* The division of room: weighted max-min fairness over the resource of which each job takes most
- * (dominant share), first among teams, then among the rows of each team. Jobs restricted to zones
- * or machine types count in those pools of machines only. */
+/* Dominant resource fairness: divides capacity by weighted max-min fairness over each row's
+ * dominant share, which is its share of the resource of which it takes most. Capacity is divided
+ * first among teams, then among the rows of each team. Rows restricted to zones or machine types
+ * get capacity in the pools of those machines only. */
 #ifndef RR_ADMISSION_SHARES_H
 #define RR_ADMISSION_SHARES_H
 
@@ -11,21 +12,22 @@
 
 /* Machines of one type in one zone. */
 typedef struct {
-    double capacity[RR_SHARE_RESOURCES]; /* parts of all room, times the seconds to be divided */
+    double capacity[RR_SHARE_RESOURCES]; /* fractions of the total, times seconds */
 } rr_share_pool;
 
+/* Jobs with the same team and restrictions, which get one allocation. */
 typedef struct {
-    guint team;
-    double weight;                  /* among its team's rows */
-    double demand;                  /* in dominant share times seconds */
-    double use[RR_SHARE_RESOURCES]; /* of each resource by one unit of demand; the largest is 1 */
-    const bool *pools;              /* by pool: whether it may run there */
-    double allocation;              /* the result, in the unit of the demand */
+    guint team;                              /* index in rr_share_problem.teams */
+    double weight;                           /* among its team's rows */
+    double demand;                           /* in dominant share times seconds */
+    double resource_use[RR_SHARE_RESOURCES]; /* by one unit of demand; the largest is 1 */
+    const bool *pools;                       /* by pool: whether the row may run there */
+    double allocation;                       /* the result, in the unit of the demand */
 } rr_share_row;
 
 typedef struct {
     double weight;
-    double guaranteed; /* what it gets before others, as far as it asks for it */
+    double guaranteed; /* granted before the division, as far as the team's demand goes */
 } rr_share_team;
 
 typedef struct {
@@ -38,22 +40,23 @@
 } rr_share_problem;
 
 enum rr_share_method {
-    RR_SHARE_BY_PROGRAM, /* linear programs, level by level */
-    RR_SHARE_BY_FILLING  /* progressive filling: no time was left, or no solution found */
+    RR_SHARE_BY_PROGRAM, /* a linear program for each level */
+    RR_SHARE_BY_FILLING  /* progressive filling: the programs were too large, late or unsolved */
 };
 
-/* Sets the allocation of each row. seconds: limit of the linear programs in all. */
+/* Sets the allocation of each row, by linear programs or, if they fail, by progressive filling.
+ * seconds: time limit of all linear programs together. Returns the method used. */
 enum rr_share_method rr_share_solve(rr_share_problem *problem, double seconds);
 
 /* Sets the allocation of each row by progressive filling. */
 void rr_share_fill(rr_share_problem *problem);
 
-/* Weighted max-min fairness of one resource: meets each demand up to a common multiple of its
- * weight. out: the allocations. */
+/* Divides one resource by weighted max-min fairness: meets each demand up to a common multiple of
+ * its weight. Sets out[i] to the allocation of demands[i]. */
 void rr_share_water_fill(const double *demands, const double *weights, guint count, double capacity,
                          double *out);
 
-/* The same where each demand is met up to its guaranteed amount first. */
+/* Like rr_share_water_fill, but first meets each demand up to its guaranteed amount. */
 void rr_share_water_fill_guaranteed(const double *demands, const double *weights,
                                     const double *guaranteed, guint count, double capacity,
                                     double *out);
--- a/src/admission/water_fill.c
+++ b/src/admission/water_fill.c
@@ -1,10 +1,10 @@
-/* Weighted max-min fairness of one resource. */
+/* Weighted max-min fairness over one resource, by water filling. */
 #include "admission/shares.h"
 
 #include <math.h>
 #include <string.h>
 
-#define EPSILON 1e-9
+#define EPSILON 1e-9 /* smaller amounts count as zero */
 
 void rr_share_water_fill(const double *demands, const double *weights, guint count, double capacity,
                          double *out) {
@@ -12,9 +12,9 @@
     for (guint round = 0; round < count && capacity > EPSILON; round++) {
         double weight = 0, level = INFINITY;
         for (guint i = 0; i < count; i++) {
-            bool open = demands[i] - out[i] > EPSILON;
-            weight += open ? weights[i] : 0;
-            level = open ? fmin(level, (demands[i] - out[i]) / weights[i]) : level;
+            bool unmet = demands[i] - out[i] > EPSILON;
+            weight += unmet ? weights[i] : 0;
+            level = unmet ? fmin(level, (demands[i] - out[i]) / weights[i]) : level;
         }
         if (weight <= 0) {
             return;
@@ -29,34 +29,35 @@
     }
 }
 
-/* Fixes the demands that got less than guaranteed at that amount and takes them out of the filling.
- * False: there were none. */
-static bool fix_guaranteed(double *open, const double *guaranteed, guint count, double *fixed,
-                           double *capacity, const double *filled) {
-    bool any = false;
+/* Grants the guaranteed amount to each demand that got less, and takes it out of the filling:
+ * zeroes its unmet demand and subtracts the amount from the capacity. Returns false if there was
+ * none. */
+static bool grant_guarantees(double *unmet, const double *guaranteed, guint count, double *granted,
+                             double *capacity, const double *filled) {
+    bool any_granted = false;
     for (guint i = 0; i < count; i++) {
-        double amount = fmin(open[i], guaranteed[i]);
+        double amount = fmin(unmet[i], guaranteed[i]);
         if (amount > filled[i] + EPSILON) {
-            fixed[i] = amount;
-            open[i] = 0;
+            granted[i] = amount;
+            unmet[i] = 0;
             *capacity -= amount;
-            any = true;
+            any_granted = true;
         }
     }
-    return any;
+    return any_granted;
 }
 
 void rr_share_water_fill_guaranteed(const double *demands, const double *weights,
                                     const double *guaranteed, guint count, double capacity,
                                     double *out) {
-    double *open = g_memdup2(demands, count * sizeof *open);
-    double *fixed = g_malloc0_n(count + 1, sizeof *fixed);
+    double *unmet = g_memdup2(demands, count * sizeof *unmet);
+    double *granted = g_malloc0_n(count + 1, sizeof *granted);
     do {
-        rr_share_water_fill(open, weights, count, fmax(capacity, 0), out);
-    } while (fix_guaranteed(open, guaranteed, count, fixed, &capacity, out));
+        rr_share_water_fill(unmet, weights, count, fmax(capacity, 0), out);
+    } while (grant_guarantees(unmet, guaranteed, count, granted, &capacity, out));
     for (guint i = 0; i < count; i++) {
-        out[i] += fixed[i];
+        out[i] += granted[i];
     }
-    g_free(open);
-    g_free(fixed);
+    g_free(unmet);
+    g_free(granted);
 }
--- a/src/admission/writer.h
+++ b/src/admission/writer.h
@@ -1,5 +1,5 @@
-/* The writer of admission tables: what the autoscaler of a term does once an interval. No I/O and
- * no lock: the caller passes in what it gathered, and the time. */
+/* Makes the admission table of each interval. Only the controller that runs the autoscaler uses it.
+ * It does no I/O and takes no lock: the caller passes in the load, the demand and the time. */
 #ifndef RR_ADMISSION_WRITER_H
 #define RR_ADMISSION_WRITER_H
 
@@ -9,31 +9,33 @@
 
 typedef struct rr_admission_writer rr_admission_writer;
 
-/* Both arguments must outlive the writer. */
+/* Returns a writer, which the caller destroys. Both arguments must outlive it. */
 rr_admission_writer *rr_admission_writer_create(const struct rr_config *config,
                                                 const rr_admission_settings *settings);
-/* NULL is allowed. */
+/* Frees the writer; NULL is allowed. */
 void rr_admission_writer_destroy(rr_admission_writer *writer);
 
-/* True: it is time to gather for the next table. newest: the newest table (sequence 0: none). */
+/* Returns whether it is time to collect the load and make the table of the next interval. newest:
+ * the newest table (sequence 0: none). wall: wall-clock time in seconds. */
 bool rr_admission_writer_due(const rr_admission_writer *writer, const rr_admission_table *newest,
                              double wall);
 
-/* Makes the table of the next interval, which is the caller's to clear in either case. False: none
- * is to be written, because there is no overload. */
+/* Makes the table of the next interval, which the caller clears in either case. Returns whether to
+ * store it: under overload, and once when overload has ended, with an inactive table. wall and now:
+ * wall-clock and monotonic time in seconds. */
 bool rr_admission_writer_next(rr_admission_writer *writer, const rr_offered_load *load,
                               const GArray *demand /* rr_demand_total */,
                               const rr_admission_table *newest, double wall, double now,
                               rr_admission_table *out);
 
-/* For the log. */
+/* Figures for the log, of the last call of rr_admission_writer_next. */
 typedef struct {
-    double backlog_s;   /* time that the whole fleet would take for all that waits */
-    double asked_s;     /* and for what asks to be admitted */
-    uint64_t fallbacks; /* tables whose shares were found by progressive filling */
-    guint rows;         /* of the last table */
+    double backlog_s;   /* time the whole cluster would take for all waiting work */
+    double asked_s;     /* the same for the jobs that request admission */
+    uint64_t fallbacks; /* since creation: tables made by progressive filling */
+    guint rows;         /* of the last active table */
 } rr_admission_writer_stats;
-/* Copies the counts. */
+/* Copies the figures to *out. */
 void rr_admission_writer_get_stats(const rr_admission_writer *writer,
                                    rr_admission_writer_stats *out);
 
