--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -76,7 +76,7 @@
         bool newer = admission->slots[slot].table.sequence != before;
         admission->whole[slot] = rc == 1 || (admission->whole[slot] && !newer);
     }
-    admission->stats.records_unread += rc < 0;
+    admission->stats.unreadable_records += rc < 0;
 }
 
 static const rr_admission_table *slot_table(const rr_admission *admission, int slot) {
@@ -132,7 +132,7 @@
  * the team is guaranteed in an interval: all of them together stay within the guarantee. */
 static bool admit_within_guarantee(rr_admission *admission, const rr_submission *submission,
                                    unsigned controllers) {
-    int team = rr_config_team(admission->config, submission->team);
+    int team = rr_config_find_team(admission->config, submission->team);
     if (team < 0) {
         return false;
     }
@@ -172,7 +172,7 @@
     bool stale = !context->lease_valid ||
                  context->cache_age_s > rr_admission_valid_s(admission->settings->interval_s);
     if (!stale) {
-        verdict = rr_admission_decide(&tables, wall, admission->config->clock_off_s, &key,
+        verdict = rr_admission_decide(&tables, wall, admission->config->clock_skew_max_s, &key,
                                       submission->job_id);
         stale = verdict.kind == RR_ADMISSION_STALE;
     }
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -78,7 +78,7 @@
 typedef struct {
     uint64_t admitted, refused;
     uint64_t refused_stale; /* of those refused, without a valid table */
-    uint64_t frames_dropped, records_unread;
+    uint64_t frames_dropped, unreadable_records;
 } rr_admission_stats;
 
 /* Copies the counts. */
--- a/src/admission/entries.c
+++ b/src/admission/entries.c
@@ -27,7 +27,7 @@
     g_hash_table_iter_init(&iterator, load->keys);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const rr_load_key *of_key = value;
-        int team = rr_config_team(config, of_key->key.team);
+        int team = rr_config_find_team(config, of_key->key.team);
         if (team >= 0) {
             rr_admission_entry *entry = find_or_add_entry(entries, &of_key->key, team);
             entry->work = rr_work_add(entry->work, of_key->waiting, 1);
@@ -40,7 +40,7 @@
                        const double *correction, GHashTable *entries) {
     for (guint i = 0; i < demand->len; i++) {
         const rr_demand_total *total = &g_array_index(demand, rr_demand_total, i);
-        int team = rr_config_team(config, total->key.team);
+        int team = rr_config_find_team(config, total->key.team);
         if (team >= 0 && total->count > 0) {
             rr_admission_entry *entry = find_or_add_entry(entries, &total->key, team);
             entry->work = rr_work_add(entry->work, total->mean, total->count);
--- a/src/admission/settings.c
+++ b/src/admission/settings.c
@@ -69,7 +69,7 @@
 
 static int check_team(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
-    if (rr_config_team(platform, name) < 0) {
+    if (rr_config_find_team(platform, name) < 0) {
         return rr_settings_reject(config, RR_SETTINGS_ERROR_UNKNOWN_NAME,
                                   "team \"%s\": the platform's settings have no such team", name);
     }
@@ -131,7 +131,7 @@
     for (unsigned i = 0; i < cfg_size(config, "team"); i++) {
         cfg_t *section = cfg_getnsec(config, "team", i);
         rr_admission_team_settings *team =
-            &out->teams[rr_config_team(platform, cfg_title(section))];
+            &out->teams[rr_config_find_team(platform, cfg_title(section))];
         read_team(section, team);
         least_shares += team->least_share;
     }
@@ -147,7 +147,7 @@
         conflict = "least_share: the teams' sum must not be above 1";
     } else if (out->leave_backlog_s >= out->enter_backlog_s) {
         conflict = "leave_backlog_s: must be below enter_backlog_s";
-    } else if (out->interval_s <= CLOCK_OFF_PER_INTERVAL_MAX * platform->clock_off_s) {
+    } else if (out->interval_s <= CLOCK_OFF_PER_INTERVAL_MAX * platform->clock_skew_max_s) {
         conflict = "interval_s: must be above eight times the platform's clock_off_ms";
     }
     if (conflict) {
@@ -176,12 +176,12 @@
                           CFG_SEC("team", team, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
                           CFG_BOOL(RR_SETTINGS_END_MARK, cfg_false, CFGF_NONE), CFG_END()};
     cfg_opt_t options[NUMBERS + G_N_ELEMENTS(others)];
-    rr_settings_list_numbers(numbers, NUMBERS, options);
+    rr_settings_fill_number_options(numbers, NUMBERS, options);
     memcpy(&options[NUMBERS], others, sizeof others);
     rr_admission_settings_init(out);
     platform = config;
     cfg_t *parser = cfg_init(options, CFGF_NONE);
-    rr_settings_begin(parser, file);
+    rr_settings_prepare_parser(parser, file);
     set_checks(parser);
     out->on =
         rr_settings_parse_with_sections(parser, error) && read_values(parser, file, out, error);
--- a/src/admission/table_records.c
+++ b/src/admission/table_records.c
@@ -142,9 +142,9 @@
 
 static bool read_row(const msgpack_object *object, rr_admission_row *row) {
     uint64_t phase;
-    if (!is_triple(object) || !rr_object_u64(&object->via.array.ptr[0], &row->id) ||
-        !rr_object_u64(&object->via.array.ptr[1], &phase) ||
-        !rr_object_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
+    if (!is_triple(object) || !rr_object_get_u64(&object->via.array.ptr[0], &row->id) ||
+        !rr_object_get_u64(&object->via.array.ptr[1], &phase) ||
+        !rr_object_get_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
         row->share > RR_ADMISSION_FULL) {
         return false;
     }
@@ -155,9 +155,9 @@
 static bool read_team(const msgpack_object *object, rr_admission_team *team) {
     uint64_t room, correction;
     if (!is_triple(object) ||
-        !rr_object_text(&object->via.array.ptr[0], team->name, sizeof team->name) ||
-        !rr_object_u64(&object->via.array.ptr[1], &room) ||
-        !rr_object_u64(&object->via.array.ptr[2], &correction)) {
+        !rr_object_get_text(&object->via.array.ptr[0], team->name, sizeof team->name) ||
+        !rr_object_get_u64(&object->via.array.ptr[1], &room) ||
+        !rr_object_get_u64(&object->via.array.ptr[2], &correction)) {
         return false;
     }
     team->fair_room = (double)room / ROOM_UNITS;
--- a/src/app/admission.c
+++ b/src/app/admission.c
@@ -24,7 +24,7 @@
     rr_admission_put_record(state->admission, key_suffix, value, version);
     rr_admission_get_stats(state->admission, &after);
     pthread_mutex_unlock(&state->lock);
-    if (after.records_unread != before.records_unread && before.records_unread == 0) {
+    if (after.unreadable_records != before.unreadable_records && before.unreadable_records == 0) {
         rr_log(RR_ERROR_LEVEL,
                "admission: ignored a table of unknown format; further ones are only counted");
     }
@@ -84,7 +84,7 @@
     return verdict.kind == RR_ADMISSION_ADMIT;
 }
 
-void rr_app_admission_accepted(struct rr_app *app, const rr_submission *submission) {
+void rr_app_admission_record_accepted(struct rr_app *app, const rr_submission *submission) {
     if (app->admission) {
         pthread_mutex_lock(&app->admission->lock);
         rr_admission_accepted(app->admission->admission, submission);
@@ -130,5 +130,5 @@
            " tables computed by progressive filling",
            active ? "limits" : "admits all", writer_stats.backlog_s, writer_stats.asked_s,
            writer_stats.rows, stats.admitted, stats.refused, stats.refused_stale,
-           stats.frames_dropped, stats.records_unread, writer_stats.fallbacks);
+           stats.frames_dropped, stats.unreadable_records, writer_stats.fallbacks);
 }
--- a/src/app/admission.h
+++ b/src/app/admission.h
@@ -19,7 +19,7 @@
                             int *retry_after_s);
 /* Records that an admitted job has been written to the key-value store. Caller does not hold the
  * lock of admission. */
-void rr_app_admission_accepted(struct rr_app *app, const rr_submission *submission);
+void rr_app_admission_record_accepted(struct rr_app *app, const rr_submission *submission);
 /* Stores a peer's view of the demand; drops a malformed one. peer: index in the configuration.
  * Takes `lock`; caller holds no lock. */
 void rr_app_admission_receive_demand(struct rr_app *app, int peer, const void *data, size_t length);
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -2,7 +2,7 @@
  * is the autoscaler, writes the admission tables. The linear programs that compute a table run
  * without any lock. "wall" is the present wall-clock time, in seconds. */
 #include "app/admission_state.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -121,7 +121,7 @@
     }
     if (outcome == RR_COMMIT_DONE) {
         pthread_mutex_lock(&app->lock);
-        rr_app_apply_committed(app, transaction, outcome, revision);
+        rr_app_apply_committed_transaction(app, transaction, outcome, revision);
         pthread_mutex_unlock(&app->lock);
     } else {
         rr_log(RR_INFO_LEVEL,
@@ -207,10 +207,10 @@
 void *rr_admission_thread(void *argument) {
     struct rr_app *app = argument;
     struct rr_app_admission *state = app->admission;
-    rr_usage_enter(RR_USAGE_ADMISSION);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_ADMISSION);
+    rr_store *store = rr_app_create_store_client(app);
     double length_s = app->admission_settings.interval_s, attempted_at = 0;
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         rr_sleep(fmin(length_s / PASSES_PER_INTERVAL, PASS_PAUSE_MAX_S));
         double wall = rr_wall_clock_s();
         pthread_mutex_lock(&state->lock);
@@ -226,6 +226,6 @@
         update_fair_shares(app, wall);
     }
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -42,12 +42,12 @@
     pthread_cond_t planner_wake;   /* planner_wake_count has changed */
     rr_core *core;
     uint64_t planner_wake_count; /* number of calls of rr_app_wake_planner() */
-    bool planning;               /* a plan's transaction has no known outcome yet */
+    bool plan_outcome_pending;   /* a plan's transaction has no known outcome yet */
 
     /* ---- reachability of the key-value store: under `lock` ---- */
 
-    bool store_down;    /* the last transaction of users' changes failed */
-    double store_ok_at; /* steady time of the store's last answer, in seconds; 0: none yet */
+    bool store_down;          /* the last transaction of users' changes failed */
+    double store_answered_at; /* steady time of the store's last answer, in seconds; 0: none yet */
 
     /* ---- commands for workers: under `lock` ---- */
 
@@ -59,8 +59,8 @@
     /* ---- users' changes: under `user_lock` ---- */
 
     pthread_mutex_t user_lock;
-    pthread_cond_t commit_wake; /* `commits` is not empty any more */
-    GQueue commits;             /* struct rr_user_commit *, owned by the threads that wait */
+    pthread_cond_t commit_wake; /* commit_queue is not empty any more */
+    GQueue commit_queue;        /* struct rr_user_commit *, owned by the threads that wait */
     double commit_rate; /* changes per second in the last transaction; 0: no transaction yet */
     /* Lease of this process's session, part of the keys of job batches; 0: no session. */
     uint64_t lease_id;
--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -1,6 +1,6 @@
 /* The autoscaler thread: executes the steps that the core decides on. It reads the cloud's
  * catalogue and list of machines, commits records, rents machines and releases them. */
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "cloud/cloud.h"
 #include "common/clock.h"
@@ -22,7 +22,7 @@
 static int read_catalog(struct rr_app *app, rr_cloud *cloud) {
     GArray *machine_types = g_array_new(FALSE, TRUE, sizeof(rr_machine_type));
     g_array_set_clear_func(machine_types, rr_machine_type_clear);
-    int rc = rr_cloud_catalog(cloud, machine_types);
+    int rc = rr_cloud_get_catalog(cloud, machine_types);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
         rr_core_apply_catalog(app->core, rr_steady_clock_s(), machine_types);
@@ -36,7 +36,7 @@
 static int list_machines(struct rr_app *app, rr_cloud *cloud) {
     GArray *machines = g_array_new(FALSE, TRUE, sizeof(rr_listed_machine));
     double requested_at = rr_steady_clock_s();
-    int rc = rr_cloud_list(cloud, machines);
+    int rc = rr_cloud_list_machines(cloud, machines);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
         rr_core_apply_machine_list(app->core, requested_at, rr_steady_clock_s(), rr_wall_clock_s(),
@@ -52,8 +52,8 @@
 static int rent_machines(struct rr_app *app, rr_cloud *cloud, const rr_autoscaler_step *step) {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     int status;
-    int rc = rr_cloud_rental(cloud, step->rental, step->machine_type, step->zone, step->spot,
-                             step->count, &status, ids);
+    int rc = rr_cloud_rent_machines(cloud, step->rental, step->machine_type, step->zone, step->spot,
+                                    step->count, &status, ids);
     pthread_mutex_lock(&app->lock);
     rr_core_record_scale_out_result(app->core, rr_steady_clock_s(), step, status, ids);
     pthread_mutex_unlock(&app->lock);
@@ -63,7 +63,7 @@
 
 /* Returns rented machines to the cloud. Returns 0 or -errno. */
 static int release_machines(struct rr_app *app, rr_cloud *cloud, const rr_autoscaler_step *step) {
-    int rc = rr_cloud_release(cloud, step->machines);
+    int rc = rr_cloud_release_machines(cloud, step->machines);
     if (rc == 0) {
         pthread_mutex_lock(&app->lock);
         rr_core_record_scale_in_result(app->core, rr_steady_clock_s(), step->machines);
@@ -79,7 +79,7 @@
                                uint64_t *needed_revision) {
     uint64_t revision;
     enum rr_commit_status outcome =
-        rr_app_commit(app, store, RR_REQUEST_AUTOSCALER, &step->transaction, &revision);
+        rr_app_commit_with_retry(app, store, RR_REQUEST_AUTOSCALER, &step->transaction, &revision);
     if (outcome != RR_COMMIT_DONE && outcome != RR_COMMIT_CONFLICT) {
         return -EAGAIN;
     }
@@ -113,22 +113,22 @@
  * none, waits up to IDLE_WAIT_S for a change of the store cache. */
 static void wait_for_step(struct rr_app *app, uint64_t needed_revision, rr_autoscaler_step *step) {
     pthread_mutex_lock(&app->lock);
-    if (rr_app_wait_revision(app, needed_revision, rr_steady_clock_s() + REVISION_WAIT_S)) {
+    if (rr_app_wait_for_revision(app, needed_revision, rr_steady_clock_s() + REVISION_WAIT_S)) {
         rr_core_autoscaler_step(app->core, rr_steady_clock_s(), rr_wall_clock_s(), step);
     }
     if (step->kind == RR_AUTOSCALER_NONE) {
-        rr_app_cond_wait(&app->cache_advanced, &app->lock, IDLE_WAIT_S);
+        rr_app_cond_timedwait(&app->cache_advanced, &app->lock, IDLE_WAIT_S);
     }
     pthread_mutex_unlock(&app->lock);
 }
 
 void *rr_autoscaler_thread(void *argument) {
     struct rr_app *app = argument;
-    rr_usage_enter(RR_USAGE_AUTOSCALER);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_AUTOSCALER);
+    rr_store *store = rr_app_create_store_client(app);
     rr_cloud *cloud = rr_cloud_create(&app->config.cloud, app->config.cloud_rps, &app->stop);
     uint64_t needed_revision = 0;
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         rr_autoscaler_step step;
         rr_autoscaler_step_init(&step);
         wait_for_step(app, needed_revision, &step);
@@ -142,6 +142,6 @@
     }
     rr_cloud_destroy(cloud);
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/cells.c
+++ b/src/app/cells.c
@@ -17,7 +17,7 @@
 static void apply_transfer_record(void *user, const char *key_suffix, const msgpack_object *value,
                                   uint64_t version) {
     struct rr_app_cells *cells = user;
-    if (!rr_transfers_put(cells->transfers, key_suffix, value, version)) {
+    if (!rr_transfers_apply_record(cells->transfers, key_suffix, value, version)) {
         rr_log(RR_DEBUG_LEVEL, "cells: ignoring a transfer record of unknown format");
     }
 }
@@ -28,8 +28,8 @@
     if (!app->cells_settings.neighbours[neighbour].claimable) {
         return NULL;
     }
-    rr_budget *budget = rr_budget_create(NEIGHBOUR_STORE_SHARE * app->config.state_rps,
-                                         NEIGHBOUR_STORE_SHARE * app->config.state_write_rps);
+    rr_budget *budget = rr_budget_create(NEIGHBOUR_STORE_SHARE * app->config.store_rps,
+                                         NEIGHBOUR_STORE_SHARE * app->config.store_write_rps);
     rr_budget_set_shares(budget, &all_shares);
     return budget;
 }
@@ -40,7 +40,7 @@
     uint64_t process_id = (uint64_t)g_random_int() << 32 | g_random_int();
     cells->transfers =
         rr_transfers_create(&app->cells_settings, &app->config, app->core, process_id);
-    rr_core_watch_records(app->core, RR_CELLS_PREFIX, apply_transfer_record, cells);
+    rr_core_watch_records(app->core, RR_CELLS_KEY_PREFIX, apply_transfer_record, cells);
     app->cells = cells;
     for (size_t i = 0; i < app->cells_settings.neighbour_count; i++) {
         cells->neighbour_budgets[i] = create_neighbour_budget(app, i);
@@ -65,13 +65,14 @@
         return 0;
     }
     create_state(app);
-    int rc = rr_cells_links_start(&app->cells_settings, &app->stop, rr_app_cells_handle_request,
-                                  rr_app_cells_free_connection_context, app, &app->cells->links);
+    int rc = rr_cells_server_start(&app->cells_settings, &app->stop, rr_app_cells_handle_request,
+                                   rr_app_cells_free_connection_context, app, &app->cells->server);
     rc = rc == 0 ? start_neighbour_threads(app) : rc;
     if (rc != 0) {
         rr_log(RR_ERROR_LEVEL,
                "cells: can't start the listener on %s:%u or a neighbour's thread: %s",
-               app->cells_settings.listen.host, app->cells_settings.listen.port, strerror(-rc));
+               app->cells_settings.listen_endpoint.host, app->cells_settings.listen_endpoint.port,
+               strerror(-rc));
     }
     return rc;
 }
@@ -80,16 +81,16 @@
     if (!app->cells) {
         return;
     }
-    for (size_t i = 0; i < RR_CELLS_MAX; i++) {
+    for (size_t i = 0; i < RR_CELLS_NEIGHBOURS_MAX; i++) {
         if (app->cells->neighbour_threads[i].started) {
             pthread_join(app->cells->neighbour_threads[i].thread, NULL);
         }
     }
-    rr_cells_links_destroy(app->cells->links);
-    app->cells->links = NULL;
+    rr_cells_server_destroy(app->cells->server);
+    app->cells->server = NULL;
 }
 
-void rr_app_cells_stop(struct rr_app *app) {
+void rr_app_cells_destroy(struct rr_app *app) {
     if (app->cells) {
         rr_transfers_destroy(app->cells->transfers);
         for (size_t i = 0; i < app->cells_settings.neighbour_count; i++) {
@@ -101,16 +102,16 @@
     rr_cells_settings_clear(&app->cells_settings);
 }
 
-void rr_app_cells_log(struct rr_app *app) {
+void rr_app_cells_log_stats(struct rr_app *app) {
     rr_transfers_stats stats;
-    rr_cells_links_stats links;
+    rr_cells_server_stats server_stats;
     if (!app->cells) {
         return;
     }
     pthread_mutex_lock(&app->lock);
     rr_transfers_get_stats(app->cells->transfers, &stats);
     pthread_mutex_unlock(&app->lock);
-    rr_cells_links_get_stats(app->cells->links, &links);
+    rr_cells_server_get_stats(app->cells->server, &server_stats);
     rr_log(RR_INFO_LEVEL,
            "cells: %s; %u jobs of this cell transferred or returned, %u jobs of other cells here; "
            "totals of this cell's jobs: offered %" G_GUINT64_FORMAT ", taken %" G_GUINT64_FORMAT
@@ -123,5 +124,5 @@
            stats.spilling ? "spilling" : "not spilling", stats.outgoing, stats.incoming,
            stats.offered, stats.taken, stats.refused, stats.finished, stats.withdrawn,
            stats.accepted, stats.given_back, stats.lapsed, stats.granted, stats.claimed,
-           links.unknown_peers, links.refused);
+           server_stats.unknown_peer_connections, server_stats.refused_requests);
 }
--- a/src/app/cells.h
+++ b/src/app/cells.h
@@ -11,9 +11,9 @@
 /* Joins the threads and closes the connections. Must be called after rr_app.stop is set. */
 void rr_app_cells_join(struct rr_app *app);
 /* Frees app->cells and clears app->cells_settings. Must be called after the core is destroyed. */
-void rr_app_cells_stop(struct rr_app *app);
+void rr_app_cells_destroy(struct rr_app *app);
 /* Logs the state and the counters of the transfers; called once a minute. Takes rr_app.lock; the
  * caller must hold no lock. */
-void rr_app_cells_log(struct rr_app *app);
+void rr_app_cells_log_stats(struct rr_app *app);
 
 #endif
--- a/src/app/cells_absent_reader.c
+++ b/src/app/cells_neighbour_store_reader.c
@@ -1,6 +1,6 @@
-#include "app/cells_absent_reader.h"
+#include "app/cells_neighbour_store_reader.h"
 #include "app/cells_state.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "common/clock.h"
 
 #include <errno.h>
@@ -32,24 +32,24 @@
 }
 
 static void add_record(void *user, const char *key, const msgpack_object *value, uint64_t version) {
-    rr_absent_put(user, key, value, version, rr_steady_clock_s());
+    rr_absent_add_record(user, key, value, version, rr_steady_clock_s());
 }
 
 /* Reads all rows under the prefix. Returns 0, -ECANCELED if the process is stopping, or another
  * -errno. */
 static int read_all(struct rr_app *app, struct rr_neighbour_store_reader *reader,
                     const char *prefix, rr_store_row_fn callback, void *user) {
-    rr_store_cursor cursor = {.more = true};
+    rr_store_cursor cursor = {.has_more = true};
     int rc = 0;
-    while (rc == 0 && cursor.more && !rr_app_stopping(app)) {
+    while (rc == 0 && cursor.has_more && !rr_app_is_stopping(app)) {
         rr_document document;
-        rc = rr_store_next_page(reader->store, prefix, &cursor, &document);
+        rc = rr_store_read_page(reader->store, prefix, &cursor, &document);
         if (rc == 0) {
-            rr_store_each_row(&document, &cursor, callback, user);
+            rr_store_for_each_row(&document, &cursor, callback, user);
             rr_document_clear(&document);
         }
     }
-    return rr_app_stopping(app) ? -ECANCELED : rc;
+    return rr_app_is_stopping(app) ? -ECANCELED : rc;
 }
 
 /* Reads the sessions, all records, and the sessions again. The records are valid only if there was
@@ -60,15 +60,15 @@
     reader->read_started_at = rr_steady_clock_s();
     int rc = read_all(app, reader, SESSION_PREFIX, count_session, &session_count);
     if (rc == 0 && session_count == 0) {
-        rr_absent_begin(reader->absent);
+        rr_absent_begin_read(reader->absent);
         rc = read_all(app, reader, RR_KEY_ROOT, add_record, reader->absent);
-        rr_absent_end(reader->absent, rr_steady_clock_s());
+        rr_absent_end_read(reader->absent, rr_steady_clock_s());
     }
     if (rc == 0 && session_count == 0) {
         rc = read_all(app, reader, SESSION_PREFIX, count_session, &session_count);
     }
     bool confirmed = rc == 0 && session_count == 0;
-    rr_absent_confirm(reader->absent, confirmed, rr_steady_clock_s());
+    rr_absent_record_session_check(reader->absent, confirmed, rr_steady_clock_s());
     return confirmed;
 }
 
@@ -81,7 +81,7 @@
         reader->store, RR_REQUEST_USER, &write->transaction, COMMIT_TIMEOUT_S, &revision, NULL);
     if (outcome == RR_COMMIT_DONE) {
         pthread_mutex_lock(&app->lock);
-        rr_transfers_absent_written(app->cells->transfers, write);
+        rr_transfers_complete_absent_write(app->cells->transfers, write);
         pthread_mutex_unlock(&app->lock);
     }
 }
@@ -115,7 +115,7 @@
     for (guint i = 0; i < own_plan.writes->len; i++) {
         rr_app_cells_commit_write(app, own_store, g_ptr_array_index(own_plan.writes, i));
     }
-    for (guint i = 0; i < neighbour_writes->len && !rr_app_stopping(app); i++) {
+    for (guint i = 0; i < neighbour_writes->len && !rr_app_is_stopping(app); i++) {
         commit_to_neighbour(app, reader, g_ptr_array_index(neighbour_writes, i));
     }
     g_ptr_array_free(neighbour_writes, TRUE);
--- a/src/app/cells_absent_reader.h
+++ b/src/app/cells_neighbour_store_reader.h
@@ -1,7 +1,7 @@
 /* Reads the key-value store of a neighbour cell while none of its controllers answers, and commits
  * the changes that follow, such as claims of its jobs. */
-#ifndef RR_APP_CELLS_ABSENT_READER_H
-#define RR_APP_CELLS_ABSENT_READER_H
+#ifndef RR_APP_CELLS_NEIGHBOUR_STORE_READER_H
+#define RR_APP_CELLS_NEIGHBOUR_STORE_READER_H
 
 #include "app/app.h"
 #include "cells/absent.h"
@@ -12,7 +12,7 @@
 /* Belongs to the neighbour's thread. Times are of the steady clock. */
 struct rr_neighbour_store_reader {
     rr_store *store;         /* of the neighbour; NULL: the settings name none */
-    rr_absent *absent;       /* records of the last read; NULL if `store` is */
+    rr_absent_cell *absent;  /* records of the last read; NULL if `store` is */
     double unanswered_since; /* time of the first unanswered request; 0: controllers answer */
     double request_sent_at;  /* time of the last request to its controllers */
     double read_started_at;  /* start of the last read */
--- a/src/app/cells_neighbour_thread.c
+++ b/src/app/cells_neighbour_thread.c
@@ -1,7 +1,7 @@
 #include "app/cells_neighbour_thread.h"
-#include "app/cells_absent_reader.h"
+#include "app/cells_neighbour_store_reader.h"
 #include "app/cells_state.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "common/usage.h"
@@ -29,10 +29,10 @@
         rr_transfer_write write;
         pthread_mutex_lock(&app->lock);
         bool has_write =
-            rr_transfers_replied(app->cells->transfers, context->neighbour,
-                                 &g_array_index(request->items, rr_cells_item, i),
-                                 &g_array_index(reply->items, rr_cells_item, i).message,
-                                 rr_steady_clock_s(), rr_wall_clock_s(), &write);
+            rr_transfers_receive_reply(app->cells->transfers, context->neighbour,
+                                       &g_array_index(request->items, rr_cells_item, i),
+                                       &g_array_index(reply->items, rr_cells_item, i).message,
+                                       rr_steady_clock_s(), rr_wall_clock_s(), &write);
         pthread_mutex_unlock(&app->lock);
         if (has_write) {
             rr_app_cells_commit_write(app, context->store, &write);
@@ -45,12 +45,12 @@
 static bool send_request(const struct neighbour_context *context, const rr_cells_request *request) {
     struct rr_app *app = context->app;
     rr_cells_reply reply;
-    int rc = rr_cells_ask(context->client, request, &reply);
+    int rc = rr_cells_send_request(context->client, request, &reply);
     rr_app_cells_record_reachability(app, context->neighbour, rc == 0);
     if (rc == 0 && reply.status == RR_CELLS_OK && reply.items->len == request->items->len) {
         pthread_mutex_lock(&app->lock);
-        rr_transfers_room_announced(app->cells->transfers, context->neighbour, &reply.room,
-                                    rr_steady_clock_s());
+        rr_transfers_set_neighbour_room(app->cells->transfers, context->neighbour, &reply.room,
+                                        rr_steady_clock_s());
         pthread_mutex_unlock(&app->lock);
         apply_replies(context, request, &reply);
     } else if (rc == 0) {
@@ -66,7 +66,7 @@
 static void add_heartbeat(const struct rr_app *app, size_t neighbour, rr_transfers_plan *plan) {
     rr_cells_request *request = g_new0(rr_cells_request, 1);
     rr_cells_request_init(request, RR_CELLS_TRANSFERS);
-    rr_cells_request_address(request, &app->cells_settings, neighbour);
+    rr_cells_request_set_cells(request, &app->cells_settings, neighbour);
     g_strlcpy(request->team, app->config.teams[0].name, sizeof request->team);
     g_ptr_array_add(plan->requests, request);
 }
@@ -84,7 +84,8 @@
     if (plan->requests->len == 0) {
         return;
     }
-    for (guint i = 0; i < plan->requests->len && answered && !rr_app_stopping(context->app); i++) {
+    for (guint i = 0; i < plan->requests->len && answered && !rr_app_is_stopping(context->app);
+         i++) {
         answered = send_request(context, g_ptr_array_index(plan->requests, i));
     }
     context->reader.request_sent_at = rr_steady_clock_s();
@@ -102,7 +103,7 @@
     rr_transfers_plan plan;
     rr_transfers_plan_init(&plan);
     pthread_mutex_lock(&app->lock);
-    rr_transfers_advance(app->cells->transfers, context->neighbour, !app->planning,
+    rr_transfers_advance(app->cells->transfers, context->neighbour, !app->plan_outcome_pending,
                          rr_steady_clock_s(), rr_wall_clock_s(), &plan);
     pthread_mutex_unlock(&app->lock);
     for (guint i = 0; i < plan.writes->len; i++) {
@@ -119,12 +120,12 @@
     const struct rr_neighbour_thread *self = argument;
     struct rr_app *app = self->app;
     struct neighbour_context context = {.app = app, .neighbour = self->neighbour};
-    rr_usage_enter(RR_USAGE_CELLS);
-    context.store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_CELLS);
+    context.store = rr_app_create_store_client(app);
     context.client = rr_cells_client_create(&app->cells_settings, self->neighbour, &app->stop);
     rr_neighbour_store_reader_init(app, self->neighbour, &context.reader);
     double pause_s = fmin(app->cells_settings.lease_s / PASSES_PER_LEASE, PASS_PAUSE_MAX_S);
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         advance_transfers(&context);
         rr_neighbour_store_reader_run(app, context.store, &context.reader, self->neighbour);
         rr_app_pause(app, pause_s);
@@ -132,6 +133,6 @@
     rr_neighbour_store_reader_clear(&context.reader);
     rr_cells_client_destroy(context.client);
     rr_store_destroy(context.store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/cells_server.c
+++ b/src/app/cells_server.c
@@ -1,6 +1,6 @@
 #include "app/cells_server.h"
 #include "app/cells_state.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/user_requests.h"
 #include "common/clock.h"
 #include "core/extensions.h"
@@ -16,14 +16,14 @@
     rr_transfer_write write;
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
-    bool may_answer = rr_transfers_speaks_for(app->cells->transfers, request->team, now);
+    bool may_answer = rr_transfers_may_answer_for(app->cells->transfers, request->team, now);
     bool has_write =
-        may_answer && rr_transfers_receive(app->cells->transfers, neighbour, request, item, now,
-                                           rr_wall_clock_s(), message, &write);
+        may_answer && rr_transfers_receive_message(app->cells->transfers, neighbour, request, item,
+                                                   now, rr_wall_clock_s(), message, &write);
     pthread_mutex_unlock(&app->lock);
     if (has_write) {
         if (!*context) {
-            *context = rr_app_open_store(app);
+            *context = rr_app_create_store_client(app);
         }
         *message = rr_app_cells_commit_write(app, *context, &write);
         rr_transfer_write_clear(&write);
@@ -34,7 +34,7 @@
  * false if this controller may not answer for the team. */
 static bool check_owner(struct rr_app *app, const char *team, rr_cells_reply *reply) {
     pthread_mutex_lock(&app->lock);
-    bool may_answer = rr_transfers_speaks_for(app->cells->transfers, team, rr_steady_clock_s());
+    bool may_answer = rr_transfers_may_answer_for(app->cells->transfers, team, rr_steady_clock_s());
     const char *owner = rr_core_team_owner(app->core, team);
     g_strlcpy(reply->owner, owner && strcmp(owner, app->config.node_name) != 0 ? owner : "",
               sizeof reply->owner);
@@ -56,7 +56,7 @@
         rr_cells_add_item(reply->items, item->job_id, &message);
     }
     pthread_mutex_lock(&app->lock);
-    reply->room = rr_transfers_room(app->cells->transfers, rr_steady_clock_s());
+    reply->room = rr_transfers_get_free_room(app->cells->transfers, rr_steady_clock_s());
     pthread_mutex_unlock(&app->lock);
 }
 
--- a/src/app/cells_server.h
+++ b/src/app/cells_server.h
@@ -5,7 +5,7 @@
 
 #include "cells/links.h"
 
-/* Callbacks for rr_cells_links_start(). They run on the connection's thread. The context of a
+/* Callbacks for rr_cells_server_start(). They run on the connection's thread. The context of a
  * connection is its store client (rr_store *), which is NULL until it is needed. */
 
 /* Answers a request. user: the struct rr_app *. Takes rr_app.lock; the caller must hold no lock. */
--- a/src/app/cells_state.c
+++ b/src/app/cells_state.c
@@ -1,6 +1,6 @@
 #include "app/cells_state.h"
 #include "app/cancellations.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "core/heartbeats.h"
@@ -20,18 +20,18 @@
 rr_transfer_message rr_app_cells_commit_write(struct rr_app *app, rr_store *store,
                                               const rr_transfer_write *write) {
     uint64_t revision = 0;
-    if (write->ends_copy) {
+    if (write->cancels_copy) {
         cancel_local_copy(app, write->id);
     }
     enum rr_commit_status outcome =
-        rr_app_commit(app, store, RR_REQUEST_USER, &write->transaction, &revision);
+        rr_app_commit_with_retry(app, store, RR_REQUEST_USER, &write->transaction, &revision);
     pthread_mutex_lock(&app->lock);
-    rr_app_apply_committed(app, &write->transaction, outcome, revision);
+    rr_app_apply_committed_transaction(app, &write->transaction, outcome, revision);
     if (outcome == RR_COMMIT_CONFLICT) {
-        rr_app_wait_revision(app, revision, rr_steady_clock_s() + CONFLICT_WAIT_S);
+        rr_app_wait_for_revision(app, revision, rr_steady_clock_s() + CONFLICT_WAIT_S);
     }
     rr_transfer_message message =
-        rr_transfers_written(app->cells->transfers, write, outcome == RR_COMMIT_DONE);
+        rr_transfers_complete_write(app->cells->transfers, write, outcome == RR_COMMIT_DONE);
     rr_app_wake_planner(app);
     pthread_mutex_unlock(&app->lock);
     if (outcome != RR_COMMIT_DONE) {
@@ -45,12 +45,12 @@
     pthread_mutex_lock(&app->lock);
     app->cells->unreachable_until[neighbour] = answered ? 0 : rr_steady_clock_s() + UNREACHABLE_S;
     if (!answered) {
-        rr_transfers_unanswered(app->cells->transfers, neighbour, rr_steady_clock_s());
+        rr_transfers_record_no_reply(app->cells->transfers, neighbour, rr_steady_clock_s());
     }
     pthread_mutex_unlock(&app->lock);
 }
 
 rr_store *rr_app_cells_open_neighbour_store(struct rr_app *app, size_t neighbour) {
-    return rr_store_create(&app->cells_settings.neighbours[neighbour].state,
+    return rr_store_create(&app->cells_settings.neighbours[neighbour].store_endpoint,
                            app->cells->neighbour_budgets[neighbour], &app->stop);
 }
--- a/src/app/cells_state.h
+++ b/src/app/cells_state.h
@@ -20,11 +20,11 @@
     rr_transfers *transfers; /* protected by rr_app.lock */
     /* Steady clock: users' requests are not sent to the neighbour before this time; 0: it is not
      * known to be unreachable. Protected by rr_app.lock. */
-    double unreachable_until[RR_CELLS_MAX];
-    rr_cells_links *links;
-    struct rr_neighbour_thread neighbour_threads[RR_CELLS_MAX];
+    double unreachable_until[RR_CELLS_NEIGHBOURS_MAX];
+    rr_cells_server *server;
+    struct rr_neighbour_thread neighbour_threads[RR_CELLS_NEIGHBOURS_MAX];
     /* Limit the requests to the neighbours' key-value stores; NULL: the settings name no store. */
-    rr_budget *neighbour_budgets[RR_CELLS_MAX];
+    rr_budget *neighbour_budgets[RR_CELLS_NEIGHBOURS_MAX];
 };
 
 /* Commits a transfer's write to this cell's key-value store and reports the outcome to the
--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -21,7 +21,7 @@
 static int send_request(struct rr_app *app, size_t neighbour, const rr_cells_request *request,
                         rr_cells_reply *reply) {
     rr_cells_client *client = rr_cells_client_create(&app->cells_settings, neighbour, &app->stop);
-    int rc = rr_cells_ask(client, request, reply);
+    int rc = rr_cells_send_request(client, request, reply);
     rr_cells_client_destroy(client);
     return rc;
 }
@@ -100,7 +100,7 @@
     rr_cells_request_init(&request, kind);
     g_strlcpy(request.job_id, job_id, sizeof request.job_id);
     for (size_t i = 0; i < app->cells_settings.neighbour_count && !known; i++) {
-        rr_cells_request_address(&request, &app->cells_settings, i);
+        rr_cells_request_set_cells(&request, &app->cells_settings, i);
         bool answered = relay_to_neighbour(app, i, &request, response);
         known = answered ? response->status != 404
                          : answer_from_neighbour_store(app, i, job_id, response);
@@ -149,12 +149,12 @@
     }
     rr_cells_request_init(&request, RR_CELLS_POLL);
     pthread_mutex_lock(&app->lock);
-    bool transferred = rr_transfers_transferred(app->cells->transfers, job_id, &neighbour,
-                                                request.job_id, sizeof request.job_id);
+    bool transferred = rr_transfers_locate_job(app->cells->transfers, job_id, &neighbour,
+                                               request.job_id, sizeof request.job_id);
     pthread_mutex_unlock(&app->lock);
     bool complete = !transferred;
     if (transferred && is_reachable(app, neighbour)) {
-        rr_cells_request_address(&request, &app->cells_settings, neighbour);
+        rr_cells_request_set_cells(&request, &app->cells_settings, neighbour);
         complete =
             send_request(app, neighbour, &request, &reply) == 0 && apply_guest_answer(&reply, view);
         rr_cells_reply_clear(&reply);
@@ -167,18 +167,18 @@
                                                               const char *job_id,
                                                               struct rr_user_commit *commit,
                                                               int *retry_after_s) {
-    rr_out_record withdrawn;
+    rr_outgoing_record withdrawn;
     double wait_s = 0;
     if (!app->cells) {
-        return RR_CANCEL_FREE;
+        return RR_CANCEL_ALLOWED;
     }
     pthread_mutex_lock(&app->lock);
-    enum rr_cancel_precondition precondition = rr_transfers_cancel(
+    enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
         app->cells->transfers, job_id, rr_wall_clock_s(), &wait_s, &withdrawn, &commit->version);
     pthread_mutex_unlock(&app->lock);
-    if (precondition == RR_CANCEL_WITHDRAW) {
-        rr_cells_out_key(job_id, commit->key, sizeof commit->key);
-        rr_cells_out_encode(&withdrawn, &commit->value);
+    if (precondition == RR_CANCEL_NEEDS_WITHDRAWAL) {
+        rr_cells_outgoing_key(job_id, commit->key, sizeof commit->key);
+        rr_cells_outgoing_encode(&withdrawn, &commit->value);
     }
     *retry_after_s = (int)fmax(1, fmin(ceil(wait_s), RR_RETRY_AFTER_MAX_S));
     return precondition;
@@ -189,7 +189,7 @@
     if (!app->cells) {
         return true;
     }
-    rr_cells_out_key(job_id, commit->extra_guard_key, sizeof commit->extra_guard_key);
+    rr_cells_outgoing_key(job_id, commit->extra_guard_key, sizeof commit->extra_guard_key);
     return rr_transfers_may_cancel(app->cells->transfers, job_id, rr_wall_clock_s(),
                                    &commit->extra_guard_version);
 }
--- a/src/app/cells_user_requests.h
+++ b/src/app/cells_user_requests.h
@@ -19,10 +19,10 @@
  * rr_app.lock; the caller must hold no lock. */
 bool rr_app_cells_update_transferred_view(struct rr_app *app, const char *job_id,
                                           rr_job_view *view);
-/* Returns what must happen before a job's cancellation may be recorded. With RR_CANCEL_WITHDRAW,
- * *commit is filled in, and committing it withdraws the transfer. Unless RR_CANCEL_FREE is
- * returned, the user should retry after *retry_after_s. Takes rr_app.lock; the caller must hold no
- * lock. */
+/* Returns what must happen before a job's cancellation may be recorded. With
+ * RR_CANCEL_NEEDS_WITHDRAWAL, *commit is filled in, and committing it withdraws the transfer.
+ * Unless RR_CANCEL_ALLOWED is returned, the user should retry after *retry_after_s. Takes
+ * rr_app.lock; the caller must hold no lock. */
 enum rr_cancel_precondition rr_app_cells_prepare_cancellation(struct rr_app *app,
                                                               const char *job_id,
                                                               struct rr_user_commit *commit,
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -1,5 +1,5 @@
 /* The command threads: send command batches to workers, directly or relayed by a peer. */
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "app/worker_requests.h"
 #include "common/clock.h"
@@ -39,7 +39,7 @@
     if (rr_document_parse(&document, body, length) == 0) {
         decoded = rr_heartbeat_decode(document.root, &heartbeat) == 0;
         if (decoded) {
-            digest = rr_app_heartbeat_digest(&heartbeat);
+            digest = rr_app_make_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
             share_with_peers =
                 rr_core_apply_command_reply(app->core, rr_steady_clock_s(), &heartbeat, peer) &&
@@ -68,7 +68,7 @@
 
 /* Sends the batch over a connection to the worker. If it certainly was not sent, sets
  * delivery->peer to the batch's fallback peer, if there is one. */
-static void send_directly(struct rr_app *app, rr_client *client, const rr_command_batch *batch,
+static void send_directly(struct rr_app *app, rr_http_client *client, const rr_command_batch *batch,
                           const rr_encoder *encoder, struct delivery *delivery) {
     rr_http_reply reply = {0};
     /* The epoch of a worker that has never sent a heartbeat is unknown: the worker can only be
@@ -91,8 +91,8 @@
                                const rr_encoder *encoder, struct delivery *delivery) {
     rr_relayed_reply relayed = {0};
     delivery->rc =
-        rr_peers_relay_commands(app->peers, delivery->peer, batch->address, encoder->buffer.data,
-                                encoder->buffer.size, get_batch_timeout_s(batch), &relayed);
+        rr_peers_relay_worker_call(app->peers, delivery->peer, batch->address, encoder->buffer.data,
+                                   encoder->buffer.size, get_batch_timeout_s(batch), &relayed);
     if (delivery->rc == 0) {
         delivery->status = relayed.status;
         delivery->has_heartbeat = process_worker_answer(app, relayed.body->data, relayed.body->len,
@@ -127,7 +127,7 @@
 
 /* Sends the batch, directly or through a peer, and reports the outcome to the core. Takes
  * rr_app.lock; caller holds no lock. */
-static void send_command_batch(struct rr_app *app, rr_client *client,
+static void send_command_batch(struct rr_app *app, rr_http_client *client,
                                const rr_command_batch *batch) {
     struct delivery delivery = {.rc = -ENOTCONN, .peer = batch->peer};
     rr_encoder encoder;
@@ -155,12 +155,12 @@
 /* Sends the batches of one of the queues until the process stops. wake: signalled when a batch is
  * added to the queue. Ends at once if no HTTP client can be created. */
 static void send_queued_commands(struct rr_app *app, GQueue *queue, pthread_cond_t *wake) {
-    rr_usage_enter(RR_USAGE_COMMANDS);
-    rr_client *client = rr_client_create(&app->stop);
-    while (!rr_app_stopping(app) && client) {
+    rr_usage_register_thread(RR_USAGE_COMMANDS);
+    rr_http_client *client = rr_http_client_create(&app->stop);
+    while (!rr_app_is_stopping(app) && client) {
         pthread_mutex_lock(&app->lock);
-        while (!rr_app_stopping(app) && g_queue_is_empty(queue)) {
-            rr_app_cond_wait(wake, &app->lock, IDLE_WAIT_S);
+        while (!rr_app_is_stopping(app) && g_queue_is_empty(queue)) {
+            rr_app_cond_timedwait(wake, &app->lock, IDLE_WAIT_S);
         }
         rr_command_batch *batch = g_queue_pop_head(queue);
         pthread_mutex_unlock(&app->lock);
@@ -169,8 +169,8 @@
             rr_command_batch_free(batch);
         }
     }
-    rr_client_destroy(client);
-    rr_usage_leave();
+    rr_http_client_destroy(client);
+    rr_usage_unregister_thread();
 }
 
 void *rr_command_thread(void *argument) {
--- a/src/app/commit_thread.c
+++ b/src/app/commit_thread.c
@@ -1,5 +1,5 @@
 /* Group commit: this thread writes all users' changes, many in one transaction. */
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "app/user_batch.h"
 #include "app/user_commit.h"
@@ -19,8 +19,8 @@
 static void fail_expired_commits(struct rr_app *app) {
     struct rr_user_commit *commit;
     double now = rr_steady_clock_s();
-    while ((commit = g_queue_peek_head(&app->commits)) && now > commit->deadline) {
-        g_queue_pop_head(&app->commits);
+    while ((commit = g_queue_peek_head(&app->commit_queue)) && now > commit->deadline) {
+        g_queue_pop_head(&app->commit_queue);
         rr_user_commit_finish(commit, commit->outcome_unknown ? RR_COMMIT_OUTCOME_UNKNOWN
                                                               : RR_COMMIT_REFUSED);
     }
@@ -33,14 +33,14 @@
 static uint64_t take_batch(struct rr_app *app, struct rr_user_batch *batch) {
     memset(batch, 0, sizeof *batch);
     pthread_mutex_lock(&app->user_lock);
-    while (!rr_app_stopping(app) && g_queue_is_empty(&app->commits)) {
-        rr_app_cond_wait(&app->commit_wake, &app->user_lock, IDLE_WAIT_S);
+    while (!rr_app_is_stopping(app) && g_queue_is_empty(&app->commit_queue)) {
+        rr_app_cond_timedwait(&app->commit_wake, &app->user_lock, IDLE_WAIT_S);
     }
     fail_expired_commits(app);
-    while (!g_queue_is_empty(&app->commits) &&
-           rr_user_batch_add(&app->config, batch, g_queue_peek_head(&app->commits)) &&
+    while (!g_queue_is_empty(&app->commit_queue) &&
+           rr_user_batch_add(&app->config, batch, g_queue_peek_head(&app->commit_queue)) &&
            batch->entry_count > 0) {
-        g_queue_pop_head(&app->commits);
+        g_queue_pop_head(&app->commit_queue);
     }
     uint64_t lease_id = app->lease_id;
     pthread_mutex_unlock(&app->user_lock);
@@ -87,8 +87,8 @@
         commit->revision = revision;
         commit->outcome_unknown = commit->outcome_unknown || outcome == RR_COMMIT_OUTCOME_UNKNOWN;
         if (should_retry(commit, batch->entry_count, outcome, conflicts, now) &&
-            !rr_app_stopping(app)) {
-            g_queue_push_tail(&app->commits, commit);
+            !rr_app_is_stopping(app)) {
+            g_queue_push_tail(&app->commit_queue, commit);
         } else {
             rr_user_commit_finish(commit, outcome);
         }
@@ -101,7 +101,7 @@
     pthread_mutex_lock(&app->lock);
     app->store_down = store_failed(outcome);
     if (!app->store_down) {
-        app->store_ok_at = rr_steady_clock_s();
+        app->store_answered_at = rr_steady_clock_s();
     }
     pthread_mutex_unlock(&app->lock);
 }
@@ -129,7 +129,7 @@
 static void refuse_queued_commits(struct rr_app *app) {
     struct rr_user_commit *commit;
     pthread_mutex_lock(&app->user_lock);
-    while ((commit = g_queue_pop_head(&app->commits))) {
+    while ((commit = g_queue_pop_head(&app->commit_queue))) {
         rr_user_commit_finish(commit, RR_COMMIT_REFUSED);
     }
     pthread_mutex_unlock(&app->user_lock);
@@ -137,10 +137,10 @@
 
 void *rr_commit_thread(void *argument) {
     struct rr_app *app = argument;
-    rr_usage_enter(RR_USAGE_USERS);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_USERS);
+    rr_store *store = rr_app_create_store_client(app);
     struct rr_user_batch batch;
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         uint64_t lease_id = take_batch(app, &batch);
         if (batch.entry_count == 0) {
             continue;
@@ -152,6 +152,6 @@
     }
     refuse_queued_commits(app);
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -105,7 +105,7 @@
     sigaction(SIGTERM, &action, NULL);
     sigaction(SIGINT, &action, NULL);
     sigaction(SIGPIPE, &ignore, NULL);
-    if (rr_net_init() != 0 || rr_app_start(app) != 0) {
+    if (rr_http_client_init() != 0 || rr_app_start(app) != 0) {
         return 1;
     }
     rr_log(RR_INFO_LEVEL, "ringrock %s started in zone %s, session lease %.1f s", RINGROCK_VERSION,
@@ -168,7 +168,7 @@
     } else if (options->check) {
         printf("settings are fine\n");
     } else {
-        rr_log_node(app->config.node_name);
+        rr_log_set_node_name(app->config.node_name);
         exit_code = serve_until_signal(app);
     }
     rr_admission_settings_clear(&app->admission_settings);
--- a/src/app/membership_thread.c
+++ b/src/app/membership_thread.c
@@ -2,7 +2,7 @@
  * every minute. */
 #include "app/admission.h"
 #include "app/cells.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -22,7 +22,7 @@
 /* Logs processor time and heap use, and returns free heap that a peak has left to the system. */
 static void log_and_trim_resources(const struct rr_app *app) {
     char usage[256];
-    rr_usage_line(usage, sizeof usage);
+    rr_usage_format(usage, sizeof usage);
     struct mallinfo2 heap = mallinfo2();
     rr_log(RR_INFO_LEVEL, "processor time, last minute: %s; heap %.1f MB, %.1f MB of it free",
            usage, (double)(heap.arena + heap.hblkhd) / 1e6, (double)heap.fordblks / 1e6);
@@ -35,18 +35,18 @@
 static void log_minute_summary(struct rr_app *app) {
     char line[160];
     rr_core_stats stats;
-    rr_stats_line(app->stats, line, sizeof line);
+    rr_stats_format_summary(app->stats, line, sizeof line);
     pthread_mutex_lock(&app->lock);
     rr_core_get_stats(app->core, &stats);
     pthread_mutex_unlock(&app->lock);
     rr_app_admission_log(app);
-    rr_app_cells_log(app);
+    rr_app_cells_log_stats(app);
     log_and_trim_resources(app);
     rr_log(RR_INFO_LEVEL,
            "last minute: %s; %d connections, %u machines (%u without a heartbeat), %u jobs open, "
            "%u tasks placed, %u tasks waiting; since start %u moves, %u machines rented, "
            "%u machines declared dead or returned, %u leases lost, %u spot notices",
-           line, rr_http_server_connections(app->http_server), stats.machines, stats.booting,
+           line, rr_http_server_connection_count(app->http_server), stats.machines, stats.booting,
            stats.jobs_open, stats.tasks_placed, stats.tasks_waiting, stats.tasks_moved,
            stats.machines_rented, stats.machines_terminated, stats.leases_lost, stats.spot_notices);
 }
@@ -63,7 +63,7 @@
     unsigned controllers = rr_core_count_members(app->core);
     rr_core_budget_shares(app->core, &shares);
     if (!change) {
-        rr_app_cond_wait(&app->cache_advanced, &app->lock, CACHE_WAIT_S);
+        rr_app_cond_timedwait(&app->cache_advanced, &app->lock, CACHE_WAIT_S);
     }
     pthread_mutex_unlock(&app->lock);
     rr_budget_set_shares(app->budget, &shares);
@@ -82,7 +82,7 @@
         rr_store_commit(store, RR_REQUEST_SESSION, transaction, COMMIT_TIMEOUT_S, &revision, NULL);
     if (outcome == RR_COMMIT_DONE || outcome == RR_COMMIT_CONFLICT) {
         pthread_mutex_lock(&app->lock);
-        rr_app_wait_revision(app, revision, rr_steady_clock_s() + CACHE_WAIT_S);
+        rr_app_wait_for_revision(app, revision, rr_steady_clock_s() + CACHE_WAIT_S);
         pthread_mutex_unlock(&app->lock);
     } else {
         rr_app_pause(app, RETRY_PAUSE_S);
@@ -91,11 +91,11 @@
 
 void *rr_membership_thread(void *argument) {
     struct rr_app *app = argument;
-    rr_usage_enter(RR_USAGE_SESSION);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_SESSION);
+    rr_store *store = rr_app_create_store_client(app);
     uint64_t logged_token = 0;
     double logged_at = rr_steady_clock_s();
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         if (rr_steady_clock_s() - logged_at >= LOG_PERIOD_S) {
             logged_at = rr_steady_clock_s();
             log_minute_summary(app);
@@ -108,6 +108,6 @@
         rr_transaction_clear(&transaction);
     }
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/peer_events.c
+++ b/src/app/peer_events.c
@@ -2,7 +2,7 @@
  * the struct rr_app, and `peer` the sender's index in the configuration. */
 #include "app/peer_events.h"
 #include "app/admission.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/worker_requests.h"
 #include "common/clock.h"
 #include "core/heartbeats.h"
@@ -14,7 +14,7 @@
 #define STORE_ANSWER_AGE_MAX_S 2.0
 
 static void on_heartbeat(void *user, int peer, unsigned hops, const void *body, size_t length) {
-    rr_app_take_heartbeat(user, body, length, peer, hops);
+    rr_app_receive_forwarded_heartbeat(user, body, length, peer, hops);
 }
 
 /* Passes the digests to the core and forwards those of their first sender (hops 0) once, to the
@@ -63,13 +63,13 @@
 static bool on_resign(void *user, uint64_t lease_id, bool end) {
     struct rr_app *app = user;
     pthread_mutex_lock(&app->lock);
-    bool reachable = rr_steady_clock_s() - app->store_ok_at < STORE_ANSWER_AGE_MAX_S;
+    bool reachable = rr_steady_clock_s() - app->store_answered_at < STORE_ANSWER_AGE_MAX_S;
     pthread_mutex_unlock(&app->lock);
     if (!reachable || !end) {
         return reachable;
     }
-    rr_store *store = rr_app_open_store(app);
-    int rc = store ? rr_store_end_lease(store, lease_id) : -ENOMEM;
+    rr_store *store = rr_app_create_store_client(app);
+    int rc = store ? rr_store_revoke_lease(store, lease_id) : -ENOMEM;
     rr_store_destroy(store);
     return rc == 0 || rc == -ENOENT;
 }
--- a/src/app/planner_thread.c
+++ b/src/app/planner_thread.c
@@ -1,6 +1,6 @@
 /* The planner thread: makes plans for the teams that this controller owns, commits them, and queues
  * their commands for the command threads. */
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -57,7 +57,7 @@
 
 /* Returns how many changes the next plan may write. */
 static int count_affordable_changes(const struct rr_app *app, const struct planner *planner) {
-    int changes = rr_budget_plan_writes(app->budget);
+    int changes = rr_budget_get_available_plan_writes(app->budget);
     bool defer =
         changes < CHANGES_MIN && rr_steady_clock_s() - planner->committed_at < FEW_CHANGES_WAIT_S;
     return defer ? 0 : changes;
@@ -69,17 +69,17 @@
 static void make_plan(struct rr_app *app, struct planner *planner, rr_plan *plan) {
     pthread_mutex_lock(&app->lock);
     if (app->planner_wake_count == planner->seen_wake_count) {
-        rr_app_cond_wait(&app->planner_wake, &app->lock, WAKE_WAIT_MAX_S);
+        rr_app_cond_timedwait(&app->planner_wake, &app->lock, WAKE_WAIT_MAX_S);
     }
     planner->seen_wake_count = app->planner_wake_count;
-    if (rr_app_wait_revision(app, planner->needed_revision,
-                             rr_steady_clock_s() + CONFLICT_WAIT_MAX_S)) {
+    if (rr_app_wait_for_revision(app, planner->needed_revision,
+                                 rr_steady_clock_s() + CONFLICT_WAIT_MAX_S)) {
         int changes = count_affordable_changes(app, planner);
-        rr_core_set_write_pressure(app->core, rr_budget_pressure(app->budget), changes);
+        rr_core_set_write_pressure(app->core, rr_budget_get_write_pressure(app->budget), changes);
         double started_at = rr_steady_clock_s();
         rr_core_plan(app->core, started_at, rr_wall_clock_s(), plan);
         queue_command_batches(app, plan);
-        app->planning = plan->has_transaction;
+        app->plan_outcome_pending = plan->has_transaction;
         planner->plan_time_pause_s = fmin(
             PAUSE_PLAN_TIME_FACTOR * (rr_steady_clock_s() - started_at), PAUSE_PLAN_TIME_MAX_S);
     }
@@ -92,10 +92,10 @@
                         const rr_plan *plan) {
     uint64_t revision = 0;
     enum rr_commit_status outcome =
-        rr_app_commit(app, store, RR_REQUEST_PLAN, &plan->transaction, &revision);
+        rr_app_commit_with_retry(app, store, RR_REQUEST_PLAN, &plan->transaction, &revision);
     pthread_mutex_lock(&app->lock);
-    rr_app_apply_committed(app, &plan->transaction, outcome, revision);
-    app->planning = false;
+    rr_app_apply_committed_transaction(app, &plan->transaction, outcome, revision);
+    app->plan_outcome_pending = false;
     pthread_mutex_unlock(&app->lock);
     planner->needed_revision = outcome == RR_COMMIT_CONFLICT ? revision : 0;
     planner->committed_at = rr_steady_clock_s();
@@ -124,12 +124,12 @@
 
 void *rr_planner_thread(void *argument) {
     struct rr_app *app = argument;
-    rr_usage_enter(RR_USAGE_PLANNER);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_PLANNER);
+    rr_store *store = rr_app_create_store_client(app);
     struct planner planner = {0};
-    double pause_min_s = fmax(app->config.tuning.plan_pause_ms / 1000,
+    double pause_min_s = fmax(app->config.tuning.plan_pause_min_ms / 1000,
                               PAUSE_HEARTBEAT_SHARE * app->config.heartbeat_interval_s);
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         rr_plan plan;
         rr_plan_init(&plan);
         make_plan(app, &planner, &plan);
@@ -143,6 +143,6 @@
         rr_app_pause(app, fmax(pause_min_s, fmax(planner.plan_time_pause_s, lag_pause_s)));
     }
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/process.c
+++ b/src/app/process.c
@@ -3,7 +3,7 @@
 #include "app/cells.h"
 #include "app/peer_events.h"
 #include "app/request_router.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "cells/links.h"
 #include "common/log.h"
@@ -35,12 +35,12 @@
 /* Returns the number of threads that cells take: a listener, one thread for each neighbour, and the
  * incoming connections. */
 static int count_cells_threads(const struct rr_config *config) {
-    return config->cells ? 1 + RR_CELLS_MAX + RR_CELLS_CONNECTIONS : 0;
+    return config->cells ? 1 + RR_CELLS_NEIGHBOURS_MAX + RR_CELLS_CONNECTIONS_MAX : 0;
 }
 
 int rr_app_compute_connection_limit(const struct rr_config *config) {
     int threads = BASE_THREADS + (int)G_N_ELEMENTS(single_threads) + config->admission +
-                  count_cells_threads(config) + config->tuning.senders + 1 +
+                  count_cells_threads(config) + config->tuning.command_thread_count + 1 +
                   (int)config->peer_count + RR_PEER_CONNECTIONS_MAX + SPARE_THREADS;
     return rr_http_server_connections_max(config, threads, SOCKETS_PER_THREAD * threads);
 }
@@ -61,17 +61,18 @@
     rr_read_barriers_init(app);
     g_queue_init(&app->command_queue);
     g_queue_init(&app->slow_command_queue);
-    g_queue_init(&app->commits);
+    g_queue_init(&app->commit_queue);
 }
 
 /* Creates the components that every controller has; starts none of their threads. */
 static void create_components(struct rr_app *app) {
     struct rr_peer_events events = rr_app_peer_events(app);
     app->core = rr_core_create(&app->config);
-    rr_core_set_log(app->core, rr_log_line, rr_log_level());
+    rr_core_set_log(app->core, rr_log_line, rr_log_max_level());
     app->stats = rr_stats_create();
-    app->budget = rr_budget_create(app->config.state_rps, app->config.state_write_rps);
-    rr_budget_set_next_limits(app->budget, app->config.next_rps, app->config.next_write_rps);
+    app->budget = rr_budget_create(app->config.store_rps, app->config.store_write_rps);
+    rr_budget_set_next_limits(app->budget, app->config.next_store_rps,
+                              app->config.next_store_write_rps);
     app->peers = rr_peers_create(&app->config, &events, &app->stop);
 }
 
@@ -109,7 +110,7 @@
     for (size_t i = 0; rc == 0 && i < G_N_ELEMENTS(single_threads); i++) {
         rc = start_thread(app, single_threads[i]);
     }
-    for (int i = 0; rc == 0 && i < app->config.tuning.senders; i++) {
+    for (int i = 0; rc == 0 && i < app->config.tuning.command_thread_count; i++) {
         bool prompt = i % COMMAND_THREADS_PER_PROMPT_THREAD == 0;
         rc = start_thread(app, prompt ? rr_command_thread : rr_slow_command_thread);
     }
@@ -151,8 +152,8 @@
     pthread_mutex_lock(&app->user_lock);
     pthread_cond_broadcast(&app->commit_wake);
     pthread_cond_broadcast(&app->barrier_wake);
-    pthread_cond_broadcast(&app->read_barriers[0].served);
-    pthread_cond_broadcast(&app->read_barriers[1].served);
+    pthread_cond_broadcast(&app->read_barriers[0].group_served_cond);
+    pthread_cond_broadcast(&app->read_barriers[1].group_served_cond);
     pthread_mutex_unlock(&app->user_lock);
 }
 
@@ -182,5 +183,5 @@
     rr_budget_destroy(app->budget);
     rr_core_destroy(app->core);
     rr_app_admission_destroy(app);
-    rr_app_cells_stop(app);
+    rr_app_cells_destroy(app);
 }
--- a/src/app/read_barrier.h
+++ b/src/app/read_barrier.h
@@ -13,11 +13,11 @@
 
 /* State of every second group, as two exist at a time. Protected by rr_app.user_lock. */
 struct rr_read_barrier {
-    uint64_t group;         /* number of the latest group that uses this barrier */
-    uint64_t served_group;  /* number of the last group served; 0: none */
-    bool succeeded;         /* whether the store cache caught up for that group */
-    unsigned waiting_polls; /* in `group`; 0 once it is served */
-    pthread_cond_t served;  /* signalled when a group is served or the process stops */
+    uint64_t group;                   /* number of the latest group that uses this barrier */
+    uint64_t served_group;            /* number of the last group served; 0: none */
+    bool succeeded;                   /* whether the store cache caught up for that group */
+    unsigned waiting_polls;           /* in `group`; 0 once it is served */
+    pthread_cond_t group_served_cond; /* signalled when a group is served or the process stops */
 };
 
 /* Initialises both barriers. Must be called before any thread starts. */
--- a/src/app/read_barrier_thread.c
+++ b/src/app/read_barrier_thread.c
@@ -1,5 +1,5 @@
 #include "app/read_barrier.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "common/clock.h"
 #include "common/usage.h"
@@ -16,8 +16,8 @@
 
 void rr_read_barriers_init(struct rr_app *app) {
     rr_app_cond_init(&app->barrier_wake);
-    rr_app_cond_init(&app->read_barriers[0].served);
-    rr_app_cond_init(&app->read_barriers[1].served);
+    rr_app_cond_init(&app->read_barriers[0].group_served_cond);
+    rr_app_cond_init(&app->read_barriers[1].group_served_cond);
     app->gathering_group = 1;
 }
 
@@ -30,9 +30,10 @@
     if (barrier->waiting_polls++ == 0) {
         pthread_cond_signal(&app->barrier_wake);
     }
-    while (!rr_app_stopping(app) && barrier->served_group < group &&
+    while (!rr_app_is_stopping(app) && barrier->served_group < group &&
            rr_steady_clock_s() < deadline) {
-        rr_app_cond_wait(&barrier->served, &app->user_lock, deadline - rr_steady_clock_s());
+        rr_app_cond_timedwait(&barrier->group_served_cond, &app->user_lock,
+                              deadline - rr_steady_clock_s());
     }
     /* A later group may have been served by this barrier meanwhile; its read is newer, so its
      * result is valid for this poll, too. */
@@ -44,9 +45,9 @@
 /* Waits until a poll joins the gathering group or the process is stopping. */
 static void wait_for_polls(struct rr_app *app) {
     pthread_mutex_lock(&app->user_lock);
-    while (!rr_app_stopping(app) &&
+    while (!rr_app_is_stopping(app) &&
            app->read_barriers[app->gathering_group % 2].waiting_polls == 0) {
-        rr_app_cond_wait(&app->barrier_wake, &app->user_lock, IDLE_WAIT_S);
+        rr_app_cond_timedwait(&app->barrier_wake, &app->user_lock, IDLE_WAIT_S);
     }
     pthread_mutex_unlock(&app->user_lock);
 }
@@ -57,7 +58,7 @@
     pthread_mutex_lock(&app->lock);
     unsigned controllers = rr_core_count_members(app->core);
     pthread_mutex_unlock(&app->lock);
-    rr_sleep(read_at + REQUESTS_PER_READ * (controllers ? controllers : 1) / app->config.state_rps -
+    rr_sleep(read_at + REQUESTS_PER_READ * (controllers ? controllers : 1) / app->config.store_rps -
              rr_steady_clock_s());
 }
 
@@ -77,12 +78,12 @@
 static bool wait_until_cache_is_current(struct rr_app *app, rr_store *store) {
     uint64_t revision = 0;
     double deadline = rr_steady_clock_s() + CACHE_WAIT_MAX_S;
-    if (rr_store_revision(store, &revision, REVISION_TIMEOUT_S) != 0) {
+    if (rr_store_get_revision(store, &revision, REVISION_TIMEOUT_S) != 0) {
         return false;
     }
     pthread_mutex_lock(&app->lock);
     bool succeeded =
-        rr_core_cache_loaded(app->core) && rr_app_wait_revision(app, revision, deadline);
+        rr_core_cache_loaded(app->core) && rr_app_wait_for_revision(app, revision, deadline);
     pthread_mutex_unlock(&app->lock);
     return succeeded;
 }
@@ -93,7 +94,7 @@
     barrier->served_group = barrier->group;
     barrier->succeeded = succeeded;
     barrier->waiting_polls = 0;
-    pthread_cond_broadcast(&barrier->served);
+    pthread_cond_broadcast(&barrier->group_served_cond);
     pthread_mutex_unlock(&app->user_lock);
 }
 
@@ -101,10 +102,10 @@
  * them. */
 void *rr_read_barrier_thread(void *argument) {
     struct rr_app *app = argument;
-    rr_usage_enter(RR_USAGE_USERS);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_USERS);
+    rr_store *store = rr_app_create_store_client(app);
     double read_at = 0;
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         wait_for_polls(app);
         wait_for_request_share(app, read_at);
         struct rr_read_barrier *barrier = close_group(app);
@@ -114,6 +115,6 @@
         }
     }
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/session_thread.c
+++ b/src/app/session_thread.c
@@ -1,7 +1,7 @@
 /* The session thread: acquires and renews this process's session, a record in the key-value store
  * under a lease, and resigns it if the store is unreachable from this controller but not from its
  * peers. */
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -82,11 +82,11 @@
     }
     rc = write_session(app, store, key, version, *lease_id);
     if (rc != 0) {
-        rr_store_end_lease(store, *lease_id);
+        rr_store_revoke_lease(store, *lease_id);
         return rc;
     }
     if (previous_lease_id) {
-        rr_store_end_lease(store, previous_lease_id);
+        rr_store_revoke_lease(store, previous_lease_id);
     }
     set_session(app, *lease_id, requested_at);
     rr_log(RR_INFO_LEVEL, "session %" G_GUINT64_FORMAT " acquired, lease %.1f s", *lease_id,
@@ -101,7 +101,7 @@
     bool overwritten = rr_core_cache_loaded(app->core) &&
                        rr_steady_clock_s() - acquired_at > SESSION_SEEN_WAIT_S &&
                        !rr_core_session_seen(app->core, lease_id) &&
-                       rr_steady_clock_s() - app->store_ok_at < STORE_ANSWER_AGE_MAX_S;
+                       rr_steady_clock_s() - app->store_answered_at < STORE_ANSWER_AGE_MAX_S;
     pthread_mutex_unlock(&app->lock);
     return overwritten;
 }
@@ -114,7 +114,7 @@
     if (rc == 0) {
         set_session(app, lease_id, requested_at);
         pthread_mutex_lock(&app->lock);
-        app->store_ok_at = rr_steady_clock_s();
+        app->store_answered_at = rr_steady_clock_s();
         pthread_mutex_unlock(&app->lock);
     }
     return rc;
@@ -134,14 +134,14 @@
  * lease. While no peer reaches the store, all controllers keep their sessions. Returns whether the
  * session was resigned. */
 static bool resign_if_peer_reaches_store(struct rr_app *app, uint64_t lease_id) {
-    for (size_t i = 0; i < app->config.peer_count && !rr_app_stopping(app); i++) {
-        if (rr_peers_ask_resign(app->peers, (int)i, lease_id, false)) {
+    for (size_t i = 0; i < app->config.peer_count && !rr_app_is_stopping(app); i++) {
+        if (rr_peers_request_resign(app->peers, (int)i, lease_id, false)) {
             rr_log(RR_INFO_LEVEL,
                    "key-value store unreachable from here but not from a peer: resigning session "
                    "%" G_GUINT64_FORMAT,
                    lease_id);
             set_session(app, 0, 0);
-            rr_peers_ask_resign(app->peers, (int)i, lease_id, true);
+            rr_peers_request_resign(app->peers, (int)i, lease_id, true);
             return true;
         }
     }
@@ -150,13 +150,13 @@
 
 void *rr_session_thread(void *argument) {
     struct rr_app *app = argument;
-    rr_usage_enter(RR_USAGE_SESSION);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_SESSION);
+    rr_store *store = rr_app_create_store_client(app);
     double renewal_period_s = rr_session_lease_s(&app->config) / RENEWALS_PER_LEASE;
     renewal_period_s = MAX(renewal_period_s, RENEWAL_PERIOD_MIN_S);
     double acquired_at = 0, renewed_at = 0; /* steady */
     uint64_t lease_id = 0;                  /* 0: no session */
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         if (!lease_id) {
             if (acquire_session(app, store, &lease_id) != 0) {
                 lease_id = 0;
@@ -179,9 +179,9 @@
         }
     }
     if (lease_id) {
-        rr_store_end_lease(store, lease_id);
+        rr_store_revoke_lease(store, lease_id);
     }
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -172,7 +172,7 @@
     read_required_endpoint(reader, "bind", &config->bind);
     read_required_endpoint(reader, "peer_listen", &config->peer_listen);
     read_required_endpoint(reader, "services.cloud", &config->cloud);
-    read_required_endpoint(reader, "services.state", &config->state);
+    read_required_endpoint(reader, "services.state", &config->store_endpoint);
 }
 
 static void read_worker_times(struct settings_reader *reader, struct rr_config *config) {
@@ -192,9 +192,9 @@
  * to the present ones. */
 static void read_store_limits(struct settings_reader *reader, struct rr_config *config) {
     double changes;
-    read_required_number(reader, "deployment.state.rps", 1, SERVICE_LIMIT_MAX, &config->state_rps);
+    read_required_number(reader, "deployment.state.rps", 1, SERVICE_LIMIT_MAX, &config->store_rps);
     read_required_number(reader, "deployment.state.write_rps", 1, SERVICE_LIMIT_MAX,
-                         &config->state_write_rps);
+                         &config->store_write_rps);
     read_required_number(reader, "deployment.state.value_kb", 1, SERVICE_LIMIT_MAX,
                          &config->value_kb);
     read_required_number(reader, "deployment.state.txn_ops", TRANSACTION_CHANGES_MIN,
@@ -204,9 +204,9 @@
         set_error(reader, RR_SETTINGS_ERROR_WRONG_TYPE, "deployment.state.next", "must be a table");
     }
     read_optional_number(reader, "deployment.state.next.rps", 1, SERVICE_LIMIT_MAX,
-                         config->state_rps, &config->next_rps);
+                         config->store_rps, &config->next_store_rps);
     read_optional_number(reader, "deployment.state.next.write_rps", 1, SERVICE_LIMIT_MAX,
-                         config->state_write_rps, &config->next_write_rps);
+                         config->store_write_rps, &config->next_store_write_rps);
     read_optional_number(reader, "deployment.state.next.value_kb", 1, SERVICE_LIMIT_MAX,
                          config->value_kb, &config->next_value_kb);
     read_optional_number(reader, "deployment.state.next.txn_ops", TRANSACTION_CHANGES_MIN,
@@ -230,13 +230,13 @@
     read_teams(reader, config);
     read_objectives(reader, config);
     read_optional_number(reader, "deployment.clock_off_ms", 0, 1e6, 100, &clock_off_ms);
-    config->clock_off_s = clock_off_ms / 1000;
+    config->clock_skew_max_s = clock_off_ms / 1000;
     read_worker_times(reader, config);
     read_store_limits(reader, config);
     read_required_number(reader, "deployment.cloud.rps", 0.01, SERVICE_LIMIT_MAX,
                          &config->cloud_rps);
     read_required_number(reader, "deployment.cloud.list_lag_s", 0, SECONDS_PER_HOUR,
-                         &config->list_lag_s);
+                         &config->cloud_list_lag_s);
     read_process_limits(reader, config);
     if (!reader->error && config->cancel_s <= CANCEL_PER_LEASE_MIN * config->lease_s) {
         set_error(reader, RR_SETTINGS_ERROR_CONFLICT, "deployment.workers.cancel_s",
@@ -271,18 +271,18 @@
     REAL_SETTING("round_period_s", rebalance_period_s, 12, 1, SECONDS_PER_DAY),
     INTEGER_SETTING("round_moves", rebalance_moves, 4, 1, 1000),
     REAL_SETTING("round_share", rebalance_share, 0.025, 0, 1),
-    REAL_SETTING("session_share", session_share, 0.35, 0.05, 0.8),
-    REAL_SETTING("answer_share", answer_share, 1, 0.05, 1),
+    REAL_SETTING("session_share", session_lease_share, 0.35, 0.05, 0.8),
+    REAL_SETTING("answer_share", heartbeat_reply_share, 1, 0.05, 1),
     REAL_SETTING("silent_reports", recent_heartbeat_intervals, 2.0, 1.3, 100),
     REAL_SETTING("dead_reports", dead_heartbeat_intervals, 1.9, 1.5, 1000),
     REAL_SETTING("idle_return_s", idle_return_s, 6, 0, SECONDS_PER_DAY),
     REAL_SETTING("headroom", headroom, 1, 0, 100),
-    REAL_SETTING("boot_patience", boot_patience, 2, 1, 100),
-    REAL_SETTING("cloud_list_s", cloud_list_s, 4, 0.5, SECONDS_PER_HOUR),
-    INTEGER_SETTING("senders", senders, 24, 2, 64),
+    REAL_SETTING("boot_patience", startup_wait_factor, 2, 1, 100),
+    REAL_SETTING("cloud_list_s", cloud_list_period_s, 4, 0.5, SECONDS_PER_HOUR),
+    INTEGER_SETTING("senders", command_thread_count, 24, 2, 64),
     INTEGER_SETTING("max_connections", max_connections, 100000, 8, 100000),
     INTEGER_SETTING("max_threads", max_threads, 2000, 128, 100000),
-    REAL_SETTING("plan_pause_ms", plan_pause_ms, 30, 0, 10000),
+    REAL_SETTING("plan_pause_ms", plan_pause_min_ms, 30, 0, 10000),
 };
 
 #define TUNING_NUMBER_COUNT G_N_ELEMENTS(tuning_numbers)
@@ -304,7 +304,7 @@
         return false;
     }
     rr_settings_copy_numbers(config, tuning_numbers, TUNING_NUMBER_COUNT, tuning);
-    if (tuning->answer_share < tuning->session_share) {
+    if (tuning->heartbeat_reply_share < tuning->session_lease_share) {
         g_set_error(error, RR_SETTINGS_ERROR, RR_SETTINGS_ERROR_CONFLICT,
                     "%s: answer_share: must be at least session_share", file);
         return false;
@@ -316,11 +316,11 @@
 static bool load_tuning(const char *file, struct rr_tuning *tuning, GError **error) {
     cfg_opt_t options[TUNING_NUMBER_COUNT + 2]; /* the numbers, "rounds" and the end */
     cfg_opt_t rounds = CFG_BOOL("rounds", cfg_true, CFGF_NONE), end = CFG_END();
-    rr_settings_list_numbers(tuning_numbers, TUNING_NUMBER_COUNT, options);
+    rr_settings_fill_number_options(tuning_numbers, TUNING_NUMBER_COUNT, options);
     options[TUNING_NUMBER_COUNT] = rounds;
     options[TUNING_NUMBER_COUNT + 1] = end;
     cfg_t *config = cfg_init(options, CFGF_NONE);
-    rr_settings_begin(config, file);
+    rr_settings_prepare_parser(config, file);
     bool loaded = rr_settings_parse(config, error) && read_tuning(config, file, tuning, error);
     cfg_free(config);
     return loaded;
--- a/src/app/startup_thread.c
+++ b/src/app/startup_thread.c
@@ -1,5 +1,5 @@
 /* The startup thread: opens the HTTP server once requests can be answered, then ends. */
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -18,13 +18,13 @@
     struct rr_app *app = argument;
     double until = rr_steady_clock_s() + rr_session_lease_s(&app->config);
     pthread_mutex_lock(&app->lock);
-    while (!rr_app_stopping(app) && !rr_core_lease_valid(app->core, rr_steady_clock_s()) &&
+    while (!rr_app_is_stopping(app) && !rr_core_lease_valid(app->core, rr_steady_clock_s()) &&
            rr_steady_clock_s() < until) {
-        rr_app_cond_wait(&app->cache_advanced, &app->lock, until - rr_steady_clock_s());
+        rr_app_cond_timedwait(&app->cache_advanced, &app->lock, until - rr_steady_clock_s());
     }
     pthread_mutex_unlock(&app->lock);
     int rc;
-    while (!rr_app_stopping(app) && (rc = rr_http_server_listen(app->http_server)) != 0) {
+    while (!rr_app_is_stopping(app) && (rc = rr_http_server_listen(app->http_server)) != 0) {
         rr_log(RR_ERROR_LEVEL, "bind: HTTP server cannot listen, retrying: %s", strerror(-rc));
         rr_app_pause(app, LISTEN_RETRY_PAUSE_S);
     }
--- a/src/app/stats.c
+++ b/src/app/stats.c
@@ -59,7 +59,7 @@
     return 1000 * pow(10, high);
 }
 
-void rr_stats_line(rr_stats *stats, char *out, size_t size) {
+void rr_stats_format_summary(rr_stats *stats, char *out, size_t size) {
     pthread_mutex_lock(&stats->lock);
     if (stats->answered) {
         g_snprintf(out, size,
--- a/src/app/stats.h
+++ b/src/app/stats.h
@@ -14,6 +14,6 @@
 /* Records that a submission was answered with this HTTP status after this many seconds. */
 void rr_stats_record_submission(rr_stats *stats, int status, double seconds);
 /* Writes a summary of the submissions since the last call to out, and resets the counts. */
-void rr_stats_line(rr_stats *stats, char *out, size_t size);
+void rr_stats_format_summary(rr_stats *stats, char *out, size_t size);
 
 #endif
--- a/src/app/thread_loop.c
+++ b/src/app/thread_helpers.c
@@ -1,4 +1,4 @@
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "common/clock.h"
 #include "core/cache_feed.h"
 #include "core/leadership.h"
@@ -11,7 +11,7 @@
 #define COMMIT_TIMEOUT_S 2.0   /* of one attempt */
 #define COMMIT_RETRY_PAUSE_S 0.2
 
-bool rr_app_stopping(const struct rr_app *app) {
+bool rr_app_is_stopping(const struct rr_app *app) {
     return atomic_load(&app->stop);
 }
 
@@ -30,7 +30,7 @@
 }
 
 void rr_app_pause(struct rr_app *app, double seconds) {
-    while (seconds > 0 && !rr_app_stopping(app)) {
+    while (seconds > 0 && !rr_app_is_stopping(app)) {
         double slice_s = seconds < PAUSE_SLICE_S ? seconds : PAUSE_SLICE_S;
         double started_at = rr_steady_clock_s();
         rr_sleep(slice_s);
@@ -48,7 +48,7 @@
     pthread_condattr_destroy(&attributes);
 }
 
-void rr_app_cond_wait(pthread_cond_t *condition, pthread_mutex_t *mutex, double seconds) {
+void rr_app_cond_timedwait(pthread_cond_t *condition, pthread_mutex_t *mutex, double seconds) {
     double until = rr_steady_clock_s() + seconds;
     struct timespec time = {(time_t)until, (long)((until - (double)(time_t)until) * 1e9)};
     pthread_cond_timedwait(condition, mutex, &time);
@@ -59,26 +59,26 @@
     pthread_cond_broadcast(&app->planner_wake);
 }
 
-bool rr_app_wait_revision(struct rr_app *app, uint64_t revision, double until) {
+bool rr_app_wait_for_revision(struct rr_app *app, uint64_t revision, double until) {
     while (rr_core_revision(app->core) < revision) {
         double remaining_s = until - rr_steady_clock_s();
-        if (remaining_s <= 0 || rr_app_stopping(app)) {
+        if (remaining_s <= 0 || rr_app_is_stopping(app)) {
             return false;
         }
-        rr_app_cond_wait(&app->cache_advanced, &app->lock, remaining_s);
+        rr_app_cond_timedwait(&app->cache_advanced, &app->lock, remaining_s);
     }
     return true;
 }
 
-rr_store *rr_app_open_store(struct rr_app *app) {
-    return rr_store_create(&app->config.state, app->budget, &app->stop);
+rr_store *rr_app_create_store_client(struct rr_app *app) {
+    return rr_store_create(&app->config.store_endpoint, app->budget, &app->stop);
 }
 
 /* Puts the lower limits that the settings announce in force: the key-value store has rejected a
  * transaction that is valid under the present ones. outcome_unknown: an earlier attempt of the
  * transaction may still be executed. */
 static void switch_to_next_limits(struct rr_app *app, bool outcome_unknown) {
-    rr_budget_put_next_limits_in_force(app->budget);
+    rr_budget_activate_next_limits(app->budget);
     pthread_mutex_lock(&app->lock);
     rr_core_activate_next_limits(app->core, outcome_unknown);
     pthread_cond_broadcast(&app->cache_advanced);
@@ -88,9 +88,10 @@
 /* A transaction without an answer may still be executed late; a task that is placed again meanwhile
  * would then be recorded twice. Sending the same transaction again makes the outcome certain: it
  * changes the keys that it guards, so its guards hold at most once. */
-enum rr_commit_status rr_app_commit(struct rr_app *app, rr_store *store,
-                                    enum rr_request_priority priority,
-                                    const rr_transaction *transaction, uint64_t *revision) {
+enum rr_commit_status rr_app_commit_with_retry(struct rr_app *app, rr_store *store,
+                                               enum rr_request_priority priority,
+                                               const rr_transaction *transaction,
+                                               uint64_t *revision) {
     bool outcome_unknown = false;
     for (;;) {
         enum rr_commit_status status =
@@ -103,7 +104,7 @@
             switch_to_next_limits(app, outcome_unknown);
             return status;
         }
-        if (rr_app_stopping(app) || (status == RR_COMMIT_REFUSED && !outcome_unknown)) {
+        if (rr_app_is_stopping(app) || (status == RR_COMMIT_REFUSED && !outcome_unknown)) {
             return status;
         }
         outcome_unknown = outcome_unknown || status == RR_COMMIT_OUTCOME_UNKNOWN;
@@ -111,8 +112,8 @@
     }
 }
 
-void rr_app_apply_committed(struct rr_app *app, const rr_transaction *transaction,
-                            enum rr_commit_status outcome, uint64_t revision) {
+void rr_app_apply_committed_transaction(struct rr_app *app, const rr_transaction *transaction,
+                                        enum rr_commit_status outcome, uint64_t revision) {
     if (outcome == RR_COMMIT_DONE) {
         rr_core_cache_apply_transaction(app->core, transaction, revision, rr_steady_clock_s());
     }
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -3,7 +3,7 @@
 #include "app/cancellations.h"
 #include "app/cells_user_requests.h"
 #include "app/http_responses.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/user_commit.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -72,7 +72,7 @@
     pthread_mutex_lock(&app->lock);
     bool down =
         !rr_core_cache_loaded(app->core) ||
-        (app->store_down && rr_steady_clock_s() - app->store_ok_at > STORE_DOWN_CONFIRMED_S);
+        (app->store_down && rr_steady_clock_s() - app->store_answered_at > STORE_DOWN_CONFIRMED_S);
     pthread_mutex_unlock(&app->lock);
     return down;
 }
@@ -113,7 +113,7 @@
     }
     commit_submission(app, submission, response);
     if (response->status == 201) {
-        rr_app_admission_accepted(app, submission);
+        rr_app_admission_record_accepted(app, submission);
     }
 }
 
@@ -251,7 +251,7 @@
     }
     if (commit->status == RR_COMMIT_CONFLICT) {
         pthread_mutex_lock(&app->lock);
-        bool reached = rr_app_wait_revision(app, commit->revision, commit->deadline);
+        bool reached = rr_app_wait_for_revision(app, commit->revision, commit->deadline);
         pthread_mutex_unlock(&app->lock);
         if (reached) {
             return CANCEL_RETRY;
@@ -291,11 +291,11 @@
     rr_encoder_init(&commit.value);
     enum rr_cancel_precondition precondition =
         rr_app_cells_prepare_cancellation(app, job_id, &commit, retry_after_s);
-    if (precondition == RR_CANCEL_WITHDRAW) {
+    if (precondition == RR_CANCEL_NEEDS_WITHDRAWAL) {
         rr_user_commit_enqueue_and_wait(app, &commit);
     }
     rr_encoder_clear(&commit.value);
-    return precondition == RR_CANCEL_FREE;
+    return precondition == RR_CANCEL_ALLOWED;
 }
 
 void rr_app_cancel_local_job(struct rr_app *app, const char *job_id,
@@ -311,7 +311,7 @@
         return;
     }
     while (try_cancel(app, job_id, deadline, response) == CANCEL_RETRY) {
-        if (rr_steady_clock_s() > deadline || rr_app_stopping(app)) {
+        if (rr_steady_clock_s() > deadline || rr_app_is_stopping(app)) {
             rr_app_answer_error(response, 503, "busy", RETRY_SOON_S);
             return;
         }
--- a/src/app/watch_thread.c
+++ b/src/app/watch_thread.c
@@ -1,6 +1,6 @@
 /* The watch thread: keeps the store cache current by one full read, then watches from its revision
  * on. */
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "app/threads.h"
 #include "common/clock.h"
 #include "common/log.h"
@@ -52,28 +52,28 @@
  * the watch; records of older versions never replace newer ones. Returns 0 or -errno. */
 static int load_cache(struct rr_app *app, rr_store *store) {
     double started_at = rr_steady_clock_s();
-    rr_store_cursor cursor = {.more = true};
+    rr_store_cursor cursor = {.has_more = true};
     uint64_t first_revision = 0, last_revision = 0;
     int rc = 0;
     pthread_mutex_lock(&app->lock);
     rr_core_cache_begin_reload(app->core);
     pthread_mutex_unlock(&app->lock);
-    while (cursor.more && rc == 0 && !rr_app_stopping(app)) {
+    while (cursor.has_more && rc == 0 && !rr_app_is_stopping(app)) {
         rr_document document;
-        rc = rr_store_next_page(store, RR_KEY_ROOT, &cursor, &document);
+        rc = rr_store_read_page(store, RR_KEY_ROOT, &cursor, &document);
         if (rc != 0) {
             break;
         }
         pthread_mutex_lock(&app->lock);
         struct page_context page = {app->core, rr_steady_clock_s()};
-        rr_store_each_row(&document, &cursor, cache_page_row, &page);
+        rr_store_for_each_row(&document, &cursor, cache_page_row, &page);
         pthread_mutex_unlock(&app->lock);
         rr_document_clear(&document);
         first_revision = first_revision ? first_revision : cursor.revision;
         last_revision = MAX(last_revision, cursor.revision);
     }
     pthread_mutex_lock(&app->lock);
-    if (rc == 0 && !rr_app_stopping(app)) {
+    if (rc == 0 && !rr_app_is_stopping(app)) {
         rr_core_cache_end_reload(app->core, first_revision, last_revision, rr_steady_clock_s());
         rr_core_set_revision(app->core, first_revision);
         rr_core_set_cache_current(app->core, started_at);
@@ -118,7 +118,7 @@
     }
     rr_core_set_revision(app->core, revision);
     rr_core_set_cache_current(app->core, requested_at);
-    app->store_ok_at = now;
+    app->store_answered_at = now;
     pthread_cond_broadcast(&app->cache_advanced);
     if (changes->len) {
         rr_app_wake_planner(app);
@@ -167,7 +167,7 @@
     pthread_mutex_unlock(&app->lock);
     rr_app_pause(app,
                  *opened_at +
-                     REQUESTS_PER_WATCH * (controllers ? controllers : 1) / app->config.state_rps -
+                     REQUESTS_PER_WATCH * (controllers ? controllers : 1) / app->config.store_rps -
                      rr_steady_clock_s());
     *opened_at = rr_steady_clock_s();
     int rc = rr_store_watch(store, RR_KEY_ROOT, revision, WATCH_TIMEOUT_MS, &document);
@@ -180,11 +180,11 @@
 
 void *rr_watch_thread(void *argument) {
     struct rr_app *app = argument;
-    rr_usage_enter(RR_USAGE_STORE_CACHE);
-    rr_store *store = rr_app_open_store(app);
+    rr_usage_register_thread(RR_USAGE_STORE_CACHE);
+    rr_store *store = rr_app_create_store_client(app);
     bool loaded = false;
     double opened_at = 0;
-    while (!rr_app_stopping(app)) {
+    while (!rr_app_is_stopping(app)) {
         if (!loaded) {
             loaded = load_cache(app, store) == 0;
             if (!loaded) {
@@ -202,6 +202,6 @@
         }
     }
     rr_store_destroy(store);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/app/worker_requests.c
+++ b/src/app/worker_requests.c
@@ -1,13 +1,13 @@
 #include "app/worker_requests.h"
 #include "app/http_responses.h"
-#include "app/thread_loop.h"
+#include "app/thread_helpers.h"
 #include "common/clock.h"
 #include "common/log.h"
 #include "core/heartbeats.h"
 
 #define NOT_FORWARDED (-1) /* instead of a peer's index: the worker sent it to this controller */
 
-rr_heartbeat_digest rr_app_heartbeat_digest(const rr_heartbeat *heartbeat) {
+rr_heartbeat_digest rr_app_make_heartbeat_digest(const rr_heartbeat *heartbeat) {
     rr_heartbeat_digest digest = {.worker_epoch = heartbeat->worker_epoch,
                                   .sequence = heartbeat->sequence,
                                   .hash = rr_heartbeat_hash(heartbeat)};
@@ -26,13 +26,13 @@
     return effect;
 }
 
-void rr_app_take_heartbeat(struct rr_app *app, const void *body, size_t length, int peer,
-                           unsigned hops) {
+void rr_app_receive_forwarded_heartbeat(struct rr_app *app, const void *body, size_t length,
+                                        int peer, unsigned hops) {
     rr_document document;
     rr_heartbeat heartbeat;
     if (rr_document_parse(&document, body, length) == 0) {
         if (rr_heartbeat_decode(document.root, &heartbeat) == 0) {
-            rr_heartbeat_digest digest = rr_app_heartbeat_digest(&heartbeat);
+            rr_heartbeat_digest digest = rr_app_make_heartbeat_digest(&heartbeat);
             pthread_mutex_lock(&app->lock);
             enum rr_heartbeat_effect effect =
                 apply_heartbeat(app, rr_steady_clock_s(), &heartbeat, peer);
@@ -75,7 +75,7 @@
                              struct rr_http_response *response) {
     rr_heartbeat heartbeat = {0};
     struct rr_heartbeat_reply reply = {0};
-    response->yields = true;
+    response->close_if_near_limit = true;
     if (decode_heartbeat(request, &heartbeat) != 0) {
         rr_heartbeat_clear(&heartbeat);
         rr_log(RR_INFO_LEVEL, "rejected a malformed heartbeat of %zu bytes from a worker",
@@ -83,7 +83,7 @@
         rr_app_answer_error(response, 400, "unreadable report", 0);
         return;
     }
-    rr_heartbeat_digest digest = rr_app_heartbeat_digest(&heartbeat);
+    rr_heartbeat_digest digest = rr_app_make_heartbeat_digest(&heartbeat);
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
     rr_core_reply_to_heartbeat(app->core, now, &heartbeat, &reply);
--- a/src/app/worker_requests.h
+++ b/src/app/worker_requests.h
@@ -12,9 +12,9 @@
 /* Applies a heartbeat that the peer with index `peer` has forwarded; a malformed one is ignored.
  * hops: the number of other controllers it passed before that peer; with 0, it may be forwarded
  * once more. Takes rr_app.lock; the caller must hold no lock. */
-void rr_app_take_heartbeat(struct rr_app *app, const void *body, size_t length, int peer,
-                           unsigned hops);
+void rr_app_receive_forwarded_heartbeat(struct rr_app *app, const void *body, size_t length,
+                                        int peer, unsigned hops);
 /* Returns the digest by which peers recognise the heartbeat. */
-rr_heartbeat_digest rr_app_heartbeat_digest(const rr_heartbeat *heartbeat);
+rr_heartbeat_digest rr_app_make_heartbeat_digest(const rr_heartbeat *heartbeat);
 
 #endif
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-struct rr_absent {
+struct rr_absent_cell {
     const struct rr_config *config;
     const char *own_cell;
     rr_core *cache;              /* store cache of the absent cell; NULL: nothing was read */
@@ -16,15 +16,15 @@
     uint64_t absent_since_token; /* fencing token of the term to which absent_since applies */
 };
 
-rr_absent *rr_absent_create(const struct rr_config *config, const char *own_cell) {
-    rr_absent *absent = g_new0(rr_absent, 1);
+rr_absent_cell *rr_absent_create(const struct rr_config *config, const char *own_cell) {
+    rr_absent_cell *absent = g_new0(rr_absent_cell, 1);
     absent->config = config;
     absent->own_cell = own_cell;
     absent->transfers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return absent;
 }
 
-void rr_absent_destroy(rr_absent *absent) {
+void rr_absent_destroy(rr_absent_cell *absent) {
     if (absent) {
         rr_core_destroy(absent->cache);
         g_hash_table_destroy(absent->transfers);
@@ -37,35 +37,36 @@
 /* Keeps the transfer records of the absent cell's own jobs and ignores all others. */
 static void store_transfer(void *user, const char *key_suffix, const msgpack_object *value,
                            uint64_t version) {
-    rr_absent *absent = user;
+    rr_absent_cell *absent = user;
     rr_absent_transfer transfer = {.version = version};
-    if (value && g_str_has_prefix(key_suffix, RR_CELLS_OUT) &&
-        rr_cells_out_decode(value, &transfer.record) == 0) {
-        g_hash_table_replace(absent->transfers, g_strdup(key_suffix + strlen(RR_CELLS_OUT)),
+    if (value && g_str_has_prefix(key_suffix, RR_CELLS_OUTGOING_PREFIX) &&
+        rr_cells_outgoing_decode(value, &transfer.record) == 0) {
+        g_hash_table_replace(absent->transfers,
+                             g_strdup(key_suffix + strlen(RR_CELLS_OUTGOING_PREFIX)),
                              g_memdup2(&transfer, sizeof transfer));
     }
 }
 
-void rr_absent_begin(rr_absent *absent) {
+void rr_absent_begin_read(rr_absent_cell *absent) {
     rr_core_destroy(absent->cache);
     g_hash_table_remove_all(absent->transfers);
     absent->cache = rr_core_create(absent->config);
-    rr_core_watch_records(absent->cache, RR_CELLS_PREFIX, store_transfer, absent);
+    rr_core_watch_records(absent->cache, RR_CELLS_KEY_PREFIX, store_transfer, absent);
     rr_core_cache_begin_reload(absent->cache);
 }
 
-void rr_absent_put(rr_absent *absent, const char *key, const msgpack_object *value,
-                   uint64_t version, double now) {
+void rr_absent_add_record(rr_absent_cell *absent, const char *key, const msgpack_object *value,
+                          uint64_t version, double now) {
     rr_core_cache_put(absent->cache, key, value, version, now);
 }
 
-void rr_absent_end(rr_absent *absent, double now) {
+void rr_absent_end_read(rr_absent_cell *absent, double now) {
     /* The revisions do not matter: the cache is new, and no watch follows the read. */
     rr_core_cache_end_reload(absent->cache, 1, 1, now);
     absent->token = rr_core_fencing_token(absent->cache);
 }
 
-void rr_absent_confirm(rr_absent *absent, bool no_sessions, double now) {
+void rr_absent_record_session_check(rr_absent_cell *absent, bool no_sessions, double now) {
     if (!no_sessions) {
         absent->absent_since = 0;
         return;
@@ -78,15 +79,16 @@
 
 /* ---- queries ---- */
 
-double rr_absent_for(const rr_absent *absent, double now) {
+double rr_absent_duration_s(const rr_absent_cell *absent, double now) {
     return absent->absent_since > 0 ? now - absent->absent_since : 0;
 }
 
-const rr_absent_transfer *rr_absent_find_transfer(const rr_absent *absent, const char *job_id) {
+const rr_absent_transfer *rr_absent_find_transfer(const rr_absent_cell *absent,
+                                                  const char *job_id) {
     return g_hash_table_lookup(absent->transfers, job_id);
 }
 
-bool rr_absent_has_claim(const rr_absent *absent, const char *job_id, uint32_t claim) {
+bool rr_absent_has_claim(const rr_absent_cell *absent, const char *job_id, uint32_t claim) {
     const rr_absent_transfer *transfer = rr_absent_find_transfer(absent, job_id);
     return transfer && transfer->record.state == RR_HOME_OFFERED &&
            transfer->record.claim == claim && strcmp(transfer->record.guest, absent->own_cell) == 0;
@@ -94,7 +96,7 @@
 
 /* Arguments of rr_absent_each_open_job(). */
 struct job_visit {
-    const rr_absent *absent;
+    const rr_absent_cell *absent;
     rr_absent_job_fn callback;
     void *user;
 };
@@ -115,7 +117,7 @@
     }
 }
 
-void rr_absent_each_open_job(const rr_absent *absent, rr_absent_job_fn callback, void *user) {
+void rr_absent_each_open_job(const rr_absent_cell *absent, rr_absent_job_fn callback, void *user) {
     struct job_visit visit = {absent, callback, user};
     rr_core_foreach_job(absent->cache, visit_job, &visit);
 }
@@ -124,17 +126,17 @@
 
 /* Adds a write of the job's transfer record, guarded by the term and by the record that was read.
  * record NULL: deletes it. */
-static void add_guarded_write(const rr_absent *absent, const char *job_id,
-                              const rr_out_record *record, rr_transaction *transaction) {
+static void add_guarded_write(const rr_absent_cell *absent, const char *job_id,
+                              const rr_outgoing_record *record, rr_transaction *transaction) {
     const rr_absent_transfer *current = rr_absent_find_transfer(absent, job_id);
     rr_core_guard_term(absent->cache, transaction);
-    rr_cells_out_write(transaction, job_id, current ? current->version : 0, record);
+    rr_cells_outgoing_add_write(transaction, job_id, current ? current->version : 0, record);
 }
 
-bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
-                     rr_transaction *transaction) {
+bool rr_absent_claim_job(const rr_absent_cell *absent, const char *job_id, const char *team,
+                         rr_transaction *transaction) {
     const rr_absent_transfer *current = rr_absent_find_transfer(absent, job_id);
-    rr_out_record record = {.state = RR_HOME_OFFERED, .claim = 1};
+    rr_outgoing_record record = {.state = RR_HOME_OFFERED, .claim = 1};
     if ((current && current->record.state != RR_HOME_LOCAL) ||
         !rr_core_guard_open_job(absent->cache, job_id, transaction)) {
         return false;
@@ -146,7 +148,7 @@
     return true;
 }
 
-bool rr_absent_finish_job(const rr_absent *absent, const char *job_id,
+bool rr_absent_finish_job(const rr_absent_cell *absent, const char *job_id,
                           rr_transaction *transaction) {
     if (!rr_core_add_finished_job_record(absent->cache, job_id, true, transaction)) {
         return false;
@@ -155,13 +157,13 @@
     return true;
 }
 
-bool rr_absent_give_back_job(const rr_absent *absent, const char *job_id, double wall,
+bool rr_absent_give_back_job(const rr_absent_cell *absent, const char *job_id, double wall,
                              rr_transaction *transaction) {
     const rr_absent_transfer *current = rr_absent_find_transfer(absent, job_id);
     if (!current) {
         return false;
     }
-    rr_out_record record = rr_cells_out_withdrawn(&current->record, wall);
+    rr_outgoing_record record = rr_cells_outgoing_withdraw(&current->record, wall);
     add_guarded_write(absent, job_id, &record, transaction);
     return true;
 }
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -14,7 +14,7 @@
 struct absent_pass {
     rr_transfers *transfers;
     size_t neighbour; /* index of the settings */
-    const rr_absent *absent;
+    const rr_absent_cell *absent;
     double read_started_at;        /* steady clock, seconds */
     double now, wall;              /* steady clock and time of day, seconds */
     rr_transfers_plan *local_plan; /* writes to this cell's store */
@@ -47,7 +47,7 @@
     rr_transfer_message message = {.kind = kind,
                                    .claim = entry->guest.record.claim,
                                    .sent_at = pass->read_started_at,
-                                   .asker = pass->transfers->process};
+                                   .guest_process = pass->transfers->process};
     rr_guest_receive(&entry->guest, &message, false, &pass->transfers->settings->times);
 }
 
@@ -70,7 +70,7 @@
 
 /* Renews or ends a held job's claim, by its record in the neighbour's store. */
 static void process_held_job(struct absent_pass *pass, rr_incoming *entry) {
-    if (!rr_incoming_ready(pass->transfers, entry, pass->now)) {
+    if (!rr_incoming_is_ready(pass->transfers, entry, pass->now)) {
         return;
     }
     if (!rr_absent_has_claim(pass->absent, entry->record.job_id, entry->guest.record.claim)) {
@@ -81,14 +81,14 @@
         give_back(pass, entry);
     } else if (!entry->returning) {
         apply_home_message(pass, entry, RR_TRANSFER_GRANT);
-        entry->sent_at = pass->now;
+        entry->last_sent_at = pass->now;
     }
 }
 
-void rr_transfers_absent_written(rr_transfers *transfers, const rr_transfer_write *write) {
+void rr_transfers_complete_absent_write(rr_transfers *transfers, const rr_transfer_write *write) {
     rr_incoming *entry = g_hash_table_lookup(transfers->incoming, write->id);
     if (entry && write->ends_claim) {
-        entry->guest.terminated = true;
+        entry->guest.claim_ended = true;
     }
     transfers->stats.claimed += !write->ends_claim;
 }
@@ -105,25 +105,25 @@
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     g_strlcpy(request.team, submission->team, sizeof request.team);
     request.lease_s = pass->transfers->settings->times.lease_s;
-    request.rest_s = pass->transfers->settings->times.rest_s;
+    request.teardown_s = pass->transfers->settings->times.teardown_s;
     rr_cells_add_offer(request.items, &offer, submission, accepted_at);
     const rr_cells_item *item = &g_array_index(request.items, rr_cells_item, 0);
-    if (rr_transfers_receive(pass->transfers, pass->neighbour, &request, item, pass->now,
-                             pass->wall, &reply, &write)) {
-        rr_transfers_plan_add(pass->local_plan, &write);
+    if (rr_transfers_receive_message(pass->transfers, pass->neighbour, &request, item, pass->now,
+                                     pass->wall, &reply, &write)) {
+        rr_transfers_plan_add_write(pass->local_plan, &write);
     }
     rr_cells_request_clear(&request);
 }
 
-/* Returns whether the job may be claimed: the neighbour has had no controllers for rest_s, after
- * which everything that ran there has ended, and this cell has capacity for the job. */
+/* Returns whether the job may be claimed: the neighbour has had no controllers for teardown_s,
+ * after which everything that ran there has ended, and this cell has capacity for the job. */
 static bool may_claim(const struct absent_pass *pass, const rr_submission *submission) {
     const rr_transfers *transfers = pass->transfers;
-    rr_cells_room room = rr_transfers_room(pass->transfers, pass->now);
+    rr_cells_room room = rr_transfers_get_free_room(pass->transfers, pass->now);
     const char *reason;
     return pass->claims < CLAIMS_PER_PASS_MAX &&
-           rr_absent_for(pass->absent, pass->now) > transfers->settings->times.rest_s &&
-           rr_cells_room_take(&room, submission) &&
+           rr_absent_duration_s(pass->absent, pass->now) > transfers->settings->times.teardown_s &&
+           rr_cells_room_reserve(&room, submission) &&
            rr_core_check_submission(transfers->core, submission, &reason) == RR_SUBMISSION_NEW;
 }
 
@@ -132,7 +132,7 @@
                              const rr_absent_transfer *transfer) {
     struct absent_pass *pass = user;
     rr_transaction transaction;
-    if (!rr_transfers_owns(pass->transfers, submission->team, pass->now)) {
+    if (!rr_transfers_owns_team(pass->transfers, submission->team, pass->now)) {
         return;
     }
     if (transfer && rr_absent_has_claim(pass->absent, submission->job_id, transfer->record.claim)) {
@@ -144,28 +144,29 @@
     }
     rr_transaction_init(&transaction);
     bool possible =
-        rr_absent_claim(pass->absent, submission->job_id, submission->team, &transaction);
+        rr_absent_claim_job(pass->absent, submission->job_id, submission->team, &transaction);
     if (add_neighbour_write(pass, possible, submission->job_id, false, &transaction)) {
-        rr_cells_room_take(&pass->transfers->room, submission);
+        rr_cells_room_reserve(&pass->transfers->room, submission);
         pass->claims++;
     }
 }
 
-void rr_transfers_advance_absent(rr_transfers *transfers, size_t neighbour, const rr_absent *absent,
-                                 double asked, double now, double wall, rr_transfers_plan *here,
-                                 GPtrArray *there) {
+void rr_transfers_advance_absent(rr_transfers *transfers, size_t neighbour,
+                                 const rr_absent_cell *absent, double read_started_at, double now,
+                                 double wall, rr_transfers_plan *local_plan,
+                                 GPtrArray *neighbour_writes) {
     struct absent_pass pass = {.transfers = transfers,
                                .neighbour = neighbour,
                                .absent = absent,
-                               .read_started_at = asked,
+                               .read_started_at = read_started_at,
                                .now = now,
                                .wall = wall,
-                               .local_plan = here,
-                               .neighbour_writes = there};
+                               .local_plan = local_plan,
+                               .neighbour_writes = neighbour_writes};
     GHashTableIter iterator;
     gpointer value;
-    g_ptr_array_set_free_func(there, rr_transfer_write_free);
-    if (rr_absent_for(absent, now) <= 0 || !rr_core_cache_consistent(transfers->core)) {
+    g_ptr_array_set_free_func(neighbour_writes, rr_transfer_write_free);
+    if (rr_absent_duration_s(absent, now) <= 0 || !rr_core_cache_consistent(transfers->core)) {
         return;
     }
     g_hash_table_iter_init(&iterator, transfers->incoming);
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -12,15 +12,15 @@
  * if it can't be, since a write of an earlier term is pending. */
 static bool load_entry(rr_transfers *transfers, rr_incoming *entry, bool running, double now) {
     uint64_t token = rr_core_fencing_token(transfers->core);
-    if (entry->token != token && !entry->guest.writes) {
+    if (entry->loaded_token != token && !entry->guest.write_pending) {
         rr_guest_record record = {entry->record.state, entry->record.claim, entry->record.answer};
         rr_guest_load(&entry->guest, &record, running, transfers->process);
-        entry->token = token;
+        entry->loaded_token = token;
         entry->loaded_at = now;
-        entry->sent_at = 0;
+        entry->last_sent_at = 0;
         entry->started = entry->started || running;
     }
-    return entry->token == token;
+    return entry->loaded_token == token;
 }
 
 /* Returns whether the last grant has run out. A controller that has just loaded the entry knows of
@@ -45,7 +45,7 @@
     rr_cells_request *request = rr_transfers_plan_get_request(
         transfers, plan, (size_t)entry->neighbour, entry->record.team);
     rr_cells_add_item(request->items, entry->record.job_id, message);
-    entry->sent_at = now;
+    entry->last_sent_at = now;
 }
 
 /* Adds the write to the plan if the step asks for one. */
@@ -62,18 +62,18 @@
 static void end_claim(rr_transfers *transfers, rr_incoming *entry, bool copy_open, double now,
                       rr_transfers_plan *plan) {
     if (copy_open) {
-        rr_incoming_plan_end_of_copy(transfers, entry, plan);
+        rr_incoming_plan_copy_cancellation(transfers, entry, plan);
         return;
     }
     if (entry->guest.running) {
         return;
     }
     if (entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
-        entry->guest.terminated = true; /* no home is left to be told */
+        entry->guest.claim_ended = true; /* no home is left to be told */
     }
-    if (entry->guest.terminated) {
-        plan_step(transfers, entry, rr_guest_repeat(&entry->guest, now), plan);
-    } else if (now - entry->sent_at >= RR_CELLS_RESEND_INTERVAL_S) {
+    if (entry->guest.claim_ended) {
+        plan_step(transfers, entry, rr_guest_next_step(&entry->guest, now), plan);
+    } else if (now - entry->last_sent_at >= RR_CELLS_RESEND_INTERVAL_S) {
         rr_transfer_message refuse = {.kind = RR_TRANSFER_REFUSE,
                                       .claim = entry->guest.record.claim};
         plan_message(transfers, entry, &refuse, now, plan);
@@ -86,7 +86,7 @@
     const rr_cells_settings *settings = transfers->settings;
     double granted_s = settings->lease_s * (1 - settings->drift);
     bool answered =
-        entry->guest.granted_until > entry->sent_at + granted_s - RR_CELLS_RESEND_INTERVAL_S;
+        entry->guest.granted_until > entry->last_sent_at + granted_s - RR_CELLS_RESEND_INTERVAL_S;
     double interval_s = settings->lease_s / RENEWALS_PER_LEASE;
     return answered ? interval_s : fmin(interval_s, RR_CELLS_RESEND_INTERVAL_S);
 }
@@ -98,8 +98,8 @@
     if (rr_guest_may_run(&entry->guest, now)) {
         rr_core_release_job(transfers->core, entry->local_id, entry->guest.granted_until);
     }
-    if (now - entry->sent_at >= interval_s) {
-        rr_guest_step step = rr_guest_repeat(&entry->guest, now);
+    if (now - entry->last_sent_at >= interval_s) {
+        rr_guest_step step = rr_guest_next_step(&entry->guest, now);
         plan_message(transfers, entry, &step.message, now, plan);
     }
 }
@@ -107,8 +107,8 @@
 /* Reports to the home how the job ended, again and again until the home has acknowledged it. */
 static void report_answer(rr_transfers *transfers, rr_incoming *entry, double now,
                           rr_transfers_plan *plan) {
-    if (now - entry->sent_at >= RR_CELLS_RESEND_INTERVAL_S) {
-        rr_guest_step step = rr_guest_repeat(&entry->guest, now);
+    if (now - entry->last_sent_at >= RR_CELLS_RESEND_INTERVAL_S) {
+        rr_guest_step step = rr_guest_next_step(&entry->guest, now);
         plan_message(transfers, entry, &step.message, now, plan);
     }
 }
@@ -149,21 +149,21 @@
                           rr_transfers_plan *plan) {
     struct copy_state copy;
     if (!get_copy_state(transfers, entry, now, &copy) ||
-        !rr_transfers_owns(transfers, entry->record.team, now) ||
-        !load_entry(transfers, entry, copy.running, now) || entry->guest.writes) {
+        !rr_transfers_owns_team(transfers, entry->record.team, now) ||
+        !load_entry(transfers, entry, copy.running, now) || entry->guest.write_pending) {
         return;
     }
     bool held = entry->guest.record.state == RR_GUEST_HELD;
     entry->guest.running = copy.running;
     entry->started = entry->started || copy.started;
-    if (held && copy.done && !entry->guest.terminated) {
+    if (held && copy.done && !entry->guest.claim_ended) {
         plan_step(transfers, entry, rr_guest_end(&entry->guest, RR_ANSWER_DONE), plan);
         return;
     }
     if (held && !entry->returning && !copy.done) {
         decide_return(transfers, entry, copy.cancelled, now);
     }
-    if (entry->guest.terminated || entry->returning || entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
+    if (entry->guest.claim_ended || entry->returning || entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
         end_claim(transfers, entry, copy.open, now, plan);
     } else if (held) {
         renew_grant(transfers, entry, now, plan);
@@ -172,9 +172,10 @@
     }
 }
 
-bool rr_incoming_ready(rr_transfers *transfers, const rr_incoming *entry, double now) {
-    return rr_transfers_owns(transfers, entry->record.team, now) &&
-           entry->token == rr_core_fencing_token(transfers->core) && !entry->guest.writes;
+bool rr_incoming_is_ready(rr_transfers *transfers, const rr_incoming *entry, double now) {
+    return rr_transfers_owns_team(transfers, entry->record.team, now) &&
+           entry->loaded_token == rr_core_fencing_token(transfers->core) &&
+           !entry->guest.write_pending;
 }
 
 void rr_incoming_advance(rr_transfers *transfers, size_t neighbour, double now,
@@ -193,10 +194,10 @@
 void rr_incoming_receive_reply(rr_transfers *transfers, size_t neighbour,
                                const rr_cells_item *sent_item, const rr_transfer_message *reply) {
     char local_id[RR_ID_SIZE];
-    rr_cells_local_id(transfers->settings->neighbours[neighbour].name, sent_item->job_id,
-                      sent_item->message.claim, local_id, sizeof local_id);
+    rr_cells_make_local_id(transfers->settings->neighbours[neighbour].name, sent_item->job_id,
+                           sent_item->message.claim, local_id, sizeof local_id);
     rr_incoming *entry = g_hash_table_lookup(transfers->incoming, local_id);
-    if (entry && entry->token == rr_core_fencing_token(transfers->core)) {
+    if (entry && entry->loaded_token == rr_core_fencing_token(transfers->core)) {
         rr_guest_receive(&entry->guest, reply, false, &transfers->settings->times);
     }
 }
--- a/src/cells/incoming.h
+++ b/src/cells/incoming.h
@@ -12,8 +12,8 @@
  */
 rr_incoming *rr_incoming_get(rr_transfers *transfers, const char *local_id);
 /* Takes a record from the store cache; value NULL: it was deleted. */
-void rr_incoming_put(rr_transfers *transfers, const char *local_id, const msgpack_object *value,
-                     uint64_t version);
+void rr_incoming_apply_record(rr_transfers *transfers, const char *local_id,
+                              const msgpack_object *value, uint64_t version);
 /* Makes the write that the entry's state machine has requested. The caller owns *write. */
 void rr_incoming_make_write(rr_transfers *transfers, const rr_incoming *entry,
                             rr_transfer_write *write);
@@ -22,15 +22,15 @@
                             rr_transfers_plan *plan);
 /* Cancels the copy of the job in this cell: its leases are revoked at once, and a write that is
  * added to the plan ends its tasks as any cancellation does. */
-void rr_incoming_plan_end_of_copy(rr_transfers *transfers, const rr_incoming *entry,
-                                  rr_transfers_plan *plan);
-/* As rr_transfers_written(), for a write of an incoming job. */
-rr_transfer_message rr_incoming_written(rr_transfers *transfers, const rr_transfer_write *write,
-                                        bool committed);
+void rr_incoming_plan_copy_cancellation(rr_transfers *transfers, const rr_incoming *entry,
+                                        rr_transfers_plan *plan);
+/* As rr_transfers_complete_write(), for a write of an incoming job. */
+rr_transfer_message rr_incoming_complete_write(rr_transfers *transfers,
+                                               const rr_transfer_write *write, bool committed);
 
 /* ---- incoming_offers.c ---- */
 
-/* As rr_transfers_receive(), for an offer. */
+/* As rr_transfers_receive_message(), for an offer. */
 bool rr_incoming_receive_offer(rr_transfers *transfers, size_t neighbour,
                                const rr_cells_request *request, const rr_cells_item *item,
                                double now, double wall, rr_transfer_message *reply,
@@ -40,7 +40,7 @@
 
 /* Returns whether this controller owns the entry, its state machine is loaded for the present term,
  * and no write is pending. */
-bool rr_incoming_ready(rr_transfers *transfers, const rr_incoming *entry, double now);
+bool rr_incoming_is_ready(rr_transfers *transfers, const rr_incoming *entry, double now);
 /* As rr_transfers_advance(), for the jobs of this neighbour that are held here. */
 void rr_incoming_advance(rr_transfers *transfers, size_t neighbour, double now,
                          rr_transfers_plan *plan);
--- a/src/cells/incoming_offers.c
+++ b/src/cells/incoming_offers.c
@@ -55,19 +55,19 @@
            rr_core_all_members_support_holds(transfers->core);
 }
 
-rr_cells_room rr_transfers_room(rr_transfers *transfers, double now) {
+rr_cells_room rr_transfers_get_free_room(rr_transfers *transfers, double now) {
     update_room(transfers, now);
     return accepts_jobs(transfers) ? transfers->room : (rr_cells_room){0, 0, 0};
 }
 
 /* ---- offers ---- */
 
-/* Returns whether the home's lease_s and rest_s are not shorter than this cell's: otherwise tasks
- * here might go on for longer than the home waits. */
+/* Returns whether the home's lease_s and teardown_s are not shorter than this cell's: otherwise
+ * tasks here might go on for longer than the home waits. */
 static bool home_times_suffice(const rr_transfers *transfers, const rr_cells_request *request) {
     const rr_transfer_times *own = &transfers->settings->times;
     return own->lease_s <= request->lease_s + TIMES_TOLERANCE_S &&
-           own->rest_s <= request->rest_s + TIMES_TOLERANCE_S;
+           own->teardown_s <= request->teardown_s + TIMES_TOLERANCE_S;
 }
 
 /* Returns whether the offered job may be accepted, and if so subtracts its demand from the free
@@ -80,7 +80,7 @@
     return home_times_suffice(transfers, request) && accepts_jobs(transfers) &&
            strcmp(submission->team, request->team) == 0 &&
            rr_core_check_submission(transfers->core, submission, &reason) == RR_SUBMISSION_NEW &&
-           rr_cells_room_take(&transfers->room, submission);
+           rr_cells_room_reserve(&transfers->room, submission);
 }
 
 /* Makes the write that stores the claim's record and the copy of the job in one transaction. */
@@ -104,7 +104,7 @@
     rr_incoming *entry = rr_incoming_get(transfers, local_id);
     entry->guest = *guest;
     entry->neighbour = (int)neighbour;
-    entry->token = rr_core_fencing_token(transfers->core);
+    entry->loaded_token = rr_core_fencing_token(transfers->core);
     entry->loaded_at = now;
     g_strlcpy(entry->record.team, team, sizeof entry->record.team);
     g_strlcpy(entry->record.home, transfers->settings->neighbours[neighbour].name,
@@ -139,8 +139,8 @@
                                double now, double wall, rr_transfer_message *reply,
                                rr_transfer_write *write) {
     char local_id[RR_ID_SIZE];
-    rr_cells_local_id(transfers->settings->neighbours[neighbour].name, item->job_id,
-                      item->message.claim, local_id, sizeof local_id);
+    rr_cells_make_local_id(transfers->settings->neighbours[neighbour].name, item->job_id,
+                           item->message.claim, local_id, sizeof local_id);
     if (g_hash_table_contains(transfers->incoming, local_id)) {
         return false; /* an offer sent again: the job is held already, or being accepted */
     }
--- a/src/cells/link_client.c
+++ b/src/cells/link_client.c
@@ -11,11 +11,11 @@
 
 struct controller_connection {
     bool open;
-    struct rr_inbox inbox; /* with the socket; valid if open */
+    struct rr_receive_buffer receive_buffer; /* with the socket; valid if open */
 };
 
 struct rr_cells_client {
-    const rr_cell *cell;
+    const rr_neighbour_cell *cell;
     const struct rr_endpoint *local_endpoint; /* neighbours expect connections from its address */
     const atomic_bool *stop;
     struct controller_connection connections[RR_CONTROLLERS_MAX]; /* by index of the controller */
@@ -27,7 +27,7 @@
                                         const atomic_bool *stop) {
     rr_cells_client *client = g_new0(rr_cells_client, 1);
     client->cell = &settings->neighbours[neighbour];
-    client->local_endpoint = &settings->listen;
+    client->local_endpoint = &settings->listen_endpoint;
     client->stop = stop;
     client->planner_by_team = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     return client;
@@ -35,8 +35,8 @@
 
 static void close_connection(struct controller_connection *connection) {
     if (connection->open) {
-        close(connection->inbox.fd);
-        rr_inbox_clear(&connection->inbox);
+        close(connection->receive_buffer.fd);
+        rr_receive_buffer_clear(&connection->receive_buffer);
         connection->open = false;
     }
 }
@@ -61,12 +61,12 @@
 /* Returns 0, or -errno. */
 static int open_connection(const rr_cells_client *client, size_t controller,
                            struct controller_connection *connection) {
-    int fd = rr_peer_dial(client->local_endpoint, &client->cell->controllers[controller].endpoint,
-                          CONNECT_TIMEOUT_S);
+    int fd = rr_stream_connect(client->local_endpoint,
+                               &client->cell->controllers[controller].endpoint, CONNECT_TIMEOUT_S);
     if (fd < 0) {
         return fd;
     }
-    rr_inbox_init(&connection->inbox, fd);
+    rr_receive_buffer_init(&connection->receive_buffer, fd);
     connection->open = true;
     return 0;
 }
@@ -85,9 +85,10 @@
     uint8_t type;
     GByteArray *frame = g_byte_array_new();
     rr_cells_request_pack(request, frame);
-    int rc = rr_peer_send(connection->inbox.fd, frame->data, frame->len);
+    int rc = rr_stream_send(connection->receive_buffer.fd, frame->data, frame->len);
     if (rc == 0) {
-        rc = rr_peer_receive(client->stop, &connection->inbox, &type, &payload, REPLY_TIMEOUT_S);
+        rc = rr_stream_receive_frame(client->stop, &connection->receive_buffer, &type, &payload,
+                                     REPLY_TIMEOUT_S);
     }
     if (rc == 0) {
         rc = read_reply(type, &payload, reply);
@@ -111,7 +112,8 @@
     }
 }
 
-int rr_cells_ask(rr_cells_client *client, const rr_cells_request *request, rr_cells_reply *reply) {
+int rr_cells_send_request(rr_cells_client *client, const rr_cells_request *request,
+                          rr_cells_reply *reply) {
     size_t controller = choose_controller(client, request->team);
     struct controller_connection *connection = &client->connections[controller];
     rr_cells_reply_init(reply);
--- a/src/cells/links.h
+++ b/src/cells/links.h
@@ -8,7 +8,7 @@
 
 #include <stdatomic.h>
 
-/* ---- serving requests: links.c ---- */
+/* ---- serving requests: link_server.c ---- */
 
 /* Answers a request from a neighbour, on the connection's thread. neighbour: index of the settings.
  * *context belongs to the connection and is NULL at its first request. */
@@ -18,28 +18,31 @@
 typedef void (*rr_cells_context_free_fn)(void *context);
 
 /* The listener and its connections. */
-typedef struct rr_cells_links rr_cells_links;
+typedef struct rr_cells_server rr_cells_server;
 
 /* Counters since the start. */
 typedef struct {
-    uint64_t unknown_peers; /* connections closed: from an address in no neighbour's networks */
-    uint64_t refused; /* requests refused: malformed, of unknown version, or with wrong cells */
-    uint64_t crowded; /* connections closed: RR_CELLS_CONNECTIONS were open */
-} rr_cells_links_stats;
+    /* Connections closed because their address is in no neighbour's networks. */
+    uint64_t unknown_peer_connections;
+    /* Requests refused: malformed, of unknown version, or with wrong cells. */
+    uint64_t refused_requests;
+    /* Connections closed because RR_CELLS_CONNECTIONS_MAX were open. */
+    uint64_t connections_over_limit;
+} rr_cells_server_stats;
 
 /* Incoming connections at a time; a further one is closed at once. */
-#define RR_CELLS_CONNECTIONS 64
+#define RR_CELLS_CONNECTIONS_MAX 64
 
 /* Listens on the settings' endpoint and serves until *stop is set. settings, stop and user are
  * borrowed and outlive the object. Returns 0 with *out, or -errno with *out NULL. */
-int rr_cells_links_start(const rr_cells_settings *settings, const atomic_bool *stop,
-                         rr_cells_serve_fn serve, rr_cells_context_free_fn free_context, void *user,
-                         rr_cells_links **out);
+int rr_cells_server_start(const rr_cells_settings *settings, const atomic_bool *stop,
+                          rr_cells_serve_fn serve, rr_cells_context_free_fn free_context,
+                          void *user, rr_cells_server **out);
 /* Waits for all threads to end and frees the object. Call it after *stop is set. NULL is allowed.
  */
-void rr_cells_links_destroy(rr_cells_links *links);
+void rr_cells_server_destroy(rr_cells_server *server);
 /* Copies the counters. May be called from any thread. */
-void rr_cells_links_get_stats(rr_cells_links *links, rr_cells_links_stats *out);
+void rr_cells_server_get_stats(rr_cells_server *server, rr_cells_server_stats *out);
 
 /* ---- sending requests: link_client.c ---- */
 
@@ -57,6 +60,7 @@
  * waits for the reply. Returns 0 with *reply, whose status may be any; or -errno, mostly -EIO or
  * -EBADMSG, if there was no valid reply: the next request then goes to another controller. The
  * caller clears *reply in either case. */
-int rr_cells_ask(rr_cells_client *client, const rr_cells_request *request, rr_cells_reply *reply);
+int rr_cells_send_request(rr_cells_client *client, const rr_cells_request *request,
+                          rr_cells_reply *reply);
 
 #endif
--- a/src/cells/messages.c
+++ b/src/cells/messages.c
@@ -68,8 +68,8 @@
     rr_encoder_clear(&packed);
 }
 
-void rr_cells_request_address(rr_cells_request *request, const rr_cells_settings *settings,
-                              size_t neighbour) {
+void rr_cells_request_set_cells(rr_cells_request *request, const rr_cells_settings *settings,
+                                size_t neighbour) {
     g_strlcpy(request->from, settings->name, sizeof request->from);
     g_strlcpy(request->to, settings->neighbours[neighbour].name, sizeof request->to);
 }
@@ -84,7 +84,7 @@
     rr_frame_put_u32(packed, item->message.claim);
     rr_frame_put_u8(packed, (uint8_t)item->message.answer);
     rr_frame_put_u64(packed, (uint64_t)(item->message.sent_at * MICROSECONDS_PER_S));
-    rr_frame_put_u64(packed, item->message.asker);
+    rr_frame_put_u64(packed, item->message.guest_process);
     rr_frame_put_bytes(packed, item->submission ? item->submission->data : NULL,
                        item->submission ? item->submission->len : 0);
     rr_frame_put_bytes(out, packed->data, packed->len);
@@ -106,7 +106,7 @@
     rr_frame_put_text(out, request->to);
     if (request->kind == RR_CELLS_TRANSFERS) {
         rr_frame_put_u64(out, (uint64_t)(request->lease_s * MICROSECONDS_PER_S));
-        rr_frame_put_u64(out, (uint64_t)(request->rest_s * MICROSECONDS_PER_S));
+        rr_frame_put_u64(out, (uint64_t)(request->teardown_s * MICROSECONDS_PER_S));
         rr_frame_put_text(out, request->team);
         pack_items(request->items, out);
     } else {
@@ -167,7 +167,7 @@
     item->message.claim = rr_frame_read_u32(&fields);
     uint8_t answer = rr_frame_read_u8(&fields);
     item->message.sent_at = (double)rr_frame_read_u64(&fields) / MICROSECONDS_PER_S;
-    item->message.asker = rr_frame_read_u64(&fields);
+    item->message.guest_process = rr_frame_read_u64(&fields);
     item->submission = unpack_bytes(&fields, SUBMISSION_BYTES_MAX);
     item->message.kind = (enum rr_transfer_kind)kind;
     item->message.answer = (enum rr_job_answer)answer;
@@ -205,7 +205,7 @@
     bool readable = true;
     if (out->kind == RR_CELLS_TRANSFERS) {
         out->lease_s = (double)rr_frame_read_u64(&reader) / MICROSECONDS_PER_S;
-        out->rest_s = (double)rr_frame_read_u64(&reader) / MICROSECONDS_PER_S;
+        out->teardown_s = (double)rr_frame_read_u64(&reader) / MICROSECONDS_PER_S;
         rr_frame_read_text(&reader, out->team, sizeof out->team);
         readable = unpack_items(&reader, out->items);
     } else {
--- a/src/cells/messages.h
+++ b/src/cells/messages.h
@@ -28,11 +28,12 @@
 typedef struct {
     uint8_t version; /* of the protocol */
     enum rr_cells_request_kind kind;
-    char from[RR_CELL_NAME], to[RR_CELL_NAME]; /* names of the sending and the receiving cell */
-    double lease_s, rest_s;                    /* the sender's rr_transfer_times, for its offers */
-    char team[RR_TEXT_SIZE];                   /* with TRANSFERS */
-    GArray *items;                             /* rr_cells_item, with TRANSFERS; owned */
-    char job_id[RR_ID_SIZE];                   /* with POLL and CANCEL */
+    char from[RR_CELL_NAME_SIZE],
+        to[RR_CELL_NAME_SIZE];  /* names of the sending and the receiving cell */
+    double lease_s, teardown_s; /* the sender's rr_transfer_times, for its offers */
+    char team[RR_TEXT_SIZE];    /* with TRANSFERS */
+    GArray *items;              /* rr_cells_item, with TRANSFERS; owned */
+    char job_id[RR_ID_SIZE];    /* with POLL and CANCEL */
 } rr_cells_request;
 
 /* Free capacity that a cell currently offers to jobs of other cells. */
@@ -76,8 +77,8 @@
 void rr_cells_add_offer(GArray *items, const rr_transfer_message *offer,
                         const rr_submission *submission, double accepted_at);
 /* Sets `from` to this cell and `to` to the neighbour of this index. */
-void rr_cells_request_address(rr_cells_request *request, const rr_cells_settings *settings,
-                              size_t neighbour);
+void rr_cells_request_set_cells(rr_cells_request *request, const rr_cells_settings *settings,
+                                size_t neighbour);
 
 /* Appends the request as a complete frame. */
 void rr_cells_request_pack(const rr_cells_request *request, GByteArray *out);
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -27,8 +27,8 @@
 static void resend_offer(rr_transfers *transfers, rr_outgoing *entry, size_t neighbour, double now,
                          rr_transfers_plan *plan) {
     rr_core_job job;
-    rr_home_step step = rr_home_repeat(&entry->home);
-    if (entry->taken || now - entry->offered_at < RR_CELLS_RESEND_INTERVAL_S ||
+    rr_home_step step = rr_home_resend_offer(&entry->home);
+    if (entry->guest_answered || now - entry->offered_at < RR_CELLS_RESEND_INTERVAL_S ||
         step.message.kind != RR_TRANSFER_OFFER ||
         !rr_core_find_job(transfers->core, entry->job_id, &job)) {
         return;
@@ -42,16 +42,16 @@
 /* Returns whether the guest has not responded for too long, or is no longer in the settings. */
 static bool guest_has_timed_out(const rr_transfers *transfers, const rr_outgoing *entry,
                                 double now) {
-    double timeout_s =
-        entry->taken ? GUEST_TIMEOUT_LEASES * transfers->settings->lease_s : OFFER_TIMEOUT_S;
-    return entry->neighbour == RR_CELLS_NO_NEIGHBOUR || now - entry->last_message_at > timeout_s;
+    double timeout_s = entry->guest_answered ? GUEST_TIMEOUT_LEASES * transfers->settings->lease_s
+                                             : OFFER_TIMEOUT_S;
+    return entry->neighbour == RR_CELLS_NO_NEIGHBOUR || now - entry->last_received_at > timeout_s;
 }
 
 /* Does what is due for one offered job, if this controller owns it and no write is pending. */
 static void advance_entry(rr_transfers *transfers, rr_outgoing *entry, size_t neighbour, double now,
                           double wall, rr_transfers_plan *plan) {
-    if (!rr_transfers_owns(transfers, entry->record.team, now) ||
-        !rr_outgoing_load(transfers, entry, now) || entry->home.writes) {
+    if (!rr_transfers_owns_team(transfers, entry->record.team, now) ||
+        !rr_outgoing_load(transfers, entry, now) || entry->home.write_pending) {
         return;
     }
     rr_home_step step = {.action = RR_HOME_NOTHING};
@@ -127,9 +127,9 @@
         return false;
     }
     if (is_current_claim(entry, neighbour, item->message.claim)) {
-        transfers->stats.taken += is_renewal && !entry->taken;
-        entry->taken = true;
-        entry->last_message_at = now;
+        transfers->stats.taken += is_renewal && !entry->guest_answered;
+        entry->guest_answered = true;
+        entry->last_received_at = now;
     }
     rr_home_step step = rr_home_receive(&entry->home, (uint32_t)neighbour, &item->message, now,
                                         &transfers->settings->times);
@@ -142,7 +142,7 @@
                                  const rr_transfer_message *message, double now, double wall,
                                  rr_transfer_write *write) {
     rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
-    if (!entry || entry->token != rr_core_fencing_token(transfers->core)) {
+    if (!entry || entry->loaded_token != rr_core_fencing_token(transfers->core)) {
         return false;
     }
     transfers->stats.refused++;
--- a/src/cells/outgoing_offers.c
+++ b/src/cells/outgoing_offers.c
@@ -18,7 +18,7 @@
 /* The jobs to offer in one pass, while they are being chosen. */
 struct offer_selection {
     const rr_transfers *transfers;
-    const rr_cell *cell; /* the neighbour */
+    const rr_neighbour_cell *cell; /* the neighbour */
     double wall;
     double longest_wait_s; /* of the jobs that any neighbour would take */
     guint count;           /* of candidates */
@@ -29,7 +29,8 @@
 static bool any_neighbour_takes(const rr_cells_settings *settings,
                                 const rr_submission *submission) {
     for (size_t i = 0; i < settings->neighbour_count; i++) {
-        if (rr_cell_takes(&settings->neighbours[i], submission->team, submission->zone)) {
+        if (rr_neighbour_accepts_job(&settings->neighbours[i], submission->team,
+                                     submission->zone)) {
             return true;
         }
     }
@@ -40,7 +41,7 @@
  * is pending. */
 static bool must_not_be_offered(const rr_transfers *transfers, const char *job_id) {
     const rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
-    return entry && (entry->record.claim >= OFFERS_PER_JOB_MAX || entry->home.writes);
+    return entry && (entry->record.claim >= OFFERS_PER_JOB_MAX || entry->home.write_pending);
 }
 
 /* Inserts a candidate so that the longest wait stays first. If the list is full, the candidate with
@@ -71,7 +72,7 @@
     struct candidate candidate = {submission, selection->wall - accepted_at};
     selection->longest_wait_s = fmax(selection->longest_wait_s, candidate.wait_s);
     if (candidate.wait_s > settings->end_wait_s &&
-        rr_cell_takes(selection->cell, submission->team, submission->zone)) {
+        rr_neighbour_accepts_job(selection->cell, submission->team, submission->zone)) {
         insert_candidate(selection, &candidate);
     }
 }
@@ -88,14 +89,14 @@
     rr_home_step step = rr_home_offer(&entry->home, (uint32_t)neighbour, now);
     bool offered = false;
     if (step.action == RR_HOME_WRITE) {
-        entry->taken = false;
-        entry->last_message_at = now;
+        entry->guest_answered = false;
+        entry->last_received_at = now;
         entry->offered_at = 0;
         rr_core_hold_job(transfers->core, entry->job_id, RR_HOLD_TRANSFERRED);
         offered = rr_outgoing_plan_write(transfers, entry, wall, plan);
     }
     if (!offered && entry->version == 0) {
-        rr_outgoing_forget(transfers, entry->job_id);
+        rr_outgoing_remove(transfers, entry->job_id);
     }
 }
 
@@ -104,7 +105,7 @@
                              size_t neighbour, double now, rr_transfers_plan *plan) {
     for (guint i = 0; i < selection->count; i++) {
         const struct candidate *candidate = &selection->candidates[i];
-        if (rr_cells_room_take(&transfers->neighbour_rooms[neighbour], candidate->submission)) {
+        if (rr_cells_room_reserve(&transfers->neighbour_rooms[neighbour], candidate->submission)) {
             offer_job(transfers, candidate, neighbour, now, selection->wall, plan);
         }
     }
@@ -117,7 +118,8 @@
     rr_core_foreach_spillable_job(transfers->core, now, consider_job, &selection);
     transfers->longest_wait_s = selection.longest_wait_s;
     if (!rr_spill_update(&transfers->spill, transfers->settings, selection.longest_wait_s) ||
-        !rr_spill_may_ask(&transfers->offer_backoff[neighbour], now) || selection.count == 0) {
+        !rr_spill_backoff_is_over(&transfers->offer_backoff[neighbour], now) ||
+        selection.count == 0) {
         return;
     }
     if (now - transfers->neighbour_rooms_updated_at[neighbour] > NEIGHBOUR_ROOM_AGE_MAX_S) {
--- a/src/cells/outgoing_records.c
+++ b/src/cells/outgoing_records.c
@@ -21,7 +21,7 @@
     return entry;
 }
 
-void rr_outgoing_forget(rr_transfers *transfers, const char *job_id) {
+void rr_outgoing_remove(rr_transfers *transfers, const char *job_id) {
     rr_core_unhold_job(transfers->core, job_id);
     g_hash_table_remove(transfers->outgoing, job_id);
 }
@@ -39,34 +39,34 @@
 /* Returns whether the record differs from the state machine's: another controller has written it,
  * such as one that has received a user's cancellation. */
 static bool was_changed_elsewhere(const rr_outgoing *entry) {
-    return !entry->home.writes && (entry->home.record.state != entry->record.state ||
-                                   entry->home.record.claim != entry->record.claim);
+    return !entry->home.write_pending && (entry->home.record.state != entry->record.state ||
+                                          entry->home.record.claim != entry->record.claim);
 }
 
-void rr_outgoing_put(rr_transfers *transfers, const char *job_id, const msgpack_object *value,
-                     uint64_t version) {
-    rr_out_record record;
+void rr_outgoing_apply_record(rr_transfers *transfers, const char *job_id,
+                              const msgpack_object *value, uint64_t version) {
+    rr_outgoing_record record;
     rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
     if (entry && version < entry->version) {
         return;
     }
     if (!value) {
-        if (entry && !entry->home.writes) {
-            rr_outgoing_forget(transfers, job_id);
+        if (entry && !entry->home.write_pending) {
+            rr_outgoing_remove(transfers, job_id);
         }
         return;
     }
-    if (!rr_job_id_valid(job_id) || rr_cells_out_decode(value, &record) != 0) {
-        transfers->stats.records_unread++;
+    if (!rr_job_id_valid(job_id) || rr_cells_outgoing_decode(value, &record) != 0) {
+        transfers->stats.unreadable_records++;
         return;
     }
     entry = rr_outgoing_get(transfers, job_id);
     entry->record = record;
     entry->version = version;
-    entry->neighbour = rr_cells_neighbour(transfers->settings, record.guest);
+    entry->neighbour = rr_cells_find_neighbour(transfers->settings, record.guest);
     set_hold_from_record(transfers, entry);
     if (was_changed_elsewhere(entry)) {
-        entry->token = 0;
+        entry->loaded_token = 0;
     }
 }
 
@@ -83,32 +83,32 @@
 
 bool rr_outgoing_load(rr_transfers *transfers, rr_outgoing *entry, double now) {
     uint64_t token = rr_core_fencing_token(transfers->core);
-    if (entry->token == token) {
+    if (entry->loaded_token == token) {
         return true;
     }
-    if (entry->home.writes) {
+    if (entry->home.write_pending) {
         return false;
     }
     rr_core_job job;
     bool running = rr_core_find_job(transfers->core, entry->job_id, &job) && job.placed > 0;
     rr_home_record record = make_home_record(entry);
     rr_home_load(&entry->home, &record, running, now, &transfers->settings->times);
-    entry->token = token;
-    entry->last_message_at = now;
-    entry->taken = true; /* not known, and an accepted job gets more time */
+    entry->loaded_token = token;
+    entry->last_received_at = now;
+    entry->guest_answered = true; /* not known, and an accepted job gets more time */
     return true;
 }
 
 /* ---- writes ---- */
 
 /* Returns the record that the state machine wants written. */
-static rr_out_record make_next_record(const rr_transfers *transfers, const rr_outgoing *entry,
-                                      double wall) {
-    const rr_home_record *next = &entry->home.writing;
+static rr_outgoing_record make_next_record(const rr_transfers *transfers, const rr_outgoing *entry,
+                                           double wall) {
+    const rr_home_record *next = &entry->home.pending_record;
     if (next->state == RR_HOME_LOCAL) {
-        return rr_cells_out_withdrawn(&entry->record, wall);
+        return rr_cells_outgoing_withdraw(&entry->record, wall);
     }
-    rr_out_record record = entry->record;
+    rr_outgoing_record record = entry->record;
     record.state = next->state;
     record.claim = next->claim;
     record.withdrawn_at = 0;
@@ -120,10 +120,10 @@
  * final record. False: the job is not open, or tasks of it are placed here. */
 static bool add_final_changes(rr_transfers *transfers, const rr_outgoing *entry,
                               rr_transaction *transaction) {
-    bool done = entry->home.writing.answer == RR_ANSWER_DONE;
+    bool done = entry->home.pending_record.answer == RR_ANSWER_DONE;
     bool possible = !done || rr_core_add_finished_job_record(transfers->core, entry->job_id, false,
                                                              transaction);
-    rr_cells_out_write(transaction, entry->job_id, entry->version, NULL);
+    rr_cells_outgoing_add_write(transaction, entry->job_id, entry->version, NULL);
     return possible;
 }
 
@@ -132,10 +132,10 @@
  * not open. */
 static bool add_record_change(rr_transfers *transfers, const rr_outgoing *entry, double wall,
                               rr_transaction *transaction) {
-    bool offers = entry->home.writing.state == RR_HOME_OFFERED;
-    rr_out_record record = make_next_record(transfers, entry, wall);
+    bool offers = entry->home.pending_record.state == RR_HOME_OFFERED;
+    rr_outgoing_record record = make_next_record(transfers, entry, wall);
     bool possible = !offers || rr_core_guard_open_job(transfers->core, entry->job_id, transaction);
-    rr_cells_out_write(transaction, entry->job_id, entry->version, &record);
+    rr_cells_outgoing_add_write(transaction, entry->job_id, entry->version, &record);
     return possible;
 }
 
@@ -146,11 +146,11 @@
     g_strlcpy(write->id, entry->job_id, sizeof write->id);
     rr_transaction_init(&write->transaction);
     rr_core_guard_term(transfers->core, &write->transaction);
-    bool ends = entry->home.writing.state == RR_HOME_FINAL;
+    bool ends = entry->home.pending_record.state == RR_HOME_FINAL;
     bool possible = ends ? add_final_changes(transfers, entry, &write->transaction)
                          : add_record_change(transfers, entry, wall, &write->transaction);
     if (!possible) {
-        rr_home_written(&entry->home, false);
+        rr_home_complete_write(&entry->home, false);
         rr_transfer_write_clear(write);
     }
     return possible;
@@ -162,30 +162,30 @@
     if (!rr_outgoing_make_write(transfers, entry, wall, &write)) {
         return false;
     }
-    rr_transfers_plan_add(plan, &write);
+    rr_transfers_plan_add_write(plan, &write);
     return true;
 }
 
 /* Has the state machine loaded again before its next step, as another controller may have changed
  * the record. */
 static void handle_failed_write(rr_transfers *transfers, rr_outgoing *entry) {
-    entry->token = 0;
+    entry->loaded_token = 0;
     if (entry->version == 0) {
         /* The first offer was not written, so that there is no record. */
-        rr_outgoing_forget(transfers, entry->job_id);
+        rr_outgoing_remove(transfers, entry->job_id);
     } else {
         set_hold_from_record(transfers, entry);
     }
 }
 
-rr_transfer_message rr_outgoing_written(rr_transfers *transfers, const rr_transfer_write *write,
-                                        bool committed) {
+rr_transfer_message rr_outgoing_complete_write(rr_transfers *transfers,
+                                               const rr_transfer_write *write, bool committed) {
     rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, write->id);
     if (!entry) {
         return no_message;
     }
     enum rr_home_state before = entry->home.record.state;
-    rr_home_step step = rr_home_written(&entry->home, committed);
+    rr_home_step step = rr_home_complete_write(&entry->home, committed);
     if (!committed) {
         handle_failed_write(transfers, entry);
         return no_message;
@@ -196,7 +196,7 @@
     transfers->stats.withdrawn += was_offered && state == RR_HOME_LOCAL;
     transfers->stats.finished += was_offered && state == RR_HOME_FINAL;
     if (state == RR_HOME_FINAL) {
-        rr_outgoing_forget(transfers, write->id);
+        rr_outgoing_remove(transfers, write->id);
     }
     return step.message;
 }
--- a/src/cells/records.c
+++ b/src/cells/records.c
@@ -23,18 +23,18 @@
 /* Returns the index among `names` of the text under this key, or -1. */
 static int get_name_index(const msgpack_object *value, const char *key, const char *const *names,
                           int count) {
-    return rr_object_name_index(rr_map_get(value, key), names, count);
+    return rr_object_find_name(rr_map_get(value, key), names, count);
 }
 
-void rr_cells_out_key(const char *job_id, char *out, size_t size) {
-    g_snprintf(out, size, RR_CELLS_PREFIX RR_CELLS_OUT "%s", job_id);
+void rr_cells_outgoing_key(const char *job_id, char *out, size_t size) {
+    g_snprintf(out, size, RR_CELLS_KEY_PREFIX RR_CELLS_OUTGOING_PREFIX "%s", job_id);
 }
 
-void rr_cells_in_key(const char *local_id, char *out, size_t size) {
-    g_snprintf(out, size, RR_CELLS_PREFIX RR_CELLS_IN "%s", local_id);
+void rr_cells_incoming_key(const char *local_id, char *out, size_t size) {
+    g_snprintf(out, size, RR_CELLS_KEY_PREFIX RR_CELLS_INCOMING_PREFIX "%s", local_id);
 }
 
-void rr_cells_out_encode(const rr_out_record *record, rr_encoder *out) {
+void rr_cells_outgoing_encode(const rr_outgoing_record *record, rr_encoder *out) {
     rr_encode_map(out, 5);
     rr_encode_key_text(out, RR_WORD_TEAM, record->team);
     rr_encode_key_text(out, FIELD_GUEST, record->guest);
@@ -43,7 +43,7 @@
     rr_encode_key_number(out, FIELD_WITHDRAWN_AT, record->withdrawn_at);
 }
 
-void rr_cells_in_encode(const rr_in_record *record, rr_encoder *out) {
+void rr_cells_incoming_encode(const rr_incoming_record *record, rr_encoder *out) {
     rr_encode_map(out, 6);
     rr_encode_key_text(out, RR_WORD_TEAM, record->team);
     rr_encode_key_text(out, FIELD_HOME, record->home);
@@ -53,10 +53,10 @@
     rr_encode_key_text(out, FIELD_ANSWER, answer_names[record->answer]);
 }
 
-void rr_cells_out_write(rr_transaction *transaction, const char *job_id, uint64_t version,
-                        const rr_out_record *record) {
+void rr_cells_outgoing_add_write(rr_transaction *transaction, const char *job_id, uint64_t version,
+                                 const rr_outgoing_record *record) {
     char key[RR_CELLS_KEY_SIZE];
-    rr_cells_out_key(job_id, key, sizeof key);
+    rr_cells_outgoing_key(job_id, key, sizeof key);
     rr_transaction_guard(transaction, key, version);
     if (!record) {
         rr_transaction_delete(transaction, key);
@@ -64,18 +64,18 @@
     }
     rr_encoder encoder;
     rr_encoder_init(&encoder);
-    rr_cells_out_encode(record, &encoder);
+    rr_cells_outgoing_encode(record, &encoder);
     rr_transaction_put(transaction, key, &encoder, 0);
 }
 
-rr_out_record rr_cells_out_withdrawn(const rr_out_record *record, double wall) {
-    rr_out_record withdrawn = *record;
+rr_outgoing_record rr_cells_outgoing_withdraw(const rr_outgoing_record *record, double wall) {
+    rr_outgoing_record withdrawn = *record;
     withdrawn.state = RR_HOME_LOCAL;
     withdrawn.withdrawn_at = wall;
     return withdrawn;
 }
 
-int rr_cells_out_decode(const msgpack_object *value, rr_out_record *out) {
+int rr_cells_outgoing_decode(const msgpack_object *value, rr_outgoing_record *out) {
     uint64_t claim = 0;
     int state =
         get_name_index(value, FIELD_STATE, home_state_names, G_N_ELEMENTS(home_state_names));
@@ -90,7 +90,7 @@
     return readable ? 0 : -EBADMSG;
 }
 
-int rr_cells_in_decode(const msgpack_object *value, rr_in_record *out) {
+int rr_cells_incoming_decode(const msgpack_object *value, rr_incoming_record *out) {
     uint64_t claim = 0;
     int state =
         get_name_index(value, FIELD_STATE, guest_state_names, G_N_ELEMENTS(guest_state_names));
@@ -108,8 +108,8 @@
     return readable ? 0 : -EBADMSG;
 }
 
-void rr_cells_local_id(const char *home, const char *job_id, uint32_t claim, char *out,
-                       size_t size) {
+void rr_cells_make_local_id(const char *home, const char *job_id, uint32_t claim, char *out,
+                            size_t size) {
     char *claim_name = g_strdup_printf("%s/%s/%u", home, job_id, claim);
     GChecksum *checksum = g_checksum_new(G_CHECKSUM_SHA256);
     guint8 digest[SHA256_BYTES];
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -17,7 +17,7 @@
 #define NUMBER_COUNT G_N_ELEMENTS(numbers)
 #define OTHER_OPTION_COUNT 5 /* see fill_options() */
 
-int rr_cells_neighbour(const rr_cells_settings *settings, const char *name) {
+int rr_cells_find_neighbour(const rr_cells_settings *settings, const char *name) {
     for (size_t i = 0; i < settings->neighbour_count; i++) {
         if (strcmp(settings->neighbours[i].name, name) == 0) {
             return (int)i;
@@ -35,7 +35,7 @@
     return false;
 }
 
-bool rr_cell_takes(const rr_cell *cell, const char *team, const char *zone) {
+bool rr_neighbour_accepts_job(const rr_neighbour_cell *cell, const char *team, const char *zone) {
     return (cell->teams->len == 0 || contains_name(cell->teams, team)) &&
            (!zone[0] || contains_name(cell->zones, zone));
 }
@@ -68,7 +68,7 @@
 static int validate_neighbour(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_title(cfg_opt_getnsec(option, cfg_opt_size(option) - 1));
     const char *own_name = cfg_getstr(config, "cell");
-    if (!is_valid_name(name, RR_CELL_NAME)) {
+    if (!is_valid_name(name, RR_CELL_NAME_SIZE)) {
         return rr_settings_reject(
             config, RR_SETTINGS_ERROR_WRONG_TYPE,
             "neighbour \"%s\": must be a name of 1 to 63 letters, digits, -, _ or .", name);
@@ -77,10 +77,10 @@
         return rr_settings_reject(config, RR_SETTINGS_ERROR_CONFLICT,
                                   "neighbour \"%s\": is this cell itself", name);
     }
-    if (cfg_opt_size(option) > RR_CELLS_MAX) {
+    if (cfg_opt_size(option) > RR_CELLS_NEIGHBOURS_MAX) {
         return rr_settings_reject(config, RR_SETTINGS_ERROR_OUT_OF_RANGE,
                                   "neighbour \"%s\": at most %d neighbours are allowed", name,
-                                  RR_CELLS_MAX);
+                                  RR_CELLS_NEIGHBOURS_MAX);
     }
     return 0;
 }
@@ -99,7 +99,7 @@
 
 static int validate_team(cfg_t *config, cfg_opt_t *option) {
     const char *name = cfg_opt_getnstr(option, cfg_opt_size(option) - 1);
-    if (rr_config_team(platform_config, name) < 0) {
+    if (rr_config_find_team(platform_config, name) < 0) {
         return rr_settings_reject(config, RR_SETTINGS_ERROR_UNKNOWN_NAME,
                                   "teams: team \"%s\" is not in the platform's settings", name);
     }
@@ -150,7 +150,7 @@
     cfg_t *section;
     const char *file;
     const rr_cells_settings *settings; /* with the neighbours up to and including this one */
-    rr_cell *cell;                     /* the neighbour that is read */
+    rr_neighbour_cell *cell;           /* the neighbour that is read */
     GError **error;
 };
 
@@ -163,7 +163,7 @@
 }
 
 static bool read_controllers(const struct neighbour_reader *reader) {
-    rr_cell *cell = reader->cell;
+    rr_neighbour_cell *cell = reader->cell;
     cell->controller_count = cfg_size(reader->section, "controller");
     if (cell->controller_count == 0 || cell->controller_count > RR_CONTROLLERS_MAX) {
         return set_neighbour_error(reader,
@@ -223,12 +223,12 @@
 /* Appends the section's neighbour to the settings. False: *error is set. */
 static bool read_neighbour(cfg_t *section, const char *file, rr_cells_settings *out,
                            GError **error) {
-    rr_cell *cell = &out->neighbours[out->neighbour_count++];
+    rr_neighbour_cell *cell = &out->neighbours[out->neighbour_count++];
     struct neighbour_reader reader = {section, file, out, cell, error};
     g_strlcpy(cell->name, cfg_title(section), sizeof cell->name);
     cell->networks = rr_networks_create();
     const char *state = cfg_getstr(section, "state");
-    cell->claimable = state && rr_endpoint_parse(state, &cell->state) == 0;
+    cell->claimable = state && rr_endpoint_parse(state, &cell->store_endpoint) == 0;
     cell->zones = read_names(section, "zones");
     cell->teams = read_names(section, "teams");
     return read_controllers(&reader) && read_networks(&reader) && check_zones_distinct(&reader);
@@ -269,7 +269,7 @@
         cfg_t *controller = cfg_getnsec(config, "controller", i);
         const char *endpoint = cfg_getstr(controller, "endpoint");
         if (strcmp(cfg_title(controller), platform_config->node_name) == 0) {
-            if (endpoint && rr_endpoint_parse(endpoint, &out->listen) == 0) {
+            if (endpoint && rr_endpoint_parse(endpoint, &out->listen_endpoint) == 0) {
                 return true;
             }
             reason = "this controller's section has no valid endpoint";
@@ -287,10 +287,10 @@
 static bool derive_times(const char *file, rr_cells_settings *out, GError **error) {
     double grant_max_s = out->lease_s * (1 + 2 * out->drift);
     const char *conflict = NULL;
-    out->times = (rr_transfer_times){.lease_s = out->lease_s,
-                                     .rest_s = platform_config->cancel_s +
-                                               rr_session_lease_s(platform_config) + out->stop_s,
-                                     .drift = out->drift};
+    out->times = (rr_transfer_times){
+        .lease_s = out->lease_s,
+        .teardown_s = platform_config->cancel_s + rr_session_lease_s(platform_config) + out->stop_s,
+        .drift = out->drift};
     if (grant_max_s + platform_config->lease_s + out->stop_s >= platform_config->cancel_s) {
         conflict = "lease_s: the sum with stop_s and the platform's lease_s must be below the "
                    "platform's cancel_s";
@@ -318,7 +318,7 @@
         CFG_SEC("controller", controller, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
         CFG_SEC("neighbour", neighbour, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
         CFG_BOOL(RR_SETTINGS_END_MARK, cfg_false, CFGF_NONE), CFG_END()};
-    rr_settings_list_numbers(numbers, NUMBER_COUNT, options);
+    rr_settings_fill_number_options(numbers, NUMBER_COUNT, options);
     memcpy(&options[NUMBER_COUNT], others, sizeof others);
 }
 
@@ -349,7 +349,7 @@
     memset(out, 0, sizeof *out);
     platform_config = config;
     cfg_t *parser = cfg_init(options, CFGF_NONE);
-    rr_settings_begin(parser, file);
+    rr_settings_prepare_parser(parser, file);
     set_validators(parser);
     bool loaded =
         rr_settings_parse_with_sections(parser, error) && read_values(parser, file, out, error);
@@ -357,6 +357,6 @@
     if (!loaded) {
         rr_cells_settings_clear(out);
     }
-    out->on = loaded;
+    out->enabled = loaded;
     return loaded;
 }
--- a/src/cells/spill.c
+++ b/src/cells/spill.c
@@ -12,16 +12,16 @@
     return spill->spilling;
 }
 
-bool rr_spill_may_ask(const rr_spill_pause *backoff, double now) {
+bool rr_spill_backoff_is_over(const rr_spill_backoff *backoff, double now) {
     return now >= backoff->retry_at;
 }
 
-void rr_spill_refused(rr_spill_pause *backoff, double now) {
+void rr_spill_backoff_increase(rr_spill_backoff *backoff, double now) {
     backoff->delay_s = fmin(fmax(2 * backoff->delay_s, BACKOFF_MIN_S), BACKOFF_MAX_S);
     backoff->retry_at = now + backoff->delay_s;
 }
 
-void rr_spill_taken(rr_spill_pause *backoff) {
+void rr_spill_backoff_reset(rr_spill_backoff *backoff) {
     backoff->delay_s = 0;
     backoff->retry_at = 0;
 }
--- a/src/cells/spill.h
+++ b/src/cells/spill.h
@@ -19,14 +19,14 @@
 typedef struct {
     double retry_at; /* steady clock, in seconds; 0: at once */
     double delay_s;  /* the last delay; 0: the next one is the shortest */
-} rr_spill_pause;
+} rr_spill_backoff;
 
 /* Returns whether the backoff is over and the neighbour may be asked. */
-bool rr_spill_may_ask(const rr_spill_pause *backoff, double now);
+bool rr_spill_backoff_is_over(const rr_spill_backoff *backoff, double now);
 /* Starts a backoff twice as long as the last one, up to a limit, after a refusal or a request
  * without an answer. */
-void rr_spill_refused(rr_spill_pause *backoff, double now);
+void rr_spill_backoff_increase(rr_spill_backoff *backoff, double now);
 /* Ends the backoff, after the neighbour has taken a job. */
-void rr_spill_taken(rr_spill_pause *backoff);
+void rr_spill_backoff_reset(rr_spill_backoff *backoff);
 
 #endif
--- a/src/cells/transfer.h
+++ b/src/cells/transfer.h
@@ -34,16 +34,17 @@
     uint32_t claim;            /* number of the offer that the message is about */
     enum rr_job_answer answer; /* with ENDED */
     /* Set by the guest in RENEW and returned unchanged in GRANT. */
-    double sent_at; /* the guest's steady clock when it asked */
-    uint64_t asker; /* rr_guest.process: sent_at means nothing to a later process */
+    double sent_at;         /* the guest's steady clock when it asked */
+    uint64_t guest_process; /* rr_guest.process: sent_at means nothing to a later process */
 } rr_transfer_message;
 
 /* Durations on which both cells have to agree by their settings. */
 typedef struct {
     double lease_s; /* how long a grant lasts, from the time at which the guest asked for it */
-    double rest_s;  /* from a grant's end until no task of the job is left at the guest, whatever
-                       fails there: its workers' lease and the time to stop tasks */
-    double drift;   /* largest relative difference between two steady clocks */
+    /* From a grant's end until no task of the job is left at the guest, whatever fails there: its
+     * workers' lease and the time to stop tasks. */
+    double teardown_s;
+    double drift; /* largest relative difference between two steady clocks */
 } rr_transfer_times;
 
 /* ---- home ---- */
@@ -64,17 +65,17 @@
 } rr_home_record;
 
 typedef struct {
-    rr_home_record record;   /* as last written or read */
-    rr_home_record writing;  /* what the pending write stores; valid while `writes` is set */
-    bool writes;             /* a write is pending: its outcome is not known yet */
+    rr_home_record record;         /* as last written or read */
+    rr_home_record pending_record; /* what the pending write stores, while write_pending is set */
+    bool write_pending;            /* a write is pending: its outcome is not known yet */
     bool running;            /* tasks of the job are placed here and not known to have ended */
     double guest_stopped_by; /* until then a guest may still run the job under an earlier grant */
 } rr_home;
 
 enum rr_home_action { RR_HOME_NOTHING, RR_HOME_WRITE };
 
-/* What the home has to do after an event: write home->writing, send a message to record.guest, or
- * both. */
+/* What the home has to do after an event: write home->pending_record, send a message to
+ * record.guest, or both. */
 typedef struct {
     enum rr_home_action action;
     rr_transfer_message message;
@@ -96,12 +97,12 @@
 /* Takes the outcome of the pending write and returns the message that follows from it. committed
  * false: there was a conflict, or the outcome is unknown; the record has to be read and loaded
  * again. */
-rr_home_step rr_home_written(rr_home *home, bool committed);
+rr_home_step rr_home_complete_write(rr_home *home, bool committed);
 /* Takes a message from the guest `from`. */
 rr_home_step rr_home_receive(rr_home *home, uint32_t from, const rr_transfer_message *message,
                              double now, const rr_transfer_times *times);
 /* Returns the offer to be sent again, while it stands. */
-rr_home_step rr_home_repeat(const rr_home *home);
+rr_home_step rr_home_resend_offer(const rr_home *home);
 
 /* ---- guest ---- */
 
@@ -119,19 +120,19 @@
 } rr_guest_record;
 
 typedef struct {
-    rr_guest_record record;  /* as last written or read */
-    rr_guest_record writing; /* what the pending write stores; valid while `writes` is set */
-    bool writes;             /* a write is pending: its outcome is not known yet */
-    bool running;            /* tasks of the job are placed here and not known to have ended */
-    bool terminated;      /* the home has ended the claim: tasks stop, then the record is deleted */
+    rr_guest_record record;         /* as last written or read */
+    rr_guest_record pending_record; /* what the pending write stores, while write_pending is set */
+    bool write_pending;             /* a write is pending: its outcome is not known yet */
+    bool running;         /* tasks of the job are placed here and not known to have ended */
+    bool claim_ended;     /* the home has ended the claim: tasks stop, then the record is deleted */
     double granted_until; /* end of the last grant that this process knows of; 0: none */
     uint64_t process;     /* unique for this process: its controller's lease in its own cell */
 } rr_guest;
 
 enum rr_guest_action { RR_GUEST_NOTHING, RR_GUEST_WRITE };
 
-/* What the guest has to do after an event: write guest->writing, send a message to the home, or
- * both. */
+/* What the guest has to do after an event: write guest->pending_record, send a message to the home,
+ * or both. */
 typedef struct {
     enum rr_guest_action action;
     rr_transfer_message message;
@@ -145,12 +146,13 @@
 /* Takes a message from the home. can_accept: an offer may be taken; false: it is refused. */
 rr_guest_step rr_guest_receive(rr_guest *guest, const rr_transfer_message *message, bool can_accept,
                                const rr_transfer_times *times);
-/* Takes the outcome of the pending write, as rr_home_written(). No message follows from it. */
-rr_guest_step rr_guest_written(rr_guest *guest, bool committed);
+/* Takes the outcome of the pending write, as rr_home_complete_write(). No message follows from it.
+ */
+rr_guest_step rr_guest_complete_write(rr_guest *guest, bool committed);
 /* Requests the write that records the job as ended here with this answer. */
 rr_guest_step rr_guest_end(rr_guest *guest, enum rr_job_answer answer);
 /* Returns what is due: the request for the next grant, the answer again, or, once the tasks of an
  * ended claim have stopped, the write that deletes its record. */
-rr_guest_step rr_guest_repeat(rr_guest *guest, double now);
+rr_guest_step rr_guest_next_step(rr_guest *guest, double now);
 
 #endif
--- a/src/cells/transfer_guest.c
+++ b/src/cells/transfer_guest.c
@@ -15,8 +15,8 @@
 static rr_guest_step request_write(rr_guest *guest, enum rr_guest_state state, uint32_t claim,
                                    enum rr_job_answer answer) {
     rr_guest_step step = no_step();
-    guest->writing = (rr_guest_record){state, claim, answer};
-    guest->writes = true;
+    guest->pending_record = (rr_guest_record){state, claim, answer};
+    guest->write_pending = true;
     step.action = RR_GUEST_WRITE;
     return step;
 }
@@ -26,19 +26,19 @@
 }
 
 bool rr_guest_may_run(const rr_guest *guest, double now) {
-    return guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->terminated &&
+    return guest->record.state == RR_GUEST_HELD && !guest->write_pending && !guest->claim_ended &&
            now < guest->granted_until;
 }
 
 /* Accepts an offer by recording its claim; the job runs only once the home has given a grant. An
  * offer with a later claim is accepted once the earlier one has ended and its record is deleted. */
 static rr_guest_step accept_offer(rr_guest *guest, uint32_t claim, bool can_accept) {
-    if (guest->writes) {
+    if (guest->write_pending) {
         return no_step();
     }
     if (guest->record.state != RR_GUEST_NONE) {
         /* A claim later than the one held shows that the home has withdrawn the job from it. */
-        guest->terminated = guest->terminated || claim > guest->record.claim;
+        guest->claim_ended = guest->claim_ended || claim > guest->record.claim;
         return no_step();
     }
     if (claim <= guest->record.claim) {
@@ -63,40 +63,41 @@
         return accept_offer(guest, message->claim, can_accept);
     case RR_TRANSFER_GRANT:
         if (is_held_claim && guest->record.state == RR_GUEST_HELD &&
-            message->asker == guest->process) {
+            message->guest_process == guest->process) {
             extend_grant(guest, message->sent_at + times->lease_s * (1 - times->drift));
         }
         return no_step();
     case RR_TRANSFER_VOID:
     case RR_TRANSFER_ACK:
-        guest->terminated = guest->terminated || is_held_claim;
+        guest->claim_ended = guest->claim_ended || is_held_claim;
         return no_step();
     default:
         return no_step();
     }
 }
 
-rr_guest_step rr_guest_written(rr_guest *guest, bool committed) {
-    if (guest->writes && committed) {
-        guest->record = guest->writing;
-        guest->terminated = guest->terminated && guest->record.state != RR_GUEST_NONE;
+rr_guest_step rr_guest_complete_write(rr_guest *guest, bool committed) {
+    if (guest->write_pending && committed) {
+        guest->record = guest->pending_record;
+        guest->claim_ended = guest->claim_ended && guest->record.state != RR_GUEST_NONE;
         guest->granted_until = 0;
     }
-    guest->writes = false;
+    guest->write_pending = false;
     return no_step();
 }
 
 rr_guest_step rr_guest_end(rr_guest *guest, enum rr_job_answer answer) {
-    bool may_end = guest->record.state == RR_GUEST_HELD && !guest->writes && !guest->terminated;
+    bool may_end =
+        guest->record.state == RR_GUEST_HELD && !guest->write_pending && !guest->claim_ended;
     return may_end ? request_write(guest, RR_GUEST_ENDED, guest->record.claim, answer) : no_step();
 }
 
-rr_guest_step rr_guest_repeat(rr_guest *guest, double now) {
+rr_guest_step rr_guest_next_step(rr_guest *guest, double now) {
     rr_guest_step step = no_step();
-    if (guest->record.state == RR_GUEST_NONE || guest->writes) {
+    if (guest->record.state == RR_GUEST_NONE || guest->write_pending) {
         return step;
     }
-    if (guest->terminated) {
+    if (guest->claim_ended) {
         /* The claim's number is kept, so that a delayed duplicate of its offer is not accepted. */
         return guest->running
                    ? step
@@ -105,7 +106,7 @@
     bool held = guest->record.state == RR_GUEST_HELD;
     step = make_message_step(held ? RR_TRANSFER_RENEW : RR_TRANSFER_ENDED, guest->record.claim);
     step.message.sent_at = now;
-    step.message.asker = guest->process;
+    step.message.guest_process = guest->process;
     step.message.answer = guest->record.answer;
     return step;
 }
--- a/src/cells/transfer_home.c
+++ b/src/cells/transfer_home.c
@@ -14,8 +14,8 @@
 /* Makes the write of this record pending, and returns the step that asks for it. */
 static rr_home_step request_write(rr_home *home, const rr_home_record *record) {
     rr_home_step step = no_step();
-    home->writing = *record;
-    home->writes = true;
+    home->pending_record = *record;
+    home->write_pending = true;
     step.action = RR_HOME_WRITE;
     return step;
 }
@@ -23,7 +23,7 @@
 /* Returns the time by which no task of the job is left at the guest if a grant is sent now. The
  * guest counts the lease from when it asked, which was earlier. */
 static double latest_guest_stop(double now, const rr_transfer_times *times) {
-    return now + (times->lease_s + times->rest_s) * (1 + 2 * times->drift);
+    return now + (times->lease_s + times->teardown_s) * (1 + 2 * times->drift);
 }
 
 void rr_home_load(rr_home *home, const rr_home_record *record, bool running, double now,
@@ -34,7 +34,8 @@
 }
 
 bool rr_home_may_run(const rr_home *home, double now) {
-    return home->record.state == RR_HOME_LOCAL && !home->writes && now >= home->guest_stopped_by;
+    return home->record.state == RR_HOME_LOCAL && !home->write_pending &&
+           now >= home->guest_stopped_by;
 }
 
 /* The job is offered only once the tasks of an earlier guest have certainly ended: otherwise two
@@ -48,7 +49,7 @@
 }
 
 rr_home_step rr_home_withdraw(rr_home *home) {
-    if (home->record.state != RR_HOME_OFFERED || home->writes) {
+    if (home->record.state != RR_HOME_OFFERED || home->write_pending) {
         return no_step();
     }
     rr_home_record record = home->record;
@@ -57,7 +58,7 @@
 }
 
 rr_home_step rr_home_end(rr_home *home, enum rr_job_answer answer) {
-    if (home->record.state == RR_HOME_FINAL || home->writes) {
+    if (home->record.state == RR_HOME_FINAL || home->write_pending) {
         return no_step();
     }
     rr_home_record record = home->record;
@@ -66,16 +67,16 @@
     return request_write(home, &record);
 }
 
-rr_home_step rr_home_written(rr_home *home, bool committed) {
-    if (!home->writes || !committed) {
-        home->writes = false;
+rr_home_step rr_home_complete_write(rr_home *home, bool committed) {
+    if (!home->write_pending || !committed) {
+        home->write_pending = false;
         return no_step();
     }
     enum rr_home_state previous_state = home->record.state;
-    home->writes = false;
-    home->record = home->writing;
+    home->write_pending = false;
+    home->record = home->pending_record;
     if (home->record.state == RR_HOME_OFFERED) {
-        return rr_home_repeat(home);
+        return rr_home_resend_offer(home);
     }
     if (previous_state != RR_HOME_OFFERED) {
         return no_step();
@@ -86,8 +87,8 @@
                              home->record.claim);
 }
 
-rr_home_step rr_home_repeat(const rr_home *home) {
-    bool offer_stands = home->record.state == RR_HOME_OFFERED && !home->writes;
+rr_home_step rr_home_resend_offer(const rr_home *home) {
+    bool offer_stands = home->record.state == RR_HOME_OFFERED && !home->write_pending;
     return offer_stands ? make_message_step(RR_TRANSFER_OFFER, home->record.claim) : no_step();
 }
 
@@ -95,8 +96,8 @@
  * outcome of its record's write until the next write begins, so that no grant is given for a job
  * that is being withdrawn. */
 static bool claim_in_force(const rr_home *home, uint32_t from, uint32_t claim) {
-    return home->record.state == RR_HOME_OFFERED && !home->writes && home->record.guest == from &&
-           home->record.claim == claim;
+    return home->record.state == RR_HOME_OFFERED && !home->write_pending &&
+           home->record.guest == from && home->record.claim == claim;
 }
 
 /* Answers a guest's request for a grant. */
@@ -106,11 +107,11 @@
         home->guest_stopped_by = latest_guest_stop(now, times);
         rr_home_step step = make_message_step(RR_TRANSFER_GRANT, message->claim);
         step.message.sent_at = message->sent_at;
-        step.message.asker = message->asker;
+        step.message.guest_process = message->guest_process;
         return step;
     }
     /* While a write is pending it is unknown whether the claim has ended. */
-    return home->writes ? no_step() : make_message_step(RR_TRANSFER_VOID, message->claim);
+    return home->write_pending ? no_step() : make_message_step(RR_TRANSFER_VOID, message->claim);
 }
 
 /* Withdraws the job from a guest that refuses it or gives it back. */
@@ -119,7 +120,7 @@
     if (claim_in_force(home, from, message->claim)) {
         return rr_home_withdraw(home);
     }
-    return home->writes ? no_step() : make_message_step(RR_TRANSFER_VOID, message->claim);
+    return home->write_pending ? no_step() : make_message_step(RR_TRANSFER_VOID, message->claim);
 }
 
 /* Records how the job ended at the guest, and acknowledges what is recorded already. */
@@ -128,7 +129,7 @@
     if (claim_in_force(home, from, message->claim)) {
         return rr_home_end(home, message->answer);
     }
-    if (home->writes) {
+    if (home->write_pending) {
         return no_step();
     }
     bool recorded = home->record.state == RR_HOME_FINAL && home->record.guest == from &&
--- a/src/cells/transfer_table.c
+++ b/src/cells/transfer_table.c
@@ -8,18 +8,18 @@
 #include <math.h>
 #include <string.h>
 
-bool rr_transfers_owns(const rr_transfers *transfers, const char *team, double now) {
+bool rr_transfers_owns_team(const rr_transfers *transfers, const char *team, double now) {
     const char *owner = rr_core_team_owner(transfers->core, team);
     return owner && strcmp(owner, transfers->config->node_name) == 0 &&
            rr_core_cache_consistent(transfers->core) && rr_core_lease_valid(transfers->core, now);
 }
 
-bool rr_transfers_speaks_for(const rr_transfers *transfers, const char *team, double now) {
-    return rr_transfers_owns(transfers, team, now) &&
+bool rr_transfers_may_answer_for(const rr_transfers *transfers, const char *team, double now) {
+    return rr_transfers_owns_team(transfers, team, now) &&
            rr_core_cache_age(transfers->core, now) < RR_CELLS_CACHE_AGE_MAX_S;
 }
 
-bool rr_cells_room_take(rr_cells_room *room, const rr_submission *submission) {
+bool rr_cells_room_reserve(rr_cells_room *room, const rr_submission *submission) {
     double tasks = submission->task_count;
     double cpus = tasks * submission->cpus;
     double gpus = tasks * submission->gpus;
@@ -64,7 +64,7 @@
     g_ptr_array_free(plan->requests, TRUE);
 }
 
-void rr_transfers_plan_add(rr_transfers_plan *plan, const rr_transfer_write *write) {
+void rr_transfers_plan_add_write(rr_transfers_plan *plan, const rr_transfer_write *write) {
     g_ptr_array_add(plan->writes, g_memdup2(write, sizeof *write));
 }
 
@@ -88,10 +88,10 @@
     }
     request = g_new0(rr_cells_request, 1);
     rr_cells_request_init(request, RR_CELLS_TRANSFERS);
-    rr_cells_request_address(request, transfers->settings, neighbour);
+    rr_cells_request_set_cells(request, transfers->settings, neighbour);
     g_strlcpy(request->team, team, sizeof request->team);
     request->lease_s = transfers->settings->times.lease_s;
-    request->rest_s = transfers->settings->times.rest_s;
+    request->teardown_s = transfers->settings->times.teardown_s;
     g_ptr_array_add(plan->requests, request);
     return request;
 }
--- a/src/cells/transfer_table.h
+++ b/src/cells/transfer_table.h
@@ -17,30 +17,33 @@
 /* A job of this cell that was offered to another. */
 typedef struct {
     char job_id[RR_ID_SIZE];
-    rr_out_record record; /* as the store cache has it */
-    uint64_t version;     /* the record's; 0: it does not exist yet */
+    rr_outgoing_record record; /* as the store cache has it */
+    uint64_t version;          /* the record's; 0: it does not exist yet */
     rr_home home;
-    uint64_t token; /* fencing token of the term for which `home` was loaded; 0: load it first */
-    int neighbour;  /* index of the guest, or RR_CELLS_NO_NEIGHBOUR */
-    bool taken;     /* the guest has answered under this claim; also set after a load, when this is
-                       unknown */
+    /* Fencing token of the term for which `home` was loaded; 0: load it first. */
+    uint64_t loaded_token;
+    int neighbour; /* index of the guest, or RR_CELLS_NO_NEIGHBOUR */
+    /* The guest has answered under this claim; also set after a load, when this is unknown. */
+    bool guest_answered;
     /* Steady time of the guest's last message under this claim, or of the offer or a later load. */
-    double last_message_at;
+    double last_received_at;
     double offered_at; /* steady time at which the offer was last sent; 0: not yet */
 } rr_outgoing;
 
 /* A job of another cell that this one holds. */
 typedef struct {
-    char local_id[RR_ID_SIZE]; /* the job's id in this cell: rr_cells_local_id() */
-    rr_in_record record; /* as the store cache has it; team, home and job_id if version is 0 */
-    uint64_t version;    /* the record's; 0: it does not exist yet */
+    char local_id[RR_ID_SIZE]; /* the job's id in this cell: rr_cells_make_local_id() */
+    /* As the store cache has it; team, home and job_id if version is 0. */
+    rr_incoming_record record;
+    uint64_t version; /* the record's; 0: it does not exist yet */
     rr_guest guest;
-    uint64_t token;   /* fencing token of the term for which `guest` was loaded; 0: load it first */
-    int neighbour;    /* index of the home, or RR_CELLS_NO_NEIGHBOUR */
-    bool started;     /* a task of the job has been placed here */
-    bool returning;   /* the job is being given back: its copy here is cancelled first */
-    double loaded_at; /* steady time at which `guest` was loaded */
-    double sent_at;   /* steady time of the last message to the home; 0: none since the load */
+    /* Fencing token of the term for which `guest` was loaded; 0: load it first. */
+    uint64_t loaded_token;
+    int neighbour;       /* index of the home, or RR_CELLS_NO_NEIGHBOUR */
+    bool started;        /* a task of the job has been placed here */
+    bool returning;      /* the job is being given back: its copy here is cancelled first */
+    double loaded_at;    /* steady time at which `guest` was loaded */
+    double last_sent_at; /* steady time of the last message to the home; 0: none since the load */
 } rr_incoming;
 
 struct rr_transfers {
@@ -54,20 +57,20 @@
     double longest_wait_s;  /* of this cell's own jobs that a neighbour would take */
     rr_cells_room room;     /* free here at room_updated_at, less what was taken since */
     double room_updated_at; /* steady time; 0: never */
-    rr_spill_pause offer_backoff[RR_CELLS_MAX]; /* by neighbour */
+    rr_spill_backoff offer_backoff[RR_CELLS_NEIGHBOURS_MAX]; /* by neighbour */
     /* By neighbour, as last announced, less what was offered since. */
-    rr_cells_room neighbour_rooms[RR_CELLS_MAX];
-    double neighbour_rooms_updated_at[RR_CELLS_MAX]; /* steady time; 0: never */
+    rr_cells_room neighbour_rooms[RR_CELLS_NEIGHBOURS_MAX];
+    double neighbour_rooms_updated_at[RR_CELLS_NEIGHBOURS_MAX]; /* steady time; 0: never */
     rr_transfers_stats stats;
 };
 
 /* Returns whether this controller plans the team in the present term, by a consistent store cache
  * and under a lease that is certainly still valid. */
-bool rr_transfers_owns(const rr_transfers *transfers, const char *team, double now);
+bool rr_transfers_owns_team(const rr_transfers *transfers, const char *team, double now);
 
 /* Subtracts the demand of the job's tasks from the room and returns true if it fits; otherwise
  * returns false and leaves the room as it is. */
-bool rr_cells_room_take(rr_cells_room *room, const rr_submission *submission);
+bool rr_cells_room_reserve(rr_cells_room *room, const rr_submission *submission);
 
 /* Returns the plan's request to the neighbour for this team, to which at least one more item may be
  * added; creates one if there is none. The plan owns it. */
@@ -75,7 +78,7 @@
                                                 rr_transfers_plan *plan, size_t neighbour,
                                                 const char *team);
 /* Moves the write into the plan, which then owns its transaction. */
-void rr_transfers_plan_add(rr_transfers_plan *plan, const rr_transfer_write *write);
+void rr_transfers_plan_add_write(rr_transfers_plan *plan, const rr_transfer_write *write);
 
 /* Returns whether a pass over this neighbour's transfers includes an entry: each entry belongs to
  * the pass of its own neighbour, or of the first one if it has none (RR_CELLS_NO_NEIGHBOUR). */
--- a/src/cells/transfers.c
+++ b/src/cells/transfers.c
@@ -27,17 +27,19 @@
     }
 }
 
-bool rr_transfers_put(rr_transfers *transfers, const char *key_suffix, const msgpack_object *value,
-                      uint64_t version) {
-    uint64_t unread_before = transfers->stats.records_unread;
-    if (g_str_has_prefix(key_suffix, RR_CELLS_OUT)) {
-        rr_outgoing_put(transfers, key_suffix + strlen(RR_CELLS_OUT), value, version);
-    } else if (g_str_has_prefix(key_suffix, RR_CELLS_IN)) {
-        rr_incoming_put(transfers, key_suffix + strlen(RR_CELLS_IN), value, version);
+bool rr_transfers_apply_record(rr_transfers *transfers, const char *key_suffix,
+                               const msgpack_object *value, uint64_t version) {
+    uint64_t unread_before = transfers->stats.unreadable_records;
+    if (g_str_has_prefix(key_suffix, RR_CELLS_OUTGOING_PREFIX)) {
+        rr_outgoing_apply_record(transfers, key_suffix + strlen(RR_CELLS_OUTGOING_PREFIX), value,
+                                 version);
+    } else if (g_str_has_prefix(key_suffix, RR_CELLS_INCOMING_PREFIX)) {
+        rr_incoming_apply_record(transfers, key_suffix + strlen(RR_CELLS_INCOMING_PREFIX), value,
+                                 version);
     } else {
-        transfers->stats.records_unread++;
+        transfers->stats.unreadable_records++;
     }
-    return transfers->stats.records_unread == unread_before;
+    return transfers->stats.unreadable_records == unread_before;
 }
 
 void rr_transfers_advance(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
@@ -52,15 +54,16 @@
     }
 }
 
-rr_transfer_message rr_transfers_written(rr_transfers *transfers, const rr_transfer_write *write,
-                                         bool committed) {
-    return write->outgoing ? rr_outgoing_written(transfers, write, committed)
-                           : rr_incoming_written(transfers, write, committed);
+rr_transfer_message rr_transfers_complete_write(rr_transfers *transfers,
+                                                const rr_transfer_write *write, bool committed) {
+    return write->outgoing ? rr_outgoing_complete_write(transfers, write, committed)
+                           : rr_incoming_complete_write(transfers, write, committed);
 }
 
-bool rr_transfers_receive(rr_transfers *transfers, size_t neighbour,
-                          const rr_cells_request *request, const rr_cells_item *item, double now,
-                          double wall, rr_transfer_message *reply, rr_transfer_write *write) {
+bool rr_transfers_receive_message(rr_transfers *transfers, size_t neighbour,
+                                  const rr_cells_request *request, const rr_cells_item *item,
+                                  double now, double wall, rr_transfer_message *reply,
+                                  rr_transfer_write *write) {
     memset(reply, 0, sizeof *reply);
     switch (item->message.kind) {
     case RR_TRANSFER_OFFER:
@@ -75,30 +78,30 @@
     }
 }
 
-bool rr_transfers_replied(rr_transfers *transfers, size_t neighbour, const rr_cells_item *sent_item,
-                          const rr_transfer_message *reply, double now, double wall,
-                          rr_transfer_write *write) {
+bool rr_transfers_receive_reply(rr_transfers *transfers, size_t neighbour,
+                                const rr_cells_item *sent_item, const rr_transfer_message *reply,
+                                double now, double wall, rr_transfer_write *write) {
     if (sent_item->message.kind != RR_TRANSFER_OFFER) {
         rr_incoming_receive_reply(transfers, neighbour, sent_item, reply);
         return false;
     }
     if (reply->kind != RR_TRANSFER_REFUSE) {
-        rr_spill_taken(&transfers->offer_backoff[neighbour]);
+        rr_spill_backoff_reset(&transfers->offer_backoff[neighbour]);
         return false;
     }
-    rr_spill_refused(&transfers->offer_backoff[neighbour], now);
+    rr_spill_backoff_increase(&transfers->offer_backoff[neighbour], now);
     return rr_outgoing_receive_refusal(transfers, neighbour, sent_item->job_id, reply, now, wall,
                                        write);
 }
 
-void rr_transfers_room_announced(rr_transfers *transfers, size_t neighbour,
-                                 const rr_cells_room *room, double now) {
+void rr_transfers_set_neighbour_room(rr_transfers *transfers, size_t neighbour,
+                                     const rr_cells_room *room, double now) {
     transfers->neighbour_rooms[neighbour] = *room;
     transfers->neighbour_rooms_updated_at[neighbour] = now;
 }
 
-void rr_transfers_unanswered(rr_transfers *transfers, size_t neighbour, double now) {
-    rr_spill_refused(&transfers->offer_backoff[neighbour], now);
+void rr_transfers_record_no_reply(rr_transfers *transfers, size_t neighbour, double now) {
+    rr_spill_backoff_increase(&transfers->offer_backoff[neighbour], now);
 }
 
 void rr_transfers_get_stats(const rr_transfers *transfers, rr_transfers_stats *out) {
--- a/src/cloud/cloud.c
+++ b/src/cloud/cloud.c
@@ -16,7 +16,7 @@
 
 struct rr_cloud {
     struct rr_endpoint endpoint;
-    rr_client *client;
+    rr_http_client *client;
     double call_interval_s; /* shortest time between the starts of two calls */
     double next_call_at;    /* earliest start of the next call; steady clock, seconds */
 };
@@ -25,7 +25,7 @@
     rr_cloud *cloud = g_new0(rr_cloud, 1);
     cloud->endpoint = *endpoint;
     cloud->call_interval_s = 1.0 / (USED_LIMIT_FRACTION * rps);
-    cloud->client = rr_client_create(stop);
+    cloud->client = rr_http_client_create(stop);
     if (!cloud->client) {
         g_free(cloud);
         return NULL;
@@ -35,7 +35,7 @@
 
 void rr_cloud_destroy(rr_cloud *cloud) {
     if (cloud) {
-        rr_client_destroy(cloud->client);
+        rr_http_client_destroy(cloud->client);
         g_free(cloud);
     }
 }
@@ -56,10 +56,10 @@
                                 .endpoint = &cloud->endpoint,
                                 .path = path,
                                 .body = body ? body->buffer.data : NULL,
-                                .len = body ? body->buffer.size : 0,
+                                .body_bytes = body ? body->buffer.size : 0,
                                 .timeout_s = CALL_TIMEOUT_S,
                                 .reply_bytes_max = REPLY_BYTES_MAX};
-    int rc = rr_client_call(cloud->client, &call, reply);
+    int rc = rr_http_client_call(cloud->client, &call, reply);
     if (rc != 0) {
         return rc;
     }
@@ -80,7 +80,7 @@
     return list && list->type == MSGPACK_OBJECT_ARRAY ? &list->via.array : NULL;
 }
 
-int rr_cloud_catalog(rr_cloud *cloud, GArray *machine_types) {
+int rr_cloud_get_catalog(rr_cloud *cloud, GArray *machine_types) {
     rr_http_reply reply;
     rr_document document;
     int rc = send_request(cloud, "GET", RR_PATH_CATALOG, NULL, &reply, &document);
@@ -131,7 +131,7 @@
     return rc;
 }
 
-int rr_cloud_list(rr_cloud *cloud, GArray *machines) {
+int rr_cloud_list_machines(rr_cloud *cloud, GArray *machines) {
     char last_id[RR_ID_SIZE] = "";
     bool more = true;
     int rc = 0;
@@ -167,14 +167,14 @@
     const msgpack_object_array *list = get_list(document, RR_WORD_MACHINES);
     for (uint32_t i = 0; list && i < list->size; i++) {
         char id[RR_ID_SIZE];
-        if (rr_object_text(&list->ptr[i], id, sizeof id)) {
+        if (rr_object_get_text(&list->ptr[i], id, sizeof id)) {
             g_ptr_array_add(ids, g_strdup(id));
         }
     }
 }
 
-int rr_cloud_rental(rr_cloud *cloud, const char *rental, const char *machine_type, const char *zone,
-                    bool spot, int count, int *status, GPtrArray *ids) {
+int rr_cloud_rent_machines(rr_cloud *cloud, const char *rental, const char *machine_type,
+                           const char *zone, bool spot, int count, int *status, GPtrArray *ids) {
     rr_http_reply reply = {0};
     rr_document document;
     rr_encoder body;
@@ -193,7 +193,7 @@
     return rc;
 }
 
-int rr_cloud_release(rr_cloud *cloud, const GPtrArray *ids) {
+int rr_cloud_release_machines(rr_cloud *cloud, const GPtrArray *ids) {
     rr_http_reply reply = {0};
     rr_document document;
     rr_encoder body;
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -19,22 +19,22 @@
 /* ---- Calls ----
  *
  * Each returns 0; -EAGAIN for a status other than 200; -EBADMSG for a reply that can't be decoded;
- * or an error of rr_client_call(). */
+ * or an error of rr_http_client_call(). */
 
 /* Reads the catalogue and appends its machine types (rr_machine_type); each has to be cleared with
  * rr_machine_type_clear(). On failure the types decoded so far have been appended. */
-int rr_cloud_catalog(rr_cloud *cloud, GArray *machine_types);
+int rr_cloud_get_catalog(rr_cloud *cloud, GArray *machine_types);
 /* Reads the list of machines, page by page, and appends them (rr_listed_machine). After an error
  * the array may hold a part of the list and must not be used: a partial list does not prove that a
  * machine is gone. Returns -E2BIG if the list has too many pages. */
-int rr_cloud_list(rr_cloud *cloud, GArray *machines);
+int rr_cloud_list_machines(rr_cloud *cloud, GArray *machines);
 
 /* Rents up to count machines under a rental name that no other request has used. *status is 200
  * with copies of the machines' names (char*) appended to ids; 503 if the cloud has no capacity; or
  * 0 if the outcome is unknown. */
-int rr_cloud_rental(rr_cloud *cloud, const char *rental, const char *machine_type, const char *zone,
-                    bool spot, int count, int *status, GPtrArray *ids);
+int rr_cloud_rent_machines(rr_cloud *cloud, const char *rental, const char *machine_type,
+                           const char *zone, bool spot, int count, int *status, GPtrArray *ids);
 /* Releases up to 100 machines, given by name (char*). After a return of 0 they are gone. */
-int rr_cloud_release(rr_cloud *cloud, const GPtrArray *ids);
+int rr_cloud_release_machines(rr_cloud *cloud, const GPtrArray *ids);
 
 #endif
--- a/src/common/log.c
+++ b/src/common/log.c
@@ -28,11 +28,11 @@
     return name ? -EINVAL : 0;
 }
 
-int rr_log_level(void) {
+int rr_log_max_level(void) {
     return max_level;
 }
 
-void rr_log_node(const char *node_name) {
+void rr_log_set_node_name(const char *node_name) {
     g_strlcpy(logged_node_name, node_name, sizeof logged_node_name);
 }
 
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -9,12 +9,12 @@
 enum rr_log_severity { RR_ERROR_LEVEL, RR_INFO_LEVEL, RR_DEBUG_LEVEL };
 
 /* Returns the most verbose level that is written; RR_INFO_LEVEL by default. */
-int rr_log_level(void);
+int rr_log_max_level(void);
 /* Sets the most verbose level that is written. name: "error", "info" or "debug"; NULL leaves it
  * unchanged. Returns 0, or -EINVAL for another name. */
 int rr_log_set_level(const char *name);
 /* Sets the node name in every line; "ringrock" by default. Longer names are truncated. */
-void rr_log_node(const char *node_name);
+void rr_log_set_node_name(const char *node_name);
 /* Writes one line with the time of day (UTC), the node name and the level, unless the level is more
  * verbose than the set one. Long lines are truncated. */
 void rr_log(int level, const char *fmt, ...) G_GNUC_PRINTF(2, 3);
--- a/src/common/usage.c
+++ b/src/common/usage.c
@@ -24,7 +24,7 @@
 } registered_threads[REGISTERED_THREADS_MAX];
 static size_t registered_count;
 static double ended_threads_ms[RR_USAGE_KIND_COUNT]; /* of threads that have unregistered */
-/* Totals at the last rr_usage_line(); the last entry is that of the whole process. */
+/* Totals at the last rr_usage_format(); the last entry is that of the whole process. */
 static double reported_ms[RR_USAGE_KIND_COUNT + 1];
 
 static double read_clock_ms(clockid_t id) {
@@ -33,7 +33,7 @@
                                          : 0;
 }
 
-void rr_usage_enter(enum rr_usage_kind kind) {
+void rr_usage_register_thread(enum rr_usage_kind kind) {
     pthread_setname_np(pthread_self(), kind_names[kind]);
     pthread_mutex_lock(&lock);
     if (registered_count < REGISTERED_THREADS_MAX) {
@@ -43,7 +43,7 @@
     pthread_mutex_unlock(&lock);
 }
 
-void rr_usage_leave(void) {
+void rr_usage_unregister_thread(void) {
     pthread_mutex_lock(&lock);
     for (size_t i = 0; i < registered_count; i++) {
         if (pthread_equal(registered_threads[i].thread, pthread_self())) {
@@ -72,7 +72,7 @@
     usage_ms[RR_USAGE_KIND_COUNT] = read_clock_ms(CLOCK_PROCESS_CPUTIME_ID);
 }
 
-void rr_usage_line(char *out, size_t size) {
+void rr_usage_format(char *out, size_t size) {
     double usage_ms[RR_USAGE_KIND_COUNT + 1], registered_ms = 0;
     read_usage(usage_ms);
     GString *text = g_string_new(NULL);
--- a/src/common/usage.h
+++ b/src/common/usage.h
@@ -21,12 +21,12 @@
 };
 
 /* Registers the calling thread, and names it after its kind for tools such as top -H. */
-void rr_usage_enter(enum rr_usage_kind kind);
+void rr_usage_register_thread(enum rr_usage_kind kind);
 /* Unregisters the calling thread. A registered thread must call this before it returns. */
-void rr_usage_leave(void);
+void rr_usage_unregister_thread(void);
 /* Writes the CPU time since the last call, in milliseconds by kind, to out as text; "not known"
  * where the system's thread clocks are inconsistent with the process's. Must not be called by two
  * threads at the same time. */
-void rr_usage_line(char *out, size_t size);
+void rr_usage_format(char *out, size_t size);
 
 #endif
