--- a/src/conf/config.h
+++ b/src/conf/config.h
@@ -50,39 +50,41 @@
      * number of machines, whichever is more. */
     int rebalance_moves;
     double rebalance_share;
-    double session_share; /* duration of a session's lease, as a share of cancel_s - lease_s */
+    /* Duration of a session's lease, as a share of cancel_s - lease_s. */
+    double session_lease_share;
     /* How long heartbeats are answered while the store cache is not updated, as a share of the time
-     * that the cancellation bound allows; see rr_heartbeat_reply_s(). */
-    double answer_share;
+     * that the cancellation bound allows; see rr_heartbeat_reply_window_s(). */
+    double heartbeat_reply_share;
     /* Limits on the age of a machine's last heartbeat, in heartbeat intervals. */
     double recent_heartbeat_intervals; /* above it the machine gets no new work */
     double dead_heartbeat_intervals;   /* above it a single machine may be declared dead */
     double idle_return_s;              /* idle time after which a rented machine is returned */
     double headroom; /* factor on the arrivals expected while a machine starts; 0: no headroom */
-    double boot_patience; /* a machine that takes longer to start than this many times its type's
-                             startup_s is not counted as capacity */
-    double cloud_list_s;  /* time between two requests for the cloud's list of machines */
-    int senders;          /* number of command threads */
-    int max_connections;  /* most HTTP connections at a time */
-    int max_threads;      /* most threads of the process; each HTTP connection takes one */
-    double plan_pause_ms; /* least pause between two plans */
+    /* A machine that takes longer to start than this many times its type's startup_s is not counted
+     * as capacity. */
+    double startup_wait_factor;
+    double cloud_list_period_s; /* time between two requests for the cloud's list of machines */
+    int command_thread_count;   /* number of command threads */
+    int max_connections;        /* most HTTP connections at a time */
+    int max_threads;            /* most threads of the process; each HTTP connection takes one */
+    double plan_pause_min_ms;   /* least pause between two plans */
 };
 
 /* All settings. Names of durations and sizes end with the unit; rps: requests per second. */
 struct rr_config {
     char node_name[RR_NAME_SIZE];
     char zone[RR_NAME_SIZE];
-    struct rr_endpoint bind;        /* HTTP server for users and workers */
-    struct rr_endpoint peer_listen; /* listener for the cell's other controllers */
-    struct rr_endpoint cloud;       /* the cloud's API */
-    struct rr_endpoint state;       /* the key-value store */
+    struct rr_endpoint bind;           /* HTTP server for users and workers */
+    struct rr_endpoint peer_listen;    /* listener for the cell's other controllers */
+    struct rr_endpoint cloud;          /* the cloud's API */
+    struct rr_endpoint store_endpoint; /* the key-value store */
     struct rr_peer_config peers[RR_CONTROLLERS_MAX];
     size_t peer_count;
     struct rr_team_config teams[RR_TEAMS_MAX];
     size_t team_count;
     struct rr_objective objectives[RR_OBJECTIVES_MAX];
     size_t objective_count;
-    double clock_off_s;          /* largest difference between two machines' wall clocks */
+    double clock_skew_max_s;     /* largest difference between two machines' wall clocks */
     double heartbeat_interval_s; /* time between two heartbeats of a worker */
     double lease_s;  /* a worker ends its tasks when its heartbeats are unanswered for this long */
     double cancel_s; /* most time from the confirmation of a cancellation to the end of its tasks */
@@ -90,14 +92,14 @@
     double gang_peer_s; /* within this time a gang's tasks notice that one of them ends or stops */
     /* The key-value store's limits on all requests, on writes, on the size of a value and on the
      * changes in a transaction. */
-    double state_rps, state_write_rps, value_kb;
+    double store_rps, store_write_rps, value_kb;
     int transaction_changes_max;
     /* Limits that the key-value store may switch to without notice. A limit that the settings don't
      * name equals the present one; 0 counts as not named. */
-    double next_rps, next_write_rps, next_value_kb;
+    double next_store_rps, next_store_write_rps, next_value_kb;
     int next_transaction_changes_max;
-    double cloud_rps;  /* request limit of the cloud's API */
-    double list_lag_s; /* usual time until a change shows in the cloud's list of machines */
+    double cloud_rps;        /* request limit of the cloud's API */
+    double cloud_list_lag_s; /* usual time until a change shows in the cloud's list of machines */
     /* Limits of this process. */
     double core_share; /* CPU cores; checked, but not used */
     double ram_mb;
@@ -108,7 +110,7 @@
 };
 
 /* Returns the index of the team with this name in config->teams; -1: there is none. */
-static inline int rr_config_team(const struct rr_config *config, const char *name) {
+static inline int rr_config_find_team(const struct rr_config *config, const char *name) {
     for (size_t i = 0; i < config->team_count; i++) {
         if (strcmp(config->teams[i].name, name) == 0) {
             return (int)i;
@@ -139,18 +141,18 @@
 /* Returns the duration of a session's lease: short enough for a quick takeover, longer than an
  * ordinary restart. */
 static inline double rr_session_lease_s(const struct rr_config *config) {
-    return config->tuning.session_share * (config->cancel_s - config->lease_s);
+    return config->tuning.session_lease_share * (config->cancel_s - config->lease_s);
 }
 
 /* Returns how long heartbeats are answered after the last moment up to which the store cache is
  * known to contain every cancellation. A worker that is answered at the end of this time ends its
  * tasks lease_s later, which must be within cancel_s of any cancellation that this controller can't
  * know of. The margins cover the time that stopping a task takes and the drift of two clocks. */
-static inline double rr_heartbeat_reply_s(const struct rr_config *config) {
+static inline double rr_heartbeat_reply_window_s(const struct rr_config *config) {
     double available_s = config->cancel_s - config->lease_s;
     double stop_margin_s = available_s < 5 ? 0.2 * available_s : 1;
     double drift_margin_s = 0.002 * config->cancel_s;
-    return config->tuning.answer_share * (available_s - stop_margin_s - drift_margin_s);
+    return config->tuning.heartbeat_reply_share * (available_s - stop_margin_s - drift_margin_s);
 }
 
 #endif
--- a/src/conf/settings_file.c
+++ b/src/conf/settings_file.c
@@ -78,7 +78,8 @@
     return 0;
 }
 
-void rr_settings_list_numbers(const rr_number_setting *numbers, size_t count, cfg_opt_t *options) {
+void rr_settings_fill_number_options(const rr_number_setting *numbers, size_t count,
+                                     cfg_opt_t *options) {
     for (size_t i = 0; i < count; i++) {
         cfg_opt_t real = CFG_FLOAT(NULL, 0, CFGF_NONE), integer = CFG_INT(NULL, 0, CFGF_NONE);
         bool is_integer = numbers[i].type == RR_NUMBER_INTEGER;
@@ -129,7 +130,7 @@
 
 /* ---- parsing ---- */
 
-void rr_settings_begin(cfg_t *config, const char *file) {
+void rr_settings_prepare_parser(cfg_t *config, const char *file) {
     file_name = file;
     checked_count = 0;
     g_clear_error(&first_error);
--- a/src/conf/settings_file.h
+++ b/src/conf/settings_file.h
@@ -31,7 +31,8 @@
 } rr_number_setting;
 
 /* Fills options[0] to options[count - 1] with libconfuse options for the numbers. */
-void rr_settings_list_numbers(const rr_number_setting *numbers, size_t count, cfg_opt_t *options);
+void rr_settings_fill_number_options(const rr_number_setting *numbers, size_t count,
+                                     cfg_opt_t *options);
 /* Sets the numbers in *out, the loader's struct, to their defaults. */
 void rr_settings_set_defaults(const rr_number_setting *numbers, size_t count, void *out);
 /* Copies the parsed numbers to *out, the loader's struct. */
@@ -44,10 +45,10 @@
 
 /* Prepares the parser for a file, whose name must outlive the parsing. Discards the errors of the
  * previous file; from here on the parser's errors are kept for the functions below. */
-void rr_settings_begin(cfg_t *config, const char *file);
+void rr_settings_prepare_parser(cfg_t *config, const char *file);
 /* Makes the parser check the ranges of these numbers, all RR_NUMBER_REAL, while it reads them, so
  * that errors name the line. The array must outlive the parsing. To be called after
- * rr_settings_begin(). */
+ * rr_settings_prepare_parser(). */
 void rr_settings_check_ranges(cfg_t *config, const rr_number_setting *numbers, size_t count);
 /* Parses the file. Returns false and sets *error on failure. */
 bool rr_settings_parse(cfg_t *config, GError **error);
--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -37,10 +37,10 @@
               core->membership.term.token);
 }
 
-/* Has the cloud's machines listed again once cloud_list_s seconds have passed. */
+/* Has the cloud's machines listed again once cloud_list_period_s seconds have passed. */
 static bool prepare_list_step(rr_core *core, double now, rr_autoscaler_step *out) {
     if (core->autoscaling.machines_listed_at != 0 &&
-        now - core->autoscaling.machines_listed_at <= core->config->tuning.cloud_list_s) {
+        now - core->autoscaling.machines_listed_at <= core->config->tuning.cloud_list_period_s) {
         return false;
     }
     core->autoscaling.machines_listed_at = now;
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -52,8 +52,8 @@
     double fetch_s = 0;
     for (guint i = 0; i < core->stored.machine_types->len; i++) {
         const rr_machine_type *type = rr_machine_type_at(core, (int)i);
-        if (type && type->pull_rate > 0) {
-            fetch_s = fmax(fetch_s, job->submission.image_size_gb / type->pull_rate);
+        if (type && type->image_pull_gb_per_s > 0) {
+            fetch_s = fmax(fetch_s, job->submission.image_size_gb / type->image_pull_gb_per_s);
         }
     }
     return fetch_s;
@@ -165,7 +165,7 @@
     return submission->kind == RR_JOB_ARRAY && submission->priority < job->submission.priority &&
            job->submission.priority > RR_PRIORITY_STANDARD &&
            submission->checkpoint_interval_s > 0 &&
-           submission->save_s + PREEMPTION_MARGIN_S <= within_s;
+           submission->checkpoint_save_s + PREEMPTION_MARGIN_S <= within_s;
 }
 
 /* Counts the resources of preemptible tasks as free: they serve as headroom. */
--- a/src/core/autoscaling/catalog.c
+++ b/src/core/autoscaling/catalog.c
@@ -29,9 +29,10 @@
 /* Returns whether the record, NULL if there is none, matches the type read from the cloud. */
 static bool is_same_machine_type(const rr_machine_type *recorded, const rr_machine_type *type) {
     bool same = recorded && recorded->cpus == type->cpus && recorded->gpus == type->gpus &&
-                recorded->mem_gb == type->mem_gb && recorded->cache_gb == type->cache_gb &&
-                recorded->pull_rate == type->pull_rate && recorded->price == type->price &&
-                recorded->spot_price == type->spot_price &&
+                recorded->mem_gb == type->mem_gb &&
+                recorded->image_cache_gb == type->image_cache_gb &&
+                recorded->image_pull_gb_per_s == type->image_pull_gb_per_s &&
+                recorded->price == type->price && recorded->spot_price == type->spot_price &&
                 recorded->startup_s == type->startup_s && recorded->zones->len == type->zones->len;
     for (guint i = 0; same && i < recorded->zones->len; i++) {
         same = strcmp(recorded->zones->pdata[i], type->zones->pdata[i]) == 0;
--- a/src/core/autoscaling/cloud_observations.c
+++ b/src/core/autoscaling/cloud_observations.c
@@ -13,7 +13,7 @@
 bool rr_machine_recently_gone(const rr_core *core, const char *name, double now) {
     const double *gone_at = g_hash_table_lookup(core->stored.gone_machines, name);
     return gone_at &&
-           now - *gone_at < GONE_LIST_LAGS * core->config->list_lag_s + GONE_LISTED_MAX_S;
+           now - *gone_at < GONE_LIST_LAGS * core->config->cloud_list_lag_s + GONE_LISTED_MAX_S;
 }
 
 /* Returns the key in capacity_refused_until, which the caller has to free. */
--- a/src/core/autoscaling/demand_simulation.c
+++ b/src/core/autoscaling/demand_simulation.c
@@ -48,7 +48,7 @@
     }
     if (!machine->heartbeat_seen) {
         return now - machine->known_at <
-               core->config->tuning.boot_patience * type->startup_s + STARTUP_MARGIN_S;
+               core->config->tuning.startup_wait_factor * type->startup_s + STARTUP_MARGIN_S;
     }
     return rr_machine_schedulable(core, machine, now) ||
            (rr_machine_heartbeat_recent(core, machine, now) &&
--- a/src/core/autoscaling/machine_list.c
+++ b/src/core/autoscaling/machine_list.c
@@ -76,7 +76,7 @@
 /* Returns whether a machine that is missing from a list requested at asked_at is gone. A machine
  * that has been listed stays listed until it is gone. */
 static bool missing_means_gone(const rr_core *core, const rr_machine *machine, double asked_at) {
-    double lag = core->config->list_lag_s;
+    double lag = core->config->cloud_list_lag_s;
     return machine->cloud_listed
                ? asked_at > machine->cloud_listed_at + LISTED_GONE_LAGS * lag + LISTED_GONE_MARGIN_S
                : asked_at > fmax(machine->known_at, core->autoscaling.began_at) +
--- a/src/core/health/heartbeat_contents.c
+++ b/src/core/health/heartbeat_contents.c
@@ -80,9 +80,9 @@
         rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
         if (task->exit_reason == RR_EXIT_ERROR && job) {
             rr_record_task_failure(core, machine, job, now);
-        } else if (task->exit_reason == RR_EXIT_FULL) {
+        } else if (task->exit_reason == RR_EXIT_NO_RESOURCES) {
             machine->full_until = now + FULL_MACHINE_BACKOFF_S;
-        } else if (task->exit_reason == RR_EXIT_NO_SUCH && job) {
+        } else if (task->exit_reason == RR_EXIT_UNKNOWN_TASK && job) {
             job->backoff_until = now + UNKNOWN_TASK_BACKOFF_S;
         } else if (task->exit_reason == RR_EXIT_DONE && job && job->failed_machines) {
             g_array_set_size(job->failed_machines, 0);
@@ -118,7 +118,7 @@
 
 void rr_record_fetched_images(rr_core *core, rr_machine *machine) {
     const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
-    guint images_max = type && type->cache_gb > 0 ? CACHED_IMAGES_MAX : 1;
+    guint images_max = type && type->image_cache_gb > 0 ? CACHED_IMAGES_MAX : 1;
     for (guint i = 0; i < machine->heartbeat.tasks->len; i++) {
         const rr_task_status *task = &g_array_index(machine->heartbeat.tasks, rr_task_status, i);
         const rr_job *job = g_hash_table_lookup(core->stored.jobs, task->job_id);
--- a/src/core/health/heartbeat_replies.c
+++ b/src/core/health/heartbeat_replies.c
@@ -31,7 +31,7 @@
  * is refused. */
 static bool may_renew_lease(const rr_core *core, double now, const rr_heartbeat *heartbeat) {
     return rr_is_member(core) &&
-           now < core->stored.current_as_of + rr_heartbeat_reply_s(core->config) &&
+           now < core->stored.current_as_of + rr_heartbeat_reply_window_s(core->config) &&
            heartbeat->fencing_token <= core->membership.term.token;
 }
 
--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -19,7 +19,7 @@
 
 /* Records that the store cache contains every change made before this time, in steady seconds; an
  * earlier time than the last one is ignored. Workers' heartbeats may be answered for
- * rr_heartbeat_reply_s() seconds from then on, which is longer than the session lasts. */
+ * rr_heartbeat_reply_window_s() seconds from then on, which is longer than the session lasts. */
 void rr_core_set_cache_current(rr_core *core, double current_as_of);
 /* Records that the application's timers have just fired late, for lack of processor time. */
 void rr_core_record_late_timers(rr_core *core, double now);
--- a/src/core/membership/shards.c
+++ b/src/core/membership/shards.c
@@ -153,7 +153,7 @@
 }
 
 const char *rr_core_team_owner(const rr_core *core, const char *team) {
-    int index = rr_config_team(core->config, team);
+    int index = rr_config_find_team(core->config, team);
     int owner = index >= 0 && (guint)index < core->membership.team_owners->len
                     ? g_array_index(core->membership.team_owners, int, index)
                     : -1;
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -23,8 +23,9 @@
         const msgpack_object *member_record = &member_records->via.array.ptr[i];
         rr_session session = {0};
         if (member_record->type == MSGPACK_OBJECT_ARRAY && member_record->via.array.size == 2 &&
-            rr_object_text(&member_record->via.array.ptr[0], session.name, sizeof session.name) &&
-            rr_object_u64(&member_record->via.array.ptr[1], &session.lease_id)) {
+            rr_object_get_text(&member_record->via.array.ptr[0], session.name,
+                               sizeof session.name) &&
+            rr_object_get_u64(&member_record->via.array.ptr[1], &session.lease_id)) {
             g_array_append_val(core->membership.term.members, session);
         }
     }
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -54,8 +54,9 @@
         return 0;
     }
     const rr_machine_type *type = rr_machine_type_at(core, machine->machine_type);
-    return type && type->pull_rate > 0 ? job->submission.image_size_gb / type->pull_rate
-                                       : DEFAULT_IMAGE_FETCH_S;
+    return type && type->image_pull_gb_per_s > 0
+               ? job->submission.image_size_gb / type->image_pull_gb_per_s
+               : DEFAULT_IMAGE_FETCH_S;
 }
 
 /* ---- listing candidates ---- */
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -135,7 +135,7 @@
 static bool select_best_slots(const struct rr_planner *planner, const rr_job *job, GArray *slots,
                               double *loss_s) {
     uint32_t task_count = job->submission.task_count, selected = 0;
-    uint32_t zone_slots_max = job->submission.spread ? (task_count + 1) / 2 : task_count;
+    uint32_t zone_slots_max = job->submission.spread_zones ? (task_count + 1) / 2 : task_count;
     guint zone_count = planner->core->stored.zones.names->len;
     uint32_t slots_in_zone[zone_count + 1];
     memset(slots_in_zone, 0, sizeof slots_in_zone);
--- a/src/core/scheduling/job_search.c
+++ b/src/core/scheduling/job_search.c
@@ -17,7 +17,7 @@
     guint zone_count = planner->core->stored.zones.names->len;
     *zones = (struct rr_zone_tracker){.allowed = g_new0(bool, zone_count + 1),
                                       .placements_by_zone = g_new0(uint32_t, zone_count + 1),
-                                      .counts_placements = job->submission.spread ||
+                                      .counts_placements = job->submission.spread_zones ||
                                                            job->submission.one_zone ||
                                                            job->submission.kind == RR_JOB_GANG};
     if (zones->counts_placements) {
@@ -88,7 +88,7 @@
 static bool are_searches_alike(const rr_job *left, const rr_job *right) {
     return left->team == right->team && left->job_class == right->job_class &&
            left->submission.priority == right->submission.priority &&
-           left->submission.spot == right->submission.spot &&
+           left->submission.spot_allowed == right->submission.spot_allowed &&
            left->submission.kind == right->submission.kind &&
            strcmp(left->submission.zone, right->submission.zone) == 0 &&
            allows_same_machine_types(&left->submission, &right->submission);
--- a/src/core/scheduling/placement_constraints.c
+++ b/src/core/scheduling/placement_constraints.c
@@ -20,7 +20,7 @@
 
 bool rr_job_allows_machine(const rr_core *core, const rr_job *job, int machine_type, int zone,
                            bool spot) {
-    if (spot && !job->submission.spot) {
+    if (spot && !job->submission.spot_allowed) {
         return false;
     }
     if (job->submission.zone[0] && !requests_zone(core, job, zone)) {
@@ -81,7 +81,7 @@
     uint32_t spread_max = (job->submission.task_count + 1) / 2;
     for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
         bool zone_requested = !job->submission.zone[0] || requests_zone(core, job, (int)zone);
-        bool spread_exhausted = job->submission.spread && by_zone[zone] >= spread_max;
+        bool spread_exhausted = job->submission.spread_zones && by_zone[zone] >= spread_max;
         bool single_zone = !job->submission.one_zone ||
                            keeps_single_zone(job, by_zone, placement_count, (int)zone);
         allowed[zone] = zone_requested && !spread_exhausted && single_zone;
@@ -93,7 +93,7 @@
     guint zone_count = core->stored.zones.names->len;
     uint32_t by_zone[zone_count + 1];
     memset(by_zone, 0, sizeof by_zone);
-    uint32_t placement_count = job->submission.one_zone || job->submission.spread
+    uint32_t placement_count = job->submission.one_zone || job->submission.spread_zones
                                    ? rr_count_placements_by_zone(job, except, by_zone)
                                    : 0;
     rr_compute_allowed_zones_from(core, job, by_zone, placement_count, allowed);
--- a/src/core/scheduling/placement_verdict.c
+++ b/src/core/scheduling/placement_verdict.c
@@ -104,13 +104,13 @@
     /* A gang's task that has saved its state waits for the tasks that got the command last. */
     if (job->submission.kind == RR_JOB_GANG) {
         return gang_stop == RR_GANG_STOP_SAVING
-                   ? job->submission.save_s + planner->core->config->gang_peer_s
+                   ? job->submission.checkpoint_save_s + planner->core->config->gang_peer_s
                    : 0;
     }
     if (placement->preempt == RR_PREEMPT_AT_ONCE) {
         return 0;
     }
-    double grace_s = job->submission.save_s + STOP_ROUND_TRIP_S;
+    double grace_s = job->submission.checkpoint_save_s + STOP_ROUND_TRIP_S;
     double notice_s = machine->heartbeat.spot_notice_s;
     return notice_s >= 0 && notice_s < grace_s ? fmax(notice_s, 0) : grace_s;
 }
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -124,8 +124,8 @@
     bool saves = job->submission.checkpoint_interval_s > 0 && !at_once;
     bool fully_placed = job->done_count + job->placed_count >= job->submission.task_count;
     double loss = VICTIM_LOSS_S;
-    loss +=
-        saves ? job->submission.save_s : compute_unsaved_work_s(victim->placement, planner->now);
+    loss += saves ? job->submission.checkpoint_save_s
+                  : compute_unsaved_work_s(victim->placement, planner->now);
     loss += victim->slack_s < SAFE_SLACK_S ? SAFE_SLACK_S - victim->slack_s : 0;
     loss += fully_placed ? FULLY_PLACED_JOB_LOSS_S : 0;
     loss += rr_owns_team(planner->core, job->team) ? 0 : FOREIGN_OWNER_LOSS_S;
@@ -176,7 +176,7 @@
     for (guint i = 0; i < machine->placements->len; i++) {
         const rr_job *other = g_array_index(machine->placements, rr_placement, i).job;
         if (other->submission.priority < job->submission.priority &&
-            other->submission.save_s + STOP_ROUND_TRIP_S > left_s) {
+            other->submission.checkpoint_save_s + STOP_ROUND_TRIP_S > left_s) {
             return RR_PREEMPT_AT_ONCE;
         }
     }
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -228,8 +228,8 @@
                                double now) {
     const rr_job *job = replica->job;
     guint zone_count = core->stored.zones.names->len;
-    bool keeps_zone =
-        job->submission.task_count > 1 && (job->submission.spread || job->submission.one_zone);
+    bool keeps_zone = job->submission.task_count > 1 &&
+                      (job->submission.spread_zones || job->submission.one_zone);
     for (guint zone = 0; zone < zone_count; zone++) {
         const char *name = rr_name_index_at(&core->stored.zones, (int)zone);
         bool named = !job->submission.zone[0] || strcmp(job->submission.zone, name) == 0;
--- a/src/core/state/ledger.c
+++ b/src/core/state/ledger.c
@@ -80,13 +80,13 @@
         return false;
     }
     const msgpack_object *fields = object->via.array.ptr;
-    if (!rr_object_u64(&fields[0], &task) || task >= RR_TASKS_MAX ||
-        !rr_object_text(&fields[1], name, sizeof name) || !name[0] ||
-        !rr_object_u64(&fields[2], &out->attempt) ||
-        !rr_object_u64(&fields[3], &out->worker_epoch)) {
+    if (!rr_object_get_u64(&fields[0], &task) || task >= RR_TASKS_MAX ||
+        !rr_object_get_text(&fields[1], name, sizeof name) || !name[0] ||
+        !rr_object_get_u64(&fields[2], &out->attempt) ||
+        !rr_object_get_u64(&fields[3], &out->worker_epoch)) {
         return false;
     }
-    rr_object_u64(&fields[4], &preempt);
+    rr_object_get_u64(&fields[4], &preempt);
     out->preempt = preempt > RR_PREEMPT_AT_ONCE ? RR_PREEMPT_SAVING : (enum rr_preempt_mode)preempt;
     out->task = (uint32_t)task;
     out->machine = rr_machine_get(core, name, now);
--- a/src/core/state/machine_pages.c
+++ b/src/core/state/machine_pages.c
@@ -133,11 +133,11 @@
     const msgpack_object *fields =
         object->type == MSGPACK_OBJECT_ARRAY ? object->via.array.ptr : NULL;
     if (!fields || object->via.array.size < ENTRY_FIELDS ||
-        !rr_object_text(&fields[0], out->name, sizeof out->name) || !out->name[0] ||
-        !rr_object_text(&fields[1], out->address, sizeof out->address) ||
-        !rr_object_text(&fields[2], out->machine_type, sizeof out->machine_type) ||
-        !rr_object_text(&fields[3], out->zone, sizeof out->zone) ||
-        !rr_object_u64(&fields[4], &out->flags)) {
+        !rr_object_get_text(&fields[0], out->name, sizeof out->name) || !out->name[0] ||
+        !rr_object_get_text(&fields[1], out->address, sizeof out->address) ||
+        !rr_object_get_text(&fields[2], out->machine_type, sizeof out->machine_type) ||
+        !rr_object_get_text(&fields[3], out->zone, sizeof out->zone) ||
+        !rr_object_get_u64(&fields[4], &out->flags)) {
         return false;
     }
     out->created_at = &fields[5];
@@ -164,7 +164,7 @@
     machine->spot = entry->flags & FLAG_SPOT;
     machine->operator_owned = entry->flags & FLAG_OPERATOR_OWNED;
     core->autoscaling.ever_rented = core->autoscaling.ever_rented || !machine->operator_owned;
-    rr_object_number(entry->created_at, &machine->created_at);
+    rr_object_get_number(entry->created_at, &machine->created_at);
     if (!machine->heartbeat_seen && entry->address[0]) {
         g_strlcpy(machine->address, entry->address, sizeof machine->address);
     }
--- a/src/core/views/submission_check.c
+++ b/src/core/views/submission_check.c
@@ -74,7 +74,7 @@
 enum rr_submission_check rr_core_check_submission(const rr_core *core,
                                                   const rr_submission *submission,
                                                   const char **why) {
-    int team = rr_config_team(core->config, submission->team);
+    int team = rr_config_find_team(core->config, submission->team);
     const rr_job *known_job = g_hash_table_lookup(core->stored.jobs, submission->job_id);
     if ((known_job && known_job->version) || rr_job_outcome(core, submission->job_id, NULL, NULL)) {
         return RR_SUBMISSION_KNOWN;
--- a/src/http/requests.c
+++ b/src/http/requests.c
@@ -3,9 +3,9 @@
 
 #include <string.h>
 
-/* The server is crowded if more than this share of its connections is in use. Workers' connections
+/* Near the limit is more than this share of the allowed connections in use. Workers' connections
  * are then closed after their responses, so that users and health checks can still connect. */
-#define CROWDED_SHARE 0.75
+#define NEAR_LIMIT_SHARE 0.75
 #define STATUS_PAYLOAD_TOO_LARGE 413
 
 /* The body of a request while it is being received. */
@@ -75,8 +75,10 @@
     if (!upload->too_large) {
         server->handler(server->user_data, &request, &response);
     }
-    bool crowded = atomic_load(&server->open_connections) > CROWDED_SHARE * server->connections_max;
-    enum MHD_Result result = send_response(connection, &response, response.yields && crowded);
+    bool near_limit =
+        atomic_load(&server->open_connections) > NEAR_LIMIT_SHARE * server->connections_max;
+    enum MHD_Result result =
+        send_response(connection, &response, response.close_if_near_limit && near_limit);
     rr_encoder_clear(&response.body);
     return result;
 }
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -21,7 +21,7 @@
     return MIN(connections_max, config->tuning.max_connections);
 }
 
-int rr_http_server_connections(const rr_http_server *server) {
+int rr_http_server_connection_count(const rr_http_server *server) {
     return atomic_load(&server->open_connections);
 }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -19,7 +19,8 @@
     rr_encoder body;   /* initialised and cleared by the server; empty: no body */
     int retry_after_s; /* value of the Retry-After header; 0: no such header */
     const char *allow; /* value of the Allow header, for status 405; NULL: no such header */
-    bool yields;       /* close the connection after the response if the server is crowded */
+    /* Close the connection after the response if the server is near its limit of connections. */
+    bool close_if_near_limit;
 };
 
 /* Fills the response to a request. Runs on the connection's thread, so that calls for different
@@ -53,7 +54,7 @@
  * before rr_http_server_listen(). */
 unsigned rr_http_server_listener_count(const rr_http_server *server);
 /* Returns the number of open connections. */
-int rr_http_server_connections(const rr_http_server *server);
+int rr_http_server_connection_count(const rr_http_server *server);
 /* Closes all connections, joins their threads and frees the server, which may be NULL. While a
  * listener is stalled, its thread can't be joined; the server then stays allocated until the
  * process ends. */
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -10,7 +10,7 @@
 #define CACHED_CONNECTIONS_MAX 2L
 #define RETRY_AFTER_HEADER "Retry-After:"
 
-struct rr_client {
+struct rr_http_client {
     CURL *curl;
     struct curl_slist *headers; /* sent with every request */
     const atomic_bool *stop;    /* aborts the running call when true; NULL: never */
@@ -23,16 +23,16 @@
     size_t unsent_body_bytes;
 };
 
-int rr_net_init(void) {
+int rr_http_client_init(void) {
     return curl_global_init(CURL_GLOBAL_DEFAULT) == CURLE_OK ? 0 : -EIO;
 }
 
-/* Callbacks for libcurl; `user` is the rr_client. */
+/* Callbacks for libcurl; `user` is the rr_http_client. */
 
 /* Appends received bytes to the reply's body. Returns 0, which aborts the call, if the body would
  * exceed its limit. */
 static size_t receive_body(char *data, size_t size, size_t count, void *user) {
-    rr_client *client = user;
+    rr_http_client *client = user;
     if (client->reply_body_max && client->reply_body->len + size * count > client->reply_body_max) {
         return 0;
     }
@@ -42,7 +42,7 @@
 
 /* Reads the Retry-After header and ignores all others. */
 static size_t receive_header(char *data, size_t size, size_t count, void *user) {
-    rr_client *client = user;
+    rr_http_client *client = user;
     char line[HEADER_LINE_SIZE];
     size_t length = size * count < sizeof line - 1 ? size * count : sizeof line - 1;
     memcpy(line, data, length);
@@ -60,7 +60,7 @@
  * be executed later. As libcurl can't rewind the body, it reports the failure instead, and the
  * caller knows that the outcome is unknown. */
 static size_t send_body(char *buffer, size_t size, size_t count, void *user) {
-    rr_client *client = user;
+    rr_http_client *client = user;
     size_t length =
         size * count < client->unsent_body_bytes ? size * count : client->unsent_body_bytes;
     memcpy(buffer, client->unsent_body, length);
@@ -72,7 +72,7 @@
 /* Progress callback: a nonzero return value aborts the call. */
 static int abort_if_stopped(void *user, curl_off_t download_total, curl_off_t downloaded,
                             curl_off_t upload_total, curl_off_t uploaded) {
-    const rr_client *client = user;
+    const rr_http_client *client = user;
     (void)download_total;
     (void)downloaded;
     (void)upload_total;
@@ -80,8 +80,8 @@
     return client->stop && atomic_load(client->stop);
 }
 
-rr_client *rr_client_create(const atomic_bool *stop) {
-    rr_client *client = g_new0(rr_client, 1);
+rr_http_client *rr_http_client_create(const atomic_bool *stop) {
+    rr_http_client *client = g_new0(rr_http_client, 1);
     client->curl = curl_easy_init();
     if (!client->curl) {
         g_free(client);
@@ -95,7 +95,7 @@
     return client;
 }
 
-void rr_client_destroy(rr_client *client) {
+void rr_http_client_destroy(rr_http_client *client) {
     if (!client) {
         return;
     }
@@ -105,24 +105,24 @@
     g_free(client);
 }
 
-static void set_method_and_body(rr_client *client, const struct rr_http_call *call) {
+static void set_method_and_body(rr_http_client *client, const struct rr_http_call *call) {
     curl_easy_setopt(client->curl, CURLOPT_HTTPHEADER, client->headers);
     if (strcmp(call->method, "GET") == 0) {
         curl_easy_setopt(client->curl, CURLOPT_HTTPGET, 1L);
         return;
     }
     client->unsent_body = call->body;
-    client->unsent_body_bytes = call->len;
+    client->unsent_body_bytes = call->body_bytes;
     curl_easy_setopt(client->curl, CURLOPT_POST, 1L);
     curl_easy_setopt(client->curl, CURLOPT_READFUNCTION, send_body);
     curl_easy_setopt(client->curl, CURLOPT_READDATA, client);
-    curl_easy_setopt(client->curl, CURLOPT_POSTFIELDSIZE, (long)call->len);
+    curl_easy_setopt(client->curl, CURLOPT_POSTFIELDSIZE, (long)call->body_bytes);
     if (strcmp(call->method, "POST") != 0) {
         curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST, call->method);
     }
 }
 
-static void set_url_and_protocol(rr_client *client, const struct rr_http_call *call) {
+static void set_url_and_protocol(rr_http_client *client, const struct rr_http_call *call) {
     char url[URL_SIZE];
     g_snprintf(url, sizeof url, "http://%s:%u%s", call->endpoint->host, call->endpoint->port,
                call->path);
@@ -132,19 +132,19 @@
     curl_easy_setopt(client->curl, CURLOPT_PROXY, "");
 }
 
-static void set_connection_options(rr_client *client, const struct rr_http_call *call) {
+static void set_connection_options(rr_http_client *client, const struct rr_http_call *call) {
     long timeout_ms = (long)(call->timeout_s * 1000);
     curl_easy_setopt(client->curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(client->curl, CURLOPT_TIMEOUT_MS, timeout_ms);
     curl_easy_setopt(client->curl, CURLOPT_CONNECTTIMEOUT_MS, timeout_ms);
     curl_easy_setopt(client->curl, CURLOPT_MAXCONNECTS, CACHED_CONNECTIONS_MAX);
-    if (call->fresh) {
+    if (call->use_new_connection) {
         curl_easy_setopt(client->curl, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(client->curl, CURLOPT_FORBID_REUSE, 1L);
     }
 }
 
-static void set_callbacks(rr_client *client) {
+static void set_callbacks(rr_http_client *client) {
     curl_easy_setopt(client->curl, CURLOPT_WRITEFUNCTION, receive_body);
     curl_easy_setopt(client->curl, CURLOPT_WRITEDATA, client);
     curl_easy_setopt(client->curl, CURLOPT_HEADERFUNCTION, receive_header);
@@ -154,10 +154,10 @@
     curl_easy_setopt(client->curl, CURLOPT_NOPROGRESS, 0L);
 }
 
-/* Returns the error of rr_client_call() for a failed transfer. A timeout before any byte of the
- * request was sent proves only on a new connection that the request was not sent; on a reused one
- * it proves nothing. */
-static int error_from_curl_code(rr_client *client, CURLcode code, bool new_connection) {
+/* Returns the error of rr_http_client_call() for a failed transfer. A timeout before any byte of
+ * the request was sent proves only on a new connection that the request was not sent; on a reused
+ * one it proves nothing. */
+static int error_from_curl_code(rr_http_client *client, CURLcode code, bool new_connection) {
     long request_bytes = 0;
     curl_easy_getinfo(client->curl, CURLINFO_REQUEST_SIZE, &request_bytes);
     switch (code) {
@@ -172,7 +172,8 @@
     }
 }
 
-int rr_client_call(rr_client *client, const struct rr_http_call *call, rr_http_reply *reply) {
+int rr_http_client_call(rr_http_client *client, const struct rr_http_call *call,
+                        rr_http_reply *reply) {
     curl_easy_reset(client->curl); /* resets options, keeps connections open */
     g_byte_array_set_size(client->reply_body, 0);
     client->reply_body_max = call->reply_bytes_max;
@@ -183,7 +184,7 @@
     set_method_and_body(client, call);
     CURLcode code = curl_easy_perform(client->curl);
     if (code != CURLE_OK) {
-        return error_from_curl_code(client, code, call->fresh);
+        return error_from_curl_code(client, code, call->use_new_connection);
     }
     reply->status = 0;
     curl_easy_getinfo(client->curl, CURLINFO_RESPONSE_CODE, &reply->status);
--- a/src/peer/frame.c
+++ b/src/peer/frame.c
@@ -73,7 +73,8 @@
     encode_u16(buffer->data + offset, value);
 }
 
-int rr_frame_head(const uint8_t header[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *length) {
+int rr_frame_parse_header(const uint8_t header[RR_FRAME_HEADER_BYTES], uint8_t *type,
+                          uint32_t *length) {
     if (header[0] != MAGIC_FIRST || header[1] != MAGIC_SECOND || header[2] != RR_FRAME_VERSION) {
         return -EBADMSG;
     }
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -31,7 +31,7 @@
      * (u16) and digests of heartbeats: machine, worker epoch, sequence, hash. */
     RR_FRAME_HEARTBEAT_DIGESTS = 6,
     /* Count (u16) and names of machines that do not reply to commands. */
-    RR_FRAME_SUSPECT = 7,
+    RR_FRAME_SUSPECTS = 7,
     /* Wall-clock time in ms (u64) at which the following frames were sent. */
     RR_FRAME_SENT_AT = 8,
     /* Count (u16) and ids of jobs whose cancellation the sender has confirmed. Sent only while
@@ -87,7 +87,8 @@
 
 /* Parses a header. Returns 0 with the frame's type and the payload's length in bytes; -EBADMSG for
  * other magic bytes, another version or a payload of more than RR_FRAME_BYTES_MAX. */
-int rr_frame_head(const uint8_t header[RR_FRAME_HEADER_BYTES], uint8_t *type, uint32_t *length);
+int rr_frame_parse_header(const uint8_t header[RR_FRAME_HEADER_BYTES], uint8_t *type,
+                          uint32_t *length);
 
 /* Reads a payload from its start. A read beyond the end sets `malformed`; all further reads then
  * return 0, NULL or false. */
--- a/src/peer/incoming_frames.c
+++ b/src/peer/incoming_frames.c
@@ -38,7 +38,7 @@
     const struct rr_config *config = connection->peers->config;
     double sent_at = (double)rr_frame_read_u64(reader) / 1000;
     connection->stale =
-        rr_wall_clock_s() - sent_at > config->heartbeat_interval_s + 2 * config->clock_off_s;
+        rr_wall_clock_s() - sent_at > config->heartbeat_interval_s + 2 * config->clock_skew_max_s;
     return reader->malformed ? -EBADMSG : 0;
 }
 
@@ -147,7 +147,7 @@
 /* Completes the frame that begins at `start`, sends the reply and frees it. Returns 0 or -EIO. */
 static int send_reply(int fd, GByteArray *reply, guint start) {
     rr_frame_end(reply, start);
-    int rc = rr_peer_send(fd, reply->data, reply->len);
+    int rc = rr_stream_send(fd, reply->data, reply->len);
     g_byte_array_free(reply, TRUE);
     return rc;
 }
@@ -221,7 +221,7 @@
         return handle_heartbeat(connection, reader);
     case RR_FRAME_HEARTBEAT_DIGESTS:
         return connection->stale ? 0 : handle_heartbeat_digests(peers, connection->peer, reader);
-    case RR_FRAME_SUSPECT:
+    case RR_FRAME_SUSPECTS:
         return connection->stale ? 0 : handle_suspects(peers, reader);
     case RR_FRAME_CANCELLED:
         return handle_cancelled(peers, reader);
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -117,7 +117,7 @@
  * only sending failed, or negative. */
 static int connect_to_peer(struct rr_peer_link *link, int *fd) {
     rr_peers *peers = link->peers;
-    *fd = rr_peer_dial(NULL, &peers->config->peers[link->index].endpoint, CONNECT_TIMEOUT_S);
+    *fd = rr_stream_connect(NULL, &peers->config->peers[link->index].endpoint, CONNECT_TIMEOUT_S);
     if (*fd < 0) {
         return -EIO;
     }
@@ -126,7 +126,7 @@
     pthread_mutex_unlock(&peers->lock);
     GByteArray *hello = g_byte_array_new();
     rr_peer_put_hello(peers, hello);
-    int rc = rr_peer_send(*fd, hello->data, hello->len);
+    int rc = rr_stream_send(*fd, hello->data, hello->len);
     g_byte_array_free(hello, TRUE);
     return rc;
 }
@@ -134,7 +134,7 @@
 /* Sends the frames, over a new connection if none is open (*fd < 0). Returns 0 or -EIO. */
 static int send_frames(struct rr_peer_link *link, int *fd, const GByteArray *frames) {
     int rc = *fd < 0 ? connect_to_peer(link, fd) : 0;
-    return rc == 0 ? rr_peer_send(*fd, frames->data, frames->len) : rc;
+    return rc == 0 ? rr_stream_send(*fd, frames->data, frames->len) : rc;
 }
 
 /* Closes the connection, if one is open, and logs it. */
@@ -157,7 +157,7 @@
 
 void *rr_peer_link_main(void *arg) {
     struct rr_peer_link *link = arg;
-    rr_usage_enter(RR_USAGE_PEERS);
+    rr_usage_register_thread(RR_USAGE_PEERS);
     GByteArray *frames = g_byte_array_new();
     double digests_sent_at = 0;
     int fd = -1;
@@ -174,6 +174,6 @@
         close(fd);
     }
     g_byte_array_free(frames, TRUE);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     return NULL;
 }
--- a/src/peer/link_frames.c
+++ b/src/peer/link_frames.c
@@ -83,7 +83,7 @@
 }
 
 static void put_suspects(struct rr_peer_link *link, GByteArray *out) {
-    guint start = rr_frame_begin(out, RR_FRAME_SUSPECT);
+    guint start = rr_frame_begin(out, RR_FRAME_SUSPECTS);
     rr_frame_put_u16(out, (uint16_t)link->suspects->len);
     for (guint i = 0; i < link->suspects->len; i++) {
         rr_frame_put_text(out, g_ptr_array_index(link->suspects, i));
--- a/src/peer/listener.c
+++ b/src/peer/listener.c
@@ -27,22 +27,23 @@
 static void *connection_main(void *arg) {
     struct rr_peer_connection *connection = arg;
     rr_peers *peers = connection->peers;
-    struct rr_inbox inbox;
+    struct rr_receive_buffer receive_buffer;
     rr_frame_reader reader;
     uint8_t type;
-    rr_usage_enter(RR_USAGE_PEERS);
-    connection->client = rr_client_create(peers->stop);
-    rr_inbox_init(&inbox, connection->fd);
-    rr_peer_set_timeouts(connection->fd, TRANSFER_TIMEOUT_S);
+    rr_usage_register_thread(RR_USAGE_PEERS);
+    connection->client = rr_http_client_create(peers->stop);
+    rr_receive_buffer_init(&receive_buffer, connection->fd);
+    rr_stream_set_options(connection->fd, TRANSFER_TIMEOUT_S);
     while (connection->client &&
-           rr_peer_receive(peers->stop, &inbox, &type, &reader, IDLE_TIMEOUT_S) == 0 &&
+           rr_stream_receive_frame(peers->stop, &receive_buffer, &type, &reader, IDLE_TIMEOUT_S) ==
+               0 &&
            rr_peer_handle_frame(connection, type, &reader) == 0) {
     }
     close(connection->fd);
-    rr_inbox_clear(&inbox);
-    rr_client_destroy(connection->client);
+    rr_receive_buffer_clear(&receive_buffer);
+    rr_http_client_destroy(connection->client);
     g_free(connection);
-    rr_usage_leave();
+    rr_usage_unregister_thread();
     release_connection(peers);
     return NULL;
 }
--- a/src/peer/listener.h
+++ b/src/peer/listener.h
@@ -9,9 +9,9 @@
 struct rr_peer_connection {
     rr_peers *peers;
     int fd;
-    rr_client *client; /* for relayed calls to workers */
-    int peer;          /* index in the configuration; -1: no HELLO frame yet */
-    bool stale;        /* the frames since the last SENT_AT were sent too long ago */
+    rr_http_client *client; /* for relayed calls to workers */
+    int peer;               /* index in the configuration; -1: no HELLO frame yet */
+    bool stale;             /* the frames since the last SENT_AT were sent too long ago */
 };
 
 /* The thread that accepts connections: arg is the rr_peers. Returns after *stop is set. */
--- a/src/peer/peer.h
+++ b/src/peer/peer.h
@@ -5,8 +5,9 @@
  * A peer gets a heartbeat in full only if it needs it and the content is new to it; otherwise it
  * gets a digest in the next periodic frame. A link sends all its queued output at once.
  *
- * All functions may be called from any thread. rr_peers_ask_resign() and rr_peers_relay_commands()
- * block; the rr_peers_send_ functions and rr_peers_forward_heartbeats() only queue. */
+ * All functions may be called from any thread. rr_peers_request_resign() and
+ * rr_peers_relay_worker_call() block; the rr_peers_send_ functions and
+ * rr_peers_forward_heartbeats() only queue. */
 #ifndef RR_PEER_PEER_H
 #define RR_PEER_PEER_H
 
@@ -76,7 +77,7 @@
 /* Asks a peer whether it reaches the key-value store (end_lease false), or to end this controller's
  * lease there (end_lease true). Returns whether the peer replied that it does or did; false also
  * without a reply. */
-bool rr_peers_ask_resign(rr_peers *peers, int peer, uint64_t lease_id, bool end_lease);
+bool rr_peers_request_resign(rr_peers *peers, int peer, uint64_t lease_id, bool end_lease);
 
 /* A worker's reply to a relayed call. */
 typedef struct {
@@ -87,7 +88,7 @@
 /* Has a peer send commands to a worker, or ask for the worker's status if body is NULL. Returns 0
  * if the worker replied, -ENOTCONN if the call was certainly not sent to the worker, -EIO if its
  * outcome is unknown. */
-int rr_peers_relay_commands(rr_peers *peers, int peer, const char *address, const void *body,
-                            size_t length, double timeout_s, rr_relayed_reply *reply);
+int rr_peers_relay_worker_call(rr_peers *peers, int peer, const char *address, const void *body,
+                               size_t length, double timeout_s, rr_relayed_reply *reply);
 
 #endif
--- a/src/peer/relay.c
+++ b/src/peer/requests.c
@@ -12,17 +12,17 @@
 
 /* A connection to one peer for one request. */
 struct request {
-    int fd;                /* -errno: no connection */
-    GByteArray *frames;    /* to send, beginning with HELLO */
-    struct rr_inbox inbox; /* receives the reply */
+    int fd;                                  /* -errno: no connection */
+    GByteArray *frames;                      /* to send, beginning with HELLO */
+    struct rr_receive_buffer receive_buffer; /* receives the reply */
 };
 
 /* Connects and appends the HELLO frame. Returns 0 or -errno; the caller calls close_request() in
  * either case. */
 static int open_request(struct request *request, const rr_peers *peers, int peer) {
     request->frames = g_byte_array_new();
-    request->fd = rr_peer_dial(NULL, &peers->config->peers[peer].endpoint, CONNECT_TIMEOUT_S);
-    rr_inbox_init(&request->inbox, request->fd);
+    request->fd = rr_stream_connect(NULL, &peers->config->peers[peer].endpoint, CONNECT_TIMEOUT_S);
+    rr_receive_buffer_init(&request->receive_buffer, request->fd);
     if (request->fd < 0) {
         return request->fd;
     }
@@ -34,7 +34,7 @@
     if (request->fd >= 0) {
         close(request->fd);
     }
-    rr_inbox_clear(&request->inbox);
+    rr_receive_buffer_clear(&request->receive_buffer);
     g_byte_array_free(request->frames, TRUE);
 }
 
@@ -43,15 +43,16 @@
 static int exchange_frames(struct request *request, const rr_peers *peers, double timeout_s,
                            rr_frame_reader *reply) {
     uint8_t type;
-    if (rr_peer_send(request->fd, request->frames->data, request->frames->len) != 0 ||
-        rr_peer_receive(peers->stop, &request->inbox, &type, reply, timeout_s) != 0 ||
+    if (rr_stream_send(request->fd, request->frames->data, request->frames->len) != 0 ||
+        rr_stream_receive_frame(peers->stop, &request->receive_buffer, &type, reply, timeout_s) !=
+            0 ||
         type != RR_FRAME_REPLY) {
         return -EIO;
     }
     return 0;
 }
 
-bool rr_peers_ask_resign(rr_peers *peers, int peer, uint64_t lease_id, bool end_lease) {
+bool rr_peers_request_resign(rr_peers *peers, int peer, uint64_t lease_id, bool end_lease) {
     struct request request;
     rr_frame_reader reply;
     bool agreed = false;
@@ -67,7 +68,7 @@
     return agreed;
 }
 
-/* Reads the reply to RELAY. Returns as rr_peers_relay_commands(). */
+/* Reads the reply to RELAY. Returns as rr_peers_relay_worker_call(). */
 static int read_relay_reply(rr_frame_reader *frame, rr_relayed_reply *reply) {
     uint32_t length;
     uint8_t outcome = rr_frame_read_u8(frame);
@@ -89,8 +90,8 @@
     }
 }
 
-int rr_peers_relay_commands(rr_peers *peers, int peer, const char *address, const void *body,
-                            size_t length, double timeout_s, rr_relayed_reply *reply) {
+int rr_peers_relay_worker_call(rr_peers *peers, int peer, const char *address, const void *body,
+                               size_t length, double timeout_s, rr_relayed_reply *reply) {
     struct request request;
     rr_frame_reader frame;
     int rc = -ENOTCONN;
--- a/src/peer/stream.c
+++ b/src/peer/stream.c
@@ -11,7 +11,7 @@
 #define RECEIVE_BYTES_MIN 16384 /* free space for one recv() */
 #define STOP_CHECK_S 2          /* longest wait between two checks of the stop flag */
 
-void rr_peer_set_timeouts(int fd, double seconds) {
+void rr_stream_set_options(int fd, double seconds) {
     struct timeval timeout = {(time_t)seconds,
                               (suseconds_t)((seconds - (double)(time_t)seconds) * 1e6)};
     int enabled = 1;
@@ -21,8 +21,8 @@
 }
 
 /* On Linux, the send timeout also limits a blocking connect(). */
-int rr_peer_dial(const struct rr_endpoint *from, const struct rr_endpoint *endpoint,
-                 double timeout_s) {
+int rr_stream_connect(const struct rr_endpoint *from, const struct rr_endpoint *endpoint,
+                      double timeout_s) {
     struct sockaddr_in address;
     rr_endpoint_to_sockaddr(endpoint, &address);
     struct rr_endpoint local = {.port = 0};
@@ -33,7 +33,7 @@
     if (fd < 0) {
         return from ? fd : -errno;
     }
-    rr_peer_set_timeouts(fd, timeout_s);
+    rr_stream_set_options(fd, timeout_s);
     if (connect(fd, (struct sockaddr *)&address, sizeof address) != 0) {
         int rc = -errno;
         close(fd);
@@ -42,7 +42,7 @@
     return fd;
 }
 
-int rr_peer_send(int fd, const void *data, size_t length) {
+int rr_stream_send(int fd, const void *data, size_t length) {
     const char *cursor = data;
     while (length > 0) {
         ssize_t sent = send(fd, cursor, length, MSG_NOSIGNAL);
@@ -58,14 +58,14 @@
     return 0;
 }
 
-void rr_inbox_init(struct rr_inbox *inbox, int fd) {
-    inbox->fd = fd;
-    inbox->buffer = g_byte_array_new();
-    inbox->offset = 0;
+void rr_receive_buffer_init(struct rr_receive_buffer *receive_buffer, int fd) {
+    receive_buffer->fd = fd;
+    receive_buffer->buffer = g_byte_array_new();
+    receive_buffer->offset = 0;
 }
 
-void rr_inbox_clear(struct rr_inbox *inbox) {
-    g_byte_array_free(inbox->buffer, TRUE);
+void rr_receive_buffer_clear(struct rr_receive_buffer *receive_buffer) {
+    g_byte_array_free(receive_buffer->buffer, TRUE);
 }
 
 /* Waits until the socket is readable, at most STOP_CHECK_S. Returns 0 if it is (or has failed),
@@ -82,28 +82,29 @@
 }
 
 /* Appends the bytes of one recv(). Returns 0, or -EIO at the end of the stream or on an error. */
-static int receive_once(struct rr_inbox *inbox, guint wanted) {
-    guint filled = inbox->buffer->len;
+static int receive_once(struct rr_receive_buffer *receive_buffer, guint wanted) {
+    guint filled = receive_buffer->buffer->len;
     guint capacity = wanted > RECEIVE_BYTES_MIN ? wanted : RECEIVE_BYTES_MIN;
-    g_byte_array_set_size(inbox->buffer, filled + capacity);
-    ssize_t received = recv(inbox->fd, inbox->buffer->data + filled, capacity, 0);
-    g_byte_array_set_size(inbox->buffer, filled + (received > 0 ? (guint)received : 0));
+    g_byte_array_set_size(receive_buffer->buffer, filled + capacity);
+    ssize_t received = recv(receive_buffer->fd, receive_buffer->buffer->data + filled, capacity, 0);
+    g_byte_array_set_size(receive_buffer->buffer, filled + (received > 0 ? (guint)received : 0));
     return received > 0 ? 0 : -EIO;
 }
 
 /* Receives until the buffer holds at least `length` unread bytes. Returns 0 or -EIO, as
- * rr_peer_receive(). */
-static int receive_at_least(const atomic_bool *stop, struct rr_inbox *inbox, guint length,
-                            double timeout_s) {
+ * rr_stream_receive_frame(). */
+static int receive_at_least(const atomic_bool *stop, struct rr_receive_buffer *receive_buffer,
+                            guint length, double timeout_s) {
     double deadline = rr_steady_clock_s() + timeout_s;
-    if (inbox->offset > 0 && inbox->buffer->len - inbox->offset < length) {
-        g_byte_array_remove_range(inbox->buffer, 0, inbox->offset);
-        inbox->offset = 0;
+    if (receive_buffer->offset > 0 &&
+        receive_buffer->buffer->len - receive_buffer->offset < length) {
+        g_byte_array_remove_range(receive_buffer->buffer, 0, receive_buffer->offset);
+        receive_buffer->offset = 0;
     }
-    while (inbox->buffer->len - inbox->offset < length) {
-        int rc = wait_readable(stop, inbox->fd, deadline);
+    while (receive_buffer->buffer->len - receive_buffer->offset < length) {
+        int rc = wait_readable(stop, receive_buffer->fd, deadline);
         if (rc == 0) {
-            rc = receive_once(inbox, length);
+            rc = receive_once(receive_buffer, length);
         }
         if (rc != 0 && rc != -EAGAIN) {
             return rc;
@@ -112,20 +113,22 @@
     return 0;
 }
 
-int rr_peer_receive(const atomic_bool *stop, struct rr_inbox *inbox, uint8_t *type,
-                    rr_frame_reader *reader, double timeout_s) {
+int rr_stream_receive_frame(const atomic_bool *stop, struct rr_receive_buffer *receive_buffer,
+                            uint8_t *type, rr_frame_reader *reader, double timeout_s) {
     uint32_t length = 0;
-    int rc = receive_at_least(stop, inbox, RR_FRAME_HEADER_BYTES, timeout_s);
+    int rc = receive_at_least(stop, receive_buffer, RR_FRAME_HEADER_BYTES, timeout_s);
     if (rc == 0) {
-        rc = rr_frame_head(inbox->buffer->data + inbox->offset, type, &length);
+        rc = rr_frame_parse_header(receive_buffer->buffer->data + receive_buffer->offset, type,
+                                   &length);
     }
     if (rc == 0) {
-        rc = receive_at_least(stop, inbox, RR_FRAME_HEADER_BYTES + length, timeout_s);
+        rc = receive_at_least(stop, receive_buffer, RR_FRAME_HEADER_BYTES + length, timeout_s);
     }
     if (rc == 0) {
-        *reader = (rr_frame_reader){inbox->buffer->data + inbox->offset + RR_FRAME_HEADER_BYTES,
+        *reader = (rr_frame_reader){receive_buffer->buffer->data + receive_buffer->offset +
+                                        RR_FRAME_HEADER_BYTES,
                                     length, false};
-        inbox->offset += RR_FRAME_HEADER_BYTES + length;
+        receive_buffer->offset += RR_FRAME_HEADER_BYTES + length;
     }
     return rc;
 }
--- a/src/store/budget.c
+++ b/src/store/budget.c
@@ -80,13 +80,13 @@
     update_bucket_rates(budget);
 }
 
-void rr_budget_put_next_limits_in_force(rr_budget *budget) {
+void rr_budget_activate_next_limits(rr_budget *budget) {
     pthread_mutex_lock(&budget->lock);
     apply_next_limits(budget);
     pthread_mutex_unlock(&budget->lock);
 }
 
-void rr_budget_request_refused(rr_budget *budget) {
+void rr_budget_record_refusal(rr_budget *budget) {
     pthread_mutex_lock(&budget->lock);
     double now = rr_steady_clock_s();
     if (now - budget->first_refusal_at < REFUSAL_WINDOW_S) {
@@ -114,14 +114,14 @@
     return writes;
 }
 
-double rr_budget_pressure(rr_budget *budget) {
+double rr_budget_get_write_pressure(rr_budget *budget) {
     double rate;
     double writes = refill_plan_writes(budget, &rate);
     double pressure = 1 - writes / fmax(rate, 1);
     return fmin(fmax(pressure, 0), 1);
 }
 
-int rr_budget_plan_writes(rr_budget *budget) {
+int rr_budget_get_available_plan_writes(rr_budget *budget) {
     double rate;
     double writes = refill_plan_writes(budget, &rate);
     return writes > 0 ? (int)writes : 0;
--- a/src/store/budget.h
+++ b/src/store/budget.h
@@ -34,15 +34,15 @@
 void rr_budget_set_next_limits(rr_budget *budget, double rps, double write_rps);
 /* Counts a request that the store refused with status 429. Several refusals within a short time
  * make the announced limits the current ones. */
-void rr_budget_request_refused(rr_budget *budget);
+void rr_budget_record_refusal(rr_budget *budget);
 /* Makes the announced limits the current ones. */
-void rr_budget_put_next_limits_in_force(rr_budget *budget);
+void rr_budget_activate_next_limits(rr_budget *budget);
 
 /* Returns how scarce write tokens are for plans, from 0 (the tokens of one second are left) to 1
  * (none is left). */
-double rr_budget_pressure(rr_budget *budget);
+double rr_budget_get_write_pressure(rr_budget *budget);
 /* Returns the number of writes that a plan may make now without waiting. */
-int rr_budget_plan_writes(rr_budget *budget);
+int rr_budget_get_available_plan_writes(rr_budget *budget);
 
 /* Takes the tokens for one request with this number of writes, blocking for up to wait_s. Returns
  * 0, or -EAGAIN as soon as it is clear that the tokens will not be available in time. */
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -8,7 +8,7 @@
     rr_store *store = g_new0(rr_store, 1);
     store->endpoint = *endpoint;
     store->budget = budget;
-    store->client = rr_client_create(stop);
+    store->client = rr_http_client_create(stop);
     if (!store->client) {
         g_free(store);
         return NULL;
@@ -18,7 +18,7 @@
 
 void rr_store_destroy(rr_store *store) {
     if (store) {
-        rr_client_destroy(store->client);
+        rr_http_client_destroy(store->client);
         g_free(store);
     }
 }
@@ -33,11 +33,11 @@
                                 .endpoint = &store->endpoint,
                                 .path = request->path,
                                 .body = request->body ? request->body->buffer.data : NULL,
-                                .len = request->body ? request->body->buffer.size : 0,
+                                .body_bytes = request->body ? request->body->buffer.size : 0,
                                 .timeout_s = request->timeout_s};
-    int rc = rr_client_call(store->client, &call, reply);
+    int rc = rr_http_client_call(store->client, &call, reply);
     if (rc == 0 && reply->status == RR_HTTP_TOO_MANY_REQUESTS) {
-        rr_budget_request_refused(store->budget);
+        rr_budget_record_refusal(store->budget);
     }
     return rc;
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -48,7 +48,7 @@
  * there was no usable reply. */
 
 /* Reads the store's revision. Returns 0 or -EAGAIN. */
-int rr_store_revision(rr_store *store, uint64_t *revision, double timeout_s);
+int rr_store_get_revision(rr_store *store, uint64_t *revision, double timeout_s);
 
 /* Reads one key. Returns 0 with the key's row in *document, its version in *version and the lease
  * that it is attached to (0: none) in *lease_id; -ENOENT if the key does not exist; or -EAGAIN. */
@@ -57,22 +57,22 @@
 
 /* The position in a read of all keys with a prefix, page by page. */
 typedef struct {
-    bool more;                        /* there are more pages; true before the first one */
+    bool has_more;                    /* there are more pages; true before the first one */
     char last_key[RR_STORE_KEY_SIZE]; /* the last key read; empty before the first page */
     uint64_t revision;                /* the store's revision, as of the last page read */
 } rr_store_cursor;
 
 /* Reads the next page of keys with the prefix. Returns 0 with the page in *document, to be passed
- * to rr_store_each_row(); or -EAGAIN. */
-int rr_store_next_page(rr_store *store, const char *prefix, rr_store_cursor *cursor,
+ * to rr_store_for_each_row(); or -EAGAIN. */
+int rr_store_read_page(rr_store *store, const char *prefix, rr_store_cursor *cursor,
                        rr_document *document);
 
 /* Called for each row of a page; key and value are valid during the call only. */
 typedef void (*rr_store_row_fn)(void *user_data, const char *key, const msgpack_object *value,
                                 uint64_t version);
 /* Calls the callback for each row of a page and moves the cursor past the last one. */
-void rr_store_each_row(const rr_document *document, rr_store_cursor *cursor,
-                       rr_store_row_fn callback, void *user_data);
+void rr_store_for_each_row(const rr_document *document, rr_store_cursor *cursor,
+                           rr_store_row_fn callback, void *user_data);
 
 /* Waits up to hold_ms for changes to keys with the prefix after this revision. Returns 0 with the
  * changes in *document; -ESTALE if the store no longer has all of them, so that the keys have to be
@@ -89,6 +89,6 @@
  * or had no usable reply. */
 int rr_store_renew_lease(rr_store *store, uint64_t lease_id);
 /* Ends a lease; the store deletes the keys attached to it. Returns as rr_store_renew_lease(). */
-int rr_store_end_lease(rr_store *store, uint64_t lease_id);
+int rr_store_revoke_lease(rr_store *store, uint64_t lease_id);
 
 #endif
--- a/src/store/store_commit.c
+++ b/src/store/store_commit.c
@@ -11,7 +11,7 @@
     }
     char key[RR_STORE_KEY_SIZE];
     for (uint32_t i = 0; i < list->via.array.size; i++) {
-        if (rr_object_text(&list->via.array.ptr[i], key, sizeof key)) {
+        if (rr_object_get_text(&list->via.array.ptr[i], key, sizeof key)) {
             g_ptr_array_add(failed_keys, g_strdup(key));
         }
     }
--- a/src/store/store_internal.h
+++ b/src/store/store_internal.h
@@ -6,8 +6,8 @@
 
 struct rr_store {
     struct rr_endpoint endpoint;
-    rr_budget *budget; /* borrowed */
-    rr_client *client; /* owned */
+    rr_budget *budget;      /* borrowed */
+    rr_http_client *client; /* owned */
 };
 
 enum rr_http_status {
@@ -29,8 +29,8 @@
     double timeout_s;          /* of the wait for the budget, and again of the HTTP call */
 };
 
-/* Sends the request as soon as the budget allows it. Returns as rr_client_call(); -ENOTCONN (not
- * sent) also if the budget did not allow it in time. */
+/* Sends the request as soon as the budget allows it. Returns as rr_http_client_call(); -ENOTCONN
+ * (not sent) also if the budget did not allow it in time. */
 int rr_store_send_request(rr_store *store, const struct rr_store_request *request,
                           rr_http_reply *reply);
 
--- a/src/store/store_lease.c
+++ b/src/store/store_lease.c
@@ -63,6 +63,6 @@
     return send_lease_request(store, "POST", lease_id, RR_PATH_RENEW);
 }
 
-int rr_store_end_lease(rr_store *store, uint64_t lease_id) {
+int rr_store_revoke_lease(rr_store *store, uint64_t lease_id) {
     return send_lease_request(store, "DELETE", lease_id, "");
 }
--- a/src/store/store_read.c
+++ b/src/store/store_read.c
@@ -12,7 +12,7 @@
 /* A key that never exists. The store's 404 for it contains the store's revision. */
 #define NONEXISTENT_KEY "rr-epoch"
 
-int rr_store_revision(rr_store *store, uint64_t *revision, double timeout_s) {
+int rr_store_get_revision(rr_store *store, uint64_t *revision, double timeout_s) {
     struct rr_store_request request = {.priority = RR_REQUEST_READ,
                                        .method = "GET",
                                        .path = RR_PATH_STORE "/" NONEXISTENT_KEY,
@@ -56,7 +56,7 @@
     return rc;
 }
 
-int rr_store_next_page(rr_store *store, const char *prefix, rr_store_cursor *cursor,
+int rr_store_read_page(rr_store *store, const char *prefix, rr_store_cursor *cursor,
                        rr_document *document) {
     char path[2 * RR_STORE_KEY_SIZE];
     g_snprintf(path, sizeof path, RR_PATH_STORE "?" RR_WORD_PREFIX "=%s%s%s&" RR_WORD_LIMIT "=%d",
@@ -72,8 +72,8 @@
     if (rc != 0) {
         return rc;
     }
-    cursor->more = false;
-    rr_map_get_bool(document->root, RR_WORD_MORE, &cursor->more);
+    cursor->has_more = false;
+    rr_map_get_bool(document->root, RR_WORD_MORE, &cursor->has_more);
     const msgpack_object *rows = rr_map_get(document->root, RR_WORD_ROWS);
     if (!rr_map_get_u64(document->root, RR_WORD_REVISION, &cursor->revision) || !rows ||
         rows->type != MSGPACK_OBJECT_ARRAY) {
@@ -83,8 +83,8 @@
     return 0;
 }
 
-void rr_store_each_row(const rr_document *document, rr_store_cursor *cursor,
-                       rr_store_row_fn callback, void *user_data) {
+void rr_store_for_each_row(const rr_document *document, rr_store_cursor *cursor,
+                           rr_store_row_fn callback, void *user_data) {
     const msgpack_object *rows = rr_map_get(document->root, RR_WORD_ROWS);
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
         const msgpack_object *row = &rows->via.array.ptr[i];
--- a/src/wire/cloud_messages.c
+++ b/src/wire/cloud_messages.c
@@ -9,7 +9,7 @@
 static bool decode_zones(const msgpack_object *list, GPtrArray *zones) {
     char zone[RR_TEXT_SIZE];
     for (uint32_t i = 0; i < list->via.array.size; i++) {
-        if (!rr_object_text(&list->via.array.ptr[i], zone, sizeof zone)) {
+        if (!rr_object_get_text(&list->via.array.ptr[i], zone, sizeof zone)) {
             return false;
         }
         g_ptr_array_add(zones, g_strdup(zone));
@@ -31,8 +31,8 @@
     }
     type->spot_price = type->price; /* unless the catalogue has a spot price */
     rr_map_get_number(object, RR_WORD_SPOT_PRICE, &type->spot_price);
-    rr_map_get_number(object, RR_WORD_IMAGE_CACHE_GB, &type->cache_gb);
-    rr_map_get_number(object, RR_WORD_IMAGE_PULL_GB_PER_S, &type->pull_rate);
+    rr_map_get_number(object, RR_WORD_IMAGE_CACHE_GB, &type->image_cache_gb);
+    rr_map_get_number(object, RR_WORD_IMAGE_PULL_GB_PER_S, &type->image_pull_gb_per_s);
     rr_map_get_number(object, RR_WORD_STARTUP_S, &type->startup_s);
     return decode_zones(zones, type->zones) ? 0 : -EBADMSG;
 }
@@ -43,8 +43,8 @@
     rr_encode_key_number(encoder, RR_WORD_CPUS, type->cpus);
     rr_encode_key_number(encoder, RR_WORD_GPUS, type->gpus);
     rr_encode_key_number(encoder, RR_WORD_MEM_GB, type->mem_gb);
-    rr_encode_key_number(encoder, RR_WORD_IMAGE_CACHE_GB, type->cache_gb);
-    rr_encode_key_number(encoder, RR_WORD_IMAGE_PULL_GB_PER_S, type->pull_rate);
+    rr_encode_key_number(encoder, RR_WORD_IMAGE_CACHE_GB, type->image_cache_gb);
+    rr_encode_key_number(encoder, RR_WORD_IMAGE_PULL_GB_PER_S, type->image_pull_gb_per_s);
     rr_encode_key_number(encoder, RR_WORD_PRICE, type->price);
     rr_encode_key_number(encoder, RR_WORD_SPOT_PRICE, type->spot_price);
     rr_encode_key_number(encoder, RR_WORD_STARTUP_S, type->startup_s);
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -10,11 +10,11 @@
 typedef struct {
     char name[RR_ID_SIZE];
     double cpus, gpus, mem_gb;
-    double cache_gb;          /* size of the image cache */
-    double pull_rate;         /* speed of image fetches, GB per second */
-    double price, spot_price; /* per hour */
-    double startup_s;         /* nominal time from the rental until the machine runs */
-    GPtrArray *zones;         /* zones that offer the type: char*, owned */
+    double image_cache_gb;      /* size of the image cache */
+    double image_pull_gb_per_s; /* speed of image fetches, GB per second */
+    double price, spot_price;   /* per hour */
+    double startup_s;           /* nominal time from the rental until the machine runs */
+    GPtrArray *zones;           /* zones that offer the type: char*, owned */
 } rr_machine_type;
 
 /* Decodes a machine type. Returns 0 or -EBADMSG; the caller has to call rr_machine_type_clear()
--- a/src/wire/document.c
+++ b/src/wire/document.c
@@ -52,7 +52,7 @@
     return NULL;
 }
 
-bool rr_object_u64(const msgpack_object *object, uint64_t *out) {
+bool rr_object_get_u64(const msgpack_object *object, uint64_t *out) {
     if (!object || object->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return false;
     }
@@ -60,7 +60,7 @@
     return true;
 }
 
-bool rr_object_number(const msgpack_object *object, double *out) {
+bool rr_object_get_number(const msgpack_object *object, double *out) {
     if (!object) {
         return false;
     }
@@ -80,7 +80,7 @@
     }
 }
 
-bool rr_object_text(const msgpack_object *object, char *out, size_t size) {
+bool rr_object_get_text(const msgpack_object *object, char *out, size_t size) {
     if (!object || object->type != MSGPACK_OBJECT_STR) {
         return false;
     }
@@ -95,7 +95,7 @@
     return true;
 }
 
-int rr_object_name_index(const msgpack_object *object, const char *const *names, int count) {
+int rr_object_find_name(const msgpack_object *object, const char *const *names, int count) {
     for (int i = 0; i < count; i++) {
         if (rr_object_text_equals(object, names[i])) {
             return i;
@@ -105,15 +105,15 @@
 }
 
 bool rr_map_get_u64(const msgpack_object *map, const char *key, uint64_t *out) {
-    return rr_object_u64(rr_map_get(map, key), out);
+    return rr_object_get_u64(rr_map_get(map, key), out);
 }
 
 bool rr_map_get_number(const msgpack_object *map, const char *key, double *out) {
-    return rr_object_number(rr_map_get(map, key), out);
+    return rr_object_get_number(rr_map_get(map, key), out);
 }
 
 bool rr_map_get_text(const msgpack_object *map, const char *key, char *out, size_t size) {
-    return rr_object_text(rr_map_get(map, key), out, size);
+    return rr_object_get_text(rr_map_get(map, key), out, size);
 }
 
 bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out) {
--- a/src/wire/document.h
+++ b/src/wire/document.h
@@ -32,24 +32,24 @@
 /* Returns whether the object is a map. */
 bool rr_object_is_map(const msgpack_object *object);
 /* Reads a non-negative integer. */
-bool rr_object_u64(const msgpack_object *object, uint64_t *out);
+bool rr_object_get_u64(const msgpack_object *object, uint64_t *out);
 /* Reads an integer or a finite floating-point number. */
-bool rr_object_number(const msgpack_object *object, double *out);
+bool rr_object_get_number(const msgpack_object *object, double *out);
 /* Copies a string to out. Returns false also if the string contains a zero byte, or does not fit
  * into size bytes with its terminating zero. */
-bool rr_object_text(const msgpack_object *object, char *out, size_t size);
+bool rr_object_get_text(const msgpack_object *object, char *out, size_t size);
 /* Returns whether the object is a string equal to text. */
 bool rr_object_text_equals(const msgpack_object *object, const char *text);
 /* Returns the index of the name that is equal to the object's string, or -1 if none is. */
-int rr_object_name_index(const msgpack_object *object, const char *const *names, int count);
+int rr_object_find_name(const msgpack_object *object, const char *const *names, int count);
 
 /* Returns the value of a key, or NULL if the key is missing or its value is null. */
 const msgpack_object *rr_map_get(const msgpack_object *map, const char *key);
-/* Reads the value of a key as rr_object_u64(). If it returns false, *out is unchanged. */
+/* Reads the value of a key as rr_object_get_u64(). If it returns false, *out is unchanged. */
 bool rr_map_get_u64(const msgpack_object *map, const char *key, uint64_t *out);
-/* Reads the value of a key as rr_object_number(). */
+/* Reads the value of a key as rr_object_get_number(). */
 bool rr_map_get_number(const msgpack_object *map, const char *key, double *out);
-/* Reads the value of a key as rr_object_text(). */
+/* Reads the value of a key as rr_object_get_text(). */
 bool rr_map_get_text(const msgpack_object *map, const char *key, char *out, size_t size);
 /* Reads a boolean value of a key. If it returns false, *out is unchanged. */
 bool rr_map_get_bool(const msgpack_object *map, const char *key, bool *out);
--- a/src/wire/user_messages.c
+++ b/src/wire/user_messages.c
@@ -57,15 +57,15 @@
 }
 
 static bool get_kind(const msgpack_object *object, rr_submission *submission) {
-    int kind = rr_object_name_index(rr_map_get(object, RR_WORD_JOB_KIND), job_kind_names,
-                                    G_N_ELEMENTS(job_kind_names));
+    int kind = rr_object_find_name(rr_map_get(object, RR_WORD_JOB_KIND), job_kind_names,
+                                   G_N_ELEMENTS(job_kind_names));
     submission->kind = kind >= 0 ? (enum rr_job_kind)kind : RR_JOB_ARRAY;
     return kind >= 0;
 }
 
 static bool get_priority(const msgpack_object *object, rr_submission *submission) {
-    int priority = rr_object_name_index(rr_map_get(object, RR_WORD_PRIORITY), priority_names,
-                                        G_N_ELEMENTS(priority_names));
+    int priority = rr_object_find_name(rr_map_get(object, RR_WORD_PRIORITY), priority_names,
+                                       G_N_ELEMENTS(priority_names));
     submission->priority = priority >= 0 ? (enum rr_priority)priority : RR_PRIORITY_LOW;
     return priority >= 0;
 }
@@ -104,8 +104,8 @@
     uint32_t count = type_names->via.array.size;
     submission->machine_types = g_malloc0(count * sizeof *submission->machine_types);
     for (uint32_t i = 0; i < count; i++) {
-        if (!rr_object_text(&type_names->via.array.ptr[i], submission->machine_types[i],
-                            RR_ID_SIZE)) {
+        if (!rr_object_get_text(&type_names->via.array.ptr[i], submission->machine_types[i],
+                                RR_ID_SIZE)) {
             rr_submission_clear(submission);
             return false;
         }
@@ -150,7 +150,7 @@
                    {RR_WORD_IMAGE_SIZE_GB, &submission->image_size_gb},
                    {RR_WORD_RUNTIME_ESTIMATE_S, &submission->runtime_estimate_s},
                    {RR_WORD_CHECKPOINT_INTERVAL_S, &submission->checkpoint_interval_s},
-                   {RR_WORD_CHECKPOINT_SAVE_S, &submission->save_s}};
+                   {RR_WORD_CHECKPOINT_SAVE_S, &submission->checkpoint_save_s}};
     for (size_t i = 0; i < G_N_ELEMENTS(amounts); i++) {
         if (!get_amount(object, amounts[i].word, amounts[i].amount)) {
             return amounts[i].word;
@@ -167,8 +167,8 @@
         const char *word;
         bool *flag;
     } flags[] = {{RR_WORD_ONE_ZONE, &submission->one_zone},
-                 {RR_WORD_SPREAD, &submission->spread},
-                 {RR_WORD_SPOT, &submission->spot}};
+                 {RR_WORD_SPREAD, &submission->spread_zones},
+                 {RR_WORD_SPOT, &submission->spot_allowed}};
     for (size_t i = 0; i < G_N_ELEMENTS(flags); i++) {
         if (!rr_map_get_bool(object, flags[i].word, flags[i].flag)) {
             return flags[i].word;
@@ -232,7 +232,7 @@
     rr_encode_key_number(encoder, RR_WORD_IMAGE_SIZE_GB, submission->image_size_gb);
     rr_encode_key_number(encoder, RR_WORD_RUNTIME_ESTIMATE_S, submission->runtime_estimate_s);
     rr_encode_key_number(encoder, RR_WORD_CHECKPOINT_INTERVAL_S, submission->checkpoint_interval_s);
-    rr_encode_key_number(encoder, RR_WORD_CHECKPOINT_SAVE_S, submission->save_s);
+    rr_encode_key_number(encoder, RR_WORD_CHECKPOINT_SAVE_S, submission->checkpoint_save_s);
     if (submission->deadline_s >= 0) {
         rr_encode_key_number(encoder, RR_WORD_DEADLINE_S, submission->deadline_s);
     }
@@ -243,6 +243,6 @@
         encode_machine_types(encoder, submission);
     }
     rr_encode_key_bool(encoder, RR_WORD_ONE_ZONE, submission->one_zone);
-    rr_encode_key_bool(encoder, RR_WORD_SPREAD, submission->spread);
-    rr_encode_key_bool(encoder, RR_WORD_SPOT, submission->spot);
+    rr_encode_key_bool(encoder, RR_WORD_SPREAD, submission->spread_zones);
+    rr_encode_key_bool(encoder, RR_WORD_SPOT, submission->spot_allowed);
 }
--- a/src/wire/user_messages.h
+++ b/src/wire/user_messages.h
@@ -22,7 +22,7 @@
     double cpus, gpus, mem_gb, image_size_gb;
     double runtime_estimate_s;    /* without the image fetch; 0 for a service */
     double checkpoint_interval_s; /* 0: the task saves no checkpoints */
-    double save_s;                /* time to save a checkpoint */
+    double checkpoint_save_s;     /* time to save a checkpoint */
     double deadline_s;            /* from the submission; <0: none */
 
     /* Placement constraints. */
@@ -30,8 +30,8 @@
     char (*machine_types)[RR_ID_SIZE]; /* owned; no longer than needed, since jobs stay in memory */
     int machine_type_count;            /* 0: any machine type */
     bool one_zone;                     /* all tasks have to run in the same zone */
-    bool spread;                       /* at most half of the tasks, rounded up, in one zone */
-    bool spot;                         /* spot machines are allowed */
+    bool spread_zones;                 /* at most half of the tasks, rounded up, in one zone */
+    bool spot_allowed;                 /* spot machines are allowed */
 } rr_submission;
 
 /* Decodes and validates a submission. Returns 0 with a submission that the caller has to pass to
--- a/src/wire/worker_messages.c
+++ b/src/wire/worker_messages.c
@@ -47,12 +47,12 @@
 
 /* An unknown state counts as RR_TASK_FETCHING, so that the task is taken to be on the machine. */
 static enum rr_task_state decode_state(const msgpack_object *object) {
-    int state = rr_object_name_index(object, task_state_names, G_N_ELEMENTS(task_state_names));
+    int state = rr_object_find_name(object, task_state_names, G_N_ELEMENTS(task_state_names));
     return state < 0 ? RR_TASK_FETCHING : (enum rr_task_state)state;
 }
 
 static enum rr_exit_reason decode_exit_reason(const msgpack_object *object) {
-    int i = rr_object_name_index(object, exit_reason_names, G_N_ELEMENTS(exit_reason_names));
+    int i = rr_object_find_name(object, exit_reason_names, G_N_ELEMENTS(exit_reason_names));
     return i < 0 ? RR_EXIT_OTHER : (enum rr_exit_reason)(RR_EXIT_DONE + i);
 }
 
--- a/src/wire/worker_messages.h
+++ b/src/wire/worker_messages.h
@@ -17,16 +17,16 @@
 
 /* Why a task ended, or why the worker refused to start it. */
 enum rr_exit_reason {
-    RR_EXIT_NONE,       /* the task has not ended */
-    RR_EXIT_DONE,       /* it completed */
-    RR_EXIT_STOPPED,    /* it was stopped */
-    RR_EXIT_ERROR,      /* it failed */
-    RR_EXIT_FULL,       /* start refused: not enough free resources */
-    RR_EXIT_IN_USE,     /* start refused: the worker has another attempt of the task */
-    RR_EXIT_NO_SUCH,    /* start refused: no such job or task */
-    RR_EXIT_PEERS,      /* another task of the gang no longer runs */
-    RR_EXIT_INCOMPLETE, /* the gang's tasks were not all ready in time */
-    RR_EXIT_OTHER       /* a reason that this version does not know */
+    RR_EXIT_NONE,             /* the task has not ended */
+    RR_EXIT_DONE,             /* it completed */
+    RR_EXIT_STOPPED,          /* it was stopped */
+    RR_EXIT_ERROR,            /* it failed */
+    RR_EXIT_NO_RESOURCES,     /* start refused: not enough free resources */
+    RR_EXIT_ATTEMPT_CONFLICT, /* start refused: the worker has another attempt of the task */
+    RR_EXIT_UNKNOWN_TASK,     /* start refused: no such job or task */
+    RR_EXIT_GANG_PEER_LOST,   /* another task of the gang no longer runs */
+    RR_EXIT_GANG_INCOMPLETE,  /* the gang's tasks were not all ready in time */
+    RR_EXIT_OTHER             /* a reason that this version does not know */
 };
 
 /* A task as a heartbeat describes it. */
--- a/src/worker/worker.c
+++ b/src/worker/worker.c
@@ -8,7 +8,7 @@
 /* Larger than the usual limit of a body, for a worker that lists many ended tasks. */
 #define REPLY_BYTES_MAX (4 * RR_BODY_BYTES_MAX)
 
-int rr_worker_call(rr_client *client, const char *address, const void *body, size_t length,
+int rr_worker_call(rr_http_client *client, const char *address, const void *body, size_t length,
                    double timeout_s, rr_http_reply *reply) {
     struct rr_endpoint endpoint;
     if (rr_endpoint_parse(address, &endpoint) != 0) {
@@ -18,9 +18,9 @@
                                 .endpoint = &endpoint,
                                 .path = body ? RR_PATH_COMMANDS : RR_PATH_WORKER_STATUS,
                                 .body = body,
-                                .len = length,
+                                .body_bytes = length,
                                 .timeout_s = timeout_s,
-                                .fresh = true,
+                                .use_new_connection = true,
                                 .reply_bytes_max = REPLY_BYTES_MAX};
-    return rr_client_call(client, &call, reply);
+    return rr_http_client_call(client, &call, reply);
 }
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -70,7 +70,7 @@
         g_strlcpy(config->teams[config->team_count++].name, *teams, RR_NAME_SIZE);
     }
     config->peer_count = MODEL_CONTROLLERS - 1;
-    config->clock_off_s = 0.1;
+    config->clock_skew_max_s = 0.1;
     config->value_kb = 4;
     config->transaction_changes_max = 8;
     config->admission = true;
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -6,11 +6,11 @@
 
 static void on_record(void *user, const char *rest, const msgpack_object *value, uint64_t version) {
     struct test_cell *cell = user;
-    rr_transfers_put(cell->transfers, rest, value, version);
+    rr_transfers_apply_record(cell->transfers, rest, value, version);
 }
 
 static void neighbour_init(rr_cells_settings *settings, const char *name, const char *zone) {
-    rr_cell *cell = &settings->neighbours[settings->neighbour_count++];
+    rr_neighbour_cell *cell = &settings->neighbours[settings->neighbour_count++];
     g_strlcpy(cell->name, name, sizeof cell->name);
     cell->networks = rr_networks_create();
     cell->zones = g_ptr_array_new_with_free_func(g_free);
@@ -23,21 +23,21 @@
     fake_store_put_machine_type(cell->store, "m1", 16, 4, 64, 10, 4);
     test_controller_init(&cell->node, cell->store, "n0");
     cell->node.config.cells = true;
-    cell->settings = (rr_cells_settings){.on = true,
+    cell->settings = (rr_cells_settings){.enabled = true,
                                          .lease_s = 10,
                                          .stop_s = 5,
                                          .begin_wait_s = 30,
                                          .end_wait_s = 10,
                                          .give_back_s = 60,
                                          .guest_share = 1,
-                                         .times = {.lease_s = 10, .rest_s = 80, .drift = 0}};
+                                         .times = {.lease_s = 10, .teardown_s = 80, .drift = 0}};
     g_strlcpy(cell->settings.name, name, sizeof cell->settings.name);
     neighbour_init(&cell->settings, neighbour, "far");
     cell->process = 100;
     cell->session = 7;
     cell->transfers =
         rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core, cell->process);
-    rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
+    rr_core_watch_records(cell->node.core, RR_CELLS_KEY_PREFIX, on_record, cell);
     test_controller_join(&cell->node, cell->session);
 }
 
@@ -78,7 +78,7 @@
         cell->process++;
         cell->transfers = rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core,
                                               cell->process);
-        rr_core_watch_records(cell->node.core, RR_CELLS_PREFIX, on_record, cell);
+        rr_core_watch_records(cell->node.core, RR_CELLS_KEY_PREFIX, on_record, cell);
         fake_store_reload(cell->store, cell->node.core, now);
     }
     test_controller_join(&cell->node, ++cell->session);
@@ -146,7 +146,7 @@
 
 const char *cell_pair_local(const cell_pair *pair, const char *job_id, uint32_t claim) {
     static char id[RR_ID_SIZE];
-    rr_cells_local_id(pair->home.settings.name, job_id, claim, id, sizeof id);
+    rr_cells_make_local_id(pair->home.settings.name, job_id, claim, id, sizeof id);
     return id;
 }
 
@@ -159,7 +159,7 @@
     }
     bool done = !refuse && fake_store_commit(cell->store, &write->transaction) == 0;
     fake_store_sync(cell->store, cell->node.core, cell->node.now);
-    return rr_transfers_written(cell->transfers, write, done);
+    return rr_transfers_complete_write(cell->transfers, write, done);
 }
 
 /* The request goes over the wire as bytes. */
@@ -179,22 +179,24 @@
         rr_transfer_write write;
         double now = target->node.now;
         pair->offers += item->message.kind == RR_TRANSFER_OFFER;
-        if (rr_transfers_receive(target->transfers, 0, &request, item, now, now, &reply, &write)) {
+        if (rr_transfers_receive_message(target->transfers, 0, &request, item, now, now, &reply,
+                                         &write)) {
             reply = commit(target, &write, refuse);
             rr_transfer_write_clear(&write);
         }
         if (target->on_reply) {
             target->on_reply(target->watcher, &reply);
         }
-        if (!pair->lose_replies && rr_transfers_replied(from->transfers, 0, item, &reply,
-                                                        from->node.now, from->node.now, &write)) {
+        if (!pair->lose_replies &&
+            rr_transfers_receive_reply(from->transfers, 0, item, &reply, from->node.now,
+                                       from->node.now, &write)) {
             commit(from, &write, false);
             rr_transfer_write_clear(&write);
         }
     }
-    rr_cells_room room = rr_transfers_room(target->transfers, target->node.now);
+    rr_cells_room room = rr_transfers_get_free_room(target->transfers, target->node.now);
     if (!pair->lose_replies) {
-        rr_transfers_room_announced(from->transfers, 0, &room, from->node.now);
+        rr_transfers_set_neighbour_room(from->transfers, 0, &room, from->node.now);
     }
     rr_cells_request_clear(&request);
     g_byte_array_free(frame, TRUE);
@@ -210,7 +212,7 @@
     }
     for (guint i = 0; i < plan.requests->len; i++) {
         if (pair->cut) {
-            rr_transfers_unanswered(own->transfers, 0, own->node.now);
+            rr_transfers_record_no_reply(own->transfers, 0, own->node.now);
         } else {
             carry(pair, own, other, g_ptr_array_index(plan.requests, i));
         }
@@ -231,14 +233,14 @@
 }
 
 struct reading {
-    rr_absent *absent;
+    rr_absent_cell *absent;
     double now;
 };
 
 static void read_record(void *user, const char *key, const msgpack_object *value,
                         uint64_t version) {
     const struct reading *reading = user;
-    rr_absent_put(reading->absent, key, value, version, reading->now);
+    rr_absent_add_record(reading->absent, key, value, version, reading->now);
 }
 
 void cell_pair_commit_there(cell_pair *pair, GPtrArray *writes, unsigned *made) {
@@ -247,22 +249,22 @@
         bool done = fake_store_commit(pair->home.store, &write->transaction) == 0;
         *made += done;
         if (done) {
-            rr_transfers_absent_written(pair->guest.transfers, write);
+            rr_transfers_complete_absent_write(pair->guest.transfers, write);
         }
     }
 }
 
-void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *hold_back) {
+void cell_pair_read_home(cell_pair *pair, rr_absent_cell *absent, GPtrArray *hold_back) {
     double now = pair->guest.node.now;
     struct reading reading = {absent, now};
     rr_transfers_plan here;
     unsigned made = 0;
     GPtrArray *there = hold_back ? hold_back : g_ptr_array_new();
     bool none = fake_store_count(pair->home.store, "rr/node/") == 0;
-    rr_absent_begin(absent);
+    rr_absent_begin_read(absent);
     fake_store_foreach(pair->home.store, read_record, &reading);
-    rr_absent_end(absent, now);
-    rr_absent_confirm(absent, none, now);
+    rr_absent_end_read(absent, now);
+    rr_absent_record_session_check(absent, none, now);
     rr_transfers_plan_init(&here);
     rr_transfers_advance_absent(pair->guest.transfers, 0, absent, now, now, now, &here, there);
     for (guint i = 0; i < here.writes->len; i++) {
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -69,7 +69,7 @@
 void cell_pair_home_dies(cell_pair *pair);
 /* The guest reads the home's key-value store, looks at its jobs, and makes the changes at both, or,
  * with hold_back, leaves those at the home to the caller. */
-void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *hold_back);
+void cell_pair_read_home(cell_pair *pair, rr_absent_cell *absent, GPtrArray *hold_back);
 /* Commits the guest's changes to the home's store, and adds to *made how many succeed. */
 void cell_pair_commit_there(cell_pair *pair, GPtrArray *writes, unsigned *made);
 /* The cell's controller restarts: another session and term; new_process: with an empty memory. */
--- a/tests/cells_run.c
+++ b/tests/cells_run.c
@@ -338,7 +338,7 @@
             if (home != (claim == 0)) {
                 continue;
             }
-            rr_cells_local_id(run_cell_names[job->home], job->id, claim, id, sizeof id);
+            rr_cells_make_local_id(run_cell_names[job->home], job->id, claim, id, sizeof id);
             g_snprintf(task_name, sizeof task_name, "%s/%u", home ? job->id : id, task);
             for (guint i = 0; i < runs[cell]->len; i++) {
                 const fake_task_run *entry = &g_array_index(runs[cell], fake_task_run, i);
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -34,23 +34,23 @@
     config->cancel_s = 60;
     config->gang_wait_s = 40;
     config->gang_peer_s = 5;
-    config->state_rps = 100;
-    config->state_write_rps = 50;
+    config->store_rps = 100;
+    config->store_write_rps = 50;
     config->value_kb = 4;
     config->transaction_changes_max = 8;
     config->cloud_rps = 5;
-    config->list_lag_s = 5;
+    config->cloud_list_lag_s = 5;
     config->tuning = (struct rr_tuning){.rebalance_period_s = 30,
                                         .rebalance_moves = 4,
                                         .rebalance = true,
-                                        .session_share = 0.35,
-                                        .answer_share = 1,
+                                        .session_lease_share = 0.35,
+                                        .heartbeat_reply_share = 1,
                                         .recent_heartbeat_intervals = 2,
                                         .dead_heartbeat_intervals = 3.5,
                                         .idle_return_s = 20,
                                         .headroom = 0,
-                                        .boot_patience = 2,
-                                        .cloud_list_s = 4};
+                                        .startup_wait_factor = 2,
+                                        .cloud_list_period_s = 4};
 }
 
 void test_controller_init(test_controller *controller, fake_store *store, const char *name) {
--- a/tests/controller_process.c
+++ b/tests/controller_process.c
@@ -40,7 +40,7 @@
     g_string_append_printf(text,
                            "[services]\ncloud = \"127.0.0.1:%u\"\nstate = \"127.0.0.1:%u\"\n"
                            "[deployment]\nclock_off_ms = 10.0\n",
-                           config->cloud.port, config->state.port);
+                           config->cloud.port, config->store_endpoint.port);
     for (unsigned team = 0; team < cell_settings->team_count; team++) {
         g_string_append_printf(text, "[[deployment.teams]]\nname = \"%s\"\n",
                                cell_settings->teams[team]);
@@ -65,7 +65,7 @@
         g_snprintf(name, sizeof name, "%s%d", prefix, i);
         fake_services_init_config(services, &controller->config, name);
         g_strlcpy(controller->config.zone, zone, sizeof controller->config.zone);
-        controller->config.state.port = fake_services_add_endpoint(services);
+        controller->config.store_endpoint.port = fake_services_add_endpoint(services);
         g_snprintf(controller->settings_path, sizeof controller->settings_path, "%s/%s.toml",
                    folder, name);
         g_snprintf(controller->log_path, sizeof controller->log_path, "%s/%s.log", folder, name);
--- a/tests/controller_requests.c
+++ b/tests/controller_requests.c
@@ -56,21 +56,21 @@
     memset(config, 0, sizeof *config);
     g_strlcpy(config->node_name, name, RR_NAME_SIZE);
     g_strlcpy(config->zone, "a", RR_NAME_SIZE);
-    config->bind = config->peer_listen = config->cloud = config->state = local;
+    config->bind = config->peer_listen = config->cloud = config->store_endpoint = local;
     config->bind.port = fake_services_free_port();
     config->peer_listen.port = fake_services_free_port();
-    config->cloud.port = config->state.port = services->port;
+    config->cloud.port = config->store_endpoint.port = services->port;
     config->team_count = 1;
     g_strlcpy(config->teams[0].name, "red", RR_NAME_SIZE);
     config->heartbeat_interval_s = 0.5;
     config->lease_s = 10;
     config->cancel_s = 40;
-    config->state_rps = 2000;
-    config->state_write_rps = 1000;
+    config->store_rps = 2000;
+    config->store_write_rps = 1000;
     config->value_kb = 8;
     config->transaction_changes_max = 16;
     config->cloud_rps = 100;
-    config->list_lag_s = 0.5;
+    config->cloud_list_lag_s = 0.5;
     config->max_sockets = 500;
     config->ram_mb = 200;
     rr_tuning_set_defaults(&config->tuning);
@@ -84,20 +84,20 @@
 
 int fake_services_request(const struct rr_config *config, const char *method, const char *path,
                           const void *body, size_t length, rr_document *document) {
-    rr_client *client = rr_client_create(NULL);
+    rr_http_client *client = rr_http_client_create(NULL);
     rr_http_reply reply;
     struct rr_http_call call = {.method = method,
                                 .endpoint = &config->bind,
                                 .path = path,
                                 .body = body,
-                                .len = length,
+                                .body_bytes = length,
                                 .timeout_s = REQUEST_TIMEOUT_S,
-                                .fresh = true};
-    int rc = rr_client_call(client, &call, &reply);
+                                .use_new_connection = true};
+    int rc = rr_http_client_call(client, &call, &reply);
     if (rc == 0 && document) {
         rr_document_parse(document, reply.body->data, reply.body->len);
     }
-    rr_client_destroy(client);
+    rr_http_client_destroy(client);
     return rc == 0 ? (int)reply.status : -1;
 }
 
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -8,8 +8,8 @@
                             .cpus = 16,
                             .gpus = 4,
                             .mem_gb = 64,
-                            .cache_gb = 50,
-                            .pull_rate = 1,
+                            .image_cache_gb = 50,
+                            .image_pull_gb_per_s = 1,
                             .price = 3,
                             .spot_price = 1,
                             .startup_s = 1};
--- a/tests/fake_store_records.c
+++ b/tests/fake_store_records.c
@@ -15,8 +15,8 @@
     rr_machine_type type = {.cpus = cpus,
                             .gpus = gpus,
                             .mem_gb = mem_gb,
-                            .cache_gb = 100,
-                            .pull_rate = 1,
+                            .image_cache_gb = 100,
+                            .image_pull_gb_per_s = 1,
                             .price = price,
                             .spot_price = spot_price,
                             .startup_s = 30};
@@ -109,10 +109,10 @@
     out->gpus = job->gpus;
     out->mem_gb = job->mem_gb ? job->mem_gb : 8;
     out->one_zone = job->one_zone;
-    out->spread = job->spread;
-    out->spot = job->spot;
+    out->spread_zones = job->spread;
+    out->spot_allowed = job->spot;
     out->checkpoint_interval_s = job->checkpoint_interval_s;
-    out->save_s = job->save_s;
+    out->checkpoint_save_s = job->save_s;
     out->deadline_s = job->deadline_s > 0 ? job->deadline_s : -1;
 }
 
--- a/tests/fake_worker.c
+++ b/tests/fake_worker.c
@@ -209,18 +209,18 @@
 
 /* Sends a heartbeat and executes the commands of the answer; without an answer of status 200,
  * selects the next controller. Takes the lock. */
-static void report_to_controller(fake_services *services, rr_client *client,
+static void report_to_controller(fake_services *services, rr_http_client *client,
                                  const struct rr_endpoint *controller,
                                  const rr_encoder *heartbeat) {
     struct rr_http_call call = {.method = "POST",
                                 .endpoint = controller,
                                 .path = "/hello",
                                 .body = heartbeat->buffer.data,
-                                .len = heartbeat->buffer.size,
+                                .body_bytes = heartbeat->buffer.size,
                                 .timeout_s = HEARTBEAT_TIMEOUT_S};
     rr_http_reply reply;
     rr_document document;
-    if (rr_client_call(client, &call, &reply) != 0 || reply.status != 200) {
+    if (rr_http_client_call(client, &call, &reply) != 0 || reply.status != 200) {
         select_next_controller(services);
         return;
     }
@@ -234,7 +234,7 @@
 
 /* Expires leases of the store, stops tasks after the worker's lease, and sends a heartbeat if the
  * machine exists. Returns false if the services are stopping. Takes the lock. */
-static bool run_worker_step(fake_services *services, rr_client *client) {
+static bool run_worker_step(fake_services *services, rr_http_client *client) {
     rr_encoder heartbeat;
     rr_encoder_init(&heartbeat);
     pthread_mutex_lock(&services->lock);
@@ -255,11 +255,11 @@
 }
 
 void *fake_worker_thread(void *argument) {
-    rr_client *client = rr_client_create(NULL);
+    rr_http_client *client = rr_http_client_create(NULL);
     while (run_worker_step(argument, client)) {
         rr_sleep(HEARTBEAT_INTERVAL_S);
     }
-    rr_client_destroy(client);
+    rr_http_client_destroy(client);
     return NULL;
 }
 
--- a/tests/format_scenario.c
+++ b/tests/format_scenario.c
@@ -29,7 +29,7 @@
         rr_frame_put_u64(buffer, i);
     }
     rr_frame_end(buffer, start);
-    start = rr_frame_begin(buffer, RR_FRAME_SUSPECT);
+    start = rr_frame_begin(buffer, RR_FRAME_SUSPECTS);
     rr_frame_put_u16(buffer, 1);
     rr_frame_put_text(buffer, "vm-2");
     rr_frame_end(buffer, start);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -81,7 +81,7 @@
     assert_int_equal(write(fd, text, strlen(text)), strlen(text));
     close(fd);
     test_config_init(&config, "n0");
-    config.clock_off_s = 0.1;
+    config.clock_skew_max_s = 0.1;
     bool loaded = rr_admission_settings_load(path, &config, &settings, &refusal);
     unlink(path);
     rr_admission_settings_clear(&settings);
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -196,8 +196,8 @@
     struct model model;
     init_skewed(&model);
     model.seconds = 1800;
-    model.clock_off_s[0] = -model.config.clock_off_s;
-    model.clock_off_s[2] = model.config.clock_off_s;
+    model.clock_off_s[0] = -model.config.clock_skew_max_s;
+    model.clock_off_s[2] = model.config.clock_skew_max_s;
     model_run(&model);
     assert_fair(&model);
     model_clear(&model);
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -417,7 +417,7 @@
     program = argv[1];
     submissions_s = argc > 2 ? g_ascii_strtod(argv[2], NULL) : submissions_s;
     admission = argc <= 3 || strcmp(argv[3], "off") != 0;
-    rr_net_init();
+    rr_http_client_init();
     if (argc > 2) {
         stream_count = STREAMS;
         return cmocka_run_group_tests(measurement, NULL, NULL);
--- a/tests/test_admission_tables.c
+++ b/tests/test_admission_tables.c
@@ -118,7 +118,7 @@
         rr_encoder_clear(&out);
     }
     rr_admission_get_stats(admission, &stats);
-    assert_int_equal(stats.records_unread, G_N_ELEMENTS(keys));
+    assert_int_equal(stats.unreadable_records, G_N_ELEMENTS(keys));
     assert_int_equal(rr_admission_newest(admission)->sequence, 0);
     admission_fixture_clear(&fixture);
 }
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -47,7 +47,7 @@
     rr_budget *budget = create_write_limited_budget(1000);
     rr_budget_set_next_limits(budget, UNLIMITED_RPS, 1);
     for (int i = 0; i < refusals; i++) {
-        rr_budget_request_refused(budget);
+        rr_budget_record_refusal(budget);
     }
     rr_budget_set_shares(budget, &shares); /* as in a new term, which must not change the limits */
     wait_for_request_tokens(budget);
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -55,12 +55,12 @@
     size_t neighbour = 9;
     cell_pair_wait_at_home(pair,
                            &(struct test_job){.job_id = CELL_PAIR_JOB, .service = true, .cpus = 1});
-    assert_false(rr_transfers_transferred(pair->home.transfers, CELL_PAIR_JOB, &neighbour, local,
-                                          sizeof local));
+    assert_false(rr_transfers_locate_job(pair->home.transfers, CELL_PAIR_JOB, &neighbour, local,
+                                         sizeof local));
     cell_pair_play(pair, 3);
     cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB, 1));
-    assert_true(rr_transfers_transferred(pair->home.transfers, CELL_PAIR_JOB, &neighbour, local,
-                                         sizeof local));
+    assert_true(rr_transfers_locate_job(pair->home.transfers, CELL_PAIR_JOB, &neighbour, local,
+                                        sizeof local));
     assert_int_equal(neighbour, 0);
     assert_int_equal(cell_placed(&pair->guest, local), 1);
 }
@@ -139,7 +139,7 @@
     }
     fake_store_sync(pair->home.store, pair->home.node.core, pair->home.node.now);
     rr_transfers_get_stats(pair->home.transfers, &stats);
-    assert_int_equal(stats.records_unread, 3);
+    assert_int_equal(stats.unreadable_records, 3);
     assert_int_equal(stats.outgoing + stats.incoming, 0);
 }
 
--- a/tests/test_cells_absent_home.c
+++ b/tests/test_cells_absent_home.c
@@ -8,7 +8,7 @@
 
 struct absent_home {
     cell_pair *pair;
-    rr_absent *absent; /* the guest's reader of it */
+    rr_absent_cell *absent; /* the guest's reader of it */
 };
 
 /* One job is at the guest and one at home when the home loses its controllers. */
@@ -47,13 +47,13 @@
     rr_absent_destroy(home.absent);
 }
 
-/* After rest_s without controllers, and not before. */
+/* After teardown_s without controllers, and not before. */
 static void an_open_job_is_claimed_once_its_tasks_have_ended(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
     struct absent_home home = lose_home(pair);
     char local[RR_ID_SIZE];
-    rr_cells_local_id("h", "req-2", 1, local, sizeof local);
+    rr_cells_make_local_id("h", "req-2", 1, local, sizeof local);
     read_home_for(&home, 78);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 1);
     read_home_for(&home, 14);
@@ -102,7 +102,7 @@
     cell_restart(&pair->home, true);
     pair->cut = pair->home_dead = false;
     cell_fleet(&pair->home, 2);
-    rr_cells_local_id("h", "req-2", 1, local, sizeof local);
+    rr_cells_make_local_id("h", "req-2", 1, local, sizeof local);
     for (int i = 0; i < 30; i++) {
         cell_pair_play(pair, 1);
         cell_plan(&pair->home, "req-2");
@@ -120,11 +120,11 @@
     unsigned made = 0;
     struct absent_home home = lose_home(pair);
     GPtrArray *writes = plan_claim(&home);
-    rr_absent *other = rr_absent_create(&pair->guest.node.config, "other");
+    rr_absent_cell *other = rr_absent_create(&pair->guest.node.config, "other");
     rr_transfer_write theirs = {.ends_claim = false};
     rr_transaction_init(&theirs.transaction);
     cell_pair_read_home(pair, other, writes);
-    assert_true(rr_absent_claim(other, "req-2", "red", &theirs.transaction));
+    assert_true(rr_absent_claim_job(other, "req-2", "red", &theirs.transaction));
     assert_int_equal(fake_store_commit(pair->home.store, &theirs.transaction), 0);
     cell_pair_commit_there(pair, writes, &made);
     assert_int_equal(made, 0);
--- a/tests/test_cells_cancellation.c
+++ b/tests/test_cells_cancellation.c
@@ -7,14 +7,14 @@
 /* Asks as a controller does for a user, and records a withdrawal that has to come first. */
 static enum rr_cancel_precondition ask_to_cancel(cell_pair *pair, double *wait_s) {
     test_controller *home = &pair->home.node;
-    rr_out_record withdrawn;
+    rr_outgoing_record withdrawn;
     uint64_t version;
-    enum rr_cancel_precondition first = rr_transfers_cancel(
+    enum rr_cancel_precondition first = rr_transfers_check_cancellation(
         pair->home.transfers, CELL_PAIR_JOB, home->now, wait_s, &withdrawn, &version);
-    if (first == RR_CANCEL_WITHDRAW) {
+    if (first == RR_CANCEL_NEEDS_WITHDRAWAL) {
         rr_transaction transaction;
         rr_transaction_init(&transaction);
-        rr_cells_out_write(&transaction, CELL_PAIR_JOB, version, &withdrawn);
+        rr_cells_outgoing_add_write(&transaction, CELL_PAIR_JOB, version, &withdrawn);
         assert_int_equal(fake_store_commit(home->store, &transaction), 0);
         rr_transaction_clear(&transaction);
         fake_store_sync(home->store, home->core, home->now);
@@ -28,10 +28,10 @@
     rr_core_job job;
     double wait_s;
     const char *local = cell_pair_spill(pair);
-    assert_int_equal(ask_to_cancel(pair, &wait_s), RR_CANCEL_WITHDRAW);
+    assert_int_equal(ask_to_cancel(pair, &wait_s), RR_CANCEL_NEEDS_WITHDRAWAL);
     pair->cut = true;
     double asked_at = pair->home.node.now;
-    while (ask_to_cancel(pair, &wait_s) == RR_CANCEL_WAIT) {
+    while (ask_to_cancel(pair, &wait_s) == RR_CANCEL_NEEDS_WAIT) {
         assert_true(wait_s > 0 && wait_s <= 15.5);
         cell_pair_play(pair, 0.5);
     }
@@ -75,7 +75,7 @@
     cell_pair *pair = *state;
     double wait_s;
     cell_submit(&pair->home, &cell_pair_job);
-    assert_int_equal(ask_to_cancel(pair, &wait_s), RR_CANCEL_FREE);
+    assert_int_equal(ask_to_cancel(pair, &wait_s), RR_CANCEL_ALLOWED);
 }
 
 /* An older version records a cancellation without asking about transfers. */
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -18,7 +18,7 @@
 
 struct served {
     rr_cells_settings settings;
-    rr_cells_links *links;
+    rr_cells_server *links;
     char planner[RR_NAME_SIZE]; /* what it answers with NOT_OWNER; empty: it plans all */
     unsigned requests;
 };
@@ -46,7 +46,7 @@
 }
 
 static void add_cell(rr_cells_settings *settings, const char *name, const char *network) {
-    rr_cell *cell = &settings->neighbours[settings->neighbour_count++];
+    rr_neighbour_cell *cell = &settings->neighbours[settings->neighbour_count++];
     g_strlcpy(cell->name, name, sizeof cell->name);
     cell->networks = rr_networks_create();
     cell->zones = g_ptr_array_new();
@@ -55,8 +55,8 @@
 }
 
 static void listen_at(rr_cells_settings *settings, const char *address) {
-    g_strlcpy(settings->listen.host, address, sizeof settings->listen.host);
-    settings->listen.port = fake_services_free_port();
+    g_strlcpy(settings->listen_endpoint.host, address, sizeof settings->listen_endpoint.host);
+    settings->listen_endpoint.port = fake_services_free_port();
 }
 
 /* Cell b with two controllers, whose neighbour a is at 127.0.1.x. */
@@ -65,11 +65,11 @@
     atomic_store(&stop, false);
     for (int i = 0; i < 2; i++) {
         memset(&servers[i], 0, sizeof servers[i]);
-        g_strlcpy(servers[i].settings.name, "b", RR_CELL_NAME);
+        g_strlcpy(servers[i].settings.name, "b", RR_CELL_NAME_SIZE);
         listen_at(&servers[i].settings, "127.0.2.1");
         add_cell(&servers[i].settings, "a", "127.0.1.0/24");
-        assert_int_equal(rr_cells_links_start(&servers[i].settings, &stop, serve, end, &servers[i],
-                                              &servers[i].links),
+        assert_int_equal(rr_cells_server_start(&servers[i].settings, &stop, serve, end, &servers[i],
+                                               &servers[i].links),
                          0);
     }
     return 0;
@@ -79,7 +79,7 @@
     (void)state;
     atomic_store(&stop, true);
     for (int i = 0; i < 2; i++) {
-        rr_cells_links_destroy(servers[i].links);
+        rr_cells_server_destroy(servers[i].links);
         rr_cells_settings_clear(&servers[i].settings);
     }
     return 0;
@@ -88,14 +88,14 @@
 /* Cell a with both controllers of cell b as neighbours, connecting from this address. */
 static void configure_client(rr_cells_settings *settings, const char *from) {
     memset(settings, 0, sizeof *settings);
-    g_strlcpy(settings->name, "a", RR_CELL_NAME);
-    g_strlcpy(settings->listen.host, from, sizeof settings->listen.host);
+    g_strlcpy(settings->name, "a", RR_CELL_NAME_SIZE);
+    g_strlcpy(settings->listen_endpoint.host, from, sizeof settings->listen_endpoint.host);
     add_cell(settings, "b", "127.0.2.0/24");
-    rr_cell *cell = &settings->neighbours[0];
+    rr_neighbour_cell *cell = &settings->neighbours[0];
     cell->controller_count = 2;
     for (int i = 0; i < 2; i++) {
         g_snprintf(cell->controllers[i].name, RR_NAME_SIZE, "b%d", i);
-        cell->controllers[i].endpoint = servers[i].settings.listen;
+        cell->controllers[i].endpoint = servers[i].settings.listen_endpoint;
     }
 }
 
@@ -108,7 +108,7 @@
     g_strlcpy(request.to, target, sizeof request.to);
     g_strlcpy(request.team, "red", sizeof request.team);
     rr_cells_add_item(request.items, "req-1", &renew);
-    int rc = rr_cells_ask(client, &request, reply);
+    int rc = rr_cells_send_request(client, &request, reply);
     rr_cells_request_clear(&request);
     return rc;
 }
@@ -133,12 +133,12 @@
 }
 
 static void wait_for_unknown_peers(uint64_t expected) {
-    rr_cells_links_stats stats = {0};
+    rr_cells_server_stats stats = {0};
     double until = rr_steady_clock_s() + 5;
-    while (stats.unknown_peers != expected) {
+    while (stats.unknown_peer_connections != expected) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.01);
-        rr_cells_links_get_stats(servers[0].links, &stats);
+        rr_cells_server_get_stats(servers[0].links, &stats);
     }
 }
 
@@ -177,7 +177,7 @@
 
 static int dial(void) {
     struct rr_endpoint own = {.host = "127.0.1.7"};
-    int fd = rr_peer_dial(&own, &servers[0].settings.listen, 2);
+    int fd = rr_stream_connect(&own, &servers[0].settings.listen_endpoint, 2);
     assert_true(fd >= 0);
     return fd;
 }
@@ -190,7 +190,7 @@
                                           "Rr\002\013\0\0\0\0"};
     for (int i = 0; i < 3; i++) {
         int fd = dial();
-        assert_int_equal(rr_peer_send(fd, garbage[i], i == 0 ? 18 : 8), 0);
+        assert_int_equal(rr_stream_send(fd, garbage[i], i == 0 ? 18 : 8), 0);
         assert_true(recv(fd, &byte, 1, 0) <= 0);
         close(fd);
     }
@@ -206,18 +206,18 @@
     rr_frame_put_text(frame, "n1");
     rr_frame_end(frame, start);
     int fd = dial();
-    assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
+    assert_int_equal(rr_stream_send(fd, frame->data, frame->len), 0);
     assert_true(recv(fd, &byte, 1, 0) <= 0);
     close(fd);
-    rr_cells_links_stats stats;
-    rr_cells_links_get_stats(servers[0].links, &stats);
-    assert_int_equal(stats.refused, 1);
+    rr_cells_server_stats stats;
+    rr_cells_server_get_stats(servers[0].links, &stats);
+    assert_int_equal(stats.refused_requests, 1);
     g_byte_array_free(frame, TRUE);
 }
 
 /* The connection goes on. */
 static void malformed_requests_get_a_status(void **state) {
-    struct rr_inbox inbox;
+    struct rr_receive_buffer receive_buffer;
     rr_frame_reader payload;
     uint8_t type;
     rr_cells_reply reply;
@@ -225,21 +225,21 @@
     static const enum rr_cells_status expected[] = {RR_CELLS_MALFORMED, RR_CELLS_MALFORMED};
     (void)state;
     int fd = dial();
-    rr_inbox_init(&inbox, fd);
+    rr_receive_buffer_init(&receive_buffer, fd);
     for (int i = 0; i < 2; i++) {
         GByteArray *frame = g_byte_array_new();
         guint start = rr_frame_begin(frame, RR_FRAME_CELLS);
         g_byte_array_append(frame, payloads[i], 6);
         rr_frame_end(frame, start);
-        assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
-        assert_int_equal(rr_peer_receive(&stop, &inbox, &type, &payload, 5), 0);
+        assert_int_equal(rr_stream_send(fd, frame->data, frame->len), 0);
+        assert_int_equal(rr_stream_receive_frame(&stop, &receive_buffer, &type, &payload, 5), 0);
         assert_int_equal(rr_cells_reply_unpack(payload.next, payload.bytes_left, &reply), 0);
         assert_int_equal(reply.status, expected[i]);
         rr_cells_reply_clear(&reply);
         g_byte_array_free(frame, TRUE);
     }
     close(fd);
-    rr_inbox_clear(&inbox);
+    rr_receive_buffer_clear(&receive_buffer);
 }
 
 static void an_unknown_version_gets_its_own_status(void **state) {
@@ -253,7 +253,7 @@
     request.version = 0;
     g_strlcpy(request.from, "a", sizeof request.from);
     g_strlcpy(request.to, "b", sizeof request.to);
-    assert_int_equal(rr_cells_ask(client, &request, &reply), 0);
+    assert_int_equal(rr_cells_send_request(client, &request, &reply), 0);
     assert_int_equal(reply.status, RR_CELLS_VERSION_UNKNOWN);
     rr_cells_reply_clear(&reply);
     rr_cells_request_clear(&request);
@@ -291,20 +291,20 @@
 }
 
 static void connections_beyond_the_bound_are_closed(void **state) {
-    int open[RR_CELLS_CONNECTIONS + 4];
-    rr_cells_links_stats stats = {0};
+    int open[RR_CELLS_CONNECTIONS_MAX + 4];
+    rr_cells_server_stats stats = {0};
     (void)state;
-    for (int i = 0; i < RR_CELLS_CONNECTIONS + 4; i++) {
+    for (int i = 0; i < RR_CELLS_CONNECTIONS_MAX + 4; i++) {
         open[i] = dial();
     }
     double until = rr_steady_clock_s() + 5;
-    while (stats.crowded < 4) {
+    while (stats.connections_over_limit < 4) {
         assert_true(rr_steady_clock_s() < until);
         rr_sleep(0.01);
-        rr_cells_links_get_stats(servers[0].links, &stats);
+        rr_cells_server_get_stats(servers[0].links, &stats);
     }
-    assert_int_equal(stats.crowded, 4);
-    for (int i = 0; i < RR_CELLS_CONNECTIONS + 4; i++) {
+    assert_int_equal(stats.connections_over_limit, 4);
+    for (int i = 0; i < RR_CELLS_CONNECTIONS_MAX + 4; i++) {
         close(open[i]);
     }
 }
--- a/tests/test_cells_offers.c
+++ b/tests/test_cells_offers.c
@@ -21,7 +21,7 @@
     rr_cells_room plenty = {100, 10, 1000};
     cell_pair_wait_at_home(pair,
                            &(struct test_job){.job_id = CELL_PAIR_JOB, .task_count = 9, .cpus = 4});
-    rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.node.now);
     cell_pair_step(pair); /* records the offer */
     cell_pair_step(pair);
     cell_pair_step(pair);
@@ -56,7 +56,7 @@
     cell_pair_play(pair, 3);
     for (int i = 0; i < 40; i++) {
         cell_pair_play(pair, 1);
-        rr_transfers_room_announced(pair->guest.transfers, 0, &plenty, pair->guest.node.now);
+        rr_transfers_set_neighbour_room(pair->guest.transfers, 0, &plenty, pair->guest.node.now);
     }
     rr_transfers_get_stats(pair->guest.transfers, &stats);
     assert_int_equal(stats.offered, 0);
@@ -122,9 +122,9 @@
 static void an_offer_with_shorter_times_is_refused(void **state) {
     cell_pair *pair = *state;
     rr_cells_room plenty = {100, 10, 1000};
-    pair->guest.settings.times.rest_s = 81;
+    pair->guest.settings.times.teardown_s = 81;
     cell_pair_wait_at_home(pair, &cell_pair_job);
-    rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.node.now);
     cell_pair_play(pair, 5);
     assert_true(pair->offers > 0);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
@@ -143,16 +143,16 @@
 
 static void pauses_after_refusals_double_up_to_a_limit(void **state) {
     (void)state;
-    rr_spill_pause pause = {0};
+    rr_spill_backoff pause = {0};
     double now = 100;
     for (int i = 0; i < 20; i++) {
-        rr_spill_refused(&pause, now);
-        assert_false(rr_spill_may_ask(&pause, now + fmin(exp2(i), 30) - 0.01));
-        assert_true(rr_spill_may_ask(&pause, now + 30));
+        rr_spill_backoff_increase(&pause, now);
+        assert_false(rr_spill_backoff_is_over(&pause, now + fmin(exp2(i), 30) - 0.01));
+        assert_true(rr_spill_backoff_is_over(&pause, now + 30));
         now += 30;
     }
-    rr_spill_taken(&pause);
-    assert_true(rr_spill_may_ask(&pause, now));
+    rr_spill_backoff_reset(&pause);
+    assert_true(rr_spill_backoff_is_over(&pause, now));
 }
 
 int main(void) {
--- a/tests/test_cells_partitions.c
+++ b/tests/test_cells_partitions.c
@@ -112,7 +112,7 @@
     rr_cells_room plenty = {100, 10, 1000};
     cell_pair_wait_at_home(pair,
                            &(struct test_job){.job_id = CELL_PAIR_JOB, .task_count = 9, .cpus = 4});
-    rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.node.now);
     for (int i = 0; i < 3; i++) {
         cell_pair_step(pair); /* offered, refused, released */
     }
@@ -139,7 +139,7 @@
     cell_pair *pair = *state;
     rr_transfers_stats stats;
     cell_pair_spill(pair);
-    g_strlcpy(pair->home.settings.neighbours[0].name, "other", RR_CELL_NAME);
+    g_strlcpy(pair->home.settings.neighbours[0].name, "other", RR_CELL_NAME_SIZE);
     cell_restart(&pair->home, true);
     pair->cut = true;
     cell_pair_play(pair, 1);
@@ -151,7 +151,7 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = cell_pair_spill(pair);
-    g_strlcpy(pair->guest.settings.neighbours[0].name, "other", RR_CELL_NAME);
+    g_strlcpy(pair->guest.settings.neighbours[0].name, "other", RR_CELL_NAME_SIZE);
     cell_restart(&pair->guest, true);
     cell_pair_play(pair, 2);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
@@ -169,16 +169,16 @@
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     g_strlcpy(request.team, "red", sizeof request.team);
     request.lease_s = 10;
-    request.rest_s = 80;
+    request.teardown_s = 80;
     rr_transfer_message offer = {.kind = RR_TRANSFER_OFFER, .claim = 1};
     rr_submission submission;
     test_submission_init(&submission, &cell_pair_job);
     rr_cells_add_offer(request.items, &offer, &submission, 1000);
     rr_submission_clear(&submission);
     double now = pair->guest.node.now;
-    assert_false(rr_transfers_receive(pair->guest.transfers, 0, &request,
-                                      &g_array_index(request.items, rr_cells_item, 0), now, now,
-                                      &reply, &write));
+    assert_false(rr_transfers_receive_message(pair->guest.transfers, 0, &request,
+                                              &g_array_index(request.items, rr_cells_item, 0), now,
+                                              now, &reply, &write));
     assert_int_equal(reply.kind, RR_TRANSFER_REFUSE);
     rr_cells_request_clear(&request);
 }
@@ -198,9 +198,9 @@
     rr_cells_add_item(request.items, "req-99", &renew);
     double now = pair->home.node.now;
     for (guint i = 0; i < 3; i++) {
-        assert_false(rr_transfers_receive(pair->home.transfers, 0, &request,
-                                          &g_array_index(request.items, rr_cells_item, i), now, now,
-                                          &reply, &write));
+        assert_false(rr_transfers_receive_message(pair->home.transfers, 0, &request,
+                                                  &g_array_index(request.items, rr_cells_item, i),
+                                                  now, now, &reply, &write));
         assert_int_equal(reply.kind, RR_TRANSFER_VOID);
     }
     rr_cells_request_clear(&request);
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -175,6 +175,6 @@
     if (argc > 6) {
         cmocka_set_test_filter(argv[6]);
     }
-    rr_net_init();
+    rr_http_client_init();
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_cells_settings.c
+++ b/tests/test_cells_settings.c
@@ -38,14 +38,14 @@
     assert_true(load(OWN CELL_B "lease_s = 8\n", &settings, &error));
     assert_null(error);
     assert_string_equal(settings.name, "a");
-    assert_int_equal(settings.listen.port, 7000);
-    assert_int_equal(rr_cells_neighbour(&settings, "b"), 0);
-    assert_int_equal(rr_cells_neighbour(&settings, "c"), -1);
+    assert_int_equal(settings.listen_endpoint.port, 7000);
+    assert_int_equal(rr_cells_find_neighbour(&settings, "b"), 0);
+    assert_int_equal(rr_cells_find_neighbour(&settings, "c"), -1);
     assert_true(settings.times.lease_s == 8);
-    assert_true(settings.times.rest_s > 60); /* a cancellation's time and more */
-    assert_true(rr_cell_takes(&settings.neighbours[0], "red", ""));
-    assert_true(rr_cell_takes(&settings.neighbours[0], "red", "far"));
-    assert_false(rr_cell_takes(&settings.neighbours[0], "red", "a"));
+    assert_true(settings.times.teardown_s > 60); /* a cancellation's time and more */
+    assert_true(rr_neighbour_accepts_job(&settings.neighbours[0], "red", ""));
+    assert_true(rr_neighbour_accepts_job(&settings.neighbours[0], "red", "far"));
+    assert_false(rr_neighbour_accepts_job(&settings.neighbours[0], "red", "a"));
     rr_cells_settings_clear(&settings);
 }
 
@@ -142,7 +142,7 @@
     g_strlcpy(request->to, "b", sizeof request->to);
     g_strlcpy(request->team, "red", sizeof request->team);
     request->lease_s = 12;
-    request->rest_s = 80;
+    request->teardown_s = 80;
     rr_cells_add_item(request->items, "req-1", &message);
     message.kind = RR_TRANSFER_OFFER;
     rr_cells_add_item(request->items, "req-2", &message);
@@ -162,11 +162,11 @@
                      0);
     assert_string_equal(got.from, "a");
     assert_string_equal(got.team, "red");
-    assert_true(got.lease_s == 12 && got.rest_s == 80);
+    assert_true(got.lease_s == 12 && got.teardown_s == 80);
     assert_int_equal(got.items->len, 2);
     const rr_cells_item *first = &g_array_index(got.items, rr_cells_item, 0);
     assert_int_equal(first->message.claim, 7);
-    assert_true(first->message.sent_at == 12.5 && first->message.asker == 99);
+    assert_true(first->message.sent_at == 12.5 && first->message.guest_process == 99);
     assert_int_equal(g_array_index(got.items, rr_cells_item, 1).submission->len, 3);
     rr_cells_request_clear(&sent);
     rr_cells_request_clear(&got);
@@ -268,12 +268,12 @@
 static void local_ids_depend_on_cell_job_and_claim(void **state) {
     char one[RR_ID_SIZE], other[RR_ID_SIZE];
     (void)state;
-    rr_cells_local_id("a", "req-1", 1, one, sizeof one);
+    rr_cells_make_local_id("a", "req-1", 1, one, sizeof one);
     assert_true(rr_job_id_valid(one));
     assert_string_equal(one, "req-814787604127990689069");
-    rr_cells_local_id("a", "req-1", 2, other, sizeof other);
+    rr_cells_make_local_id("a", "req-1", 2, other, sizeof other);
     assert_string_not_equal(one, other);
-    rr_cells_local_id("b", "req-1", 1, other, sizeof other);
+    rr_cells_make_local_id("b", "req-1", 1, other, sizeof other);
     assert_string_not_equal(one, other);
 }
 
--- a/tests/test_cells_transfer.c
+++ b/tests/test_cells_transfer.c
@@ -22,7 +22,7 @@
 #define MESSAGES 3      /* in transit at a time; further ones are lost */
 #define CLOCK_STEP (-7) /* by which a restarted guest's clock differs from the last one's */
 
-static const rr_transfer_times times = {.lease_s = 2, .rest_s = 1, .drift = 0};
+static const rr_transfer_times times = {.lease_s = 2, .teardown_s = 1, .drift = 0};
 static unsigned depth = 8, walks = 20000, seed = 1;
 
 struct message {
@@ -132,13 +132,13 @@
 
 static void home_write(struct state *state, bool applied, bool crash) {
     if (applied) {
-        state->home_stored = state->home.writing;
+        state->home_stored = state->home.pending_record;
     }
-    uint32_t guest = state->home.writing.guest;
+    uint32_t guest = state->home.pending_record.guest;
     if (crash) {
         rr_home_load(&state->home, &state->home_stored, state->home.running, state->now, &times);
     } else {
-        home_step(state, guest, rr_home_written(&state->home, applied));
+        home_step(state, guest, rr_home_complete_write(&state->home, applied));
     }
     if (state->home.record.state == RR_HOME_FINAL) {
         state->announced = state->home.record.answer;
@@ -155,12 +155,12 @@
 
 static void guest_write(struct state *state, uint32_t index, bool applied, bool crash) {
     if (applied) {
-        state->guest_stored[index] = state->guests[index].writing;
+        state->guest_stored[index] = state->guests[index].pending_record;
     }
     if (crash) {
         guest_crash(state, index);
     } else {
-        guest_step(state, index, rr_guest_written(&state->guests[index], applied));
+        guest_step(state, index, rr_guest_complete_write(&state->guests[index], applied));
     }
 }
 
@@ -180,11 +180,12 @@
     }
 }
 
-/* By the workers' lease, tasks that a guest does not stop are gone rest_s after its grant ends. */
+/* By the workers' lease, tasks that a guest does not stop are gone teardown_s after its grant ends.
+ */
 static void tick(struct state *state) {
     state->now++;
     for (uint32_t index = 0; index < GUESTS; index++) {
-        if (state->now >= state->ends_at[index] + times.rest_s) {
+        if (state->now >= state->ends_at[index] + times.teardown_s) {
             state->guests[index].running = false;
         }
     }
@@ -205,7 +206,7 @@
         }
         break;
     case HOME_ENDS:
-        if (home->running && !home->writes) {
+        if (home->running && !home->write_pending) {
             state->runs_done++;
             home_step(state, 0, rr_home_end(home, RR_ANSWER_DONE));
         }
@@ -216,7 +217,7 @@
     case HOME_WRITTEN:
     case HOME_NOT_WRITTEN:
     case HOME_CRASHES_AFTER_WRITE:
-        if (home->writes) {
+        if (home->write_pending) {
             home_write(state, kind != HOME_NOT_WRITTEN, kind == HOME_CRASHES_AFTER_WRITE);
         }
         break;
@@ -224,7 +225,7 @@
         rr_home_load(home, &state->home_stored, home->running, state->now, &times);
         break;
     default:
-        home_step(state, home->record.guest, rr_home_repeat(home));
+        home_step(state, home->record.guest, rr_home_resend_offer(home));
     }
 }
 
@@ -250,7 +251,7 @@
     case GUEST_WRITTEN:
     case GUEST_NOT_WRITTEN:
     case GUEST_CRASHES_AFTER_WRITE:
-        if (guest->writes) {
+        if (guest->write_pending) {
             guest_write(state, index, kind != GUEST_NOT_WRITTEN, kind == GUEST_CRASHES_AFTER_WRITE);
         }
         break;
@@ -258,7 +259,7 @@
         guest_crash(state, index);
         break;
     default:
-        guest_step(state, index, rr_guest_repeat(guest, guest_now(state, index)));
+        guest_step(state, index, rr_guest_next_step(guest, guest_now(state, index)));
     }
 }
 
--- a/tests/test_core_cancellation_faults.c
+++ b/tests/test_core_cancellation_faults.c
@@ -53,7 +53,7 @@
     peer.now = cache_stalled_at + 0.001;
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_cancel(&peer, job.job_id); /* confirmed at peer.now at the earliest */
-    double reply_s = rr_heartbeat_reply_s(&leader->config), margin_s = 0.001;
+    double reply_s = rr_heartbeat_reply_window_s(&leader->config), margin_s = 0.001;
     /* A renewed session does not prove that the leader knows of cancellations. */
     rr_core_set_session(leader->core, 7, cache_stalled_at + 1e6);
     assert_int_equal(reply_to_running_task(leader, cache_stalled_at + reply_s - margin_s,
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -240,7 +240,7 @@
                               .spot_notice_s = -1};
     struct rr_heartbeat_reply reply;
     heartbeat.tasks = g_array_new(FALSE, FALSE, sizeof(rr_task_status));
-    double reply_s = rr_heartbeat_reply_s(&isolated.config);
+    double reply_s = rr_heartbeat_reply_window_s(&isolated.config);
     rr_core_reply_to_heartbeat(isolated.core, isolated.now + reply_s - 0.1, &heartbeat, &reply);
     assert_int_equal(reply.status, 200);
     g_array_free(reply.commands, TRUE);
--- a/tests/test_core_upgrade.c
+++ b/tests/test_core_upgrade.c
@@ -75,13 +75,13 @@
 /* Asserts that the data consists of one frame of each type in `types`, in that order. */
 static void assert_frames_readable(const guint8 *data, size_t length) {
     static const uint8_t types[] = {RR_FRAME_HELLO, RR_FRAME_SENT_AT, RR_FRAME_HEARTBEAT_DIGESTS,
-                                    RR_FRAME_SUSPECT};
+                                    RR_FRAME_SUSPECTS};
     size_t offset = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(types); i++) {
         uint8_t type;
         uint32_t count;
         assert_true(offset + RR_FRAME_HEADER_BYTES <= length);
-        assert_int_equal(rr_frame_head(data + offset, &type, &count), 0);
+        assert_int_equal(rr_frame_parse_header(data + offset, &type, &count), 0);
         assert_int_equal(type, types[i]);
         offset += RR_FRAME_HEADER_BYTES + count;
     }
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -19,7 +19,7 @@
     rr_frame_put_u8(buffer, 7);
     rr_frame_put_bytes(buffer, NULL, 0);
     rr_frame_end(buffer, start);
-    assert_int_equal(rr_frame_head(buffer->data, &type, &length), 0);
+    assert_int_equal(rr_frame_parse_header(buffer->data, &type, &length), 0);
     assert_int_equal(type, RR_FRAME_RELAY);
     assert_int_equal(length, buffer->len - RR_FRAME_HEADER_BYTES);
     rr_frame_reader reader = {buffer->data + RR_FRAME_HEADER_BYTES, length, false};
@@ -41,9 +41,9 @@
     uint32_t length;
     uint8_t magic[8] = {'X', 'r', RR_FRAME_VERSION, 1}, version[8] = {'R', 'r', 99, 1};
     uint8_t too_long[8] = {'R', 'r', RR_FRAME_VERSION, 1, 0xff, 0xff, 0xff, 0xff};
-    assert_int_equal(rr_frame_head(magic, &type, &length), -EBADMSG);
-    assert_int_equal(rr_frame_head(version, &type, &length), -EBADMSG);
-    assert_int_equal(rr_frame_head(too_long, &type, &length), -EBADMSG);
+    assert_int_equal(rr_frame_parse_header(magic, &type, &length), -EBADMSG);
+    assert_int_equal(rr_frame_parse_header(version, &type, &length), -EBADMSG);
+    assert_int_equal(rr_frame_parse_header(too_long, &type, &length), -EBADMSG);
 }
 
 /* Random payloads must not make the reader read past their end. Their lengths often exceed the
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -16,16 +16,16 @@
 #include <unistd.h>
 
 #define CONNECTIONS_MAX 8
-/* The least number of connections with which the server is crowded: more than 75% of
+/* The least number of connections with which the server is near its limit: more than 75% of
  * CONNECTIONS_MAX. */
-#define CROWDED_FROM 7
+#define NEAR_LIMIT_FROM 7
 
 /* Handler that responds as to a worker on /hello and as to a user on other paths. */
 static void handle_request(void *user_data, const struct rr_http_request *request,
                            struct rr_http_response *response) {
     (void)user_data;
     response->status = 200;
-    response->yields = strcmp(request->path, "/hello") == 0;
+    response->close_if_near_limit = strcmp(request->path, "/hello") == 0;
     rr_encode_map(&response->body, 0);
 }
 
@@ -112,10 +112,10 @@
     struct fixture *fixture = *state;
     char text[1024], byte;
     int fds[CONNECTIONS_MAX];
-    for (int i = 0; i < CROWDED_FROM - 1; i++) {
+    for (int i = 0; i < NEAR_LIMIT_FROM - 1; i++) {
         fds[i] = connect_client(fixture);
         assert_true(request_path(fds[i], "/hello", text, sizeof text));
-        assert_false(has_connection_close(text)); /* not crowded: workers stay connected */
+        assert_false(has_connection_close(text)); /* not near the limit: workers stay connected */
     }
     for (int i = 0; i < 20; i++) {
         int worker = connect_client(fixture);
@@ -123,16 +123,16 @@
         assert_true(has_connection_close(text));
         assert_int_equal(recv(worker, &byte, 1, 0), 0);
         close(worker);
-        while (rr_http_server_connections(fixture->server) > CROWDED_FROM - 1) {
+        while (rr_http_server_connection_count(fixture->server) > NEAR_LIMIT_FROM - 1) {
             g_usleep(1000);
         }
     }
-    for (int i = CROWDED_FROM - 1; i < CONNECTIONS_MAX; i++) {
+    for (int i = NEAR_LIMIT_FROM - 1; i < CONNECTIONS_MAX; i++) {
         fds[i] = connect_client(fixture);
         assert_true(request_path(fds[i], "/ready", text, sizeof text));
         assert_false(has_connection_close(text));
     }
-    assert_int_equal(rr_http_server_connections(fixture->server), CONNECTIONS_MAX);
+    assert_int_equal(rr_http_server_connection_count(fixture->server), CONNECTIONS_MAX);
     int excess = connect_client(fixture);
     assert_false(request_path(excess, "/ready", text, sizeof text));
     close(excess);
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -106,7 +106,7 @@
     struct rr_app *app = g_new0(struct rr_app, 1);
     struct user users[USERS];
     fake_services_init_config(services, &app->config, "n0");
-    app->config.state_rps = app->config.state_write_rps = 1000;
+    app->config.store_rps = app->config.store_write_rps = 1000;
     start_ready(app);
     double began = rr_steady_clock_s();
     long before = resident_kb();
@@ -220,7 +220,7 @@
             rr_sleep(0.01);
         }
     }
-    int open = rr_http_server_connections(app->http_server);
+    int open = rr_http_server_connection_count(app->http_server);
     printf("%u workers, %d connections kept, %u retries, %.0f KB a connection\n", workers, open,
            retries, (double)(resident_kb() - before) / (open ? open : 1));
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
@@ -334,7 +334,7 @@
         cmocka_unit_test(all_workers_are_answered_with_fewer_connections),
         cmocka_unit_test(every_kind_of_request_is_answered)};
     rr_app_tune_allocator();
-    rr_net_init();
+    rr_http_client_init();
     rr_log_set_level("error");
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -185,7 +185,7 @@
     uint8_t head[RR_FRAME_HEADER_BYTES];
     struct received_frame frame;
     receive_bytes(fd, head, sizeof head);
-    assert_int_equal(rr_frame_head(head, &frame.type, &frame.length), 0);
+    assert_int_equal(rr_frame_parse_header(head, &frame.type, &frame.length), 0);
     frame.payload = g_malloc(frame.length + 1);
     if (frame.length) {
         receive_bytes(fd, frame.payload, frame.length);
@@ -293,8 +293,9 @@
  * nothing about the present: a machine that sent them may be dead by now. */
 static void stale_heartbeats_are_dropped(void **state) {
     struct fixture *fixture = *state;
-    send_periodic_frames(
-        fixture, true, fixture->config.heartbeat_interval_s + 2 * fixture->config.clock_off_s + 5);
+    send_periodic_frames(fixture, true,
+                         fixture->config.heartbeat_interval_s +
+                             2 * fixture->config.clock_skew_max_s + 5);
     send_periodic_frames(fixture, true, 0);
     wait_for_event(&fixture->heartbeats);
     assert_int_equal(atomic_load(&fixture->heartbeats), 1);
@@ -393,7 +394,7 @@
                                        TEST(digests_of_a_large_fleet_are_sent_together),
                                        TEST(a_queued_demand_view_is_sent),
                                        TEST(a_received_demand_view_reaches_its_callback)};
-    rr_net_init();
+    rr_http_client_init();
     rr_log_set_level("error");
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -515,7 +515,7 @@
                                        T(every_job_is_known_after_an_outage_with_a_restart),
                                        T(waiting_polls_are_not_woken_by_commits_of_others),
                                        T(late_timers_shed_submissions_only)};
-    rr_net_init();
+    rr_http_client_init();
     rr_log_set_level("error");
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -96,7 +96,7 @@
     struct rr_config config;
     load_valid(valid_platform, NULL, &config);
     assert_true(rr_value_kb_max(&config) == 8 && rr_transaction_changes_max(&config) == 32 &&
-                config.next_write_rps == 100);
+                config.next_store_write_rps == 100);
 }
 
 static void smaller_next_limits_apply_at_once(void **state) {
@@ -107,7 +107,7 @@
                                               "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
     load_valid(text, NULL, &config);
     assert_true(rr_value_kb_max(&config) == 2 && rr_transaction_changes_max(&config) == 32);
-    assert_true(config.next_write_rps == 24 && config.next_rps == config.state_rps);
+    assert_true(config.next_store_write_rps == 24 && config.next_store_rps == config.store_rps);
     g_free(text);
 }
 
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -76,7 +76,7 @@
     trace_int(hash, stats.refused);
     trace_int(hash, stats.refused_stale);
     trace_int(hash, stats.frames_dropped);
-    trace_int(hash, stats.records_unread);
+    trace_int(hash, stats.unreadable_records);
     g_array_free(demand, TRUE);
     g_byte_array_free(view, TRUE);
 }
@@ -185,7 +185,7 @@
 
 struct cells_trace {
     cell_pair *pair;
-    rr_absent *absent;
+    rr_absent_cell *absent;
     GRand *random;
     trace_hash hash;
     unsigned jobs;
@@ -195,7 +195,7 @@
     trace_hash *hash = watcher;
     trace_int(hash, write->outgoing);
     trace_text(hash, write->id);
-    trace_int(hash, write->ends_copy);
+    trace_int(hash, write->cancels_copy);
     trace_int(hash, write->ends_claim);
     trace_txn(hash, &write->transaction);
 }
@@ -211,7 +211,7 @@
         trace_int(hash, reply->claim);
         trace_int(hash, reply->answer);
         trace_decimal(hash, reply->sent_at);
-        trace_int(hash, reply->asker);
+        trace_int(hash, reply->guest_process);
     }
 }
 
@@ -253,19 +253,19 @@
     struct test_cell *home = &trace->pair->home;
     char id[RR_ID_SIZE];
     rr_core_job job;
-    rr_out_record withdrawn;
+    rr_outgoing_record withdrawn;
     uint64_t version = 0;
     double wait_s = 0;
     g_snprintf(id, sizeof id, "req-%u", number);
     if (!cell_job(home, id, &job) || job.done || job.cancelled) {
         return;
     }
-    enum rr_cancel_precondition first =
-        rr_transfers_cancel(home->transfers, id, home->node.now, &wait_s, &withdrawn, &version);
+    enum rr_cancel_precondition first = rr_transfers_check_cancellation(
+        home->transfers, id, home->node.now, &wait_s, &withdrawn, &version);
     trace_int(&trace->hash, first);
-    trace_decimal(&trace->hash, first == RR_CANCEL_WAIT ? wait_s : 0);
+    trace_decimal(&trace->hash, first == RR_CANCEL_NEEDS_WAIT ? wait_s : 0);
     trace_int(&trace->hash, rr_transfers_may_cancel(home->transfers, id, home->node.now, &version));
-    if (first == RR_CANCEL_FREE) {
+    if (first == RR_CANCEL_ALLOWED) {
         test_controller_cancel(&home->node, id);
     }
 }
@@ -321,10 +321,11 @@
 /* The reply frame as it would carry this cell's room and one message. */
 static void hash_reply_frame(trace_hash *hash, const struct test_cell *cell) {
     GByteArray *frame = g_byte_array_new();
-    rr_transfer_message message = {.kind = RR_TRANSFER_GRANT, .claim = 2, .sent_at = 3, .asker = 4};
+    rr_transfer_message message = {
+        .kind = RR_TRANSFER_GRANT, .claim = 2, .sent_at = 3, .guest_process = 4};
     rr_cells_reply reply, unpacked;
     rr_cells_reply_init(&reply);
-    reply.room = rr_transfers_room(cell->transfers, cell->node.now);
+    reply.room = rr_transfers_get_free_room(cell->transfers, cell->node.now);
     reply.http_status = 200;
     g_strlcpy(reply.owner, "n0", sizeof reply.owner);
     rr_cells_add_item(reply.items, "req-1", &message);
@@ -344,10 +345,10 @@
         size_t neighbour = 0;
         g_snprintf(id, sizeof id, "req-%u", number);
         trace_int(&trace->hash,
-                  rr_transfers_transferred(home->transfers, id, &neighbour, local, sizeof local));
+                  rr_transfers_locate_job(home->transfers, id, &neighbour, local, sizeof local));
         trace_text(&trace->hash, local);
     }
-    trace_int(&trace->hash, rr_transfers_speaks_for(home->transfers, "red", home->node.now));
+    trace_int(&trace->hash, rr_transfers_may_answer_for(home->transfers, "red", home->node.now));
 }
 
 static void hash_cell(trace_hash *hash, const struct test_cell *cell) {
@@ -356,10 +357,20 @@
     trace_text(hash, dump->str);
     trace_int(hash, cell->store->revision);
     rr_transfers_get_stats(cell->transfers, &stats);
-    const uint64_t counts[] = {
-        stats.outgoing, stats.incoming,  stats.offered,        stats.taken,      stats.refused,
-        stats.finished, stats.withdrawn, stats.accepted,       stats.given_back, stats.granted,
-        stats.lapsed,   stats.claimed,   stats.records_unread, stats.spilling};
+    const uint64_t counts[] = {stats.outgoing,
+                               stats.incoming,
+                               stats.offered,
+                               stats.taken,
+                               stats.refused,
+                               stats.finished,
+                               stats.withdrawn,
+                               stats.accepted,
+                               stats.given_back,
+                               stats.granted,
+                               stats.lapsed,
+                               stats.claimed,
+                               stats.unreadable_records,
+                               stats.spilling};
     for (size_t i = 0; i < G_N_ELEMENTS(counts); i++) {
         trace_int(hash, counts[i]);
     }
@@ -372,7 +383,7 @@
         cell_pair_home_dies(trace->pair);
     }
     cell_pair_read_home(trace->pair, trace->absent, NULL);
-    trace_decimal(&trace->hash, rr_absent_for(trace->absent, trace->pair->guest.node.now));
+    trace_decimal(&trace->hash, rr_absent_duration_s(trace->absent, trace->pair->guest.node.now));
 }
 
 void trace_cells_play(unsigned seed, GString *out) {
--- a/tests/trace_cloud.c
+++ b/tests/trace_cloud.c
@@ -28,8 +28,8 @@
         rr_machine_type type = {.cpus = types[i].cpus,
                                 .gpus = types[i].gpus,
                                 .mem_gb = types[i].mem_gb,
-                                .cache_gb = i == 2 ? 0 : 100,
-                                .pull_rate = 1,
+                                .image_cache_gb = i == 2 ? 0 : 100,
+                                .image_pull_gb_per_s = 1,
                                 .price = types[i].price,
                                 .spot_price = types[i].spot_price,
                                 .startup_s = types[i].boot_s};
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -54,8 +54,8 @@
         set_builds(world, submission);
     }
     submission->one_zone = trace_chance(world, 0.15);
-    submission->spread = !submission->one_zone && trace_chance(world, 0.2);
-    submission->spot = trace_chance(world, 0.4);
+    submission->spread_zones = !submission->one_zone && trace_chance(world, 0.2);
+    submission->spot_allowed = trace_chance(world, 0.4);
 }
 
 static void set_times(struct trace_world *world, rr_submission *submission, double runtime_s) {
@@ -63,7 +63,7 @@
     submission->deadline_s = trace_chance(world, 0.4) ? runtime_s * trace_between(world, 1, 5) : -1;
     if (trace_chance(world, 0.4)) {
         submission->checkpoint_interval_s = trace_between(world, 3, 20);
-        submission->save_s = trace_between(world, 0.5, 4);
+        submission->checkpoint_save_s = trace_between(world, 0.5, 4);
     }
 }
 
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -96,8 +96,8 @@
 
 /* What a worker may refuse a start with. */
 static enum rr_exit_reason refusal(struct trace_world *world) {
-    static const enum rr_exit_reason causes[] = {RR_EXIT_FULL, RR_EXIT_IN_USE, RR_EXIT_NO_SUCH,
-                                                 RR_EXIT_OTHER};
+    static const enum rr_exit_reason causes[] = {RR_EXIT_NO_RESOURCES, RR_EXIT_ATTEMPT_CONFLICT,
+                                                 RR_EXIT_UNKNOWN_TASK, RR_EXIT_OTHER};
     return trace_chance(world, 0.01) ? causes[trace_roll(world, 4)] : RR_EXIT_NONE;
 }
 
@@ -192,11 +192,11 @@
     if (task->standing == RR_TASK_WAITING && count.ready >= job->tasks) {
         run_task(world, machine, task, job);
     } else if (task->standing == RR_TASK_WAITING && task->until <= world->now) {
-        end_task(world, task, RR_EXIT_INCOMPLETE);
+        end_task(world, task, RR_EXIT_GANG_INCOMPLETE);
     } else if (task->standing == RR_TASK_RUNNING && count.done > 0) {
         end_task(world, task, RR_EXIT_DONE);
     } else if (count.ended > 0 && trace_chance(world, 0.3)) {
-        end_task(world, task, RR_EXIT_PEERS);
+        end_task(world, task, RR_EXIT_GANG_PEER_LOST);
     }
 }
 
