--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -78,7 +78,7 @@
         bool replaced = admission->slots[slot].table.sequence != previous_sequence;
         admission->complete[slot] = rc == 1 || (admission->complete[slot] && !replaced);
     }
-    admission->stats.records_unread += rc < 0;
+    admission->stats.unreadable_records += rc < 0;
 }
 
 /* Returns the slot's table, or the empty one while records of it are missing. */
@@ -138,7 +138,7 @@
  * guarantee for the interval, so that together they stay within it. */
 static bool admit_within_guarantee(rr_admission *admission, const rr_submission *submission,
                                    unsigned controllers) {
-    int team = rr_config_team(admission->config, submission->team);
+    int team = rr_config_find_team(admission->config, submission->team);
     if (team < 0) {
         return false;
     }
@@ -180,7 +180,7 @@
     bool stale = !context->lease_valid ||
                  context->cache_age_s > rr_admission_valid_s(admission->settings->interval_s);
     if (!stale) {
-        verdict = rr_admission_decide(&tables, wall, admission->config->clock_off_s, &key,
+        verdict = rr_admission_decide(&tables, wall, admission->config->clock_skew_max_s, &key,
                                       submission->job_id);
         stale = verdict.kind == RR_ADMISSION_STALE;
     }
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -24,7 +24,7 @@
 /* ---- admission tables from the key-value store ---- */
 
 /* Takes a stored record into the table of its slot. key_suffix: the record's key after
- * RR_ADMISSION_PREFIX, "SLOT/PART". An unreadable record is counted in records_unread. */
+ * RR_ADMISSION_PREFIX, "SLOT/PART". An unreadable record is counted in unreadable_records. */
 void rr_admission_put_record(rr_admission *admission, const char *key_suffix,
                              const msgpack_object *value, uint64_t version);
 
@@ -88,11 +88,11 @@
 
 /* Counters since rr_admission_create(). */
 typedef struct {
-    uint64_t admitted;       /* submissions whose acceptance was committed */
-    uint64_t refused;        /* refused submissions; each retry counts */
-    uint64_t refused_stale;  /* those of `refused` that were decided without a valid table */
-    uint64_t frames_dropped; /* demand views that were malformed or from an earlier term */
-    uint64_t records_unread; /* table records with an unknown key or format */
+    uint64_t admitted;           /* submissions whose acceptance was committed */
+    uint64_t refused;            /* refused submissions; each retry counts */
+    uint64_t refused_stale;      /* those of `refused` that were decided without a valid table */
+    uint64_t frames_dropped;     /* demand views that were malformed or from an earlier term */
+    uint64_t unreadable_records; /* table records with an unknown key or format */
 } rr_admission_stats;
 
 /* Copies the counters. */
--- a/src/admission/table_records.c
+++ b/src/admission/table_records.c
@@ -146,9 +146,9 @@
 
 static bool read_row(const msgpack_object *object, rr_admission_row *row) {
     uint64_t phase;
-    if (!is_array_of_three(object) || !rr_object_u64(&object->via.array.ptr[0], &row->id) ||
-        !rr_object_u64(&object->via.array.ptr[1], &phase) ||
-        !rr_object_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
+    if (!is_array_of_three(object) || !rr_object_get_u64(&object->via.array.ptr[0], &row->id) ||
+        !rr_object_get_u64(&object->via.array.ptr[1], &phase) ||
+        !rr_object_get_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
         row->share > RR_ADMISSION_FULL) {
         return false;
     }
@@ -159,9 +159,9 @@
 static bool read_team(const msgpack_object *object, rr_admission_team *team) {
     uint64_t fair_share, correction;
     if (!is_array_of_three(object) ||
-        !rr_object_text(&object->via.array.ptr[0], team->name, sizeof team->name) ||
-        !rr_object_u64(&object->via.array.ptr[1], &fair_share) ||
-        !rr_object_u64(&object->via.array.ptr[2], &correction)) {
+        !rr_object_get_text(&object->via.array.ptr[0], team->name, sizeof team->name) ||
+        !rr_object_get_u64(&object->via.array.ptr[1], &fair_share) ||
+        !rr_object_get_u64(&object->via.array.ptr[2], &correction)) {
         return false;
     }
     team->fair_room = (double)fair_share / FAIR_SHARE_UNITS;
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -78,7 +78,7 @@
 /* Reads the home's key-value store from the guest, as while the home has no controllers, and
  * commits the changes that follow at both cells. held_back: if not NULL, changes of the home's
  * store are added to it (rr_transfer_write *) instead of committed. */
-void cell_pair_read_home(cell_pair *pair, rr_absent *absent, GPtrArray *held_back);
+void cell_pair_read_home(cell_pair *pair, rr_absent_cell *absent, GPtrArray *held_back);
 /* Commits the guest's writes to the home's store. Adds the number that succeeded to *committed. */
 void cell_pair_commit_to_home(cell_pair *pair, GPtrArray *writes, unsigned *committed);
 
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -210,8 +210,8 @@
     struct model model;
     init_skewed_load(&model);
     model.seconds = 1800;
-    model.clock_off_s[0] = -model.config.clock_off_s;
-    model.clock_off_s[2] = model.config.clock_off_s;
+    model.clock_off_s[0] = -model.config.clock_skew_max_s;
+    model.clock_off_s[2] = model.config.clock_skew_max_s;
     model_run(&model);
     assert_fair_service(&model);
     model_clear(&model);
--- a/tests/test_cells_absent_home.c
+++ b/tests/test_cells_absent_home.c
@@ -7,7 +7,7 @@
 
 struct absent_home {
     cell_pair *pair;
-    rr_absent *absent; /* the guest's view of the home's store; owned */
+    rr_absent_cell *absent; /* the guest's view of the home's store; owned */
 };
 
 /* Stops the home's controllers while the guest runs req-1 and req-2 waits at the home. The caller
@@ -48,14 +48,14 @@
     rr_absent_destroy(home.absent);
 }
 
-/* The guest claims req-2 only after the home has had no controllers for rest_s, 80 s here: until
- * then its workers may still run tasks. */
+/* The guest claims req-2 only after the home has had no controllers for teardown_s, 80 s here:
+ * until then its workers may still run tasks. */
 static void an_open_job_is_claimed_once_its_tasks_have_ended(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
     struct absent_home home = stop_home_controllers(pair);
     char local[RR_ID_SIZE];
-    rr_cells_local_id("h", "req-2", 1, local, sizeof local);
+    rr_cells_make_local_id("h", "req-2", 1, local, sizeof local);
     read_home_for(&home, 78);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 1);
     read_home_for(&home, 14);
@@ -106,7 +106,7 @@
     cell_restart(&pair->home, true);
     pair->cut = pair->home_dead = false;
     cell_fleet(&pair->home, 2);
-    rr_cells_local_id("h", "req-2", 1, local, sizeof local);
+    rr_cells_make_local_id("h", "req-2", 1, local, sizeof local);
     for (int i = 0; i < 30; i++) {
         cell_pair_run_for(pair, 1);
         cell_plan(&pair->home, "req-2");
@@ -126,11 +126,11 @@
     unsigned committed = 0;
     struct absent_home home = stop_home_controllers(pair);
     GPtrArray *writes = prepare_claim(&home);
-    rr_absent *other_cell = rr_absent_create(&pair->guest.node.config, "other");
+    rr_absent_cell *other_cell = rr_absent_create(&pair->guest.node.config, "other");
     rr_transfer_write other_claim = {.ends_claim = false};
     rr_transaction_init(&other_claim.transaction);
     cell_pair_read_home(pair, other_cell, writes);
-    assert_true(rr_absent_claim(other_cell, "req-2", "red", &other_claim.transaction));
+    assert_true(rr_absent_claim_job(other_cell, "req-2", "red", &other_claim.transaction));
     assert_int_equal(fake_store_commit(pair->home.store, &other_claim.transaction), 0);
     cell_pair_commit_to_home(pair, writes, &committed);
     assert_int_equal(committed, 0);
--- a/tests/test_cells_cancellation.c
+++ b/tests/test_cells_cancellation.c
@@ -5,17 +5,17 @@
 #include "core/submissions.h"
 
 /* Asks what has to happen before cell_pair_job can be cancelled, as a controller does for a user.
- * If the job has to be withdrawn first, records that. *wait_s: set with RR_CANCEL_WAIT. */
+ * If the job has to be withdrawn first, records that. *wait_s: set with RR_CANCEL_NEEDS_WAIT. */
 static enum rr_cancel_precondition prepare_cancellation(cell_pair *pair, double *wait_s) {
     test_controller *home = &pair->home.node;
-    rr_out_record withdrawn;
+    rr_outgoing_record withdrawn;
     uint64_t version;
-    enum rr_cancel_precondition precondition = rr_transfers_cancel(
+    enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
         pair->home.transfers, CELL_PAIR_JOB_ID, home->now, wait_s, &withdrawn, &version);
-    if (precondition == RR_CANCEL_WITHDRAW) {
+    if (precondition == RR_CANCEL_NEEDS_WITHDRAWAL) {
         rr_transaction transaction;
         rr_transaction_init(&transaction);
-        rr_cells_out_write(&transaction, CELL_PAIR_JOB_ID, version, &withdrawn);
+        rr_cells_outgoing_add_write(&transaction, CELL_PAIR_JOB_ID, version, &withdrawn);
         assert_int_equal(fake_store_commit(home->store, &transaction), 0);
         rr_transaction_clear(&transaction);
         fake_store_sync(home->store, home->core, home->now);
@@ -30,10 +30,10 @@
     rr_core_job job;
     double wait_s;
     const char *local = cell_pair_transfer_job(pair);
-    assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_WITHDRAW);
+    assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_NEEDS_WITHDRAWAL);
     pair->cut = true;
     double requested_at = pair->home.node.now;
-    while (prepare_cancellation(pair, &wait_s) == RR_CANCEL_WAIT) {
+    while (prepare_cancellation(pair, &wait_s) == RR_CANCEL_NEEDS_WAIT) {
         assert_true(wait_s > 0 && wait_s <= 15.5);
         cell_pair_run_for(pair, 0.5);
     }
@@ -81,7 +81,7 @@
     cell_pair *pair = *state;
     double wait_s;
     cell_submit(&pair->home, &cell_pair_job);
-    assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_FREE);
+    assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_ALLOWED);
 }
 
 /* A controller of an older version records a cancellation without withdrawing the transfer. */
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -19,7 +19,7 @@
 /* One controller of cell b. */
 struct test_server {
     rr_cells_settings settings;
-    rr_cells_links *links;
+    rr_cells_server *links;
     char planner[RR_NAME_SIZE]; /* owner named in NOT_OWNER replies; empty: this one plans all */
     unsigned requests;          /* served so far */
 };
@@ -50,7 +50,7 @@
 
 /* Adds a neighbour whose controllers connect from this network (a CIDR prefix). */
 static void add_neighbour(rr_cells_settings *settings, const char *name, const char *network) {
-    rr_cell *cell = &settings->neighbours[settings->neighbour_count++];
+    rr_neighbour_cell *cell = &settings->neighbours[settings->neighbour_count++];
     g_strlcpy(cell->name, name, sizeof cell->name);
     cell->networks = rr_networks_create();
     cell->zones = g_ptr_array_new();
@@ -60,8 +60,8 @@
 
 /* Sets this address and a free port as the one to listen at. */
 static void set_listen_address(rr_cells_settings *settings, const char *address) {
-    g_strlcpy(settings->listen.host, address, sizeof settings->listen.host);
-    settings->listen.port = fake_services_free_port();
+    g_strlcpy(settings->listen_endpoint.host, address, sizeof settings->listen_endpoint.host);
+    settings->listen_endpoint.port = fake_services_free_port();
 }
 
 /* Starts two controllers of cell b, whose neighbour, cell a, connects from 127.0.1.0/24. */
@@ -70,11 +70,11 @@
     atomic_store(&stop, false);
     for (int i = 0; i < 2; i++) {
         memset(&servers[i], 0, sizeof servers[i]);
-        g_strlcpy(servers[i].settings.name, "b", RR_CELL_NAME);
+        g_strlcpy(servers[i].settings.name, "b", RR_CELL_NAME_SIZE);
         set_listen_address(&servers[i].settings, "127.0.2.1");
         add_neighbour(&servers[i].settings, "a", "127.0.1.0/24");
-        assert_int_equal(rr_cells_links_start(&servers[i].settings, &stop, serve, ignore_context,
-                                              &servers[i], &servers[i].links),
+        assert_int_equal(rr_cells_server_start(&servers[i].settings, &stop, serve, ignore_context,
+                                               &servers[i], &servers[i].links),
                          0);
     }
     return 0;
@@ -84,7 +84,7 @@
     (void)state;
     atomic_store(&stop, true);
     for (int i = 0; i < 2; i++) {
-        rr_cells_links_destroy(servers[i].links);
+        rr_cells_server_destroy(servers[i].links);
         rr_cells_settings_clear(&servers[i].settings);
     }
     return 0;
@@ -94,18 +94,18 @@
  * controllers as its neighbour. */
 static void configure_client(rr_cells_settings *settings, const char *from) {
     memset(settings, 0, sizeof *settings);
-    g_strlcpy(settings->name, "a", RR_CELL_NAME);
-    g_strlcpy(settings->listen.host, from, sizeof settings->listen.host);
+    g_strlcpy(settings->name, "a", RR_CELL_NAME_SIZE);
+    g_strlcpy(settings->listen_endpoint.host, from, sizeof settings->listen_endpoint.host);
     add_neighbour(settings, "b", "127.0.2.0/24");
-    rr_cell *cell = &settings->neighbours[0];
+    rr_neighbour_cell *cell = &settings->neighbours[0];
     cell->controller_count = 2;
     for (int i = 0; i < 2; i++) {
         g_snprintf(cell->controllers[i].name, RR_NAME_SIZE, "b%d", i);
-        cell->controllers[i].endpoint = servers[i].settings.listen;
+        cell->controllers[i].endpoint = servers[i].settings.listen_endpoint;
     }
 }
 
-/* Sends a renewal of a job of team red between these cells. Returns as rr_cells_ask(). */
+/* Sends a renewal of a job of team red between these cells. Returns as rr_cells_send_request(). */
 static int ask_to_renew(rr_cells_client *client, const char *from, const char *target,
                         rr_cells_reply *reply) {
     rr_cells_request request;
@@ -115,7 +115,7 @@
     g_strlcpy(request.to, target, sizeof request.to);
     g_strlcpy(request.team, "red", sizeof request.team);
     rr_cells_add_item(request.items, "req-1", &renew);
-    int rc = rr_cells_ask(client, &request, reply);
+    int rc = rr_cells_send_request(client, &request, reply);
     rr_cells_request_clear(&request);
     return rc;
 }
@@ -141,12 +141,12 @@
 
 /* Waits until the server has counted so many connections from unknown networks; fails after 5 s. */
 static void wait_for_unknown_peers(uint64_t expected) {
-    rr_cells_links_stats stats = {0};
+    rr_cells_server_stats stats = {0};
     double deadline = rr_steady_clock_s() + 5;
-    while (stats.unknown_peers != expected) {
+    while (stats.unknown_peer_connections != expected) {
         assert_true(rr_steady_clock_s() < deadline);
         rr_sleep(0.01);
-        rr_cells_links_get_stats(servers[0].links, &stats);
+        rr_cells_server_get_stats(servers[0].links, &stats);
     }
 }
 
@@ -187,7 +187,7 @@
 /* Returns a connection to the first server from cell a's network; the caller closes it. */
 static int dial_server(void) {
     struct rr_endpoint source = {.host = "127.0.1.7"};
-    int fd = rr_peer_dial(&source, &servers[0].settings.listen, 2);
+    int fd = rr_stream_connect(&source, &servers[0].settings.listen_endpoint, 2);
     assert_true(fd >= 0);
     return fd;
 }
@@ -201,7 +201,7 @@
                                           "Rr\002\013\0\0\0\0"};
     for (int i = 0; i < 3; i++) {
         int fd = dial_server();
-        assert_int_equal(rr_peer_send(fd, garbage[i], i == 0 ? 18 : 8), 0);
+        assert_int_equal(rr_stream_send(fd, garbage[i], i == 0 ? 18 : 8), 0);
         assert_true(recv(fd, &byte, 1, 0) <= 0);
         close(fd);
     }
@@ -217,18 +217,18 @@
     rr_frame_put_text(frame, "n1");
     rr_frame_end(frame, start);
     int fd = dial_server();
-    assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
+    assert_int_equal(rr_stream_send(fd, frame->data, frame->len), 0);
     assert_true(recv(fd, &byte, 1, 0) <= 0);
     close(fd);
-    rr_cells_links_stats stats;
-    rr_cells_links_get_stats(servers[0].links, &stats);
-    assert_int_equal(stats.refused, 1);
+    rr_cells_server_stats stats;
+    rr_cells_server_get_stats(servers[0].links, &stats);
+    assert_int_equal(stats.refused_requests, 1);
     g_byte_array_free(frame, TRUE);
 }
 
 /* A valid frame with a malformed request gets a reply, and its connection stays open. */
 static void malformed_requests_are_answered_as_malformed(void **state) {
-    struct rr_inbox inbox;
+    struct rr_receive_buffer receive_buffer;
     rr_frame_reader payload;
     uint8_t type;
     rr_cells_reply reply;
@@ -236,21 +236,21 @@
     static const enum rr_cells_status expected[] = {RR_CELLS_MALFORMED, RR_CELLS_MALFORMED};
     (void)state;
     int fd = dial_server();
-    rr_inbox_init(&inbox, fd);
+    rr_receive_buffer_init(&receive_buffer, fd);
     for (int i = 0; i < 2; i++) {
         GByteArray *frame = g_byte_array_new();
         guint start = rr_frame_begin(frame, RR_FRAME_CELLS);
         g_byte_array_append(frame, payloads[i], 6);
         rr_frame_end(frame, start);
-        assert_int_equal(rr_peer_send(fd, frame->data, frame->len), 0);
-        assert_int_equal(rr_peer_receive(&stop, &inbox, &type, &payload, 5), 0);
+        assert_int_equal(rr_stream_send(fd, frame->data, frame->len), 0);
+        assert_int_equal(rr_stream_receive_frame(&stop, &receive_buffer, &type, &payload, 5), 0);
         assert_int_equal(rr_cells_reply_unpack(payload.next, payload.bytes_left, &reply), 0);
         assert_int_equal(reply.status, expected[i]);
         rr_cells_reply_clear(&reply);
         g_byte_array_free(frame, TRUE);
     }
     close(fd);
-    rr_inbox_clear(&inbox);
+    rr_receive_buffer_clear(&receive_buffer);
 }
 
 static void requests_of_unknown_versions_are_answered_as_such(void **state) {
@@ -264,7 +264,7 @@
     request.version = 0;
     g_strlcpy(request.from, "a", sizeof request.from);
     g_strlcpy(request.to, "b", sizeof request.to);
-    assert_int_equal(rr_cells_ask(client, &request, &reply), 0);
+    assert_int_equal(rr_cells_send_request(client, &request, &reply), 0);
     assert_int_equal(reply.status, RR_CELLS_VERSION_UNKNOWN);
     rr_cells_reply_clear(&reply);
     rr_cells_request_clear(&request);
@@ -302,22 +302,22 @@
     rr_cells_settings_clear(&settings);
 }
 
-/* A listener closes connections beyond RR_CELLS_CONNECTIONS at once and counts them. */
+/* A listener closes connections beyond RR_CELLS_CONNECTIONS_MAX at once and counts them. */
 static void connections_beyond_the_limit_are_closed(void **state) {
-    int connections[RR_CELLS_CONNECTIONS + 4];
-    rr_cells_links_stats stats = {0};
+    int connections[RR_CELLS_CONNECTIONS_MAX + 4];
+    rr_cells_server_stats stats = {0};
     (void)state;
-    for (int i = 0; i < RR_CELLS_CONNECTIONS + 4; i++) {
+    for (int i = 0; i < RR_CELLS_CONNECTIONS_MAX + 4; i++) {
         connections[i] = dial_server();
     }
     double deadline = rr_steady_clock_s() + 5;
-    while (stats.crowded < 4) {
+    while (stats.connections_over_limit < 4) {
         assert_true(rr_steady_clock_s() < deadline);
         rr_sleep(0.01);
-        rr_cells_links_get_stats(servers[0].links, &stats);
+        rr_cells_server_get_stats(servers[0].links, &stats);
     }
-    assert_int_equal(stats.crowded, 4);
-    for (int i = 0; i < RR_CELLS_CONNECTIONS + 4; i++) {
+    assert_int_equal(stats.connections_over_limit, 4);
+    for (int i = 0; i < RR_CELLS_CONNECTIONS_MAX + 4; i++) {
         close(connections[i]);
     }
 }
--- a/tests/test_cells_partitions.c
+++ b/tests/test_cells_partitions.c
@@ -24,7 +24,7 @@
         assert_true(passed < 120);
     }
     /* The last grant was given up to 2.5 s before the cut. The home waits for its lease of 10 s and
-     * for rest_s, 80 s. */
+     * for teardown_s, 80 s. */
     assert_true(pair->home.node.now - cut_at >= 87);
 }
 
@@ -69,7 +69,7 @@
 }
 
 /* The new process of the home does not know which grants an earlier one gave: it waits for a whole
- * lease and rest_s before it places the job. */
+ * lease and teardown_s before it places the job. */
 static void a_restarted_home_waits_for_grants_it_does_not_know(void **state) {
     cell_pair *pair = *state;
     cell_pair_transfer_job(pair);
@@ -121,7 +121,7 @@
     rr_cells_room plenty = {100, 10, 1000};
     cell_pair_submit_overdue_job(
         pair, &(struct test_job){.job_id = CELL_PAIR_JOB_ID, .task_count = 9, .cpus = 4});
-    rr_transfers_room_announced(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.node.now);
     for (int i = 0; i < 3; i++) {
         cell_pair_step(pair); /* the offer is recorded, refused and released */
     }
@@ -151,7 +151,7 @@
     cell_pair *pair = *state;
     rr_transfers_stats stats;
     cell_pair_transfer_job(pair);
-    g_strlcpy(pair->home.settings.neighbours[0].name, "other", RR_CELL_NAME);
+    g_strlcpy(pair->home.settings.neighbours[0].name, "other", RR_CELL_NAME_SIZE);
     cell_restart(&pair->home, true);
     pair->cut = true;
     cell_pair_run_for(pair, 1);
@@ -164,7 +164,7 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
-    g_strlcpy(pair->guest.settings.neighbours[0].name, "other", RR_CELL_NAME);
+    g_strlcpy(pair->guest.settings.neighbours[0].name, "other", RR_CELL_NAME_SIZE);
     cell_restart(&pair->guest, true);
     cell_pair_run_for(pair, 2);
     assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
@@ -182,16 +182,16 @@
     rr_cells_request_init(&request, RR_CELLS_TRANSFERS);
     g_strlcpy(request.team, "red", sizeof request.team);
     request.lease_s = 10;
-    request.rest_s = 80;
+    request.teardown_s = 80;
     rr_transfer_message offer = {.kind = RR_TRANSFER_OFFER, .claim = 1};
     rr_submission submission;
     test_submission_init(&submission, &cell_pair_job);
     rr_cells_add_offer(request.items, &offer, &submission, 1000);
     rr_submission_clear(&submission);
     double now = pair->guest.node.now;
-    assert_false(rr_transfers_receive(pair->guest.transfers, 0, &request,
-                                      &g_array_index(request.items, rr_cells_item, 0), now, now,
-                                      &reply, &write));
+    assert_false(rr_transfers_receive_message(pair->guest.transfers, 0, &request,
+                                              &g_array_index(request.items, rr_cells_item, 0), now,
+                                              now, &reply, &write));
     assert_int_equal(reply.kind, RR_TRANSFER_REFUSE);
     rr_cells_request_clear(&request);
 }
@@ -212,9 +212,9 @@
     rr_cells_add_item(request.items, "req-99", &renew);
     double now = pair->home.node.now;
     for (guint i = 0; i < 3; i++) {
-        assert_false(rr_transfers_receive(pair->home.transfers, 0, &request,
-                                          &g_array_index(request.items, rr_cells_item, i), now, now,
-                                          &reply, &write));
+        assert_false(rr_transfers_receive_message(pair->home.transfers, 0, &request,
+                                                  &g_array_index(request.items, rr_cells_item, i),
+                                                  now, now, &reply, &write));
         assert_int_equal(reply.kind, RR_TRANSFER_VOID);
     }
     rr_cells_request_clear(&request);
--- a/tests/test_cells_transfer.c
+++ b/tests/test_cells_transfer.c
@@ -22,7 +22,7 @@
 #define MESSAGES_MAX 3            /* in transit at a time; further ones are lost */
 #define RESTART_CLOCK_STEP_S (-7) /* by which a guest's clock moves when it restarts */
 
-static const rr_transfer_times transfer_times = {.lease_s = 2, .rest_s = 1, .drift = 0};
+static const rr_transfer_times transfer_times = {.lease_s = 2, .teardown_s = 1, .drift = 0};
 static unsigned depth = 8;     /* events in the exhaustive search */
 static unsigned walks = 20000; /* number of random walks */
 static unsigned seed = 1;      /* of the random walks */
@@ -147,14 +147,14 @@
  * restarts from its stored record. */
 static void complete_home_write(struct model *model, bool applied, bool crash) {
     if (applied) {
-        model->home_stored = model->home.writing;
+        model->home_stored = model->home.pending_record;
     }
-    uint32_t guest = model->home.writing.guest;
+    uint32_t guest = model->home.pending_record.guest;
     if (crash) {
         rr_home_load(&model->home, &model->home_stored, model->home.running, model->now,
                      &transfer_times);
     } else {
-        send_home_message(model, guest, rr_home_written(&model->home, applied));
+        send_home_message(model, guest, rr_home_complete_write(&model->home, applied));
     }
     if (model->home.record.state == RR_HOME_FINAL) {
         model->announced_answer = model->home.record.answer;
@@ -173,12 +173,12 @@
 /* As complete_home_write(), at a guest. */
 static void complete_guest_write(struct model *model, uint32_t index, bool applied, bool crash) {
     if (applied) {
-        model->guest_stored[index] = model->guests[index].writing;
+        model->guest_stored[index] = model->guests[index].pending_record;
     }
     if (crash) {
         restart_guest(model, index);
     } else {
-        send_guest_message(model, index, rr_guest_written(&model->guests[index], applied));
+        send_guest_message(model, index, rr_guest_complete_write(&model->guests[index], applied));
     }
 }
 
@@ -202,11 +202,11 @@
 }
 
 /* Advances the time by a second. Tasks that a guest does not stop end by their workers' lease,
- * rest_s after the guest's grant has ended. */
+ * teardown_s after the guest's grant has ended. */
 static void advance_second(struct model *model) {
     model->now++;
     for (uint32_t index = 0; index < GUESTS; index++) {
-        if (model->now >= model->grant_ends_at[index] + transfer_times.rest_s) {
+        if (model->now >= model->grant_ends_at[index] + transfer_times.teardown_s) {
             model->guests[index].running = false;
         }
     }
@@ -228,7 +228,7 @@
         }
         break;
     case HOME_ENDS:
-        if (home->running && !home->writes) {
+        if (home->running && !home->write_pending) {
             model->runs_finished++;
             send_home_message(model, 0, rr_home_end(home, RR_ANSWER_DONE));
         }
@@ -239,7 +239,7 @@
     case HOME_WRITTEN:
     case HOME_NOT_WRITTEN:
     case HOME_CRASHES_AFTER_WRITE:
-        if (home->writes) {
+        if (home->write_pending) {
             complete_home_write(model, kind != HOME_NOT_WRITTEN, kind == HOME_CRASHES_AFTER_WRITE);
         }
         break;
@@ -247,7 +247,7 @@
         rr_home_load(home, &model->home_stored, home->running, model->now, &transfer_times);
         break;
     default:
-        send_home_message(model, home->record.guest, rr_home_repeat(home));
+        send_home_message(model, home->record.guest, rr_home_resend_offer(home));
     }
 }
 
@@ -274,7 +274,7 @@
     case GUEST_WRITTEN:
     case GUEST_NOT_WRITTEN:
     case GUEST_CRASHES_AFTER_WRITE:
-        if (guest->writes) {
+        if (guest->write_pending) {
             complete_guest_write(model, index, kind != GUEST_NOT_WRITTEN,
                                  kind == GUEST_CRASHES_AFTER_WRITE);
         }
@@ -283,7 +283,7 @@
         restart_guest(model, index);
         break;
     default:
-        send_guest_message(model, index, rr_guest_repeat(guest, guest_now(model, index)));
+        send_guest_message(model, index, rr_guest_next_step(guest, guest_now(model, index)));
     }
 }
 
