--- a/tests/trace_controllers.c
+++ b/tests/trace_controllers.c
@@ -1,3 +1,5 @@
+/* The controllers of the decision trace: sessions and terms, transactions, commands, plans, and the
+ * heartbeats that they get and forward. */
 #include "core/cache_feed.h"
 #include "core/extensions.h"
 #include "core/heartbeats.h"
@@ -10,41 +12,44 @@
 #include <errno.h>
 #include <string.h>
 
-static const char *const node_names[TRACE_CONTROLLERS] = {"n0", "n1", "n2"};
+static const char *const node_names[TRACE_CONTROLLERS_MAX] = {"n0", "n1", "n2"};
 static const char *const team_names[] = {"red", "blue", "green", "amber", "violet"};
 
-double trace_wall(const struct trace_world *world) {
-    return TRACE_WALL + world->now;
+double trace_wall_clock_s(const struct trace_world *world) {
+    return TRACE_WALL_CLOCK_OFFSET_S + world->now;
 }
 
-bool trace_is_cut(const struct trace_world *world, const char *zone) {
+bool trace_zone_partitioned(const struct trace_world *world, const char *zone) {
     for (int i = 0; i < TRACE_ZONES; i++) {
         if (strcmp(trace_zone_names[i], zone) == 0) {
-            return world->cut_until[i] > world->now;
+            return world->partitioned_until[i] > world->now;
         }
     }
     return false;
 }
 
-static bool reaches(const struct trace_world *world, const char *zone, const char *other) {
-    return strcmp(zone, other) == 0 || (!trace_is_cut(world, zone) && !trace_is_cut(world, other));
+/* Whether messages get from one zone to the other. */
+static bool zones_connected(const struct trace_world *world, const char *zone, const char *other) {
+    return strcmp(zone, other) == 0 ||
+           (!trace_zone_partitioned(world, zone) && !trace_zone_partitioned(world, other));
 }
 
-static const char *zone_of(const struct trace_controller *controller) {
+static const char *controller_zone(const struct trace_controller *controller) {
     return trace_zone_names[controller->index];
 }
 
-/* The key-value store stands in the first zone. */
-static bool has_store(const struct trace_world *world, const struct trace_controller *controller) {
-    return controller->running && !controller->wedged &&
-           reaches(world, zone_of(controller), trace_zone_names[0]);
+/* Whether the controller reaches the key-value store, which is in the first zone. */
+static bool store_reachable(const struct trace_world *world,
+                            const struct trace_controller *controller) {
+    return controller->running && !controller->store_unreachable &&
+           zones_connected(world, controller_zone(controller), trace_zone_names[0]);
 }
 
-struct trace_controller *trace_any_controller(struct trace_world *world) {
-    int first = trace_roll(world, world->scenario.controllers);
-    for (int i = 0; i < world->scenario.controllers; i++) {
+struct trace_controller *trace_pick_controller(struct trace_world *world) {
+    int first = trace_random_int(world, world->scenario.controller_count);
+    for (int i = 0; i < world->scenario.controller_count; i++) {
         struct trace_controller *controller =
-            &world->controllers[(first + i) % world->scenario.controllers];
+            &world->controllers[(first + i) % world->scenario.controller_count];
         if (controller->running) {
             return controller;
         }
@@ -59,11 +64,11 @@
 /* ---- settings and processes ---- */
 
 static void set_teams(const struct trace_scenario *scenario, struct rr_config *config) {
-    config->team_count = (size_t)scenario->teams;
-    for (int i = 0; i < scenario->teams; i++) {
+    config->team_count = (size_t)scenario->team_count;
+    for (int i = 0; i < scenario->team_count; i++) {
         struct rr_team_config *team = &config->teams[i];
         g_strlcpy(team->name, team_names[i], sizeof team->name);
-        if (scenario->limited_teams) {
+        if (scenario->team_limits) {
             team->cpus = 20 + 30 * i;
             team->gpus = i == 1 ? 4 : 0;
             team->cpus_max = i % 2 == 0 ? 80 + 60 * i : 0;
@@ -72,103 +77,105 @@
     }
 }
 
-static void configure(const struct trace_world *world, int index, struct rr_config *config) {
+static void make_config(const struct trace_world *world, int index, struct rr_config *config) {
     const struct trace_scenario *scenario = &world->scenario;
     test_config(config, node_names[index]);
     g_strlcpy(config->zone, trace_zone_names[index], sizeof config->zone);
-    for (int i = 0, peer = 0; i < TRACE_CONTROLLERS; i++) {
+    for (int i = 0, peer = 0; i < TRACE_CONTROLLERS_MAX; i++) {
         if (i != index) {
             g_strlcpy(config->peers[peer++].zone, trace_zone_names[i], RR_NAME_SIZE);
         }
     }
     set_teams(scenario, config);
-    config->transaction_changes_max = scenario->lowered_limits ? 8 : 16;
-    config->cells = scenario->holds;
-    config->admission = scenario->fair_room;
-    config->tuning.rebalance = scenario->rounds;
+    config->transaction_changes_max = scenario->lower_store_limits ? 8 : 16;
+    config->cells = scenario->job_holds;
+    config->admission = scenario->fair_shares;
+    config->tuning.rebalance = scenario->rebalancing;
     config->tuning.rebalance_period_s = 8;
-    config->tuning.rebalance_moves = scenario->holds ? 1 : 4;
-    config->tuning.rebalance_share = scenario->holds ? 0 : 0.05;
+    config->tuning.rebalance_moves = scenario->job_holds ? 1 : 4;
+    config->tuning.rebalance_share = scenario->job_holds ? 0 : 0.05;
     config->tuning.headroom = scenario->cloud_machines > 30 ? 1 : 0;
-    if (world->announced) {
+    if (world->limits_announced) {
         config->next_value_kb = 1;
         config->next_transaction_changes_max = 6;
     }
 }
 
-static void drop_line(int level, const char *line) {
+static void discard_log_line(int level, const char *line) {
     (void)level;
     (void)line;
 }
 
-static void join(struct trace_world *world, struct trace_controller *controller) {
+/* Opens a session and writes the controller's record. */
+static void open_session(struct trace_world *world, struct trace_controller *controller) {
     char key[RR_NAME_SIZE + 16];
     rr_encoder out;
-    controller->session = ++world->sessions;
-    controller->session_until = world->now + rr_session_lease_s(&controller->node.config);
-    controller->joined = true;
+    controller->session = ++world->last_session;
+    controller->session_until = world->now + rr_session_lease_s(&controller->fixture.config);
+    controller->session_open = true;
     rr_encoder_init(&out);
-    if (world->scenario.odd_records && trace_chance(world, 0.1)) {
-        rr_encode_map(&out, 1); /* a version that knows no gangs */
+    if (world->scenario.foreign_records && trace_chance(world, 0.1)) {
+        rr_encode_map(&out, 1); /* as a version does that knows no gangs */
         rr_encode_key_u64(&out, "tether", controller->session);
     } else {
-        rr_core_encode_session(&controller->node.config, &out, controller->session);
+        rr_core_encode_session(&controller->fixture.config, &out, controller->session);
     }
-    trace_bytes(&world->hash, out.buffer.data, out.buffer.size);
-    g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->node.config.node_name);
+    trace_hash_bytes(&world->hash, out.buffer.data, out.buffer.size);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->fixture.config.node_name);
     fake_store_put(world->store, key, &out);
-    rr_core_set_session(controller->node.core, controller->session, controller->session_until);
+    rr_core_set_session(controller->fixture.core, controller->session, controller->session_until);
 }
 
-static void leave(struct trace_world *world, struct trace_controller *controller) {
+/* Deletes the controller's record, as the store does when the lease ends. */
+static void end_session(struct trace_world *world, struct trace_controller *controller) {
     char key[RR_NAME_SIZE + 16];
     rr_transaction transaction;
-    g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->node.config.node_name);
+    g_snprintf(key, sizeof key, RR_KEY_ROOT "node/%s", controller->fixture.config.node_name);
     rr_transaction_init(&transaction);
     rr_transaction_delete(&transaction, key);
     fake_store_commit(world->store, &transaction);
     rr_transaction_clear(&transaction);
-    controller->joined = false;
+    controller->session_open = false;
 }
 
 void trace_controller_start(struct trace_world *world, int index) {
     struct trace_controller *controller = &world->controllers[index];
-    test_controller *node = &controller->node;
-    bool first = node->core == NULL;
+    test_controller *fixture = &controller->fixture;
+    bool first = fixture->core == NULL;
     controller->index = index;
     if (!first) {
-        test_controller_clear(node);
-    }
-    memset(node, 0, sizeof *node);
-    configure(world, index, &node->config);
-    node->store = world->store;
-    node->core = rr_core_create(&node->config);
-    node->spot_notice_s = -1;
-    node->now = world->now;
-    rr_core_set_log(node->core, drop_line, world->scenario.log_level);
+        test_controller_clear(fixture);
+    }
+    memset(fixture, 0, sizeof *fixture);
+    make_config(world, index, &fixture->config);
+    fixture->store = world->store;
+    fixture->core = rr_core_create(&fixture->config);
+    fixture->spot_notice_s = -1;
+    fixture->now = world->now;
+    rr_core_set_log(fixture->core, discard_log_line, world->scenario.log_level);
     controller->running = true;
-    controller->wedged = false;
-    controller->need = 0;
+    controller->store_unreachable = false;
+    controller->min_plan_revision = 0;
     if (!first) {
-        fake_store_reload(world->store, node->core, world->now);
-        trace_questions(world, controller);
+        fake_store_reload(world->store, fixture->core, world->now);
+        trace_query_core(world, controller);
     }
-    join(world, controller);
+    open_session(world, controller);
 }
 
 void trace_controller_stop(struct trace_world *world, struct trace_controller *controller,
                            double seconds) {
-    controller->back_at = world->now + seconds;
+    controller->recovers_at = world->now + seconds;
     if (trace_chance(world, 0.6)) {
         controller->running = false;
     } else {
-        controller->wedged = true;
+        controller->store_unreachable = true;
     }
 }
 
-void trace_controller_reread(struct trace_world *world, struct trace_controller *controller) {
-    if (has_store(world, controller)) {
-        fake_store_reload(world->store, controller->node.core, world->now);
+void trace_controller_reload(struct trace_world *world, struct trace_controller *controller) {
+    if (store_reachable(world, controller)) {
+        fake_store_reload(world->store, controller->fixture.core, world->now);
     }
 }
 
@@ -176,388 +183,421 @@
 
 bool trace_commit(struct trace_world *world, struct trace_controller *controller,
                   const rr_transaction *transaction) {
-    rr_core *core = controller->node.core;
-    trace_txn(&world->hash, transaction);
-    if (!has_store(world, controller)) {
+    rr_core *core = controller->fixture.core;
+    trace_hash_transaction(&world->hash, transaction);
+    if (!store_reachable(world, controller)) {
         return false;
     }
     int rc = fake_store_commit(world->store, transaction);
-    trace_int(&world->hash, (uint64_t)(int64_t)rc);
+    trace_hash_uint64(&world->hash, (uint64_t)(int64_t)rc);
     if (rc == -EINVAL) {
-        assert_true(world->lowered);
+        assert_true(world->limits_lowered);
         rr_core_next_limits_in_force(core, trace_chance(world, 0.3));
         return false;
     }
-    if (rc == 0 && !trace_chance(world, world->scenario.lost_answers)) {
+    if (rc == 0 && !trace_chance(world, world->scenario.lost_reply_share)) {
         rr_core_apply(core, transaction, world->store->revision, world->now);
     } else {
-        controller->need = world->store->revision;
+        controller->min_plan_revision = world->store->revision;
     }
     return rc == 0;
 }
 
 /* ---- sessions and terms ---- */
 
-static void renew(struct trace_world *world, struct trace_controller *controller) {
-    bool lasts = world->now < controller->session_until;
-    if (!controller->running && world->now >= controller->back_at) {
+/* Restarts the process, restores its store connection, ends an expired session, and renews or opens
+ * one, whichever is due. */
+static void renew_session(struct trace_world *world, struct trace_controller *controller) {
+    bool session_valid = world->now < controller->session_until;
+    if (!controller->running && world->now >= controller->recovers_at) {
         trace_controller_start(world, controller->index);
         return;
     }
-    if (controller->wedged && world->now >= controller->back_at) {
-        controller->wedged = false;
+    if (controller->store_unreachable && world->now >= controller->recovers_at) {
+        controller->store_unreachable = false;
     }
-    if (controller->joined && !lasts) {
-        leave(world, controller);
+    if (controller->session_open && !session_valid) {
+        end_session(world, controller);
     }
-    if (has_store(world, controller) && controller->joined) {
-        controller->session_until = world->now + rr_session_lease_s(&controller->node.config);
-        rr_core_set_session(controller->node.core, controller->session,
+    if (store_reachable(world, controller) && controller->session_open) {
+        controller->session_until = world->now + rr_session_lease_s(&controller->fixture.config);
+        rr_core_set_session(controller->fixture.core, controller->session,
                             controller->session_until - 0.5);
-    } else if (has_store(world, controller)) {
-        join(world, controller);
+    } else if (store_reachable(world, controller)) {
+        open_session(world, controller);
     }
 }
 
-static void catch_up(struct trace_world *world, struct trace_controller *controller) {
-    controller->node.now = world->now;
-    if (has_store(world, controller) && trace_chance(world, 0.85)) {
-        fake_store_sync(world->store, controller->node.core, world->now);
+/* Brings the store cache up to date, mostly: at times the watch lags behind. */
+static void sync_store(struct trace_world *world, struct trace_controller *controller) {
+    controller->fixture.now = world->now;
+    if (store_reachable(world, controller) && trace_chance(world, 0.85)) {
+        fake_store_sync(world->store, controller->fixture.core, world->now);
     }
 }
 
-static void next_term(struct trace_world *world, struct trace_controller *controller) {
+static void start_next_term(struct trace_world *world, struct trace_controller *controller) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    if (has_store(world, controller) &&
-        rr_core_next_term(controller->node.core, world->now, trace_wall(world), &transaction)) {
+    if (store_reachable(world, controller) &&
+        rr_core_next_term(controller->fixture.core, world->now, trace_wall_clock_s(world),
+                          &transaction)) {
         trace_commit(world, controller, &transaction);
     }
     rr_transaction_clear(&transaction);
 }
 
-static void hear_peers(struct trace_world *world, struct trace_controller *controller) {
-    for (int i = 0; i < world->scenario.controllers; i++) {
+/* Tells the core that it has heard from every peer whose zone is connected to its own. */
+static void contact_peers(struct trace_world *world, struct trace_controller *controller) {
+    for (int i = 0; i < world->scenario.controller_count; i++) {
         const struct trace_controller *peer = &world->controllers[i];
         if (peer != controller && peer->running &&
-            reaches(world, zone_of(peer), zone_of(controller))) {
-            rr_core_peer_contacted(controller->node.core, world->now,
+            zones_connected(world, controller_zone(peer), controller_zone(controller))) {
+            rr_core_peer_contacted(controller->fixture.core, world->now,
                                    trace_peer_index(controller, peer));
         }
     }
 }
 
-void trace_sessions(struct trace_world *world) {
-    for (int i = 0; i < world->scenario.controllers; i++) {
-        renew(world, &world->controllers[i]);
+void trace_advance_sessions(struct trace_world *world) {
+    for (int i = 0; i < world->scenario.controller_count; i++) {
+        renew_session(world, &world->controllers[i]);
     }
-    for (int i = 0; i < world->scenario.controllers; i++) {
+    for (int i = 0; i < world->scenario.controller_count; i++) {
         struct trace_controller *controller = &world->controllers[i];
         if (controller->running) {
-            catch_up(world, controller);
-            next_term(world, controller);
-            hear_peers(world, controller);
+            sync_store(world, controller);
+            start_next_term(world, controller);
+            contact_peers(world, controller);
         }
     }
 }
 
 /* ---- commands ---- */
 
-void trace_flight_free(gpointer pointer) {
-    struct trace_flight *flight = pointer;
-    rr_command_batch_free(flight->command);
-    g_free(flight);
+void trace_pending_command_free(gpointer pointer) {
+    struct trace_pending_command *pending = pointer;
+    rr_command_batch_free(pending->batch);
+    g_free(pending);
 }
 
-static bool command_reaches(const struct trace_world *world,
-                            const struct trace_controller *controller,
-                            const struct trace_machine *machine, const rr_command_batch *command) {
+/* Whether the batch, sent directly or through its peer, gets to the worker. */
+static bool command_deliverable(const struct trace_world *world,
+                                const struct trace_controller *controller,
+                                const struct trace_machine *machine,
+                                const rr_command_batch *batch) {
     const struct trace_controller *from = controller;
-    if (command->peer >= 0) {
-        int index = command->peer < controller->index ? command->peer : command->peer + 1;
+    if (batch->peer >= 0) {
+        int index = batch->peer < controller->index ? batch->peer : batch->peer + 1;
         from = &world->controllers[index];
-        if (!from->running || !reaches(world, zone_of(controller), zone_of(from))) {
+        if (!from->running ||
+            !zones_connected(world, controller_zone(controller), controller_zone(from))) {
             return false;
         }
     }
-    return machine && machine->up && machine->hung_until <= world->now &&
-           machine->deaf_until <= world->now && reaches(world, zone_of(from), machine->zone);
-}
-
-static void send_command(struct trace_world *world, const struct trace_controller *controller,
-                         const rr_command_batch *command) {
-    const struct trace_machine *machine =
-        g_hash_table_lookup(world->machine_by_id, command->machine);
-    struct trace_flight *flight = g_new0(struct trace_flight, 1);
-    flight->controller = controller->index;
-    flight->session = controller->session;
-    flight->command = g_memdup2(command, sizeof *command);
-    flight->command->commands = g_array_copy(command->commands);
-    flight->due = world->now + (trace_chance(world, 0.6) ? 0 : trace_between(world, 0.1, 1.5));
-    flight->arrives = flight->answered = command_reaches(world, controller, machine, command);
-    flight->sent = flight->arrives || (machine && machine->up && trace_chance(world, 0.7));
-    if (flight->arrives && trace_chance(world, world->scenario.lost_answers)) {
-        flight->answered = false;
-        flight->arrives = trace_chance(world, 0.5);
-        flight->late = !flight->arrives && trace_chance(world, 0.5);
-    }
-    g_ptr_array_add(world->flights, flight);
-}
-
-static rr_heartbeat copy_report(const rr_heartbeat *heartbeat) {
+    return machine && machine->up && machine->frozen_until <= world->now &&
+           machine->commands_lost_until <= world->now &&
+           zones_connected(world, controller_zone(from), machine->zone);
+}
+
+/* Queues a copy of the batch and decides its fate: when it is due, and whether it and its reply get
+ * lost. */
+static void send_batch(struct trace_world *world, const struct trace_controller *controller,
+                       const rr_command_batch *batch) {
+    const struct trace_machine *machine = g_hash_table_lookup(world->machine_by_id, batch->machine);
+    struct trace_pending_command *pending = g_new0(struct trace_pending_command, 1);
+    pending->controller_index = controller->index;
+    pending->session = controller->session;
+    pending->batch = g_memdup2(batch, sizeof *batch);
+    pending->batch->commands = g_array_copy(batch->commands);
+    pending->due_at =
+        world->now + (trace_chance(world, 0.6) ? 0 : trace_random_double(world, 0.1, 1.5));
+    pending->delivered = pending->replied = command_deliverable(world, controller, machine, batch);
+    pending->sent = pending->delivered || (machine && machine->up && trace_chance(world, 0.7));
+    if (pending->delivered && trace_chance(world, world->scenario.lost_reply_share)) {
+        pending->replied = false;
+        pending->delivered = trace_chance(world, 0.5);
+        pending->deliver_late = !pending->delivered && trace_chance(world, 0.5);
+    }
+    g_ptr_array_add(world->pending_commands, pending);
+}
+
+/* Returns a copy, which the caller clears. */
+static rr_heartbeat copy_heartbeat(const rr_heartbeat *heartbeat) {
     rr_heartbeat copy = *heartbeat;
     copy.tasks = g_array_copy(heartbeat->tasks);
     return copy;
 }
 
-/* The machine's answer shows it as a report does, and others may take it for one. */
-static void take_answer(struct trace_world *world, const struct trace_controller *controller,
-                        struct trace_machine *machine, int via) {
+/* Hands the worker's reply to the core. It has the contents of a heartbeat; if the core says so, it
+ * is forwarded to the peers as one. */
+static void take_command_reply(struct trace_world *world, const struct trace_controller *controller,
+                               struct trace_machine *machine, int heard_via) {
     rr_heartbeat heartbeat;
-    trace_report_of(world, machine, &heartbeat);
-    rr_heartbeat copy = copy_report(&heartbeat);
-    bool others = rr_core_take_command_reply(controller->node.core, world->now, &heartbeat, via);
-    trace_int(&world->hash, others);
-    for (int i = 0; others && i < world->scenario.controllers; i++) {
+    trace_make_heartbeat(world, machine, &heartbeat);
+    rr_heartbeat copy = copy_heartbeat(&heartbeat);
+    bool forward =
+        rr_core_take_command_reply(controller->fixture.core, world->now, &heartbeat, heard_via);
+    trace_hash_uint64(&world->hash, forward);
+    for (int i = 0; forward && i < world->scenario.controller_count; i++) {
         struct trace_controller *peer = &world->controllers[i];
         if (peer != controller && peer->running &&
-            reaches(world, zone_of(peer), zone_of(controller))) {
-            rr_heartbeat passed = copy_report(&copy);
-            trace_int(&world->hash, rr_core_take_heartbeat(peer->node.core, world->now, &passed,
-                                                           trace_peer_index(peer, controller)));
-            rr_heartbeat_clear(&passed);
+            zones_connected(world, controller_zone(peer), controller_zone(controller))) {
+            rr_heartbeat forwarded = copy_heartbeat(&copy);
+            trace_hash_uint64(&world->hash,
+                              rr_core_take_heartbeat(peer->fixture.core, world->now, &forwarded,
+                                                     trace_peer_index(peer, controller)));
+            rr_heartbeat_clear(&forwarded);
         }
     }
     rr_heartbeat_clear(&copy);
     rr_heartbeat_clear(&heartbeat);
 }
 
-static void arrive(struct trace_world *world, struct trace_flight *flight) {
-    const struct trace_controller *controller = &world->controllers[flight->controller];
-    bool waits = controller->running && controller->session == flight->session && !flight->judged;
+/* Executes a batch that is due if it gets through, and reports its outcome to the core, once, if
+ * the controller that sent it still has the same session. */
+static void deliver_command(struct trace_world *world, struct trace_pending_command *pending) {
+    const struct trace_controller *controller = &world->controllers[pending->controller_index];
+    bool awaited = controller->running && controller->session == pending->session &&
+                   !pending->outcome_reported;
     struct trace_machine *machine =
-        g_hash_table_lookup(world->machine_by_id, flight->command->machine);
+        g_hash_table_lookup(world->machine_by_id, pending->batch->machine);
     bool executed = false;
-    if (flight->arrives && machine && machine->up) {
-        executed = trace_execute(world, machine, flight->command);
+    if (pending->delivered && machine && machine->up) {
+        executed = trace_execute_batch(world, machine, pending->batch);
     }
-    if (!waits) {
+    if (!awaited) {
         return;
     }
-    bool answered = flight->answered && machine && machine->up;
-    if (answered) {
-        take_answer(world, controller, machine, flight->command->peer);
+    bool replied = pending->replied && machine && machine->up;
+    if (replied) {
+        take_command_reply(world, controller, machine, pending->batch->peer);
     }
-    rr_core_command_result(controller->node.core, world->now, flight->command,
-                           answered       ? RR_COMMAND_ANSWERED
-                           : flight->sent ? RR_COMMAND_OUTCOME_UNKNOWN
-                                          : RR_COMMAND_NOT_SENT,
+    rr_core_command_result(controller->fixture.core, world->now, pending->batch,
+                           replied         ? RR_COMMAND_ANSWERED
+                           : pending->sent ? RR_COMMAND_OUTCOME_UNKNOWN
+                                           : RR_COMMAND_NOT_SENT,
                            executed);
-    flight->judged = true;
+    pending->outcome_reported = true;
 }
 
-void trace_flights(struct trace_world *world) {
-    for (guint i = 0; i < world->flights->len;) {
-        struct trace_flight *flight = g_ptr_array_index(world->flights, i);
-        if (flight->due > world->now) {
+void trace_deliver_commands(struct trace_world *world) {
+    for (guint i = 0; i < world->pending_commands->len;) {
+        struct trace_pending_command *pending = g_ptr_array_index(world->pending_commands, i);
+        if (pending->due_at > world->now) {
             i++;
             continue;
         }
-        arrive(world, flight);
-        if (flight->late) {
-            flight->late = false;
-            flight->arrives = true;
-            flight->due = world->now + trace_between(world, 2, 25);
+        deliver_command(world, pending);
+        if (pending->deliver_late) {
+            pending->deliver_late = false;
+            pending->delivered = true;
+            pending->due_at = world->now + trace_random_double(world, 2, 25);
         } else {
-            g_ptr_array_remove_index(world->flights, i);
+            g_ptr_array_remove_index(world->pending_commands, i);
         }
     }
 }
 
 /* ---- plans ---- */
 
-static void tell_suspects(struct trace_world *world, struct trace_controller *controller) {
+/* Tells the peers which machines this controller finds to answer no commands. */
+static void share_suspects(struct trace_world *world, struct trace_controller *controller) {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    rr_core_list_suspects(controller->node.core, world->now, names);
-    trace_int(&world->hash, names->len);
+    rr_core_list_suspects(controller->fixture.core, world->now, names);
+    trace_hash_uint64(&world->hash, names->len);
     for (guint i = 0; i < names->len; i++) {
-        trace_text(&world->hash, g_ptr_array_index(names, i));
-        for (int k = 0; k < world->scenario.controllers; k++) {
+        trace_hash_text(&world->hash, g_ptr_array_index(names, i));
+        for (int k = 0; k < world->scenario.controller_count; k++) {
             struct trace_controller *peer = &world->controllers[k];
             if (peer != controller && peer->running && trace_chance(world, 0.7)) {
-                rr_core_suspect(peer->node.core, g_ptr_array_index(names, i), world->now);
+                rr_core_suspect(peer->fixture.core, g_ptr_array_index(names, i), world->now);
             }
         }
     }
     g_ptr_array_free(names, TRUE);
 }
 
-static void set_pressure(struct trace_world *world, struct trace_controller *controller) {
-    int all = rr_transaction_changes_max(&controller->node.config);
-    if (world->scenario.short_of_changes) {
-        rr_core_set_write_pressure(controller->node.core, trace_between(world, 0, 1),
-                                   trace_roll(world, all + 1));
+/* Sets random write pressure in scenarios that have some, else none. */
+static void set_write_pressure(struct trace_world *world, struct trace_controller *controller) {
+    int changes_max = rr_transaction_changes_max(&controller->fixture.config);
+    if (world->scenario.write_pressure) {
+        rr_core_set_write_pressure(controller->fixture.core, trace_random_double(world, 0, 1),
+                                   trace_random_int(world, changes_max + 1));
     } else {
-        rr_core_set_write_pressure(controller->node.core, 0, all);
+        rr_core_set_write_pressure(controller->fixture.core, 0, changes_max);
     }
 }
 
-static void set_fair_room(struct trace_world *world, struct trace_controller *controller) {
-    double rooms[RR_TEAMS_MAX] = {0};
+/* Changes the teams' fair shares of the fleet now and then, or removes them. */
+static void set_fair_shares(struct trace_world *world, struct trace_controller *controller) {
+    double shares[RR_TEAMS_MAX] = {0};
     double machines = world->scenario.own_machines + world->scenario.cloud_machines;
-    if (!world->scenario.fair_room || !trace_chance(world, 0.2)) {
+    if (!world->scenario.fair_shares || !trace_chance(world, 0.2)) {
         return;
     }
-    for (int i = 0; i < world->scenario.teams; i++) {
-        rooms[i] = trace_between(world, 0, 1.5 / world->scenario.teams);
+    for (int i = 0; i < world->scenario.team_count; i++) {
+        shares[i] = trace_random_double(world, 0, 1.5 / world->scenario.team_count);
     }
     bool active = trace_chance(world, 0.8);
-    rr_core_set_fair_shares(controller->node.core, active ? rooms : NULL, 16 * machines,
+    rr_core_set_fair_shares(controller->fixture.core, active ? shares : NULL, 16 * machines,
                             4 * machines, 64 * machines);
 }
 
-static void plan(struct trace_world *world, struct trace_controller *controller) {
-    rr_core *core = controller->node.core;
-    rr_plan made;
-    if (rr_core_revision(core) < controller->need && trace_chance(world, 0.9)) {
+/* Has the core make a plan, sends its commands and commits its transaction. After a commit without
+ * a reply, mostly waits until the store cache has that revision. */
+static void run_plan(struct trace_world *world, struct trace_controller *controller) {
+    rr_core *core = controller->fixture.core;
+    rr_plan plan;
+    if (rr_core_revision(core) < controller->min_plan_revision && trace_chance(world, 0.9)) {
         return;
     }
-    set_pressure(world, controller);
-    set_fair_room(world, controller);
-    rr_plan_init(&made);
-    rr_core_plan(core, world->now, trace_wall(world), &made);
-    trace_plan(&world->hash, &made);
-    for (guint i = 0; i < made.command_batches->len; i++) {
-        send_command(world, controller, g_ptr_array_index(made.command_batches, i));
+    set_write_pressure(world, controller);
+    set_fair_shares(world, controller);
+    rr_plan_init(&plan);
+    rr_core_plan(core, world->now, trace_wall_clock_s(world), &plan);
+    trace_hash_plan(&world->hash, &plan);
+    for (guint i = 0; i < plan.command_batches->len; i++) {
+        send_batch(world, controller, g_ptr_array_index(plan.command_batches, i));
     }
-    if (made.has_transaction) {
-        trace_commit(world, controller, &made.transaction);
+    if (plan.has_transaction) {
+        trace_commit(world, controller, &plan.transaction);
     }
-    rr_plan_clear(&made);
+    rr_plan_clear(&plan);
 }
 
-static void step_provisioner(struct trace_world *world, struct trace_controller *controller) {
+/* Runs a few autoscaler steps. */
+static void run_autoscaler(struct trace_world *world, struct trace_controller *controller) {
     for (int i = 0; i < 3; i++) {
         rr_autoscaler_step step;
         rr_autoscaler_step_init(&step);
-        trace_cloud_step(world, controller, &step);
+        trace_run_autoscaler_step(world, controller, &step);
         rr_autoscaler_step_clear(&step);
     }
 }
 
-void trace_plans(struct trace_world *world) {
-    int first = trace_roll(world, world->scenario.controllers);
-    for (int i = 0; i < world->scenario.controllers; i++) {
+void trace_run_plans(struct trace_world *world) {
+    int first = trace_random_int(world, world->scenario.controller_count);
+    for (int i = 0; i < world->scenario.controller_count; i++) {
         struct trace_controller *controller =
-            &world->controllers[(first + i) % world->scenario.controllers];
+            &world->controllers[(first + i) % world->scenario.controller_count];
         if (!controller->running) {
             continue;
         }
-        plan(world, controller);
-        step_provisioner(world, controller);
-        tell_suspects(world, controller);
+        run_plan(world, controller);
+        run_autoscaler(world, controller);
+        share_suspects(world, controller);
     }
 }
 
-/* ---- reports ---- */
+/* ---- heartbeats ---- */
 
-void trace_copy_free(gpointer pointer) {
-    struct trace_copy *copy = pointer;
-    rr_heartbeat_clear(&copy->report);
+void trace_heartbeat_copy_free(gpointer pointer) {
+    struct trace_heartbeat_copy *copy = pointer;
+    rr_heartbeat_clear(&copy->heartbeat);
     g_free(copy);
 }
 
-#define COPIES_MAX 64
+#define HEARTBEAT_COPIES_MAX 64
 
+/* Keeps a copy that deliver_copy may deliver again, late and out of order. */
 static void keep_copy(struct trace_world *world, const rr_heartbeat *heartbeat) {
-    struct trace_copy *copy = g_new0(struct trace_copy, 1);
-    copy->report = copy_report(heartbeat);
-    copy->via = trace_roll(world, 3) - 1;
-    g_ptr_array_add(world->copies, copy);
-    if (world->copies->len > COPIES_MAX) {
-        g_ptr_array_remove_index(world->copies, (guint)trace_roll(world, COPIES_MAX));
+    struct trace_heartbeat_copy *copy = g_new0(struct trace_heartbeat_copy, 1);
+    copy->heartbeat = copy_heartbeat(heartbeat);
+    copy->heard_via = trace_random_int(world, 3) - 1;
+    g_ptr_array_add(world->heartbeat_copies, copy);
+    if (world->heartbeat_copies->len > HEARTBEAT_COPIES_MAX) {
+        g_ptr_array_remove_index(world->heartbeat_copies,
+                                 (guint)trace_random_int(world, HEARTBEAT_COPIES_MAX));
     }
 }
 
 static void deliver_copy(struct trace_world *world) {
-    struct trace_controller *controller = trace_any_controller(world);
-    if (!controller || world->copies->len == 0) {
+    struct trace_controller *controller = trace_pick_controller(world);
+    if (!controller || world->heartbeat_copies->len == 0) {
         return;
     }
-    const struct trace_copy *copy =
-        g_ptr_array_index(world->copies, (guint)trace_roll(world, (int)world->copies->len));
-    rr_heartbeat heartbeat = copy_report(&copy->report);
-    trace_int(&world->hash,
-              rr_core_take_heartbeat(controller->node.core, world->now, &heartbeat, copy->via));
+    const struct trace_heartbeat_copy *copy = g_ptr_array_index(
+        world->heartbeat_copies, (guint)trace_random_int(world, (int)world->heartbeat_copies->len));
+    rr_heartbeat heartbeat = copy_heartbeat(&copy->heartbeat);
+    trace_hash_uint64(&world->hash, rr_core_take_heartbeat(controller->fixture.core, world->now,
+                                                           &heartbeat, copy->heard_via));
     rr_heartbeat_clear(&heartbeat);
 }
 
-/* What one controller has heard goes to the others: whole, or as a sign of life. */
-static void pass_on(struct trace_world *world, const struct trace_controller *from,
-                    const rr_heartbeat *heartbeat, enum rr_heartbeat_effect news) {
-    uint32_t now_and_then = 0;
-    uint32_t wanted =
-        rr_core_heartbeat_subscribers(from->node.core, heartbeat->machine, &now_and_then);
-    rr_heartbeat_digest heard = {.worker_epoch = heartbeat->worker_epoch,
-                                 .sequence = heartbeat->sequence,
-                                 .hash = rr_heartbeat_hash(heartbeat)};
-    g_strlcpy(heard.machine, heartbeat->machine, sizeof heard.machine);
-    trace_int(&world->hash, wanted);
-    trace_int(&world->hash, now_and_then);
-    trace_int(&world->hash, heard.hash);
-    for (int i = 0; news != RR_HEARTBEAT_IGNORED && i < world->scenario.controllers; i++) {
+/* Forwards a heartbeat that was not ignored to the peers: in full to subscribers if it changed
+ * something, in full to owners now and then, else as a digest. */
+static void forward_heartbeat(struct trace_world *world, const struct trace_controller *from,
+                              const rr_heartbeat *heartbeat, enum rr_heartbeat_effect effect) {
+    uint32_t occasional = 0;
+    uint32_t subscribers =
+        rr_core_heartbeat_subscribers(from->fixture.core, heartbeat->machine, &occasional);
+    rr_heartbeat_digest digest = {.worker_epoch = heartbeat->worker_epoch,
+                                  .sequence = heartbeat->sequence,
+                                  .hash = rr_heartbeat_hash(heartbeat)};
+    g_strlcpy(digest.machine, heartbeat->machine, sizeof digest.machine);
+    trace_hash_uint64(&world->hash, subscribers);
+    trace_hash_uint64(&world->hash, occasional);
+    trace_hash_uint64(&world->hash, digest.hash);
+    for (int i = 0; effect != RR_HEARTBEAT_IGNORED && i < world->scenario.controller_count; i++) {
         struct trace_controller *peer = &world->controllers[i];
-        if (peer == from || !peer->running || !reaches(world, zone_of(peer), zone_of(from))) {
+        if (peer == from || !peer->running ||
+            !zones_connected(world, controller_zone(peer), controller_zone(from))) {
             continue;
         }
         uint32_t bit = 1u << trace_peer_index(from, peer);
-        int via = trace_peer_index(peer, from);
-        if ((news == RR_HEARTBEAT_CHANGED && (wanted & bit)) ||
-            ((now_and_then & bit) && trace_chance(world, 0.2))) {
-            rr_heartbeat copy = copy_report(heartbeat);
-            trace_int(&world->hash,
-                      rr_core_take_heartbeat(peer->node.core, world->now, &copy, via));
+        int heard_via = trace_peer_index(peer, from);
+        if ((effect == RR_HEARTBEAT_CHANGED && (subscribers & bit)) ||
+            ((occasional & bit) && trace_chance(world, 0.2))) {
+            rr_heartbeat copy = copy_heartbeat(heartbeat);
+            trace_hash_uint64(&world->hash, rr_core_take_heartbeat(peer->fixture.core, world->now,
+                                                                   &copy, heard_via));
             rr_heartbeat_clear(&copy);
         } else {
-            trace_int(&world->hash,
-                      rr_core_take_heartbeat_digest(peer->node.core, world->now, &heard, via));
+            trace_hash_uint64(
+                &world->hash,
+                rr_core_take_heartbeat_digest(peer->fixture.core, world->now, &digest, heard_via));
         }
     }
 }
 
-static void answer(struct trace_world *world, const struct trace_controller *controller,
-                   struct trace_machine *machine, const rr_heartbeat *heartbeat) {
-    struct rr_heartbeat_reply given;
-    rr_core_reply_to_heartbeat(controller->node.core, world->now, heartbeat, &given);
-    trace_answer(&world->hash, &given);
-    if (given.status == 200 && given.fencing_token >= machine->fencing_token) {
-        machine->fencing_token = given.fencing_token;
-        machine->lease_until = world->now + controller->node.config.lease_s;
-        trace_execute_orders(world, machine, given.commands);
+/* Has the core reply to a heartbeat. A worker whose heartbeat is accepted renews its lease and
+ * executes the commands in the reply; any other sends its next heartbeat to a random controller. */
+static void reply_to_heartbeat(struct trace_world *world, const struct trace_controller *controller,
+                               struct trace_machine *machine, const rr_heartbeat *heartbeat) {
+    struct rr_heartbeat_reply reply;
+    rr_core_reply_to_heartbeat(controller->fixture.core, world->now, heartbeat, &reply);
+    trace_hash_heartbeat_reply(&world->hash, &reply);
+    if (reply.status == 200 && reply.fencing_token >= machine->fencing_token) {
+        machine->fencing_token = reply.fencing_token;
+        machine->lease_until = world->now + controller->fixture.config.lease_s;
+        trace_execute_commands(world, machine, reply.commands);
     } else {
-        machine->controller = trace_roll(world, world->scenario.controllers);
+        machine->controller_index = trace_random_int(world, world->scenario.controller_count);
     }
-    if (given.commands) {
-        g_array_free(given.commands, TRUE);
+    if (reply.commands) {
+        g_array_free(reply.commands, TRUE);
     }
 }
 
-static void report_once(struct trace_world *world, struct trace_machine *machine) {
-    const struct trace_controller *controller = &world->controllers[machine->controller];
+/* Sends a heartbeat that is due to the worker's controller, which forwards it to the peers. If it
+ * gets lost, the worker picks another controller. */
+static void send_due_heartbeat(struct trace_world *world, struct trace_machine *machine) {
+    const struct trace_controller *controller = &world->controllers[machine->controller_index];
     rr_heartbeat heartbeat;
-    machine->report_at = world->now + 3 * trace_between(world, 0.85, 1.15);
-    if (machine->mute_until > world->now || !controller->running ||
-        !reaches(world, zone_of(controller), machine->zone)) {
-        machine->controller = trace_roll(world, world->scenario.controllers);
+    machine->heartbeat_at = world->now + 3 * trace_random_double(world, 0.85, 1.15);
+    if (machine->heartbeats_lost_until > world->now || !controller->running ||
+        !zones_connected(world, controller_zone(controller), machine->zone)) {
+        machine->controller_index = trace_random_int(world, world->scenario.controller_count);
         return;
     }
-    trace_report_of(world, machine, &heartbeat);
-    rr_heartbeat copy = copy_report(&heartbeat);
-    enum rr_heartbeat_effect news =
-        rr_core_take_heartbeat(controller->node.core, world->now, &copy, -1);
-    trace_int(&world->hash, news);
-    pass_on(world, controller, &heartbeat, news);
-    answer(world, controller, machine, &heartbeat);
+    trace_make_heartbeat(world, machine, &heartbeat);
+    rr_heartbeat copy = copy_heartbeat(&heartbeat);
+    enum rr_heartbeat_effect effect =
+        rr_core_take_heartbeat(controller->fixture.core, world->now, &copy, -1);
+    trace_hash_uint64(&world->hash, effect);
+    forward_heartbeat(world, controller, &heartbeat, effect);
+    reply_to_heartbeat(world, controller, machine, &heartbeat);
     if (trace_chance(world, 0.03)) {
         keep_copy(world, &heartbeat);
     }
@@ -565,11 +605,12 @@
     rr_heartbeat_clear(&heartbeat);
 }
 
-void trace_reports(struct trace_world *world) {
+void trace_send_heartbeats(struct trace_world *world) {
     for (guint i = 0; i < world->machines->len; i++) {
         struct trace_machine *machine = g_ptr_array_index(world->machines, i);
-        if (machine->up && machine->hung_until <= world->now && machine->report_at <= world->now) {
-            report_once(world, machine);
+        if (machine->up && machine->frozen_until <= world->now &&
+            machine->heartbeat_at <= world->now) {
+            send_due_heartbeat(world, machine);
         }
     }
     int copies = trace_chance(world, 0.05) ? 12 : trace_chance(world, 0.3) ? 1 : 0;
--- a/tests/trace_core.c
+++ b/tests/trace_core.c
@@ -1,3 +1,4 @@
+/* The scenarios of the decision trace, their faults, and the steps of a run. */
 #include "core/leadership.h"
 #include "trace_world.h"
 
@@ -5,322 +6,329 @@
 
 const char *const trace_zone_names[TRACE_ZONES] = {"a", "b", "c"};
 
-/* Each is played with several seeds. */
+/* Each runs with several seeds. */
 static const struct trace_scenario scenarios[] = {
-    {.name = "services that come and go, on machines that empty",
-     .controllers = 2,
-     .teams = 2,
+    {.name = "services that are submitted and cancelled, on machines that become idle",
+     .controller_count = 2,
+     .team_count = 2,
      .own_machines = 4,
      .cloud_machines = 40,
      .jobs_per_s = 0.25,
-     .first_jobs = 25,
+     .initial_jobs = 25,
      .runtime_s = 30,
-     .arrays = 1,
-     .services = 9,
+     .array_weight = 1,
+     .service_weight = 9,
      .cancels_per_s = 0.25,
      .faults_per_s = 0.01,
-     .rounds = true},
+     .rebalancing = true},
     {.name = "arrays",
-     .controllers = 3,
-     .teams = 3,
+     .controller_count = 3,
+     .team_count = 3,
      .own_machines = 60,
      .cloud_machines = 20,
      .jobs_per_s = 0.8,
-     .first_jobs = 20,
+     .initial_jobs = 20,
      .runtime_s = 15,
-     .arrays = 9,
-     .services = 1,
+     .array_weight = 9,
+     .service_weight = 1,
      .cancels_per_s = 0.05,
      .faults_per_s = 0.05,
-     .failing_jobs = 0.2,
-     .lost_answers = 0.03},
+     .failing_job_share = 0.2,
+     .lost_reply_share = 0.03},
     {.name = "gangs on a full fleet",
-     .controllers = 2,
-     .teams = 3,
+     .controller_count = 2,
+     .team_count = 3,
      .own_machines = 14,
      .cloud_machines = 2,
      .jobs_per_s = 0.3,
-     .first_jobs = 20,
+     .initial_jobs = 20,
      .runtime_s = 30,
-     .arrays = 3,
-     .services = 1,
-     .gangs = 6,
-     .urgent = 40,
+     .array_weight = 3,
+     .service_weight = 1,
+     .gang_weight = 6,
+     .urgent_percent = 40,
      .cancels_per_s = 0.05,
      .faults_per_s = 0.02,
-     .lost_answers = 0.02},
-    {.name = "urgent work over others'",
-     .controllers = 3,
-     .teams = 4,
+     .lost_reply_share = 0.02},
+    {.name = "urgent jobs that preempt others",
+     .controller_count = 3,
+     .team_count = 4,
      .own_machines = 30,
      .jobs_per_s = 0.6,
-     .first_jobs = 30,
+     .initial_jobs = 30,
      .runtime_s = 40,
-     .arrays = 6,
-     .services = 3,
-     .gangs = 1,
-     .urgent = 50,
+     .array_weight = 6,
+     .service_weight = 3,
+     .gang_weight = 1,
+     .urgent_percent = 50,
      .cancels_per_s = 0.1,
-     .limited_teams = true},
+     .team_limits = true},
     {.name = "every fault",
-     .controllers = 3,
-     .teams = 3,
+     .controller_count = 3,
+     .team_count = 3,
      .own_machines = 60,
      .cloud_machines = 40,
      .jobs_per_s = 0.5,
-     .first_jobs = 20,
+     .initial_jobs = 20,
      .runtime_s = 25,
-     .arrays = 5,
-     .services = 3,
-     .gangs = 2,
-     .urgent = 20,
+     .array_weight = 5,
+     .service_weight = 3,
+     .gang_weight = 2,
+     .urgent_percent = 20,
      .cancels_per_s = 0.1,
      .faults_per_s = 0.25,
      .takeovers_per_s = 0.01,
-     .cuts_per_s = 0.005,
-     .notices_per_s = 0.05,
-     .failing_jobs = 0.1,
-     .lost_answers = 0.1,
-     .odd_records = true},
-    {.name = "cuts and takeovers",
-     .controllers = 3,
-     .teams = 4,
+     .partitions_per_s = 0.005,
+     .spot_notices_per_s = 0.05,
+     .failing_job_share = 0.1,
+     .lost_reply_share = 0.1,
+     .foreign_records = true},
+    {.name = "network partitions and takeovers",
+     .controller_count = 3,
+     .team_count = 4,
      .own_machines = 45,
      .jobs_per_s = 0.4,
-     .first_jobs = 20,
+     .initial_jobs = 20,
      .runtime_s = 30,
-     .arrays = 5,
-     .services = 4,
-     .gangs = 1,
+     .array_weight = 5,
+     .service_weight = 4,
+     .gang_weight = 1,
      .cancels_per_s = 0.05,
      .faults_per_s = 0.03,
      .takeovers_per_s = 0.03,
-     .cuts_per_s = 0.015,
-     .lost_answers = 0.05},
+     .partitions_per_s = 0.015,
+     .lost_reply_share = 0.05},
     {.name = "spot machines",
-     .controllers = 2,
-     .teams = 2,
+     .controller_count = 2,
+     .team_count = 2,
      .own_machines = 3,
      .cloud_machines = 60,
      .jobs_per_s = 0.6,
-     .first_jobs = 15,
+     .initial_jobs = 15,
      .runtime_s = 15,
-     .arrays = 6,
-     .services = 3,
-     .gangs = 1,
+     .array_weight = 6,
+     .service_weight = 3,
+     .gang_weight = 1,
      .cancels_per_s = 0.05,
      .faults_per_s = 0.05,
-     .notices_per_s = 0.15,
-     .failing_jobs = 0.03,
-     .lost_answers = 0.03},
-    {.name = "limits that are lowered",
-     .controllers = 3,
-     .teams = 3,
+     .spot_notices_per_s = 0.15,
+     .failing_job_share = 0.03,
+     .lost_reply_share = 0.03},
+    {.name = "lowered store limits",
+     .controller_count = 3,
+     .team_count = 3,
      .own_machines = 80,
      .cloud_machines = 10,
      .jobs_per_s = 0.5,
-     .first_jobs = 40,
+     .initial_jobs = 40,
      .runtime_s = 25,
-     .arrays = 8,
-     .services = 1,
-     .gangs = 1,
+     .array_weight = 8,
+     .service_weight = 1,
+     .gang_weight = 1,
      .cancels_per_s = 0.05,
      .faults_per_s = 0.05,
      .takeovers_per_s = 0.005,
-     .lost_answers = 0.05,
-     .lowered_limits = true},
+     .lost_reply_share = 0.05,
+     .lower_store_limits = true},
     {.name = "a large fleet",
-     .controllers = 3,
-     .teams = 5,
+     .controller_count = 3,
+     .team_count = 5,
      .own_machines = 300,
      .jobs_per_s = 0.9,
-     .first_jobs = 60,
+     .initial_jobs = 60,
      .runtime_s = 40,
-     .arrays = 6,
-     .services = 3,
-     .gangs = 1,
-     .urgent = 10,
+     .array_weight = 6,
+     .service_weight = 3,
+     .gang_weight = 1,
+     .urgent_percent = 10,
      .cancels_per_s = 0.1,
      .faults_per_s = 0.2,
-     .cuts_per_s = 0.005,
-     .failing_jobs = 0.1,
-     .lost_answers = 0.02},
-    {.name = "a small fleet, short of changes",
-     .controllers = 2,
-     .teams = 2,
+     .partitions_per_s = 0.005,
+     .failing_job_share = 0.1,
+     .lost_reply_share = 0.02},
+    {.name = "a small fleet under write pressure",
+     .controller_count = 2,
+     .team_count = 2,
      .own_machines = 10,
      .cloud_machines = 4,
      .jobs_per_s = 0.3,
-     .first_jobs = 8,
+     .initial_jobs = 8,
      .runtime_s = 12,
-     .arrays = 6,
-     .services = 3,
-     .gangs = 1,
-     .urgent = 30,
+     .array_weight = 6,
+     .service_weight = 3,
+     .gang_weight = 1,
+     .urgent_percent = 30,
      .cancels_per_s = 0.1,
      .faults_per_s = 0.03,
      .takeovers_per_s = 0.01,
-     .failing_jobs = 0.2,
-     .lost_answers = 0.05,
-     .short_of_changes = true},
-    {.name = "fair room, limits and guarantees",
-     .controllers = 3,
-     .teams = 5,
+     .failing_job_share = 0.2,
+     .lost_reply_share = 0.05,
+     .write_pressure = true},
+    {.name = "fair shares, limits and guarantees",
+     .controller_count = 3,
+     .team_count = 5,
      .own_machines = 25,
      .cloud_machines = 5,
      .jobs_per_s = 0.7,
-     .first_jobs = 30,
+     .initial_jobs = 30,
      .runtime_s = 25,
-     .arrays = 7,
-     .services = 2,
-     .gangs = 1,
-     .urgent = 25,
+     .array_weight = 7,
+     .service_weight = 2,
+     .gang_weight = 1,
+     .urgent_percent = 25,
      .cancels_per_s = 0.05,
      .faults_per_s = 0.02,
-     .limited_teams = true,
-     .fair_room = true,
-     .short_of_changes = true},
-    {.name = "jobs that other cells have a say in",
-     .controllers = 2,
-     .teams = 3,
+     .team_limits = true,
+     .fair_shares = true,
+     .write_pressure = true},
+    {.name = "jobs held for other cells",
+     .controller_count = 2,
+     .team_count = 3,
      .own_machines = 30,
      .cloud_machines = 10,
      .jobs_per_s = 0.5,
-     .first_jobs = 20,
+     .initial_jobs = 20,
      .runtime_s = 25,
-     .arrays = 5,
-     .services = 4,
-     .gangs = 1,
+     .array_weight = 5,
+     .service_weight = 4,
+     .gang_weight = 1,
      .cancels_per_s = 0.05,
      .faults_per_s = 0.01,
      .takeovers_per_s = 0.01,
-     .lost_answers = 0.02,
-     .holds = true,
-     .rounds = true}};
+     .lost_reply_share = 0.02,
+     .job_holds = true,
+     .rebalancing = true}};
 
-/* ---- chance ---- */
+/* ---- random numbers ---- */
 
 bool trace_chance(struct trace_world *world, double probability) {
     return probability > 0 && g_rand_double(world->random) < probability;
 }
 
-int trace_roll(struct trace_world *world, int below) {
+int trace_random_int(struct trace_world *world, int below) {
     return below > 1 ? g_rand_int_range(world->random, 0, below) : 0;
 }
 
-double trace_between(struct trace_world *world, double from, double below) {
+double trace_random_double(struct trace_world *world, double from, double below) {
     return g_rand_double_range(world->random, from, below);
 }
 
 /* ---- faults ---- */
 
-static void fault(struct trace_world *world) {
-    struct trace_machine *machine = trace_any_machine(world);
-    double until = world->now + trace_between(world, 5, 60);
+/* Lets a random machine die, be replaced, hang, lose its messages or fail its tasks for a while, or
+ * the cloud refuse rentals, or the timers of the first controller fire late. */
+static void inject_fault(struct trace_world *world) {
+    struct trace_machine *machine = trace_pick_machine(world);
+    double until = world->now + trace_random_double(world, 5, 60);
     if (!machine) {
         return;
     }
-    switch (trace_roll(world, 8)) {
+    switch (trace_random_int(world, 8)) {
     case 0:
-        trace_machine_dies(machine);
+        trace_machine_kill(machine);
         machine->listed = trace_chance(world, 0.5);
         break;
     case 1:
-        trace_machine_reborn(world, machine);
+        trace_machine_replace(world, machine);
         break;
     case 2:
-        machine->hung_until = until;
+        machine->frozen_until = until;
         break;
     case 3:
-        machine->mute_until = until;
+        machine->heartbeats_lost_until = until;
         break;
     case 4:
-        machine->deaf_until = until;
+        machine->commands_lost_until = until;
         break;
     case 5:
-        machine->ill_until = until;
+        machine->tasks_fail_until = until;
         break;
     case 6:
-        world->zone_empty_until = until;
+        world->rentals_refused_until = until;
         break;
     default:
-        rr_core_set_timers_late(world->controllers[0].node.core, world->now);
+        rr_core_set_timers_late(world->controllers[0].fixture.core, world->now);
     }
 }
 
-static void cut(struct trace_world *world) {
-    int zone = trace_roll(world, TRACE_ZONES);
-    world->cut_until[zone] = world->now + trace_between(world, 8, 50);
+/* Cuts a random zone off from the others for a while. */
+static void partition_zone(struct trace_world *world) {
+    int zone = trace_random_int(world, TRACE_ZONES);
+    world->partitioned_until[zone] = world->now + trace_random_double(world, 8, 50);
 }
 
-static void notice(struct trace_world *world) {
-    guint first = (guint)trace_roll(world, (int)world->machines->len);
+/* Gives a random spot machine notice that it will be reclaimed. */
+static void give_spot_notice(struct trace_world *world) {
+    guint first = (guint)trace_random_int(world, (int)world->machines->len);
     for (guint i = 0; i < world->machines->len; i++) {
         struct trace_machine *machine =
             g_ptr_array_index(world->machines, (first + i) % world->machines->len);
-        if (machine->up && machine->spot && machine->notice_at < 0) {
-            machine->notice_at = world->now + trace_between(world, 4, 20);
+        if (machine->up && machine->spot && machine->terminates_at < 0) {
+            machine->terminates_at = world->now + trace_random_double(world, 4, 20);
             return;
         }
     }
 }
 
-/* The settings come to name the limits with a restart, at once or after larger records have been
- * written; later the limits hold. */
-static void lower_limits(struct trace_world *world) {
-    const struct rr_config *config = &world->controllers[0].node.config;
-    if (world->steps == TRACE_STEPS / 4 && !world->announced) {
-        world->announced = true;
-        for (int i = 0; i < world->scenario.controllers; i++) {
+/* Lowers the store's limits in two steps. First all controllers restart with settings that name the
+ * next limits, unless they started with them; by then larger records may have been written. Later
+ * the store enforces the limits. */
+static void lower_store_limits(struct trace_world *world) {
+    const struct rr_config *config = &world->controllers[0].fixture.config;
+    if (world->steps == TRACE_STEPS / 4 && !world->limits_announced) {
+        world->limits_announced = true;
+        for (int i = 0; i < world->scenario.controller_count; i++) {
             trace_controller_start(world, i);
         }
     }
     if (world->steps == TRACE_STEPS / 3) {
         world->store->value_max = (size_t)(config->next_value_kb * 1024);
         world->store->ops_max = (guint)config->next_transaction_changes_max;
-        world->lowered = true;
+        world->limits_lowered = true;
     }
 }
 
-static void troubles(struct trace_world *world, double seconds) {
+/* Injects the faults of a step of this length, at the rates of the scenario. */
+static void inject_faults(struct trace_world *world, double seconds) {
     const struct trace_scenario *scenario = &world->scenario;
     struct trace_controller *controller =
-        &world->controllers[trace_roll(world, scenario->controllers)];
+        &world->controllers[trace_random_int(world, scenario->controller_count)];
     if (trace_chance(world, scenario->faults_per_s * seconds)) {
-        fault(world);
+        inject_fault(world);
     }
-    if (trace_chance(world, scenario->cuts_per_s * seconds)) {
-        cut(world);
+    if (trace_chance(world, scenario->partitions_per_s * seconds)) {
+        partition_zone(world);
     }
-    if (trace_chance(world, scenario->notices_per_s * seconds)) {
-        notice(world);
+    if (trace_chance(world, scenario->spot_notices_per_s * seconds)) {
+        give_spot_notice(world);
     }
     if (trace_chance(world, scenario->takeovers_per_s * seconds) && controller->running &&
-        !controller->wedged) {
-        trace_controller_stop(world, controller, trace_between(world, 2, 40));
+        !controller->store_unreachable) {
+        trace_controller_stop(world, controller, trace_random_double(world, 2, 40));
     }
     if (controller->running && trace_chance(world, 0.005)) {
-        trace_controller_reread(world, controller);
+        trace_controller_reload(world, controller);
     }
-    if (scenario->odd_records && trace_chance(world, 0.1 * seconds)) {
-        trace_odd_record(world);
+    if (scenario->foreign_records && trace_chance(world, 0.1 * seconds)) {
+        trace_write_foreign_record(world);
     }
-    if (scenario->lowered_limits) {
-        lower_limits(world);
+    if (scenario->lower_store_limits) {
+        lower_store_limits(world);
     }
 }
 
-/* ---- a seed's run ---- */
+/* ---- the run of one seed ---- */
 
-/* Own machines; of some the fleet's records are there already, the others are in the cloud's
- * lists only. */
-static void make_fleet(struct trace_world *world) {
+/* Creates the operator's machines. Some are recorded in the key-value store already, the others are
+ * known from the cloud's lists alone. */
+static void create_fleet(struct trace_world *world) {
     static const char *const type_names[] = {"m1", "m1", "m2", "m3"};
     for (int i = 1; i <= world->scenario.own_machines; i++) {
-        struct trace_machine *machine = trace_machine_new(
-            world, i, type_names[trace_roll(world, 4)], trace_zone_names[i % TRACE_ZONES], false);
-        machine->made_at = world->now - 100;
-        machine->up_at = world->now;
+        struct trace_machine *machine =
+            trace_machine_create(world, i, type_names[trace_random_int(world, 4)],
+                                 trace_zone_names[i % TRACE_ZONES], false);
+        machine->created_at = world->now - 100;
+        machine->boots_at = world->now;
         if (trace_chance(world, 0.05)) {
             fake_store_put_machine(world->store, machine->id, machine->zone, false, true);
             machine->type = "m1";
@@ -331,13 +339,13 @@
 static void world_init(struct trace_world *world, unsigned seed) {
     memset(world, 0, sizeof *world);
     world->scenario = scenarios[seed % G_N_ELEMENTS(scenarios)];
-    world->scenario.log_level = seed % 5 == 0 ? 2 : 0; /* lines are made and dropped */
-    world->announced = world->scenario.lowered_limits && seed <= G_N_ELEMENTS(scenarios);
+    world->scenario.log_level = seed % 5 == 0 ? 2 : 0; /* log lines are formatted, then discarded */
+    world->limits_announced = world->scenario.lower_store_limits && seed <= G_N_ELEMENTS(scenarios);
     world->random = g_rand_new_with_seed(seed);
     trace_hash_init(&world->hash);
     world->now = 1000;
     world->step_max_s = 0.9;
-    if (seed % 5 == 3) { /* it lasts for long, with no more jobs */
+    if (seed % 5 == 3) { /* a longer run with about as many jobs */
         world->step_max_s = 3.5;
         world->scenario.jobs_per_s *= 0.25;
     }
@@ -346,28 +354,28 @@
     world->machine_by_id = g_hash_table_new(g_str_hash, g_str_equal);
     world->jobs = g_ptr_array_new_with_free_func(g_free);
     world->job_by_id = g_hash_table_new(g_str_hash, g_str_equal);
-    world->flights = g_ptr_array_new_with_free_func(trace_flight_free);
-    world->copies = g_ptr_array_new_with_free_func(trace_copy_free);
+    world->pending_commands = g_ptr_array_new_with_free_func(trace_pending_command_free);
+    world->heartbeat_copies = g_ptr_array_new_with_free_func(trace_heartbeat_copy_free);
     world->rentals =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-    make_fleet(world);
-    for (int i = 0; i < world->scenario.controllers; i++) {
+    create_fleet(world);
+    for (int i = 0; i < world->scenario.controller_count; i++) {
         trace_controller_start(world, i);
     }
-    /* To see that they are kept takes time. */
-    if (world->scenario.lowered_limits || seed % 4 == 0) {
-        world->store->value_max = (size_t)(world->controllers[0].node.config.value_kb * 1024);
-        world->store->ops_max = (guint)world->controllers[0].node.config.transaction_changes_max;
+    /* Enforced with some seeds only, as checking the limits at each commit is slow. */
+    if (world->scenario.lower_store_limits || seed % 4 == 0) {
+        world->store->value_max = (size_t)(world->controllers[0].fixture.config.value_kb * 1024);
+        world->store->ops_max = (guint)world->controllers[0].fixture.config.transaction_changes_max;
     }
 }
 
 static void world_clear(struct trace_world *world) {
-    for (int i = 0; i < world->scenario.controllers; i++) {
-        test_controller_clear(&world->controllers[i].node);
+    for (int i = 0; i < world->scenario.controller_count; i++) {
+        test_controller_clear(&world->controllers[i].fixture);
     }
     g_hash_table_destroy(world->rentals);
-    g_ptr_array_free(world->copies, TRUE);
-    g_ptr_array_free(world->flights, TRUE);
+    g_ptr_array_free(world->heartbeat_copies, TRUE);
+    g_ptr_array_free(world->pending_commands, TRUE);
     g_hash_table_destroy(world->job_by_id);
     g_ptr_array_free(world->jobs, TRUE);
     g_hash_table_destroy(world->machine_by_id);
@@ -376,45 +384,46 @@
     g_rand_free(world->random);
 }
 
-#define FIRST_JOBS_STEP 15
+#define INITIAL_JOBS_STEP 15
 
 static void world_step(struct trace_world *world) {
-    double seconds = trace_between(world, 0.2, world->step_max_s);
+    double seconds = trace_random_double(world, 0.2, world->step_max_s);
     world->now += seconds;
     world->steps++;
-    troubles(world, seconds);
-    trace_workers_advance(world);
-    trace_sessions(world);
-    trace_users(world, seconds);
-    for (int i = 0; world->steps == FIRST_JOBS_STEP && i < world->scenario.first_jobs; i++) {
-        trace_submit(world);
+    inject_faults(world, seconds);
+    trace_advance_workers(world);
+    trace_advance_sessions(world);
+    trace_run_users(world, seconds);
+    for (int i = 0; world->steps == INITIAL_JOBS_STEP && i < world->scenario.initial_jobs; i++) {
+        trace_submit_jobs(world);
     }
-    trace_flights(world);
-    trace_reports(world);
-    trace_plans(world);
-    trace_flights(world);
+    trace_deliver_commands(world);
+    trace_send_heartbeats(world);
+    trace_run_plans(world);
+    trace_deliver_commands(world);
 }
 
-#define QUESTIONS_EVERY 25 /* steps */
+#define QUERY_INTERVAL_STEPS 25
 
-static void ask_all(struct trace_world *world) {
-    for (int i = 0; i < world->scenario.controllers; i++) {
+/* Hashes the state of all running controllers: in full at intervals, else that of some jobs. */
+static void query_controllers(struct trace_world *world) {
+    for (int i = 0; i < world->scenario.controller_count; i++) {
         struct trace_controller *controller = &world->controllers[i];
-        if (controller->running && world->steps % QUESTIONS_EVERY == 0) {
-            trace_questions(world, controller);
+        if (controller->running && world->steps % QUERY_INTERVAL_STEPS == 0) {
+            trace_query_core(world, controller);
         } else if (controller->running) {
-            trace_polls(world, controller);
+            trace_poll_jobs(world, controller);
         }
     }
 }
 
-void trace_core_play(unsigned seed, GString *out) {
+void trace_run_core(unsigned seed, GString *out) {
     struct trace_world world;
     world_init(&world, seed);
     while (world.steps < TRACE_STEPS) {
         world_step(&world);
-        ask_all(&world);
-        if (world.steps % TRACE_CHECKPOINT == 0) {
+        query_controllers(&world);
+        if (world.steps % TRACE_CHECKPOINT_STEPS == 0) {
             g_string_append_printf(out, "core seed %u step %u %016" G_GINT64_MODIFIER "x\n", seed,
                                    world.steps, world.hash.value);
         }
--- a/tests/trace_users.c
+++ b/tests/trace_users.c
@@ -1,3 +1,5 @@
+/* The users and operators of the decision trace: submissions, cancellations, holds of other cells,
+ * records of other versions, and reads of a core's state. */
 #include "core/extensions.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
@@ -13,45 +15,47 @@
 
 /* ---- submissions ---- */
 
-static enum rr_job_kind any_shape(struct trace_world *world) {
+static enum rr_job_kind random_kind(struct trace_world *world) {
     const struct trace_scenario *scenario = &world->scenario;
-    int roll = trace_roll(world, scenario->arrays + scenario->services + scenario->gangs);
-    if (roll < scenario->arrays) {
+    int number = trace_random_int(world, scenario->array_weight + scenario->service_weight +
+                                             scenario->gang_weight);
+    if (number < scenario->array_weight) {
         return RR_JOB_ARRAY;
     }
-    return roll < scenario->arrays + scenario->services ? RR_JOB_SERVICE : RR_JOB_GANG;
+    return number < scenario->array_weight + scenario->service_weight ? RR_JOB_SERVICE
+                                                                      : RR_JOB_GANG;
 }
 
-static uint32_t any_tasks(struct trace_world *world, enum rr_job_kind kind) {
+static uint32_t random_task_count(struct trace_world *world, enum rr_job_kind kind) {
     if (kind == RR_JOB_GANG) {
-        return trace_chance(world, 0.02) ? 500 : (uint32_t)(2 + trace_roll(world, 7));
+        return trace_chance(world, 0.02) ? 500 : (uint32_t)(2 + trace_random_int(world, 7));
     }
     if (kind == RR_JOB_SERVICE) {
-        return (uint32_t)(1 + trace_roll(world, 5));
+        return (uint32_t)(1 + trace_random_int(world, 5));
     }
-    return (uint32_t)(1 + trace_roll(world, trace_chance(world, 0.15) ? 200 : 12));
+    return (uint32_t)(1 + trace_random_int(world, trace_chance(world, 0.15) ? 200 : 12));
 }
 
-static void set_builds(struct trace_world *world, rr_submission *submission) {
+static void set_machine_types(struct trace_world *world, rr_submission *submission) {
     submission->machine_type_count = 2;
     submission->machine_types = g_malloc0_n(2, sizeof *submission->machine_types);
     g_strlcpy(submission->machine_types[0], trace_chance(world, 0.9) ? "m1" : "m9", RR_ID_SIZE);
     g_strlcpy(submission->machine_types[1], "m2", RR_ID_SIZE);
 }
 
-static void set_needs(struct trace_world *world, rr_submission *submission) {
+static void set_resources(struct trace_world *world, rr_submission *submission) {
     static const double cpus[] = {0.5, 1, 2, 4, 6, 8, 12, 16};
     bool large = trace_chance(world, 0.03);
-    submission->cpus = large ? 64 : cpus[trace_roll(world, (int)G_N_ELEMENTS(cpus))];
-    submission->gpus = trace_chance(world, 0.2) ? 1 + trace_roll(world, 2) : 0;
-    submission->mem_gb = 1 + trace_roll(world, 16);
-    submission->image_size_gb = trace_between(world, 0.2, 8);
+    submission->cpus = large ? 64 : cpus[trace_random_int(world, (int)G_N_ELEMENTS(cpus))];
+    submission->gpus = trace_chance(world, 0.2) ? 1 + trace_random_int(world, 2) : 0;
+    submission->mem_gb = 1 + trace_random_int(world, 16);
+    submission->image_size_gb = trace_random_double(world, 0.2, 8);
     if (trace_chance(world, 0.15)) {
-        g_strlcpy(submission->zone, trace_zone_names[trace_roll(world, TRACE_ZONES)],
+        g_strlcpy(submission->zone, trace_zone_names[trace_random_int(world, TRACE_ZONES)],
                   sizeof submission->zone);
     }
     if (trace_chance(world, 0.1)) {
-        set_builds(world, submission);
+        set_machine_types(world, submission);
     }
     submission->one_zone = trace_chance(world, 0.15);
     submission->spread = !submission->one_zone && trace_chance(world, 0.2);
@@ -59,29 +63,32 @@
 }
 
 static void set_times(struct trace_world *world, rr_submission *submission, double runtime_s) {
-    submission->runtime_estimate_s = runtime_s * trace_between(world, 0.5, 2);
-    submission->deadline_s = trace_chance(world, 0.4) ? runtime_s * trace_between(world, 1, 5) : -1;
+    submission->runtime_estimate_s = runtime_s * trace_random_double(world, 0.5, 2);
+    submission->deadline_s =
+        trace_chance(world, 0.4) ? runtime_s * trace_random_double(world, 1, 5) : -1;
     if (trace_chance(world, 0.4)) {
-        submission->checkpoint_interval_s = trace_between(world, 3, 20);
-        submission->save_s = trace_between(world, 0.5, 4);
+        submission->checkpoint_interval_s = trace_random_double(world, 3, 20);
+        submission->save_s = trace_random_double(world, 0.5, 4);
     }
 }
 
-static void any_submission(struct trace_world *world, rr_submission *submission, double runtime_s) {
+static void make_random_submission(struct trace_world *world, rr_submission *submission,
+                                   double runtime_s) {
     memset(submission, 0, sizeof *submission);
     g_snprintf(submission->job_id, sizeof submission->job_id, "req-%u%03d", world->jobs->len + 1,
-               trace_roll(world, 1000));
-    g_strlcpy(submission->team, team_names[trace_roll(world, world->scenario.teams)],
+               trace_random_int(world, 1000));
+    g_strlcpy(submission->team, team_names[trace_random_int(world, world->scenario.team_count)],
               sizeof submission->team);
-    g_snprintf(submission->image, sizeof submission->image, "img-%d", trace_roll(world, 12));
-    submission->kind = any_shape(world);
-    submission->task_count = any_tasks(world, submission->kind);
-    bool urgent = trace_roll(world, 100) < world->scenario.urgent;
-    submission->priority = urgent ? (enum rr_priority)(RR_PRIORITY_HIGH + trace_roll(world, 2))
-                                  : (enum rr_priority)trace_roll(world, 3);
-    g_strlcpy(submission->job_class, class_names[urgent ? 0 : trace_roll(world, 3)],
+    g_snprintf(submission->image, sizeof submission->image, "img-%d", trace_random_int(world, 12));
+    submission->kind = random_kind(world);
+    submission->task_count = random_task_count(world, submission->kind);
+    bool urgent = trace_random_int(world, 100) < world->scenario.urgent_percent;
+    submission->priority = urgent
+                               ? (enum rr_priority)(RR_PRIORITY_HIGH + trace_random_int(world, 2))
+                               : (enum rr_priority)trace_random_int(world, 3);
+    g_strlcpy(submission->job_class, class_names[urgent ? 0 : trace_random_int(world, 3)],
               sizeof submission->job_class);
-    set_needs(world, submission);
+    set_resources(world, submission);
     set_times(world, submission, runtime_s);
     if (trace_chance(world, 0.01)) {
         g_strlcpy(submission->team, "nobody", sizeof submission->team);
@@ -92,40 +99,41 @@
                          double runtime_s) {
     struct trace_job *job = g_new0(struct trace_job, 1);
     g_strlcpy(job->id, submission->job_id, sizeof job->id);
-    job->shape = submission->kind;
-    job->tasks = submission->task_count;
+    job->kind = submission->kind;
+    job->task_count = submission->task_count;
     job->runtime_s = runtime_s;
-    job->fails = trace_chance(world, world->scenario.failing_jobs);
+    job->tasks_fail = trace_chance(world, world->scenario.failing_job_share);
     g_ptr_array_add(world->jobs, job);
     g_hash_table_insert(world->job_by_id, job->id, job);
 }
 
-/* The core's verdict on one more submission; true: it is to be written, and is remembered. */
-static bool admitted(struct trace_world *world, struct trace_controller *controller,
-                     rr_submission *submission) {
-    double runtime_s = world->scenario.runtime_s * trace_between(world, 0.2, 2);
-    const char *why = NULL;
-    any_submission(world, submission, runtime_s);
-    enum rr_submission_check admit =
-        rr_core_check_submission(controller->node.core, submission, &why);
-    trace_int(&world->hash, admit);
-    trace_text(&world->hash, why);
-    if (admit == RR_SUBMISSION_NEW) {
+/* Makes a random submission and has the core check it. True: the job is new and remembered, and the
+ * caller has to write it and to clear *submission; false: *submission is cleared. */
+static bool check_random_submission(struct trace_world *world, struct trace_controller *controller,
+                                    rr_submission *submission) {
+    double runtime_s = world->scenario.runtime_s * trace_random_double(world, 0.2, 2);
+    const char *reason = NULL;
+    make_random_submission(world, submission, runtime_s);
+    enum rr_submission_check check =
+        rr_core_check_submission(controller->fixture.core, submission, &reason);
+    trace_hash_uint64(&world->hash, check);
+    trace_hash_text(&world->hash, reason);
+    if (check == RR_SUBMISSION_NEW) {
         remember_job(world, submission, runtime_s);
     } else {
         rr_submission_clear(submission);
     }
-    return admit == RR_SUBMISSION_NEW;
+    return check == RR_SUBMISSION_NEW;
 }
 
-static void write_one(struct trace_world *world, struct trace_controller *controller,
+static void write_job(struct trace_world *world, struct trace_controller *controller,
                       const rr_submission *submission) {
     char key[RR_ID_SIZE + 64];
     rr_encoder out;
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     rr_encoder_init(&out);
-    rr_core_job_encode(&out, submission, trace_wall(world), trace_chance(world, 0.02));
+    rr_core_job_encode(&out, submission, trace_wall_clock_s(world), trace_chance(world, 0.02));
     rr_core_job_key(submission->job_id, key, sizeof key);
     rr_transaction_guard(&transaction, key, 0);
     rr_transaction_put(&transaction, key, &out, 0);
@@ -133,9 +141,9 @@
     rr_transaction_clear(&transaction);
 }
 
-#define BATCH_MAX 4
+#define BATCH_JOBS_MAX 4
 
-/* Several jobs in one record. */
+/* Writes several jobs in one record. */
 static void write_batch(struct trace_world *world, struct trace_controller *controller,
                         const rr_submission *submissions, size_t count) {
     char key[RR_ID_SIZE + 64];
@@ -145,27 +153,27 @@
     rr_encoder_init(&out);
     rr_core_batch_begin(&out, count);
     for (size_t i = 0; i < count; i++) {
-        rr_core_job_encode(&out, &submissions[i], trace_wall(world), false);
+        rr_core_job_encode(&out, &submissions[i], trace_wall_clock_s(world), false);
     }
-    rr_core_batch_key(controller->session, ++controller->batches, key, sizeof key);
+    rr_core_batch_key(controller->session, ++controller->batch_count, key, sizeof key);
     rr_transaction_guard(&transaction, key, 0);
     rr_transaction_put(&transaction, key, &out, 0);
     trace_commit(world, controller, &transaction);
     rr_transaction_clear(&transaction);
 }
 
-void trace_submit(struct trace_world *world) {
-    struct trace_controller *controller = trace_any_controller(world);
-    rr_submission submissions[BATCH_MAX];
-    size_t count = 0, wanted = trace_chance(world, 0.3) ? BATCH_MAX : 1;
+void trace_submit_jobs(struct trace_world *world) {
+    struct trace_controller *controller = trace_pick_controller(world);
+    rr_submission submissions[BATCH_JOBS_MAX];
+    size_t count = 0, attempts = trace_chance(world, 0.3) ? BATCH_JOBS_MAX : 1;
     if (!controller) {
         return;
     }
-    for (size_t i = 0; i < wanted; i++) {
-        count += admitted(world, controller, &submissions[count]);
+    for (size_t i = 0; i < attempts; i++) {
+        count += check_random_submission(world, controller, &submissions[count]);
     }
     if (count == 1) {
-        write_one(world, controller, &submissions[0]);
+        write_job(world, controller, &submissions[0]);
     } else if (count > 1) {
         write_batch(world, controller, submissions, count);
     }
@@ -176,46 +184,50 @@
 
 /* ---- cancellations ---- */
 
-static struct trace_job *any_job(struct trace_world *world) {
+/* Returns a random job, or NULL if there is none. */
+static struct trace_job *pick_job(struct trace_world *world) {
     guint count = world->jobs->len;
-    return count ? g_ptr_array_index(world->jobs, (guint)trace_roll(world, (int)count)) : NULL;
+    return count ? g_ptr_array_index(world->jobs, (guint)trace_random_int(world, (int)count))
+                 : NULL;
 }
 
-static void hint_peers(struct trace_world *world, const struct trace_controller *from,
-                       const char *job_id) {
-    for (int i = 0; i < world->scenario.controllers; i++) {
+static void send_cancel_hints(struct trace_world *world, const struct trace_controller *from,
+                              const char *job_id) {
+    for (int i = 0; i < world->scenario.controller_count; i++) {
         struct trace_controller *peer = &world->controllers[i];
         if (peer != from && peer->running && trace_chance(world, 0.8)) {
-            rr_core_add_cancel_hint(peer->node.core, job_id, world->now);
+            rr_core_add_cancel_hint(peer->fixture.core, job_id, world->now);
         }
     }
 }
 
-/* The same once more, as when an answer was lost. */
-static void submit_again(struct trace_world *world) {
-    const struct trace_controller *controller = trace_any_controller(world);
-    const struct trace_job *job = any_job(world);
+/* Has a core check a job that is already submitted, as a client does that got no reply. */
+static void resubmit_job(struct trace_world *world) {
+    const struct trace_controller *controller = trace_pick_controller(world);
+    const struct trace_job *job = pick_job(world);
     if (controller && job) {
-        rr_submission submission = {.task_count = job->tasks, .cpus = 1};
-        const char *why = NULL;
+        rr_submission submission = {.task_count = job->task_count, .cpus = 1};
+        const char *reason = NULL;
         g_strlcpy(submission.job_id, job->id, sizeof submission.job_id);
-        trace_int(&world->hash, rr_core_check_submission(controller->node.core, &submission, &why));
-        trace_text(&world->hash, why);
+        trace_hash_uint64(&world->hash,
+                          rr_core_check_submission(controller->fixture.core, &submission, &reason));
+        trace_hash_text(&world->hash, reason);
     }
 }
 
-/* More than a core keeps. */
-static void hint_many(struct trace_world *world, struct trace_controller *controller) {
+/* Adds more cancel hints than a core keeps. */
+static void overflow_cancel_hints(struct trace_world *world, struct trace_controller *controller) {
     for (int i = 0; i < 4200; i++) {
         char id[RR_ID_SIZE];
         g_snprintf(id, sizeof id, "req-8%06d", i);
-        rr_core_add_cancel_hint(controller->node.core, id, world->now);
+        rr_core_add_cancel_hint(controller->fixture.core, id, world->now);
     }
 }
 
-static void cancel_any(struct trace_world *world) {
-    struct trace_controller *controller = trace_any_controller(world);
-    struct trace_job *job = any_job(world);
+/* Cancels a random job if the core permits it, and sends cancel hints to the peers. */
+static void cancel_random_job(struct trace_world *world) {
+    struct trace_controller *controller = trace_pick_controller(world);
+    struct trace_job *job = pick_job(world);
     char key[RR_ID_SIZE + 64];
     uint64_t version = 0;
     rr_encoder out;
@@ -225,15 +237,15 @@
     }
     rr_transaction_init(&transaction);
     rr_encoder_init(&out);
-    bool possible = rr_core_cancel_record(controller->node.core, job->id, &out, &version);
-    trace_int(&world->hash, possible);
+    bool possible = rr_core_cancel_record(controller->fixture.core, job->id, &out, &version);
+    trace_hash_uint64(&world->hash, possible);
     if (possible) {
         rr_core_job_key(job->id, key, sizeof key);
         rr_transaction_guard(&transaction, key, version);
         rr_transaction_put(&transaction, key, &out, 0);
         if (trace_commit(world, controller, &transaction)) {
             job->cancelled = true;
-            hint_peers(world, controller, job->id);
+            send_cancel_hints(world, controller, job->id);
         }
     } else {
         rr_encoder_clear(&out);
@@ -241,22 +253,23 @@
     rr_transaction_clear(&transaction);
 }
 
-/* ---- jobs that another cell has a say in ---- */
+/* ---- jobs held for transfers between cells ---- */
 
+/* Holds, releases, revokes or unholds a random job. */
 static void change_hold(struct trace_world *world) {
-    struct trace_controller *controller = trace_any_controller(world);
-    const struct trace_job *job = any_job(world);
+    struct trace_controller *controller = trace_pick_controller(world);
+    const struct trace_job *job = pick_job(world);
     if (!controller || !job) {
         return;
     }
-    rr_core *core = controller->node.core;
-    switch (trace_roll(world, 5)) {
+    rr_core *core = controller->fixture.core;
+    switch (trace_random_int(world, 5)) {
     case 0:
     case 1:
-        rr_core_hold_job(core, job->id, (enum rr_hold_kind)trace_roll(world, 3));
+        rr_core_hold_job(core, job->id, (enum rr_hold_kind)trace_random_int(world, 3));
         break;
     case 2:
-        rr_core_release_job(core, job->id, world->now + trace_between(world, 5, 60));
+        rr_core_release_job(core, job->id, world->now + trace_random_double(world, 5, 60));
         break;
     case 3:
         rr_core_revoke_job(core, job->id);
@@ -266,56 +279,59 @@
     }
 }
 
-static void finish_elsewhere(struct trace_world *world) {
-    struct trace_controller *controller = trace_any_controller(world);
-    const struct trace_job *job = any_job(world);
+/* Finishes or abandons a job, as its transfer would; the transaction is guarded by the controller's
+ * term. If nothing changes, hashes the job's guard instead. */
+static void finish_or_abandon_job(struct trace_world *world) {
+    struct trace_controller *controller = trace_pick_controller(world);
+    const struct trace_job *job = pick_job(world);
     rr_transaction transaction;
     if (!controller || !job) {
         return;
     }
-    rr_core *core = controller->node.core;
+    rr_core *core = controller->fixture.core;
     rr_transaction_init(&transaction);
     bool finishes = trace_chance(world, 0.3);
     bool changes = finishes
                        ? rr_core_finish_job(core, job->id, trace_chance(world, 0.2), &transaction)
                        : rr_core_abandon_job(core, job->id, &transaction);
-    trace_int(&world->hash, changes);
+    trace_hash_uint64(&world->hash, changes);
     if (changes) {
         rr_core_guard_term(core, &transaction);
         trace_commit(world, controller, &transaction);
     } else {
-        trace_int(&world->hash, rr_core_guard_job(core, job->id, &transaction));
-        trace_txn(&world->hash, &transaction);
+        trace_hash_uint64(&world->hash, rr_core_guard_job(core, job->id, &transaction));
+        trace_hash_transaction(&world->hash, &transaction);
     }
     rr_transaction_clear(&transaction);
 }
 
-void trace_users(struct trace_world *world, double seconds) {
+void trace_run_users(struct trace_world *world, double seconds) {
     const struct trace_scenario *scenario = &world->scenario;
     if (trace_chance(world, scenario->jobs_per_s * seconds)) {
-        trace_submit(world);
+        trace_submit_jobs(world);
     }
     if (trace_chance(world, scenario->cancels_per_s * seconds)) {
-        cancel_any(world);
+        cancel_random_job(world);
     }
     if (trace_chance(world, 0.05 * seconds)) {
-        submit_again(world);
+        resubmit_job(world);
     }
-    if (scenario->holds && world->steps % (TRACE_STEPS / 3) == 0) {
-        hint_many(world, &world->controllers[0]);
+    if (scenario->job_holds && world->steps % (TRACE_STEPS / 3) == 0) {
+        overflow_cancel_hints(world, &world->controllers[0]);
     }
-    if (scenario->holds && trace_chance(world, 0.5 * seconds)) {
+    if (scenario->job_holds && trace_chance(world, 0.5 * seconds)) {
         change_hold(world);
     }
-    if (scenario->holds && trace_chance(world, 0.05 * seconds)) {
-        finish_elsewhere(world);
+    if (scenario->job_holds && trace_chance(world, 0.05 * seconds)) {
+        finish_or_abandon_job(world);
     }
 }
 
 /* ---- records of other versions and of operators ---- */
 
-static void put_unreadable(struct trace_world *world, const char *key, const char *field,
-                           const char *text) {
+/* Writes a record with this one field, which the core cannot decode under this key. */
+static void put_unreadable_record(struct trace_world *world, const char *key, const char *field,
+                                  const char *text) {
     rr_encoder out;
     rr_encoder_init(&out);
     rr_encode_map(&out, 1);
@@ -323,9 +339,10 @@
     fake_store_put(world->store, key, &out);
 }
 
-/* An earlier version cancels a job of a kind that it does not know. */
+/* Cancels a job as an earlier version does that does not know the kind of the job: its record keeps
+ * only the name. */
 static void cancel_by_earlier_version(struct trace_world *world) {
-    const struct trace_job *job = any_job(world);
+    const struct trace_job *job = pick_job(world);
     char key[RR_ID_SIZE + 64];
     rr_encoder out;
     if (!job) {
@@ -342,11 +359,12 @@
     fake_store_put(world->store, key, &out);
 }
 
-static void delete_page(struct trace_world *world) {
+/* Deletes the fleet page of a machine, if there is one, as an operator might. */
+static void delete_fleet_page(struct trace_world *world) {
     char key[64];
     rr_transaction transaction;
     g_snprintf(key, sizeof key, RR_KEY_ROOT "fleet/%08d",
-               100001 + trace_roll(world, world->scenario.own_machines));
+               100001 + trace_random_int(world, world->scenario.own_machines));
     rr_transaction_init(&transaction);
     if (fake_store_version(world->store, key) != 0) {
         rr_transaction_delete(&transaction, key);
@@ -355,114 +373,116 @@
     rr_transaction_clear(&transaction);
 }
 
-void trace_odd_record(struct trace_world *world) {
-    switch (trace_roll(world, 6)) {
+void trace_write_foreign_record(struct trace_world *world) {
+    switch (trace_random_int(world, 6)) {
     case 0:
-        put_unreadable(world, RR_KEY_ROOT "machine/vm-1", "tasks", "none");
+        put_unreadable_record(world, RR_KEY_ROOT "machine/vm-1", "tasks", "none");
         break;
     case 1:
-        put_unreadable(world, RR_KEY_ROOT "build/m9", "sku", "m9");
+        put_unreadable_record(world, RR_KEY_ROOT "build/m9", "sku", "m9");
         break;
     case 2:
-        put_unreadable(world, RR_KEY_ROOT "fleet/00190000", "stones", "none");
+        put_unreadable_record(world, RR_KEY_ROOT "fleet/00190000", "stones", "none");
         break;
     case 3:
-        put_unreadable(world, RR_KEY_ROOT "node/n9", "name", "n9");
+        put_unreadable_record(world, RR_KEY_ROOT "node/n9", "name", "n9");
         break;
     case 4:
         cancel_by_earlier_version(world);
         break;
     default:
-        delete_page(world);
+        delete_fleet_page(world);
     }
 }
 
-/* ---- questions ---- */
+/* ---- reads of a core's state ---- */
 
-/* The core keeps jobs in no order that it promises: each one's hash is added up. */
-static void add_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
-                    uint32_t placed, uint32_t done) {
+/* Adds the hash of one job to a sum, which does not depend on the order of the jobs: the core
+ * guarantees none. */
+static void add_job_hash(void *user, const rr_submission *submission, int team, uint32_t waiting,
+                         uint32_t placed, uint32_t done) {
     uint64_t *sum = user;
     trace_hash hash;
     trace_hash_init(&hash);
-    trace_submission(&hash, submission);
-    trace_int(&hash, (uint64_t)(int64_t)team);
-    trace_int(&hash, waiting);
-    trace_int(&hash, placed);
-    trace_int(&hash, done);
+    trace_hash_submission(&hash, submission);
+    trace_hash_uint64(&hash, (uint64_t)(int64_t)team);
+    trace_hash_uint64(&hash, waiting);
+    trace_hash_uint64(&hash, placed);
+    trace_hash_uint64(&hash, done);
     *sum += hash.value;
 }
 
-static void add_machine(void *user, const char *type, const char *zone, double cpu, double gpu,
-                        double mem) {
+/* As add_job_hash, for a machine. */
+static void add_machine_hash(void *user, const char *type, const char *zone, double cpu, double gpu,
+                             double mem) {
     uint64_t *sum = user;
     trace_hash hash;
     trace_hash_init(&hash);
-    trace_text(&hash, type);
-    trace_text(&hash, zone);
-    trace_decimal(&hash, cpu);
-    trace_decimal(&hash, gpu);
-    trace_decimal(&hash, mem);
+    trace_hash_text(&hash, type);
+    trace_hash_text(&hash, zone);
+    trace_hash_double(&hash, cpu);
+    trace_hash_double(&hash, gpu);
+    trace_hash_double(&hash, mem);
     *sum += hash.value;
 }
 
-static void add_spillable(void *user, const rr_submission *submission, double accepted_at) {
+static void hash_spillable_job(void *user, const rr_submission *submission, double accepted_at) {
     trace_hash *hash = user;
-    trace_submission(hash, submission);
-    trace_decimal(hash, accepted_at);
+    trace_hash_submission(hash, submission);
+    trace_hash_double(hash, accepted_at);
 }
 
-static void ask_about(struct trace_world *world, const rr_core *core, const char *job_id) {
+static void query_job(struct trace_world *world, const rr_core *core, const char *job_id) {
     rr_job_view view;
     rr_core_job job;
     trace_hash *hash = &world->hash;
     rr_core_job_view(core, job_id, world->now, &view);
-    trace_job_view(hash, &view);
-    trace_int(hash, rr_core_job_known(core, job_id));
-    trace_int(hash, rr_core_job_cancelled(core, job_id, world->now));
+    trace_hash_job_view(hash, &view);
+    trace_hash_uint64(hash, rr_core_job_known(core, job_id));
+    trace_hash_uint64(hash, rr_core_job_cancelled(core, job_id, world->now));
     if (rr_core_find_job(core, job_id, &job)) {
-        trace_submission(hash, job.submission);
-        trace_decimal(hash, job.at);
-        trace_int(hash, job.done);
-        trace_int(hash, job.cancelled);
-        trace_int(hash, job.placed);
-        trace_int(hash, job.done_count);
+        trace_hash_submission(hash, job.submission);
+        trace_hash_double(hash, job.at);
+        trace_hash_uint64(hash, job.done);
+        trace_hash_uint64(hash, job.cancelled);
+        trace_hash_uint64(hash, job.placed);
+        trace_hash_uint64(hash, job.done_count);
     }
 }
 
-void trace_polls(struct trace_world *world, const struct trace_controller *controller) {
+void trace_poll_jobs(struct trace_world *world, const struct trace_controller *controller) {
     for (int i = 0; i < 3 && world->jobs->len; i++) {
-        ask_about(world, controller->node.core, any_job(world)->id);
+        query_job(world, controller->fixture.core, pick_job(world)->id);
     }
 }
 
-void trace_questions(struct trace_world *world, struct trace_controller *controller) {
-    const rr_core *core = controller->node.core;
+void trace_query_core(struct trace_world *world, struct trace_controller *controller) {
+    const rr_core *core = controller->fixture.core;
     trace_hash *hash = &world->hash;
-    uint64_t jobs = 0, machines = 0;
+    uint64_t job_hashes = 0, machine_hashes = 0;
     struct rr_budget_shares shares;
     rr_core_stats stats;
-    rr_core_each_job(core, add_job, &jobs);
-    rr_core_each_machine(core, add_machine, &machines);
-    trace_int(hash, jobs);
-    trace_int(hash, machines);
-    rr_core_each_spillable(core, world->now, add_spillable, hash);
-    trace_polls(world, controller);
+    rr_core_each_job(core, add_job_hash, &job_hashes);
+    rr_core_each_machine(core, add_machine_hash, &machine_hashes);
+    trace_hash_uint64(hash, job_hashes);
+    trace_hash_uint64(hash, machine_hashes);
+    rr_core_each_spillable(core, world->now, hash_spillable_job, hash);
+    trace_poll_jobs(world, controller);
     rr_core_budget_shares(core, &shares);
-    trace_decimal(hash, shares.requests);
-    trace_decimal(hash, shares.users);
-    trace_decimal(hash, shares.plans);
-    trace_decimal(hash, shares.autoscaler);
-    for (int i = 0; i < world->scenario.teams; i++) {
-        trace_text(hash, rr_core_team_owner(core, team_names[i]));
-    }
-    trace_int(hash, rr_core_live_controllers(core));
-    trace_int(hash, rr_core_fencing_token(core));
-    trace_int(hash, rr_core_ready(core, world->now));
-    trace_int(hash, rr_core_all_gang_capable(core));
-    trace_int(hash, rr_core_all_admission_capable(core));
-    trace_int(hash, rr_core_all_hold_capable(core));
-    trace_decimal(hash, rr_core_cache_age(core, world->now));
+    trace_hash_double(hash, shares.requests);
+    trace_hash_double(hash, shares.users);
+    trace_hash_double(hash, shares.plans);
+    trace_hash_double(hash, shares.autoscaler);
+    for (int i = 0; i < world->scenario.team_count; i++) {
+        trace_hash_text(hash, rr_core_team_owner(core, team_names[i]));
+    }
+    trace_hash_uint64(hash, rr_core_live_controllers(core));
+    trace_hash_uint64(hash, rr_core_fencing_token(core));
+    trace_hash_uint64(hash, rr_core_ready(core, world->now));
+    trace_hash_uint64(hash, rr_core_all_gang_capable(core));
+    trace_hash_uint64(hash, rr_core_all_admission_capable(core));
+    trace_hash_uint64(hash, rr_core_all_hold_capable(core));
+    trace_hash_double(hash, rr_core_cache_age(core, world->now));
     rr_core_get_stats(core, &stats);
-    trace_stats(hash, &stats);
+    trace_hash_core_stats(hash, &stats);
 }
