--- a/src/app/http_responses.h
+++ b/src/app/http_responses.h
@@ -8,7 +8,7 @@
  * header. */
 void rr_app_answer_error(struct rr_http_response *response, int status, const char *reason,
                          int retry_after_s);
-/* Answers with the status and a job's state, as users read it. */
+/* Answers with this HTTP status, the job's id and the name of its state. */
 void rr_app_answer_job_state(struct rr_http_response *response, int status, const char *job_id,
                              const char *state);
 /* Answers 200 with a job's state and the numbers of its done and running tasks. */
--- a/src/app/peer_events.c
+++ b/src/app/peer_events.c
@@ -54,7 +54,7 @@
     pthread_mutex_unlock(&app->lock);
 }
 
-static void on_demand(void *user, int peer, const void *data, size_t length) {
+static void on_demand_view(void *user, int peer, const void *data, size_t length) {
     rr_app_admission_receive_demand(user, peer, data, length);
 }
 
@@ -75,6 +75,6 @@
 }
 
 struct rr_peer_events rr_app_peer_events(struct rr_app *app) {
-    return (struct rr_peer_events){
-        app, on_heartbeat, on_heartbeat_digests, on_suspect, on_cancelled, on_resign, on_demand};
+    return (struct rr_peer_events){app,          on_heartbeat, on_heartbeat_digests, on_suspect,
+                                   on_cancelled, on_resign,    on_demand_view};
 }
--- a/src/app/read_barrier_thread.c
+++ b/src/app/read_barrier_thread.c
@@ -8,8 +8,9 @@
 
 #define POLL_WAIT_MAX_S 1.6 /* users wait 2 s for an answer */
 #define REVISION_TIMEOUT_S 0.8
-#define CACHE_WAIT_MAX_S 1.2 /* from the start of the revision's read */
-#define IDLE_WAIT_S 5.0      /* longest wait for polls before the stop is checked again */
+/* Longest wait for the store cache to reach the revision, from the start of the revision's read. */
+#define CACHE_WAIT_MAX_S 1.2
+#define IDLE_WAIT_S 5.0 /* longest wait for polls before the stop is checked again */
 /* Over all controllers, reads of the revision use one in so many requests of the store's request
  * limit. */
 #define REQUESTS_PER_READ 6.0
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -223,7 +223,7 @@
     config->max_sockets = (int)sockets;
 }
 
-static void read_platform(struct settings_reader *reader, struct rr_config *config) {
+static void read_deployment_settings(struct settings_reader *reader, struct rr_config *config) {
     double clock_off_ms;
     read_addresses(reader, config);
     read_peers(reader, config);
@@ -244,13 +244,13 @@
     }
 }
 
-static bool load_platform(const char *file, struct rr_config *config, GError **error) {
+static bool load_deployment_settings(const char *file, struct rr_config *config, GError **error) {
     rr_toml_document *document = rr_toml_load(file, error);
     if (!document) {
         return false;
     }
     struct settings_reader reader = {document, file, NULL};
-    read_platform(&reader, config);
+    read_deployment_settings(&reader, config);
     rr_toml_destroy(document);
     if (reader.error) {
         g_propagate_error(error, reader.error);
@@ -330,6 +330,6 @@
                       GError **error) {
     memset(out, 0, sizeof *out);
     rr_tuning_set_defaults(&out->tuning);
-    return load_platform(platform_file, out, error) &&
+    return load_deployment_settings(platform_file, out, error) &&
            (!tuning_file || load_tuning(tuning_file, &out->tuning, error));
 }
--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -35,8 +35,8 @@
 /* ---- reading the store ---- */
 
 /* Keeps the transfer records of the absent cell's own jobs and ignores all others. */
-static void store_transfer(void *user, const char *key_suffix, const msgpack_object *value,
-                           uint64_t version) {
+static void keep_transfer_record(void *user, const char *key_suffix, const msgpack_object *value,
+                                 uint64_t version) {
     rr_absent *absent = user;
     rr_absent_transfer transfer = {.version = version};
     if (value && g_str_has_prefix(key_suffix, RR_CELLS_OUT) &&
@@ -50,7 +50,7 @@
     rr_core_destroy(absent->cache);
     g_hash_table_remove_all(absent->transfers);
     absent->cache = rr_core_create(absent->config);
-    rr_core_watch_records(absent->cache, RR_CELLS_PREFIX, store_transfer, absent);
+    rr_core_watch_records(absent->cache, RR_CELLS_PREFIX, keep_transfer_record, absent);
     rr_core_cache_begin_reload(absent->cache);
 }
 
--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -61,14 +61,15 @@
  * They are guarded by its term and by the records that were read. False: the change is not
  * possible, and the transaction must not be committed. */
 
-/* Claims an open job for the reading cell. A cancellation by the job's user makes the commit fail.
+/* Claims an open job for this cell. A cancellation by the job's user makes the commit fail.
  */
 bool rr_absent_claim(const rr_absent *absent, const char *job_id, const char *team,
                      rr_transaction *transaction);
 /* Records a claimed job as done. Its tasks that are placed in the absent cell according to that
  * cell's ledger count as gone, since their workers have had no controllers. */
 bool rr_absent_finish_job(const rr_absent *absent, const char *job_id, rr_transaction *transaction);
-/* Withdraws a claimed job from the reading cell. wall: time of day. */
+/* Gives back a job that this cell claimed: records in the absent cell that the job is withdrawn.
+ * wall: time of day of the withdrawal. */
 bool rr_absent_give_back_job(const rr_absent *absent, const char *job_id, double wall,
                              rr_transaction *transaction);
 
--- a/src/cells/incoming_offers.c
+++ b/src/cells/incoming_offers.c
@@ -113,9 +113,9 @@
     return entry;
 }
 
-/* Reads the offered job under its local id, for rr_submission_clear(), and the time of day at which
- * its home accepted it; *accepted_at stays as it is if the offer has none. Returns false if the
- * offer can't be read. */
+/* Reads the offered job into *submission, with its local id; the caller frees the contents with
+ * rr_submission_clear(). Sets *accepted_at to the time of day at which the home accepted the job,
+ * or leaves it unchanged if the offer has none. Returns false if the offer can't be read. */
 static bool read_offer(const rr_cells_item *item, const char *local_id, rr_submission *submission,
                        double *accepted_at) {
     rr_document document;
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -9,8 +9,8 @@
 #include "wire/wire.h"
 
 #define RR_CELLS_PREFIX "rr/cells/" /* of the keys of all transfer records */
-#define RR_CELLS_OUT "out/"         /* follows it in keys of rr_out_record */
-#define RR_CELLS_IN "in/"           /* follows it in keys of rr_in_record */
+#define RR_CELLS_OUT "out/"         /* follows RR_CELLS_PREFIX in the keys of rr_out_record */
+#define RR_CELLS_IN "in/"           /* follows RR_CELLS_PREFIX in the keys of rr_in_record */
 #define RR_CELLS_KEY_SIZE (RR_ID_SIZE + 64)
 
 /* The home's record of a job that was offered to another cell. */
@@ -30,7 +30,7 @@
     char job_id[RR_ID_SIZE]; /* id in the home cell; its id here is rr_cells_local_id() */
     enum rr_guest_state state;
     uint32_t claim;            /* number of the offer that was accepted */
-    enum rr_job_answer answer; /* what the job came to; NONE: it is open */
+    enum rr_job_answer answer; /* how the job ended; RR_ANSWER_NONE: it is open */
 } rr_in_record;
 
 /* Writes the complete key of the home's record of a job; RR_CELLS_KEY_SIZE bytes are enough. */
--- a/src/cells/settings.h
+++ b/src/cells/settings.h
@@ -39,11 +39,12 @@
     double lease_s;            /* duration of a grant */
     double stop_s;             /* time until a new owner plans and a stop takes effect */
     double drift;              /* upper bound of the relative difference of steady clocks */
-    double begin_wait_s; /* jobs are offered once one that could run elsewhere waited this long */
-    double end_wait_s;   /* jobs are no longer offered once none has waited longer than this */
-    double give_back_s;  /* another cell's job that has not started by then is given back */
-    double guest_share;  /* share, 0 to 1, of the free capacity that neighbours' offers may take at
-                            a time */
+    /* Offers begin once a job that another cell could run has waited for begin_wait_s. They end
+     * once no such job has waited for longer than end_wait_s. */
+    double begin_wait_s, end_wait_s;
+    double give_back_s; /* another cell's job that has not started by then is given back */
+    double guest_share; /* share, 0 to 1, of the free capacity that neighbours' offers may take at
+                           a time */
     rr_cell neighbours[RR_CELLS_MAX];
     size_t neighbour_count;
     rr_transfer_times times; /* derived from these and the platform's settings */
--- a/src/core/autoscaling/autoscaling_state.h
+++ b/src/core/autoscaling/autoscaling_state.h
@@ -10,7 +10,7 @@
 typedef struct {
     char name[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     bool spot;              /* false: on-demand */
-    int count;              /* machines */
+    int count;              /* number of machines requested */
     uint64_t version;       /* of its record */
     bool seen_in_reload;    /* since the last full reload of the store cache began */
     double requested_at;    /* steady: last requested from the cloud in this term, 0: never */
--- a/src/core/health/partitions.c
+++ b/src/core/health/partitions.c
@@ -42,7 +42,8 @@
 }
 
 /* Copies the counts of the zone to *out; returns false if the last count did not include it. */
-static bool get_zone_counts(const rr_core *core, int zone, rr_zone_heartbeat_counts *out) {
+static bool get_zone_heartbeat_counts(const rr_core *core, int zone,
+                                      rr_zone_heartbeat_counts *out) {
     if (zone < 0 || (guint)zone >= core->observed.zone_heartbeats->len) {
         return false;
     }
@@ -56,13 +57,13 @@
 
 bool rr_zone_partitioned(const rr_core *core, int zone) {
     rr_zone_heartbeat_counts counts;
-    return get_zone_counts(core, zone, &counts) && most_machines_overdue(&counts);
+    return get_zone_heartbeat_counts(core, zone, &counts) && most_machines_overdue(&counts);
 }
 
 bool rr_zone_partitioned_excluding(const rr_core *core, int zone, const rr_machine *except,
                                    double now) {
     rr_zone_heartbeat_counts counts;
-    if (!get_zone_counts(core, zone, &counts)) {
+    if (!get_zone_heartbeat_counts(core, zone, &counts)) {
         return false;
     }
     if (rr_machine_was_up(except)) {
@@ -76,7 +77,7 @@
 bool rr_zone_partition_suspected(const rr_core *core, int zone, const rr_machine *except,
                                  double now) {
     rr_zone_heartbeat_counts counts;
-    if (!get_zone_counts(core, zone, &counts)) {
+    if (!get_zone_heartbeat_counts(core, zone, &counts)) {
         return false;
     }
     guint others = counts.machine_count - (counts.machine_count > 0);
--- a/src/core/membership/attempts.c
+++ b/src/core/membership/attempts.c
@@ -12,7 +12,7 @@
 
 uint64_t rr_next_attempt(rr_core *core) {
     return core->membership.term.token << TOKEN_SHIFT |
-           (uint64_t)rr_member_index(core) << MEMBER_SHIFT |
+           (uint64_t)rr_own_member_index(core) << MEMBER_SHIFT |
            (++core->membership.attempt_counter & COUNTER_MASK);
 }
 
--- a/src/core/membership/members.c
+++ b/src/core/membership/members.c
@@ -37,7 +37,7 @@
            member->lease_id == core->membership.lease_id;
 }
 
-guint rr_member_index(const rr_core *core) {
+guint rr_own_member_index(const rr_core *core) {
     return core->membership.member_index < 0 ? 0 : (guint)core->membership.member_index;
 }
 
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -57,7 +57,7 @@
 /* Returns the term's member of this name, or NULL. The pointer is valid until the next term. */
 const rr_session *rr_find_member(const rr_core *core, const char *name);
 /* Returns this controller's member index in the term, or 0 if it is not a member. */
-guint rr_member_index(const rr_core *core);
+guint rr_own_member_index(const rr_core *core);
 /* Whether the present session of every member has at least this capability. This becomes false
  * again when a member restarts with an older version. */
 bool rr_all_members_capable(const rr_core *core, uint64_t capability);
--- a/src/core/membership/shards.c
+++ b/src/core/membership/shards.c
@@ -111,7 +111,7 @@
 static void number_shards(rr_core *core) {
     core->membership.shard_count = core->membership.shard = 0;
     for (guint i = 0; i < core->membership.term.members->len; i++) {
-        if (i == rr_member_index(core)) {
+        if (i == rr_own_member_index(core)) {
             core->membership.shard = core->membership.shard_count;
         }
         core->membership.shard_count += count_owned_teams(core, (int)i) > 0;
@@ -190,7 +190,7 @@
             1 / (member_count + 1), CHANGES_SHARE_USERS_OUTSIDE_TERM / (member_count + 1), 0, 0};
         return;
     }
-    double owned_share = count_owned_teams(core, (int)rr_member_index(core)) / team_count;
+    double owned_share = count_owned_teams(core, (int)rr_own_member_index(core)) / team_count;
     double autoscaler = is_own_member_index(core, core->membership.autoscaler_member) ? 1 : 0;
     out->requests = REQUESTS_SHARE_ALL_MEMBERS / member_count +
                     REQUESTS_SHARE_OWNERS * owned_share + REQUESTS_SHARE_AUTOSCALER * autoscaler;
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -178,7 +178,9 @@
     /* 1: another task there already needs the image. A machine that gets the image anew becomes
      * ready for a second kind of work. */
     double image_expected;
-    double free_share; /* 0 to 1, minus 1 for the machine where the task runs now */
+    /* Free share of the machine's resources, 0 to 1; lowered by 1 for the machine that runs the
+     * task now. */
+    double free_share;
 };
 
 /* Returns the candidate's score, from the resources that are free now. */
--- a/src/core/scheduling/placement_verdict.c
+++ b/src/core/scheduling/placement_verdict.c
@@ -84,7 +84,7 @@
     return any_stopping && !rr_resources_fit(used, rr_machine_capacity(core, machine));
 }
 
-/* Whether the placement's task must not run, or not any longer. */
+/* Whether the placement's task must be stopped if it runs, and must not be started. */
 static bool must_stop(const struct rr_planner *planner, const rr_machine *machine,
                       const rr_placement *placement, enum rr_gang_stop_mode gang_stop) {
     const rr_job *job = placement->job;
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -25,7 +25,7 @@
 #include <string.h>
 
 #define USAGE_RECOUNT_PERIOD_S 60.0
-#define JOBS_SHRINK_PERIOD_S 60.0
+#define JOB_EVICTION_PERIOD_S 60.0
 #define MACHINE_CLEANUP_PERIOD_S 1.0
 #define UNRECORDED_MACHINE_RETENTION_S 120.0
 /* The names of deleted machines are kept this long, so that delayed copies of their heartbeats are
@@ -137,7 +137,7 @@
         &planner, MIN(rr_transaction_changes_max(core->config), core->planning.changes_allowed));
     record_write_shortage(&planner);
     place_tasks_and_moves(&planner);
-    rr_plan_remove_lost(&planner);
+    rr_plan_remove_lost_placements(&planner);
     record_write_shortage(&planner);
     rr_plan_build_transaction(&planner);
     rr_plan_add_probes(&planner);
@@ -149,7 +149,7 @@
         rr_recount_team_usage(core);
     }
     rr_planner_clear(&planner);
-    if (begin_period_if_due(&core->planning.last_job_eviction_at, now, JOBS_SHRINK_PERIOD_S)) {
+    if (begin_period_if_due(&core->planning.last_job_eviction_at, now, JOB_EVICTION_PERIOD_S)) {
         rr_jobs_evict_final(core, wall);
     }
 }
--- a/src/core/scheduling/plan_edits.c
+++ b/src/core/scheduling/plan_edits.c
@@ -130,8 +130,8 @@
 
 /* Removes a terminated placement from the edit. If its task's completion has to be recorded, adds
  * it first, and keeps the placement if the transaction has no room for the completion. */
-static void remove_terminated(struct rr_planner *planner, struct rr_record_edit *edit,
-                              const struct rr_terminated_placement *terminated) {
+static void remove_terminated_placement(struct rr_planner *planner, struct rr_record_edit *edit,
+                                        const struct rr_terminated_placement *terminated) {
     rr_job *job = terminated->job;
     if (terminated->completed && !job->cancelled && !rr_job_task_done(job, terminated->task) &&
         !add_completion(planner, edit, terminated)) {
@@ -146,11 +146,12 @@
 }
 
 /* Removes every placement known to be terminated from the edit. */
-static void remove_all_terminated(struct rr_planner *planner, struct rr_record_edit *edit) {
+static void remove_all_terminated_placements(struct rr_planner *planner,
+                                             struct rr_record_edit *edit) {
     for (guint i = edit->record->first_terminated; i > 0;) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i - 1);
-        remove_terminated(planner, edit, terminated);
+        remove_terminated_placement(planner, edit, terminated);
         i = terminated->next_index;
     }
 }
@@ -180,7 +181,7 @@
     planner->change_count++;
     planner->transaction_bytes += bytes;
     g_ptr_array_add(planner->edits, edit);
-    remove_all_terminated(planner, edit);
+    remove_all_terminated_placements(planner, edit);
     return edit;
 }
 
@@ -277,7 +278,7 @@
     }
 }
 
-void rr_plan_remove_lost(struct rr_planner *planner) {
+void rr_plan_remove_lost_placements(struct rr_planner *planner) {
     for (guint i = 0; i < planner->terminated->len && !planner->transaction_full; i++) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i);
--- a/src/core/scheduling/plan_edits.h
+++ b/src/core/scheduling/plan_edits.h
@@ -38,6 +38,6 @@
 
 /* Removes lost placements that have waited long enough although this plan has not placed their
  * tasks again, until the transaction is full. To be called after placement. */
-void rr_plan_remove_lost(struct rr_planner *planner);
+void rr_plan_remove_lost_placements(struct rr_planner *planner);
 
 #endif
--- a/src/core/scheduling/planner.c
+++ b/src/core/scheduling/planner.c
@@ -55,7 +55,7 @@
 }
 
 /* Resets the machine's per-plan state. */
-static void reset_machine(rr_machine *machine) {
+static void reset_machine_plan_state(rr_machine *machine) {
     g_array_free(machine->reserved_jobs, TRUE);
     machine->reserved_jobs = NULL;
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -84,7 +84,7 @@
 
 void rr_planner_clear(struct rr_planner *planner) {
     for (guint i = 0; i < planner->used_machines->len; i++) {
-        reset_machine(g_ptr_array_index(planner->used_machines, i));
+        reset_machine_plan_state(g_ptr_array_index(planner->used_machines, i));
     }
     restore_requeued_tasks(planner->requeued);
     clear_terminated_lists(planner->terminated);
--- a/src/core/scheduling/planner.h
+++ b/src/core/scheduling/planner.h
@@ -16,7 +16,7 @@
     rr_ledger_record *record;
     GArray *placements; /* rr_placement_record */
     GArray *completed;  /* uint32_t: tasks whose completion this edit records */
-    int zone;           /* zone index of a task in `completed`, -1: none */
+    int zone;           /* zone index of the placement whose completion was added last, -1: none */
 };
 
 /* A placement that is proven terminated and is still in the ledger. */
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -84,7 +84,7 @@
 static bool must_clean_up_final_job(const rr_core *core, const rr_task_status *task, double now) {
     if (task->state == RR_TASK_ENDED &&
         rr_attempt_token(task->attempt) == core->membership.term.token) {
-        return rr_attempt_member(task->attempt) == rr_member_index(core);
+        return rr_attempt_member(task->attempt) == rr_own_member_index(core);
     }
     return rr_core_is_autoscaler(core, now);
 }
--- a/src/peer/outbox.c
+++ b/src/peer/outbox.c
@@ -59,7 +59,8 @@
 
 /* Finds or creates the record of a machine, which the table owns. From time to time, removes
  * expired records first. */
-static struct machine_sends *find_machine_sends(rr_peers *peers, const char *machine, double now) {
+static struct machine_sends *get_or_create_send_record(rr_peers *peers, const char *machine,
+                                                       double now) {
     if (now - peers->sent_heartbeats_swept_at > MACHINE_SENDS_TTL_S) {
         peers->sent_heartbeats_swept_at = now;
         g_hash_table_foreach_remove(peers->sent_heartbeats, is_expired, &now);
@@ -115,7 +116,7 @@
     GBytes *payload = NULL; /* created for the first peer that gets the heartbeat in full */
     pthread_mutex_lock(&peers->lock);
     double now = rr_steady_clock_s();
-    struct machine_sends *sent = find_machine_sends(peers, digest->machine, now);
+    struct machine_sends *sent = get_or_create_send_record(peers, digest->machine, now);
     for (size_t i = 0; i < peers->config->peer_count; i++) {
         struct rr_peer_link *link = &peers->links[i];
         if (!needs_full_heartbeat(&sent->to_peer[i], link, digest, subscribers >> i & 1,
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -34,7 +34,8 @@
     double wait_max_s;          /* longest wait of a started job */
     double served_cpu_s;        /* CPU seconds of the tasks that started */
     struct fair_result fair;    /* the same jobs in the fair cluster */
-    unsigned wait_histogram[8]; /* waits under 1, 5, 15, 30, 60, 120, 240 s, and longer ones */
+    unsigned wait_histogram[8]; /* started jobs by wait: under 1, 5, 15, 30, 60, 120, 240 s, and
+                                   longer */
 };
 
 struct model {
@@ -82,10 +83,11 @@
 /* Restarts a controller, which then knows only what the key-value store holds. For use in
  * each_second(). */
 void model_restart(struct model *model, int controller);
-/* Returns the mean wait of a stream's jobs as a multiple of the fair cluster's. Both means count as
- * one admission interval at least, as admission cannot tell shorter waits apart. */
+/* Returns the mean wait of a stream's jobs divided by the mean wait of the same jobs in the fair
+ * cluster. A mean below one admission interval counts as one interval, because admission cannot
+ * tell shorter waits apart. */
 double model_wait_ratio(const struct model *model, unsigned stream);
-/* Returns the same ratio for all jobs of a team. */
+/* As model_wait_ratio(), for all jobs of a team. */
 double model_team_wait_ratio(const struct model *model, const char *team);
 /* Prints the results of each stream to stdout. */
 void model_print(const struct model *model, const char *title);
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -53,7 +53,7 @@
  * begin_wait_s, so that the job is due to be offered. */
 void cell_pair_submit_overdue_job(cell_pair *pair, const struct test_job *job);
 /* Submits cell_pair_job at the home, transfers it and starts its tasks at the guest. Returns the
- * guest's id of it, as cell_pair_local(). */
+ * job's id at the guest, which is valid as long as a result of cell_pair_local(). */
 const char *cell_pair_transfer_job(cell_pair *pair);
 /* Ends all tasks of a transferred job as done. local: the guest's id of the job. */
 void cell_pair_finish_at_guest(cell_pair *pair, const char *local);
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -66,7 +66,7 @@
     rr_core_destroy(controller->core);
 }
 
-void test_controller_next_term(test_controller *controller) {
+void test_controller_begin_next_term(test_controller *controller) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     fake_store_sync(controller->store, controller->core, controller->now);
@@ -90,7 +90,7 @@
     rr_core_encode_session(&controller->config, &encoder, lease_id);
     fake_store_put(controller->store, key, &encoder);
     rr_core_set_session(controller->core, lease_id, controller->now + 1e6);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
 }
 
 void test_controller_leave(test_controller *controller) {
@@ -105,12 +105,12 @@
     rr_encode_map(&encoder, 1);
     rr_encode_key_u64(&encoder, "tether", OLD_VERSION_LEASE_ID);
     fake_store_put(controller->store, OLD_VERSION_SESSION_KEY, &encoder);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
 }
 
 void test_controller_leave_old_version(test_controller *controller) {
     fake_store_delete(controller->store, OLD_VERSION_SESSION_KEY);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
 }
 
 void test_controller_cancel(test_controller *controller, const char *job_id) {
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -26,11 +26,11 @@
 /* ---- membership ---- */
 
 /* Commits the next term if one is due, and updates the controller's store cache. */
-void test_controller_next_term(test_controller *controller);
+void test_controller_begin_next_term(test_controller *controller);
 /* Registers a session with this lease and commits the next term. */
 void test_controller_join(test_controller *controller, uint64_t lease_id);
 /* Deletes the controller's session; the term stays as it is until the next
- * test_controller_next_term(). */
+ * test_controller_begin_next_term(). */
 void test_controller_leave(test_controller *controller);
 /* Adds or removes the session of another controller, n1, whose version announces no capabilities.
  * `controller` commits the term that follows. */
--- a/tests/gang_fixture.c
+++ b/tests/gang_fixture.c
@@ -132,8 +132,8 @@
     return attempt;
 }
 
-const char *gang_task_running(int machine, const char *job_id, uint32_t task, int position,
-                              uint64_t sequence) {
+const char *gang_report_task_running(int machine, const char *job_id, uint32_t task, int position,
+                                     uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
@@ -142,8 +142,8 @@
     return "running";
 }
 
-const char *gang_task_done(int machine, const char *job_id, uint32_t task, int position,
-                           uint64_t sequence) {
+const char *gang_report_task_done(int machine, const char *job_id, uint32_t task, int position,
+                                  uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
--- a/tests/gang_fixture.h
+++ b/tests/gang_fixture.h
@@ -31,10 +31,10 @@
 void gang_report_jobs(test_controller *controller, const char *const *job_ids, int jobs,
                       uint32_t tasks, reported_task_state_fn state);
 /* States for gang_report_jobs(): every task runs, or every task is done. */
-const char *gang_task_running(int machine, const char *job_id, uint32_t task, int position,
-                              uint64_t sequence);
-const char *gang_task_done(int machine, const char *job_id, uint32_t task, int position,
-                           uint64_t sequence);
+const char *gang_report_task_running(int machine, const char *job_id, uint32_t task, int position,
+                                     uint64_t sequence);
+const char *gang_report_task_done(int machine, const char *job_id, uint32_t task, int position,
+                                  uint64_t sequence);
 
 /* Plans once and reports every command as executed. Returns the number of commands of this kind for
  * the job. *grace_s, unless grace_s is NULL, receives the shortest grace period among them; 1e9:
--- a/tests/test_cells_absent_home.c
+++ b/tests/test_cells_absent_home.c
@@ -158,7 +158,7 @@
 
 /* Only the link is cut: while the home has a session, its record does not stand in for a grant, and
  * the guest's copy ends. */
-static void a_home_with_controllers_grants_nothing_by_its_record(void **state) {
+static void record_of_home_with_session_is_not_a_grant(void **state) {
     cell_pair *pair = *state;
     rr_core_job job;
     cell_pair_transfer_job(pair);
@@ -189,7 +189,7 @@
         CELL_PAIR_TEST(a_returned_home_finds_a_claimed_job_transferred),
         CELL_PAIR_TEST(only_one_of_two_claiming_cells_succeeds),
         CELL_PAIR_TEST(a_job_cancelled_meanwhile_is_not_claimed),
-        CELL_PAIR_TEST(a_home_with_controllers_grants_nothing_by_its_record),
+        CELL_PAIR_TEST(record_of_home_with_session_is_not_a_grant),
         CELL_PAIR_TEST(a_copy_ends_when_the_homes_store_cannot_be_read),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_cells_processes.c
+++ b/tests/test_cells_processes.c
@@ -35,7 +35,8 @@
     assert_int_equal(run_send_job_request(2, "POST", "req-777", "/cancel", state, NULL), 404);
 }
 
-/* Every job gets a final answer, and no rule of the checker is broken, while no process fails. */
+/* In a run without process failures, every job gets a final answer and the checker finds no
+ * violation of its rules. */
 static void every_job_settles_and_keeps_the_rules(void **state) {
     (void)state;
     for (unsigned seed = first_seed; seed < first_seed + seeds; seed++) {
--- a/tests/test_cells_transfer.c
+++ b/tests/test_cells_transfer.c
@@ -448,8 +448,9 @@
 /* ---- random walks, each ended without faults ---- */
 
 #define WALK_EVENTS 400
-/* One in so many rare events takes place. They end a transfer or discard much of its progress, so
- * without this walks would be short. */
+/* An event of a rare kind takes place once in RARE_EVENT_PERIOD draws. Such events end a transfer
+ * or discard much of its progress, so that walks would be short if they were as frequent as the
+ * other kinds. */
 #define RARE_EVENT_PERIOD 40
 
 /* Runs the model without faults until the job has an answer, for 200 rounds at most: writes
--- a/tests/test_core_cancellation_faults.c
+++ b/tests/test_core_cancellation_faults.c
@@ -48,7 +48,7 @@
     test_controller_init(&peer, fixture->store, "n1");
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_join(&peer, 9);
-    test_controller_next_term(leader);
+    test_controller_begin_next_term(leader);
     double cache_stalled_at = leader->now; /* the leader's store cache gets no later change */
     peer.now = cache_stalled_at + 0.001;
     fake_store_sync(fixture->store, peer.core, peer.now);
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -228,7 +228,7 @@
     test_controller_init(&isolated, fixture->store, "n1");
     fake_store_sync(fixture->store, isolated.core, isolated.now);
     test_controller_join(&isolated, 9);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     fake_store_sync(fixture->store, isolated.core, isolated.now);
     send_heartbeat(controller, "vm-1", 1, NULL);
     send_heartbeat(controller, "vm-2", 1, NULL);
@@ -259,7 +259,7 @@
     rr_heartbeat_clear(&heartbeat);
     /* Its session expires, and the others begin a term without it. */
     test_controller_leave(&isolated);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     unsigned probes = 0;
     for (int i = 0; i < 40; i++) {
         rr_plan plan;
--- a/tests/test_core_fault_combinations.c
+++ b/tests/test_core_fault_combinations.c
@@ -48,7 +48,7 @@
     test_controller_init(&peer, fixture->store, "n1");
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_join(&peer, 9);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     for (int run = 0; run < 2; run++, peer_connected = false) {
         const char *job_id = run == 0 ? "req-1" : "req-2";
         uint64_t sequence = 100 + 100 * (uint64_t)run;
@@ -161,7 +161,7 @@
     test_controller_init(&peer, fixture->store, "n1");
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_join(&peer, 9);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     /* The controller that is not the autoscaler; each of the two owns a team. */
     test_controller *owner =
         rr_core_is_autoscaler(controller->core, controller->now) ? &peer : controller;
@@ -257,9 +257,9 @@
 
 /* The outcome of a start command is unknown, and a start and a stop under the same token then ended
  * its task. The ended attempt, which the worker keeps, blocks a late copy of the start. It must
- * still do so after the job has been shrunk to its final state, when the autoscaler reaps ended
- * attempts: during the attempt's own term the autoscaler leaves that to the owner. */
-static void ended_attempt_of_shrunk_job_blocks_late_start(void **state) {
+ * still do so after the job has been evicted, when the autoscaler reaps ended attempts: during the
+ * attempt's own term the autoscaler leaves the reaping to the owner. */
+static void ended_attempt_of_evicted_job_blocks_late_start(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
     struct test_job job = {.job_id = "req-1", .zone = "a"};
@@ -275,7 +275,7 @@
     send_heartbeat(controller, "vm-1", 2, NULL);
     plan_with_outcome(controller, RR_COMMAND_ANSWERED); /* sends start and stop */
     char *ended_task = format_heartbeat_task(job.job_id, attempt, "ended:halted");
-    /* An attempt of another controller in this term, of the job that is shrunk here. */
+    /* An attempt of another controller in this term, of the job that is evicted here. */
     uint64_t foreign_attempt = attempt ^ ((uint64_t)1 << 24);
     char *foreign_task = format_heartbeat_task(job.job_id, foreign_attempt, "ended:halted");
     rr_core_stats stats;
@@ -414,7 +414,7 @@
         TEST(job_bound_to_one_zone_is_placed_where_all_tasks_fit),
         TEST(suspect_without_work_is_probed_until_it_answers),
         TEST(quarantine_ends_a_minute_after_last_failure),
-        TEST(ended_attempt_of_shrunk_job_blocks_late_start),
+        TEST(ended_attempt_of_evicted_job_blocks_late_start),
         TEST(small_jobs_cost_few_changes_and_leave_ledger_empty),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -353,10 +353,10 @@
     assert_int_equal(fixture->store->revision, revision_before + 1);
     assert_true(fake_store_count(fixture->store, RR_KEY_ROOT "run/req-1/") == 2);
     gang_shared_attempt(fixture, 60);
-    gang_report_jobs(controller, job_ids, 1, 60, gang_task_running);
+    gang_report_jobs(controller, job_ids, 1, 60, gang_report_task_running);
     assert_int_equal(gang_get_phase(controller, "req-1"), RR_GANG_RUNNING);
     controller->now += 20;
-    gang_report_jobs(controller, job_ids, 1, 60, gang_task_done);
+    gang_report_jobs(controller, job_ids, 1, 60, gang_report_task_done);
     revision_before = fixture->store->revision;
     gang_plan_and_answer(controller, RR_COMMAND_REAP, "req-1", NULL);
     rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
--- a/tests/test_core_gang_placement.c
+++ b/tests/test_core_gang_placement.c
@@ -81,7 +81,7 @@
     gang_send_heartbeats(controller, "req-1", NULL);
     submit_gang_job(fixture, &(struct test_job){.job_id = "req-5", .zone = "a", .cpus = 1});
     gang_plan_and_answer(controller, RR_COMMAND_START, "req-5", NULL);
-    gang_report_jobs(controller, image_job, 1, 1, gang_task_running);
+    gang_report_jobs(controller, image_job, 1, 1, gang_report_task_running);
     submit_gang_job(fixture, &gang_job);
     gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     for (uint32_t task = 0; task < 3; task++) {
@@ -105,7 +105,7 @@
                                                 .checkpoint_interval_s = 30});
     gang_plan_and_answer(controller, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), 12);
-    gang_report_jobs(controller, low_jobs, 1, 12, gang_task_running);
+    gang_report_jobs(controller, low_jobs, 1, 12, gang_report_task_running);
     large.job_id = "req-2";
     large.job_class = "live";
     large.task_count = 4; /* a zone has room for three */
@@ -123,7 +123,7 @@
     uint64_t attempt;
     assert_int_equal(gang_find_machine(fixture, 0, &attempt) <= 3,
                      gang_find_machine(fixture, 1, &attempt) <= 3);
-    gang_report_jobs(controller, low_jobs, 1, 12, gang_task_running);
+    gang_report_jobs(controller, low_jobs, 1, 12, gang_report_task_running);
     controller->now += 1;
     /* Exactly the tasks on two machines are stopped. */
     assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-5", NULL), 4);
@@ -185,7 +185,7 @@
                                                 .service = true});
     gang_plan_and_answer(controller, RR_COMMAND_START, "req-5", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-5"), GANG_MACHINE_COUNT);
-    gang_report_jobs(controller, other_team_jobs, 1, 12, gang_task_running);
+    gang_report_jobs(controller, other_team_jobs, 1, 12, gang_report_task_running);
     within_guarantee.team = beyond_guarantee.team = "blue";
     within_guarantee.priority = beyond_guarantee.priority = "low";
     within_guarantee.task_count = 2;
@@ -198,7 +198,7 @@
     controller->now += 0.1;
     gang_plan_and_answer(controller, RR_COMMAND_START, "req-1", NULL);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 2);
-    gang_report_jobs(controller, other_team_jobs, 1, 12, gang_task_running);
+    gang_report_jobs(controller, other_team_jobs, 1, 12, gang_report_task_running);
     controller->now += 1;
     assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-5", NULL), 2);
 }
--- a/tests/test_core_next_limits.c
+++ b/tests/test_core_next_limits.c
@@ -492,14 +492,14 @@
     uint64_t first_token = rr_core_fencing_token(controller->core);
     assert_int_equal(plan_and_commit(controller), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 0);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     assert_true(rr_core_fencing_token(controller->core) == first_token + 1);
     assert_int_not_equal(fake_store_commit(fixture->store, &unanswered_plan.transaction), 0);
     send_empty_heartbeats(controller, 4, 1, 9);
     controller->now += 1;
     assert_int_equal(plan_and_commit(controller), 0);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), 1);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     /* No second new term is made. */
     assert_true(rr_core_fencing_token(controller->core) == first_token + 1);
     rr_plan_clear(&unanswered_plan);
--- a/tests/test_core_ownership.c
+++ b/tests/test_core_ownership.c
@@ -139,7 +139,7 @@
     test_controller_init(&peer, fixture->store, "n1");
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_join(&peer, 9);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     fake_store_submit(fixture->store, &first_job, controller->now);
     fake_store_submit(fixture->store, &second_job, controller->now);
     test_controller *const controllers[2] = {controller, &peer};
@@ -179,7 +179,7 @@
     test_controller_init(&peer, fixture->store, "n1");
     fake_store_sync(fixture->store, peer.core, peer.now);
     test_controller_join(&peer, 9);
-    test_controller_next_term(controller);
+    test_controller_begin_next_term(controller);
     test_controller *controllers[2] = {controller, &peer};
     for (int team = 0; team < 2; team++) {
         char job_id[16];
--- a/tests/test_core_partitions.c
+++ b/tests/test_core_partitions.c
@@ -223,7 +223,7 @@
         count_releases_without_third_machine(fixture, (int)controller->config.heartbeat_interval_s,
                                              &sequence, machines, false),
         0);
-    /* It is released once it has been overdue for long enough while timers are on time. */
+    /* vm-3 is released once it has been overdue for long enough while timers are on time. */
     assert_int_equal(count_releases_without_third_machine(
                          fixture, (int)(5 * controller->config.heartbeat_interval_s), &sequence,
                          machines, false),
--- a/tests/test_core_record_order.c
+++ b/tests/test_core_record_order.c
@@ -49,7 +49,7 @@
             assert_true(fake_store_commit(fixture->store, &new_transaction) != 0);
             rr_transaction_clear(&new_transaction);
         }
-        test_controller_next_term(&restarted);
+        test_controller_begin_next_term(&restarted);
         uint64_t fencing_token = rr_core_fencing_token(restarted.core);
         if (commit_point == 2) { /* too late: the new process's term is committed */
             assert_true(fake_store_commit(fixture->store, &old_transaction) != 0);
--- a/tests/test_core_store_cache.c
+++ b/tests/test_core_store_cache.c
@@ -1,5 +1,5 @@
-/* The store cache: final jobs shrink to their outcome, and nothing is decided during a full
- * reload. */
+/* The store cache: final jobs are evicted, which keeps only their outcome, and nothing is decided
+ * during a full reload. */
 #include "core/cache_feed.h"
 #include "core/heartbeats.h"
 #include "core/leadership.h"
@@ -12,12 +12,12 @@
 
 #define MACHINES 10
 #define JOBS 20
-#define SHRINK_PERIOD_S 61 /* just over the 60 s between calls of rr_jobs_evict_final() */
+#define EVICTION_PERIOD_S 61 /* just over the 60 s between calls of rr_jobs_evict_final() */
 
 /* ---- final jobs ---- */
 
-/* Returns how many jobs have not shrunk to their outcome. */
-static unsigned count_unshrunk_jobs(const test_controller *controller) {
+/* Returns the number of jobs that have not been evicted. */
+static unsigned count_retained_jobs(const test_controller *controller) {
     rr_core_stats stats;
     rr_core_get_stats(controller->core, &stats);
     return stats.retained_jobs;
@@ -39,17 +39,17 @@
                                  cancelled ? "ended:halted" : "ended:done", (uint64_t)i + 1);
         plan_until_settled(controller);
     }
-    assert_int_equal(count_unshrunk_jobs(controller), JOBS);
+    assert_int_equal(count_retained_jobs(controller), JOBS);
 }
 
-/* Runs the jobs, and plans until all of them have shrunk to their outcome. */
-static void run_jobs_and_shrink(test_controller *controller) {
+/* Runs the jobs, and plans until all of them have been evicted. */
+static void run_jobs_until_evicted(test_controller *controller) {
     run_jobs(controller);
     for (int i = 0; i < 5; i++) {
-        controller->now += SHRINK_PERIOD_S;
+        controller->now += EVICTION_PERIOD_S;
         plan_until_settled(controller);
     }
-    assert_int_equal(count_unshrunk_jobs(controller), 0);
+    assert_int_equal(count_retained_jobs(controller), 0);
 }
 
 /* Checks that each job of run_jobs() is still known with its outcome. */
@@ -65,10 +65,10 @@
 }
 
 /* Jobs are never forgotten, and memory must not grow by a whole job with each: a final job that
- * nothing refers to shrinks to its outcome, which users can still read. */
-static void final_jobs_shrink_to_their_outcome(void **state) {
+ * nothing refers to is evicted, and users can still read its outcome. */
+static void outcomes_of_evicted_jobs_stay_known(void **state) {
     core_fixture *fixture = *state;
-    run_jobs_and_shrink(&fixture->controller);
+    run_jobs_until_evicted(&fixture->controller);
     assert_outcomes_known(&fixture->controller);
 }
 
@@ -89,27 +89,27 @@
     fake_store_put(store, RR_KEY_ROOT "run/req-000001/0", &encoder);
 }
 
-/* Neither a late ledger record nor a full reload restores a shrunk job or its placement. */
-static void shrunk_jobs_are_not_restored(void **state) {
+/* Neither a late ledger record nor a full reload restores an evicted job or its placement. */
+static void evicted_jobs_are_not_restored(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
     rr_core_stats stats;
-    run_jobs_and_shrink(controller);
+    run_jobs_until_evicted(controller);
     put_late_ledger_record(fixture->store);
     fake_store_sync(fixture->store, controller->core, controller->now);
     fake_store_reload(fixture->store, controller->core, controller->now);
-    assert_int_equal(count_unshrunk_jobs(controller), 0);
+    assert_int_equal(count_retained_jobs(controller), 0);
     assert_outcomes_known(controller);
     rr_core_get_stats(controller->core, &stats);
     assert_int_equal(stats.tasks_placed, 0);
 }
 
-/* The reply to a heartbeat that shows a task of a shrunk, cancelled job tells the worker to stop
- * it. */
-static void task_of_shrunk_job_is_stopped(void **state) {
+/* The reply to a heartbeat that reports a task of a cancelled, evicted job tells the worker to stop
+ * the task. */
+static void task_of_evicted_job_is_stopped(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
-    run_jobs_and_shrink(controller);
+    run_jobs_until_evicted(controller);
     put_late_ledger_record(fixture->store);
     fake_store_sync(fixture->store, controller->core, controller->now);
     fake_store_reload(fixture->store, controller->core, controller->now);
@@ -169,9 +169,9 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        TEST(final_jobs_shrink_to_their_outcome),
-        TEST(shrunk_jobs_are_not_restored),
-        TEST(task_of_shrunk_job_is_stopped),
+        TEST(outcomes_of_evicted_jobs_stay_known),
+        TEST(evicted_jobs_are_not_restored),
+        TEST(task_of_evicted_job_is_stopped),
         TEST(nothing_is_decided_during_reload),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -55,7 +55,7 @@
     atomic_fetch_add(&fixture->cancelled, 1);
 }
 
-static void on_demand(void *user, int peer, const void *data, size_t length) {
+static void on_demand_view(void *user, int peer, const void *data, size_t length) {
     struct fixture *fixture = user;
     (void)peer;
     assert_memory_equal(data, "a view", length);
@@ -122,7 +122,7 @@
                                     .on_suspect = on_suspect,
                                     .on_cancelled = on_cancelled,
                                     .on_resign = on_resign,
-                                    .on_demand = on_demand};
+                                    .on_demand = on_demand_view};
     fixture->peers = rr_peers_create(config, &events, &fixture->stop);
     assert_int_equal(rr_peers_start(fixture->peers), 0);
     connect_as_peer(fixture);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -71,9 +71,9 @@
     g_error_free(error);
 }
 
-/* Returns the valid platform file with the first occurrence of `from`, which must exist, replaced.
+/* Returns the valid settings with the first occurrence of `from`, which must exist, replaced.
  * The caller frees it. */
-static char *replace_in_platform(const char *from, const char *replacement) {
+static char *replace_in_valid_settings(const char *from, const char *replacement) {
     GString *text = g_string_new(valid_platform);
     assert_int_equal(g_string_replace(text, from, replacement, 1), 1);
     return g_string_free(text, FALSE);
@@ -102,9 +102,9 @@
 static void smaller_next_limits_apply_at_once(void **state) {
     (void)state;
     struct rr_config config;
-    char *text =
-        replace_in_platform("txn_ops = 32\n", "txn_ops = 32\n[deployment.state.next]\n"
-                                              "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
+    char *text = replace_in_valid_settings("txn_ops = 32\n",
+                                           "txn_ops = 32\n[deployment.state.next]\n"
+                                           "value_kb = 2.0\ntxn_ops = 64\nwrite_rps = 24\n");
     load_valid(text, NULL, &config);
     assert_true(rr_value_kb_max(&config) == 2 && rr_transaction_changes_max(&config) == 32);
     assert_true(config.next_write_rps == 24 && config.next_rps == config.state_rps);
@@ -150,7 +150,7 @@
          "deployment.teams[0].gpus_max"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        char *text = replace_in_platform(cases[i].from, cases[i].replacement);
+        char *text = replace_in_valid_settings(cases[i].from, cases[i].replacement);
         expect_error(text, NULL, cases[i].code, cases[i].field);
         g_free(text);
     }
@@ -158,7 +158,7 @@
 
 static void a_value_error_names_its_line(void **state) {
     (void)state;
-    char *text = replace_in_platform("zone = \"a\"", "zone = 7");
+    char *text = replace_in_valid_settings("zone = \"a\"", "zone = 7");
     expect_error(text, NULL, RR_SETTINGS_ERROR_WRONG_TYPE,
                  ":2: zone: must be a string and not too long");
     g_free(text);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -7,7 +7,7 @@
 #include <math.h>
 #include <string.h>
 
-static int parse(const void *data, size_t length) {
+static int try_parse_document(const void *data, size_t length) {
     rr_document document;
     int rc = rr_document_parse(&document, data, length);
     rr_document_clear(&document);
@@ -24,7 +24,7 @@
                                          {0xc6, 0xff, 0xff, 0xff, 0xff},
                                          {0xc9, 0xff, 0xff, 0xff, 0xff}};
     for (size_t i = 0; i < sizeof headers / sizeof headers[0]; i++) {
-        assert_int_equal(parse(headers[i], 5), -EBADMSG);
+        assert_int_equal(try_parse_document(headers[i], 5), -EBADMSG);
     }
 }
 
@@ -32,9 +32,9 @@
     (void)state;
     uint8_t deep[RR_BODY_BYTES_MAX];
     memset(deep, 0x91, sizeof deep);
-    assert_int_equal(parse(deep, sizeof deep), -EBADMSG);
+    assert_int_equal(try_parse_document(deep, sizeof deep), -EBADMSG);
     uint8_t shallow[] = {0x91, 0x91, 0x91, 0x01};
-    assert_int_equal(parse(shallow, sizeof shallow), 0);
+    assert_int_equal(try_parse_document(shallow, sizeof shallow), 0);
 }
 
 /* Documents of earlier pages stay in use while the client's buffer receives the next reply, so that
@@ -55,9 +55,9 @@
 static void trailing_and_missing_bytes_are_rejected(void **state) {
     (void)state;
     uint8_t two[] = {0x01, 0x02}, cut[] = {0x92, 0x01};
-    assert_int_equal(parse(two, 2), -EBADMSG);
-    assert_int_equal(parse(cut, 2), -EBADMSG);
-    assert_int_equal(parse("", 0), -EBADMSG);
+    assert_int_equal(try_parse_document(two, 2), -EBADMSG);
+    assert_int_equal(try_parse_document(cut, 2), -EBADMSG);
+    assert_int_equal(try_parse_document("", 0), -EBADMSG);
 }
 
 static void encode_job(rr_encoder *encoder) {
