--- a/src/core/autoscaling/autoscaling_state.h
+++ b/src/core/autoscaling/autoscaling_state.h
@@ -11,8 +11,8 @@
     char name[RR_ID_SIZE], machine_type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
     bool spot;              /* false: on-demand */
     int count;              /* number of machines requested */
-    uint64_t version;       /* of its record */
-    bool seen_in_reload;    /* since the last full reload of the store cache began */
+    uint64_t version;       /* of the intent's record */
+    bool seen_in_reload;    /* its record was read since the last full reload began */
     double requested_at;    /* steady: last requested from the cloud in this term, 0: never */
     bool answered, refused; /* by the cloud, in this term */
     GPtrArray *machine_ids; /* char*: machines rented; empty until answered */
@@ -22,15 +22,16 @@
 struct rr_autoscaling {
     GHashTable *rentals;         /* name -> rr_rental: all recorded intents */
     GArray *cloud_machine_types; /* rr_machine_type: the catalogue as last read from the cloud */
-    GHashTable *capacity_refused_until; /* "type|zone|spot" -> double*: steady, asked again then */
+    GHashTable *capacity_refused_until; /* "type|zone|spot" -> double*: steady time at which it may
+                                           be requested again */
     GHashTable *failed_unrecorded_machines; /* set of names: listed as failed, without a record */
     uint64_t term_token; /* of the last term in which this controller was the autoscaler */
     double began_at;     /* steady: when this controller became autoscaler of that term */
     /* When the machines were last listed, or their list was last requested: steady, 0: never in
      * this term. */
     double machines_listed_at;
-    double demand_simulated_at; /* steady: last in this term, 0: never */
-    double pages_split_at;      /* steady: large pages last looked for by this process, 0: never */
+    double demand_simulated_at; /* steady: last simulation of the demand in this term, 0: never */
+    double pages_split_at;      /* steady: last search for large pages by this process, 0: never */
     /* When this process last read the catalogue: steady, 0: never. A request for the catalogue sets
      * it to a time in the past, so that the request is soon repeated if it fails. */
     double catalog_read_at;
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -37,7 +37,7 @@
 /* The time within which a preempted task ends after it has saved its progress. */
 #define PREEMPTION_MARGIN_S 1
 
-static double longest_startup_s(const rr_core *core) {
+static double get_longest_startup_s(const rr_core *core) {
     double startup_s = 0;
     for (guint i = 0; i < core->stored.machine_types->len; i++) {
         const rr_machine_type *type = rr_machine_type_at(core, (int)i);
@@ -48,7 +48,7 @@
 
 /* ---- demand of waiting work ---- */
 
-static double longest_image_fetch_s(const rr_core *core, const rr_job *job) {
+static double estimate_longest_image_fetch_s(const rr_core *core, const rr_job *job) {
     double fetch_s = 0;
     for (guint i = 0; i < core->stored.machine_types->len; i++) {
         const rr_machine_type *type = rr_machine_type_at(core, (int)i);
@@ -67,8 +67,8 @@
     }
     double slack_s = job->accepted_at + job->submission.deadline_s - wall -
                      DEADLINE_ESTIMATE_FACTOR * job->submission.runtime_estimate_s -
-                     DEADLINE_ESTIMATE_FACTOR * longest_startup_s(core) -
-                     longest_image_fetch_s(core, job);
+                     DEADLINE_ESTIMATE_FACTOR * get_longest_startup_s(core) -
+                     estimate_longest_image_fetch_s(core, job);
     return slack_s < DEADLINE_SLACK_MIN_S;
 }
 
@@ -209,16 +209,17 @@
 /* Adds headroom for the tasks of a job class that are expected to arrive while a machine starts up,
  * plus one standard deviation (of a Poisson process). The latest job represents the class.
  * span_s: time over which the arrivals were counted. */
-static void simulate_headroom_for(struct rr_demand_simulation *sim,
-                                  const struct rr_objective *objective, double span_s) {
+static void simulate_class_headroom(struct rr_demand_simulation *sim,
+                                    const struct rr_objective *objective, double span_s) {
     const rr_core *core = sim->core;
     const rr_job *last;
     double arrived = count_arrived_tasks(core, objective->job_class, &last);
     if (!last) {
         return;
     }
-    double mean = arrived / span_s *
-                  (HEADROOM_STARTUP_FACTOR * longest_startup_s(core) + HEADROOM_STARTUP_MARGIN_S);
+    double mean =
+        arrived / span_s *
+        (HEADROOM_STARTUP_FACTOR * get_longest_startup_s(core) + HEADROOM_STARTUP_MARGIN_S);
     int tasks = MAX((int)ceil(core->config->tuning.headroom * (mean + sqrt(mean))), 0);
     bool zones[core->stored.zones.names->len + 1];
     for (guint zone = 0; zone < core->stored.zones.names->len; zone++) {
@@ -244,7 +245,7 @@
     for (size_t i = 0; i < core->config->objective_count; i++) {
         const struct rr_objective *objective = &core->config->objectives[i];
         if (strcmp(objective->kind, "wait") == 0) {
-            simulate_headroom_for(sim, objective, span_s);
+            simulate_class_headroom(sim, objective, span_s);
         }
     }
 }
--- a/src/core/autoscaling/catalog.c
+++ b/src/core/autoscaling/catalog.c
@@ -51,7 +51,7 @@
 /* Adds the machine types whose records differ from the catalogue to the transaction. A type is
  * written again until the store cache shows it, because a transaction fails if the term changes.
  * Returns whether the transaction has any changes. */
-static bool record_machine_types(const rr_core *core, rr_transaction *transaction) {
+static bool put_changed_machine_types(const rr_core *core, rr_transaction *transaction) {
     for (guint i = 0; i < core->autoscaling.cloud_machine_types->len; i++) {
         const rr_machine_type *type =
             &g_array_index(core->autoscaling.cloud_machine_types, rr_machine_type, i);
@@ -68,7 +68,7 @@
 
 bool rr_prepare_catalog_step(rr_core *core, double now, rr_autoscaler_step *out) {
     double *read_at = &core->autoscaling.catalog_read_at;
-    if (record_machine_types(core, &out->transaction)) {
+    if (put_changed_machine_types(core, &out->transaction)) {
         out->kind = RR_AUTOSCALER_COMMIT;
         return true;
     }
--- a/src/core/autoscaling/cloud_observations.c
+++ b/src/core/autoscaling/cloud_observations.c
@@ -17,13 +17,13 @@
 }
 
 /* Returns the key in capacity_refused_until, which the caller has to free. */
-static char *refusal_key(const char *machine_type, const char *zone, bool spot) {
+static char *make_refusal_key(const char *machine_type, const char *zone, bool spot) {
     return g_strdup_printf("%s|%s|%d", machine_type, zone, spot);
 }
 
 bool rr_capacity_refused(const rr_core *core, const char *machine_type, const char *zone, bool spot,
                          double now) {
-    char *key = refusal_key(machine_type, zone, spot);
+    char *key = make_refusal_key(machine_type, zone, spot);
     const double *until = g_hash_table_lookup(core->autoscaling.capacity_refused_until, key);
     g_free(key);
     return until && now < *until;
@@ -34,5 +34,5 @@
     double *until = g_new(double, 1);
     *until = now + CAPACITY_REFUSAL_S;
     g_hash_table_replace(core->autoscaling.capacity_refused_until,
-                         refusal_key(machine_type, zone, spot), until);
+                         make_refusal_key(machine_type, zone, spot), until);
 }
--- a/src/core/autoscaling/demand_simulation.c
+++ b/src/core/autoscaling/demand_simulation.c
@@ -58,23 +58,24 @@
 
 /* ---- existing machines ---- */
 
-static bool has_room(const rr_core *core, const rr_machine *machine) {
+static bool has_free_resources(const rr_core *core, const rr_machine *machine) {
     return rr_resources_free_share(machine->free, rr_machine_capacity(core, machine)) >
            RR_RESOURCE_EPSILON;
 }
 
-/* The price of the free share of the machine. */
-static double free_room_cost(const rr_core *core, const rr_machine *machine) {
+/* Returns the price of the machine's free share. */
+static double compute_free_share_cost(const rr_core *core, const rr_machine *machine) {
     return rr_machine_price(core, machine) *
            rr_resources_free_share(machine->free, rr_machine_capacity(core, machine));
 }
 
-static gint compare_by_cost(gconstpointer left_item, gconstpointer right_item, gpointer data) {
+static gint compare_by_free_share_cost(gconstpointer left_item, gconstpointer right_item,
+                                       gpointer data) {
     const rr_core *core = data;
     const rr_machine *left = *(rr_machine *const *)left_item;
     const rr_machine *right = *(rr_machine *const *)right_item;
-    double left_cost = free_room_cost(core, left);
-    double right_cost = free_room_cost(core, right);
+    double left_cost = compute_free_share_cost(core, left);
+    double right_cost = compute_free_share_cost(core, right);
     if (fabs(left_cost - right_cost) > COST_EPSILON) {
         return left_cost < right_cost ? -1 : 1;
     }
@@ -87,11 +88,12 @@
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         core->counters.machines_examined++;
-        if (rr_machine_counts_as_capacity(core, machine, sim->now) && has_room(core, machine)) {
+        if (rr_machine_counts_as_capacity(core, machine, sim->now) &&
+            has_free_resources(core, machine)) {
             g_ptr_array_add(sim->machines_with_room, machine);
         }
     }
-    g_ptr_array_sort_with_data(sim->machines_with_room, compare_by_cost, core);
+    g_ptr_array_sort_with_data(sim->machines_with_room, compare_by_free_share_cost, core);
 }
 
 /* Places up to `remaining` tasks on the machine and returns how many it placed. */
@@ -121,7 +123,7 @@
         rr_machine *machine = g_ptr_array_index(sim->machines_with_room, i);
         sim->core->counters.machines_examined++;
         remaining -= place_on_machine(sim, machine, demand, remaining);
-        if (has_room(sim->core, machine)) {
+        if (has_free_resources(sim->core, machine)) {
             sim->machines_with_room->pdata[kept++] = machine;
         }
     }
--- a/src/core/autoscaling/demand_simulation.h
+++ b/src/core/autoscaling/demand_simulation.h
@@ -35,7 +35,7 @@
     const rr_job *job;
     const bool *zones; /* by zone index: whether the tasks may run there */
     uint32_t tasks;
-    uint32_t per_machine_max; /* of these tasks, on each existing machine */
+    uint32_t per_machine_max; /* largest number of these tasks on one existing machine */
     bool may_scale_out;       /* machines may be rented for the tasks */
 };
 
--- a/src/core/autoscaling/machine_list.c
+++ b/src/core/autoscaling/machine_list.c
@@ -29,8 +29,8 @@
             !core->autoscaling.ever_rented);
 }
 
-/* Returns the machine for a listed one without a record, marked to be recorded. NULL: the machine
- * has failed or gone and is not recorded. */
+/* Returns the machine of an entry of the cloud's list that has no record, marked to be recorded.
+ * Returns NULL if the machine has failed or is gone, and so is not recorded. */
 static rr_machine *adopt_listed_machine(rr_core *core, const rr_listed_machine *listed, double now,
                                         double wall) {
     if (listed->state == RR_LISTED_FAILED) {
@@ -75,7 +75,8 @@
 
 /* Returns whether a machine that is missing from a list requested at asked_at is gone. A machine
  * that has been listed stays listed until it is gone. */
-static bool missing_means_gone(const rr_core *core, const rr_machine *machine, double asked_at) {
+static bool is_missing_machine_gone(const rr_core *core, const rr_machine *machine,
+                                    double asked_at) {
     double lag = core->config->list_lag_s;
     return machine->cloud_listed
                ? asked_at > machine->cloud_listed_at + LISTED_GONE_LAGS * lag + LISTED_GONE_MARGIN_S
@@ -92,7 +93,7 @@
             continue;
         }
         machine->to_record = machine->to_record && machine->rented;
-        if (machine->recorded && missing_means_gone(core, machine, asked_at)) {
+        if (machine->recorded && is_missing_machine_gone(core, machine, asked_at)) {
             machine->gone_from_cloud = true;
         }
     }
--- a/src/core/autoscaling/machine_records.c
+++ b/src/core/autoscaling/machine_records.c
@@ -23,7 +23,7 @@
 }
 
 /* Adds the machine to a page with enough space, unless the transaction is full. */
-static void add_to_page(struct rr_page_changes *changes, rr_machine *machine, double wall) {
+static void add_machine_to_page(struct rr_page_changes *changes, rr_machine *machine, double wall) {
     GPtrArray *page = rr_change_page_with_room(changes, machine);
     if (!page) {
         return;
@@ -34,7 +34,7 @@
               machine->operator_owned ? "operator-owned" : "rented");
 }
 
-static void remove_from_page(struct rr_page_changes *changes, rr_machine *machine) {
+static void remove_machine_from_page(struct rr_page_changes *changes, rr_machine *machine) {
     GPtrArray *page = rr_change_page(changes, machine->page);
     if (page) {
         g_ptr_array_remove(page, machine);
@@ -42,14 +42,14 @@
 }
 
 /* Adds the change that the machine's record needs, if any. */
-static void update_record(struct rr_page_changes *changes, rr_machine *machine, double now,
-                          double wall) {
+static void update_machine_record(struct rr_page_changes *changes, rr_machine *machine, double now,
+                                  double wall) {
     if (machine->recorded && machine->gone_from_cloud) {
-        remove_from_page(changes, machine);
+        remove_machine_from_page(changes, machine);
     } else if (machine->recorded && machine->to_release != machine->scaling_in) {
         rr_change_page(changes, machine->page); /* the record's flag follows to_release */
     } else if (needs_record(changes->core, machine, now)) {
-        add_to_page(changes, machine, wall);
+        add_machine_to_page(changes, machine, wall);
     }
 }
 
@@ -59,7 +59,7 @@
     rr_page_changes_init(&changes, core);
     rr_split_large_pages(&changes, now);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
-        update_record(&changes, g_ptr_array_index(core->stored.machine_list, i), now, wall);
+        update_machine_record(&changes, g_ptr_array_index(core->stored.machine_list, i), now, wall);
     }
     rr_page_changes_put(&changes, &out->transaction);
     if (out->transaction.changes->len == 0) {
--- a/src/core/autoscaling/page_changes.c
+++ b/src/core/autoscaling/page_changes.c
@@ -3,19 +3,19 @@
 #include "core/autoscaling/autoscaling_state.h"
 #include "core/core_internal.h"
 
-/* Limit for the pages of a transaction, of which the store takes 64 KB in total. */
+/* Size limit for all pages in a transaction; the store accepts transactions of up to 64 KB. */
 #define TRANSACTION_KB_MAX 48
 /* Limit for the pages changed in one step, so that the other steps do not wait long. */
 #define CHANGED_PAGES_MAX 8
-/* Large pages are looked for at most this often. */
+/* Minimum time between two searches for large pages. */
 #define SPLIT_INTERVAL_S 0.5
 
 /* The size of a page without machines. */
 #define EMPTY_PAGE_BYTES 64
 /* Left unused in every page, because sizes are estimates. */
 #define PAGE_MARGIN_BYTES 128
-/* The share of the maximum size that a page keeps when it is split: it grows later, as addresses of
- * its machines become known. */
+/* A page that is split keeps this share of the maximum size, because it grows later, as the
+ * addresses of its machines become known. */
 #define SPLIT_PAGE_FILL 0.75
 
 void rr_page_changes_init(struct rr_page_changes *changes, rr_core *core) {
@@ -47,7 +47,7 @@
 }
 
 /* Estimated size of a page with these machines. */
-static size_t page_bytes(const rr_core *core, const GPtrArray *machines) {
+static size_t estimate_page_bytes(const rr_core *core, const GPtrArray *machines) {
     size_t bytes = EMPTY_PAGE_BYTES;
     for (guint i = 0; i < machines->len; i++) {
         bytes += rr_machine_page_entry_bytes(core, g_ptr_array_index(machines, i));
@@ -55,7 +55,7 @@
     return bytes;
 }
 
-static double page_bytes_max(const rr_core *core) {
+static double compute_page_bytes_max(const rr_core *core) {
     return rr_value_kb_max(core->config) * 1024 - PAGE_MARGIN_BYTES;
 }
 
@@ -89,7 +89,8 @@
     }
     /* An oversized page is left for rr_split_large_pages() if that will split it. Otherwise it must
      * still be changeable: pages grow slightly over the limit as addresses become known. */
-    if (limits_will_be_lowered(core) && (double)page_bytes(core, machines) > page_bytes_max(core)) {
+    if (limits_will_be_lowered(core) &&
+        (double)estimate_page_bytes(core, machines) > compute_page_bytes_max(core)) {
         g_ptr_array_free(machines, TRUE);
         return NULL;
     }
@@ -99,13 +100,13 @@
 
 GPtrArray *rr_change_page_with_room(struct rr_page_changes *changes, const rr_machine *machine) {
     rr_core *core = changes->core;
-    double bytes_max = page_bytes_max(core);
+    double bytes_max = compute_page_bytes_max(core);
     size_t added = rr_machine_page_entry_bytes(core, machine);
     GHashTableIter iter;
     gpointer id, value;
     g_hash_table_iter_init(&iter, changes->changed);
     while (g_hash_table_iter_next(&iter, &id, &value)) {
-        if ((double)(page_bytes(core, value) + added) <= bytes_max) {
+        if ((double)(estimate_page_bytes(core, value) + added) <= bytes_max) {
             return value;
         }
     }
@@ -134,9 +135,9 @@
             continue;
         }
         size_t bytes = rr_machine_page_entry_bytes(core, machine);
-        if ((double)(kept_bytes + bytes) <= SPLIT_PAGE_FILL * page_bytes_max(core)) {
+        if ((double)(kept_bytes + bytes) <= SPLIT_PAGE_FILL * compute_page_bytes_max(core)) {
             kept_bytes += bytes;
-        } else if ((double)(moved_bytes + bytes) <= page_bytes_max(core)) {
+        } else if ((double)(moved_bytes + bytes) <= compute_page_bytes_max(core)) {
             g_ptr_array_add(moved, machine);
             moved_bytes += bytes;
         }
@@ -185,7 +186,7 @@
     while (changes->pages_left > 0 && g_hash_table_iter_next(&iter, &id, &value)) {
         const rr_machine_page *page = value;
         const struct page_contents *current = g_hash_table_lookup(contents, id);
-        if (current && (double)current->bytes > page_bytes_max(core)) {
+        if (current && (double)current->bytes > compute_page_bytes_max(core)) {
             split_page(changes, GPOINTER_TO_UINT(id));
         } else if (page->entry_count > (current ? current->machines : 0)) {
             rr_change_page(changes, GPOINTER_TO_UINT(id));
--- a/src/core/autoscaling/rental_records.c
+++ b/src/core/autoscaling/rental_records.c
@@ -16,7 +16,7 @@
     g_free(rental);
 }
 
-static rr_rental *get_rental(rr_core *core, const char *name) {
+static rr_rental *get_or_create_rental(rr_core *core, const char *name) {
     rr_rental *rental = g_hash_table_lookup(core->autoscaling.rentals, name);
     if (!rental) {
         rental = g_new0(rr_rental, 1);
@@ -28,7 +28,7 @@
 }
 
 void rr_rental_put(rr_core *core, const char *name, const msgpack_object *value, uint64_t version) {
-    rr_rental *rental = get_rental(core, name);
+    rr_rental *rental = get_or_create_rental(core, name);
     uint64_t count = 0;
     core->autoscaling.ever_rented = true;
     rental->version = version;
@@ -53,12 +53,12 @@
     }
 }
 
-static gboolean was_not_seen(gpointer name, gpointer rental, gpointer user) {
+static gboolean was_not_seen_in_reload(gpointer name, gpointer rental, gpointer user) {
     (void)name;
     (void)user;
     return !((const rr_rental *)rental)->seen_in_reload;
 }
 
 void rr_rentals_end_reload(rr_core *core) {
-    g_hash_table_foreach_remove(core->autoscaling.rentals, was_not_seen, NULL);
+    g_hash_table_foreach_remove(core->autoscaling.rentals, was_not_seen_in_reload, NULL);
 }
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -19,7 +19,7 @@
 
 /* Returns whether the heartbeat is newer than the machine's last one. Each worker epoch has its own
  * sequence. */
-static bool is_newer(const rr_machine *machine, const rr_heartbeat *heartbeat) {
+static bool is_newer_heartbeat(const rr_machine *machine, const rr_heartbeat *heartbeat) {
     if (!machine->heartbeat_seen) {
         return true;
     }
@@ -79,8 +79,8 @@
     heartbeat->tasks = NULL;
 }
 
-/* forwarding_peer: index of the peer that forwarded the heartbeat, -1: it was sent to this
- * controller. */
+/* Records the arrival of one of the machine's own heartbeats. forwarding_peer: index of the peer
+ * that forwarded the heartbeat, -1: the worker sent it to this controller. */
 static void record_arrival(rr_machine *machine, double now, int forwarding_peer) {
     machine->heartbeat_at = machine->last_own_heartbeat_at = now;
     machine->failed_probes = 0;
@@ -90,7 +90,7 @@
 enum rr_heartbeat_effect rr_core_apply_heartbeat(rr_core *core, double now, rr_heartbeat *heartbeat,
                                                  int forwarding_peer) {
     rr_machine *machine = find_or_add_machine(core, heartbeat->machine, now);
-    if (!machine || !is_newer(machine, heartbeat)) {
+    if (!machine || !is_newer_heartbeat(machine, heartbeat)) {
         rr_heartbeat_clear(heartbeat);
         return RR_HEARTBEAT_IGNORED;
     }
--- a/src/core/membership/shards.c
+++ b/src/core/membership/shards.c
@@ -20,7 +20,7 @@
 #define MIX_MULTIPLIER 0xff51afd7ed558ccdULL
 #define MIX_SHIFT 33
 
-static const char *member_name(const rr_core *core, guint member) {
+static const char *get_member_name(const rr_core *core, guint member) {
     return g_array_index(core->membership.term.members, rr_session, member).name;
 }
 
@@ -36,7 +36,7 @@
 
 /* Hashes a member's name with a key. The hash must be the same on all controllers and in all
  * versions that share a store. */
-static uint64_t hash_pair(const char *name, const char *key) {
+static uint64_t hash_name_with_key(const char *name, const char *key) {
     uint64_t hash = hash_text(HASH_SEED, name);
     hash = hash_text(hash, "|");
     hash = hash_text(hash, key);
@@ -53,7 +53,7 @@
     int best = -1;
     uint64_t highest = 0;
     for (guint i = 0; i < core->membership.term.members->len; i++) {
-        uint64_t hash = hash_pair(member_name(core, i), team);
+        uint64_t hash = hash_name_with_key(get_member_name(core, i), team);
         if (best < 0 || hash > highest) {
             best = (int)i;
             highest = hash;
@@ -78,7 +78,7 @@
     uint64_t highest = 0;
     for (guint i = 0; i < core->membership.term.members->len; i++) {
         guint team_count = count_owned_teams(core, (int)i);
-        uint64_t hash = hash_pair(member_name(core, i), AUTOSCALER_HASH_KEY);
+        uint64_t hash = hash_name_with_key(get_member_name(core, i), AUTOSCALER_HASH_KEY);
         if (best < 0 || team_count < fewest || (team_count == fewest && hash > highest)) {
             best = (int)i;
             fewest = team_count;
@@ -90,10 +90,10 @@
 
 /* ---- assignment in a term ---- */
 
-static void find_own_index(rr_core *core) {
+static void set_own_member_index(rr_core *core) {
     core->membership.member_index = -1;
     for (guint i = 0; i < core->membership.term.members->len; i++) {
-        if (strcmp(member_name(core, i), core->config->node_name) == 0) {
+        if (strcmp(get_member_name(core, i), core->config->node_name) == 0) {
             core->membership.member_index = (int)i;
         }
     }
@@ -131,12 +131,12 @@
 
 static void map_members_to_peers(rr_core *core) {
     for (guint i = 0; i < core->membership.term.members->len && i < RR_CONTROLLERS_MAX; i++) {
-        core->membership.peer_by_member[i] = find_peer(core, member_name(core, i));
+        core->membership.peer_by_member[i] = find_peer(core, get_member_name(core, i));
     }
 }
 
 void rr_assign_shards(rr_core *core) {
-    find_own_index(core);
+    set_own_member_index(core);
     assign_teams(core);
     core->membership.autoscaler_member = choose_autoscaler(core);
     number_shards(core);
@@ -158,7 +158,7 @@
                     ? g_array_index(core->membership.team_owners, int, index)
                     : -1;
     bool owner_known = owner >= 0 && (guint)owner < core->membership.term.members->len;
-    return owner_known ? member_name(core, (guint)owner) : NULL;
+    return owner_known ? get_member_name(core, (guint)owner) : NULL;
 }
 
 bool rr_core_is_autoscaler(const rr_core *core, double now) {
--- a/src/core/membership/term.c
+++ b/src/core/membership/term.c
@@ -61,7 +61,7 @@
 
 /* Returns the sessions in the store cache (rr_session*, owned by the core), sorted by name. The
  * caller frees the array. */
-static GPtrArray *sorted_sessions(const rr_core *core) {
+static GPtrArray *list_sorted_sessions(const rr_core *core) {
     GPtrArray *sessions = g_ptr_array_new();
     GHashTableIter iter;
     gpointer session;
@@ -88,8 +88,8 @@
 }
 
 /* Adds the record of the next term, guarded by the version of the present one. */
-static void add_next_term(const rr_core *core, const GPtrArray *sessions, double wall,
-                          rr_transaction *transaction) {
+static void put_next_term_record(const rr_core *core, const GPtrArray *sessions, double wall,
+                                 rr_transaction *transaction) {
     const rr_term *term = &core->membership.term;
     rr_encoder encoder;
     rr_encoder_init(&encoder);
@@ -115,11 +115,11 @@
         !rr_core_session_seen(core, core->membership.lease_id)) {
         return false;
     }
-    GPtrArray *sessions = sorted_sessions(core);
+    GPtrArray *sessions = list_sorted_sessions(core);
     bool term_due = sessions_differ_from_members(core, sessions) ||
                     (core->membership.new_term_due && core->membership.term.token > 0);
     if (term_due) {
-        add_next_term(core, sessions, wall, out);
+        put_next_term_record(core, sessions, wall, out);
     }
     g_ptr_array_free(sessions, TRUE);
     return term_due;
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -61,7 +61,7 @@
 /* ---- listing candidates ---- */
 
 /* Whether a task of the job has failed on the machine. */
-static bool job_failed_on(const rr_machine *machine, const rr_job *job) {
+static bool job_failed_on_machine(const rr_machine *machine, const rr_job *job) {
     for (guint i = 0; job->failed_machines && i < job->failed_machines->len; i++) {
         if (g_array_index(job->failed_machines, int, i) == machine->id) {
             return true;
@@ -91,7 +91,7 @@
 static double compute_penalty(const rr_core *core, const rr_job *job, const rr_candidate *candidate,
                               double now) {
     double penalty = 0;
-    if (job_failed_on(candidate->machine, job)) {
+    if (job_failed_on_machine(candidate->machine, job)) {
         penalty = JOB_FAILED_PENALTY;
     } else if (rr_machine_failed_recently(candidate->machine, now)) {
         penalty = MACHINE_FAILED_PENALTY;
@@ -173,8 +173,8 @@
     double penalty;       /* for failures and a foreign shard */
     double image_missing; /* 1: lacks the image, and the start is urgent */
     double cost;          /* price times free share */
-    double fetch_s;       /* seconds */
-    double foreign_shard; /* 1: of a foreign shard */
+    double fetch_s;       /* estimated time to fetch the image, seconds */
+    double foreign_shard; /* 1: the machine is in a foreign shard */
     /* 1: another task there already needs the image. A machine that gets the image anew becomes
      * ready for a second kind of work. */
     double image_expected;
@@ -222,8 +222,8 @@
 }
 
 /* Whether reservations made since the machine was listed leave it unable to take another task. */
-static bool no_longer_fits(const struct rr_placement_constraints *constraints, const rr_job *job,
-                           const rr_machine *machine) {
+static bool candidate_no_longer_fits(const struct rr_placement_constraints *constraints,
+                                     const rr_job *job, const rr_machine *machine) {
     return !rr_resources_fit(job->request, machine->free) ||
            (machine->reserved_jobs && violates_distinct_machines(constraints, machine, job));
 }
@@ -237,7 +237,7 @@
         const rr_candidate *candidate = &g_array_index(candidates, rr_candidate, i);
         rr_machine *machine = candidate->machine;
         core->counters.machines_examined++;
-        if (no_longer_fits(constraints, job, machine)) {
+        if (candidate_no_longer_fits(constraints, job, machine)) {
             g_array_remove_index_fast(candidates, i);
             continue;
         }
--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -14,7 +14,7 @@
     rr_resources capacity; /* of the whole machine */
     double penalty;        /* for recent failures and for a foreign shard, 0: none */
     double price;        /* effective price, which weights the free share; 1: prices don't count */
-    double fetch_s;      /* estimated time to fetch the job's image, seconds; 0: it has it */
+    double fetch_s;      /* estimated time to fetch the job's image, seconds; 0: already there */
     bool image_missing;  /* lacks the image of an urgent job, which counts before the price */
     bool foreign_shard;  /* in the shard of another owner, which considers it first */
     bool image_expected; /* lacks the image, and another task there already needs it */
--- a/src/core/scheduling/fair_share.c
+++ b/src/core/scheduling/fair_share.c
@@ -38,11 +38,11 @@
 
 /* An owner knows the waiting jobs of its own teams only. Without the limit, the owners of two teams
  * would race for the free resources. */
-bool rr_within_fair_share(const struct rr_planner *planner, const rr_job *job) {
+bool rr_team_within_fair_share(const struct rr_planner *planner, const rr_job *job) {
     const rr_core *core = planner->core;
     if (!core->extensions.fair_share_enabled || job->submission.priority == RR_PRIORITY_PROD ||
         planner->wall - job->accepted_at > FAIR_SHARE_WAIT_MAX_S ||
-        rr_within_guarantee(planner, job, 1)) {
+        rr_team_within_guarantee(planner, job, 1)) {
         return true;
     }
     rr_resources used =
@@ -52,8 +52,8 @@
 }
 
 /* Returns the entry of the job's team and class in an array from sum_usage_by_class(). */
-static rr_resources *class_entry(rr_resources *used_by_class, const rr_job *job,
-                                 guint class_count) {
+static rr_resources *get_class_usage(rr_resources *used_by_class, const rr_job *job,
+                                     guint class_count) {
     return &used_by_class[(guint)job->team * class_count + (guint)job->job_class];
 }
 
@@ -64,7 +64,7 @@
     for (guint i = 0; i < core->stored.open_jobs->len; i++) {
         const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
         if (job->team >= 0 && (size_t)job->team < core->config->team_count && job->job_class >= 0) {
-            rr_resources *class_used = class_entry(used_by_class, job, class_count);
+            rr_resources *class_used = get_class_usage(used_by_class, job, class_count);
             *class_used = rr_resources_add(*class_used, job->request, job->placed_count);
         }
     }
@@ -87,7 +87,7 @@
             double fair_share = core->extensions.fair_share[job->team];
             usages[i].team_usage = fair_share > 0 ? used_share / fair_share : 1;
             usages[i].class_usage =
-                compute_dominant_share(core, *class_entry(used_by_class, job, class_count));
+                compute_dominant_share(core, *get_class_usage(used_by_class, job, class_count));
         }
     }
     g_free(used_by_class);
--- a/src/core/scheduling/fair_share.h
+++ b/src/core/scheduling/fair_share.h
@@ -7,7 +7,7 @@
 /* Whether one more task of the job keeps its team within its fair share. Always true while fair
  * sharing is off, and for jobs exempt from it: those of prod priority, those within their team's
  * guarantee and those that have waited for more than FAIR_SHARE_WAIT_MAX_S. */
-bool rr_within_fair_share(const struct rr_planner *planner, const rr_job *job);
+bool rr_team_within_fair_share(const struct rr_planner *planner, const rr_job *job);
 
 /* How much a job's team and job class use. Jobs with lower usage are placed first. Both values are
  * 0 while fair sharing is off. */
--- a/src/core/scheduling/gang_phase.c
+++ b/src/core/scheduling/gang_phase.c
@@ -119,7 +119,7 @@
     return by_state[PLACEMENT_RUNNING] == counts->placements ? RR_GANG_RUNNING : RR_GANG_WAITING;
 }
 
-enum rr_gang_phase rr_gang_phase(const rr_core *core, const rr_job *job, double now) {
+enum rr_gang_phase rr_derive_gang_phase(const rr_core *core, const rr_job *job, double now) {
     struct gang_counts counts;
     count_placements(core, job, now, &counts);
     return derive_phase(job, &counts);
@@ -134,7 +134,8 @@
            !counts->preempted_at_once && job->submission.checkpoint_interval_s > 0;
 }
 
-enum rr_gang_stop_mode rr_gang_stop_mode(const rr_core *core, const rr_job *job, double now) {
+enum rr_gang_stop_mode rr_derive_gang_stop_mode(const rr_core *core, const rr_job *job,
+                                                double now) {
     struct gang_counts counts;
     count_placements(core, job, now, &counts);
     switch (derive_phase(job, &counts)) {
--- a/src/core/scheduling/gang_phase.h
+++ b/src/core/scheduling/gang_phase.h
@@ -22,10 +22,10 @@
 
 /* Returns the gang's phase. It is derived from the job, the ledger and the heartbeats alone, so
  * that a new owner derives the same phase. */
-enum rr_gang_phase rr_gang_phase(const rr_core *core, const rr_job *job, double now);
+enum rr_gang_phase rr_derive_gang_phase(const rr_core *core, const rr_job *job, double now);
 
 /* Returns whether all tasks of the gang must stop now, and how, as its phase requires. */
-enum rr_gang_stop_mode rr_gang_stop_mode(const rr_core *core, const rr_job *job, double now);
+enum rr_gang_stop_mode rr_derive_gang_stop_mode(const rr_core *core, const rr_job *job, double now);
 
 /* Returns the largest number of tasks that a gang may have: a single transaction has to reserve or
  * end all of them. */
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -45,8 +45,8 @@
     return false;
 }
 
-/* Reserves all tasks on free resources of the plan's candidates, or none; returns whether it did.
- * Counts the reservations in `zones`, even if they are cancelled afterwards. */
+/* Reserves all tasks on free resources of the plan's candidates, or none. Returns whether they are
+ * reserved. Counts the reservations in `zones`, even if they are cancelled afterwards. */
 static bool reserve_on_free_resources(struct rr_planner *planner, rr_job *job,
                                       struct rr_zone_tracker *zones) {
     rr_core *core = planner->core;
@@ -55,7 +55,7 @@
     uint32_t task = 0;
     for (; task < job->submission.task_count; task++) {
         rr_machine *machine = rr_choose_candidate(core, job, &constraints, planner->candidates);
-        if (!machine || !rr_reserve_attempt(planner, machine, job, task, attempt)) {
+        if (!machine || !rr_reserve_task_attempt(planner, machine, job, task, attempt)) {
             break;
         }
         zones->placements_by_zone[machine->zone]++;
@@ -98,7 +98,7 @@
     for (uint32_t count = 1; count <= job->submission.task_count; count++) {
         struct slot slot = {machine, count, fetch_s};
         if (count > free_slots) {
-            if (!rr_preemption_find(planner, machine, job, count, preemption)) {
+            if (!rr_preemption_select_victims(planner, machine, job, count, preemption)) {
                 break;
             }
             slot.loss_s += preemption->loss_s;
@@ -164,7 +164,7 @@
 }
 
 /* Returns how many of the slots are on the machine. */
-static uint32_t count_slots_on(const GArray *slots, const rr_machine *machine) {
+static uint32_t count_slots_on_machine(const GArray *slots, const rr_machine *machine) {
     uint32_t count = 0;
     for (guint i = 0; i < slots->len; i++) {
         count += g_array_index(slots, struct slot, i).machine == machine;
@@ -180,9 +180,9 @@
     rr_preemption_init(&preemption);
     for (guint i = 0; i < slots->len && preempted; i++) {
         rr_machine *machine = g_array_index(slots, struct slot, i).machine;
-        uint32_t count = count_slots_on(slots, machine);
+        uint32_t count = count_slots_on_machine(slots, machine);
         if (rr_count_fitting_tasks(job->request, machine->free, count) < count) {
-            preempted = rr_preemption_find(planner, machine, job, count, &preemption) &&
+            preempted = rr_preemption_select_victims(planner, machine, job, count, &preemption) &&
                         rr_preemption_apply(planner, machine, job, &preemption);
         }
     }
@@ -197,7 +197,7 @@
     bool urgent = job->submission.priority > RR_PRIORITY_LOW &&
                   rr_objective_for(core, "wait", job->submission.job_class);
     return (urgent && core->planning.write_pressure < PREEMPTION_PRESSURE_MAX) ||
-           rr_within_guarantee(planner, job, job->submission.task_count);
+           rr_team_within_guarantee(planner, job, job->submission.task_count);
 }
 
 /* Preempts where the least work is lost, and reserves all tasks there, or none; returns whether it
@@ -214,8 +214,8 @@
     uint32_t task = 0;
     if (preempt_for_slots(planner, job, slots)) {
         while (task < job->submission.task_count &&
-               rr_reserve_attempt(planner, g_array_index(slots, struct slot, task).machine, job,
-                                  task, attempt)) {
+               rr_reserve_task_attempt(planner, g_array_index(slots, struct slot, task).machine,
+                                       job, task, attempt)) {
             task++;
         }
     }
@@ -252,7 +252,7 @@
 }
 
 bool rr_place_gang(struct rr_planner *planner, rr_job *job, int *placements_left) {
-    if (job->placed_count > 0 || !rr_within_limit(planner, job, job->submission.task_count)) {
+    if (job->placed_count > 0 || !rr_team_within_limit(planner, job, job->submission.task_count)) {
         return false;
     }
     struct rr_zone_tracker zones;
--- a/src/core/scheduling/gang_reservation.c
+++ b/src/core/scheduling/gang_reservation.c
@@ -115,16 +115,17 @@
     return capacities;
 }
 
-/* Searches machines for the time when only services and other gangs still run there. An
- * rr_gang_search_fn. */
-static GArray *search_beside_gangs(struct rr_planner *planner, const rr_job *job, const bool *zones,
-                                   struct rr_gang_score *score) {
+/* Searches for machines that will take the gang once only services and other gangs still run there.
+ * An rr_gang_search_fn. */
+static GArray *search_while_gangs_run(struct rr_planner *planner, const rr_job *job,
+                                      const bool *zones, struct rr_gang_score *score) {
     return search_future_capacity(planner, job, zones, LONG_RUNNING_SERVICES_AND_GANGS, score);
 }
 
-/* Searches machines for the time when only services still run there. An rr_gang_search_fn. */
-static GArray *search_after_gangs(struct rr_planner *planner, const rr_job *job, const bool *zones,
-                                  struct rr_gang_score *score) {
+/* Searches for machines that will take the gang once only services still run there. An
+ * rr_gang_search_fn. */
+static GArray *search_after_gangs_end(struct rr_planner *planner, const rr_job *job,
+                                      const bool *zones, struct rr_gang_score *score) {
     return search_future_capacity(planner, job, zones, LONG_RUNNING_SERVICES, score);
 }
 
@@ -143,15 +144,15 @@
     uint32_t no_placements[zone_count + 1];
     memset(no_placements, 0, sizeof no_placements);
     rr_compute_allowed_zones_from(core, job, no_placements, 0, allowed);
-    GArray *capacities = rr_search_zones_for_gang(planner, job, allowed, search_beside_gangs);
+    GArray *capacities = rr_search_zones_for_gang(planner, job, allowed, search_while_gangs_run);
     if (!capacities) {
-        capacities = rr_search_zones_for_gang(planner, job, allowed, search_after_gangs);
+        capacities = rr_search_zones_for_gang(planner, job, allowed, search_after_gangs_end);
     }
     if (capacities) {
         block_machines(capacities);
         g_array_unref(capacities);
     }
-    if (!rr_within_limit(planner, job, job->submission.task_count)) {
+    if (!rr_team_within_limit(planner, job, job->submission.task_count)) {
         rr_reserve_team_usage(planner, job, job->submission.task_count);
     }
 }
--- a/src/core/scheduling/job_search.c
+++ b/src/core/scheduling/job_search.c
@@ -96,8 +96,8 @@
 
 /* Whether this plan has recorded a failed search in all of these zones, for a similar job that
  * requests no more; of gangs, for one with no more tasks. */
-static bool has_failed_before(const struct rr_planner *planner, const rr_job *job,
-                              uint64_t zone_mask) {
+static bool has_similar_search_failed(const struct rr_planner *planner, const rr_job *job,
+                                      uint64_t zone_mask) {
     for (guint i = 0; i < planner->failed_searches->len; i++) {
         const struct rr_failed_search *failed =
             &g_array_index(planner->failed_searches, struct rr_failed_search, i);
@@ -113,7 +113,7 @@
 }
 
 bool rr_skip_repeated_search(const struct rr_planner *planner, rr_job *job, uint64_t zone_mask) {
-    if (!has_failed_before(planner, job, zone_mask)) {
+    if (!has_similar_search_failed(planner, job, zone_mask)) {
         return false;
     }
     job->search_failed_at = planner->now;
--- a/src/core/scheduling/moves.c
+++ b/src/core/scheduling/moves.c
@@ -33,7 +33,7 @@
     return source && !move->job->cancelled && !rr_job_held(core, move->job, planner->now) &&
            rr_machine_schedulable(core, move->to, planner->now) &&
            rr_resources_fit(move->job->request, move->to->free) && zones[move->to->zone] &&
-           rr_within_limit(planner, move->job, 1);
+           rr_team_within_limit(planner, move->job, 1);
 }
 
 /* Adds a move to the plan. Returns false if the move is not possible any more or the transaction is
@@ -44,7 +44,7 @@
         return false;
     }
     const struct rr_record_edit *edit = rr_plan_edit_record(planner, move->job, source->chunk);
-    if (!edit || !rr_reserve(planner, move->to, move->job, move->task)) {
+    if (!edit || !rr_reserve_task(planner, move->to, move->job, move->task)) {
         return false;
     }
     rr_placement_record *record = rr_record_edit_find_placement(edit, source->attempt, move->task);
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -28,8 +28,8 @@
  * earlier deadlines can't starve it. A gang that has waited this long is tried first, and gets
  * capacity reserved if it can't be placed. */
 #define FIRST_TASK_WAIT_MAX_S 45.0
-/* In every so many plans the oldest waiting job gets them too, so that jobs that have already
- * started make progress. */
+/* Once in this many plans the oldest waiting job gets these early placements, too, so that jobs
+ * that have already started make progress. */
 #define OLDEST_JOB_PERIOD_PLANS 7
 #define EARLY_PLACEMENTS_MAX 8
 /* After this wait, capacity is reserved for a gang before work of higher priority is placed. */
@@ -64,7 +64,7 @@
     rr_machine *machine = rr_choose_candidate(core, job, constraints, planner->candidates);
     if (machine &&
         rr_estimate_image_fetch_s(core, job, machine) + START_ROUND_TRIP_S <= objective_s) {
-        return rr_reserve(planner, machine, job, task);
+        return rr_reserve_task(planner, machine, job, task);
     }
     struct rr_placement_constraints with_image = *constraints;
     with_image.need_image = true;
@@ -73,7 +73,7 @@
         rr_preempt_for_task(planner, job, task, &with_image)) {
         return true;
     }
-    return machine ? rr_reserve(planner, machine, job, task)
+    return machine ? rr_reserve_task(planner, machine, job, task)
                    : may_preempt && rr_preempt_for_task(planner, job, task, constraints);
 }
 
@@ -93,10 +93,10 @@
         rr_list_candidates(core, job, constraints, planner->now, planner->candidates);
         machine = rr_choose_candidate(core, job, constraints, planner->candidates);
     }
-    if (!machine && rr_within_guarantee(planner, job, 1)) {
+    if (!machine && rr_team_within_guarantee(planner, job, 1)) {
         return rr_preempt_for_task(planner, job, task, constraints);
     }
-    return machine && rr_reserve(planner, machine, job, task);
+    return machine && rr_reserve_task(planner, machine, job, task);
 }
 
 /* ---- placing a job ---- */
@@ -112,7 +112,7 @@
 }
 
 /* Returns the last task of the ledger chunk that the task is in. */
-static uint32_t last_task_of_chunk(const rr_job *job, uint32_t task) {
+static uint32_t get_last_task_of_chunk(const rr_job *job, uint32_t task) {
     return task - task % job->tasks_per_record + job->tasks_per_record - 1;
 }
 
@@ -121,13 +121,13 @@
  * not count as a failed search, so that the job is retried as soon as its records have room. */
 static bool find_reservable_task(const struct rr_planner *planner, rr_job *job, uint32_t *task) {
     for (; find_unplaced_task(job, task); (*task)++) {
-        switch (rr_reservable(planner, job, *task)) {
+        switch (rr_check_reservable(planner, job, *task)) {
         case RR_RESERVABLE:
             return true;
         case RR_TASK_BLOCKED:
             break;
         case RR_CHUNK_BLOCKED:
-            *task = last_task_of_chunk(job, *task);
+            *task = get_last_task_of_chunk(job, *task);
             break;
         }
     }
@@ -135,8 +135,8 @@
 }
 
 /* Whether the team's limit and fair share allow it one more task of the job. */
-static bool may_place_more(const struct rr_planner *planner, const rr_job *job) {
-    return rr_within_limit(planner, job, 1) && rr_within_fair_share(planner, job);
+static bool may_place_more_tasks(const struct rr_planner *planner, const rr_job *job) {
+    return rr_team_within_limit(planner, job, 1) && rr_team_within_fair_share(planner, job);
 }
 
 /* Reserves tasks of the job one by one, until a task can't be placed, the team may take no more, or
@@ -158,7 +158,7 @@
     for (; !planner->transaction_full && *placements_left > 0 &&
            find_reservable_task(planner, job, &task);
          task++) {
-        if (!may_place_more(planner, job)) {
+        if (!may_place_more_tasks(planner, job)) {
             return;
         }
         if (!place_task(planner, job, task, &constraints)) {
@@ -268,7 +268,7 @@
             early.reserve_for = NULL;
         }
         if (planner->now - job->search_failed_at >= retry_s && job != early.gang &&
-            job != early.job && rr_within_fair_share(planner, job)) {
+            job != early.job && rr_team_within_fair_share(planner, job)) {
             place_job(planner, job, &placements_left);
         }
     }
--- a/src/core/scheduling/placement_verdict.c
+++ b/src/core/scheduling/placement_verdict.c
@@ -94,8 +94,9 @@
 }
 
 /* Returns the time that a stopped task gets to save its state, 0: none. */
-static double stop_grace_s(const struct rr_planner *planner, const rr_machine *machine,
-                           const rr_placement *placement, enum rr_gang_stop_mode gang_stop) {
+static double compute_stop_grace_s(const struct rr_planner *planner, const rr_machine *machine,
+                                   const rr_placement *placement,
+                                   enum rr_gang_stop_mode gang_stop) {
     const rr_job *job = placement->job;
     if (job->cancelled || job->done || rr_job_revoked(planner->core, job) ||
         job->submission.checkpoint_interval_s <= 0) {
@@ -136,15 +137,15 @@
     return (struct rr_placement_verdict){.action = action};
 }
 
-static struct rr_placement_verdict terminated_verdict(bool completed, const char *proof) {
+static struct rr_placement_verdict make_terminated_verdict(bool completed, const char *proof) {
     return (struct rr_placement_verdict){
         .action = RR_PLACEMENT_TERMINATED, .completed = completed, .proof = proof};
 }
 
 /* Returns the verdict on a placement that is to run and that the machine does not report. */
-static struct rr_placement_verdict start_verdict(const struct rr_planner *planner,
-                                                 const rr_machine *machine,
-                                                 const rr_placement *placement) {
+static struct rr_placement_verdict decide_start(const struct rr_planner *planner,
+                                                const rr_machine *machine,
+                                                const rr_placement *placement) {
     bool sent_recently =
         placement->start_at > 0 && planner->now - placement->start_at < RR_COMMAND_RESEND_S;
     bool blocked = sent_recently || must_wait_for_stops(planner->core, machine) ||
@@ -153,19 +154,19 @@
 }
 
 /* Returns the verdict on a placement that must not run. */
-static struct rr_placement_verdict stop_verdict(const struct rr_planner *planner,
-                                                const rr_machine *machine,
-                                                const rr_placement *placement,
-                                                const rr_task_status *task,
-                                                enum rr_gang_stop_mode gang_stop) {
+static struct rr_placement_verdict decide_stop(const struct rr_planner *planner,
+                                               const rr_machine *machine,
+                                               const rr_placement *placement,
+                                               const rr_task_status *task,
+                                               enum rr_gang_stop_mode gang_stop) {
     bool start_may_arrive = rr_start_may_arrive(planner->core, machine, placement->attempt);
     /* The machine refuses commands with older fencing tokens, and no start under the present token
      * may still arrive: the task can't start there any more. */
     if (!task && !start_may_arrive &&
         machine->heartbeat.fencing_token == planner->core->membership.term.token) {
-        return terminated_verdict(false, "absent");
+        return make_terminated_verdict(false, "absent");
     }
-    double grace_s = stop_grace_s(planner, machine, placement, gang_stop);
+    double grace_s = compute_stop_grace_s(planner, machine, placement, gang_stop);
     if (is_stop_pending(planner, placement, task, grace_s) || (!task && !start_may_arrive)) {
         return make_verdict(RR_PLACEMENT_WAIT);
     }
@@ -174,26 +175,27 @@
                                          .grace_s = task ? grace_s : 0};
 }
 
-struct rr_placement_verdict rr_placement_verdict(const struct rr_planner *planner,
-                                                 const rr_machine *machine,
-                                                 const rr_placement *placement,
-                                                 const rr_task_status *task) {
+struct rr_placement_verdict rr_decide_placement(const struct rr_planner *planner,
+                                                const rr_machine *machine,
+                                                const rr_placement *placement,
+                                                const rr_task_status *task) {
     const rr_job *job = placement->job;
     bool ended = task && task->state == RR_TASK_ENDED;
     bool completed = ended && task->exit_reason == RR_EXIT_DONE;
     /* The worker has killed and forgotten all tasks of the earlier epoch and refuses commands for
      * it. */
     if (machine->heartbeat.worker_epoch > placement->worker_epoch) {
-        return terminated_verdict(completed, "later worker epoch");
+        return make_terminated_verdict(completed, "later worker epoch");
     }
     /* The attempt can't start again while the machine reports it as ended, and it is reaped only
      * after its placement is removed from the ledger. */
     if (ended) {
-        return terminated_verdict(completed, exit_reason_name(task->exit_reason));
+        return make_terminated_verdict(completed, exit_reason_name(task->exit_reason));
     }
-    enum rr_gang_stop_mode gang_stop = job->submission.kind == RR_JOB_GANG
-                                           ? rr_gang_stop_mode(planner->core, job, planner->now)
-                                           : RR_GANG_STOP_NONE;
+    enum rr_gang_stop_mode gang_stop =
+        job->submission.kind == RR_JOB_GANG
+            ? rr_derive_gang_stop_mode(planner->core, job, planner->now)
+            : RR_GANG_STOP_NONE;
     bool stop = must_stop(planner, machine, placement, gang_stop);
     if (task && !stop) {
         return make_verdict(RR_PLACEMENT_KEEP);
@@ -201,6 +203,6 @@
     if (!rr_machine_accepts_commands(planner, machine)) {
         return make_verdict(RR_PLACEMENT_WAIT);
     }
-    return stop ? stop_verdict(planner, machine, placement, task, gang_stop)
-                : start_verdict(planner, machine, placement);
+    return stop ? decide_stop(planner, machine, placement, task, gang_stop)
+                : decide_start(planner, machine, placement);
 }
--- a/src/core/scheduling/placement_verdict.h
+++ b/src/core/scheduling/placement_verdict.h
@@ -29,10 +29,10 @@
 /* Returns what to do about a placement, without side effects. task: its status in the machine's
  * newest heartbeat, NULL if that does not list it. Precondition: the machine is recorded and has
  * sent a heartbeat. */
-struct rr_placement_verdict rr_placement_verdict(const struct rr_planner *planner,
-                                                 const rr_machine *machine,
-                                                 const rr_placement *placement,
-                                                 const rr_task_status *task);
+struct rr_placement_verdict rr_decide_placement(const struct rr_planner *planner,
+                                                const rr_machine *machine,
+                                                const rr_placement *placement,
+                                                const rr_task_status *task);
 
 /* Whether a start command of the attempt may still arrive at the machine: one was sent under the
  * present fencing token and worker epoch, and its outcome is unknown. */
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -47,14 +47,14 @@
 }
 
 /* Returns the pressure that the controller has set, or 1 shortly after a write shortage. */
-static double effective_write_pressure(const rr_core *core, double now) {
+static double compute_effective_write_pressure(const rr_core *core, double now) {
     bool shortage = core->planning.write_shortage_at > 0 &&
                     now - core->planning.write_shortage_at < WRITE_SHORTAGE_S;
     return shortage ? 1 : core->planning.write_pressure;
 }
 
 /* Records a write shortage if the plan ran out of allowed changes rather than out of room in its
- * transaction, and resets the planner's `full`. The number of allowed changes alone does not show a
+ * transaction, and resets transaction_full. The number of allowed changes alone does not show a
  * shortage, since unused changes accumulate between two plans. */
 static void record_write_shortage(struct rr_planner *planner) {
     if (planner->transaction_full && planner->core->planning.changes_allowed <
@@ -66,11 +66,11 @@
 
 /* Reconciles machines and edits the ledger records of terminated placements. While jobs wait, these
  * edits may use only half of the transaction, so that waiting tasks can be placed in the rest. */
-static void reconcile_and_edit_terminated(struct rr_planner *planner, int change_limit) {
+static void reconcile_machines_and_edit_records(struct rr_planner *planner, int change_limit) {
     planner->change_limit =
         rr_any_job_waiting(planner) ? change_limit - change_limit / 2 : change_limit;
     rr_reconcile_machines(planner);
-    rr_plan_process_terminated(planner);
+    rr_plan_process_terminated_placements(planner);
     rr_plan_close_command_batches(planner);
     planner->change_limit = change_limit;
 }
@@ -132,8 +132,8 @@
     }
     struct rr_planner planner;
     rr_planner_init(&planner, core, now, wall, plan);
-    core->planning.write_pressure = effective_write_pressure(core, now);
-    reconcile_and_edit_terminated(
+    core->planning.write_pressure = compute_effective_write_pressure(core, now);
+    reconcile_machines_and_edit_records(
         &planner, MIN(rr_transaction_changes_max(core->config), core->planning.changes_allowed));
     record_write_shortage(&planner);
     place_tasks_and_moves(&planner);
--- a/src/core/scheduling/plan_edits.c
+++ b/src/core/scheduling/plan_edits.c
@@ -26,7 +26,8 @@
            planner->transaction_bytes + bytes <= TRANSACTION_BYTES_MAX;
 }
 
-guint rr_plan_count_terminated(const struct rr_planner *planner, const rr_ledger_record *record) {
+guint rr_plan_count_terminated_placements(const struct rr_planner *planner,
+                                          const rr_ledger_record *record) {
     guint count = 0;
     for (guint i = record->first_terminated; i > 0; count++) {
         i = g_array_index(planner->terminated, struct rr_terminated_placement, i - 1).next_index;
@@ -41,15 +42,16 @@
         rr_ledger_record_fits(planner->core, count)) {
         return true;
     }
-    guint terminated_count = rr_plan_count_terminated(planner, record);
+    guint terminated_count = rr_plan_count_terminated_placements(planner, record);
     return rr_ledger_record_fits(planner->core, count - MIN(terminated_count, count));
 }
 
 /* Whether every placement of the job is known to be terminated. */
-static bool all_terminated(const struct rr_planner *planner, const rr_job *job) {
+static bool all_placements_terminated(const struct rr_planner *planner, const rr_job *job) {
     for (guint i = 0; job->records && i < job->records->len; i++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
-        if (record && rr_plan_count_terminated(planner, record) < record->placements->len) {
+        if (record &&
+            rr_plan_count_terminated_placements(planner, record) < record->placements->len) {
             return false;
         }
     }
@@ -63,7 +65,7 @@
 static bool may_remove_from_ledger(const struct rr_planner *planner, const rr_job *job) {
     return job->submission.kind != RR_JOB_GANG || job->cancelled || job->done ||
            rr_planner_job_progress(planner, job)->completed_count > 0 ||
-           all_terminated(planner, job);
+           all_placements_terminated(planner, job);
 }
 
 rr_placement_record *rr_record_edit_find_placement(const struct rr_record_edit *edit,
@@ -163,7 +165,8 @@
         return record->edit;
     }
     if (!rr_plan_can_write_record(planner, record) ||
-        (rr_plan_count_terminated(planner, record) > 0 && !may_remove_from_ledger(planner, job))) {
+        (rr_plan_count_terminated_placements(planner, record) > 0 &&
+         !may_remove_from_ledger(planner, job))) {
         return NULL;
     }
     size_t bytes = rr_ledger_record_bytes(record->placements->len + 1) + RECORD_OVERHEAD_BYTES;
@@ -185,8 +188,8 @@
     return edit;
 }
 
-void rr_plan_add_terminated(struct rr_planner *planner, rr_machine *machine,
-                            rr_placement *placement, bool completed, const char *proof) {
+void rr_plan_add_terminated_placement(struct rr_planner *planner, rr_machine *machine,
+                                      rr_placement *placement, bool completed, const char *proof) {
     rr_job *job = placement->job;
     if (placement->terminated_at <= 0 && !completed) {
         rr_log_at(planner->core, RR_LOG_DEBUG, "terminated task %s/%u on machine %s: %s",
@@ -243,7 +246,7 @@
         rr_placement_find(terminated->machine, terminated->attempt, job, terminated->task);
     return job->submission.kind == RR_JOB_GANG && terminated->completed && placement &&
            planner->now - placement->terminated_at < GANG_COMPLETION_WAIT_S &&
-           !all_terminated(planner, job);
+           !all_placements_terminated(planner, job);
 }
 
 /* Whether the placement terminated without completing its task, which has to run again. */
@@ -265,7 +268,7 @@
             (!terminated->removal_may_wait || all_tasks_done(planner, terminated->job)));
 }
 
-void rr_plan_process_terminated(struct rr_planner *planner) {
+void rr_plan_process_terminated_placements(struct rr_planner *planner) {
     for (guint i = 0; i < planner->terminated->len; i++) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i);
--- a/src/core/scheduling/plan_edits.h
+++ b/src/core/scheduling/plan_edits.h
@@ -25,16 +25,17 @@
                                                    uint64_t attempt, uint32_t task);
 
 /* Returns the number of the record's placements that this plan knows to be terminated. */
-guint rr_plan_count_terminated(const struct rr_planner *planner, const rr_ledger_record *record);
+guint rr_plan_count_terminated_placements(const struct rr_planner *planner,
+                                          const rr_ledger_record *record);
 
 /* Records in the planner that a placement is proven terminated, and sets its terminated_at unless
  * set. completed: its task is done. proof: why it is known to be terminated, for the log. */
-void rr_plan_add_terminated(struct rr_planner *planner, rr_machine *machine,
-                            rr_placement *placement, bool completed, const char *proof);
+void rr_plan_add_terminated_placement(struct rr_planner *planner, rr_machine *machine,
+                                      rr_placement *placement, bool completed, const char *proof);
 
 /* Requeues tasks whose placements terminated without completing them, and edits the records whose
  * completions or preempted placements must not wait any longer. */
-void rr_plan_process_terminated(struct rr_planner *planner);
+void rr_plan_process_terminated_placements(struct rr_planner *planner);
 
 /* Removes lost placements that have waited long enough although this plan has not placed their
  * tasks again, until the transaction is full. To be called after placement. */
--- a/src/core/scheduling/plan_transaction.c
+++ b/src/core/scheduling/plan_transaction.c
@@ -29,7 +29,7 @@
 
 /* Returns the zone to store in the record of a one-zone job: that of a task whose completion the
  * edit records, else the job's. Returns -1 for other jobs or if there is none. */
-static int recorded_zone(const struct rr_record_edit *edit) {
+static int get_zone_to_record(const struct rr_record_edit *edit) {
     if (!edit->job->submission.one_zone) {
         return -1;
     }
@@ -41,13 +41,13 @@
     rr_encoder encoder;
     rr_encoder_init(&encoder);
     rr_ledger_record_encode(planner->core, &encoder, edit->job, edit->record->chunk,
-                            edit->placements, edit->completed, recorded_zone(edit));
+                            edit->placements, edit->completed, get_zone_to_record(edit));
     rr_transaction_put(&planner->plan->transaction, key, &encoder, 0);
 }
 
 /* Adds the edited record with its guard, or its deletion if the job is final and no placement is
  * left. Also adds the final record of a job that the plan completes. */
-static void put_edit(struct rr_planner *planner, const struct rr_record_edit *edit) {
+static void put_edited_record(struct rr_planner *planner, const struct rr_record_edit *edit) {
     rr_transaction *transaction = &planner->plan->transaction;
     rr_job *job = edit->job;
     struct rr_job_progress *progress = rr_planner_job_progress(planner, job);
@@ -177,7 +177,7 @@
     rr_transaction *transaction = &planner->plan->transaction;
     rr_transaction_guard(transaction, RR_KEY_ROOT "term", planner->core->membership.term.version);
     for (guint i = 0; i < planner->edits->len; i++) {
-        put_edit(planner, g_ptr_array_index(planner->edits, i));
+        put_edited_record(planner, g_ptr_array_index(planner->edits, i));
     }
     /* With the guards of jobs, a delayed duplicate of this transaction fails even after the ledger
      * records that it guards have been deleted. */
--- a/src/core/scheduling/planner.h
+++ b/src/core/scheduling/planner.h
@@ -27,9 +27,9 @@
     uint32_t chunk; /* of the record that holds it */
     uint64_t attempt;
     bool completed;        /* its task is done */
-    bool removal_may_wait; /* removal may be deferred, to be combined with others of its job */
+    bool removal_may_wait; /* may be deferred, to be combined with other removals of its job */
     bool preempted;        /* removal is never deferred: another owner may wait for it */
-    guint next_index;      /* 1 + index of the record's next one in `terminated`, 0: none */
+    guint next_index;      /* 1 + index in `terminated` of the record's next placement, 0: none */
 };
 
 /* A search for machines that found no room for a job. */
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -14,7 +14,8 @@
 
 /* Penalties added to the estimated loss of work, in seconds. */
 #define VICTIM_LOSS_S 1.0 /* for every victim */
-/* The first victim of a job whose other tasks are all placed or done may determine when it ends. */
+/* The first victim of a job whose other tasks are all placed or done may determine when the job
+ * ends. */
 #define FULLY_PLACED_JOB_LOSS_S 10.0
 /* Another controller owns the victim's team, and may change the victim's record too. */
 #define FOREIGN_OWNER_LOSS_S 3.0
@@ -183,11 +184,12 @@
     return RR_PREEMPT_SAVING;
 }
 
-bool rr_preemption_find(const struct rr_planner *planner, const rr_machine *machine,
-                        const rr_job *job, uint32_t task_count, struct rr_preemption *preemption) {
+bool rr_preemption_select_victims(const struct rr_planner *planner, const rr_machine *machine,
+                                  const rr_job *job, uint32_t task_count,
+                                  struct rr_preemption *preemption) {
     bool gang = job->submission.kind == RR_JOB_GANG;
     bool guaranteed =
-        rr_within_guarantee(planner, job, gang ? job->submission.task_count : task_count);
+        rr_team_within_guarantee(planner, job, gang ? job->submission.task_count : task_count);
     bool at_once = choose_preempt_mode(planner, job, machine) == RR_PREEMPT_AT_ONCE;
     rr_resources available = machine->free, freed = {0, 0, 0};
     GArray *possible = list_possible_victims(planner, machine, job, guaranteed, &available);
@@ -251,18 +253,19 @@
     return true;
 }
 
-/* Whether a task of the job may run on the machine once placements there are preempted, as far as
- * the constraints go. Resources are not compared. */
-static bool may_preempt_on(const struct rr_planner *planner, const rr_machine *machine,
-                           const rr_job *job, const struct rr_placement_constraints *constraints) {
+/* Whether a task of the job may run on the machine once placements there are preempted. Checks
+ * only the constraints, and does not compare resources. */
+static bool may_preempt_on_machine(const struct rr_planner *planner, const rr_machine *machine,
+                                   const rr_job *job,
+                                   const struct rr_placement_constraints *constraints) {
     return machine->placements->len > 0 &&
            rr_machine_accepts_job(planner->core, machine, job, constraints->zones, planner->now) &&
            (!constraints->need_image || rr_machine_has_image(machine, job->image)) &&
            !(constraints->distinct_machines && rr_machine_has_task(machine, job));
 }
 
-/* Returns the index of the machine at which a search starts. It varies, since in a large cluster
- * each search compares only some of the machines. */
+/* Returns the index of the machine at which a search starts. The start varies with the
+ * attempt counter, since in a large cluster each search compares only some of the machines. */
 static guint choose_search_start(const rr_core *core, guint machine_count) {
     return machine_count > 0
                ? (guint)(core->membership.attempt_counter * SEARCH_START_STRIDE) % machine_count
@@ -282,8 +285,8 @@
     for (guint i = 0; i < count && compared < RR_PREEMPTION_MACHINES_MAX; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, (start + i) % count);
         core->counters.machines_examined++;
-        if (!may_preempt_on(planner, machine, job, constraints) ||
-            !rr_preemption_find(planner, machine, job, 1, preemption)) {
+        if (!may_preempt_on_machine(planner, machine, job, constraints) ||
+            !rr_preemption_select_victims(planner, machine, job, 1, preemption)) {
             continue;
         }
         compared++;
@@ -300,10 +303,10 @@
     struct rr_preemption preemption;
     rr_preemption_init(&preemption);
     rr_machine *best = find_cheapest_machine(planner, job, constraints, &preemption);
-    bool reserved = best && rr_preemption_find(planner, best, job, 1, &preemption) &&
+    bool reserved = best && rr_preemption_select_victims(planner, best, job, 1, &preemption) &&
                     rr_edit_reservation_record(planner, job, task) &&
                     rr_preemption_apply(planner, best, job, &preemption) &&
-                    rr_reserve(planner, best, job, task);
+                    rr_reserve_task(planner, best, job, task);
     rr_preemption_clear(&preemption);
     return reserved;
 }
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -28,8 +28,9 @@
 /* Selects victims on the machine, those of lowest priority and with the most slack first, until
  * this many tasks of the job fit. Returns false if they don't fit even so. Changes only
  * *preemption. */
-bool rr_preemption_find(const struct rr_planner *planner, const rr_machine *machine,
-                        const rr_job *job, uint32_t task_count, struct rr_preemption *preemption);
+bool rr_preemption_select_victims(const struct rr_planner *planner, const rr_machine *machine,
+                                  const rr_job *job, uint32_t task_count,
+                                  struct rr_preemption *preemption);
 
 /* Marks the victims as preempted in the plan's edits of their ledger records, and adds their
  * resources to the machine's free ones. All tasks of a gang stop, also those on other machines.
@@ -37,8 +38,9 @@
 bool rr_preemption_apply(struct rr_planner *planner, rr_machine *machine, const rr_job *job,
                          const struct rr_preemption *preemption);
 
-/* Preempts on the machine where the least is lost, and reserves the task there; returns whether it
- * did. The task starts once the machine reports the resources as free. */
+/* Preempts placements on the machine where this loses the least work, and reserves the task there.
+ * Returns whether the task is reserved. The task starts once the machine reports the resources as
+ * free. */
 bool rr_preempt_for_task(struct rr_planner *planner, rr_job *job, uint32_t task,
                          const struct rr_placement_constraints *constraints);
 
--- a/src/core/scheduling/probes.c
+++ b/src/core/scheduling/probes.c
@@ -13,7 +13,8 @@
 #include <string.h>
 
 #define PROBES_IN_FLIGHT_MAX 24
-/* Per round. In a partitioned zone a sample is enough to tell a partition from failed machines. */
+/* Probes per round in a partitioned zone: a sample is enough to tell a partition from failed
+ * machines. */
 #define PROBES_PER_PARTITIONED_ZONE 2
 #define PROBE_PERIOD_S 0.9       /* minimum time between two probes of one machine */
 #define PROBE_ROUND_PERIOD_S 0.3 /* time between two searches for machines to probe */
@@ -23,8 +24,8 @@
 #define SUSPECT_INTERVALS 2      /* heartbeat intervals for which a machine stays suspect */
 
 /* Delay before the next command to a machine that did not execute the last ones. */
-#define NOT_EXECUTED_RETRY_S 0.5 /* it answered */
-#define UNANSWERED_RETRY_S 1.0   /* it did not answer */
+#define NOT_EXECUTED_RETRY_S 0.5 /* the machine answered */
+#define UNANSWERED_RETRY_S 1.0   /* the machine did not answer */
 /* Commands go through a peer for this long after the direct path failed. */
 #define PEER_PATH_S 10.0
 
@@ -157,7 +158,7 @@
 
 /* Counts an unanswered command or probe, and marks the machine suspect if there are several in a
  * row. */
-static void record_unanswered(rr_core *core, rr_machine *machine, double now) {
+static void record_unanswered_command(rr_core *core, rr_machine *machine, double now) {
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return; /* this process may not have read the answer yet */
     }
@@ -178,7 +179,7 @@
     if (!rr_machine_heartbeat_overdue(core, machine, now)) {
         machine->suspect_probes_failed_at =
             machine->failed_suspect_probes++ == 0 ? now : machine->suspect_probes_failed_at;
-        record_unanswered(core, machine, now);
+        record_unanswered_command(core, machine, now);
     }
 }
 
@@ -211,7 +212,7 @@
 static void record_failed_commands(rr_core *core, rr_machine *machine, double now,
                                    const rr_command_batch *batch, enum rr_command_outcome outcome) {
     machine->next_command_at = now + UNANSWERED_RETRY_S;
-    record_unanswered(core, machine, now);
+    record_unanswered_command(core, machine, now);
     if (batch->peer < 0) {
         machine->direct_path_bad_until = now + PEER_PATH_S;
     }
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -40,9 +40,9 @@
     uint32_t task;
     rr_machine *source;
     rr_machine *destination; /* set by allocation; the source if the replica stays */
-    double size;             /* share of the source's resources that it takes */
+    double size;             /* share of the source's resources that the replica takes */
     double free_share;       /* share of the source's resources that is free now */
-    bool ordered;            /* ordering has taken its move */
+    bool ordered;            /* its move has its place in the order */
 };
 
 /* Whether the placement is a running replica of a service that rebalancing may move. */
@@ -167,7 +167,8 @@
 }
 
 /* Returns the share of the machine's resources that a task of the job takes. */
-static double share_of_machine(const rr_core *core, const rr_machine *machine, const rr_job *job) {
+static double compute_share_of_machine(const rr_core *core, const rr_machine *machine,
+                                       const rr_job *job) {
     rr_resources capacity = rr_machine_capacity(core, machine);
     return 1 - rr_resources_free_share(rr_resources_add(capacity, job->request, -1), capacity);
 }
@@ -209,7 +210,7 @@
                 .job = placement->job,
                 .task = placement->task,
                 .source = source->machine,
-                .size = share_of_machine(core, source->machine, placement->job),
+                .size = compute_share_of_machine(core, source->machine, placement->job),
                 .free_share = source->free_share};
             g_array_append_val(replicas, replica);
         }
@@ -277,7 +278,7 @@
 }
 
 /* Sets the destination of every replica. Overwrites the machines' free resources. */
-static void allocate(rr_core *core, GArray *replicas, double now) {
+static void allocate_replicas(rr_core *core, GArray *replicas, double now) {
     rr_reset_free_resources(core);
     for (guint i = 0; i < replicas->len; i++) {
         struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
@@ -299,8 +300,8 @@
 };
 
 /* Fills in the changes of each machine, by machine id. Returns the number of emptied machines. */
-static guint find_emptied_machines(const rr_core *core, const GArray *replicas,
-                                   struct machine_changes *changes) {
+static guint compute_machine_changes(const rr_core *core, const GArray *replicas,
+                                     struct machine_changes *changes) {
     guint count = 0;
     for (guint i = 0; i < replicas->len; i++) {
         const struct movable_replica *replica = &g_array_index(replicas, struct movable_replica, i);
@@ -361,8 +362,9 @@
     return count;
 }
 
-/* Adds the moves to the planned moves in the order found, leaving out those from machines that the
- * moves would not empty completely. Overwrites the machines' free resources. */
+/* Appends moves to the planned moves, in an order in which each destination has enough free
+ * resources. Leaves out moves from machines that the moves would not empty completely. Overwrites
+ * the machines' free resources. */
 static void order_moves(rr_core *core, GArray *replicas, const struct machine_changes *changes) {
     GArray *moves = g_array_new(FALSE, FALSE, sizeof(rr_move));
     struct movable_replica *replica;
@@ -392,10 +394,10 @@
     }
     GArray *replicas = list_movable_replicas(core, now);
     if (replicas->len > 0) {
-        allocate(core, replicas, now);
+        allocate_replicas(core, replicas, now);
         struct machine_changes *changes = /* by machine id */
             g_new0(struct machine_changes, (gsize)core->stored.next_machine_id + 1);
-        guint emptied_count = find_emptied_machines(core, replicas, changes);
+        guint emptied_count = compute_machine_changes(core, replicas, changes);
         if (emptied_count > 0) {
             order_moves(core, replicas, changes);
         }
--- a/src/core/scheduling/reconciliation.c
+++ b/src/core/scheduling/reconciliation.c
@@ -32,14 +32,15 @@
 static bool reconcile_placement(struct rr_planner *planner, rr_machine *machine,
                                 rr_placement *placement) {
     const rr_task_status *task = rr_task_status_find(machine, placement);
-    struct rr_placement_verdict verdict = rr_placement_verdict(planner, machine, placement, task);
+    struct rr_placement_verdict verdict = rr_decide_placement(planner, machine, placement, task);
     switch (verdict.action) {
     case RR_PLACEMENT_KEEP:
         return false;
     case RR_PLACEMENT_WAIT:
         break;
     case RR_PLACEMENT_TERMINATED:
-        rr_plan_add_terminated(planner, machine, placement, verdict.completed, verdict.proof);
+        rr_plan_add_terminated_placement(planner, machine, placement, verdict.completed,
+                                         verdict.proof);
         break;
     case RR_PLACEMENT_START:
         add_task_command(planner, machine, RR_COMMAND_START, placement, 0);
@@ -60,10 +61,10 @@
 }
 
 /* Whether the reap of an exited task may wait for the next command to the machine, usually the
- * start of the task that replaces it. It waits for at most one heartbeat interval, which starts
- * with the first call. A separate command would cost a connection and one more changed heartbeat
- * for every owner. Only the reap of a completed task waits: a task that has to run again may be
- * refused by a machine that still shows an earlier attempt. */
+ * start of the task that replaces it. The reap waits for at most one heartbeat interval, which
+ * starts with the first call. A separate command would cost a connection and one more changed
+ * heartbeat for every owner. Only the reap of a completed task waits: a task that has to run again
+ * may be refused by a machine that still shows an earlier attempt. */
 static bool may_defer_reap(const struct rr_planner *planner, rr_machine *machine,
                            const rr_task_status *task) {
     if (machine->plan_commands || task->exit_reason != RR_EXIT_DONE ||
@@ -79,8 +80,8 @@
 /* Whether this controller cleans up a task of a final job, whose team is not known any more. The
  * autoscaler stops tasks that still run and reaps attempts of earlier terms: workers refuse a late
  * start of those, because its fencing token is older than that of the reap. An exited attempt of
- * the present term is reaped by the controller that reserved it, since only that one knows whether
- * a start command may still arrive. */
+ * the present term is reaped by the controller that reserved it, since only that controller
+ * knows whether a start command may still arrive. */
 static bool must_clean_up_final_job(const rr_core *core, const rr_task_status *task, double now) {
     if (task->state == RR_TASK_ENDED &&
         rr_attempt_token(task->attempt) == core->membership.term.token) {
@@ -126,8 +127,8 @@
 
 /* Sets terminated_at of another owner's placement once its task has ended: its resources are free
  * long before the owner records the end in the ledger. */
-static void observe_foreign_placement(const struct rr_planner *planner, const rr_machine *machine,
-                                      rr_placement *placement) {
+static void record_foreign_termination(const struct rr_planner *planner, const rr_machine *machine,
+                                       rr_placement *placement) {
     const rr_task_status *task = rr_task_status_find(machine, placement);
     bool later_epoch =
         machine->heartbeat_seen && machine->heartbeat.worker_epoch > placement->worker_epoch;
@@ -143,9 +144,9 @@
     for (guint i = 0; i < machine->placements->len; i++) {
         rr_placement *placement = &g_array_index(machine->placements, rr_placement, i);
         if (!owns_job(planner->core, placement->job)) {
-            observe_foreign_placement(planner, machine, placement);
+            record_foreign_termination(planner, machine, placement);
         } else if (gone) {
-            rr_plan_add_terminated(planner, machine, placement, false, "machine gone");
+            rr_plan_add_terminated_placement(planner, machine, placement, false, "machine gone");
             revisit = true;
         } else {
             revisit = reconcile_placement(planner, machine, placement) || revisit;
@@ -203,7 +204,7 @@
 static void reconcile_gangs(struct rr_planner *planner, const GPtrArray *gangs) {
     for (guint i = 0; i < gangs->len; i++) {
         const rr_job *job = g_ptr_array_index(gangs, i);
-        if (rr_gang_stop_mode(planner->core, job, planner->now) == RR_GANG_STOP_NONE) {
+        if (rr_derive_gang_stop_mode(planner->core, job, planner->now) == RR_GANG_STOP_NONE) {
             continue;
         }
         for (guint chunk = 0; chunk < job->records->len; chunk++) {
@@ -213,7 +214,7 @@
 }
 
 /* Marks every machine dirty once per term, since the ownership of teams changes with the term. */
-static void mark_all_machines_in_new_term(rr_core *core) {
+static void mark_all_machines_dirty_in_new_term(rr_core *core) {
     if (core->membership.fully_dirty_token == core->membership.term.token) {
         return;
     }
@@ -225,7 +226,7 @@
 
 void rr_reconcile_machines(struct rr_planner *planner) {
     rr_core *core = planner->core;
-    mark_all_machines_in_new_term(core);
+    mark_all_machines_dirty_in_new_term(core);
     GPtrArray *dirty = core->stored.dirty_machines;
     guint count = dirty->len, kept_count = 0;
     GPtrArray *gangs = g_ptr_array_new(); /* rr_job* */
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -25,7 +25,8 @@
                             1);
 }
 
-bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t task_count) {
+bool rr_team_within_limit(const struct rr_planner *planner, const rr_job *job,
+                          uint32_t task_count) {
     const struct rr_team_config *team = &planner->core->config->teams[job->team];
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, task_count);
@@ -35,15 +36,16 @@
 
 /* Returns the CPUs and GPUs guaranteed to the team; memory is not guaranteed. A team that is not in
  * the settings has no guarantee. */
-static rr_resources team_guarantee(const rr_core *core, int team) {
+static rr_resources get_team_guarantee(const rr_core *core, int team) {
     if (team < 0 || (size_t)team >= core->config->team_count) {
         return (rr_resources){0, 0, 0};
     }
     return (rr_resources){core->config->teams[team].cpus, core->config->teams[team].gpus, 0};
 }
 
-bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t task_count) {
-    rr_resources guarantee = team_guarantee(planner->core, job->team);
+bool rr_team_within_guarantee(const struct rr_planner *planner, const rr_job *job,
+                              uint32_t task_count) {
+    rr_resources guarantee = get_team_guarantee(planner->core, job->team);
     rr_resources used =
         rr_resources_add(rr_team_usage_in_plan(planner, job->team), job->request, task_count);
     return used.cpus <= guarantee.cpus + RR_RESOURCE_EPSILON &&
@@ -51,7 +53,7 @@
 }
 
 bool rr_team_exceeds_guarantee(const struct rr_planner *planner, int team, rr_resources returned) {
-    rr_resources guarantee = team_guarantee(planner->core, team);
+    rr_resources guarantee = get_team_guarantee(planner->core, team);
     rr_resources used = rr_resources_add(rr_team_usage_in_plan(planner, team), returned, -1);
     return used.cpus > guarantee.cpus + RR_RESOURCE_EPSILON ||
            used.gpus > guarantee.gpus + RR_RESOURCE_EPSILON;
@@ -79,7 +81,8 @@
         return true;
     }
     const struct rr_record_edit *edit = record->edit;
-    guint terminated = MIN(rr_plan_count_terminated(planner, record), record->placements->len);
+    guint terminated =
+        MIN(rr_plan_count_terminated_placements(planner, record), record->placements->len);
     guint placements = edit ? edit->placements->len : record->placements->len - terminated;
     return rr_ledger_record_fits(planner->core, placements + 1);
 }
@@ -124,16 +127,18 @@
 }
 
 /* Returns the chunk of the i-th record that may hold placements of the task. */
-static uint32_t task_record_chunk(const rr_job *job, uint32_t task, guint i) {
+static uint32_t get_task_record_chunk(const rr_job *job, uint32_t task, guint i) {
     return i == 0 ? task / job->tasks_per_record : rr_job_count_chunks(job) + i - 1;
 }
 
-enum rr_reservable rr_reservable(const struct rr_planner *planner, rr_job *job, uint32_t task) {
+enum rr_reservable rr_check_reservable(const struct rr_planner *planner, rr_job *job,
+                                       uint32_t task) {
     if (find_reservation_chunk(planner, job, task) == NO_CHUNK) {
         return RR_CHUNK_BLOCKED;
     }
     for (guint i = 0; i < count_task_records(job); i++) {
-        const rr_ledger_record *record = find_chunk_record(job, task_record_chunk(job, task, i));
+        const rr_ledger_record *record =
+            find_chunk_record(job, get_task_record_chunk(job, task, i));
         if (has_earlier_placement(record, task) && !rr_plan_can_write_record(planner, record)) {
             return RR_TASK_BLOCKED;
         }
@@ -145,7 +150,7 @@
  * that reserves the task again removes it. Returns false if one of them can't be edited. */
 static bool edit_earlier_placements(struct rr_planner *planner, rr_job *job, uint32_t task) {
     for (guint i = 0; i < count_task_records(job); i++) {
-        uint32_t chunk = task_record_chunk(job, task, i);
+        uint32_t chunk = get_task_record_chunk(job, task, i);
         if (has_earlier_placement(find_chunk_record(job, chunk), task) &&
             !rr_plan_edit_record(planner, job, chunk)) {
             return false;
@@ -165,8 +170,8 @@
 
 /* ---- reservations ---- */
 
-bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
-                        uint64_t attempt) {
+bool rr_reserve_task_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job,
+                             uint32_t task, uint64_t attempt) {
     struct rr_record_edit *edit = rr_edit_reservation_record(planner, job, task);
     if (!edit || !rr_ledger_record_fits(planner->core, edit->placements->len + 1)) {
         return false;
@@ -189,8 +194,8 @@
     return true;
 }
 
-bool rr_reserve(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task) {
-    return rr_reserve_attempt(planner, machine, job, task, rr_next_attempt(planner->core));
+bool rr_reserve_task(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task) {
+    return rr_reserve_task_attempt(planner, machine, job, task, rr_next_attempt(planner->core));
 }
 
 /* Removes the last placement of a record edit and gives back its resources. */
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -12,10 +12,11 @@
 rr_resources rr_team_usage_in_plan(const struct rr_planner *planner, int team);
 
 /* Whether the job's team stays within its limit with this many more tasks of the job. */
-bool rr_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t task_count);
+bool rr_team_within_limit(const struct rr_planner *planner, const rr_job *job, uint32_t task_count);
 
 /* Whether the job's team stays within its guarantee with this many more tasks of the job. */
-bool rr_within_guarantee(const struct rr_planner *planner, const rr_job *job, uint32_t task_count);
+bool rr_team_within_guarantee(const struct rr_planner *planner, const rr_job *job,
+                              uint32_t task_count);
 
 /* Whether the team uses more than its guarantee even after giving back `returned`. */
 bool rr_team_exceeds_guarantee(const struct rr_planner *planner, int team, rr_resources returned);
@@ -31,7 +32,8 @@
 
 /* Returns whether the ledger has room for one more placement of the task, regardless of the free
  * resources of machines. */
-enum rr_reservable rr_reservable(const struct rr_planner *planner, rr_job *job, uint32_t task);
+enum rr_reservable rr_check_reservable(const struct rr_planner *planner, rr_job *job,
+                                       uint32_t task);
 
 /* Returns the edit of the record that has room for one more placement of the task, after editing
  * the records that hold earlier placements of it. Returns NULL if there is no such record, one of
@@ -41,11 +43,11 @@
 
 /* Reserves the task on the machine under this attempt. Returns false if the ledger has no room for
  * the placement or the transaction is full. */
-bool rr_reserve_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task,
-                        uint64_t attempt);
+bool rr_reserve_task_attempt(struct rr_planner *planner, rr_machine *machine, rr_job *job,
+                             uint32_t task, uint64_t attempt);
 
-/* As rr_reserve_attempt(), under a new attempt number. */
-bool rr_reserve(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task);
+/* As rr_reserve_task_attempt(), under a new attempt number. */
+bool rr_reserve_task(struct rr_planner *planner, rr_machine *machine, rr_job *job, uint32_t task);
 
 /* Cancels all reservations of the job that this plan has made under the attempt. Precondition: they
  * are the latest placements in their record edits and on their machines. */
--- a/src/core/scheduling/waiting_jobs.c
+++ b/src/core/scheduling/waiting_jobs.c
@@ -15,7 +15,7 @@
 /* Whether this controller has to place tasks of the job now: it owns the job's team, the job's
  * record is known, the job is neither final, cancelled, in backoff nor blocked by a transfer hold,
  * and some of its tasks are neither placed nor done. */
-static bool is_waiting(const rr_core *core, const rr_job *job, double now) {
+static bool is_job_waiting(const rr_core *core, const rr_job *job, double now) {
     return job->version && !job->cancelled && !job->done && job->team >= 0 &&
            (size_t)job->team < core->config->team_count &&
            job->done_count + job->placed_count < job->submission.task_count &&
@@ -26,7 +26,7 @@
 bool rr_any_job_waiting(const struct rr_planner *planner) {
     const GPtrArray *open_jobs = planner->core->stored.open_jobs;
     for (guint i = 0; i < open_jobs->len; i++) {
-        if (is_waiting(planner->core, g_ptr_array_index(open_jobs, i), planner->now)) {
+        if (is_job_waiting(planner->core, g_ptr_array_index(open_jobs, i), planner->now)) {
             return true;
         }
     }
@@ -38,7 +38,7 @@
     GPtrArray *waiting = g_ptr_array_new();
     for (guint i = 0; i < open_jobs->len; i++) {
         rr_job *job = g_ptr_array_index(open_jobs, i);
-        if (is_waiting(planner->core, job, planner->now)) {
+        if (is_job_waiting(planner->core, job, planner->now)) {
             g_ptr_array_add(waiting, job);
         }
     }
@@ -49,7 +49,7 @@
                                    void *user) {
     for (guint i = 0; i < core->stored.open_jobs->len; i++) {
         const rr_job *job = g_ptr_array_index(core->stored.open_jobs, i);
-        if (is_waiting(core, job, now) && job->placed_count == 0 && job->done_count == 0 &&
+        if (is_job_waiting(core, job, now) && job->placed_count == 0 && job->done_count == 0 &&
             !rr_job_of_another_cell(core, job)) {
             callback(user, &job->submission, job->accepted_at);
         }
--- a/src/core/scheduling/zone_choice.c
+++ b/src/core/scheduling/zone_choice.c
@@ -54,8 +54,8 @@
 }
 
 /* Adds a machine that may take the job's tasks to its zone's sums. */
-static void add_machine(const rr_core *core, const rr_job *job, const rr_machine *machine,
-                        uint32_t waiting_tasks, struct zone_resources *zone) {
+static void add_machine_to_zone(const rr_core *core, const rr_job *job, const rr_machine *machine,
+                                uint32_t waiting_tasks, struct zone_resources *zone) {
     zone->free = rr_resources_add(zone->free, machine->free, 1);
     zone->capacity = rr_resources_add(zone->capacity, rr_machine_capacity(core, machine), 1);
     uint32_t fitting = rr_count_fitting_tasks(job->request, machine->free, waiting_tasks);
@@ -76,7 +76,7 @@
         const rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
         core->counters.machines_examined++;
         if (rr_machine_accepts_job(core, machine, job, allowed, now)) {
-            add_machine(core, job, machine, waiting_tasks, &by_zone[machine->zone]);
+            add_machine_to_zone(core, job, machine, waiting_tasks, &by_zone[machine->zone]);
         }
     }
     int best = -1;
--- a/tests/gang_fixture.c
+++ b/tests/gang_fixture.c
@@ -96,9 +96,9 @@
 }
 
 enum rr_gang_phase gang_get_phase(const test_controller *controller, const char *job_id) {
-    return rr_gang_phase(controller->core,
-                         g_hash_table_lookup(controller->core->stored.jobs, job_id),
-                         controller->now);
+    return rr_derive_gang_phase(controller->core,
+                                g_hash_table_lookup(controller->core->stored.jobs, job_id),
+                                controller->now);
 }
 
 void gang_submit_and_start(core_fixture *fixture, const struct test_job *job) {
