--- a/src/core/scheduling/plan_edits.c
+++ b/src/core/scheduling/plan_edits.c
@@ -26,7 +26,8 @@
            planner->transaction_bytes + bytes <= TRANSACTION_BYTES_MAX;
 }
 
-guint rr_plan_count_terminated(const struct rr_planner *planner, const rr_ledger_record *record) {
+guint rr_plan_count_terminated_placements(const struct rr_planner *planner,
+                                          const rr_ledger_record *record) {
     guint count = 0;
     for (guint i = record->first_terminated; i > 0; count++) {
         i = g_array_index(planner->terminated, struct rr_terminated_placement, i - 1).next_index;
@@ -41,15 +42,16 @@
         rr_ledger_record_fits(planner->core, count)) {
         return true;
     }
-    guint terminated_count = rr_plan_count_terminated(planner, record);
+    guint terminated_count = rr_plan_count_terminated_placements(planner, record);
     return rr_ledger_record_fits(planner->core, count - MIN(terminated_count, count));
 }
 
 /* Whether every placement of the job is known to be terminated. */
-static bool all_terminated(const struct rr_planner *planner, const rr_job *job) {
+static bool all_placements_terminated(const struct rr_planner *planner, const rr_job *job) {
     for (guint i = 0; job->records && i < job->records->len; i++) {
         const rr_ledger_record *record = g_ptr_array_index(job->records, i);
-        if (record && rr_plan_count_terminated(planner, record) < record->placements->len) {
+        if (record &&
+            rr_plan_count_terminated_placements(planner, record) < record->placements->len) {
             return false;
         }
     }
@@ -63,7 +65,7 @@
 static bool may_remove_from_ledger(const struct rr_planner *planner, const rr_job *job) {
     return job->submission.kind != RR_JOB_GANG || job->cancelled || job->done ||
            rr_planner_job_progress(planner, job)->completed_count > 0 ||
-           all_terminated(planner, job);
+           all_placements_terminated(planner, job);
 }
 
 rr_placement_record *rr_record_edit_find_placement(const struct rr_record_edit *edit,
@@ -130,8 +132,8 @@
 
 /* Removes a terminated placement from the edit. If its task's completion has to be recorded, adds
  * it first, and keeps the placement if the transaction has no room for the completion. */
-static void remove_terminated(struct rr_planner *planner, struct rr_record_edit *edit,
-                              const struct rr_terminated_placement *terminated) {
+static void remove_terminated_placement(struct rr_planner *planner, struct rr_record_edit *edit,
+                                        const struct rr_terminated_placement *terminated) {
     rr_job *job = terminated->job;
     if (terminated->completed && !job->cancelled && !rr_job_task_done(job, terminated->task) &&
         !add_completion(planner, edit, terminated)) {
@@ -146,11 +148,12 @@
 }
 
 /* Removes every placement known to be terminated from the edit. */
-static void remove_all_terminated(struct rr_planner *planner, struct rr_record_edit *edit) {
+static void remove_all_terminated_placements(struct rr_planner *planner,
+                                             struct rr_record_edit *edit) {
     for (guint i = edit->record->first_terminated; i > 0;) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i - 1);
-        remove_terminated(planner, edit, terminated);
+        remove_terminated_placement(planner, edit, terminated);
         i = terminated->next_index;
     }
 }
@@ -162,7 +165,8 @@
         return record->edit;
     }
     if (!rr_plan_can_write_record(planner, record) ||
-        (rr_plan_count_terminated(planner, record) > 0 && !may_remove_from_ledger(planner, job))) {
+        (rr_plan_count_terminated_placements(planner, record) > 0 &&
+         !may_remove_from_ledger(planner, job))) {
         return NULL;
     }
     size_t bytes = rr_ledger_record_bytes(record->placements->len + 1) + RECORD_OVERHEAD_BYTES;
@@ -180,12 +184,12 @@
     planner->change_count++;
     planner->transaction_bytes += bytes;
     g_ptr_array_add(planner->edits, edit);
-    remove_all_terminated(planner, edit);
+    remove_all_terminated_placements(planner, edit);
     return edit;
 }
 
-void rr_plan_add_terminated(struct rr_planner *planner, rr_machine *machine,
-                            rr_placement *placement, bool completed, const char *proof) {
+void rr_plan_add_terminated_placement(struct rr_planner *planner, rr_machine *machine,
+                                      rr_placement *placement, bool completed, const char *proof) {
     rr_job *job = placement->job;
     if (placement->terminated_at <= 0 && !completed) {
         rr_log_at(planner->core, RR_LOG_DEBUG, "terminated task %s/%u on machine %s: %s",
@@ -242,7 +246,7 @@
         rr_placement_find(terminated->machine, terminated->attempt, job, terminated->task);
     return job->submission.kind == RR_JOB_GANG && terminated->completed && placement &&
            planner->now - placement->terminated_at < GANG_COMPLETION_WAIT_S &&
-           !all_terminated(planner, job);
+           !all_placements_terminated(planner, job);
 }
 
 /* Whether the placement terminated without completing its task, which has to run again. */
@@ -264,7 +268,7 @@
             (!terminated->removal_may_wait || all_tasks_done(planner, terminated->job)));
 }
 
-void rr_plan_process_terminated(struct rr_planner *planner) {
+void rr_plan_process_terminated_placements(struct rr_planner *planner) {
     for (guint i = 0; i < planner->terminated->len; i++) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i);
@@ -277,7 +281,7 @@
     }
 }
 
-void rr_plan_remove_lost(struct rr_planner *planner) {
+void rr_plan_remove_lost_placements(struct rr_planner *planner) {
     for (guint i = 0; i < planner->terminated->len && !planner->transaction_full; i++) {
         const struct rr_terminated_placement *terminated =
             &g_array_index(planner->terminated, struct rr_terminated_placement, i);
--- a/tests/gang_fixture.c
+++ b/tests/gang_fixture.c
@@ -96,9 +96,9 @@
 }
 
 enum rr_gang_phase gang_get_phase(const test_controller *controller, const char *job_id) {
-    return rr_gang_phase(controller->core,
-                         g_hash_table_lookup(controller->core->stored.jobs, job_id),
-                         controller->now);
+    return rr_derive_gang_phase(controller->core,
+                                g_hash_table_lookup(controller->core->stored.jobs, job_id),
+                                controller->now);
 }
 
 void gang_submit_and_start(core_fixture *fixture, const struct test_job *job) {
@@ -132,8 +132,8 @@
     return attempt;
 }
 
-const char *gang_task_running(int machine, const char *job_id, uint32_t task, int position,
-                              uint64_t sequence) {
+const char *gang_report_task_running(int machine, const char *job_id, uint32_t task, int position,
+                                     uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
@@ -142,8 +142,8 @@
     return "running";
 }
 
-const char *gang_task_done(int machine, const char *job_id, uint32_t task, int position,
-                           uint64_t sequence) {
+const char *gang_report_task_done(int machine, const char *job_id, uint32_t task, int position,
+                                  uint64_t sequence) {
     (void)machine;
     (void)job_id;
     (void)task;
