--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -23,11 +23,11 @@
 struct rr_admission {
     const struct rr_config *config;
     const rr_admission_settings *settings;
-    rr_admission_slot slots[RR_ADMISSION_SLOTS];
-    bool complete[RR_ADMISSION_SLOTS]; /* every record of the slot's table has been read */
-    rr_admission_table empty_table;    /* stands in for the table of an incomplete slot */
-    rr_demand *demand;                 /* seen by this controller */
-    double interval_start;             /* wall clock: start of the current counting interval */
+    rr_admission_slot slots[RR_ADMISSION_SLOT_COUNT];
+    bool complete[RR_ADMISSION_SLOT_COUNT]; /* every record of the slot's table has been read */
+    rr_admission_table empty_table;         /* stands in for the table of an incomplete slot */
+    rr_demand *demand;                      /* seen by this controller */
+    double interval_start;                  /* wall clock: start of the current counting interval */
     struct peer_view peers[RR_CONTROLLERS_MAX];   /* by index in config->peers */
     rr_work admitted_without_table[RR_TEAMS_MAX]; /* by team: work admitted in the current interval
                                                      while there was no valid table */
@@ -72,7 +72,7 @@
     unsigned long slot = strtoul(key_suffix, &end, 10);
     unsigned long part = *end == '/' ? strtoul(end + 1, &end, 10) : RR_ADMISSION_PARTS_MAX;
     int rc = -EPROTO;
-    if (*end == 0 && slot < RR_ADMISSION_SLOTS && part < RR_ADMISSION_PARTS_MAX) {
+    if (*end == 0 && slot < RR_ADMISSION_SLOT_COUNT && part < RR_ADMISSION_PARTS_MAX) {
         uint64_t previous_sequence = admission->slots[slot].table.sequence;
         rc = rr_admission_slot_put(&admission->slots[slot], (guint)part, value, version);
         bool replaced = admission->slots[slot].table.sequence != previous_sequence;
@@ -95,11 +95,11 @@
                                  .previous = first_is_newest ? second : first};
 }
 
-const rr_admission_table *rr_admission_newest(const rr_admission *admission) {
+const rr_admission_table *rr_admission_get_newest_table(const rr_admission *admission) {
     return get_tables(admission).newest;
 }
 
-const rr_admission_table *rr_admission_table_at(const rr_admission *admission, double wall) {
+const rr_admission_table *rr_admission_get_table_at(const rr_admission *admission, double wall) {
     rr_admission_tables tables = get_tables(admission);
     return rr_admission_table_in_force(&tables, wall);
 }
@@ -113,8 +113,9 @@
     size_t value_bytes_max = (size_t)(rr_value_kb_max(admission->config) * 1024);
     guint records_max = (guint)rr_transaction_changes_max(admission->config);
     guint parts = rr_admission_table_encode(table, value_bytes_max, records_max, records);
-    const rr_admission_slot *slot = &admission->slots[table->sequence % RR_ADMISSION_SLOTS];
-    const rr_admission_slot *other = &admission->slots[(table->sequence + 1) % RR_ADMISSION_SLOTS];
+    const rr_admission_slot *slot = &admission->slots[table->sequence % RR_ADMISSION_SLOT_COUNT];
+    const rr_admission_slot *other =
+        &admission->slots[(table->sequence + 1) % RR_ADMISSION_SLOT_COUNT];
     rr_admission_record_key(table->sequence + 1, 0, key, sizeof key);
     rr_transaction_guard(transaction, key, other->versions[0]);
     for (guint i = 0; i < parts; i++) {
@@ -129,7 +130,7 @@
 
 /* Returns the work of all the job's tasks, by its runtime estimate. */
 static rr_work estimate_job_work(const rr_admission *admission, const rr_submission *submission) {
-    rr_work task = rr_work_of_task(submission, admission->settings->service_estimate_s);
+    rr_work task = rr_work_estimate_task(submission, admission->settings->service_estimate_s);
     return rr_work_scale(task, submission->task_count);
 }
 
@@ -160,7 +161,7 @@
                                                  unsigned controllers) {
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     if (!admit_within_guarantee(admission, submission, controllers)) {
-        verdict.kind = RR_ADMISSION_STALE;
+        verdict.kind = RR_ADMISSION_NO_VALID_TABLE;
         verdict.retry_after_s =
             (int)fmin(RR_RETRY_AFTER_MAX_S, fmax(1, ceil(admission->settings->interval_s)));
     }
@@ -173,32 +174,33 @@
     rr_admission_tables tables = get_tables(admission);
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     rr_admission_key key;
-    rr_admission_key_of(submission, admission->settings->band_limits, &key);
-    if (!context->all_capable) {
+    rr_admission_key_from_submission(submission, admission->settings->band_limits, &key);
+    if (!context->all_support_admission) {
         return verdict;
     }
-    bool stale = !context->lease_valid ||
-                 context->cache_age_s > rr_admission_valid_s(admission->settings->interval_s);
+    bool stale =
+        !context->lease_valid ||
+        context->cache_age_s > rr_admission_table_validity_s(admission->settings->interval_s);
     if (!stale) {
         verdict = rr_admission_decide(&tables, wall, admission->config->clock_skew_max_s, &key,
                                       submission->job_id);
-        stale = verdict.kind == RR_ADMISSION_STALE;
+        stale = verdict.kind == RR_ADMISSION_NO_VALID_TABLE;
     }
     if (stale) {
         verdict = decide_without_table(admission, submission, context->controllers);
-        admission->stats.refused_stale += verdict.kind != RR_ADMISSION_ADMIT;
+        admission->stats.refused_without_table += verdict.kind != RR_ADMISSION_ADMIT;
     }
     if (verdict.kind != RR_ADMISSION_ADMIT) {
         admission->stats.refused++;
-        rr_demand_refused(admission->demand, &key, submission->job_id,
-                          estimate_job_work(admission, submission), now);
+        rr_demand_record_refusal(admission->demand, &key, submission->job_id,
+                                 estimate_job_work(admission, submission), now);
     }
     return verdict;
 }
 
-void rr_admission_accepted(rr_admission *admission, const rr_submission *submission) {
+void rr_admission_record_accepted(rr_admission *admission, const rr_submission *submission) {
     rr_admission_key key;
-    rr_admission_key_of(submission, admission->settings->band_limits, &key);
+    rr_admission_key_from_submission(submission, admission->settings->band_limits, &key);
     admission->stats.admitted++;
     rr_demand_record_admission(admission->demand, &key, submission->job_id,
                                estimate_job_work(admission, submission));
@@ -212,30 +214,31 @@
     if (current_start != admission->interval_start) {
         admission->interval_start = current_start;
         memset(admission->admitted_without_table, 0, sizeof admission->admitted_without_table);
-        rr_demand_next_interval(admission->demand, now);
+        rr_demand_start_interval(admission->demand, now);
     }
 }
 
-void rr_admission_forget_accepted(rr_admission *admission, rr_job_accepted_fn is_accepted,
+void rr_admission_remove_accepted(rr_admission *admission, rr_job_accepted_fn is_accepted,
                                   void *user) {
-    rr_demand_forget_accepted(admission->demand, is_accepted, user);
+    rr_demand_remove_accepted(admission->demand, is_accepted, user);
 }
 
-bool rr_admission_announce(const rr_admission *admission, uint64_t fencing_token, GByteArray *out) {
+bool rr_admission_encode_demand_view(const rr_admission *admission, uint64_t fencing_token,
+                                     GByteArray *out) {
     rr_demand_view view;
-    if (!rr_admission_newest(admission)->active) {
+    if (!rr_admission_get_newest_table(admission)->active) {
         return false;
     }
-    rr_demand_view_of(admission->demand, fencing_token, &view);
-    rr_demand_view_pack(&view, out, VIEW_BYTES_MAX);
+    rr_demand_view_build(admission->demand, fencing_token, &view);
+    rr_demand_view_encode(&view, out, VIEW_BYTES_MAX);
     rr_demand_view_clear(&view);
     return true;
 }
 
-int rr_admission_take_demand(rr_admission *admission, size_t peer, uint64_t fencing_token,
-                             const void *data, size_t length, double now) {
+int rr_admission_receive_demand_view(rr_admission *admission, size_t peer, uint64_t fencing_token,
+                                     const void *data, size_t length, double now) {
     rr_demand_view view;
-    int rc = peer < RR_CONTROLLERS_MAX ? rr_demand_view_unpack(data, length, &view) : -EBADMSG;
+    int rc = peer < RR_CONTROLLERS_MAX ? rr_demand_view_decode(data, length, &view) : -EBADMSG;
     if (rc == 0 && view.fencing_token < fencing_token) {
         rr_demand_view_clear(&view);
         rc = -ESTALE;
@@ -250,12 +253,12 @@
     return 0;
 }
 
-void rr_admission_demand(const rr_admission *admission, double now, GArray *out) {
+void rr_admission_append_total_demand(const rr_admission *admission, double now, GArray *out) {
     const rr_demand_view *views[RR_CONTROLLERS_MAX + 1];
     unsigned ages[RR_CONTROLLERS_MAX + 1];
     guint count = 0;
     rr_demand_view own;
-    rr_demand_view_of(admission->demand, 0, &own);
+    rr_demand_view_build(admission->demand, 0, &own);
     views[count] = &own;
     ages[count++] = 0;
     for (size_t i = 0; i < admission->config->peer_count; i++) {
@@ -266,6 +269,6 @@
             ages[count++] = age < VIEW_FRESH_INTERVALS ? 0 : (unsigned)age;
         }
     }
-    rr_demand_merge(views, ages, count, out);
+    rr_demand_merge_views(views, ages, count, out);
     rr_demand_view_clear(&own);
 }
--- a/src/admission/allocations.c
+++ b/src/admission/allocations.c
@@ -7,7 +7,7 @@
 
 /* The number of keys of one job class of one team, by size band. */
 struct class_key_counts {
-    guint in_band[RR_ADMISSION_BANDS];
+    guint in_band[RR_ADMISSION_BAND_COUNT];
 };
 
 /* Returns a string that identifies the entry's team and job class, which the caller frees. The
@@ -50,7 +50,7 @@
     const struct class_key_counts *keys = g_hash_table_lookup(classes, class_id);
     guint band_count = 0;
     g_free(class_id);
-    for (guint band = 0; band < RR_ADMISSION_BANDS; band++) {
+    for (guint band = 0; band < RR_ADMISSION_BAND_COUNT; band++) {
         band_count += keys->in_band[band] > 0;
     }
     double weight =
@@ -65,12 +65,12 @@
 }
 
 /* Sets how much of each resource one unit of the row's demand uses. */
-static void set_resource_use(const rr_admission_entry *entry, rr_amount capacity,
+static void set_resource_use(const rr_admission_entry *entry, rr_resource_amount capacity,
                              rr_share_row *row) {
-    double dominant = rr_dominant_work(entry->work, capacity);
-    const double work[] = {entry->work.cpu_s, entry->work.gpu_s, entry->work.mem_s};
+    double dominant = rr_dominant_share_seconds(entry->work, capacity);
+    const double work[] = {entry->work.cpu_s, entry->work.gpu_s, entry->work.mem_gb_s};
     const double total[] = {capacity.cpus, capacity.gpus, capacity.mem_gb};
-    for (guint resource = 0; resource < RR_SHARE_RESOURCES; resource++) {
+    for (guint resource = 0; resource < RR_SHARE_RESOURCE_COUNT; resource++) {
         row->resource_use[resource] = dominant > EPSILON && total[resource] > 0
                                           ? work[resource] / total[resource] / dominant
                                           : 0;
@@ -96,7 +96,7 @@
 /* Returns one row per entry, in an array that the caller frees. The rows refer to `allowed`. */
 static rr_share_row *create_rows(const rr_offered_load *load, const GArray *entries,
                                  const bool *allowed) {
-    rr_amount capacity = rr_load_capacity(load);
+    rr_resource_amount capacity = rr_offered_load_capacity(load);
     rr_share_row *rows = g_new0(rr_share_row, entries->len + 1);
     GHashTable *classes = count_class_keys(entries);
     for (guint i = 0; i < entries->len; i++) {
@@ -114,10 +114,10 @@
 /* Returns the pools' capacities over the horizon, as fractions of the total, in an array that the
  * caller frees. */
 static rr_share_pool *create_pools(const rr_offered_load *load, double horizon_s) {
-    rr_amount capacity = rr_load_capacity(load);
+    rr_resource_amount capacity = rr_offered_load_capacity(load);
     rr_share_pool *pools = g_new0(rr_share_pool, load->pools->len + 1);
     for (guint i = 0; i < load->pools->len; i++) {
-        rr_amount amount = g_array_index(load->pools, rr_load_pool, i).amount;
+        rr_resource_amount amount = g_array_index(load->pools, rr_load_pool, i).amount;
         pools[i].capacity[0] = divide_or_zero(amount.cpus, capacity.cpus) * horizon_s;
         pools[i].capacity[1] = divide_or_zero(amount.gpus, capacity.gpus) * horizon_s;
         pools[i].capacity[2] = divide_or_zero(amount.mem_gb, capacity.mem_gb) * horizon_s;
@@ -158,16 +158,16 @@
 
 void rr_admission_compute_fair_shares(const struct rr_config *config, const rr_offered_load *load,
                                       double *fair_shares) {
-    rr_amount capacity = rr_load_capacity(load);
+    rr_resource_amount capacity = rr_offered_load_capacity(load);
     double demands[RR_TEAMS_MAX] = {0}, weights[RR_TEAMS_MAX] = {0};
     double guaranteed_shares[RR_TEAMS_MAX] = {0};
     guint team_count = (guint)config->team_count;
     for (guint i = 0; i < team_count; i++) {
         const rr_load_team *team = &load->teams[i];
-        rr_amount demand = {team->used.cpus + team->waiting.cpus,
-                            team->used.gpus + team->waiting.gpus,
-                            team->used.mem_gb + team->waiting.mem_gb};
-        demands[i] = rr_dominant_amount(demand, capacity);
+        rr_resource_amount demand = {team->used.cpus + team->waiting.cpus,
+                                     team->used.gpus + team->waiting.gpus,
+                                     team->used.mem_gb + team->waiting.mem_gb};
+        demands[i] = rr_dominant_share(demand, capacity);
         weights[i] = load->settings->teams[i].weight;
         guaranteed_shares[i] = load->settings->teams[i].least_share;
     }
--- a/src/admission/demand.c
+++ b/src/admission/demand.c
@@ -82,8 +82,8 @@
     }
 }
 
-void rr_demand_refused(rr_demand *demand, const rr_admission_key *key, const char *job_id,
-                       rr_work work, double now) {
+void rr_demand_record_refusal(rr_demand *demand, const rr_admission_key *key, const char *job_id,
+                              rr_work work, double now) {
     uint64_t job_hash = rr_admission_job_hash(job_id);
     struct key_demand *key_demand = find_or_add_key(demand, key);
     if (!key_demand || g_hash_table_contains(demand->waiting, &job_hash) ||
@@ -134,7 +134,7 @@
     return TRUE;
 }
 
-void rr_demand_forget_accepted(rr_demand *demand, rr_job_accepted_fn is_accepted, void *user) {
+void rr_demand_remove_accepted(rr_demand *demand, rr_job_accepted_fn is_accepted, void *user) {
     struct acceptance_filter filter = {demand, is_accepted, user};
     g_hash_table_foreach_remove(demand->waiting, remove_if_accepted, &filter);
 }
@@ -169,7 +169,7 @@
     return key_demand->waiting_count == 0 && key_demand->admitted_last_interval == 0;
 }
 
-void rr_demand_next_interval(rr_demand *demand, double now) {
+void rr_demand_start_interval(rr_demand *demand, double now) {
     struct expiry_filter filter = {demand, now};
     g_hash_table_foreach_remove(demand->waiting, remove_if_expired, &filter);
     g_hash_table_foreach_remove(demand->keys, start_key_interval, NULL);
@@ -177,7 +177,7 @@
 
 /* ---- queries ---- */
 
-guint rr_demand_waiting(const rr_demand *demand) {
+guint rr_demand_count_waiting_jobs(const rr_demand *demand) {
     return g_hash_table_size(demand->waiting);
 }
 
--- a/src/admission/demand.h
+++ b/src/admission/demand.h
@@ -17,8 +17,8 @@
 /* Records a refused job, which waits until it is admitted or patience_s has passed. A job that
  * already waits is counted once and keeps its deadline. Jobs beyond fixed limits on keys and
  * waiting jobs are not counted. */
-void rr_demand_refused(rr_demand *demand, const rr_admission_key *key, const char *job_id,
-                       rr_work work, double now);
+void rr_demand_record_refusal(rr_demand *demand, const rr_admission_key *key, const char *job_id,
+                              rr_work work, double now);
 
 /* Records a job that this controller accepted; it no longer waits. */
 void rr_demand_record_admission(rr_demand *demand, const rr_admission_key *key, const char *job_id,
@@ -28,14 +28,14 @@
 typedef bool (*rr_job_accepted_fn)(void *user, const char *job_id);
 
 /* Removes the waiting jobs for which is_accepted(user, job_id) returns true. */
-void rr_demand_forget_accepted(rr_demand *demand, rr_job_accepted_fn is_accepted, void *user);
+void rr_demand_remove_accepted(rr_demand *demand, rr_job_accepted_fn is_accepted, void *user);
 
 /* Starts a new interval: removes the waiting jobs whose deadline has passed and counts admissions
  * from 0 again. */
-void rr_demand_next_interval(rr_demand *demand, double now);
+void rr_demand_start_interval(rr_demand *demand, double now);
 
 /* Returns the number of waiting jobs of all keys. */
-guint rr_demand_waiting(const rr_demand *demand);
+guint rr_demand_count_waiting_jobs(const rr_demand *demand);
 
 /* The demand for one key, except for its waiting jobs. */
 typedef struct {
--- a/src/admission/demand_total.c
+++ b/src/admission/demand_total.c
@@ -16,9 +16,9 @@
 
 /* The entries of one key in all views, while they are summed up. */
 struct key_sum {
-    rr_demand_total total; /* its mean is a weighted sum until compute_total() */
+    rr_demand_total total; /* its mean_work is a weighted sum until compute_total() */
     GArray *entries;       /* struct aged_entry, freshest first */
-    double mean_weight;    /* sum of the weights in total.mean */
+    double mean_weight;    /* sum of the weights in total.mean_work */
 };
 
 static const struct aged_entry *entry_at(const GArray *entries, guint i) {
@@ -67,7 +67,7 @@
     struct aged_entry aged = {entry, age};
     g_array_insert_val(sum->entries, index, aged);
     double jobs_in_entry = (double)entry->admitted + entry->sample->len;
-    sum->total.mean = rr_work_add(sum->total.mean, entry->mean_work, jobs_in_entry);
+    sum->total.mean_work = rr_work_add(sum->total.mean_work, entry->mean_work, jobs_in_entry);
     sum->mean_weight += jobs_in_entry;
 }
 
@@ -78,11 +78,12 @@
     for (guint i = 0; i < sum->entries->len; i++) {
         const struct aged_entry *aged = entry_at(sum->entries, i);
         double waiting_known = fmax(waiting_counted, count_distinct_jobs(sum, i + 1));
-        sum->total.count += pow(AGE_DECAY, aged->age) *
-                            (waiting_known - waiting_counted + (double)aged->entry->admitted);
+        sum->total.job_count += pow(AGE_DECAY, aged->age) *
+                                (waiting_known - waiting_counted + (double)aged->entry->admitted);
         waiting_counted = waiting_known;
     }
-    sum->total.mean = rr_work_scale(sum->total.mean, 1 / fmax(sum->mean_weight, WEIGHT_MIN));
+    sum->total.mean_work =
+        rr_work_scale(sum->total.mean_work, 1 / fmax(sum->mean_weight, WEIGHT_MIN));
     g_array_free(sum->entries, TRUE);
     return sum->total;
 }
@@ -92,8 +93,8 @@
     return left->key.id < right->key.id ? -1 : left->key.id > right->key.id;
 }
 
-void rr_demand_merge(const rr_demand_view *const *views, const unsigned *ages, guint count,
-                     GArray *out) {
+void rr_demand_merge_views(const rr_demand_view *const *views, const unsigned *ages, guint count,
+                           GArray *out) {
     GHashTable *sums = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     GHashTableIter iterator;
     gpointer value;
--- a/src/admission/demand_total.h
+++ b/src/admission/demand_total.h
@@ -7,15 +7,15 @@
 /* The combined demand for one key. */
 typedef struct {
     rr_admission_key key;
-    double count; /* estimated number of jobs: waiting, and admitted in the last interval */
-    rr_work mean; /* mean work of one job */
+    double job_count;  /* estimated number of jobs: waiting, and admitted in the last interval */
+    rr_work mean_work; /* mean work of one job */
 } rr_demand_total;
 
 /* Appends the totals of all keys to *out and sorts it by key id. ages[i] is the age of views[i] in
  * intervals. The admissions in a view, and the waiting jobs that no fresher view knows, count half
  * as much for each interval of its age, instead of not at all once a controller's view is overdue.
  */
-void rr_demand_merge(const rr_demand_view *const *views, const unsigned *ages, guint count,
-                     GArray *out /* rr_demand_total */);
+void rr_demand_merge_views(const rr_demand_view *const *views, const unsigned *ages, guint count,
+                           GArray *out /* rr_demand_total */);
 
 #endif
--- a/src/admission/demand_view.c
+++ b/src/admission/demand_view.c
@@ -68,7 +68,7 @@
     }
 }
 
-void rr_demand_view_of(const rr_demand *demand, uint64_t fencing_token, rr_demand_view *out) {
+void rr_demand_view_build(const rr_demand *demand, uint64_t fencing_token, rr_demand_view *out) {
     struct view_builder builder = {out, g_hash_table_new(g_int64_hash, g_int64_equal)};
     rr_demand_view_init(out);
     out->fencing_token = fencing_token;
--- a/src/admission/demand_view.h
+++ b/src/admission/demand_view.h
@@ -35,16 +35,16 @@
 void rr_demand_view_clear(rr_demand_view *view);
 
 /* Builds a view of the demand. The caller clears *out. */
-void rr_demand_view_of(const rr_demand *demand, uint64_t fencing_token, rr_demand_view *out);
+void rr_demand_view_build(const rr_demand *demand, uint64_t fencing_token, rr_demand_view *out);
 
 /* Appends the encoded view to *out, with at most bytes_max bytes of entries after its header.
  * Entries that do not fit are dropped evenly across teams, the least important ones of each team
  * first. */
-void rr_demand_view_pack(const rr_demand_view *view, GByteArray *out, size_t bytes_max);
+void rr_demand_view_encode(const rr_demand_view *view, GByteArray *out, size_t bytes_max);
 
 /* Decodes a view. Returns 0, and the caller clears *out; or -EBADMSG if the data is malformed, too
  * long or of an unknown version. */
-int rr_demand_view_unpack(const void *data, size_t length, rr_demand_view *out);
+int rr_demand_view_decode(const void *data, size_t length, rr_demand_view *out);
 
 /* Compares two job hashes (uint64_t), for g_array_sort(). */
 gint rr_compare_job_hashes(gconstpointer left_item, gconstpointer right_item);
--- a/src/admission/demand_view_frame.c
+++ b/src/admission/demand_view_frame.c
@@ -35,7 +35,7 @@
     rr_frame_put_u64(out, entry->admitted);
     put_work(out, entry->mean_work.cpu_s);
     put_work(out, entry->mean_work.gpu_s);
-    put_work(out, entry->mean_work.mem_s);
+    put_work(out, entry->mean_work.mem_gb_s);
     rr_frame_put_u64(out, entry->sample_bound);
     rr_frame_put_u16(out, (uint16_t)entry->sample->len);
     for (guint i = 0; i < entry->sample->len; i++) {
@@ -91,7 +91,7 @@
     return order;
 }
 
-void rr_demand_view_pack(const rr_demand_view *view, GByteArray *out, size_t bytes_max) {
+void rr_demand_view_encode(const rr_demand_view *view, GByteArray *out, size_t bytes_max) {
     GArray *order = interleave_teams(view);
     size_t bytes = 0;
     guint count = 0;
@@ -127,10 +127,10 @@
     entry->admitted = rr_frame_read_u64(reader);
     entry->mean_work.cpu_s = read_work(reader);
     entry->mean_work.gpu_s = read_work(reader);
-    entry->mean_work.mem_s = read_work(reader);
+    entry->mean_work.mem_gb_s = read_work(reader);
     entry->sample_bound = rr_frame_read_u64(reader);
     uint16_t sample_size = rr_frame_read_u16(reader);
-    if (!texts_read || reader->malformed || entry->key.band >= RR_ADMISSION_BANDS ||
+    if (!texts_read || reader->malformed || entry->key.band >= RR_ADMISSION_BAND_COUNT ||
         (types_length > 0 && entry->key.types[types_length - 1] != ',') ||
         sample_size * sizeof(uint64_t) > reader->bytes_left || entry->sample_bound == 0) {
         return false;
@@ -139,11 +139,11 @@
         uint64_t hash = rr_frame_read_u64(reader);
         g_array_append_val(entry->sample, hash);
     }
-    rr_admission_key_hash(&entry->key);
+    rr_admission_key_set_id(&entry->key);
     return !reader->malformed;
 }
 
-int rr_demand_view_unpack(const void *data, size_t length, rr_demand_view *out) {
+int rr_demand_view_decode(const void *data, size_t length, rr_demand_view *out) {
     rr_frame_reader reader = {data, length, false};
     rr_demand_view_init(out);
     bool valid = rr_frame_read_u8(&reader) == RR_DEMAND_VIEW_VERSION;
--- a/src/admission/entries.c
+++ b/src/admission/entries.c
@@ -24,7 +24,7 @@
 /* Adds the accepted work that waits, except that of teams that the configuration does not name. */
 static void add_waiting_work(const struct rr_config *config, const rr_offered_load *load,
                              const double *correction, GHashTable *entries) {
-    rr_amount capacity = rr_load_capacity(load);
+    rr_resource_amount capacity = rr_offered_load_capacity(load);
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, load->keys);
@@ -33,25 +33,26 @@
         int team = rr_config_find_team(config, load_key->key.team);
         if (team >= 0) {
             rr_admission_entry *entry = find_or_add_entry(entries, &load_key->key, team);
-            entry->work = rr_work_add(entry->work, load_key->waiting, 1);
-            entry->backlog = rr_dominant_work(load_key->waiting, capacity) * correction[team];
+            entry->work = rr_work_add(entry->work, load_key->waiting_work, 1);
+            entry->backlog =
+                rr_dominant_share_seconds(load_key->waiting_work, capacity) * correction[team];
         }
     }
 }
 
 /* Adds the jobs that request admission, except those of teams that the configuration does not
  * name. */
-static void add_demand(const struct rr_config *config, const GArray *demand, rr_amount capacity,
-                       const double *correction, GHashTable *entries) {
+static void add_demand(const struct rr_config *config, const GArray *demand,
+                       rr_resource_amount capacity, const double *correction, GHashTable *entries) {
     for (guint i = 0; i < demand->len; i++) {
         const rr_demand_total *total = &g_array_index(demand, rr_demand_total, i);
         int team = rr_config_find_team(config, total->key.team);
-        if (team >= 0 && total->count > 0) {
+        if (team >= 0 && total->job_count > 0) {
             rr_admission_entry *entry = find_or_add_entry(entries, &total->key, team);
-            entry->work = rr_work_add(entry->work, total->mean, total->count);
-            entry->job_count = total->count;
-            entry->requested =
-                rr_dominant_work(total->mean, capacity) * total->count * correction[team];
+            entry->work = rr_work_add(entry->work, total->mean_work, total->job_count);
+            entry->job_count = total->job_count;
+            entry->requested = rr_dominant_share_seconds(total->mean_work, capacity) *
+                               total->job_count * correction[team];
         }
     }
 }
@@ -116,7 +117,7 @@
         }
         if (index_in_group == group_max) {
             rr_admission_entry merged = {.team = entry->team, .band = entry->band};
-            merged.id = rr_admission_rest_id(config->teams[entry->team].name, entry->band);
+            merged.id = rr_admission_default_row_id(config->teams[entry->team].name, entry->band);
             g_array_append_val(kept, merged);
         }
         merge_entry(&g_array_index(kept, rr_admission_entry, kept->len - 1), entry);
@@ -131,7 +132,7 @@
     GHashTableIter iterator;
     gpointer value;
     add_waiting_work(config, load, correction, entries);
-    add_demand(config, demand, rr_load_capacity(load), correction, entries);
+    add_demand(config, demand, rr_offered_load_capacity(load), correction, entries);
     g_hash_table_iter_init(&iterator, entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         g_ptr_array_add(all, value);
--- a/src/admission/entries.h
+++ b/src/admission/entries.h
@@ -9,7 +9,7 @@
 /* The load of one key, or of several keys of one team and band together. */
 typedef struct {
     const rr_admission_key *key; /* NULL: the keys of the group that have no entry of their own */
-    uint64_t id;                 /* of the key, or rr_admission_rest_id */
+    uint64_t id;                 /* of the key, or rr_admission_default_row_id */
     guint team;                  /* index in the configuration */
     guint band;                  /* size band, from 0 */
     rr_work work;                /* waiting and requested work, by resource */
--- a/src/admission/estimates.c
+++ b/src/admission/estimates.c
@@ -18,22 +18,23 @@
         return estimates->correction[team];
     }
     const rr_admission_team *recorded =
-        newest->sequence ? rr_admission_table_team(newest, name) : NULL;
+        newest->sequence ? rr_admission_table_find_team(newest, name) : NULL;
     return recorded && recorded->correction > 0 ? recorded->correction : 1;
 }
 
 void rr_admission_estimates_update(rr_admission_estimates *estimates,
                                    const struct rr_config *config, const rr_offered_load *load,
                                    const rr_admission_table *newest, double elapsed_s) {
-    rr_amount capacity = rr_load_capacity(load);
+    rr_resource_amount capacity = rr_offered_load_capacity(load);
     for (size_t i = 0; i < config->team_count; i++) {
         const rr_load_team *team = &load->teams[i];
         double correction = get_previous_correction(estimates, i, config->teams[i].name, newest);
         estimates->actual_work[i] = estimates->actual_work[i] * TABLE_DECAY +
-                                    rr_dominant_amount(team->batch_used, capacity) * elapsed_s;
+                                    rr_dominant_share(team->batch_used, capacity) * elapsed_s;
         if (elapsed_s > 0) {
-            estimates->estimated_work[i] = estimates->estimated_work[i] * TABLE_DECAY +
-                                           rr_dominant_work(team->completed_work, capacity);
+            estimates->estimated_work[i] =
+                estimates->estimated_work[i] * TABLE_DECAY +
+                rr_dominant_share_seconds(team->completed_work, capacity);
         }
         /* Until tasks have ended there is no estimate to compare the actual work with. */
         if (estimates->estimated_work[i] > EPSILON) {
--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -32,11 +32,11 @@
     return mix_bits(hash_text(HASH_BASIS, job_id));
 }
 
-uint64_t rr_admission_rest_id(const char *team, unsigned band) {
+uint64_t rr_admission_default_row_id(const char *team, unsigned band) {
     return mix_bits((hash_text(hash_text(HASH_BASIS, "rest"), team) ^ band) * FNV_PRIME);
 }
 
-void rr_admission_key_hash(rr_admission_key *key) {
+void rr_admission_key_set_id(rr_admission_key *key) {
     uint64_t hash = hash_text(hash_text(HASH_BASIS, key->team), key->job_class);
     hash = hash_text(hash_text(hash, key->zone), key->types);
     key->id = mix_bits((hash ^ key->band) * FNV_PRIME);
@@ -66,8 +66,8 @@
     }
 }
 
-void rr_admission_key_of(const rr_submission *submission, const uint32_t band_limits[2],
-                         rr_admission_key *out) {
+void rr_admission_key_from_submission(const rr_submission *submission,
+                                      const uint32_t band_limits[2], rr_admission_key *out) {
     memset(out, 0, sizeof *out);
     g_strlcpy(out->team, submission->team, sizeof out->team);
     g_strlcpy(out->job_class, submission->job_class, sizeof out->job_class);
@@ -75,7 +75,7 @@
     set_types(submission, out);
     out->band = (submission->task_count >= band_limits[0]) +
                 (submission->task_count >= band_limits[1] ? 1U : 0U);
-    rr_admission_key_hash(out);
+    rr_admission_key_set_id(out);
 }
 
 bool rr_admission_key_allows(const rr_admission_key *key, const char *type, const char *zone) {
--- a/src/admission/key.h
+++ b/src/admission/key.h
@@ -7,7 +7,7 @@
 #include "conf/config.h"
 #include "wire/wire.h"
 
-#define RR_ADMISSION_BANDS 3        /* size bands: small, medium and large jobs */
+#define RR_ADMISSION_BAND_COUNT 3   /* size bands: small, medium and large jobs */
 #define RR_ADMISSION_TYPES_SIZE 256 /* bytes */
 
 typedef struct {
@@ -15,20 +15,20 @@
     char team[RR_NAME_SIZE], job_class[RR_TEXT_SIZE];
     char zone[RR_TEXT_SIZE];             /* empty: any zone */
     char types[RR_ADMISSION_TYPES_SIZE]; /* sorted, each followed by a comma; empty: any type */
-    unsigned band;                       /* from 0 (small jobs) to RR_ADMISSION_BANDS - 1 */
+    unsigned band;                       /* from 0 (small jobs) to RR_ADMISSION_BAND_COUNT - 1 */
 } rr_admission_key;
 
 /* Derives a submission's key. band_limits: the task counts at which the second and the third band
  * begin. */
-void rr_admission_key_of(const rr_submission *submission, const uint32_t band_limits[2],
-                         rr_admission_key *out);
+void rr_admission_key_from_submission(const rr_submission *submission,
+                                      const uint32_t band_limits[2], rr_admission_key *out);
 
 /* Sets the id of a key whose other fields are set. */
-void rr_admission_key_hash(rr_admission_key *key);
+void rr_admission_key_set_id(rr_admission_key *key);
 
 /* Returns the id of the default row of a team's band, which applies to those of its keys that have
  * no row of their own in the table. */
-uint64_t rr_admission_rest_id(const char *team, unsigned band);
+uint64_t rr_admission_default_row_id(const char *team, unsigned band);
 
 /* Returns whether jobs of the key may run on machines of this type in this zone. */
 bool rr_admission_key_allows(const rr_admission_key *key, const char *type, const char *zone);
--- a/src/admission/level_program.c
+++ b/src/admission/level_program.c
@@ -51,7 +51,7 @@
 static void add_capacity_rows(struct rr_level_program *program) {
     const rr_share_problem *problem = program->entities->problem;
     for (guint pool = 0; pool < problem->pool_count; pool++) {
-        for (guint resource = 0; resource < RR_SHARE_RESOURCES; resource++) {
+        for (guint resource = 0; resource < RR_SHARE_RESOURCE_COUNT; resource++) {
             int row = add_row(program, GLP_UP, 0, problem->pools[pool].capacity[resource]);
             for (guint i = 0; i < problem->row_count; i++) {
                 int column = get_column(program, i, pool);
--- a/src/admission/offered_load.c
+++ b/src/admission/offered_load.c
@@ -27,7 +27,7 @@
     }
 }
 
-void rr_offered_load_begin(rr_offered_load *load) {
+void rr_offered_load_begin_snapshot(rr_offered_load *load) {
     g_array_set_size(load->pools, 0);
     g_hash_table_remove_all(load->keys);
     memset(load->teams, 0, sizeof load->teams);
@@ -40,13 +40,14 @@
 }
 
 /* Returns left + factor * right. */
-static rr_amount add_scaled_amount(rr_amount left, rr_amount right, double factor) {
-    return (rr_amount){left.cpus + factor * right.cpus, left.gpus + factor * right.gpus,
-                       left.mem_gb + factor * right.mem_gb};
+static rr_resource_amount add_scaled_amount(rr_resource_amount left, rr_resource_amount right,
+                                            double factor) {
+    return (rr_resource_amount){left.cpus + factor * right.cpus, left.gpus + factor * right.gpus,
+                                left.mem_gb + factor * right.mem_gb};
 }
 
 void rr_offered_load_add_machine(rr_offered_load *load, const char *type, const char *zone,
-                                 rr_amount amount) {
+                                 rr_resource_amount amount) {
     for (guint i = 0; i < load->pools->len; i++) {
         rr_load_pool *pool = &g_array_index(load->pools, rr_load_pool, i);
         if (strcmp(pool->type, type) == 0 && strcmp(pool->zone, zone) == 0) {
@@ -60,8 +61,8 @@
     g_array_append_val(load->pools, pool);
 }
 
-rr_amount rr_load_capacity(const rr_offered_load *load) {
-    rr_amount capacity = {0, 0, 0};
+rr_resource_amount rr_offered_load_capacity(const rr_offered_load *load) {
+    rr_resource_amount capacity = {0, 0, 0};
     for (guint i = 0; i < load->pools->len; i++) {
         capacity =
             add_scaled_amount(capacity, g_array_index(load->pools, rr_load_pool, i).amount, 1);
@@ -89,14 +90,14 @@
 /* Adds work to the waiting work of the submission's key. */
 static void add_waiting_work(rr_offered_load *load, const rr_submission *submission, rr_work work) {
     rr_admission_key key;
-    rr_admission_key_of(submission, load->settings->band_limits, &key);
+    rr_admission_key_from_submission(submission, load->settings->band_limits, &key);
     rr_load_key *entry = g_hash_table_lookup(load->keys, &key.id);
     if (!entry) {
         entry = g_new0(rr_load_key, 1);
         entry->key = key;
         g_hash_table_insert(load->keys, &entry->key.id, entry);
     }
-    entry->waiting = rr_work_add(entry->waiting, work, 1);
+    entry->waiting_work = rr_work_add(entry->waiting_work, work, 1);
 }
 
 void rr_offered_load_add_job(rr_offered_load *load, const rr_submission *submission, int team,
@@ -105,8 +106,8 @@
         return;
     }
     rr_load_team *team_load = &load->teams[team];
-    rr_amount request = {submission->cpus, submission->gpus, submission->mem_gb};
-    rr_work work = rr_work_of_task(submission, load->settings->service_estimate_s);
+    rr_resource_amount request = {submission->cpus, submission->gpus, submission->mem_gb};
+    rr_work work = rr_work_estimate_task(submission, load->settings->service_estimate_s);
     bool ends_by_itself = submission->kind != RR_JOB_SERVICE;
     team_load->used = add_scaled_amount(team_load->used, request, placed);
     team_load->batch_used =
@@ -119,13 +120,13 @@
     }
 }
 
-double rr_dominant_amount(rr_amount amount, rr_amount capacity) {
+double rr_dominant_share(rr_resource_amount amount, rr_resource_amount capacity) {
     double share = 0;
     share = capacity.cpus > 0 ? fmax(share, amount.cpus / capacity.cpus) : share;
     share = capacity.gpus > 0 ? fmax(share, amount.gpus / capacity.gpus) : share;
     return capacity.mem_gb > 0 ? fmax(share, amount.mem_gb / capacity.mem_gb) : share;
 }
 
-double rr_dominant_work(rr_work work, rr_amount capacity) {
-    return rr_dominant_amount((rr_amount){work.cpu_s, work.gpu_s, work.mem_s}, capacity);
+double rr_dominant_share_seconds(rr_work work, rr_resource_amount capacity) {
+    return rr_dominant_share((rr_resource_amount){work.cpu_s, work.gpu_s, work.mem_gb_s}, capacity);
 }
--- a/src/admission/offered_load.h
+++ b/src/admission/offered_load.h
@@ -11,26 +11,26 @@
 /* An amount of each resource. */
 typedef struct {
     double cpus, gpus, mem_gb;
-} rr_amount;
+} rr_resource_amount;
 
 /* All machines of one type in one zone. */
 typedef struct {
     char type[RR_ID_SIZE], zone[RR_TEXT_SIZE];
-    rr_amount amount; /* capacity of these machines */
+    rr_resource_amount amount; /* capacity of these machines */
 } rr_load_pool;
 
 /* The accepted work of one key. */
 typedef struct {
     rr_admission_key key;
-    rr_work waiting; /* estimated work of tasks that are not placed yet */
+    rr_work waiting_work; /* estimated work of tasks that are not placed yet */
 } rr_load_key;
 
 /* The resources and work of one team. */
 typedef struct {
-    rr_amount used;         /* requested by placed tasks */
-    rr_amount batch_used;   /* the part of `used` for tasks that end by themselves */
-    rr_amount waiting;      /* requested by waiting tasks */
-    rr_work completed_work; /* estimated work of tasks that ended since the last snapshot */
+    rr_resource_amount used;       /* requested by placed tasks */
+    rr_resource_amount batch_used; /* the part of `used` for tasks that end by themselves */
+    rr_resource_amount waiting;    /* requested by waiting tasks */
+    rr_work completed_work;        /* estimated work of tasks that ended since the last snapshot */
 } rr_load_team;
 
 /* The latest snapshot of the load. */
@@ -51,10 +51,10 @@
 void rr_offered_load_clear(rr_offered_load *load);
 
 /* Begins a new snapshot. The numbers of done tasks in the last one are kept, for comparison. */
-void rr_offered_load_begin(rr_offered_load *load);
+void rr_offered_load_begin_snapshot(rr_offered_load *load);
 /* Adds a machine to the pool of its type and zone. amount: its capacity. */
 void rr_offered_load_add_machine(rr_offered_load *load, const char *type, const char *zone,
-                                 rr_amount amount);
+                                 rr_resource_amount amount);
 /* Adds a job that is neither cancelled nor forgotten. waiting, placed, done: the numbers of its
  * tasks in these states. team: index in rr_config.teams; a job of an unknown team (-1) is ignored.
  */
@@ -62,11 +62,11 @@
                              uint32_t waiting, uint32_t placed, uint32_t done);
 
 /* Returns the capacity of all machines. */
-rr_amount rr_load_capacity(const rr_offered_load *load);
+rr_resource_amount rr_offered_load_capacity(const rr_offered_load *load);
 /* Returns the amount's dominant share: the fraction that it takes of the capacity, for the resource
  * of which it takes the largest fraction. Resources without capacity are left out. */
-double rr_dominant_amount(rr_amount amount, rr_amount capacity);
+double rr_dominant_share(rr_resource_amount amount, rr_resource_amount capacity);
 /* Returns the dominant share of work, in seconds of the whole capacity. */
-double rr_dominant_work(rr_work work, rr_amount capacity);
+double rr_dominant_share_seconds(rr_work work, rr_resource_amount capacity);
 
 #endif
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -8,21 +8,21 @@
 #include <glib.h>
 #include <stdbool.h>
 
-#define RR_SHARE_RESOURCES 3 /* CPUs, GPUs, memory */
+#define RR_SHARE_RESOURCE_COUNT 3 /* CPUs, GPUs, memory */
 
 /* Machines of one type in one zone. */
 typedef struct {
-    double capacity[RR_SHARE_RESOURCES]; /* fractions of the total, times seconds */
+    double capacity[RR_SHARE_RESOURCE_COUNT]; /* fractions of the total, times seconds */
 } rr_share_pool;
 
 /* Jobs with the same team and restrictions, which get one allocation. */
 typedef struct {
-    guint team;                              /* index in rr_share_problem.teams */
-    double weight;                           /* among its team's rows */
-    double demand;                           /* in dominant share times seconds */
-    double resource_use[RR_SHARE_RESOURCES]; /* by one unit of demand; the largest is 1 */
-    const bool *pools;                       /* by pool: whether the row may run there */
-    double allocation;                       /* the result, in the unit of the demand */
+    guint team;                                   /* index in rr_share_problem.teams */
+    double weight;                                /* among its team's rows */
+    double demand;                                /* in dominant share times seconds */
+    double resource_use[RR_SHARE_RESOURCE_COUNT]; /* by one unit of demand; the largest is 1 */
+    const bool *pools;                            /* by pool: whether the row may run there */
+    double allocation;                            /* the result, in the unit of the demand */
 } rr_share_row;
 
 typedef struct {
@@ -40,8 +40,9 @@
 } rr_share_problem;
 
 enum rr_share_method {
-    RR_SHARE_BY_PROGRAM, /* a linear program for each level */
-    RR_SHARE_BY_FILLING  /* progressive filling: the programs were too large, late or unsolved */
+    RR_SHARE_METHOD_LINEAR_PROGRAM,     /* a linear program for each level */
+    RR_SHARE_METHOD_PROGRESSIVE_FILLING /* progressive filling: the programs were too large, late or
+                                           unsolved */
 };
 
 /* Sets the allocation of each row, by linear programs or, if they fail, by progressive filling.
@@ -49,7 +50,7 @@
 enum rr_share_method rr_share_solve(rr_share_problem *problem, double seconds);
 
 /* Sets the allocation of each row by progressive filling. */
-void rr_share_fill(rr_share_problem *problem);
+void rr_share_solve_by_filling(rr_share_problem *problem);
 
 /* Divides one resource by weighted max-min fairness: meets each demand up to a common multiple of
  * its weight. Sets out[i] to the allocation of demands[i]. */
--- a/src/admission/shares_fill.c
+++ b/src/admission/shares_fill.c
@@ -21,13 +21,13 @@
 
 /* Returns the pool's remaining capacity, by resource. */
 static double *get_pool_remaining(const struct filling *filling, guint pool) {
-    return &filling->remaining[(size_t)pool * RR_SHARE_RESOURCES];
+    return &filling->remaining[(size_t)pool * RR_SHARE_RESOURCE_COUNT];
 }
 
 /* Returns how much more of the row fits into a pool with this capacity left. */
 static double compute_fitting_allocation(const rr_share_row *row, const double *remaining) {
     double fits = INFINITY;
-    for (guint resource = 0; resource < RR_SHARE_RESOURCES; resource++) {
+    for (guint resource = 0; resource < RR_SHARE_RESOURCE_COUNT; resource++) {
         if (row->resource_use[resource] > EPSILON) {
             fits = fmin(fits, remaining[resource] / row->resource_use[resource]);
         }
@@ -64,7 +64,7 @@
         }
         double part = fmin(left, fits);
         double *remaining = get_pool_remaining(filling, best);
-        for (guint resource = 0; resource < RR_SHARE_RESOURCES; resource++) {
+        for (guint resource = 0; resource < RR_SHARE_RESOURCE_COUNT; resource++) {
             remaining[resource] -= part * row->resource_use[resource];
         }
         row->allocation += part;
@@ -136,10 +136,10 @@
 /* Sets the remaining capacity to the pools' capacity. Returns the total of the resource of which
  * there is most. */
 static double init_remaining(const struct filling *filling) {
-    double sums[RR_SHARE_RESOURCES] = {0};
+    double sums[RR_SHARE_RESOURCE_COUNT] = {0};
     for (guint pool = 0; pool < filling->problem->pool_count; pool++) {
         double *remaining = get_pool_remaining(filling, pool);
-        for (guint resource = 0; resource < RR_SHARE_RESOURCES; resource++) {
+        for (guint resource = 0; resource < RR_SHARE_RESOURCE_COUNT; resource++) {
             remaining[resource] = filling->problem->pools[pool].capacity[resource];
             sums[resource] += remaining[resource];
         }
@@ -147,11 +147,11 @@
     return fmax(sums[0], fmax(sums[1], sums[2]));
 }
 
-void rr_share_fill(rr_share_problem *problem) {
+void rr_share_solve_by_filling(rr_share_problem *problem) {
     struct filling filling = {
         .problem = problem,
         .remaining =
-            g_malloc0_n((size_t)problem->pool_count * RR_SHARE_RESOURCES + 1, sizeof(double)),
+            g_malloc0_n((size_t)problem->pool_count * RR_SHARE_RESOURCE_COUNT + 1, sizeof(double)),
         .saturated = g_malloc0_n(problem->row_count + 1, sizeof(bool)),
         .team_grows = g_malloc0_n(problem->team_count + 1, sizeof(bool)),
     };
--- a/src/admission/shares_levels.c
+++ b/src/admission/shares_levels.c
@@ -185,10 +185,10 @@
                   solve_teams(problem, timer, seconds, team_totals) &&
                   solve_rows(problem, timer, seconds, team_totals);
     if (!solved) {
-        rr_share_fill(problem);
+        rr_share_solve_by_filling(problem);
     }
     glp_free_env();
     g_free(team_totals);
     g_timer_destroy(timer);
-    return solved ? RR_SHARE_BY_PROGRAM : RR_SHARE_BY_FILLING;
+    return solved ? RR_SHARE_METHOD_LINEAR_PROGRAM : RR_SHARE_METHOD_PROGRESSIVE_FILLING;
 }
--- a/src/admission/table.c
+++ b/src/admission/table.c
@@ -26,7 +26,7 @@
     g_array_sort(table->rows, compare_ids);
 }
 
-const rr_admission_row *rr_admission_table_row(const rr_admission_table *table, uint64_t id) {
+const rr_admission_row *rr_admission_table_find_row(const rr_admission_table *table, uint64_t id) {
     guint low = 0, high = table->rows->len;
     while (low < high) {
         guint middle = low + (high - low) / 2;
@@ -43,8 +43,8 @@
     return NULL;
 }
 
-const rr_admission_team *rr_admission_table_team(const rr_admission_table *table,
-                                                 const char *name) {
+const rr_admission_team *rr_admission_table_find_team(const rr_admission_table *table,
+                                                      const char *name) {
     for (guint i = 0; i < table->teams->len; i++) {
         const rr_admission_team *team = &g_array_index(table->teams, rr_admission_team, i);
         if (strcmp(team->name, name) == 0) {
--- a/src/admission/table_records.c
+++ b/src/admission/table_records.c
@@ -17,8 +17,8 @@
 #define CORRECTION_UNITS 1000.0
 
 void rr_admission_record_key(uint64_t sequence, guint part, char *out, size_t size) {
-    g_snprintf(out, size, RR_ADMISSION_PREFIX "%u/%u", (unsigned)(sequence % RR_ADMISSION_SLOTS),
-               part);
+    g_snprintf(out, size, RR_ADMISSION_KEY_PREFIX "%u/%u",
+               (unsigned)(sequence % RR_ADMISSION_SLOT_COUNT), part);
 }
 
 /* ---- encoding ---- */
@@ -88,7 +88,7 @@
 static void encode_team(rr_encoder *out, const rr_admission_team *team) {
     rr_encode_array(out, 3);
     rr_encode_text(out, team->name);
-    rr_encode_u64(out, (uint64_t)(team->fair_room * FAIR_SHARE_UNITS));
+    rr_encode_u64(out, (uint64_t)(team->fair_share * FAIR_SHARE_UNITS));
     rr_encode_u64(out, (uint64_t)(team->correction * CORRECTION_UNITS));
 }
 
@@ -103,7 +103,7 @@
                           guint record_count, rr_encoder *out) {
     rr_encoder_init(out);
     rr_encode_map(out, 11);
-    rr_encode_key_u64(out, "v", RR_ADMISSION_VERSION);
+    rr_encode_key_u64(out, "v", RR_ADMISSION_RECORD_VERSION);
     rr_encode_key_u64(out, "sequence", table->sequence);
     rr_encode_key_u64(out, "parts", record_count);
     rr_encode_key_number(out, "starts_at", table->starts_at);
@@ -148,8 +148,8 @@
     uint64_t phase;
     if (!is_array_of_three(object) || !rr_object_get_u64(&object->via.array.ptr[0], &row->id) ||
         !rr_object_get_u64(&object->via.array.ptr[1], &phase) ||
-        !rr_object_get_u64(&object->via.array.ptr[2], &row->share) || phase >= RR_ADMISSION_FULL ||
-        row->share > RR_ADMISSION_FULL) {
+        !rr_object_get_u64(&object->via.array.ptr[2], &row->share) ||
+        phase >= RR_ADMISSION_SHARE_FULL || row->share > RR_ADMISSION_SHARE_FULL) {
         return false;
     }
     row->phase = (uint32_t)phase;
@@ -164,7 +164,7 @@
         !rr_object_get_u64(&object->via.array.ptr[2], &correction)) {
         return false;
     }
-    team->fair_room = (double)fair_share / FAIR_SHARE_UNITS;
+    team->fair_share = (double)fair_share / FAIR_SHARE_UNITS;
     team->correction = (double)correction / CORRECTION_UNITS;
     return true;
 }
@@ -178,7 +178,7 @@
 /* Reads everything except the lists. Returns false if a value is missing or not allowed. */
 static bool read_header(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
     uint64_t version;
-    return rr_map_get_u64(value, "v", &version) && version == RR_ADMISSION_VERSION &&
+    return rr_map_get_u64(value, "v", &version) && version == RR_ADMISSION_RECORD_VERSION &&
            rr_map_get_u64(value, "sequence", &table->sequence) && table->sequence != 0 &&
            rr_map_get_u64(value, "parts", parts) && *parts != 0 &&
            *parts <= RR_ADMISSION_PARTS_MAX &&
--- a/src/admission/table_records.h
+++ b/src/admission/table_records.h
@@ -8,9 +8,9 @@
 
 #include "admission/table.h"
 
-#define RR_ADMISSION_PREFIX RR_KEY_ROOT "admission/"
-#define RR_ADMISSION_VERSION 1 /* of the record format */
-#define RR_ADMISSION_SLOTS 2
+#define RR_ADMISSION_KEY_PREFIX RR_KEY_ROOT "admission/"
+#define RR_ADMISSION_RECORD_VERSION 1 /* of the record format */
+#define RR_ADMISSION_SLOT_COUNT 2
 #define RR_ADMISSION_PARTS_MAX 16 /* records of one table */
 
 /* Writes the store key of one part of the table with this sequence number to out. */
--- a/src/admission/verdict.c
+++ b/src/admission/verdict.c
@@ -27,8 +27,10 @@
  * table does not limit the key. */
 static const rr_admission_row *find_row(const rr_admission_table *table,
                                         const rr_admission_key *key) {
-    const rr_admission_row *row = rr_admission_table_row(table, key->id);
-    return row ? row : rr_admission_table_row(table, rr_admission_rest_id(key->team, key->band));
+    const rr_admission_row *row = rr_admission_table_find_row(table, key->id);
+    return row ? row
+               : rr_admission_table_find_row(table,
+                                             rr_admission_default_row_id(key->team, key->band));
 }
 
 /* Returns the distance on the ring from the start of the window to the job. `intervals`: whole
@@ -43,7 +45,7 @@
  * Jobs of a key without a share retry in the next interval, when there may be capacity for them. */
 static double intervals_until_retry(const rr_admission_row *row, uint32_t distance) {
     if (row->share == 0) {
-        return 1 + RETRY_SPREAD * (double)distance / (double)RR_ADMISSION_FULL;
+        return 1 + RETRY_SPREAD * (double)distance / (double)RR_ADMISSION_SHARE_FULL;
     }
     double windows_ahead = (double)distance / (double)row->share;
     return floor(windows_ahead) + RETRY_SPREAD * (windows_ahead - floor(windows_ahead));
@@ -61,7 +63,7 @@
                                             const rr_admission_key *key, uint32_t position) {
     struct table_verdict verdict = {true, 0};
     const rr_admission_row *row = table && table->active ? find_row(table, key) : NULL;
-    if (!row || row->share >= RR_ADMISSION_FULL) {
+    if (!row || row->share >= RR_ADMISSION_SHARE_FULL) {
         return verdict;
     }
     double intervals = floor((wall - table->starts_at) / table->length_s);
@@ -80,8 +82,9 @@
                                          const char *job_id) {
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
     const rr_admission_table *table = rr_admission_table_in_force(tables, wall);
-    if (table && table->active && wall > table->starts_at + rr_admission_valid_s(table->length_s)) {
-        verdict.kind = RR_ADMISSION_STALE;
+    if (table && table->active &&
+        wall > table->starts_at + rr_admission_table_validity_s(table->length_s)) {
+        verdict.kind = RR_ADMISSION_NO_VALID_TABLE;
         return verdict;
     }
     uint32_t position = get_ring_position(job_id);
@@ -95,7 +98,7 @@
     if (!admit) {
         /* Adds the error of both clocks, so that the retry arrives after the interval boundary. */
         double wait_s = ceil(current.wait_s + 2 * clock_error_s);
-        verdict.kind = RR_ADMISSION_WAIT;
+        verdict.kind = RR_ADMISSION_RETRY_LATER;
         verdict.retry_after_s = (int)fmax(1, fmin(wait_s, RR_RETRY_AFTER_MAX_S));
     }
     return verdict;
--- a/src/admission/verdict.h
+++ b/src/admission/verdict.h
@@ -14,20 +14,20 @@
 /* Number of intervals after its own for which a table stays valid. */
 #define RR_ADMISSION_STALE_INTERVALS 3
 /* Returns how long a table is valid, in seconds from the start of its interval. */
-static inline double rr_admission_valid_s(double interval_s) {
+static inline double rr_admission_table_validity_s(double interval_s) {
     return (1 + RR_ADMISSION_STALE_INTERVALS) * interval_s;
 }
 /* The protocol's limit on the Retry-After of a refusal. */
 #define RR_RETRY_AFTER_MAX_S 30
 
-enum rr_admission_kind {
+enum rr_admission_verdict_kind {
     RR_ADMISSION_ADMIT,
-    RR_ADMISSION_WAIT, /* refused for now: the window has not reached the job */
-    RR_ADMISSION_STALE /* undecided or refused: there is no valid table */
+    RR_ADMISSION_RETRY_LATER,   /* refused for now: the window has not reached the job */
+    RR_ADMISSION_NO_VALID_TABLE /* undecided or refused: there is no valid table */
 };
 
 typedef struct {
-    enum rr_admission_kind kind;
+    enum rr_admission_verdict_kind kind;
     int retry_after_s; /* seconds after which the user should retry, RR_RETRY_AFTER_MAX_S at
                           most; 0: admitted, or undecided */
 } rr_admission_verdict;
@@ -37,10 +37,10 @@
     const rr_admission_table *newest, *previous;
 } rr_admission_tables;
 
-/* Decides on a job. Returns RR_ADMISSION_STALE, with retry_after_s 0, if the table in force limits
- * admission and is no longer valid. clock_error_s: bound on the error of the wall clock. Closer
- * than that to the boundary of two intervals, a job is admitted only if both admit it, because
- * controllers may then disagree on which interval's window applies. */
+/* Decides on a job. Returns RR_ADMISSION_NO_VALID_TABLE, with retry_after_s 0, if the table in
+ * force limits admission and is no longer valid. clock_error_s: bound on the error of the wall
+ * clock. Closer than that to the boundary of two intervals, a job is admitted only if both admit
+ * it, because controllers may then disagree on which interval's window applies. */
 rr_admission_verdict rr_admission_decide(const rr_admission_tables *tables, double wall,
                                          double clock_error_s, const rr_admission_key *key,
                                          const char *job_id);
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -22,9 +22,9 @@
 struct rr_admission_writer {
     const struct rr_config *config;
     const rr_admission_settings *settings;
-    rr_amount capacity;       /* at the last call of rr_admission_writer_next */
-    double last_made_at;      /* monotonic time of that call; 0: none */
-    unsigned recovery_tables; /* tables in a row with little work */
+    rr_resource_amount capacity; /* at the last call of rr_admission_writer_make_table */
+    double last_made_at;         /* monotonic time of that call; 0: none */
+    unsigned recovery_tables;    /* tables in a row with little work */
     rr_admission_estimates estimates;
     rr_admission_writer_stats stats;
 };
@@ -53,8 +53,8 @@
     return (floor(wall / length_s) + 1) * length_s;
 }
 
-bool rr_admission_writer_due(const rr_admission_writer *writer, const rr_admission_table *newest,
-                             double wall) {
+bool rr_admission_writer_is_due(const rr_admission_writer *writer, const rr_admission_table *newest,
+                                double wall) {
     double length_s = writer->settings->interval_s,
            next_start = compute_next_interval_start(writer, wall);
     bool written = newest->sequence && newest->starts_at > next_start - length_s / 2;
@@ -120,7 +120,7 @@
 /* Returns where the row's window begins, which is where the newest table's window will have ended
  * by then. Rows that the newest table does not have begin at a position given by their id. */
 static uint32_t compute_phase(const rr_admission_table *newest, uint64_t id, double starts_at) {
-    const rr_admission_row *row = newest->active ? rr_admission_table_row(newest, id) : NULL;
+    const rr_admission_row *row = newest->active ? rr_admission_table_find_row(newest, id) : NULL;
     if (!row) {
         return (uint32_t)id;
     }
@@ -131,7 +131,7 @@
 static void add_row(rr_admission_table *out, const rr_admission_table *newest, uint64_t id,
                     double share) {
     rr_admission_row row = {.id = id, .phase = compute_phase(newest, id, out->starts_at)};
-    row.share = (uint64_t)(share * (double)RR_ADMISSION_FULL);
+    row.share = (uint64_t)(share * (double)RR_ADMISSION_SHARE_FULL);
     g_array_append_val(out->rows, row);
 }
 
@@ -150,7 +150,7 @@
         bool ends_group = !(next && rr_admission_is_same_group(next, entry));
         if (ends_group && entry->key && least < 1) {
             const char *team = writer->config->teams[entry->team].name;
-            add_row(out, newest, rr_admission_rest_id(team, entry->band), least);
+            add_row(out, newest, rr_admission_default_row_id(team, entry->band), least);
         }
     }
 }
@@ -158,7 +158,7 @@
 static void add_teams(const rr_admission_writer *writer, const double *fair_shares,
                       rr_admission_table *out) {
     for (size_t i = 0; i < writer->config->team_count; i++) {
-        rr_admission_team team = {.fair_room = fair_shares[i],
+        rr_admission_team team = {.fair_share = fair_shares[i],
                                   .correction = writer->estimates.correction[i]};
         g_strlcpy(team.name, writer->config->teams[i].name, sizeof team.name);
         g_array_append_val(out->teams, team);
@@ -173,7 +173,7 @@
     double fair_shares[RR_TEAMS_MAX] = {0};
     rr_admission_compute_fair_shares(writer->config, load, fair_shares);
     enum rr_share_method method = rr_admission_allocate(writer->config, load, entries, allocations);
-    writer->stats.fallbacks += method == RR_SHARE_BY_FILLING;
+    writer->stats.filling_fallbacks += method == RR_SHARE_METHOD_PROGRESSIVE_FILLING;
     limit_to_fair_shares(writer, entries, fair_shares, allocations);
     for (guint i = 0; i < entries->len; i++) {
         shares[i] =
@@ -186,7 +186,7 @@
     add_default_rows(writer, newest, entries, shares, out);
     add_teams(writer, fair_shares, out);
     rr_admission_table_sort(out);
-    writer->stats.rows = out->rows->len;
+    writer->stats.row_count = out->rows->len;
     g_free(shares);
     g_free(allocations);
 }
@@ -207,7 +207,8 @@
  * waiting work takes longer than enter_backlog_s while the cluster is not growing. It ends after
  * RECOVERY_TABLES tables in a row for which waiting and requested work take less than
  * leave_backlog_s. */
-static bool is_overloaded(rr_admission_writer *writer, rr_amount capacity_before, bool active) {
+static bool is_overloaded(rr_admission_writer *writer, rr_resource_amount capacity_before,
+                          bool active) {
     const rr_admission_settings *settings = writer->settings;
     if (!active) {
         bool is_growing =
@@ -216,18 +217,19 @@
         writer->recovery_tables = 0;
         return writer->stats.backlog_s > settings->enter_backlog_s && !is_growing;
     }
-    bool recovering = writer->stats.backlog_s + writer->stats.asked_s < settings->leave_backlog_s;
+    bool recovering =
+        writer->stats.backlog_s + writer->stats.requested_s < settings->leave_backlog_s;
     writer->recovery_tables = recovering ? writer->recovery_tables + 1 : 0;
     return writer->recovery_tables < RECOVERY_TABLES;
 }
 
 /* Updates the figures for the log, on which the detection of overload also relies. */
 static void sum_entries(rr_admission_writer *writer, const GArray *entries) {
-    writer->stats.backlog_s = writer->stats.asked_s = 0;
+    writer->stats.backlog_s = writer->stats.requested_s = 0;
     for (guint i = 0; i < entries->len; i++) {
         const rr_admission_entry *entry = &g_array_index(entries, rr_admission_entry, i);
         writer->stats.backlog_s += entry->backlog;
-        writer->stats.asked_s += entry->requested;
+        writer->stats.requested_s += entry->requested;
     }
 }
 
@@ -242,16 +244,16 @@
     out->mem_gb = writer->capacity.mem_gb;
 }
 
-static bool has_capacity(rr_amount capacity) {
+static bool has_capacity(rr_resource_amount capacity) {
     return capacity.cpus > 0 || capacity.gpus > 0 || capacity.mem_gb > 0;
 }
 
-bool rr_admission_writer_next(rr_admission_writer *writer, const rr_offered_load *load,
-                              const GArray *demand, const rr_admission_table *newest, double wall,
-                              double now, rr_admission_table *out) {
-    rr_amount capacity_before = writer->capacity;
+bool rr_admission_writer_make_table(rr_admission_writer *writer, const rr_offered_load *load,
+                                    const GArray *demand, const rr_admission_table *newest,
+                                    double wall, double now, rr_admission_table *out) {
+    rr_resource_amount capacity_before = writer->capacity;
     bool active = newest->sequence && newest->active;
-    writer->capacity = rr_load_capacity(load);
+    writer->capacity = rr_offered_load_capacity(load);
     reset_after_gap(writer, now);
     double passed_s = writer->last_made_at > 0 ? now - writer->last_made_at : 0;
     rr_admission_estimates_update(&writer->estimates, writer->config, load, newest, passed_s);
--- a/src/admission/writer.h
+++ b/src/admission/writer.h
@@ -17,23 +17,23 @@
 
 /* Returns whether it is time to collect the load and make the table of the next interval. newest:
  * the newest table (sequence 0: none). wall: wall-clock time in seconds. */
-bool rr_admission_writer_due(const rr_admission_writer *writer, const rr_admission_table *newest,
-                             double wall);
+bool rr_admission_writer_is_due(const rr_admission_writer *writer, const rr_admission_table *newest,
+                                double wall);
 
 /* Makes the table of the next interval, which the caller clears in either case. Returns whether to
  * store it: under overload, and once when overload has ended, with an inactive table. wall and now:
  * wall-clock and monotonic time in seconds. */
-bool rr_admission_writer_next(rr_admission_writer *writer, const rr_offered_load *load,
-                              const GArray *demand /* rr_demand_total */,
-                              const rr_admission_table *newest, double wall, double now,
-                              rr_admission_table *out);
+bool rr_admission_writer_make_table(rr_admission_writer *writer, const rr_offered_load *load,
+                                    const GArray *demand /* rr_demand_total */,
+                                    const rr_admission_table *newest, double wall, double now,
+                                    rr_admission_table *out);
 
-/* Figures for the log, of the last call of rr_admission_writer_next. */
+/* Figures for the log, of the last call of rr_admission_writer_make_table. */
 typedef struct {
-    double backlog_s;   /* time the whole cluster would take for all waiting work */
-    double asked_s;     /* the same for the jobs that request admission */
-    uint64_t fallbacks; /* since creation: tables made by progressive filling */
-    guint rows;         /* of the last active table */
+    double backlog_s;           /* time the whole cluster would take for all waiting work */
+    double requested_s;         /* the same for the jobs that request admission */
+    uint64_t filling_fallbacks; /* since creation: tables made by progressive filling */
+    guint row_count;            /* of the last active table */
 } rr_admission_writer_stats;
 /* Copies the figures to *out. */
 void rr_admission_writer_get_stats(const rr_admission_writer *writer,
--- a/src/app/admission.c
+++ b/src/app/admission.c
@@ -9,9 +9,9 @@
 
 #include <errno.h>
 
-/* Passes a record under RR_ADMISSION_PREFIX from the store cache to the admission package, and logs
- * the first one that could not be read. An rr_core_record_fn; user is the struct rr_app_admission.
- * Caller holds rr_app.lock. */
+/* Passes a record under RR_ADMISSION_KEY_PREFIX from the store cache to the admission package, and
+ * logs the first one that could not be read. An rr_core_record_fn; user is the struct
+ * rr_app_admission. Caller holds rr_app.lock. */
 static void on_admission_record(void *user, const char *key_suffix, const msgpack_object *value,
                                 uint64_t version) {
     struct rr_app_admission *state = user;
@@ -39,7 +39,7 @@
     state->admission = rr_admission_create(&app->config, &app->admission_settings);
     state->writer = rr_admission_writer_create(&app->config, &app->admission_settings);
     rr_offered_load_init(&state->offered_load, &app->admission_settings);
-    rr_core_watch_records(app->core, RR_ADMISSION_PREFIX, on_admission_record, state);
+    rr_core_watch_records(app->core, RR_ADMISSION_KEY_PREFIX, on_admission_record, state);
     app->admission = state;
     return 0;
 }
@@ -62,7 +62,8 @@
     double now = rr_steady_clock_s();
     pthread_mutex_lock(&app->lock);
     rr_admission_context context = {.lease_valid = rr_core_lease_valid(app->core, now),
-                                    .all_capable = rr_core_all_members_support_admission(app->core),
+                                    .all_support_admission =
+                                        rr_core_all_members_support_admission(app->core),
                                     .cache_age_s = rr_core_cache_age(app->core, now),
                                     .controllers = rr_core_count_members(app->core)};
     pthread_mutex_unlock(&app->lock);
@@ -87,7 +88,7 @@
 void rr_app_admission_record_accepted(struct rr_app *app, const rr_submission *submission) {
     if (app->admission) {
         pthread_mutex_lock(&app->admission->lock);
-        rr_admission_accepted(app->admission->admission, submission);
+        rr_admission_record_accepted(app->admission->admission, submission);
         pthread_mutex_unlock(&app->admission->lock);
     }
 }
@@ -102,8 +103,8 @@
     uint64_t token = rr_core_fencing_token(app->core);
     pthread_mutex_unlock(&app->lock);
     pthread_mutex_lock(&state->lock);
-    int rc = rr_admission_take_demand(state->admission, (size_t)peer, token, data, length,
-                                      rr_steady_clock_s());
+    int rc = rr_admission_receive_demand_view(state->admission, (size_t)peer, token, data, length,
+                                              rr_steady_clock_s());
     pthread_mutex_unlock(&state->lock);
     if (rc == -EBADMSG) {
         rr_log(RR_DEBUG_LEVEL, "admission: dropped a peer's malformed demand view");
@@ -117,7 +118,8 @@
         return;
     }
     pthread_mutex_lock(&state->lock);
-    const rr_admission_table *table = rr_admission_table_at(state->admission, rr_wall_clock_s());
+    const rr_admission_table *table =
+        rr_admission_get_table_at(state->admission, rr_wall_clock_s());
     bool active = table && table->active;
     rr_admission_writer_stats writer_stats = state->writer_stats;
     rr_admission_get_stats(state->admission, &stats);
@@ -128,7 +130,7 @@
            " of them without a valid table, %" G_GUINT64_FORMAT
            " demand views dropped, %" G_GUINT64_FORMAT " records unreadable, %" G_GUINT64_FORMAT
            " tables computed by progressive filling",
-           active ? "limits" : "admits all", writer_stats.backlog_s, writer_stats.asked_s,
-           writer_stats.rows, stats.admitted, stats.refused, stats.refused_stale,
-           stats.frames_dropped, stats.unreadable_records, writer_stats.fallbacks);
+           active ? "limits" : "admits all", writer_stats.backlog_s, writer_stats.requested_s,
+           writer_stats.row_count, stats.admitted, stats.refused, stats.refused_without_table,
+           stats.frames_dropped, stats.unreadable_records, writer_stats.filling_fallbacks);
 }
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -35,7 +35,7 @@
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
-    rr_admission_forget_accepted(state->admission, is_job_known, app);
+    rr_admission_remove_accepted(state->admission, is_job_known, app);
     pthread_mutex_unlock(&state->lock);
     pthread_mutex_unlock(&app->lock);
 }
@@ -58,7 +58,7 @@
     pthread_mutex_unlock(&app->lock);
     GByteArray *view = g_byte_array_new();
     pthread_mutex_lock(&state->lock);
-    bool announced = capable && rr_admission_announce(state->admission, token, view);
+    bool announced = capable && rr_admission_encode_demand_view(state->admission, token, view);
     pthread_mutex_unlock(&state->lock);
     if (announced) {
         rr_peers_send_demand(app->peers, view->data, view->len);
@@ -69,7 +69,7 @@
 /* Adds a machine to the offered load; an rr_core_machine_fn. */
 static void add_machine(void *user, const char *type, const char *zone, double cpu, double gpu,
                         double mem) {
-    rr_offered_load_add_machine(user, type, zone, (rr_amount){cpu, gpu, mem});
+    rr_offered_load_add_machine(user, type, zone, (rr_resource_amount){cpu, gpu, mem});
 }
 
 /* Adds a job to the offered load; an rr_core_job_fn. */
@@ -89,16 +89,16 @@
     bool writes = rr_core_cache_consistent(app->core) && rr_core_is_autoscaler(app->core, now) &&
                   rr_core_all_members_support_admission(app->core);
     if (writes) {
-        rr_offered_load_begin(&state->offered_load);
+        rr_offered_load_begin_snapshot(&state->offered_load);
         rr_core_foreach_machine(app->core, add_machine, &state->offered_load);
         rr_core_foreach_job(app->core, add_job, &state->offered_load);
         rr_core_guard_term(app->core, transaction);
         pthread_mutex_lock(&state->lock);
-        const rr_admission_table *table = rr_admission_newest(state->admission);
+        const rr_admission_table *table = rr_admission_get_newest_table(state->admission);
         *newest = *table;
         newest->rows = g_array_copy(table->rows);
         newest->teams = g_array_copy(table->teams);
-        rr_admission_demand(state->admission, now, demand);
+        rr_admission_append_total_demand(state->admission, now, demand);
         pthread_mutex_unlock(&state->lock);
     }
     pthread_mutex_unlock(&app->lock);
@@ -140,8 +140,9 @@
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     if (gather_table_input(app, demand, &newest, &transaction)) {
-        bool needed = rr_admission_writer_next(state->writer, &state->offered_load, demand, &newest,
-                                               rr_wall_clock_s(), rr_steady_clock_s(), &table);
+        bool needed =
+            rr_admission_writer_make_table(state->writer, &state->offered_load, demand, &newest,
+                                           rr_wall_clock_s(), rr_steady_clock_s(), &table);
         rr_log(RR_DEBUG_LEVEL, "admission: computed table %" G_GUINT64_FORMAT ", %u rows%s",
                table.sequence, table.rows->len, needed ? "" : ", not needed");
         bool settled = !needed || commit_table(app, store, &table, &transaction);
@@ -166,8 +167,9 @@
 static void set_fair_shares(struct rr_app *app, const rr_admission_table *table) {
     double shares[RR_TEAMS_MAX];
     for (size_t i = 0; i < app->config.team_count; i++) {
-        const rr_admission_team *team = rr_admission_table_team(table, app->config.teams[i].name);
-        shares[i] = team ? team->fair_room : 1;
+        const rr_admission_team *team =
+            rr_admission_table_find_team(table, app->config.teams[i].name);
+        shares[i] = team ? team->fair_share : 1;
     }
     rr_core_set_fair_shares(app->core, shares, table->cpus, table->gpus, table->mem_gb);
 }
@@ -178,9 +180,9 @@
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
-    const rr_admission_table *table = rr_admission_table_at(state->admission, wall);
+    const rr_admission_table *table = rr_admission_get_table_at(state->admission, wall);
     bool in_force = table && table->active && rr_core_all_members_support_admission(app->core) &&
-                    wall < table->starts_at + rr_admission_valid_s(table->length_s);
+                    wall < table->starts_at + rr_admission_table_validity_s(table->length_s);
     uint64_t sequence = in_force ? table->sequence : 0;
     if (in_force && sequence != state->fair_shares_sequence) {
         set_fair_shares(app, table);
@@ -199,7 +201,8 @@
         return false;
     }
     pthread_mutex_lock(&state->lock);
-    bool due = rr_admission_writer_due(state->writer, rr_admission_newest(state->admission), wall);
+    bool due = rr_admission_writer_is_due(state->writer,
+                                          rr_admission_get_newest_table(state->admission), wall);
     pthread_mutex_unlock(&state->lock);
     return due;
 }
--- a/tests/admission_fixture.c
+++ b/tests/admission_fixture.c
@@ -15,7 +15,7 @@
 rr_admission_key make_key(const char *team, const char *job_class, uint32_t tasks) {
     rr_submission submission = make_submission(team, job_class, "req-1", tasks);
     rr_admission_key key;
-    rr_admission_key_of(&submission, test_band_limits, &key);
+    rr_admission_key_from_submission(&submission, test_band_limits, &key);
     return key;
 }
 
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -35,7 +35,7 @@
 
 /* A record of an admission table in the key-value store. */
 struct store_record {
-    char key_suffix[16]; /* its key after RR_ADMISSION_PREFIX */
+    char key_suffix[16]; /* its key after RR_ADMISSION_KEY_PREFIX */
     GByteArray *value;   /* NULL: not written yet */
     uint64_t version;    /* 0: not written yet */
 };
@@ -62,13 +62,13 @@
 
 /* Returns the controller's wall clock, including its offset. */
 static double controller_wall_s(const struct model *model, int controller) {
-    return START_WALL_S + model->state->now + model->clock_off_s[controller];
+    return START_WALL_S + model->state->now + model->clock_offset_s[controller];
 }
 
 void model_init(struct model *model, const char *const *teams) {
     memset(model, 0, sizeof *model);
     model->seed = 1;
-    model->seconds = 3600;
+    model->duration_s = 3600;
     model->cpus = 100;
     model->admission = true;
     struct rr_config *config = &model->config;
@@ -109,10 +109,10 @@
     }
 }
 
-/* Returns the record of a key RR_ADMISSION_PREFIX "slot/part", and sets its suffix. */
+/* Returns the record of a key RR_ADMISSION_KEY_PREFIX "slot/part", and sets its suffix. */
 static struct store_record *find_record(struct model_state *state, const char *key) {
     unsigned slot = 0, part = 0;
-    sscanf(key, RR_ADMISSION_PREFIX "%u/%u", &slot, &part);
+    sscanf(key, RR_ADMISSION_KEY_PREFIX "%u/%u", &slot, &part);
     struct store_record *record = &state->records[slot * RR_ADMISSION_PARTS_MAX + part];
     g_snprintf(record->key_suffix, sizeof record->key_suffix, "%u/%u", slot, part);
     return record;
@@ -183,14 +183,15 @@
 static void announce_demand(struct model *model) {
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         GByteArray *view = g_byte_array_new();
-        rr_admission_forget_accepted(model->controllers[i], is_job_accepted, model);
-        bool announced =
-            rr_admission_announce(model->controllers[i], 1, view) && !model->views_lost;
+        rr_admission_remove_accepted(model->controllers[i], is_job_accepted, model);
+        bool announced = rr_admission_encode_demand_view(model->controllers[i], 1, view) &&
+                         !model->demand_views_lost;
         for (int peer = 0; announced && peer < MODEL_CONTROLLERS; peer++) {
             if (peer != i) {
                 /* A controller's peer indexes leave out the controller itself. */
-                rr_admission_take_demand(model->controllers[peer], (size_t)(i < peer ? i : i - 1),
-                                         1, view->data, view->len, model->state->now);
+                rr_admission_receive_demand_view(model->controllers[peer],
+                                                 (size_t)(i < peer ? i : i - 1), 1, view->data,
+                                                 view->len, model->state->now);
             }
         }
         g_byte_array_free(view, TRUE);
@@ -200,8 +201,9 @@
 /* Fills in the capacity of the machines and the tasks of each accepted job. */
 static void collect_load(struct model *model, rr_offered_load *load) {
     struct model_state *state = model->state;
-    rr_offered_load_begin(load);
-    rr_offered_load_add_machine(load, "m1", "a", (rr_amount){model->cpus, 0, 4 * model->cpus});
+    rr_offered_load_begin_snapshot(load);
+    rr_offered_load_add_machine(load, "m1", "a",
+                                (rr_resource_amount){model->cpus, 0, 4 * model->cpus});
     GHashTableIter iterator;
     gpointer value;
     GHashTable *running_tasks = g_hash_table_new(NULL, NULL);
@@ -229,20 +231,21 @@
 static void write_table(struct model *model, int i) {
     struct model_state *state = model->state;
     rr_admission *admission = model->controllers[i];
-    const rr_admission_table *newest = rr_admission_newest(admission);
+    const rr_admission_table *newest = rr_admission_get_newest_table(admission);
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_admission_table table;
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     collect_load(model, &state->loads[i]);
-    rr_admission_demand(admission, state->now, demand);
-    bool wanted = rr_admission_writer_next(state->writers[i], &state->loads[i], demand, newest,
-                                           controller_wall_s(model, i), state->now, &table);
+    rr_admission_append_total_demand(admission, state->now, demand);
+    bool wanted =
+        rr_admission_writer_make_table(state->writers[i], &state->loads[i], demand, newest,
+                                       controller_wall_s(model, i), state->now, &table);
     bool fits = wanted && rr_admission_put_table(admission, &table, &transaction);
     if (fits && !commit_transaction(model, &transaction)) {
         model->conflicts++;
     }
-    if (fits && model->answers_lost) {
+    if (fits && model->commit_replies_lost) {
         /* Without a reply the writer retries, and the guards refuse the second commit. */
         model->lost_replies++;
         assert_false(commit_transaction(model, &transaction));
@@ -268,9 +271,9 @@
     }
     int writer = model->autoscaler;
     if (writer >= 0 && state->written_interval_s != interval_start_s &&
-        rr_admission_writer_due(state->writers[writer],
-                                rr_admission_newest(model->controllers[writer]),
-                                controller_wall_s(model, writer))) {
+        rr_admission_writer_is_due(state->writers[writer],
+                                   rr_admission_get_newest_table(model->controllers[writer]),
+                                   controller_wall_s(model, writer))) {
         state->written_interval_s = interval_start_s;
         write_table(model, writer);
     }
@@ -311,7 +314,7 @@
     struct model_state *state = model->state;
     for (unsigned i = 0; i < model->stream_count; i++) {
         const struct model_stream *stream = &model->streams[i];
-        double to_s = stream->to_s > 0 ? stream->to_s : model->seconds;
+        double to_s = stream->to_s > 0 ? stream->to_s : model->duration_s;
         double expected = stream->jobs_per_s * STEP_S;
         bool active = state->now >= stream->from_s && state->now < to_s;
         while (active && g_rand_double(state->random) < expected) {
@@ -326,7 +329,7 @@
                                              const struct job *job) {
     struct model_state *state = model->state;
     rr_admission_context context = {.lease_valid = true,
-                                    .all_capable = true,
+                                    .all_support_admission = true,
                                     .cache_age_s = state->now - state->cache_current_at[controller],
                                     .controllers = MODEL_CONTROLLERS};
     return rr_admission_check(model->controllers[controller], &job->submission, &context,
@@ -338,7 +341,7 @@
 static void compare_verdicts(struct model *model, const struct job *job, bool admitted) {
     bool clocks_differ = false, any_frozen = false;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
-        clocks_differ = clocks_differ || model->clock_off_s[i] != 0;
+        clocks_differ = clocks_differ || model->clock_offset_s[i] != 0;
         any_frozen = any_frozen || model->cache_frozen[i];
     }
     for (int i = 0; i < MODEL_CONTROLLERS && !clocks_differ && !any_frozen; i++) {
@@ -362,7 +365,7 @@
         }
     }
     if (verdict.kind == RR_ADMISSION_ADMIT) {
-        rr_admission_accepted(model->controllers[controller], &job->submission);
+        rr_admission_record_accepted(model->controllers[controller], &job->submission);
         model->admitted_jobs_by_controller[controller]++;
         model->admitted_cpu_s_by_controller[controller] +=
             job->submission.task_count * job->submission.runtime_estimate_s;
@@ -402,7 +405,7 @@
     result->wait_histogram[bin]++;
     result->wait_s += wait;
     result->wait_max_s = fmax(result->wait_max_s, wait);
-    result->begun++;
+    result->started++;
 }
 
 /* Whether a task of the job may be placed. While an active table is in force, a team stays within
@@ -410,13 +413,13 @@
  * CPUs used by the team of each stream. */
 static bool may_place(const struct model *model, const struct job *job, const double *used) {
     const rr_admission_table *table =
-        rr_admission_table_at(model->controllers[0], START_WALL_S + model->state->now);
+        rr_admission_get_table_at(model->controllers[0], START_WALL_S + model->state->now);
     if (!model->admission || !table || !table->active ||
         model->state->now - job->accepted_at > FAIR_SHARE_WAIT_MAX_S) {
         return true;
     }
-    const rr_admission_team *team = rr_admission_table_team(table, job->submission.team);
-    return !team || (used[job->stream] + 1) / model->cpus <= team->fair_room + 1e-6;
+    const rr_admission_team *team = rr_admission_table_find_team(table, job->submission.team);
+    return !team || (used[job->stream] + 1) / model->cpus <= team->fair_share + 1e-6;
 }
 
 static void finish_tasks(struct model *model) {
@@ -534,7 +537,7 @@
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         start_controller(model, i);
     }
-    unsigned steps = (unsigned)(model->seconds / STEP_S);
+    unsigned steps = (unsigned)(model->duration_s / STEP_S);
     for (unsigned step = 0; step < steps; step++) {
         state->now = step * STEP_S;
         if (model->each_second && step % (unsigned)(1 / STEP_S) == 0) {
@@ -575,28 +578,28 @@
 
 double model_wait_ratio(const struct model *model, unsigned stream) {
     const struct model_result *result = &model->results[stream];
-    return fair_wait_ratio(result->wait_s, result->begun, &result->fair,
+    return fair_wait_ratio(result->wait_s, result->started, &result->fair,
                            model->settings[0].interval_s);
 }
 
 double model_team_wait_ratio(const struct model *model, const char *team) {
     struct fair_result fair = {0, 0, 0};
     double wait_s = 0;
-    unsigned begun = 0;
+    unsigned started = 0;
     for (unsigned i = 0; i < model->stream_count; i++) {
         const struct model_result *result = &model->results[i];
         if (strcmp(model->streams[i].team, team) == 0) {
             wait_s += result->wait_s;
-            begun += result->begun;
+            started += result->started;
             fair.wait_s += result->fair.wait_s;
             fair.started += result->fair.started;
         }
     }
-    return fair_wait_ratio(wait_s, begun, &fair, model->settings[0].interval_s);
+    return fair_wait_ratio(wait_s, started, &fair, model->settings[0].interval_s);
 }
 
 void model_print(const struct model *model, const char *title) {
-    printf("%s, seed %u, %.0f s, %u tables\n", title, model->seed, model->seconds,
+    printf("%s, seed %u, %.0f s, %u tables\n", title, model->seed, model->duration_s,
            model->tables_written);
     for (unsigned i = 0; i < model->stream_count; i++) {
         const struct model_result *result = &model->results[i];
@@ -605,9 +608,9 @@
                "%5.2f; served %9.0f of fair %9.0f CPU s; "
                "waits <1 %u <5 %u <15 %u <30 %u <60 %u <120 %u <240 %u more %u\n",
                model->streams[i].team, model->streams[i].job_class, model->streams[i].tasks,
-               result->offered, result->accepted, result->abandoned, result->begun,
+               result->offered, result->accepted, result->abandoned, result->started,
                result->accepted ? result->time_to_accept_s / result->accepted : 0,
-               result->begun ? result->wait_s / result->begun : 0, result->wait_max_s,
+               result->started ? result->wait_s / result->started : 0, result->wait_max_s,
                result->fair.started ? result->fair.wait_s / result->fair.started : 0,
                model_wait_ratio(model, i), result->served_cpu_s, result->fair.served_cpu_s,
                result->wait_histogram[0], result->wait_histogram[1], result->wait_histogram[2],
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -28,7 +28,7 @@
     unsigned offered;           /* jobs that arrived */
     unsigned accepted;          /* jobs that a controller admitted */
     unsigned abandoned;         /* jobs whose users stopped retrying */
-    unsigned begun;             /* jobs of which a task started */
+    unsigned started;           /* jobs of which a task started */
     double time_to_accept_s;    /* sum over accepted jobs, from the first submission */
     double wait_s;              /* sum over started jobs */
     double wait_max_s;          /* longest wait of a started job */
@@ -40,19 +40,19 @@
 struct model {
     /* Parameters: the test sets them between model_init() and model_run(). */
     unsigned seed;
-    double seconds; /* length of the run */
-    double cpus;    /* of all machines */
-    bool admission; /* false: every job is accepted and placed in order of arrival */
+    double duration_s; /* length of the run */
+    double cpus;       /* of all machines */
+    bool admission;    /* false: every job is accepted and placed in order of arrival */
     struct model_stream streams[MODEL_STREAMS_MAX];
     unsigned stream_count;
     void (*each_second)(struct model *model, double now); /* NULL: none */
 
     /* Failures, which each_second() switches on and off. */
-    bool cache_frozen[MODEL_CONTROLLERS];  /* this controller's store cache gets no changes */
-    double clock_off_s[MODEL_CONTROLLERS]; /* added to this controller's wall clock */
-    int autoscaler;    /* index of the controller that writes tables; -1: none */
-    bool answers_lost; /* commits succeed, but the writer gets no reply */
-    bool views_lost;   /* no controller's view of the demand reaches its peers */
+    bool cache_frozen[MODEL_CONTROLLERS];     /* this controller's store cache gets no changes */
+    double clock_offset_s[MODEL_CONTROLLERS]; /* added to this controller's wall clock */
+    int autoscaler;           /* index of the controller that writes tables; -1: none */
+    bool commit_replies_lost; /* commits succeed, but the writer gets no reply */
+    bool demand_views_lost;   /* no controller's view of the demand reaches its peers */
 
     /* Defaults of model_init(), which the test may change. */
     struct rr_config config; /* of all controllers */
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -24,8 +24,8 @@
 static void cell_init(struct test_cell *cell, const char *name, const char *neighbour) {
     cell->store = fake_store_create();
     fake_store_put_machine_type(cell->store, "m1", 16, 4, 64, 10, 4);
-    test_controller_init(&cell->node, cell->store, "n0");
-    cell->node.config.cells = true;
+    test_controller_init(&cell->controller, cell->store, "n0");
+    cell->controller.config.cells = true;
     cell->settings = (rr_cells_settings){.enabled = true,
                                          .lease_s = 10,
                                          .stop_s = 5,
@@ -38,16 +38,16 @@
     add_neighbour(&cell->settings, neighbour, "far");
     cell->process_id = 100;
     cell->session_id = 7;
-    cell->transfers =
-        rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core, cell->process_id);
-    rr_core_watch_records(cell->node.core, RR_CELLS_KEY_PREFIX, on_record, cell);
-    test_controller_join(&cell->node, cell->session_id);
+    cell->transfers = rr_transfers_create(&cell->settings, &cell->controller.config,
+                                          cell->controller.core, cell->process_id);
+    rr_core_watch_records(cell->controller.core, RR_CELLS_KEY_PREFIX, on_record, cell);
+    test_controller_join(&cell->controller, cell->session_id);
 }
 
 static void cell_clear(struct test_cell *cell) {
     rr_transfers_destroy(cell->transfers);
     rr_cells_settings_clear(&cell->settings);
-    test_controller_clear(&cell->node);
+    test_controller_clear(&cell->controller);
     fake_store_destroy(cell->store);
 }
 
@@ -65,31 +65,31 @@
 }
 
 void cell_pair_advance(cell_pair *pair, double seconds) {
-    pair->home.node.now += seconds;
-    pair->guest.node.now += seconds;
+    pair->home.controller.now += seconds;
+    pair->guest.controller.now += seconds;
 }
 
-void cell_restart(struct test_cell *cell, bool new_process) {
-    test_controller_leave(&cell->node);
+void cell_restart_controller(struct test_cell *cell, bool new_process) {
+    test_controller_leave(&cell->controller);
     if (new_process) {
-        double now = cell->node.now;
+        double now = cell->controller.now;
         rr_transfers_destroy(cell->transfers);
-        test_controller_clear(&cell->node);
-        test_controller_init(&cell->node, cell->store, "n0");
-        cell->node.config.cells = true;
-        cell->node.now = now;
+        test_controller_clear(&cell->controller);
+        test_controller_init(&cell->controller, cell->store, "n0");
+        cell->controller.config.cells = true;
+        cell->controller.now = now;
         cell->process_id++;
-        cell->transfers = rr_transfers_create(&cell->settings, &cell->node.config, cell->node.core,
-                                              cell->process_id);
-        rr_core_watch_records(cell->node.core, RR_CELLS_KEY_PREFIX, on_record, cell);
-        fake_store_reload(cell->store, cell->node.core, now);
+        cell->transfers = rr_transfers_create(&cell->settings, &cell->controller.config,
+                                              cell->controller.core, cell->process_id);
+        rr_core_watch_records(cell->controller.core, RR_CELLS_KEY_PREFIX, on_record, cell);
+        fake_store_reload(cell->store, cell->controller.core, now);
     }
-    test_controller_join(&cell->node, ++cell->session_id);
+    test_controller_join(&cell->controller, ++cell->session_id);
 }
 
-void cell_fleet(struct test_cell *cell, int machines) {
+void cell_add_machines(struct test_cell *cell, int machines) {
     cell->machine_count = machines;
-    test_controller_add_machines(&cell->node, 1, machines, "a");
+    test_controller_add_machines(&cell->controller, 1, machines, "a");
 }
 
 /* State of all tasks in the present heartbeats; the callback gets no user data. */
@@ -105,7 +105,8 @@
     return shown_task_state;
 }
 
-unsigned cell_plan_with(struct test_cell *cell, const char *job_id, const char *task_state) {
+unsigned cell_plan_with_task_state(struct test_cell *cell, const char *job_id,
+                                   const char *task_state) {
     rr_plan plan;
     struct reporting_machines reporting = {.first = 1,
                                            .last = cell->machine_count,
@@ -118,37 +119,37 @@
                                            .sequence = 10 + ++cell->heartbeat_sequence,
                                            .state = show_task_state};
     shown_task_state = task_state;
-    test_controller_send_heartbeats(&cell->node, &reporting);
+    test_controller_send_heartbeats(&cell->controller, &reporting);
     unsigned stopped_tasks = 0;
-    test_controller_plan(&cell->node, &plan);
+    test_controller_plan(&cell->controller, &plan);
     for (guint i = 0; i < plan.command_batches->len; i++) {
         rr_command_batch *command = g_ptr_array_index(plan.command_batches, i);
         for (uint32_t task = 0; task < reporting.tasks_per_job; task++) {
             stopped_tasks +=
                 plan_find_command(&plan, command->machine, RR_COMMAND_STOP, job_id, task) != NULL;
         }
-        rr_core_record_command_result(cell->node.core, cell->node.now, command, RR_COMMAND_ANSWERED,
-                                      true);
+        rr_core_record_command_result(cell->controller.core, cell->controller.now, command,
+                                      RR_COMMAND_ANSWERED, true);
     }
     rr_plan_clear(&plan);
     return stopped_tasks;
 }
 
 void cell_plan(struct test_cell *cell, const char *job_id) {
-    cell_plan_with(cell, job_id, "running");
+    cell_plan_with_task_state(cell, job_id, "running");
 }
 
-void cell_submit(struct test_cell *cell, const struct test_job *job) {
-    fake_store_submit(cell->store, job, cell->node.now);
-    fake_store_sync(cell->store, cell->node.core, cell->node.now);
+void cell_submit_job(struct test_cell *cell, const struct test_job *job) {
+    fake_store_submit(cell->store, job, cell->controller.now);
+    fake_store_sync(cell->store, cell->controller.core, cell->controller.now);
 }
 
-bool cell_job(const struct test_cell *cell, const char *job_id, rr_core_job *out) {
+bool cell_find_job(const struct test_cell *cell, const char *job_id, rr_core_job *out) {
     memset(out, 0, sizeof *out);
-    return rr_core_find_job(cell->node.core, job_id, out);
+    return rr_core_find_job(cell->controller.core, job_id, out);
 }
 
-const char *cell_pair_local(const cell_pair *pair, const char *job_id, uint32_t claim) {
+const char *cell_pair_guest_job_id(const cell_pair *pair, const char *job_id, uint32_t claim) {
     static char id[RR_ID_SIZE];
     rr_cells_make_local_id(pair->home.settings.name, job_id, claim, id, sizeof id);
     return id;
@@ -164,7 +165,7 @@
         cell->on_write(cell->watcher, write);
     }
     bool succeeded = !refuse && fake_store_commit(cell->store, &write->transaction) == 0;
-    fake_store_sync(cell->store, cell->node.core, cell->node.now);
+    fake_store_sync(cell->store, cell->controller.core, cell->controller.now);
     return rr_transfers_complete_write(cell->transfers, write, succeeded);
 }
 
@@ -179,12 +180,12 @@
         from->on_request(from->watcher, frame);
     }
     assert_int_equal(rr_cells_request_unpack(frame->data + 8, frame->len - 8, &request), 0);
-    bool refuse = pair->refuse_commit && target == &pair->guest;
+    bool refuse = pair->fail_guest_commits && target == &pair->guest;
     for (guint i = 0; i < request.items->len; i++) {
         const rr_cells_item *item = &g_array_index(request.items, rr_cells_item, i);
         rr_transfer_message reply;
         rr_transfer_write write;
-        double now = target->node.now;
+        double now = target->controller.now;
         pair->offers_delivered += item->message.kind == RR_TRANSFER_OFFER;
         if (rr_transfers_receive_message(target->transfers, 0, &request, item, now, now, &reply,
                                          &write)) {
@@ -194,16 +195,16 @@
         if (target->on_reply) {
             target->on_reply(target->watcher, &reply);
         }
-        if (!pair->lose_replies &&
-            rr_transfers_receive_reply(from->transfers, 0, item, &reply, from->node.now,
-                                       from->node.now, &write)) {
+        if (!pair->drop_replies &&
+            rr_transfers_receive_reply(from->transfers, 0, item, &reply, from->controller.now,
+                                       from->controller.now, &write)) {
             commit_write(from, &write, false);
             rr_transfer_write_clear(&write);
         }
     }
-    rr_cells_room room = rr_transfers_get_free_room(target->transfers, target->node.now);
-    if (!pair->lose_replies) {
-        rr_transfers_set_neighbour_room(from->transfers, 0, &room, from->node.now);
+    rr_cells_room room = rr_transfers_get_free_room(target->transfers, target->controller.now);
+    if (!pair->drop_replies) {
+        rr_transfers_set_neighbour_room(from->transfers, 0, &room, from->controller.now);
     }
     rr_cells_request_clear(&request);
     g_byte_array_free(frame, TRUE);
@@ -212,16 +213,17 @@
 /* Commits what is due at one cell and sends its requests to the other. */
 static void advance_transfers(cell_pair *pair, struct test_cell *own, struct test_cell *other) {
     rr_transfers_plan plan;
-    bool under_way = pair->plan_under_way && own == &pair->home;
+    bool under_way = pair->home_plan_in_progress && own == &pair->home;
     rr_transfers_plan_init(&plan);
-    rr_transfers_advance(own->transfers, 0, !under_way, own->node.now, own->node.now, &plan);
+    rr_transfers_advance(own->transfers, 0, !under_way, own->controller.now, own->controller.now,
+                         &plan);
     for (guint i = 0; i < plan.writes->len; i++) {
         commit_write(own, g_ptr_array_index(plan.writes, i),
-                     pair->refuse_commit && own == &pair->guest);
+                     pair->fail_guest_commits && own == &pair->guest);
     }
     for (guint i = 0; i < plan.requests->len; i++) {
-        if (pair->cut) {
-            rr_transfers_record_no_reply(own->transfers, 0, own->node.now);
+        if (pair->link_down) {
+            rr_transfers_record_no_reply(own->transfers, 0, own->controller.now);
         } else {
             deliver_request(pair, own, other, g_ptr_array_index(plan.requests, i));
         }
@@ -230,15 +232,15 @@
 }
 
 void cell_pair_step(cell_pair *pair) {
-    if (!pair->home_dead) {
+    if (!pair->home_controllers_down) {
         advance_transfers(pair, &pair->home, &pair->guest);
     }
     advance_transfers(pair, &pair->guest, &pair->home);
 }
 
-void cell_pair_home_dies(cell_pair *pair) {
-    test_controller_leave(&pair->home.node);
-    pair->home_dead = pair->cut = true;
+void cell_pair_stop_home_controllers(cell_pair *pair) {
+    test_controller_leave(&pair->home.controller);
+    pair->home_controllers_down = pair->link_down = true;
 }
 
 /* Context of put_record(). */
@@ -264,7 +266,7 @@
 }
 
 void cell_pair_read_home(cell_pair *pair, rr_absent_cell *absent, GPtrArray *held_back) {
-    double now = pair->guest.node.now;
+    double now = pair->guest.controller.now;
     struct store_reading reading = {absent, now};
     rr_transfers_plan guest_plan;
     unsigned committed = 0;
@@ -309,8 +311,8 @@
 }
 
 void cell_pair_submit_overdue_job(cell_pair *pair, const struct test_job *job) {
-    cell_fleet(&pair->guest, 2);
-    cell_submit(&pair->home, job);
+    cell_add_machines(&pair->guest, 2);
+    cell_submit_job(&pair->home, job);
     cell_pair_advance(pair, 31);
 }
 
@@ -321,14 +323,14 @@
 const char *cell_pair_transfer_job(cell_pair *pair) {
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
     cell_pair_run_for(pair, 3);
-    cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1));
-    const char *local = cell_pair_local(pair, CELL_PAIR_JOB_ID, 1);
+    cell_plan(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1));
+    const char *local = cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1);
     assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 2);
     return local;
 }
 
 void cell_pair_finish_at_guest(cell_pair *pair, const char *local) {
     for (int i = 0; i < 3; i++) {
-        cell_plan_with(&pair->guest, local, "ended:done");
+        cell_plan_with_task_state(&pair->guest, local, "ended:done");
     }
 }
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -12,7 +12,7 @@
 /* One cell with a single controller. */
 struct test_cell {
     fake_store *store;
-    test_controller node;
+    test_controller controller;
     rr_cells_settings settings;
     rr_transfers *transfers;
     uint64_t process_id; /* rises with each new process of the controller */
@@ -29,12 +29,12 @@
 
 typedef struct {
     struct test_cell home, guest;
-    bool home_dead;            /* the home has no controllers */
-    bool cut;                  /* the link delivers neither requests nor replies */
-    bool lose_replies;         /* the link delivers requests, but drops the replies */
-    bool refuse_commit;        /* the guest's commits fail, except those that follow a reply */
-    bool plan_under_way;       /* the home is planning, so it must not offer jobs */
-    unsigned offers_delivered; /* offers that have reached either cell */
+    bool home_controllers_down; /* the home has no controllers */
+    bool link_down;             /* the link delivers neither requests nor replies */
+    bool drop_replies;          /* the link delivers requests, but drops the replies */
+    bool fail_guest_commits;    /* the guest's commits fail, except those that follow a reply */
+    bool home_plan_in_progress; /* the home is planning, so it must not offer jobs */
+    unsigned offers_delivered;  /* offers that have reached either cell */
 } cell_pair;
 
 /* ---- fixtures and common scenarios ---- */
@@ -53,7 +53,7 @@
  * begin_wait_s, so that the job is due to be offered. */
 void cell_pair_submit_overdue_job(cell_pair *pair, const struct test_job *job);
 /* Submits cell_pair_job at the home, transfers it and starts its tasks at the guest. Returns the
- * guest's id of it, as cell_pair_local(). */
+ * guest's id of it, as cell_pair_guest_job_id(). */
 const char *cell_pair_transfer_job(cell_pair *pair);
 /* Ends all tasks of a transferred job as done. local: the guest's id of the job. */
 void cell_pair_finish_at_guest(cell_pair *pair, const char *local);
@@ -74,7 +74,7 @@
 /* Lets time pass in steps of half a second. */
 void cell_pair_run_for(cell_pair *pair, double seconds);
 /* Ends the session of the home's controller and cuts the link. */
-void cell_pair_home_dies(cell_pair *pair);
+void cell_pair_stop_home_controllers(cell_pair *pair);
 /* Reads the home's key-value store from the guest, as while the home has no controllers, and
  * commits the changes that follow at both cells. held_back: if not NULL, changes of the home's
  * store are added to it (rr_transfer_write *) instead of committed. */
@@ -86,20 +86,21 @@
 
 /* Restarts the cell's controller with a new session and term. new_process: its memory is lost, too,
  * and loaded again from the store. */
-void cell_restart(struct test_cell *cell, bool new_process);
+void cell_restart_controller(struct test_cell *cell, bool new_process);
 /* Adds operator-owned machines vm-1 and so on in zone a. */
-void cell_fleet(struct test_cell *cell, int machines);
+void cell_add_machines(struct test_cell *cell, int machines);
 /* Sends a heartbeat of each machine that shows the job's placed tasks in this state, then plans
  * once and reports all commands as executed. Returns how many tasks of the job the plan stops. */
-unsigned cell_plan_with(struct test_cell *cell, const char *job_id, const char *task_state);
-/* As cell_plan_with(), with running tasks. */
+unsigned cell_plan_with_task_state(struct test_cell *cell, const char *job_id,
+                                   const char *task_state);
+/* As cell_plan_with_task_state(), with running tasks. */
 void cell_plan(struct test_cell *cell, const char *job_id);
 /* Stores a submission of the job and brings the cell's core up to date. */
-void cell_submit(struct test_cell *cell, const struct test_job *job);
+void cell_submit_job(struct test_cell *cell, const struct test_job *job);
 /* Copies the core's state of the job to *out. Returns false if the core has no such job. */
-bool cell_job(const struct test_cell *cell, const char *job_id, rr_core_job *out);
+bool cell_find_job(const struct test_cell *cell, const char *job_id, rr_core_job *out);
 /* Returns the guest's id of a job of the home under this claim, in a buffer that the next call
  * overwrites. */
-const char *cell_pair_local(const cell_pair *pair, const char *job_id, uint32_t claim);
+const char *cell_pair_guest_job_id(const cell_pair *pair, const char *job_id, uint32_t claim);
 
 #endif
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -22,8 +22,8 @@
     first.machine_types = types;
     second.machine_types = swapped;
     first.machine_type_count = second.machine_type_count = 2;
-    rr_admission_key_of(&first, test_band_limits, &first_key);
-    rr_admission_key_of(&second, test_band_limits, &second_key);
+    rr_admission_key_from_submission(&first, test_band_limits, &first_key);
+    rr_admission_key_from_submission(&second, test_band_limits, &second_key);
     assert_true(first_key.id == second_key.id);
     assert_true(rr_admission_key_allows(&first_key, "g8", "z"));
     assert_false(rr_admission_key_allows(&first_key, "g", "z"));
@@ -33,16 +33,17 @@
     assert_true(make_key("red", "x", 1).id != make_key("red", "x", 8).id);
     assert_true(make_key("red", "x", 1).id != make_key("redx", "", 1).id);
     g_strlcpy(second.zone, "a", sizeof second.zone);
-    rr_admission_key_of(&second, test_band_limits, &second_key);
+    rr_admission_key_from_submission(&second, test_band_limits, &second_key);
     assert_true(first_key.id != second_key.id);
     assert_false(rr_admission_key_allows(&second_key, "a4", "z"));
 }
 
 /* Returns the verdict of a controller in this state, one of three. */
-static enum rr_admission_kind check_submission(rr_admission *admission, const rr_submission *job,
-                                               bool lease_valid, bool all_capable,
-                                               double cache_age_s) {
-    rr_admission_context context = {lease_valid, all_capable, cache_age_s, 3};
+static enum rr_admission_verdict_kind check_submission(rr_admission *admission,
+                                                       const rr_submission *job, bool lease_valid,
+                                                       bool all_support_admission,
+                                                       double cache_age_s) {
+    rr_admission_context context = {lease_valid, all_support_admission, cache_age_s, 3};
     return rr_admission_check(admission, job, &context, 1000, 50).kind;
 }
 
@@ -67,9 +68,9 @@
         assert_int_equal(check_submission(admission, &red, lease_valid, true, cache_age_s),
                          RR_ADMISSION_ADMIT);
         assert_int_equal(check_submission(admission, &red, lease_valid, true, cache_age_s),
-                         RR_ADMISSION_STALE);
+                         RR_ADMISSION_NO_VALID_TABLE);
         assert_int_equal(check_submission(admission, &blue, lease_valid, true, cache_age_s),
-                         RR_ADMISSION_STALE);
+                         RR_ADMISSION_NO_VALID_TABLE);
         assert_int_equal(check_submission(admission, &blue, lease_valid, false, cache_age_s),
                          RR_ADMISSION_ADMIT);
         assert_int_equal(check_submission(admission, &blue, true, true, 39.9), RR_ADMISSION_ADMIT);
--- a/tests/test_admission_demand.c
+++ b/tests/test_admission_demand.c
@@ -11,7 +11,7 @@
     for (unsigned i = first; i < first + count; i++) {
         char id[32];
         g_snprintf(id, sizeof id, "%s-%u", key->job_class, i);
-        rr_demand_refused(demand, key, id, (rr_work){10, 0, 20}, 1000);
+        rr_demand_record_refusal(demand, key, id, (rr_work){10, 0, 20}, 1000);
     }
 }
 
@@ -26,17 +26,17 @@
     for (guint i = 0; i < view_count; i++) {
         GByteArray *packed = g_byte_array_new();
         rr_demand_view view;
-        rr_demand_view_of(demands[i], 3, &view);
-        rr_demand_view_pack(&view, packed, 200000);
+        rr_demand_view_build(demands[i], 3, &view);
+        rr_demand_view_encode(&view, packed, 200000);
         rr_demand_view_clear(&view);
-        assert_int_equal(rr_demand_view_unpack(packed->data, packed->len, &views[i]), 0);
+        assert_int_equal(rr_demand_view_decode(packed->data, packed->len, &views[i]), 0);
         pointers[i] = &views[i];
         g_byte_array_free(packed, TRUE);
     }
-    rr_demand_merge(pointers, ages, view_count, totals);
+    rr_demand_merge_views(pointers, ages, view_count, totals);
     for (guint i = 0; i < totals->len; i++) {
         const rr_demand_total *total = &g_array_index(totals, rr_demand_total, i);
-        count = total->key.id == key->id ? total->count : count;
+        count = total->key.id == key->id ? total->job_count : count;
     }
     for (guint i = 0; i < view_count; i++) {
         rr_demand_view_clear(&views[i]);
@@ -73,10 +73,10 @@
     rr_admission_key flood = make_key("red", "flood", 1), large = make_key("blue", "large", 99);
     record_refused_jobs(demand, &flood, 3000, 6000);
     record_refused_jobs(demand, &large, 0, 1);
-    rr_demand_next_interval(demand, 1059);
-    assert_int_equal(rr_demand_waiting(demand), 6001);
-    rr_demand_next_interval(demand, 1061);
-    assert_int_equal(rr_demand_waiting(demand), 0);
+    rr_demand_start_interval(demand, 1059);
+    assert_int_equal(rr_demand_count_waiting_jobs(demand), 6001);
+    rr_demand_start_interval(demand, 1061);
+    assert_int_equal(rr_demand_count_waiting_jobs(demand), 0);
     rr_demand_destroy(demand);
 }
 
@@ -92,8 +92,8 @@
     unsigned current_ages[] = {0};
     rr_admission_key key = make_key("red", "x", 1);
     record_refused_jobs(demand, &key, 0, 40);
-    rr_demand_forget_accepted(demand, is_even_numbered, NULL);
-    assert_int_equal(rr_demand_waiting(demand), 20);
+    rr_demand_remove_accepted(demand, is_even_numbered, NULL);
+    assert_int_equal(rr_demand_count_waiting_jobs(demand), 20);
     assert_true(count_merged_jobs(demands, current_ages, 1, &key) == 20);
     rr_demand_destroy(demand);
 }
@@ -114,10 +114,10 @@
     rr_demand_view view, unpacked;
     GByteArray *packed = g_byte_array_new();
     bool found = false;
-    rr_demand_view_of(demand, 3, &view);
-    rr_demand_view_pack(&view, packed, 5000);
+    rr_demand_view_build(demand, 3, &view);
+    rr_demand_view_encode(&view, packed, 5000);
     assert_true(packed->len <= 5000 + 16);
-    assert_int_equal(rr_demand_view_unpack(packed->data, packed->len, &unpacked), 0);
+    assert_int_equal(rr_demand_view_decode(packed->data, packed->len, &unpacked), 0);
     assert_true(unpacked.entries->len < 100);
     for (guint i = 0; i < unpacked.entries->len; i++) {
         found = found || g_array_index(unpacked.entries, rr_demand_entry, i).key.id == single.id;
@@ -142,25 +142,27 @@
     admission_fixture_init(&fixture);
     rr_admission *admission = fixture.admission;
     record_refused_jobs(demand, &key, 0, 3);
-    rr_demand_view_of(demand, 4, &view);
-    rr_demand_view_pack(&view, frame, 5000);
+    rr_demand_view_build(demand, 4, &view);
+    rr_demand_view_encode(&view, frame, 5000);
     for (guint length = 0; length < frame->len; length++) {
-        assert_int_equal(rr_admission_take_demand(admission, 0, 4, frame->data, length, 1),
+        assert_int_equal(rr_admission_receive_demand_view(admission, 0, 4, frame->data, length, 1),
                          -EBADMSG);
     }
-    assert_int_equal(rr_admission_take_demand(admission, 0, 5, frame->data, frame->len, 1),
+    assert_int_equal(rr_admission_receive_demand_view(admission, 0, 5, frame->data, frame->len, 1),
                      -ESTALE);
-    assert_int_equal(
-        rr_admission_take_demand(admission, RR_CONTROLLERS_MAX, 4, frame->data, frame->len, 1),
-        -EBADMSG);
-    assert_int_equal(rr_admission_take_demand(admission, 0, 4, frame->data, frame->len, 1), 0);
+    assert_int_equal(rr_admission_receive_demand_view(admission, RR_CONTROLLERS_MAX, 4, frame->data,
+                                                      frame->len, 1),
+                     -EBADMSG);
+    assert_int_equal(rr_admission_receive_demand_view(admission, 0, 4, frame->data, frame->len, 1),
+                     0);
     guint8 extra_byte = 0;
     g_byte_array_append(frame, &extra_byte, 1);
-    assert_int_equal(rr_admission_take_demand(admission, 0, 4, frame->data, frame->len, 1),
+    assert_int_equal(rr_admission_receive_demand_view(admission, 0, 4, frame->data, frame->len, 1),
                      -EBADMSG);
     frame->data[0]++;
-    assert_int_equal(rr_admission_take_demand(admission, 0, 4, frame->data, frame->len - 1, 1),
-                     -EBADMSG);
+    assert_int_equal(
+        rr_admission_receive_demand_view(admission, 0, 4, frame->data, frame->len - 1, 1),
+        -EBADMSG);
     rr_admission_get_stats(admission, &stats);
     assert_int_equal(stats.frames_dropped, frame->len - 1 + 4);
     rr_demand_view_clear(&view);
--- a/tests/test_admission_hour.c
+++ b/tests/test_admission_hour.c
@@ -53,7 +53,7 @@
     }
     for (unsigned i = 0; i < model->stream_count; i++) {
         const struct model_result *result = &model->results[i];
-        assert_true(result->begun > 0);
+        assert_true(result->started > 0);
         assert_true(model_wait_ratio(model, i) <= 2);
         assert_true(result->served_cpu_s >= 0.5 * result->fair.served_cpu_s);
     }
@@ -82,7 +82,7 @@
     struct model model;
     init_skewed_load(&model);
     model.admission = false;
-    model.seconds = 900;
+    model.duration_s = 900;
     model_run(&model);
     assert_true(model_team_wait_ratio(&model, "gold") > 10);
     assert_true(model_team_wait_ratio(&model, "green") > 10);
@@ -122,7 +122,7 @@
     for (int guarantee = 0; guarantee <= 30; guarantee += 30) {
         struct model model;
         init_skewed_load(&model);
-        model.seconds = 2100;
+        model.duration_s = 2100;
         model.config.teams[1].cpus = guarantee;
         model.each_second = freeze_second_cache;
         model_run(&model);
@@ -150,14 +150,14 @@
     if (second % 47 == 8) {
         model->autoscaler = (int)(second / 47 % MODEL_CONTROLLERS);
     }
-    model->answers_lost = second / 100 % 2;
+    model->commit_replies_lost = second / 100 % 2;
 }
 
 static void service_stays_fair_through_autoscaler_changes_and_lost_replies(void **state) {
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 1800;
+    model.duration_s = 1800;
     model.each_second = change_autoscaler;
     model_run(&model);
     assert_fair_service(&model);
@@ -181,7 +181,7 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 1800;
+    model.duration_s = 1800;
     model.each_second = restart_all_controllers;
     model_run(&model);
     assert_fair_service(&model);
@@ -195,8 +195,8 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 1800;
-    model.views_lost = true;
+    model.duration_s = 1800;
+    model.demand_views_lost = true;
     model_run(&model);
     assert_true(model_team_wait_ratio(&model, "gold") <= 2);
     assert_true(model_team_wait_ratio(&model, "green") <= 3);
@@ -209,9 +209,9 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 1800;
-    model.clock_off_s[0] = -model.config.clock_skew_max_s;
-    model.clock_off_s[2] = model.config.clock_skew_max_s;
+    model.duration_s = 1800;
+    model.clock_offset_s[0] = -model.config.clock_skew_max_s;
+    model.clock_offset_s[2] = model.config.clock_skew_max_s;
     model_run(&model);
     assert_fair_service(&model);
     model_clear(&model);
@@ -225,16 +225,16 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 2400;
+    model.duration_s = 2400;
     model.streams[0].estimate_factor = model.streams[1].estimate_factor = 0.25;
     model.streams[4].estimate_factor = 4;
     model_run(&model);
     for (size_t i = 0; i < model.config.team_count; i++) {
         assert_true(model_team_wait_ratio(&model, model.config.teams[i].name) <= 2.5);
     }
-    const rr_admission_table *table = rr_admission_newest(model.controllers[0]);
-    double red_correction = rr_admission_table_team(table, "red")->correction;
-    double green_correction = rr_admission_table_team(table, "green")->correction;
+    const rr_admission_table *table = rr_admission_get_newest_table(model.controllers[0]);
+    double red_correction = rr_admission_table_find_team(table, "red")->correction;
+    double green_correction = rr_admission_table_find_team(table, "green")->correction;
     assert_true(red_correction > 2.5 && red_correction < 6);
     assert_true(green_correction > 0.15 && green_correction < 0.4);
     assert_true(model.results[4].served_cpu_s >= 0.6 * model.results[4].fair.served_cpu_s);
@@ -247,7 +247,7 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 1800;
+    model.duration_s = 1800;
     model.streams[5].from_s = 600;
     model.streams[5].to_s = 1200;
     model_run(&model);
@@ -260,7 +260,7 @@
     model_init(model, four_teams);
     model->streams[0] = stream;
     model->stream_count = 1;
-    model->seconds = 1200;
+    model->duration_s = 1200;
 }
 
 /* Admission costs a team that is alone on the cluster at most 3 % of its throughput. */
@@ -283,7 +283,7 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 1200;
+    model.duration_s = 1200;
     model.streams[0].jobs_per_s = 0.5;
     model.cpus = 120;
     model_run(&model);
@@ -312,7 +312,7 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 2400;
+    model.duration_s = 2400;
     model.streams[5].jobs_per_s = 20; /* gold submits as much as red */
     model.each_second = change_weights;
     model_run(&model);
@@ -327,14 +327,14 @@
     (void)state;
     struct model model;
     init_skewed_load(&model);
-    model.seconds = 1200;
+    model.duration_s = 1200;
     model.streams[5].jobs_per_s = 20;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         model.settings[i].teams[3].weight = 0.01;
         model.settings[i].teams[3].least_share = 0.3;
     }
     model_run(&model);
-    assert_true(model.results[5].served_cpu_s >= 0.25 * model.cpus * model.seconds);
+    assert_true(model.results[5].served_cpu_s >= 0.25 * model.cpus * model.duration_s);
     assert_true(model_team_wait_ratio(&model, "green") <= 2);
     model_clear(&model);
 }
--- a/tests/test_admission_shares.c
+++ b/tests/test_admission_shares.c
@@ -36,9 +36,9 @@
         rr_share_problem problem = make_two_team_problem(&shares);
         double slack = by_filling ? 0.3 : 1e-3;
         if (by_filling) {
-            rr_share_fill(&problem);
+            rr_share_solve_by_filling(&problem);
         } else {
-            assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
+            assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_METHOD_LINEAR_PROGRAM);
         }
         /* Team 1 gets all CPUs of the second pool and the memory that it demands, team 0 gets the
          * rest. */
@@ -54,7 +54,7 @@
     rr_share_problem problem = make_two_team_problem(&shares);
     shares.rows[1].pools = shares.any_pool;
     shares.teams[0].weight = 3;
-    assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
+    assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_METHOD_LINEAR_PROGRAM);
     assert_true(fabs(shares.rows[0].allocation -
                      3 * (shares.rows[1].allocation + shares.rows[2].allocation)) < 0.05);
 }
@@ -67,7 +67,7 @@
     shares.rows[1].pools = shares.any_pool;
     shares.teams[0].weight = 3;
     shares.teams[1] = (rr_share_team){1e-3, 5};
-    assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_BY_PROGRAM);
+    assert_int_equal(rr_share_solve(&problem, 5), RR_SHARE_METHOD_LINEAR_PROGRAM);
     assert_true(shares.rows[1].allocation + shares.rows[2].allocation >= 5 - 1e-3);
 }
 
@@ -77,7 +77,7 @@
     (void)state;
     struct shares shares;
     rr_share_problem problem = make_two_team_problem(&shares);
-    assert_int_equal(rr_share_solve(&problem, 0), RR_SHARE_BY_FILLING);
+    assert_int_equal(rr_share_solve(&problem, 0), RR_SHARE_METHOD_PROGRESSIVE_FILLING);
     assert_true(fabs(shares.rows[0].allocation - 6) < 0.3 &&
                 fabs(shares.rows[1].allocation - 4) < 0.3);
 }
@@ -116,9 +116,9 @@
     for (int by_filling = 0; by_filling < 2; by_filling++) {
         double sum = 0;
         if (by_filling) {
-            rr_share_fill(&problem);
+            rr_share_solve_by_filling(&problem);
         } else {
-            assert_int_equal(rr_share_solve(&problem, 20), RR_SHARE_BY_PROGRAM);
+            assert_int_equal(rr_share_solve(&problem, 20), RR_SHARE_METHOD_LINEAR_PROGRAM);
         }
         for (int i = 0; i < ROWS; i++) {
             assert_true(rows[i].allocation <= rows[i].demand + 1e-6);
@@ -153,8 +153,8 @@
     rr_admission_settings_init(&fixture->settings);
     fixture->writer = rr_admission_writer_create(&fixture->config, &fixture->settings);
     rr_offered_load_init(&fixture->load, &fixture->settings);
-    rr_offered_load_begin(&fixture->load);
-    rr_offered_load_add_machine(&fixture->load, "m1", "a", (rr_amount){100, 0, 400});
+    rr_offered_load_begin_snapshot(&fixture->load);
+    rr_offered_load_add_machine(&fixture->load, "m1", "a", (rr_resource_amount){100, 0, 400});
     rr_submission flood = make_submission("red", "flood", "req-1", 1);
     rr_offered_load_add_job(&fixture->load, &flood, 0, 2000, 100, 0);
     fixture->demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
@@ -169,8 +169,8 @@
 /* Writes the table of the interval that begins at 1000 s, which must be active. The fixture owns
  * it. */
 static const rr_admission_table *write_active_table(struct writer_fixture *fixture) {
-    assert_true(rr_admission_writer_next(fixture->writer, &fixture->load, fixture->demand,
-                                         &fixture->newest, 995, 995, &fixture->written));
+    assert_true(rr_admission_writer_make_table(fixture->writer, &fixture->load, fixture->demand,
+                                               &fixture->newest, 995, 995, &fixture->written));
     assert_true(fixture->written.active);
     assert_true(fixture->written.starts_at == 1000);
     return &fixture->written;
@@ -194,9 +194,10 @@
     rr_demand_total large = {make_key("blue", "large", 99), 1, {50000, 0, 50000}};
     g_array_append_val(fixture.demand, large);
     const rr_admission_table *table = write_active_table(&fixture);
-    assert_true(rr_admission_table_row(table, large.key.id)->share >= RR_ADMISSION_FULL - 1);
-    assert_true(rr_admission_table_row(table, make_key("red", "flood", 1).id)->share <
-                RR_ADMISSION_FULL / 50);
+    assert_true(rr_admission_table_find_row(table, large.key.id)->share >=
+                RR_ADMISSION_SHARE_FULL - 1);
+    assert_true(rr_admission_table_find_row(table, make_key("red", "flood", 1).id)->share <
+                RR_ADMISSION_SHARE_FULL / 50);
     writer_fixture_clear(&fixture);
     writer_fixture_init(&fixture);
     for (int i = 0; i < 30; i++) {
@@ -209,7 +210,7 @@
     unsigned full_share_rows = 0;
     for (guint i = 0; i < table->rows->len; i++) {
         full_share_rows +=
-            g_array_index(table->rows, rr_admission_row, i).share >= RR_ADMISSION_FULL - 1;
+            g_array_index(table->rows, rr_admission_row, i).share >= RR_ADMISSION_SHARE_FULL - 1;
     }
     assert_int_equal(full_share_rows, 1);
     writer_fixture_clear(&fixture);
@@ -224,13 +225,13 @@
     writer_fixture_init(&fixture);
     rr_offered_load_add_job(&fixture.load, &job, 0, 0, 100, 10);
     write_active_table(&fixture);
-    rr_offered_load_begin(&fixture.load);
-    rr_offered_load_add_machine(&fixture.load, "m1", "a", (rr_amount){100, 0, 400});
+    rr_offered_load_begin_snapshot(&fixture.load);
+    rr_offered_load_add_machine(&fixture.load, "m1", "a", (rr_resource_amount){100, 0, 400});
     rr_offered_load_add_job(&fixture.load, &job, 0, 2000, 100, 60);
     rr_admission_table previous = fixture.written;
-    assert_true(rr_admission_writer_next(fixture.writer, &fixture.load, fixture.demand, &previous,
-                                         4595, 4595, &fixture.written));
-    double correction = rr_admission_table_team(&fixture.written, "red")->correction;
+    assert_true(rr_admission_writer_make_table(fixture.writer, &fixture.load, fixture.demand,
+                                               &previous, 4595, 4595, &fixture.written));
+    double correction = rr_admission_table_find_team(&fixture.written, "red")->correction;
     assert_true(correction > 0.9 && correction < 1.1);
     rr_admission_table_clear(&previous);
     writer_fixture_clear(&fixture);
--- a/tests/test_admission_tables.c
+++ b/tests/test_admission_tables.c
@@ -20,11 +20,11 @@
     table->cpus = 100;
     for (guint i = 0; i < row_count; i++) {
         rr_admission_row row = {.id = UINT64_MAX - i, .phase = UINT32_MAX - i};
-        row.share = RR_ADMISSION_FULL / (i + 1);
+        row.share = RR_ADMISSION_SHARE_FULL / (i + 1);
         g_array_append_val(table->rows, row);
     }
     for (int i = 0; i < 40; i++) {
-        rr_admission_team team = {.fair_room = 0.25, .correction = 1.5};
+        rr_admission_team team = {.fair_share = 0.25, .correction = 1.5};
         g_snprintf(team.name, sizeof team.name, "team-%d", i);
         g_array_append_val(table->teams, team);
     }
@@ -67,15 +67,15 @@
         assert_true(row->id == decoded->id && row->phase == decoded->phase &&
                     row->share == decoded->share);
     }
-    assert_true(fabs(rr_admission_table_team(&slot.table, "team-7")->correction - 1.5) < 1e-9);
+    assert_true(fabs(rr_admission_table_find_team(&slot.table, "team-7")->correction - 1.5) < 1e-9);
     rr_admission_table_clear(&table);
     make_large_table(&table, 7, 1020, 2000);
     count = rr_admission_table_encode(&table, 4096, 8, records);
     assert_int_equal(count, 8);
     put_records(&slot, records, count);
     assert_true(slot.table.rows->len < 2000);
-    assert_non_null(rr_admission_table_row(&slot.table, UINT64_MAX - 1999));
-    assert_null(rr_admission_table_row(&slot.table, UINT64_MAX));
+    assert_non_null(rr_admission_table_find_row(&slot.table, UINT64_MAX - 1999));
+    assert_null(rr_admission_table_find_row(&slot.table, UINT64_MAX));
     rr_admission_table_clear(&table);
     rr_admission_table_clear(&slot.table);
 }
@@ -114,7 +114,7 @@
         rr_document document;
         rr_encoder_init(&out);
         rr_encode_map(&out, 2);
-        rr_encode_key_u64(&out, "v", RR_ADMISSION_VERSION + 1);
+        rr_encode_key_u64(&out, "v", RR_ADMISSION_RECORD_VERSION + 1);
         rr_encode_key_u64(&out, "sequence", 9);
         assert_int_equal(rr_document_parse(&document, out.buffer.data, out.buffer.size), 0);
         rr_admission_put_record(admission, key_suffixes[i], document.root, 3);
@@ -123,7 +123,7 @@
     }
     rr_admission_get_stats(admission, &stats);
     assert_int_equal(stats.unreadable_records, G_N_ELEMENTS(key_suffixes));
-    assert_int_equal(rr_admission_newest(admission)->sequence, 0);
+    assert_int_equal(rr_admission_get_newest_table(admission)->sequence, 0);
     admission_fixture_clear(&fixture);
 }
 
@@ -136,7 +136,7 @@
 static void make_single_row_table(rr_admission_table *table, uint64_t sequence, double starts_at,
                                   uint64_t id, uint32_t phase, double share) {
     rr_admission_row row = {.id = id, .phase = phase};
-    row.share = (uint64_t)(share * (double)RR_ADMISSION_FULL);
+    row.share = (uint64_t)(share * (double)RR_ADMISSION_SHARE_FULL);
     rr_admission_table_init(table);
     table->sequence = sequence;
     table->starts_at = starts_at;
@@ -162,7 +162,7 @@
         rr_admission_verdict verdict = rr_admission_decide(&tables, wall, 0.1, &key, id);
         admitted += verdict.kind == RR_ADMISSION_ADMIT;
         while (verdict.kind != RR_ADMISSION_ADMIT && wall < START_WALL_S + 40) {
-            assert_int_equal(verdict.kind, RR_ADMISSION_WAIT);
+            assert_int_equal(verdict.kind, RR_ADMISSION_RETRY_LATER);
             assert_in_range(verdict.retry_after_s, 1, RR_RETRY_AFTER_MAX_S);
             bool has_turn = verdict.retry_after_s < RR_RETRY_AFTER_MAX_S;
             wall += verdict.retry_after_s;
@@ -231,18 +231,18 @@
     make_single_row_table(&table, 1, START_WALL_S, key.id, 0, 0);
     rr_admission_tables tables = {&table, &no_table};
     assert_int_equal(rr_admission_decide(&tables, START_WALL_S + 39.8, 0.1, &key, "req-1").kind,
-                     RR_ADMISSION_WAIT);
+                     RR_ADMISSION_RETRY_LATER);
     assert_int_equal(rr_admission_decide(&tables, START_WALL_S + 40.1, 0.1, &key, "req-1").kind,
-                     RR_ADMISSION_STALE);
+                     RR_ADMISSION_NO_VALID_TABLE);
     assert_int_equal(rr_admission_decide(&tables, START_WALL_S - 1, 0.1, &key, "req-1").kind,
                      RR_ADMISSION_ADMIT);
     assert_int_equal(rr_admission_decide(&tables, START_WALL_S + 5, 0.1, &unlisted, "req-1").kind,
                      RR_ADMISSION_ADMIT);
-    rr_admission_row rest = {.id = rr_admission_rest_id("red", 0)};
+    rr_admission_row rest = {.id = rr_admission_default_row_id("red", 0)};
     g_array_append_val(table.rows, rest);
     rr_admission_table_sort(&table);
     assert_int_equal(rr_admission_decide(&tables, START_WALL_S + 5, 0.1, &unlisted, "req-1").kind,
-                     RR_ADMISSION_WAIT);
+                     RR_ADMISSION_RETRY_LATER);
     assert_int_equal(
         rr_admission_decide(&tables, START_WALL_S + 5, 0.1, &larger_band, "req-1").kind,
         RR_ADMISSION_ADMIT);
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -13,7 +13,7 @@
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 1);
     cell_pair_finish_at_guest(pair, local);
     cell_pair_run_for(pair, 5);
-    assert_true(cell_job(&pair->home, CELL_PAIR_JOB_ID, &job) && job.done);
+    assert_true(cell_find_job(&pair->home, CELL_PAIR_JOB_ID, &job) && job.done);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
 }
@@ -22,7 +22,7 @@
 static void a_home_places_nothing_of_a_transferred_job(void **state) {
     cell_pair *pair = *state;
     cell_pair_transfer_job(pair);
-    cell_fleet(&pair->home, 2);
+    cell_add_machines(&pair->home, 2);
     for (int i = 0; i < 10; i++) {
         cell_pair_run_for(pair, 5);
         cell_plan(&pair->home, CELL_PAIR_JOB_ID);
@@ -35,19 +35,21 @@
     cell_pair *pair = *state;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
     cell_pair_run_for(pair, 1); /* the home learns the guest's free room, then offers */
-    pair->lose_replies = true;
+    pair->drop_replies = true;
     for (int i = 0; i < 4; i++) {
         cell_pair_run_for(pair, 1);
-        cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1));
+        cell_plan(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1));
     }
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 1);
     assert_int_equal(
-        cell_count_placed_tasks(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1)), 0);
-    pair->lose_replies = false;
+        cell_count_placed_tasks(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1)),
+        0);
+    pair->drop_replies = false;
     cell_pair_run_for(pair, 2);
-    cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1));
+    cell_plan(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1));
     assert_int_equal(
-        cell_count_placed_tasks(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1)), 2);
+        cell_count_placed_tasks(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1)),
+        2);
 }
 
 /* While a job is transferred, the home knows its neighbour and the job's id there. */
@@ -60,7 +62,7 @@
     assert_false(rr_transfers_locate_job(pair->home.transfers, CELL_PAIR_JOB_ID, &neighbour, local,
                                          sizeof local));
     cell_pair_run_for(pair, 3);
-    cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1));
+    cell_plan(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1));
     assert_true(rr_transfers_locate_job(pair->home.transfers, CELL_PAIR_JOB_ID, &neighbour, local,
                                         sizeof local));
     assert_int_equal(neighbour, 0);
@@ -73,19 +75,20 @@
         pair,
         &(struct test_job){.job_id = CELL_PAIR_JOB_ID, .gang = true, .task_count = 3, .cpus = 8});
     cell_pair_run_for(pair, 3);
-    cell_plan(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1));
+    cell_plan(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1));
     assert_int_equal(
-        cell_count_placed_tasks(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1)), 3);
+        cell_count_placed_tasks(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1)),
+        3);
 }
 
 /* The guest's commit of the claim fails at first; the home repeats the offer. */
 static void an_offer_whose_claim_is_not_recorded_is_taken_when_repeated(void **state) {
     cell_pair *pair = *state;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
-    pair->refuse_commit = true;
+    pair->fail_guest_commits = true;
     cell_pair_run_for(pair, 2);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
-    pair->refuse_commit = false;
+    pair->fail_guest_commits = false;
     cell_pair_run_for(pair, 2);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 1);
 }
@@ -97,11 +100,11 @@
     rr_transfers_stats stats;
     const char *local = cell_pair_transfer_job(pair);
     cell_pair_finish_at_guest(pair, local);
-    pair->lose_replies = true;
+    pair->drop_replies = true;
     cell_pair_run_for(pair, 5);
-    assert_true(cell_job(&pair->home, CELL_PAIR_JOB_ID, &job) && job.done);
+    assert_true(cell_find_job(&pair->home, CELL_PAIR_JOB_ID, &job) && job.done);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 1);
-    pair->lose_replies = false;
+    pair->drop_replies = false;
     cell_pair_run_for(pair, 5);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 0);
     rr_transfers_get_stats(pair->home.transfers, &stats);
@@ -122,12 +125,12 @@
     cell_pair *pair = *state;
     unsigned at_home = 0, at_guest = 0;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
-    rr_core_foreach_job(pair->home.node.core, sum_open_tasks, &at_home);
+    rr_core_foreach_job(pair->home.controller.core, sum_open_tasks, &at_home);
     assert_int_equal(at_home, 2);
     cell_pair_run_for(pair, 3);
     at_home = 0;
-    rr_core_foreach_job(pair->home.node.core, sum_open_tasks, &at_home);
-    rr_core_foreach_job(pair->guest.node.core, sum_open_tasks, &at_guest);
+    rr_core_foreach_job(pair->home.controller.core, sum_open_tasks, &at_home);
+    rr_core_foreach_job(pair->guest.controller.core, sum_open_tasks, &at_guest);
     assert_int_equal(at_home, 0);
     assert_int_equal(at_guest, 2);
 }
@@ -144,7 +147,7 @@
         rr_encode_key_text(&out, "state", "unheard of");
         fake_store_put(pair->home.store, keys[i], &out);
     }
-    fake_store_sync(pair->home.store, pair->home.node.core, pair->home.node.now);
+    fake_store_sync(pair->home.store, pair->home.controller.core, pair->home.controller.now);
     rr_transfers_get_stats(pair->home.transfers, &stats);
     assert_int_equal(stats.unreadable_records, 3);
     assert_int_equal(stats.outgoing + stats.incoming, 0);
--- a/tests/test_cells_absent_home.c
+++ b/tests/test_cells_absent_home.c
@@ -14,16 +14,16 @@
  * frees the view. */
 static struct absent_home stop_home_controllers(cell_pair *pair) {
     cell_pair_transfer_job(pair);
-    cell_submit(&pair->home, &(struct test_job){.job_id = "req-2", .cpus = 4});
-    cell_pair_home_dies(pair);
-    return (struct absent_home){pair, rr_absent_create(&pair->guest.node.config, "g")};
+    cell_submit_job(&pair->home, &(struct test_job){.job_id = "req-2", .cpus = 4});
+    cell_pair_stop_home_controllers(pair);
+    return (struct absent_home){pair, rr_absent_create(&pair->guest.controller.config, "g")};
 }
 
 /* Lets time pass while the guest plans and reads the home's store every two seconds. */
 static void read_home_for(const struct absent_home *home, double seconds) {
     for (int i = 0; i < (int)(seconds / 2); i++) {
         cell_pair_run_for(home->pair, 2);
-        cell_plan(&home->pair->guest, cell_pair_local(home->pair, CELL_PAIR_JOB_ID, 1));
+        cell_plan(&home->pair->guest, cell_pair_guest_job_id(home->pair, CELL_PAIR_JOB_ID, 1));
         cell_pair_read_home(home->pair, home->absent, NULL);
     }
 }
@@ -35,16 +35,16 @@
     rr_core_job job;
     struct absent_home home = stop_home_controllers(pair);
     char local[RR_ID_SIZE];
-    g_strlcpy(local, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1), sizeof local);
+    g_strlcpy(local, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1), sizeof local);
     read_home_for(&home, 60);
-    assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && !job.cancelled);
     assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 2);
     cell_pair_finish_at_guest(pair, local);
     read_home_for(&home, 10);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 0);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 0);
-    cell_restart(&pair->home, true);
-    assert_true(cell_job(&pair->home, CELL_PAIR_JOB_ID, &job) && job.done);
+    cell_restart_controller(&pair->home, true);
+    assert_true(cell_find_job(&pair->home, CELL_PAIR_JOB_ID, &job) && job.done);
     rr_absent_destroy(home.absent);
 }
 
@@ -60,7 +60,7 @@
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 1);
     read_home_for(&home, 14);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/out/"), 2);
-    assert_true(cell_job(&pair->guest, local, &job));
+    assert_true(cell_find_job(&pair->guest, local, &job));
     assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 1);
     rr_absent_destroy(home.absent);
 }
@@ -82,7 +82,7 @@
     unsigned committed = 0;
     struct absent_home home = stop_home_controllers(pair);
     GPtrArray *writes = prepare_claim(&home);
-    cell_restart(&pair->home, true);
+    cell_restart_controller(&pair->home, true);
     cell_pair_commit_to_home(pair, writes, &committed);
     assert_int_equal(committed, 0);
     cell_pair_read_home(pair, home.absent, NULL); /* finds a session and writes nothing */
@@ -103,9 +103,9 @@
     assert_int_equal(committed, 1);
     cell_pair_advance(pair, 2);
     cell_pair_read_home(pair, home.absent, NULL);
-    cell_restart(&pair->home, true);
-    pair->cut = pair->home_dead = false;
-    cell_fleet(&pair->home, 2);
+    cell_restart_controller(&pair->home, true);
+    pair->link_down = pair->home_controllers_down = false;
+    cell_add_machines(&pair->home, 2);
     rr_cells_make_local_id("h", "req-2", 1, local, sizeof local);
     for (int i = 0; i < 30; i++) {
         cell_pair_run_for(pair, 1);
@@ -113,7 +113,7 @@
         cell_plan(&pair->guest, local);
         assert_int_equal(cell_count_placed_tasks(&pair->home, "req-2"), 0);
     }
-    assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && !job.cancelled);
     assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 1);
     g_ptr_array_free(writes, TRUE);
     rr_absent_destroy(home.absent);
@@ -126,7 +126,7 @@
     unsigned committed = 0;
     struct absent_home home = stop_home_controllers(pair);
     GPtrArray *writes = prepare_claim(&home);
-    rr_absent_cell *other_cell = rr_absent_create(&pair->guest.node.config, "other");
+    rr_absent_cell *other_cell = rr_absent_create(&pair->guest.controller.config, "other");
     rr_transfer_write other_claim = {.ends_claim = false};
     rr_transaction_init(&other_claim.transaction);
     cell_pair_read_home(pair, other_cell, writes);
@@ -149,7 +149,7 @@
     unsigned committed = 0;
     struct absent_home home = stop_home_controllers(pair);
     GPtrArray *writes = prepare_claim(&home);
-    test_controller_cancel(&pair->home.node, "req-2");
+    test_controller_cancel(&pair->home.controller, "req-2");
     cell_pair_commit_to_home(pair, writes, &committed);
     assert_int_equal(committed, 0);
     g_ptr_array_free(writes, TRUE);
@@ -162,11 +162,12 @@
     cell_pair *pair = *state;
     rr_core_job job;
     cell_pair_transfer_job(pair);
-    pair->cut = true;
-    struct absent_home home = {pair, rr_absent_create(&pair->guest.node.config, "g")};
+    pair->link_down = true;
+    struct absent_home home = {pair, rr_absent_create(&pair->guest.controller.config, "g")};
     read_home_for(&home, 12);
-    assert_true(cell_job(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1), &job) &&
-                job.cancelled);
+    assert_true(
+        cell_find_job(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1), &job) &&
+        job.cancelled);
     rr_absent_destroy(home.absent);
 }
 
@@ -176,8 +177,9 @@
     rr_core_job job;
     struct absent_home home = stop_home_controllers(pair);
     cell_pair_run_for(pair, 12);
-    assert_true(cell_job(&pair->guest, cell_pair_local(pair, CELL_PAIR_JOB_ID, 1), &job) &&
-                job.cancelled);
+    assert_true(
+        cell_find_job(&pair->guest, cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1), &job) &&
+        job.cancelled);
     rr_absent_destroy(home.absent);
 }
 
--- a/tests/test_cells_cancellation.c
+++ b/tests/test_cells_cancellation.c
@@ -7,7 +7,7 @@
 /* Asks what has to happen before cell_pair_job can be cancelled, as a controller does for a user.
  * If the job has to be withdrawn first, records that. *wait_s: set with RR_CANCEL_NEEDS_WAIT. */
 static enum rr_cancel_precondition prepare_cancellation(cell_pair *pair, double *wait_s) {
-    test_controller *home = &pair->home.node;
+    test_controller *home = &pair->home.controller;
     rr_outgoing_record withdrawn;
     uint64_t version;
     enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
@@ -31,16 +31,16 @@
     double wait_s;
     const char *local = cell_pair_transfer_job(pair);
     assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_NEEDS_WITHDRAWAL);
-    pair->cut = true;
-    double requested_at = pair->home.node.now;
+    pair->link_down = true;
+    double requested_at = pair->home.controller.now;
     while (prepare_cancellation(pair, &wait_s) == RR_CANCEL_NEEDS_WAIT) {
         assert_true(wait_s > 0 && wait_s <= 15.5);
         cell_pair_run_for(pair, 0.5);
     }
-    assert_true(pair->home.node.now - requested_at <= 16);
-    assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
-    test_controller_cancel(&pair->home.node, CELL_PAIR_JOB_ID);
-    pair->cut = false;
+    assert_true(pair->home.controller.now - requested_at <= 16);
+    assert_true(cell_find_job(&pair->guest, local, &job) && job.cancelled);
+    test_controller_cancel(&pair->home.controller, CELL_PAIR_JOB_ID);
+    pair->link_down = false;
     cell_pair_run_for(pair, 5);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
@@ -54,7 +54,7 @@
     cell_pair_step(pair); /* the home learns the guest's free room */
     rr_encoder_init(&out);
     assert_true(
-        rr_core_encode_cancelled_job(pair->home.node.core, CELL_PAIR_JOB_ID, &out, &version));
+        rr_core_encode_cancelled_job(pair->home.controller.core, CELL_PAIR_JOB_ID, &out, &version));
     fake_store_put(pair->home.store, "rr/job/" CELL_PAIR_JOB_ID, &out);
     cell_pair_advance(pair, 0.5);
     cell_pair_step(pair);
@@ -69,7 +69,7 @@
     cell_pair *pair = *state;
     uint64_t before = 9, after = 9;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
-    double now = pair->home.node.now;
+    double now = pair->home.controller.now;
     assert_true(rr_transfers_may_cancel(pair->home.transfers, CELL_PAIR_JOB_ID, now, &before));
     assert_int_equal(before, 0);
     cell_pair_run_for(pair, 3);
@@ -80,7 +80,7 @@
 static void a_job_that_was_never_offered_may_be_cancelled_at_once(void **state) {
     cell_pair *pair = *state;
     double wait_s;
-    cell_submit(&pair->home, &cell_pair_job);
+    cell_submit_job(&pair->home, &cell_pair_job);
     assert_int_equal(prepare_cancellation(pair, &wait_s), RR_CANCEL_ALLOWED);
 }
 
@@ -89,9 +89,9 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
-    test_controller_cancel(&pair->home.node, CELL_PAIR_JOB_ID);
+    test_controller_cancel(&pair->home.controller, CELL_PAIR_JOB_ID);
     cell_pair_run_for(pair, 4);
-    assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && job.cancelled);
     assert_int_equal(fake_store_count(pair->home.store, "rr/cells/"), 0);
 }
 
--- a/tests/test_cells_offers.c
+++ b/tests/test_cells_offers.c
@@ -19,11 +19,11 @@
  * placed at home. */
 static void a_refused_offer_frees_the_job_at_home(void **state) {
     cell_pair *pair = *state;
-    cell_fleet(&pair->home, 1);
+    cell_add_machines(&pair->home, 1);
     rr_cells_room plenty = {100, 10, 1000};
     cell_pair_submit_overdue_job(
         pair, &(struct test_job){.job_id = CELL_PAIR_JOB_ID, .task_count = 9, .cpus = 4});
-    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.controller.now);
     cell_pair_step(pair); /* the home records the offer */
     cell_pair_step(pair);
     cell_pair_step(pair);
@@ -39,10 +39,10 @@
     rr_core_job job;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
     cell_pair_run_for(pair, 3);
-    const char *local = cell_pair_local(pair, CELL_PAIR_JOB_ID, 1);
-    assert_true(cell_job(&pair->guest, local, &job));
+    const char *local = cell_pair_guest_job_id(pair, CELL_PAIR_JOB_ID, 1);
+    assert_true(cell_find_job(&pair->guest, local, &job));
     cell_pair_run_for(pair, 65); /* the guest never plans */
-    assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && job.cancelled);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
     rr_transfers_stats stats;
     rr_transfers_get_stats(pair->home.transfers, &stats);
@@ -58,7 +58,8 @@
     cell_pair_run_for(pair, 3);
     for (int i = 0; i < 40; i++) {
         cell_pair_run_for(pair, 1);
-        rr_transfers_set_neighbour_room(pair->guest.transfers, 0, &plenty, pair->guest.node.now);
+        rr_transfers_set_neighbour_room(pair->guest.transfers, 0, &plenty,
+                                        pair->guest.controller.now);
     }
     rr_transfers_get_stats(pair->guest.transfers, &stats);
     assert_int_equal(stats.offered, 0);
@@ -70,11 +71,11 @@
 static void a_cell_whose_own_jobs_wait_accepts_none(void **state) {
     cell_pair *pair = *state;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
-    cell_submit(&pair->guest, &(struct test_job){.job_id = "req-2", .cpus = 1, .zone = "far"});
+    cell_submit_job(&pair->guest, &(struct test_job){.job_id = "req-2", .cpus = 1, .zone = "far"});
     cell_pair_advance(pair, 11); /* longer than end_wait_s */
-    pair->cut = true;
+    pair->link_down = true;
     cell_pair_step(pair); /* the guest updates the wait of its own jobs */
-    pair->cut = false;
+    pair->link_down = false;
     cell_pair_run_for(pair, 10);
     assert_int_equal(pair->offers_delivered, 0);
 }
@@ -83,14 +84,14 @@
  * is not among the neighbour's. */
 static void offers_respect_zones_and_teams(void **state) {
     cell_pair *pair = *state;
-    cell_fleet(&pair->guest, 2);
+    cell_add_machines(&pair->guest, 2);
     g_ptr_array_add(pair->home.settings.neighbours[0].teams, g_strdup("blue"));
-    cell_submit(&pair->home, &(struct test_job){.job_id = "req-1", .cpus = 1, .zone = "a"});
-    cell_submit(&pair->home, &(struct test_job){.job_id = "req-2", .cpus = 1});
+    cell_submit_job(&pair->home, &(struct test_job){.job_id = "req-1", .cpus = 1, .zone = "a"});
+    cell_submit_job(&pair->home, &(struct test_job){.job_id = "req-2", .cpus = 1});
     cell_pair_advance(pair, 31);
     cell_pair_run_for(pair, 10);
     assert_int_equal(pair->offers_delivered, 0);
-    cell_submit(&pair->home, &(struct test_job){.job_id = "req-3", .cpus = 1, .team = "blue"});
+    cell_submit_job(&pair->home, &(struct test_job){.job_id = "req-3", .cpus = 1, .team = "blue"});
     cell_pair_advance(pair, 31);
     cell_pair_run_for(pair, 3);
     assert_int_equal(pair->offers_delivered, 1);
@@ -100,10 +101,10 @@
 static void no_offer_while_a_plan_is_in_progress(void **state) {
     cell_pair *pair = *state;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
-    pair->plan_under_way = true;
+    pair->home_plan_in_progress = true;
     cell_pair_run_for(pair, 10);
     assert_int_equal(pair->offers_delivered, 0);
-    pair->plan_under_way = false;
+    pair->home_plan_in_progress = false;
     cell_pair_run_for(pair, 3);
     assert_int_equal(pair->offers_delivered, 1);
 }
@@ -112,14 +113,14 @@
 static void no_transfer_beside_an_older_version(void **state) {
     cell_pair *pair = *state;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
-    test_controller_join_old_version(&pair->home.node);
+    test_controller_join_old_version(&pair->home.controller);
     cell_pair_run_for(pair, 10);
     assert_int_equal(pair->offers_delivered, 0);
-    test_controller_leave_old_version(&pair->home.node);
-    test_controller_join_old_version(&pair->guest.node);
+    test_controller_leave_old_version(&pair->home.controller);
+    test_controller_join_old_version(&pair->guest.controller);
     cell_pair_run_for(pair, 10);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
-    test_controller_leave_old_version(&pair->guest.node);
+    test_controller_leave_old_version(&pair->guest.controller);
     cell_pair_run_for(pair, 45);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 1);
 }
@@ -131,7 +132,7 @@
     rr_cells_room plenty = {100, 10, 1000};
     pair->guest.settings.times.teardown_s = 81;
     cell_pair_submit_overdue_job(pair, &cell_pair_job);
-    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.controller.now);
     cell_pair_run_for(pair, 5);
     assert_true(pair->offers_delivered > 0);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
--- a/tests/test_cells_partitions.c
+++ b/tests/test_cells_partitions.c
@@ -11,21 +11,21 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
-    pair->cut = true;
-    double cut_at = pair->home.node.now;
-    cell_fleet(&pair->home, 2);
+    pair->link_down = true;
+    double cut_at = pair->home.controller.now;
+    cell_add_machines(&pair->home, 2);
     while (cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID) == 0) {
         cell_pair_run_for(pair, 1);
         cell_plan(&pair->home, CELL_PAIR_JOB_ID);
-        double passed = pair->home.node.now - cut_at;
-        assert_true(cell_job(&pair->guest, local, &job));
+        double passed = pair->home.controller.now - cut_at;
+        assert_true(cell_find_job(&pair->guest, local, &job));
         assert_true(job.cancelled || passed <= 10.5);
         assert_true(!job.cancelled || passed >= 5);
         assert_true(passed < 120);
     }
     /* The last grant was given up to 2.5 s before the cut. The home waits for its lease of 10 s and
      * for teardown_s, 80 s. */
-    assert_true(pair->home.node.now - cut_at >= 87);
+    assert_true(pair->home.controller.now - cut_at >= 87);
 }
 
 /* The copy goes on, and is granted again after the partition. */
@@ -33,11 +33,11 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
-    pair->cut = true;
+    pair->link_down = true;
     cell_pair_run_for(pair, 6);
-    pair->cut = false;
+    pair->link_down = false;
     cell_pair_run_for(pair, 30);
-    assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && !job.cancelled);
     assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 2);
 }
 
@@ -46,11 +46,11 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
-    cell_restart(&pair->guest, true);
+    cell_restart_controller(&pair->guest, true);
     for (int i = 0; i < 20; i++) {
         cell_pair_run_for(pair, 1);
         cell_plan(&pair->guest, local);
-        assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
+        assert_true(cell_find_job(&pair->guest, local, &job) && !job.cancelled);
         assert_int_equal(cell_count_placed_tasks(&pair->guest, local), 2);
     }
 }
@@ -60,12 +60,12 @@
     cell_pair *pair = *state;
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
-    pair->cut = true;
-    cell_restart(&pair->guest, true);
+    pair->link_down = true;
+    cell_restart_controller(&pair->guest, true);
     cell_pair_run_for(pair, 9);
-    assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && !job.cancelled);
     cell_pair_run_for(pair, 2);
-    assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && job.cancelled);
 }
 
 /* The new process of the home does not know which grants an earlier one gave: it waits for a whole
@@ -73,33 +73,33 @@
 static void a_restarted_home_waits_for_grants_it_does_not_know(void **state) {
     cell_pair *pair = *state;
     cell_pair_transfer_job(pair);
-    pair->cut = true;
-    cell_restart(&pair->home, true);
-    cell_fleet(&pair->home, 2);
-    double started_at = pair->home.node.now;
+    pair->link_down = true;
+    cell_restart_controller(&pair->home, true);
+    cell_add_machines(&pair->home, 2);
+    double started_at = pair->home.controller.now;
     while (cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID) == 0) {
         cell_pair_run_for(pair, 1);
         cell_plan(&pair->home, CELL_PAIR_JOB_ID);
-        assert_true(pair->home.node.now - started_at < 150);
+        assert_true(pair->home.controller.now - started_at < 150);
     }
-    assert_true(pair->home.node.now - started_at >= 90);
+    assert_true(pair->home.controller.now - started_at >= 90);
 }
 
 /* The new controller reads the withdrawal, but does not know when the last grant was given. */
 static void a_new_owner_of_a_withdrawn_job_waits_too(void **state) {
     cell_pair *pair = *state;
     cell_pair_transfer_job(pair);
-    pair->cut = true;
+    pair->link_down = true;
     cell_pair_run_for(pair, 25); /* after two leases without an answer the home withdraws the job */
-    cell_fleet(&pair->home, 2);
-    cell_restart(&pair->home, false);
-    double started_at = pair->home.node.now;
+    cell_add_machines(&pair->home, 2);
+    cell_restart_controller(&pair->home, false);
+    double started_at = pair->home.controller.now;
     while (cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID) == 0) {
         cell_plan(&pair->home, CELL_PAIR_JOB_ID);
         cell_pair_run_for(pair, 1);
-        assert_true(pair->home.node.now - started_at < 150);
+        assert_true(pair->home.controller.now - started_at < 150);
     }
-    assert_true(pair->home.node.now - started_at >= 90);
+    assert_true(pair->home.controller.now - started_at >= 90);
 }
 
 /* The guest can't record the end of its copy, but its plan stops the copy's tasks. */
@@ -108,10 +108,10 @@
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
     cell_plan(&pair->guest, local);
-    pair->cut = pair->refuse_commit = true;
+    pair->link_down = pair->fail_guest_commits = true;
     cell_pair_run_for(pair, 12);
-    assert_true(cell_job(&pair->guest, local, &job) && !job.cancelled);
-    assert_int_equal(cell_plan_with(&pair->guest, local, "running"), 2);
+    assert_true(cell_find_job(&pair->guest, local, &job) && !job.cancelled);
+    assert_int_equal(cell_plan_with_task_state(&pair->guest, local, "running"), 2);
 }
 
 /* A refused offer lets the home place the job again within its term. A controller of the next term
@@ -121,12 +121,12 @@
     rr_cells_room plenty = {100, 10, 1000};
     cell_pair_submit_overdue_job(
         pair, &(struct test_job){.job_id = CELL_PAIR_JOB_ID, .task_count = 9, .cpus = 4});
-    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.node.now);
+    rr_transfers_set_neighbour_room(pair->home.transfers, 0, &plenty, pair->home.controller.now);
     for (int i = 0; i < 3; i++) {
         cell_pair_step(pair); /* the offer is recorded, refused and released */
     }
-    cell_restart(&pair->home, false);
-    cell_fleet(&pair->home, 2);
+    cell_restart_controller(&pair->home, false);
+    cell_add_machines(&pair->home, 2);
     cell_plan(&pair->home, CELL_PAIR_JOB_ID);
     assert_int_equal(cell_count_placed_tasks(&pair->home, CELL_PAIR_JOB_ID), 0);
 }
@@ -138,11 +138,11 @@
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
     cell_pair_finish_at_guest(pair, local);
-    pair->cut = true;
+    pair->link_down = true;
     cell_pair_run_for(pair, 25);
-    pair->cut = false;
+    pair->link_down = false;
     cell_pair_run_for(pair, 5);
-    assert_true(cell_job(&pair->home, CELL_PAIR_JOB_ID, &job) && !job.done);
+    assert_true(cell_find_job(&pair->home, CELL_PAIR_JOB_ID, &job) && !job.done);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/in/"), 0);
 }
 
@@ -152,8 +152,8 @@
     rr_transfers_stats stats;
     cell_pair_transfer_job(pair);
     g_strlcpy(pair->home.settings.neighbours[0].name, "other", RR_CELL_NAME_SIZE);
-    cell_restart(&pair->home, true);
-    pair->cut = true;
+    cell_restart_controller(&pair->home, true);
+    pair->link_down = true;
     cell_pair_run_for(pair, 1);
     rr_transfers_get_stats(pair->home.transfers, &stats);
     assert_int_equal(stats.withdrawn, 1);
@@ -165,9 +165,9 @@
     rr_core_job job;
     const char *local = cell_pair_transfer_job(pair);
     g_strlcpy(pair->guest.settings.neighbours[0].name, "other", RR_CELL_NAME_SIZE);
-    cell_restart(&pair->guest, true);
+    cell_restart_controller(&pair->guest, true);
     cell_pair_run_for(pair, 2);
-    assert_true(cell_job(&pair->guest, local, &job) && job.cancelled);
+    assert_true(cell_find_job(&pair->guest, local, &job) && job.cancelled);
 }
 
 /* The network delivers an offer again after its claim has ended. */
@@ -188,7 +188,7 @@
     test_submission_init(&submission, &cell_pair_job);
     rr_cells_add_offer(request.items, &offer, &submission, 1000);
     rr_submission_clear(&submission);
-    double now = pair->guest.node.now;
+    double now = pair->guest.controller.now;
     assert_false(rr_transfers_receive_message(pair->guest.transfers, 0, &request,
                                               &g_array_index(request.items, rr_cells_item, 0), now,
                                               now, &reply, &write));
@@ -210,7 +210,7 @@
     renew.claim = 5;
     rr_cells_add_item(request.items, CELL_PAIR_JOB_ID, &renew);
     rr_cells_add_item(request.items, "req-99", &renew);
-    double now = pair->home.node.now;
+    double now = pair->home.controller.now;
     for (guint i = 0; i < 3; i++) {
         assert_false(rr_transfers_receive_message(pair->home.transfers, 0, &request,
                                                   &g_array_index(request.items, rr_cells_item, i),
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -37,7 +37,7 @@
 
 static void hash_table_of(const struct model *model, int controller) {
     const rr_admission *admission = model->controllers[controller];
-    const rr_admission_table *table = rr_admission_newest(admission);
+    const rr_admission_table *table = rr_admission_get_newest_table(admission);
     trace_hash *hash = &admission_trace.hash;
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
     trace_int(hash, table ? table->sequence : UINT64_MAX);
@@ -62,19 +62,19 @@
     GByteArray *view = g_byte_array_new();
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_admission_stats stats;
-    trace_int(hash, rr_admission_announce(admission, 1, view));
+    trace_int(hash, rr_admission_encode_demand_view(admission, 1, view));
     trace_bytes(hash, view->data, view->len);
-    rr_admission_demand(admission, now, demand);
+    rr_admission_append_total_demand(admission, now, demand);
     trace_int(hash, demand->len);
     for (guint i = 0; i < demand->len; i++) {
         const rr_demand_total *total = &g_array_index(demand, rr_demand_total, i);
-        trace_decimal(hash, total->count);
-        trace_decimal(hash, total->mean.cpu_s);
+        trace_decimal(hash, total->job_count);
+        trace_decimal(hash, total->mean_work.cpu_s);
     }
     rr_admission_get_stats(admission, &stats);
     trace_int(hash, stats.admitted);
     trace_int(hash, stats.refused);
-    trace_int(hash, stats.refused_stale);
+    trace_int(hash, stats.refused_without_table);
     trace_int(hash, stats.frames_dropped);
     trace_int(hash, stats.unreadable_records);
     g_array_free(demand, TRUE);
@@ -93,7 +93,7 @@
                                     .kind = (enum rr_job_kind)g_rand_int_range(random, 0, 3),
                                     .runtime_estimate_s = stream->runtime_s};
         rr_admission_context state = {.lease_valid = g_rand_int_range(random, 0, 20) > 0,
-                                      .all_capable = g_rand_int_range(random, 0, 20) > 0,
+                                      .all_support_admission = g_rand_int_range(random, 0, 20) > 0,
                                       .cache_age_s = g_rand_double_range(random, 0, 3),
                                       .controllers = MODEL_CONTROLLERS};
         g_snprintf(submission.job_id, sizeof submission.job_id, "req-9%07u",
@@ -118,9 +118,9 @@
 static void admission_faults(struct model *model, double now) {
     unsigned second = (unsigned)now;
     model->cache_frozen[1] = model->seed % 2 && second >= 70 && second < 110;
-    model->answers_lost = second >= 120 && second < 140;
-    model->views_lost = model->seed % 3 == 0 && second >= 90 && second < 130;
-    model->clock_off_s[2] = model->seed % 2 ? 0 : 0.05;
+    model->commit_replies_lost = second >= 120 && second < 140;
+    model->demand_views_lost = model->seed % 3 == 0 && second >= 90 && second < 130;
+    model->clock_offset_s[2] = model->seed % 2 ? 0 : 0.05;
     model->autoscaler = second >= 150 && second < 160 ? -1 : (int)(second / 80) % 3;
     if (second == 170) {
         model_restart(model, (int)(model->seed % MODEL_CONTROLLERS));
@@ -145,7 +145,7 @@
         const struct model_result *result = &model->results[i];
         trace_int(&admission_trace.hash, result->accepted);
         trace_int(&admission_trace.hash, result->abandoned);
-        trace_int(&admission_trace.hash, result->begun);
+        trace_int(&admission_trace.hash, result->started);
         trace_decimal(&admission_trace.hash, result->wait_s);
     }
     trace_int(&admission_trace.hash, model->tables_written);
@@ -158,7 +158,7 @@
     memcpy(model.streams, streams, sizeof streams);
     model.stream_count = G_N_ELEMENTS(streams);
     model.seed = seed;
-    model.seconds = ADMISSION_S;
+    model.duration_s = ADMISSION_S;
     model.each_second = each_second;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         /* Never cut short by a slow machine, or at once. */
@@ -235,17 +235,17 @@
                            .task_count = (uint32_t)(1 + roll(trace, 4)),
                            .cpus = 2 + 2 * roll(trace, 7),
                            .priority = roll(trace, 4) == 0 ? "prod" : "standard"};
-    cell_submit(&trace->pair->home, &job);
+    cell_submit_job(&trace->pair->home, &job);
 }
 
 /* Every task of the job, wherever it is, is shown in this state. */
 static void show_job(struct cells_trace *trace, unsigned number, const char *state) {
     char id[RR_ID_SIZE];
     g_snprintf(id, sizeof id, "req-%u", number);
-    trace_int(&trace->hash, cell_plan_with(&trace->pair->home, id, state));
+    trace_int(&trace->hash, cell_plan_with_task_state(&trace->pair->home, id, state));
     for (uint32_t claim = 1; claim <= 3; claim++) {
-        const char *local = cell_pair_local(trace->pair, id, claim);
-        trace_int(&trace->hash, cell_plan_with(&trace->pair->guest, local, state));
+        const char *local = cell_pair_guest_job_id(trace->pair, id, claim);
+        trace_int(&trace->hash, cell_plan_with_task_state(&trace->pair->guest, local, state));
     }
 }
 
@@ -257,22 +257,23 @@
     uint64_t version = 0;
     double wait_s = 0;
     g_snprintf(id, sizeof id, "req-%u", number);
-    if (!cell_job(home, id, &job) || job.done || job.cancelled) {
+    if (!cell_find_job(home, id, &job) || job.done || job.cancelled) {
         return;
     }
     enum rr_cancel_precondition first = rr_transfers_check_cancellation(
-        home->transfers, id, home->node.now, &wait_s, &withdrawn, &version);
+        home->transfers, id, home->controller.now, &wait_s, &withdrawn, &version);
     trace_int(&trace->hash, first);
     trace_decimal(&trace->hash, first == RR_CANCEL_NEEDS_WAIT ? wait_s : 0);
-    trace_int(&trace->hash, rr_transfers_may_cancel(home->transfers, id, home->node.now, &version));
+    trace_int(&trace->hash,
+              rr_transfers_may_cancel(home->transfers, id, home->controller.now, &version));
     if (first == RR_CANCEL_ALLOWED) {
-        test_controller_cancel(&home->node, id);
+        test_controller_cancel(&home->controller, id);
     }
 }
 
 static void restart_one(struct cells_trace *trace) {
     struct test_cell *cell = roll(trace, 2) ? &trace->pair->home : &trace->pair->guest;
-    cell_restart(cell, roll(trace, 2) != 0);
+    cell_restart_controller(cell, roll(trace, 2) != 0);
 }
 
 static void cells_event(struct cells_trace *trace) {
@@ -297,13 +298,13 @@
         cancel_at_home(trace, job);
         break;
     case 6:
-        pair->lose_replies = !pair->lose_replies;
+        pair->drop_replies = !pair->drop_replies;
         break;
     case 7:
-        pair->refuse_commit = roll(trace, 3) == 0;
+        pair->fail_guest_commits = roll(trace, 3) == 0;
         break;
     case 8:
-        pair->cut = roll(trace, 3) == 0;
+        pair->link_down = roll(trace, 3) == 0;
         break;
     case 9:
         if (roll(trace, 4) == 0) {
@@ -311,7 +312,7 @@
         }
         break;
     case 10:
-        pair->plan_under_way = roll(trace, 3) == 0;
+        pair->home_plan_in_progress = roll(trace, 3) == 0;
         break;
     default:
         cell_pair_advance(pair, g_rand_double_range(trace->random, 0.5, 15));
@@ -325,7 +326,7 @@
         .kind = RR_TRANSFER_GRANT, .claim = 2, .sent_at = 3, .guest_process = 4};
     rr_cells_reply reply, unpacked;
     rr_cells_reply_init(&reply);
-    reply.room = rr_transfers_get_free_room(cell->transfers, cell->node.now);
+    reply.room = rr_transfers_get_free_room(cell->transfers, cell->controller.now);
     reply.http_status = 200;
     g_strlcpy(reply.owner, "n0", sizeof reply.owner);
     rr_cells_add_item(reply.items, "req-1", &message);
@@ -348,7 +349,8 @@
                   rr_transfers_locate_job(home->transfers, id, &neighbour, local, sizeof local));
         trace_text(&trace->hash, local);
     }
-    trace_int(&trace->hash, rr_transfers_may_answer_for(home->transfers, "red", home->node.now));
+    trace_int(&trace->hash,
+              rr_transfers_may_answer_for(home->transfers, "red", home->controller.now));
 }
 
 static void hash_cell(trace_hash *hash, const struct test_cell *cell) {
@@ -379,23 +381,24 @@
 
 /* The home's controllers are gone, and the guest reads what its key-value store has. */
 static void cells_home_absent(struct cells_trace *trace) {
-    if (!trace->pair->home_dead) {
-        cell_pair_home_dies(trace->pair);
+    if (!trace->pair->home_controllers_down) {
+        cell_pair_stop_home_controllers(trace->pair);
     }
     cell_pair_read_home(trace->pair, trace->absent, NULL);
-    trace_decimal(&trace->hash, rr_absent_duration_s(trace->absent, trace->pair->guest.node.now));
+    trace_decimal(&trace->hash,
+                  rr_absent_duration_s(trace->absent, trace->pair->guest.controller.now));
 }
 
 void trace_cells_play(unsigned seed, GString *out) {
     struct cells_trace trace = {.pair = cell_pair_create(), .random = g_rand_new_with_seed(seed)};
     cell_pair *pair = trace.pair;
-    trace.absent = rr_absent_create(&pair->guest.node.config, "g");
+    trace.absent = rr_absent_create(&pair->guest.controller.config, "g");
     trace_hash_init(&trace.hash);
     watch(&pair->home, &trace.hash);
     watch(&pair->guest, &trace.hash);
-    cell_fleet(&pair->guest, 4);
+    cell_add_machines(&pair->guest, 4);
     if (seed % 2) {
-        cell_fleet(&pair->home, 1);
+        cell_add_machines(&pair->home, 1);
     }
     for (unsigned step = 1; step <= CELLS_STEPS; step++) {
         cell_pair_advance(pair, 1);
