--- a/src/admission/admission.c
+++ b/src/admission/admission.c
@@ -66,22 +66,22 @@
 
 /* ---- tables ---- */
 
-void rr_admission_put_record(rr_admission *admission, const char *key_suffix,
-                             const msgpack_object *value, uint64_t version) {
+void rr_admission_apply_record(rr_admission *admission, const char *key_suffix,
+                               const msgpack_object *value, uint64_t version) {
     char *end;
     unsigned long slot = strtoul(key_suffix, &end, 10);
     unsigned long part = *end == '/' ? strtoul(end + 1, &end, 10) : RR_ADMISSION_PARTS_MAX;
     int rc = -EPROTO;
     if (*end == 0 && slot < RR_ADMISSION_SLOT_COUNT && part < RR_ADMISSION_PARTS_MAX) {
         uint64_t previous_sequence = admission->slots[slot].table.sequence;
-        rc = rr_admission_slot_put(&admission->slots[slot], (guint)part, value, version);
+        rc = rr_admission_slot_add_part(&admission->slots[slot], (guint)part, value, version);
         bool replaced = admission->slots[slot].table.sequence != previous_sequence;
         admission->complete[slot] = rc == 1 || (admission->complete[slot] && !replaced);
     }
     admission->stats.unreadable_records += rc < 0;
 }
 
-/* Returns the slot's table, or the empty one while records of it are missing. */
+/* Returns the slot's table, or an empty table while some of its records are missing. */
 static const rr_admission_table *get_slot_table(const rr_admission *admission, int slot) {
     return admission->complete[slot] ? &admission->slots[slot].table : &admission->empty_table;
 }
@@ -101,13 +101,13 @@
 
 const rr_admission_table *rr_admission_get_table_at(const rr_admission *admission, double wall) {
     rr_admission_tables tables = get_tables(admission);
-    return rr_admission_table_in_force(&tables, wall);
+    return rr_admission_find_table_in_force(&tables, wall);
 }
 
 /* Guards records of both slots, so that the commit fails for an autoscaler that has not read the
  * newest table. */
-bool rr_admission_put_table(const rr_admission *admission, const rr_admission_table *table,
-                            rr_transaction *transaction) {
+bool rr_admission_add_table_writes(const rr_admission *admission, const rr_admission_table *table,
+                                   rr_transaction *transaction) {
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
     char key[64];
     size_t value_bytes_max = (size_t)(rr_value_kb_max(admission->config) * 1024);
@@ -116,10 +116,10 @@
     const rr_admission_slot *slot = &admission->slots[table->sequence % RR_ADMISSION_SLOT_COUNT];
     const rr_admission_slot *other =
         &admission->slots[(table->sequence + 1) % RR_ADMISSION_SLOT_COUNT];
-    rr_admission_record_key(table->sequence + 1, 0, key, sizeof key);
+    rr_admission_format_record_key(table->sequence + 1, 0, key, sizeof key);
     rr_transaction_guard(transaction, key, other->versions[0]);
     for (guint i = 0; i < parts; i++) {
-        rr_admission_record_key(table->sequence, i, key, sizeof key);
+        rr_admission_format_record_key(table->sequence, i, key, sizeof key);
         rr_transaction_guard(transaction, key, slot->versions[i]);
         rr_transaction_put(transaction, key, &records[i], 0);
     }
@@ -155,7 +155,8 @@
     return true;
 }
 
-/* Admits within the team's guarantee; otherwise asks for a retry after one interval. */
+/* Admits the job if it fits into the team's guarantee; otherwise refuses it, to be retried after
+ * one interval. */
 static rr_admission_verdict decide_without_table(rr_admission *admission,
                                                  const rr_submission *submission,
                                                  unsigned controllers) {
@@ -206,7 +207,7 @@
                                estimate_job_work(admission, submission));
 }
 
-/* ---- demand, here and at the peers ---- */
+/* ---- demand at this controller and at its peers ---- */
 
 void rr_admission_update_interval(rr_admission *admission, double wall, double now) {
     double length_s = admission->settings->interval_s;
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -23,22 +23,22 @@
 
 /* ---- admission tables from the key-value store ---- */
 
-/* Takes a stored record into the table of its slot. key_suffix: the record's key after
+/* Applies a stored record to the table of its slot. key_suffix: the record's key after
  * RR_ADMISSION_KEY_PREFIX, "SLOT/PART". An unreadable record is counted in unreadable_records. */
-void rr_admission_put_record(rr_admission *admission, const char *key_suffix,
-                             const msgpack_object *value, uint64_t version);
+void rr_admission_apply_record(rr_admission *admission, const char *key_suffix,
+                               const msgpack_object *value, uint64_t version);
 
 /* Returns the newest complete table, with sequence 0 if there is none. Valid until the next
- * rr_admission_put_record(). */
+ * rr_admission_apply_record(). */
 const rr_admission_table *rr_admission_get_newest_table(const rr_admission *admission);
 /* Returns the table in force at `wall`, or NULL if there is none. Valid until the next
- * rr_admission_put_record(). */
+ * rr_admission_apply_record(). */
 const rr_admission_table *rr_admission_get_table_at(const rr_admission *admission, double wall);
 
 /* Adds the table's records to the transaction, with guards against a concurrent write by another
  * autoscaler. The caller adds the guard of the term. Returns false if the table does not fit. */
-bool rr_admission_put_table(const rr_admission *admission, const rr_admission_table *table,
-                            rr_transaction *transaction);
+bool rr_admission_add_table_writes(const rr_admission *admission, const rr_admission_table *table,
+                                   rr_transaction *transaction);
 
 /* ---- submissions ---- */
 
@@ -59,14 +59,14 @@
 /* Records a submission that was admitted and whose acceptance was committed. */
 void rr_admission_record_accepted(rr_admission *admission, const rr_submission *submission);
 
-/* ---- demand, here and at the peers ---- */
+/* ---- demand at this controller and at its peers ---- */
 
-/* Starts a new counting interval if `wall` lies in another one than at the last call. Intervals
- * begin at multiples of the interval_s setting, the same on every controller. */
+/* Starts a new counting interval if `wall` lies in a different interval than at the last call.
+ * Intervals begin at multiples of the interval_s setting, the same on every controller. */
 void rr_admission_update_interval(rr_admission *admission, double wall, double now);
 
-/* Removes from the demand the jobs that were refused here and have been accepted since, by any
- * controller. */
+/* Removes from the demand the jobs that this controller refused and that any controller has
+ * accepted since. */
 void rr_admission_remove_accepted(rr_admission *admission, rr_job_accepted_fn is_accepted,
                                   void *user);
 
--- a/src/admission/demand.c
+++ b/src/admission/demand.c
@@ -23,7 +23,7 @@
 
 /* A refused job whose user is assumed to retry. */
 struct waiting_job {
-    uint64_t job_hash; /* rr_admission_job_hash(job_id) */
+    uint64_t job_hash; /* rr_admission_hash_job_id(job_id) */
     uint64_t key_id;
     char job_id[RR_ID_SIZE];
     double wait_ends_at; /* steady clock: when its user is assumed to give up */
@@ -84,7 +84,7 @@
 
 void rr_demand_record_refusal(rr_demand *demand, const rr_admission_key *key, const char *job_id,
                               rr_work work, double now) {
-    uint64_t job_hash = rr_admission_job_hash(job_id);
+    uint64_t job_hash = rr_admission_hash_job_id(job_id);
     struct key_demand *key_demand = find_or_add_key(demand, key);
     if (!key_demand || g_hash_table_contains(demand->waiting, &job_hash) ||
         g_hash_table_size(demand->waiting) >= WAITING_JOBS_MAX) {
@@ -100,7 +100,7 @@
 
 void rr_demand_record_admission(rr_demand *demand, const rr_admission_key *key, const char *job_id,
                                 rr_work work) {
-    uint64_t job_hash = rr_admission_job_hash(job_id);
+    uint64_t job_hash = rr_admission_hash_job_id(job_id);
     struct key_demand *key_demand = find_or_add_key(demand, key);
     const struct waiting_job *job = g_hash_table_lookup(demand->waiting, &job_hash);
     bool waited = job != NULL;
@@ -181,7 +181,7 @@
     return g_hash_table_size(demand->waiting);
 }
 
-void rr_demand_each_key(const rr_demand *demand, rr_demand_key_fn callback, void *user) {
+void rr_demand_foreach_key(const rr_demand *demand, rr_demand_key_fn callback, void *user) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, demand->keys);
@@ -194,7 +194,8 @@
     }
 }
 
-void rr_demand_each_waiting(const rr_demand *demand, rr_demand_waiting_fn callback, void *user) {
+void rr_demand_foreach_waiting_job(const rr_demand *demand, rr_demand_waiting_fn callback,
+                                   void *user) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, demand->waiting);
--- a/src/admission/demand.h
+++ b/src/admission/demand.h
@@ -48,8 +48,9 @@
 typedef void (*rr_demand_waiting_fn)(void *user, uint64_t key_id, uint64_t job_hash);
 
 /* Calls callback(user, ...) for each key, in no particular order. */
-void rr_demand_each_key(const rr_demand *demand, rr_demand_key_fn callback, void *user);
+void rr_demand_foreach_key(const rr_demand *demand, rr_demand_key_fn callback, void *user);
 /* Calls callback(user, ...) for each waiting job, in no particular order. */
-void rr_demand_each_waiting(const rr_demand *demand, rr_demand_waiting_fn callback, void *user);
+void rr_demand_foreach_waiting_job(const rr_demand *demand, rr_demand_waiting_fn callback,
+                                   void *user);
 
 #endif
--- a/src/admission/demand_total.c
+++ b/src/admission/demand_total.c
@@ -21,7 +21,7 @@
     double mean_weight;    /* sum of the weights in total.mean_work */
 };
 
-static const struct aged_entry *entry_at(const GArray *entries, guint i) {
+static const struct aged_entry *get_entry(const GArray *entries, guint i) {
     return &g_array_index(entries, struct aged_entry, i);
 }
 
@@ -31,7 +31,7 @@
     uint64_t bound = UINT64_MAX;
     GArray *hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (guint i = 0; i < count; i++) {
-        const rr_demand_entry *entry = entry_at(sum->entries, i)->entry;
+        const rr_demand_entry *entry = get_entry(sum->entries, i)->entry;
         bound = MIN(bound, entry->sample_bound);
         g_array_append_vals(hashes, entry->sample->data, entry->sample->len);
     }
@@ -61,7 +61,7 @@
 static void add_entry(GHashTable *sums, const rr_demand_entry *entry, unsigned age) {
     struct key_sum *sum = find_or_add_sum(sums, &entry->key);
     guint index = 0;
-    while (index < sum->entries->len && entry_at(sum->entries, index)->age <= age) {
+    while (index < sum->entries->len && get_entry(sum->entries, index)->age <= age) {
         index++;
     }
     struct aged_entry aged = {entry, age};
@@ -72,11 +72,11 @@
 }
 
 /* Returns the key's total and frees sum->entries. Each waiting job counts with the age of the
- * freshest view that knows it. */
+ * freshest view that contains it. */
 static rr_demand_total compute_total(struct key_sum *sum) {
     double waiting_counted = 0;
     for (guint i = 0; i < sum->entries->len; i++) {
-        const struct aged_entry *aged = entry_at(sum->entries, i);
+        const struct aged_entry *aged = get_entry(sum->entries, i);
         double waiting_known = fmax(waiting_counted, count_distinct_jobs(sum, i + 1));
         sum->total.job_count += pow(AGE_DECAY, aged->age) *
                                 (waiting_known - waiting_counted + (double)aged->entry->admitted);
--- a/src/admission/demand_total.h
+++ b/src/admission/demand_total.h
@@ -11,10 +11,10 @@
     rr_work mean_work; /* mean work of one job */
 } rr_demand_total;
 
-/* Appends the totals of all keys to *out and sorts it by key id. ages[i] is the age of views[i] in
- * intervals. The admissions in a view, and the waiting jobs that no fresher view knows, count half
- * as much for each interval of its age, instead of not at all once a controller's view is overdue.
- */
+/* Appends the total demand of each key to *out and sorts it by key id. ages[i]: age of views[i] in
+ * intervals. The admissions in a view, and its waiting jobs that no fresher view contains, are
+ * halved for each interval of its age. Otherwise a controller's whole demand would vanish as soon
+ * as its next view is late. */
 void rr_demand_merge_views(const rr_demand_view *const *views, const unsigned *ages, guint count,
                            GArray *out /* rr_demand_total */);
 
--- a/src/admission/demand_view.c
+++ b/src/admission/demand_view.c
@@ -72,8 +72,8 @@
     struct view_builder builder = {out, g_hash_table_new(g_int64_hash, g_int64_equal)};
     rr_demand_view_init(out);
     out->fencing_token = fencing_token;
-    rr_demand_each_key(demand, add_entry, &builder);
-    rr_demand_each_waiting(demand, add_hash, &builder);
+    rr_demand_foreach_key(demand, add_entry, &builder);
+    rr_demand_foreach_waiting_job(demand, add_hash, &builder);
     g_hash_table_destroy(builder.samples);
     guint hashes_per_key = VIEW_HASH_BUDGET / MAX(out->entries->len, 1);
     for (guint i = 0; i < out->entries->len; i++) {
--- a/src/admission/demand_view.h
+++ b/src/admission/demand_view.h
@@ -1,4 +1,4 @@
-/* Demand views: the summary of the demand it has seen that a controller announces to its peers.
+/* Demand views: summaries of the demand that a controller has seen, which it sends to its peers.
  *
  * A refused user retries, perhaps at another controller, and the job must not be counted twice. A
  * view therefore holds a bottom-k sample of each key's waiting jobs: the smallest hashes of their
--- a/src/admission/entries.c
+++ b/src/admission/entries.c
@@ -59,7 +59,7 @@
 
 /* ---- limiting the number of entries ---- */
 
-bool rr_admission_is_same_group(const rr_admission_entry *left, const rr_admission_entry *right) {
+bool rr_admission_in_same_group(const rr_admission_entry *left, const rr_admission_entry *right) {
     return left && left->team == right->team && left->band == right->band;
 }
 
@@ -92,7 +92,7 @@
     const rr_admission_entry *last = NULL;
     for (guint i = 0; i < sorted->len; i++) {
         const rr_admission_entry *entry = g_ptr_array_index(sorted, i);
-        groups += !rr_admission_is_same_group(last, entry);
+        groups += !rr_admission_in_same_group(last, entry);
         last = entry;
     }
     return groups;
@@ -109,7 +109,7 @@
     const rr_admission_entry *last = NULL;
     for (guint i = 0; i < all->len; i++) {
         const rr_admission_entry *entry = g_ptr_array_index(all, i);
-        index_in_group = rr_admission_is_same_group(last, entry) ? index_in_group + 1 : 0;
+        index_in_group = rr_admission_in_same_group(last, entry) ? index_in_group + 1 : 0;
         last = entry;
         if (index_in_group < group_max) {
             g_array_append_val(kept, *entry);
--- a/src/admission/entries.h
+++ b/src/admission/entries.h
@@ -28,6 +28,6 @@
                                      const double *correction);
 
 /* Returns whether both entries are of the same group (team and band). False if left is NULL. */
-bool rr_admission_is_same_group(const rr_admission_entry *left, const rr_admission_entry *right);
+bool rr_admission_in_same_group(const rr_admission_entry *left, const rr_admission_entry *right);
 
 #endif
--- a/src/admission/estimates.c
+++ b/src/admission/estimates.c
@@ -7,11 +7,10 @@
 #define TABLE_DECAY 0.9
 /* Weight of the previous correction, in seconds of the whole fleet's work. */
 #define PRIOR_WEIGHT_S 1.0
-/* Smaller amounts of work count as none. */
+/* Smaller amounts of work count as zero. */
 #define EPSILON 1e-9
 
-/* Returns the team's previous correction: the one known here, else the one in the newest table,
- * else 1. */
+/* Returns the team's previous correction: its own one, else the one in the newest table, else 1. */
 static double get_previous_correction(const rr_admission_estimates *estimates, size_t team,
                                       const char *name, const rr_admission_table *newest) {
     if (estimates->correction[team] > 0) {
--- a/src/admission/estimates.h
+++ b/src/admission/estimates.h
@@ -6,7 +6,7 @@
 #include "admission/offered_load.h"
 #include "admission/table.h"
 
-/* What is known of each team's estimates; zero-initialized, nothing is. Amounts of work are in
+/* The state of the corrections, zero-initialized at first. Amounts of work are in
  * seconds of dominant share and decay with each table, so that the latest weigh most. */
 typedef struct {
     double actual_work[RR_TEAMS_MAX];    /* used by tasks that end by themselves */
@@ -15,8 +15,8 @@
 } rr_admission_estimates;
 
 /* Updates the corrections from a snapshot of the load. elapsed_s: seconds since the last snapshot;
- * 0 if there was none. newest: the newest table, from which the corrections of another autoscaler
- * are taken if there are none here yet (sequence 0: there is no table). */
+ * 0 if there was none. newest: the newest table (sequence 0: none). A writer that has no
+ * corrections yet takes those that the previous autoscaler stored in it. */
 void rr_admission_estimates_update(rr_admission_estimates *estimates,
                                    const struct rr_config *config, const rr_offered_load *load,
                                    const rr_admission_table *newest, double elapsed_s);
--- a/src/admission/key.c
+++ b/src/admission/key.c
@@ -28,7 +28,7 @@
     return hash ^ hash >> 33;
 }
 
-uint64_t rr_admission_job_hash(const char *job_id) {
+uint64_t rr_admission_hash_job_id(const char *job_id) {
     return mix_bits(hash_text(HASH_BASIS, job_id));
 }
 
--- a/src/admission/key.h
+++ b/src/admission/key.h
@@ -35,6 +35,6 @@
 
 /* Returns a job's hash. It identifies the job where demand is counted, and its upper 32 bits are
  * the job's position on the hash ring (verdict.h). */
-uint64_t rr_admission_job_hash(const char *job_id);
+uint64_t rr_admission_hash_job_id(const char *job_id);
 
 #endif
--- a/src/admission/level_program.c
+++ b/src/admission/level_program.c
@@ -17,13 +17,14 @@
     return row;
 }
 
-/* Returns the column with the allocation of a row of the problem in a pool; 0 if the row may not
- * run there. */
+/* Returns the program's column for the allocation of problem row `row` in a pool; 0 if the row may
+ * not run in that pool. */
 static int get_column(const struct rr_level_program *program, guint row, guint pool) {
     return program->columns[row * program->entities->problem->pool_count + pool];
 }
 
-/* Adds the allocation of a row of the problem, summed over all pools, to a row of the program. */
+/* Adds the allocation of problem row `row`, summed over all pools, to row `program_row` of the
+ * program: its columns get the coefficient 1. */
 static void add_allocation_elements(struct rr_level_program *program, guint row, int program_row) {
     for (guint pool = 0; pool < program->entities->problem->pool_count; pool++) {
         int column = get_column(program, row, pool);
@@ -86,8 +87,8 @@
     }
 }
 
-/* Adds a constraint for each entity. Its allocation is at least the level times its weight while it
- * grows, and at least its fixed allocation, less the tolerance, afterwards. */
+/* Adds a constraint for each entity. While the entity grows, its allocation is at least the level
+ * times its weight; afterwards it is at least the fixed allocation, less the tolerance. */
 static void add_entity_rows(struct rr_level_program *program) {
     const struct rr_level_entities *entities = program->entities;
     program->first_entity_row = glp_get_num_rows(program->glpk) + 1;
@@ -176,7 +177,7 @@
     return glp_get_col_prim(program->glpk, program->level_column);
 }
 
-bool rr_level_program_is_binding(const struct rr_level_program *program, guint entity) {
+bool rr_level_program_entity_is_binding(const struct rr_level_program *program, guint entity) {
     double dual_value = glp_get_row_dual(program->glpk, program->first_entity_row + (int)entity);
     return fabs(dual_value) > RR_LEVEL_EPSILON;
 }
--- a/src/admission/level_program.h
+++ b/src/admission/level_program.h
@@ -34,8 +34,8 @@
     GArray *matrix_rows, *matrix_columns, *matrix_values;
 };
 
-/* Builds the program over the entities, which must outlive it. level_max: the upper bound of the
- * level, at which the demand of the next growing entity is met. */
+/* Builds the program over the entities, which must outlive it. level_max: upper bound of the level.
+ * It is the lowest level that meets the demand of a growing entity. */
 void rr_level_program_init(struct rr_level_program *program,
                            const struct rr_level_entities *entities, double level_max);
 /* Frees the program, but not the entities. */
@@ -49,7 +49,7 @@
 double rr_level_program_get_level(const struct rr_level_program *program);
 /* Returns whether the entity's row is binding: it cannot grow unless another entity at the common
  * level gets less. */
-bool rr_level_program_is_binding(const struct rr_level_program *program, guint entity);
+bool rr_level_program_entity_is_binding(const struct rr_level_program *program, guint entity);
 /* Returns the allocation of a row of the problem, over all pools. */
 double rr_level_program_get_allocation(const struct rr_level_program *program, guint row);
 
--- a/src/admission/offered_load.c
+++ b/src/admission/offered_load.c
@@ -74,7 +74,7 @@
  * snapshot. A job that the last snapshot lacks is new, so all of them are. In the first snapshot
  * none count, because nothing is known of when they ended. */
 static uint32_t count_newly_done(rr_offered_load *load, const char *job_id, uint32_t done) {
-    uint64_t hash = rr_admission_job_hash(job_id);
+    uint64_t hash = rr_admission_hash_job_id(job_id);
     gpointer recorded = NULL;
     uint32_t previously_done = load->snapshot_count > 1 ? 0 : done;
     if (load->previous_done_counts &&
--- a/src/admission/offered_load.h
+++ b/src/admission/offered_load.h
@@ -50,7 +50,8 @@
 /* Frees what the load owns. */
 void rr_offered_load_clear(rr_offered_load *load);
 
-/* Begins a new snapshot. The numbers of done tasks in the last one are kept, for comparison. */
+/* Begins a new snapshot. The numbers of done tasks in the previous snapshot are kept, for
+ * comparison. */
 void rr_offered_load_begin_snapshot(rr_offered_load *load);
 /* Adds a machine to the pool of its type and zone. amount: its capacity. */
 void rr_offered_load_add_machine(rr_offered_load *load, const char *type, const char *zone,
--- a/src/admission/shares.h
+++ b/src/admission/shares.h
@@ -41,8 +41,7 @@
 
 enum rr_share_method {
     RR_SHARE_METHOD_LINEAR_PROGRAM,     /* a linear program for each level */
-    RR_SHARE_METHOD_PROGRESSIVE_FILLING /* progressive filling: the programs were too large, late or
-                                           unsolved */
+    RR_SHARE_METHOD_PROGRESSIVE_FILLING /* the programs were too large, late or unsolved */
 };
 
 /* Sets the allocation of each row, by linear programs or, if they fail, by progressive filling.
--- a/src/admission/shares_fill.c
+++ b/src/admission/shares_fill.c
@@ -1,6 +1,6 @@
 /* Division by progressive filling: each allocation grows step by step until its demand is met
- * or no pool that it may run in has capacity left. The result is accurate to one step, and there
- * always is one. */
+ * or no pool that it may run in has capacity left. The result is accurate to one step. Unlike
+ * linear programming, this always yields a result. */
 #include "admission/shares.h"
 
 #include <math.h>
@@ -37,8 +37,7 @@
 
 /* Returns the allowed pool in which most of the row fits and sets *fits to that amount. Returns
  * pool_count if nothing fits anywhere. */
-static guint find_roomiest_pool(const struct filling *filling, const rr_share_row *row,
-                                double *fits) {
+static guint find_best_pool(const struct filling *filling, const rr_share_row *row, double *fits) {
     guint best = filling->problem->pool_count;
     *fits = EPSILON;
     for (guint pool = 0; pool < filling->problem->pool_count; pool++) {
@@ -58,7 +57,7 @@
     double left = fmin(amount, row->demand - row->allocation);
     while (left > EPSILON) {
         double fits;
-        guint best = find_roomiest_pool(filling, row, &fits);
+        guint best = find_best_pool(filling, row, &fits);
         if (best == filling->problem->pool_count) {
             break;
         }
--- a/src/admission/shares_levels.c
+++ b/src/admission/shares_levels.c
@@ -56,10 +56,10 @@
     return level;
 }
 
-static bool any_growing_is_binding(const struct rr_level_entities *entities,
-                                   const struct rr_level_program *program) {
+static bool has_binding_growing_entity(const struct rr_level_entities *entities,
+                                       const struct rr_level_program *program) {
     for (guint i = 0; i < entities->entity_count; i++) {
-        if (entities->fixed_allocations[i] < 0 && rr_level_program_is_binding(program, i)) {
+        if (entities->fixed_allocations[i] < 0 && rr_level_program_entity_is_binding(program, i)) {
             return true;
         }
     }
@@ -69,10 +69,10 @@
 /* Fixes the allocations of the entities whose demand is met at this level and of those that cannot
  * grow beyond it. Fixes all entities if the program reports none of the latter. Returns the number
  * of entities that still grow. */
-static guint fix_entities(struct rr_level_entities *entities,
-                          const struct rr_level_program *program, double level) {
+static guint fix_saturated_entities(struct rr_level_entities *entities,
+                                    const struct rr_level_program *program, double level) {
     guint growing = 0;
-    bool any_binding = any_growing_is_binding(entities, program);
+    bool any_binding = has_binding_growing_entity(entities, program);
     for (guint i = 0; i < entities->entity_count; i++) {
         if (entities->fixed_allocations[i] >= 0) {
             continue;
@@ -80,7 +80,7 @@
         double allocation = level * entities->weights[i];
         bool saturated =
             entities->demands[i] <= allocation * (1 + RR_LEVEL_EPSILON) + RR_LEVEL_EPSILON;
-        if (saturated || !any_binding || rr_level_program_is_binding(program, i)) {
+        if (saturated || !any_binding || rr_level_program_entity_is_binding(program, i)) {
             entities->fixed_allocations[i] = fmin(entities->demands[i], allocation);
         } else {
             growing++;
@@ -109,7 +109,8 @@
     bool solved =
         rr_level_program_solve(&program, stage->seconds - g_timer_elapsed(stage->timer, NULL));
     if (solved) {
-        *growing = fix_entities(&stage->entities, &program, rr_level_program_get_level(&program));
+        *growing = fix_saturated_entities(&stage->entities, &program,
+                                          rr_level_program_get_level(&program));
         for (guint i = 0; i < stage->problem->row_count; i++) {
             stage->problem->rows[i].allocation = rr_level_program_get_allocation(&program, i);
         }
--- a/src/admission/table.h
+++ b/src/admission/table.h
@@ -12,8 +12,7 @@
 
 /* The window of the hash ring in which jobs are admitted. */
 typedef struct {
-    uint64_t
-        id; /* of a key, or of the default row of a team's band (rr_admission_default_row_id) */
+    uint64_t id;    /* of a key, or rr_admission_default_row_id() */
     uint32_t phase; /* position at which the window begins in the table's interval */
     uint64_t share; /* width of the window, at most RR_ADMISSION_SHARE_FULL */
 } rr_admission_row;
--- a/src/admission/table_records.c
+++ b/src/admission/table_records.c
@@ -16,7 +16,7 @@
 #define FAIR_SHARE_UNITS 1e6
 #define CORRECTION_UNITS 1000.0
 
-void rr_admission_record_key(uint64_t sequence, guint part, char *out, size_t size) {
+void rr_admission_format_record_key(uint64_t sequence, guint part, char *out, size_t size) {
     g_snprintf(out, size, RR_ADMISSION_KEY_PREFIX "%u/%u",
                (unsigned)(sequence % RR_ADMISSION_SLOT_COUNT), part);
 }
@@ -251,8 +251,8 @@
     return true;
 }
 
-int rr_admission_slot_put(rr_admission_slot *slot, guint part, const msgpack_object *value,
-                          uint64_t version) {
+int rr_admission_slot_add_part(rr_admission_slot *slot, guint part, const msgpack_object *value,
+                               uint64_t version) {
     rr_admission_table read;
     uint64_t parts = 0;
     if (part >= RR_ADMISSION_PARTS_MAX) {
--- a/src/admission/table_records.h
+++ b/src/admission/table_records.h
@@ -14,7 +14,7 @@
 #define RR_ADMISSION_PARTS_MAX 16 /* records of one table */
 
 /* Writes the store key of one part of the table with this sequence number to out. */
-void rr_admission_record_key(uint64_t sequence, guint part, char *out, size_t size);
+void rr_admission_format_record_key(uint64_t sequence, guint part, char *out, size_t size);
 
 /* Encodes the table as at most records_max records of at most value_bytes of JSON each. If not all
  * rows fit, those with the largest shares are left out, and the default rows of their team's band
@@ -32,7 +32,7 @@
 
 /* Adds one part. version: of its cached record. Returns 1 if this completed the slot's table, 0 if
  * not, and -EPROTO if the record has an unknown format version or is malformed. */
-int rr_admission_slot_put(rr_admission_slot *slot, guint part, const msgpack_object *value,
-                          uint64_t version);
+int rr_admission_slot_add_part(rr_admission_slot *slot, guint part, const msgpack_object *value,
+                               uint64_t version);
 
 #endif
--- a/src/admission/verdict.c
+++ b/src/admission/verdict.c
@@ -3,12 +3,12 @@
 
 #include <math.h>
 
-/* Part of an interval over which the retries of its window's jobs are spread, in the order of their
- * positions, so that they do not all arrive at the interval's start. */
+/* Fraction of an interval over which the retries of the jobs in its window are spread, in the order
+ * of their positions, so that they do not all arrive at the interval's start. */
 #define RETRY_SPREAD 0.5
 
-const rr_admission_table *rr_admission_table_in_force(const rr_admission_tables *tables,
-                                                      double wall) {
+const rr_admission_table *rr_admission_find_table_in_force(const rr_admission_tables *tables,
+                                                           double wall) {
     if (tables->newest->sequence && wall >= tables->newest->starts_at) {
         return tables->newest;
     }
@@ -20,10 +20,10 @@
 
 /* Returns the job's position on the hash ring. */
 static uint32_t get_ring_position(const char *job_id) {
-    return (uint32_t)(rr_admission_job_hash(job_id) >> 32);
+    return (uint32_t)(rr_admission_hash_job_id(job_id) >> 32);
 }
 
-/* Returns the key's row, or else the row for the remaining keys of its team and band. NULL: the
+/* Returns the key's row, or else the default row of its team and band. NULL: the
  * table does not limit the key. */
 static const rr_admission_row *find_row(const rr_admission_table *table,
                                         const rr_admission_key *key) {
@@ -35,15 +35,15 @@
 
 /* Returns the distance on the ring from the start of the window to the job. `intervals`: whole
  * intervals since the table's start, in each of which the window advanced by its width. */
-static uint32_t distance_from_window_start(const rr_admission_row *row, uint32_t position,
-                                           double intervals) {
+static uint32_t compute_window_distance(const rr_admission_row *row, uint32_t position,
+                                        double intervals) {
     uint64_t advance = (uint64_t)intervals * row->share;
     return position - row->phase - (uint32_t)advance;
 }
 
 /* Returns the number of intervals, from the start of the current one, until the job should retry.
  * Jobs of a key without a share retry in the next interval, when there may be capacity for them. */
-static double intervals_until_retry(const rr_admission_row *row, uint32_t distance) {
+static double compute_retry_intervals(const rr_admission_row *row, uint32_t distance) {
     if (row->share == 0) {
         return 1 + RETRY_SPREAD * (double)distance / (double)RR_ADMISSION_SHARE_FULL;
     }
@@ -67,11 +67,11 @@
         return verdict;
     }
     double intervals = floor((wall - table->starts_at) / table->length_s);
-    uint32_t distance = distance_from_window_start(row, position, intervals);
+    uint32_t distance = compute_window_distance(row, position, intervals);
     verdict.admit = distance < row->share;
     if (!verdict.admit) {
-        double retry_at =
-            table->starts_at + (intervals + intervals_until_retry(row, distance)) * table->length_s;
+        double retry_at = table->starts_at +
+                          (intervals + compute_retry_intervals(row, distance)) * table->length_s;
         verdict.wait_s = retry_at - wall;
     }
     return verdict;
@@ -81,7 +81,7 @@
                                          double clock_error_s, const rr_admission_key *key,
                                          const char *job_id) {
     rr_admission_verdict verdict = {RR_ADMISSION_ADMIT, 0};
-    const rr_admission_table *table = rr_admission_table_in_force(tables, wall);
+    const rr_admission_table *table = rr_admission_find_table_in_force(tables, wall);
     if (table && table->active &&
         wall > table->starts_at + rr_admission_table_validity_s(table->length_s)) {
         verdict.kind = RR_ADMISSION_NO_VALID_TABLE;
@@ -92,9 +92,10 @@
     struct table_verdict current = decide_by_table(table, wall, key, position);
     bool admit =
         current.admit &&
-        decide_by_table(rr_admission_table_in_force(tables, earliest), earliest, key, position)
+        decide_by_table(rr_admission_find_table_in_force(tables, earliest), earliest, key, position)
             .admit &&
-        decide_by_table(rr_admission_table_in_force(tables, latest), latest, key, position).admit;
+        decide_by_table(rr_admission_find_table_in_force(tables, latest), latest, key, position)
+            .admit;
     if (!admit) {
         /* Adds the error of both clocks, so that the retry arrives after the interval boundary. */
         double wait_s = ceil(current.wait_s + 2 * clock_error_s);
--- a/src/admission/verdict.h
+++ b/src/admission/verdict.h
@@ -11,7 +11,7 @@
 #include "admission/key.h"
 #include "admission/table.h"
 
-/* Number of intervals after its own for which a table stays valid. */
+/* A table stays valid for its own interval and this many more. */
 #define RR_ADMISSION_STALE_INTERVALS 3
 /* Returns how long a table is valid, in seconds from the start of its interval. */
 static inline double rr_admission_table_validity_s(double interval_s) {
@@ -22,8 +22,9 @@
 
 enum rr_admission_verdict_kind {
     RR_ADMISSION_ADMIT,
-    RR_ADMISSION_RETRY_LATER,   /* refused for now: the window has not reached the job */
-    RR_ADMISSION_NO_VALID_TABLE /* undecided or refused: there is no valid table */
+    RR_ADMISSION_RETRY_LATER,   /* refused: the window has not reached the job yet */
+    RR_ADMISSION_NO_VALID_TABLE /* undecided by rr_admission_decide(), refused by
+                                   rr_admission_check() */
 };
 
 typedef struct {
@@ -38,15 +39,15 @@
 } rr_admission_tables;
 
 /* Decides on a job. Returns RR_ADMISSION_NO_VALID_TABLE, with retry_after_s 0, if the table in
- * force limits admission and is no longer valid. clock_error_s: bound on the error of the wall
- * clock. Closer than that to the boundary of two intervals, a job is admitted only if both admit
- * it, because controllers may then disagree on which interval's window applies. */
+ * force limits admission and is no longer valid. clock_error_s: largest error of the wall clock.
+ * Within this time of the boundary between two intervals, a job is admitted only if the windows of
+ * both intervals admit it: controllers whose clocks differ may use different windows then. */
 rr_admission_verdict rr_admission_decide(const rr_admission_tables *tables, double wall,
                                          double clock_error_s, const rr_admission_key *key,
                                          const char *job_id);
 
 /* Returns the table in force at `wall`, or NULL if none has started yet. */
-const rr_admission_table *rr_admission_table_in_force(const rr_admission_tables *tables,
-                                                      double wall);
+const rr_admission_table *rr_admission_find_table_in_force(const rr_admission_tables *tables,
+                                                           double wall);
 
 #endif
--- a/src/admission/water_fill.c
+++ b/src/admission/water_fill.c
@@ -29,9 +29,9 @@
     }
 }
 
-/* Grants the guaranteed amount to each demand that got less, and takes it out of the filling:
- * zeroes its unmet demand and subtracts the amount from the capacity. Returns false if there was
- * none. */
+/* Grants its guaranteed amount to each demand that water filling gave less, and excludes the demand
+ * from further filling: zeroes its unmet demand and subtracts the amount from the capacity. Returns
+ * whether any amount was granted. */
 static bool grant_guarantees(double *unmet, const double *guaranteed, guint count, double *granted,
                              double *capacity, const double *filled) {
     bool any_granted = false;
--- a/src/admission/writer.c
+++ b/src/admission/writer.c
@@ -117,8 +117,9 @@
 
 /* ---- the table ---- */
 
-/* Returns where the row's window begins, which is where the newest table's window will have ended
- * by then. Rows that the newest table does not have begin at a position given by their id. */
+/* Returns the position on the hash ring at which the row's window begins: the one that the newest
+ * table's window would reach at starts_at. A row that the newest table lacks begins at a position
+ * derived from its id. */
 static uint32_t compute_phase(const rr_admission_table *newest, uint64_t id, double starts_at) {
     const rr_admission_row *row = newest->active ? rr_admission_table_find_row(newest, id) : NULL;
     if (!row) {
@@ -137,7 +138,7 @@
 
 /* Adds a default row for the keys of a group (team and band) that have no row of their own. It gets
  * the smallest share of the group, so that a new class cannot evade the limits. Groups without
- * limited keys need no default row, and a merged entry already is one. */
+ * limited keys need no default row; a group with a merged entry already has one. */
 static void add_default_rows(const rr_admission_writer *writer, const rr_admission_table *newest,
                              const GArray *entries, const double *shares, rr_admission_table *out) {
     const rr_admission_entry *last = NULL;
@@ -145,9 +146,9 @@
     for (guint i = 0; i < entries->len; i++) {
         const rr_admission_entry *entry = &g_array_index(entries, rr_admission_entry, i);
         const rr_admission_entry *next = i + 1 < entries->len ? entry + 1 : NULL;
-        least = rr_admission_is_same_group(last, entry) ? fmin(least, shares[i]) : shares[i];
+        least = rr_admission_in_same_group(last, entry) ? fmin(least, shares[i]) : shares[i];
         last = entry;
-        bool ends_group = !(next && rr_admission_is_same_group(next, entry));
+        bool ends_group = !(next && rr_admission_in_same_group(next, entry));
         if (ends_group && entry->key && least < 1) {
             const char *team = writer->config->teams[entry->team].name;
             add_row(out, newest, rr_admission_default_row_id(team, entry->band), least);
--- a/src/app/admission.c
+++ b/src/app/admission.c
@@ -21,7 +21,7 @@
     }
     pthread_mutex_lock(&state->lock);
     rr_admission_get_stats(state->admission, &before);
-    rr_admission_put_record(state->admission, key_suffix, value, version);
+    rr_admission_apply_record(state->admission, key_suffix, value, version);
     rr_admission_get_stats(state->admission, &after);
     pthread_mutex_unlock(&state->lock);
     if (after.unreadable_records != before.unreadable_records && before.unreadable_records == 0) {
--- a/src/app/admission.h
+++ b/src/app/admission.h
@@ -1,6 +1,6 @@
-/* Fair admission in this process: passes questions of request handlers and messages of peers to the
- * admission package (src/admission/). Where admission is switched off, every submission is admitted
- * and the other functions do nothing. */
+/* Fair admission in this process: passes submissions from request handlers and messages from peers
+ * to the admission package (src/admission/). If admission is switched off, every submission is
+ * admitted and the other functions do nothing. */
 #ifndef RR_APP_ADMISSION_H
 #define RR_APP_ADMISSION_H
 
--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -23,15 +23,15 @@
 /* Shortest time between two attempts to write a table, as a share of an interval. */
 #define TABLE_RETRY_INTERVAL_SHARE 0.1
 
-/* Returns whether the core knows the job; an rr_job_known_fn. Caller holds rr_app.lock. */
+/* Returns whether the core knows the job; an rr_job_accepted_fn. Caller holds rr_app.lock. */
 static bool is_job_known(void *user, const char *job_id) {
     const struct rr_app *app = user;
     return rr_core_job_known(app->core, job_id);
 }
 
-/* Removes jobs from the demand that were refused here and have since been accepted by another
- * controller: the core knows them. */
-static void forget_accepted_jobs(struct rr_app *app) {
+/* Removes from the demand the jobs that this controller refused and another one has accepted since,
+ * which are the jobs that the core knows. */
+static void remove_accepted_jobs(struct rr_app *app) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
     pthread_mutex_lock(&state->lock);
@@ -41,7 +41,7 @@
 }
 
 /* Sends this controller's view of the demand to the peers, once in each interval. Nothing is sent
- * unless every controller of the term takes part in admission and the newest table limits it. */
+ * unless every controller of the term supports admission and the newest table limits admission. */
 static void announce_demand(struct rr_app *app, double wall) {
     struct rr_app_admission *state = app->admission;
     double length_s = app->admission_settings.interval_s;
@@ -51,7 +51,7 @@
         return;
     }
     state->announced_interval_start = interval_start;
-    forget_accepted_jobs(app);
+    remove_accepted_jobs(app);
     pthread_mutex_lock(&app->lock);
     bool capable = rr_core_all_members_support_admission(app->core);
     uint64_t token = rr_core_fencing_token(app->core);
@@ -111,7 +111,7 @@
                          rr_transaction *transaction) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&state->lock);
-    bool fits = rr_admission_put_table(state->admission, table, transaction);
+    bool fits = rr_admission_add_table_writes(state->admission, table, transaction);
     pthread_mutex_unlock(&state->lock);
     uint64_t revision = 0;
     enum rr_commit_status outcome = RR_COMMIT_INVALID;
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -92,8 +92,8 @@
     rr_document document;
     if (record->value &&
         rr_document_parse(&document, record->value->data, record->value->len) == 0) {
-        rr_admission_put_record(model->controllers[controller], record->key_suffix, document.root,
-                                record->version);
+        rr_admission_apply_record(model->controllers[controller], record->key_suffix, document.root,
+                                  record->version);
         rr_document_clear(&document);
     }
 }
@@ -173,7 +173,7 @@
     start_controller(model, controller);
 }
 
-/* Whether a controller has accepted the job; an rr_job_known_fn. */
+/* Whether a controller has accepted the job; an rr_job_accepted_fn. */
 static bool is_job_accepted(void *user, const char *job_id) {
     const struct model *model = user;
     return g_hash_table_contains(model->state->accepted, job_id);
@@ -241,7 +241,7 @@
     bool wanted =
         rr_admission_writer_make_table(state->writers[i], &state->loads[i], demand, newest,
                                        controller_wall_s(model, i), state->now, &table);
-    bool fits = wanted && rr_admission_put_table(admission, &table, &transaction);
+    bool fits = wanted && rr_admission_add_table_writes(admission, &table, &transaction);
     if (fits && !commit_transaction(model, &transaction)) {
         model->conflicts++;
     }
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -25,16 +25,17 @@
 /* Totals of one stream. A wait lasts from a job's first submission to the start of its first
  * task. */
 struct model_result {
-    unsigned offered;           /* jobs that arrived */
-    unsigned accepted;          /* jobs that a controller admitted */
-    unsigned abandoned;         /* jobs whose users stopped retrying */
-    unsigned started;           /* jobs of which a task started */
-    double time_to_accept_s;    /* sum over accepted jobs, from the first submission */
-    double wait_s;              /* sum over started jobs */
-    double wait_max_s;          /* longest wait of a started job */
-    double served_cpu_s;        /* CPU seconds of the tasks that started */
-    struct fair_result fair;    /* the same jobs in the fair cluster */
-    unsigned wait_histogram[8]; /* waits under 1, 5, 15, 30, 60, 120, 240 s, and longer ones */
+    unsigned offered;        /* jobs that arrived */
+    unsigned accepted;       /* jobs that a controller admitted */
+    unsigned abandoned;      /* jobs whose users stopped retrying */
+    unsigned started;        /* jobs of which a task started */
+    double time_to_accept_s; /* sum over accepted jobs, from the first submission */
+    double wait_s;           /* sum over started jobs */
+    double wait_max_s;       /* longest wait of a started job */
+    double served_cpu_s;     /* CPU seconds of the tasks that started */
+    struct fair_result fair; /* the same jobs in the fair cluster */
+    /* Started jobs by wait: under 1, 5, 15, 30, 60, 120 and 240 s, and longer. */
+    unsigned wait_histogram[8];
 };
 
 struct model {
@@ -50,7 +51,7 @@
     /* Failures, which each_second() switches on and off. */
     bool cache_frozen[MODEL_CONTROLLERS];     /* this controller's store cache gets no changes */
     double clock_offset_s[MODEL_CONTROLLERS]; /* added to this controller's wall clock */
-    int autoscaler;           /* index of the controller that writes tables; -1: none */
+    int autoscaler; /* index of the controller that is the autoscaler and writes tables; -1: none */
     bool commit_replies_lost; /* commits succeed, but the writer gets no reply */
     bool demand_views_lost;   /* no controller's view of the demand reaches its peers */
 
@@ -82,10 +83,11 @@
 /* Restarts a controller, which then knows only what the key-value store holds. For use in
  * each_second(). */
 void model_restart(struct model *model, int controller);
-/* Returns the mean wait of a stream's jobs as a multiple of the fair cluster's. Both means count as
- * one admission interval at least, as admission cannot tell shorter waits apart. */
+/* Returns the mean wait of a stream's jobs divided by the mean wait of the same jobs in the fair
+ * cluster. A mean shorter than one admission interval counts as one interval, because admission
+ * cannot distinguish shorter waits. */
 double model_wait_ratio(const struct model *model, unsigned stream);
-/* Returns the same ratio for all jobs of a team. */
+/* Returns the ratio of model_wait_ratio() for all jobs of a team. */
 double model_team_wait_ratio(const struct model *model, const char *team);
 /* Prints the results of each stream to stdout. */
 void model_print(const struct model *model, const char *title);
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -34,8 +34,8 @@
 static double submissions_s = 24;
 static bool admission_enabled = true;
 
-/* Streams of jobs that arrive at random. The 16 CPUs serve 8 tasks a
- * second, far fewer than arrive. */
+/* Streams of jobs that arrive at random. Far more tasks arrive than the 8 a second that the 16 CPUs
+ * serve. */
 static const struct stream {
     const char *team, *job_class;
     double jobs_per_s; /* mean arrival rate */
@@ -350,7 +350,7 @@
 }
 
 /* Submits one job of a team with little load, whose own users submit too rarely for a test that
- * lasts seconds. Returns as submit_job(). */
+ * lasts seconds. Returns the HTTP status as submit_job() does. */
 static int submit_probe(struct run *run, int controller) {
     static unsigned probe_count;
     struct job job = {.stream = 1};
@@ -358,8 +358,8 @@
     return submit_job(&run->controllers[controller], &job);
 }
 
-/* Submits a probe to each other controller, and counts the accepted ones. The users' own jobs could
- * by chance all be refused. */
+/* Submits a probe to each controller except this one, and adds 1 to accepted[i] if controller i
+ * accepts it. The users' own jobs could by chance all be refused. */
 static void submit_probe_to_others(struct run *run, int controller,
                                    unsigned accepted[CONTROLLERS]) {
     for (int i = 0; i < CONTROLLERS; i++) {
--- a/tests/test_admission_tables.c
+++ b/tests/test_admission_tables.c
@@ -38,9 +38,9 @@
         rr_document document;
         assert_int_equal(
             rr_document_parse(&document, records[i].buffer.data, records[i].buffer.size), 0);
-        int rc = rr_admission_slot_put(slot, count - 1 - i, NULL, 1);
+        int rc = rr_admission_slot_add_part(slot, count - 1 - i, NULL, 1);
         assert_int_equal(rc, -EPROTO);
-        assert_int_equal(rr_admission_slot_put(slot, i, document.root, 7), i + 1 == count);
+        assert_int_equal(rr_admission_slot_add_part(slot, i, document.root, 7), i + 1 == count);
         rr_document_clear(&document);
         rr_encoder_clear(&records[i]);
     }
@@ -117,7 +117,7 @@
         rr_encode_key_u64(&out, "v", RR_ADMISSION_RECORD_VERSION + 1);
         rr_encode_key_u64(&out, "sequence", 9);
         assert_int_equal(rr_document_parse(&document, out.buffer.data, out.buffer.size), 0);
-        rr_admission_put_record(admission, key_suffixes[i], document.root, 3);
+        rr_admission_apply_record(admission, key_suffixes[i], document.root, 3);
         rr_document_clear(&document);
         rr_encoder_clear(&out);
     }
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -51,7 +51,7 @@
     }
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    trace_int(hash, rr_admission_put_table(admission, table, &transaction));
+    trace_int(hash, rr_admission_add_table_writes(admission, table, &transaction));
     trace_txn(hash, &transaction);
     rr_transaction_clear(&transaction);
 }
