--- a/src/admission/demand_total.c
+++ b/src/admission/demand_total.c
@@ -16,12 +16,12 @@
 
 /* The entries of one key in all views, while they are summed up. */
 struct key_sum {
-    rr_demand_total total; /* its mean is a weighted sum until compute_total() */
+    rr_demand_total total; /* its mean_work is a weighted sum until compute_total() */
     GArray *entries;       /* struct aged_entry, freshest first */
-    double mean_weight;    /* sum of the weights in total.mean */
+    double mean_weight;    /* sum of the weights in total.mean_work */
 };
 
-static const struct aged_entry *entry_at(const GArray *entries, guint i) {
+static const struct aged_entry *get_entry(const GArray *entries, guint i) {
     return &g_array_index(entries, struct aged_entry, i);
 }
 
@@ -31,7 +31,7 @@
     uint64_t bound = UINT64_MAX;
     GArray *hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (guint i = 0; i < count; i++) {
-        const rr_demand_entry *entry = entry_at(sum->entries, i)->entry;
+        const rr_demand_entry *entry = get_entry(sum->entries, i)->entry;
         bound = MIN(bound, entry->sample_bound);
         g_array_append_vals(hashes, entry->sample->data, entry->sample->len);
     }
@@ -61,28 +61,29 @@
 static void add_entry(GHashTable *sums, const rr_demand_entry *entry, unsigned age) {
     struct key_sum *sum = find_or_add_sum(sums, &entry->key);
     guint index = 0;
-    while (index < sum->entries->len && entry_at(sum->entries, index)->age <= age) {
+    while (index < sum->entries->len && get_entry(sum->entries, index)->age <= age) {
         index++;
     }
     struct aged_entry aged = {entry, age};
     g_array_insert_val(sum->entries, index, aged);
     double jobs_in_entry = (double)entry->admitted + entry->sample->len;
-    sum->total.mean = rr_work_add(sum->total.mean, entry->mean_work, jobs_in_entry);
+    sum->total.mean_work = rr_work_add(sum->total.mean_work, entry->mean_work, jobs_in_entry);
     sum->mean_weight += jobs_in_entry;
 }
 
 /* Returns the key's total and frees sum->entries. Each waiting job counts with the age of the
- * freshest view that knows it. */
+ * freshest view that contains it. */
 static rr_demand_total compute_total(struct key_sum *sum) {
     double waiting_counted = 0;
     for (guint i = 0; i < sum->entries->len; i++) {
-        const struct aged_entry *aged = entry_at(sum->entries, i);
+        const struct aged_entry *aged = get_entry(sum->entries, i);
         double waiting_known = fmax(waiting_counted, count_distinct_jobs(sum, i + 1));
-        sum->total.count += pow(AGE_DECAY, aged->age) *
-                            (waiting_known - waiting_counted + (double)aged->entry->admitted);
+        sum->total.job_count += pow(AGE_DECAY, aged->age) *
+                                (waiting_known - waiting_counted + (double)aged->entry->admitted);
         waiting_counted = waiting_known;
     }
-    sum->total.mean = rr_work_scale(sum->total.mean, 1 / fmax(sum->mean_weight, WEIGHT_MIN));
+    sum->total.mean_work =
+        rr_work_scale(sum->total.mean_work, 1 / fmax(sum->mean_weight, WEIGHT_MIN));
     g_array_free(sum->entries, TRUE);
     return sum->total;
 }
@@ -92,8 +93,8 @@
     return left->key.id < right->key.id ? -1 : left->key.id > right->key.id;
 }
 
-void rr_demand_merge(const rr_demand_view *const *views, const unsigned *ages, guint count,
-                     GArray *out) {
+void rr_demand_merge_views(const rr_demand_view *const *views, const unsigned *ages, guint count,
+                           GArray *out) {
     GHashTable *sums = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     GHashTableIter iterator;
     gpointer value;
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -25,35 +25,35 @@
 /* Totals of one stream. A wait lasts from a job's first submission to the start of its first
  * task. */
 struct model_result {
-    unsigned offered;           /* jobs that arrived */
-    unsigned accepted;          /* jobs that a controller admitted */
-    unsigned abandoned;         /* jobs whose users stopped retrying */
-    unsigned begun;             /* jobs of which a task started */
-    double time_to_accept_s;    /* sum over accepted jobs, from the first submission */
-    double wait_s;              /* sum over started jobs */
-    double wait_max_s;          /* longest wait of a started job */
-    double served_cpu_s;        /* CPU seconds of the tasks that started */
-    struct fair_result fair;    /* the same jobs in the fair cluster */
-    unsigned wait_histogram[8]; /* started jobs by wait: under 1, 5, 15, 30, 60, 120, 240 s, and
-                                   longer */
+    unsigned offered;        /* jobs that arrived */
+    unsigned accepted;       /* jobs that a controller admitted */
+    unsigned abandoned;      /* jobs whose users stopped retrying */
+    unsigned started;        /* jobs of which a task started */
+    double time_to_accept_s; /* sum over accepted jobs, from the first submission */
+    double wait_s;           /* sum over started jobs */
+    double wait_max_s;       /* longest wait of a started job */
+    double served_cpu_s;     /* CPU seconds of the tasks that started */
+    struct fair_result fair; /* the same jobs in the fair cluster */
+    /* Started jobs by wait: under 1, 5, 15, 30, 60, 120 and 240 s, and longer. */
+    unsigned wait_histogram[8];
 };
 
 struct model {
     /* Parameters: the test sets them between model_init() and model_run(). */
     unsigned seed;
-    double seconds; /* length of the run */
-    double cpus;    /* of all machines */
-    bool admission; /* false: every job is accepted and placed in order of arrival */
+    double duration_s; /* length of the run */
+    double cpus;       /* of all machines */
+    bool admission;    /* false: every job is accepted and placed in order of arrival */
     struct model_stream streams[MODEL_STREAMS_MAX];
     unsigned stream_count;
     void (*each_second)(struct model *model, double now); /* NULL: none */
 
     /* Failures, which each_second() switches on and off. */
-    bool cache_frozen[MODEL_CONTROLLERS];  /* this controller's store cache gets no changes */
-    double clock_off_s[MODEL_CONTROLLERS]; /* added to this controller's wall clock */
-    int autoscaler;    /* index of the controller that writes tables; -1: none */
-    bool answers_lost; /* commits succeed, but the writer gets no reply */
-    bool views_lost;   /* no controller's view of the demand reaches its peers */
+    bool cache_frozen[MODEL_CONTROLLERS];     /* this controller's store cache gets no changes */
+    double clock_offset_s[MODEL_CONTROLLERS]; /* added to this controller's wall clock */
+    int autoscaler; /* index of the controller that is the autoscaler and writes tables; -1: none */
+    bool commit_replies_lost; /* commits succeed, but the writer gets no reply */
+    bool demand_views_lost;   /* no controller's view of the demand reaches its peers */
 
     /* Defaults of model_init(), which the test may change. */
     struct rr_config config; /* of all controllers */
@@ -84,10 +84,10 @@
  * each_second(). */
 void model_restart(struct model *model, int controller);
 /* Returns the mean wait of a stream's jobs divided by the mean wait of the same jobs in the fair
- * cluster. A mean below one admission interval counts as one interval, because admission cannot
- * tell shorter waits apart. */
+ * cluster. A mean shorter than one admission interval counts as one interval, because admission
+ * cannot distinguish shorter waits. */
 double model_wait_ratio(const struct model *model, unsigned stream);
-/* As model_wait_ratio(), for all jobs of a team. */
+/* Returns the ratio of model_wait_ratio() for all jobs of a team. */
 double model_team_wait_ratio(const struct model *model, const char *team);
 /* Prints the results of each stream to stdout. */
 void model_print(const struct model *model, const char *title);
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -39,7 +39,7 @@
 /* Hashes the controller's newest table, as it is encoded and written. */
 static void hash_admission_table(const struct model *model, int controller) {
     const rr_admission *admission = model->controllers[controller];
-    const rr_admission_table *table = rr_admission_newest(admission);
+    const rr_admission_table *table = rr_admission_get_newest_table(admission);
     trace_hash *hash = &admission_trace.hash;
     rr_encoder records[RR_ADMISSION_PARTS_MAX];
     trace_hash_uint64(hash, table ? table->sequence : UINT64_MAX);
@@ -53,7 +53,7 @@
     }
     rr_transaction transaction;
     rr_transaction_init(&transaction);
-    trace_hash_uint64(hash, rr_admission_put_table(admission, table, &transaction));
+    trace_hash_uint64(hash, rr_admission_add_table_writes(admission, table, &transaction));
     trace_hash_transaction(hash, &transaction);
     rr_transaction_clear(&transaction);
 }
@@ -65,19 +65,19 @@
     GByteArray *view = g_byte_array_new();
     GArray *demand = g_array_new(FALSE, TRUE, sizeof(rr_demand_total));
     rr_admission_stats stats;
-    trace_hash_uint64(hash, rr_admission_announce(admission, 1, view));
+    trace_hash_uint64(hash, rr_admission_encode_demand_view(admission, 1, view));
     trace_hash_bytes(hash, view->data, view->len);
-    rr_admission_demand(admission, now, demand);
+    rr_admission_append_total_demand(admission, now, demand);
     trace_hash_uint64(hash, demand->len);
     for (guint i = 0; i < demand->len; i++) {
         const rr_demand_total *total = &g_array_index(demand, rr_demand_total, i);
-        trace_hash_double(hash, total->count);
-        trace_hash_double(hash, total->mean.cpu_s);
+        trace_hash_double(hash, total->job_count);
+        trace_hash_double(hash, total->mean_work.cpu_s);
     }
     rr_admission_get_stats(admission, &stats);
     trace_hash_uint64(hash, stats.admitted);
     trace_hash_uint64(hash, stats.refused);
-    trace_hash_uint64(hash, stats.refused_stale);
+    trace_hash_uint64(hash, stats.refused_without_table);
     trace_hash_uint64(hash, stats.frames_dropped);
     trace_hash_uint64(hash, stats.unreadable_records);
     g_array_free(demand, TRUE);
@@ -96,7 +96,7 @@
                                     .kind = (enum rr_job_kind)g_rand_int_range(random, 0, 3),
                                     .runtime_estimate_s = stream->runtime_s};
         rr_admission_context state = {.lease_valid = g_rand_int_range(random, 0, 20) > 0,
-                                      .all_capable = g_rand_int_range(random, 0, 20) > 0,
+                                      .all_support_admission = g_rand_int_range(random, 0, 20) > 0,
                                       .cache_age_s = g_rand_double_range(random, 0, 3),
                                       .controllers = MODEL_CONTROLLERS};
         g_snprintf(submission.job_id, sizeof submission.job_id, "req-9%07u",
@@ -122,9 +122,9 @@
 static void set_admission_faults(struct model *model, double now) {
     unsigned second = (unsigned)now;
     model->cache_frozen[1] = model->seed % 2 && second >= 70 && second < 110;
-    model->answers_lost = second >= 120 && second < 140;
-    model->views_lost = model->seed % 3 == 0 && second >= 90 && second < 130;
-    model->clock_off_s[2] = model->seed % 2 ? 0 : 0.05;
+    model->commit_replies_lost = second >= 120 && second < 140;
+    model->demand_views_lost = model->seed % 3 == 0 && second >= 90 && second < 130;
+    model->clock_offset_s[2] = model->seed % 2 ? 0 : 0.05;
     model->autoscaler = second >= 150 && second < 160 ? -1 : (int)(second / 80) % 3;
     if (second == 170) {
         model_restart(model, (int)(model->seed % MODEL_CONTROLLERS));
@@ -152,7 +152,7 @@
         const struct model_result *result = &model->results[i];
         trace_hash_uint64(&admission_trace.hash, result->accepted);
         trace_hash_uint64(&admission_trace.hash, result->abandoned);
-        trace_hash_uint64(&admission_trace.hash, result->begun);
+        trace_hash_uint64(&admission_trace.hash, result->started);
         trace_hash_double(&admission_trace.hash, result->wait_s);
     }
     trace_hash_uint64(&admission_trace.hash, model->tables_written);
@@ -165,7 +165,7 @@
     memcpy(model.streams, streams, sizeof streams);
     model.stream_count = G_N_ELEMENTS(streams);
     model.seed = seed;
-    model.seconds = ADMISSION_DURATION_S;
+    model.duration_s = ADMISSION_DURATION_S;
     model.each_second = on_second;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
         /* The solver's time bound is never reached or always, whatever the machine's speed. */
@@ -244,17 +244,18 @@
                            .task_count = (uint32_t)(1 + random_int_below(trace, 4)),
                            .cpus = 2 + 2 * random_int_below(trace, 7),
                            .priority = random_int_below(trace, 4) == 0 ? "prod" : "standard"};
-    cell_submit(&trace->pair->home, &job);
+    cell_submit_job(&trace->pair->home, &job);
 }
 
 /* Has the machines of both cells report every task of the job in this state. */
 static void report_job_state(struct cells_trace *trace, unsigned number, const char *state) {
     char id[RR_ID_SIZE];
     g_snprintf(id, sizeof id, "req-%u", number);
-    trace_hash_uint64(&trace->hash, cell_plan_with(&trace->pair->home, id, state));
+    trace_hash_uint64(&trace->hash, cell_plan_with_task_state(&trace->pair->home, id, state));
     for (uint32_t claim = 1; claim <= 3; claim++) {
-        const char *local = cell_pair_local(trace->pair, id, claim);
-        trace_hash_uint64(&trace->hash, cell_plan_with(&trace->pair->guest, local, state));
+        const char *local = cell_pair_guest_job_id(trace->pair, id, claim);
+        trace_hash_uint64(&trace->hash,
+                          cell_plan_with_task_state(&trace->pair->guest, local, state));
     }
 }
 
@@ -267,23 +268,23 @@
     uint64_t version = 0;
     double wait_s = 0;
     g_snprintf(id, sizeof id, "req-%u", number);
-    if (!cell_job(home, id, &job) || job.done || job.cancelled) {
+    if (!cell_find_job(home, id, &job) || job.done || job.cancelled) {
         return;
     }
     enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
-        home->transfers, id, home->node.now, &wait_s, &withdrawn, &version);
+        home->transfers, id, home->controller.now, &wait_s, &withdrawn, &version);
     trace_hash_uint64(&trace->hash, precondition);
     trace_hash_double(&trace->hash, precondition == RR_CANCEL_NEEDS_WAIT ? wait_s : 0);
     trace_hash_uint64(&trace->hash,
-                      rr_transfers_may_cancel(home->transfers, id, home->node.now, &version));
+                      rr_transfers_may_cancel(home->transfers, id, home->controller.now, &version));
     if (precondition == RR_CANCEL_ALLOWED) {
-        test_controller_cancel(&home->node, id);
+        test_controller_cancel(&home->controller, id);
     }
 }
 
 static void restart_random_cell(struct cells_trace *trace) {
     struct test_cell *cell = random_int_below(trace, 2) ? &trace->pair->home : &trace->pair->guest;
-    cell_restart(cell, random_int_below(trace, 2) != 0);
+    cell_restart_controller(cell, random_int_below(trace, 2) != 0);
 }
 
 static void run_random_event(struct cells_trace *trace) {
@@ -308,13 +309,13 @@
         cancel_at_home(trace, job);
         break;
     case 6:
-        pair->lose_replies = !pair->lose_replies;
+        pair->drop_replies = !pair->drop_replies;
         break;
     case 7:
-        pair->refuse_commit = random_int_below(trace, 3) == 0;
+        pair->fail_guest_commits = random_int_below(trace, 3) == 0;
         break;
     case 8:
-        pair->cut = random_int_below(trace, 3) == 0;
+        pair->link_down = random_int_below(trace, 3) == 0;
         break;
     case 9:
         if (random_int_below(trace, 4) == 0) {
@@ -322,7 +323,7 @@
         }
         break;
     case 10:
-        pair->plan_under_way = random_int_below(trace, 3) == 0;
+        pair->home_plan_in_progress = random_int_below(trace, 3) == 0;
         break;
     default:
         cell_pair_advance(pair, g_rand_double_range(trace->random, 0.5, 15));
@@ -336,7 +337,7 @@
         .kind = RR_TRANSFER_GRANT, .claim = 2, .sent_at = 3, .guest_process = 4};
     rr_cells_reply reply, unpacked;
     rr_cells_reply_init(&reply);
-    reply.room = rr_transfers_get_free_room(cell->transfers, cell->node.now);
+    reply.room = rr_transfers_get_free_room(cell->transfers, cell->controller.now);
     reply.http_status = 200;
     g_strlcpy(reply.owner, "n0", sizeof reply.owner);
     rr_cells_add_item(reply.items, "req-1", &message);
@@ -362,7 +363,7 @@
         trace_hash_text(&trace->hash, local);
     }
     trace_hash_uint64(&trace->hash,
-                      rr_transfers_may_answer_for(home->transfers, "red", home->node.now));
+                      rr_transfers_may_answer_for(home->transfers, "red", home->controller.now));
 }
 
 /* Hashes the cell's key-value store and the counters of its transfers. */
@@ -394,24 +395,24 @@
 
 /* Ends the home's controllers and has the guest read the home's key-value store. */
 static void read_absent_home(struct cells_trace *trace) {
-    if (!trace->pair->home_dead) {
-        cell_pair_home_dies(trace->pair);
+    if (!trace->pair->home_controllers_down) {
+        cell_pair_stop_home_controllers(trace->pair);
     }
     cell_pair_read_home(trace->pair, trace->absent, NULL);
     trace_hash_double(&trace->hash,
-                      rr_absent_duration_s(trace->absent, trace->pair->guest.node.now));
+                      rr_absent_duration_s(trace->absent, trace->pair->guest.controller.now));
 }
 
 void trace_run_cells(unsigned seed, GString *out) {
     struct cells_trace trace = {.pair = cell_pair_create(), .random = g_rand_new_with_seed(seed)};
     cell_pair *pair = trace.pair;
-    trace.absent = rr_absent_create(&pair->guest.node.config, "g");
+    trace.absent = rr_absent_create(&pair->guest.controller.config, "g");
     trace_hash_init(&trace.hash);
     watch_cell(&pair->home, &trace.hash);
     watch_cell(&pair->guest, &trace.hash);
-    cell_fleet(&pair->guest, 4);
+    cell_add_machines(&pair->guest, 4);
     if (seed % 2) {
-        cell_fleet(&pair->home, 1);
+        cell_add_machines(&pair->home, 1);
     }
     for (unsigned step = 1; step <= CELLS_STEPS; step++) {
         cell_pair_advance(pair, 1);
