--- a/src/cells/absent.c
+++ b/src/cells/absent.c
@@ -101,9 +101,9 @@
     void *user;
 };
 
-/* Passes the job on if it is open. */
-static void visit_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
-                      uint32_t placed, uint32_t done) {
+/* Calls the callback of rr_absent_each_open_job() for the job if it is open. */
+static void visit_open_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
+                           uint32_t placed, uint32_t done) {
     const struct job_visit *visit = user;
     rr_core_job job;
     (void)team;
@@ -119,7 +119,7 @@
 
 void rr_absent_each_open_job(const rr_absent_cell *absent, rr_absent_job_fn callback, void *user) {
     struct job_visit visit = {absent, callback, user};
-    rr_core_foreach_job(absent->cache, visit_job, &visit);
+    rr_core_foreach_job(absent->cache, visit_open_job, &visit);
 }
 
 /* ---- changes to the absent cell's store ---- */
--- a/src/cells/absent.h
+++ b/src/cells/absent.h
@@ -1,5 +1,5 @@
-/* A neighbour cell without controllers, as read from its key-value store by a cell that holds jobs
- * of it or may claim some. An object belongs to one thread and does no I/O of its own.
+/* A neighbour cell without controllers, as read from its key-value store by a cell that holds
+ * the neighbour's jobs or may claim some. An object belongs to one thread and does no I/O itself.
  *
  * A read counts only if a check before it and a check after it both found no controller session.
  * Then no controller of the term that was read has a valid lease, and a change that is guarded by
@@ -25,16 +25,16 @@
 /* Adds one record. key and value are borrowed for the call. */
 void rr_absent_add_record(rr_absent_cell *absent, const char *key, const msgpack_object *value,
                           uint64_t version, double now);
-/* Completes the read. Later changes are guarded by the term that it contains. */
+/* Completes the read. Later changes are guarded by the controller term that was read. */
 void rr_absent_end_read(rr_absent_cell *absent, double now);
-/* Takes the result of the session checks before and after the read. no_sessions: both were made and
- * found no session. */
+/* Takes the result of the session checks before and after the read. no_sessions: both checks
+ * were made and found no controller session. */
 void rr_absent_record_session_check(rr_absent_cell *absent, bool no_sessions, double now);
 
 /* ---- queries ---- */
 
-/* Returns for how many seconds the cell has had no controllers within one term; 0: it may have
- * some. */
+/* Returns for how many seconds the cell has had no controllers within one term; 0: the cell may
+ * have controllers. */
 double rr_absent_duration_s(const rr_absent_cell *absent, double now);
 
 /* The record that the absent cell keeps of the transfer of one of its jobs. */
@@ -53,13 +53,13 @@
  * borrowed for the call. */
 typedef void (*rr_absent_job_fn)(void *user, const rr_submission *submission, double accepted_at,
                                  const rr_absent_transfer *transfer);
-/* Calls back for every job of the absent cell that is neither done nor cancelled. */
+/* Calls `callback` for every job of the absent cell that is neither done nor cancelled. */
 void rr_absent_each_open_job(const rr_absent_cell *absent, rr_absent_job_fn callback, void *user);
 
 /* ---- changes to the absent cell's store ----
  *
- * They are guarded by its term and by the records that were read. False: the change is not
- * possible, and the transaction must not be committed. */
+ * The changes are guarded by that cell's term and by the records that were read. False: the change
+ * is not possible, and the transaction must not be committed. */
 
 /* Claims an open job for the reading cell. A cancellation by the job's user makes the commit fail.
  */
--- a/src/cells/cancellation.c
+++ b/src/cells/cancellation.c
@@ -16,10 +16,10 @@
     return true;
 }
 
-/* Returns how many seconds after a job's withdrawal a grant of it may still last. The grant may
- * come from a controller whose store cache did not show the withdrawal yet, and the wall clocks of
- * two machines may differ by clock_off_s. */
-static double max_grant_lifetime_s(const rr_transfers *transfers) {
+/* Returns for how many seconds after a job's withdrawal a guest's grant may still be valid. The
+ * grant may come from a controller whose store cache did not show the withdrawal yet, and the wall
+ * clocks of two machines may differ by clock_off_s. */
+static double get_max_grant_s_after_withdrawal(const rr_transfers *transfers) {
     const rr_transfer_times *times = &transfers->settings->times;
     return RR_CELLS_CACHE_AGE_MAX_S + times->lease_s * (1 + 2 * times->drift) +
            2 * transfers->config->clock_skew_max_s;
@@ -35,7 +35,7 @@
     if (!entry) {
         return RR_CANCEL_ALLOWED;
     }
-    double lifetime_s = max_grant_lifetime_s(transfers);
+    double lifetime_s = get_max_grant_s_after_withdrawal(transfers);
     bool being_offered = entry->version == 0;
     if (being_offered || entry->record.state == RR_HOME_OFFERED) {
         *wait_s = lifetime_s;
--- a/src/cells/claims.c
+++ b/src/cells/claims.c
@@ -13,7 +13,7 @@
 /* One pass over the jobs of an absent neighbour. */
 struct absent_pass {
     rr_transfers *transfers;
-    size_t neighbour; /* index of the settings */
+    size_t neighbour; /* index into settings->neighbours */
     const rr_absent_cell *absent;
     double read_started_at;        /* steady clock, seconds */
     double now, wall;              /* steady clock and time of day, seconds */
@@ -40,8 +40,8 @@
 
 /* ---- jobs held by this cell ---- */
 
-/* Updates the guest as if the home had sent this message in reply to one that was sent when the
- * read started. */
+/* Updates the guest's state machine as if the home had sent this message in reply to a request
+ * that the guest sent when the read of the neighbour's store started. */
 static void apply_home_message(const struct absent_pass *pass, rr_incoming *entry,
                                enum rr_transfer_kind kind) {
     rr_transfer_message message = {.kind = kind,
@@ -51,16 +51,16 @@
     rr_guest_receive(&entry->guest, &message, false, &pass->transfers->settings->times);
 }
 
-/* Records the job as done in the neighbour's store. */
-static void write_answer(struct absent_pass *pass, const rr_incoming *entry) {
+/* Adds a write that records the job as done in the neighbour's store. */
+static void add_job_answer_write(struct absent_pass *pass, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     bool possible = rr_absent_finish_job(pass->absent, entry->record.job_id, &transaction);
     add_neighbour_write(pass, possible, entry->local_id, true, &transaction);
 }
 
-/* Withdraws the job from this cell in the neighbour's store. */
-static void give_back(struct absent_pass *pass, const rr_incoming *entry) {
+/* Adds a write that withdraws the job from this cell in the neighbour's store. */
+static void add_give_back_write(struct absent_pass *pass, const rr_incoming *entry) {
     rr_transaction transaction;
     rr_transaction_init(&transaction);
     bool possible =
@@ -68,7 +68,7 @@
     add_neighbour_write(pass, possible, entry->local_id, true, &transaction);
 }
 
-/* Renews or ends a held job's claim, by its record in the neighbour's store. */
+/* Renews or ends a held job's claim, as the job's record in the neighbour's store says. */
 static void process_held_job(struct absent_pass *pass, rr_incoming *entry) {
     if (!rr_incoming_is_ready(pass->transfers, entry, pass->now)) {
         return;
@@ -76,9 +76,9 @@
     if (!rr_absent_has_claim(pass->absent, entry->record.job_id, entry->guest.record.claim)) {
         apply_home_message(pass, entry, RR_TRANSFER_VOID);
     } else if (entry->guest.record.state == RR_GUEST_ENDED) {
-        write_answer(pass, entry);
+        add_job_answer_write(pass, entry);
     } else if (entry->returning && !entry->guest.running) {
-        give_back(pass, entry);
+        add_give_back_write(pass, entry);
     } else if (!entry->returning) {
         apply_home_message(pass, entry, RR_TRANSFER_GRANT);
         entry->last_sent_at = pass->now;
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -1,15 +1,15 @@
-/* Advances other cells' jobs that are held here: asks their homes for grants, reports how they
- * ended, and gives them back when a grant lapses or they can't start. */
+/* Advances other cells' jobs that are held here: asks their homes for grants, reports how the
+ * jobs ended, and gives jobs back when a grant lapses or they can't start. */
 #include "cells/incoming.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
 
 #include <math.h>
 
-#define RENEWALS_PER_LEASE 4.0 /* requests for the next grant */
+#define RENEWALS_PER_LEASE 4.0 /* requests for the next grant, per lease_s */
 
 /* Loads the entry's state machine for the present term unless it is loaded already. Returns false
- * if it can't be, since a write of an earlier term is pending. */
+ * if it can't be loaded because a write of an earlier term is pending. */
 static bool load_entry(rr_transfers *transfers, rr_incoming *entry, bool running, double now) {
     uint64_t token = rr_core_fencing_token(transfers->core);
     if (entry->loaded_token != token && !entry->guest.write_pending) {
@@ -24,14 +24,15 @@
 }
 
 /* Returns whether the last grant has run out. A controller that has just loaded the entry knows of
- * no grant, and waits for as long as one would last. */
+ * no grant, and waits for as long as a grant would last. */
 static bool grant_has_lapsed(const rr_transfers *transfers, const rr_incoming *entry, double now) {
     double first_grant_until = entry->loaded_at + transfers->settings->lease_s;
     return now >= fmax(entry->guest.granted_until, first_grant_until);
 }
 
 /* Returns whether no task of the job has started within give_back_s. */
-static bool cannot_start(const rr_transfers *transfers, const rr_incoming *entry, double now) {
+static bool start_has_timed_out(const rr_transfers *transfers, const rr_incoming *entry,
+                                double now) {
     return !entry->started && now - entry->loaded_at > transfers->settings->give_back_s;
 }
 
@@ -56,9 +57,9 @@
     }
 }
 
-/* Ends a claim that the home has ended, or gives it back: cancels the copy of the job, waits until
- * its tasks have stopped, tells the home, and deletes the record once the home knows. copy_open:
- * the copy is not cancelled or done yet. */
+/* Ends a claim that the home has ended, or gives the job back: cancels its copy here, waits
+ * until its tasks have stopped, tells the home, and deletes the record once the home knows.
+ * copy_open: the copy is not cancelled or done yet. */
 static void end_claim(rr_transfers *transfers, rr_incoming *entry, bool copy_open, double now,
                       rr_transfers_plan *plan) {
     if (copy_open) {
@@ -69,7 +70,7 @@
         return;
     }
     if (entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
-        entry->guest.claim_ended = true; /* no home is left to be told */
+        entry->guest.claim_ended = true; /* the home is no longer in the settings */
     }
     if (entry->guest.claim_ended) {
         plan_step(transfers, entry, rr_guest_next_step(&entry->guest, now), plan);
@@ -80,9 +81,9 @@
     }
 }
 
-/* Returns the seconds between two requests for a grant; one without an answer is sent again
- * sooner. */
-static double renewal_interval_s(const rr_transfers *transfers, const rr_incoming *entry) {
+/* Returns the seconds between two requests for a grant. A request without an answer is
+ * sent again sooner. */
+static double get_renewal_interval_s(const rr_transfers *transfers, const rr_incoming *entry) {
     const rr_cells_settings *settings = transfers->settings;
     double granted_s = settings->lease_s * (1 - settings->drift);
     bool answered =
@@ -91,10 +92,10 @@
     return answered ? interval_s : fmin(interval_s, RR_CELLS_RESEND_INTERVAL_S);
 }
 
-/* Lets the core place the job's tasks while a grant lasts, and asks for the next one in time. */
+/* Lets the core place the job's tasks while a grant lasts, and requests the next grant in time. */
 static void renew_grant(rr_transfers *transfers, rr_incoming *entry, double now,
                         rr_transfers_plan *plan) {
-    double interval_s = renewal_interval_s(transfers, entry);
+    double interval_s = get_renewal_interval_s(transfers, entry);
     if (rr_guest_may_run(&entry->guest, now)) {
         rr_core_release_job(transfers->core, entry->local_id, entry->guest.granted_until);
     }
@@ -113,16 +114,17 @@
     }
 }
 
-/* Decides whether a held job that is not done is given back. This is final: a later grant does not
- * revoke it. */
-static void decide_return(rr_transfers *transfers, rr_incoming *entry, bool cancelled, double now) {
+/* Marks a held job that is not done to be given back if this is due. The mark is final: a later
+ * grant does not revoke it. */
+static void mark_for_return_if_due(rr_transfers *transfers, rr_incoming *entry, bool cancelled,
+                                   double now) {
     bool lapsed = grant_has_lapsed(transfers, entry, now);
-    entry->returning = cancelled || lapsed || cannot_start(transfers, entry, now);
+    entry->returning = cancelled || lapsed || start_has_timed_out(transfers, entry, now);
     transfers->stats.lapsed += lapsed;
     transfers->stats.given_back += entry->returning;
 }
 
-/* What the core knows of the copy of a job in this cell. */
+/* The core's state of the copy of another cell's job in this cell. */
 struct copy_state {
     bool known; /* the core has the job itself, not only its outcome */
     bool cancelled, done;
@@ -144,7 +146,8 @@
     return out->known || rr_core_job_known(transfers->core, entry->local_id);
 }
 
-/* Does what is due for one held job, if this controller owns it and no write is pending. */
+/* Takes the next step that is due for one held job, if this controller owns it and no write is
+ * pending. */
 static void advance_entry(rr_transfers *transfers, rr_incoming *entry, double now,
                           rr_transfers_plan *plan) {
     struct copy_state copy;
@@ -161,7 +164,7 @@
         return;
     }
     if (held && !entry->returning && !copy.done) {
-        decide_return(transfers, entry, copy.cancelled, now);
+        mark_for_return_if_due(transfers, entry, copy.cancelled, now);
     }
     if (entry->guest.claim_ended || entry->returning || entry->neighbour == RR_CELLS_NO_NEIGHBOUR) {
         end_claim(transfers, entry, copy.open, now, plan);
--- a/src/cells/incoming_offers.c
+++ b/src/cells/incoming_offers.c
@@ -7,8 +7,8 @@
 
 #include <string.h>
 
-#define ROOM_AGE_MAX_S 1.0     /* the free room is summed up again after this */
-#define TIMES_TOLERANCE_S 1e-3 /* between a duration here and the same one in an offer */
+#define ROOM_AGE_MAX_S 1.0     /* age at which the sum of the free room is recomputed */
+#define TIMES_TOLERANCE_S 1e-3 /* allowed between a duration here and in an offer */
 
 /* ---- free room ---- */
 
@@ -33,9 +33,9 @@
     sum->mem_gb -= tasks * submission->mem_gb;
 }
 
-/* Sums up the free room again if its last sum is old: guest_share of what all machines have beyond
- * the demand of all tasks that wait or are placed. */
-static void update_room(rr_transfers *transfers, double now) {
+/* Recomputes the free room if it is older than ROOM_AGE_MAX_S: guest_share of the capacity that all
+ * machines have beyond the demand of all tasks that wait or are placed. */
+static void update_free_room(rr_transfers *transfers, double now) {
     if (transfers->room_updated_at > 0 && now - transfers->room_updated_at < ROOM_AGE_MAX_S) {
         return;
     }
@@ -47,24 +47,25 @@
     transfers->room_updated_at = now;
 }
 
-/* Returns whether this cell takes jobs of others: not while its own jobs wait, or while a
+/* Returns whether this cell accepts jobs of other cells: not while its own jobs wait, or while a
  * controller of the term does not keep transfer holds. */
-static bool accepts_jobs(const rr_transfers *transfers) {
+static bool can_accept_incoming_jobs(const rr_transfers *transfers) {
     return !transfers->spill.spilling &&
            transfers->longest_wait_s <= transfers->settings->end_wait_s &&
            rr_core_all_members_support_holds(transfers->core);
 }
 
 rr_cells_room rr_transfers_get_free_room(rr_transfers *transfers, double now) {
-    update_room(transfers, now);
-    return accepts_jobs(transfers) ? transfers->room : (rr_cells_room){0, 0, 0};
+    update_free_room(transfers, now);
+    return can_accept_incoming_jobs(transfers) ? transfers->room : (rr_cells_room){0, 0, 0};
 }
 
 /* ---- offers ---- */
 
 /* Returns whether the home's lease_s and teardown_s are not shorter than this cell's: otherwise
- * tasks here might go on for longer than the home waits. */
-static bool home_times_suffice(const rr_transfers *transfers, const rr_cells_request *request) {
+ * tasks here might run for longer than the home waits for them to end. */
+static bool are_home_times_long_enough(const rr_transfers *transfers,
+                                       const rr_cells_request *request) {
     const rr_transfer_times *own = &transfers->settings->times;
     return own->lease_s <= request->lease_s + TIMES_TOLERANCE_S &&
            own->teardown_s <= request->teardown_s + TIMES_TOLERANCE_S;
@@ -76,8 +77,8 @@
 static bool reserve_room(rr_transfers *transfers, const rr_cells_request *request,
                          const rr_submission *submission, double now) {
     const char *reason;
-    update_room(transfers, now);
-    return home_times_suffice(transfers, request) && accepts_jobs(transfers) &&
+    update_free_room(transfers, now);
+    return are_home_times_long_enough(transfers, request) && can_accept_incoming_jobs(transfers) &&
            strcmp(submission->team, request->team) == 0 &&
            rr_core_check_submission(transfers->core, submission, &reason) == RR_SUBMISSION_NEW &&
            rr_cells_room_reserve(&transfers->room, submission);
--- a/src/cells/link_client.c
+++ b/src/cells/link_client.c
@@ -11,7 +11,7 @@
 
 struct controller_connection {
     bool open;
-    struct rr_receive_buffer receive_buffer; /* with the socket; valid if open */
+    struct rr_receive_buffer receive_buffer; /* contains the socket; valid if open */
 };
 
 struct rr_cells_client {
--- a/src/cells/link_server.c
+++ b/src/cells/link_server.c
@@ -42,7 +42,7 @@
 struct connection {
     rr_cells_server *server;
     int fd;
-    size_t neighbour; /* index of the settings */
+    size_t neighbour; /* index into settings->neighbours */
 };
 
 /* Takes the lock. */
@@ -67,7 +67,7 @@
     return names_match ? RR_CELLS_OK : RR_CELLS_WRONG_CELL;
 }
 
-/* Sets the reply's status. If it is OK, calls back for the rest of the reply. */
+/* Sets the reply's status. If the status is OK, the request callback fills in the reply. */
 static void answer_request(struct connection *connection, void **context,
                            const rr_frame_reader *payload, rr_cells_reply *reply) {
     rr_cells_server *server = connection->server;
@@ -166,7 +166,8 @@
     }
 }
 
-/* Counts one more connection, unless RR_CELLS_CONNECTIONS_MAX are open. Returns whether it did. */
+/* Counts one more connection, unless RR_CELLS_CONNECTIONS_MAX are open. Returns whether it was
+ * counted. */
 static bool reserve_connection(rr_cells_server *server) {
     pthread_mutex_lock(&server->lock);
     bool reserved = server->connection_count < RR_CELLS_CONNECTIONS_MAX;
--- a/src/cells/links.h
+++ b/src/cells/links.h
@@ -10,8 +10,8 @@
 
 /* ---- serving requests: link_server.c ---- */
 
-/* Answers a request from a neighbour, on the connection's thread. neighbour: index of the settings.
- * *context belongs to the connection and is NULL at its first request. */
+/* Answers a request from a neighbour, on the connection's thread. neighbour: index into
+ * settings->neighbours. *context belongs to the connection and is NULL at its first request. */
 typedef void (*rr_cells_serve_fn)(void *user, void **context, size_t neighbour,
                                   const rr_cells_request *request, rr_cells_reply *reply);
 /* Frees a connection's context when the connection ends. Not called if the context is NULL. */
@@ -30,7 +30,7 @@
     uint64_t connections_over_limit;
 } rr_cells_server_stats;
 
-/* Incoming connections at a time; a further one is closed at once. */
+/* Limit of open incoming connections; a further connection is closed at once. */
 #define RR_CELLS_CONNECTIONS_MAX 64
 
 /* Listens on the settings' endpoint and serves until *stop is set. settings, stop and user are
@@ -50,7 +50,8 @@
  * controller that it has sent a request to, and remembers which controller plans which team. */
 typedef struct rr_cells_client rr_cells_client;
 
-/* neighbour: index of the settings. settings and stop are borrowed and outlive the client. */
+/* neighbour: index into settings->neighbours. settings and stop are borrowed and outlive the
+ * client. */
 rr_cells_client *rr_cells_client_create(const rr_cells_settings *settings, size_t neighbour,
                                         const atomic_bool *stop);
 /* Closes the connections and frees the client. NULL is allowed. */
--- a/src/cells/messages.h
+++ b/src/cells/messages.h
@@ -24,7 +24,7 @@
     GByteArray *submission; /* with an offer, else NULL: the job, encoded as in its record; owned */
 } rr_cells_item;
 
-/* What a controller asks a controller of another cell. */
+/* A request from a controller to a controller of another cell. */
 typedef struct {
     uint8_t version; /* of the protocol */
     enum rr_cells_request_kind kind;
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -6,8 +6,10 @@
 
 #include <math.h>
 
-#define OFFER_TIMEOUT_S 4.0    /* an offer without an answer is withdrawn after this */
-#define GUEST_TIMEOUT_LEASES 2 /* so is an accepted job without a message from its guest */
+/* An offer that the guest has not answered within this time is withdrawn. */
+#define OFFER_TIMEOUT_S 4.0
+/* An accepted job is withdrawn after this many lease_s without a message from its guest. */
+#define GUEST_TIMEOUT_LEASES 2
 
 /* Returns how the job ended according to its own record, whatever the transfer's record says; NONE:
  * it is open or unknown. */
@@ -47,7 +49,8 @@
     return entry->neighbour == RR_CELLS_NO_NEIGHBOUR || now - entry->last_received_at > timeout_s;
 }
 
-/* Does what is due for one offered job, if this controller owns it and no write is pending. */
+/* Takes the next step that is due for one offered job, if this controller owns it and no write is
+ * pending. */
 static void advance_entry(rr_transfers *transfers, rr_outgoing *entry, size_t neighbour, double now,
                           double wall, rr_transfers_plan *plan) {
     if (!rr_transfers_owns_team(transfers, entry->record.team, now) ||
@@ -91,8 +94,8 @@
     return (rr_transfer_message){.kind = RR_TRANSFER_VOID, .claim = item->message.claim};
 }
 
-/* Returns the reply about a claim without a record here: it has ended. A guest's report that the
- * job is done is acknowledged if the job's own record says so, too. */
+/* Returns the reply to a message about a claim without a record here: the claim has ended. A
+ * guest's report that the job is done is acknowledged if the job's own record says so, too. */
 static rr_transfer_message make_reply_without_record(const rr_transfers *transfers,
                                                      const rr_cells_item *item, double now) {
     rr_transfer_message reply = make_void_reply(item);
--- a/src/cells/outgoing_offers.c
+++ b/src/cells/outgoing_offers.c
@@ -6,12 +6,12 @@
 #include <string.h>
 
 #define OFFERS_PER_PASS_MAX 8u       /* to one neighbour */
-#define NEIGHBOUR_ROOM_AGE_MAX_S 1.0 /* an announced room is not relied on after this */
+#define NEIGHBOUR_ROOM_AGE_MAX_S 1.0 /* an older announcement of free room is ignored */
 #define OFFERS_PER_JOB_MAX 3u        /* a job offered this often is not offered again */
 
 /* A job that may be offered to the neighbour. */
 struct candidate {
-    const rr_submission *submission; /* the core's; valid while it is locked */
+    const rr_submission *submission; /* owned by the core; valid under its lock */
     double wait_s;                   /* since its submission was accepted */
 };
 
@@ -26,8 +26,8 @@
 };
 
 /* Returns whether the settings allow the job to go to at least one neighbour. */
-static bool any_neighbour_takes(const rr_cells_settings *settings,
-                                const rr_submission *submission) {
+static bool any_neighbour_accepts_job(const rr_cells_settings *settings,
+                                      const rr_submission *submission) {
     for (size_t i = 0; i < settings->neighbour_count; i++) {
         if (rr_neighbour_accepts_job(&settings->neighbours[i], submission->team,
                                      submission->zone)) {
@@ -62,10 +62,11 @@
 }
 
 /* Adds the job to the candidates if it may be offered and has waited long enough. */
-static void consider_job(void *user, const rr_submission *submission, double accepted_at) {
+static void add_candidate_if_eligible(void *user, const rr_submission *submission,
+                                      double accepted_at) {
     struct offer_selection *selection = user;
     const rr_cells_settings *settings = selection->transfers->settings;
-    if (!any_neighbour_takes(settings, submission) ||
+    if (!any_neighbour_accepts_job(settings, submission) ||
         must_not_be_offered(selection->transfers, submission->job_id)) {
         return;
     }
@@ -115,7 +116,7 @@
                             rr_transfers_plan *plan) {
     struct offer_selection selection = {
         .transfers = transfers, .cell = &transfers->settings->neighbours[neighbour], .wall = wall};
-    rr_core_foreach_spillable_job(transfers->core, now, consider_job, &selection);
+    rr_core_foreach_spillable_job(transfers->core, now, add_candidate_if_eligible, &selection);
     transfers->longest_wait_s = selection.longest_wait_s;
     if (!rr_spill_update(&transfers->spill, transfers->settings, selection.longest_wait_s) ||
         !rr_spill_backoff_is_over(&transfers->offer_backoff[neighbour], now) ||
--- a/src/cells/outgoing_records.c
+++ b/src/cells/outgoing_records.c
@@ -38,7 +38,7 @@
 
 /* Returns whether the record differs from the state machine's: another controller has written it,
  * such as one that has received a user's cancellation. */
-static bool was_changed_elsewhere(const rr_outgoing *entry) {
+static bool record_differs_from_state_machine(const rr_outgoing *entry) {
     return !entry->home.write_pending && (entry->home.record.state != entry->record.state ||
                                           entry->home.record.claim != entry->record.claim);
 }
@@ -65,7 +65,7 @@
     entry->version = version;
     entry->neighbour = rr_cells_find_neighbour(transfers->settings, record.guest);
     set_hold_from_record(transfers, entry);
-    if (was_changed_elsewhere(entry)) {
+    if (record_differs_from_state_machine(entry)) {
         entry->loaded_token = 0;
     }
 }
@@ -95,13 +95,13 @@
     rr_home_load(&entry->home, &record, running, now, &transfers->settings->times);
     entry->loaded_token = token;
     entry->last_received_at = now;
-    entry->guest_answered = true; /* not known, and an accepted job gets more time */
+    entry->guest_answered = true; /* unknown; true gives the guest the longer timeout */
     return true;
 }
 
 /* ---- writes ---- */
 
-/* Returns the record that the state machine wants written. */
+/* Returns the record for the write that the state machine has requested. */
 static rr_outgoing_record make_next_record(const rr_transfers *transfers, const rr_outgoing *entry,
                                            double wall) {
     const rr_home_record *next = &entry->home.pending_record;
@@ -118,8 +118,8 @@
 
 /* Ends the transfer: deletes its record and, if the guest has finished the job, adds the job's
  * final record. False: the job is not open, or tasks of it are placed here. */
-static bool add_final_changes(rr_transfers *transfers, const rr_outgoing *entry,
-                              rr_transaction *transaction) {
+static bool add_transfer_end_changes(rr_transfers *transfers, const rr_outgoing *entry,
+                                     rr_transaction *transaction) {
     bool done = entry->home.pending_record.answer == RR_ANSWER_DONE;
     bool possible = !done || rr_core_add_finished_job_record(transfers->core, entry->job_id, false,
                                                              transaction);
@@ -147,7 +147,7 @@
     rr_transaction_init(&write->transaction);
     rr_core_guard_term(transfers->core, &write->transaction);
     bool ends = entry->home.pending_record.state == RR_HOME_FINAL;
-    bool possible = ends ? add_final_changes(transfers, entry, &write->transaction)
+    bool possible = ends ? add_transfer_end_changes(transfers, entry, &write->transaction)
                          : add_record_change(transfers, entry, wall, &write->transaction);
     if (!possible) {
         rr_home_complete_write(&entry->home, false);
@@ -166,8 +166,8 @@
     return true;
 }
 
-/* Has the state machine loaded again before its next step, as another controller may have changed
- * the record. */
+/* Marks the state machine to be loaded again before its next step, as another controller may have
+ * changed the record. */
 static void handle_failed_write(rr_transfers *transfers, rr_outgoing *entry) {
     entry->loaded_token = 0;
     if (entry->version == 0) {
--- a/src/cells/records.h
+++ b/src/cells/records.h
@@ -16,7 +16,7 @@
 /* The home's record of a job that was offered to another cell. */
 typedef struct {
     char team[RR_TEXT_SIZE];
-    char guest[RR_CELL_NAME_SIZE]; /* the cell of the last offer */
+    char guest[RR_CELL_NAME_SIZE]; /* name of the cell to which the last offer went */
     enum rr_home_state state;
     uint32_t claim;      /* number of the last offer */
     double withdrawn_at; /* time of day when it was withdrawn, 0 while it is offered; the guest's
@@ -45,7 +45,7 @@
  * not exist). record NULL: deletes it. */
 void rr_cells_outgoing_add_write(rr_transaction *transaction, const char *job_id, uint64_t version,
                                  const rr_outgoing_record *record);
-/* Returns the record as it becomes when the job is withdrawn from its guest. wall: time of day. */
+/* Returns a copy of the record, marked as withdrawn from the guest. wall: time of day. */
 rr_outgoing_record rr_cells_outgoing_withdraw(const rr_outgoing_record *record, double wall);
 /* Decodes a record's value. Returns 0, or -EBADMSG. */
 int rr_cells_outgoing_decode(const msgpack_object *value, rr_outgoing_record *out);
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -304,7 +304,8 @@
 }
 
 /* Reads the parsed values and checks them against each other. False: *error is set. */
-static bool read_values(cfg_t *config, const char *file, rr_cells_settings *out, GError **error) {
+static bool read_parsed_settings(cfg_t *config, const char *file, rr_cells_settings *out,
+                                 GError **error) {
     rr_settings_copy_numbers(config, numbers, NUMBER_COUNT, out);
     return read_own_name(config, file, out, error) && read_own_endpoint(config, file, out, error) &&
            derive_times(file, out, error) && read_neighbours(config, file, out, error);
@@ -351,8 +352,8 @@
     cfg_t *parser = cfg_init(options, CFGF_NONE);
     rr_settings_prepare_parser(parser, file);
     set_validators(parser);
-    bool loaded =
-        rr_settings_parse_with_sections(parser, error) && read_values(parser, file, out, error);
+    bool loaded = rr_settings_parse_with_sections(parser, error) &&
+                  read_parsed_settings(parser, file, out, error);
     cfg_free(parser);
     if (!loaded) {
         rr_cells_settings_clear(out);
--- a/src/cells/transfer.h
+++ b/src/cells/transfer.h
@@ -35,7 +35,7 @@
     enum rr_job_answer answer; /* with ENDED */
     /* Set by the guest in RENEW and returned unchanged in GRANT. */
     double sent_at;         /* the guest's steady clock when it asked */
-    uint64_t guest_process; /* rr_guest.process: sent_at means nothing to a later process */
+    uint64_t guest_process; /* rr_guest.process: a later process ignores sent_at */
 } rr_transfer_message;
 
 /* Durations on which both cells have to agree by their settings. */
