--- a/src/peer/cancellations.c
+++ b/src/peer/cancellations.c
@@ -3,14 +3,14 @@
 #include "peer/frame.h"
 #include "wire/wire.h"
 
-#define CANCELLATIONS_MAX 512u /* far fewer than a frame can hold */
+#define CANCELLATIONS_MAX 512u /* entries; far fewer than a frame can hold */
 
 /* The cancellation of one job. */
 struct cancellation {
     char job_id[RR_ID_SIZE];
     double expires_at; /* by the steady clock */
     bool announced;
-    unsigned delivery_generation; /* in which it was last announced, if it was */
+    unsigned delivery_generation; /* in which the entry was last announced, if it was */
 };
 
 struct rr_cancellations {
@@ -41,7 +41,8 @@
     g_queue_push_tail(&list->queue, added);
 }
 
-static bool is_pending(const struct cancellation *cancellation, unsigned delivery_generation) {
+static bool is_announcement_pending(const struct cancellation *cancellation,
+                                    unsigned delivery_generation) {
     return !cancellation->announced || cancellation->delivery_generation != delivery_generation;
 }
 
@@ -60,20 +61,20 @@
     remove_expired(list, now);
     /* All pending entries are announced together, so the newest is pending if any entry is. */
     const struct cancellation *newest = g_queue_peek_tail(&list->queue);
-    return newest && is_pending(newest, delivery_generation);
+    return newest && is_announcement_pending(newest, delivery_generation);
 }
 
 void rr_cancellations_put_frame(rr_cancellations *list, unsigned delivery_generation,
                                 GByteArray *out) {
     uint16_t count = 0;
     for (const GList *node = list->queue.head; node; node = node->next) {
-        count += is_pending(node->data, delivery_generation);
+        count += is_announcement_pending(node->data, delivery_generation);
     }
     guint start = rr_frame_begin(out, RR_FRAME_CANCELLED);
     rr_frame_put_u16(out, count);
     for (const GList *node = list->queue.head; node; node = node->next) {
         struct cancellation *cancellation = node->data;
-        if (is_pending(cancellation, delivery_generation)) {
+        if (is_announcement_pending(cancellation, delivery_generation)) {
             rr_frame_put_text(out, cancellation->job_id);
             cancellation->announced = true;
             cancellation->delivery_generation = delivery_generation;
--- a/src/peer/link.c
+++ b/src/peer/link.c
@@ -11,10 +11,10 @@
 
 /* Delay after the first output, so that more can be sent with it; in heartbeat intervals. */
 #define BATCH_DELAY_INTERVALS 0.0125
-#define DIGEST_INTERVAL_S 0.5      /* between the periodic digests */
+#define DIGEST_INTERVAL_S 0.5      /* interval between the periodic digests */
 #define CONFIRM_TIMEOUT_MAX_S 30.0 /* limit of the growing timeout */
 #define CONNECT_TIMEOUT_S 1.0
-#define STOP_CHECK_S 0.1     /* between checks of the stop flag during a pause */
+#define STOP_CHECK_S 0.1     /* interval between checks of the stop flag during a pause */
 #define RETRY_PAUSE_CHECKS 5 /* pause before reconnecting, in units of STOP_CHECK_S */
 
 void rr_peer_link_init(struct rr_peer_link *link, rr_peers *peers, int index,
--- a/src/peer/listener.c
+++ b/src/peer/listener.c
@@ -9,10 +9,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define IDLE_TIMEOUT_S 20    /* a connection without a frame for so long is closed */
-#define TRANSFER_TIMEOUT_S 5 /* of one send or receive */
-#define STOP_CHECK_MS 1000   /* between checks of the stop flag */
-#define ACCEPT_RETRY_S 0.1   /* after a failure, for example for lack of descriptors */
+#define IDLE_TIMEOUT_S 20    /* a connection is closed after this time without a frame */
+#define TRANSFER_TIMEOUT_S 5 /* timeout of one send or receive */
+#define STOP_CHECK_MS 1000   /* interval between checks of the stop flag */
+#define ACCEPT_RETRY_S 0.1   /* pause after a failed accept, such as for lack of descriptors */
 
 /* Gives back a reserved connection and wakes rr_peers_stop(). */
 static void release_connection(rr_peers *peers) {
--- a/src/peer/outbox.c
+++ b/src/peer/outbox.c
@@ -15,14 +15,14 @@
 /* Limit of a heartbeat frame, header included. Larger heartbeats are not sent to peers. */
 #define HEARTBEAT_BYTES_MAX (RR_FRAME_BYTES_MAX / 2)
 
-/* What was last sent in full to one peer of a machine's heartbeats. */
+/* The last heartbeat of a machine that was sent to one peer in full. */
 struct full_send {
     uint64_t worker_epoch, hash;
     unsigned delivery_generation; /* of the peer's link when it was queued */
     double queued_at;             /* by the steady clock, in seconds; 0: never */
 };
 
-/* What was last sent in full of one machine's heartbeats. */
+/* The last heartbeats of a machine that were sent in full, for each peer. */
 struct machine_sends {
     struct full_send to_peer[RR_CONTROLLERS_MAX]; /* by the peer's index */
     double last_used_at;                          /* by the steady clock, in seconds */
@@ -52,7 +52,7 @@
 }
 
 /* Whether the record of a machine's sends can be removed; for g_hash_table_foreach_remove(). */
-static gboolean is_expired(gpointer key, gpointer value, gpointer now) {
+static gboolean is_send_record_expired(gpointer key, gpointer value, gpointer now) {
     (void)key;
     return *(double *)now - ((struct machine_sends *)value)->last_used_at > MACHINE_SENDS_TTL_S;
 }
@@ -62,7 +62,7 @@
 static struct machine_sends *find_machine_sends(rr_peers *peers, const char *machine, double now) {
     if (now - peers->sent_heartbeats_swept_at > MACHINE_SENDS_TTL_S) {
         peers->sent_heartbeats_swept_at = now;
-        g_hash_table_foreach_remove(peers->sent_heartbeats, is_expired, &now);
+        g_hash_table_foreach_remove(peers->sent_heartbeats, is_send_record_expired, &now);
     }
     struct machine_sends *sent = g_hash_table_lookup(peers->sent_heartbeats, machine);
     if (!sent) {
@@ -81,13 +81,13 @@
     return g_bytes_new_take(payload, length + 1);
 }
 
-static bool fits_heartbeat_frame(size_t body_length) {
+static bool heartbeat_fits_frame(size_t body_length) {
     return body_length + RR_FRAME_HEADER_BYTES + 1 <= HEARTBEAT_BYTES_MAX;
 }
 
 /* Whether the peer was sent a heartbeat of the digest's content that does not count as lost. */
-static bool peer_has_content(const struct full_send *sent, const struct rr_peer_link *link,
-                             const rr_heartbeat_digest *digest) {
+static bool peer_was_sent_content(const struct full_send *sent, const struct rr_peer_link *link,
+                                  const rr_heartbeat_digest *digest) {
     return sent->queued_at > 0 && sent->delivery_generation == link->delivery_generation &&
            sent->worker_epoch == digest->worker_epoch && sent->hash == digest->hash;
 }
@@ -98,7 +98,7 @@
 static bool needs_full_heartbeat(const struct full_send *sent, const struct rr_peer_link *link,
                                  const rr_heartbeat_digest *digest, bool subscribed,
                                  bool occasional, double now) {
-    bool has_content = peer_has_content(sent, link, digest);
+    bool has_content = peer_was_sent_content(sent, link, digest);
     bool never_sent = sent->queued_at <= 0;
     if (subscribed) {
         return !has_content || now - sent->queued_at > REFRESH_INTERVAL_S;
@@ -109,7 +109,7 @@
 
 void rr_peers_send_heartbeat(rr_peers *peers, uint32_t subscribers, uint32_t occasional,
                              const rr_heartbeat_digest *digest, const void *body, size_t length) {
-    if (peers->config->peer_count == 0 || !fits_heartbeat_frame(length)) {
+    if (peers->config->peer_count == 0 || !heartbeat_fits_frame(length)) {
         return;
     }
     GBytes *payload = NULL; /* created for the first peer that gets the heartbeat in full */
@@ -136,7 +136,7 @@
 
 void rr_peers_forward_heartbeats(rr_peers *peers, int from, const rr_heartbeat_digest *digests,
                                  size_t count, const void *body, size_t length) {
-    if (from < 0 || !fits_heartbeat_frame(length)) {
+    if (from < 0 || !heartbeat_fits_frame(length)) {
         return;
     }
     GBytes *payload = NULL;
--- a/src/peer/requests.c
+++ b/src/peer/requests.c
@@ -8,7 +8,7 @@
 
 #define CONNECT_TIMEOUT_S 1.0
 #define RESIGN_TIMEOUT_S 2.0
-#define RELAY_EXTRA_TIMEOUT_S 1 /* in addition to the time that the peer waits for the worker */
+#define RELAY_EXTRA_TIMEOUT_S 1 /* added to the time that the peer waits for the worker */
 
 /* A connection to one peer for one request. */
 struct request {
