--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -29,8 +29,8 @@
     return rr_core_job_known(app->core, job_id);
 }
 
-/* Removes jobs from the demand that were refused here and have since been accepted by another
- * controller: the core knows them. */
+/* Removes from the demand the jobs that were refused here and that the core now knows, because
+ * another controller has accepted them since. */
 static void forget_accepted_jobs(struct rr_app *app) {
     struct rr_app_admission *state = app->admission;
     pthread_mutex_lock(&app->lock);
--- a/src/app/autoscaler_thread.c
+++ b/src/app/autoscaler_thread.c
@@ -91,8 +91,8 @@
 }
 
 /* Executes the step. Returns 0, or -errno: then the caller pauses before the next step. */
-static int run_step(struct rr_app *app, rr_store *store, rr_cloud *cloud,
-                    const rr_autoscaler_step *step, uint64_t *needed_revision) {
+static int execute_step(struct rr_app *app, rr_store *store, rr_cloud *cloud,
+                        const rr_autoscaler_step *step, uint64_t *needed_revision) {
     switch (step->kind) {
     case RR_AUTOSCALER_READ_CATALOG:
         return read_catalog(app, cloud);
@@ -132,7 +132,7 @@
         rr_autoscaler_step step;
         rr_autoscaler_step_init(&step);
         wait_for_step(app, needed_revision, &step);
-        int rc = run_step(app, store, cloud, &step, &needed_revision);
+        int rc = execute_step(app, store, cloud, &step, &needed_revision);
         if (rc != 0) {
             rr_log(RR_DEBUG_LEVEL, "autoscaler: step of kind %d failed: %s", (int)step.kind,
                    strerror(-rc));
--- a/src/app/cells_neighbour_store_reader.c
+++ b/src/app/cells_neighbour_store_reader.c
@@ -37,8 +37,8 @@
 
 /* Reads all rows under the prefix. Returns 0, -ECANCELED if the process is stopping, or another
  * -errno. */
-static int read_all(struct rr_app *app, struct rr_neighbour_store_reader *reader,
-                    const char *prefix, rr_store_row_fn callback, void *user) {
+static int read_rows_with_prefix(struct rr_app *app, struct rr_neighbour_store_reader *reader,
+                                 const char *prefix, rr_store_row_fn callback, void *user) {
     rr_store_cursor cursor = {.has_more = true};
     int rc = 0;
     while (rc == 0 && cursor.has_more && !rr_app_is_stopping(app)) {
@@ -58,14 +58,14 @@
 static bool read_neighbour_records(struct rr_app *app, struct rr_neighbour_store_reader *reader) {
     unsigned session_count = 0;
     reader->read_started_at = rr_steady_clock_s();
-    int rc = read_all(app, reader, SESSION_PREFIX, count_session, &session_count);
+    int rc = read_rows_with_prefix(app, reader, SESSION_PREFIX, count_session, &session_count);
     if (rc == 0 && session_count == 0) {
         rr_absent_begin_read(reader->absent);
-        rc = read_all(app, reader, RR_KEY_ROOT, add_record, reader->absent);
+        rc = read_rows_with_prefix(app, reader, RR_KEY_ROOT, add_record, reader->absent);
         rr_absent_end_read(reader->absent, rr_steady_clock_s());
     }
     if (rc == 0 && session_count == 0) {
-        rc = read_all(app, reader, SESSION_PREFIX, count_session, &session_count);
+        rc = read_rows_with_prefix(app, reader, SESSION_PREFIX, count_session, &session_count);
     }
     bool confirmed = rc == 0 && session_count == 0;
     rr_absent_record_session_check(reader->absent, confirmed, rr_steady_clock_s());
--- a/src/app/cells_neighbour_thread.c
+++ b/src/app/cells_neighbour_thread.c
@@ -15,7 +15,7 @@
 /* State of one neighbour's thread. */
 struct neighbour_context {
     struct rr_app *app;
-    size_t neighbour; /* index in the settings */
+    size_t neighbour; /* index into the settings' neighbours */
     rr_store *store;  /* of this cell */
     rr_cells_client *client;
     struct rr_neighbour_store_reader reader;
--- a/src/app/cells_server.c
+++ b/src/app/cells_server.c
@@ -10,9 +10,9 @@
 /* Handles one item of a transfer request and fills *message with its reply. A write that the item
  * causes is committed first, with the connection's store client in *context, which is created on
  * first use. */
-static void handle_item(struct rr_app *app, void **context, size_t neighbour,
-                        const rr_cells_request *request, const rr_cells_item *item,
-                        rr_transfer_message *message) {
+static void handle_transfer_item(struct rr_app *app, void **context, size_t neighbour,
+                                 const rr_cells_request *request, const rr_cells_item *item,
+                                 rr_transfer_message *message) {
     rr_transfer_write write;
     pthread_mutex_lock(&app->lock);
     double now = rr_steady_clock_s();
@@ -43,8 +43,8 @@
 }
 
 /* Answers transfer messages about jobs of one team. */
-static void handle_transfers(struct rr_app *app, void **context, size_t neighbour,
-                             const rr_cells_request *request, rr_cells_reply *reply) {
+static void handle_transfer_items(struct rr_app *app, void **context, size_t neighbour,
+                                  const rr_cells_request *request, rr_cells_reply *reply) {
     if (!check_owner(app, request->team, reply)) {
         reply->status = RR_CELLS_NOT_OWNER;
         return;
@@ -52,7 +52,7 @@
     for (guint i = 0; i < request->items->len; i++) {
         const rr_cells_item *item = &g_array_index(request->items, rr_cells_item, i);
         rr_transfer_message message = {.kind = RR_TRANSFER_NOTHING};
-        handle_item(app, context, neighbour, request, item, &message);
+        handle_transfer_item(app, context, neighbour, request, item, &message);
         rr_cells_add_item(reply->items, item->job_id, &message);
     }
     pthread_mutex_lock(&app->lock);
@@ -81,7 +81,7 @@
 void rr_app_cells_handle_request(void *user, void **context, size_t neighbour,
                                  const rr_cells_request *request, rr_cells_reply *reply) {
     if (request->kind == RR_CELLS_TRANSFERS) {
-        handle_transfers(user, context, neighbour, request, reply);
+        handle_transfer_items(user, context, neighbour, request, reply);
     } else {
         handle_user_request(user, request, reply);
     }
--- a/src/app/cells_state.h
+++ b/src/app/cells_state.h
@@ -10,7 +10,7 @@
 /* The thread that handles the transfers with one neighbour. */
 struct rr_neighbour_thread {
     struct rr_app *app;
-    size_t neighbour; /* index in the settings */
+    size_t neighbour; /* index into the settings' neighbours */
     pthread_t thread;
     bool started; /* must be joined */
 };
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -14,7 +14,7 @@
 #define COMMAND_TIMEOUT_S 2.0
 #define PROBE_TIMEOUT_S 0.8
 #define IDLE_WAIT_S 5.0
-#define DIRECT (-1)            /* in place of a peer's index: not relayed */
+#define DIRECT (-1)            /* in place of a peer's index: sent without a relay */
 #define STALE_TOKEN_STATUS 409 /* HTTP status of a worker that refuses a stale fencing token */
 
 /* Result of sending a batch. */
--- a/src/app/commit_thread.c
+++ b/src/app/commit_thread.c
@@ -9,8 +9,8 @@
 #include <math.h>
 #include <string.h>
 
-#define COMMIT_TIMEOUT_S 1.0    /* of one transaction */
-#define RETRY_PAUSE_S 0.1       /* after a failed transaction */
+#define COMMIT_TIMEOUT_S 1.0    /* timeout of one transaction */
+#define RETRY_PAUSE_S 0.1       /* pause after a failed transaction */
 #define IDLE_WAIT_S 1.0         /* longest wait for commits before the stop is checked again */
 #define COMMIT_TIME_MIN_S 0.001 /* bounds the computed commit rate */
 
@@ -57,7 +57,7 @@
 }
 
 /* Returns whether the transaction was refused or got no answer; the store then counts as down. */
-static bool store_failed(enum rr_commit_status outcome) {
+static bool is_store_failure(enum rr_commit_status outcome) {
     return outcome == RR_COMMIT_REFUSED || outcome == RR_COMMIT_OUTCOME_UNKNOWN;
 }
 
@@ -69,7 +69,7 @@
         return batch_size > 1 && !contains_key(conflicts, commit->key) &&
                !(commit->extra_guard_key[0] && contains_key(conflicts, commit->extra_guard_key));
     }
-    return (store_failed(outcome) || outcome == RR_COMMIT_INVALID) && now < commit->deadline;
+    return (is_store_failure(outcome) || outcome == RR_COMMIT_INVALID) && now < commit->deadline;
 }
 
 /* Finishes or queues again every commit of the batch, and updates the commit rate. duration_s:
@@ -99,7 +99,7 @@
 /* Records whether the key-value store is reachable. */
 static void record_store_reachability(struct rr_app *app, enum rr_commit_status outcome) {
     pthread_mutex_lock(&app->lock);
-    app->store_down = store_failed(outcome);
+    app->store_down = is_store_failure(outcome);
     if (!app->store_down) {
         app->store_answered_at = rr_steady_clock_s();
     }
@@ -146,7 +146,7 @@
             continue;
         }
         enum rr_commit_status outcome = commit_batch(app, store, &batch, lease_id);
-        if (store_failed(outcome) || outcome == RR_COMMIT_INVALID) {
+        if (is_store_failure(outcome) || outcome == RR_COMMIT_INVALID) {
             rr_app_pause(app, RETRY_PAUSE_S);
         }
     }
--- a/src/app/read_barrier_thread.c
+++ b/src/app/read_barrier_thread.c
@@ -54,7 +54,7 @@
 
 /* Waits until this controller's share of the store's request limit allows another read; polls
  * gather meanwhile. read_at: time of the previous read, steady clock. */
-static void wait_for_request_share(struct rr_app *app, double read_at) {
+static void wait_until_next_read_allowed(struct rr_app *app, double read_at) {
     pthread_mutex_lock(&app->lock);
     unsigned controllers = rr_core_count_members(app->core);
     pthread_mutex_unlock(&app->lock);
@@ -64,7 +64,7 @@
 
 /* Closes the gathering group and opens the next one. Returns the closed group's barrier, or NULL if
  * no poll waits. */
-static struct rr_read_barrier *close_group(struct rr_app *app) {
+static struct rr_read_barrier *close_gathering_group(struct rr_app *app) {
     pthread_mutex_lock(&app->user_lock);
     struct rr_read_barrier *barrier = &app->read_barriers[app->gathering_group % 2];
     barrier = barrier->waiting_polls > 0 ? barrier : NULL;
@@ -107,8 +107,8 @@
     double read_at = 0;
     while (!rr_app_is_stopping(app)) {
         wait_for_polls(app);
-        wait_for_request_share(app, read_at);
-        struct rr_read_barrier *barrier = close_group(app);
+        wait_until_next_read_allowed(app, read_at);
+        struct rr_read_barrier *barrier = close_gathering_group(app);
         if (barrier) {
             read_at = rr_steady_clock_s();
             release_polls(app, barrier, wait_until_cache_is_current(app, store));
--- a/src/app/stats.c
+++ b/src/app/stats.c
@@ -50,7 +50,7 @@
 }
 
 /* Returns the upper edge of the bin that holds the quantile, in milliseconds. */
-static double quantile_ms(const gsl_histogram *histogram, double quantile) {
+static double get_quantile_ms(const gsl_histogram *histogram, double quantile) {
     double sum = 0, total = gsl_histogram_sum(histogram), low = 0, high = 0;
     for (size_t i = 0; i < HISTOGRAM_BINS && sum < quantile * total; i++) {
         sum += gsl_histogram_get(histogram, i);
@@ -64,8 +64,8 @@
     if (stats->answered) {
         g_snprintf(out, size,
                    "%u submissions (%u refused), half within %.0f ms, 95%% within %.0f ms",
-                   stats->answered, stats->refused, quantile_ms(stats->durations, 0.5),
-                   quantile_ms(stats->durations, 0.95));
+                   stats->answered, stats->refused, get_quantile_ms(stats->durations, 0.5),
+                   get_quantile_ms(stats->durations, 0.95));
     } else {
         g_snprintf(out, size, "no submissions");
     }
--- a/src/app/thread_helpers.c
+++ b/src/app/thread_helpers.c
@@ -8,7 +8,7 @@
 #define PAUSE_SLICE_S 0.5      /* longest time until a sleeping thread notices a stop */
 #define TIMER_LATE_S 0.4       /* half the timeout of a probe (command_thread.c) */
 #define TIMER_LAG_OLD_WEIGHT 3 /* weight of the moving average; a new sample weighs 1 */
-#define COMMIT_TIMEOUT_S 2.0   /* of one attempt */
+#define COMMIT_TIMEOUT_S 2.0   /* timeout of one attempt */
 #define COMMIT_RETRY_PAUSE_S 0.2
 
 bool rr_app_is_stopping(const struct rr_app *app) {
--- a/src/app/user_commit.c
+++ b/src/app/user_commit.c
@@ -6,7 +6,7 @@
 
 /* Returns the seconds until `queued_count` changes are written at the rate of the last transaction;
  * 0 if they fit into one transaction or no rate is known yet. */
-static double estimated_wait_s(const struct rr_app *app, guint queued_count) {
+static double estimate_queue_wait_s(const struct rr_app *app, guint queued_count) {
     return queued_count < RR_USER_BATCH_MAX || app->commit_rate <= 0
                ? 0
                : queued_count / app->commit_rate;
@@ -16,7 +16,7 @@
     pthread_mutex_lock(&app->user_lock);
     guint queued_count = g_queue_get_length(&app->commit_queue);
     bool queued = !rr_app_is_stopping(app) && queued_count < QUEUED_COMMITS_MAX &&
-                  estimated_wait_s(app, queued_count) < RR_USER_COMMIT_WAIT_MAX_S;
+                  estimate_queue_wait_s(app, queued_count) < RR_USER_COMMIT_WAIT_MAX_S;
     if (queued) {
         rr_app_cond_init(&commit->finished_cond);
         g_queue_push_tail(&app->commit_queue, commit);
--- a/src/app/user_commit.h
+++ b/src/app/user_commit.h
@@ -6,7 +6,7 @@
 
 #include "app/app.h"
 
-#define RR_USER_COMMIT_WAIT_MAX_S 1.5 /* from the request to the outcome of its commit */
+#define RR_USER_COMMIT_WAIT_MAX_S 1.5 /* time from the request to the outcome of its commit */
 #define RR_USER_BATCH_MAX 96          /* users' changes in one transaction */
 
 /* Lives on the stack of the request's thread, which waits until the commit is finished. While the
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -16,8 +16,8 @@
 /* With a larger lag, submissions are refused: their users would give up before the answer. */
 #define SUBMISSION_TIMER_LAG_MAX_MS 1000
 #define SLOW_SUBMISSION_S 0.15     /* submissions that take longer are logged */
-#define CANCEL_WAIT_MAX_S 2.5      /* for all attempts at one cancellation */
-#define STORE_DOWN_CONFIRMED_S 2.0 /* without an answer, after which the store counts as down */
+#define CANCEL_WAIT_MAX_S 2.5      /* time for all attempts at one cancellation */
+#define STORE_DOWN_CONFIRMED_S 2.0 /* time without an answer; the store then counts as down */
 #define JSON_SIZE_FACTOR 1.4       /* JSON bytes per MessagePack byte; the store limits JSON */
 /* Retry-After values. */
 #define RETRY_SOON_S 1
--- a/src/app/watch_thread.c
+++ b/src/app/watch_thread.c
@@ -27,7 +27,7 @@
     uint64_t version;            /* of the record after the change */
 };
 
-static gint compare_versions(gconstpointer left_item, gconstpointer right_item) {
+static gint compare_change_versions(gconstpointer left_item, gconstpointer right_item) {
     const struct record_change *left = left_item, *right = right_item;
     return left->version < right->version ? -1 : left->version > right->version;
 }
@@ -147,7 +147,7 @@
             g_array_append_val(changes, change);
         }
     }
-    g_array_sort(changes, compare_versions);
+    g_array_sort(changes, compare_change_versions);
     apply_changes(app, changes, revision, requested_at);
     g_array_free(changes, TRUE);
     g_string_chunk_free(keys);
