--- a/src/admission/key.h
+++ b/src/admission/key.h
@@ -8,7 +8,7 @@
 #include "wire/wire.h"
 
 #define RR_ADMISSION_BAND_COUNT 3   /* size bands: small, medium and large jobs */
-#define RR_ADMISSION_TYPES_SIZE 256 /* bytes */
+#define RR_ADMISSION_TYPES_SIZE 256 /* size of rr_admission_key.types, in bytes */
 
 typedef struct {
     uint64_t id; /* hash of the other fields */
--- a/src/admission/shares_levels.c
+++ b/src/admission/shares_levels.c
@@ -101,8 +101,9 @@
     return growing;
 }
 
-/* Solves the program of the next level, sets the rows' allocations and updates *growing. Returns
- * false if no time is left or there is no solution. */
+/* Solves the linear program of the next saturation level, and sets the rows' allocations and
+ * *growing, the number of entities that still grow. Returns false if no time is left or there is no
+ * solution. */
 static bool raise_level(struct stage *stage, guint *growing) {
     struct rr_level_program program;
     rr_level_program_init(&program, &stage->entities, find_next_saturation_level(&stage->entities));
--- a/src/admission/table_records.c
+++ b/src/admission/table_records.c
@@ -191,7 +191,8 @@
            rr_map_get_number(value, "mem", &table->mem_gb);
 }
 
-/* Reads a record into an empty table. Returns false if it is malformed. */
+/* Reads one of a table's records into an empty table, and sets *parts to the number of records of
+ * the whole table. Returns false if the record is malformed. */
 static bool read_record(const msgpack_object *value, rr_admission_table *table, uint64_t *parts) {
     const msgpack_object_array *rows = get_array(value, "rows");
     const msgpack_object_array *teams = get_array(value, "teams");
--- a/src/admission/verdict.c
+++ b/src/admission/verdict.c
@@ -3,8 +3,9 @@
 
 #include <math.h>
 
-/* Fraction of an interval over which the retries of the jobs in its window are spread, in the order
- * of their positions, so that they do not all arrive at the interval's start. */
+/* A refused job is told to retry in the interval whose window admits it. The retries of such jobs
+ * are spread over this fraction of the interval, in the order of their positions, so that they do
+ * not all arrive at its start. */
 #define RETRY_SPREAD 0.5
 
 const rr_admission_table *rr_admission_find_table_in_force(const rr_admission_tables *tables,
--- a/src/admission/verdict.h
+++ b/src/admission/verdict.h
@@ -22,9 +22,10 @@
 
 enum rr_admission_verdict_kind {
     RR_ADMISSION_ADMIT,
-    RR_ADMISSION_RETRY_LATER,   /* refused: the window has not reached the job yet */
-    RR_ADMISSION_NO_VALID_TABLE /* undecided by rr_admission_decide(), refused by
-                                   rr_admission_check() */
+    RR_ADMISSION_RETRY_LATER, /* refused: the window has not reached the job yet */
+    /* The table in force is no longer valid: rr_admission_decide() leaves the decision to its
+     * caller, and rr_admission_check() refuses the job. */
+    RR_ADMISSION_NO_VALID_TABLE
 };
 
 typedef struct {
--- a/src/app/cells_neighbour_store_reader.h
+++ b/src/app/cells_neighbour_store_reader.h
@@ -1,5 +1,5 @@
 /* Reads the key-value store of a neighbour cell while none of its controllers answers, and commits
- * the changes that follow, such as claims of its jobs. */
+ * the resulting changes, such as claims of its jobs, to both cells' stores. */
 #ifndef RR_APP_CELLS_NEIGHBOUR_STORE_READER_H
 #define RR_APP_CELLS_NEIGHBOUR_STORE_READER_H
 
@@ -25,7 +25,7 @@
 /* Frees what rr_neighbour_store_reader_init() has created. */
 void rr_neighbour_store_reader_clear(struct rr_neighbour_store_reader *reader);
 /* Reads the neighbour's records if none of its controllers has answered for half a lease and a read
- * is due, and commits the changes that follow to both cells' key-value stores. own_store: client of
+ * is due, and commits the resulting changes to both cells' key-value stores. own_store: client of
  * this cell's store. Takes rr_app.lock; the caller must hold no lock. */
 void rr_neighbour_store_reader_run(struct rr_app *app, rr_store *own_store,
                                    struct rr_neighbour_store_reader *reader, size_t neighbour);
--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -7,7 +7,8 @@
 #include <math.h>
 #include <string.h>
 
-#define RELAY_RETRY_S 2 /* Retry-After value */
+/* Retry-After of the 503 response while a cell that may know the job can't be reached. */
+#define RELAY_RETRY_S 2
 
 static bool is_reachable(struct rr_app *app, size_t neighbour) {
     pthread_mutex_lock(&app->lock);
--- a/src/app/command_thread.c
+++ b/src/app/command_thread.c
@@ -86,7 +86,8 @@
     }
 }
 
-/* Has the peer delivery->peer relay the batch to the worker. */
+/* Asks the peer with index delivery->peer to relay the batch to the worker, and records the result
+ * in *delivery. */
 static void relay_through_peer(struct rr_app *app, const rr_command_batch *batch,
                                const rr_encoder *encoder, struct delivery *delivery) {
     rr_relayed_reply relayed = {0};
--- a/src/app/session_thread.c
+++ b/src/app/session_thread.c
@@ -60,9 +60,10 @@
     return outcome == RR_COMMIT_DONE ? 0 : -EAGAIN;
 }
 
-/* Acquires a new session and sets *lease_id. The record of this controller's previous incarnation
- * is replaced in the same change, so that a restart causes a single new term; the previous lease is
- * ended after that. Returns 0, or -errno with *lease_id undefined. */
+/* Acquires a new session and sets *lease_id. The transaction that writes the new session's record
+ * also replaces the record of this controller's previous process, so that a restart causes only one
+ * new term; the previous lease is revoked afterwards. Returns 0, or -errno with *lease_id
+ * undefined. */
 static int acquire_session(struct rr_app *app, rr_store *store, uint64_t *lease_id) {
     char key[RR_NAME_SIZE + 16];
     uint64_t version = 0, previous_lease_id = 0;
--- a/src/app/stats.c
+++ b/src/app/stats.c
@@ -17,7 +17,7 @@
 
 struct rr_stats {
     pthread_mutex_t lock;
-    gsl_histogram *durations; /* log10 of seconds */
+    gsl_histogram *durations; /* log10 of the seconds until submissions were answered */
     unsigned answered;        /* submissions, including the refused ones */
     unsigned refused;         /* answered with a status of 500 or more */
 };
--- a/src/app/watch_thread.c
+++ b/src/app/watch_thread.c
@@ -154,11 +154,11 @@
     return 0;
 }
 
-/* Sends one watch and applies the changes that it returns. A watch ends with the first change, and
- * the next one is another request: changes gather in the store while this thread first waits for
- * its share of the store's request limit. *opened_at: steady time at which the previous watch was
- * sent; set to that of this one. Returns 0 or -errno; -ESTALE if the store no longer has all
- * changes since the cache's revision. */
+/* Sends one watch and applies the changes that it returns. A watch ends with the first change.
+ * Before the next one is sent, this thread waits for its share of the store's request limit, so
+ * that one watch returns all changes made in the meantime. *opened_at: steady time at which the
+ * previous watch was sent; set to that of this one. Returns 0 or -errno; -ESTALE if the store no
+ * longer has all changes since the cache's revision. */
 static int watch_once(struct rr_app *app, rr_store *store, double *opened_at) {
     rr_document document;
     pthread_mutex_lock(&app->lock);
--- a/src/cells/outgoing_records.c
+++ b/src/cells/outgoing_records.c
@@ -1,5 +1,5 @@
-/* Entries of this cell's jobs that were offered to other cells: their records in the key-value
- * store, and the writes that change these. */
+/* The entries for jobs that this cell has offered to other cells: their records in the key-value
+ * store, and the writes that change the records. */
 #include "cells/outgoing.h"
 #include "core/extensions.h"
 #include "core/leadership.h"
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -154,7 +154,8 @@
     GError **error;
 };
 
-/* Sets the error. Returns false. */
+/* Sets *reader->error to the reason, with the file, the line of the section and the neighbour's
+ * name. Always returns false. */
 static bool set_neighbour_error(const struct neighbour_reader *reader, enum rr_settings_error code,
                                 const char *reason) {
     g_set_error(reader->error, RR_SETTINGS_ERROR, (int)code, "%s:%d: neighbour \"%s\": %s",
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -60,8 +60,8 @@
 /* Frees the plan's writes and requests. */
 void rr_transfers_plan_clear(rr_transfers_plan *plan);
 
-/* Advances the transfers with this neighbour and adds to the plan what is due. may_offer false: no
- * job is offered, as tasks are being placed by a change that is not complete yet. */
+/* Advances the transfers with this neighbour and adds to the plan what is due. may_offer: whether
+ * jobs may be offered; false while the commit of a plan that places tasks has no outcome yet. */
 void rr_transfers_advance(rr_transfers *transfers, size_t neighbour, bool may_offer, double now,
                           double wall, rr_transfers_plan *plan);
 
--- a/src/core/autoscaling/capacity_demand.c
+++ b/src/core/autoscaling/capacity_demand.c
@@ -168,7 +168,8 @@
            submission->checkpoint_save_s + PREEMPTION_MARGIN_S <= within_s;
 }
 
-/* Counts the resources of preemptible tasks as free: they serve as headroom. */
+/* Adds the resources of the tasks that the job may preempt within within_s seconds to the free
+ * resources of their machines, since these resources serve as headroom. */
 static void free_preemptible_resources(const struct rr_demand_simulation *sim, const rr_job *job,
                                        double within_s) {
     const rr_core *core = sim->core;
--- a/src/core/extensions.h
+++ b/src/core/extensions.h
@@ -102,7 +102,7 @@
     RR_HOLD_TRANSFERRED, /* offered to another cell: not placed here */
     RR_HOLD_RETURNED,    /* was offered to another cell: released only in a term whose owner knows
                             that the job has ended there */
-    RR_HOLD_GUEST,       /* received from another cell: released, and its tasks left running, only
+    RR_HOLD_GUEST,       /* received from another cell: released, with its running tasks kept, only
                             while that cell permits it */
 };
 /* Holds the job, or changes the kind of its hold. A change of the kind ends the release. */
--- a/src/core/health/failure_detector.c
+++ b/src/core/health/failure_detector.c
@@ -21,9 +21,9 @@
     if (rr_core_timers_late(core, now, RR_LATE_TIMER_GRACE_S)) {
         return false;
     }
-    /* A zone in which most machines are dead or hung looks partitioned, but a partition would cut
-     * off the zone's controllers as well. While one of them is reachable, a machine whose lease has
-     * expired is dead, however many other machines are overdue. */
+    /* A partition of the zone would also cut off its controllers. So while one of them is
+     * reachable, the zone is not partitioned, and a machine whose lease has expired is dead even if
+     * most machines of the zone are overdue, which looks like a partition. */
     if (age_s > LEASE_EXPIRED_FACTOR * core->config->lease_s &&
         rr_zone_controller_reached(core, machine->zone, now)) {
         return true;
--- a/src/core/scheduling/gang_search.h
+++ b/src/core/scheduling/gang_search.h
@@ -1,4 +1,4 @@
-/* Searches the zones for machines that take a whole gang. */
+/* Searches the zones for machines with room for a whole gang. */
 #ifndef RR_CORE_SCHEDULING_GANG_SEARCH_H
 #define RR_CORE_SCHEDULING_GANG_SEARCH_H
 
@@ -10,8 +10,9 @@
     double secondary; /* compared if the primary scores are equal */
 };
 
-/* Searches the zones with zones[zone] set for machines that take the whole gang. Returns an array
- * that the caller owns, with its score in *score, or NULL if these zones don't take the gang. */
+/* Searches the zones with zones[zone] set for machines with room for the whole gang. Returns an
+ * array of the places found, whose element type is that of the search and which the caller frees,
+ * and sets *score; NULL if the zones have no room for the gang. */
 typedef GArray *(*rr_gang_search_fn)(struct rr_planner *planner, const rr_job *job,
                                      const bool *zones, struct rr_gang_score *score);
 
--- a/src/core/scheduling/plan_edits.h
+++ b/src/core/scheduling/plan_edits.h
@@ -33,8 +33,9 @@
 void rr_plan_add_terminated_placement(struct rr_planner *planner, rr_machine *machine,
                                       rr_placement *placement, bool completed, const char *proof);
 
-/* Requeues tasks whose placements terminated without completing them, and edits the records whose
- * completions or preempted placements must not wait any longer. */
+/* Requeues tasks whose placements terminated without completing them. Also edits the records with
+ * placements that this plan has to remove: preempted ones, and those of completed tasks and of
+ * cancelled jobs unless their removal may wait. */
 void rr_plan_process_terminated_placements(struct rr_planner *planner);
 
 /* Removes lost placements that have waited long enough although this plan has not placed their
--- a/src/core/scheduling/preemption.c
+++ b/src/core/scheduling/preemption.c
@@ -272,8 +272,9 @@
                : 0;
 }
 
-/* Returns the machine on which preempting for one task loses the least, or NULL if there is none.
- * Overwrites *preemption with the victims of the last machine compared. */
+/* Returns the machine on which preempting for one task has the smallest estimated loss, in seconds
+ * of work and penalties, or NULL if no machine compared allows it. Overwrites *preemption with the
+ * victims of the last machine compared. */
 static rr_machine *find_cheapest_machine(const struct rr_planner *planner, const rr_job *job,
                                          const struct rr_placement_constraints *constraints,
                                          struct rr_preemption *preemption) {
--- a/src/core/scheduling/rebalancing.c
+++ b/src/core/scheduling/rebalancing.c
@@ -296,7 +296,7 @@
 /* What an allocation changes on one machine. */
 struct machine_changes {
     guint leaving, arriving; /* numbers of replicas */
-    bool emptied;            /* no placement is left, and the machine has a price */
+    bool emptied;            /* no placement is left after the moves, and the release saves money */
 };
 
 /* Fills in the changes of each machine, by machine id. Returns the number of emptied machines. */
--- a/src/http/server_internal.h
+++ b/src/http/server_internal.h
@@ -18,7 +18,7 @@
     struct MHD_Daemon *daemon;
     atomic_uint accepted; /* number of connections accepted so far */
     /* Used by the watcher thread only, until it is joined. */
-    bool stalled;               /* it has stalled at least once */
+    bool stalled;               /* whether this listener has ever stalled */
     unsigned accepted_at_stall; /* the value of accepted at the last stall */
 };
 
--- a/src/wire/encoder.h
+++ b/src/wire/encoder.h
@@ -6,7 +6,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Values are appended one by one; the caller has to keep the counts of maps and arrays. */
+/* Values are appended one by one; the caller has to append exactly as many elements as the header
+ * of each map or array announces. */
 typedef struct {
     msgpack_sbuffer buffer; /* what has been encoded, in its data and size */
     msgpack_packer packer;
--- a/tests/admission_model.c
+++ b/tests/admission_model.c
@@ -336,8 +336,9 @@
                               controller_wall_s(model, controller), state->now);
 }
 
-/* Counts the controllers whose verdict differs from `admitted`. Those with the same tables and
- * clocks must agree, so that nothing is compared while a clock is off or a cache frozen. */
+/* Counts the controllers whose verdict differs from `admitted`. Only controllers with the
+ * same tables and clocks have to agree, so nothing is compared while a clock is off or a cache is
+ * frozen. */
 static void compare_verdicts(struct model *model, const struct job *job, bool admitted) {
     bool clocks_differ = false, any_frozen = false;
     for (int i = 0; i < MODEL_CONTROLLERS; i++) {
--- a/tests/cell_pair.h
+++ b/tests/cell_pair.h
@@ -16,7 +16,7 @@
     rr_cells_settings settings;
     rr_transfers *transfers;
     uint64_t process_id; /* rises with each new process of the controller */
-    uint64_t session_id; /* rises with each restart of the controller */
+    uint64_t session_id; /* of the controller's session; rises each time a session is opened */
     int machine_count;   /* vm-1 to vm-<machine_count>, which send a heartbeat before each plan */
     uint64_t heartbeat_sequence;
     /* Optional callbacks for what the transfers module puts out: its writes, its requests as packed
--- a/tests/controller_process.h
+++ b/tests/controller_process.h
@@ -20,9 +20,9 @@
     double report_s, lease_s, cancel_s; /* of [deployment.workers], in seconds */
 };
 
-/* Gives `count` controllers their ports, their names (prefix and index) and an endpoint each of the
- * fake services for the key-value store, and writes their settings files into the folder. Each file
- * lists the other controllers as seeds. */
+/* Gives each of the `count` controllers its ports, a name (prefix and index) and its own endpoint
+ * of the fake key-value store, and writes its settings file into the folder. Each file lists the
+ * other controllers as seeds. */
 void processes_configure(fake_services *services, const char *folder, const char *prefix,
                          const char *zone, const struct cell_settings *cell_settings,
                          struct controller_process *controllers, int count);
--- a/tests/test_admission_processes.c
+++ b/tests/test_admission_processes.c
@@ -28,7 +28,8 @@
 #define USER_PATIENCE_S 6.0
 #define MIN_WAIT_S 3.0 /* one admission interval, two report intervals, and their commands */
 #define POLL_INTERVAL_S 0.01
-#define START_TIMEOUT_S 60.0 /* until the last accepted job starts, after the submissions */
+/* Most time from the end of the submissions to the start of the last accepted job. */
+#define START_TIMEOUT_S 60.0
 
 static const char *program; /* path of the controller's executable */
 static double submissions_s = 24;
--- a/tests/test_admission_tables.c
+++ b/tests/test_admission_tables.c
@@ -8,8 +8,8 @@
 
 /* ---- records ---- */
 
-/* Makes an active table of 40 teams and this many rows, with falling shares. The caller clears it.
- */
+/* Makes an active table of 40 teams and this many rows, row i with 1/(i + 1) of the full share. The
+ * caller clears it. */
 static void make_large_table(rr_admission_table *table, uint64_t sequence, double starts_at,
                              guint row_count) {
     rr_admission_table_init(table);
--- a/tests/test_cells_offers.c
+++ b/tests/test_cells_offers.c
@@ -74,7 +74,7 @@
     cell_submit_job(&pair->guest, &(struct test_job){.job_id = "req-2", .cpus = 1, .zone = "far"});
     cell_pair_advance(pair, 11); /* longer than end_wait_s */
     pair->link_down = true;
-    cell_pair_step(pair); /* the guest updates the wait of its own jobs */
+    cell_pair_step(pair); /* the guest learns how long its own jobs have waited */
     pair->link_down = false;
     cell_pair_run_for(pair, 10);
     assert_int_equal(pair->offers_delivered, 0);
--- a/tests/test_cells_partitions.c
+++ b/tests/test_cells_partitions.c
@@ -23,8 +23,8 @@
         assert_true(!job.cancelled || passed >= 5);
         assert_true(passed < 120);
     }
-    /* The last grant was given up to 2.5 s before the cut. The home waits for its lease of 10 s and
-     * for teardown_s, 80 s. */
+    /* The home gave its last grant at most 2.5 s before the cut. It waits for the grant's lease of
+     * 10 s and for teardown_s, 80 s. */
     assert_true(pair->home.controller.now - cut_at >= 87);
 }
 
--- a/tests/test_core_design.c
+++ b/tests/test_core_design.c
@@ -229,9 +229,9 @@
     free_two_replicas(&replicas);
 }
 
-/* A job whose class has an objective for its wait preempts a task of lower priority, but not one of
- * its own. The preempted task is marked in the ledger and has time to save its state; the new one
- * starts only once a heartbeat shows that the machine has room. */
+/* A job whose class has an objective for its wait preempts a task of lower priority, but none of
+ * the same priority. The preempted task is marked in the ledger and has time to save its state; the
+ * new one starts only once a heartbeat shows that the machine has room. */
 static void job_with_wait_objective_preempts_lower_priority(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -255,8 +255,8 @@
 }
 
 /* A gang stops while the start of one of its tasks is unanswered and may still arrive. The
- * placement stays until an exited attempt on the machine blocks that start; only then does the next
- * attempt begin. */
+ * placement stays until the machine has recorded the attempt as exited, so that the late start has
+ * no effect; only then does the next attempt begin. */
 static void unanswered_start_delays_next_attempt(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
--- a/tests/test_core_gang_placement.c
+++ b/tests/test_core_gang_placement.c
@@ -91,7 +91,7 @@
 
 /* The fleet is full of tasks of low priority. A gang whose class has an objective for its wait
  * preempts as many of them as it needs, in one zone, and is reserved in the same plan. A gang that
- * needs more than a zone has preempts nothing. */
+ * is too large for any single zone preempts nothing. */
 static void gang_with_wait_objective_preempts_only_if_it_fits_whole(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -257,7 +257,7 @@
 }
 
 /* Fills the buffer with an encoded submission and replaces some of its bytes at random. Returns
- * their count. */
+ * the number of bytes written. */
 static size_t fill_with_corrupted_submission(GRand *random, const rr_encoder *job, uint8_t *buffer,
                                              size_t size) {
     size_t count = job->buffer.size < size ? job->buffer.size : size;
--- a/tests/trace_workers.c
+++ b/tests/trace_workers.c
@@ -190,8 +190,8 @@
                    fails ? trace_random_double(world, 0.5, 2) : seconds);
 }
 
-/* A gang runs once all its tasks are ready, is done with its first task, and ends with any task
- * that fails. */
+/* Advances one task of a gang. The gang runs once all its tasks are ready, is done as soon as one
+ * of them is done, and ends when one fails. */
 static void advance_gang_task(struct trace_world *world, struct trace_machine *machine,
                               struct trace_task *task, const struct trace_job *job) {
     struct gang_state_counts counts = count_gang(world, task);
--- a/tests/trace_world.h
+++ b/tests/trace_world.h
@@ -93,7 +93,7 @@
     bool running;           /* the process */
     bool store_unreachable; /* the process runs without the key-value store */
     bool session_open;      /* the store has the controller's record */
-    double recovers_at;     /* end of running false or store_unreachable */
+    double recovers_at;     /* when the process starts again or reaches the store again */
     uint64_t session;       /* lease of the session */
     double session_until;
     uint64_t batch_count;       /* records of several jobs written so far */
