--- a/src/app/admission_thread.c
+++ b/src/app/admission_thread.c
@@ -67,14 +67,14 @@
 }
 
 /* Adds a machine to the offered load; an rr_core_machine_fn. */
-static void add_machine(void *user, const char *type, const char *zone, double cpu, double gpu,
-                        double mem) {
+static void add_machine_to_offered_load(void *user, const char *type, const char *zone, double cpu,
+                                        double gpu, double mem) {
     rr_offered_load_add_machine(user, type, zone, (rr_resource_amount){cpu, gpu, mem});
 }
 
 /* Adds a job to the offered load; an rr_core_job_fn. */
-static void add_job(void *user, const rr_submission *submission, int team, uint32_t waiting,
-                    uint32_t placed, uint32_t done) {
+static void add_job_to_offered_load(void *user, const rr_submission *submission, int team,
+                                    uint32_t waiting, uint32_t placed, uint32_t done) {
     rr_offered_load_add_job(user, submission, team, waiting, placed, done);
 }
 
@@ -90,8 +90,8 @@
                   rr_core_all_members_support_admission(app->core);
     if (writes) {
         rr_offered_load_begin_snapshot(&state->offered_load);
-        rr_core_foreach_machine(app->core, add_machine, &state->offered_load);
-        rr_core_foreach_job(app->core, add_job, &state->offered_load);
+        rr_core_foreach_machine(app->core, add_machine_to_offered_load, &state->offered_load);
+        rr_core_foreach_job(app->core, add_job_to_offered_load, &state->offered_load);
         rr_core_guard_term(app->core, transaction);
         pthread_mutex_lock(&state->lock);
         const rr_admission_table *table = rr_admission_get_newest_table(state->admission);
--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -174,7 +174,7 @@
         return RR_CANCEL_ALLOWED;
     }
     pthread_mutex_lock(&app->lock);
-    enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
+    enum rr_cancel_precondition precondition = rr_transfers_get_cancel_precondition(
         app->cells->transfers, job_id, rr_wall_clock_s(), &wait_s, &withdrawn, &commit->version);
     pthread_mutex_unlock(&app->lock);
     if (precondition == RR_CANCEL_NEEDS_WITHDRAWAL) {
@@ -185,8 +185,8 @@
     return precondition;
 }
 
-bool rr_app_cells_guard_cancellation(const struct rr_app *app, const char *job_id,
-                                     struct rr_user_commit *commit) {
+bool rr_app_cells_may_cancel_with_guard(const struct rr_app *app, const char *job_id,
+                                        struct rr_user_commit *commit) {
     if (!app->cells) {
         return true;
     }
--- a/src/app/cells_user_requests.h
+++ b/src/app/cells_user_requests.h
@@ -27,9 +27,10 @@
                                                               const char *job_id,
                                                               struct rr_user_commit *commit,
                                                               int *retry_after_s);
-/* Adds a guard on the record of the job's transfer to the commit of its cancellation. Returns false
- * if another cell has the job, or may have it still. The caller holds rr_app.lock. */
-bool rr_app_cells_guard_cancellation(const struct rr_app *app, const char *job_id,
-                                     struct rr_user_commit *commit);
+/* Returns whether no other cell has the job or may still have it, so that its cancellation may be
+ * committed. Adds a guard on the record of the job's transfer to that commit. The caller holds
+ * rr_app.lock. */
+bool rr_app_cells_may_cancel_with_guard(const struct rr_app *app, const char *job_id,
+                                        struct rr_user_commit *commit);
 
 #endif
--- a/src/app/user_requests.c
+++ b/src/app/user_requests.c
@@ -270,7 +270,7 @@
     pthread_mutex_lock(&app->lock);
     bool can_cancel =
         rr_core_encode_cancelled_job(app->core, job_id, &commit.value, &commit.version);
-    bool is_local = !can_cancel || rr_app_cells_guard_cancellation(app, job_id, &commit);
+    bool is_local = !can_cancel || rr_app_cells_may_cancel_with_guard(app, job_id, &commit);
     pthread_mutex_unlock(&app->lock);
     enum cancel_progress progress = CANCEL_ANSWERED;
     if (!is_local) {
--- a/src/cells/cancellation.c
+++ b/src/cells/cancellation.c
@@ -53,11 +53,11 @@
     return get_cancel_precondition(transfers, entry, wall, &wait_s) == RR_CANCEL_ALLOWED;
 }
 
-enum rr_cancel_precondition rr_transfers_check_cancellation(const rr_transfers *transfers,
-                                                            const char *job_id, double wall,
-                                                            double *wait_s,
-                                                            rr_outgoing_record *withdrawn,
-                                                            uint64_t *version) {
+enum rr_cancel_precondition rr_transfers_get_cancel_precondition(const rr_transfers *transfers,
+                                                                 const char *job_id, double wall,
+                                                                 double *wait_s,
+                                                                 rr_outgoing_record *withdrawn,
+                                                                 uint64_t *version) {
     const rr_outgoing *entry = g_hash_table_lookup(transfers->outgoing, job_id);
     enum rr_cancel_precondition precondition =
         get_cancel_precondition(transfers, entry, wall, wait_s);
--- a/src/cells/incoming.c
+++ b/src/cells/incoming.c
@@ -188,7 +188,7 @@
     g_hash_table_iter_init(&iterator, transfers->incoming);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         rr_incoming *entry = value;
-        if (rr_transfers_pass_includes(entry->neighbour, neighbour)) {
+        if (rr_transfers_entry_advances_with(entry->neighbour, neighbour)) {
             advance_entry(transfers, entry, now, plan);
         }
     }
--- a/src/cells/outgoing.c
+++ b/src/cells/outgoing.c
@@ -82,7 +82,7 @@
     g_hash_table_iter_init(&iterator, transfers->outgoing);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         rr_outgoing *entry = value;
-        if (rr_transfers_pass_includes(entry->neighbour, neighbour)) {
+        if (rr_transfers_entry_advances_with(entry->neighbour, neighbour)) {
             advance_entry(transfers, entry, neighbour, now, wall, plan);
         }
     }
--- a/src/cells/settings.c
+++ b/src/cells/settings.c
@@ -281,11 +281,11 @@
     return false;
 }
 
-/* Derives out->times. A lapsed grant counts as a cancellation in the guest cell; the team's owner
- * there, or the controller that takes over from it, records it. The longest grant, the platform's
- * lease_s and stop_s together must therefore be shorter than the platform's cancel_s
- * (docs/cells.md). */
-static bool derive_times(const char *file, rr_cells_settings *out, GError **error) {
+/* Derives out->times. Returns false with *error set if the settings conflict. A lapsed grant counts
+ * as a cancellation in the guest cell; the team's owner there, or the controller that takes over
+ * from it, records it. The longest grant, the platform's lease_s and stop_s together must therefore
+ * be shorter than the platform's cancel_s (docs/cells.md). */
+static bool derive_transfer_times(const char *file, rr_cells_settings *out, GError **error) {
     double grant_max_s = out->lease_s * (1 + 2 * out->drift);
     const char *conflict = NULL;
     out->times = (rr_transfer_times){
@@ -309,7 +309,7 @@
                                  GError **error) {
     rr_settings_copy_numbers(config, numbers, NUMBER_COUNT, out);
     return read_own_name(config, file, out, error) && read_own_endpoint(config, file, out, error) &&
-           derive_times(file, out, error) && read_neighbours(config, file, out, error);
+           derive_transfer_times(file, out, error) && read_neighbours(config, file, out, error);
 }
 
 /* Fills in the options of the file's outermost level. The sections are borrowed. */
--- a/src/cells/transfer_table.c
+++ b/src/cells/transfer_table.c
@@ -33,7 +33,7 @@
     return true;
 }
 
-bool rr_transfers_pass_includes(int entry_neighbour, size_t neighbour) {
+bool rr_transfers_entry_advances_with(int entry_neighbour, size_t neighbour) {
     return entry_neighbour == (int)neighbour ||
            (entry_neighbour == RR_CELLS_NO_NEIGHBOUR && neighbour == 0);
 }
--- a/src/cells/transfer_table.h
+++ b/src/cells/transfer_table.h
@@ -80,8 +80,8 @@
 /* Moves the write into the plan, which then owns its transaction. */
 void rr_transfers_plan_add_write(rr_transfers_plan *plan, const rr_transfer_write *write);
 
-/* Returns whether a pass over this neighbour's transfers includes an entry: each entry belongs to
- * the pass of its own neighbour, or of the first one if it has none (RR_CELLS_NO_NEIGHBOUR). */
-bool rr_transfers_pass_includes(int entry_neighbour, size_t neighbour);
+/* Returns whether an entry is advanced together with this neighbour's transfers: each entry
+ * advances with its own neighbour, or with the first one if it has none (RR_CELLS_NO_NEIGHBOUR). */
+bool rr_transfers_entry_advances_with(int entry_neighbour, size_t neighbour);
 
 #endif
--- a/src/cells/transfers.h
+++ b/src/cells/transfers.h
@@ -128,11 +128,11 @@
  * may lag: rr_transfers_may_cancel() guards against that. Sets *wait_s to the seconds for which a
  * grant may still last (0 or less: none does), and *withdrawn and *version with
  * RR_CANCEL_NEEDS_WITHDRAWAL only. */
-enum rr_cancel_precondition rr_transfers_check_cancellation(const rr_transfers *transfers,
-                                                            const char *job_id, double wall,
-                                                            double *wait_s,
-                                                            rr_outgoing_record *withdrawn,
-                                                            uint64_t *version);
+enum rr_cancel_precondition rr_transfers_get_cancel_precondition(const rr_transfers *transfers,
+                                                                 const char *job_id, double wall,
+                                                                 double *wait_s,
+                                                                 rr_outgoing_record *withdrawn,
+                                                                 uint64_t *version);
 /* Returns whether a cancellation may be recorded now. The transaction that records it has to be
  * guarded by *version of the transfer's record (0: there is none), as the store cache may not show
  * an offer yet. */
--- a/src/core/autoscaling/autoscaler.c
+++ b/src/core/autoscaling/autoscaler.c
@@ -32,7 +32,7 @@
     core->autoscaling.machines_listed_at = core->autoscaling.demand_simulated_at = 0;
     core->autoscaling.machines_listed = false;
     rr_reset_scale_in(core, now);
-    rr_reset_rentals(core);
+    rr_rentals_discard_cloud_answers(core);
     rr_log_at(core, RR_LOG_INFO, "this controller is the autoscaler of term %" G_GUINT64_FORMAT,
               core->membership.term.token);
 }
--- a/src/core/autoscaling/rentals.c
+++ b/src/core/autoscaling/rentals.c
@@ -147,7 +147,7 @@
     return false;
 }
 
-void rr_reset_rentals(rr_core *core) {
+void rr_rentals_discard_cloud_answers(rr_core *core) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, core->autoscaling.rentals);
--- a/src/core/autoscaling/rentals.h
+++ b/src/core/autoscaling/rentals.h
@@ -27,6 +27,6 @@
 bool rr_prepare_scale_out_step(rr_core *core, double now, double wall, rr_autoscaler_step *out);
 
 /* Discards the cloud's answers, so that every intent is requested again under its name. */
-void rr_reset_rentals(rr_core *core);
+void rr_rentals_discard_cloud_answers(rr_core *core);
 
 #endif
--- a/src/core/health/contacts.c
+++ b/src/core/health/contacts.c
@@ -5,7 +5,7 @@
 #include "core/heartbeats.h"
 #include "core/leadership.h"
 
-void rr_contact_record(rr_contact *contact, double now) {
+void rr_record_contact(rr_contact *contact, double now) {
     if (contact->last_at <= 0 || now - contact->last_at > RR_CONTACT_GAP_MAX_S) {
         contact->continuous_since = now;
     }
@@ -19,7 +19,7 @@
 
 void rr_core_record_peer_contact(rr_core *core, double now, int peer) {
     if (peer >= 0 && peer < RR_CONTROLLERS_MAX) {
-        rr_contact_record(&core->observed.peer_contacts[peer], now);
+        rr_record_contact(&core->observed.peer_contacts[peer], now);
     }
 }
 
--- a/src/core/health/contacts.h
+++ b/src/core/health/contacts.h
@@ -13,7 +13,7 @@
 #define RR_CONTACT_GAP_MAX_S 4.0
 
 /* Records that the sender was heard at `now`. */
-void rr_contact_record(rr_contact *contact, double now);
+void rr_record_contact(rr_contact *contact, double now);
 
 /* Returns whether the sender has been heard without a gap for at least the last `seconds`. */
 bool rr_contact_continuous_for(const rr_contact *contact, double now, double seconds);
--- a/src/core/health/heartbeats.c
+++ b/src/core/health/heartbeats.c
@@ -110,7 +110,7 @@
     record_arrival(machine, now, forwarding_peer);
     machine->stale_answers = 0;
     if (forwarding_peer < 0) {
-        rr_contact_record(&core->observed.direct_contact, now);
+        rr_record_contact(&core->observed.direct_contact, now);
     }
     if (changed) {
         rr_record_fetched_images(core, machine);
--- a/src/core/scheduling/bin_packing.c
+++ b/src/core/scheduling/bin_packing.c
@@ -145,9 +145,9 @@
            rr_machine_has_task(machine, job);
 }
 
-void rr_list_candidates(rr_core *core, const rr_job *job,
-                        const struct rr_placement_constraints *constraints, double now,
-                        GArray *candidates) {
+void rr_list_candidate_machines(rr_core *core, const rr_job *job,
+                                const struct rr_placement_constraints *constraints, double now,
+                                GArray *candidates) {
     g_array_set_size(candidates, 0);
     for (guint i = 0; i < core->stored.machine_list->len; i++) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i);
@@ -258,7 +258,7 @@
 rr_machine *rr_choose_machine(rr_core *core, const rr_job *job,
                               const struct rr_placement_constraints *constraints, double now) {
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(rr_candidate));
-    rr_list_candidates(core, job, constraints, now, candidates);
+    rr_list_candidate_machines(core, job, constraints, now, candidates);
     rr_machine *machine = rr_choose_candidate(core, job, constraints, candidates);
     g_array_free(candidates, TRUE);
     return machine;
--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -33,9 +33,9 @@
 
 /* Replaces the contents of `candidates` (rr_candidate) by all machines that may take a task of the
  * job now. One pass over the machines then serves the choices for many tasks. */
-void rr_list_candidates(rr_core *core, const rr_job *job,
-                        const struct rr_placement_constraints *constraints, double now,
-                        GArray *candidates);
+void rr_list_candidate_machines(rr_core *core, const rr_job *job,
+                                const struct rr_placement_constraints *constraints, double now,
+                                GArray *candidates);
 
 /* Returns the best candidate for one more task of the job, or NULL if none fits. Removes candidates
  * that no longer have enough free resources. Checks zones and distinct machines again, since
--- a/src/core/scheduling/gang_placement.c
+++ b/src/core/scheduling/gang_placement.c
@@ -77,7 +77,7 @@
 };
 
 /* Compares slots by loss, then by machine, then by number of tasks. */
-static gint compare_slots(gconstpointer left_slot, gconstpointer right_slot) {
+static gint compare_slots_by_loss(gconstpointer left_slot, gconstpointer right_slot) {
     const struct slot *left = left_slot, *right = right_slot;
     if (left->loss_s != right->loss_s) {
         return left->loss_s < right->loss_s ? -1 : 1;
@@ -125,7 +125,7 @@
         }
     }
     rr_preemption_clear(&preemption);
-    g_array_sort(slots, compare_slots);
+    g_array_sort(slots, compare_slots_by_loss);
     return slots;
 }
 
--- a/src/core/scheduling/job_search.c
+++ b/src/core/scheduling/job_search.c
@@ -66,7 +66,8 @@
     struct rr_placement_constraints wide_constraints = *constraints;
     wide_constraints.zones =
         zones->counts_placements && !rr_job_requires_one_zone(job) ? all_zones : zones->allowed;
-    rr_list_candidates(planner->core, job, &wide_constraints, planner->now, planner->candidates);
+    rr_list_candidate_machines(planner->core, job, &wide_constraints, planner->now,
+                               planner->candidates);
 }
 
 uint64_t rr_zone_mask(const rr_core *core, const bool *allowed) {
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -90,7 +90,7 @@
     rr_machine *machine = rr_choose_candidate(core, job, constraints, planner->candidates);
     if (!machine && constraints->distinct_machines && job->placed_count) {
         constraints->distinct_machines = false;
-        rr_list_candidates(core, job, constraints, planner->now, planner->candidates);
+        rr_list_candidate_machines(core, job, constraints, planner->now, planner->candidates);
         machine = rr_choose_candidate(core, job, constraints, planner->candidates);
     }
     if (!machine && rr_team_within_guarantee(planner, job, 1)) {
--- a/src/core/scheduling/plan.c
+++ b/src/core/scheduling/plan.c
@@ -94,7 +94,7 @@
 }
 
 /* GHRFunc: whether the entry of a deleted machine has expired. */
-static gboolean is_deletion_expired(gpointer key, gpointer value, gpointer now) {
+static gboolean is_deleted_machine_entry_expired(gpointer key, gpointer value, gpointer now) {
     (void)key;
     return *(double *)now - *(double *)value > DELETED_MACHINE_RETENTION_S;
 }
@@ -104,7 +104,7 @@
  * records were deleted) and have sent none for UNRECORDED_MACHINE_RETENTION_S. Also removes expired
  * entries of deleted machines. */
 static void remove_unrecorded_machines(rr_core *core, double now) {
-    g_hash_table_foreach_remove(core->stored.gone_machines, is_deletion_expired, &now);
+    g_hash_table_foreach_remove(core->stored.gone_machines, is_deleted_machine_entry_expired, &now);
     for (guint i = core->stored.machine_list->len; i > 0; i--) {
         rr_machine *machine = g_ptr_array_index(core->stored.machine_list, i - 1);
         if (!machine->recorded && !machine->to_record && !machine->command_inflight &&
--- a/tests/cell_pair.c
+++ b/tests/cell_pair.c
@@ -70,7 +70,7 @@
 }
 
 void cell_restart_controller(struct test_cell *cell, bool new_process) {
-    test_controller_leave(&cell->controller);
+    test_controller_delete_session(&cell->controller);
     if (new_process) {
         double now = cell->controller.now;
         rr_transfers_destroy(cell->transfers);
@@ -239,7 +239,7 @@
 }
 
 void cell_pair_stop_home_controllers(cell_pair *pair) {
-    test_controller_leave(&pair->home.controller);
+    test_controller_delete_session(&pair->home.controller);
     pair->home_controllers_down = pair->link_down = true;
 }
 
--- a/tests/cells_run.c
+++ b/tests/cells_run.c
@@ -94,7 +94,7 @@
         g_snprintf(cell->settings_file, sizeof cell->settings_file, "%s/%s.conf", run.directory,
                    run_cell_names[i]);
         for (int k = 0; k < RUN_CONTROLLERS; k++) {
-            cell->ports[k] = fake_services_free_port();
+            cell->ports[k] = fake_services_find_unused_port();
         }
     }
     for (int i = 0; i < RUN_CELLS; i++) {
@@ -371,8 +371,8 @@
 }
 
 /* Adds what is wrong with the runs of one task to *out. */
-static void check_task(const struct run_job *job, const GArray *task_runs,
-                       struct run_findings *out) {
+static void add_findings_of_task(const struct run_job *job, const GArray *task_runs,
+                                 struct run_findings *out) {
     bool ran = false;
     for (guint i = 0; i < task_runs->len; i++) {
         const struct task_run *one = &g_array_index(task_runs, struct task_run, i);
@@ -393,12 +393,14 @@
     out->done_without_run += job->done && !ran;
 }
 
-static void check_job(GArray *const *runs, const struct run_job *job, struct run_findings *out) {
+/* Adds the job to the counts in *out, with what is wrong with the runs of its tasks. */
+static void add_findings_of_job(GArray *const *runs, const struct run_job *job,
+                                struct run_findings *out) {
     double started_at = INFINITY;
     bool transferred = false;
     for (unsigned task = 0; task < 2; task++) {
         GArray *task_runs = collect_task_runs(runs, job, task);
-        check_task(job, task_runs, out);
+        add_findings_of_task(job, task_runs, out);
         for (guint i = 0; i < task_runs->len; i++) {
             const struct task_run *task_run = &g_array_index(task_runs, struct task_run, i);
             started_at = fmin(started_at, task_run->from);
@@ -420,7 +422,7 @@
         runs[i] = fake_services_runs(run.cells[i].services);
     }
     for (guint i = 0; i < run.jobs->len; i++) {
-        check_job(runs, g_ptr_array_index(run.jobs, i), &findings);
+        add_findings_of_job(runs, g_ptr_array_index(run.jobs, i), &findings);
     }
     for (int i = 0; i < RUN_CELLS; i++) {
         g_array_free(runs[i], TRUE);
--- a/tests/controller_fixture.c
+++ b/tests/controller_fixture.c
@@ -93,7 +93,7 @@
     test_controller_begin_next_term(controller);
 }
 
-void test_controller_leave(test_controller *controller) {
+void test_controller_delete_session(test_controller *controller) {
     char key[RR_NAME_SIZE + 16];
     format_session_key(controller, key, sizeof key);
     fake_store_delete(controller->store, key);
@@ -108,7 +108,7 @@
     test_controller_begin_next_term(controller);
 }
 
-void test_controller_leave_old_version(test_controller *controller) {
+void test_controller_delete_old_version_session(test_controller *controller) {
     fake_store_delete(controller->store, OLD_VERSION_SESSION_KEY);
     test_controller_begin_next_term(controller);
 }
--- a/tests/controller_fixture.h
+++ b/tests/controller_fixture.h
@@ -31,11 +31,11 @@
 void test_controller_join(test_controller *controller, uint64_t lease_id);
 /* Deletes the controller's session; the term stays as it is until the next
  * test_controller_begin_next_term(). */
-void test_controller_leave(test_controller *controller);
+void test_controller_delete_session(test_controller *controller);
 /* Adds or removes the session of another controller, n1, whose version announces no capabilities.
  * `controller` commits the term that follows. */
 void test_controller_join_old_version(test_controller *controller);
-void test_controller_leave_old_version(test_controller *controller);
+void test_controller_delete_old_version_session(test_controller *controller);
 
 /* ---- heartbeats ---- */
 
--- a/tests/controller_requests.c
+++ b/tests/controller_requests.c
@@ -27,7 +27,7 @@
     return is_free;
 }
 
-uint16_t fake_services_free_port(void) {
+uint16_t fake_services_find_unused_port(void) {
     static unsigned port_offset;
     port_offset = port_offset ? port_offset : (unsigned)getpid() * PORTS_PER_PROCESS;
     uint16_t port;
@@ -57,8 +57,8 @@
     g_strlcpy(config->node_name, name, RR_NAME_SIZE);
     g_strlcpy(config->zone, "a", RR_NAME_SIZE);
     config->bind = config->peer_listen = config->cloud = config->store_endpoint = local;
-    config->bind.port = fake_services_free_port();
-    config->peer_listen.port = fake_services_free_port();
+    config->bind.port = fake_services_find_unused_port();
+    config->peer_listen.port = fake_services_find_unused_port();
     config->cloud.port = config->store_endpoint.port = services->port;
     config->team_count = 1;
     g_strlcpy(config->teams[0].name, "red", RR_NAME_SIZE);
--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -69,7 +69,7 @@
 /* ---- controllers ---- */
 
 /* Returns a port on which nobody listens. */
-uint16_t fake_services_free_port(void);
+uint16_t fake_services_find_unused_port(void);
 /* Opens a connection whose reads time out after 20 s. Returns its descriptor, which the caller
  * closes; -1: refused. */
 int fake_services_connect(const struct rr_endpoint *endpoint);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -139,13 +139,13 @@
     test_controller *controller = &fixture->controller;
     assert_false(rr_core_all_members_support_admission(controller->core));
     controller->config.admission = true;
-    test_controller_leave(controller);
+    test_controller_delete_session(controller);
     test_controller_join(controller, 12);
     assert_true(rr_core_all_members_support_admission(controller->core));
     assert_true(rr_core_all_members_support_gangs(controller->core));
     test_controller_join_old_version(controller);
     assert_false(rr_core_all_members_support_admission(controller->core));
-    test_controller_leave_old_version(controller);
+    test_controller_delete_old_version_session(controller);
     assert_true(rr_core_all_members_support_admission(controller->core));
 }
 
--- a/tests/test_cells_cancellation.c
+++ b/tests/test_cells_cancellation.c
@@ -10,7 +10,7 @@
     test_controller *home = &pair->home.controller;
     rr_outgoing_record withdrawn;
     uint64_t version;
-    enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
+    enum rr_cancel_precondition precondition = rr_transfers_get_cancel_precondition(
         pair->home.transfers, CELL_PAIR_JOB_ID, home->now, wait_s, &withdrawn, &version);
     if (precondition == RR_CANCEL_NEEDS_WITHDRAWAL) {
         rr_transaction transaction;
--- a/tests/test_cells_links.c
+++ b/tests/test_cells_links.c
@@ -61,7 +61,7 @@
 /* Sets this address and a free port as the one to listen at. */
 static void set_listen_address(rr_cells_settings *settings, const char *address) {
     g_strlcpy(settings->listen_endpoint.host, address, sizeof settings->listen_endpoint.host);
-    settings->listen_endpoint.port = fake_services_free_port();
+    settings->listen_endpoint.port = fake_services_find_unused_port();
 }
 
 /* Starts two controllers of cell b, whose neighbour, cell a, connects from 127.0.1.0/24. */
@@ -253,7 +253,7 @@
     rr_receive_buffer_clear(&receive_buffer);
 }
 
-static void requests_of_unknown_versions_are_answered_as_such(void **state) {
+static void requests_of_unknown_versions_get_status_version_unknown(void **state) {
     rr_cells_settings settings;
     rr_cells_reply reply;
     rr_cells_request request;
@@ -292,7 +292,7 @@
     assert_int_equal(servers[0].requests, 1);
     assert_int_equal(servers[1].requests, 2);
     settings.neighbours[0].controllers[1].endpoint.port =
-        fake_services_free_port(); /* no listener */
+        fake_services_find_unused_port(); /* no listener */
     rr_cells_client *other_client = rr_cells_client_create(&settings, 0, &stop);
     servers[0].planner[0] = 0;
     assert_int_equal(ask_to_renew(other_client, "a", "b", &reply), 0);
@@ -332,7 +332,7 @@
         LINKS_TEST(invalid_frames_close_their_connection),
         LINKS_TEST(frames_of_other_types_close_their_connection),
         LINKS_TEST(malformed_requests_are_answered_as_malformed),
-        LINKS_TEST(requests_of_unknown_versions_are_answered_as_such),
+        LINKS_TEST(requests_of_unknown_versions_get_status_version_unknown),
         LINKS_TEST(a_client_learns_which_controller_plans_a_team),
         LINKS_TEST(connections_beyond_the_limit_are_closed)};
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_cells_offers.c
+++ b/tests/test_cells_offers.c
@@ -116,11 +116,11 @@
     test_controller_join_old_version(&pair->home.controller);
     cell_pair_run_for(pair, 10);
     assert_int_equal(pair->offers_delivered, 0);
-    test_controller_leave_old_version(&pair->home.controller);
+    test_controller_delete_old_version_session(&pair->home.controller);
     test_controller_join_old_version(&pair->guest.controller);
     cell_pair_run_for(pair, 10);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 0);
-    test_controller_leave_old_version(&pair->guest.controller);
+    test_controller_delete_old_version_session(&pair->guest.controller);
     cell_pair_run_for(pair, 45);
     assert_int_equal(fake_store_count(pair->guest.store, "rr/cells/"), 1);
 }
--- a/tests/test_core_autoscaler.c
+++ b/tests/test_core_autoscaler.c
@@ -24,7 +24,7 @@
     g_strlcpy(first_rental, step.rental, sizeof first_rental);
     /* The controller stops before it has the cloud's answer. */
     rr_autoscaler_step_clear(&step);
-    test_controller_leave(controller);
+    test_controller_delete_session(controller);
     test_controller_init(&successor, fixture->store, "n0");
     successor.now = controller->now;
     fake_store_sync(fixture->store, successor.core, successor.now);
@@ -276,7 +276,7 @@
     test_controller_init(&successor, fixture->store, "n1");
     successor.now = controller->now;
     fake_store_reload(fixture->store, successor.core, successor.now);
-    test_controller_leave(controller);
+    test_controller_delete_session(controller);
     test_controller_join(&successor, 9);
     test_controller_heartbeat(&successor, "vm-7", "a", false, 1, 1, 0, NULL);
     plan_with_outcome(&successor, RR_COMMAND_ANSWERED);
--- a/tests/test_core_failure_detection.c
+++ b/tests/test_core_failure_detection.c
@@ -258,7 +258,7 @@
     assert_true(reply_s > 0.9 * (isolated.config.cancel_s - isolated.config.lease_s));
     rr_heartbeat_clear(&heartbeat);
     /* Its session expires, and the others begin a term without it. */
-    test_controller_leave(&isolated);
+    test_controller_delete_session(&isolated);
     test_controller_begin_next_term(controller);
     unsigned probes = 0;
     for (int i = 0; i < 40; i++) {
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -319,7 +319,7 @@
     test_controller_init(&new_owner, fixture->store, "n1");
     new_owner.now = controller->now;
     fake_store_reload(fixture->store, new_owner.core, new_owner.now);
-    test_controller_leave(controller);
+    test_controller_delete_session(controller);
     test_controller_join(&new_owner, 9);
     for (int k = 1; k <= GANG_MACHINE_COUNT; k++) {
         gang_send_heartbeat(&new_owner, k, "req-1", k == machine ? "ended:peers" : "running", 1,
--- a/tests/test_core_gang_placement.c
+++ b/tests/test_core_gang_placement.c
@@ -355,7 +355,7 @@
     assert_false(rr_core_all_members_support_gangs(controller->core));
     rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_string_equal(view.state, "running");
-    test_controller_leave_old_version(controller);
+    test_controller_delete_old_version_session(controller);
     assert_int_equal(rr_core_check_submission(controller->core, &submission, &reason),
                      RR_SUBMISSION_NEW);
 }
@@ -389,7 +389,7 @@
     cancel_in_old_version(fixture, "req-1");
     rr_core_get_job_view(controller->core, "req-1", controller->now, &view);
     assert_true(view.cancelled);
-    test_controller_leave_old_version(controller);
+    test_controller_delete_old_version_session(controller);
     gang_send_heartbeats(controller, "req-1", "running");
     assert_int_equal(gang_plan_and_answer(controller, RR_COMMAND_STOP, "req-1", NULL), 3);
     test_submission_init(&submission, &gang_job);
--- a/tests/test_core_next_limits.c
+++ b/tests/test_core_next_limits.c
@@ -123,7 +123,7 @@
     /* The other tasks have no room in the record. */
     assert_true(placed >= 30 && placed < TASK_COUNT);
     assert_int_equal(fake_store_count(fixture->store, RR_KEY_ROOT "run/req-1/"), 1);
-    test_controller_leave_old_version(controller);
+    test_controller_delete_old_version_session(controller);
     send_empty_heartbeats(controller, MACHINE_COUNT, 1, 8);
     plan_within_limits(controller, 4, 0.5);
     assert_int_equal(fake_store_placed_count(fixture->store, "req-1"), TASK_COUNT);
@@ -230,7 +230,7 @@
     new_owner.config.next_transaction_changes_max = NEXT_TRANSACTION_CHANGES;
     new_owner.now = controller->now;
     fake_store_reload(fixture->store, new_owner.core, new_owner.now);
-    test_controller_leave(controller);
+    test_controller_delete_session(controller);
     test_controller_join(&new_owner, 9);
     report_tasks(&new_owner, "req-1", TASK_COUNT, 50, 2, 2);
     plan_large_array(&new_owner, 6);
--- a/tests/test_core_partitions.c
+++ b/tests/test_core_partitions.c
@@ -204,9 +204,9 @@
     return released_count;
 }
 
-/* A controller that runs late may have an unread heartbeat of every machine that seems overdue, for
- * seconds or for longer than a lease. Probes from that time count for nothing. */
-static void late_controller_releases_no_machine(void **state) {
+/* A controller whose timers fire late may have an unread heartbeat of every machine that seems
+ * overdue, for seconds or for longer than a lease. Probes from that time count for nothing. */
+static void controller_with_late_timers_releases_no_machine(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
     uint64_t sequence = 1;
@@ -285,7 +285,7 @@
         TEST(controller_started_during_partition_releases_no_machine),
         TEST(partitioned_zone_gets_two_probes),
         TEST(paused_controller_releases_no_machine),
-        TEST(late_controller_releases_no_machine),
+        TEST(controller_with_late_timers_releases_no_machine),
         TEST(hung_machines_of_zone_with_connected_controller_are_released),
         TEST(hung_machines_of_zone_without_connected_controller_are_kept),
     };
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -47,7 +47,7 @@
     struct fixture *fixture = g_new0(struct fixture, 1);
     test_config_init(&fixture->config, "n0");
     g_strlcpy(fixture->config.bind.host, "127.0.0.1", sizeof fixture->config.bind.host);
-    fixture->config.bind.port = fake_services_free_port();
+    fixture->config.bind.port = fake_services_find_unused_port();
     sem_init(&fixture->resume, 0, 0);
     fixture->server = rr_http_server_create(&fixture->config, CONNECTIONS_MAX, handle_request,
                                             on_accept, fixture);
--- a/tests/test_peer.c
+++ b/tests/test_peer.c
@@ -115,7 +115,7 @@
     g_strlcpy(config->peers[0].name, "n1", RR_NAME_SIZE);
     config->peers[0].endpoint = listen_as_peer(fixture);
     config->peer_listen = config->peers[0].endpoint;
-    config->peer_listen.port = fake_services_free_port();
+    config->peer_listen.port = fake_services_find_unused_port();
     struct rr_peer_events events = {.user = fixture,
                                     .on_heartbeat = on_heartbeat,
                                     .on_heartbeat_digests = on_heartbeat_digests,
--- a/tests/trace_beside.c
+++ b/tests/trace_beside.c
@@ -271,7 +271,7 @@
     if (!cell_find_job(home, id, &job) || job.done || job.cancelled) {
         return;
     }
-    enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
+    enum rr_cancel_precondition precondition = rr_transfers_get_cancel_precondition(
         home->transfers, id, home->controller.now, &wait_s, &withdrawn, &version);
     trace_hash_uint64(&trace->hash, precondition);
     trace_hash_double(&trace->hash, precondition == RR_CANCEL_NEEDS_WAIT ? wait_s : 0);
