--- a/src/app/cells_user_requests.c
+++ b/src/app/cells_user_requests.c
@@ -7,7 +7,8 @@
 #include <math.h>
 #include <string.h>
 
-#define RELAY_RETRY_S 2 /* Retry-After value */
+/* Retry-After of the 503 response while a cell that may know the job can't be reached. */
+#define RELAY_RETRY_S 2
 
 static bool is_reachable(struct rr_app *app, size_t neighbour) {
     pthread_mutex_lock(&app->lock);
@@ -173,7 +174,7 @@
         return RR_CANCEL_ALLOWED;
     }
     pthread_mutex_lock(&app->lock);
-    enum rr_cancel_precondition precondition = rr_transfers_check_cancellation(
+    enum rr_cancel_precondition precondition = rr_transfers_get_cancel_precondition(
         app->cells->transfers, job_id, rr_wall_clock_s(), &wait_s, &withdrawn, &commit->version);
     pthread_mutex_unlock(&app->lock);
     if (precondition == RR_CANCEL_NEEDS_WITHDRAWAL) {
@@ -184,8 +185,8 @@
     return precondition;
 }
 
-bool rr_app_cells_guard_cancellation(const struct rr_app *app, const char *job_id,
-                                     struct rr_user_commit *commit) {
+bool rr_app_cells_may_cancel_with_guard(const struct rr_app *app, const char *job_id,
+                                        struct rr_user_commit *commit) {
     if (!app->cells) {
         return true;
     }
--- a/tests/test_core_gang.c
+++ b/tests/test_core_gang.c
@@ -255,8 +255,8 @@
 }
 
 /* A gang stops while the start of one of its tasks is unanswered and may still arrive. The
- * placement stays until an exited attempt on the machine blocks that start; only then does the next
- * attempt begin. */
+ * placement stays until the machine has recorded the attempt as exited, so that the late start has
+ * no effect; only then does the next attempt begin. */
 static void unanswered_start_delays_next_attempt(void **state) {
     core_fixture *fixture = *state;
     test_controller *controller = &fixture->controller;
@@ -319,7 +319,7 @@
     test_controller_init(&new_owner, fixture->store, "n1");
     new_owner.now = controller->now;
     fake_store_reload(fixture->store, new_owner.core, new_owner.now);
-    test_controller_leave(controller);
+    test_controller_delete_session(controller);
     test_controller_join(&new_owner, 9);
     for (int k = 1; k <= GANG_MACHINE_COUNT; k++) {
         gang_send_heartbeat(&new_owner, k, "req-1", k == machine ? "ended:peers" : "running", 1,
